--- a/cmd/portgauge-lab/http_leaf.go
+++ b/cmd/portgauge-lab/http_leaf.go
@@ -9,8 +9,8 @@
 	"syscall"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/httpdialect"
 	"github.com/portgauge/portgauge/internal/lab/httpleaf"
+	"github.com/portgauge/portgauge/internal/request/httpdialect"
 )
 
 // httpLeafCommand runs a stand-in back end for routes, which answers with random records.
--- a/cmd/portgauge/routes.go
+++ b/cmd/portgauge/routes.go
@@ -10,7 +10,7 @@
 	adminv1 "github.com/portgauge/portgauge/gen/portgauge/admin/v1"
 	"github.com/portgauge/portgauge/internal/api"
 	"github.com/portgauge/portgauge/internal/cli"
-	"github.com/portgauge/portgauge/internal/routing"
+	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
 // routesCommand groups the calls about routes.
--- a/internal/admin/routes.go
+++ b/internal/admin/routes.go
@@ -10,7 +10,7 @@
 	"github.com/portgauge/portgauge/internal/configwriter"
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/leafset"
-	"github.com/portgauge/portgauge/internal/routing"
+	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
 // ApplyRoutes checks the routing configuration and writes it as a whole.
--- a/internal/api/admin_handler.go
+++ b/internal/api/admin_handler.go
@@ -10,7 +10,7 @@
 	"github.com/portgauge/portgauge/internal/admin"
 	"github.com/portgauge/portgauge/internal/catalog"
 	"github.com/portgauge/portgauge/internal/configsync"
-	"github.com/portgauge/portgauge/internal/search"
+	"github.com/portgauge/portgauge/internal/request/search"
 )
 
 // watchBuffer is how many changes a slow watcher may be behind before it loses some.
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -30,8 +30,8 @@
 	"github.com/portgauge/portgauge/internal/balancer"
 	"github.com/portgauge/portgauge/internal/catalog"
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/hedging"
-	"github.com/portgauge/portgauge/internal/search"
+	"github.com/portgauge/portgauge/internal/request/hedging"
+	"github.com/portgauge/portgauge/internal/request/search"
 	"github.com/portgauge/portgauge/internal/telemetry"
 )
 
--- a/internal/api/health.go
+++ b/internal/api/health.go
@@ -6,7 +6,7 @@
 	"connectrpc.com/connect"
 	"connectrpc.com/grpchealth"
 
-	"github.com/portgauge/portgauge/internal/search"
+	"github.com/portgauge/portgauge/internal/request/search"
 )
 
 // healthChecker answers gRPC health checks by the engine's readiness.
--- a/internal/api/search_handler.go
+++ b/internal/api/search_handler.go
@@ -7,7 +7,7 @@
 
 	searchv1 "github.com/portgauge/portgauge/gen/portgauge/search/v1"
 	"github.com/portgauge/portgauge/gen/portgauge/search/v1/searchv1connect"
-	"github.com/portgauge/portgauge/internal/search"
+	"github.com/portgauge/portgauge/internal/request/search"
 )
 
 // streamChunkRows is how many rows one streamed chunk carries.
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -13,8 +13,8 @@
 	"github.com/portgauge/portgauge/internal/leafset"
 	"github.com/portgauge/portgauge/internal/manifest"
 	"github.com/portgauge/portgauge/internal/quarantine"
+	"github.com/portgauge/portgauge/internal/request/routing"
 	"github.com/portgauge/portgauge/internal/revision"
-	"github.com/portgauge/portgauge/internal/routing"
 )
 
 // recentLimit is how many changes a node keeps to bring others up to date without sending
--- a/internal/catalog/draft.go
+++ b/internal/catalog/draft.go
@@ -11,7 +11,7 @@
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/leafset"
 	"github.com/portgauge/portgauge/internal/manifest"
-	"github.com/portgauge/portgauge/internal/routing"
+	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
 // NodeRecord is a node's own word on itself.
--- a/internal/catalog/drilled_test.go
+++ b/internal/catalog/drilled_test.go
@@ -4,8 +4,8 @@
 	"encoding/json"
 
 	"github.com/portgauge/portgauge/internal/leafset"
+	"github.com/portgauge/portgauge/internal/request/routing"
 	"github.com/portgauge/portgauge/internal/revision"
-	"github.com/portgauge/portgauge/internal/routing"
 )
 
 // fatal fails a test; *testing.T and *rapid.T do.
--- a/internal/catalog/restored.go
+++ b/internal/catalog/restored.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"github.com/portgauge/portgauge/internal/leafset"
+	"github.com/portgauge/portgauge/internal/request/routing"
 	"github.com/portgauge/portgauge/internal/revision"
-	"github.com/portgauge/portgauge/internal/routing"
 )
 
 // A store that was restored from a backup holds less than what nodes have in force: what was accepted since the backup, and
--- a/internal/lab/httpleaf/httpleaf.go
+++ b/internal/lab/httpleaf/httpleaf.go
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/httpdialect"
+	"github.com/portgauge/portgauge/internal/request/httpdialect"
 )
 
 // Answer is what a leaf sends back.
--- a/internal/lab/leaf/leaf.go
+++ b/internal/lab/leaf/leaf.go
@@ -19,7 +19,7 @@
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/keyspace"
 	"github.com/portgauge/portgauge/internal/lab/sample"
-	"github.com/portgauge/portgauge/internal/search"
+	"github.com/portgauge/portgauge/internal/request/search"
 )
 
 // Config is what a leaf is and how fast it works.
--- a/internal/lab/replay/verdict.go
+++ b/internal/lab/replay/verdict.go
@@ -8,7 +8,7 @@
 	searchv1 "github.com/portgauge/portgauge/gen/portgauge/search/v1"
 	"github.com/portgauge/portgauge/internal/keyspace"
 	"github.com/portgauge/portgauge/internal/lab/sample"
-	"github.com/portgauge/portgauge/internal/search"
+	"github.com/portgauge/portgauge/internal/request/search"
 )
 
 // verdict counts what is wrong with one answer.
--- a/internal/lab/soak/load.go
+++ b/internal/lab/soak/load.go
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/httpdialect"
+	"github.com/portgauge/portgauge/internal/request/httpdialect"
 )
 
 // Kind is what a request asks for.
--- a/internal/lab/soak/world.go
+++ b/internal/lab/soak/world.go
@@ -14,10 +14,10 @@
 	"github.com/cespare/xxhash/v2"
 
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/httpdialect"
 	"github.com/portgauge/portgauge/internal/lab/httpleaf"
 	"github.com/portgauge/portgauge/internal/lab/kvstore"
 	"github.com/portgauge/portgauge/internal/lab/rollouts"
+	"github.com/portgauge/portgauge/internal/request/httpdialect"
 	"github.com/portgauge/portgauge/platform"
 )
 
--- a/internal/leafhttp/answer.go
+++ b/internal/leafhttp/answer.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/httpdialect"
+	"github.com/portgauge/portgauge/internal/request/httpdialect"
 )
 
 // maximumForeignAnswers is how many answers to other requests are skipped on a connection.
--- a/internal/leafhttp/leafhttp_test.go
+++ b/internal/leafhttp/leafhttp_test.go
@@ -14,8 +14,8 @@
 	"github.com/matryer/is"
 
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/httpdialect"
 	"github.com/portgauge/portgauge/internal/lab/httpleaf"
+	"github.com/portgauge/portgauge/internal/request/httpdialect"
 )
 
 var dialect = httpdialect.Default()
--- a/internal/leafhttp/pool.go
+++ b/internal/leafhttp/pool.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/httpdialect"
+	"github.com/portgauge/portgauge/internal/request/httpdialect"
 )
 
 // Target is the leaf that an attempt goes to.
--- a/internal/leafhttp/presence_test.go
+++ b/internal/leafhttp/presence_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/matryer/is"
 
-	"github.com/portgauge/portgauge/internal/httpdialect"
 	"github.com/portgauge/portgauge/internal/lab/httpleaf"
+	"github.com/portgauge/portgauge/internal/request/httpdialect"
 )
 
 func checked(t *testing.T, p *Pool, target Target, refused bool) bool {
--- a/internal/leafhttp/request.go
+++ b/internal/leafhttp/request.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/httpdialect"
+	"github.com/portgauge/portgauge/internal/request/httpdialect"
 )
 
 // Request is what a leaf is sent. It is shared by all attempts and never changed.
--- a/internal/leafhttp/woke_test.go
+++ b/internal/leafhttp/woke_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/matryer/is"
 
-	"github.com/portgauge/portgauge/internal/httpdialect"
 	"github.com/portgauge/portgauge/internal/lab/httpleaf"
+	"github.com/portgauge/portgauge/internal/request/httpdialect"
 )
 
 // Connections that rested through a suspension for longer than they may are not used any more.
--- a/internal/node/keeper.go
+++ b/internal/node/keeper.go
@@ -10,7 +10,7 @@
 	"github.com/portgauge/portgauge/internal/leafmemory"
 	"github.com/portgauge/portgauge/internal/membership"
 	"github.com/portgauge/portgauge/internal/peer"
-	"github.com/portgauge/portgauge/internal/retrybudget"
+	"github.com/portgauge/portgauge/internal/request/retrybudget"
 	"github.com/portgauge/portgauge/internal/telemetry"
 	"github.com/portgauge/portgauge/internal/wait"
 )
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -7,7 +7,7 @@
 	"github.com/portgauge/portgauge/internal/admin"
 	"github.com/portgauge/portgauge/internal/catalog"
 	"github.com/portgauge/portgauge/internal/configsync"
-	"github.com/portgauge/portgauge/internal/search"
+	"github.com/portgauge/portgauge/internal/request/search"
 	"github.com/portgauge/portgauge/internal/telemetry"
 )
 
--- a/internal/front/caller.go
+++ b/internal/request/front/caller.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/roundtrip"
+	"github.com/portgauge/portgauge/internal/request/roundtrip"
 )
 
 // roundTrip gives the time that the ways to a caller and back mostly take at most, since an answer that is
--- a/internal/front/front_test.go
+++ b/internal/request/front/front_test.go
@@ -18,9 +18,9 @@
 	"go.uber.org/zap"
 
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/gateway"
-	"github.com/portgauge/portgauge/internal/httpdialect"
-	"github.com/portgauge/portgauge/internal/routing"
+	"github.com/portgauge/portgauge/internal/request/gateway"
+	"github.com/portgauge/portgauge/internal/request/httpdialect"
+	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
 var dialect = httpdialect.Default()
--- a/internal/front/guard.go
+++ b/internal/request/front/guard.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/routing"
+	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
 // connectionGuard closes connections that rest or send a header for longer than the limits in
--- a/internal/front/handler.go
+++ b/internal/request/front/handler.go
@@ -13,8 +13,8 @@
 	"github.com/google/uuid"
 
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/gateway"
 	"github.com/portgauge/portgauge/internal/leafhttp"
+	"github.com/portgauge/portgauge/internal/request/gateway"
 )
 
 // The parts of a request that failures name.
--- a/internal/front/server.go
+++ b/internal/request/front/server.go
@@ -17,9 +17,9 @@
 	"github.com/gin-gonic/gin"
 	"go.uber.org/zap"
 
-	"github.com/portgauge/portgauge/internal/gateway"
-	"github.com/portgauge/portgauge/internal/httpdialect"
-	"github.com/portgauge/portgauge/internal/routing"
+	"github.com/portgauge/portgauge/internal/request/gateway"
+	"github.com/portgauge/portgauge/internal/request/httpdialect"
+	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
 // Backend answers requests; *gateway.Gateway is the real one.
--- a/internal/gateway/answer.go
+++ b/internal/request/gateway/answer.go
@@ -5,7 +5,7 @@
 
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/leafhttp"
-	"github.com/portgauge/portgauge/internal/scatter"
+	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
 // gatheredAnswer merges the parts that are in, if there are enough.
--- a/internal/gateway/attempt.go
+++ b/internal/request/gateway/attempt.go
@@ -9,7 +9,7 @@
 
 	"github.com/portgauge/portgauge/internal/balancer"
 	"github.com/portgauge/portgauge/internal/leafhttp"
-	"github.com/portgauge/portgauge/internal/scatter"
+	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
 // The reasons of this package for a shard without a reply.
--- a/internal/gateway/await.go
+++ b/internal/request/gateway/await.go
@@ -9,8 +9,8 @@
 
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/leafhttp"
-	"github.com/portgauge/portgauge/internal/scatter"
-	"github.com/portgauge/portgauge/internal/servingtree"
+	"github.com/portgauge/portgauge/internal/request/scatter"
+	"github.com/portgauge/portgauge/internal/request/servingtree"
 )
 
 // Bounds of how long an intermediate may be silent, in parts of the objective and in times of the
--- a/internal/gateway/bench_test.go
+++ b/internal/request/gateway/bench_test.go
@@ -16,8 +16,8 @@
 	"github.com/portgauge/portgauge/internal/leafhttp"
 	"github.com/portgauge/portgauge/internal/leafmemory"
 	"github.com/portgauge/portgauge/internal/leafset"
-	"github.com/portgauge/portgauge/internal/retrybudget"
-	"github.com/portgauge/portgauge/internal/routing"
+	"github.com/portgauge/portgauge/internal/request/retrybudget"
+	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
 // benchShards is the fan-out of the benchmark.
--- a/internal/gateway/candidates.go
+++ b/internal/request/gateway/candidates.go
@@ -7,7 +7,7 @@
 	"github.com/portgauge/portgauge/internal/canary"
 	"github.com/portgauge/portgauge/internal/leafhttp"
 	"github.com/portgauge/portgauge/internal/leafset"
-	"github.com/portgauge/portgauge/internal/scatter"
+	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
 // target is a leaf that may be asked, and how.
--- a/internal/gateway/crash.go
+++ b/internal/request/gateway/crash.go
@@ -13,7 +13,7 @@
 	"github.com/portgauge/portgauge/internal/leafhttp"
 	"github.com/portgauge/portgauge/internal/leafset"
 	"github.com/portgauge/portgauge/internal/quarantine"
-	"github.com/portgauge/portgauge/internal/scatter"
+	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
 // A request may end each leaf that begins to run it. It comes again with another id, at any node: what it did must be
--- a/internal/gateway/gateway.go
+++ b/internal/request/gateway/gateway.go
@@ -10,13 +10,13 @@
 	"github.com/portgauge/portgauge/internal/catalog"
 	"github.com/portgauge/portgauge/internal/connshare"
 	"github.com/portgauge/portgauge/internal/evidence"
-	"github.com/portgauge/portgauge/internal/httpdialect"
 	"github.com/portgauge/portgauge/internal/leafhttp"
 	"github.com/portgauge/portgauge/internal/leafmemory"
 	"github.com/portgauge/portgauge/internal/quarantine"
 	"github.com/portgauge/portgauge/internal/reachability"
-	"github.com/portgauge/portgauge/internal/retrybudget"
-	"github.com/portgauge/portgauge/internal/routing"
+	"github.com/portgauge/portgauge/internal/request/httpdialect"
+	"github.com/portgauge/portgauge/internal/request/retrybudget"
+	"github.com/portgauge/portgauge/internal/request/routing"
 	"github.com/portgauge/portgauge/internal/warmup"
 )
 
--- a/internal/gateway/gateway_test.go
+++ b/internal/request/gateway/gateway_test.go
@@ -19,13 +19,13 @@
 	"github.com/portgauge/portgauge/internal/catalog"
 	"github.com/portgauge/portgauge/internal/connshare"
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/httpdialect"
 	"github.com/portgauge/portgauge/internal/leafhttp"
 	"github.com/portgauge/portgauge/internal/leafmemory"
 	"github.com/portgauge/portgauge/internal/leafset"
-	"github.com/portgauge/portgauge/internal/retrybudget"
-	"github.com/portgauge/portgauge/internal/routing"
-	"github.com/portgauge/portgauge/internal/scatter"
+	"github.com/portgauge/portgauge/internal/request/httpdialect"
+	"github.com/portgauge/portgauge/internal/request/retrybudget"
+	"github.com/portgauge/portgauge/internal/request/routing"
+	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
 var dialect = httpdialect.Default()
--- a/internal/gateway/gathering.go
+++ b/internal/request/gateway/gathering.go
@@ -11,8 +11,8 @@
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/leafhttp"
 	"github.com/portgauge/portgauge/internal/quarantine"
-	"github.com/portgauge/portgauge/internal/routing"
-	"github.com/portgauge/portgauge/internal/scatter"
+	"github.com/portgauge/portgauge/internal/request/routing"
+	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
 // gathering is the work on one request: one shard for each service.
--- a/internal/gateway/impossible.go
+++ b/internal/request/gateway/impossible.go
@@ -9,7 +9,7 @@
 	"github.com/portgauge/portgauge/internal/canary"
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/leafset"
-	"github.com/portgauge/portgauge/internal/scatter"
+	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
 // noLeaf is the reason of a service for which no leaf is known.
--- a/internal/gateway/impossible_test.go
+++ b/internal/request/gateway/impossible_test.go
@@ -12,7 +12,7 @@
 	"github.com/portgauge/portgauge/internal/catalog"
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/leafhttp"
-	"github.com/portgauge/portgauge/internal/routing"
+	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
 // A request that no leaf can serve is refused at once, as not run, with a time that its caller will wait; one
--- a/internal/gateway/intermediate.go
+++ b/internal/request/gateway/intermediate.go
@@ -8,7 +8,7 @@
 
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/leafhttp"
-	"github.com/portgauge/portgauge/internal/servingtree"
+	"github.com/portgauge/portgauge/internal/request/servingtree"
 )
 
 var _ servingtree.Handler = (*Gateway)(nil)
--- a/internal/gateway/journal.go
+++ b/internal/request/gateway/journal.go
@@ -5,7 +5,7 @@
 
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/fingerprint"
-	"github.com/portgauge/portgauge/internal/scatter"
+	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
 // Journal is told of every decision that touches a request.
--- a/internal/gateway/overload.go
+++ b/internal/request/gateway/overload.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/scatter"
+	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
 // overloadTail is how much longer than the expected one the slowest part of an answer takes.
--- a/internal/gateway/passing.go
+++ b/internal/request/gateway/passing.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"github.com/portgauge/portgauge/internal/leafhttp"
-	"github.com/portgauge/portgauge/internal/routing"
-	"github.com/portgauge/portgauge/internal/scatter"
-	"github.com/portgauge/portgauge/internal/servingtree"
+	"github.com/portgauge/portgauge/internal/request/routing"
+	"github.com/portgauge/portgauge/internal/request/scatter"
+	"github.com/portgauge/portgauge/internal/request/servingtree"
 )
 
 // errSilent ends the connection to an intermediate that showed no sign of work.
--- a/internal/gateway/patience.go
+++ b/internal/request/gateway/patience.go
@@ -4,7 +4,7 @@
 	"sync"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/routing"
+	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
 // patienceBook learns how long callers of a route wait in all, so that a caller that comes
--- a/internal/gateway/placement.go
+++ b/internal/request/gateway/placement.go
@@ -6,8 +6,8 @@
 
 	"github.com/portgauge/portgauge/internal/catalog"
 	"github.com/portgauge/portgauge/internal/leafset"
+	"github.com/portgauge/portgauge/internal/request/routing"
 	"github.com/portgauge/portgauge/internal/rollout"
-	"github.com/portgauge/portgauge/internal/routing"
 )
 
 // placement knows in which zones the leafs of gathered routes are; safe for concurrent use.
--- a/internal/gateway/policy.go
+++ b/internal/request/gateway/policy.go
@@ -5,8 +5,8 @@
 	"sync"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/hedging"
-	"github.com/portgauge/portgauge/internal/retrybudget"
+	"github.com/portgauge/portgauge/internal/request/hedging"
+	"github.com/portgauge/portgauge/internal/request/retrybudget"
 )
 
 // minimumSamples is how many latencies of a kind of request must be known.
--- a/internal/gateway/reach.go
+++ b/internal/request/gateway/reach.go
@@ -6,7 +6,7 @@
 
 	"github.com/portgauge/portgauge/internal/balancer"
 	"github.com/portgauge/portgauge/internal/leafhttp"
-	"github.com/portgauge/portgauge/internal/scatter"
+	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
 // leastUnanswered is how long an attempt must have been out without an answer to say anything of the zone
--- a/internal/gateway/refresh_test.go
+++ b/internal/request/gateway/refresh_test.go
@@ -14,7 +14,7 @@
 	"github.com/portgauge/portgauge/internal/catalog"
 	"github.com/portgauge/portgauge/internal/leafhttp"
 	"github.com/portgauge/portgauge/internal/leafset"
-	"github.com/portgauge/portgauge/internal/routing"
+	"github.com/portgauge/portgauge/internal/request/routing"
 	"github.com/portgauge/portgauge/internal/warmup"
 )
 
--- a/internal/gateway/request.go
+++ b/internal/request/gateway/request.go
@@ -8,7 +8,7 @@
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/fingerprint"
 	"github.com/portgauge/portgauge/internal/leafhttp"
-	"github.com/portgauge/portgauge/internal/routing"
+	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
 // objectiveShare is the part of the objective that the ways to a caller may take up at most.
--- a/internal/gateway/root.go
+++ b/internal/request/gateway/root.go
@@ -5,9 +5,9 @@
 
 	"github.com/portgauge/portgauge/internal/catalog"
 	"github.com/portgauge/portgauge/internal/reachability"
-	"github.com/portgauge/portgauge/internal/routing"
-	"github.com/portgauge/portgauge/internal/scatter"
-	"github.com/portgauge/portgauge/internal/servingtree"
+	"github.com/portgauge/portgauge/internal/request/routing"
+	"github.com/portgauge/portgauge/internal/request/scatter"
+	"github.com/portgauge/portgauge/internal/request/servingtree"
 )
 
 // Fleet gives the nodes that gather requests; registry.Census is the real one.
--- a/internal/gateway/second_test.go
+++ b/internal/request/gateway/second_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/portgauge/portgauge/internal/catalog"
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/routing"
-	"github.com/portgauge/portgauge/internal/servingtree"
+	"github.com/portgauge/portgauge/internal/request/routing"
+	"github.com/portgauge/portgauge/internal/request/servingtree"
 )
 
 // newTreeOfThree has two nodes that can gather the services without a leaf near the root.
--- a/internal/gateway/stranded.go
+++ b/internal/request/gateway/stranded.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"github.com/portgauge/portgauge/internal/leafset"
-	"github.com/portgauge/portgauge/internal/routing"
+	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
 // isStranded reports whether callers are better off with the nodes of other zones: this node has lost the
--- a/internal/gateway/tree_fleet_test.go
+++ b/internal/request/gateway/tree_fleet_test.go
@@ -19,9 +19,9 @@
 	"github.com/portgauge/portgauge/internal/leafmemory"
 	"github.com/portgauge/portgauge/internal/leafset"
 	"github.com/portgauge/portgauge/internal/registry"
-	"github.com/portgauge/portgauge/internal/retrybudget"
-	"github.com/portgauge/portgauge/internal/routing"
-	"github.com/portgauge/portgauge/internal/servingtree"
+	"github.com/portgauge/portgauge/internal/request/retrybudget"
+	"github.com/portgauge/portgauge/internal/request/routing"
+	"github.com/portgauge/portgauge/internal/request/servingtree"
 )
 
 // treeLeafs are the leafs of all nodes of a test; each attempt is noted by the node that made it.
--- a/internal/gateway/tree_test.go
+++ b/internal/request/gateway/tree_test.go
@@ -17,9 +17,9 @@
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/leafhttp"
 	"github.com/portgauge/portgauge/internal/leafset"
-	"github.com/portgauge/portgauge/internal/routing"
-	"github.com/portgauge/portgauge/internal/scatter"
-	"github.com/portgauge/portgauge/internal/servingtree"
+	"github.com/portgauge/portgauge/internal/request/routing"
+	"github.com/portgauge/portgauge/internal/request/scatter"
+	"github.com/portgauge/portgauge/internal/request/servingtree"
 )
 
 // The shards without a leaf in the own zone are gathered by a node that has one; the others are not.
--- a/internal/gateway/trial.go
+++ b/internal/request/gateway/trial.go
@@ -8,8 +8,8 @@
 	"github.com/portgauge/portgauge/internal/canary"
 	"github.com/portgauge/portgauge/internal/leafhttp"
 	"github.com/portgauge/portgauge/internal/leafset"
-	"github.com/portgauge/portgauge/internal/routing"
-	"github.com/portgauge/portgauge/internal/scatter"
+	"github.com/portgauge/portgauge/internal/request/routing"
+	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
 // shardDraw is the draw of one shard, once it was made, and for what.
--- a/internal/gateway/trial_test.go
+++ b/internal/request/gateway/trial_test.go
@@ -16,8 +16,8 @@
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/leafhttp"
 	"github.com/portgauge/portgauge/internal/leafset"
+	"github.com/portgauge/portgauge/internal/request/routing"
 	"github.com/portgauge/portgauge/internal/rollout"
-	"github.com/portgauge/portgauge/internal/routing"
 	"github.com/portgauge/portgauge/internal/warmup"
 )
 
--- a/internal/gateway/trial_tree_test.go
+++ b/internal/request/gateway/trial_tree_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/portgauge/portgauge/internal/canary"
 	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/request/routing"
 	"github.com/portgauge/portgauge/internal/rollout"
-	"github.com/portgauge/portgauge/internal/routing"
 )
 
 // newTrialTree starts a root whose services are all gathered by another node; some of the nodes know of an order to
--- a/internal/search/attempt.go
+++ b/internal/request/search/attempt.go
@@ -7,7 +7,7 @@
 	leafv1 "github.com/portgauge/portgauge/gen/portgauge/leaf/v1"
 	"github.com/portgauge/portgauge/internal/balancer"
 	"github.com/portgauge/portgauge/internal/leafclient"
-	"github.com/portgauge/portgauge/internal/scatter"
+	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
 // LeafCaller runs one attempt at a leaf; leafclient.Pool is the real one.
--- a/internal/search/crash.go
+++ b/internal/request/search/crash.go
@@ -12,7 +12,7 @@
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/fingerprint"
 	"github.com/portgauge/portgauge/internal/quarantine"
-	"github.com/portgauge/portgauge/internal/scatter"
+	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
 // errQuarantined ends the work on a search that was put under quarantine meanwhile.
--- a/internal/search/merge.go
+++ b/internal/request/search/merge.go
@@ -4,7 +4,7 @@
 	searchv1 "github.com/portgauge/portgauge/gen/portgauge/search/v1"
 	"github.com/portgauge/portgauge/internal/keyspace"
 	"github.com/portgauge/portgauge/internal/manifest"
-	"github.com/portgauge/portgauge/internal/scatter"
+	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
 // missingReason says why a range is not covered by an answer. It is part of the public
--- a/internal/search/scatter.go
+++ b/internal/request/search/scatter.go
@@ -11,9 +11,9 @@
 	searchv1 "github.com/portgauge/portgauge/gen/portgauge/search/v1"
 	"github.com/portgauge/portgauge/internal/balancer"
 	"github.com/portgauge/portgauge/internal/catalog"
-	"github.com/portgauge/portgauge/internal/hedging"
 	"github.com/portgauge/portgauge/internal/manifest"
-	"github.com/portgauge/portgauge/internal/scatter"
+	"github.com/portgauge/portgauge/internal/request/hedging"
+	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
 // errSuperseded ends attempts that nobody waits for any more.
--- a/internal/servingtree/client.go
+++ b/internal/request/servingtree/client.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/roundtrip"
+	"github.com/portgauge/portgauge/internal/request/roundtrip"
 )
 
 // Client asks intermediates; safe for concurrent use.
--- a/internal/rolloutcontrol/versions_test.go
+++ b/internal/rolloutcontrol/versions_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/portgauge/portgauge/internal/catalog"
 	"github.com/portgauge/portgauge/internal/registry"
-	"github.com/portgauge/portgauge/internal/routing"
+	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
 // versionsScene is a fleet whose nodes write versions down, with the services named by the routes.
--- a/internal/warmup/warmup_test.go
+++ b/internal/warmup/warmup_test.go
@@ -13,7 +13,7 @@
 	"github.com/portgauge/portgauge/internal/catalog"
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/leafset"
-	"github.com/portgauge/portgauge/internal/routing"
+	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
 const (
