--- a/internal/canary/splitter.go
+++ b/internal/canary/splitter.go
@@ -7,7 +7,7 @@
 
 	"github.com/portgauge/portgauge/internal/boottime"
 	"github.com/portgauge/portgauge/internal/catalog"
-	"github.com/portgauge/portgauge/internal/leafset"
+	"github.com/portgauge/portgauge/internal/leaf/leafset"
 	"github.com/portgauge/portgauge/internal/revision"
 	"github.com/portgauge/portgauge/internal/rollout"
 )
--- a/internal/canary/trial.go
+++ b/internal/canary/trial.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/portgauge/portgauge/internal/leafset"
+	"github.com/portgauge/portgauge/internal/leaf/leafset"
 )
 
 // Parts of an order's duration: the slack is released from the first to the second, so that a version is under the
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -10,7 +10,7 @@
 	adminv1 "github.com/portgauge/portgauge/gen/portgauge/admin/v1"
 	"github.com/portgauge/portgauge/internal/boottime"
 	"github.com/portgauge/portgauge/internal/fingerprint"
-	"github.com/portgauge/portgauge/internal/leafset"
+	"github.com/portgauge/portgauge/internal/leaf/leafset"
 	"github.com/portgauge/portgauge/internal/manifest"
 	"github.com/portgauge/portgauge/internal/quarantine"
 	"github.com/portgauge/portgauge/internal/request/routing"
--- a/internal/catalog/drilled_test.go
+++ b/internal/catalog/drilled_test.go
@@ -3,7 +3,7 @@
 import (
 	"encoding/json"
 
-	"github.com/portgauge/portgauge/internal/leafset"
+	"github.com/portgauge/portgauge/internal/leaf/leafset"
 	"github.com/portgauge/portgauge/internal/request/routing"
 	"github.com/portgauge/portgauge/internal/revision"
 )
--- a/internal/catalog/follow_restored_test.go
+++ b/internal/catalog/follow_restored_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"github.com/portgauge/portgauge/internal/leafset"
+	"github.com/portgauge/portgauge/internal/leaf/leafset"
 )
 
 // However the store is restored, whatever nodes see of it and give each other, in whatever order: the version of the routes
--- a/internal/catalog/restored.go
+++ b/internal/catalog/restored.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/leafset"
+	"github.com/portgauge/portgauge/internal/leaf/leafset"
 	"github.com/portgauge/portgauge/internal/request/routing"
 	"github.com/portgauge/portgauge/internal/revision"
 )
--- a/internal/catalog/restored_test.go
+++ b/internal/catalog/restored_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/portgauge/portgauge/internal/leafset"
+	"github.com/portgauge/portgauge/internal/leaf/leafset"
 	"github.com/portgauge/portgauge/internal/revision"
 	"github.com/portgauge/portgauge/internal/rollout"
 )
--- a/internal/catalog/rollout_test.go
+++ b/internal/catalog/rollout_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 	"pgregory.net/rapid"
 
-	"github.com/portgauge/portgauge/internal/leafset"
+	"github.com/portgauge/portgauge/internal/leaf/leafset"
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
--- a/internal/evidence/collector.go
+++ b/internal/evidence/collector.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/portgauge/portgauge/internal/catalog"
-	"github.com/portgauge/portgauge/internal/leafset"
+	"github.com/portgauge/portgauge/internal/leaf/leafset"
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
--- a/internal/connshare/connshare.go
+++ b/internal/leaf/connshare/connshare.go
@@ -20,8 +20,8 @@
 
 	"github.com/portgauge/portgauge/internal/catalog"
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/leafset"
-	"github.com/portgauge/portgauge/internal/sameslice"
+	"github.com/portgauge/portgauge/internal/leaf/leafset"
+	"github.com/portgauge/portgauge/internal/leaf/sameslice"
 )
 
 // Config tunes the parts.
--- a/internal/connshare/quotas.go
+++ b/internal/leaf/connshare/quotas.go
@@ -4,7 +4,7 @@
 	"maps"
 	"slices"
 
-	"github.com/portgauge/portgauge/internal/leafset"
+	"github.com/portgauge/portgauge/internal/leaf/leafset"
 )
 
 // quota is how many nodes of one zone have a connection to each leaf, by the leaf's index.
--- a/internal/leafgossip/leafgossip.go
+++ b/internal/leaf/leafgossip/leafgossip.go
@@ -14,7 +14,7 @@
 
 	"golang.org/x/time/rate"
 
-	"github.com/portgauge/portgauge/internal/balancer"
+	"github.com/portgauge/portgauge/internal/leaf/balancer"
 	"github.com/portgauge/portgauge/internal/peer"
 	"github.com/portgauge/portgauge/internal/wait"
 )
--- a/internal/leafgossip/leafgossip_test.go
+++ b/internal/leaf/leafgossip/leafgossip_test.go
@@ -12,8 +12,8 @@
 	"github.com/matryer/is"
 	"pgregory.net/rapid"
 
-	"github.com/portgauge/portgauge/internal/balancer"
 	"github.com/portgauge/portgauge/internal/failure"
+	"github.com/portgauge/portgauge/internal/leaf/balancer"
 	"github.com/portgauge/portgauge/internal/peer"
 )
 
--- a/internal/leafgossip/report.go
+++ b/internal/leaf/leafgossip/report.go
@@ -5,7 +5,7 @@
 	"math"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/balancer"
+	"github.com/portgauge/portgauge/internal/leaf/balancer"
 	"github.com/portgauge/portgauge/internal/peer"
 )
 
--- a/internal/leafmemory/leafmemory_test.go
+++ b/internal/leaf/leafmemory/leafmemory_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/portgauge/portgauge/internal/catalog"
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/leafset"
+	"github.com/portgauge/portgauge/internal/leaf/leafset"
 )
 
 // put changes a key of a catalog as a watch would.
--- a/internal/leafmemory/memory.go
+++ b/internal/leaf/leafmemory/memory.go
@@ -14,7 +14,7 @@
 	"github.com/portgauge/portgauge/internal/boottime"
 	"github.com/portgauge/portgauge/internal/catalog"
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/leafset"
+	"github.com/portgauge/portgauge/internal/leaf/leafset"
 )
 
 // Config tunes what is remembered.
--- a/internal/leafmemory/suspended_test.go
+++ b/internal/leaf/leafmemory/suspended_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 
 	"github.com/portgauge/portgauge/internal/catalog"
-	"github.com/portgauge/portgauge/internal/leafset"
+	"github.com/portgauge/portgauge/internal/leaf/leafset"
 )
 
 // A leaf that was lost just before a suspension is not asked after it, however short a while the machine ran since.
--- a/internal/leafmemory/writer.go
+++ b/internal/leaf/leafmemory/writer.go
@@ -11,7 +11,7 @@
 
 	"github.com/portgauge/portgauge/internal/catalog"
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/leafset"
+	"github.com/portgauge/portgauge/internal/leaf/leafset"
 	"github.com/portgauge/portgauge/internal/registry"
 	"github.com/portgauge/portgauge/internal/store"
 	"github.com/portgauge/portgauge/internal/wait"
--- a/internal/warmup/warmup.go
+++ b/internal/leaf/warmup/warmup.go
@@ -14,8 +14,8 @@
 
 	"github.com/portgauge/portgauge/internal/boottime"
 	"github.com/portgauge/portgauge/internal/catalog"
-	"github.com/portgauge/portgauge/internal/leafset"
-	"github.com/portgauge/portgauge/internal/sameslice"
+	"github.com/portgauge/portgauge/internal/leaf/leafset"
+	"github.com/portgauge/portgauge/internal/leaf/sameslice"
 )
 
 // Fleet gives the nodes that may ask leafs; registry.Census is the real one.
--- a/internal/warmup/warmup_test.go
+++ b/internal/leaf/warmup/warmup_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/portgauge/portgauge/internal/catalog"
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/leafset"
+	"github.com/portgauge/portgauge/internal/leaf/leafset"
 	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
--- a/internal/node/beliefs.go
+++ b/internal/node/beliefs.go
@@ -5,10 +5,10 @@
 	"strings"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/balancer"
 	"github.com/portgauge/portgauge/internal/catalog"
 	"github.com/portgauge/portgauge/internal/decisionlog"
-	"github.com/portgauge/portgauge/internal/leafset"
+	"github.com/portgauge/portgauge/internal/leaf/balancer"
+	"github.com/portgauge/portgauge/internal/leaf/leafset"
 	"github.com/portgauge/portgauge/internal/reachability"
 )
 
--- a/internal/node/keeper.go
+++ b/internal/node/keeper.go
@@ -4,10 +4,10 @@
 	"context"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/balancer"
 	"github.com/portgauge/portgauge/internal/catalog"
-	"github.com/portgauge/portgauge/internal/leafhttp"
-	"github.com/portgauge/portgauge/internal/leafmemory"
+	"github.com/portgauge/portgauge/internal/leaf/balancer"
+	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
+	"github.com/portgauge/portgauge/internal/leaf/leafmemory"
 	"github.com/portgauge/portgauge/internal/membership"
 	"github.com/portgauge/portgauge/internal/peer"
 	"github.com/portgauge/portgauge/internal/request/retrybudget"
--- a/internal/request/front/handler.go
+++ b/internal/request/front/handler.go
@@ -13,7 +13,7 @@
 	"github.com/google/uuid"
 
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/leafhttp"
+	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
 	"github.com/portgauge/portgauge/internal/request/gateway"
 )
 
--- a/internal/request/gateway/answer.go
+++ b/internal/request/gateway/answer.go
@@ -4,7 +4,7 @@
 	"net/http"
 
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/leafhttp"
+	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
--- a/internal/request/gateway/attempt.go
+++ b/internal/request/gateway/attempt.go
@@ -7,8 +7,8 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/balancer"
-	"github.com/portgauge/portgauge/internal/leafhttp"
+	"github.com/portgauge/portgauge/internal/leaf/balancer"
+	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
--- a/internal/request/gateway/await.go
+++ b/internal/request/gateway/await.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/leafhttp"
+	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
 	"github.com/portgauge/portgauge/internal/request/scatter"
 	"github.com/portgauge/portgauge/internal/request/servingtree"
 )
--- a/internal/request/gateway/crash.go
+++ b/internal/request/gateway/crash.go
@@ -7,11 +7,11 @@
 	"slices"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/balancer"
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/fingerprint"
-	"github.com/portgauge/portgauge/internal/leafhttp"
-	"github.com/portgauge/portgauge/internal/leafset"
+	"github.com/portgauge/portgauge/internal/leaf/balancer"
+	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
+	"github.com/portgauge/portgauge/internal/leaf/leafset"
 	"github.com/portgauge/portgauge/internal/quarantine"
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
--- a/internal/request/gateway/gateway.go
+++ b/internal/request/gateway/gateway.go
@@ -5,19 +5,19 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/balancer"
 	"github.com/portgauge/portgauge/internal/canary"
 	"github.com/portgauge/portgauge/internal/catalog"
-	"github.com/portgauge/portgauge/internal/connshare"
 	"github.com/portgauge/portgauge/internal/evidence"
-	"github.com/portgauge/portgauge/internal/leafhttp"
-	"github.com/portgauge/portgauge/internal/leafmemory"
+	"github.com/portgauge/portgauge/internal/leaf/balancer"
+	"github.com/portgauge/portgauge/internal/leaf/connshare"
+	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
+	"github.com/portgauge/portgauge/internal/leaf/leafmemory"
+	"github.com/portgauge/portgauge/internal/leaf/warmup"
 	"github.com/portgauge/portgauge/internal/quarantine"
 	"github.com/portgauge/portgauge/internal/reachability"
 	"github.com/portgauge/portgauge/internal/request/httpdialect"
 	"github.com/portgauge/portgauge/internal/request/retrybudget"
 	"github.com/portgauge/portgauge/internal/request/routing"
-	"github.com/portgauge/portgauge/internal/warmup"
 )
 
 // notReadyRetryAfter is what callers of a node without routes are told.
--- a/internal/request/gateway/gathering.go
+++ b/internal/request/gateway/gathering.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/leafhttp"
+	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
 	"github.com/portgauge/portgauge/internal/quarantine"
 	"github.com/portgauge/portgauge/internal/request/routing"
 	"github.com/portgauge/portgauge/internal/request/scatter"
--- a/internal/request/gateway/impossible.go
+++ b/internal/request/gateway/impossible.go
@@ -5,10 +5,10 @@
 	"slices"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/balancer"
 	"github.com/portgauge/portgauge/internal/canary"
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/leafset"
+	"github.com/portgauge/portgauge/internal/leaf/balancer"
+	"github.com/portgauge/portgauge/internal/leaf/leafset"
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
--- a/internal/request/gateway/lag_test.go
+++ b/internal/request/gateway/lag_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/portgauge/portgauge/internal/leafhttp"
+	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
 )
 
 // A node that makes its answers late plans them earlier, and less so once it keeps up again.
--- a/internal/request/gateway/lives_test.go
+++ b/internal/request/gateway/lives_test.go
@@ -6,9 +6,9 @@
 
 	"github.com/matryer/is"
 
-	"github.com/portgauge/portgauge/internal/balancer"
 	"github.com/portgauge/portgauge/internal/catalog"
-	"github.com/portgauge/portgauge/internal/leafset"
+	"github.com/portgauge/portgauge/internal/leaf/balancer"
+	"github.com/portgauge/portgauge/internal/leaf/leafset"
 )
 
 // born puts a life of the leaf "s0a" in force, and gives how the gateway knows it.
--- a/internal/request/gateway/overload_test.go
+++ b/internal/request/gateway/overload_test.go
@@ -8,9 +8,9 @@
 
 	"github.com/matryer/is"
 
-	"github.com/portgauge/portgauge/internal/balancer"
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/leafhttp"
+	"github.com/portgauge/portgauge/internal/leaf/balancer"
+	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
 )
 
 // Where most shards have too much work waiting, a request is refused at once and unrun, with when
--- a/internal/request/gateway/passing.go
+++ b/internal/request/gateway/passing.go
@@ -5,7 +5,7 @@
 	"errors"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/leafhttp"
+	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
 	"github.com/portgauge/portgauge/internal/request/routing"
 	"github.com/portgauge/portgauge/internal/request/scatter"
 	"github.com/portgauge/portgauge/internal/request/servingtree"
--- a/internal/request/gateway/reach.go
+++ b/internal/request/gateway/reach.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/balancer"
-	"github.com/portgauge/portgauge/internal/leafhttp"
+	"github.com/portgauge/portgauge/internal/leaf/balancer"
+	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
--- a/internal/request/gateway/reach_test.go
+++ b/internal/request/gateway/reach_test.go
@@ -12,8 +12,8 @@
 
 	"github.com/portgauge/portgauge/internal/catalog"
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/leafhttp"
-	"github.com/portgauge/portgauge/internal/leafset"
+	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
+	"github.com/portgauge/portgauge/internal/leaf/leafset"
 	"github.com/portgauge/portgauge/internal/reachability"
 )
 
--- a/internal/request/gateway/refresh_test.go
+++ b/internal/request/gateway/refresh_test.go
@@ -12,10 +12,10 @@
 	"github.com/matryer/is"
 
 	"github.com/portgauge/portgauge/internal/catalog"
-	"github.com/portgauge/portgauge/internal/leafhttp"
-	"github.com/portgauge/portgauge/internal/leafset"
+	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
+	"github.com/portgauge/portgauge/internal/leaf/leafset"
+	"github.com/portgauge/portgauge/internal/leaf/warmup"
 	"github.com/portgauge/portgauge/internal/request/routing"
-	"github.com/portgauge/portgauge/internal/warmup"
 )
 
 // Attempts that are made later than the first go by the leafs as they are then: one that drains or whose
--- a/internal/request/gateway/regions_test.go
+++ b/internal/request/gateway/regions_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/portgauge/portgauge/internal/catalog"
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/leafhttp"
+	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
 )
 
 // newRegionTree starts a node in each zone; the route is kept to some regions.
--- a/internal/request/gateway/request.go
+++ b/internal/request/gateway/request.go
@@ -7,7 +7,7 @@
 
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/fingerprint"
-	"github.com/portgauge/portgauge/internal/leafhttp"
+	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
 	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
--- a/internal/request/gateway/stranded.go
+++ b/internal/request/gateway/stranded.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"github.com/portgauge/portgauge/internal/leafset"
+	"github.com/portgauge/portgauge/internal/leaf/leafset"
 	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
--- a/internal/request/gateway/tree_test.go
+++ b/internal/request/gateway/tree_test.go
@@ -12,11 +12,11 @@
 
 	"github.com/matryer/is"
 
-	"github.com/portgauge/portgauge/internal/balancer"
 	"github.com/portgauge/portgauge/internal/catalog"
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/leafhttp"
-	"github.com/portgauge/portgauge/internal/leafset"
+	"github.com/portgauge/portgauge/internal/leaf/balancer"
+	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
+	"github.com/portgauge/portgauge/internal/leaf/leafset"
 	"github.com/portgauge/portgauge/internal/request/routing"
 	"github.com/portgauge/portgauge/internal/request/scatter"
 	"github.com/portgauge/portgauge/internal/request/servingtree"
--- a/internal/request/gateway/trial.go
+++ b/internal/request/gateway/trial.go
@@ -4,10 +4,10 @@
 	"slices"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/balancer"
 	"github.com/portgauge/portgauge/internal/canary"
-	"github.com/portgauge/portgauge/internal/leafhttp"
-	"github.com/portgauge/portgauge/internal/leafset"
+	"github.com/portgauge/portgauge/internal/leaf/balancer"
+	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
+	"github.com/portgauge/portgauge/internal/leaf/leafset"
 	"github.com/portgauge/portgauge/internal/request/routing"
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
--- a/internal/request/gateway/trial_fixture_test.go
+++ b/internal/request/gateway/trial_fixture_test.go
@@ -10,8 +10,8 @@
 	"github.com/portgauge/portgauge/internal/canary"
 	"github.com/portgauge/portgauge/internal/catalog"
 	"github.com/portgauge/portgauge/internal/evidence"
-	"github.com/portgauge/portgauge/internal/leafhttp"
-	"github.com/portgauge/portgauge/internal/leafset"
+	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
+	"github.com/portgauge/portgauge/internal/leaf/leafset"
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
--- a/internal/request/gateway/trial_refused_test.go
+++ b/internal/request/gateway/trial_refused_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/portgauge/portgauge/internal/canary"
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/leafhttp"
+	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
 )
 
 // Where no leaf of the serving version can be asked, the version on trial gets the slack and no share of what is
--- a/internal/request/gateway/trial_test.go
+++ b/internal/request/gateway/trial_test.go
@@ -14,11 +14,11 @@
 	"github.com/portgauge/portgauge/internal/canary"
 	"github.com/portgauge/portgauge/internal/catalog"
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/leafhttp"
-	"github.com/portgauge/portgauge/internal/leafset"
+	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
+	"github.com/portgauge/portgauge/internal/leaf/leafset"
+	"github.com/portgauge/portgauge/internal/leaf/warmup"
 	"github.com/portgauge/portgauge/internal/request/routing"
 	"github.com/portgauge/portgauge/internal/rollout"
-	"github.com/portgauge/portgauge/internal/warmup"
 )
 
 // The first attempt that was drawn goes to the version on trial, to one leaf while its turn lasts.
--- a/internal/request/gateway/warm.go
+++ b/internal/request/gateway/warm.go
@@ -6,7 +6,7 @@
 
 	"github.com/portgauge/portgauge/internal/canary"
 	"github.com/portgauge/portgauge/internal/catalog"
-	"github.com/portgauge/portgauge/internal/leafhttp"
+	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
 )
 
 // mostWarmed bounds the connections that a node opens before its first request.
--- a/internal/request/gateway/woke_test.go
+++ b/internal/request/gateway/woke_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/leafhttp"
+	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
 )
 
 // deadlines notes until when each attempt may last.
--- a/internal/request/scatter/caution_test.go
+++ b/internal/request/scatter/caution_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/portgauge/portgauge/internal/balancer"
+	"github.com/portgauge/portgauge/internal/leaf/balancer"
 )
 
 const (
--- a/internal/request/scatter/group_test.go
+++ b/internal/request/scatter/group_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 	"pgregory.net/rapid"
 
-	"github.com/portgauge/portgauge/internal/balancer"
+	"github.com/portgauge/portgauge/internal/leaf/balancer"
 )
 
 // groupStep is one thing that the attempt of a group tells, after a delay.
--- a/internal/request/scatter/launch.go
+++ b/internal/request/scatter/launch.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/balancer"
+	"github.com/portgauge/portgauge/internal/leaf/balancer"
 )
 
 // always is the budget of attempts that need none.
--- a/internal/request/scatter/not_run_test.go
+++ b/internal/request/scatter/not_run_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"github.com/portgauge/portgauge/internal/balancer"
+	"github.com/portgauge/portgauge/internal/leaf/balancer"
 )
 
 // drawnEnd is how an attempt goes: when its leaf begins with it, when it ends, and what is known then.
--- a/internal/request/scatter/plan.go
+++ b/internal/request/scatter/plan.go
@@ -9,7 +9,7 @@
 	"context"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/balancer"
+	"github.com/portgauge/portgauge/internal/leaf/balancer"
 )
 
 // Kind says why an attempt is made.
--- a/internal/request/scatter/scatter.go
+++ b/internal/request/scatter/scatter.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/balancer"
+	"github.com/portgauge/portgauge/internal/leaf/balancer"
 )
 
 // Scatter is the work of one request under way. One goroutine, the caller of Run, owns all of
--- a/internal/request/scatter/scatter_test.go
+++ b/internal/request/scatter/scatter_test.go
@@ -12,7 +12,7 @@
 	"github.com/matryer/is"
 	"pgregory.net/rapid"
 
-	"github.com/portgauge/portgauge/internal/balancer"
+	"github.com/portgauge/portgauge/internal/leaf/balancer"
 )
 
 var errSuperseded = errors.New("superseded")
--- a/internal/request/search/attempt.go
+++ b/internal/request/search/attempt.go
@@ -5,8 +5,8 @@
 	"errors"
 
 	leafv1 "github.com/portgauge/portgauge/gen/portgauge/leaf/v1"
-	"github.com/portgauge/portgauge/internal/balancer"
-	"github.com/portgauge/portgauge/internal/leafclient"
+	"github.com/portgauge/portgauge/internal/leaf/balancer"
+	"github.com/portgauge/portgauge/internal/leaf/leafclient"
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
--- a/internal/request/search/engine.go
+++ b/internal/request/search/engine.go
@@ -15,9 +15,9 @@
 
 	adminv1 "github.com/portgauge/portgauge/gen/portgauge/admin/v1"
 	searchv1 "github.com/portgauge/portgauge/gen/portgauge/search/v1"
-	"github.com/portgauge/portgauge/internal/balancer"
 	"github.com/portgauge/portgauge/internal/catalog"
 	"github.com/portgauge/portgauge/internal/failure"
+	"github.com/portgauge/portgauge/internal/leaf/balancer"
 	"github.com/portgauge/portgauge/internal/quarantine"
 	"github.com/portgauge/portgauge/internal/request/admission"
 	"github.com/portgauge/portgauge/internal/request/hedging"
--- a/internal/rewriter/rewriter_test.go
+++ b/internal/rewriter/rewriter_test.go
@@ -16,7 +16,7 @@
 
 	"github.com/portgauge/portgauge/internal/catalog"
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/leafset"
+	"github.com/portgauge/portgauge/internal/leaf/leafset"
 	"github.com/portgauge/portgauge/internal/revision"
 	"github.com/portgauge/portgauge/internal/store"
 )
--- a/internal/rolloutcontrol/fleet_test.go
+++ b/internal/rolloutcontrol/fleet_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/portgauge/portgauge/internal/catalog"
 	"github.com/portgauge/portgauge/internal/evidence"
-	"github.com/portgauge/portgauge/internal/leafset"
+	"github.com/portgauge/portgauge/internal/leaf/leafset"
 	"github.com/portgauge/portgauge/internal/peer"
 	"github.com/portgauge/portgauge/internal/rollout"
 )
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -12,17 +12,18 @@
 
 	"go.uber.org/zap/zapcore"
 
-	"github.com/portgauge/portgauge/internal/balancer"
 	"github.com/portgauge/portgauge/internal/canary"
 	"github.com/portgauge/portgauge/internal/configsync"
 	"github.com/portgauge/portgauge/internal/configwriter"
-	"github.com/portgauge/portgauge/internal/connshare"
 	"github.com/portgauge/portgauge/internal/decisionlog"
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/leafclient"
-	"github.com/portgauge/portgauge/internal/leafgossip"
-	"github.com/portgauge/portgauge/internal/leafhttp"
-	"github.com/portgauge/portgauge/internal/leafmemory"
+	"github.com/portgauge/portgauge/internal/leaf/balancer"
+	"github.com/portgauge/portgauge/internal/leaf/connshare"
+	"github.com/portgauge/portgauge/internal/leaf/leafclient"
+	"github.com/portgauge/portgauge/internal/leaf/leafgossip"
+	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
+	"github.com/portgauge/portgauge/internal/leaf/leafmemory"
+	"github.com/portgauge/portgauge/internal/leaf/warmup"
 	"github.com/portgauge/portgauge/internal/membership"
 	"github.com/portgauge/portgauge/internal/quarantine"
 	"github.com/portgauge/portgauge/internal/quarantinesync"
@@ -35,7 +36,6 @@
 	"github.com/portgauge/portgauge/internal/request/servingtree"
 	"github.com/portgauge/portgauge/internal/rolloutcontrol"
 	"github.com/portgauge/portgauge/internal/verdict"
-	"github.com/portgauge/portgauge/internal/warmup"
 )
 
 // Node is who the node is.
--- a/internal/settings/template_test.go
+++ b/internal/settings/template_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/portgauge/portgauge/internal/warmup"
+	"github.com/portgauge/portgauge/internal/leaf/warmup"
 )
 
 // gap is a place that the platform fills in.
