--- a/cmd/portgauge/dialects.go
+++ b/cmd/portgauge/dialects.go
@@ -1,9 +1,9 @@
 package main
 
 import (
+	"github.com/portgauge/portgauge/internal/config/store"
 	"github.com/portgauge/portgauge/internal/node"
 	"github.com/portgauge/portgauge/internal/settings"
-	"github.com/portgauge/portgauge/internal/store"
 	"github.com/portgauge/portgauge/platform"
 )
 
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -10,11 +10,11 @@
 	"google.golang.org/protobuf/proto"
 
 	adminv1 "github.com/portgauge/portgauge/gen/portgauge/admin/v1"
-	"github.com/portgauge/portgauge/internal/catalog"
-	"github.com/portgauge/portgauge/internal/configwriter"
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/config/configwriter"
+	"github.com/portgauge/portgauge/internal/config/manifest"
+	"github.com/portgauge/portgauge/internal/config/store"
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/manifest"
-	"github.com/portgauge/portgauge/internal/store"
 )
 
 // Admin carries out operators' calls on one node; safe for concurrent use.
--- a/internal/admin/evacuations.go
+++ b/internal/admin/evacuations.go
@@ -5,7 +5,7 @@
 	"encoding/json"
 
 	adminv1 "github.com/portgauge/portgauge/gen/portgauge/admin/v1"
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
--- a/internal/admin/evacuations_test.go
+++ b/internal/admin/evacuations_test.go
@@ -8,10 +8,10 @@
 	"github.com/matryer/is"
 
 	adminv1 "github.com/portgauge/portgauge/gen/portgauge/admin/v1"
-	"github.com/portgauge/portgauge/internal/catalog"
-	"github.com/portgauge/portgauge/internal/configwriter"
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/config/configwriter"
+	"github.com/portgauge/portgauge/internal/config/store"
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/store"
 )
 
 // keptStore is a store in memory that puts each change into a catalog at once.
--- a/internal/admin/quarantine_test.go
+++ b/internal/admin/quarantine_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 
 	adminv1 "github.com/portgauge/portgauge/gen/portgauge/admin/v1"
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/fingerprint"
 	"github.com/portgauge/portgauge/internal/quarantine"
--- a/internal/admin/routes.go
+++ b/internal/admin/routes.go
@@ -6,8 +6,8 @@
 	"net/netip"
 
 	adminv1 "github.com/portgauge/portgauge/gen/portgauge/admin/v1"
-	"github.com/portgauge/portgauge/internal/catalog"
-	"github.com/portgauge/portgauge/internal/configwriter"
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/config/configwriter"
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
 	"github.com/portgauge/portgauge/internal/request/routing"
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -27,7 +27,7 @@
 	leafv1 "github.com/portgauge/portgauge/gen/portgauge/leaf/v1"
 	searchv1 "github.com/portgauge/portgauge/gen/portgauge/search/v1"
 	"github.com/portgauge/portgauge/gen/portgauge/search/v1/searchv1connect"
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
 	"github.com/portgauge/portgauge/internal/request/hedging"
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -19,8 +19,8 @@
 	"github.com/portgauge/portgauge/gen/portgauge/admin/v1/adminv1connect"
 	"github.com/portgauge/portgauge/gen/portgauge/search/v1/searchv1connect"
 	"github.com/portgauge/portgauge/internal/admin"
-	"github.com/portgauge/portgauge/internal/catalog"
-	"github.com/portgauge/portgauge/internal/configsync"
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/config/configsync"
 	"github.com/portgauge/portgauge/internal/request/search"
 	"github.com/portgauge/portgauge/internal/telemetry"
 )
--- a/internal/canary/fixture_test.go
+++ b/internal/canary/fixture_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
 	"github.com/portgauge/portgauge/internal/rollout"
 )
--- a/internal/canary/splitter.go
+++ b/internal/canary/splitter.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"github.com/portgauge/portgauge/internal/boottime"
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/config/revision"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
-	"github.com/portgauge/portgauge/internal/revision"
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
--- a/internal/canary/stage.go
+++ b/internal/canary/stage.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/portgauge/portgauge/internal/revision"
+	"github.com/portgauge/portgauge/internal/config/revision"
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
--- a/internal/catalog/catalog.go
+++ b/internal/config/catalog/catalog.go
@@ -9,12 +9,12 @@
 
 	adminv1 "github.com/portgauge/portgauge/gen/portgauge/admin/v1"
 	"github.com/portgauge/portgauge/internal/boottime"
+	"github.com/portgauge/portgauge/internal/config/manifest"
+	"github.com/portgauge/portgauge/internal/config/revision"
 	"github.com/portgauge/portgauge/internal/fingerprint"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
-	"github.com/portgauge/portgauge/internal/manifest"
 	"github.com/portgauge/portgauge/internal/quarantine"
 	"github.com/portgauge/portgauge/internal/request/routing"
-	"github.com/portgauge/portgauge/internal/revision"
 )
 
 // recentLimit is how many changes a node keeps to bring others up to date without sending
--- a/internal/catalog/draft.go
+++ b/internal/config/catalog/draft.go
@@ -8,9 +8,9 @@
 
 	adminv1 "github.com/portgauge/portgauge/gen/portgauge/admin/v1"
 	"github.com/portgauge/portgauge/internal/boottime"
+	"github.com/portgauge/portgauge/internal/config/manifest"
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
-	"github.com/portgauge/portgauge/internal/manifest"
 	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
--- a/internal/catalog/drilled_test.go
+++ b/internal/config/catalog/drilled_test.go
@@ -3,9 +3,9 @@
 import (
 	"encoding/json"
 
+	"github.com/portgauge/portgauge/internal/config/revision"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
 	"github.com/portgauge/portgauge/internal/request/routing"
-	"github.com/portgauge/portgauge/internal/revision"
 )
 
 // fatal fails a test; *testing.T and *rapid.T do.
--- a/internal/catalog/kept.go
+++ b/internal/config/catalog/kept.go
@@ -6,7 +6,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/portgauge/portgauge/internal/revision"
+	"github.com/portgauge/portgauge/internal/config/revision"
 )
 
 // KeepFor is how long what others than nodes write, and the restored store lacks, stays in force unless it is written again,
--- a/internal/catalog/past_writes.go
+++ b/internal/config/catalog/past_writes.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/portgauge/portgauge/internal/revision"
+	"github.com/portgauge/portgauge/internal/config/revision"
 )
 
 // mostPast bounds the writes that are remembered: at 500 a second, as when a fleet of 17,000 leafs starts, those of the
--- a/internal/catalog/restored.go
+++ b/internal/config/catalog/restored.go
@@ -5,9 +5,9 @@
 	"strings"
 	"time"
 
+	"github.com/portgauge/portgauge/internal/config/revision"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
 	"github.com/portgauge/portgauge/internal/request/routing"
-	"github.com/portgauge/portgauge/internal/revision"
 )
 
 // A store that was restored from a backup holds less than what nodes have in force: what was accepted since the backup, and
--- a/internal/catalog/restored_test.go
+++ b/internal/config/catalog/restored_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/matryer/is"
 
+	"github.com/portgauge/portgauge/internal/config/revision"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
-	"github.com/portgauge/portgauge/internal/revision"
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
--- a/internal/catalog/rollout.go
+++ b/internal/config/catalog/rollout.go
@@ -6,7 +6,7 @@
 
 	json "github.com/goccy/go-json"
 
-	"github.com/portgauge/portgauge/internal/revision"
+	"github.com/portgauge/portgauge/internal/config/revision"
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
--- a/internal/configsync/configsync_test.go
+++ b/internal/config/configsync/configsync_test.go
@@ -8,11 +8,11 @@
 
 	"github.com/matryer/is"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/config/store"
 	"github.com/portgauge/portgauge/internal/machines"
 	"github.com/portgauge/portgauge/internal/peer"
 	"github.com/portgauge/portgauge/internal/registry"
-	"github.com/portgauge/portgauge/internal/store"
 )
 
 func TestChangesReachEveryNode(t *testing.T) {
--- a/internal/configsync/early.go
+++ b/internal/config/configsync/early.go
@@ -4,7 +4,7 @@
 	"slices"
 	"sync"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
 )
 
 // mostEarly and earlyBytes bound the changes that are kept until those before them are in: some pushes of a
--- a/internal/configsync/early_test.go
+++ b/internal/config/configsync/early_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 	"pgregory.net/rapid"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/peer"
 )
 
--- a/internal/configsync/first_state.go
+++ b/internal/config/configsync/first_state.go
@@ -10,7 +10,7 @@
 	"github.com/ansel1/merry/v2"
 	"go.uber.org/zap"
 
-	"github.com/portgauge/portgauge/internal/store"
+	"github.com/portgauge/portgauge/internal/config/store"
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
--- a/internal/configsync/fleet_test.go
+++ b/internal/config/configsync/fleet_test.go
@@ -14,12 +14,12 @@
 	"go.uber.org/zap"
 
 	adminv1 "github.com/portgauge/portgauge/gen/portgauge/admin/v1"
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/config/revision"
+	"github.com/portgauge/portgauge/internal/config/store"
 	"github.com/portgauge/portgauge/internal/machines"
 	"github.com/portgauge/portgauge/internal/membership"
 	"github.com/portgauge/portgauge/internal/peer"
-	"github.com/portgauge/portgauge/internal/revision"
-	"github.com/portgauge/portgauge/internal/store"
 )
 
 var errDown = errors.New("store is down")
--- a/internal/configsync/push.go
+++ b/internal/config/configsync/push.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 	"go.uber.org/zap"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/peer"
 )
 
--- a/internal/configsync/restored.go
+++ b/internal/config/configsync/restored.go
@@ -5,9 +5,9 @@
 
 	"go.uber.org/zap"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/config/revision"
 	"github.com/portgauge/portgauge/internal/peer"
-	"github.com/portgauge/portgauge/internal/revision"
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
--- a/internal/configsync/restored_test.go
+++ b/internal/config/configsync/restored_test.go
@@ -7,9 +7,9 @@
 
 	"github.com/matryer/is"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/config/revision"
 	"github.com/portgauge/portgauge/internal/peer"
-	"github.com/portgauge/portgauge/internal/revision"
 )
 
 // serviceCount gives how many services a node has in force.
--- a/internal/configsync/standby.go
+++ b/internal/config/configsync/standby.go
@@ -5,8 +5,8 @@
 	"errors"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/catalog"
-	"github.com/portgauge/portgauge/internal/store"
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/config/store"
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
--- a/internal/configsync/syncer.go
+++ b/internal/config/configsync/syncer.go
@@ -18,11 +18,11 @@
 	"golang.org/x/time/rate"
 
 	"github.com/portgauge/portgauge/internal/boottime"
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/config/store"
 	"github.com/portgauge/portgauge/internal/machines"
 	"github.com/portgauge/portgauge/internal/membership"
 	"github.com/portgauge/portgauge/internal/peer"
-	"github.com/portgauge/portgauge/internal/store"
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
--- a/internal/configsync/watch.go
+++ b/internal/config/configsync/watch.go
@@ -11,9 +11,9 @@
 	"go.uber.org/zap"
 
 	"github.com/portgauge/portgauge/internal/boottime"
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/config/store"
 	"github.com/portgauge/portgauge/internal/peer"
-	"github.com/portgauge/portgauge/internal/store"
 )
 
 // errGap ends a watch whose events do not follow on the revision in force.
--- a/internal/configsync/whole_state.go
+++ b/internal/config/configsync/whole_state.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/peer"
 )
 
--- a/internal/configsync/whole_state_test.go
+++ b/internal/config/configsync/whole_state_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
 )
 
 // change makes the next change of a catalog.
--- a/internal/configwriter/configwriter.go
+++ b/internal/config/configwriter/configwriter.go
@@ -15,9 +15,9 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/config/store"
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/store"
 )
 
 // Config bounds how long a write is pursued.
--- a/internal/configwriter/configwriter_test.go
+++ b/internal/config/configwriter/configwriter_test.go
@@ -13,9 +13,9 @@
 	"pgregory.net/rapid"
 
 	adminv1 "github.com/portgauge/portgauge/gen/portgauge/admin/v1"
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/config/store"
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/store"
 )
 
 var errLost = errors.New("reply lost")
--- a/internal/configwriter/guarded.go
+++ b/internal/config/configwriter/guarded.go
@@ -4,9 +4,9 @@
 	"context"
 	"encoding/json"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/config/store"
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/store"
 )
 
 // GuardedWrite is one change of one key under conditions on others.
--- a/internal/configwriter/guarded_test.go
+++ b/internal/config/configwriter/guarded_test.go
@@ -9,9 +9,9 @@
 	"github.com/matryer/is"
 	"pgregory.net/rapid"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/config/store"
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/store"
 )
 
 // guardedStore is a memoryStore whose writes also need another key at a revision.
--- a/internal/manifest/manifest.go
+++ b/internal/config/manifest/manifest.go
@@ -10,8 +10,8 @@
 	"sort"
 
 	adminv1 "github.com/portgauge/portgauge/gen/portgauge/admin/v1"
+	"github.com/portgauge/portgauge/internal/config/keyspace"
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/keyspace"
 )
 
 // MaxShards bounds a manifest, so that one change fits the control traffic of a node.
--- a/internal/manifest/manifest_test.go
+++ b/internal/config/manifest/manifest_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 
 	adminv1 "github.com/portgauge/portgauge/gen/portgauge/admin/v1"
+	"github.com/portgauge/portgauge/internal/config/keyspace"
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/keyspace"
 )
 
 func manifestOf(boundaries []string) *adminv1.SnapshotManifest {
--- a/internal/rewriter/rewriter.go
+++ b/internal/config/rewriter/rewriter.go
@@ -10,9 +10,9 @@
 	"strings"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/config/store"
 	"github.com/portgauge/portgauge/internal/registry"
-	"github.com/portgauge/portgauge/internal/store"
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
--- a/internal/rewriter/rewriter_test.go
+++ b/internal/config/rewriter/rewriter_test.go
@@ -14,11 +14,11 @@
 
 	"github.com/matryer/is"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/config/revision"
+	"github.com/portgauge/portgauge/internal/config/store"
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
-	"github.com/portgauge/portgauge/internal/revision"
-	"github.com/portgauge/portgauge/internal/store"
 )
 
 var errDown = errors.New("down")
--- a/internal/store/store.go
+++ b/internal/config/store/store.go
@@ -10,7 +10,7 @@
 	"errors"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
 )
 
 // ErrHistoryGone ends a watch whose changes the store no longer keeps; the whole state must be
--- a/internal/lab/bare/bare.go
+++ b/internal/lab/bare/bare.go
@@ -16,7 +16,7 @@
 	searchv1 "github.com/portgauge/portgauge/gen/portgauge/search/v1"
 	"github.com/portgauge/portgauge/gen/portgauge/search/v1/searchv1connect"
 	"github.com/portgauge/portgauge/internal/api"
-	"github.com/portgauge/portgauge/internal/keyspace"
+	"github.com/portgauge/portgauge/internal/config/keyspace"
 )
 
 // Shard is a key range and the leaf that is asked for it.
--- a/internal/lab/leaf/leaf.go
+++ b/internal/lab/leaf/leaf.go
@@ -16,8 +16,8 @@
 	"google.golang.org/grpc/status"
 
 	leafv1 "github.com/portgauge/portgauge/gen/portgauge/leaf/v1"
+	"github.com/portgauge/portgauge/internal/config/keyspace"
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/keyspace"
 	"github.com/portgauge/portgauge/internal/lab/sample"
 	"github.com/portgauge/portgauge/internal/request/search"
 )
--- a/internal/lab/replay/operators.go
+++ b/internal/lab/replay/operators.go
@@ -10,8 +10,8 @@
 
 	adminv1 "github.com/portgauge/portgauge/gen/portgauge/admin/v1"
 	"github.com/portgauge/portgauge/internal/api"
-	"github.com/portgauge/portgauge/internal/catalog"
 	"github.com/portgauge/portgauge/internal/cli"
+	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
--- a/internal/lab/replay/snapshots.go
+++ b/internal/lab/replay/snapshots.go
@@ -4,7 +4,7 @@
 	"sort"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/lab/leaf"
 	"github.com/portgauge/portgauge/internal/lab/platform"
 )
--- a/internal/lab/replay/verdict.go
+++ b/internal/lab/replay/verdict.go
@@ -6,7 +6,7 @@
 	"sync"
 
 	searchv1 "github.com/portgauge/portgauge/gen/portgauge/search/v1"
-	"github.com/portgauge/portgauge/internal/keyspace"
+	"github.com/portgauge/portgauge/internal/config/keyspace"
 	"github.com/portgauge/portgauge/internal/lab/sample"
 	"github.com/portgauge/portgauge/internal/request/search"
 )
--- a/internal/lab/sample/sample.go
+++ b/internal/lab/sample/sample.go
@@ -10,8 +10,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"github.com/portgauge/portgauge/internal/config/keyspace"
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/keyspace"
 )
 
 // Dataset names a sample index.
--- a/internal/leaf/connshare/connshare.go
+++ b/internal/leaf/connshare/connshare.go
@@ -18,7 +18,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
 	"github.com/portgauge/portgauge/internal/leaf/sameslice"
--- a/internal/leaf/leafmemory/leafmemory_test.go
+++ b/internal/leaf/leafmemory/leafmemory_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 	"go.uber.org/zap"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
 )
--- a/internal/leaf/leafmemory/memory.go
+++ b/internal/leaf/leafmemory/memory.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"github.com/portgauge/portgauge/internal/boottime"
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
 )
--- a/internal/leaf/leafmemory/writer.go
+++ b/internal/leaf/leafmemory/writer.go
@@ -9,11 +9,11 @@
 	json "github.com/goccy/go-json"
 	"go.uber.org/zap"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/config/store"
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
 	"github.com/portgauge/portgauge/internal/registry"
-	"github.com/portgauge/portgauge/internal/store"
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
--- a/internal/leaf/leafset/leafset.go
+++ b/internal/leaf/leafset/leafset.go
@@ -15,8 +15,8 @@
 
 	json "github.com/goccy/go-json"
 
+	"github.com/portgauge/portgauge/internal/config/revision"
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/revision"
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
--- a/internal/machines/catalog.go
+++ b/internal/machines/catalog.go
@@ -4,7 +4,7 @@
 	"context"
 	"math/rand/v2"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
 )
 
 // CatalogLister lists the nodes that registered themselves, from the configuration that this
--- a/internal/node/beliefs.go
+++ b/internal/node/beliefs.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/decisionlog"
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
--- a/internal/node/dialect.go
+++ b/internal/node/dialect.go
@@ -3,12 +3,12 @@
 import (
 	"go.uber.org/fx"
 
+	"github.com/portgauge/portgauge/internal/config/store"
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/machines"
 	"github.com/portgauge/portgauge/internal/platformclient"
 	"github.com/portgauge/portgauge/internal/request/httpdialect"
 	"github.com/portgauge/portgauge/internal/settings"
-	"github.com/portgauge/portgauge/internal/store"
 	"github.com/portgauge/portgauge/internal/telemetry"
 )
 
--- a/internal/node/keeper.go
+++ b/internal/node/keeper.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
 	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
 	"github.com/portgauge/portgauge/internal/leaf/leafmemory"
--- a/internal/node/life.go
+++ b/internal/node/life.go
@@ -6,8 +6,8 @@
 	"go.uber.org/fx"
 	"go.uber.org/zap"
 
-	"github.com/portgauge/portgauge/internal/catalog"
-	"github.com/portgauge/portgauge/internal/configsync"
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/config/configsync"
 	"github.com/portgauge/portgauge/internal/reload"
 	"github.com/portgauge/portgauge/internal/settings"
 	"github.com/portgauge/portgauge/internal/version"
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -5,8 +5,8 @@
 	"go.uber.org/zap"
 
 	"github.com/portgauge/portgauge/internal/admin"
-	"github.com/portgauge/portgauge/internal/catalog"
-	"github.com/portgauge/portgauge/internal/configsync"
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/config/configsync"
 	"github.com/portgauge/portgauge/internal/request/search"
 	"github.com/portgauge/portgauge/internal/telemetry"
 )
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -7,14 +7,14 @@
 	"go.uber.org/zap"
 
 	"github.com/portgauge/portgauge/internal/boottime"
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/config/store"
 	"github.com/portgauge/portgauge/internal/decisionlog"
 	"github.com/portgauge/portgauge/internal/fingerprint"
 	"github.com/portgauge/portgauge/internal/peer"
 	"github.com/portgauge/portgauge/internal/quarantine"
 	"github.com/portgauge/portgauge/internal/quarantinesync"
 	"github.com/portgauge/portgauge/internal/settings"
-	"github.com/portgauge/portgauge/internal/store"
 	"github.com/portgauge/portgauge/internal/telemetry"
 )
 
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -9,15 +9,15 @@
 
 	"github.com/portgauge/portgauge/internal/boottime"
 	"github.com/portgauge/portgauge/internal/canary"
-	"github.com/portgauge/portgauge/internal/catalog"
-	"github.com/portgauge/portgauge/internal/configsync"
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/config/configsync"
+	"github.com/portgauge/portgauge/internal/config/store"
 	"github.com/portgauge/portgauge/internal/evidence"
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/peer"
 	"github.com/portgauge/portgauge/internal/registry"
 	"github.com/portgauge/portgauge/internal/rolloutcontrol"
 	"github.com/portgauge/portgauge/internal/settings"
-	"github.com/portgauge/portgauge/internal/store"
 	"github.com/portgauge/portgauge/internal/telemetry"
 	"github.com/portgauge/portgauge/internal/verdict"
 )
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -13,8 +13,10 @@
 
 	"github.com/portgauge/portgauge/internal/api"
 	"github.com/portgauge/portgauge/internal/boottime"
-	"github.com/portgauge/portgauge/internal/catalog"
-	"github.com/portgauge/portgauge/internal/configsync"
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/config/configsync"
+	"github.com/portgauge/portgauge/internal/config/rewriter"
+	"github.com/portgauge/portgauge/internal/config/store"
 	"github.com/portgauge/portgauge/internal/decisionlog"
 	"github.com/portgauge/portgauge/internal/leaf/leafgossip"
 	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
@@ -28,9 +30,7 @@
 	"github.com/portgauge/portgauge/internal/request/gateway"
 	"github.com/portgauge/portgauge/internal/request/search"
 	"github.com/portgauge/portgauge/internal/request/servingtree"
-	"github.com/portgauge/portgauge/internal/rewriter"
 	"github.com/portgauge/portgauge/internal/settings"
-	"github.com/portgauge/portgauge/internal/store"
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
--- a/internal/node/store_journal.go
+++ b/internal/node/store_journal.go
@@ -5,9 +5,9 @@
 	"sync"
 	"time"
 
+	"github.com/portgauge/portgauge/internal/config/rewriter"
+	"github.com/portgauge/portgauge/internal/config/store"
 	"github.com/portgauge/portgauge/internal/decisionlog"
-	"github.com/portgauge/portgauge/internal/rewriter"
-	"github.com/portgauge/portgauge/internal/store"
 	"github.com/portgauge/portgauge/internal/telemetry"
 )
 
--- a/internal/node/store_journal_test.go
+++ b/internal/node/store_journal_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/matryer/is"
 
+	"github.com/portgauge/portgauge/internal/config/store"
 	"github.com/portgauge/portgauge/internal/decisionlog"
-	"github.com/portgauge/portgauge/internal/store"
 	"github.com/portgauge/portgauge/internal/telemetry"
 )
 
--- a/internal/peer/batch.go
+++ b/internal/peer/batch.go
@@ -3,8 +3,8 @@
 import (
 	json "github.com/goccy/go-json"
 
-	"github.com/portgauge/portgauge/internal/catalog"
 	"github.com/portgauge/portgauge/internal/compression"
+	"github.com/portgauge/portgauge/internal/config/catalog"
 )
 
 // Batch is a list of changes, compressed once by the node that starts a push, so that relays
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -7,7 +7,7 @@
 package peer
 
 import (
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/fingerprint"
 	"github.com/portgauge/portgauge/internal/quarantine"
 )
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
 )
 
 // echo answers a pull with its revision and keeps datagrams.
--- a/internal/platformclient/guarded_test.go
+++ b/internal/platformclient/guarded_test.go
@@ -9,8 +9,8 @@
 	"google.golang.org/grpc"
 
 	platformv1 "github.com/portgauge/portgauge/gen/portgauge/platform/v1"
+	"github.com/portgauge/portgauge/internal/config/store"
 	"github.com/portgauge/portgauge/internal/lab/platform"
-	"github.com/portgauge/portgauge/internal/store"
 )
 
 // callsPerSecond is more than a test makes.
--- a/internal/platformclient/leases.go
+++ b/internal/platformclient/leases.go
@@ -10,8 +10,8 @@
 	"google.golang.org/grpc/status"
 
 	platformv1 "github.com/portgauge/portgauge/gen/portgauge/platform/v1"
-	"github.com/portgauge/portgauge/internal/catalog"
-	"github.com/portgauge/portgauge/internal/store"
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/config/store"
 )
 
 var _ store.Lessor = (*Client)(nil)
--- a/internal/platformclient/leases_test.go
+++ b/internal/platformclient/leases_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/matryer/is"
 
-	"github.com/portgauge/portgauge/internal/catalog"
-	"github.com/portgauge/portgauge/internal/store"
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/config/store"
 )
 
 // What is written under a lease can be read as any document, and goes with the lease.
--- a/internal/platformclient/platformclient.go
+++ b/internal/platformclient/platformclient.go
@@ -9,9 +9,9 @@
 	"google.golang.org/grpc/credentials/insecure"
 
 	platformv1 "github.com/portgauge/portgauge/gen/portgauge/platform/v1"
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/config/store"
 	"github.com/portgauge/portgauge/internal/machines"
-	"github.com/portgauge/portgauge/internal/store"
 )
 
 // Client is one connection to the platform; safe for concurrent use.
--- a/internal/quarantinesync/restored_test.go
+++ b/internal/quarantinesync/restored_test.go
@@ -7,9 +7,9 @@
 
 	"github.com/matryer/is"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/config/revision"
 	"github.com/portgauge/portgauge/internal/quarantine"
-	"github.com/portgauge/portgauge/internal/revision"
 )
 
 // A record that the store took and lost again before it was in force at any node is saved once more by the node that found
--- a/internal/quarantinesync/save.go
+++ b/internal/quarantinesync/save.go
@@ -9,12 +9,12 @@
 	json "github.com/goccy/go-json"
 	"github.com/google/uuid"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/config/revision"
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/fingerprint"
 	"github.com/portgauge/portgauge/internal/peer"
 	"github.com/portgauge/portgauge/internal/quarantine"
-	"github.com/portgauge/portgauge/internal/revision"
 )
 
 // saveAll writes the records that the store does not have and that are this node's to write, and tells of its own again.
--- a/internal/quarantinesync/sync_test.go
+++ b/internal/quarantinesync/sync_test.go
@@ -12,11 +12,11 @@
 	json "github.com/goccy/go-json"
 	"github.com/matryer/is"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/config/store"
 	"github.com/portgauge/portgauge/internal/fingerprint"
 	"github.com/portgauge/portgauge/internal/peer"
 	"github.com/portgauge/portgauge/internal/quarantine"
-	"github.com/portgauge/portgauge/internal/store"
 )
 
 var errDown = errors.New("the store is down")
--- a/internal/reachability/datagrams.go
+++ b/internal/reachability/datagrams.go
@@ -4,7 +4,7 @@
 	"context"
 	"sync"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/peer"
 )
 
--- a/internal/reachability/look.go
+++ b/internal/reachability/look.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
--- a/internal/reachability/reachability.go
+++ b/internal/reachability/reachability.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"github.com/portgauge/portgauge/internal/boottime"
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
 )
 
 // Asker carries datagrams between nodes.
--- a/internal/registry/gatherers.go
+++ b/internal/registry/gatherers.go
@@ -1,6 +1,6 @@
 package registry
 
-import "github.com/portgauge/portgauge/internal/catalog"
+import "github.com/portgauge/portgauge/internal/config/catalog"
 
 // gathererShare is the part of its zone's largest share of processors that a node must have to gather
 // for others: below it, the time that the work of one request takes a node is most of the
--- a/internal/registry/left.go
+++ b/internal/registry/left.go
@@ -5,7 +5,7 @@
 	"encoding/json"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
 )
 
 // leasedRecord is a node's record with the lease that it goes with, for the next process of the node.
--- a/internal/registry/left_test.go
+++ b/internal/registry/left_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 	"go.uber.org/zap"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
 )
 
 var resuming = catalog.NodeRecord{ID: "n", Zone: "z", Address: "127.0.0.1:1"}
--- a/internal/registry/ranking.go
+++ b/internal/registry/ranking.go
@@ -6,7 +6,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
 )
 
 // place is where a node stands in the order of a topic: by weight, the highest first, and by id where those are alike.
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -13,10 +13,10 @@
 
 	"go.uber.org/zap"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/config/revision"
+	"github.com/portgauge/portgauge/internal/config/store"
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/revision"
-	"github.com/portgauge/portgauge/internal/store"
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -15,9 +15,9 @@
 	"github.com/matryer/is"
 	"go.uber.org/zap"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/config/store"
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/store"
 )
 
 // memoryLessor keeps leases in memory and fails on request.
--- a/internal/registry/restored_test.go
+++ b/internal/registry/restored_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/matryer/is"
 
-	"github.com/portgauge/portgauge/internal/catalog"
-	"github.com/portgauge/portgauge/internal/revision"
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/config/revision"
 )
 
 // A restore of the store is noticed within a second, not by the next renewal: a node whose record it lost registers anew, one
--- a/internal/request/gateway/bench_test.go
+++ b/internal/request/gateway/bench_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
 	"github.com/portgauge/portgauge/internal/leaf/connshare"
 	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
--- a/internal/request/gateway/gateway.go
+++ b/internal/request/gateway/gateway.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/portgauge/portgauge/internal/canary"
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/evidence"
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
 	"github.com/portgauge/portgauge/internal/leaf/connshare"
--- a/internal/request/gateway/lives_test.go
+++ b/internal/request/gateway/lives_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
 )
--- a/internal/request/gateway/placement.go
+++ b/internal/request/gateway/placement.go
@@ -4,7 +4,7 @@
 	"slices"
 	"sync"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
 	"github.com/portgauge/portgauge/internal/request/routing"
 	"github.com/portgauge/portgauge/internal/rollout"
--- a/internal/request/gateway/refresh_test.go
+++ b/internal/request/gateway/refresh_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
 	"github.com/portgauge/portgauge/internal/leaf/warmup"
--- a/internal/request/gateway/root.go
+++ b/internal/request/gateway/root.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/reachability"
 	"github.com/portgauge/portgauge/internal/request/routing"
 	"github.com/portgauge/portgauge/internal/request/scatter"
--- a/internal/request/gateway/standing.go
+++ b/internal/request/gateway/standing.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
 )
 
 // standing knows which nodes can be asked to gather; safe for concurrent use.
--- a/internal/request/gateway/warm.go
+++ b/internal/request/gateway/warm.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"github.com/portgauge/portgauge/internal/canary"
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
 )
 
--- a/internal/request/search/engine.go
+++ b/internal/request/search/engine.go
@@ -15,7 +15,7 @@
 
 	adminv1 "github.com/portgauge/portgauge/gen/portgauge/admin/v1"
 	searchv1 "github.com/portgauge/portgauge/gen/portgauge/search/v1"
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
 	"github.com/portgauge/portgauge/internal/quarantine"
--- a/internal/request/search/merge.go
+++ b/internal/request/search/merge.go
@@ -2,8 +2,8 @@
 
 import (
 	searchv1 "github.com/portgauge/portgauge/gen/portgauge/search/v1"
-	"github.com/portgauge/portgauge/internal/keyspace"
-	"github.com/portgauge/portgauge/internal/manifest"
+	"github.com/portgauge/portgauge/internal/config/keyspace"
+	"github.com/portgauge/portgauge/internal/config/manifest"
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
--- a/internal/request/search/merge_test.go
+++ b/internal/request/search/merge_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 
 	leafv1 "github.com/portgauge/portgauge/gen/portgauge/leaf/v1"
-	"github.com/portgauge/portgauge/internal/keyspace"
-	"github.com/portgauge/portgauge/internal/manifest"
+	"github.com/portgauge/portgauge/internal/config/keyspace"
+	"github.com/portgauge/portgauge/internal/config/manifest"
 )
 
 // For any tiling, any parts lost or cut short and any limit: a key of the page's range is
--- a/internal/request/search/request.go
+++ b/internal/request/search/request.go
@@ -8,8 +8,8 @@
 
 	adminv1 "github.com/portgauge/portgauge/gen/portgauge/admin/v1"
 	searchv1 "github.com/portgauge/portgauge/gen/portgauge/search/v1"
+	"github.com/portgauge/portgauge/internal/config/keyspace"
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/keyspace"
 	"github.com/portgauge/portgauge/internal/quarantine"
 )
 
--- a/internal/request/search/scatter.go
+++ b/internal/request/search/scatter.go
@@ -9,9 +9,9 @@
 	adminv1 "github.com/portgauge/portgauge/gen/portgauge/admin/v1"
 	leafv1 "github.com/portgauge/portgauge/gen/portgauge/leaf/v1"
 	searchv1 "github.com/portgauge/portgauge/gen/portgauge/search/v1"
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/config/manifest"
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
-	"github.com/portgauge/portgauge/internal/manifest"
 	"github.com/portgauge/portgauge/internal/request/hedging"
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
--- a/internal/request/search/verify.go
+++ b/internal/request/search/verify.go
@@ -5,7 +5,7 @@
 	"strings"
 
 	leafv1 "github.com/portgauge/portgauge/gen/portgauge/leaf/v1"
-	"github.com/portgauge/portgauge/internal/keyspace"
+	"github.com/portgauge/portgauge/internal/config/keyspace"
 )
 
 // dropReason says why a leaf's reply is not merged.
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -11,8 +11,8 @@
 
 	json "github.com/goccy/go-json"
 
+	"github.com/portgauge/portgauge/internal/config/revision"
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/revision"
 )
 
 // Order asks that the requests of a service move to the leafs of a version.
--- a/internal/rolloutcontrol/controller.go
+++ b/internal/rolloutcontrol/controller.go
@@ -15,8 +15,8 @@
 	"time"
 
 	"github.com/portgauge/portgauge/internal/boottime"
-	"github.com/portgauge/portgauge/internal/catalog"
-	"github.com/portgauge/portgauge/internal/revision"
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/config/revision"
 )
 
 // Splitter is what draws the requests for versions on trial at this node.
--- a/internal/rolloutcontrol/hearing.go
+++ b/internal/rolloutcontrol/hearing.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/evidence"
 	"github.com/portgauge/portgauge/internal/peer"
 )
--- a/internal/rolloutcontrol/judge.go
+++ b/internal/rolloutcontrol/judge.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/rollout"
 	"github.com/portgauge/portgauge/internal/verdict"
 )
--- a/internal/rolloutcontrol/node_test.go
+++ b/internal/rolloutcontrol/node_test.go
@@ -8,7 +8,7 @@
 
 	json "github.com/goccy/go-json"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/evidence"
 	"github.com/portgauge/portgauge/internal/peer"
 	"github.com/portgauge/portgauge/internal/registry"
--- a/internal/rolloutcontrol/property_test.go
+++ b/internal/rolloutcontrol/property_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
--- a/internal/rolloutcontrol/reporter.go
+++ b/internal/rolloutcontrol/reporter.go
@@ -8,7 +8,7 @@
 
 	"golang.org/x/time/rate"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/evidence"
 	"github.com/portgauge/portgauge/internal/peer"
 )
--- a/internal/rolloutcontrol/states.go
+++ b/internal/rolloutcontrol/states.go
@@ -7,10 +7,10 @@
 
 	json "github.com/goccy/go-json"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/config/store"
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/rollout"
-	"github.com/portgauge/portgauge/internal/store"
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
--- a/internal/rolloutcontrol/store_test.go
+++ b/internal/rolloutcontrol/store_test.go
@@ -10,9 +10,9 @@
 
 	json "github.com/goccy/go-json"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/config/store"
 	"github.com/portgauge/portgauge/internal/rollout"
-	"github.com/portgauge/portgauge/internal/store"
 )
 
 var errStore = errors.New("the store does not answer")
--- a/internal/rolloutcontrol/trial.go
+++ b/internal/rolloutcontrol/trial.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/config/revision"
 	"github.com/portgauge/portgauge/internal/evidence"
-	"github.com/portgauge/portgauge/internal/revision"
 	"github.com/portgauge/portgauge/internal/rollout"
 	"github.com/portgauge/portgauge/internal/verdict"
 )
--- a/internal/rolloutcontrol/versions.go
+++ b/internal/rolloutcontrol/versions.go
@@ -9,12 +9,12 @@
 
 	json "github.com/goccy/go-json"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/config/store"
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
 	"github.com/portgauge/portgauge/internal/registry"
 	"github.com/portgauge/portgauge/internal/rollout"
-	"github.com/portgauge/portgauge/internal/store"
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
--- a/internal/rolloutcontrol/versions_test.go
+++ b/internal/rolloutcontrol/versions_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/portgauge/portgauge/internal/catalog"
+	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/registry"
 	"github.com/portgauge/portgauge/internal/request/routing"
 )
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -13,8 +13,8 @@
 	"go.uber.org/zap/zapcore"
 
 	"github.com/portgauge/portgauge/internal/canary"
-	"github.com/portgauge/portgauge/internal/configsync"
-	"github.com/portgauge/portgauge/internal/configwriter"
+	"github.com/portgauge/portgauge/internal/config/configsync"
+	"github.com/portgauge/portgauge/internal/config/configwriter"
 	"github.com/portgauge/portgauge/internal/decisionlog"
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
