--- a/internal/config/configsync/check.go
+++ b/internal/config/configsync/check.go
@@ -5,7 +5,7 @@
 	"math"
 	"sync"
 
-	"github.com/portgauge/portgauge/internal/peer"
+	"github.com/portgauge/portgauge/internal/fleet/peer"
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
--- a/internal/config/configsync/configsync_test.go
+++ b/internal/config/configsync/configsync_test.go
@@ -10,9 +10,9 @@
 
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/config/store"
-	"github.com/portgauge/portgauge/internal/machines"
-	"github.com/portgauge/portgauge/internal/peer"
-	"github.com/portgauge/portgauge/internal/registry"
+	"github.com/portgauge/portgauge/internal/fleet/machines"
+	"github.com/portgauge/portgauge/internal/fleet/peer"
+	"github.com/portgauge/portgauge/internal/fleet/registry"
 )
 
 func TestChangesReachEveryNode(t *testing.T) {
--- a/internal/config/configsync/contacts.go
+++ b/internal/config/configsync/contacts.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/machines"
-	"github.com/portgauge/portgauge/internal/peer"
+	"github.com/portgauge/portgauge/internal/fleet/machines"
+	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
 // contactsPerZone is how many nodes of each other zone a node remembers.
--- a/internal/config/configsync/early_test.go
+++ b/internal/config/configsync/early_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 
 	"github.com/portgauge/portgauge/internal/config/catalog"
-	"github.com/portgauge/portgauge/internal/peer"
+	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
 // Pushes that overtake each other lose nothing: once all are in, whatever their order, all is in force,
--- a/internal/config/configsync/handler.go
+++ b/internal/config/configsync/handler.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"github.com/portgauge/portgauge/internal/peer"
+	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
 // Hearers take the messages that neither membership nor configuration is concerned with; what has no hearer is
--- a/internal/config/configsync/pull.go
+++ b/internal/config/configsync/pull.go
@@ -7,7 +7,7 @@
 
 	"go.uber.org/zap"
 
-	"github.com/portgauge/portgauge/internal/peer"
+	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
 // joinLoop joins the zone through the seeds and the machine list, again and again until what
--- a/internal/config/configsync/push.go
+++ b/internal/config/configsync/push.go
@@ -10,7 +10,7 @@
 	"go.uber.org/zap"
 
 	"github.com/portgauge/portgauge/internal/config/catalog"
-	"github.com/portgauge/portgauge/internal/peer"
+	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
 // Bounds of the changes in one push: those of a burst, as when hundreds of leafs leave together, are best
--- a/internal/config/configsync/restored_test.go
+++ b/internal/config/configsync/restored_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/config/revision"
-	"github.com/portgauge/portgauge/internal/peer"
+	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
 // serviceCount gives how many services a node has in force.
--- a/internal/config/configsync/status.go
+++ b/internal/config/configsync/status.go
@@ -4,8 +4,8 @@
 	"context"
 	"sync"
 
-	"github.com/portgauge/portgauge/internal/peer"
-	"github.com/portgauge/portgauge/internal/registry"
+	"github.com/portgauge/portgauge/internal/fleet/peer"
+	"github.com/portgauge/portgauge/internal/fleet/registry"
 )
 
 // ZoneStatus counts the nodes of a zone that answered a status query.
--- a/internal/config/configsync/syncer.go
+++ b/internal/config/configsync/syncer.go
@@ -20,9 +20,9 @@
 	"github.com/portgauge/portgauge/internal/boottime"
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/config/store"
-	"github.com/portgauge/portgauge/internal/machines"
-	"github.com/portgauge/portgauge/internal/membership"
-	"github.com/portgauge/portgauge/internal/peer"
+	"github.com/portgauge/portgauge/internal/fleet/machines"
+	"github.com/portgauge/portgauge/internal/fleet/membership"
+	"github.com/portgauge/portgauge/internal/fleet/peer"
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
--- a/internal/config/configsync/watch.go
+++ b/internal/config/configsync/watch.go
@@ -13,7 +13,7 @@
 	"github.com/portgauge/portgauge/internal/boottime"
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/config/store"
-	"github.com/portgauge/portgauge/internal/peer"
+	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
 // errGap ends a watch whose events do not follow on the revision in force.
--- a/internal/config/configsync/whole_state.go
+++ b/internal/config/configsync/whole_state.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/portgauge/portgauge/internal/config/catalog"
-	"github.com/portgauge/portgauge/internal/peer"
+	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
 // wholeStates gives the whole state to nodes that have none, as after a start of the whole fleet. The
--- a/internal/config/rewriter/rewriter.go
+++ b/internal/config/rewriter/rewriter.go
@@ -12,7 +12,7 @@
 
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/config/store"
-	"github.com/portgauge/portgauge/internal/registry"
+	"github.com/portgauge/portgauge/internal/fleet/registry"
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
--- a/internal/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -17,7 +17,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/portgauge/portgauge/internal/peer"
+	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
 // Listener is told of what messages from other nodes carry besides membership.
--- a/internal/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/portgauge/portgauge/internal/peer"
+	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
 // quiet is a listener with nothing to say.
--- a/internal/membership/probe.go
+++ b/internal/fleet/membership/probe.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/peer"
+	"github.com/portgauge/portgauge/internal/fleet/peer"
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
--- a/internal/membership/rumours.go
+++ b/internal/fleet/membership/rumours.go
@@ -3,7 +3,7 @@
 import (
 	"sort"
 
-	"github.com/portgauge/portgauge/internal/peer"
+	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
 // rumours are member changes to pass on, each a bounded number of times, the least passed
--- a/internal/platformclient/platformclient.go
+++ b/internal/fleet/platformclient/platformclient.go
@@ -11,7 +11,7 @@
 	platformv1 "github.com/portgauge/portgauge/gen/portgauge/platform/v1"
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/config/store"
-	"github.com/portgauge/portgauge/internal/machines"
+	"github.com/portgauge/portgauge/internal/fleet/machines"
 )
 
 // Client is one connection to the platform; safe for concurrent use.
--- a/internal/reachability/datagrams.go
+++ b/internal/fleet/reachability/datagrams.go
@@ -5,7 +5,7 @@
 	"sync"
 
 	"github.com/portgauge/portgauge/internal/config/catalog"
-	"github.com/portgauge/portgauge/internal/peer"
+	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
 // Sender sends datagrams to nodes; peer.Transport is one.
--- a/internal/reachability/datagrams_test.go
+++ b/internal/fleet/reachability/datagrams_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 
 	"github.com/portgauge/portgauge/internal/config/catalog"
-	"github.com/portgauge/portgauge/internal/peer"
+	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
 // link carries datagrams between nodes, by address.
--- a/internal/leaf/leafgossip/config.go
+++ b/internal/leaf/leafgossip/config.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/peer"
+	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
 // Config bounds what a node tells others of leafs.
--- a/internal/leaf/leafgossip/leafgossip.go
+++ b/internal/leaf/leafgossip/leafgossip.go
@@ -14,8 +14,8 @@
 
 	"golang.org/x/time/rate"
 
+	"github.com/portgauge/portgauge/internal/fleet/peer"
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
-	"github.com/portgauge/portgauge/internal/peer"
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
--- a/internal/leaf/leafgossip/leafgossip_test.go
+++ b/internal/leaf/leafgossip/leafgossip_test.go
@@ -13,8 +13,8 @@
 	"pgregory.net/rapid"
 
 	"github.com/portgauge/portgauge/internal/failure"
+	"github.com/portgauge/portgauge/internal/fleet/peer"
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
-	"github.com/portgauge/portgauge/internal/peer"
 )
 
 // fleet is n addresses.
--- a/internal/leaf/leafgossip/report.go
+++ b/internal/leaf/leafgossip/report.go
@@ -5,8 +5,8 @@
 	"math"
 	"time"
 
+	"github.com/portgauge/portgauge/internal/fleet/peer"
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
-	"github.com/portgauge/portgauge/internal/peer"
 )
 
 // A packed observation is the leaf's key, its slowness and its silence, in this many bytes: a
--- a/internal/leaf/leafmemory/writer.go
+++ b/internal/leaf/leafmemory/writer.go
@@ -12,8 +12,8 @@
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/config/store"
 	"github.com/portgauge/portgauge/internal/failure"
+	"github.com/portgauge/portgauge/internal/fleet/registry"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
-	"github.com/portgauge/portgauge/internal/registry"
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
--- a/internal/node/dialect.go
+++ b/internal/node/dialect.go
@@ -5,8 +5,8 @@
 
 	"github.com/portgauge/portgauge/internal/config/store"
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/machines"
-	"github.com/portgauge/portgauge/internal/platformclient"
+	"github.com/portgauge/portgauge/internal/fleet/machines"
+	"github.com/portgauge/portgauge/internal/fleet/platformclient"
 	"github.com/portgauge/portgauge/internal/request/httpdialect"
 	"github.com/portgauge/portgauge/internal/settings"
 	"github.com/portgauge/portgauge/internal/telemetry"
--- a/internal/node/keeper.go
+++ b/internal/node/keeper.go
@@ -5,11 +5,11 @@
 	"time"
 
 	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/fleet/membership"
+	"github.com/portgauge/portgauge/internal/fleet/peer"
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
 	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
 	"github.com/portgauge/portgauge/internal/leaf/leafmemory"
-	"github.com/portgauge/portgauge/internal/membership"
-	"github.com/portgauge/portgauge/internal/peer"
 	"github.com/portgauge/portgauge/internal/request/retrybudget"
 	"github.com/portgauge/portgauge/internal/telemetry"
 	"github.com/portgauge/portgauge/internal/wait"
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -11,7 +11,7 @@
 	"github.com/portgauge/portgauge/internal/config/store"
 	"github.com/portgauge/portgauge/internal/decisionlog"
 	"github.com/portgauge/portgauge/internal/fingerprint"
-	"github.com/portgauge/portgauge/internal/peer"
+	"github.com/portgauge/portgauge/internal/fleet/peer"
 	"github.com/portgauge/portgauge/internal/quarantine"
 	"github.com/portgauge/portgauge/internal/quarantinesync"
 	"github.com/portgauge/portgauge/internal/settings"
--- a/internal/quarantinesync/save.go
+++ b/internal/quarantinesync/save.go
@@ -13,7 +13,7 @@
 	"github.com/portgauge/portgauge/internal/config/revision"
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/fingerprint"
-	"github.com/portgauge/portgauge/internal/peer"
+	"github.com/portgauge/portgauge/internal/fleet/peer"
 	"github.com/portgauge/portgauge/internal/quarantine"
 )
 
--- a/internal/quarantinesync/sync_test.go
+++ b/internal/quarantinesync/sync_test.go
@@ -15,7 +15,7 @@
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/config/store"
 	"github.com/portgauge/portgauge/internal/fingerprint"
-	"github.com/portgauge/portgauge/internal/peer"
+	"github.com/portgauge/portgauge/internal/fleet/peer"
 	"github.com/portgauge/portgauge/internal/quarantine"
 )
 
--- a/internal/request/gateway/reach_test.go
+++ b/internal/request/gateway/reach_test.go
@@ -12,9 +12,9 @@
 
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/failure"
+	"github.com/portgauge/portgauge/internal/fleet/reachability"
 	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
-	"github.com/portgauge/portgauge/internal/reachability"
 )
 
 // cutAsker lets the nodes of all zones but some answer.
--- a/internal/request/gateway/root.go
+++ b/internal/request/gateway/root.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/portgauge/portgauge/internal/config/catalog"
-	"github.com/portgauge/portgauge/internal/reachability"
+	"github.com/portgauge/portgauge/internal/fleet/reachability"
 	"github.com/portgauge/portgauge/internal/request/routing"
 	"github.com/portgauge/portgauge/internal/request/scatter"
 	"github.com/portgauge/portgauge/internal/request/servingtree"
--- a/internal/request/gateway/tree_fleet_test.go
+++ b/internal/request/gateway/tree_fleet_test.go
@@ -13,12 +13,12 @@
 	"github.com/matryer/is"
 
 	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/fleet/registry"
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
 	"github.com/portgauge/portgauge/internal/leaf/connshare"
 	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
 	"github.com/portgauge/portgauge/internal/leaf/leafmemory"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
-	"github.com/portgauge/portgauge/internal/registry"
 	"github.com/portgauge/portgauge/internal/request/retrybudget"
 	"github.com/portgauge/portgauge/internal/request/routing"
 	"github.com/portgauge/portgauge/internal/request/servingtree"
--- a/internal/rolloutcontrol/fleet_test.go
+++ b/internal/rolloutcontrol/fleet_test.go
@@ -11,8 +11,8 @@
 
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/evidence"
+	"github.com/portgauge/portgauge/internal/fleet/peer"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
-	"github.com/portgauge/portgauge/internal/peer"
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
--- a/internal/rolloutcontrol/hearing.go
+++ b/internal/rolloutcontrol/hearing.go
@@ -5,7 +5,7 @@
 
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/evidence"
-	"github.com/portgauge/portgauge/internal/peer"
+	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
 // keepOwn takes this node's own counts where it is a judge.
--- a/internal/rolloutcontrol/hearing_test.go
+++ b/internal/rolloutcontrol/hearing_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 
 	"github.com/portgauge/portgauge/internal/config/catalog"
-	"github.com/portgauge/portgauge/internal/peer"
+	"github.com/portgauge/portgauge/internal/fleet/peer"
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
--- a/internal/rolloutcontrol/judgeset.go
+++ b/internal/rolloutcontrol/judgeset.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"github.com/portgauge/portgauge/internal/config/catalog"
-	"github.com/portgauge/portgauge/internal/registry"
+	"github.com/portgauge/portgauge/internal/fleet/registry"
 )
 
 // rankOf gives the place of a node among some; -1 when it is not among them.
--- a/internal/rolloutcontrol/node_test.go
+++ b/internal/rolloutcontrol/node_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/evidence"
-	"github.com/portgauge/portgauge/internal/peer"
-	"github.com/portgauge/portgauge/internal/registry"
+	"github.com/portgauge/portgauge/internal/fleet/peer"
+	"github.com/portgauge/portgauge/internal/fleet/registry"
 	"github.com/portgauge/portgauge/internal/rollout"
 	"github.com/portgauge/portgauge/internal/verdict"
 )
--- a/internal/rolloutcontrol/packing.go
+++ b/internal/rolloutcontrol/packing.go
@@ -6,7 +6,7 @@
 
 	"github.com/portgauge/portgauge/internal/evidence"
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/peer"
+	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
 // Bounds of packed rows.
--- a/internal/rolloutcontrol/reporter.go
+++ b/internal/rolloutcontrol/reporter.go
@@ -10,7 +10,7 @@
 
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/evidence"
-	"github.com/portgauge/portgauge/internal/peer"
+	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
 // Counts are what a node itself counted for the orders under way. The rows that it gives are the caller's own: counting
--- a/internal/rolloutcontrol/reports_test.go
+++ b/internal/rolloutcontrol/reports_test.go
@@ -13,7 +13,7 @@
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/evidence"
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/peer"
+	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
 func drawRow(t *rapid.T) evidence.Row {
--- a/internal/rolloutcontrol/versions_test.go
+++ b/internal/rolloutcontrol/versions_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 
 	"github.com/portgauge/portgauge/internal/config/catalog"
-	"github.com/portgauge/portgauge/internal/registry"
+	"github.com/portgauge/portgauge/internal/fleet/registry"
 	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
