--- a/internal/admin/quarantine.go
+++ b/internal/admin/quarantine.go
@@ -8,7 +8,7 @@
 	adminv1 "github.com/portgauge/portgauge/gen/portgauge/admin/v1"
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/fingerprint"
+	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 )
 
 // ListQuarantine gives the requests under quarantine that are in force on this node, by path.
--- a/internal/admin/quarantine_test.go
+++ b/internal/admin/quarantine_test.go
@@ -9,8 +9,8 @@
 	adminv1 "github.com/portgauge/portgauge/gen/portgauge/admin/v1"
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/fingerprint"
 	"github.com/portgauge/portgauge/internal/quarantine"
+	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 )
 
 // A request under quarantine is listed and lifted; who lifts one that was found anew meanwhile learns so.
--- a/internal/config/catalog/catalog.go
+++ b/internal/config/catalog/catalog.go
@@ -11,9 +11,9 @@
 	"github.com/portgauge/portgauge/internal/boottime"
 	"github.com/portgauge/portgauge/internal/config/manifest"
 	"github.com/portgauge/portgauge/internal/config/revision"
-	"github.com/portgauge/portgauge/internal/fingerprint"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
 	"github.com/portgauge/portgauge/internal/quarantine"
+	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
--- a/internal/config/catalog/quarantine.go
+++ b/internal/config/catalog/quarantine.go
@@ -5,8 +5,8 @@
 	"strings"
 
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/fingerprint"
 	"github.com/portgauge/portgauge/internal/quarantine"
+	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 )
 
 // compileQuarantine takes that a request goes to no leaf, or does again.
--- a/internal/config/catalog/quarantine_test.go
+++ b/internal/config/catalog/quarantine_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 	"pgregory.net/rapid"
 
-	"github.com/portgauge/portgauge/internal/fingerprint"
 	"github.com/portgauge/portgauge/internal/quarantine"
+	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 )
 
 func contentOf(path string) fingerprint.Fingerprint {
--- a/internal/fleet/peer/message.go
+++ b/internal/fleet/peer/message.go
@@ -8,8 +8,8 @@
 
 import (
 	"github.com/portgauge/portgauge/internal/config/catalog"
-	"github.com/portgauge/portgauge/internal/fingerprint"
 	"github.com/portgauge/portgauge/internal/quarantine"
+	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 )
 
 // MemberState is what is known of a node.
--- a/internal/lab/canary/canary_test.go
+++ b/internal/lab/canary/canary_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/matryer/is"
 
-	"github.com/portgauge/portgauge/internal/evidence"
-	"github.com/portgauge/portgauge/internal/verdict"
+	"github.com/portgauge/portgauge/internal/rollout/evidence"
+	"github.com/portgauge/portgauge/internal/rollout/verdict"
 )
 
 // nobody never finds anything.
--- a/internal/lab/canary/measure.go
+++ b/internal/lab/canary/measure.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/verdict"
+	"github.com/portgauge/portgauge/internal/rollout/verdict"
 )
 
 // Measure is what a way found in a case, over seeds.
--- a/internal/lab/canary/play.go
+++ b/internal/lab/canary/play.go
@@ -6,8 +6,8 @@
 	"math/rand/v2"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/evidence"
-	"github.com/portgauge/portgauge/internal/verdict"
+	"github.com/portgauge/portgauge/internal/rollout/evidence"
+	"github.com/portgauge/portgauge/internal/rollout/verdict"
 )
 
 // Names of the two versions.
--- a/internal/lab/canary/ways.go
+++ b/internal/lab/canary/ways.go
@@ -4,8 +4,8 @@
 	"math"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/evidence"
-	"github.com/portgauge/portgauge/internal/verdict"
+	"github.com/portgauge/portgauge/internal/rollout/evidence"
+	"github.com/portgauge/portgauge/internal/rollout/verdict"
 )
 
 // Way makes a judge of a case.
--- a/internal/node/journal.go
+++ b/internal/node/journal.go
@@ -8,8 +8,8 @@
 
 	"github.com/portgauge/portgauge/internal/decisionlog"
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/fingerprint"
 	"github.com/portgauge/portgauge/internal/quarantine"
+	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 	"github.com/portgauge/portgauge/internal/request/gateway"
 	"github.com/portgauge/portgauge/internal/request/scatter"
 	"github.com/portgauge/portgauge/internal/telemetry"
--- a/internal/node/provide.go
+++ b/internal/node/provide.go
@@ -13,14 +13,12 @@
 
 	"github.com/portgauge/portgauge/internal/admin"
 	"github.com/portgauge/portgauge/internal/boottime"
-	"github.com/portgauge/portgauge/internal/canary"
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/config/configsync"
 	"github.com/portgauge/portgauge/internal/config/configwriter"
 	"github.com/portgauge/portgauge/internal/config/rewriter"
 	"github.com/portgauge/portgauge/internal/config/store"
 	"github.com/portgauge/portgauge/internal/decisionlog"
-	"github.com/portgauge/portgauge/internal/evidence"
 	"github.com/portgauge/portgauge/internal/fleet/machines"
 	"github.com/portgauge/portgauge/internal/fleet/membership"
 	"github.com/portgauge/portgauge/internal/fleet/peer"
@@ -40,6 +38,8 @@
 	"github.com/portgauge/portgauge/internal/request/retrybudget"
 	"github.com/portgauge/portgauge/internal/request/search"
 	"github.com/portgauge/portgauge/internal/request/servingtree"
+	"github.com/portgauge/portgauge/internal/rollout/canary"
+	"github.com/portgauge/portgauge/internal/rollout/evidence"
 	"github.com/portgauge/portgauge/internal/settings"
 	"github.com/portgauge/portgauge/internal/telemetry"
 )
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -10,10 +10,10 @@
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/config/store"
 	"github.com/portgauge/portgauge/internal/decisionlog"
-	"github.com/portgauge/portgauge/internal/fingerprint"
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 	"github.com/portgauge/portgauge/internal/quarantine"
-	"github.com/portgauge/portgauge/internal/quarantinesync"
+	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
+	"github.com/portgauge/portgauge/internal/quarantine/quarantinesync"
 	"github.com/portgauge/portgauge/internal/settings"
 	"github.com/portgauge/portgauge/internal/telemetry"
 )
--- a/internal/node/rollout_journal.go
+++ b/internal/node/rollout_journal.go
@@ -5,7 +5,7 @@
 
 	"github.com/portgauge/portgauge/internal/decisionlog"
 	"github.com/portgauge/portgauge/internal/rollout"
-	"github.com/portgauge/portgauge/internal/rolloutcontrol"
+	"github.com/portgauge/portgauge/internal/rollout/rolloutcontrol"
 )
 
 // rolloutJournal tells the decision log of roll-outs.
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -8,18 +8,18 @@
 	"go.uber.org/fx"
 
 	"github.com/portgauge/portgauge/internal/boottime"
-	"github.com/portgauge/portgauge/internal/canary"
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/config/configsync"
 	"github.com/portgauge/portgauge/internal/config/store"
-	"github.com/portgauge/portgauge/internal/evidence"
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 	"github.com/portgauge/portgauge/internal/fleet/registry"
-	"github.com/portgauge/portgauge/internal/rolloutcontrol"
+	"github.com/portgauge/portgauge/internal/rollout/canary"
+	"github.com/portgauge/portgauge/internal/rollout/evidence"
+	"github.com/portgauge/portgauge/internal/rollout/rolloutcontrol"
+	"github.com/portgauge/portgauge/internal/rollout/verdict"
 	"github.com/portgauge/portgauge/internal/settings"
 	"github.com/portgauge/portgauge/internal/telemetry"
-	"github.com/portgauge/portgauge/internal/verdict"
 )
 
 // rolloutParts are what carries roll-outs out at a node is made from.
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -25,7 +25,7 @@
 	"github.com/portgauge/portgauge/internal/leaf/leafgossip"
 	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
 	"github.com/portgauge/portgauge/internal/leaf/leafmemory"
-	"github.com/portgauge/portgauge/internal/quarantinesync"
+	"github.com/portgauge/portgauge/internal/quarantine/quarantinesync"
 	"github.com/portgauge/portgauge/internal/request/front"
 	"github.com/portgauge/portgauge/internal/request/gateway"
 	"github.com/portgauge/portgauge/internal/request/search"
--- a/internal/quarantinesync/save.go
+++ b/internal/quarantine/quarantinesync/save.go
@@ -12,9 +12,9 @@
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/config/revision"
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/fingerprint"
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 	"github.com/portgauge/portgauge/internal/quarantine"
+	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 )
 
 // saveAll writes the records that the store does not have and that are this node's to write, and tells of its own again.
--- a/internal/quarantinesync/sync.go
+++ b/internal/quarantine/quarantinesync/sync.go
@@ -7,10 +7,10 @@
 
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/config/store"
-	"github.com/portgauge/portgauge/internal/fingerprint"
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 	"github.com/portgauge/portgauge/internal/fleet/registry"
 	"github.com/portgauge/portgauge/internal/quarantine"
+	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 )
 
 // homes is how many nodes add up the evidence against a request, and how many besides the one that found it write its
--- a/internal/quarantinesync/sync_test.go
+++ b/internal/quarantine/quarantinesync/sync_test.go
@@ -14,9 +14,9 @@
 
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/config/store"
-	"github.com/portgauge/portgauge/internal/fingerprint"
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 	"github.com/portgauge/portgauge/internal/quarantine"
+	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 )
 
 var errDown = errors.New("the store is down")
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -4,7 +4,7 @@
 	json "github.com/goccy/go-json"
 
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/fingerprint"
+	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 )
 
 // Bounds of what is told of a request, so that it fits into a datagram of 1,400 bytes: a path, the ids of leafs
--- a/internal/quarantine/register.go
+++ b/internal/quarantine/register.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/portgauge/portgauge/internal/boottime"
-	"github.com/portgauge/portgauge/internal/fingerprint"
+	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 )
 
 // State is how a request is held.
--- a/internal/quarantine/register_test.go
+++ b/internal/quarantine/register_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/portgauge/portgauge/internal/fingerprint"
+	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 )
 
 // fleet is a register with all that it tells, a store, and a clock that is set.
--- a/internal/quarantine/try.go
+++ b/internal/quarantine/try.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/fingerprint"
+	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 )
 
 // Bounds of a trial: how long it may be asked for in vain until it is asked for again, and how long it is permitted.
--- a/internal/request/gateway/candidates.go
+++ b/internal/request/gateway/candidates.go
@@ -3,11 +3,11 @@
 import (
 	"slices"
 
-	"github.com/portgauge/portgauge/internal/canary"
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
 	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
 	"github.com/portgauge/portgauge/internal/request/scatter"
+	"github.com/portgauge/portgauge/internal/rollout/canary"
 )
 
 // target is a leaf that may be asked, and how.
--- a/internal/request/gateway/crash.go
+++ b/internal/request/gateway/crash.go
@@ -8,11 +8,11 @@
 	"time"
 
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/fingerprint"
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
 	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
 	"github.com/portgauge/portgauge/internal/quarantine"
+	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
--- a/internal/request/gateway/crash_test.go
+++ b/internal/request/gateway/crash_test.go
@@ -26,10 +26,10 @@
 
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/fingerprint"
 	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
 	"github.com/portgauge/portgauge/internal/quarantine"
+	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 )
 
 // fatalWork is how long a leaf works on a request until it ends by it.
--- a/internal/request/gateway/gateway.go
+++ b/internal/request/gateway/gateway.go
@@ -5,9 +5,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/canary"
 	"github.com/portgauge/portgauge/internal/config/catalog"
-	"github.com/portgauge/portgauge/internal/evidence"
 	"github.com/portgauge/portgauge/internal/fleet/reachability"
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
 	"github.com/portgauge/portgauge/internal/leaf/connshare"
@@ -18,6 +16,8 @@
 	"github.com/portgauge/portgauge/internal/request/httpdialect"
 	"github.com/portgauge/portgauge/internal/request/retrybudget"
 	"github.com/portgauge/portgauge/internal/request/routing"
+	"github.com/portgauge/portgauge/internal/rollout/canary"
+	"github.com/portgauge/portgauge/internal/rollout/evidence"
 )
 
 // notReadyRetryAfter is what callers of a node without routes are told.
--- a/internal/request/gateway/impossible.go
+++ b/internal/request/gateway/impossible.go
@@ -5,11 +5,11 @@
 	"slices"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/canary"
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
 	"github.com/portgauge/portgauge/internal/request/scatter"
+	"github.com/portgauge/portgauge/internal/rollout/canary"
 )
 
 // noLeaf is the reason of a service for which no leaf is known.
--- a/internal/request/gateway/journal.go
+++ b/internal/request/gateway/journal.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/fingerprint"
+	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
--- a/internal/request/gateway/request.go
+++ b/internal/request/gateway/request.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/fingerprint"
 	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
+	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
--- a/internal/request/gateway/trial.go
+++ b/internal/request/gateway/trial.go
@@ -4,12 +4,12 @@
 	"slices"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/canary"
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
 	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
 	"github.com/portgauge/portgauge/internal/request/routing"
 	"github.com/portgauge/portgauge/internal/request/scatter"
+	"github.com/portgauge/portgauge/internal/rollout/canary"
 )
 
 // shardDraw is the draw of one shard, once it was made, and for what.
--- a/internal/request/gateway/trial_fixture_test.go
+++ b/internal/request/gateway/trial_fixture_test.go
@@ -7,12 +7,12 @@
 
 	"github.com/matryer/is"
 
-	"github.com/portgauge/portgauge/internal/canary"
 	"github.com/portgauge/portgauge/internal/config/catalog"
-	"github.com/portgauge/portgauge/internal/evidence"
 	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
 	"github.com/portgauge/portgauge/internal/rollout"
+	"github.com/portgauge/portgauge/internal/rollout/canary"
+	"github.com/portgauge/portgauge/internal/rollout/evidence"
 )
 
 // trialFleet is a fleet of one node that has all of what is shared.
--- a/internal/request/gateway/trial_refused_test.go
+++ b/internal/request/gateway/trial_refused_test.go
@@ -8,9 +8,9 @@
 
 	"github.com/matryer/is"
 
-	"github.com/portgauge/portgauge/internal/canary"
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
+	"github.com/portgauge/portgauge/internal/rollout/canary"
 )
 
 // Where no leaf of the serving version can be asked, the version on trial gets the slack and no share of what is
--- a/internal/request/gateway/trial_test.go
+++ b/internal/request/gateway/trial_test.go
@@ -11,7 +11,6 @@
 
 	"github.com/matryer/is"
 
-	"github.com/portgauge/portgauge/internal/canary"
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
@@ -19,6 +18,7 @@
 	"github.com/portgauge/portgauge/internal/leaf/warmup"
 	"github.com/portgauge/portgauge/internal/request/routing"
 	"github.com/portgauge/portgauge/internal/rollout"
+	"github.com/portgauge/portgauge/internal/rollout/canary"
 )
 
 // The first attempt that was drawn goes to the version on trial, to one leaf while its turn lasts.
--- a/internal/request/gateway/trial_tree_test.go
+++ b/internal/request/gateway/trial_tree_test.go
@@ -7,10 +7,10 @@
 
 	"github.com/matryer/is"
 
-	"github.com/portgauge/portgauge/internal/canary"
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/request/routing"
 	"github.com/portgauge/portgauge/internal/rollout"
+	"github.com/portgauge/portgauge/internal/rollout/canary"
 )
 
 // newTrialTree starts a root whose services are all gathered by another node; some of the nodes know of an order to
--- a/internal/request/gateway/warm.go
+++ b/internal/request/gateway/warm.go
@@ -4,9 +4,9 @@
 	"context"
 	"slices"
 
-	"github.com/portgauge/portgauge/internal/canary"
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
+	"github.com/portgauge/portgauge/internal/rollout/canary"
 )
 
 // mostWarmed bounds the connections that a node opens before its first request.
--- a/internal/request/search/crash.go
+++ b/internal/request/search/crash.go
@@ -10,8 +10,8 @@
 	"google.golang.org/grpc/status"
 
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/fingerprint"
 	"github.com/portgauge/portgauge/internal/quarantine"
+	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
--- a/internal/request/search/crash_test.go
+++ b/internal/request/search/crash_test.go
@@ -13,8 +13,8 @@
 	leafv1 "github.com/portgauge/portgauge/gen/portgauge/leaf/v1"
 	searchv1 "github.com/portgauge/portgauge/gen/portgauge/search/v1"
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/fingerprint"
 	"github.com/portgauge/portgauge/internal/quarantine"
+	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 )
 
 // noListener takes no findings.
--- a/internal/rolloutcontrol/fleet_test.go
+++ b/internal/rollout/rolloutcontrol/fleet_test.go
@@ -10,10 +10,10 @@
 	"time"
 
 	"github.com/portgauge/portgauge/internal/config/catalog"
-	"github.com/portgauge/portgauge/internal/evidence"
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
 	"github.com/portgauge/portgauge/internal/rollout"
+	"github.com/portgauge/portgauge/internal/rollout/evidence"
 )
 
 // fleet is some nodes over one store and a memory network, in virtual time.
--- a/internal/rolloutcontrol/hearing.go
+++ b/internal/rollout/rolloutcontrol/hearing.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"github.com/portgauge/portgauge/internal/config/catalog"
-	"github.com/portgauge/portgauge/internal/evidence"
 	"github.com/portgauge/portgauge/internal/fleet/peer"
+	"github.com/portgauge/portgauge/internal/rollout/evidence"
 )
 
 // keepOwn takes this node's own counts where it is a judge.
--- a/internal/rolloutcontrol/judge.go
+++ b/internal/rollout/rolloutcontrol/judge.go
@@ -6,7 +6,7 @@
 
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/rollout"
-	"github.com/portgauge/portgauge/internal/verdict"
+	"github.com/portgauge/portgauge/internal/rollout/verdict"
 )
 
 // follow does what this node must do now for the roll-out of a service, and gives when to look again, 0 for the
--- a/internal/rolloutcontrol/judging.go
+++ b/internal/rollout/rolloutcontrol/judging.go
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/evidence"
-	"github.com/portgauge/portgauge/internal/verdict"
+	"github.com/portgauge/portgauge/internal/rollout/evidence"
+	"github.com/portgauge/portgauge/internal/rollout/verdict"
 )
 
 // Judging finds out whether the version on trial by one order is good.
--- a/internal/rolloutcontrol/node_test.go
+++ b/internal/rollout/rolloutcontrol/node_test.go
@@ -9,11 +9,11 @@
 	json "github.com/goccy/go-json"
 
 	"github.com/portgauge/portgauge/internal/config/catalog"
-	"github.com/portgauge/portgauge/internal/evidence"
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 	"github.com/portgauge/portgauge/internal/fleet/registry"
 	"github.com/portgauge/portgauge/internal/rollout"
-	"github.com/portgauge/portgauge/internal/verdict"
+	"github.com/portgauge/portgauge/internal/rollout/evidence"
+	"github.com/portgauge/portgauge/internal/rollout/verdict"
 )
 
 // testNode is one node; it is its own counts, splitter, sender, journal and fleet.
--- a/internal/rolloutcontrol/packing.go
+++ b/internal/rollout/rolloutcontrol/packing.go
@@ -4,9 +4,9 @@
 	"encoding/binary"
 	"slices"
 
-	"github.com/portgauge/portgauge/internal/evidence"
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/fleet/peer"
+	"github.com/portgauge/portgauge/internal/rollout/evidence"
 )
 
 // Bounds of packed rows.
--- a/internal/rolloutcontrol/reporter.go
+++ b/internal/rollout/rolloutcontrol/reporter.go
@@ -9,8 +9,8 @@
 	"golang.org/x/time/rate"
 
 	"github.com/portgauge/portgauge/internal/config/catalog"
-	"github.com/portgauge/portgauge/internal/evidence"
 	"github.com/portgauge/portgauge/internal/fleet/peer"
+	"github.com/portgauge/portgauge/internal/rollout/evidence"
 )
 
 // Counts are what a node itself counted for the orders under way. The rows that it gives are the caller's own: counting
--- a/internal/rolloutcontrol/reports_test.go
+++ b/internal/rollout/rolloutcontrol/reports_test.go
@@ -11,9 +11,9 @@
 	"pgregory.net/rapid"
 
 	"github.com/portgauge/portgauge/internal/config/catalog"
-	"github.com/portgauge/portgauge/internal/evidence"
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/fleet/peer"
+	"github.com/portgauge/portgauge/internal/rollout/evidence"
 )
 
 func drawRow(t *rapid.T) evidence.Row {
--- a/internal/rolloutcontrol/standing.go
+++ b/internal/rollout/rolloutcontrol/standing.go
@@ -6,8 +6,8 @@
 	"strings"
 	"sync/atomic"
 
-	"github.com/portgauge/portgauge/internal/evidence"
 	"github.com/portgauge/portgauge/internal/rollout"
+	"github.com/portgauge/portgauge/internal/rollout/evidence"
 )
 
 // Standing is a roll-out under way as a node sees it.
--- a/internal/rolloutcontrol/tallies.go
+++ b/internal/rollout/rolloutcontrol/tallies.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/evidence"
+	"github.com/portgauge/portgauge/internal/rollout/evidence"
 )
 
 // mostRows bounds the rows that a judge keeps, of all orders together: at 396 bytes each (2,400 rows with ten filled
--- a/internal/rolloutcontrol/trial.go
+++ b/internal/rollout/rolloutcontrol/trial.go
@@ -5,9 +5,9 @@
 
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/config/revision"
-	"github.com/portgauge/portgauge/internal/evidence"
 	"github.com/portgauge/portgauge/internal/rollout"
-	"github.com/portgauge/portgauge/internal/verdict"
+	"github.com/portgauge/portgauge/internal/rollout/evidence"
+	"github.com/portgauge/portgauge/internal/rollout/verdict"
 )
 
 // FleetStatus is what the nodes that answered say of how far they are.
--- a/internal/verdict/fresh.go
+++ b/internal/rollout/verdict/fresh.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/evidence"
+	"github.com/portgauge/portgauge/internal/rollout/evidence"
 )
 
 // mostRows bounds the rows that are followed: 2 versions of 256 leafs each with 8 routes. Others are ignored.
--- a/internal/verdict/helpers_test.go
+++ b/internal/rollout/verdict/helpers_test.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/evidence"
-	"github.com/portgauge/portgauge/internal/verdict"
+	"github.com/portgauge/portgauge/internal/rollout/evidence"
+	"github.com/portgauge/portgauge/internal/rollout/verdict"
 )
 
 const (
--- a/internal/verdict/rows.go
+++ b/internal/rollout/verdict/rows.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/portgauge/portgauge/internal/evidence"
+	"github.com/portgauge/portgauge/internal/rollout/evidence"
 )
 
 // takePicture counts the versions' figures, and notes since when the rows are a whole picture: one with fewer
--- a/internal/verdict/verdict.go
+++ b/internal/rollout/verdict/verdict.go
@@ -10,7 +10,7 @@
 	"math"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/evidence"
+	"github.com/portgauge/portgauge/internal/rollout/evidence"
 )
 
 // Finding is what the counts say of the version on trial.
--- a/internal/verdict/verdict_test.go
+++ b/internal/rollout/verdict/verdict_test.go
@@ -9,10 +9,10 @@
 	"github.com/matryer/is"
 	"pgregory.net/rapid"
 
-	"github.com/portgauge/portgauge/internal/evidence"
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/lab/canary"
-	"github.com/portgauge/portgauge/internal/verdict"
+	"github.com/portgauge/portgauge/internal/rollout/evidence"
+	"github.com/portgauge/portgauge/internal/rollout/verdict"
 )
 
 func TestCleanVersionIsGoodButNotBeforeHalf(t *testing.T) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -12,7 +12,6 @@
 
 	"go.uber.org/zap/zapcore"
 
-	"github.com/portgauge/portgauge/internal/canary"
 	"github.com/portgauge/portgauge/internal/config/configsync"
 	"github.com/portgauge/portgauge/internal/config/configwriter"
 	"github.com/portgauge/portgauge/internal/decisionlog"
@@ -28,14 +27,15 @@
 	"github.com/portgauge/portgauge/internal/leaf/leafmemory"
 	"github.com/portgauge/portgauge/internal/leaf/warmup"
 	"github.com/portgauge/portgauge/internal/quarantine"
-	"github.com/portgauge/portgauge/internal/quarantinesync"
+	"github.com/portgauge/portgauge/internal/quarantine/quarantinesync"
 	"github.com/portgauge/portgauge/internal/request/gateway"
 	"github.com/portgauge/portgauge/internal/request/hedging"
 	"github.com/portgauge/portgauge/internal/request/retrybudget"
 	"github.com/portgauge/portgauge/internal/request/search"
 	"github.com/portgauge/portgauge/internal/request/servingtree"
-	"github.com/portgauge/portgauge/internal/rolloutcontrol"
-	"github.com/portgauge/portgauge/internal/verdict"
+	"github.com/portgauge/portgauge/internal/rollout/canary"
+	"github.com/portgauge/portgauge/internal/rollout/rolloutcontrol"
+	"github.com/portgauge/portgauge/internal/rollout/verdict"
 )
 
 // Node is who the node is.
--- a/internal/telemetry/rollouts.go
+++ b/internal/telemetry/rollouts.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/prometheus/client_golang/prometheus"
 
-	"github.com/portgauge/portgauge/internal/rolloutcontrol"
+	"github.com/portgauge/portgauge/internal/rollout/rolloutcontrol"
 )
 
 // rolloutCollector tells of the roll-outs under way when it is asked, so that those that are over leave nothing
--- a/internal/telemetry/rollouts_test.go
+++ b/internal/telemetry/rollouts_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 
 	"github.com/portgauge/portgauge/internal/rollout"
-	"github.com/portgauge/portgauge/internal/rolloutcontrol"
+	"github.com/portgauge/portgauge/internal/rollout/rolloutcontrol"
 )
 
 // Roll-outs under way have series, and none once they are over.
