--- a/cmd/portgauge-lab/load.go
+++ b/cmd/portgauge-lab/load.go
@@ -7,8 +7,8 @@
 	"syscall"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/cli"
 	"github.com/portgauge/portgauge/internal/lab/load"
+	"github.com/portgauge/portgauge/internal/operator/cli"
 )
 
 // loadCommand sends searches to running nodes.
--- a/cmd/portgauge-lab/main.go
+++ b/cmd/portgauge-lab/main.go
@@ -4,7 +4,7 @@
 import (
 	"os"
 
-	"github.com/portgauge/portgauge/internal/cli"
+	"github.com/portgauge/portgauge/internal/operator/cli"
 )
 
 // commandLine is the tree of subcommands; each has a file of its own.
--- a/cmd/portgauge-lab/sample.go
+++ b/cmd/portgauge-lab/sample.go
@@ -3,8 +3,8 @@
 import (
 	"os"
 
-	"github.com/portgauge/portgauge/internal/cli"
 	"github.com/portgauge/portgauge/internal/lab/sample"
+	"github.com/portgauge/portgauge/internal/operator/cli"
 )
 
 // sampleCommand groups the generators of operators' files.
--- a/cmd/portgauge/dialects.go
+++ b/cmd/portgauge/dialects.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/portgauge/portgauge/internal/config/store"
 	"github.com/portgauge/portgauge/internal/node"
-	"github.com/portgauge/portgauge/internal/settings"
+	"github.com/portgauge/portgauge/internal/node/settings"
 	"github.com/portgauge/portgauge/platform"
 )
 
--- a/cmd/portgauge/main.go
+++ b/cmd/portgauge/main.go
@@ -7,7 +7,7 @@
 	"github.com/alecthomas/kong"
 	"github.com/willabides/kongplete"
 
-	"github.com/portgauge/portgauge/internal/cli"
+	"github.com/portgauge/portgauge/internal/operator/cli"
 )
 
 // commandLine is the tree of subcommands; each has a file of its own.
--- a/cmd/portgauge/node.go
+++ b/cmd/portgauge/node.go
@@ -6,10 +6,10 @@
 	"os/signal"
 	"syscall"
 
-	"github.com/portgauge/portgauge/internal/cli"
 	"github.com/portgauge/portgauge/internal/hangup"
 	"github.com/portgauge/portgauge/internal/node"
-	"github.com/portgauge/portgauge/internal/settings"
+	"github.com/portgauge/portgauge/internal/node/settings"
+	"github.com/portgauge/portgauge/internal/operator/cli"
 )
 
 // nodeCommand runs a node.
--- a/cmd/portgauge/rollout.go
+++ b/cmd/portgauge/rollout.go
@@ -10,8 +10,8 @@
 	"google.golang.org/protobuf/proto"
 
 	adminv1 "github.com/portgauge/portgauge/gen/portgauge/admin/v1"
-	"github.com/portgauge/portgauge/internal/api"
-	"github.com/portgauge/portgauge/internal/cli"
+	"github.com/portgauge/portgauge/internal/operator/api"
+	"github.com/portgauge/portgauge/internal/operator/cli"
 )
 
 // rolloutCommand groups the calls about roll-outs.
--- a/cmd/portgauge/rollout_test.go
+++ b/cmd/portgauge/rollout_test.go
@@ -17,15 +17,15 @@
 
 	adminv1 "github.com/portgauge/portgauge/gen/portgauge/admin/v1"
 	platformv1 "github.com/portgauge/portgauge/gen/portgauge/platform/v1"
-	"github.com/portgauge/portgauge/internal/cli"
 	"github.com/portgauge/portgauge/internal/lab/httpleaf"
 	"github.com/portgauge/portgauge/internal/lab/platform"
 	"github.com/portgauge/portgauge/internal/lab/process"
 	"github.com/portgauge/portgauge/internal/lab/retry"
 	"github.com/portgauge/portgauge/internal/node"
+	"github.com/portgauge/portgauge/internal/node/settings"
+	"github.com/portgauge/portgauge/internal/operator/cli"
 	"github.com/portgauge/portgauge/internal/request/httpdialect"
 	"github.com/portgauge/portgauge/internal/request/routing"
-	"github.com/portgauge/portgauge/internal/settings"
 )
 
 // patience bounds how long tests wait for what must come.
--- a/cmd/portgauge/search.go
+++ b/cmd/portgauge/search.go
@@ -10,8 +10,8 @@
 	"connectrpc.com/connect"
 
 	searchv1 "github.com/portgauge/portgauge/gen/portgauge/search/v1"
-	"github.com/portgauge/portgauge/internal/api"
-	"github.com/portgauge/portgauge/internal/cli"
+	"github.com/portgauge/portgauge/internal/operator/api"
+	"github.com/portgauge/portgauge/internal/operator/cli"
 )
 
 // searchCommand runs one search.
--- a/cmd/portgauge/settings.go
+++ b/cmd/portgauge/settings.go
@@ -6,7 +6,7 @@
 
 	"go.yaml.in/yaml/v3"
 
-	"github.com/portgauge/portgauge/internal/settings"
+	"github.com/portgauge/portgauge/internal/node/settings"
 )
 
 // settingsCommand checks and shows settings.
--- a/cmd/portgauge/snapshot.go
+++ b/cmd/portgauge/snapshot.go
@@ -7,8 +7,8 @@
 	"connectrpc.com/connect"
 
 	adminv1 "github.com/portgauge/portgauge/gen/portgauge/admin/v1"
-	"github.com/portgauge/portgauge/internal/api"
-	"github.com/portgauge/portgauge/internal/cli"
+	"github.com/portgauge/portgauge/internal/operator/api"
+	"github.com/portgauge/portgauge/internal/operator/cli"
 )
 
 // snapshotCommand groups the calls about snapshots.
--- a/cmd/portgauge/version.go
+++ b/cmd/portgauge/version.go
@@ -3,8 +3,8 @@
 import (
 	"os"
 
-	"github.com/portgauge/portgauge/internal/cli"
-	"github.com/portgauge/portgauge/internal/version"
+	"github.com/portgauge/portgauge/internal/node/version"
+	"github.com/portgauge/portgauge/internal/operator/cli"
 )
 
 // versionCommand prints the build.
--- a/internal/config/catalog/catalog.go
+++ b/internal/config/catalog/catalog.go
@@ -8,10 +8,10 @@
 	"time"
 
 	adminv1 "github.com/portgauge/portgauge/gen/portgauge/admin/v1"
-	"github.com/portgauge/portgauge/internal/boottime"
 	"github.com/portgauge/portgauge/internal/config/manifest"
 	"github.com/portgauge/portgauge/internal/config/revision"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
+	"github.com/portgauge/portgauge/internal/node/boottime"
 	"github.com/portgauge/portgauge/internal/quarantine"
 	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 	"github.com/portgauge/portgauge/internal/request/routing"
--- a/internal/config/catalog/draft.go
+++ b/internal/config/catalog/draft.go
@@ -7,10 +7,10 @@
 	json "github.com/goccy/go-json"
 
 	adminv1 "github.com/portgauge/portgauge/gen/portgauge/admin/v1"
-	"github.com/portgauge/portgauge/internal/boottime"
 	"github.com/portgauge/portgauge/internal/config/manifest"
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
+	"github.com/portgauge/portgauge/internal/node/boottime"
 	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
--- a/internal/config/configsync/suspended_test.go
+++ b/internal/config/configsync/suspended_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/matryer/is"
 
-	"github.com/portgauge/portgauge/internal/boottime"
 	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/node/boottime"
 )
 
 // What other nodes said before the machine was suspended is read when it wakes: it proves nothing of now.
--- a/internal/config/configsync/syncer.go
+++ b/internal/config/configsync/syncer.go
@@ -17,12 +17,12 @@
 	"go.uber.org/zap"
 	"golang.org/x/time/rate"
 
-	"github.com/portgauge/portgauge/internal/boottime"
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/config/store"
 	"github.com/portgauge/portgauge/internal/fleet/machines"
 	"github.com/portgauge/portgauge/internal/fleet/membership"
 	"github.com/portgauge/portgauge/internal/fleet/peer"
+	"github.com/portgauge/portgauge/internal/node/boottime"
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
--- a/internal/config/configsync/watch.go
+++ b/internal/config/configsync/watch.go
@@ -10,10 +10,10 @@
 	"github.com/cespare/xxhash/v2"
 	"go.uber.org/zap"
 
-	"github.com/portgauge/portgauge/internal/boottime"
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/config/store"
 	"github.com/portgauge/portgauge/internal/fleet/peer"
+	"github.com/portgauge/portgauge/internal/node/boottime"
 )
 
 // errGap ends a watch whose events do not follow on the revision in force.
--- a/internal/fleet/reachability/reachability.go
+++ b/internal/fleet/reachability/reachability.go
@@ -15,8 +15,8 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/boottime"
 	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/node/boottime"
 )
 
 // Asker carries datagrams between nodes.
--- a/internal/fleet/registry/census.go
+++ b/internal/fleet/registry/census.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/boottime"
 	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/node/boottime"
 )
 
 // Census knows the nodes of the fleet. A node that went still counts for a while, since what it
--- a/internal/lab/bare/bare.go
+++ b/internal/lab/bare/bare.go
@@ -15,8 +15,8 @@
 	leafv1 "github.com/portgauge/portgauge/gen/portgauge/leaf/v1"
 	searchv1 "github.com/portgauge/portgauge/gen/portgauge/search/v1"
 	"github.com/portgauge/portgauge/gen/portgauge/search/v1/searchv1connect"
-	"github.com/portgauge/portgauge/internal/api"
 	"github.com/portgauge/portgauge/internal/config/keyspace"
+	"github.com/portgauge/portgauge/internal/operator/api"
 )
 
 // Shard is a key range and the leaf that is asked for it.
--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -12,15 +12,15 @@
 
 	adminv1 "github.com/portgauge/portgauge/gen/portgauge/admin/v1"
 	searchv1 "github.com/portgauge/portgauge/gen/portgauge/search/v1"
-	"github.com/portgauge/portgauge/internal/api"
-	"github.com/portgauge/portgauge/internal/cli"
 	"github.com/portgauge/portgauge/internal/lab/leaf"
 	"github.com/portgauge/portgauge/internal/lab/platform"
 	"github.com/portgauge/portgauge/internal/lab/process"
 	"github.com/portgauge/portgauge/internal/lab/retry"
 	"github.com/portgauge/portgauge/internal/lab/sample"
 	"github.com/portgauge/portgauge/internal/node"
-	"github.com/portgauge/portgauge/internal/settings"
+	"github.com/portgauge/portgauge/internal/node/settings"
+	"github.com/portgauge/portgauge/internal/operator/api"
+	"github.com/portgauge/portgauge/internal/operator/cli"
 )
 
 const (
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -15,9 +15,9 @@
 
 	searchv1 "github.com/portgauge/portgauge/gen/portgauge/search/v1"
 	"github.com/portgauge/portgauge/gen/portgauge/search/v1/searchv1connect"
-	"github.com/portgauge/portgauge/internal/api"
-	"github.com/portgauge/portgauge/internal/cli"
 	"github.com/portgauge/portgauge/internal/failure"
+	"github.com/portgauge/portgauge/internal/operator/api"
+	"github.com/portgauge/portgauge/internal/operator/cli"
 )
 
 // Config is one stream of searches.
--- a/internal/lab/replay/callers.go
+++ b/internal/lab/replay/callers.go
@@ -11,10 +11,10 @@
 
 	searchv1 "github.com/portgauge/portgauge/gen/portgauge/search/v1"
 	"github.com/portgauge/portgauge/gen/portgauge/search/v1/searchv1connect"
-	"github.com/portgauge/portgauge/internal/api"
-	"github.com/portgauge/portgauge/internal/cli"
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/lab/sample"
+	"github.com/portgauge/portgauge/internal/operator/api"
+	"github.com/portgauge/portgauge/internal/operator/cli"
 )
 
 // call is what a caller recorded of one request that it sent.
--- a/internal/lab/replay/cluster.go
+++ b/internal/lab/replay/cluster.go
@@ -15,13 +15,13 @@
 
 	adminv1 "github.com/portgauge/portgauge/gen/portgauge/admin/v1"
 	platformv1 "github.com/portgauge/portgauge/gen/portgauge/platform/v1"
-	"github.com/portgauge/portgauge/internal/api"
-	"github.com/portgauge/portgauge/internal/cli"
 	"github.com/portgauge/portgauge/internal/lab/control"
 	"github.com/portgauge/portgauge/internal/lab/forwarder"
 	"github.com/portgauge/portgauge/internal/lab/process"
 	"github.com/portgauge/portgauge/internal/lab/retry"
 	"github.com/portgauge/portgauge/internal/lab/sample"
+	"github.com/portgauge/portgauge/internal/operator/api"
+	"github.com/portgauge/portgauge/internal/operator/cli"
 )
 
 // cluster is the processes of one trace.
--- a/internal/lab/replay/observers.go
+++ b/internal/lab/replay/observers.go
@@ -8,7 +8,7 @@
 	"connectrpc.com/connect"
 
 	adminv1 "github.com/portgauge/portgauge/gen/portgauge/admin/v1"
-	"github.com/portgauge/portgauge/internal/cli"
+	"github.com/portgauge/portgauge/internal/operator/cli"
 )
 
 // observers follows what each node puts into force.
--- a/internal/lab/replay/operators.go
+++ b/internal/lab/replay/operators.go
@@ -9,10 +9,10 @@
 	"connectrpc.com/connect"
 
 	adminv1 "github.com/portgauge/portgauge/gen/portgauge/admin/v1"
-	"github.com/portgauge/portgauge/internal/api"
-	"github.com/portgauge/portgauge/internal/cli"
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/failure"
+	"github.com/portgauge/portgauge/internal/operator/api"
+	"github.com/portgauge/portgauge/internal/operator/cli"
 )
 
 // writeRecord is what an operator recorded of one change.
--- a/internal/leaf/leafmemory/memory.go
+++ b/internal/leaf/leafmemory/memory.go
@@ -11,10 +11,10 @@
 	"slices"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/boottime"
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
+	"github.com/portgauge/portgauge/internal/node/boottime"
 )
 
 // Config tunes what is remembered.
--- a/internal/leaf/leafset/editor.go
+++ b/internal/leaf/leafset/editor.go
@@ -5,7 +5,7 @@
 	"slices"
 	"strings"
 
-	"github.com/portgauge/portgauge/internal/boottime"
+	"github.com/portgauge/portgauge/internal/node/boottime"
 )
 
 // Editor changes a copy of a set; the original stays as it is.
--- a/internal/leaf/warmup/warmup.go
+++ b/internal/leaf/warmup/warmup.go
@@ -12,10 +12,10 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/portgauge/portgauge/internal/boottime"
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
 	"github.com/portgauge/portgauge/internal/leaf/sameslice"
+	"github.com/portgauge/portgauge/internal/node/boottime"
 )
 
 // Fleet gives the nodes that may ask leafs; registry.Census is the real one.
--- a/internal/node/beliefs.go
+++ b/internal/node/beliefs.go
@@ -6,10 +6,10 @@
 	"time"
 
 	"github.com/portgauge/portgauge/internal/config/catalog"
-	"github.com/portgauge/portgauge/internal/decisionlog"
 	"github.com/portgauge/portgauge/internal/fleet/reachability"
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
+	"github.com/portgauge/portgauge/internal/node/decisionlog"
 )
 
 // beliefJournal tells the decision log of what changes what the node believes.
--- a/internal/node/dialect.go
+++ b/internal/node/dialect.go
@@ -7,9 +7,9 @@
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/fleet/machines"
 	"github.com/portgauge/portgauge/internal/fleet/platformclient"
+	"github.com/portgauge/portgauge/internal/node/settings"
+	"github.com/portgauge/portgauge/internal/node/telemetry"
 	"github.com/portgauge/portgauge/internal/request/httpdialect"
-	"github.com/portgauge/portgauge/internal/settings"
-	"github.com/portgauge/portgauge/internal/telemetry"
 )
 
 // PlatformStore is the connection to a platform's store.
--- a/internal/node/journal.go
+++ b/internal/node/journal.go
@@ -6,13 +6,13 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"github.com/portgauge/portgauge/internal/decisionlog"
 	"github.com/portgauge/portgauge/internal/failure"
+	"github.com/portgauge/portgauge/internal/node/decisionlog"
+	"github.com/portgauge/portgauge/internal/node/telemetry"
 	"github.com/portgauge/portgauge/internal/quarantine"
 	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 	"github.com/portgauge/portgauge/internal/request/gateway"
 	"github.com/portgauge/portgauge/internal/request/scatter"
-	"github.com/portgauge/portgauge/internal/telemetry"
 )
 
 // requestJournal tells the decision log and the metrics of requests.
--- a/internal/node/keeper.go
+++ b/internal/node/keeper.go
@@ -10,8 +10,8 @@
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
 	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
 	"github.com/portgauge/portgauge/internal/leaf/leafmemory"
+	"github.com/portgauge/portgauge/internal/node/telemetry"
 	"github.com/portgauge/portgauge/internal/request/retrybudget"
-	"github.com/portgauge/portgauge/internal/telemetry"
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
--- a/internal/node/life.go
+++ b/internal/node/life.go
@@ -8,9 +8,9 @@
 
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/config/configsync"
-	"github.com/portgauge/portgauge/internal/reload"
-	"github.com/portgauge/portgauge/internal/settings"
-	"github.com/portgauge/portgauge/internal/version"
+	"github.com/portgauge/portgauge/internal/node/reload"
+	"github.com/portgauge/portgauge/internal/node/settings"
+	"github.com/portgauge/portgauge/internal/node/version"
 )
 
 // tellLife logs the start and the end of the node.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -15,9 +15,9 @@
 	"go.uber.org/fx/fxevent"
 	"go.uber.org/zap"
 
-	"github.com/portgauge/portgauge/internal/reload"
-	"github.com/portgauge/portgauge/internal/settings"
-	"github.com/portgauge/portgauge/internal/telemetry"
+	"github.com/portgauge/portgauge/internal/node/reload"
+	"github.com/portgauge/portgauge/internal/node/settings"
+	"github.com/portgauge/portgauge/internal/node/telemetry"
 )
 
 // closeReserve is the time kept for closing after the drain.
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -4,11 +4,11 @@
 	"go.uber.org/fx"
 	"go.uber.org/zap"
 
-	"github.com/portgauge/portgauge/internal/admin"
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/config/configsync"
+	"github.com/portgauge/portgauge/internal/node/telemetry"
+	"github.com/portgauge/portgauge/internal/operator/admin"
 	"github.com/portgauge/portgauge/internal/request/search"
-	"github.com/portgauge/portgauge/internal/telemetry"
 )
 
 // operatorParts are what the operators' server needs.
--- a/internal/node/provide.go
+++ b/internal/node/provide.go
@@ -11,14 +11,11 @@
 	"go.uber.org/fx"
 	"go.uber.org/zap"
 
-	"github.com/portgauge/portgauge/internal/admin"
-	"github.com/portgauge/portgauge/internal/boottime"
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/config/configsync"
 	"github.com/portgauge/portgauge/internal/config/configwriter"
 	"github.com/portgauge/portgauge/internal/config/rewriter"
 	"github.com/portgauge/portgauge/internal/config/store"
-	"github.com/portgauge/portgauge/internal/decisionlog"
 	"github.com/portgauge/portgauge/internal/fleet/machines"
 	"github.com/portgauge/portgauge/internal/fleet/membership"
 	"github.com/portgauge/portgauge/internal/fleet/peer"
@@ -31,6 +28,11 @@
 	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
 	"github.com/portgauge/portgauge/internal/leaf/leafmemory"
 	"github.com/portgauge/portgauge/internal/leaf/warmup"
+	"github.com/portgauge/portgauge/internal/node/boottime"
+	"github.com/portgauge/portgauge/internal/node/decisionlog"
+	"github.com/portgauge/portgauge/internal/node/settings"
+	"github.com/portgauge/portgauge/internal/node/telemetry"
+	"github.com/portgauge/portgauge/internal/operator/admin"
 	"github.com/portgauge/portgauge/internal/quarantine"
 	"github.com/portgauge/portgauge/internal/request/front"
 	"github.com/portgauge/portgauge/internal/request/gateway"
@@ -40,8 +42,6 @@
 	"github.com/portgauge/portgauge/internal/request/servingtree"
 	"github.com/portgauge/portgauge/internal/rollout/canary"
 	"github.com/portgauge/portgauge/internal/rollout/evidence"
-	"github.com/portgauge/portgauge/internal/settings"
-	"github.com/portgauge/portgauge/internal/telemetry"
 )
 
 func newLevel(config settings.Settings) (zap.AtomicLevel, error) {
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -6,16 +6,16 @@
 	"go.uber.org/fx"
 	"go.uber.org/zap"
 
-	"github.com/portgauge/portgauge/internal/boottime"
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/config/store"
-	"github.com/portgauge/portgauge/internal/decisionlog"
 	"github.com/portgauge/portgauge/internal/fleet/peer"
+	"github.com/portgauge/portgauge/internal/node/boottime"
+	"github.com/portgauge/portgauge/internal/node/decisionlog"
+	"github.com/portgauge/portgauge/internal/node/settings"
+	"github.com/portgauge/portgauge/internal/node/telemetry"
 	"github.com/portgauge/portgauge/internal/quarantine"
 	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 	"github.com/portgauge/portgauge/internal/quarantine/quarantinesync"
-	"github.com/portgauge/portgauge/internal/settings"
-	"github.com/portgauge/portgauge/internal/telemetry"
 )
 
 // newClock gives the clock that counts suspended time; on a kernel without one, the steady clock.
--- a/internal/node/refused.go
+++ b/internal/node/refused.go
@@ -6,7 +6,7 @@
 
 	"go.uber.org/zap"
 
-	"github.com/portgauge/portgauge/internal/telemetry"
+	"github.com/portgauge/portgauge/internal/node/telemetry"
 )
 
 const (
--- a/internal/reload/reload.go
+++ b/internal/node/reload/reload.go
@@ -12,7 +12,7 @@
 	"github.com/cespare/xxhash/v2"
 	"go.uber.org/zap"
 
-	"github.com/portgauge/portgauge/internal/settings"
+	"github.com/portgauge/portgauge/internal/node/settings"
 )
 
 // checkInterval is how often the file is looked at.
--- a/internal/reload/reload_test.go
+++ b/internal/node/reload/reload_test.go
@@ -12,7 +12,7 @@
 	"github.com/matryer/is"
 	"go.uber.org/zap"
 
-	"github.com/portgauge/portgauge/internal/settings"
+	"github.com/portgauge/portgauge/internal/node/settings"
 )
 
 func TestSettingsAreReloadedOnSignalAndChangeAndRefusedWhole(t *testing.T) {
--- a/internal/node/rollout_journal.go
+++ b/internal/node/rollout_journal.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/portgauge/portgauge/internal/decisionlog"
+	"github.com/portgauge/portgauge/internal/node/decisionlog"
 	"github.com/portgauge/portgauge/internal/rollout"
 	"github.com/portgauge/portgauge/internal/rollout/rolloutcontrol"
 )
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -7,19 +7,19 @@
 
 	"go.uber.org/fx"
 
-	"github.com/portgauge/portgauge/internal/boottime"
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/config/configsync"
 	"github.com/portgauge/portgauge/internal/config/store"
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 	"github.com/portgauge/portgauge/internal/fleet/registry"
+	"github.com/portgauge/portgauge/internal/node/boottime"
+	"github.com/portgauge/portgauge/internal/node/settings"
+	"github.com/portgauge/portgauge/internal/node/telemetry"
 	"github.com/portgauge/portgauge/internal/rollout/canary"
 	"github.com/portgauge/portgauge/internal/rollout/evidence"
 	"github.com/portgauge/portgauge/internal/rollout/rolloutcontrol"
 	"github.com/portgauge/portgauge/internal/rollout/verdict"
-	"github.com/portgauge/portgauge/internal/settings"
-	"github.com/portgauge/portgauge/internal/telemetry"
 )
 
 // rolloutParts are what carries roll-outs out at a node is made from.
--- a/internal/node/rollouts_test.go
+++ b/internal/node/rollouts_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 
 	"github.com/portgauge/portgauge/internal/failure"
-	"github.com/portgauge/portgauge/internal/settings"
+	"github.com/portgauge/portgauge/internal/node/settings"
 )
 
 // Roll-outs that are off have no part in what nodes tell each other.
--- a/internal/settings/page_test.go
+++ b/internal/node/settings/page_test.go
@@ -22,7 +22,7 @@
 
 const (
 	modulePath = "github.com/portgauge/portgauge/"
-	repository = "../.."
+	repository = "../../.."
 	pagePath   = repository + "/docs/SETTINGS.md"
 )
 
--- a/internal/settings/settings.go
+++ b/internal/node/settings/settings.go
@@ -14,7 +14,6 @@
 
 	"github.com/portgauge/portgauge/internal/config/configsync"
 	"github.com/portgauge/portgauge/internal/config/configwriter"
-	"github.com/portgauge/portgauge/internal/decisionlog"
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/fleet/membership"
 	"github.com/portgauge/portgauge/internal/fleet/reachability"
@@ -26,6 +25,7 @@
 	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
 	"github.com/portgauge/portgauge/internal/leaf/leafmemory"
 	"github.com/portgauge/portgauge/internal/leaf/warmup"
+	"github.com/portgauge/portgauge/internal/node/decisionlog"
 	"github.com/portgauge/portgauge/internal/quarantine"
 	"github.com/portgauge/portgauge/internal/quarantine/quarantinesync"
 	"github.com/portgauge/portgauge/internal/request/gateway"
--- a/internal/node/store_journal.go
+++ b/internal/node/store_journal.go
@@ -7,8 +7,8 @@
 
 	"github.com/portgauge/portgauge/internal/config/rewriter"
 	"github.com/portgauge/portgauge/internal/config/store"
-	"github.com/portgauge/portgauge/internal/decisionlog"
-	"github.com/portgauge/portgauge/internal/telemetry"
+	"github.com/portgauge/portgauge/internal/node/decisionlog"
+	"github.com/portgauge/portgauge/internal/node/telemetry"
 )
 
 // Names of events of the store: its first answer, that it came back from a copy, and that it was given again what it lost
--- a/internal/node/store_journal_test.go
+++ b/internal/node/store_journal_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 
 	"github.com/portgauge/portgauge/internal/config/store"
-	"github.com/portgauge/portgauge/internal/decisionlog"
-	"github.com/portgauge/portgauge/internal/telemetry"
+	"github.com/portgauge/portgauge/internal/node/decisionlog"
+	"github.com/portgauge/portgauge/internal/node/telemetry"
 )
 
 // The log tells the first epoch and each change of it, with where the store stood before; metrics show where it stands.
--- a/internal/api/admin_handler.go
+++ b/internal/operator/api/admin_handler.go
@@ -7,9 +7,9 @@
 
 	adminv1 "github.com/portgauge/portgauge/gen/portgauge/admin/v1"
 	"github.com/portgauge/portgauge/gen/portgauge/admin/v1/adminv1connect"
-	"github.com/portgauge/portgauge/internal/admin"
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/config/configsync"
+	"github.com/portgauge/portgauge/internal/operator/admin"
 	"github.com/portgauge/portgauge/internal/request/search"
 )
 
--- a/internal/api/api_test.go
+++ b/internal/operator/api/api_test.go
@@ -30,9 +30,9 @@
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
+	"github.com/portgauge/portgauge/internal/node/telemetry"
 	"github.com/portgauge/portgauge/internal/request/hedging"
 	"github.com/portgauge/portgauge/internal/request/search"
-	"github.com/portgauge/portgauge/internal/telemetry"
 )
 
 // threeRows answers every attempt with the keys of its range among three.
--- a/internal/api/server.go
+++ b/internal/operator/api/server.go
@@ -18,11 +18,11 @@
 
 	"github.com/portgauge/portgauge/gen/portgauge/admin/v1/adminv1connect"
 	"github.com/portgauge/portgauge/gen/portgauge/search/v1/searchv1connect"
-	"github.com/portgauge/portgauge/internal/admin"
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/config/configsync"
+	"github.com/portgauge/portgauge/internal/node/telemetry"
+	"github.com/portgauge/portgauge/internal/operator/admin"
 	"github.com/portgauge/portgauge/internal/request/search"
-	"github.com/portgauge/portgauge/internal/telemetry"
 )
 
 // Bounds of requests in bytes, and of the time a client may take to send one.
--- a/internal/quarantine/register.go
+++ b/internal/quarantine/register.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/boottime"
+	"github.com/portgauge/portgauge/internal/node/boottime"
 	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 )
 
--- a/internal/request/retrybudget/retrybudget.go
+++ b/internal/request/retrybudget/retrybudget.go
@@ -12,8 +12,8 @@
 	"sync"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/boottime"
 	"github.com/portgauge/portgauge/internal/failure"
+	"github.com/portgauge/portgauge/internal/node/boottime"
 )
 
 // Config is the bound that the fleet keeps.
--- a/internal/request/search/engine.go
+++ b/internal/request/search/engine.go
@@ -18,10 +18,10 @@
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
+	"github.com/portgauge/portgauge/internal/node/telemetry"
 	"github.com/portgauge/portgauge/internal/quarantine"
 	"github.com/portgauge/portgauge/internal/request/admission"
 	"github.com/portgauge/portgauge/internal/request/hedging"
-	"github.com/portgauge/portgauge/internal/telemetry"
 )
 
 // drainRetryAfter is what callers of a stopping node are told; by then the machine list and
--- a/internal/request/search/engine_test.go
+++ b/internal/request/search/engine_test.go
@@ -20,8 +20,8 @@
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
 	"github.com/portgauge/portgauge/internal/leaf/leafclient"
+	"github.com/portgauge/portgauge/internal/node/telemetry"
 	"github.com/portgauge/portgauge/internal/request/hedging"
-	"github.com/portgauge/portgauge/internal/telemetry"
 )
 
 // scriptedLeafs answers attempts by a function of address and attempt, in virtual time.
--- a/internal/rollout/canary/splitter.go
+++ b/internal/rollout/canary/splitter.go
@@ -5,10 +5,10 @@
 	"sync"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/boottime"
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/config/revision"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
+	"github.com/portgauge/portgauge/internal/node/boottime"
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
--- a/internal/rollout/rolloutcontrol/controller.go
+++ b/internal/rollout/rolloutcontrol/controller.go
@@ -14,9 +14,9 @@
 	"sync"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/boottime"
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/config/revision"
+	"github.com/portgauge/portgauge/internal/node/boottime"
 )
 
 // Splitter is what draws the requests for versions on trial at this node.
