--- a/cmd/portgauge-lab/http_leaf.go
+++ b/cmd/portgauge-lab/http_leaf.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"github.com/portgauge/portgauge/internal/lab/httpleaf"
-	"github.com/portgauge/portgauge/internal/request/httpdialect"
+	"github.com/portgauge/portgauge/internal/request/httpnames"
 )
 
 // httpLeafCommand runs a stand-in back end for routes, which answers with random records.
@@ -23,7 +23,7 @@
 
 // Run serves until SIGTERM or SIGINT.
 func (c *httpLeafCommand) Run() error {
-	leaf, err := httpleaf.StartAt(c.Address, c.ID, httpdialect.Default(), func(httpleaf.Request) httpleaf.Answer {
+	leaf, err := httpleaf.StartAt(c.Address, c.ID, httpnames.Default(), func(httpleaf.Request) httpleaf.Answer {
 		return httpleaf.Answer{Delay: c.Delay, Body: c.records()}
 	})
 	if err != nil {
--- a/cmd/portgauge/rollout_test.go
+++ b/cmd/portgauge/rollout_test.go
@@ -24,7 +24,7 @@
 	"github.com/portgauge/portgauge/internal/node"
 	"github.com/portgauge/portgauge/internal/node/settings"
 	"github.com/portgauge/portgauge/internal/operator/cli"
-	"github.com/portgauge/portgauge/internal/request/httpdialect"
+	"github.com/portgauge/portgauge/internal/request/httpnames"
 	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
@@ -124,7 +124,7 @@
 // leaf starts a leaf of a version that answers with a status.
 func (s *ownSite) leaf(id, version string, status int) {
 	s.t.Helper()
-	leaf, err := httpleaf.Start(id, httpdialect.Default(), func(httpleaf.Request) httpleaf.Answer {
+	leaf, err := httpleaf.Start(id, httpnames.Default(), func(httpleaf.Request) httpleaf.Answer {
 		return httpleaf.Answer{Status: status, Load: "0,0,2"}
 	})
 	if err != nil {
--- a/internal/lab/httpleaf/httpleaf.go
+++ b/internal/lab/httpleaf/httpleaf.go
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/request/httpdialect"
+	"github.com/portgauge/portgauge/internal/request/httpnames"
 )
 
 // Answer is what a leaf sends back.
@@ -65,7 +65,7 @@
 // Leaf is one incarnation; safe for concurrent use.
 type Leaf struct {
 	ID      string
-	dialect httpdialect.Dialect
+	dialect httpnames.Names
 	answer  func(Request) Answer
 
 	listener net.Listener
@@ -78,12 +78,12 @@
 
 // Start listens on a free address of the loopback. The answer function says how each request is
 // answered; it is called concurrently.
-func Start(id string, dialect httpdialect.Dialect, answer func(Request) Answer) (*Leaf, error) {
+func Start(id string, dialect httpnames.Names, answer func(Request) Answer) (*Leaf, error) {
 	return StartAt("127.0.0.1:0", id, dialect, answer)
 }
 
 // StartAt listens on a given address.
-func StartAt(address, id string, dialect httpdialect.Dialect, answer func(Request) Answer) (*Leaf, error) {
+func StartAt(address, id string, dialect httpnames.Names, answer func(Request) Answer) (*Leaf, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
 		return nil, err
--- a/internal/lab/soak/load.go
+++ b/internal/lab/soak/load.go
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/request/httpdialect"
+	"github.com/portgauge/portgauge/internal/request/httpnames"
 )
 
 // Kind is what a request asks for.
@@ -136,7 +136,7 @@
 }
 
 // parts gives the leafs whose parts a gathered answer names.
-func (o outcome) parts(dialect httpdialect.Dialect) []string {
+func (o outcome) parts(dialect httpnames.Names) []string {
 	var parts []string
 	for _, line := range o.header.Values(dialect.PartStamps) {
 		for stamp := range strings.SplitSeq(line, ",") {
--- a/internal/lab/soak/world.go
+++ b/internal/lab/soak/world.go
@@ -17,7 +17,7 @@
 	"github.com/portgauge/portgauge/internal/lab/httpleaf"
 	"github.com/portgauge/portgauge/internal/lab/kvstore"
 	"github.com/portgauge/portgauge/internal/lab/rollouts"
-	"github.com/portgauge/portgauge/internal/request/httpdialect"
+	"github.com/portgauge/portgauge/internal/request/httpnames"
 	"github.com/portgauge/portgauge/platform"
 )
 
@@ -44,7 +44,7 @@
 // world is everything that a soak runs: a stand-in store and leafs in this process, nodes as
 // processes of their own, and links between them.
 type world struct {
-	dialect  httpdialect.Dialect
+	dialect  httpnames.Names
 	program  string
 	folder   string
 	store    *kvstore.Store
--- a/internal/leaf/leafhttp/answer.go
+++ b/internal/leaf/leafhttp/answer.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/request/httpdialect"
+	"github.com/portgauge/portgauge/internal/request/httpnames"
 )
 
 // maximumForeignAnswers is how many answers to other requests are skipped on a connection.
@@ -75,7 +75,7 @@
 	return body, nil
 }
 
-func newResponse(dialect httpdialect.Dialect, raw *http.Response, body []byte) *Response {
+func newResponse(dialect httpnames.Names, raw *http.Response, body []byte) *Response {
 	return &Response{
 		Status:      raw.StatusCode,
 		Header:      raw.Header,
--- a/internal/leaf/leafhttp/leafhttp_test.go
+++ b/internal/leaf/leafhttp/leafhttp_test.go
@@ -15,10 +15,10 @@
 
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/lab/httpleaf"
-	"github.com/portgauge/portgauge/internal/request/httpdialect"
+	"github.com/portgauge/portgauge/internal/request/httpnames"
 )
 
-var dialect = httpdialect.Default()
+var dialect = httpnames.Default()
 
 // bench is a leaf and a pool that asks it.
 type bench struct {
--- a/internal/leaf/leafhttp/pool.go
+++ b/internal/leaf/leafhttp/pool.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/request/httpdialect"
+	"github.com/portgauge/portgauge/internal/request/httpnames"
 )
 
 // Target is the leaf that an attempt goes to.
@@ -29,7 +29,7 @@
 // Pool holds the connections of a node to leafs; safe for concurrent use.
 type Pool struct {
 	config  Config
-	dialect httpdialect.Dialect
+	dialect httpnames.Names
 	// opened is told of each connection opened.
 	opened func()
 	// mayAsk reports whether a leaf may be sent a request now; nil allows all.
@@ -63,7 +63,7 @@
 }
 
 // New makes a pool; opened is told of each connection opened, and may be nil.
-func New(config Config, dialect httpdialect.Dialect, opened func()) *Pool {
+func New(config Config, dialect httpnames.Names, opened func()) *Pool {
 	if opened == nil {
 		opened = func() {}
 	}
--- a/internal/leaf/leafhttp/presence_test.go
+++ b/internal/leaf/leafhttp/presence_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 
 	"github.com/portgauge/portgauge/internal/lab/httpleaf"
-	"github.com/portgauge/portgauge/internal/request/httpdialect"
+	"github.com/portgauge/portgauge/internal/request/httpnames"
 )
 
 func checked(t *testing.T, p *Pool, target Target, refused bool) bool {
@@ -27,9 +27,9 @@
 // A broken answer alone does not tell a leaf that ended from one that lost a connection: its address does.
 func TestCheckTellsAnEndFromALostConnection(t *testing.T) {
 	is := is.New(t)
-	leaf, err := httpleaf.Start("leaf-1", httpdialect.Default(), func(httpleaf.Request) httpleaf.Answer { return httpleaf.Answer{Dropped: true} })
+	leaf, err := httpleaf.Start("leaf-1", httpnames.Default(), func(httpleaf.Request) httpleaf.Answer { return httpleaf.Answer{Dropped: true} })
 	is.NoErr(err)
-	pool := New(DefaultConfig(), httpdialect.Default(), nil)
+	pool := New(DefaultConfig(), httpnames.Default(), nil)
 	defer pool.Close()
 	target := Target{Incarnation: leaf.ID, Address: leaf.Address(), Connections: 2}
 	is.True(!checked(t, pool, target, false)) // it lives
@@ -49,7 +49,7 @@
 	defer func() { _ = silent.Close() }()
 	cfg := DefaultConfig()
 	cfg.ConnectTimeout = time.Nanosecond // nothing comes up in time
-	pool := New(cfg, httpdialect.Default(), nil)
+	pool := New(cfg, httpnames.Default(), nil)
 	defer pool.Close()
 	is.True(!checked(t, pool, Target{Incarnation: "leaf-1", Address: silent.Addr().String(), Connections: 1}, false))
 }
--- a/internal/leaf/leafhttp/request.go
+++ b/internal/leaf/leafhttp/request.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/request/httpdialect"
+	"github.com/portgauge/portgauge/internal/request/httpnames"
 )
 
 // Request is what a leaf is sent. It is shared by all attempts and never changed.
@@ -76,7 +76,7 @@
 }
 
 // encode writes the request line and headers for one attempt, over what the buffer holds.
-func (r *Request) encode(buffer *bytes.Buffer, dialect httpdialect.Dialect, incarnation string, remaining time.Duration) {
+func (r *Request) encode(buffer *bytes.Buffer, dialect httpnames.Names, incarnation string, remaining time.Duration) {
 	buffer.Reset()
 	buffer.WriteString(r.Method)
 	buffer.WriteByte(' ')
--- a/internal/leaf/leafhttp/woke_test.go
+++ b/internal/leaf/leafhttp/woke_test.go
@@ -7,16 +7,16 @@
 	"github.com/matryer/is"
 
 	"github.com/portgauge/portgauge/internal/lab/httpleaf"
-	"github.com/portgauge/portgauge/internal/request/httpdialect"
+	"github.com/portgauge/portgauge/internal/request/httpnames"
 )
 
 // Connections that rested through a suspension for longer than they may are not used any more.
 func TestConnectionsRestWhileTheMachineSleeps(t *testing.T) {
 	is := is.New(t)
-	leaf, err := httpleaf.Start("leaf-1", httpdialect.Default(), func(httpleaf.Request) httpleaf.Answer { return httpleaf.Answer{} })
+	leaf, err := httpleaf.Start("leaf-1", httpnames.Default(), func(httpleaf.Request) httpleaf.Answer { return httpleaf.Answer{} })
 	is.NoErr(err)
 	defer leaf.Stop()
-	pool := New(DefaultConfig(), httpdialect.Default(), nil)
+	pool := New(DefaultConfig(), httpnames.Default(), nil)
 	defer pool.Close()
 	is.True(!checked(t, pool, Target{Incarnation: leaf.ID, Address: leaf.Address(), Connections: 1}, false))
 	pool.Woke(time.Second)
--- a/internal/node/dialect.go
+++ b/internal/node/dialect.go
@@ -9,7 +9,7 @@
 	"github.com/portgauge/portgauge/internal/fleet/platformclient"
 	"github.com/portgauge/portgauge/internal/node/settings"
 	"github.com/portgauge/portgauge/internal/node/telemetry"
-	"github.com/portgauge/portgauge/internal/request/httpdialect"
+	"github.com/portgauge/portgauge/internal/request/httpnames"
 )
 
 // PlatformStore is the connection to a platform's store.
@@ -23,7 +23,7 @@
 	// Name is what settings call it.
 	Name string
 	// HTTP names the headers and paths that callers and leafs use.
-	HTTP httpdialect.Dialect
+	HTTP httpnames.Names
 	// Connect makes the connection to the store. The called function is told of each call.
 	Connect func(config settings.Platform, called func(store.Answer)) PlatformStore
 }
@@ -42,7 +42,7 @@
 	Lessor store.Lessor
 	// Guarded is nil where the platform takes no writes under conditions on other keys.
 	Guarded store.Guarded
-	HTTP    httpdialect.Dialect
+	HTTP    httpnames.Names
 }
 
 // newPlatform connects to the platform by the dialect that the settings name.
@@ -71,5 +71,5 @@
 		return platformParts{}, err
 	}
 	lifecycle.Append(fx.StopHook(client.Close))
-	return platformParts{Store: client, Machines: client, Lessor: client, Guarded: client, HTTP: httpdialect.Default()}, nil
+	return platformParts{Store: client, Machines: client, Lessor: client, Guarded: client, HTTP: httpnames.Default()}, nil
 }
--- a/internal/node/provide.go
+++ b/internal/node/provide.go
@@ -36,7 +36,7 @@
 	"github.com/portgauge/portgauge/internal/quarantine"
 	"github.com/portgauge/portgauge/internal/request/front"
 	"github.com/portgauge/portgauge/internal/request/gateway"
-	"github.com/portgauge/portgauge/internal/request/httpdialect"
+	"github.com/portgauge/portgauge/internal/request/httpnames"
 	"github.com/portgauge/portgauge/internal/request/retrybudget"
 	"github.com/portgauge/portgauge/internal/request/search"
 	"github.com/portgauge/portgauge/internal/request/servingtree"
@@ -142,7 +142,7 @@
 	return connshare.New(config.ConnectionShare, census, self)
 }
 
-func newHTTPPool(config settings.Settings, dialect httpdialect.Dialect, memory *leafmemory.Memory, cold *warmup.Limiter, splitter *canary.Splitter, metrics *telemetry.Metrics, lifecycle fx.Lifecycle) *leafhttp.Pool {
+func newHTTPPool(config settings.Settings, dialect httpnames.Names, memory *leafmemory.Memory, cold *warmup.Limiter, splitter *canary.Splitter, metrics *telemetry.Metrics, lifecycle fx.Lifecycle) *leafhttp.Pool {
 	pool := leafhttp.New(config.LeafHTTP, dialect, metrics.LeafConnections.Inc)
 	pool.SetMayAsk(func(incarnation string) bool {
 		mayAsk := memory.MayAsk(incarnation) && (splitter == nil || splitter.MayAsk(incarnation))
@@ -180,7 +180,7 @@
 	fx.In
 
 	Config        settings.Settings
-	Dialect       httpdialect.Dialect
+	Dialect       httpnames.Names
 	Catalog       *catalog.Catalog
 	Memory        *leafmemory.Memory
 	Dealer        *connshare.Dealer
@@ -231,7 +231,7 @@
 	return servingtree.NewServer(config.ServingTree, handler)
 }
 
-func newFront(backend *gateway.Gateway, dialect httpdialect.Dialect, logger *zap.Logger) *front.Server {
+func newFront(backend *gateway.Gateway, dialect httpnames.Names, logger *zap.Logger) *front.Server {
 	return front.NewServer(backend, dialect, logger)
 }
 
--- a/internal/node/settings/page_test.go
+++ b/internal/node/settings/page_test.go
@@ -17,7 +17,7 @@
 	"github.com/matryer/is"
 )
 
-// update writes the page of settings anew: go test ./internal/settings -run TestPageOfSettings -update
+// update writes the page of settings anew: go test ./internal/node/settings -run TestPageOfSettings -update
 var update = flag.Bool("update", false, "write docs/SETTINGS.md")
 
 const (
@@ -28,7 +28,7 @@
 
 const pageHead = `# Settings
 
-Generated from the types (` + "`go test ./internal/settings -run TestPageOfSettings -update`" + `); the tests fail while it
+Generated from the types (` + "`go test ./internal/node/settings -run TestPageOfSettings -update`" + `); the tests fail while it
 is not what they say. [OPERATIONS.md](OPERATIONS.md#settings) tells how settings are given.
 `
 
--- a/internal/request/front/front_test.go
+++ b/internal/request/front/front_test.go
@@ -19,11 +19,11 @@
 
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/request/gateway"
-	"github.com/portgauge/portgauge/internal/request/httpdialect"
+	"github.com/portgauge/portgauge/internal/request/httpnames"
 	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
-var dialect = httpdialect.Default()
+var dialect = httpnames.Default()
 
 // scriptedBackend answers by a function.
 type scriptedBackend struct {
--- a/internal/request/front/server.go
+++ b/internal/request/front/server.go
@@ -18,7 +18,7 @@
 	"go.uber.org/zap"
 
 	"github.com/portgauge/portgauge/internal/request/gateway"
-	"github.com/portgauge/portgauge/internal/request/httpdialect"
+	"github.com/portgauge/portgauge/internal/request/httpnames"
 	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
@@ -36,7 +36,7 @@
 // Server serves callers; create it with NewServer.
 type Server struct {
 	backend Backend
-	dialect httpdialect.Dialect
+	dialect httpnames.Names
 	logger  *zap.Logger
 	guard   *connectionGuard
 	http    *http.Server
@@ -47,7 +47,7 @@
 }
 
 // NewServer makes a server that does not listen yet.
-func NewServer(backend Backend, dialect httpdialect.Dialect, logger *zap.Logger) *Server {
+func NewServer(backend Backend, dialect httpnames.Names, logger *zap.Logger) *Server {
 	server := &Server{backend: backend, dialect: dialect, logger: logger, guard: newConnectionGuard(backend.Limits)}
 	router := newRouter()
 	router.RedirectTrailingSlash = false
--- a/internal/request/gateway/gateway.go
+++ b/internal/request/gateway/gateway.go
@@ -13,7 +13,7 @@
 	"github.com/portgauge/portgauge/internal/leaf/leafmemory"
 	"github.com/portgauge/portgauge/internal/leaf/warmup"
 	"github.com/portgauge/portgauge/internal/quarantine"
-	"github.com/portgauge/portgauge/internal/request/httpdialect"
+	"github.com/portgauge/portgauge/internal/request/httpnames"
 	"github.com/portgauge/portgauge/internal/request/retrybudget"
 	"github.com/portgauge/portgauge/internal/request/routing"
 	"github.com/portgauge/portgauge/internal/rollout/canary"
@@ -38,7 +38,7 @@
 // Parts are what a gateway is built from.
 type Parts struct {
 	Config   Config
-	Dialect  httpdialect.Dialect
+	Dialect  httpnames.Names
 	Catalog  *catalog.Catalog
 	Memory   *leafmemory.Memory
 	Dealer   *connshare.Dealer
@@ -68,7 +68,7 @@
 // Gateway serves requests by the routing table; safe for concurrent use.
 type Gateway struct {
 	config   Config
-	dialect  httpdialect.Dialect
+	dialect  httpnames.Names
 	catalog  *catalog.Catalog
 	memory   *leafmemory.Memory
 	dealer   *connshare.Dealer
--- a/internal/request/gateway/gateway_test.go
+++ b/internal/request/gateway/gateway_test.go
@@ -22,13 +22,13 @@
 	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
 	"github.com/portgauge/portgauge/internal/leaf/leafmemory"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
-	"github.com/portgauge/portgauge/internal/request/httpdialect"
+	"github.com/portgauge/portgauge/internal/request/httpnames"
 	"github.com/portgauge/portgauge/internal/request/retrybudget"
 	"github.com/portgauge/portgauge/internal/request/routing"
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
-var dialect = httpdialect.Default()
+var dialect = httpnames.Default()
 
 // silentJournal takes everything and remembers the records.
 type silentJournal struct {
--- a/internal/request/httpdialect/httpdialect.go
+++ b/internal/request/httpnames/httpnames.go
@@ -1,11 +1,11 @@
-// Package httpdialect names the headers and paths that portgauge speaks over HTTP.
+// Package httpnames names the headers and paths that portgauge speaks over HTTP.
 //
 // The product has names of its own; a platform that its users run may have others. The names
 // are the whole difference: what is meant by them is the same everywhere.
-package httpdialect
+package httpnames
 
-// Dialect is one set of names. Header names are in canonical form.
-type Dialect struct {
+// Names is one set of names. Header names are in canonical form.
+type Names struct {
 	// RequestID identifies one try of a caller; leafs echo it.
 	RequestID string
 	// DeadlineMillis is how many milliseconds the sender will wait.
@@ -28,8 +28,8 @@
 }
 
 // Default gives the product's own names.
-func Default() Dialect {
-	return Dialect{
+func Default() Names {
+	return Names{
 		RequestID:           "Portgauge-Request-Id",
 		DeadlineMillis:      "Portgauge-Deadline-Millis",
 		ResponseStamp:       "Portgauge-Response-Stamp",
