--- a/internal/config/configsync/fleet_test.go
+++ b/internal/config/configsync/fleet_test.go
@@ -275,7 +275,7 @@
 	transport := f.network.Attach(id)
 	view := platformView{f.platform, id}
 	node := &testNode{id: id, catalog: catalog.New(nil), leafs: &leafNotes{leaving: map[string]time.Time{}}}
-	node.syncer = New(Parts{
+	node.syncer = New(Deps{
 		Config: f.config, Catalog: node.catalog, Store: view, Machines: view, Transport: transport, Leafs: node.leafs, Logger: zap.NewNop(), Seeds: seeds,
 		Settled: node.settledRevision,
 	})
--- a/internal/config/configsync/suspended_test.go
+++ b/internal/config/configsync/suspended_test.go
@@ -18,7 +18,7 @@
 		slept := time.Duration(0)
 		known := catalog.New(nil)
 		known.SetClock(func() time.Time { return time.Now().Add(slept) })
-		s := New(Parts{Config: DefaultConfig(), Catalog: known})
+		s := New(Deps{Config: DefaultConfig(), Catalog: known})
 		is.Equal(s.waited(), time.Duration(0))
 		time.Sleep(time.Second)
 		is.Equal(s.waited(), time.Duration(0))
--- a/internal/config/configsync/syncer.go
+++ b/internal/config/configsync/syncer.go
@@ -31,8 +31,8 @@
 	SetLeaving(leafID string, until time.Time)
 }
 
-// Parts are what a syncer is built from. Store and Machines belong to the platform.
-type Parts struct {
+// Deps are what a syncer is built from. Store and Machines belong to the platform.
+type Deps struct {
 	Config    Config
 	Catalog   *catalog.Catalog
 	Store     store.Store
@@ -95,28 +95,28 @@
 }
 
 // New makes a syncer; SetMembership must be called before Run.
-func New(parts Parts) *Syncer {
-	relayed := parts.Relayed
+func New(deps Deps) *Syncer {
+	relayed := deps.Relayed
 	if relayed == nil {
 		relayed = func(string) {}
 	}
-	dropped := parts.StateDropped
+	dropped := deps.StateDropped
 	if dropped == nil {
 		dropped = func() {}
 	}
-	settledAt := parts.Settled
+	settledAt := deps.Settled
 	if settledAt == nil {
-		settledAt = parts.Catalog.Revision
+		settledAt = deps.Catalog.Revision
 	}
 	return &Syncer{
-		config:    parts.Config,
-		catalog:   parts.Catalog,
-		store:     parts.Store,
-		machines:  parts.Machines,
-		transport: parts.Transport,
-		leafs:     parts.Leafs,
-		logger:    parts.Logger,
-		seeds:     parts.Seeds,
+		config:    deps.Config,
+		catalog:   deps.Catalog,
+		store:     deps.Store,
+		machines:  deps.Machines,
+		transport: deps.Transport,
+		leafs:     deps.Leafs,
+		logger:    deps.Logger,
+		seeds:     deps.Seeds,
 		relayed:   relayed,
 		dropped:   dropped,
 		settledAt: settledAt,
--- a/internal/config/rewriter/rewriter.go
+++ b/internal/config/rewriter/rewriter.go
@@ -28,8 +28,8 @@
 	callTimeout = time.Second
 )
 
-// Journal is told of entries that are written again.
-type Journal interface {
+// EventLog is told of entries that are written again.
+type EventLog interface {
 	// Rewritten tells that the store took an entry again, or why not.
 	Rewritten(key string, err error)
 }
@@ -39,7 +39,7 @@
 	catalog *catalog.Catalog
 	store   store.Store
 	self    string
-	journal Journal
+	events  EventLog
 	// mayWrite reports whether the store lets nodes write a key; the others write what is theirs again themselves.
 	mayWrite func(key string) bool
 	// tried is when this node last wrote a key, by key.
@@ -47,13 +47,13 @@
 }
 
 // New makes a writer for the node of an id. The catalog is told which keys the store lets nodes write.
-func New(known *catalog.Catalog, kept store.Store, self string, journal Journal) *Writer {
+func New(known *catalog.Catalog, kept store.Store, self string, events EventLog) *Writer {
 	mayWrite := func(string) bool { return true }
 	if owned, isOwned := kept.(store.Owned); isOwned {
 		mayWrite = owned.MayWrite
 	}
 	known.SetOwners(mayWrite)
-	return &Writer{catalog: known, store: kept, self: self, journal: journal, mayWrite: mayWrite, tried: map[string]time.Time{}}
+	return &Writer{catalog: known, store: kept, self: self, events: events, mayWrite: mayWrite, tried: map[string]time.Time{}}
 }
 
 // Run writes again what is lost until the context ends.
@@ -86,7 +86,7 @@
 		}
 		writes++
 		w.tried[one.Entry.Key] = time.Now()
-		w.journal.Rewritten(one.Entry.Key, w.write(ctx, one.Entry, value))
+		w.events.Rewritten(one.Entry.Key, w.write(ctx, one.Entry, value))
 	}
 }
 
--- a/internal/fleet/reachability/datagrams_test.go
+++ b/internal/fleet/reachability/datagrams_test.go
@@ -57,7 +57,7 @@
 	for _, node := range w.nodes {
 		datagrams := NewDatagrams(end{l, node.Address})
 		l.nodes[node.Address] = datagrams
-		tracker := New(Parts{Config: DefaultConfig(), Self: node, Asker: datagrams, Nodes: func() []catalog.NodeRecord { return w.nodes }})
+		tracker := New(Deps{Config: DefaultConfig(), Self: node, Asker: datagrams, Nodes: func() []catalog.NodeRecord { return w.nodes }})
 		datagrams.OnTold(tracker.Suspect)
 		go tracker.Run(ctx)
 		trackers[node.ID] = tracker
--- a/internal/fleet/reachability/look.go
+++ b/internal/fleet/reachability/look.go
@@ -30,7 +30,7 @@
 
 // isLost reports whether the zone is lost.
 func (l *look) isLost(ctx context.Context) bool {
-	cfg := l.tracker.parts.Config
+	cfg := l.tracker.deps.Config
 	nodes := l.tracker.nodesOf(func(node catalog.NodeRecord) bool { return node.Zone == l.zone.name })
 	if len(nodes) < cfg.LeastNodes {
 		return false
@@ -68,13 +68,13 @@
 		return node.Zone != l.zone.name && l.tracker.Reaches(node.Zone)
 	})
 	// The own zone's come first: where several zones are lost at once, they still answer.
-	own := l.tracker.parts.Self.Zone
+	own := l.tracker.deps.Self.Zone
 	slices.SortStableFunc(others, func(a, b catalog.NodeRecord) int { return rank(b.Zone == own) - rank(a.Zone == own) })
 	for _, node := range others[:min(controls, len(others))] {
 		go func() {
 			ctx, cancel := context.WithTimeout(ctx, answerLimit)
 			defer cancel()
-			if l.tracker.parts.Asker.Answers(ctx, node) {
+			if l.tracker.deps.Asker.Answers(ctx, node) {
 				l.others.Store(true)
 			}
 		}()
@@ -95,7 +95,7 @@
 // sleep waits, and reports whether this node woke in time, and whether the context still holds. A suspended machine is
 // late, too: the answers of one zone may have come before it slept and those of the other while it did.
 func (l *look) sleep(ctx context.Context, length time.Duration) (inTime, running bool) {
-	clock := l.tracker.parts.Clock
+	clock := l.tracker.deps.Clock
 	began := clock.Now()
 	running = wait.For(ctx, length)
 	return clock.Since(began) < length+length/latePart, running
@@ -104,8 +104,8 @@
 // nodesOf gives the other nodes that fit, in random order.
 func (t *Tracker) nodesOf(fits func(catalog.NodeRecord) bool) []catalog.NodeRecord {
 	var nodes []catalog.NodeRecord
-	for _, node := range t.parts.Nodes() {
-		if node.ID != t.parts.Self.ID && node.Address != "" && fits(node) {
+	for _, node := range t.deps.Nodes() {
+		if node.ID != t.deps.Self.ID && node.Address != "" && fits(node) {
 			nodes = append(nodes, node)
 		}
 	}
--- a/internal/fleet/reachability/reachability.go
+++ b/internal/fleet/reachability/reachability.go
@@ -33,8 +33,8 @@
 	Lost bool
 }
 
-// Parts are what a Tracker is built from.
-type Parts struct {
+// Deps are what a Tracker is built from.
+type Deps struct {
 	Config Config
 	// Self is this node's own record.
 	Self catalog.NodeRecord
@@ -55,8 +55,8 @@
 
 // Tracker knows which zones are lost; safe for concurrent use. A nil one holds every zone for in reach.
 type Tracker struct {
-	parts Parts
-	lost  atomic.Int32 // how many zones are lost
+	deps Deps
+	lost atomic.Int32 // how many zones are lost
 
 	mu    sync.RWMutex
 	zones map[string]*zone
@@ -65,8 +65,8 @@
 }
 
 // New makes a tracker; it looks at nothing before Run.
-func New(parts Parts) *Tracker {
-	return &Tracker{parts: parts, zones: map[string]*zone{}}
+func New(deps Deps) *Tracker {
+	return &Tracker{deps: deps, zones: map[string]*zone{}}
 }
 
 // Run lets the tracker look at zones until the context ends.
@@ -96,7 +96,7 @@
 	if !t.AnyLost() {
 		return false
 	}
-	nodes := t.parts.Nodes()
+	nodes := t.deps.Nodes()
 	lost := 0
 	for _, node := range nodes {
 		if !t.Reaches(node.Zone) {
@@ -108,7 +108,7 @@
 
 // Heard tells that something of a zone answered this node.
 func (t *Tracker) Heard(name string) {
-	if t == nil || name == t.parts.Self.Zone {
+	if t == nil || name == t.deps.Self.Zone {
 		return
 	}
 	t.mu.RLock()
@@ -141,7 +141,7 @@
 	t.mu.RLock()
 	ctx := t.ctx
 	t.mu.RUnlock()
-	if ctx == nil || ctx.Err() != nil || !known.beginLook(t.parts.Config.Pause) {
+	if ctx == nil || ctx.Err() != nil || !known.beginLook(t.deps.Config.Pause) {
 		return
 	}
 	go func() {
@@ -165,7 +165,7 @@
 	if !known.looksAgain.CompareAndSwap(false, true) {
 		return
 	}
-	time.AfterFunc(t.parts.Config.Pause+lookAgainSlack, func() {
+	time.AfterFunc(t.deps.Config.Pause+lookAgainSlack, func() {
 		known.looksAgain.Store(false)
 		if !known.lost.Load() {
 			t.Suspect(name)
@@ -178,8 +178,8 @@
 
 // lookAround has every other zone looked at: what cut one off often cuts off more.
 func (t *Tracker) lookAround(lost string) {
-	seen := map[string]bool{lost: true, t.parts.Self.Zone: true}
-	for _, node := range t.parts.Nodes() {
+	seen := map[string]bool{lost: true, t.deps.Self.Zone: true}
+	for _, node := range t.deps.Nodes() {
 		if !seen[node.Zone] {
 			seen[node.Zone] = true
 			t.SuspectSoon(node.Zone)
@@ -189,7 +189,7 @@
 
 // of gives what is kept of a zone; nil for the own one, and where nothing is looked at.
 func (t *Tracker) of(name string) *zone {
-	if t == nil || !t.parts.Config.Enabled || name == t.parts.Self.Zone || name == "" {
+	if t == nil || !t.deps.Config.Enabled || name == t.deps.Self.Zone || name == "" {
 		return nil
 	}
 	t.mu.RLock()
@@ -214,9 +214,9 @@
 	t.lost.Add(1)
 	t.changed(Change{Zone: known.name, Lost: true})
 	t.lookAround(known.name)
-	own := t.nodesOf(func(node catalog.NodeRecord) bool { return node.Zone == t.parts.Self.Zone })
-	for _, node := range own[:min(t.parts.Config.Fanout, len(own))] {
-		t.parts.Asker.Tell(node, known.name)
+	own := t.nodesOf(func(node catalog.NodeRecord) bool { return node.Zone == t.deps.Self.Zone })
+	for _, node := range own[:min(t.deps.Config.Fanout, len(own))] {
+		t.deps.Asker.Tell(node, known.name)
 	}
 	t.awaitReturn(ctx, known)
 }
@@ -224,7 +224,7 @@
 // awaitReturn asks one node of a lost zone after the other, in turn, until anything of it is heard. A zone
 // without any node is not held for lost: nothing could say that it is back.
 func (t *Tracker) awaitReturn(ctx context.Context, known *zone) {
-	ticker := time.NewTicker(t.parts.Config.ProbeInterval)
+	ticker := time.NewTicker(t.deps.Config.ProbeInterval)
 	defer ticker.Stop()
 	var turn []catalog.NodeRecord
 	for known.lost.Load() {
@@ -250,7 +250,7 @@
 	ctx, cancel := context.WithTimeout(ctx, answerLimit)
 	defer cancel()
 	began := time.Now()
-	if !t.parts.Asker.Answers(ctx, node) {
+	if !t.deps.Asker.Answers(ctx, node) {
 		return false
 	}
 	known.took(time.Since(began))
@@ -267,7 +267,7 @@
 }
 
 func (t *Tracker) changed(change Change) {
-	if t.parts.Changed != nil {
-		t.parts.Changed(change)
+	if t.deps.Changed != nil {
+		t.deps.Changed(change)
 	}
 }
--- a/internal/fleet/reachability/reachability_test.go
+++ b/internal/fleet/reachability/reachability_test.go
@@ -86,7 +86,7 @@
 // tracker starts the tracker of a node in the near zone.
 func (w *world) tracker(t *testing.T) *Tracker {
 	t.Helper()
-	tracker := New(Parts{
+	tracker := New(Deps{
 		Config: DefaultConfig(), Self: w.nodes[0], Asker: w,
 		Nodes: func() []catalog.NodeRecord { return w.nodes },
 	})
@@ -254,7 +254,7 @@
 func TestSuspendedNodeLosesNothing(t *testing.T) {
 	within(t, func(is *is.I, w *world, tracker *Tracker) {
 		var slept atomic.Int64
-		tracker.parts.Clock = func() time.Time { return time.Now().Add(time.Duration(slept.Load())) }
+		tracker.deps.Clock = func() time.Time { return time.Now().Add(time.Duration(slept.Load())) }
 		w.set(true, far)
 		tracker.Suspect(far)
 		time.Sleep(DefaultConfig().FirstWait + DefaultConfig().Wait/2)
@@ -363,7 +363,7 @@
 		is.True(none.Reaches(far) && !none.IsCutOff())
 		w := newWorld(5, near, far)
 		tracker := w.tracker(t)
-		tracker.parts.Config.Enabled = false
+		tracker.deps.Config.Enabled = false
 		w.set(true, far)
 		tracker.Suspect(far)
 		time.Sleep(time.Second)
--- a/internal/node/dialect.go
+++ b/internal/node/dialect.go
@@ -31,8 +31,8 @@
 // dialects are the protocols that a node speaks besides the product's own.
 type dialects []Dialect
 
-// platformParts are the platform as the node's parts see it.
-type platformParts struct {
+// platformDeps are the platform as the rest of the node sees it.
+type platformDeps struct {
 	fx.Out
 
 	Store store.Store
@@ -46,7 +46,7 @@
 }
 
 // newPlatform connects to the platform by the dialect that the settings name.
-func newPlatform(config settings.Settings, known dialects, metrics *telemetry.Metrics, journal *storeJournal, lifecycle fx.Lifecycle) (platformParts, error) {
+func newPlatform(config settings.Settings, known dialects, metrics *telemetry.Metrics, events *storeEvents, lifecycle fx.Lifecycle) (platformDeps, error) {
 	if config.Platform.Dialect == settings.DefaultDialect {
 		return newOwnPlatform(config, metrics, lifecycle)
 	}
@@ -54,22 +54,22 @@
 		if dialect.Name != config.Platform.Dialect {
 			continue
 		}
-		connected := dialect.Connect(config.Platform, journal.called)
+		connected := dialect.Connect(config.Platform, events.called)
 		lifecycle.Append(fx.StopHook(connected.Close))
 		lessor, _ := connected.(store.Lessor)
 		guarded, _ := connected.(store.Guarded)
-		return platformParts{Store: connected, Lessor: lessor, Guarded: guarded, HTTP: dialect.HTTP}, nil
+		return platformDeps{Store: connected, Lessor: lessor, Guarded: guarded, HTTP: dialect.HTTP}, nil
 	}
-	return platformParts{}, failure.Invalid("platform.dialect", "%q is not known to this program", config.Platform.Dialect)
+	return platformDeps{}, failure.Invalid("platform.dialect", "%q is not known to this program", config.Platform.Dialect)
 }
 
 // newOwnPlatform connects by the product's own protocol.
-func newOwnPlatform(config settings.Settings, metrics *telemetry.Metrics, lifecycle fx.Lifecycle) (platformParts, error) {
+func newOwnPlatform(config settings.Settings, metrics *telemetry.Metrics, lifecycle fx.Lifecycle) (platformDeps, error) {
 	sentToPlatform := metrics.ControlBytes.WithLabelValues("platform")
 	client, err := platformclient.New(config.Platform.Address, func(sent, _ int) { sentToPlatform.Add(float64(sent)) })
 	if err != nil {
-		return platformParts{}, err
+		return platformDeps{}, err
 	}
 	lifecycle.Append(fx.StopHook(client.Close))
-	return platformParts{Store: client, Machines: client, Lessor: client, Guarded: client, HTTP: httpnames.Default()}, nil
+	return platformDeps{Store: client, Machines: client, Lessor: client, Guarded: client, HTTP: httpnames.Default()}, nil
 }
--- a/internal/node/parts.go
+++ b/internal/node/operator.go
@@ -11,8 +11,8 @@
 	"github.com/portgauge/portgauge/internal/request/search"
 )
 
-// operatorParts are what the operators' server needs.
-type operatorParts struct {
+// operatorDeps are what the operators' server needs.
+type operatorDeps struct {
 	fx.In
 
 	Admin   *admin.Admin
--- a/internal/node/provide.go
+++ b/internal/node/provide.go
@@ -48,8 +48,8 @@
 	return zap.ParseAtomicLevel(config.LogLevel)
 }
 
-// listerParts are what the list of machines is made from.
-type listerParts struct {
+// listerDeps are what the list of machines is made from.
+type listerDeps struct {
 	fx.In
 
 	Platform machines.Lister `name:"platform" optional:"true"`
@@ -57,11 +57,11 @@
 }
 
 // newLister gives the platform's list of machines, or the nodes' own records.
-func newLister(parts listerParts) machines.Lister {
-	if parts.Platform != nil {
-		return parts.Platform
+func newLister(deps listerDeps) machines.Lister {
+	if deps.Platform != nil {
+		return deps.Platform
 	}
-	return machines.NewCatalogLister(parts.Catalog)
+	return machines.NewCatalogLister(deps.Catalog)
 }
 
 func newTransport(config settings.Settings, metrics *telemetry.Metrics) (*peer.SocketTransport, error) {
@@ -111,14 +111,14 @@
 	return leafmemory.NewWriter(config.LeafMemory, known, kept, self.ID, logger)
 }
 
-func newRewriter(known *catalog.Catalog, kept store.Store, self catalog.NodeRecord, journal *storeJournal) *rewriter.Writer {
-	return rewriter.New(known, kept, self.ID, journal)
+func newRewriter(known *catalog.Catalog, kept store.Store, self catalog.NodeRecord, events *storeEvents) *rewriter.Writer {
+	return rewriter.New(known, kept, self.ID, events)
 }
 
-func newBalancer(config settings.Settings, beliefs *beliefJournal) *balancer.Balancer {
+func newBalancer(config settings.Settings, events *stateEvents) *balancer.Balancer {
 	choice := balancer.New(config.Balancer, config.Node.Zone)
-	choice.OnEjected(beliefs.leafEjected)
-	choice.OnBelief(beliefs.leafJudged)
+	choice.OnEjected(events.leafEjected)
+	choice.OnBelief(events.leafJudged)
 	return choice
 }
 
@@ -128,8 +128,8 @@
 	return gossip
 }
 
-func newBeliefJournal(log *decisionlog.Log, known *catalog.Catalog) *beliefJournal {
-	return &beliefJournal{log: log, catalog: known}
+func newStateEvents(log *decisionlog.Log, known *catalog.Catalog) *stateEvents {
+	return &stateEvents{log: log, catalog: known}
 }
 
 func newLeafPool(config settings.Settings, lifecycle fx.Lifecycle) *leafclient.Pool {
@@ -171,12 +171,12 @@
 	return decisionlog.New(config.DecisionLog, output, metrics.LogLinesLeftOut.Inc)
 }
 
-func newJournal(config settings.Settings, log *decisionlog.Log, metrics *telemetry.Metrics) gateway.Journal {
-	return newRequestJournal(log, metrics, config.DecisionLog.EveryAttempt)
+func newGatewayEvents(config settings.Settings, log *decisionlog.Log, metrics *telemetry.Metrics) gateway.EventLog {
+	return newRequestEvents(log, metrics, config.DecisionLog.EveryAttempt)
 }
 
-// gatewayParts are what a gateway is made from.
-type gatewayParts struct {
+// gatewayDeps are what a gateway is made from.
+type gatewayDeps struct {
 	fx.In
 
 	Config        settings.Settings
@@ -190,7 +190,7 @@
 	Warmup        *warmup.Limiter
 	Canary        *canary.Splitter
 	Evidence      *evidence.Collector
-	Journal       gateway.Journal
+	Events        gateway.EventLog
 	Self          catalog.NodeRecord
 	Fleet         *registry.Census
 	Intermediates *servingtree.Client
@@ -198,13 +198,13 @@
 	Quarantine    *quarantine.Register
 }
 
-func newGateway(parts gatewayParts) *gateway.Gateway {
-	return gateway.New(gateway.Parts{
-		Config: parts.Config.Gateway, Dialect: parts.Dialect, Catalog: parts.Catalog, Memory: parts.Memory, Dealer: parts.Dealer,
-		Balancer: parts.Balancer, Budgets: parts.Budgets, Leafs: parts.Leafs, Warmup: parts.Warmup,
-		Canary: parts.Canary, Evidence: parts.Evidence, Journal: parts.Journal,
-		Self: parts.Self, Regions: parts.Config.Regions, Fleet: parts.Fleet, Intermediates: parts.Intermediates, Zones: parts.Zones,
-		Quarantine: parts.Quarantine,
+func newGateway(deps gatewayDeps) *gateway.Gateway {
+	return gateway.New(gateway.Deps{
+		Config: deps.Config.Gateway, Dialect: deps.Dialect, Catalog: deps.Catalog, Memory: deps.Memory, Dealer: deps.Dealer,
+		Balancer: deps.Balancer, Budgets: deps.Budgets, Leafs: deps.Leafs, Warmup: deps.Warmup,
+		Canary: deps.Canary, Evidence: deps.Evidence, Events: deps.Events,
+		Self: deps.Self, Regions: deps.Config.Regions, Fleet: deps.Fleet, Intermediates: deps.Intermediates, Zones: deps.Zones,
+		Quarantine: deps.Quarantine,
 	})
 }
 
@@ -212,9 +212,9 @@
 	return reachability.NewDatagrams(transport)
 }
 
-func newZones(config settings.Settings, known *catalog.Catalog, self catalog.NodeRecord, asker *reachability.Datagrams, beliefs *beliefJournal, clock boottime.Clock) *reachability.Tracker {
-	zones := reachability.New(reachability.Parts{
-		Config: config.Reachability, Self: self, Asker: asker, Changed: beliefs.zoneChanged, Clock: clock,
+func newZones(config settings.Settings, known *catalog.Catalog, self catalog.NodeRecord, asker *reachability.Datagrams, events *stateEvents, clock boottime.Clock) *reachability.Tracker {
+	zones := reachability.New(reachability.Deps{
+		Config: config.Reachability, Self: self, Asker: asker, Changed: events.zoneChanged, Clock: clock,
 		Nodes: func() []catalog.NodeRecord { return slices.Collect(maps.Values(known.View().Nodes)) },
 	})
 	asker.OnTold(zones.SuspectSoon)
@@ -236,7 +236,7 @@
 }
 
 func newEngine(config settings.Settings, known *catalog.Catalog, choice *balancer.Balancer, pool *leafclient.Pool, register *quarantine.Register, metrics *telemetry.Metrics, logger *zap.Logger) *search.Engine {
-	return search.New(search.Parts{
+	return search.New(search.Deps{
 		Config: config.Search, Hedging: config.Hedging, Catalog: known, Balancer: choice, Leafs: pool, Metrics: metrics, Logger: logger,
 		Quarantine: register,
 	})
@@ -247,7 +247,7 @@
 	if splitter != nil {
 		settled = splitter.SettledRevision
 	}
-	syncer := configsync.New(configsync.Parts{
+	syncer := configsync.New(configsync.Deps{
 		Config: config.ConfigSync, Catalog: known, Store: kept, Machines: lister, Transport: transport,
 		Leafs: choice, Logger: logger, Seeds: config.Seeds,
 		Relayed:      func(kind string) { metrics.ConfigRelayed.WithLabelValues(kind).Inc() },
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -29,11 +29,11 @@
 }
 
 func newRegister(config settings.Settings, known *catalog.Catalog, self catalog.NodeRecord, clock boottime.Clock) *quarantine.Register {
-	return quarantine.NewRegister(quarantine.Parts{Config: config.Quarantine, Clock: clock, Stored: known.Quarantine, Self: self.ID})
+	return quarantine.NewRegister(quarantine.Deps{Config: config.Quarantine, Clock: clock, Stored: known.Quarantine, Self: self.ID})
 }
 
-// quarantineParts are what carries findings of the quarantine is made from.
-type quarantineParts struct {
+// quarantineDeps are what carries findings of the quarantine is made from.
+type quarantineDeps struct {
 	fx.In
 
 	Config    settings.Settings
@@ -46,20 +46,20 @@
 	Metrics   *telemetry.Metrics
 }
 
-func newQuarantineSync(parts quarantineParts) *quarantinesync.Sync {
-	return quarantinesync.New(quarantinesync.Parts{
-		Config: parts.Config.QuarantineSync, Limits: parts.Config.Quarantine, Register: parts.Register, Catalog: parts.Catalog,
-		Store: parts.Store, Self: parts.Self, Sender: parts.Transport, Journal: quarantineJournal{parts.Log, parts.Metrics},
+func newQuarantineSync(deps quarantineDeps) *quarantinesync.Sync {
+	return quarantinesync.New(quarantinesync.Deps{
+		Config: deps.Config.QuarantineSync, Limits: deps.Config.Quarantine, Register: deps.Register, Catalog: deps.Catalog,
+		Store: deps.Store, Self: deps.Self, Sender: deps.Transport, Events: quarantineEvents{deps.Log, deps.Metrics},
 	})
 }
 
-// quarantineJournal tells the decision log of requests that end leafs.
-type quarantineJournal struct {
+// quarantineEvents tells the decision log of requests that end leafs.
+type quarantineEvents struct {
 	log     *decisionlog.Log
 	metrics *telemetry.Metrics
 }
 
-var _ quarantinesync.Journal = quarantineJournal{}
+var _ quarantinesync.EventLog = quarantineEvents{}
 
 // Names of events of the quarantine.
 const (
@@ -86,7 +86,7 @@
 	Error    string `json:"error,omitempty"`
 }
 
-func (j quarantineJournal) write(name string, record quarantine.Record, from string, err error) {
+func (j quarantineEvents) write(name string, record quarantine.Record, from string, err error) {
 	event := quarantineEvent{
 		Time: time.Now(), Event: name, Content: record.Content, Path: record.Path, Caller: record.Caller,
 		Leafs: record.Leafs, Trials: record.Trials, By: record.By, From: from,
@@ -97,28 +97,28 @@
 	j.log.Write(decisionlog.Failed, event)
 }
 
-// Quarantined implements quarantinesync.Journal.
-func (j quarantineJournal) Quarantined(record quarantine.Record, from string) {
+// Quarantined implements quarantinesync.EventLog.
+func (j quarantineEvents) Quarantined(record quarantine.Record, from string) {
 	j.metrics.Quarantined.Inc()
 	j.write(eventQuarantined, record, from, nil)
 }
 
-// Saved implements quarantinesync.Journal.
-func (j quarantineJournal) Saved(record quarantine.Record, err error) {
+// Saved implements quarantinesync.EventLog.
+func (j quarantineEvents) Saved(record quarantine.Record, err error) {
 	j.write(eventQuarantineSaved, record, "", err)
 }
 
-// Trial implements quarantinesync.Journal.
-func (j quarantineJournal) Trial(record quarantine.Record, err error) {
+// Trial implements quarantinesync.EventLog.
+func (j quarantineEvents) Trial(record quarantine.Record, err error) {
 	j.write(eventQuarantineTrial, record, "", err)
 }
 
-// Lifted implements quarantinesync.Journal.
-func (j quarantineJournal) Lifted(content fingerprint.Fingerprint) {
+// Lifted implements quarantinesync.EventLog.
+func (j quarantineEvents) Lifted(content fingerprint.Fingerprint) {
 	j.log.Write(decisionlog.Failed, quarantineEvent{Time: time.Now(), Event: eventQuarantineLifted, Content: content})
 }
 
-// Dropped implements quarantinesync.Journal.
-func (j quarantineJournal) Dropped(findings int) {
+// Dropped implements quarantinesync.EventLog.
+func (j quarantineEvents) Dropped(findings int) {
 	j.log.Write(decisionlog.Failed, quarantineEvent{Time: time.Now(), Event: eventQuarantineDropped, Findings: findings})
 }
--- a/internal/node/journal.go
+++ b/internal/node/request_events.go
@@ -15,8 +15,8 @@
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
-// requestJournal tells the decision log and the metrics of requests.
-type requestJournal struct {
+// requestEvents tells the decision log and the metrics of requests.
+type requestEvents struct {
 	log     *decisionlog.Log
 	metrics *telemetry.Metrics
 	// attempts are the counters of attempts by kind.
@@ -25,15 +25,15 @@
 	everyAttempt bool
 }
 
-func newRequestJournal(log *decisionlog.Log, metrics *telemetry.Metrics, everyAttempt bool) *requestJournal {
+func newRequestEvents(log *decisionlog.Log, metrics *telemetry.Metrics, everyAttempt bool) *requestEvents {
 	attempts := map[scatter.Kind]prometheus.Counter{}
 	for _, kind := range []scatter.Kind{scatter.First, scatter.Hedge, scatter.Retry} {
 		attempts[kind] = metrics.FrontAttempts.WithLabelValues(string(kind))
 	}
-	return &requestJournal{log: log, metrics: metrics, attempts: attempts, everyAttempt: everyAttempt}
+	return &requestEvents{log: log, metrics: metrics, attempts: attempts, everyAttempt: everyAttempt}
 }
 
-var _ gateway.Journal = (*requestJournal)(nil)
+var _ gateway.EventLog = (*requestEvents)(nil)
 
 // Names of events in the decision log.
 const (
@@ -122,8 +122,8 @@
 	Abandoned  bool           `json:"abandoned,omitempty"`
 }
 
-// Refused implements gateway.Journal.
-func (j *requestJournal) Refused(request *gateway.Request, err error) {
+// Refused implements gateway.EventLog.
+func (j *requestEvents) Refused(request *gateway.Request, err error) {
 	failed := failure.From(err)
 	j.metrics.FrontRequests.WithLabelValues(noRoute, string(failed.Code)).Inc()
 	j.log.Write(decisionlog.Failed, refusedEvent{
@@ -131,14 +131,14 @@
 	})
 }
 
-// Attempted implements gateway.Journal.
-func (j *requestJournal) Attempted(_ string, kind scatter.Kind) {
+// Attempted implements gateway.EventLog.
+func (j *requestEvents) Attempted(_ string, kind scatter.Kind) {
 	j.attempts[kind].Inc()
 }
 
-// AttemptEnded implements gateway.Journal. Attempts that went as usual are logged only where the
+// AttemptEnded implements gateway.EventLog. Attempts that went as usual are logged only where the
 // settings ask for it.
-func (j *requestJournal) AttemptEnded(record gateway.AttemptRecord) {
+func (j *requestEvents) AttemptEnded(record gateway.AttemptRecord) {
 	event := eventAttemptEnded
 	if !record.Succeeded && !record.Abandoned {
 		event = eventAttemptFailed
@@ -154,8 +154,8 @@
 	})
 }
 
-// Served implements gateway.Journal.
-func (j *requestJournal) Served(record gateway.RequestRecord) {
+// Served implements gateway.EventLog.
+func (j *requestEvents) Served(record gateway.RequestRecord) {
 	event := requestEvent{
 		Time: time.Now(), Event: eventServed, RequestID: record.RequestID, Route: record.Route, Version: record.Version,
 		Revision: record.Revision, ConfigAgeMillis: record.ConfigAge.Milliseconds(), TookMillis: millis(record.Took),
@@ -200,8 +200,8 @@
 	}
 }
 
-// Passed implements gateway.Journal. Groups that were answered are told of with their request.
-func (j *requestJournal) Passed(record gateway.GroupRecord) {
+// Passed implements gateway.EventLog. Groups that were answered are told of with their request.
+func (j *requestEvents) Passed(record gateway.GroupRecord) {
 	j.metrics.TreePassed.WithLabelValues(string(record.Outcome)).Inc()
 	j.metrics.TreeLatency.Observe(record.Took.Seconds())
 	if record.Outcome == gateway.GroupAnswered || record.Outcome == gateway.GroupCancelled {
@@ -222,9 +222,9 @@
 	Announced bool                    `json:"announced,omitempty"`
 }
 
-// LeafLost implements gateway.Journal. It is told like a failure: in a burst of failures the attempts that never
+// LeafLost implements gateway.EventLog. It is told like a failure: in a burst of failures the attempts that never
 // reached a leaf are so many that those which ended one were left out, 3,000 to 4,400 lines in 5 s at a node.
-func (j *requestJournal) LeafLost(record gateway.LossRecord) {
+func (j *requestEvents) LeafLost(record gateway.LossRecord) {
 	j.metrics.LeafsLost.WithLabelValues(strconv.FormatBool(record.Ended)).Inc()
 	j.log.Write(decisionlog.Failed, lossEvent{
 		Time: time.Now(), Event: eventLeafLost, RequestID: record.RequestID, Content: record.Content, Service: record.Service,
--- a/internal/node/rollout_journal.go
+++ b/internal/node/rollout_events.go
@@ -8,10 +8,10 @@
 	"github.com/portgauge/portgauge/internal/rollout/rolloutcontrol"
 )
 
-// rolloutJournal tells the decision log of roll-outs.
-type rolloutJournal struct{ log *decisionlog.Log }
+// rolloutEvents tells the decision log of roll-outs.
+type rolloutEvents struct{ log *decisionlog.Log }
 
-var _ rolloutcontrol.Journal = rolloutJournal{}
+var _ rolloutcontrol.EventLog = rolloutEvents{}
 
 // Names of events of roll-outs.
 const (
@@ -78,21 +78,21 @@
 	Error    string    `json:"error,omitempty"`
 }
 
-// OrderSeen implements rolloutcontrol.Journal.
-func (j rolloutJournal) OrderSeen(record rolloutcontrol.OrderRecord) {
+// OrderSeen implements rolloutcontrol.EventLog.
+func (j rolloutEvents) OrderSeen(record rolloutcontrol.OrderRecord) {
 	j.log.Write(decisionlog.Failed, orderEvent{
 		Time: time.Now(), Event: eventOrderSeen, Service: record.Order.Service, Order: record.Order.ID(),
 		Target: record.Order.Target, DurationMillis: record.Order.DurationMillis, Rank: record.Rank,
 	})
 }
 
-// PhaseLearned implements rolloutcontrol.Journal.
-func (j rolloutJournal) PhaseLearned(state rollout.State) {
+// PhaseLearned implements rolloutcontrol.EventLog.
+func (j rolloutEvents) PhaseLearned(state rollout.State) {
 	j.log.Write(decisionlog.Failed, newPhaseEvent(eventPhaseLearned, state))
 }
 
-// PhaseWritten implements rolloutcontrol.Journal.
-func (j rolloutJournal) PhaseWritten(record rolloutcontrol.PhaseRecord) {
+// PhaseWritten implements rolloutcontrol.EventLog.
+func (j rolloutEvents) PhaseWritten(record rolloutcontrol.PhaseRecord) {
 	event := newPhaseEvent(eventPhaseWritten, record.State)
 	if record.Err != nil {
 		event.Event, event.Error = eventPhaseNotWritten, record.Err.Error()
@@ -108,8 +108,8 @@
 	}
 }
 
-// Held implements rolloutcontrol.Journal.
-func (j rolloutJournal) Held(record rolloutcontrol.HoldRecord) {
+// Held implements rolloutcontrol.EventLog.
+func (j rolloutEvents) Held(record rolloutcontrol.HoldRecord) {
 	event := holdEvent{
 		Time: time.Now(), Event: eventHoldSent, Service: record.Service, Order: record.Order, Reason: record.Reason,
 		Nodes: record.Nodes, From: record.From,
@@ -120,15 +120,15 @@
 	j.log.Write(decisionlog.Failed, event)
 }
 
-// RowsDropped implements rolloutcontrol.Journal.
-func (j rolloutJournal) RowsDropped(record rolloutcontrol.DroppedRecord) {
+// RowsDropped implements rolloutcontrol.EventLog.
+func (j rolloutEvents) RowsDropped(record rolloutcontrol.DroppedRecord) {
 	j.log.Write(decisionlog.Ordinary, rowsDroppedEvent{
 		Time: time.Now(), Event: eventRowsDropped, From: record.From, Rows: record.Rows, Error: textOf(record.Err),
 	})
 }
 
-// VersionsWritten implements rolloutcontrol.Journal.
-func (j rolloutJournal) VersionsWritten(record rolloutcontrol.VersionsRecord) {
+// VersionsWritten implements rolloutcontrol.EventLog.
+func (j rolloutEvents) VersionsWritten(record rolloutcontrol.VersionsRecord) {
 	j.log.Write(decisionlog.Failed, versionsEvent{
 		Time: time.Now(), Event: eventVersionsWritten, Services: record.Services, Error: textOf(record.Err),
 	})
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -22,22 +22,22 @@
 	"github.com/portgauge/portgauge/internal/rollout/verdict"
 )
 
-// rolloutParts are what carries roll-outs out at a node is made from.
-type rolloutParts struct {
+// rolloutDeps are what carries roll-outs out at a node is made from.
+type rolloutDeps struct {
 	fx.In
 
-	Config    settings.Settings
-	Catalog   *catalog.Catalog
-	Self      catalog.NodeRecord
-	Counts    *evidence.Collector
-	Splitter  *canary.Splitter
-	Store     store.Store
-	Guarded   store.Guarded `optional:"true"`
-	Syncer    *configsync.Syncer
-	Transport *peer.SocketTransport
-	Beliefs   *beliefJournal
-	Metrics   *telemetry.Metrics
-	Clock     boottime.Clock
+	Config      settings.Settings
+	Catalog     *catalog.Catalog
+	Self        catalog.NodeRecord
+	Counts      *evidence.Collector
+	Splitter    *canary.Splitter
+	Store       store.Store
+	Guarded     store.Guarded `optional:"true"`
+	Syncer      *configsync.Syncer
+	Transport   *peer.SocketTransport
+	StateEvents *stateEvents
+	Metrics     *telemetry.Metrics
+	Clock       boottime.Clock
 }
 
 // rollouts carry roll-outs out at a node; without a controller they are off.
@@ -47,27 +47,27 @@
 }
 
 // newRollouts makes what the settings ask for. The store must take writes under conditions.
-func newRollouts(parts rolloutParts) (*rollouts, error) {
-	cfg := parts.Config.Rollouts
+func newRollouts(deps rolloutDeps) (*rollouts, error) {
+	cfg := deps.Config.Rollouts
 	if !cfg.Enabled {
 		return &rollouts{}, nil
 	}
-	if parts.Guarded == nil {
-		return nil, failure.Invalid("rollouts.enabled", "the store of dialect %q takes no writes under conditions", parts.Config.Platform.Dialect)
+	if deps.Guarded == nil {
+		return nil, failure.Invalid("rollouts.enabled", "the store of dialect %q takes no writes under conditions", deps.Config.Platform.Dialect)
 	}
-	journal := rolloutJournal{log: parts.Beliefs.log}
-	controller := rolloutcontrol.New(rolloutcontrol.Parts{
-		Config: cfg, Catalog: parts.Catalog, Self: parts.Self, Counts: parts.Counts, Splitter: parts.Splitter,
-		Judging: judging(parts.Config.RolloutVerdict),
-		States:  rolloutcontrol.GuardedStates{Store: parts.Store, Guarded: parts.Guarded, RetryPause: cfg.RetryPause},
-		Fleet:   fleetStatus{parts.Syncer}, Sender: parts.Transport, Journal: journal, Clock: parts.Clock,
+	events := rolloutEvents{log: deps.StateEvents.log}
+	controller := rolloutcontrol.New(rolloutcontrol.Deps{
+		Config: cfg, Catalog: deps.Catalog, Self: deps.Self, Counts: deps.Counts, Splitter: deps.Splitter,
+		Judging: judging(deps.Config.RolloutVerdict),
+		States:  rolloutcontrol.GuardedStates{Store: deps.Store, Guarded: deps.Guarded, RetryPause: cfg.RetryPause},
+		Fleet:   fleetStatus{deps.Syncer}, Sender: deps.Transport, Events: events, Clock: deps.Clock,
 	})
-	if err := parts.Metrics.RegisterRollouts(controller.Standings); err != nil {
+	if err := deps.Metrics.RegisterRollouts(controller.Standings); err != nil {
 		return nil, err
 	}
 	return &rollouts{
 		controller: controller,
-		versions:   rolloutcontrol.NewVersionsWriter(cfg, parts.Catalog, parts.Store, parts.Self.ID, journal),
+		versions:   rolloutcontrol.NewVersionsWriter(cfg, deps.Catalog, deps.Store, deps.Self.ID, events),
 	}, nil
 }
 
--- a/internal/node/rollouts_test.go
+++ b/internal/node/rollouts_test.go
@@ -12,7 +12,7 @@
 // Roll-outs that are off have no part in what nodes tell each other.
 func TestRolloutsThatAreOffHearNothing(t *testing.T) {
 	is := is.New(t)
-	off, err := newRollouts(rolloutParts{Config: settings.Default()})
+	off, err := newRollouts(rolloutDeps{Config: settings.Default()})
 	is.NoErr(err)
 	is.True(off.hearer() == nil)
 	off.run(t.Context()) // ends at once
@@ -23,7 +23,7 @@
 	is := is.New(t)
 	config := settings.Default()
 	config.Rollouts.Enabled = true
-	_, err := newRollouts(rolloutParts{Config: config})
+	_, err := newRollouts(rolloutDeps{Config: config})
 	faults := failure.Faults(err)
 	is.Equal(len(faults), 1)
 	is.Equal(faults[0].Field, "rollouts.enabled")
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -54,70 +54,70 @@
 	})
 }
 
-// controlParts are what runs beside requests.
-type controlParts struct {
+// controlDeps are what runs beside requests.
+type controlDeps struct {
 	fx.In
 
-	Config     settings.Settings
-	Transport  *peer.SocketTransport
-	Syncer     *configsync.Syncer
-	Members    *membership.Membership
-	Engine     *search.Engine
-	Keeper     *leafKeeper
-	Writer     *leafmemory.Writer
-	Gossip     *leafgossip.Gossip
-	Beliefs    *beliefJournal
-	Reach      *reachability.Datagrams
-	Zones      *reachability.Tracker
-	Rollouts   *rollouts
-	Self       catalog.NodeRecord
-	Catalog    *catalog.Catalog
-	Lessor     store.Lessor `optional:"true"`
-	Logger     *zap.Logger
-	Quarantine *quarantinesync.Sync
-	Rewriter   *rewriter.Writer
-	Clock      boottime.Clock
-	Gateway    *gateway.Gateway
-	Leafs      *leafhttp.Pool
+	Config      settings.Settings
+	Transport   *peer.SocketTransport
+	Syncer      *configsync.Syncer
+	Members     *membership.Membership
+	Engine      *search.Engine
+	Keeper      *leafKeeper
+	Writer      *leafmemory.Writer
+	Gossip      *leafgossip.Gossip
+	StateEvents *stateEvents
+	Reach       *reachability.Datagrams
+	Zones       *reachability.Tracker
+	Rollouts    *rollouts
+	Self        catalog.NodeRecord
+	Catalog     *catalog.Catalog
+	Lessor      store.Lessor `optional:"true"`
+	Logger      *zap.Logger
+	Quarantine  *quarantinesync.Sync
+	Rewriter    *rewriter.Writer
+	Clock       boottime.Clock
+	Gateway     *gateway.Gateway
+	Leafs       *leafhttp.Pool
 }
 
 // runControl runs membership and configuration from start to the end of the stop.
-func runControl(lifecycle fx.Lifecycle, parts controlParts) {
+func runControl(lifecycle fx.Lifecycle, deps controlDeps) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	lifecycle.Append(fx.Hook{
 		OnStart: func(context.Context) error {
-			parts.Transport.Serve(configsync.NewPeerHandler(parts.Syncer, configsync.Hearers{
-				Leafs: parts.Gossip.Heard, Reach: parts.Reach.Heard, Rollouts: parts.Rollouts.hearer(),
-				Quarantine: parts.Quarantine.Heard,
+			deps.Transport.Serve(configsync.NewPeerHandler(deps.Syncer, configsync.Hearers{
+				Leafs: deps.Gossip.Heard, Reach: deps.Reach.Heard, Rollouts: deps.Rollouts.hearer(),
+				Quarantine: deps.Quarantine.Heard,
 			}))
-			go parts.Zones.Run(ctx)
-			go parts.Syncer.Run(ctx)
-			go parts.Members.Run(ctx)
-			go parts.Keeper.run(ctx)
-			go parts.Writer.Run(ctx)
-			go parts.Gossip.Run(ctx)
-			go parts.Beliefs.run(ctx)
-			running.Go(func() { parts.Rollouts.run(ctx) })
-			running.Go(func() { parts.Quarantine.Run(ctx) })
-			running.Go(func() { parts.Rewriter.Run(ctx) })
-			wakers := []func(time.Duration){parts.Gateway.Woke, parts.Leafs.Woke, func(time.Duration) { parts.Syncer.Woke() }}
-			if parts.Lessor != nil {
-				record := registry.New(parts.Config.Registry, parts.Lessor, parts.Self, parts.Logger)
-				record.ResumeFrom(parts.Catalog, parts.Syncer.Ready())
+			go deps.Zones.Run(ctx)
+			go deps.Syncer.Run(ctx)
+			go deps.Members.Run(ctx)
+			go deps.Keeper.run(ctx)
+			go deps.Writer.Run(ctx)
+			go deps.Gossip.Run(ctx)
+			go deps.StateEvents.run(ctx)
+			running.Go(func() { deps.Rollouts.run(ctx) })
+			running.Go(func() { deps.Quarantine.Run(ctx) })
+			running.Go(func() { deps.Rewriter.Run(ctx) })
+			wakers := []func(time.Duration){deps.Gateway.Woke, deps.Leafs.Woke, func(time.Duration) { deps.Syncer.Woke() }}
+			if deps.Lessor != nil {
+				record := registry.New(deps.Config.Registry, deps.Lessor, deps.Self, deps.Logger)
+				record.ResumeFrom(deps.Catalog, deps.Syncer.Ready())
 				running.Go(func() { record.Run(ctx) })
 				wakers = append(wakers, func(time.Duration) { record.Woke() })
 			}
-			go boottime.Watch(ctx, parts.Clock, func(slept time.Duration) {
-				parts.Logger.Warn("the machine was suspended", zap.Duration("slept", slept))
+			go boottime.Watch(ctx, deps.Clock, func(slept time.Duration) {
+				deps.Logger.Warn("the machine was suspended", zap.Duration("slept", slept))
 				for _, wake := range wakers {
 					wake(slept)
 				}
 			})
 			go func() {
 				select {
-				case <-parts.Syncer.Ready():
-					parts.Engine.SetReady()
+				case <-deps.Syncer.Ready():
+					deps.Engine.SetReady()
 				case <-ctx.Done():
 				}
 			}()
@@ -126,21 +126,21 @@
 		OnStop: func(context.Context) error {
 			cancel()
 			running.Wait()
-			return parts.Transport.Close()
+			return deps.Transport.Close()
 		},
 	})
 }
 
-func runOperators(lifecycle fx.Lifecycle, config settings.Settings, self catalog.NodeRecord, parts operatorParts) {
-	handler := api.NewOperatorHandler(api.OperatorParts{
-		Admin: parts.Admin, Catalog: parts.Catalog, Syncer: parts.Syncer, Engine: parts.Engine,
-		Metrics: parts.Metrics, Level: parts.Level, NodeID: self.ID,
+func runOperators(lifecycle fx.Lifecycle, config settings.Settings, self catalog.NodeRecord, deps operatorDeps) {
+	handler := api.NewOperatorHandler(api.OperatorDeps{
+		Admin: deps.Admin, Catalog: deps.Catalog, Syncer: deps.Syncer, Engine: deps.Engine,
+		Metrics: deps.Metrics, Level: deps.Level, NodeID: self.ID,
 	})
-	serve(lifecycle, config.Listen.Operators, api.NewServer(handler), parts.Logger)
+	serve(lifecycle, config.Listen.Operators, api.NewServer(handler), deps.Logger)
 }
 
-// servingParts are what serves requests.
-type servingParts struct {
+// servingDeps are what serves requests.
+type servingDeps struct {
 	fx.In
 
 	Config  settings.Settings
@@ -155,11 +155,11 @@
 
 // runServing serves searches and the front, and stops both together: requests that run are
 // waited for in both at once.
-func runServing(lifecycle fx.Lifecycle, parts servingParts) {
-	config, logger := parts.Config, parts.Logger
-	serve(lifecycle, config.Listen.Callers, api.NewServer(api.NewCallerHandler(api.CallerParts{Engine: parts.Engine})), logger)
+func runServing(lifecycle fx.Lifecycle, deps servingDeps) {
+	config, logger := deps.Config, deps.Logger
+	serve(lifecycle, config.Listen.Callers, api.NewServer(api.NewCallerHandler(api.CallerDeps{Engine: deps.Engine})), logger)
 	if config.Listen.Ready != "" {
-		serve(lifecycle, config.Listen.Ready, api.NewServer(parts.Front.ReadinessHandler()), logger)
+		serve(lifecycle, config.Listen.Ready, api.NewServer(deps.Front.ReadinessHandler()), logger)
 	}
 	warming, stopWarming := context.WithCancel(context.Background())
 	lifecycle.Append(fx.Hook{
@@ -169,7 +169,7 @@
 				if err != nil {
 					return err
 				}
-				go parts.Tree.Serve(listener)
+				go deps.Tree.Serve(listener)
 			}
 			if config.Listen.Front == "" {
 				return nil
@@ -179,23 +179,23 @@
 				return err
 			}
 			go func() {
-				awaitRoutes(parts.Syncer.Ready())
-				go parts.Gateway.KeepWarm(warming)
-				parts.Front.Serve(listener)
+				awaitRoutes(deps.Syncer.Ready())
+				go deps.Gateway.KeepWarm(warming)
+				deps.Front.Serve(listener)
 			}()
 			return nil
 		},
 		OnStop: func(ctx context.Context) error {
 			stopWarming()
-			parts.Members.Leave()
-			parts.Tree.Announce()
-			parts.Engine.Announce()
-			parts.Front.Announce()
+			deps.Members.Leave()
+			deps.Tree.Announce()
+			deps.Engine.Announce()
+			deps.Front.Announce()
 			logger.Info("stopping: announced")
 			if !wait.For(ctx, config.Stop.AnnounceDelay) {
 				return ctx.Err()
 			}
-			drain(ctx, parts)
+			drain(ctx, deps)
 			return nil
 		},
 	})
@@ -214,21 +214,21 @@
 }
 
 // drain waits for what runs, within the time that the settings allow.
-func drain(ctx context.Context, parts servingParts) {
-	ctx, cancel := context.WithTimeout(ctx, parts.Config.Stop.DrainTimeout)
+func drain(ctx context.Context, deps servingDeps) {
+	ctx, cancel := context.WithTimeout(ctx, deps.Config.Stop.DrainTimeout)
 	defer cancel()
 	var draining sync.WaitGroup
 	draining.Go(func() {
-		err := parts.Engine.Drain(ctx)
-		parts.Logger.Info("stopping: searches drained", zap.Error(err))
+		err := deps.Engine.Drain(ctx)
+		deps.Logger.Info("stopping: searches drained", zap.Error(err))
 	})
 	draining.Go(func() {
-		err := parts.Front.Shutdown(ctx)
-		parts.Logger.Info("stopping: front drained", zap.Error(err))
+		err := deps.Front.Shutdown(ctx)
+		deps.Logger.Info("stopping: front drained", zap.Error(err))
 	})
 	draining.Go(func() {
-		err := parts.Tree.Shutdown(ctx)
-		parts.Logger.Info("stopping: requests of other nodes drained", zap.Error(err))
+		err := deps.Tree.Shutdown(ctx)
+		deps.Logger.Info("stopping: requests of other nodes drained", zap.Error(err))
 	})
 	draining.Wait()
 }
--- a/internal/node/beliefs.go
+++ b/internal/node/state_events.go
@@ -12,8 +12,8 @@
 	"github.com/portgauge/portgauge/internal/node/decisionlog"
 )
 
-// beliefJournal tells the decision log of what changes what the node believes.
-type beliefJournal struct {
+// stateEvents tells the decision log of changes of the state that the node acts on.
+type stateEvents struct {
 	log     *decisionlog.Log
 	catalog *catalog.Catalog
 }
@@ -126,7 +126,7 @@
 const changeBacklog = 128
 
 // run logs each change that is put into force until the context ends.
-func (j *beliefJournal) run(ctx context.Context) {
+func (j *stateEvents) run(ctx context.Context) {
 	changes, stop := j.catalog.Subscribe(changeBacklog)
 	defer stop()
 	for {
@@ -154,7 +154,7 @@
 
 // changed logs the leafs among some changed entries in one line, the nodes in another, and the other entries
 // one by one.
-func (j *beliefJournal) changed(entries []catalog.Entry) {
+func (j *stateEvents) changed(entries []catalog.Entry) {
 	view := j.catalog.View()
 	var leafs, nodes []string
 	for _, entry := range entries {
@@ -178,7 +178,7 @@
 	}
 }
 
-func (j *beliefJournal) leafsChanged(view *catalog.View, ids []string) {
+func (j *stateEvents) leafsChanged(view *catalog.View, ids []string) {
 	event := leafsEvent{Time: time.Now(), Event: eventLeafsChanged, Revision: view.Revision, Evacuated: view.Leafs.EvacuatedZones()}
 	for _, id := range ids {
 		state := leafset.State("")
@@ -191,7 +191,7 @@
 	j.log.Write(decisionlog.Failed, event)
 }
 
-func (j *beliefJournal) nodesChanged(view *catalog.View, ids []string) {
+func (j *stateEvents) nodesChanged(view *catalog.View, ids []string) {
 	event := nodesEvent{Time: time.Now(), Event: eventNodesChanged, Revision: view.Revision}
 	for _, id := range ids {
 		_, registered := view.Nodes[id]
@@ -200,7 +200,7 @@
 	j.log.Write(decisionlog.Failed, event)
 }
 
-func (j *beliefJournal) entryChanged(entry catalog.Entry) {
+func (j *stateEvents) entryChanged(entry catalog.Entry) {
 	event := entryEvent{Time: time.Now(), Event: eventEntryChanged, Key: entry.Key, Revision: entry.Revision, Gone: entry.Deleted}
 	view := j.catalog.View()
 	if entry.Key == catalog.RoutesKey && view.Routes != nil {
@@ -210,7 +210,7 @@
 }
 
 // leafEjected logs that a leaf gets no new work for its failures, or does again.
-func (j *beliefJournal) leafEjected(leafID string, ejected bool) {
+func (j *stateEvents) leafEjected(leafID string, ejected bool) {
 	event := leafEvent{Time: time.Now(), Event: eventLeafReturned, Leaf: leafID, Revision: j.catalog.Revision()}
 	if ejected {
 		event.Event = eventLeafEjected
@@ -219,7 +219,7 @@
 }
 
 // leafJudged logs that a leaf is held for slow, silent or well again.
-func (j *beliefJournal) leafJudged(belief balancer.Belief) {
+func (j *stateEvents) leafJudged(belief balancer.Belief) {
 	j.log.Write(decisionlog.Ordinary, judgedEvent{
 		Time: time.Now(), Event: eventLeafJudged, Leaf: belief.LeafID, Condition: belief.Condition,
 		Slowness: belief.Slowness, SilenceMillis: belief.Silence.Milliseconds(), Told: belief.Told,
@@ -227,7 +227,7 @@
 }
 
 // zoneChanged logs that the node lost a zone, or reaches it again.
-func (j *beliefJournal) zoneChanged(change reachability.Change) {
+func (j *stateEvents) zoneChanged(change reachability.Change) {
 	event := zoneEvent{Time: time.Now(), Event: eventZoneFound, Zone: change.Zone}
 	if change.Lost {
 		event.Event = eventZoneLost
--- a/internal/node/store_journal.go
+++ b/internal/node/store_events.go
@@ -44,8 +44,8 @@
 	Revision int64 `json:"revision"`
 }
 
-// storeJournal tells metrics and the decision log of the store's answers.
-type storeJournal struct {
+// storeEvents tells metrics and the decision log of the store's answers.
+type storeEvents struct {
 	metrics *telemetry.Metrics
 	log     *decisionlog.Log
 
@@ -53,14 +53,14 @@
 	place *storePlace // nil before the first answer
 }
 
-var _ rewriter.Journal = (*storeJournal)(nil)
+var _ rewriter.EventLog = (*storeEvents)(nil)
 
-func newStoreJournal(metrics *telemetry.Metrics, log *decisionlog.Log) *storeJournal {
-	return &storeJournal{metrics: metrics, log: log}
+func newStoreEvents(metrics *telemetry.Metrics, log *decisionlog.Log) *storeEvents {
+	return &storeEvents{metrics: metrics, log: log}
 }
 
 // called notes a call of the store.
-func (j *storeJournal) called(answer store.Answer) {
+func (j *storeEvents) called(answer store.Answer) {
 	j.metrics.StoreCalls.WithLabelValues(answer.Call, statusLabel(answer.Status)).Inc()
 	if answer.Status == 0 {
 		return
@@ -78,8 +78,8 @@
 	}
 }
 
-// Rewritten implements rewriter.Journal.
-func (j *storeJournal) Rewritten(key string, err error) {
+// Rewritten implements rewriter.EventLog.
+func (j *storeEvents) Rewritten(key string, err error) {
 	event := rewrittenEvent{Time: time.Now(), Event: eventEntryRewritten, Key: key}
 	if err != nil {
 		event.Error = err.Error()
@@ -88,7 +88,7 @@
 }
 
 // tellEpoch logs an answer of another epoch than the one before. The lock must be held.
-func (j *storeJournal) tellEpoch(answer store.Answer) {
+func (j *storeEvents) tellEpoch(answer store.Answer) {
 	event := eventStoreFound
 	if j.place != nil {
 		event = eventStoreRestored
--- a/internal/node/store_journal_test.go
+++ b/internal/node/store_events_test.go
@@ -19,7 +19,7 @@
 	var output bytes.Buffer
 	metrics := telemetry.NewMetrics()
 	log := decisionlog.New(decisionlog.DefaultConfig(), &output, func() {})
-	journal := newStoreJournal(metrics, log)
+	events := newStoreEvents(metrics, log)
 	for _, answer := range []store.Answer{
 		{Call: "kv-range", Status: 200, Epoch: 1, Revision: 40},
 		{Call: "kv-watch", Status: 200, Epoch: 1, Revision: 65},
@@ -28,7 +28,7 @@
 		{Call: "kv-watch", Status: 410, Epoch: 2},
 		{Call: "kv-range", Status: 200, Epoch: 2, Revision: 62},
 	} {
-		journal.called(answer)
+		events.called(answer)
 	}
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
--- a/internal/operator/api/api_test.go
+++ b/internal/operator/api/api_test.go
@@ -59,7 +59,7 @@
 	apply(t, known, catalog.SnapshotKey("s"), &adminv1.SnapshotManifest{Service: "s", SnapshotId: "v1", Shards: []*adminv1.Shard{
 		{Id: "1", KeyTo: "m", LeafIds: []string{"l"}}, {Id: "2", KeyFrom: "m", LeafIds: []string{"l"}},
 	}})
-	engine := search.New(search.Parts{
+	engine := search.New(search.Deps{
 		Config: search.DefaultConfig(), Hedging: hedging.DefaultConfig(), Catalog: known, Balancer: balancer.New(balancer.DefaultConfig(), "z"),
 		Leafs: threeRows{}, Metrics: telemetry.NewMetrics(), Logger: zap.NewNop(),
 	})
@@ -70,7 +70,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := NewServer(NewCallerHandler(CallerParts{Engine: engine}))
+	server := NewServer(NewCallerHandler(CallerDeps{Engine: engine}))
 	go Serve(server, listener, zap.NewNop())
 	t.Cleanup(func() {
 		if err := server.Close(); err != nil {
--- a/internal/operator/api/server.go
+++ b/internal/operator/api/server.go
@@ -35,22 +35,22 @@
 	idleTimeout        = 2 * time.Minute
 )
 
-// CallerParts are what the callers' server is built from.
-type CallerParts struct {
+// CallerDeps are what the callers' server is built from.
+type CallerDeps struct {
 	Engine *search.Engine
 }
 
 // NewCallerHandler serves SearchService, health checks and reflection.
-func NewCallerHandler(parts CallerParts) http.Handler {
+func NewCallerHandler(deps CallerDeps) http.Handler {
 	router := newRouter()
-	mount(router)(searchv1connect.NewSearchServiceHandler(&searchHandler{engine: parts.Engine}, connect.WithReadMaxBytes(maximumSearchBytes)))
-	mountStandard(router, parts.Engine, searchv1connect.SearchServiceName)
-	mountHealth(router, parts.Engine)
+	mount(router)(searchv1connect.NewSearchServiceHandler(&searchHandler{engine: deps.Engine}, connect.WithReadMaxBytes(maximumSearchBytes)))
+	mountStandard(router, deps.Engine, searchv1connect.SearchServiceName)
+	mountHealth(router, deps.Engine)
 	return router
 }
 
-// OperatorParts are what the operators' server is built from.
-type OperatorParts struct {
+// OperatorDeps are what the operators' server is built from.
+type OperatorDeps struct {
 	Admin   *admin.Admin
 	Catalog *catalog.Catalog
 	Syncer  *configsync.Syncer
@@ -61,16 +61,16 @@
 }
 
 // NewOperatorHandler serves AdminService, metrics, the log level, profiles and health.
-func NewOperatorHandler(parts OperatorParts) http.Handler {
+func NewOperatorHandler(deps OperatorDeps) http.Handler {
 	router := newRouter()
-	handler := &adminHandler{admin: parts.Admin, catalog: parts.Catalog, syncer: parts.Syncer, engine: parts.Engine, nodeID: parts.NodeID}
+	handler := &adminHandler{admin: deps.Admin, catalog: deps.Catalog, syncer: deps.Syncer, engine: deps.Engine, nodeID: deps.NodeID}
 	mount(router)(adminv1connect.NewAdminServiceHandler(handler, connect.WithReadMaxBytes(maximumAdminBytes)))
-	mountStandard(router, parts.Engine, adminv1connect.AdminServiceName)
-	mountHealth(router, parts.Engine)
-	router.GET("/metrics", gin.WrapH(promhttp.HandlerFor(parts.Metrics.Registry, promhttp.HandlerOpts{})))
-	router.GET("/metrics/brief", gin.WrapH(promhttp.HandlerFor(telemetry.Brief{Whole: parts.Metrics.Registry}, promhttp.HandlerOpts{})))
-	router.GET("/loglevel", gin.WrapH(parts.Level))
-	router.PUT("/loglevel", gin.WrapH(parts.Level))
+	mountStandard(router, deps.Engine, adminv1connect.AdminServiceName)
+	mountHealth(router, deps.Engine)
+	router.GET("/metrics", gin.WrapH(promhttp.HandlerFor(deps.Metrics.Registry, promhttp.HandlerOpts{})))
+	router.GET("/metrics/brief", gin.WrapH(promhttp.HandlerFor(telemetry.Brief{Whole: deps.Metrics.Registry}, promhttp.HandlerOpts{})))
+	router.GET("/loglevel", gin.WrapH(deps.Level))
+	router.PUT("/loglevel", gin.WrapH(deps.Level))
 	mountProfiles(router)
 	return router
 }
--- a/internal/quarantine/quarantinesync/save.go
+++ b/internal/quarantine/quarantinesync/save.go
@@ -19,13 +19,13 @@
 
 // saveAll writes the records that the store does not have and that are this node's to write, and tells of its own again.
 func (s *Sync) saveAll(ctx context.Context) {
-	unsaved := s.parts.Register.Unsaved()
+	unsaved := s.deps.Register.Unsaved()
 	s.forget(unsaved)
 	for _, record := range unsaved {
 		if !s.isMine(record) {
 			continue
 		}
-		if record.By == s.parts.Self.ID && s.isTellDue(record.Content) {
+		if record.By == s.deps.Self.ID && s.isTellDue(record.Content) {
 			s.tellAll(record)
 		}
 		s.save(ctx, record)
@@ -51,7 +51,7 @@
 
 // isTellDue reports whether all nodes are to be told of a record again.
 func (s *Sync) isTellDue(content fingerprint.Fingerprint) bool {
-	bytes := len(s.parts.Catalog.View().Nodes) * peer.MaximumDatagram
+	bytes := len(s.deps.Catalog.View().Nodes) * peer.MaximumDatagram
 	pause := time.Duration(bytes) * time.Second / tellBytesPerSecond
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,17 +64,17 @@
 
 // isMine reports whether this node writes a record now: it found it, or who did has not had it written for a while.
 func (s *Sync) isMine(record quarantine.Record) bool {
-	if record.By == s.parts.Self.ID {
+	if record.By == s.deps.Self.ID {
 		return true
 	}
-	isHome := func(node catalog.NodeRecord) bool { return node.ID == s.parts.Self.ID }
+	isHome := func(node catalog.NodeRecord) bool { return node.ID == s.deps.Self.ID }
 	rank := slices.IndexFunc(s.homesOf(record.Content), isHome)
 	if rank < 0 {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return time.Since(s.heardAt[record.Content]) >= time.Duration(1+rank)*s.parts.Config.TakeoverPause
+	return time.Since(s.heardAt[record.Content]) >= time.Duration(1+rank)*s.deps.Config.TakeoverPause
 }
 
 // save writes a record to the store beside whatever else is done. A write whose answer is lost may have been made, and is
@@ -94,13 +94,13 @@
 			delete(s.saved, record.Content)
 			s.mu.Unlock()
 		}
-		s.parts.Journal.Saved(record, err)
+		s.deps.Events.Saved(record, err)
 	})
 }
 
 // claimSave reports whether a record is to be written, and notes that it is: once for each epoch of the store.
 func (s *Sync) claimSave(content fingerprint.Fingerprint) bool {
-	now := s.parts.Catalog.Revision()
+	now := s.deps.Catalog.Revision()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	at, isSaved := s.saved[content]
@@ -133,10 +133,10 @@
 
 // swap puts a value in place of a record, none to remove it.
 func (s *Sync) swap(ctx context.Context, record quarantine.Record, expected int64, value json.RawMessage) (int64, error) {
-	ctx, cancel := context.WithTimeout(ctx, s.parts.Config.CallTimeout)
+	ctx, cancel := context.WithTimeout(ctx, s.deps.Config.CallTimeout)
 	defer cancel()
 	key := catalog.QuarantineKey(record.Content.String())
-	result, err := s.parts.Store.CompareAndSwap(ctx, key, expected, value, value == nil)
+	result, err := s.deps.Store.CompareAndSwap(ctx, key, expected, value, value == nil)
 	if err != nil {
 		return 0, failure.Wrap(err, failure.OutcomeUnknown, failure.Unknown, "the store did not confirm a record of the quarantine")
 	}
@@ -148,8 +148,8 @@
 
 // makeRoom takes out the oldest record where there are as many as there may be.
 func (s *Sync) makeRoom(ctx context.Context) {
-	records := s.parts.Catalog.View().Quarantine
-	if len(records) < s.parts.Limits.MaximumRecords {
+	records := s.deps.Catalog.View().Quarantine
+	if len(records) < s.deps.Limits.MaximumRecords {
 		return
 	}
 	var oldest *quarantine.Record
@@ -159,7 +159,7 @@
 		}
 	}
 	if err := s.remove(ctx, *oldest); err != nil {
-		s.parts.Journal.Saved(*oldest, err)
+		s.deps.Events.Saved(*oldest, err)
 	}
 }
 
@@ -172,9 +172,9 @@
 			next.Trials++
 			_, err := s.write(ctx, next, record.Revision)
 			if err == nil {
-				s.parts.Register.Permit(record.Content)
+				s.deps.Register.Permit(record.Content)
 			}
-			s.parts.Journal.Trial(next, err)
+			s.deps.Events.Trial(next, err)
 		})
 	})
 }
@@ -183,12 +183,12 @@
 func (s *Sync) Survived(record quarantine.Record) {
 	s.carry(func(ctx context.Context) {
 		s.running.Go(func() {
-			current := s.parts.Catalog.Quarantine(record.Content)
+			current := s.deps.Catalog.Quarantine(record.Content)
 			if current == nil {
 				return // lifted already
 			}
 			if err := s.remove(ctx, *current); err != nil {
-				s.parts.Journal.Saved(*current, err)
+				s.deps.Events.Saved(*current, err)
 			}
 		})
 	})
--- a/internal/quarantine/quarantinesync/sync.go
+++ b/internal/quarantine/quarantinesync/sync.go
@@ -28,8 +28,8 @@
 	Send(address string, message peer.Message)
 }
 
-// Journal is told of findings.
-type Journal interface {
+// EventLog is told of findings.
+type EventLog interface {
 	// Quarantined tells of a request under quarantine; from is the peer address of who told of it, empty where this node
 	// found it.
 	Quarantined(record quarantine.Record, from string)
@@ -43,8 +43,8 @@
 	Dropped(findings int)
 }
 
-// Parts are what a Sync is built from.
-type Parts struct {
+// Deps are what a Sync is built from.
+type Deps struct {
 	Config   Config
 	Limits   quarantine.Config
 	Register *quarantine.Register
@@ -52,12 +52,12 @@
 	Store    store.Store
 	Self     catalog.NodeRecord
 	Sender   Sender
-	Journal  Journal
+	Events   EventLog
 }
 
 // Sync carries findings; safe for concurrent use.
 type Sync struct {
-	parts    Parts
+	deps     Deps
 	findings chan func(context.Context)
 	running  sync.WaitGroup
 
@@ -76,21 +76,21 @@
 var _ quarantine.Listener = (*Sync)(nil)
 
 // New makes a Sync and has the register tell it of its findings.
-func New(parts Parts) *Sync {
+func New(deps Deps) *Sync {
 	s := &Sync{
-		parts: parts, findings: make(chan func(context.Context), backlog), waiting: map[fingerprint.Fingerprint]bool{},
+		deps: deps, findings: make(chan func(context.Context), backlog), waiting: map[fingerprint.Fingerprint]bool{},
 		heardAt: map[fingerprint.Fingerprint]time.Time{}, toldAt: map[fingerprint.Fingerprint]time.Time{}, saved: map[fingerprint.Fingerprint]int64{},
 	}
-	parts.Register.SetListener(s)
+	deps.Register.SetListener(s)
 	return s
 }
 
 // Run carries findings until the context ends.
 func (s *Sync) Run(ctx context.Context) {
 	defer s.running.Wait()
-	changes, stop := s.parts.Catalog.Subscribe(changeBacklog)
+	changes, stop := s.deps.Catalog.Subscribe(changeBacklog)
 	defer stop()
-	ticker := time.NewTicker(s.parts.Config.SaveInterval)
+	ticker := time.NewTicker(s.deps.Config.SaveInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -111,7 +111,7 @@
 	select {
 	case s.findings <- finding:
 	default:
-		s.parts.Journal.Dropped(1)
+		s.deps.Events.Dropped(1)
 	}
 }
 
@@ -124,18 +124,18 @@
 	if isWaiting {
 		return
 	}
-	time.AfterFunc(s.parts.Config.ReportDelay, func() {
+	time.AfterFunc(s.deps.Config.ReportDelay, func() {
 		s.mu.Lock()
 		delete(s.waiting, subject.Content)
 		s.mu.Unlock()
 		s.report(subject.Content)
 	})
-	time.AfterFunc(s.parts.Config.RepeatDelay, func() { s.report(subject.Content) })
+	time.AfterFunc(s.deps.Config.RepeatDelay, func() { s.report(subject.Content) })
 }
 
 // report tells the homes of a request what this node has against it.
 func (s *Sync) report(content fingerprint.Fingerprint) {
-	evidence, found := s.parts.Register.Evidence(content)
+	evidence, found := s.deps.Register.Evidence(content)
 	if !found {
 		return
 	}
@@ -149,21 +149,21 @@
 
 func (s *Sync) tellHomes(content fingerprint.Fingerprint, told peer.Quarantine) {
 	for _, node := range s.homesOf(content) {
-		if node.ID != s.parts.Self.ID {
-			s.parts.Sender.Send(node.Address, peer.Message{Quarantine: &told})
+		if node.ID != s.deps.Self.ID {
+			s.deps.Sender.Send(node.Address, peer.Message{Quarantine: &told})
 		}
 	}
 }
 
 // homesOf gives the nodes that add up the evidence against a request.
 func (s *Sync) homesOf(content fingerprint.Fingerprint) []catalog.NodeRecord {
-	ranked := registry.Ranked(s.parts.Catalog.View().Nodes, content.String())
+	ranked := registry.Ranked(s.deps.Catalog.View().Nodes, content.String())
 	return ranked[:min(len(ranked), homes)]
 }
 
 // Quarantined implements quarantine.Listener: all nodes are told, and the store is written to.
 func (s *Sync) Quarantined(record quarantine.Record) {
-	s.parts.Journal.Quarantined(record, "")
+	s.deps.Events.Quarantined(record, "")
 	s.tellAll(record)
 	s.carry(func(ctx context.Context) { s.save(ctx, record) })
 }
@@ -171,9 +171,9 @@
 // tellAll tells all nodes of a record. At 3,300 nodes that is 3,300 datagrams of up to 1,400 bytes from one node: 53 bytes a
 // second over a day if there is one finding a day.
 func (s *Sync) tellAll(record quarantine.Record) {
-	for _, node := range s.parts.Catalog.View().Nodes {
-		if node.ID != s.parts.Self.ID {
-			s.parts.Sender.Send(node.Address, peer.Message{Quarantine: &peer.Quarantine{Record: &record}})
+	for _, node := range s.deps.Catalog.View().Nodes {
+		if node.ID != s.deps.Self.ID {
+			s.deps.Sender.Send(node.Address, peer.Message{Quarantine: &peer.Quarantine{Record: &record}})
 		}
 	}
 }
@@ -182,22 +182,22 @@
 func (s *Sync) Heard(from string, told peer.Quarantine) {
 	switch {
 	case told.Evidence != nil:
-		s.parts.Register.HearEvidence(*told.Evidence)
+		s.deps.Register.HearEvidence(*told.Evidence)
 	case told.Record != nil:
 		s.heardRecord(from, *told.Record)
 	case !told.Answered.IsZero():
-		s.parts.Register.HearAnswer(told.Answered)
+		s.deps.Register.HearAnswer(told.Answered)
 	}
 }
 
 func (s *Sync) heardRecord(from string, record quarantine.Record) {
-	if record.Validate() != nil || !s.parts.Register.Hear(record) {
+	if record.Validate() != nil || !s.deps.Register.Hear(record) {
 		return
 	}
 	s.mu.Lock()
 	s.heardAt[record.Content] = time.Now()
 	s.mu.Unlock()
-	s.parts.Journal.Quarantined(record, from)
+	s.deps.Events.Quarantined(record, from)
 }
 
 // takeChange learns which requests the store has under quarantine, and which no more.
@@ -212,11 +212,11 @@
 		delete(s.saved, content)
 		s.mu.Unlock()
 		// What is in force may be newer than the change.
-		if record := s.parts.Catalog.Quarantine(content); record != nil {
-			s.parts.Register.Saved(*record)
+		if record := s.deps.Catalog.Quarantine(content); record != nil {
+			s.deps.Register.Saved(*record)
 			continue
 		}
-		s.parts.Register.Lifted(content)
-		s.parts.Journal.Lifted(content)
+		s.deps.Register.Lifted(content)
+		s.deps.Events.Lifted(content)
 	}
 }
--- a/internal/quarantine/quarantinesync/sync_test.go
+++ b/internal/quarantine/quarantinesync/sync_test.go
@@ -60,10 +60,10 @@
 func (f *fleet) start(id string) *node {
 	record := catalog.NodeRecord{ID: id, Address: "address-of-" + id}
 	n := &node{fleet: f, record: record, catalog: catalog.New(func(key string, err error) { f.t.Errorf("%s: %v", key, err) })}
-	n.register = quarantine.NewRegister(quarantine.Parts{Config: quarantine.DefaultConfig(), Stored: n.catalog.Quarantine, Self: id})
-	n.sync = New(Parts{
+	n.register = quarantine.NewRegister(quarantine.Deps{Config: quarantine.DefaultConfig(), Stored: n.catalog.Quarantine, Self: id})
+	n.sync = New(Deps{
 		Config: DefaultConfig(), Limits: quarantine.DefaultConfig(), Register: n.register, Catalog: n.catalog, Store: f,
-		Self: record, Sender: n, Journal: silentJournal{},
+		Self: record, Sender: n, Events: silentEvents{},
 	})
 	f.mu.Lock()
 	f.nodes[record.Address] = n
@@ -190,14 +190,14 @@
 	return store.SwapResult{Swapped: true, Entry: &entry}, nil
 }
 
-// silentJournal takes everything.
-type silentJournal struct{}
+// silentEvents takes everything.
+type silentEvents struct{}
 
-func (silentJournal) Quarantined(quarantine.Record, string) {}
-func (silentJournal) Saved(quarantine.Record, error)        {}
-func (silentJournal) Trial(quarantine.Record, error)        {}
-func (silentJournal) Lifted(fingerprint.Fingerprint)        {}
-func (silentJournal) Dropped(int)                           {}
+func (silentEvents) Quarantined(quarantine.Record, string) {}
+func (silentEvents) Saved(quarantine.Record, error)        {}
+func (silentEvents) Trial(quarantine.Record, error)        {}
+func (silentEvents) Lifted(fingerprint.Fingerprint)        {}
+func (silentEvents) Dropped(int)                           {}
 
 var subject = quarantine.NewSubject(fingerprint.Of(fingerprint.Content{Path: "/a"}), "/a", "192.0.2.1")
 
--- a/internal/quarantine/register.go
+++ b/internal/quarantine/register.go
@@ -77,8 +77,8 @@
 	permittedAt time.Time
 }
 
-// Parts are what a register is built from.
-type Parts struct {
+// Deps are what a register is built from.
+type Deps struct {
 	Config Config
 	// Clock counts the time for which the machine was suspended.
 	Clock boottime.Clock
@@ -89,9 +89,9 @@
 }
 
 // NewRegister makes a register; SetListener must be called before it is used.
-func NewRegister(parts Parts) *Register {
+func NewRegister(deps Deps) *Register {
 	return &Register{
-		cfg: parts.Config, clock: parts.Clock, stored: parts.Stored, self: parts.Self,
+		cfg: deps.Config, clock: deps.Clock, stored: deps.Stored, self: deps.Self,
 		suspects: map[fingerprint.Fingerprint]*suspect{}, found: map[fingerprint.Fingerprint]*held{},
 		terms: map[fingerprint.Fingerprint]*term{}, running: map[fingerprint.Fingerprint]map[*Try]bool{},
 		explained: map[string]fingerprint.Fingerprint{},
--- a/internal/quarantine/register_test.go
+++ b/internal/quarantine/register_test.go
@@ -24,7 +24,7 @@
 
 func newFleet() *fleet {
 	f := &fleet{at: time.Unix(1000, 0), store: map[fingerprint.Fingerprint]*Record{}}
-	f.Register = NewRegister(Parts{
+	f.Register = NewRegister(Deps{
 		Config: DefaultConfig(), Clock: func() time.Time { return f.at }, Self: "n1",
 		Stored: func(content fingerprint.Fingerprint) *Record { return f.store[content] },
 	})
--- a/internal/request/gateway/attempt.go
+++ b/internal/request/gateway/attempt.go
@@ -137,13 +137,13 @@
 
 // Began implements scatter.Observer.
 func (w *gathering) Began(attempt scatter.Attempt) {
-	w.gateway.journal.Attempted(w.services[attempt.Shard], attempt.Kind)
+	w.gateway.events.Attempted(w.services[attempt.Shard], attempt.Kind)
 }
 
 // Ended implements scatter.Observer.
 func (w *gathering) Ended(attempt scatter.Attempt, result scatter.Result[leafhttp.Response], took time.Duration) {
 	w.gateway.learnZone(attempt.Leaf, result, took)
-	w.gateway.journal.AttemptEnded(AttemptRecord{
+	w.gateway.events.AttemptEnded(AttemptRecord{
 		RequestID: w.query.Leaf.ID, Service: w.services[attempt.Shard], Leaf: attempt.Leaf.ID, Kind: attempt.Kind,
 		Reason: result.Reason, Execution: result.Execution, Took: took,
 		Succeeded: result.Reply != nil, Abandoned: result.Outcome == balancer.Abandoned,
--- a/internal/request/gateway/bench_test.go
+++ b/internal/request/gateway/bench_test.go
@@ -93,10 +93,10 @@
 	}}})
 	pool := leafhttp.New(leafhttp.DefaultConfig(), dialect, nil)
 	defer pool.Close()
-	g := New(Parts{
+	g := New(Deps{
 		Config: DefaultConfig(), Dialect: dialect, Catalog: known, Memory: leafmemory.New(leafmemory.DefaultConfig(), known),
 		Dealer: connshare.New(connshare.DefaultConfig(), alone{}, catalog.NodeRecord{ID: "n"}), Balancer: balancer.New(balancer.DefaultConfig(), "z"),
-		Budgets: retrybudget.New(retrybudget.DefaultConfig(), func(string) float64 { return 1 }), Leafs: pool, Journal: &discardingJournal{}, Quarantine: newRegister(),
+		Budgets: retrybudget.New(retrybudget.DefaultConfig(), func(string) float64 { return 1 }), Leafs: pool, Events: &discardingEvents{}, Quarantine: newRegister(),
 	})
 	b.ReportAllocs()
 	for b.Loop() {
@@ -111,9 +111,9 @@
 	}
 }
 
-// discardingJournal keeps nothing.
-type discardingJournal struct{ silentJournal }
+// discardingEvents keeps nothing.
+type discardingEvents struct{ silentEvents }
 
-func (j *discardingJournal) Served(RequestRecord) {}
-func (j *discardingJournal) Passed(GroupRecord)   {}
-func (j *discardingJournal) LeafLost(LossRecord)  {}
+func (j *discardingEvents) Served(RequestRecord) {}
+func (j *discardingEvents) Passed(GroupRecord)   {}
+func (j *discardingEvents) LeafLost(LossRecord)  {}
--- a/internal/request/gateway/crash.go
+++ b/internal/request/gateway/crash.go
@@ -231,7 +231,7 @@
 
 // lose takes a leaf whose answer broke off for evidence, if it ended unannounced.
 func (w *gathering) lose(lost LossRecord) {
-	w.gateway.journal.LeafLost(lost)
+	w.gateway.events.LeafLost(lost)
 	if w.try == nil || !lost.isEvidence() {
 		return
 	}
--- a/internal/request/gateway/crash_test.go
+++ b/internal/request/gateway/crash_test.go
@@ -45,7 +45,7 @@
 func (noListener) Survived(quarantine.Record)    {}
 
 func newRegister() *quarantine.Register {
-	register := quarantine.NewRegister(quarantine.Parts{
+	register := quarantine.NewRegister(quarantine.Deps{
 		Config: quarantine.DefaultConfig(), Self: "n", Stored: func(fingerprint.Fingerprint) *quarantine.Record { return nil },
 	})
 	register.SetListener(noListener{})
--- a/internal/request/gateway/journal.go
+++ b/internal/request/gateway/events.go
@@ -8,8 +8,8 @@
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
-// Journal is told of every decision that touches a request.
-type Journal interface {
+// EventLog is told of every decision that touches a request.
+type EventLog interface {
 	// Refused tells of a request that no leaf was asked for.
 	Refused(request *Request, err error)
 	// Attempted tells of an attempt that begins.
--- a/internal/request/gateway/gateway.go
+++ b/internal/request/gateway/gateway.go
@@ -35,8 +35,8 @@
 	Check(target leafhttp.Target, refused bool, tell leafhttp.Ended)
 }
 
-// Parts are what a gateway is built from.
-type Parts struct {
+// Deps are what a gateway is built from.
+type Deps struct {
 	Config   Config
 	Dialect  httpnames.Names
 	Catalog  *catalog.Catalog
@@ -51,7 +51,7 @@
 	Canary *canary.Splitter
 	// Evidence counts how versions on trial answer; nil means that nothing is counted.
 	Evidence *evidence.Collector
-	Journal  Journal
+	Events   EventLog
 	// Self is this node's own record.
 	Self catalog.NodeRecord
 	// Regions gives the region of each zone; a zone that it lacks is in none.
@@ -78,7 +78,7 @@
 	warmup   *warmup.Limiter
 	canary   *canary.Splitter
 	evidence *evidence.Collector
-	journal  Journal
+	events   EventLog
 	regions  map[string]string // by zone
 	zones    *reachability.Tracker
 
@@ -95,15 +95,15 @@
 }
 
 // New makes a gateway.
-func New(parts Parts) *Gateway {
+func New(deps Deps) *Gateway {
 	g := &Gateway{
-		config: parts.Config, dialect: parts.Dialect, catalog: parts.Catalog, memory: parts.Memory, dealer: parts.Dealer, balancer: parts.Balancer,
-		budgets: parts.Budgets, leafs: parts.Leafs, warmup: parts.Warmup, canary: parts.Canary, evidence: parts.Evidence,
-		journal: parts.Journal, regions: parts.Regions, zones: parts.Zones, quarantine: parts.Quarantine,
-		latencies: newLatencyBook(parts.Config.LatencyWindow), patience: newPatienceBook(), shares: routing.NewShares(),
+		config: deps.Config, dialect: deps.Dialect, catalog: deps.Catalog, memory: deps.Memory, dealer: deps.Dealer, balancer: deps.Balancer,
+		budgets: deps.Budgets, leafs: deps.Leafs, warmup: deps.Warmup, canary: deps.Canary, evidence: deps.Evidence,
+		events: deps.Events, regions: deps.Regions, zones: deps.Zones, quarantine: deps.Quarantine,
+		latencies: newLatencyBook(deps.Config.LatencyWindow), patience: newPatienceBook(), shares: routing.NewShares(),
 	}
-	if parts.Config.ServingTree && parts.Fleet != nil && parts.Intermediates != nil {
-		g.root = newRoot(parts)
+	if deps.Config.ServingTree && deps.Fleet != nil && deps.Intermediates != nil {
+		g.root = newRoot(deps)
 	}
 	return g
 }
@@ -123,14 +123,14 @@
 func (g *Gateway) Serve(ctx context.Context, request *Request) (*Answer, error) {
 	pinned, err := g.newQuery(request)
 	if err != nil {
-		g.journal.Refused(request, err)
+		g.events.Refused(request, err)
 		return nil, err
 	}
 	work := &gathering{gateway: g, query: pinned, services: g.servicesOf(pinned)}
 	ctx, release := work.guard(ctx)
 	defer release()
 	if err := work.refuseQuarantined(); err != nil {
-		g.journal.Refused(request, err)
+		g.events.Refused(request, err)
 		return nil, err
 	}
 	// A suspect goes to one leaf first: no other node is asked to send it to more.
@@ -139,7 +139,7 @@
 	}
 	answer, err := work.serve(ctx)
 	work.learnLag()
-	g.journal.Served(pinned.record(work, answer, err))
+	g.events.Served(pinned.record(work, answer, err))
 	return answer, err
 }
 
--- a/internal/request/gateway/gateway_test.go
+++ b/internal/request/gateway/gateway_test.go
@@ -30,31 +30,31 @@
 
 var dialect = httpnames.Default()
 
-// silentJournal takes everything and remembers the records.
-type silentJournal struct {
+// silentEvents takes everything and remembers the records.
+type silentEvents struct {
 	mu      sync.Mutex
 	records []RequestRecord
 	passes  []GroupRecord
 }
 
-func (j *silentJournal) Refused(*Request, error)        {}
-func (j *silentJournal) Attempted(string, scatter.Kind) {}
-func (j *silentJournal) AttemptEnded(AttemptRecord)     {}
-func (j *silentJournal) LeafLost(LossRecord)            {}
-func (j *silentJournal) Served(record RequestRecord) {
+func (j *silentEvents) Refused(*Request, error)        {}
+func (j *silentEvents) Attempted(string, scatter.Kind) {}
+func (j *silentEvents) AttemptEnded(AttemptRecord)     {}
+func (j *silentEvents) LeafLost(LossRecord)            {}
+func (j *silentEvents) Served(record RequestRecord) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.records = append(j.records, record)
 }
 
-func (j *silentJournal) Passed(record GroupRecord) {
+func (j *silentEvents) Passed(record GroupRecord) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.passes = append(j.passes, record)
 }
 
 // passed gives the groups that were passed on so far.
-func (j *silentJournal) passed() []GroupRecord {
+func (j *silentEvents) passed() []GroupRecord {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return slices.Clone(j.passes)
@@ -135,7 +135,7 @@
 
 // newGateway makes a gateway with a gathered, a repeatable and an at-most-once route, over
 // services s0 to s9 of two leafs each.
-func newGateway(t *testing.T, leafs LeafCaller) (*Gateway, *silentJournal) {
+func newGateway(t *testing.T, leafs LeafCaller) (*Gateway, *silentEvents) {
 	t.Helper()
 	known := catalog.New(func(key string, err error) { t.Errorf("%s: %v", key, err) })
 	known.EnableRollouts()
@@ -154,14 +154,14 @@
 	single.Prefix, single.Service, single.Repeatability = "/single/", "s0", routing.Repeatable
 	once.Prefix, once.Service, once.Repeatability = "/once/", "s0", routing.AtMostOnce
 	put(t, known, catalog.RoutesKey, routing.Configuration{Version: 1, Routes: []routing.Route{pages, single, once}})
-	journal := &silentJournal{}
+	events := &silentEvents{}
 	budget := retrybudget.Config{Ratio: 1, Window: 10 * time.Second, Share: 1}
-	return New(Parts{
+	return New(Deps{
 		Config: DefaultConfig(), Dialect: dialect, Catalog: known, Memory: leafmemory.New(leafmemory.DefaultConfig(), known),
 		Dealer:   connshare.New(connshare.DefaultConfig(), alone{}, catalog.NodeRecord{ID: "n"}),
 		Balancer: balancer.New(balancer.DefaultConfig(), "z"), Budgets: retrybudget.New(budget, func(string) float64 { return 1 }),
-		Leafs: leafs, Journal: journal,
-	}), journal
+		Leafs: leafs, Events: events,
+	}), events
 }
 
 func ask(path string) *Request {
@@ -199,7 +199,7 @@
 func TestDarkShardIsLeftOutAtTheObjective(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g, journal := newGateway(t, &scriptedLeafs{answer: func(leaf string) (time.Duration, *leafhttp.Response, error) {
+		g, events := newGateway(t, &scriptedLeafs{answer: func(leaf string) (time.Duration, *leafhttp.Response, error) {
 			if leaf[:2] == "s3" {
 				return time.Hour, nil, nil
 			}
@@ -211,8 +211,8 @@
 		is.Equal(answer.Missing, 1)
 		is.Equal(len(answer.Stamps), shardCount-1)
 		is.Equal(time.Since(started), 200*time.Millisecond-DefaultConfig().ObjectiveReserve)
-		is.Equal(journal.records[0].MissingServices[0].Service, "s3")
-		is.True(journal.records[0].InTime)
+		is.Equal(events.records[0].MissingServices[0].Service, "s3")
+		is.True(events.records[0].InTime)
 	})
 }
 
--- a/internal/request/gateway/gathering.go
+++ b/internal/request/gateway/gathering.go
@@ -78,7 +78,7 @@
 		return nil, err
 	}
 	w.drawFirst(&plan)
-	work := scatter.New(plan, scatter.Parts[leafhttp.Response]{
+	work := scatter.New(plan, scatter.Deps[leafhttp.Response]{
 		Balancer: w.gateway.balancer, Start: w.startAttempt, Observer: w, Superseded: leafhttp.ErrSuperseded,
 		StartGroup: w.startGroup, Accepted: w.accepted(),
 	})
--- a/internal/request/gateway/intermediate.go
+++ b/internal/request/gateway/intermediate.go
@@ -33,7 +33,7 @@
 	ctx, release := work.guard(ctx)
 	defer release()
 	if err := work.refuseQuarantined(); err != nil {
-		g.journal.Refused(work.query.Request, err)
+		g.events.Refused(work.query.Request, err)
 		return servingtree.Reply{Failure: servingtree.NewFailure(err)}
 	}
 	timer := time.AfterFunc(time.Until(work.query.planned), func() {
@@ -43,7 +43,7 @@
 	})
 	defer timer.Stop()
 	answer, err := work.serve(ctx)
-	g.journal.Served(work.query.record(work, answer, err))
+	g.events.Served(work.query.record(work, answer, err))
 	if err != nil && !work.collected.any() {
 		failed := servingtree.NewFailure(err)
 		if failed.Code == failure.LeafsEnded {
--- a/internal/request/gateway/passing.go
+++ b/internal/request/gateway/passing.go
@@ -138,7 +138,7 @@
 	}
 	p.root.standing.learn(node, record.Outcome)
 	p.learnZone(record.Outcome)
-	w.gateway.journal.Passed(record)
+	w.gateway.events.Passed(record)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.groupsEnded = append(w.groupsEnded, record)
--- a/internal/request/gateway/reach_test.go
+++ b/internal/request/gateway/reach_test.go
@@ -38,7 +38,7 @@
 			nodes = append(nodes, catalog.NodeRecord{ID: id, Zone: zone, Address: id})
 		}
 	}
-	zones := reachability.New(reachability.Parts{
+	zones := reachability.New(reachability.Deps{
 		Config: reachability.DefaultConfig(), Self: nodes[0], Asker: cut, Nodes: func() []catalog.NodeRecord { return nodes },
 	})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -200,7 +200,7 @@
 		node.Address = node.ID
 		nodes = append(nodes, node)
 	}
-	root.zones = reachability.New(reachability.Parts{
+	root.zones = reachability.New(reachability.Deps{
 		Config: reachability.DefaultConfig(), Self: near("n1"), Asker: tellingAsker(looked),
 		Nodes: func() []catalog.NodeRecord { return nodes },
 	})
--- a/internal/request/gateway/regions_test.go
+++ b/internal/request/gateway/regions_test.go
@@ -49,7 +49,7 @@
 			}
 			if root != "r1" {
 				is.Equal(len(built.seen.by("r1")), 0)
-				for _, pass := range built.nodes[root].journal.passed() {
+				for _, pass := range built.nodes[root].events.passed() {
 					is.True(pass.Intermediate != "r1")
 				}
 			}
--- a/internal/request/gateway/root.go
+++ b/internal/request/gateway/root.go
@@ -62,11 +62,11 @@
 // fleet makes so few requests that it would learn it late.
 const firstHop = 5 * time.Millisecond
 
-func newRoot(parts Parts) *root {
+func newRoot(deps Deps) *root {
 	return &root{
-		self: parts.Self, fleet: parts.Fleet, intermediates: parts.Intermediates,
-		placement: newPlacement(parts.Catalog, parts.Self.Zone, parts.Regions), standing: newStanding(),
-		zones: parts.Zones, hop: lagTracker{lag: firstHop},
+		self: deps.Self, fleet: deps.Fleet, intermediates: deps.Intermediates,
+		placement: newPlacement(deps.Catalog, deps.Self.Zone, deps.Regions), standing: newStanding(),
+		zones: deps.Zones, hop: lagTracker{lag: firstHop},
 	}
 }
 
--- a/internal/request/gateway/second_test.go
+++ b/internal/request/gateway/second_test.go
@@ -26,9 +26,9 @@
 	for range 100 {
 		root.gateway.root.standing = newStanding()
 		answer, err := b.ask("root")
-		root.journal.mu.Lock()
-		record := root.journal.records[len(root.journal.records)-1]
-		root.journal.mu.Unlock()
+		root.events.mu.Lock()
+		record := root.events.records[len(root.events.records)-1]
+		root.events.mu.Unlock()
 		if len(record.Groups) > 0 && record.Groups[0].Intermediate == "first" {
 			b.whole(answer, err)
 			return record.Groups
--- a/internal/request/gateway/tree_fleet_test.go
+++ b/internal/request/gateway/tree_fleet_test.go
@@ -94,7 +94,7 @@
 	record   catalog.NodeRecord
 	catalog  *catalog.Catalog
 	gateway  *Gateway
-	journal  *silentJournal
+	events   *silentEvents
 	leafs    *treeLeafs
 	server   *servingtree.Server
 	listener net.Listener
@@ -145,7 +145,7 @@
 func (b *tree) start(node *treeNode, nodes []catalog.NodeRecord) {
 	node.catalog = catalog.New(func(key string, err error) { b.t.Errorf("%s: %v", key, err) })
 	node.catalog.EnableRollouts()
-	node.journal, node.leafs = &silentJournal{}, &treeLeafs{node: node.record.ID, seen: b.seen}
+	node.events, node.leafs = &silentEvents{}, &treeLeafs{node: node.record.ID, seen: b.seen}
 	var gathered []string
 	for index := range shardCount {
 		service := fmt.Sprintf("s%d", index)
@@ -166,12 +166,12 @@
 	census := registry.NewCensus(node.catalog, node.record.ID, time.Minute)
 	client := servingtree.NewClient(servingtree.DefaultConfig())
 	b.t.Cleanup(client.Close)
-	node.gateway = New(Parts{
+	node.gateway = New(Deps{
 		Config: DefaultConfig(), Dialect: dialect, Catalog: node.catalog, Memory: leafmemory.New(leafmemory.DefaultConfig(), node.catalog),
 		Dealer:   connshare.New(connshare.DefaultConfig(), census, node.record),
 		Balancer: balancer.New(balancer.DefaultConfig(), node.record.Zone),
 		Budgets:  treeBudgets(),
-		Leafs:    node.leafs, Journal: node.journal, Self: node.record, Fleet: census, Intermediates: client,
+		Leafs:    node.leafs, Events: node.events, Self: node.record, Fleet: census, Intermediates: client,
 		Regions: map[string]string{zoneNear: regionWest, zoneFar: regionWest, zoneFarther: regionSouth},
 	})
 	node.server = servingtree.NewServer(servingtree.DefaultConfig(), node.gateway)
@@ -224,7 +224,7 @@
 // outcomes gives those of the groups that a node passed on.
 func (b *tree) outcomes(node string) []GroupOutcome {
 	var outcomes []GroupOutcome
-	for _, pass := range b.nodes[node].journal.passed() {
+	for _, pass := range b.nodes[node].events.passed() {
 		outcomes = append(outcomes, pass.Outcome)
 	}
 	return outcomes
--- a/internal/request/gateway/tree_test.go
+++ b/internal/request/gateway/tree_test.go
@@ -33,10 +33,10 @@
 	}
 	is.Equal(len(b.seen.by("there")), shardCount-nearShards)
 	is.Equal(b.outcomes("root"), []GroupOutcome{GroupAnswered})
-	record := b.nodes["there"].journal.records[0]
+	record := b.nodes["there"].events.records[0]
 	is.Equal(record.For, "root")
 	is.Equal(record.RequestID, "r")
-	is.Equal(b.nodes["root"].journal.records[0].Groups[0].Intermediate, "there")
+	is.Equal(b.nodes["root"].events.records[0].Groups[0].Intermediate, "there")
 }
 
 // A node with far fewer processors than others of its zone lets them gather, one that is alike does
--- a/internal/request/scatter/caution_test.go
+++ b/internal/request/scatter/caution_test.go
@@ -160,7 +160,7 @@
 					}
 					return workTime, replied("well")
 				}}
-				work := New(plan, Parts[string]{
+				work := New(plan, Deps[string]{
 					Balancer: balancer.New(balancer.DefaultConfig(), ""), Start: InBackground(watched.run), Observer: watched, Superseded: errSuperseded,
 					StartGroup: func(_ context.Context, _ int, told func(GroupResult[string])) context.CancelCauseFunc {
 						groupAt = time.Since(began)
--- a/internal/request/scatter/group_test.go
+++ b/internal/request/scatter/group_test.go
@@ -63,7 +63,7 @@
 
 func playGroups(ctx context.Context, plan Plan, groups *groupScript, script script) ([]Outcome[string], Summary, *watcher) {
 	watched := &watcher{script: script}
-	work := New(plan, Parts[string]{
+	work := New(plan, Deps[string]{
 		Balancer: balancer.New(balancer.DefaultConfig(), ""), Start: InBackground(watched.run), StartGroup: groups.start(plan),
 		Observer: watched, Superseded: errSuperseded,
 	})
--- a/internal/request/scatter/not_run_test.go
+++ b/internal/request/scatter/not_run_test.go
@@ -135,7 +135,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), c.givesUp)
 		defer cancel()
 		c.plan.Deadline = time.Now().Add(150 * time.Millisecond)
-		work := New(c.plan, Parts[string]{
+		work := New(c.plan, Deps[string]{
 			Balancer: balancer.New(balancer.DefaultConfig(), ""), Start: InBackground(c.run), StartGroup: c.startGroup,
 			Observer: &watcher{}, Superseded: errSuperseded,
 		})
--- a/internal/request/scatter/scatter.go
+++ b/internal/request/scatter/scatter.go
@@ -94,8 +94,8 @@
 	s.isRepeat = spent > 0
 }
 
-// Parts are what a scatter is built from besides its plan.
-type Parts[Reply any] struct {
+// Deps are what a scatter is built from besides its plan.
+type Deps[Reply any] struct {
 	Balancer *balancer.Balancer
 	Start    Start[Reply]
 	Observer Observer[Reply]
@@ -108,10 +108,10 @@
 }
 
 // New prepares the work of one request.
-func New[Reply any](plan Plan, parts Parts[Reply]) *Scatter[Reply] {
+func New[Reply any](plan Plan, deps Deps[Reply]) *Scatter[Reply] {
 	s := &Scatter[Reply]{
-		plan: plan, balancer: parts.Balancer, start: parts.Start, observer: parts.Observer, superseded: parts.Superseded,
-		startGroup: parts.StartGroup, accepted: parts.Accepted,
+		plan: plan, balancer: deps.Balancer, start: deps.Start, observer: deps.Observer, superseded: deps.Superseded,
+		startGroup: deps.StartGroup, accepted: deps.Accepted,
 		groupResults: make(chan finishedGroup[Reply], resultsOfGroup*len(plan.Groups)),
 		results:      make(chan *finished[Reply], len(plan.Shards)*(plan.MaximumAttempts+plan.MaximumRefusals+1)),
 		shards:       make([]shardState[Reply], len(plan.Shards)),
--- a/internal/request/scatter/scatter_test.go
+++ b/internal/request/scatter/scatter_test.go
@@ -94,7 +94,7 @@
 
 func play(ctx context.Context, plan Plan, script script) ([]Outcome[string], Summary, *watcher) {
 	watched := &watcher{script: script}
-	work := New(plan, Parts[string]{
+	work := New(plan, Deps[string]{
 		Balancer: balancer.New(balancer.DefaultConfig(), ""), Start: InBackground(watched.run), Observer: watched, Superseded: errSuperseded,
 	})
 	outcomes, summary := work.Run(ctx)
@@ -282,7 +282,7 @@
 					}
 					return 5 * time.Millisecond, replied("fast")
 				}}
-				_, summary := New(plan, Parts[string]{
+				_, summary := New(plan, Deps[string]{
 					Balancer: balancer.New(balancer.DefaultConfig(), ""), Start: InBackground(watched.run), Observer: watched, Superseded: errSuperseded,
 				}).Run(t.Context())
 				is.Equal(summary.Hedges, one.hedges)
@@ -310,7 +310,7 @@
 					}
 					return time.Millisecond, replied("answer")
 				}}
-				outcomes, summary := New(plan, Parts[string]{
+				outcomes, summary := New(plan, Deps[string]{
 					Balancer: balancer.New(balancer.DefaultConfig(), ""), Start: InBackground(watched.run), Observer: watched, Superseded: errSuperseded,
 				}).Run(t.Context())
 				is.Equal(outcomes[0].Reply != nil, neverArrived)
--- a/internal/request/search/crash_test.go
+++ b/internal/request/search/crash_test.go
@@ -37,7 +37,7 @@
 					return time.Millisecond, status.Error(codes.Unavailable, "transport is closing")
 				}}
 				engine, _ := newTestEngine(t, leafs)
-				engine.quarantine = quarantine.NewRegister(quarantine.Parts{
+				engine.quarantine = quarantine.NewRegister(quarantine.Deps{
 					Config: quarantine.DefaultConfig(), Stored: func(fingerprint.Fingerprint) *quarantine.Record { return nil },
 				})
 				engine.quarantine.SetListener(noListener{})
--- a/internal/request/search/engine.go
+++ b/internal/request/search/engine.go
@@ -55,8 +55,8 @@
 	idle     chan struct{} // closed when draining and nothing runs
 }
 
-// Parts are what an engine is built from.
-type Parts struct {
+// Deps are what an engine is built from.
+type Deps struct {
 	Config   Config
 	Hedging  hedging.Config
 	Catalog  *catalog.Catalog
@@ -69,16 +69,16 @@
 }
 
 // New makes an engine that is not ready yet.
-func New(parts Parts) *Engine {
+func New(deps Deps) *Engine {
 	return &Engine{
-		config:     parts.Config,
-		hedging:    parts.Hedging,
-		catalog:    parts.Catalog,
-		balancer:   parts.Balancer,
-		leafs:      parts.Leafs,
-		metrics:    parts.Metrics,
-		logger:     parts.Logger,
-		quarantine: parts.Quarantine,
+		config:     deps.Config,
+		hedging:    deps.Hedging,
+		catalog:    deps.Catalog,
+		balancer:   deps.Balancer,
+		leafs:      deps.Leafs,
+		metrics:    deps.Metrics,
+		logger:     deps.Logger,
+		quarantine: deps.Quarantine,
 		gates:      map[string]*admission.Gate{},
 		policies:   map[string]*hedging.Policy{},
 		idle:       make(chan struct{}),
--- a/internal/request/search/engine_test.go
+++ b/internal/request/search/engine_test.go
@@ -75,7 +75,7 @@
 	}
 	put(t, known, catalog.ServiceKey("s"), spec)
 	publish(t, known, "v1")
-	engine := New(Parts{
+	engine := New(Deps{
 		Config: DefaultConfig(), Hedging: hedging.DefaultConfig(), Catalog: known, Balancer: balancer.New(balancer.DefaultConfig(), "z"),
 		Leafs: leafs, Metrics: telemetry.NewMetrics(), Logger: zap.NewNop(),
 	})
--- a/internal/request/search/scatter.go
+++ b/internal/request/search/scatter.go
@@ -49,7 +49,7 @@
 		plan.Shards[index] = scatter.Shard{Candidates: s.candidatesFor(part), Policy: s.policy}
 	}
 	s.caution(&plan)
-	work := scatter.New(plan, scatter.Parts[shardReply]{
+	work := scatter.New(plan, scatter.Deps[shardReply]{
 		Balancer: s.engine.balancer, Start: scatter.InBackground(s.runAttempt), Observer: s, Superseded: errSuperseded,
 	})
 	outcomes, summary := work.Run(ctx)
--- a/internal/rollout/rolloutcontrol/controller.go
+++ b/internal/rollout/rolloutcontrol/controller.go
@@ -35,8 +35,8 @@
 	Settled(ctx context.Context, revision int64) FleetStatus
 }
 
-// Parts are what a controller is made of.
-type Parts struct {
+// Deps are what a controller is made of.
+type Deps struct {
 	Config   Config
 	Catalog  *catalog.Catalog
 	Self     catalog.NodeRecord
@@ -46,14 +46,14 @@
 	States   StateWriter
 	Fleet    Fleet
 	Sender   Sender
-	Journal  Journal
+	Events   EventLog
 	// Clock counts the time for which the machine was suspended: an order's time goes on meanwhile.
 	Clock boottime.Clock
 }
 
 // Controller carries roll-outs out at one node. Run must be called; the other methods are safe for concurrent use.
 type Controller struct {
-	parts   Parts
+	deps    Deps
 	cfg     Config
 	tallies tallies
 	holds   holds
@@ -91,24 +91,24 @@
 const changeBacklog = 64
 
 // New makes a controller.
-func New(parts Parts) *Controller {
+func New(deps Deps) *Controller {
 	c := &Controller{
-		parts: parts, cfg: parts.Config, judges: judgeSet{most: parts.Config.Judges},
+		deps: deps, cfg: deps.Config, judges: judgeSet{most: deps.Config.Judges},
 		trials: map[string]*trial{}, pacers: map[string]*writePacer{},
 		written: make(chan writeResult), statuses: make(chan fleetAnswer),
 	}
-	c.reports = newReports(parts, c.keepOwn, c.dropOwn)
+	c.reports = newReports(deps, c.keepOwn, c.dropOwn)
 	return c
 }
 
 // Run follows orders until the context ends.
 func (c *Controller) Run(ctx context.Context) {
-	changes, stop := c.parts.Catalog.Subscribe(changeBacklog)
+	changes, stop := c.deps.Catalog.Subscribe(changeBacklog)
 	defer stop()
 	defer c.running.Wait()
-	c.lookedAt = c.parts.Clock.Mark()
+	c.lookedAt = c.deps.Clock.Mark()
 	for {
-		timer := time.NewTimer(c.step(ctx, c.parts.Clock.Now()))
+		timer := time.NewTimer(c.step(ctx, c.deps.Clock.Now()))
 		isOver := c.await(ctx, timer, changes)
 		timer.Stop()
 		if isOver {
@@ -128,7 +128,7 @@
 				return false
 			}
 		case result := <-c.written:
-			c.settle(c.parts.Clock.Now(), result)
+			c.settle(c.deps.Clock.Now(), result)
 			return false
 		case answer := <-c.statuses:
 			c.takeAnswer(answer)
@@ -159,14 +159,14 @@
 	if c.lookedAt.Slept() > 0 {
 		c.judgesFrom = now.Add(hearIntervals * c.cfg.ReportInterval)
 	}
-	c.lookedAt = c.parts.Clock.Mark()
+	c.lookedAt = c.deps.Clock.Mark()
 	return now.Before(c.judgesFrom)
 }
 
 // step follows the orders in force, and gives when to look again at the latest.
 func (c *Controller) step(ctx context.Context, now time.Time) time.Duration {
 	mustHearFirst := c.mustHearFirst(now)
-	view := c.parts.Catalog.View()
+	view := c.deps.Catalog.View()
 	if view.Revision == 0 {
 		return c.cfg.ReportInterval
 	}
@@ -201,7 +201,7 @@
 			continue
 		}
 		if isAnswered(known) && (followed.state == nil || followed.state.Revision != known.State.Revision) {
-			c.parts.Journal.PhaseLearned(*known.State)
+			c.deps.Events.PhaseLearned(*known.State)
 		}
 		delete(c.trials, service)
 	}
@@ -219,15 +219,15 @@
 		followed = &trial{order: *known.Order, learned: now, hadAtStart: !c.hasStarted}
 		c.trials[service] = followed
 		if c.holds.has(orderKey{service, known.Order.ID()}) {
-			c.parts.Splitter.Hold(service, known.Order.ID()) // word of it came before the order
+			c.deps.Splitter.Hold(service, known.Order.ID()) // word of it came before the order
 		}
-		c.parts.Journal.OrderSeen(OrderRecord{Order: *known.Order, Rank: c.rank(view, service)})
+		c.deps.Events.OrderSeen(OrderRecord{Order: *known.Order, Rank: c.rank(view, service)})
 	}
 	followed.order = *known.Order // a restored store has it at another revision
 	before := followed.state
 	followed.learn(now, view)
 	if state := followed.state; state != nil && (before == nil || before.Revision != state.Revision) {
-		c.parts.Journal.PhaseLearned(*state)
+		c.deps.Events.PhaseLearned(*state)
 	}
 }
 
@@ -251,7 +251,7 @@
 }
 
 func (c *Controller) rank(view *catalog.View, service string) int {
-	return rankOf(c.judges.of(view, service), c.parts.Self.ID)
+	return rankOf(c.judges.of(view, service), c.deps.Self.ID)
 }
 
 // report tells the judges what this node counted, if it is time.
--- a/internal/rollout/rolloutcontrol/journal.go
+++ b/internal/rollout/rolloutcontrol/events.go
@@ -6,9 +6,9 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// Journal is told of what a node learns and does of roll-outs. Its methods are called from several goroutines and
+// EventLog is told of what a node learns and does of roll-outs. Its methods are called from several goroutines and
 // must not block.
-type Journal interface {
+type EventLog interface {
 	// OrderSeen is told of an order that this node learned of.
 	OrderSeen(OrderRecord)
 	// PhaseLearned is told of a state that came into force.
--- a/internal/rollout/rolloutcontrol/fleet_test.go
+++ b/internal/rollout/rolloutcontrol/fleet_test.go
@@ -64,9 +64,9 @@
 	n.rows, n.changed, n.held = map[evidence.Key]evidence.Tally{}, map[evidence.Key]bool{}, map[orderKey]bool{}
 	n.catalog.EnableRollouts()
 	view := storeView{f.store, n}
-	n.controller = New(Parts{
+	n.controller = New(Deps{
 		Config: f.cfg, Catalog: n.catalog, Self: catalog.NodeRecord{ID: id, Address: id}, Counts: n, Splitter: n, Judging: f.judging,
-		States: GuardedStates{Store: view, Guarded: view, RetryPause: f.cfg.RetryPause}, Fleet: n, Sender: n, Journal: n, Clock: n.clock,
+		States: GuardedStates{Store: view, Guarded: view, RetryPause: f.cfg.RetryPause}, Fleet: n, Sender: n, Events: n, Clock: n.clock,
 	})
 	n.transport.Serve(n)
 	ctx, cancel := context.WithCancel(f.t.Context())
--- a/internal/rollout/rolloutcontrol/hearing.go
+++ b/internal/rollout/rolloutcontrol/hearing.go
@@ -10,22 +10,22 @@
 
 // keepOwn takes this node's own counts where it is a judge.
 func (c *Controller) keepOwn(rows []evidence.Row) {
-	from := reporter{node: c.parts.Self.ID, start: c.reports.start}
-	if dropped := c.tallies.hear(from, c.parts.Self.Address, rows, c.parts.Clock.Now()); dropped > 0 {
+	from := reporter{node: c.deps.Self.ID, start: c.reports.start}
+	if dropped := c.tallies.hear(from, c.deps.Self.Address, rows, c.deps.Clock.Now()); dropped > 0 {
 		c.dropOwn(dropped)
 	}
 }
 
-func (c *Controller) dropOwn(rows int) { c.parts.Journal.RowsDropped(DroppedRecord{Rows: rows}) }
+func (c *Controller) dropOwn(rows int) { c.deps.Events.RowsDropped(DroppedRecord{Rows: rows}) }
 
 // HeardReports takes the counts of another node. A node that counts for an order that is held is told so.
 func (c *Controller) HeardReports(from string, reports peer.RolloutReports) {
 	rows, err := unpack(reports.Rows)
 	if err != nil {
-		c.parts.Journal.RowsDropped(DroppedRecord{From: from, Err: err})
+		c.deps.Events.RowsDropped(DroppedRecord{From: from, Err: err})
 		return
 	}
-	view := c.parts.Catalog.View()
+	view := c.deps.Catalog.View()
 	wanted := rows[:0]
 	held := map[orderKey]bool{}
 	for _, row := range rows {
@@ -35,8 +35,8 @@
 			held[order] = c.holds.has(order)
 		}
 	}
-	if dropped := c.tallies.hear(reporter{reports.Node, reports.StartUnixNano}, from, wanted, c.parts.Clock.Now()); dropped > 0 {
-		c.parts.Journal.RowsDropped(DroppedRecord{From: from, Rows: dropped})
+	if dropped := c.tallies.hear(reporter{reports.Node, reports.StartUnixNano}, from, wanted, c.deps.Clock.Now()); dropped > 0 {
+		c.deps.Events.RowsDropped(DroppedRecord{From: from, Rows: dropped})
 	}
 	for order, isHeld := range held {
 		if isHeld {
@@ -48,15 +48,15 @@
 // HeardHold takes a judge's word that an order's version is bad.
 func (c *Controller) HeardHold(from string, hold peer.RolloutHold) {
 	order := orderKey{hold.Service, hold.Order}
-	if !c.isWanted(c.parts.Catalog.View(), order) || !c.holds.put(order, "held by the word of "+from) {
+	if !c.isWanted(c.deps.Catalog.View(), order) || !c.holds.put(order, "held by the word of "+from) {
 		return
 	}
-	c.parts.Splitter.Hold(order.service, order.id)
-	c.parts.Journal.Held(HoldRecord{Service: order.service, Order: order.id, From: from})
+	c.deps.Splitter.Hold(order.service, order.id)
+	c.deps.Events.Held(HoldRecord{Service: order.service, Order: order.id, From: from})
 }
 
 func (c *Controller) sendHold(address string, order orderKey) {
-	c.parts.Sender.Send(address, peer.Message{RolloutHold: &peer.RolloutHold{Service: order.service, Order: order.id}})
+	c.deps.Sender.Send(address, peer.Message{RolloutHold: &peer.RolloutHold{Service: order.service, Order: order.id}})
 }
 
 // warnJudges tells the other judges of a hold, also those that told of no counts, until its state is written: any of
@@ -67,7 +67,7 @@
 	}
 	t.warned = now
 	for _, judge := range c.judges.of(view, order.service) {
-		if judge.ID != c.parts.Self.ID {
+		if judge.ID != c.deps.Self.ID {
 			c.sendHold(judge.Address, order)
 		}
 	}
@@ -78,13 +78,13 @@
 	if !c.holds.put(order, reason) {
 		return
 	}
-	c.parts.Splitter.Hold(order.service, order.id)
+	c.deps.Splitter.Hold(order.service, order.id)
 	nodes := 0
 	for _, address := range c.tallies.addresses(order) {
-		if address != c.parts.Self.Address {
+		if address != c.deps.Self.Address {
 			c.sendHold(address, order)
 			nodes++
 		}
 	}
-	c.parts.Journal.Held(HoldRecord{Service: order.service, Order: order.id, Reason: reason, Nodes: nodes})
+	c.deps.Events.Held(HoldRecord{Service: order.service, Order: order.id, Reason: reason, Nodes: nodes})
 }
--- a/internal/rollout/rolloutcontrol/hearing_test.go
+++ b/internal/rollout/rolloutcontrol/hearing_test.go
@@ -126,7 +126,7 @@
 func TestLateWriteSettlesItsOwnPenOnly(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		writes := gates{1: make(chan struct{}), 2: make(chan struct{})}
-		c := New(Parts{Config: f.cfg, States: writes, Journal: f.node("n0"), Catalog: f.node("n0").catalog})
+		c := New(Deps{Config: f.cfg, States: writes, Events: f.node("n0"), Catalog: f.node("n0").catalog})
 		begin := func(order int64) *writePacer {
 			state := rollout.State{Service: "s", OrderRevision: order, Phase: rollout.Canary}
 			c.write(context.Background(), time.Now(), PhaseRecord{State: state}, 0, order, 0)
--- a/internal/rollout/rolloutcontrol/judge.go
+++ b/internal/rollout/rolloutcontrol/judge.go
@@ -34,7 +34,7 @@
 	if reason, isHeld := c.holds.reason(order); isHeld {
 		t.judgement = verdict.Judgement{Finding: verdict.Bad, Reason: reason}
 	}
-	t.judge(now, c.parts.Judging, rows, newest)
+	t.judge(now, c.deps.Judging, rows, newest)
 	if t.judgement.Finding == verdict.Bad {
 		c.hold(order, t.judgement.Reason)
 		c.warnJudges(now, view, t, order)
@@ -48,7 +48,7 @@
 	if state := view.Rollouts[t.order.Service].State; state != nil {
 		replaced = state.Revision
 	}
-	state := t.written(now, phase, reason, c.parts.Self.ID)
+	state := t.written(now, phase, reason, c.deps.Self.ID)
 	record := PhaseRecord{State: state, Counts: countVersions(rows)}
 	if !newest.IsZero() {
 		record.Age = now.Sub(newest)
@@ -64,7 +64,7 @@
 // endWithoutOrder ends a roll-out whose order was taken back: the version that served serves on.
 func (c *Controller) endWithoutOrder(ctx context.Context, now time.Time, state rollout.State, rank int) time.Duration {
 	replaced := state.Revision
-	state.Phase, state.Reason, state.DecidedBy = rollout.RolledBack, "the order was taken back", c.parts.Self.ID
+	state.Phase, state.Reason, state.DecidedBy = rollout.RolledBack, "the order was taken back", c.deps.Self.ID
 	return c.write(ctx, now, PhaseRecord{State: state}, replaced, 0, time.Duration(rank)*c.cfg.TakeoverPause)
 }
 
@@ -86,7 +86,7 @@
 	c.running.Go(func() {
 		writeCtx, cancel := context.WithTimeout(ctx, c.cfg.WriteTimeout)
 		defer cancel()
-		record.Revision, record.Err = c.parts.States.Write(writeCtx, record.State, replaced, order)
+		record.Revision, record.Err = c.deps.States.Write(writeCtx, record.State, replaced, order)
 		select {
 		case c.written <- writeResult{held, record}:
 		case <-ctx.Done():
@@ -98,6 +98,6 @@
 // settle notes how a write went.
 func (c *Controller) settle(now time.Time, result writeResult) {
 	c.writing--
-	c.parts.Journal.PhaseWritten(result.record)
+	c.deps.Events.PhaseWritten(result.record)
 	result.pacer.settle(now, result.record.Err, c.cfg)
 }
--- a/internal/rollout/rolloutcontrol/node_test.go
+++ b/internal/rollout/rolloutcontrol/node_test.go
@@ -16,7 +16,7 @@
 	"github.com/portgauge/portgauge/internal/rollout/verdict"
 )
 
-// testNode is one node; it is its own counts, splitter, sender, journal and fleet.
+// testNode is one node; it is its own counts, splitter, sender, events and fleet.
 type testNode struct {
 	id         string
 	fleet      *fleet
--- a/internal/rollout/rolloutcontrol/reporter.go
+++ b/internal/rollout/rolloutcontrol/reporter.go
@@ -56,12 +56,12 @@
 	resentAt time.Time
 }
 
-func newReports(parts Parts, keep func([]evidence.Row), dropped func(rows int)) *reports {
-	cfg := parts.Config
+func newReports(deps Deps, keep func([]evidence.Row), dropped func(rows int)) *reports {
+	cfg := deps.Config
 	return &reports{
-		self: parts.Self, start: time.Now().UnixNano(), counts: parts.Counts, sender: parts.Sender, keep: keep, dropped: dropped, resend: cfg.ResendInterval,
+		self: deps.Self, start: time.Now().UnixNano(), counts: deps.Counts, sender: deps.Sender, keep: keep, dropped: dropped, resend: cfg.ResendInterval,
 		budget: rate.NewLimiter(rate.Limit(cfg.BytesPerSecond), cfg.BurstBytes),
-		boxes:  map[string]*box{}, told: map[string][]catalog.NodeRecord{}, resentAt: parts.Clock.Now(),
+		boxes:  map[string]*box{}, told: map[string][]catalog.NodeRecord{}, resentAt: deps.Clock.Now(),
 	}
 }
 
--- a/internal/rollout/rolloutcontrol/reports_test.go
+++ b/internal/rollout/rolloutcontrol/reports_test.go
@@ -190,7 +190,7 @@
 	sent.observe(long, false)
 	sent.observe(evidence.Key{Service: "s", Order: 1}, false)
 	dropped, datagrams := 0, countingSender{}
-	r := newReports(Parts{Config: DefaultConfig(), Self: catalog.NodeRecord{ID: "n"}, Counts: sent, Sender: &datagrams}, nil, func(rows int) { dropped += rows })
+	r := newReports(Deps{Config: DefaultConfig(), Self: catalog.NodeRecord{ID: "n"}, Counts: sent, Sender: &datagrams}, nil, func(rows int) { dropped += rows })
 	judges := func(string) []catalog.NodeRecord { return []catalog.NodeRecord{{ID: "judge", Address: "judge"}} }
 	r.step(time.Now(), judges, func(orderKey) bool { return true })
 	is.Equal(dropped, 1)
--- a/internal/rollout/rolloutcontrol/settling.go
+++ b/internal/rollout/rolloutcontrol/settling.go
@@ -48,7 +48,7 @@
 // untilAsked gives how long after the switch of an order the nodes are asked first: when they can be settled, and the
 // other judges when the one before them should have written what it found after its last look.
 func (c *Controller) untilAsked(order rollout.Order, rank int) time.Duration {
-	first := c.parts.Splitter.Ramp(order.Duration()) + time.Duration(firstAskPart*float64(c.cfg.SettleInterval))
+	first := c.deps.Splitter.Ramp(order.Duration()) + time.Duration(firstAskPart*float64(c.cfg.SettleInterval))
 	if rank == 0 {
 		return first
 	}
@@ -70,7 +70,7 @@
 	c.running.Go(func() {
 		askCtx, cancel := context.WithTimeout(ctx, c.cfg.SettleWait)
 		defer cancel()
-		answer := fleetAnswer{asked: now, status: c.parts.Fleet.Settled(askCtx, revision)}
+		answer := fleetAnswer{asked: now, status: c.deps.Fleet.Settled(askCtx, revision)}
 		select {
 		case c.statuses <- answer:
 		case <-ctx.Done():
--- a/internal/rollout/rolloutcontrol/versions.go
+++ b/internal/rollout/rolloutcontrol/versions.go
@@ -29,7 +29,7 @@
 	catalog *catalog.Catalog
 	store   store.Store
 	self    string
-	journal Journal
+	events  EventLog
 
 	view   *catalog.View // the last one looked at
 	wanted map[string]string
@@ -37,8 +37,8 @@
 }
 
 // NewVersionsWriter makes a writer for the node of an id.
-func NewVersionsWriter(cfg Config, known *catalog.Catalog, kept store.Store, self string, journal Journal) *VersionsWriter {
-	return &VersionsWriter{cfg: cfg, catalog: known, store: kept, self: self, journal: journal}
+func NewVersionsWriter(cfg Config, known *catalog.Catalog, kept store.Store, self string, events EventLog) *VersionsWriter {
+	return &VersionsWriter{cfg: cfg, catalog: known, store: kept, self: self, events: events}
 }
 
 // Run writes the versions whenever they changed, until the context ends.
@@ -60,7 +60,7 @@
 	if failure.Is(err, failure.RevisionConflict) {
 		return // another node was first
 	}
-	w.journal.VersionsWritten(VersionsRecord{Services: len(w.wanted), Err: err})
+	w.events.VersionsWritten(VersionsRecord{Services: len(w.wanted), Err: err})
 }
 
 // isDue reports whether what should be written down differs from what is for so long that this node writes it.
