--- a/internal/fleet/platformclient/byte_counter.go
+++ b/internal/fleet/ownplatform/byte_counter.go
@@ -1,4 +1,4 @@
-package platformclient
+package ownplatform
 
 import (
 	"context"
@@ -6,10 +6,10 @@
 	"google.golang.org/grpc/stats"
 )
 
-// Meter is told of bytes sent to and received from the platform.
+// Meter receives the size in bytes of each message sent to or received from the platform.
 type Meter func(sent, received int)
 
-// byteCounter tells the meter of each message on the connection.
+// byteCounter reports each message on the connection to the meter.
 type byteCounter struct {
 	meter Meter
 }
--- a/internal/fleet/platformclient/guarded_test.go
+++ b/internal/fleet/ownplatform/guarded_test.go
@@ -1,4 +1,4 @@
-package platformclient
+package ownplatform
 
 import (
 	"context"
@@ -13,10 +13,10 @@
 	"github.com/portgauge/portgauge/internal/lab/platform"
 )
 
-// callsPerSecond is more than a test makes.
+// callsPerSecond is the stand-in's rate limit, higher than a test needs.
 const callsPerSecond = 1000
 
-// start gives a client of a stand-in on the loopback.
+// start returns a client of a stand-in platform on the loopback interface.
 func start(t *testing.T) *Client {
 	t.Helper()
 	var listening net.ListenConfig
@@ -42,7 +42,7 @@
 	return client
 }
 
-// A guarded write is made only while each condition holds; a key that was never written counts as revision 0.
+// A guarded write succeeds only while each condition holds; a key that was never written has revision 0.
 func TestGuardedWriteNeedsItsConditions(t *testing.T) {
 	is := is.New(t)
 	client := start(t)
@@ -54,7 +54,7 @@
 	is.True(written.Swapped)
 	again, err := client.CompareAndSwapIf(t.Context(), holds, "state", 0, []byte(`b`))
 	is.NoErr(err)
-	is.True(!again.Swapped) // the key's own revision counts too
+	is.True(!again.Swapped) // the key's own revision is compared too
 	_, err = client.CompareAndSwap(t.Context(), "order", order.Entry.Revision, nil, true)
 	is.NoErr(err)
 	refused, err := client.CompareAndSwapIf(t.Context(), holds, "state", written.Entry.Revision, []byte(`c`))
@@ -64,5 +64,5 @@
 	taken := []store.Condition{{Key: "order"}}
 	written, err = client.CompareAndSwapIf(t.Context(), taken, "state", written.Entry.Revision, []byte(`d`))
 	is.NoErr(err)
-	is.True(written.Swapped) // deleted counts as revision 0
+	is.True(written.Swapped) // a deleted key has revision 0
 }
--- a/internal/fleet/platformclient/leases.go
+++ b/internal/fleet/ownplatform/leases.go
@@ -1,4 +1,4 @@
-package platformclient
+package ownplatform
 
 import (
 	"context"
@@ -47,7 +47,7 @@
 	return leaseFailure(err, "store put leased")
 }
 
-// leaseFailure names the call that failed, and says if it did because the lease is over.
+// leaseFailure puts the name of the call before an error; NOT_FOUND means that the lease is over: store.ErrLeaseGone.
 func leaseFailure(err error, call string) error {
 	if status.Code(err) == codes.NotFound {
 		return merry.Prepend(store.ErrLeaseGone, call)
--- a/internal/fleet/platformclient/leases_test.go
+++ b/internal/fleet/ownplatform/leases_test.go
@@ -1,4 +1,4 @@
-package platformclient
+package ownplatform
 
 import (
 	"errors"
@@ -11,7 +11,7 @@
 	"github.com/portgauge/portgauge/internal/config/store"
 )
 
-// What is written under a lease can be read as any document, and goes with the lease.
+// A document written under a lease reads like any other, and is deleted when the lease ends.
 func TestLeasedDocumentGoesWithItsLease(t *testing.T) {
 	is := is.New(t)
 	client := start(t)
--- a/internal/fleet/platformclient/platformclient.go
+++ b/internal/fleet/ownplatform/ownplatform.go
@@ -1,5 +1,10 @@
-// Package platformclient speaks the platform's gRPC dialect of the store and machine list.
-package platformclient
+// Package ownplatform is the client of this product's own platform protocol (proto/portgauge/platform/v1): a store with
+// leases and a machine list over gRPC. It is used where the settings name no other platform; the adapter to the users'
+// platform is package platform at the root of the repository, and internal/lab/platform serves this protocol in tests.
+//
+// A Client owns one gRPC connection, opened on first use. It keeps no state and never retries: timeouts and retries are
+// the callers'. Errors are gRPC statuses with the name of the call in front; a lease that is over is store.ErrLeaseGone.
+package ownplatform
 
 import (
 	"context"
@@ -27,8 +32,7 @@
 	_ machines.Lister = (*Client)(nil)
 )
 
-// New makes a client; the connection is opened on first use. The meter is told of the bytes
-// of each message.
+// New returns a client; the connection is opened on first use. The meter is called with the size of each message.
 func New(address string, meter Meter) (*Client, error) {
 	connection, err := grpc.NewClient("passthrough:///"+address,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
@@ -57,7 +61,7 @@
 	return entryFrom(response.GetEntry()), nil
 }
 
-// List implements store.Store; its answers are always linearizable.
+// List implements store.Store; its responses are always linearizable.
 func (c *Client) List(ctx context.Context, _ store.Consistency) (catalog.Snapshot, error) {
 	response, err := c.store.List(ctx, &platformv1.ListRequest{})
 	if err != nil {
@@ -92,7 +96,7 @@
 	return store.SwapResult{Swapped: response.GetSwapped(), Entry: entryFrom(response.GetEntry())}, nil
 }
 
-// Watch implements store.Store: a stream tells of each change at once, whatever the role.
+// Watch implements store.Store: the stream delivers each change at once, whatever the role.
 func (c *Client) Watch(ctx context.Context, after int64, _ store.WatchRole, receive func(store.Event) error) error {
 	stream, err := c.store.Watch(ctx, &platformv1.WatchRequest{AfterRevision: after})
 	if err != nil {
--- a/internal/node/dialect.go
+++ b/internal/node/dialect.go
@@ -6,7 +6,7 @@
 	"github.com/portgauge/portgauge/internal/config/store"
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/fleet/machines"
-	"github.com/portgauge/portgauge/internal/fleet/platformclient"
+	"github.com/portgauge/portgauge/internal/fleet/ownplatform"
 	"github.com/portgauge/portgauge/internal/node/settings"
 	"github.com/portgauge/portgauge/internal/node/telemetry"
 	"github.com/portgauge/portgauge/internal/request/httpnames"
@@ -66,7 +66,7 @@
 // newOwnPlatform connects by the product's own protocol.
 func newOwnPlatform(config settings.Settings, metrics *telemetry.Metrics, lifecycle fx.Lifecycle) (platformDeps, error) {
 	sentToPlatform := metrics.ControlBytes.WithLabelValues("platform")
-	client, err := platformclient.New(config.Platform.Address, func(sent, _ int) { sentToPlatform.Add(float64(sent)) })
+	client, err := ownplatform.New(config.Platform.Address, func(sent, _ int) { sentToPlatform.Add(float64(sent)) })
 	if err != nil {
 		return platformDeps{}, err
 	}
