--- a/internal/config/catalog/catalog.go
+++ b/internal/config/catalog/catalog.go
@@ -117,7 +117,7 @@
 // ConfirmSince records that the revision in force was the newest so long before an answer that was asked for at a mark. One
 // that had come before the machine was suspended is as old as that, too.
 func (c *Catalog) ConfirmSince(asked boottime.Mark, age time.Duration) {
-	c.Confirm(c.Now().Add(-age - asked.Slept()))
+	c.Confirm(c.Now().Add(-age - asked.Suspended()))
 }
 
 // Mark gives the instant by which ConfirmSince tells whether the machine was suspended.
--- a/internal/config/configsync/suspended_test.go
+++ b/internal/config/configsync/suspended_test.go
@@ -26,7 +26,7 @@
 		is.Equal(s.waited(), 10*time.Second)
 		time.Sleep(time.Millisecond)
 		is.Equal(s.waited(), 10*time.Second) // the next in the queue
-		time.Sleep(boottime.LookInterval)
+		time.Sleep(boottime.CheckInterval)
 		is.Equal(s.waited(), time.Duration(0))
 	})
 }
--- a/internal/config/configsync/syncer.go
+++ b/internal/config/configsync/syncer.go
@@ -195,8 +195,8 @@
 func (s *Syncer) waited() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if slept := s.readMark.Slept(); slept > 0 {
-		s.slept, s.sleptUntil = slept, time.Now().Add(boottime.LookInterval)
+	if slept := s.readMark.Suspended(); slept > 0 {
+		s.slept, s.sleptUntil = slept, time.Now().Add(boottime.CheckInterval)
 	}
 	s.readMark = s.catalog.Mark()
 	if time.Now().Before(s.sleptUntil) {
--- a/internal/node/boottime/boottime.go
+++ b/internal/node/boottime/boottime.go
@@ -1,8 +1,11 @@
-// Package boottime reads a clock that counts the time for which the machine was suspended.
+// Package boottime is a clock that includes the time for which the machine was suspended, and detects suspensions.
 //
-// The steady clock behind time.Now, timers and deadlines stands still then. What must lapse by itself, or is believed
-// because it is fresh, is measured here instead: a machine that slept for ten seconds would hold it for true ten
-// seconds longer than the rest of the fleet does. The time of day is of no use for that, since it may jump.
+// The monotonic clock behind time.Now, timers and deadlines stops during a suspension. Leases, quarantine terms, ages of
+// the configuration and anything else that expires by itself are measured here instead; otherwise a machine that was
+// suspended for ten seconds would trust them ten seconds longer than the rest of the fleet does. The time of day can't
+// serve, since it may jump.
+//
+// It owns no state beyond the start of each Clock and relies on the kernel's CLOCK_BOOTTIME.
 package boottime
 
 import (
@@ -12,11 +15,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock gives instants to be compared with others of the same clock, and with nothing else. The nil clock is the steady
-// one, for tests in virtual time.
+// Clock returns instants that may be compared only with others of the same clock. The nil Clock is the monotonic clock,
+// for tests in virtual time and kernels without CLOCK_BOOTTIME.
 type Clock func() time.Time
 
-// Now gives the instant.
+// Now returns the current instant.
 func (c Clock) Now() time.Time {
 	if c == nil {
 		return time.Now()
@@ -24,31 +27,31 @@
 	return c()
 }
 
-// Since gives the time since an instant.
+// Since returns the time since an instant, suspensions included.
 func (c Clock) Since(instant time.Time) time.Duration { return c.Now().Sub(instant) }
 
-// System gives the machine's clock, or an error where the kernel has none.
+// System returns the machine's clock, or an error if the kernel doesn't have it.
 func System() (Clock, error) {
 	start, err := sinceBoot()
 	if err != nil {
 		return nil, err
 	}
-	base := time.Now().Round(0) // without the steady clock's reading
+	base := time.Now().Round(0) // drop the monotonic reading
 	return func() time.Time {
 		now, err := sinceBoot()
 		if err != nil {
-			// It was there a moment ago, and the kernel names no way in which it goes.
+			// The clock worked above, and CLOCK_BOOTTIME has no documented way to fail later.
 			panic(err)
 		}
 		return base.Add(now - start)
 	}, nil
 }
 
-// sinceBoot reads the kernel's clock.
+// sinceBoot reads CLOCK_BOOTTIME.
 func sinceBoot() (time.Duration, error) {
 	var read unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &read); err != nil {
-		return 0, merry.Prepend(err, "read the clock that counts suspended time")
+		return 0, merry.Prepend(err, "read CLOCK_BOOTTIME")
 	}
 	return time.Duration(read.Nano()), nil
 }
--- a/internal/node/boottime/sleep_test.go
+++ b/internal/node/boottime/suspension_test.go
@@ -28,7 +28,7 @@
 		synctest.Wait()
 		is.Equal(len(told), 0) // an ordinary hour
 		machine.suspend(5 * time.Second)
-		time.Sleep(2 * LookInterval)
+		time.Sleep(2 * CheckInterval)
 		machine.suspend(time.Minute)
 		time.Sleep(time.Second)
 		synctest.Wait()
@@ -43,9 +43,9 @@
 		machine := &suspendable{}
 		mark := Clock(machine.now).Mark()
 		time.Sleep(time.Second)
-		is.Equal(mark.Slept(), time.Duration(0))
+		is.Equal(mark.Suspended(), time.Duration(0))
 		machine.suspend(3 * time.Second)
 		time.Sleep(time.Second)
-		is.Equal(mark.Slept(), 3*time.Second)
+		is.Equal(mark.Suspended(), 3*time.Second)
 	})
 }
--- a/internal/rollout/rolloutcontrol/controller.go
+++ b/internal/rollout/rolloutcontrol/controller.go
@@ -156,7 +156,7 @@
 // mustHearFirst reports whether the machine was suspended so short a while ago that the counts and holds which came
 // meanwhile may not be read yet. A judge that slept while a version turned bad would else find it good by old counts.
 func (c *Controller) mustHearFirst(now time.Time) bool {
-	if c.lookedAt.Slept() > 0 {
+	if c.lookedAt.Suspended() > 0 {
 		c.judgesFrom = now.Add(hearIntervals * c.cfg.ReportInterval)
 	}
 	c.lookedAt = c.deps.Clock.Mark()
