--- a/internal/config/configsync/fleet_test.go
+++ b/internal/config/configsync/fleet_test.go
@@ -20,6 +20,7 @@
 	"github.com/portgauge/portgauge/internal/fleet/machines"
 	"github.com/portgauge/portgauge/internal/fleet/membership"
 	"github.com/portgauge/portgauge/internal/fleet/peer"
+	"github.com/portgauge/portgauge/internal/fleet/peer/peertest"
 )
 
 var errDown = errors.New("store is down")
@@ -249,7 +250,7 @@
 	t        *testing.T
 	config   Config
 	platform *memoryPlatform
-	network  *peer.MemoryNetwork
+	network  *peertest.Network
 	nodes    map[string]*testNode
 }
 
@@ -257,7 +258,7 @@
 	f := &fleet{
 		t: t, config: DefaultConfig(), platform: &memoryPlatform{changed: make(chan struct{}), cutOff: map[string]bool{}, roles: map[string]store.WatchRole{},
 			told: map[string]int{}, silent: map[string]bool{}},
-		network: peer.NewMemoryNetwork(1, time.Millisecond), nodes: map[string]*testNode{},
+		network: peertest.NewNetwork(1, time.Millisecond), nodes: map[string]*testNode{},
 	}
 	for zone := range zones {
 		for number := range perZone {
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -10,6 +10,7 @@
 	"github.com/matryer/is"
 
 	"github.com/portgauge/portgauge/internal/fleet/peer"
+	"github.com/portgauge/portgauge/internal/fleet/peer/peertest"
 )
 
 // quiet is a listener with nothing to say.
@@ -29,13 +30,13 @@
 }
 
 type zone struct {
-	network *peer.MemoryNetwork
+	network *peertest.Network
 	members []*Membership
 	cancels []context.CancelFunc
 }
 
 func newZone(t *testing.T, size int) *zone {
-	z := &zone{network: peer.NewMemoryNetwork(3, time.Millisecond)}
+	z := &zone{network: peertest.NewNetwork(3, time.Millisecond)}
 	for number := range size {
 		z.start(t, number, int64(1))
 	}
--- a/internal/lab/httpleaf/httpleaf.go
+++ b/internal/lab/httpleaf/httpleaf.go
@@ -71,8 +71,6 @@
 	listener net.Listener
 	mutex    sync.Mutex
 	asked    []Request
-	opened   int
-	closed   int
 	open     map[net.Conn]bool
 }
 
@@ -88,9 +86,14 @@
 	if err != nil {
 		return nil, err
 	}
+	return Serve(listener, id, dialect, answer), nil
+}
+
+// Serve starts a leaf that accepts connections of a listener until Stop, which closes the listener.
+func Serve(listener net.Listener, id string, dialect httpnames.Names, answer func(Request) Answer) *Leaf {
 	leaf := &Leaf{ID: id, dialect: dialect, answer: answer, listener: listener, open: map[net.Conn]bool{}}
 	go leaf.accept()
-	return leaf, nil
+	return leaf
 }
 
 // Address gives the leaf's address.
@@ -113,13 +116,6 @@
 	return append([]Request(nil), l.asked...)
 }
 
-// Connections gives how many connections were opened, and how many of them ended.
-func (l *Leaf) Connections() (opened, closed int) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	return l.opened, l.closed
-}
-
 func (l *Leaf) accept() {
 	for {
 		connection, err := l.listener.Accept()
@@ -127,7 +123,6 @@
 			return
 		}
 		l.mutex.Lock()
-		l.opened++
 		l.open[connection] = true
 		l.mutex.Unlock()
 		go l.serve(connection)
@@ -139,7 +134,6 @@
 		_ = connection.Close()
 		l.mutex.Lock()
 		defer l.mutex.Unlock()
-		l.closed++
 		delete(l.open, connection)
 	}()
 	reader := bufio.NewReader(connection)
--- a/internal/lab/kvstore/backup.go
+++ b/internal/lab/kvstore/backup.go
@@ -14,13 +14,6 @@
 	nextLease int64
 }
 
-// TellEpoch has answers tell of an epoch from now on, also before the first restore.
-func (s *Store) TellEpoch(epoch int64) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.epoch = epoch
-}
-
 // Backup keeps the state as it is for Restore.
 func (s *Store) Backup() {
 	s.mutex.Lock()
--- a/internal/lab/kvstore/kvstore.go
+++ b/internal/lab/kvstore/kvstore.go
@@ -60,8 +60,7 @@
 	nextLease int64
 	changed   chan struct{}
 	faults    Faults
-	calls     map[string]int
-	// epoch counts the restores; it is told where it is not 0.
+	// epoch grows by one with each restore; clients are sent it unless it is 0.
 	epoch  int64
 	backup backup
 	// stale is what stale reads are answered by while they are held back.
@@ -74,9 +73,9 @@
 	items    map[string]Item
 }
 
-// New makes an empty store.
-func New() *Store {
-	return &Store{items: map[string]Item{}, leases: map[int64]lease{}, changed: make(chan struct{}), calls: map[string]int{}, nextLease: 1}
+// New returns an empty store of an epoch; epoch 0 is not announced to clients.
+func New(epoch int64) *Store {
+	return &Store{items: map[string]Item{}, leases: map[int64]lease{}, changed: make(chan struct{}), nextLease: 1, epoch: epoch}
 }
 
 // SetFaults changes what the store does wrong.
@@ -89,13 +88,6 @@
 	s.faults = faults
 }
 
-// Calls gives how often a call was made.
-func (s *Store) Calls(name string) int {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.calls[name]
-}
-
 // Put writes a key as the operator or a leaf would, and gives the revision.
 func (s *Store) Put(key string, value any) int64 {
 	content, err := json.Marshal(value)
@@ -125,13 +117,6 @@
 	return s.revision
 }
 
-// Revision gives where the store stands.
-func (s *Store) Revision() int64 {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.revision
-}
-
 // Compact drops the history.
 func (s *Store) Compact() {
 	s.mutex.Lock()
@@ -183,11 +168,14 @@
 	s.changed = make(chan struct{})
 }
 
+// PathPrefix begins the paths of all calls.
+const PathPrefix = "/portgauge/"
+
 // Handler serves the store's calls.
 func (s *Store) Handler() http.Handler {
 	gin.SetMode(gin.ReleaseMode)
 	router := gin.New()
-	group := router.Group("/portgauge", s.admit)
+	group := router.Group(PathPrefix, s.admit)
 	group.GET("/kv-key", s.getKey)
 	group.GET("/kv-range", s.getRange)
 	group.GET("/kv-watch", s.watch)
@@ -198,7 +186,7 @@
 	return router
 }
 
-// admit counts the call, lets leases run out and refuses where it is asked to.
+// admit ends leases that have expired and refuses the call if the faults say so.
 func (s *Store) admit(c *gin.Context) {
 	if s.isSilent() {
 		<-c.Request.Context().Done()
@@ -210,7 +198,6 @@
 	if s.epoch > 0 {
 		c.Header("Store-Era", strconv.FormatInt(s.epoch, 10))
 	}
-	s.calls[strings.Split(strings.TrimPrefix(c.Request.URL.Path, "/portgauge/"), "/")[0]]++
 	s.expire(time.Now())
 	if s.faults.Refuse != 0 {
 		c.AbortWithStatus(s.faults.Refuse)
--- a/internal/lab/soak/judge_test.go
+++ b/internal/lab/soak/judge_test.go
@@ -17,7 +17,7 @@
 // still is a world without processes: two gathered services of a leaf each, and a single one.
 func still(t *testing.T) *world {
 	t.Helper()
-	store := kvstore.New()
+	store := kvstore.New(0)
 	server := httptest.NewServer(store.Handler())
 	t.Cleanup(server.Close)
 	w := &world{dialect: platform.Dialect(), store: store, leafs: map[string]*leafState{}, gathered: []string{"part0", "part1"}}
--- a/internal/leaf/leafhttp/leafhttp_test.go
+++ b/internal/leaf/leafhttp/leafhttp_test.go
@@ -23,18 +23,14 @@
 // bench is a leaf and a pool that asks it.
 type bench struct {
 	t    *testing.T
-	leaf *httpleaf.Leaf
+	leaf *countedLeaf
 	pool *Pool
 	next atomic.Int64
 }
 
 func newBench(t *testing.T, config Config, answer func(httpleaf.Request) httpleaf.Answer) *bench {
 	t.Helper()
-	leaf, err := httpleaf.Start("leaf-1", dialect, answer)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(leaf.Stop)
+	leaf := startCountedLeaf(t, "leaf-1", answer)
 	pool := New(config, dialect, nil)
 	t.Cleanup(pool.Close)
 	return &bench{t: t, leaf: leaf, pool: pool}
--- a/internal/node/settings/load.go
+++ b/internal/node/settings/load.go
@@ -48,15 +48,6 @@
 	return assemble(path, document, append(fromEnvironment(environment), flags...))
 }
 
-// Parse reads settings from the content of a file alone.
-func Parse(name string, content []byte) (Settings, error) {
-	document, err := parse(name, content)
-	if err != nil {
-		return Settings{}, err
-	}
-	return assemble(name, document, nil)
-}
-
 func parse(name string, content []byte) (*yaml.Node, error) {
 	var root yaml.Node
 	if err := yaml.Unmarshal(content, &root); err != nil {
--- a/internal/node/settings/settings_test.go
+++ b/internal/node/settings/settings_test.go
@@ -11,6 +11,15 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
+// Parse returns the settings of a file with the given content, without environment and flags.
+func Parse(name string, content []byte) (Settings, error) {
+	document, err := parse(name, content)
+	if err != nil {
+		return Settings{}, err
+	}
+	return assemble(name, document, nil)
+}
+
 func TestAllFaultsAreNamedAtOnceWithTheirLines(t *testing.T) {
 	is := is.New(t)
 	_, err := Parse("node.yaml", []byte(`
--- a/internal/rollout/rolloutcontrol/fleet_test.go
+++ b/internal/rollout/rolloutcontrol/fleet_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"github.com/portgauge/portgauge/internal/config/catalog"
-	"github.com/portgauge/portgauge/internal/fleet/peer"
+	"github.com/portgauge/portgauge/internal/fleet/peer/peertest"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
 	"github.com/portgauge/portgauge/internal/rollout"
 	"github.com/portgauge/portgauge/internal/rollout/evidence"
@@ -21,7 +21,7 @@
 	t       *testing.T
 	cfg     Config
 	store   *memoryStore
-	network *peer.MemoryNetwork
+	network *peertest.Network
 	judging JudgingFactory
 	ramp    time.Duration // how long nodes take to move their requests
 	mu      sync.Mutex
@@ -45,7 +45,7 @@
 const syncDelay = 100 * time.Millisecond
 
 func newFleet(t *testing.T, size int) *fleet {
-	f := &fleet{t: t, cfg: DefaultConfig(), network: peer.NewMemoryNetwork(1, time.Millisecond), nodes: map[string]*testNode{}, judging: newPlainJudging}
+	f := &fleet{t: t, cfg: DefaultConfig(), network: peertest.NewNetwork(1, time.Millisecond), nodes: map[string]*testNode{}, judging: newPlainJudging}
 	f.store = &memoryStore{entries: map[string]catalog.Entry{}, refused: map[string]bool{}, calls: map[string]int{}}
 	f.store.changed = func() { time.AfterFunc(syncDelay, f.syncAll) }
 	for number := range size {
--- a/internal/rollout/rolloutcontrol/node_test.go
+++ b/internal/rollout/rolloutcontrol/node_test.go
@@ -10,6 +10,7 @@
 
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/fleet/peer"
+	"github.com/portgauge/portgauge/internal/fleet/peer/peertest"
 	"github.com/portgauge/portgauge/internal/fleet/registry"
 	"github.com/portgauge/portgauge/internal/rollout"
 	"github.com/portgauge/portgauge/internal/rollout/evidence"
@@ -22,7 +23,7 @@
 	fleet      *fleet
 	catalog    *catalog.Catalog
 	controller *Controller
-	transport  *peer.MemoryTransport
+	transport  *peertest.Transport
 	stop       context.CancelFunc
 
 	mu        sync.Mutex
