--- a/internal/node/boottime/suspension_test.go
+++ b/internal/node/boottime/suspension_test.go
@@ -21,18 +21,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		machine := &suspendable{}
-		var told []time.Duration
+		var reported []time.Duration
 		ctx, cancel := context.WithCancel(t.Context())
-		go Watch(ctx, machine.now, func(slept time.Duration) { told = append(told, slept) })
+		go Watch(ctx, machine.now, func(suspended time.Duration) { reported = append(reported, suspended) })
 		time.Sleep(time.Hour)
 		synctest.Wait()
-		is.Equal(len(told), 0) // an ordinary hour
+		is.Equal(len(reported), 0) // an ordinary hour
 		machine.suspend(5 * time.Second)
 		time.Sleep(2 * CheckInterval)
 		machine.suspend(time.Minute)
 		time.Sleep(time.Second)
 		synctest.Wait()
-		is.Equal(told, []time.Duration{5 * time.Second, time.Minute})
+		is.Equal(reported, []time.Duration{5 * time.Second, time.Minute})
 		cancel()
 	})
 }
--- a/internal/node/decisionlog/decisionlog.go
+++ b/internal/node/decisionlog/decisionlog.go
@@ -1,9 +1,9 @@
-// Package decisionlog writes a line for each decision that touches a request or changes what
-// the node believes, as JSON lines that bound themselves.
+// Package decisionlog writes one JSON line for each decision about a request and each change of the state that decisions
+// are based on, at a bounded rate.
 //
-// Lines are queued and written by one goroutine: whoever decides never waits for the output.
-// Lines beyond the rate, or beyond the queue, are left out and counted; those of requests that
-// failed or came back partial have a rate of their own, so that they outlast the ordinary ones.
+// It owns a queue of events and the goroutine in Run that encodes and writes them, so that no caller of Write ever waits
+// for the output. Events beyond the rate or the queue are dropped and counted. Failed and partial requests have a rate of
+// their own, so that they still get through when ordinary ones use theirs up. It relies on the output alone.
 package decisionlog
 
 import (
@@ -18,24 +18,24 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// Config bounds the volume.
+// Config bounds the volume of the log.
 type Config struct {
 	// LinesPerSecond bounds the lines of ordinary decisions.
 	LinesPerSecond float64 `yaml:"lines_per_second"`
 	// FailureLinesPerSecond bounds the lines of failed and partial requests.
 	FailureLinesPerSecond float64 `yaml:"failure_lines_per_second"`
-	// EveryAttempt logs leaf attempts that went as usual, too.
+	// EveryAttempt also logs attempts that succeeded or were abandoned.
 	EveryAttempt bool `yaml:"every_attempt"`
-	// Queue is how many lines may wait for the output.
+	// Queue is how many lines may be queued for the output.
 	Queue int `yaml:"queue"`
 }
 
-// DefaultConfig allows some kilobytes a second.
+// DefaultConfig allows a few kilobytes a second.
 func DefaultConfig() Config {
 	return Config{LinesPerSecond: 5, FailureLinesPerSecond: 20, Queue: 256}
 }
 
-// Validate names every field at fault.
+// Validate returns all invalid fields.
 func (c Config) Validate() error {
 	var checks failure.Checks
 	checks.Refuse(c.LinesPerSecond < 0, "lines_per_second", "must not be negative")
@@ -44,7 +44,7 @@
 	return checks.Err()
 }
 
-// Importance says which bound a line falls under.
+// Importance selects the rate that a line counts against.
 type Importance int
 
 // The importances.
@@ -63,8 +63,7 @@
 	dropped  func()
 }
 
-// New makes a log; Run must be called for lines to come out. The dropped function is told of
-// each line left out.
+// New returns a log that writes nothing until Run is called. The dropped function is called for each dropped line.
 func New(config Config, output io.Writer, dropped func()) *Log {
 	return &Log{
 		output:   output,
@@ -75,14 +74,14 @@
 	}
 }
 
-// burstSeconds is how many seconds' worth of lines may come at once.
+// burstSeconds is the burst of each rate, in seconds' worth of lines.
 const burstSeconds = 3
 
 func limiter(perSecond float64) *rate.Limiter {
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(burstSeconds*perSecond)))
 }
 
-// Write queues an event, or leaves it out. The event is encoded later and must not change.
+// Write queues an event, or drops it. The event is encoded later and must not be changed.
 func (l *Log) Write(importance Importance, event any) {
 	bound := l.ordinary
 	if importance == Failed {
@@ -99,26 +98,26 @@
 	l.dropped()
 }
 
-// leftOutEvent says how many lines are missing before it.
+// leftOutEvent counts the lines dropped since the previous one.
 type leftOutEvent struct {
 	Time    time.Time `json:"time"`
 	Event   string    `json:"event"`
 	LeftOut int64     `json:"lines"`
 }
 
-// tellInterval is how often the log says how many lines it left out.
-const tellInterval = 5 * time.Second
+// reportInterval is how often dropped lines are reported.
+const reportInterval = 5 * time.Second
 
-// Run writes lines until the context ends, and then those that are queued.
+// Run writes lines until the context ends, and then those still queued.
 func (l *Log) Run(ctx context.Context) {
-	ticker := time.NewTicker(tellInterval)
+	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case event := <-l.queue:
 			l.writeLine(event)
 		case <-ticker.C:
-			l.tellLeftOut()
+			l.reportLeftOut()
 		case <-ctx.Done():
 			l.flush()
 			return
@@ -132,13 +131,13 @@
 		case event := <-l.queue:
 			l.writeLine(event)
 		default:
-			l.tellLeftOut()
+			l.reportLeftOut()
 			return
 		}
 	}
 }
 
-func (l *Log) tellLeftOut() {
+func (l *Log) reportLeftOut() {
 	if lines := l.leftOut.Swap(0); lines > 0 {
 		l.writeLine(leftOutEvent{Time: time.Now(), Event: "lines_left_out", LeftOut: lines})
 	}
@@ -147,9 +146,9 @@
 func (l *Log) writeLine(event any) {
 	line, err := json.Marshal(event)
 	if err != nil {
-		return
+		return // can't happen: events are plain structs of encodable fields
 	}
-	// There is nowhere to tell of a log that can't be written.
+	// An output that fails can't be reported anywhere: it is the log itself.
 	if _, err := l.output.Write(append(line, '\n')); err != nil {
 		return
 	}
--- a/internal/node/decisionlog/decisionlog_test.go
+++ b/internal/node/decisionlog/decisionlog_test.go
@@ -18,7 +18,7 @@
 	Number int `json:"number"`
 }
 
-// blockedOutput never takes a line until it is released.
+// blockedOutput blocks every write until it is released.
 type blockedOutput struct {
 	release chan struct{}
 	mutex   sync.Mutex
@@ -32,7 +32,7 @@
 	return b.content.Write(line)
 }
 
-// An output that blocks never holds up whoever decides, and what is left out is said.
+// An output that blocks never blocks Write, and dropped lines are reported.
 func TestABlockedOutputBlocksNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -57,7 +57,7 @@
 	})
 }
 
-// Ordinary lines can't use up the rate of the failed ones.
+// Ordinary lines don't use up the rate of failed ones.
 func TestFailuresOutlastOrdinaryLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/node/dialect.go
+++ b/internal/node/dialect.go
@@ -12,40 +12,40 @@
 	"github.com/portgauge/portgauge/internal/request/httpnames"
 )
 
-// PlatformStore is the connection to a platform's store.
+// PlatformStore is a connection to a platform's store.
 type PlatformStore interface {
 	store.Store
 	Close() error
 }
 
-// Dialect is a protocol of a platform.
+// Dialect is the protocol of one platform.
 type Dialect struct {
-	// Name is what settings call it.
+	// Name is the value of the setting platform.dialect.
 	Name string
-	// HTTP names the headers and paths that callers and leafs use.
+	// HTTP has the header names and paths of callers and leafs.
 	HTTP httpnames.Names
-	// Connect makes the connection to the store. The called function is told of each call.
+	// Connect connects to the store. The called function is called after each call of it.
 	Connect func(config settings.Platform, called func(store.Answer)) PlatformStore
 }
 
-// dialects are the protocols that a node speaks besides the product's own.
+// dialects are the known protocols besides the product's own.
 type dialects []Dialect
 
-// platformDeps are the platform as the rest of the node sees it.
+// platformDeps is the platform as the rest of the node sees it.
 type platformDeps struct {
 	fx.Out
 
 	Store store.Store
-	// Machines is nil where nodes find each other through their records in the store.
+	// Machines is nil if nodes find each other through their records in the store.
 	Machines machines.Lister `name:"platform"`
-	// Lessor is nil where the platform has no leases.
+	// Lessor is nil if the platform has no leases.
 	Lessor store.Lessor
-	// Guarded is nil where the platform takes no writes under conditions on other keys.
+	// Guarded is nil if the platform has no writes under conditions on other keys.
 	Guarded store.Guarded
 	HTTP    httpnames.Names
 }
 
-// newPlatform connects to the platform by the dialect that the settings name.
+// newPlatform connects to the platform by the dialect in the settings.
 func newPlatform(config settings.Settings, known dialects, metrics *telemetry.Metrics, events *storeEvents, lifecycle fx.Lifecycle) (platformDeps, error) {
 	if config.Platform.Dialect == settings.DefaultDialect {
 		return newOwnPlatform(config, metrics, lifecycle)
--- a/internal/node/life.go
+++ b/internal/node/life.go
@@ -13,8 +13,8 @@
 	"github.com/portgauge/portgauge/internal/node/version"
 )
 
-// tellLife logs the start and the end of the node.
-func tellLife(lifecycle fx.Lifecycle, config settings.Settings, self catalog.NodeRecord, logger *zap.Logger) {
+// logLifetime logs the start and the end of the node.
+func logLifetime(lifecycle fx.Lifecycle, config settings.Settings, self catalog.NodeRecord, logger *zap.Logger) {
 	lifecycle.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			logger.Info("node started", zap.String("node", self.ID), zap.String("zone", self.Zone),
@@ -28,7 +28,7 @@
 	})
 }
 
-// runReload reads the settings again when the file changes or the node is told to.
+// runReload puts changed settings into force, on the reload signal and when the file changes.
 func runReload(lifecycle fx.Lifecycle, start Start, level zap.AtomicLevel, syncer *configsync.Syncer, logger *zap.Logger) {
 	if start.Load == nil {
 		return
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,9 +1,11 @@
-// Package node assembles a node from its parts and runs it.
+// Package node wires the packages of a node together by fx and runs them as one process.
 //
-// Starting opens the peer address first, joins the zone and brings configuration in, then
-// serves operators and callers. A planned stop goes the other way: it announces itself to
-// callers and peers, still serves for a moment, refuses new searches as not run, waits for
-// those in flight, and then closes.
+// At a start the peer listener opens first, then the node joins its zone and gets its configuration, then it serves
+// operators and callers. A planned stop goes the other way: the node announces it to callers and peers, serves on for a
+// moment, refuses new searches as not run, waits for requests in flight, and closes.
+//
+// The package owns the listeners, the background goroutines and their shutdown, and the events of the decision log
+// (the *Events types). It makes no decisions of its own.
 package node
 
 import (
@@ -20,25 +22,25 @@
 	"github.com/portgauge/portgauge/internal/node/telemetry"
 )
 
-// closeReserve is the time kept for closing after the drain.
+// closeReserve is the part of fx's stop timeout that is left for closing after the drain.
 const closeReserve = 10 * time.Second
 
-// Start is what a node is started with.
+// Start is the input of New.
 type Start struct {
 	Settings settings.Settings
-	// SettingsPath is the file that Load reads; empty when there is none.
+	// SettingsPath is the file that Load reads; empty if there is none.
 	SettingsPath string
-	// Load reads the settings again; nil means that they can't change.
+	// Load reads the settings again; nil if they can't change.
 	Load reload.Loader
-	// Reload tells the node to read the settings again.
+	// Reload receives the signals to reload the settings.
 	Reload <-chan os.Signal
-	// Logs takes JSON lines.
+	// Logs receives log and decision log as JSON lines.
 	Logs io.Writer
-	// Dialects are the protocols to a platform that the node speaks besides the product's own.
+	// Dialects are the platform protocols that the node speaks besides the product's own.
 	Dialects []Dialect
 }
 
-// New makes the application of one node.
+// New returns the application of one node; its Run and Stop are fx's.
 func New(start Start) *fx.App {
 	config := start.Settings
 	return fx.New(
@@ -73,7 +75,7 @@
 			newSyncer,
 			newMembership,
 			newAdmin,
-			newLeafKeeper,
+			newHousekeeper,
 			newLeafGossip,
 			newReachDatagrams,
 			newZones,
@@ -90,7 +92,7 @@
 			events.UseLogLevel(zap.DebugLevel)
 			return events
 		}),
-		fx.Invoke(runLog, tellLife, runControl, runOperators, runServing, runReload),
+		fx.Invoke(runLog, logLifetime, runControl, runOperators, runServing, runReload),
 		fx.StopTimeout(config.Stop.AnnounceDelay+config.Stop.DrainTimeout+closeReserve),
 	)
 }
--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -11,7 +11,6 @@
 	"github.com/portgauge/portgauge/internal/request/search"
 )
 
-// operatorDeps are what the operators' server needs.
 type operatorDeps struct {
 	fx.In
 
--- a/internal/node/provide.go
+++ b/internal/node/provide.go
@@ -48,7 +48,6 @@
 	return zap.ParseAtomicLevel(config.LogLevel)
 }
 
-// listerDeps are what the list of machines is made from.
 type listerDeps struct {
 	fx.In
 
@@ -56,7 +55,7 @@
 	Catalog  *catalog.Catalog
 }
 
-// newLister gives the platform's list of machines, or the nodes' own records.
+// newLister returns the platform's list of machines, or one made from the nodes' records where the platform has none.
 func newLister(deps listerDeps) machines.Lister {
 	if deps.Platform != nil {
 		return deps.Platform
@@ -70,7 +69,7 @@
 	})
 }
 
-// newSelf gives the node's own record: the configured id, or one made from zone and address.
+// newSelf returns the node's own record. Without a configured id, zone and peer address make one.
 func newSelf(config settings.Settings, transport *peer.SocketTransport) catalog.NodeRecord {
 	self := catalog.NodeRecord{
 		ID: config.Node.ID, Zone: config.Node.Zone, Address: transport.Address(), Tree: config.Listen.Tree,
@@ -86,8 +85,8 @@
 }
 
 func newCatalog(config settings.Settings, clock boottime.Clock, metrics *telemetry.Metrics, logger *zap.Logger) *catalog.Catalog {
-	refused := &refusals{metrics: metrics, logger: logger}
-	known := catalog.New(refused.refuse)
+	rejected := &rejectedValues{metrics: metrics, logger: logger}
+	known := catalog.New(rejected.reject)
 	known.SetClock(clock)
 	if config.Rollouts.Enabled {
 		known.EnableRollouts()
@@ -146,7 +145,7 @@
 	pool := leafhttp.New(config.LeafHTTP, dialect, metrics.LeafConnections.Inc)
 	pool.SetMayAsk(func(incarnation string) bool {
 		mayAsk := memory.MayAsk(incarnation) && (splitter == nil || splitter.MayAsk(incarnation))
-		return mayAsk && cold.Take(incarnation) // last, so that a leaf that may not be asked costs nothing of its share
+		return mayAsk && cold.Take(incarnation) // last, so that a leaf that may not be asked uses up none of this node's share
 	})
 	lifecycle.Append(fx.StopHook(pool.Close))
 	return pool
@@ -175,7 +174,6 @@
 	return newRequestEvents(log, metrics, config.DecisionLog.EveryAttempt)
 }
 
-// gatewayDeps are what a gateway is made from.
 type gatewayDeps struct {
 	fx.In
 
@@ -243,7 +241,7 @@
 }
 
 func newSyncer(config settings.Settings, known *catalog.Catalog, kept store.Store, lister machines.Lister, transport *peer.SocketTransport, choice *balancer.Balancer, splitter *canary.Splitter, metrics *telemetry.Metrics, logger *zap.Logger) *configsync.Syncer {
-	var settled func() int64 // of a node without roll-outs, what is in force
+	var settled func() int64 // nil without roll-outs: the syncer then reports the revision in force
 	if splitter != nil {
 		settled = splitter.SettledRevision
 	}
@@ -261,7 +259,7 @@
 func newMembership(config settings.Settings, record catalog.NodeRecord, transport *peer.SocketTransport, syncer *configsync.Syncer) *membership.Membership {
 	self := peer.Member{
 		ID: record.ID, Address: record.Address, Zone: record.Zone,
-		// A new process on an old id must supersede what is known of its predecessor.
+		// A new process under a known id must supersede what the zone knows of its predecessor.
 		Incarnation: time.Now().UnixMilli(),
 	}
 	members := membership.New(config.Membership, self, transport, syncer, xxhash.Sum64String(self.ID))
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -18,11 +18,11 @@
 	"github.com/portgauge/portgauge/internal/quarantine/quarantinesync"
 )
 
-// newClock gives the clock that counts suspended time; on a kernel without one, the steady clock.
+// newClock returns the clock that includes suspensions, or the monotonic one (nil) if the kernel has none.
 func newClock(logger *zap.Logger) boottime.Clock {
 	clock, err := boottime.System()
 	if err != nil {
-		logger.Warn("time for which the machine is suspended is not counted", zap.Error(err))
+		logger.Warn("suspensions of the machine are not counted", zap.Error(err))
 		return nil
 	}
 	return clock
@@ -32,7 +32,6 @@
 	return quarantine.NewRegister(quarantine.Deps{Config: config.Quarantine, Clock: clock, Stored: known.Quarantine, Self: self.ID})
 }
 
-// quarantineDeps are what carries findings of the quarantine is made from.
 type quarantineDeps struct {
 	fx.In
 
@@ -53,7 +52,7 @@
 	})
 }
 
-// quarantineEvents tells the decision log of requests that end leafs.
+// quarantineEvents writes the events of crashing requests to the decision log.
 type quarantineEvents struct {
 	log     *decisionlog.Log
 	metrics *telemetry.Metrics
@@ -76,17 +75,17 @@
 	Content fingerprint.Fingerprint `json:"content,omitzero"`
 	Path    string                  `json:"path,omitempty"`
 	Caller  string                  `json:"caller,omitempty"`
-	// Leafs ended under the request.
+	// Leafs crashed under the request.
 	Leafs  []string `json:"leafs,omitempty"`
 	Trials int      `json:"trials,omitempty"`
-	// By found it; From told this node of it.
+	// By is the node that found it, From the node that this one learned it from.
 	By       string `json:"by,omitempty"`
 	From     string `json:"from,omitempty"`
 	Findings int    `json:"findings,omitempty"`
 	Error    string `json:"error,omitempty"`
 }
 
-func (j quarantineEvents) write(name string, record quarantine.Record, from string, err error) {
+func (e quarantineEvents) write(name string, record quarantine.Record, from string, err error) {
 	event := quarantineEvent{
 		Time: time.Now(), Event: name, Content: record.Content, Path: record.Path, Caller: record.Caller,
 		Leafs: record.Leafs, Trials: record.Trials, By: record.By, From: from,
@@ -94,31 +93,31 @@
 	if err != nil {
 		event.Error = err.Error()
 	}
-	j.log.Write(decisionlog.Failed, event)
+	e.log.Write(decisionlog.Failed, event)
 }
 
 // Quarantined implements quarantinesync.EventLog.
-func (j quarantineEvents) Quarantined(record quarantine.Record, from string) {
-	j.metrics.Quarantined.Inc()
-	j.write(eventQuarantined, record, from, nil)
+func (e quarantineEvents) Quarantined(record quarantine.Record, from string) {
+	e.metrics.Quarantined.Inc()
+	e.write(eventQuarantined, record, from, nil)
 }
 
 // Saved implements quarantinesync.EventLog.
-func (j quarantineEvents) Saved(record quarantine.Record, err error) {
-	j.write(eventQuarantineSaved, record, "", err)
+func (e quarantineEvents) Saved(record quarantine.Record, err error) {
+	e.write(eventQuarantineSaved, record, "", err)
 }
 
 // Trial implements quarantinesync.EventLog.
-func (j quarantineEvents) Trial(record quarantine.Record, err error) {
-	j.write(eventQuarantineTrial, record, "", err)
+func (e quarantineEvents) Trial(record quarantine.Record, err error) {
+	e.write(eventQuarantineTrial, record, "", err)
 }
 
 // Lifted implements quarantinesync.EventLog.
-func (j quarantineEvents) Lifted(content fingerprint.Fingerprint) {
-	j.log.Write(decisionlog.Failed, quarantineEvent{Time: time.Now(), Event: eventQuarantineLifted, Content: content})
+func (e quarantineEvents) Lifted(content fingerprint.Fingerprint) {
+	e.log.Write(decisionlog.Failed, quarantineEvent{Time: time.Now(), Event: eventQuarantineLifted, Content: content})
 }
 
 // Dropped implements quarantinesync.EventLog.
-func (j quarantineEvents) Dropped(findings int) {
-	j.log.Write(decisionlog.Failed, quarantineEvent{Time: time.Now(), Event: eventQuarantineDropped, Findings: findings})
+func (e quarantineEvents) Dropped(findings int) {
+	e.log.Write(decisionlog.Failed, quarantineEvent{Time: time.Now(), Event: eventQuarantineDropped, Findings: findings})
 }
--- a/internal/node/request_events.go
+++ b/internal/node/request_events.go
@@ -15,13 +15,12 @@
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
-// requestEvents tells the decision log and the metrics of requests.
+// requestEvents writes requests and their attempts to the decision log and the metrics.
 type requestEvents struct {
-	log     *decisionlog.Log
-	metrics *telemetry.Metrics
-	// attempts are the counters of attempts by kind.
+	log      *decisionlog.Log
+	metrics  *telemetry.Metrics
 	attempts map[scatter.Kind]prometheus.Counter
-	// everyAttempt logs attempts that went as usual, too.
+	// everyAttempt also logs attempts that succeeded or were abandoned.
 	everyAttempt bool
 }
 
@@ -69,7 +68,7 @@
 	Time      time.Time `json:"time"`
 	Event     string    `json:"event"`
 	RequestID string    `json:"request_id"`
-	// Content, Path and Caller are told of requests that failed.
+	// Content, Path and Caller are set for failed requests only.
 	Content         fingerprint.Fingerprint `json:"content,omitzero"`
 	Path            string                  `json:"path,omitempty"`
 	Caller          string                  `json:"caller,omitempty"`
@@ -88,12 +87,12 @@
 	Execution       string                  `json:"execution"`
 	Code            failure.Code            `json:"code,omitempty"`
 	Message         string                  `json:"message,omitempty"`
-	// Groups are the parts that other nodes gathered, For is the node that this one gathered for.
+	// Groups are the parts that other nodes gathered. For is the root for which this node gathered a group.
 	Groups []groupEvent `json:"groups,omitempty"`
 	For    string       `json:"for,omitempty"`
 }
 
-// groupEvent says how it went to let another node gather a part of a request.
+// groupEvent is the outcome of a group passed on to an intermediate.
 type groupEvent struct {
 	Intermediate string               `json:"intermediate"`
 	Parts        int                  `json:"parts"`
@@ -123,31 +122,31 @@
 }
 
 // Refused implements gateway.EventLog.
-func (j *requestEvents) Refused(request *gateway.Request, err error) {
+func (e *requestEvents) Refused(request *gateway.Request, err error) {
 	failed := failure.From(err)
-	j.metrics.FrontRequests.WithLabelValues(noRoute, string(failed.Code)).Inc()
-	j.log.Write(decisionlog.Failed, refusedEvent{
+	e.metrics.FrontRequests.WithLabelValues(noRoute, string(failed.Code)).Inc()
+	e.log.Write(decisionlog.Failed, refusedEvent{
 		Time: time.Now(), Event: eventRefused, RequestID: request.Leaf.ID, Host: request.Leaf.Host, Code: failed.Code, Message: failed.Message,
 	})
 }
 
 // Attempted implements gateway.EventLog.
-func (j *requestEvents) Attempted(_ string, kind scatter.Kind) {
-	j.attempts[kind].Inc()
+func (e *requestEvents) Attempted(_ string, kind scatter.Kind) {
+	e.attempts[kind].Inc()
 }
 
-// AttemptEnded implements gateway.EventLog. Attempts that went as usual are logged only where the
-// settings ask for it.
-func (j *requestEvents) AttemptEnded(record gateway.AttemptRecord) {
+// AttemptEnded implements gateway.EventLog. Successful and abandoned attempts are logged
+// only if everyAttempt is set.
+func (e *requestEvents) AttemptEnded(record gateway.AttemptRecord) {
 	event := eventAttemptEnded
 	if !record.Succeeded && !record.Abandoned {
 		event = eventAttemptFailed
-		j.metrics.FrontAttemptFailures.WithLabelValues(string(record.Reason)).Inc()
+		e.metrics.FrontAttemptFailures.WithLabelValues(string(record.Reason)).Inc()
 	}
-	if event == eventAttemptEnded && !j.everyAttempt {
+	if event == eventAttemptEnded && !e.everyAttempt {
 		return
 	}
-	j.log.Write(decisionlog.Ordinary, attemptEvent{
+	e.log.Write(decisionlog.Ordinary, attemptEvent{
 		Time: time.Now(), Event: event, RequestID: record.RequestID, Service: record.Service, Leaf: record.Leaf,
 		Kind: record.Kind, Reason: record.Reason, Execution: record.Execution.String(), TookMillis: millis(record.Took),
 		Abandoned: record.Abandoned,
@@ -155,7 +154,7 @@
 }
 
 // Served implements gateway.EventLog.
-func (j *requestEvents) Served(record gateway.RequestRecord) {
+func (e *requestEvents) Served(record gateway.RequestRecord) {
 	event := requestEvent{
 		Time: time.Now(), Event: eventServed, RequestID: record.RequestID, Route: record.Route, Version: record.Version,
 		Revision: record.Revision, ConfigAgeMillis: record.ConfigAge.Milliseconds(), TookMillis: millis(record.Took),
@@ -181,17 +180,17 @@
 	if record.For != "" {
 		event.Event = eventGathered
 		if event.Code == failure.Cancelled {
-			// Its root has answered with the parts that it was sent: a usual end.
+			// The root has answered with the parts it had: not a failure.
 			importance, outcome = decisionlog.Ordinary, outcomePartial
 		}
-		j.metrics.TreeGathered.WithLabelValues(outcome).Inc()
-		j.log.Write(importance, event)
+		e.metrics.TreeGathered.WithLabelValues(outcome).Inc()
+		e.log.Write(importance, event)
 		return
 	}
-	j.metrics.FrontRequests.WithLabelValues(record.Route, outcome).Inc()
-	j.metrics.FrontLatency.WithLabelValues(outcome).Observe(record.Took.Seconds())
-	j.metrics.FrontMissingParts.Add(float64(record.Missing))
-	j.log.Write(importance, event)
+	e.metrics.FrontRequests.WithLabelValues(record.Route, outcome).Inc()
+	e.metrics.FrontLatency.WithLabelValues(outcome).Observe(record.Took.Seconds())
+	e.metrics.FrontMissingParts.Add(float64(record.Missing))
+	e.log.Write(importance, event)
 }
 
 func newGroupEvent(record gateway.GroupRecord) groupEvent {
@@ -200,17 +199,17 @@
 	}
 }
 
-// Passed implements gateway.EventLog. Groups that were answered are told of with their request.
-func (j *requestEvents) Passed(record gateway.GroupRecord) {
-	j.metrics.TreePassed.WithLabelValues(string(record.Outcome)).Inc()
-	j.metrics.TreeLatency.Observe(record.Took.Seconds())
+// Passed implements gateway.EventLog. Groups that were answered are part of their request's event.
+func (e *requestEvents) Passed(record gateway.GroupRecord) {
+	e.metrics.TreePassed.WithLabelValues(string(record.Outcome)).Inc()
+	e.metrics.TreeLatency.Observe(record.Took.Seconds())
 	if record.Outcome == gateway.GroupAnswered || record.Outcome == gateway.GroupCancelled {
 		return
 	}
-	j.log.Write(decisionlog.Failed, passedEvent{Time: time.Now(), Event: eventPassed, RequestID: record.RequestID, groupEvent: newGroupEvent(record)})
+	e.log.Write(decisionlog.Failed, passedEvent{Time: time.Now(), Event: eventPassed, RequestID: record.RequestID, groupEvent: newGroupEvent(record)})
 }
 
-// lossEvent says what came of a leaf whose answer to a request broke off.
+// lossEvent is the result of checking a leaf whose answer broke off.
 type lossEvent struct {
 	Time      time.Time               `json:"time"`
 	Event     string                  `json:"event"`
@@ -222,11 +221,11 @@
 	Announced bool                    `json:"announced,omitempty"`
 }
 
-// LeafLost implements gateway.EventLog. It is told like a failure: in a burst of failures the attempts that never
-// reached a leaf are so many that those which ended one were left out, 3,000 to 4,400 lines in 5 s at a node.
-func (j *requestEvents) LeafLost(record gateway.LossRecord) {
-	j.metrics.LeafsLost.WithLabelValues(strconv.FormatBool(record.Ended)).Inc()
-	j.log.Write(decisionlog.Failed, lossEvent{
+// LeafLost implements gateway.EventLog. It uses the failures' share of the log: in a burst of failed attempts the ordinary
+// share is used up, and this line is what connects a crash with a request.
+func (e *requestEvents) LeafLost(record gateway.LossRecord) {
+	e.metrics.LeafsLost.WithLabelValues(strconv.FormatBool(record.Ended)).Inc()
+	e.log.Write(decisionlog.Failed, lossEvent{
 		Time: time.Now(), Event: eventLeafLost, RequestID: record.RequestID, Content: record.Content, Service: record.Service,
 		Leaf: record.Leaf, Ended: record.Ended, Announced: record.Announced,
 	})
--- a/internal/node/rollout_events.go
+++ b/internal/node/rollout_events.go
@@ -8,7 +8,7 @@
 	"github.com/portgauge/portgauge/internal/rollout/rolloutcontrol"
 )
 
-// rolloutEvents tells the decision log of roll-outs.
+// rolloutEvents writes the events of roll-outs to the decision log.
 type rolloutEvents struct{ log *decisionlog.Log }
 
 var _ rolloutcontrol.EventLog = rolloutEvents{}
@@ -32,7 +32,7 @@
 	Order          int64     `json:"order"`
 	Target         string    `json:"target"`
 	DurationMillis int64     `json:"duration_millis"`
-	// Rank is the node's place among the judges; -1 when it is none.
+	// Rank is the node's place among the judges, from 0; -1 if it is not a judge.
 	Rank int `json:"rank"`
 }
 
@@ -47,7 +47,7 @@
 	Revision int64         `json:"revision,omitempty"`
 	Reason   string        `json:"reason,omitempty"`
 	By       string        `json:"by,omitempty"`
-	// Counts are what decided, AgeMillis how old the newest of them was.
+	// Counts are the answers the decision is based on, AgeMillis the age of the newest of them.
 	Counts    []rolloutcontrol.VersionCounts `json:"counts,omitempty"`
 	AgeMillis int64                          `json:"age_millis,omitempty"`
 	Error     string                         `json:"error,omitempty"`
@@ -79,26 +79,26 @@
 }
 
 // OrderSeen implements rolloutcontrol.EventLog.
-func (j rolloutEvents) OrderSeen(record rolloutcontrol.OrderRecord) {
-	j.log.Write(decisionlog.Failed, orderEvent{
+func (e rolloutEvents) OrderSeen(record rolloutcontrol.OrderRecord) {
+	e.log.Write(decisionlog.Failed, orderEvent{
 		Time: time.Now(), Event: eventOrderSeen, Service: record.Order.Service, Order: record.Order.ID(),
 		Target: record.Order.Target, DurationMillis: record.Order.DurationMillis, Rank: record.Rank,
 	})
 }
 
 // PhaseLearned implements rolloutcontrol.EventLog.
-func (j rolloutEvents) PhaseLearned(state rollout.State) {
-	j.log.Write(decisionlog.Failed, newPhaseEvent(eventPhaseLearned, state))
+func (e rolloutEvents) PhaseLearned(state rollout.State) {
+	e.log.Write(decisionlog.Failed, newPhaseEvent(eventPhaseLearned, state))
 }
 
 // PhaseWritten implements rolloutcontrol.EventLog.
-func (j rolloutEvents) PhaseWritten(record rolloutcontrol.PhaseRecord) {
+func (e rolloutEvents) PhaseWritten(record rolloutcontrol.PhaseRecord) {
 	event := newPhaseEvent(eventPhaseWritten, record.State)
 	if record.Err != nil {
 		event.Event, event.Error = eventPhaseNotWritten, record.Err.Error()
 	}
 	event.Revision, event.Counts, event.AgeMillis = record.Revision, record.Counts, record.Age.Milliseconds()
-	j.log.Write(decisionlog.Failed, event)
+	e.log.Write(decisionlog.Failed, event)
 }
 
 func newPhaseEvent(name string, state rollout.State) phaseEvent {
@@ -109,7 +109,7 @@
 }
 
 // Held implements rolloutcontrol.EventLog.
-func (j rolloutEvents) Held(record rolloutcontrol.HoldRecord) {
+func (e rolloutEvents) Held(record rolloutcontrol.HoldRecord) {
 	event := holdEvent{
 		Time: time.Now(), Event: eventHoldSent, Service: record.Service, Order: record.Order, Reason: record.Reason,
 		Nodes: record.Nodes, From: record.From,
@@ -117,24 +117,24 @@
 	if record.From != "" {
 		event.Event = eventHoldHeard
 	}
-	j.log.Write(decisionlog.Failed, event)
+	e.log.Write(decisionlog.Failed, event)
 }
 
 // RowsDropped implements rolloutcontrol.EventLog.
-func (j rolloutEvents) RowsDropped(record rolloutcontrol.DroppedRecord) {
-	j.log.Write(decisionlog.Ordinary, rowsDroppedEvent{
+func (e rolloutEvents) RowsDropped(record rolloutcontrol.DroppedRecord) {
+	e.log.Write(decisionlog.Ordinary, rowsDroppedEvent{
 		Time: time.Now(), Event: eventRowsDropped, From: record.From, Rows: record.Rows, Error: textOf(record.Err),
 	})
 }
 
 // VersionsWritten implements rolloutcontrol.EventLog.
-func (j rolloutEvents) VersionsWritten(record rolloutcontrol.VersionsRecord) {
-	j.log.Write(decisionlog.Failed, versionsEvent{
+func (e rolloutEvents) VersionsWritten(record rolloutcontrol.VersionsRecord) {
+	e.log.Write(decisionlog.Failed, versionsEvent{
 		Time: time.Now(), Event: eventVersionsWritten, Services: record.Services, Error: textOf(record.Err),
 	})
 }
 
-// textOf gives the text of an error, empty for none.
+// textOf returns the text of an error, or "" for nil.
 func textOf(err error) string {
 	if err == nil {
 		return ""
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -22,7 +22,6 @@
 	"github.com/portgauge/portgauge/internal/rollout/verdict"
 )
 
-// rolloutDeps are what carries roll-outs out at a node is made from.
 type rolloutDeps struct {
 	fx.In
 
@@ -40,20 +39,20 @@
 	Clock       boottime.Clock
 }
 
-// rollouts carry roll-outs out at a node; without a controller they are off.
+// rollouts are the roll-out loops of a node. The zero value is off.
 type rollouts struct {
 	controller *rolloutcontrol.Controller
 	versions   *rolloutcontrol.VersionsWriter
 }
 
-// newRollouts makes what the settings ask for. The store must take writes under conditions.
+// newRollouts returns the loops if the settings enable them. They need a store with guarded writes.
 func newRollouts(deps rolloutDeps) (*rollouts, error) {
 	cfg := deps.Config.Rollouts
 	if !cfg.Enabled {
 		return &rollouts{}, nil
 	}
 	if deps.Guarded == nil {
-		return nil, failure.Invalid("rollouts.enabled", "the store of dialect %q takes no writes under conditions", deps.Config.Platform.Dialect)
+		return nil, failure.Invalid("rollouts.enabled", "the store of dialect %q has no guarded writes", deps.Config.Platform.Dialect)
 	}
 	events := rolloutEvents{log: deps.StateEvents.log}
 	controller := rolloutcontrol.New(rolloutcontrol.Deps{
@@ -79,7 +78,7 @@
 	return r.controller
 }
 
-// run carries roll-outs out until the context ends.
+// run blocks until the context ends; without roll-outs it returns at once.
 func (r *rollouts) run(ctx context.Context) {
 	if r.controller == nil {
 		return
@@ -90,7 +89,7 @@
 	running.Wait()
 }
 
-// fleetStatus asks all nodes how far they are, by the status call.
+// fleetStatus collects the settled revisions of all nodes by the status call.
 type fleetStatus struct{ syncer *configsync.Syncer }
 
 var _ rolloutcontrol.Fleet = fleetStatus{}
@@ -108,7 +107,7 @@
 	return status
 }
 
-// newSplitter makes what draws requests for versions on trial; nil where roll-outs are off.
+// newSplitter returns nil if roll-outs are off.
 func newSplitter(config settings.Settings, known *catalog.Catalog, census *registry.Census, clock boottime.Clock) *canary.Splitter {
 	if !config.Rollouts.Enabled {
 		return nil
@@ -118,7 +117,7 @@
 	return splitter
 }
 
-// newCollector makes what counts how versions answer; nil where roll-outs are off.
+// newCollector returns nil if roll-outs are off.
 func newCollector(config settings.Settings, known *catalog.Catalog) *evidence.Collector {
 	if !config.Rollouts.Enabled {
 		return nil
--- a/internal/node/rollouts_test.go
+++ b/internal/node/rollouts_test.go
@@ -9,7 +9,7 @@
 	"github.com/portgauge/portgauge/internal/node/settings"
 )
 
-// Roll-outs that are off have no part in what nodes tell each other.
+// Disabled roll-outs neither send nor receive messages.
 func TestRolloutsThatAreOffHearNothing(t *testing.T) {
 	is := is.New(t)
 	off, err := newRollouts(rolloutDeps{Config: settings.Default()})
@@ -18,7 +18,7 @@
 	off.run(t.Context()) // ends at once
 }
 
-// A store without writes under conditions can't keep the promises of roll-outs.
+// Without guarded writes two judges could overwrite each other's decisions.
 func TestRolloutsNeedGuardedWrites(t *testing.T) {
 	is := is.New(t)
 	config := settings.Default()
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -34,7 +34,7 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// runLog writes the decision log from the start to the end of the stop.
+// runLog writes the decision log from the start until everything else has stopped.
 func runLog(lifecycle fx.Lifecycle, log *decisionlog.Log) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -54,7 +54,7 @@
 	})
 }
 
-// controlDeps are what runs beside requests.
+// controlDeps are the loops that run beside requests.
 type controlDeps struct {
 	fx.In
 
@@ -63,7 +63,7 @@
 	Syncer      *configsync.Syncer
 	Members     *membership.Membership
 	Engine      *search.Engine
-	Keeper      *leafKeeper
+	Housekeeper *housekeeper
 	Writer      *leafmemory.Writer
 	Gossip      *leafgossip.Gossip
 	StateEvents *stateEvents
@@ -81,7 +81,7 @@
 	Leafs       *leafhttp.Pool
 }
 
-// runControl runs membership and configuration from start to the end of the stop.
+// runControl runs membership, configuration and the other background loops until the serving side has stopped.
 func runControl(lifecycle fx.Lifecycle, deps controlDeps) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -94,7 +94,7 @@
 			go deps.Zones.Run(ctx)
 			go deps.Syncer.Run(ctx)
 			go deps.Members.Run(ctx)
-			go deps.Keeper.run(ctx)
+			go deps.Housekeeper.run(ctx)
 			go deps.Writer.Run(ctx)
 			go deps.Gossip.Run(ctx)
 			go deps.StateEvents.run(ctx)
@@ -139,7 +139,7 @@
 	serve(lifecycle, config.Listen.Operators, api.NewServer(handler), deps.Logger)
 }
 
-// servingDeps are what serves requests.
+// servingDeps are the servers of requests, and what a planned stop announces itself to.
 type servingDeps struct {
 	fx.In
 
@@ -153,8 +153,8 @@
 	Logger  *zap.Logger
 }
 
-// runServing serves searches and the front, and stops both together: requests that run are
-// waited for in both at once.
+// runServing serves searches, the front and other nodes' groups. A planned stop announces itself, keeps serving for the
+// announcement delay, and then drains all three at the same time.
 func runServing(lifecycle fx.Lifecycle, deps servingDeps) {
 	config, logger := deps.Config, deps.Logger
 	serve(lifecycle, config.Listen.Callers, api.NewServer(api.NewCallerHandler(api.CallerDeps{Engine: deps.Engine})), logger)
@@ -201,11 +201,11 @@
 	})
 }
 
-// acceptDelay is how long connections may wait in the listener's queue for the node's first
-// configuration, which usually takes a few milliseconds; then requests are refused as not run.
+// acceptDelay is how long connections wait in the listener's backlog for the node's first configuration, which usually
+// takes a few milliseconds. After that they are accepted and their requests refused as not run.
 const acceptDelay = 300 * time.Millisecond
 
-// awaitRoutes waits for the first configuration, for a short while.
+// awaitRoutes waits for the first configuration, for acceptDelay at most.
 func awaitRoutes(ready <-chan struct{}) {
 	select {
 	case <-ready:
@@ -213,7 +213,7 @@
 	}
 }
 
-// drain waits for what runs, within the time that the settings allow.
+// drain waits for the requests in flight, for stop.drain_timeout at most.
 func drain(ctx context.Context, deps servingDeps) {
 	ctx, cancel := context.WithTimeout(ctx, deps.Config.Stop.DrainTimeout)
 	defer cancel()
@@ -243,7 +243,7 @@
 	return listener, nil
 }
 
-// serve runs a server between start and stop.
+// serve runs a server from the node's start to its stop.
 func serve(lifecycle fx.Lifecycle, address string, server *http.Server, logger *zap.Logger) {
 	lifecycle.Append(fx.Hook{
 		OnStart: func(ctx context.Context) error {
--- a/internal/node/settings/load.go
+++ b/internal/node/settings/load.go
@@ -11,7 +11,7 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// environmentPrefix starts the environment variables that override settings.
+// environmentPrefix is the prefix of environment variables that override settings.
 const environmentPrefix = "PORTGAUGE_"
 
 // Override is one setting given outside the file.
@@ -19,7 +19,7 @@
 	// Path is the setting's name, such as search.merge_reserve.
 	Path  string
 	Value string
-	// Source names where it came from, for messages.
+	// Source is where the override came from, for error messages.
 	Source string
 }
 
@@ -32,8 +32,8 @@
 	return Override{Path: path, Value: value, Source: "--set " + path}, nil
 }
 
-// Load reads settings from a file (none when the path is empty), the environment and flags,
-// and checks them. The error joins all faults, each with its line or source.
+// Load reads and validates settings from a file (none if the path is empty), the environment and flags. The error joins all
+// faults, each with its line or source.
 func Load(path string, environment []string, flags []Override) (Settings, error) {
 	document := &yaml.Node{Kind: yaml.MappingNode}
 	if path != "" {
@@ -103,7 +103,7 @@
 	return checks.Err()
 }
 
-// knownGroups gives the names of all settings and of the groups they are in.
+// knownGroups returns the names of all settings and of the groups they are in.
 func knownGroups() map[string]bool {
 	known := map[string]bool{}
 	for _, path := range Paths() {
@@ -149,7 +149,7 @@
 	return located.Err()
 }
 
-// valueAt gives the value at a path of the document, or nil.
+// valueAt returns the value at a path of the document, or nil.
 func valueAt(node *yaml.Node, path []string) *yaml.Node {
 	value := child(node, path[0])
 	if value == nil || len(path) == 1 {
@@ -170,7 +170,7 @@
 	return nil
 }
 
-// setScalar puts a value at a path, making the mappings on the way.
+// setScalar sets the value at a path, creating missing mappings.
 func setScalar(node *yaml.Node, path []string, value string) error {
 	existing := child(node, path[0])
 	if len(path) == 1 {
@@ -214,7 +214,7 @@
 	return overrides
 }
 
-// Paths gives the names of all settings.
+// Paths returns the names of all settings.
 func Paths() []string {
 	content, err := yaml.Marshal(Default())
 	if err != nil {
@@ -248,10 +248,10 @@
 	return value.Kind == yaml.MappingNode && path != regionsPath
 }
 
-// reloadable are the settings that a running node can change.
+// reloadable are the settings that can change while the node runs.
 var reloadable = map[string]bool{"log_level": true, "seeds": true}
 
-// Differences gives the names of the settings that differ and need a restart.
+// Differences returns the names of changed settings that need a restart.
 func Differences(before, after Settings) []string {
 	first, second := values(before), values(after)
 	var names []string
@@ -263,7 +263,7 @@
 	return names
 }
 
-// values gives the encoded value of each setting by its name.
+// values returns the encoded value of each setting by its name.
 func values(settings Settings) map[string]string {
 	content, err := yaml.Marshal(settings)
 	if err != nil {
--- a/internal/node/settings/settings.go
+++ b/internal/node/settings/settings.go
@@ -1,9 +1,13 @@
-// Package settings reads and checks the settings of a node.
+// Package settings reads and validates the settings of a node.
 //
-// Settings come from one YAML file. Any of them can be overridden by an environment variable
-// (PORTGAUGE_SEARCH_MERGE_RESERVE for search.merge_reserve) or a flag (--set
-// search.merge_reserve=2ms), the flag winning. Unknown fields are refused, and all faults are
-// named at once.
+// Settings come from one YAML file. Each can be overridden by an environment variable
+// (PORTGAUGE_SEARCH_MERGE_RESERVE for search.merge_reserve) or a flag (--set search.merge_reserve=2ms); a flag wins over
+// the environment, the environment over the file. Unknown fields are refused, and all errors are reported at once, each
+// a failure.InvalidField with its path and line.
+//
+// The package owns the sections that belong to the process (node, listen, platform, stop). Every other section is the
+// Config of the package that uses it, with its own defaults and validation. docs/SETTINGS.md is generated from the
+// comments of all of them.
 package settings
 
 import (
@@ -38,75 +42,73 @@
 	"github.com/portgauge/portgauge/internal/rollout/verdict"
 )
 
-// Node is who the node is.
+// Node identifies the node and its machine.
 type Node struct {
 	// ID is unique in the fleet; empty means one is made from zone and peer address.
 	ID string `yaml:"id"`
-	// Zone is where the node is, among those that may be cut off from each other.
+	// Zone is the failure domain that the node is in.
 	Zone string `yaml:"zone"`
-	// Processors and ProcessorShare are how many processors the node has and its part of them; the
-	// product says how much work it can take beside others. 0 means that it does not say.
+	// Processors is the number of processors of the machine and ProcessorShare the node's fraction of them. Their product
+	// is compared between nodes of a zone to decide who gathers for others; 0 means unknown.
 	Processors     float64 `yaml:"processors"`
 	ProcessorShare float64 `yaml:"processor_share"`
 }
 
-// Listen is where the node listens; each is an IP number and port.
+// Listen has the node's listeners; each is an IP address and port.
 type Listen struct {
 	// Callers serves searches.
 	Callers string `yaml:"callers"`
-	// Front serves requests by the routing table; empty means that it is off.
+	// Front serves requests by the routing table; empty means off.
 	Front string `yaml:"front"`
-	// Ready answers whether the front wants connections; empty means that it is off.
+	// Ready serves the readiness of the front; empty means off.
 	Ready string `yaml:"ready"`
 	// Operators serves administration, metrics, health and profiles.
 	Operators string `yaml:"operators"`
 	// Peers serves other nodes, over UDP and TCP.
 	Peers string `yaml:"peers"`
-	// Tree gathers requests for other nodes; empty means that it is off.
+	// Tree serves groups of requests for other nodes; empty means off.
 	Tree string `yaml:"tree"`
-	// AdvertiseTree is the address of Tree told to others, where it differs.
+	// AdvertiseTree is the address of Tree announced to other nodes, if it differs.
 	AdvertiseTree string `yaml:"advertise_tree"`
-	// AdvertisePeers is the peer address told to others, where it differs.
+	// AdvertisePeers is the address of Peers announced to other nodes, if it differs.
 	AdvertisePeers string `yaml:"advertise_peers"`
 }
 
-// Platform is where the store and machine list are.
+// Platform is the connection to the store and the machine list.
 type Platform struct {
-	// Address is the IP number and port of the store.
+	// Address is the IP address and port of the store.
 	Address string `yaml:"address"`
-	// Dialect is the protocol of the platform, one of those that the program was built with.
+	// Dialect is the protocol of the platform, one of those the program was built with.
 	Dialect string `yaml:"dialect"`
-	// WatchWait is how long a watch may wait before it answers that nothing changed, in
-	// dialects where a watch is a call that waits.
+	// WatchWait is how long a watch call may wait before it returns without a change, in dialects with long polling.
 	WatchWait time.Duration `yaml:"watch_wait"`
-	// WatchPause is how long such a watch rests after it told of changes, so that those of a
-	// burst are told together.
+	// WatchPause is the pause after a watch call that returned changes, so that a burst arrives in few calls.
 	WatchPause time.Duration `yaml:"watch_pause"`
-	// StandbyWatchWait and StandbyWatchPause are the same for the watches of nodes that only push
-	// what the first watcher of their zone did not. Each call of the store has its price.
+	// StandbyWatchWait and StandbyWatchPause are the same for standby watchers. They are longer because each call of the
+	// store has a price.
 	StandbyWatchWait  time.Duration `yaml:"standby_watch_wait"`
 	StandbyWatchPause time.Duration `yaml:"standby_watch_pause"`
 }
 
-// DefaultDialect is the product's own protocol to a platform.
+// DefaultDialect is the product's own platform protocol.
 const DefaultDialect = "grpc"
 
-// Stop bounds a planned stop.
+// Stop has the bounds of a planned stop.
 type Stop struct {
-	// DrainTimeout is how long searches in flight may take to end.
+	// DrainTimeout is how long requests in flight may take to finish.
 	DrainTimeout time.Duration `yaml:"drain_timeout"`
-	// AnnounceDelay is how long the node still takes searches after it announced its stop.
+	// AnnounceDelay is how long the node accepts new requests after it announced its stop.
 	AnnounceDelay time.Duration `yaml:"announce_delay"`
 }
 
-// Settings is everything a node is told at its start.
+// Settings are all settings of a node.
 type Settings struct {
 	Node     Node     `yaml:"node"`
 	Listen   Listen   `yaml:"listen"`
 	Platform Platform `yaml:"platform"`
-	// Regions gives the region of each zone, for routes that are kept to some regions.
+	// Regions maps each zone to its region, for routes that are restricted to regions.
 	Regions map[string]string `yaml:"regions"`
-	// Seeds are peer addresses to join through, besides the machine list.
+	// Seeds are peer addresses to join through, in addition to the machine list.
 	Seeds []string `yaml:"seeds"`
 	// LogLevel is debug, info, warn or error.
 	LogLevel string `yaml:"log_level"`
@@ -131,19 +133,19 @@
 	ServingTree     servingtree.Config  `yaml:"serving_tree"`
 	DecisionLog     decisionlog.Config  `yaml:"decision_log"`
 
-	// Quarantine is how requests are told that end the leafs which run them.
+	// Quarantine decides which requests crash leafs.
 	Quarantine quarantine.Config `yaml:"quarantine"`
-	// QuarantineSync is how the other nodes and the store are told of them.
+	// QuarantineSync distributes quarantined requests to the other nodes and the store.
 	QuarantineSync quarantinesync.Config `yaml:"quarantine_sync"`
 
 	Rollouts rolloutcontrol.Config `yaml:"rollouts"`
-	// Canary is the share of a version on trial.
+	// Canary is the share of requests of a version on trial.
 	Canary canary.Config `yaml:"canary"`
-	// RolloutVerdict is how a bad version is told from an unlucky one.
+	// RolloutVerdict decides whether a version on trial is good.
 	RolloutVerdict verdict.Config `yaml:"rollout_verdict"`
 }
 
-// Default gives the settings that hold where none are given.
+// Default returns the defaults.
 func Default() Settings {
 	return Settings{
 		Listen: Listen{
@@ -180,9 +182,8 @@
 	}
 }
 
-// defaultPlatform bounds how late a change is told: by a first watcher after 0.3 s at most, by one that
-// stands by after 0.8 s. Half a second later it pushes what was not pushed yet: within the 4 s that a
-// change may take.
+// defaultPlatform bounds the delay of a change: a first watcher sees it within 0.3 s, a standby within 0.8 s, and pushes what
+// has not been pushed half a second later. Together that is well within the 4 s in which a change must be in force.
 func defaultPlatform() Platform {
 	return Platform{
 		Address: "127.0.0.1:7300", Dialect: DefaultDialect,
@@ -191,7 +192,7 @@
 	}
 }
 
-// Validate names every field at fault.
+// Validate returns all invalid fields.
 func (s Settings) Validate() error {
 	var checks failure.Checks
 	checks.Refuse(s.Node.Zone == "", "node.zone", "must not be empty")
@@ -209,7 +210,7 @@
 	checks.Refuse(s.Platform.Dialect == "", "platform.dialect", "must not be empty")
 	checks.Refuse(s.Platform.WatchWait <= 0, "platform.watch_wait", "must be positive")
 	checks.Refuse(s.Platform.WatchPause < 0, "platform.watch_pause", "must not be negative")
-	// Else watchers that stand by call the store although the first of their zone is well.
+	// Otherwise standby watchers would call the store although the first watcher of their zone is healthy.
 	checks.Refuse(s.ConfigSync.LookAfter <= s.Platform.WatchWait, "config_sync.look_after", "must be longer than platform.watch_wait")
 	checks.Refuse(s.Platform.StandbyWatchWait <= 0, "platform.standby_watch_wait", "must be positive")
 	checks.Refuse(s.Platform.StandbyWatchPause < 0, "platform.standby_watch_pause", "must not be negative")
@@ -246,10 +247,10 @@
 	return checks.Err()
 }
 
-// requireAddress refuses anything but an IP number with a port; names are not resolved.
+// requireAddress accepts only an IP address with a port; names are not resolved.
 func requireAddress(checks *failure.Checks, field, address string) {
 	_, err := netip.ParseAddrPort(address)
-	checks.Refuse(err != nil, field, "%q; must be an IP number and port, such as 127.0.0.1:7400", address)
+	checks.Refuse(err != nil, field, "%q; must be an IP address and port, such as 127.0.0.1:7400", address)
 }
 
 func requireAddressIfSet(checks *failure.Checks, field, address string) {
--- a/internal/node/state_events.go
+++ b/internal/node/state_events.go
@@ -12,13 +12,13 @@
 	"github.com/portgauge/portgauge/internal/node/decisionlog"
 )
 
-// stateEvents tells the decision log of changes of the state that the node acts on.
+// stateEvents writes changes of the state that decisions are based on to the decision log: configuration, leafs, nodes, zones.
 type stateEvents struct {
 	log     *decisionlog.Log
 	catalog *catalog.Catalog
 }
 
-// Names of events that change what the node believes.
+// Names of state events in the decision log.
 const (
 	eventEntryChanged = "entry_changed"
 	eventLeafsChanged = "leafs_changed"
@@ -36,7 +36,7 @@
 	Key      string    `json:"key"`
 	Revision int64     `json:"revision"`
 	Gone     bool      `json:"gone,omitempty"`
-	// Version is the operators' number of the routes in force after the change.
+	// Version is the operators' version number of the routes in force after the change.
 	Version int64 `json:"config_version,omitempty"`
 }
 
@@ -47,7 +47,7 @@
 	Revision int64     `json:"revision"`
 }
 
-// judgedEvent says how a leaf does, and who found it: this node's own attempts or others' word.
+// judgedEvent is a new assessment of a leaf. Told says that it follows from other nodes' reports, not from own attempts.
 type judgedEvent struct {
 	Time          time.Time          `json:"time"`
 	Event         string             `json:"event"`
@@ -58,15 +58,14 @@
 	Told          bool               `json:"told"`
 }
 
-// zoneEvent says that a zone is out of reach, or back.
+// zoneEvent reports a zone out of reach, or back.
 type zoneEvent struct {
 	Time  time.Time `json:"time"`
 	Event string    `json:"event"`
 	Zone  string    `json:"zone"`
 }
 
-// leafsEvent says which leafs a node began or ceased to send work to, and where its evacuations stand: of
-// hundreds of leafs that change together, each is named.
+// leafsEvent lists the leafs whose state changed together, and the zones under evacuation.
 type leafsEvent struct {
 	Time     time.Time `json:"time"`
 	Event    string    `json:"event"`
@@ -74,27 +73,27 @@
 	Ready    []string  `json:"ready,omitempty"`
 	Draining []string  `json:"draining,omitempty"`
 	Gone     []string  `json:"gone,omitempty"`
-	// LeftOut is how many more leafs changed than one line names.
+	// LeftOut is how many changed leafs are not listed.
 	LeftOut int `json:"left_out,omitempty"`
-	// Evacuated are the zones whose leafs get nothing.
+	// Evacuated are the zones under evacuation.
 	Evacuated []string `json:"evacuated,omitempty"`
 }
 
-// nodesEvent says which nodes of the fleet registered themselves, and which are gone.
+// nodesEvent lists the nodes of the fleet that registered, and those that are gone.
 type nodesEvent struct {
 	Time       time.Time `json:"time"`
 	Event      string    `json:"event"`
 	Revision   int64     `json:"revision"`
 	Registered []string  `json:"registered,omitempty"`
 	Gone       []string  `json:"gone,omitempty"`
-	// LeftOut is how many more nodes changed than one line names.
+	// LeftOut is how many changed nodes are not listed.
 	LeftOut int `json:"left_out,omitempty"`
 }
 
-// add notes the change of a node.
+// add records the change of a node.
 func (e *nodesEvent) add(id string, registered bool) {
 	switch {
-	case len(e.Registered)+len(e.Gone) >= mostNamed:
+	case len(e.Registered)+len(e.Gone) >= maxListed:
 		e.LeftOut++
 	case registered:
 		e.Registered = append(e.Registered, id)
@@ -103,12 +102,12 @@
 	}
 }
 
-// mostNamed bounds the leafs or nodes that one line names; at 12 bytes an id it is 6 KB at most.
-const mostNamed = 512
+// maxListed bounds the leafs or nodes that one line lists; at 12 bytes an id that is 6 KB.
+const maxListed = 512
 
-// add notes the change of a leaf.
+// add records the change of a leaf.
 func (e *leafsEvent) add(id string, state leafset.State, gone bool) {
-	if len(e.Ready)+len(e.Draining)+len(e.Gone) >= mostNamed {
+	if len(e.Ready)+len(e.Draining)+len(e.Gone) >= maxListed {
 		e.LeftOut++
 		return
 	}
@@ -122,24 +121,24 @@
 	}
 }
 
-// changeBacklog is how many changes of configuration may wait to be logged.
+// changeBacklog is how many configuration changes may be queued for logging.
 const changeBacklog = 128
 
-// run logs each change that is put into force until the context ends.
-func (j *stateEvents) run(ctx context.Context) {
-	changes, stop := j.catalog.Subscribe(changeBacklog)
+// run logs each configuration change that comes into force, until the context ends.
+func (e *stateEvents) run(ctx context.Context) {
+	changes, stop := e.catalog.Subscribe(changeBacklog)
 	defer stop()
 	for {
 		select {
 		case change := <-changes:
-			j.changed(withWaiting(change, changes))
+			e.changed(withWaiting(change, changes))
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// withWaiting gives the entries of a change and of those that wait behind it.
+// withWaiting returns the entries of a change and of those queued behind it.
 func withWaiting(change catalog.Change, changes <-chan catalog.Change) []catalog.Entry {
 	entries := change.Entries()
 	for {
@@ -152,10 +151,9 @@
 	}
 }
 
-// changed logs the leafs among some changed entries in one line, the nodes in another, and the other entries
-// one by one.
-func (j *stateEvents) changed(entries []catalog.Entry) {
-	view := j.catalog.View()
+// changed logs the leafs among the changed entries in one line, the nodes in another, and each other entry in its own.
+func (e *stateEvents) changed(entries []catalog.Entry) {
+	view := e.catalog.View()
 	var leafs, nodes []string
 	for _, entry := range entries {
 		if id, isLeaf := strings.CutPrefix(entry.Key, catalog.LeafKey("")); isLeaf {
@@ -167,18 +165,18 @@
 			continue
 		}
 		if entry.Key != catalog.MarkerKey {
-			j.entryChanged(entry)
+			e.entryChanged(entry)
 		}
 	}
 	if len(leafs) > 0 {
-		j.leafsChanged(view, leafs)
+		e.leafsChanged(view, leafs)
 	}
 	if len(nodes) > 0 {
-		j.nodesChanged(view, nodes)
+		e.nodesChanged(view, nodes)
 	}
 }
 
-func (j *stateEvents) leafsChanged(view *catalog.View, ids []string) {
+func (e *stateEvents) leafsChanged(view *catalog.View, ids []string) {
 	event := leafsEvent{Time: time.Now(), Event: eventLeafsChanged, Revision: view.Revision, Evacuated: view.Leafs.EvacuatedZones()}
 	for _, id := range ids {
 		state := leafset.State("")
@@ -188,49 +186,49 @@
 		}
 		event.add(id, state, !found)
 	}
-	j.log.Write(decisionlog.Failed, event)
+	e.log.Write(decisionlog.Failed, event)
 }
 
-func (j *stateEvents) nodesChanged(view *catalog.View, ids []string) {
+func (e *stateEvents) nodesChanged(view *catalog.View, ids []string) {
 	event := nodesEvent{Time: time.Now(), Event: eventNodesChanged, Revision: view.Revision}
 	for _, id := range ids {
 		_, registered := view.Nodes[id]
 		event.add(id, registered)
 	}
-	j.log.Write(decisionlog.Failed, event)
+	e.log.Write(decisionlog.Failed, event)
 }
 
-func (j *stateEvents) entryChanged(entry catalog.Entry) {
+func (e *stateEvents) entryChanged(entry catalog.Entry) {
 	event := entryEvent{Time: time.Now(), Event: eventEntryChanged, Key: entry.Key, Revision: entry.Revision, Gone: entry.Deleted}
-	view := j.catalog.View()
+	view := e.catalog.View()
 	if entry.Key == catalog.RoutesKey && view.Routes != nil {
 		event.Version = view.Routes.Version
 	}
-	j.log.Write(decisionlog.Failed, event)
+	e.log.Write(decisionlog.Failed, event)
 }
 
-// leafEjected logs that a leaf gets no new work for its failures, or does again.
-func (j *stateEvents) leafEjected(leafID string, ejected bool) {
-	event := leafEvent{Time: time.Now(), Event: eventLeafReturned, Leaf: leafID, Revision: j.catalog.Revision()}
+// leafEjected logs that a leaf is ejected for its failures, or is back.
+func (e *stateEvents) leafEjected(leafID string, ejected bool) {
+	event := leafEvent{Time: time.Now(), Event: eventLeafReturned, Leaf: leafID, Revision: e.catalog.Revision()}
 	if ejected {
 		event.Event = eventLeafEjected
 	}
-	j.log.Write(decisionlog.Ordinary, event)
+	e.log.Write(decisionlog.Ordinary, event)
 }
 
-// leafJudged logs that a leaf is held for slow, silent or well again.
-func (j *stateEvents) leafJudged(belief balancer.Belief) {
-	j.log.Write(decisionlog.Ordinary, judgedEvent{
+// leafJudged logs that a leaf is assessed as slow, silent or well again.
+func (e *stateEvents) leafJudged(belief balancer.Belief) {
+	e.log.Write(decisionlog.Ordinary, judgedEvent{
 		Time: time.Now(), Event: eventLeafJudged, Leaf: belief.LeafID, Condition: belief.Condition,
 		Slowness: belief.Slowness, SilenceMillis: belief.Silence.Milliseconds(), Told: belief.Told,
 	})
 }
 
-// zoneChanged logs that the node lost a zone, or reaches it again.
-func (j *stateEvents) zoneChanged(change reachability.Change) {
+// zoneChanged logs that a zone is out of reach, or back.
+func (e *stateEvents) zoneChanged(change reachability.Change) {
 	event := zoneEvent{Time: time.Now(), Event: eventZoneFound, Zone: change.Zone}
 	if change.Lost {
 		event.Event = eventZoneLost
 	}
-	j.log.Write(decisionlog.Failed, event)
+	e.log.Write(decisionlog.Failed, event)
 }
--- a/internal/node/store_events_test.go
+++ b/internal/node/store_events_test.go
@@ -13,7 +13,7 @@
 	"github.com/portgauge/portgauge/internal/node/telemetry"
 )
 
-// The log tells the first epoch and each change of it, with where the store stood before; metrics show where it stands.
+// The log has the first epoch and each change of it with the position before; metrics show the current position.
 func TestRestoresOfTheStoreAreLogged(t *testing.T) {
 	is := is.New(t)
 	var output bytes.Buffer
@@ -23,7 +23,7 @@
 	for _, answer := range []store.Answer{
 		{Call: "kv-range", Status: 200, Epoch: 1, Revision: 40},
 		{Call: "kv-watch", Status: 200, Epoch: 1, Revision: 65},
-		{Call: "kv-watch"}, // no answer tells of no epoch
+		{Call: "kv-watch"}, // a call without an answer has no epoch
 		{Call: "kv-keep", Status: 200, Epoch: 2},
 		{Call: "kv-watch", Status: 410, Epoch: 2},
 		{Call: "kv-range", Status: 200, Epoch: 2, Revision: 62},
--- a/internal/node/telemetry/brief.go
+++ b/internal/node/telemetry/brief.go
@@ -8,9 +8,8 @@
 	dto "github.com/prometheus/client_model/go"
 )
 
-// Brief gives the node's own counters and gauges that are not zero, without help: what a collector needs that keeps
-// little of each page. The whole page began with 6 KB of the Go runtime's figures; one that kept 4 KB had none of the
-// node's.
+// Brief gathers the node's own counters and gauges that are not zero, without help texts, for collectors that keep only the
+// first kilobytes of a page: the whole page begins with 6 KB of the Go runtime's metrics.
 type Brief struct {
 	Whole prometheus.Gatherer
 }
--- a/internal/node/telemetry/metrics.go
+++ b/internal/node/telemetry/metrics.go
@@ -1,4 +1,7 @@
-// Package telemetry holds the metrics and the logger of a node.
+// Package telemetry has the metrics of a node, as fields of Metrics, and its logger.
+//
+// It owns the Prometheus registry; names and labels are an interface to operators and don't change. Latencies are in seconds.
+// It relies on the packages it measures only for the roll-outs, which are collected at each scrape.
 package telemetry
 
 import (
@@ -8,7 +11,7 @@
 
 const namespace = "portgauge"
 
-// Metrics are the counters, gauges and histograms of a node, on a registry of their own.
+// Metrics are the counters, gauges and histograms of a node on their own registry.
 type Metrics struct {
 	Registry *prometheus.Registry
 
@@ -50,29 +53,29 @@
 	TreeLatency prometheus.Histogram
 	// TreeGathered counts requests gathered for other nodes, by outcome.
 	TreeGathered *prometheus.CounterVec
-	// LeafsLost counts answers of leafs that broke off, by whether the leaf's process had ended.
+	// LeafsLost counts answers that broke off, by whether the leaf's process had crashed.
 	LeafsLost *prometheus.CounterVec
-	// Quarantined counts requests that were put under quarantine, by this node or another.
+	// Quarantined counts requests put under quarantine, by this node or another.
 	Quarantined prometheus.Counter
 	// LeafConnections counts connections opened to leafs.
 	LeafConnections prometheus.Counter
 	// StoreCalls counts calls of the store by name and status.
 	StoreCalls *prometheus.CounterVec
-	// StoreRevision is where the store stands by its last answer that said so, StoreEpoch how often it was restored
-	// from a copy until then.
+	// StoreRevision is the store's revision by its last answer with one, StoreEpoch how often it had been restored from a
+	// backup by then.
 	StoreRevision prometheus.Gauge
 	StoreEpoch    prometheus.Gauge
-	// Kept is how many entries are kept in force that a restored store lacks.
+	// Kept is the number of entries kept in force although a restored store lacks them.
 	Kept prometheus.Gauge
-	// StatesDropped counts whole states of the store that were read and not put into force, since they are older.
+	// StatesDropped counts whole states read from the store and dropped as older than the one in force.
 	StatesDropped prometheus.Counter
-	// LogLinesLeftOut counts decisions that were not logged.
+	// LogLinesLeftOut counts dropped lines of the decision log.
 	LogLinesLeftOut prometheus.Counter
 	// Members is the number of nodes known in the zone, by state.
 	Members *prometheus.GaugeVec
 }
 
-// NewMetrics makes the metrics and registers them with those of the Go runtime.
+// NewMetrics returns the metrics, registered together with those of the Go runtime.
 func NewMetrics() *Metrics {
 	metrics := &Metrics{
 		Registry:             prometheus.NewRegistry(),
@@ -95,15 +98,15 @@
 		TreePassed:           counters("tree_passed_total", "Requests passed on to other nodes by outcome.", "outcome"),
 		TreeLatency:          prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: namespace, Name: "tree_pass_seconds", Help: "Time from passing a request on to its reply.", Buckets: latencyBuckets()}),
 		TreeGathered:         counters("tree_gathered_total", "Requests gathered for other nodes by outcome.", "outcome"),
-		LeafsLost:            counters("leafs_lost_total", "Answers of leafs that broke off, by whether the leaf's process ended.", "ended"),
-		Quarantined:          counter("requests_quarantined_total", "Requests put under quarantine, since leafs ended while they ran them."),
+		LeafsLost:            counters("leafs_lost_total", "Answers that broke off, by whether the leaf's process crashed.", "ended"),
+		Quarantined:          counter("requests_quarantined_total", "Requests put under quarantine because leafs crashed while running them."),
 		LeafConnections:      counter("leaf_connections_opened_total", "Connections opened to leafs."),
 		StoreCalls:           counters("store_calls_total", "Calls of the store.", "call", "status"),
 		StoreRevision:        prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Name: "store_revision", Help: "Revision of the store by its last answer."}),
-		StoreEpoch:           prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Name: "store_epoch", Help: "Restores of the store from a copy by its last answer."}),
+		StoreEpoch:           prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Name: "store_epoch", Help: "Restores of the store from a backup by its last answer."}),
 		Kept:                 prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Name: "config_kept_entries", Help: "Entries in force that the restored store lacks."}),
 		StatesDropped:        counter("config_states_dropped_total", "Whole states of the store that were older than the one in force."),
-		LogLinesLeftOut:      counter("log_lines_left_out_total", "Decisions that were not logged."),
+		LogLinesLeftOut:      counter("log_lines_left_out_total", "Decision log lines that were dropped."),
 		Members:              prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: namespace, Name: "members", Help: "Nodes known in the zone by state."}, []string{"state"}),
 	}
 	metrics.Registry.MustRegister(
--- a/internal/node/telemetry/rollouts.go
+++ b/internal/node/telemetry/rollouts.go
@@ -6,8 +6,8 @@
 	"github.com/portgauge/portgauge/internal/rollout/rolloutcontrol"
 )
 
-// rolloutCollector tells of the roll-outs under way when it is asked, so that those that are over leave nothing
-// behind: at most as many series as there are roll-outs, and versions and routes of those that the node judges.
+// rolloutCollector collects the roll-outs under way at each scrape, so that finished ones leave no series behind. Their
+// number is bounded by the roll-outs under way, and by versions and routes of those that this node judges.
 type rolloutCollector struct {
 	standings func() []rolloutcontrol.Standing
 	phase     *prometheus.Desc
@@ -17,7 +17,7 @@
 
 var _ prometheus.Collector = (*rolloutCollector)(nil)
 
-// RegisterRollouts has the metrics tell of roll-outs under way.
+// RegisterRollouts adds the roll-outs under way to the metrics.
 func (m *Metrics) RegisterRollouts(standings func() []rolloutcontrol.Standing) error {
 	counted := []string{"service", "version", "route"}
 	return m.Registry.Register(&rolloutCollector{
--- a/internal/node/version/version.go
+++ b/internal/node/version/version.go
@@ -1,4 +1,4 @@
-// Package version says which build this is.
+// Package version identifies the build of this process.
 package version
 
 import "runtime/debug"
@@ -13,7 +13,7 @@
 	Revision string `json:"revision,omitempty"`
 }
 
-// Current gives the build of this process.
+// Current returns the build of this process; Go and Revision are empty if the binary carries no build information.
 func Current() Info {
 	info := Info{Version: Number}
 	build, found := debug.ReadBuildInfo()
