--- a/cmd/portgauge/dialects.go
+++ b/cmd/portgauge/dialects.go
@@ -11,7 +11,7 @@
 func dialects() []node.Dialect {
 	return []node.Dialect{{
 		Name: platform.Name,
-		HTTP: platform.Dialect(),
+		HTTP: platform.HTTPNames(),
 		Connect: func(config settings.Platform, called func(store.Answer)) node.PlatformStore {
 			return platform.NewClient(config, called)
 		},
--- a/internal/lab/soak/judge_test.go
+++ b/internal/lab/soak/judge_test.go
@@ -20,7 +20,7 @@
 	store := kvstore.New(0)
 	server := httptest.NewServer(store.Handler())
 	t.Cleanup(server.Close)
-	w := &world{dialect: platform.Dialect(), store: store, leafs: map[string]*leafState{}, gathered: []string{"part0", "part1"}}
+	w := &world{dialect: platform.HTTPNames(), store: store, leafs: map[string]*leafState{}, gathered: []string{"part0", "part1"}}
 	for _, service := range []string{"part0", "part1", singleName, anotherName} {
 		if _, err := w.addLeaf(service); err != nil {
 			t.Fatal(err)
@@ -165,7 +165,7 @@
 // A link in trouble does what its condition says, and is sound again after it.
 func TestLinkConditions(t *testing.T) {
 	is := is.New(t)
-	leaf, err := httpleaf.Start("leaf-1", platform.Dialect(), func(httpleaf.Request) httpleaf.Answer {
+	leaf, err := httpleaf.Start("leaf-1", platform.HTTPNames(), func(httpleaf.Request) httpleaf.Answer {
 		return httpleaf.Answer{Body: []byte("x")}
 	})
 	is.NoErr(err)
--- a/internal/lab/soak/world.go
+++ b/internal/lab/soak/world.go
@@ -136,7 +136,7 @@
 }
 
 func newWorld(program, folder string, nodes int) (*world, error) {
-	w := &world{dialect: platform.Dialect(), program: program, folder: folder, store: kvstore.New(0), leafs: map[string]*leafState{}}
+	w := &world{dialect: platform.HTTPNames(), program: program, folder: folder, store: kvstore.New(0), leafs: map[string]*leafState{}}
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
