--- a/internal/config/configsync/fleet_test.go
+++ b/internal/config/configsync/fleet_test.go
@@ -284,7 +284,7 @@
 	node.syncer.SetMembership(members)
 	ctx, cancel := context.WithCancel(f.t.Context())
 	node.stop = cancel
-	transport.Serve(NewPeerHandler(node.syncer, Hearers{}))
+	transport.Serve(NewPeerHandler(node.syncer, Handlers{}))
 	go node.syncer.Run(ctx)
 	go members.Run(ctx)
 	f.nodes[id] = node
--- a/internal/config/configsync/handler.go
+++ b/internal/config/configsync/handler.go
@@ -6,35 +6,35 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
-// Hearers take the messages that neither membership nor configuration is concerned with; what has no hearer is
+// Handlers take the messages that neither membership nor configuration is concerned with; what has no hearer is
 // dropped.
-type Hearers struct {
+type Handlers struct {
 	// Leafs takes reports of leafs.
 	Leafs func(peer.LeafReports)
 	// Reach takes what concerns zones in reach, with the peer address of the node that sent it.
 	Reach func(from string, reach peer.Reach)
 	// Rollouts takes what judges of roll-outs are told and tell.
-	Rollouts RolloutHearer
+	Rollouts RolloutHandler
 	// Quarantine takes what is told of requests that may end leafs.
 	Quarantine func(from string, told peer.Quarantine)
 }
 
-// RolloutHearer takes what is told of roll-outs, with the peer address of the node that told it.
-type RolloutHearer interface {
-	HeardReports(from string, reports peer.RolloutReports)
-	HeardHold(from string, hold peer.RolloutHold)
+// RolloutHandler takes what is told of roll-outs, with the peer address of the node that told it.
+type RolloutHandler interface {
+	HandleReports(from string, reports peer.RolloutReports)
+	HandleHold(from string, hold peer.RolloutHold)
 }
 
 // PeerHandler answers other nodes: it hands each message to membership, configuration or one of its hearers.
 type PeerHandler struct {
 	syncer  *Syncer
-	hearers Hearers
+	hearers Handlers
 }
 
 var _ peer.Handler = (*PeerHandler)(nil)
 
 // NewPeerHandler makes the handler of a node's peer address.
-func NewPeerHandler(syncer *Syncer, hearers Hearers) *PeerHandler {
+func NewPeerHandler(syncer *Syncer, hearers Handlers) *PeerHandler {
 	return &PeerHandler{syncer: syncer, hearers: hearers}
 }
 
@@ -51,11 +51,11 @@
 		}
 	case message.RolloutReports != nil:
 		if h.hearers.Rollouts != nil {
-			h.hearers.Rollouts.HeardReports(message.From, *message.RolloutReports)
+			h.hearers.Rollouts.HandleReports(message.From, *message.RolloutReports)
 		}
 	case message.RolloutHold != nil:
 		if h.hearers.Rollouts != nil {
-			h.hearers.Rollouts.HeardHold(message.From, *message.RolloutHold)
+			h.hearers.Rollouts.HandleHold(message.From, *message.RolloutHold)
 		}
 	case message.Quarantine != nil:
 		if h.hearers.Quarantine != nil {
--- a/internal/config/configsync/restored_test.go
+++ b/internal/config/configsync/restored_test.go
@@ -131,7 +131,7 @@
 		f.platform.write(t, "a", 1)
 		time.Sleep(20 * time.Second)
 		node := f.nodes["z0-n0"]
-		handler := NewPeerHandler(node.syncer, Hearers{})
+		handler := NewPeerHandler(node.syncer, Handlers{})
 		late := catalog.Change{Entry: catalog.Entry{Key: catalog.ServiceKey("x"), Revision: 2}, Previous: 1}
 		batch, err := peer.PackBatch([]catalog.Change{late})
 		is.NoErr(err)
@@ -145,7 +145,7 @@
 		// It looks at the store, and not at each word: looks that move nothing on are 0.2 to 2 s apart.
 		before := f.platform.listed()
 		for range 1000 {
-			node.syncer.Heard("old", unaware, nil)
+			node.syncer.Receive("old", unaware, nil)
 			time.Sleep(10 * time.Millisecond)
 		}
 		looks := f.platform.listed() - before
--- a/internal/config/configsync/syncer.go
+++ b/internal/config/configsync/syncer.go
@@ -173,8 +173,8 @@
 	}
 }
 
-// Heard implements membership.Listener: it pulls from a peer that is ahead, or keeps something else.
-func (s *Syncer) Heard(from string, digest peer.Digest, notices []peer.LeafNotice) {
+// Receive implements membership.Listener: it pulls from a peer that is ahead, or keeps something else.
+func (s *Syncer) Receive(from string, digest peer.Digest, notices []peer.LeafNotice) {
 	s.takeNotices(notices)
 	known := s.catalog.Revision()
 	if s.isForeign(digest) {
@@ -205,9 +205,9 @@
 	return 0
 }
 
-// Woke has the node find out at once what it missed while the machine was suspended: the calls that it waits for may have
+// Resumed has the node find out at once what it missed while the machine was suspended: the calls that it waits for may have
 // ended without its knowing, and what it holds for the newest is as old as the suspension was long.
-func (s *Syncer) Woke() {
+func (s *Syncer) Resumed() {
 	s.hasWoken.Store(true)
 	for _, watcher := range s.watchers() {
 		if watcher.ID != s.members.Self().ID {
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -26,8 +26,8 @@
 	Digest() peer.Digest
 	// Notices gives leaf notices to pass on with an outgoing message.
 	Notices() []peer.LeafNotice
-	// Heard is told of the digest and notices of an incoming message.
-	Heard(from string, digest peer.Digest, notices []peer.LeafNotice)
+	// Receive is told of the digest and notices of an incoming message.
+	Receive(from string, digest peer.Digest, notices []peer.LeafNotice)
 }
 
 // Membership is the list of live nodes as one node knows it; safe for concurrent use.
@@ -156,7 +156,7 @@
 		return nil, false, nil
 	}
 	m.mergeQuietly(answer.Welcome.Members)
-	m.listener.Heard(address, answer.Digest, answer.Notices)
+	m.listener.Receive(address, answer.Digest, answer.Notices)
 	return answer.Welcome, answer.Welcome.Known == join.Known, nil
 }
 
@@ -209,7 +209,7 @@
 // HandleDatagram takes what a datagram says of members, and answers probes.
 func (m *Membership) HandleDatagram(message peer.Message) {
 	m.merge(message.Members)
-	m.listener.Heard(message.From, message.Digest, message.Notices)
+	m.listener.Receive(message.From, message.Digest, message.Notices)
 	switch {
 	case message.Probe != nil:
 		m.answerProbe(message.From, *message.Probe)
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -17,7 +17,7 @@
 
 func (quiet) Digest() peer.Digest                          { return peer.Digest{} }
 func (quiet) Notices() []peer.LeafNotice                   { return nil }
-func (quiet) Heard(string, peer.Digest, []peer.LeafNotice) {}
+func (quiet) Receive(string, peer.Digest, []peer.LeafNotice) {}
 
 type handler struct{ members *Membership }
 
--- a/internal/fleet/reachability/reachability.go
+++ b/internal/fleet/reachability/reachability.go
@@ -106,8 +106,8 @@
 	return 2*lost > len(nodes)
 }
 
-// Heard tells that something of a zone answered this node.
-func (t *Tracker) Heard(name string) {
+// Responded tells that something of a zone answered this node.
+func (t *Tracker) Responded(name string) {
 	if t == nil || name == t.deps.Self.Zone {
 		return
 	}
@@ -254,7 +254,7 @@
 		return false
 	}
 	known.took(time.Since(began))
-	t.Heard(known.name)
+	t.Responded(known.name)
 	return true
 }
 
--- a/internal/fleet/reachability/reachability_test.go
+++ b/internal/fleet/reachability/reachability_test.go
@@ -196,7 +196,7 @@
 	within(t, func(is *is.I, w *world, tracker *Tracker) {
 		for index := range 10 {
 			tracker.Silent(far, fmt.Sprint("leaf", index))
-			tracker.Heard(far)
+			tracker.Responded(far)
 		}
 		time.Sleep(time.Second)
 		is.Equal(w.count(far), 0)
@@ -272,7 +272,7 @@
 		w.set(true, far)
 		tracker.Suspect(far)
 		time.Sleep(DefaultConfig().FirstWait + DefaultConfig().Wait/2)
-		tracker.Heard(far)
+		tracker.Responded(far)
 		time.Sleep(time.Second)
 		is.True(tracker.Reaches(far))
 	})
@@ -285,7 +285,7 @@
 		tracker.Suspect(far)
 		time.Sleep(lookTime())
 		is.True(!tracker.Reaches(far))
-		tracker.Heard(far)
+		tracker.Responded(far)
 		is.True(tracker.Reaches(far))
 	})
 }
@@ -359,7 +359,7 @@
 		var none *Tracker
 		none.Suspect(far)
 		none.Silent(far, "leaf")
-		none.Heard(far)
+		none.Responded(far)
 		is.True(none.Reaches(far) && !none.IsCutOff())
 		w := newWorld(5, near, far)
 		tracker := w.tracker(t)
--- a/internal/fleet/registry/registry.go
+++ b/internal/fleet/registry/registry.go
@@ -163,8 +163,8 @@
 // isRestored reports whether the store was restored since the node registered.
 func (r *Registry) isRestored() bool { return revision.IsLater(r.left.revision(), r.registeredAt) }
 
-// Woke has the lease renewed at once: it went on to run out while the machine was suspended.
-func (r *Registry) Woke() {
+// Resumed has the lease renewed at once: it went on to run out while the machine was suspended.
+func (r *Registry) Resumed() {
 	select {
 	case r.woken <- struct{}{}:
 	default:
--- a/internal/fleet/registry/registry_test.go
+++ b/internal/fleet/registry/registry_test.go
@@ -268,7 +268,7 @@
 		lessor.mu.Lock()
 		lessor.lost = true
 		lessor.mu.Unlock()
-		node.Woke()
+		node.Resumed()
 		synctest.Wait()
 		granted, _, _, _ = lessor.calls("")
 		is.Equal(granted, 2)
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -72,7 +72,7 @@
 }
 
 // hearer gives what takes other nodes' word on roll-outs; nil where they are off.
-func (r *rollouts) hearer() configsync.RolloutHearer {
+func (r *rollouts) hearer() configsync.RolloutHandler {
 	if r.controller == nil {
 		return nil
 	}
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -87,7 +87,7 @@
 	var running sync.WaitGroup
 	lifecycle.Append(fx.Hook{
 		OnStart: func(context.Context) error {
-			deps.Transport.Serve(configsync.NewPeerHandler(deps.Syncer, configsync.Hearers{
+			deps.Transport.Serve(configsync.NewPeerHandler(deps.Syncer, configsync.Handlers{
 				Leafs: deps.Gossip.Heard, Reach: deps.Reach.Heard, Rollouts: deps.Rollouts.hearer(),
 				Quarantine: deps.Quarantine.Heard,
 			}))
@@ -101,12 +101,12 @@
 			running.Go(func() { deps.Rollouts.run(ctx) })
 			running.Go(func() { deps.Quarantine.Run(ctx) })
 			running.Go(func() { deps.Rewriter.Run(ctx) })
-			wakers := []func(time.Duration){deps.Gateway.Woke, deps.Leafs.Woke, func(time.Duration) { deps.Syncer.Woke() }}
+			wakers := []func(time.Duration){deps.Gateway.Woke, deps.Leafs.Woke, func(time.Duration) { deps.Syncer.Resumed() }}
 			if deps.Lessor != nil {
 				record := registry.New(deps.Config.Registry, deps.Lessor, deps.Self, deps.Logger)
 				record.ResumeFrom(deps.Catalog, deps.Syncer.Ready())
 				running.Go(func() { record.Run(ctx) })
-				wakers = append(wakers, func(time.Duration) { record.Woke() })
+				wakers = append(wakers, func(time.Duration) { record.Resumed() })
 			}
 			go boottime.Watch(ctx, deps.Clock, func(slept time.Duration) {
 				deps.Logger.Warn("the machine was suspended", zap.Duration("slept", slept))
--- a/internal/request/gateway/await.go
+++ b/internal/request/gateway/await.go
@@ -47,7 +47,7 @@
 		case <-call.Signs():
 			signs++
 			unanswered = 0
-			p.root.zones.Heard(p.group.node.Zone)
+			p.root.zones.Responded(p.group.node.Zone)
 			// The answer is late when the next sign is due: there is nothing to be won by haste.
 			wait = p.work.query.entry.Objective
 			timer.Reset(max(wait, time.Until(p.work.query.objective)))
--- a/internal/request/gateway/reach.go
+++ b/internal/request/gateway/reach.go
@@ -27,11 +27,11 @@
 func (g *Gateway) learnZone(leaf *balancer.Leaf, result scatter.Result[leafhttp.Response], took time.Duration) {
 	switch result.Outcome {
 	case balancer.Succeeded, balancer.Shed, balancer.Drained, balancer.Declined:
-		g.zones.Heard(leaf.Zone)
+		g.zones.Responded(leaf.Zone)
 	case balancer.Failed, balancer.Abandoned:
 		switch {
 		case result.Execution == scatter.Ran:
-			g.zones.Heard(leaf.Zone)
+			g.zones.Responded(leaf.Zone)
 		case took >= leastUnanswered:
 			g.zones.Silent(leaf.Zone, leaf.ID)
 		}
@@ -43,7 +43,7 @@
 	zone := p.group.node.Zone
 	switch outcome {
 	case GroupAnswered, GroupFailed, GroupDeclined, GroupLeaving:
-		p.root.zones.Heard(zone)
+		p.root.zones.Responded(zone)
 	case GroupSilent, GroupNeverSent, GroupBroken:
 		p.root.zones.Suspect(zone)
 	case GroupCancelled:
--- a/internal/rollout/rolloutcontrol/hearing.go
+++ b/internal/rollout/rolloutcontrol/hearing.go
@@ -18,8 +18,8 @@
 
 func (c *Controller) dropOwn(rows int) { c.deps.Events.RowsDropped(DroppedRecord{Rows: rows}) }
 
-// HeardReports takes the counts of another node. A node that counts for an order that is held is told so.
-func (c *Controller) HeardReports(from string, reports peer.RolloutReports) {
+// HandleReports takes the counts of another node. A node that counts for an order that is held is told so.
+func (c *Controller) HandleReports(from string, reports peer.RolloutReports) {
 	rows, err := unpack(reports.Rows)
 	if err != nil {
 		c.deps.Events.RowsDropped(DroppedRecord{From: from, Err: err})
@@ -45,8 +45,8 @@
 	}
 }
 
-// HeardHold takes a judge's word that an order's version is bad.
-func (c *Controller) HeardHold(from string, hold peer.RolloutHold) {
+// HandleHold takes a judge's word that an order's version is bad.
+func (c *Controller) HandleHold(from string, hold peer.RolloutHold) {
 	order := orderKey{hold.Service, hold.Order}
 	if !c.isWanted(c.deps.Catalog.View(), order) || !c.holds.put(order, "held by the word of "+from) {
 		return
--- a/internal/rollout/rolloutcontrol/hearing_test.go
+++ b/internal/rollout/rolloutcontrol/hearing_test.go
@@ -48,7 +48,7 @@
 	scene(t, func(is *is.I, f *fleet) {
 		node := f.node("n0")
 		revision := f.order("s", "b", usual)
-		node.controller.HeardHold("n1", peer.RolloutHold{Service: "s", Order: revision})
+		node.controller.HandleHold("n1", peer.RolloutHold{Service: "s", Order: revision})
 		node.forgetHolds() // what draws knows of no order yet, and keeps no hold of it
 		time.Sleep(2 * syncDelay)
 		is.True(node.isHeld(orderKey{"s", revision}))
--- a/internal/rollout/rolloutcontrol/node_test.go
+++ b/internal/rollout/rolloutcontrol/node_test.go
@@ -123,9 +123,9 @@
 func (n *testNode) HandleDatagram(message peer.Message) {
 	switch {
 	case message.RolloutReports != nil:
-		n.controller.HeardReports(message.From, *message.RolloutReports)
+		n.controller.HandleReports(message.From, *message.RolloutReports)
 	case message.RolloutHold != nil:
-		n.controller.HeardHold(message.From, *message.RolloutHold)
+		n.controller.HandleHold(message.From, *message.RolloutHold)
 	}
 }
 
