--- a/internal/config/catalog/follow_restored_test.go
+++ b/internal/config/catalog/follow_restored_test.go
@@ -106,5 +106,5 @@
 	if node.Revision() != peer.Revision() {
 		return
 	}
-	node.Keep(peer.KeptEntries())
+	node.Retain(peer.RetainedEntries())
 }
--- a/internal/config/catalog/kept.go
+++ b/internal/config/catalog/kept.go
@@ -9,21 +9,21 @@
 	"github.com/portgauge/portgauge/internal/config/revision"
 )
 
-// KeepFor is how long what others than nodes write, and the restored store lacks, stays in force unless it is written again,
+// RetainFor is how long what others than nodes write, and the restored store lacks, stays in force unless it is written again,
 // but for routes, which stay. Operators write again within 3 s, and what they took back before they did is never written: the
 // keys of a lost entry and of one that was lost and then taken back look the same. So a zone whose evacuation ended in that
 // time stays out for so long, and no longer. What nodes write stays until they have written it again.
-const KeepFor = 10 * time.Second
+const RetainFor = 10 * time.Second
 
-// Kept is an entry of an earlier epoch that is newer than what the store has.
-type Kept struct {
+// Retained is an entry of an earlier epoch that is newer than what the store has.
+type Retained struct {
 	Entry Entry
 	// IsLost says that it is not in force: a leaf whose record the store lost is asked only as the last one.
 	IsLost bool
 }
 
-// SetOwners has the catalog know which keys nodes may write: only these are kept until they are written again.
-func (c *Catalog) SetOwners(mayWrite func(key string) bool) {
+// SetWritable has the catalog know which keys nodes may write: only these are kept until they are written again.
+func (c *Catalog) SetWritable(mayWrite func(key string) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.restored.mayWrite = mayWrite
@@ -31,12 +31,12 @@
 
 // isOver reports whether an entry that the restored store lacks was kept for long enough. One that is not in force is kept only
 // for nodes to write it.
-func (c *Catalog) isOver(one Kept) bool {
+func (c *Catalog) isOver(one Retained) bool {
 	key := one.Entry.Key
 	if key == RoutesKey || c.restored.mayWrite == nil || c.restored.mayWrite(key) {
 		return false
 	}
-	return one.IsLost || !c.restored.at.IsZero() && c.clock.Since(c.restored.at) >= KeepFor
+	return one.IsLost || !c.restored.at.IsZero() && c.clock.Since(c.restored.at) >= RetainFor
 }
 
 // noteKept notes an entry that another node keeps: it is of an earlier epoch than the state that it came with.
@@ -45,27 +45,27 @@
 		return
 	}
 	if c.restored.kept == nil {
-		c.restored.kept = map[string]Kept{}
+		c.restored.kept = map[string]Retained{}
 	}
 	if c.restored.at.IsZero() {
 		c.restored.at = c.clock.Now()
 	}
-	c.restored.kept[entry.Key] = Kept{Entry: entry}
+	c.restored.kept[entry.Key] = Retained{Entry: entry}
 }
 
-// Kept gives the entries that are newer than what the store has of them.
-func (c *Catalog) Kept() []Kept {
+// Retained gives the entries that are newer than what the store has of them.
+func (c *Catalog) Retained() []Retained {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	kept := make([]Kept, 0, len(c.restored.kept))
+	kept := make([]Retained, 0, len(c.restored.kept))
 	for _, one := range c.restored.kept {
 		kept = append(kept, one)
 	}
 	return kept
 }
 
-// KeptEntries gives those of them that are in force.
-func (c *Catalog) KeptEntries() []Entry {
+// RetainedEntries gives those of them that are in force.
+func (c *Catalog) RetainedEntries() []Entry {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var entries []Entry
@@ -84,14 +84,14 @@
 	return c.restored.at
 }
 
-// KeptSum tells sets of kept entries that are in force apart by 64 bits; 0 where there is none. All messages between nodes
+// RetainedFingerprint tells sets of kept entries that are in force apart by 64 bits; 0 where there is none. All messages between nodes
 // have it: where the store was never restored, nothing is kept and no lock is taken.
-func (c *Catalog) KeptSum() uint64 {
+func (c *Catalog) RetainedFingerprint() uint64 {
 	if revision.Epoch(c.Revision()) == 0 {
 		return 0
 	}
 	sum := uint64(0)
-	for _, entry := range c.KeptEntries() {
+	for _, entry := range c.RetainedEntries() {
 		sum += xxhash.Sum64String(entry.Key + "\x00" + string(entry.Value))
 	}
 	return sum
@@ -104,9 +104,9 @@
 	return c.isNewer(kept, stored, c.view.Load().Revision)
 }
 
-// Keep takes entries that another node at the same revision keeps: this one may have read the store without having known
+// Retain takes entries that another node at the same revision keeps: this one may have read the store without having known
 // what it lost. What it let go is not taken again.
-func (c *Catalog) Keep(entries []Entry) {
+func (c *Catalog) Retain(entries []Entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	current := c.view.Load()
@@ -131,7 +131,7 @@
 	switch {
 	case !revision.IsLater(position, entry.Revision), isOfProcess(entry.Key):
 		return false
-	case c.isOver(Kept{Entry: entry}):
+	case c.isOver(Retained{Entry: entry}):
 		return false
 	case !isKnown:
 		return true
@@ -144,8 +144,8 @@
 	return !isTold || order > 0
 }
 
-// LetGo ends the keeping of what was not written again in time, as if it was removed.
-func (c *Catalog) LetGo() {
+// DropExpired ends the keeping of what was not written again in time, as if it was removed.
+func (c *Catalog) DropExpired() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	current := c.view.Load()
--- a/internal/config/catalog/restored.go
+++ b/internal/config/catalog/restored.go
@@ -24,7 +24,7 @@
 	// at is when the node came to the epoch.
 	at time.Time
 	// kept are the entries that are kept, by key.
-	kept map[string]Kept
+	kept map[string]Retained
 	// past are writes that others replaced.
 	past pastWrites
 	// learned is when an entry came that is neither a leaf nor a node.
@@ -85,7 +85,7 @@
 func (c *Catalog) reconcile(snapshot Snapshot) []Entry {
 	now := c.clock.Now()
 	c.restored.at = now
-	c.restored.kept = map[string]Kept{}
+	c.restored.kept = map[string]Retained{}
 	entries := make([]Entry, 0, len(snapshot.Entries))
 	isRead := make(map[string]bool, len(snapshot.Entries))
 	for _, read := range snapshot.Entries {
@@ -99,10 +99,10 @@
 			continue
 		}
 		if c.survives(known, now) {
-			c.restored.kept[key] = Kept{Entry: known}
+			c.restored.kept[key] = Retained{Entry: known}
 			entries = append(entries, known)
 		} else if strings.HasPrefix(key, leafPrefix) {
-			c.restored.kept[key] = Kept{Entry: known, IsLost: true}
+			c.restored.kept[key] = Retained{Entry: known, IsLost: true}
 		}
 	}
 	return entries
@@ -117,7 +117,7 @@
 	}
 	// A node's record goes with a lease, which is lost with it: what the store has of it is what there is.
 	if isKnown && !strings.HasPrefix(read.Key, nodePrefix) && c.isNewer(known, read, position) {
-		c.restored.kept[read.Key] = Kept{Entry: known}
+		c.restored.kept[read.Key] = Retained{Entry: known}
 		return known, true
 	}
 	c.noteKept(read, position)
--- a/internal/config/catalog/restored_test.go
+++ b/internal/config/catalog/restored_test.go
@@ -27,14 +27,14 @@
 	is.True(node.Replace(d.state()))
 	is.Equal(node.View().Routes.Version, int64(27))
 	is.Equal(revision.Epoch(node.Revision()), int64(1))
-	is.Equal(len(node.Kept()), 1)
+	is.Equal(len(node.Retained()), 1)
 
 	node.Apply(d.put(RoutesKey, routesOf(25))) // what was accepted first is written again first
 	is.Equal(node.View().Routes.Version, int64(27))
 	node.Apply(d.put(RoutesKey, routesOf(27)))
 	is.Equal(node.View().Routes.Version, int64(27))
 	is.Equal(node.View().Routes.Revision, revision.At(1, 3))
-	is.Equal(len(node.Kept()), 0)
+	is.Equal(len(node.Retained()), 0)
 	node.Apply(d.put(RoutesKey, routesOf(30)))
 	is.Equal(node.View().Routes.Version, int64(30))
 	node.Apply(d.put(RoutesKey, routesOf(29))) // operators may go back
@@ -63,7 +63,7 @@
 	is.True(revision.Count(changed.Entry.Revision) < revision.Count(before))
 	is.True(node.Replace(d.state()))
 	is.Equal(node.View().Routes.Version, int64(10))
-	is.Equal(len(node.Kept()), 0)
+	is.Equal(len(node.Retained()), 0)
 	is.True(node.ApplyAll(late))
 	is.Equal(node.View().Routes.Version, int64(10))
 	_, isKept := node.Since(before)
@@ -137,7 +137,7 @@
 		d := newDrilled(t)
 		d.put(EvacuationKey("long"), struct{}{})
 		node := follower(d)
-		node.SetOwners(fleetMayWrite)
+		node.SetWritable(fleetMayWrite)
 		time.Sleep(2 * lossWindow)
 		node.Apply(d.put(EvacuationKey("back"), struct{}{}))
 		d.save()
@@ -149,14 +149,14 @@
 		is.True(node.Replace(d.state()))
 		is.Equal(node.View().Leafs.EvacuatedZones(), []string{"again", "back", "new"})
 		node.Apply(d.put(EvacuationKey("again"), struct{}{}))
-		is.Equal(len(node.Kept()), 1)
-		time.Sleep(KeepFor - time.Second)
-		node.LetGo()
+		is.Equal(len(node.Retained()), 1)
+		time.Sleep(RetainFor - time.Second)
+		node.DropExpired()
 		is.Equal(node.View().Leafs.EvacuatedZones(), []string{"again", "back", "new"})
 		time.Sleep(time.Second)
-		node.LetGo()
+		node.DropExpired()
 		is.Equal(node.View().Leafs.EvacuatedZones(), []string{"again", "back"})
-		is.Equal(len(node.Kept()), 0)
+		is.Equal(len(node.Retained()), 0)
 	})
 }
 
@@ -167,15 +167,15 @@
 		d := newDrilled(t)
 		d.save()
 		node := follower(d)
-		node.SetOwners(fleetMayWrite)
+		node.SetWritable(fleetMayWrite)
 		node.Apply(d.put(EvacuationKey("fleets"), struct{}{}))
 		d.restore()
 		is.True(node.Replace(d.state()))
 		time.Sleep(time.Hour)
-		node.LetGo()
+		node.DropExpired()
 		is.Equal(node.View().Leafs.EvacuatedZones(), []string{"fleets"})
 		node.Apply(d.put(EvacuationKey("fleets"), struct{}{}))
-		is.Equal(len(node.Kept()), 0)
+		is.Equal(len(node.Retained()), 0)
 	})
 }
 
@@ -195,8 +195,8 @@
 	is.Equal(second.View().Routes.Version, int64(2))
 	d.restore()
 	is.True(second.Replace(d.state()))
-	is.Equal(len(second.Kept()), 1)
-	is.Equal(second.Kept()[0].Entry.Key, RoutesKey)
+	is.Equal(len(second.Retained()), 1)
+	is.Equal(second.Retained()[0].Entry.Key, RoutesKey)
 }
 
 // A verdict on a version outlives the restore, also where its order was lost with it and is written again.
@@ -230,10 +230,10 @@
 			is.Equal(node.View().Leafs.Rule("s").Serving, "v1")
 
 			// What is written again can be told by a node that never saw it.
-			renewed, isDue := node.Renewed(node.Kept()[0].Entry)
+			renewed, isDue := node.Renewed(node.Retained()[0].Entry)
 			is.True(isDue)
 			node.Apply(d.putValue(RolloutStateKey("s"), renewed, false))
-			is.Equal(len(node.Kept()), 0)
+			is.Equal(len(node.Retained()), 0)
 			fresh := follower(d)
 			is.Equal(fresh.View().Leafs.Rule("s").Trial, "")
 
@@ -253,28 +253,28 @@
 		d.put(RoutesKey, routesOf(1))
 		d.save()
 		node := follower(d)
-		node.SetOwners(fleetMayWrite)
+		node.SetWritable(fleetMayWrite)
 		node.Apply(d.put(RoutesKey, routesOf(2)))
 		node.Apply(d.put(EvacuationKey("z"), struct{}{}))
 		d.restore()
 		is.True(node.Replace(d.state()))
 		fresh := follower(d)
 		is.Equal(fresh.View().Routes.Version, int64(1))
-		is.True(fresh.KeptSum() != node.KeptSum())
-		kept := node.KeptEntries()
-		fresh.Keep(kept)
+		is.True(fresh.RetainedFingerprint() != node.RetainedFingerprint())
+		kept := node.RetainedEntries()
+		fresh.Retain(kept)
 		is.Equal(fresh.View().Routes.Version, int64(2))
 		is.Equal(fresh.View().Leafs.EvacuatedZones(), []string{"z"})
-		is.Equal(fresh.KeptSum(), node.KeptSum())
+		is.Equal(fresh.RetainedFingerprint(), node.RetainedFingerprint())
 
 		another := New(nil)
 		is.True(another.Replace(node.Snapshot())) // as a peer gives it
-		is.Equal(another.KeptSum(), node.KeptSum())
+		is.Equal(another.RetainedFingerprint(), node.RetainedFingerprint())
 		is.Equal(another.View().Routes.Version, int64(2))
 
-		time.Sleep(KeepFor)
-		node.LetGo()
-		node.Keep(kept)
+		time.Sleep(RetainFor)
+		node.DropExpired()
+		node.Retain(kept)
 		is.Equal(len(node.View().Leafs.EvacuatedZones()), 0)
 		is.Equal(node.View().Routes.Version, int64(2)) // routes stay
 	})
@@ -296,7 +296,7 @@
 	is.Equal(revision.Epoch(node.Revision()), int64(3))
 	is.Equal(node.View().Routes.Version, int64(2))
 	node.Apply(d.put(RoutesKey, routesOf(2)))
-	is.Equal(len(node.Kept()), 0)
+	is.Equal(len(node.Retained()), 0)
 }
 
 // A node that starts may read a state that the store told of late, with a revision that is none of the epoch.
--- a/internal/config/configsync/pull.go
+++ b/internal/config/configsync/pull.go
@@ -189,8 +189,8 @@
 // HandlePull gives a peer what it lacks.
 func (s *Syncer) HandlePull(from string, pull peer.Pull) peer.State {
 	state := peer.State{Initialised: s.initialised.Load(), Revision: s.catalog.Revision()}
-	if pull.Kept {
-		state.Kept = s.catalog.KeptEntries()
+	if pull.Retained {
+		state.Retained = s.catalog.RetainedEntries()
 	}
 	changes, kept := s.catalog.Since(pull.After)
 	if kept || !state.Initialised {
--- a/internal/config/configsync/restored.go
+++ b/internal/config/configsync/restored.go
@@ -27,7 +27,7 @@
 	if before == 0 || !revision.IsLater(now, before) {
 		return false
 	}
-	kept, all := len(s.catalog.KeptEntries()), len(s.catalog.Kept())
+	kept, all := len(s.catalog.RetainedEntries()), len(s.catalog.Retained())
 	s.logger.Warn("the store was restored", zap.Int64("revision", now), zap.Int64("before", before),
 		zap.Int("kept", kept), zap.Int("leafs_lost", all-kept))
 	return true
@@ -41,7 +41,7 @@
 // compareKept asks a peer at the same revision for what it keeps, where that is something else, once at a time: a node that
 // started after the restore may have read the store without having known what it lost.
 func (s *Syncer) compareKept(from string, digest peer.Digest) {
-	if digest.Kept == 0 || digest.Kept == s.catalog.KeptSum() || !s.comparing.CompareAndSwap(false, true) {
+	if digest.Retained == 0 || digest.Retained == s.catalog.RetainedFingerprint() || !s.comparing.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
@@ -56,10 +56,10 @@
 	ctx, cancel := context.WithTimeout(ctx, s.config.CallTimeout)
 	defer cancel()
 	s.relayed("pull")
-	asked := peer.Pull{After: s.catalog.Revision(), Kept: true}
+	asked := peer.Pull{After: s.catalog.Revision(), Retained: true}
 	answer, err := s.transport.Call(ctx, address, peer.Message{Digest: s.Digest(), Pull: &asked})
 	if err == nil && answer.State != nil && answer.State.Revision == s.catalog.Revision() {
-		s.catalog.Keep(answer.State.Kept)
+		s.catalog.Retain(answer.State.Retained)
 	}
 }
 
--- a/internal/config/configsync/syncer.go
+++ b/internal/config/configsync/syncer.go
@@ -169,7 +169,7 @@
 // Digest implements membership.Listener.
 func (s *Syncer) Digest() peer.Digest {
 	return peer.Digest{
-		Revision: s.catalog.Revision(), AgeMillis: s.catalog.Age().Milliseconds(), Kept: s.catalog.KeptSum(), CountsEpochs: true,
+		Revision: s.catalog.Revision(), AgeMillis: s.catalog.Age().Milliseconds(), Retained: s.catalog.RetainedFingerprint(), CountsEpochs: true,
 	}
 }
 
--- a/internal/config/rewriter/rewriter.go
+++ b/internal/config/rewriter/rewriter.go
@@ -52,26 +52,26 @@
 	if owned, isOwned := kept.(store.Owned); isOwned {
 		mayWrite = owned.MayWrite
 	}
-	known.SetOwners(mayWrite)
+	known.SetWritable(mayWrite)
 	return &Writer{catalog: known, store: kept, self: self, events: events, mayWrite: mayWrite, tried: map[string]time.Time{}}
 }
 
 // Run writes again what is lost until the context ends.
 func (w *Writer) Run(ctx context.Context) {
 	for wait.For(ctx, wait.Jittered(checkInterval)) {
-		w.catalog.LetGo()
+		w.catalog.DropExpired()
 		w.writeDue(ctx)
 	}
 }
 
 // writeDue writes the entries that are this node's to write now.
 func (w *Writer) writeDue(ctx context.Context) {
-	kept := w.catalog.Kept()
+	kept := w.catalog.Retained()
 	if len(kept) == 0 {
 		clear(w.tried)
 		return
 	}
-	slices.SortFunc(kept, func(a, b catalog.Kept) int { return strings.Compare(a.Entry.Key, b.Entry.Key) })
+	slices.SortFunc(kept, func(a, b catalog.Retained) int { return strings.Compare(a.Entry.Key, b.Entry.Key) })
 	writes := 0
 	for _, one := range kept {
 		if writes >= mostWrites || ctx.Err() != nil {
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -15,8 +15,8 @@
 // quiet is a listener with nothing to say.
 type quiet struct{}
 
-func (quiet) Digest() peer.Digest                          { return peer.Digest{} }
-func (quiet) Notices() []peer.LeafNotice                   { return nil }
+func (quiet) Digest() peer.Digest                            { return peer.Digest{} }
+func (quiet) Notices() []peer.LeafNotice                     { return nil }
 func (quiet) Receive(string, peer.Digest, []peer.LeafNotice) {}
 
 type handler struct{ members *Membership }
--- a/internal/fleet/peer/message.go
+++ b/internal/fleet/peer/message.go
@@ -49,8 +49,8 @@
 	Revision int64 `json:"revision"`
 	// AgeMillis is how long ago the revision was last confirmed to be the newest.
 	AgeMillis int64 `json:"age_millis"`
-	// Kept tells what the node keeps that a restored store lacks from what others keep; 0 where it keeps nothing.
-	Kept uint64 `json:"kept,omitempty"`
+	// Retained tells what the node keeps that a restored store lacks from what others keep; 0 where it keeps nothing.
+	Retained uint64 `json:"kept,omitempty"`
 	// CountsEpochs says that the node knows of restores of the store: the revisions of one that does not are bare counts,
 	// of whatever epoch.
 	CountsEpochs bool `json:"counts_epochs,omitempty"`
@@ -150,8 +150,8 @@
 // Pull asks for everything after a revision.
 type Pull struct {
 	After int64 `json:"after"`
-	// Kept asks for what the node keeps that a restored store lacks, too.
-	Kept bool `json:"kept,omitempty"`
+	// Retained asks for what the node keeps that a restored store lacks, too.
+	Retained bool `json:"kept,omitempty"`
 }
 
 // State answers Pull and Push: changes, preceded by a whole state when changes alone don't reach back.
@@ -162,8 +162,8 @@
 	// Snapshot is a whole state that the changes follow on; empty when they reach back far enough.
 	Snapshot PackedSnapshot   `json:"snapshot,omitempty"`
 	Changes  []catalog.Change `json:"changes,omitempty"`
-	// Kept are the entries that the node keeps, where they are asked for.
-	Kept []catalog.Entry `json:"kept,omitempty"`
+	// Retained are the entries that the node keeps, where they are asked for.
+	Retained []catalog.Entry `json:"kept,omitempty"`
 	// Elsewhere are peer addresses to ask instead: the sender gave its whole state to many a moment
 	// ago, and to these among them.
 	Elsewhere []string `json:"elsewhere,omitempty"`
--- a/internal/fleet/reachability/datagrams.go
+++ b/internal/fleet/reachability/datagrams.go
@@ -24,21 +24,21 @@
 	pending map[uint64]chan struct{} // by number; an open question each
 }
 
-var _ Asker = (*Datagrams)(nil)
+var _ Prober = (*Datagrams)(nil)
 
-// NewDatagrams makes an asker; OnTold says who hears of zones that others lost.
+// NewDatagrams makes an prober; OnTold says who hears of zones that others lost.
 func NewDatagrams(sender Sender) *Datagrams {
 	return &Datagrams{sender: sender, told: func(string) {}, pending: map[uint64]chan struct{}{}}
 }
 
-// OnTold sets who is told of a zone that another node has lost. It must be set before datagrams come in.
-func (d *Datagrams) OnTold(told func(zone string)) { d.told = told }
+// OnZoneLost sets who is told of a zone that another node has lost. It must be set before datagrams come in.
+func (d *Datagrams) OnZoneLost(told func(zone string)) { d.told = told }
 
 // mostPending bounds the open questions; further ones count as unanswered at once.
 const mostPending = 4096
 
 // Answers implements Asker.
-func (d *Datagrams) Answers(ctx context.Context, node catalog.NodeRecord) bool {
+func (d *Datagrams) Ping(ctx context.Context, node catalog.NodeRecord) bool {
 	number, answered := d.open()
 	if answered == nil {
 		return false
@@ -54,12 +54,12 @@
 }
 
 // Tell implements Asker.
-func (d *Datagrams) Tell(node catalog.NodeRecord, zone string) {
+func (d *Datagrams) AnnounceLost(node catalog.NodeRecord, zone string) {
 	d.sender.Send(node.Address, peer.Message{Reach: &peer.Reach{Lost: zone}})
 }
 
-// Heard takes a datagram: it answers a question, and takes an answer or what another node tells.
-func (d *Datagrams) Heard(from string, reach peer.Reach) {
+// Handle takes a datagram: it answers a question, and takes an answer or what another node tells.
+func (d *Datagrams) Handle(from string, reach peer.Reach) {
 	switch {
 	case reach.Lost != "":
 		d.told(reach.Lost)
--- a/internal/fleet/reachability/datagrams_test.go
+++ b/internal/fleet/reachability/datagrams_test.go
@@ -45,7 +45,7 @@
 	if e.link.drops(e.from, to) {
 		return
 	}
-	time.AfterFunc(time.Millisecond, func() { e.link.nodes[to].Heard(e.from, *message.Reach) })
+	time.AfterFunc(time.Millisecond, func() { e.link.nodes[to].Handle(e.from, *message.Reach) })
 }
 
 // newLink starts a tracker at the first node of each zone.
@@ -57,8 +57,8 @@
 	for _, node := range w.nodes {
 		datagrams := NewDatagrams(end{l, node.Address})
 		l.nodes[node.Address] = datagrams
-		tracker := New(Deps{Config: DefaultConfig(), Self: node, Asker: datagrams, Nodes: func() []catalog.NodeRecord { return w.nodes }})
-		datagrams.OnTold(tracker.Suspect)
+		tracker := New(Deps{Config: DefaultConfig(), Self: node, Prober: datagrams, Nodes: func() []catalog.NodeRecord { return w.nodes }})
+		datagrams.OnZoneLost(tracker.Suspect)
 		go tracker.Run(ctx)
 		trackers[node.ID] = tracker
 	}
@@ -111,7 +111,7 @@
 		is := is.New(t)
 		w := newWorld(5, near, far)
 		l, trackers := newLink(t, w)
-		l.nodes["near-0"].Heard("near-1", peer.Reach{Lost: far})
+		l.nodes["near-0"].Handle("near-1", peer.Reach{Lost: far})
 		time.Sleep(time.Second)
 		is.True(trackers["near-0"].Reaches(far))
 	})
@@ -125,7 +125,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		for range 2 * mostPending {
-			go d.Answers(ctx, catalog.NodeRecord{Address: "b"})
+			go d.Ping(ctx, catalog.NodeRecord{Address: "b"})
 		}
 		synctest.Wait()
 		is.Equal(d.count(), mostPending)
--- a/internal/fleet/reachability/look.go
+++ b/internal/fleet/reachability/look.go
@@ -74,7 +74,7 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(ctx, answerLimit)
 			defer cancel()
-			if l.tracker.deps.Asker.Answers(ctx, node) {
+			if l.tracker.deps.Prober.Ping(ctx, node) {
 				l.others.Store(true)
 			}
 		}()
--- a/internal/fleet/reachability/reachability.go
+++ b/internal/fleet/reachability/reachability.go
@@ -19,12 +19,12 @@
 	"github.com/portgauge/portgauge/internal/node/boottime"
 )
 
-// Asker carries datagrams between nodes.
-type Asker interface {
+// Prober carries datagrams between nodes.
+type Prober interface {
 	// Answers asks a node for a sign of life; false when none came before the context ended.
-	Answers(ctx context.Context, node catalog.NodeRecord) bool
+	Ping(ctx context.Context, node catalog.NodeRecord) bool
 	// Tell tells a node, without waiting, that this one has lost a zone.
-	Tell(node catalog.NodeRecord, zone string)
+	AnnounceLost(node catalog.NodeRecord, zone string)
 }
 
 // Change is a zone that was lost, or is back.
@@ -39,8 +39,8 @@
 	// Self is this node's own record.
 	Self catalog.NodeRecord
 	// Nodes gives the registered nodes; this one may be among them.
-	Nodes func() []catalog.NodeRecord
-	Asker Asker
+	Nodes  func() []catalog.NodeRecord
+	Prober Prober
 	// Changed is told of changed beliefs; nil means nobody.
 	Changed func(Change)
 	// Clock counts the time for which the machine was suspended.
@@ -123,9 +123,9 @@
 	}
 }
 
-// Silent tells of a leaf of a zone that left an attempt unanswered. Two of them, with nothing heard of
+// NoResponse tells of a leaf of a zone that left an attempt unanswered. Two of them, with nothing heard of
 // the zone between, are looked into.
-func (t *Tracker) Silent(name, leafID string) {
+func (t *Tracker) NoResponse(name, leafID string) {
 	if known := t.of(name); known != nil && known.another(leafID) {
 		t.Suspect(name)
 	}
@@ -153,10 +153,10 @@
 	}()
 }
 
-// SuspectSoon has a zone looked at now and, unless that loses it, once more after the pause between looks: a node
+// SuspectAndRecheck has a zone looked at now and, unless that loses it, once more after the pause between looks: a node
 // that looked a moment before a cut would else be the only one of its zone that learns of it late, and callers are sent
 // to other zones only once no node of a zone is ready.
-func (t *Tracker) SuspectSoon(name string) {
+func (t *Tracker) SuspectAndRecheck(name string) {
 	known := t.of(name)
 	if known == nil {
 		return
@@ -182,7 +182,7 @@
 	for _, node := range t.deps.Nodes() {
 		if !seen[node.Zone] {
 			seen[node.Zone] = true
-			t.SuspectSoon(node.Zone)
+			t.SuspectAndRecheck(node.Zone)
 		}
 	}
 }
@@ -216,7 +216,7 @@
 	t.lookAround(known.name)
 	own := t.nodesOf(func(node catalog.NodeRecord) bool { return node.Zone == t.deps.Self.Zone })
 	for _, node := range own[:min(t.deps.Config.Fanout, len(own))] {
-		t.deps.Asker.Tell(node, known.name)
+		t.deps.Prober.AnnounceLost(node, known.name)
 	}
 	t.awaitReturn(ctx, known)
 }
@@ -250,7 +250,7 @@
 	ctx, cancel := context.WithTimeout(ctx, answerLimit)
 	defer cancel()
 	began := time.Now()
-	if !t.deps.Asker.Answers(ctx, node) {
+	if !t.deps.Prober.Ping(ctx, node) {
 		return false
 	}
 	known.took(time.Since(began))
--- a/internal/fleet/reachability/reachability_test.go
+++ b/internal/fleet/reachability/reachability_test.go
@@ -45,7 +45,7 @@
 	return w
 }
 
-func (w *world) Answers(ctx context.Context, node catalog.NodeRecord) bool {
+func (w *world) Ping(ctx context.Context, node catalog.NodeRecord) bool {
 	w.mu.Lock()
 	w.asked[node.Zone]++
 	isSilent, delay := w.silent[node.Zone] || w.silent[node.ID], w.delay
@@ -62,7 +62,7 @@
 	}
 }
 
-func (w *world) Tell(node catalog.NodeRecord, zone string) {
+func (w *world) AnnounceLost(node catalog.NodeRecord, zone string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.told = append(w.told, node.Zone+" of "+zone)
@@ -87,7 +87,7 @@
 func (w *world) tracker(t *testing.T) *Tracker {
 	t.Helper()
 	tracker := New(Deps{
-		Config: DefaultConfig(), Self: w.nodes[0], Asker: w,
+		Config: DefaultConfig(), Self: w.nodes[0], Prober: w,
 		Nodes: func() []catalog.NodeRecord { return w.nodes },
 	})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -162,7 +162,7 @@
 		time.Sleep(lookTime())
 		is.True(tracker.Reaches(far))
 		w.set(true, far)
-		tracker.SuspectSoon(far)
+		tracker.SuspectAndRecheck(far)
 		time.Sleep(time.Second)
 		is.True(!tracker.Reaches(far))
 	})
@@ -184,7 +184,7 @@
 func TestOneDeadLeafIsNotLookedInto(t *testing.T) {
 	within(t, func(is *is.I, w *world, tracker *Tracker) {
 		for range 10 {
-			tracker.Silent(far, "leaf")
+			tracker.NoResponse(far, "leaf")
 			time.Sleep(100 * time.Millisecond)
 		}
 		is.Equal(w.count(far), 0)
@@ -195,7 +195,7 @@
 func TestSilentLeafsAmongOthersAreNotLookedInto(t *testing.T) {
 	within(t, func(is *is.I, w *world, tracker *Tracker) {
 		for index := range 10 {
-			tracker.Silent(far, fmt.Sprint("leaf", index))
+			tracker.NoResponse(far, fmt.Sprint("leaf", index))
 			tracker.Responded(far)
 		}
 		time.Sleep(time.Second)
@@ -207,8 +207,8 @@
 func TestSlowLeafsDontLoseAZone(t *testing.T) {
 	within(t, func(is *is.I, w *world, tracker *Tracker) {
 		for range 20 {
-			tracker.Silent(far, "leaf 1")
-			tracker.Silent(far, "leaf 2")
+			tracker.NoResponse(far, "leaf 1")
+			tracker.NoResponse(far, "leaf 2")
 			time.Sleep(100 * time.Millisecond)
 			is.True(tracker.Reaches(far))
 		}
@@ -220,8 +220,8 @@
 func TestTwoSilentLeafsOfACutZone(t *testing.T) {
 	within(t, func(is *is.I, w *world, tracker *Tracker) {
 		w.set(true, far)
-		tracker.Silent(far, "leaf 1")
-		tracker.Silent(far, "leaf 2")
+		tracker.NoResponse(far, "leaf 1")
+		tracker.NoResponse(far, "leaf 2")
 		time.Sleep(lookTime())
 		is.True(!tracker.Reaches(far))
 	})
@@ -358,7 +358,7 @@
 		is := is.New(t)
 		var none *Tracker
 		none.Suspect(far)
-		none.Silent(far, "leaf")
+		none.NoResponse(far, "leaf")
 		none.Responded(far)
 		is.True(none.Reaches(far) && !none.IsCutOff())
 		w := newWorld(5, near, far)
--- a/internal/node/keeper.go
+++ b/internal/node/keeper.go
@@ -70,7 +70,7 @@
 
 func (k *leafKeeper) setGauges(view *catalog.View) {
 	k.metrics.ConfigRevision.Set(float64(view.Revision))
-	k.metrics.Kept.Set(float64(len(k.catalog.KeptEntries())))
+	k.metrics.Kept.Set(float64(len(k.catalog.RetainedEntries())))
 	k.metrics.ConfigAge.Set(k.catalog.Age().Seconds())
 	counts := k.members.Counts()
 	for _, state := range []peer.MemberState{peer.Alive, peer.Suspect, peer.Left, peer.Dead} {
--- a/internal/node/provide.go
+++ b/internal/node/provide.go
@@ -212,12 +212,12 @@
 	return reachability.NewDatagrams(transport)
 }
 
-func newZones(config settings.Settings, known *catalog.Catalog, self catalog.NodeRecord, asker *reachability.Datagrams, events *stateEvents, clock boottime.Clock) *reachability.Tracker {
+func newZones(config settings.Settings, known *catalog.Catalog, self catalog.NodeRecord, prober *reachability.Datagrams, events *stateEvents, clock boottime.Clock) *reachability.Tracker {
 	zones := reachability.New(reachability.Deps{
-		Config: config.Reachability, Self: self, Asker: asker, Changed: events.zoneChanged, Clock: clock,
+		Config: config.Reachability, Self: self, Prober: prober, Changed: events.zoneChanged, Clock: clock,
 		Nodes: func() []catalog.NodeRecord { return slices.Collect(maps.Values(known.View().Nodes)) },
 	})
-	asker.OnTold(zones.SuspectSoon)
+	prober.OnZoneLost(zones.SuspectAndRecheck)
 	return zones
 }
 
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -88,7 +88,7 @@
 	lifecycle.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			deps.Transport.Serve(configsync.NewPeerHandler(deps.Syncer, configsync.Handlers{
-				Leafs: deps.Gossip.Heard, Reach: deps.Reach.Heard, Rollouts: deps.Rollouts.hearer(),
+				Leafs: deps.Gossip.Heard, Reach: deps.Reach.Handle, Rollouts: deps.Rollouts.hearer(),
 				Quarantine: deps.Quarantine.Heard,
 			}))
 			go deps.Zones.Run(ctx)
--- a/internal/request/gateway/reach.go
+++ b/internal/request/gateway/reach.go
@@ -33,7 +33,7 @@
 		case result.Execution == scatter.Ran:
 			g.zones.Responded(leaf.Zone)
 		case took >= leastUnanswered:
-			g.zones.Silent(leaf.Zone, leaf.ID)
+			g.zones.NoResponse(leaf.Zone, leaf.ID)
 		}
 	}
 }
--- a/internal/request/gateway/reach_test.go
+++ b/internal/request/gateway/reach_test.go
@@ -17,17 +17,17 @@
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
 )
 
-// cutAsker lets the nodes of all zones but some answer.
-type cutAsker map[string]bool
+// cutProber lets the nodes of all zones but some answer.
+type cutProber map[string]bool
 
-func (a cutAsker) Answers(_ context.Context, node catalog.NodeRecord) bool { return !a[node.Zone] }
-func (a cutAsker) Tell(catalog.NodeRecord, string)                         {}
+func (a cutProber) Ping(_ context.Context, node catalog.NodeRecord) bool { return !a[node.Zone] }
+func (a cutProber) AnnounceLost(catalog.NodeRecord, string)              {}
 
 // withoutZones gives what a node in the near zone knows after it lost some zones, of 5 nodes each. It stops
 // at the end of the test.
 func withoutZones(t *testing.T, lost ...string) *reachability.Tracker {
 	t.Helper()
-	cut := cutAsker{}
+	cut := cutProber{}
 	for _, zone := range lost {
 		cut[zone] = true
 	}
@@ -39,7 +39,7 @@
 		}
 	}
 	zones := reachability.New(reachability.Deps{
-		Config: reachability.DefaultConfig(), Self: nodes[0], Asker: cut, Nodes: func() []catalog.NodeRecord { return nodes },
+		Config: reachability.DefaultConfig(), Self: nodes[0], Prober: cut, Nodes: func() []catalog.NodeRecord { return nodes },
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	go zones.Run(ctx)
@@ -201,7 +201,7 @@
 		nodes = append(nodes, node)
 	}
 	root.zones = reachability.New(reachability.Deps{
-		Config: reachability.DefaultConfig(), Self: near("n1"), Asker: tellingAsker(looked),
+		Config: reachability.DefaultConfig(), Self: near("n1"), Prober: tellingAsker(looked),
 		Nodes: func() []catalog.NodeRecord { return nodes },
 	})
 	root.root.zones = root.zones
@@ -222,11 +222,11 @@
 // tellingAsker tells whom it was asked of, and lets nobody answer.
 type tellingAsker chan string
 
-func (a tellingAsker) Answers(_ context.Context, node catalog.NodeRecord) bool {
+func (a tellingAsker) Ping(_ context.Context, node catalog.NodeRecord) bool {
 	select {
 	case a <- node.Zone:
 	default:
 	}
 	return false
 }
-func (a tellingAsker) Tell(catalog.NodeRecord, string) {}
+func (a tellingAsker) AnnounceLost(catalog.NodeRecord, string) {}
