--- a/internal/config/configsync/syncer.go
+++ b/internal/config/configsync/configsync.go
@@ -66,32 +66,32 @@
 	settledAt func() int64
 	members   *membership.Membership
 
-	startedAt   time.Time
-	settled     atomic.Bool // the zone's members are known well enough to rank watchers
-	initialised atomic.Bool
-	ready       chan struct{} // closed once initialised
-	storeDownAt atomic.Int64  // unix nanoseconds; 0 while the watch is up
-	droppedTold rate.Sometimes
-	isStandby   bool        // whether the node stands by and looked at the store since it does; of the watch loop
-	hasWoken    atomic.Bool // whether the machine was suspended since the watch was opened
-	checking    atomic.Bool // whether a push is being checked
-	comparing   atomic.Bool // whether what is kept is compared with a peer
-	looking     atomic.Bool // whether the store is looked at for a peer that does not count epochs
-	pulling     atomic.Bool
-	pullPending atomic.Bool
-	pushedAt    atomic.Int64 // when the last push arrived, in unix nanoseconds
-	pushes      chan catalog.Change
-	wholeStates wholeStates
-	early       earlyChanges
-
-	mu       sync.Mutex
-	contacts map[string][]string // peer addresses of other zones
-	notices  map[string]*notice  // by leaf id
-	pushed   int64               // newest revision received or sent by push
-	readMark boottime.Mark       // when a datagram was last read
-	// slept is how long the machine was suspended last, sleptUntil is until when datagrams from before may be read.
-	slept      time.Duration
-	sleptUntil time.Time
+	startedAt        time.Time
+	joined           atomic.Bool // the zone's members are known well enough to rank watchers
+	initialised      atomic.Bool
+	ready            chan struct{} // closed once initialised
+	storeDownAt      atomic.Int64  // unix nanoseconds; 0 while the watch is up
+	droppedLog       rate.Sometimes
+	hasReadAsStandby bool        // whether the node stands by and looked at the store since it does; of the watch loop
+	resumed          atomic.Bool // whether the machine was suspended since the watch was opened
+	checkingPush     atomic.Bool // whether a push is being checked
+	pullingRetained  atomic.Bool // whether what is kept is compared with a peer
+	readingForLegacy atomic.Bool // whether the store is looked at for a peer that does not count epochs
+	pulling          atomic.Bool
+	pullPending      atomic.Bool
+	lastPushAt       atomic.Int64 // when the last push arrived, in unix nanoseconds
+	pushes           chan catalog.Change
+	snapshots        snapshotServer
+	reorder          reorderBuffer
+
+	mu           sync.Mutex
+	contacts     map[string][]string // peer addresses of other zones
+	notices      map[string]*notice  // by leaf id
+	newestPushed int64               // newest revision received or sent by push
+	lastRead     boottime.Mark       // when a datagram was last read
+	// suspendedFor is how long the machine was suspended last, suspendedUntil is until when datagrams from before may be read.
+	suspendedFor   time.Duration
+	suspendedUntil time.Time
 }
 
 // New makes a syncer; SetMembership must be called before Run.
@@ -126,14 +126,10 @@
 		contacts:  map[string][]string{},
 		notices:   map[string]*notice{},
 
-		droppedTold: rate.Sometimes{First: 1, Interval: tellDroppedInterval},
+		droppedLog: rate.Sometimes{First: 1, Interval: droppedLogInterval},
 	}
 }
 
-// tellDroppedInterval is how often a whole state that was dropped is logged at most: a node that reads one again and
-// again does so up to 66 times a second.
-const tellDroppedInterval = time.Second
-
 // pushBacklog is how many changes may wait to be pushed; digests heal what overflows.
 const pushBacklog = 1024
 
@@ -166,84 +162,6 @@
 	}
 }
 
-// Digest implements membership.Listener.
-func (s *Syncer) Digest() peer.Digest {
-	return peer.Digest{
-		Revision: s.catalog.Revision(), AgeMillis: s.catalog.Age().Milliseconds(), Retained: s.catalog.RetainedFingerprint(), CountsEpochs: true,
-	}
-}
-
-// Receive implements membership.Listener: it pulls from a peer that is ahead, or keeps something else.
-func (s *Syncer) Receive(from string, digest peer.Digest, notices []peer.LeafNotice) {
-	s.takeNotices(notices)
-	known := s.catalog.Revision()
-	if s.isForeign(digest) {
-		s.lookForUnaware(digest)
-		return
-	}
-	if digest.Revision == known && s.initialised.Load() {
-		s.catalog.Confirm(s.catalog.Now().Add(-s.waited() - time.Duration(digest.AgeMillis)*time.Millisecond))
-		s.compareKept(from, digest)
-	}
-	if digest.Revision > known {
-		s.pullLater(from, digest.Revision)
-	}
-}
-
-// waited gives for how long a datagram that is read now may have waited: those that came before the machine was suspended
-// are read soon after it wakes.
-func (s *Syncer) waited() time.Duration {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if slept := s.readMark.Suspended(); slept > 0 {
-		s.slept, s.sleptUntil = slept, time.Now().Add(boottime.CheckInterval)
-	}
-	s.readMark = s.catalog.Mark()
-	if time.Now().Before(s.sleptUntil) {
-		return s.slept
-	}
-	return 0
-}
-
-// Resumed has the node find out at once what it missed while the machine was suspended: the calls that it waits for may have
-// ended without its knowing, and what it holds for the newest is as old as the suspension was long.
-func (s *Syncer) Resumed() {
-	s.hasWoken.Store(true)
-	for _, watcher := range s.watchers() {
-		if watcher.ID != s.members.Self().ID {
-			go s.pullFrom(context.Background(), watcher.Address)
-			return
-		}
-	}
-}
-
-// pullLater pulls from a peer that is ahead, unless the push of what it has arrives first:
-// digests travel beside pushes, and pulling at once would fetch most changes twice.
-func (s *Syncer) pullLater(from string, revision int64) {
-	if !s.pullPending.CompareAndSwap(false, true) {
-		return
-	}
-	s.pullAfterDelay(from, revision, pullPostponements)
-}
-
-// pullPostponements is how many times a pull is put off while pushes keep arriving: in a burst
-// what is missing is most likely in the next one.
-const pullPostponements = 3
-
-func (s *Syncer) pullAfterDelay(from string, revision int64, postponements int) {
-	time.AfterFunc(s.config.PullDelay, func() {
-		pushed := time.Since(time.Unix(0, s.pushedAt.Load()))
-		if s.catalog.Revision() < revision && pushed < s.config.PullDelay && postponements > 0 {
-			s.pullAfterDelay(from, revision, postponements-1)
-			return
-		}
-		s.pullPending.Store(false)
-		if s.catalog.Revision() < revision {
-			s.pullFrom(context.Background(), from)
-		}
-	})
-}
-
 // pause waits for a time with jitter, so that nodes that failed together don't retry
 // together; false when the context ended.
 func pause(ctx context.Context, duration time.Duration) bool {
--- a/internal/config/configsync/configsync_test.go
+++ b/internal/config/configsync/configsync_test.go
@@ -130,7 +130,7 @@
 	testLeavingLeafIsTold(t, func(f *fleet) {
 		for id, node := range f.nodes {
 			if id[:2] == "z0" {
-				node.syncer.takeNotices([]peer.LeafNotice{{LeafID: "leaf-1", Millis: DefaultConfig().LeavingHold.Milliseconds()}})
+				node.syncer.handleNotices([]peer.LeafNotice{{LeafID: "leaf-1", Millis: DefaultConfig().LeavingHold.Milliseconds()}})
 			}
 		}
 	})
@@ -168,7 +168,7 @@
 		f.network.Cut(func(from, to string) bool { return from < to })
 		time.Sleep(40 * time.Second)
 		for _, node := range f.nodes {
-			is.True(node.syncer.settled.Load())
+			is.True(node.syncer.joined.Load())
 		}
 	})
 }
--- a/internal/config/configsync/contacts.go
+++ b/internal/config/configsync/contacts.go
@@ -13,137 +13,6 @@
 // contactsPerZone is how many nodes of each other zone a node remembers.
 const contactsPerZone = 3
 
-// notice is word that a leaf must get no new work.
-type notice struct {
-	until  time.Time
-	passes int
-	// pushedUntil is what this node pushed, as a watcher; word that came by gossip was not
-	// pushed to other zones yet.
-	pushedUntil time.Time
-}
-
-// Notices ride on datagrams: at most so many on one, each passed on so many times.
-const (
-	noticesPerMessage = 4
-	noticePasses      = 8
-)
-
-// Notices implements membership.Listener.
-func (s *Syncer) Notices() []peer.LeafNotice {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	var chosen []peer.LeafNotice
-	now := time.Now()
-	for leafID, known := range s.notices {
-		if now.After(known.until) {
-			delete(s.notices, leafID)
-			continue
-		}
-		if known.passes >= noticePasses || len(chosen) >= noticesPerMessage {
-			continue
-		}
-		known.passes++
-		chosen = append(chosen, peer.LeafNotice{LeafID: leafID, Millis: known.until.Sub(now).Milliseconds()})
-	}
-	return chosen
-}
-
-// renewalShare divides the hold of a notice: one that holds so much longer than known is news.
-const renewalShare = 2
-
-// takeNotices learns of leaving leafs from another node.
-func (s *Syncer) takeNotices(notices []peer.LeafNotice) {
-	now := time.Now()
-	for _, word := range notices {
-		hold := min(time.Duration(word.Millis)*time.Millisecond, s.config.LeavingHold)
-		s.note(word.LeafID, now.Add(hold))
-	}
-}
-
-// note records word of a leaving leaf; a renewal of some length is passed on anew.
-func (s *Syncer) note(leafID string, until time.Time) {
-	s.leafs.SetLeaving(leafID, until)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	known, found := s.notices[leafID]
-	if !found {
-		s.notices[leafID] = &notice{until: until}
-		return
-	}
-	if s.isRenewal(until, known.until) {
-		known.until, known.passes = until, 0
-	}
-}
-
-// isRenewal reports whether a notice holds so much longer than known that it counts as news.
-func (s *Syncer) isRenewal(until, known time.Time) bool {
-	return until.Sub(known) >= s.config.LeavingHold/renewalShare
-}
-
-// claimPush reports whether a notice is due to be pushed by this watcher, and counts it as
-// pushed.
-func (s *Syncer) claimPush(leafID string, until time.Time) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	known, found := s.notices[leafID]
-	if !found || !s.isRenewal(until, known.pushedUntil) {
-		return false
-	}
-	known.pushedUntil = until
-	return true
-}
-
-// LeafDraining tells the zone of a leaf that said itself that it is leaving.
-func (s *Syncer) LeafDraining(leafID string) {
-	s.note(leafID, time.Now().Add(s.config.LeavingHold))
-}
-
-// machineLoop reads the zone's part of the machine list while this node is a watcher, and
-// spreads word of leaving leafs.
-func (s *Syncer) machineLoop(ctx context.Context) {
-	version := uint64(0)
-	var leaving []string
-	for pause(ctx, s.config.MachineListInterval) {
-		if s.rank() == notAWatcher {
-			version = 0
-			continue
-		}
-		list, err := s.listMachines(ctx, machines.Query{Zone: s.members.Self().Zone, Role: machines.RoleLeaf, KnownVersion: version})
-		if err != nil {
-			continue
-		}
-		if !list.Unchanged {
-			version = list.Version
-			leaving = leavingLeafs(list)
-		}
-		s.pushLeaving(ctx, s.lives(leaving))
-	}
-}
-
-func leavingLeafs(list machines.List) []string {
-	var leaving []string
-	for _, machine := range list.Machines {
-		if machine.State == machines.Leaving {
-			leaving = append(leaving, machine.ID)
-		}
-	}
-	return leaving
-}
-
-// lives gives the ids of the leafs in force of some names: the machine list doesn't tell lives apart.
-func (s *Syncer) lives(names []string) []string {
-	known := s.catalog.View().Leafs
-	ids := make([]string, 0, len(names))
-	for _, name := range names {
-		id := name
-		if leaf, found := known.ByName(name); found {
-			id = leaf.ID
-		}
-		ids = append(ids, id)
-	}
-	return ids
-}
-
 // contactInterval is how often watchers draw new contacts in other zones.
 const contactInterval = time.Minute
 
@@ -181,60 +50,12 @@
 	}
 }
 
-// pushLeaving sends the own zone, and one node of each other zone for theirs, those notices
-// that this watcher has not pushed yet or that are about to lapse.
-func (s *Syncer) pushLeaving(ctx context.Context, leaving []string) {
-	until := time.Now().Add(s.config.LeavingHold)
-	isFirst := s.rank() == 0
-	var news []peer.LeafNotice
-	for _, leafID := range leaving {
-		s.note(leafID, until)
-		if isFirst && s.claimPush(leafID, until) {
-			news = append(news, peer.LeafNotice{LeafID: leafID, Millis: s.config.LeavingHold.Milliseconds()})
-		}
-	}
-	if len(news) == 0 {
-		return
-	}
-	s.pushToZone(ctx, peer.Push{Notices: news})
-	for _, addresses := range s.contactsByZone() {
-		go s.pushToOtherZone(ctx, addresses, peer.Push{Notices: news, WholeZone: true})
-	}
-}
-
-// pushToOtherZone hands a push to the first contact that takes it.
-func (s *Syncer) pushToOtherZone(ctx context.Context, addresses []string, push peer.Push) {
-	for _, address := range addresses {
-		if s.handTo(ctx, address, push) {
-			return
-		}
-	}
-}
-
 func (s *Syncer) listMachines(ctx context.Context, query machines.Query) (machines.List, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.config.WatchSilence)
 	defer cancel()
 	return s.machines.ListMachines(ctx, query)
 }
 
-// listZone gives the peer addresses of the zone's nodes by the machine list.
-func (s *Syncer) listZone(ctx context.Context) ([]string, error) {
-	list, err := s.listMachines(ctx, machines.Query{Zone: s.members.Self().Zone, Role: machines.RoleNode, MostPerZone: joinCandidates})
-	if err != nil {
-		return nil, err
-	}
-	var addresses []string
-	for _, machine := range list.Machines {
-		if machine.State == machines.Live {
-			addresses = append(addresses, machine.Address)
-		}
-	}
-	return addresses, nil
-}
-
-// joinCandidates is how many nodes of its zone a node draws to join through.
-const joinCandidates = 8
-
 // Contacts gives the nodes known in other zones.
 func (s *Syncer) Contacts() []peer.Contact {
 	s.mu.Lock()
@@ -261,13 +82,6 @@
 	}
 }
 
-// handleJoin takes a node in; one of another zone becomes a contact there.
-func (s *Syncer) handleJoin(join peer.Join) *peer.Welcome {
-	s.addContacts([]peer.Contact{{Zone: join.Member.Zone, Address: join.Member.Address}})
-	members, known := s.members.HandleJoin(join)
-	return &peer.Welcome{Zone: s.members.Self().Zone, Known: known, Members: members, Contacts: s.Contacts()}
-}
-
 func (s *Syncer) randomContact() (string, bool) {
 	contacts := s.Contacts()
 	if len(contacts) == 0 {
--- /dev/null
+++ b/internal/config/configsync/digest.go
@@ -0,0 +1,87 @@
+package configsync
+
+import (
+	"context"
+	"time"
+
+	"github.com/portgauge/portgauge/internal/fleet/peer"
+	"github.com/portgauge/portgauge/internal/node/boottime"
+)
+
+// Digest implements membership.Listener.
+func (s *Syncer) Digest() peer.Digest {
+	return peer.Digest{
+		Revision: s.catalog.Revision(), AgeMillis: s.catalog.Age().Milliseconds(), Retained: s.catalog.RetainedFingerprint(), CountsEpochs: true,
+	}
+}
+
+// Receive implements membership.Listener: it pulls from a peer that is ahead, or keeps something else.
+func (s *Syncer) Receive(from string, digest peer.Digest, notices []peer.LeafNotice) {
+	s.handleNotices(notices)
+	known := s.catalog.Revision()
+	if s.isLegacy(digest) {
+		s.readStoreForLegacy(digest)
+		return
+	}
+	if digest.Revision == known && s.initialised.Load() {
+		s.catalog.Confirm(s.catalog.Now().Add(-s.queueDelay() - time.Duration(digest.AgeMillis)*time.Millisecond))
+		s.compareRetained(from, digest)
+	}
+	if digest.Revision > known {
+		s.pullLater(from, digest.Revision)
+	}
+}
+
+// queueDelay gives for how long a datagram that is read now may have queueDelay: those that came before the machine was suspended
+// are read soon after it wakes.
+func (s *Syncer) queueDelay() time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if suspendedFor := s.lastRead.Suspended(); suspendedFor > 0 {
+		s.suspendedFor, s.suspendedUntil = suspendedFor, time.Now().Add(boottime.CheckInterval)
+	}
+	s.lastRead = s.catalog.Mark()
+	if time.Now().Before(s.suspendedUntil) {
+		return s.suspendedFor
+	}
+	return 0
+}
+
+// Resumed has the node find out at once what it missed while the machine was suspended: the calls that it waits for may have
+// ended without its knowing, and what it holds for the newest is as old as the suspension was long.
+func (s *Syncer) Resumed() {
+	s.resumed.Store(true)
+	for _, watcher := range s.watchers() {
+		if watcher.ID != s.members.Self().ID {
+			go s.pullFrom(context.Background(), watcher.Address)
+			return
+		}
+	}
+}
+
+// pullLater pulls from a peer that is ahead, unless the push of what it has arrives first:
+// digests travel beside pushes, and pulling at once would fetch most changes twice.
+func (s *Syncer) pullLater(from string, revision int64) {
+	if !s.pullPending.CompareAndSwap(false, true) {
+		return
+	}
+	s.pullAfterDelay(from, revision, pullPostponements)
+}
+
+// pullPostponements is how many times a pull is put off while pushes keep arriving: in a burst
+// what is missing is most likely in the next one.
+const pullPostponements = 3
+
+func (s *Syncer) pullAfterDelay(from string, revision int64, postponements int) {
+	time.AfterFunc(s.config.PullDelay, func() {
+		pushed := time.Since(time.Unix(0, s.lastPushAt.Load()))
+		if s.catalog.Revision() < revision && pushed < s.config.PullDelay && postponements > 0 {
+			s.pullAfterDelay(from, revision, postponements-1)
+			return
+		}
+		s.pullPending.Store(false)
+		if s.catalog.Revision() < revision {
+			s.pullFrom(context.Background(), from)
+		}
+	})
+}
--- a/internal/config/configsync/handler.go
+++ b/internal/config/configsync/handler.go
@@ -75,9 +75,9 @@
 	switch {
 	case message.Join != nil:
 		answer.Welcome = syncer.handleJoin(*message.Join)
-	case (message.Push != nil || message.Pull != nil) && syncer.isForeign(message.Digest):
+	case (message.Push != nil || message.Pull != nil) && syncer.isLegacy(message.Digest):
 		// Nothing passes between epochs that can't be told apart; the node is told so by a state that is none.
-		syncer.lookForUnaware(message.Digest)
+		syncer.readStoreForLegacy(message.Digest)
 		answer.State = &peer.State{}
 	case message.Push != nil:
 		state := syncer.HandlePush(message.From, *message.Push)
--- /dev/null
+++ b/internal/config/configsync/join.go
@@ -0,0 +1,138 @@
+package configsync
+
+import (
+	"context"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"github.com/portgauge/portgauge/internal/fleet/machines"
+	"github.com/portgauge/portgauge/internal/fleet/peer"
+	"go.uber.org/zap"
+)
+
+// joinLoop joins the zone through the seeds and the machine list, again and again until what
+// is known of the zone stays the same, and pulls configuration until the node has some. From
+// then on it joins rarely, which heals a zone whose halves lost each other. A zone whose
+// members come and go all the time counts as known after a while, so that it has watchers, and
+// so that joins don't add to whatever keeps it from resting.
+func (s *Syncer) joinLoop(ctx context.Context) {
+	wait := s.config.RetryPause
+	for {
+		stable := s.join(ctx)
+		if stable || time.Since(s.startedAt) > unstableTimeout {
+			s.markJoined()
+		}
+		if !s.initialised.Load() {
+			s.pullFromZone(ctx)
+		}
+		if s.joined.Load() && s.initialised.Load() {
+			wait = s.config.JoinInterval
+		} else {
+			wait = s.backoff(wait)
+		}
+		if !pause(ctx, wait) {
+			return
+		}
+	}
+}
+
+// unstableTimeout is after how long a node settles although the members it hears of differ.
+const unstableTimeout = 15 * time.Second
+
+// settle marks that the node knows its zone well enough to tell whether it is a watcher.
+func (s *Syncer) markJoined() {
+	if s.joined.CompareAndSwap(false, true) {
+		s.logger.Info("joined the zone", zap.Int("members", len(s.members.Members())))
+	}
+}
+
+// aloneTimeout is after how long a node that can't find others takes itself for alone.
+const aloneTimeout = 5 * time.Second
+
+// listedAloneTimeout is the same when the machine list answers and names nobody: it lags, so that
+// others that start at the same moment may be missing from it.
+const listedAloneTimeout = time.Second
+
+// joinTargets is how many nodes a node joins through at once.
+const joinTargets = 3
+
+// join tells some nodes of this one and reports whether it found its zone's view stable: all
+// nodes that answered know the same members, or there is none to ask.
+func (s *Syncer) join(ctx context.Context) bool {
+	targets := s.currentSeeds()
+	listed, err := s.listZone(ctx)
+	if err == nil {
+		targets = append(targets, listed...)
+	}
+	rand.Shuffle(len(targets), func(i, j int) { targets[i], targets[j] = targets[j], targets[i] })
+	joined, agreed := 0, 0
+	for _, target := range targets {
+		if joined >= joinTargets || ctx.Err() != nil {
+			break
+		}
+		if target == s.transport.Address() {
+			continue
+		}
+		reached, same := s.joinThrough(ctx, target)
+		if reached {
+			joined++
+		}
+		if same {
+			agreed++
+		}
+	}
+	if joined == 0 {
+		wait := aloneTimeout
+		if err == nil && len(targets) == 0 {
+			wait = listedAloneTimeout
+		}
+		return time.Since(s.startedAt) > wait
+	}
+	return agreed == joined
+}
+
+// joinThrough joins through one node; one of another zone gives contacts but has no say on
+// the own zone.
+func (s *Syncer) joinThrough(ctx context.Context, target string) (reached, same bool) {
+	ctx, cancel := context.WithTimeout(ctx, s.config.CallTimeout)
+	defer cancel()
+	welcome, same, err := s.members.Join(ctx, target)
+	if err != nil || welcome == nil {
+		return false, false
+	}
+	s.addContacts(append(welcome.Contacts, peer.Contact{Zone: welcome.Zone, Address: target}))
+	return welcome.Zone == s.members.Self().Zone, same
+}
+
+// handleJoin takes a node in; one of another zone becomes a contact there.
+func (s *Syncer) handleJoin(join peer.Join) *peer.Welcome {
+	s.addContacts([]peer.Contact{{Zone: join.Member.Zone, Address: join.Member.Address}})
+	members, known := s.members.HandleJoin(join)
+	return &peer.Welcome{Zone: s.members.Self().Zone, Known: known, Members: members, Contacts: s.Contacts()}
+}
+
+// joinCandidates is how many nodes of its zone a node draws to join through.
+const joinCandidates = 8
+
+// listZone gives the peer addresses of the zone's nodes by the machine list.
+func (s *Syncer) listZone(ctx context.Context) ([]string, error) {
+	list, err := s.listMachines(ctx, machines.Query{Zone: s.members.Self().Zone, Role: machines.RoleNode, MostPerZone: joinCandidates})
+	if err != nil {
+		return nil, err
+	}
+	var addresses []string
+	for _, machine := range list.Machines {
+		if machine.State == machines.Live {
+			addresses = append(addresses, machine.Address)
+		}
+	}
+	return addresses, nil
+}
+
+// currentSeeds gives the peer addresses to join through.
+func (s *Syncer) currentSeeds() []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return slices.Clone(s.seeds)
+}
--- a/internal/config/configsync/pull.go
+++ b/internal/config/configsync/pull.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"math/rand/v2"
 	"time"
 
 	"go.uber.org/zap"
@@ -10,100 +9,6 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
-// joinLoop joins the zone through the seeds and the machine list, again and again until what
-// is known of the zone stays the same, and pulls configuration until the node has some. From
-// then on it joins rarely, which heals a zone whose halves lost each other. A zone whose
-// members come and go all the time counts as known after a while, so that it has watchers, and
-// so that joins don't add to whatever keeps it from resting.
-func (s *Syncer) joinLoop(ctx context.Context) {
-	wait := s.config.RetryPause
-	for {
-		stable := s.join(ctx)
-		if stable || time.Since(s.startedAt) > restlessTimeout {
-			s.settle()
-		}
-		if !s.initialised.Load() {
-			s.pullFromZone(ctx)
-		}
-		if s.settled.Load() && s.initialised.Load() {
-			wait = s.config.JoinInterval
-		} else {
-			wait = s.backoff(wait)
-		}
-		if !pause(ctx, wait) {
-			return
-		}
-	}
-}
-
-// restlessTimeout is after how long a node settles although the members it hears of differ.
-const restlessTimeout = 15 * time.Second
-
-// settle marks that the node knows its zone well enough to tell whether it is a watcher.
-func (s *Syncer) settle() {
-	if s.settled.CompareAndSwap(false, true) {
-		s.logger.Info("joined the zone", zap.Int("members", len(s.members.Members())))
-	}
-}
-
-// settleTimeout is after how long a node that can't find others takes itself for alone.
-const settleTimeout = 5 * time.Second
-
-// aloneTimeout is the same when the machine list answers and names nobody: it lags, so that
-// others that start at the same moment may be missing from it.
-const aloneTimeout = time.Second
-
-// joinTargets is how many nodes a node joins through at once.
-const joinTargets = 3
-
-// join tells some nodes of this one and reports whether it found its zone's view stable: all
-// nodes that answered know the same members, or there is none to ask.
-func (s *Syncer) join(ctx context.Context) bool {
-	targets := s.currentSeeds()
-	listed, err := s.listZone(ctx)
-	if err == nil {
-		targets = append(targets, listed...)
-	}
-	rand.Shuffle(len(targets), func(i, j int) { targets[i], targets[j] = targets[j], targets[i] })
-	joined, agreed := 0, 0
-	for _, target := range targets {
-		if joined >= joinTargets || ctx.Err() != nil {
-			break
-		}
-		if target == s.transport.Address() {
-			continue
-		}
-		reached, same := s.joinThrough(ctx, target)
-		if reached {
-			joined++
-		}
-		if same {
-			agreed++
-		}
-	}
-	if joined == 0 {
-		wait := settleTimeout
-		if err == nil && len(targets) == 0 {
-			wait = aloneTimeout
-		}
-		return time.Since(s.startedAt) > wait
-	}
-	return agreed == joined
-}
-
-// joinThrough joins through one node; one of another zone gives contacts but has no say on
-// the own zone.
-func (s *Syncer) joinThrough(ctx context.Context, target string) (reached, same bool) {
-	ctx, cancel := context.WithTimeout(ctx, s.config.CallTimeout)
-	defer cancel()
-	welcome, same, err := s.members.Join(ctx, target)
-	if err != nil || welcome == nil {
-		return false, false
-	}
-	s.addContacts(append(welcome.Contacts, peer.Contact{Zone: welcome.Zone, Address: target}))
-	return welcome.Zone == s.members.Self().Zone, same
-}
-
 // pullFromZone asks the watchers first, since they have configuration first, then another.
 func (s *Syncer) pullFromZone(ctx context.Context) {
 	self := s.members.Self().ID
@@ -130,7 +35,7 @@
 	}
 	defer s.pulling.Store(false)
 	if s.initialised.Load() {
-		defer s.backUpPush(s.catalog.Revision())
+		defer s.enqueuePulled(s.catalog.Revision())
 	}
 	ctx, cancel := context.WithTimeout(ctx, pullTimeoutFactor*s.config.CallTimeout)
 	defer cancel()
@@ -149,7 +54,7 @@
 	s.relayed("pull")
 	after, asked := s.catalog.Revision(), s.catalog.Mark()
 	answer, err := s.transport.Call(ctx, address, peer.Message{Digest: s.Digest(), Pull: &peer.Pull{After: after}})
-	if err != nil || answer.State == nil || !answer.State.Initialised || s.isForeign(answer.Digest) {
+	if err != nil || answer.State == nil || !answer.State.Initialised || s.isLegacy(answer.Digest) {
 		return false, nil
 	}
 	if len(answer.State.Elsewhere) > 0 {
@@ -178,11 +83,11 @@
 		}
 		before := s.catalog.Revision()
 		if s.catalog.Replace(snapshot) {
-			s.wholeStates.keep(snapshot.Revision, state.Snapshot)
-			s.cameToEpoch(before)
+			s.snapshots.cache(snapshot.Revision, state.Snapshot)
+			s.enteredEpoch(before)
 		}
 	}
-	s.early.apply(s.catalog, state.Changes)
+	s.reorder.apply(s.catalog, state.Changes)
 	return nil
 }
 
@@ -192,12 +97,12 @@
 	if pull.Retained {
 		state.Retained = s.catalog.RetainedEntries()
 	}
-	changes, kept := s.catalog.Since(pull.After)
-	if kept || !state.Initialised {
+	changes, found := s.catalog.Since(pull.After)
+	if found || !state.Initialised {
 		state.Changes = changes
 		return state
 	}
-	given, err := s.wholeStates.give(s.catalog, from)
+	given, err := s.snapshots.serve(s.catalog, from)
 	if err != nil {
 		s.logger.Error("whole state can't be given to a peer", zap.String("peer", from), zap.Error(err))
 		return peer.State{}
@@ -226,12 +131,12 @@
 
 // pushPulled hands changes that came from another zone on to the own zone.
 func (s *Syncer) pushPulled(ctx context.Context, before int64) {
-	changes, kept := s.catalog.Since(before)
-	if !kept || len(changes) == 0 {
+	changes, found := s.catalog.Since(before)
+	if !found || len(changes) == 0 {
 		return
 	}
 	for len(changes) > 0 {
-		count := prefix(changes, maximumBatch, batchBytes)
+		count := prefixWithin(changes, maximumBatch, batchBytes)
 		s.pushChanges(ctx, changes[:count])
 		changes = changes[count:]
 	}
--- a/internal/config/configsync/push.go
+++ b/internal/config/configsync/push.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"sort"
 	"strconv"
 	"time"
 
@@ -100,7 +99,7 @@
 		go func() {
 			handed := push
 			handed.Subtree = branch[1:]
-			if s.handTo(ctx, branch[0], handed) {
+			if s.sendPush(ctx, branch[0], handed) {
 				return
 			}
 			s.relayed("push_failed")
@@ -109,7 +108,7 @@
 	}
 }
 
-func (s *Syncer) handTo(ctx context.Context, address string, push peer.Push) bool {
+func (s *Syncer) sendPush(ctx context.Context, address string, push peer.Push) bool {
 	ctx, cancel := context.WithTimeout(ctx, s.config.CallTimeout)
 	defer cancel()
 	s.relayed("push")
@@ -119,22 +118,22 @@
 
 // HandlePush applies a push and hands it on.
 func (s *Syncer) HandlePush(from string, push peer.Push) peer.State {
-	s.pushedAt.Store(time.Now().UnixNano())
+	s.lastPushAt.Store(time.Now().UnixNano())
 	changes, err := push.Batch.Unpack()
 	if err != nil {
 		s.logger.Warn("push can't be read", zap.String("peer", from), zap.Error(err))
 	}
-	s.takeNotices(push.Notices)
-	if err == nil && s.leadsToEpoch(changes) {
+	s.handleNotices(push.Notices)
+	if err == nil && s.leadToNewEpoch(changes) {
 		go s.followToEpoch(from, push)
 		return peer.State{Initialised: s.initialised.Load(), Revision: s.catalog.Revision()}
 	}
-	gap := err != nil || !s.early.apply(s.catalog, changes)
+	gap := err != nil || !s.reorder.apply(s.catalog, changes)
 	s.notePushed(changes)
 	if gap {
 		go s.pullFrom(context.Background(), from)
 	}
-	s.handOn(push)
+	s.forward(push)
 	return peer.State{Initialised: s.initialised.Load(), Revision: s.catalog.Revision()}
 }
 
@@ -142,11 +141,11 @@
 // node takes it from the one before it in the tree, which has it by then.
 func (s *Syncer) followToEpoch(from string, push peer.Push) {
 	s.pullFrom(context.Background(), from)
-	s.handOn(push)
+	s.forward(push)
 }
 
-// handOn hands a push on to whom it names.
-func (s *Syncer) handOn(push peer.Push) {
+// forward hands a push on to whom it names.
+func (s *Syncer) forward(push peer.Push) {
 	switch {
 	case push.WholeZone:
 		push.WholeZone = false
@@ -160,7 +159,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, change := range changes {
-		s.pushed = max(s.pushed, change.Entry.Revision)
+		s.newestPushed = max(s.newestPushed, change.Entry.Revision)
 	}
 }
 
@@ -176,18 +175,3 @@
 	}
 	return branches
 }
-
-// sortByWeight sorts members by falling weight, then by id.
-func sortByWeight(members []peer.Member, weight func(peer.Member) uint64) {
-	weights := make(map[string]uint64, len(members))
-	for _, member := range members {
-		weights[member.ID] = weight(member)
-	}
-	sort.Slice(members, func(i, j int) bool {
-		first, second := weights[members[i].ID], weights[members[j].ID]
-		if first != second {
-			return first > second
-		}
-		return members[i].ID < members[j].ID
-	})
-}
--- a/internal/config/configsync/check.go
+++ b/internal/config/configsync/push_check.go
@@ -13,11 +13,11 @@
 // push of the watchers ahead failed, and what failed that one may fail its own. A node that relays a push and
 // reaches half of the zone only leaves the other half without it.
 func (s *Syncer) checkPushLater(ctx context.Context) {
-	if s.rank() <= 0 || !s.checking.CompareAndSwap(false, true) {
+	if s.rank() <= 0 || !s.checkingPush.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
-		defer s.checking.Store(false)
+		defer s.checkingPush.Store(false)
 		if wait.For(ctx, s.config.PushInterval) {
 			s.checkPush(ctx)
 		}
@@ -30,26 +30,26 @@
 	for _, branch := range split(s.otherAddresses(), s.config.FanOut) {
 		asked.Go(func() {
 			for _, address := range branch {
-				s.bringUp(ctx, address)
+				s.repairMember(ctx, address)
 			}
 		})
 	}
 	asked.Wait()
 }
 
-// bringUp hands a member what it lacks.
-func (s *Syncer) bringUp(ctx context.Context, address string) {
+// repairMember hands a member what it lacks.
+func (s *Syncer) repairMember(ctx context.Context, address string) {
 	revision, found := s.revisionOf(ctx, address)
 	if !found || revision >= s.catalog.Revision() {
 		return
 	}
-	changes, kept := s.catalog.Since(revision)
-	if !kept || len(changes) == 0 {
+	changes, found := s.catalog.Since(revision)
+	if !found || len(changes) == 0 {
 		return // it asks for the whole state by itself
 	}
-	batch, err := peer.PackBatch(changes[:prefix(changes, maximumBatch, batchBytes)])
+	batch, err := peer.PackBatch(changes[:prefixWithin(changes, maximumBatch, batchBytes)])
 	if err == nil {
-		s.handTo(ctx, address, peer.Push{Batch: batch})
+		s.sendPush(ctx, address, peer.Push{Batch: batch})
 	}
 }
 
--- a/internal/config/configsync/early.go
+++ b/internal/config/configsync/reorder.go
@@ -7,24 +7,24 @@
 	"github.com/portgauge/portgauge/internal/config/catalog"
 )
 
-// mostEarly and earlyBytes bound the changes that are kept until those before them are in: some pushes of a
+// mostReordered and reorderBytes bound the changes that are kept until those before them are in: some pushes of a
 // burst, or a few configurations of 0.5 MB.
 const (
-	mostEarly  = 2048
-	earlyBytes = 4 << 20
+	mostReordered = 2048
+	reorderBytes  = 4 << 20
 )
 
-// earlyChanges are changes that came before those that they follow on. Pushes go over trees that are drawn
+// reorderBuffer are changes that came before those that they follow on. Pushes go over trees that are drawn
 // anew each time, so that one may overtake another; what it brought need not be fetched again. The zero value
 // is ready; it is safe for concurrent use.
-type earlyChanges struct {
+type reorderBuffer struct {
 	mu      sync.Mutex
 	changes []catalog.Change // in order of revision
 }
 
 // apply puts changes into force, with the early ones that follow on them, and keeps those behind a gap. It
 // reports whether there is no gap.
-func (e *earlyChanges) apply(known *catalog.Catalog, changes []catalog.Change) bool {
+func (e *reorderBuffer) apply(known *catalog.Catalog, changes []catalog.Change) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	all := append(slices.Clone(e.changes), changes...)
@@ -37,13 +37,13 @@
 		return a.Entry.Revision == b.Entry.Revision && a.Previous == b.Previous
 	}
 	waiting = slices.CompactFunc(waiting, isSame)
-	e.changes = slices.Clip(waiting[:prefix(waiting, mostEarly, earlyBytes)])
+	e.changes = slices.Clip(waiting[:prefixWithin(waiting, mostReordered, reorderBytes)])
 	return complete
 }
 
 // prefix gives how many of some changes, from the first on, are within a number and a size in bytes; the last
 // of them may go beyond the size.
-func prefix(changes []catalog.Change, most, bytes int) int {
+func prefixWithin(changes []catalog.Change, most, bytes int) int {
 	size := 0
 	for index, change := range changes {
 		if index >= most || size >= bytes {
--- a/internal/config/configsync/early_test.go
+++ b/internal/config/configsync/reorder_test.go
@@ -39,7 +39,7 @@
 	}
 	node.syncer.HandlePush("nowhere", batches[0])
 	is.Equal(node.catalog.Revision(), revision)
-	is.Equal(len(node.syncer.early.changes), 0)
+	is.Equal(len(node.syncer.reorder.changes), 0)
 }
 
 // Whatever parts come in whatever order, some of them twice, what is in force is a state without a gap, and
@@ -52,7 +52,7 @@
 		}
 		order := rapid.Permutation(log).Draw(t, "order")
 		known := catalog.New(nil)
-		var early earlyChanges
+		var early reorderBuffer
 		for part := range slices.Chunk(order, rapid.IntRange(1, 7).Draw(t, "part")) {
 			early.apply(known, part)
 			if rapid.Bool().Draw(t, "twice") {
@@ -69,18 +69,18 @@
 func TestEarlyChangesAreBounded(t *testing.T) {
 	is := is.New(t)
 	known := catalog.New(nil)
-	var early earlyChanges
-	large := make([]byte, earlyBytes/4)
+	var early reorderBuffer
+	large := make([]byte, reorderBytes/4)
 	for i := range int64(10) {
 		early.apply(known, []catalog.Change{{Entry: catalog.Entry{Key: "x", Value: large, Revision: 10 + i}, Previous: 9 + i}})
 	}
 	is.Equal(len(early.changes), 4)
 	is.Equal(early.changes[0].Entry.Revision, int64(10)) // the first are those that can be put into force first
-	early = earlyChanges{}
+	early = reorderBuffer{}
 	var many []catalog.Change
-	for i := range int64(mostEarly + 100) {
+	for i := range int64(mostReordered + 100) {
 		many = append(many, catalog.Change{Entry: catalog.Entry{Key: "x", Revision: 10 + i}, Previous: 9 + i})
 	}
 	early.apply(known, many)
-	is.Equal(len(early.changes), mostEarly)
+	is.Equal(len(early.changes), mostReordered)
 }
--- a/internal/config/configsync/restored.go
+++ b/internal/config/configsync/restored.go
@@ -21,8 +21,8 @@
 	return catalog.Change{Entry: catalog.Marker(now), Previous: before}
 }
 
-// cameToEpoch logs that the node came to a new epoch, and gives whether it did.
-func (s *Syncer) cameToEpoch(before int64) bool {
+// enteredEpoch logs that the node came to a new epoch, and gives whether it did.
+func (s *Syncer) enteredEpoch(before int64) bool {
 	now := s.catalog.Revision()
 	if before == 0 || !revision.IsLater(now, before) {
 		return false
@@ -33,26 +33,26 @@
 	return true
 }
 
-// leadsToEpoch reports whether changes lead to a later epoch than the one in force.
-func (s *Syncer) leadsToEpoch(changes []catalog.Change) bool {
+// leadToNewEpoch reports whether changes lead to a later epoch than the one in force.
+func (s *Syncer) leadToNewEpoch(changes []catalog.Change) bool {
 	return len(changes) > 0 && revision.IsLater(changes[len(changes)-1].Entry.Revision, s.catalog.Revision())
 }
 
-// compareKept asks a peer at the same revision for what it keeps, where that is something else, once at a time: a node that
+// compareRetained asks a peer at the same revision for what it keeps, where that is something else, once at a time: a node that
 // started after the restore may have read the store without having known what it lost.
-func (s *Syncer) compareKept(from string, digest peer.Digest) {
-	if digest.Retained == 0 || digest.Retained == s.catalog.RetainedFingerprint() || !s.comparing.CompareAndSwap(false, true) {
+func (s *Syncer) compareRetained(from string, digest peer.Digest) {
+	if digest.Retained == 0 || digest.Retained == s.catalog.RetainedFingerprint() || !s.pullingRetained.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
-		defer s.comparing.Store(false)
-		s.pullKept(context.Background(), from)
+		defer s.pullingRetained.Store(false)
+		s.pullRetained(context.Background(), from)
 		wait.For(context.Background(), s.config.RetryPause)
 	}()
 }
 
-// pullKept takes what a peer keeps.
-func (s *Syncer) pullKept(ctx context.Context, address string) {
+// pullRetained takes what a peer keeps.
+func (s *Syncer) pullRetained(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, s.config.CallTimeout)
 	defer cancel()
 	s.relayed("pull")
@@ -63,20 +63,20 @@
 	}
 }
 
-// isForeign reports whether a digest is of a node that does not count epochs, as the version before this one, while the
+// isLegacy reports whether a digest is of a node that does not count epochs, as the version before this one, while the
 // store was restored at some time: its revisions can't be told from those of another epoch.
-func (s *Syncer) isForeign(digest peer.Digest) bool {
+func (s *Syncer) isLegacy(digest peer.Digest) bool {
 	return !digest.CountsEpochs && revision.Epoch(s.catalog.Revision()) > 0
 }
 
-// lookForUnaware reads the store where a node that does not count epochs seems to be further: nothing can be taken from it,
+// readStoreForLegacy reads the store where a node that does not count epochs seems to be further: nothing can be taken from it,
 // and while a fleet is replaced node by node such nodes may be the ones that follow the store for a zone.
-func (s *Syncer) lookForUnaware(digest peer.Digest) {
-	if digest.Revision <= revision.Count(s.catalog.Revision()) || !s.looking.CompareAndSwap(false, true) {
+func (s *Syncer) readStoreForLegacy(digest peer.Digest) {
+	if digest.Revision <= revision.Count(s.catalog.Revision()) || !s.readingForLegacy.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
-		defer s.looking.Store(false)
+		defer s.readingForLegacy.Store(false)
 		if err := s.readStore(context.Background()); err != nil {
 			s.logger.Info("the store can't be read", zap.Error(err))
 		}
--- a/internal/config/configsync/whole_state.go
+++ b/internal/config/configsync/snapshots.go
@@ -9,57 +9,57 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
-// wholeStates gives the whole state to nodes that have none, as after a start of the whole fleet. The
+// snapshotServer gives the whole state to nodes that have none, as after a start of the whole fleet. The
 // state is packed once and given with the changes since; a node that gave it to many a moment ago
 // names some of those, so that the state spreads like a push. The zero value is ready; it is safe for
 // concurrent use.
-type wholeStates struct {
+type snapshotServer struct {
 	mu sync.Mutex
 	// revision and packed are the state that is given; packed is empty while there is none.
 	revision int64
 	packed   peer.PackedSnapshot
-	// takers are the addresses that were given it last, the oldest first.
-	takers []string
+	// recipients are the addresses that were given it last, the oldest first.
+	recipients []string
 	// since is when the present interval began, and given how many took the state in it.
-	since time.Time
-	given int
+	since  time.Time
+	served int
 }
 
 const (
-	// giveInterval and mostGiven bound what a node gives away. At 3,300 nodes and 17,000 leafs the
+	// serveInterval and mostServed bound what a node gives away. At 3,300 nodes and 17,000 leafs the
 	// packed state is about 0.5 MB, so that 8 of them in 100 ms take a third of a link of 1 Gbit/s;
 	// the number of nodes that have it grows ninefold in each interval.
-	giveInterval = 100 * time.Millisecond
-	mostGiven    = 8
-	// mostTakers is how many takers are remembered, mostNamed how many are named to a node.
-	mostTakers = 32
-	mostNamed  = 3
+	serveInterval = 100 * time.Millisecond
+	mostServed    = 8
+	// mostRecipients is how many recipients are remembered, mostNamed how many are named to a node.
+	mostRecipients = 32
+	mostNamed      = 3
 	// mostSince is how many changes may follow the packed state before it is packed anew.
 	mostSince = 64
 )
 
 // give gives the state of a catalog to the node of an address.
-func (w *wholeStates) give(known *catalog.Catalog, taker string) (peer.State, error) {
+func (w *snapshotServer) serve(known *catalog.Catalog, recipient string) (peer.State, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if now := time.Now(); now.Sub(w.since) >= giveInterval {
-		w.since, w.given = now, 0
+	if now := time.Now(); now.Sub(w.since) >= serveInterval {
+		w.since, w.served = now, 0
 	}
-	if w.given >= mostGiven {
-		return peer.State{Elsewhere: w.someTakers(taker)}, nil
+	if w.served >= mostServed {
+		return peer.State{Elsewhere: w.someRecipients(recipient)}, nil
 	}
 	changes, err := w.refresh(known)
 	if err != nil {
 		return peer.State{}, err
 	}
-	w.given++
-	w.takers = append(w.takers, taker)
-	w.takers = w.takers[max(0, len(w.takers)-mostTakers):]
+	w.served++
+	w.recipients = append(w.recipients, recipient)
+	w.recipients = w.recipients[max(0, len(w.recipients)-mostRecipients):]
 	return peer.State{Snapshot: w.packed, Changes: changes}, nil
 }
 
 // keep keeps a state that another node packed, to be given away as it is.
-func (w *wholeStates) keep(revision int64, packed peer.PackedSnapshot) {
+func (w *snapshotServer) cache(revision int64, packed peer.PackedSnapshot) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.revision, w.packed = revision, packed
@@ -67,9 +67,9 @@
 
 // refresh gives the changes since the packed state, and packs the present one where they are too many
 // or no longer known. The lock must be held.
-func (w *wholeStates) refresh(known *catalog.Catalog) ([]catalog.Change, error) {
+func (w *snapshotServer) refresh(known *catalog.Catalog) ([]catalog.Change, error) {
 	if len(w.packed) > 0 {
-		if changes, kept := known.Since(w.revision); kept && len(changes) <= mostSince {
+		if changes, found := known.Since(w.revision); found && len(changes) <= mostSince {
 			return changes, nil
 		}
 	}
@@ -82,13 +82,13 @@
 	return nil, nil
 }
 
-// someTakers gives some random nodes that were given the state, the asking one left out. The lock must
+// someRecipients gives some random nodes that were given the state, the asking one left out. The lock must
 // be held.
-func (w *wholeStates) someTakers(asking string) []string {
+func (w *snapshotServer) someRecipients(asking string) []string {
 	var some []string
-	for _, i := range rand.Perm(len(w.takers)) {
-		if w.takers[i] != asking && len(some) < mostNamed {
-			some = append(some, w.takers[i])
+	for _, i := range rand.Perm(len(w.recipients)) {
+		if w.recipients[i] != asking && len(some) < mostNamed {
+			some = append(some, w.recipients[i])
 		}
 	}
 	return some
--- a/internal/config/configsync/whole_state_test.go
+++ b/internal/config/configsync/snapshots_test.go
@@ -24,21 +24,21 @@
 		is := is.New(t)
 		known := catalog.New(nil)
 		known.Apply(change(known, "x"))
-		var states wholeStates
-		for i := range mostGiven {
-			given, err := states.give(known, fmt.Sprintf("n%d", i))
+		var states snapshotServer
+		for i := range mostServed {
+			given, err := states.serve(known, fmt.Sprintf("n%d", i))
 			is.NoErr(err)
 			is.True(len(given.Snapshot) > 0)
 		}
-		refused, err := states.give(known, "n0")
+		refused, err := states.serve(known, "n0")
 		is.NoErr(err)
 		is.Equal(len(refused.Snapshot), 0)
 		is.Equal(len(refused.Elsewhere), mostNamed)
 		for _, named := range refused.Elsewhere {
 			is.True(named != "n0")
 		}
-		time.Sleep(giveInterval)
-		given, err := states.give(known, "n0")
+		time.Sleep(serveInterval)
+		given, err := states.serve(known, "n0")
 		is.NoErr(err)
 		is.True(len(given.Snapshot) > 0)
 	})
@@ -49,7 +49,7 @@
 	is := is.New(t)
 	known := catalog.New(nil)
 	known.Apply(change(known, "x"))
-	var states wholeStates
+	var states snapshotServer
 	first, err := states.refresh(known)
 	is.NoErr(err)
 	is.Equal(len(first), 0)
@@ -63,11 +63,11 @@
 	is.Equal(unsafe.SliceData(states.packed), packed)
 	snapshot, err := states.packed.Unpack()
 	is.NoErr(err)
-	taker := catalog.New(nil)
-	is.True(taker.Replace(snapshot))
-	is.True(taker.ApplyAll(since))
-	is.Equal(taker.Snapshot().Revision, known.Revision())
-	is.Equal(len(taker.Snapshot().Entries), len(known.Snapshot().Entries))
+	recipient := catalog.New(nil)
+	is.True(recipient.Replace(snapshot))
+	is.True(recipient.ApplyAll(since))
+	is.Equal(recipient.Snapshot().Revision, known.Revision())
+	is.Equal(len(recipient.Snapshot().Entries), len(known.Snapshot().Entries))
 	known.Apply(change(known, "z"))
 	since, err = states.refresh(known)
 	is.NoErr(err)
--- a/internal/config/configsync/standby.go
+++ b/internal/config/configsync/standby.go
@@ -15,29 +15,29 @@
 // the store.
 const aheadTimeout = 150 * time.Millisecond
 
-// standBy is a step of a watcher that stands by. It asks those ahead of it for what they have, which costs no
+// standByOnce is a step of a watcher that stands by. It asks those ahead of it for what they have, which costs no
 // call of the store, and looks at the store only once nobody's word shows any more that the configuration in
 // force was the newest a moment ago: that word, whoever gave it, is the proof that a watcher is well.
-func (s *Syncer) standBy(ctx context.Context, rank int) error {
+func (s *Syncer) standByOnce(ctx context.Context, rank int) error {
 	interval := time.Duration(rank) * s.config.RetryPause
-	s.restAs(ctx, rank, interval)
+	s.waitForTurn(ctx, rank, interval)
 	if s.rank() != rank {
 		return nil
 	}
 	if !s.confirmedWithin(interval) {
-		s.askAhead(ctx, rank)
+		s.pullFromAhead(ctx, rank)
 	}
-	if !s.isStandby || !s.confirmedWithin(s.lookAfter(rank)) {
-		s.isStandby = true
-		return s.look(ctx)
+	if !s.hasReadAsStandby || !s.confirmedWithin(s.checkAfter(rank)) {
+		s.hasReadAsStandby = true
+		return s.checkStore(ctx)
 	}
-	s.leaveStoreToOthers()
+	s.leaveStoreToWatchers()
 	return nil
 }
 
-// restAs waits for an interval, or until it is time to look, or until the node's rank is another.
-func (s *Syncer) restAs(ctx context.Context, rank int, interval time.Duration) {
-	until := time.Now().Add(min(interval, s.lookAfter(rank)-s.catalog.Age()))
+// waitForTurn waits for an interval, or until it is time to look, or until the node's rank is another.
+func (s *Syncer) waitForTurn(ctx context.Context, rank int, interval time.Duration) {
+	until := time.Now().Add(min(interval, s.checkAfter(rank)-s.catalog.Age()))
 	for left := time.Until(until); left > 0 && s.rank() == rank; left = time.Until(until) {
 		if !wait.For(ctx, min(left, s.config.RetryPause)) {
 			return
@@ -45,8 +45,8 @@
 	}
 }
 
-// lookAfter gives the watchers of a zone turns, so that one looks for all that stand by.
-func (s *Syncer) lookAfter(rank int) time.Duration {
+// checkAfter gives the watchers of a zone turns, so that one looks for all that stand by.
+func (s *Syncer) checkAfter(rank int) time.Duration {
 	return s.config.LookAfter + time.Duration(rank-1)*s.config.BackupDelay
 }
 
@@ -56,40 +56,40 @@
 	return s.catalog.Age() < span
 }
 
-// askAhead takes what the first watcher ahead of a rank has that answers.
-func (s *Syncer) askAhead(ctx context.Context, rank int) {
+// pullFromAhead takes what the first watcher ahead of a rank has that answers.
+func (s *Syncer) pullFromAhead(ctx context.Context, rank int) {
 	watchers := s.watchers()
 	for _, watcher := range watchers[:min(rank, len(watchers))] {
-		if s.askWatcher(ctx, watcher.Address) {
+		if s.pullFromWatcher(ctx, watcher.Address) {
 			return
 		}
 	}
 }
 
-func (s *Syncer) askWatcher(ctx context.Context, address string) bool {
+func (s *Syncer) pullFromWatcher(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, aheadTimeout)
 	defer cancel()
 	return s.pullFrom(ctx, address)
 }
 
 // look takes from the store what changed and has it pushed at once: the watchers ahead had their time.
-func (s *Syncer) look(ctx context.Context) error {
+func (s *Syncer) checkStore(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, s.config.WatchSilence)
 	defer cancel()
 	before := s.catalog.Revision()
 	err := s.catchUp(ctx)
 	if errors.Is(err, store.ErrHistoryGone) {
-		err = s.readAnew(ctx)
+		err = s.reread(ctx)
 	}
-	s.offerUnpushed(before)
+	s.queueUnpushed(before)
 	return err
 }
 
-// backUpPush has a watcher that stands by push what it was told since a revision and no push brings it: others
+// enqueuePulled has a watcher that stands by push what it was told since a revision and no push brings it: others
 // may lack it as well.
-func (s *Syncer) backUpPush(revision int64) {
-	changes, kept := s.catalog.Since(revision)
-	if s.rank() <= 0 || !kept {
+func (s *Syncer) enqueuePulled(revision int64) {
+	changes, found := s.catalog.Since(revision)
+	if s.rank() <= 0 || !found {
 		return
 	}
 	for _, change := range changes {
@@ -97,15 +97,15 @@
 	}
 }
 
-// offerUnpushed has the changes after a revision pushed that no push brought yet.
-func (s *Syncer) offerUnpushed(revision int64) {
-	changes, kept := s.catalog.Since(revision)
-	if !kept {
+// queueUnpushed has the changes after a revision pushed that no push brought yet.
+func (s *Syncer) queueUnpushed(revision int64) {
+	changes, found := s.catalog.Since(revision)
+	if !found {
 		return
 	}
 	for _, change := range changes {
 		if !s.isPushed(change) {
-			s.offerPush(change)
+			s.queuePush(change)
 		}
 	}
 }
@@ -114,5 +114,5 @@
 func (s *Syncer) isPushed(change catalog.Change) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.pushed >= change.Entry.Revision
+	return s.newestPushed >= change.Entry.Revision
 }
--- a/internal/config/configsync/first_state.go
+++ b/internal/config/configsync/startup.go
@@ -2,12 +2,10 @@
 
 import (
 	"context"
-	"errors"
 	"math/rand/v2"
 	"slices"
 	"time"
 
-	"github.com/ansel1/merry/v2"
 	"go.uber.org/zap"
 
 	"github.com/portgauge/portgauge/internal/config/store"
@@ -23,10 +21,7 @@
 	firstPullTimeout = 250 * time.Millisecond
 )
 
-// errCaughtUp ends the watch by which a node brings its state up to date.
-var errCaughtUp = merry.New("the state is up to date")
-
-// readFirst gets the node's first state, from a peer or the store. A node that starts does so whether it
+// loadFirstState gets the node's first state, from a peer or the store. A node that starts does so whether it
 // will be a watcher or not: joining its zone takes longer, and until then it can't serve. It reports
 // false when the context ended.
 //
@@ -34,7 +29,7 @@
 // after a short delay: a seed may be dead, or start later than they. Whichever comes first ends the
 // other, so that a fleet that starts together mostly takes its state from peers: at 295 nodes reading
 // the store would be over 100 MB.
-func (s *Syncer) readFirst(ctx context.Context) bool {
+func (s *Syncer) loadFirstState(ctx context.Context) bool {
 	first, stop := context.WithCancel(ctx)
 	defer stop()
 	go func() {
@@ -45,16 +40,16 @@
 		}
 	}()
 	if !s.isSeed() {
-		go s.pullFirst(first)
+		go s.pullFromSeeds(first)
 		wait.For(first, s.firstReadDelay())
 	}
 	retryAfter := s.config.RetryPause
-	for read := s.readAtStart; !s.initialised.Load(); read = s.readStore {
+	for read := s.readStale; !s.initialised.Load(); read = s.readStore {
 		err := read(first)
 		if err == nil || s.initialised.Load() {
 			break
 		}
-		s.storeLost(err)
+		s.markStoreDown(err)
 		if !pause(first, retryAfter) && ctx.Err() != nil {
 			return false
 		}
@@ -68,22 +63,15 @@
 	return time.Duration((0.5 + rand.Float64()/2) * float64(s.config.FirstReadDelay))
 }
 
-// currentSeeds gives the peer addresses to join through.
-func (s *Syncer) currentSeeds() []string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return slices.Clone(s.seeds)
-}
-
 // isSeed reports whether others are told to join through this node.
 func (s *Syncer) isSeed() bool { return slices.Contains(s.currentSeeds(), s.transport.Address()) }
 
-// pullFirst asks the seeds until the node has its first state or the context ends.
-func (s *Syncer) pullFirst(ctx context.Context) {
+// pullFromSeeds asks the seeds until the node has its first state or the context ends.
+func (s *Syncer) pullFromSeeds(ctx context.Context) {
 	for !s.initialised.Load() {
 		seeds := s.currentSeeds()
 		if len(seeds) > 0 {
-			s.pullFirstFrom(ctx, seeds[rand.IntN(len(seeds))])
+			s.pullFromSeed(ctx, seeds[rand.IntN(len(seeds))])
 		}
 		if !wait.For(ctx, firstPullPause) {
 			return
@@ -91,16 +79,16 @@
 	}
 }
 
-// pullFirstFrom asks one seed.
-func (s *Syncer) pullFirstFrom(ctx context.Context, seed string) {
+// pullFromSeed asks one seed.
+func (s *Syncer) pullFromSeed(ctx context.Context, seed string) {
 	ctx, cancel := context.WithTimeout(ctx, firstPullTimeout)
 	defer cancel()
 	s.pullFrom(ctx, seed)
 }
 
-// readAtStart takes the store's whole state at a price that a fleet can pay which starts together: a
+// readStale takes the store's whole state at a price that a fleet can pay which starts together: a
 // stale state, brought up to date by what changed since.
-func (s *Syncer) readAtStart(ctx context.Context) error {
+func (s *Syncer) readStale(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, s.config.WatchSilence)
 	defer cancel()
 	snapshot, err := s.store.List(ctx, store.Stale)
@@ -116,24 +104,6 @@
 		return s.readStore(ctx)
 	}
 	s.markInitialised()
-	s.storeRegained()
+	s.markStoreUp()
 	return nil
 }
-
-// catchUp takes the changes since the revision in force.
-func (s *Syncer) catchUp(ctx context.Context) error {
-	take := s.eventTaker(ctx)
-	err := s.store.Watch(ctx, s.catalog.Revision(), store.Standby, func(event store.Event) error {
-		if err := take(event); err != nil {
-			return err
-		}
-		if s.catalog.Revision() < event.Current {
-			return nil
-		}
-		return errCaughtUp
-	})
-	if errors.Is(err, errCaughtUp) {
-		return nil
-	}
-	return err
-}
--- a/internal/config/configsync/suspended_test.go
+++ b/internal/config/configsync/suspended_test.go
@@ -19,14 +19,14 @@
 		known := catalog.New(nil)
 		known.SetClock(func() time.Time { return time.Now().Add(slept) })
 		s := New(Deps{Config: DefaultConfig(), Catalog: known})
-		is.Equal(s.waited(), time.Duration(0))
+		is.Equal(s.queueDelay(), time.Duration(0))
 		time.Sleep(time.Second)
-		is.Equal(s.waited(), time.Duration(0))
+		is.Equal(s.queueDelay(), time.Duration(0))
 		slept = 10 * time.Second
-		is.Equal(s.waited(), 10*time.Second)
+		is.Equal(s.queueDelay(), 10*time.Second)
 		time.Sleep(time.Millisecond)
-		is.Equal(s.waited(), 10*time.Second) // the next in the queue
+		is.Equal(s.queueDelay(), 10*time.Second) // the next in the queue
 		time.Sleep(boottime.CheckInterval)
-		is.Equal(s.waited(), time.Duration(0))
+		is.Equal(s.queueDelay(), time.Duration(0))
 	})
 }
--- /dev/null
+++ b/internal/config/configsync/watchers.go
@@ -0,0 +1,58 @@
+package configsync
+
+import (
+	"sort"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/portgauge/portgauge/internal/fleet/peer"
+)
+
+// notAWatcher is the rank of a node that does not watch the store.
+const notAWatcher = -1
+
+// rank gives this node's place among its zone's watchers, 0 being the one that pushes.
+func (s *Syncer) rank() int {
+	if !s.joined.Load() {
+		return notAWatcher
+	}
+	self := s.members.Self().ID
+	members := s.members.Members()
+	own := xxhash.Sum64String(self)
+	ahead := 0
+	present := false
+	for _, member := range members {
+		if member.ID == self {
+			present = true
+			continue
+		}
+		if xxhash.Sum64String(member.ID) > own {
+			ahead++
+		}
+	}
+	if !present || ahead >= s.config.WatchersPerZone {
+		return notAWatcher
+	}
+	return ahead
+}
+
+// watchers gives the peer addresses of the zone's watchers, first in rank first.
+func (s *Syncer) watchers() []peer.Member {
+	ranked := append([]peer.Member(nil), s.members.Members()...)
+	sortByWeight(ranked, func(member peer.Member) uint64 { return xxhash.Sum64String(member.ID) })
+	return ranked[:min(len(ranked), s.config.WatchersPerZone)]
+}
+
+// sortByWeight sorts members by falling weight, then by id.
+func sortByWeight(members []peer.Member, weight func(peer.Member) uint64) {
+	weights := make(map[string]uint64, len(members))
+	for _, member := range members {
+		weights[member.ID] = weight(member)
+	}
+	sort.Slice(members, func(i, j int) bool {
+		first, second := weights[members[i].ID], weights[members[j].ID]
+		if first != second {
+			return first > second
+		}
+		return members[i].ID < members[j].ID
+	})
+}
