--- a/internal/node/housekeeping.go
+++ b/internal/node/housekeeping.go
@@ -70,7 +70,7 @@
 
 func (h *housekeeper) setGauges(view *catalog.View) {
 	h.metrics.ConfigRevision.Set(float64(view.Revision))
-	h.metrics.Kept.Set(float64(len(h.catalog.KeptEntries())))
+	h.metrics.Kept.Set(float64(len(h.catalog.RetainedEntries())))
 	h.metrics.ConfigAge.Set(h.catalog.Age().Seconds())
 	counts := h.members.Counts()
 	for _, state := range []peer.MemberState{peer.Alive, peer.Suspect, peer.Left, peer.Dead} {
