--- a/internal/config/catalog/rollout.go
+++ b/internal/config/catalog/rollout.go
@@ -32,7 +32,7 @@
 	}
 	view := c.View()
 	known := view.Rollouts[service]
-	if known.Order == nil || known.State == nil || !known.State.Answers(known.Order) {
+	if known.Order == nil || known.State == nil || !known.State.BelongsTo(known.Order) {
 		return entry.Value, true
 	}
 	if revision.IsLater(view.Revision, known.Order.Revision) {
@@ -90,7 +90,7 @@
 	if err != nil {
 		return err
 	}
-	order.Follow(d.rolloutBefore(service).Order)
+	order.InheritID(d.rolloutBefore(service).Order)
 	known.Order = order
 	d.setRollout(service, known)
 	return nil
--- a/internal/config/configsync/handler.go
+++ b/internal/config/configsync/handler.go
@@ -21,8 +21,8 @@
 
 // RolloutHearer takes what is told of roll-outs, with the peer address of the node that told it.
 type RolloutHearer interface {
-	HeardReports(from string, reports peer.RolloutReports)
-	HeardHold(from string, hold peer.RolloutHold)
+	HandleReports(from string, reports peer.RolloutReports)
+	HandleHold(from string, hold peer.RolloutHold)
 }
 
 // PeerHandler answers other nodes: it hands each message to membership, configuration or one of its hearers.
@@ -51,11 +51,11 @@
 		}
 	case message.RolloutReports != nil:
 		if h.hearers.Rollouts != nil {
-			h.hearers.Rollouts.HeardReports(message.From, *message.RolloutReports)
+			h.hearers.Rollouts.HandleReports(message.From, *message.RolloutReports)
 		}
 	case message.RolloutHold != nil:
 		if h.hearers.Rollouts != nil {
-			h.hearers.Rollouts.HeardHold(message.From, *message.RolloutHold)
+			h.hearers.Rollouts.HandleHold(message.From, *message.RolloutHold)
 		}
 	case message.Quarantine != nil:
 		if h.hearers.Quarantine != nil {
--- a/internal/lab/canary/ways.go
+++ b/internal/lab/canary/ways.go
@@ -30,7 +30,7 @@
 	return cfg
 }
 
-type trial struct{ *verdict.Trial }
+type trial struct{ *verdict.Evaluator }
 
 func newTrial(cfg verdict.Config, of Case) Judge {
 	return trial{verdict.New(cfg, Serving, OnTrial, of.withDefaults().Duration)}
@@ -38,7 +38,7 @@
 
 // Update gives the finding alone.
 func (t trial) Update(elapsed time.Duration, rows []evidence.Row) verdict.Finding {
-	return t.Trial.Update(elapsed, rows).Finding
+	return t.Evaluator.Update(elapsed, rows).Finding
 }
 
 // fixed compares the shares of bad answers at a few times of the order by Fisher's exact test, without the leaf of
--- a/internal/leaf/leafset/versions.go
+++ b/internal/leaf/leafset/versions.go
@@ -12,7 +12,7 @@
 
 // Rule says which versions of a service may get requests.
 func (s *Set) Rule(service string) rollout.Rule {
-	return s.rules[service].WithFirst(s.first[service])
+	return s.rules[service].WithDefaultServing(s.first[service])
 }
 
 // IsBarred reports whether a leaf's version neither serves nor is on trial.
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -29,7 +29,7 @@
 }
 
 func newRegister(config settings.Settings, known *catalog.Catalog, self catalog.NodeRecord, clock boottime.Clock) *quarantine.Register {
-	return quarantine.NewRegister(quarantine.Deps{Config: config.Quarantine, Clock: clock, Stored: known.Quarantine, Self: self.ID})
+	return quarantine.NewRegister(quarantine.Deps{Config: config.Quarantine, Clock: clock, StoredRecord: known.Quarantine, Self: self.ID})
 }
 
 // quarantineDeps are what carries findings of the quarantine is made from.
--- a/internal/node/rollout_events.go
+++ b/internal/node/rollout_events.go
@@ -79,7 +79,7 @@
 }
 
 // OrderSeen implements rolloutcontrol.EventLog.
-func (j rolloutEvents) OrderSeen(record rolloutcontrol.OrderRecord) {
+func (j rolloutEvents) OrderSeen(record rolloutcontrol.OrderEvent) {
 	j.log.Write(decisionlog.Failed, orderEvent{
 		Time: time.Now(), Event: eventOrderSeen, Service: record.Order.Service, Order: record.Order.ID(),
 		Target: record.Order.Target, DurationMillis: record.Order.DurationMillis, Rank: record.Rank,
@@ -92,7 +92,7 @@
 }
 
 // PhaseWritten implements rolloutcontrol.EventLog.
-func (j rolloutEvents) PhaseWritten(record rolloutcontrol.PhaseRecord) {
+func (j rolloutEvents) PhaseWritten(record rolloutcontrol.PhaseWriteEvent) {
 	event := newPhaseEvent(eventPhaseWritten, record.State)
 	if record.Err != nil {
 		event.Event, event.Error = eventPhaseNotWritten, record.Err.Error()
@@ -109,7 +109,7 @@
 }
 
 // Held implements rolloutcontrol.EventLog.
-func (j rolloutEvents) Held(record rolloutcontrol.HoldRecord) {
+func (j rolloutEvents) Held(record rolloutcontrol.HoldEvent) {
 	event := holdEvent{
 		Time: time.Now(), Event: eventHoldSent, Service: record.Service, Order: record.Order, Reason: record.Reason,
 		Nodes: record.Nodes, From: record.From,
@@ -121,14 +121,14 @@
 }
 
 // RowsDropped implements rolloutcontrol.EventLog.
-func (j rolloutEvents) RowsDropped(record rolloutcontrol.DroppedRecord) {
+func (j rolloutEvents) RowsDropped(record rolloutcontrol.RowsDroppedEvent) {
 	j.log.Write(decisionlog.Ordinary, rowsDroppedEvent{
 		Time: time.Now(), Event: eventRowsDropped, From: record.From, Rows: record.Rows, Error: textOf(record.Err),
 	})
 }
 
 // VersionsWritten implements rolloutcontrol.EventLog.
-func (j rolloutEvents) VersionsWritten(record rolloutcontrol.VersionsRecord) {
+func (j rolloutEvents) VersionsWritten(record rolloutcontrol.VersionsWriteEvent) {
 	j.log.Write(decisionlog.Failed, versionsEvent{
 		Time: time.Now(), Event: eventVersionsWritten, Services: record.Services, Error: textOf(record.Err),
 	})
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -59,10 +59,10 @@
 	controller := rolloutcontrol.New(rolloutcontrol.Deps{
 		Config: cfg, Catalog: deps.Catalog, Self: deps.Self, Counts: deps.Counts, Splitter: deps.Splitter,
 		Judging: judging(deps.Config.RolloutVerdict),
-		States:  rolloutcontrol.GuardedStates{Store: deps.Store, Guarded: deps.Guarded, RetryPause: cfg.RetryPause},
+		States:  rolloutcontrol.GuardedStateWriter{Store: deps.Store, Guarded: deps.Guarded, RetryPause: cfg.RetryPause},
 		Fleet:   fleetStatus{deps.Syncer}, Sender: deps.Transport, Events: events, Clock: deps.Clock,
 	})
-	if err := deps.Metrics.RegisterRollouts(controller.Standings); err != nil {
+	if err := deps.Metrics.RegisterRollouts(controller.Statuses); err != nil {
 		return nil, err
 	}
 	return &rollouts{
@@ -127,8 +127,8 @@
 }
 
 // judging makes what finds out whether the version of an order is good.
-func judging(cfg verdict.Config) rolloutcontrol.JudgingFactory {
-	return func(serving, trial string, duration time.Duration) rolloutcontrol.Judging {
+func judging(cfg verdict.Config) rolloutcontrol.EvaluatorFactory {
+	return func(serving, trial string, duration time.Duration) rolloutcontrol.Evaluator {
 		return verdict.New(cfg, serving, trial, duration)
 	}
 }
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -89,7 +89,7 @@
 		OnStart: func(context.Context) error {
 			deps.Transport.Serve(configsync.NewPeerHandler(deps.Syncer, configsync.Hearers{
 				Leafs: deps.Gossip.Heard, Reach: deps.Reach.Heard, Rollouts: deps.Rollouts.hearer(),
-				Quarantine: deps.Quarantine.Heard,
+				Quarantine: deps.Quarantine.Handle,
 			}))
 			go deps.Zones.Run(ctx)
 			go deps.Syncer.Run(ctx)
--- a/internal/node/telemetry/rollouts.go
+++ b/internal/node/telemetry/rollouts.go
@@ -9,7 +9,7 @@
 // rolloutCollector tells of the roll-outs under way when it is asked, so that those that are over leave nothing
 // behind: at most as many series as there are roll-outs, and versions and routes of those that the node judges.
 type rolloutCollector struct {
-	standings func() []rolloutcontrol.Standing
+	standings func() []rolloutcontrol.Status
 	phase     *prometheus.Desc
 	attempts  *prometheus.Desc
 	failures  *prometheus.Desc
@@ -18,7 +18,7 @@
 var _ prometheus.Collector = (*rolloutCollector)(nil)
 
 // RegisterRollouts has the metrics tell of roll-outs under way.
-func (m *Metrics) RegisterRollouts(standings func() []rolloutcontrol.Standing) error {
+func (m *Metrics) RegisterRollouts(standings func() []rolloutcontrol.Status) error {
 	counted := []string{"service", "version", "route"}
 	return m.Registry.Register(&rolloutCollector{
 		standings: standings,
--- a/internal/node/telemetry/rollouts_test.go
+++ b/internal/node/telemetry/rollouts_test.go
@@ -12,12 +12,12 @@
 // Roll-outs under way have series, and none once they are over.
 func TestRolloutsLeaveNoSeriesBehind(t *testing.T) {
 	is := is.New(t)
-	standings := []rolloutcontrol.Standing{{
+	standings := []rolloutcontrol.Status{{
 		Service: "s", Phase: rollout.Canary, Target: "b",
 		Counts: []rolloutcontrol.RouteCounts{{Version: "b", Route: "r", Attempts: 3, Failures: 1}},
 	}}
 	metrics := NewMetrics()
-	is.NoErr(metrics.RegisterRollouts(func() []rolloutcontrol.Standing { return standings }))
+	is.NoErr(metrics.RegisterRollouts(func() []rolloutcontrol.Status { return standings }))
 	values := func() map[string]float64 {
 		families, err := metrics.Registry.Gather()
 		is.NoErr(err)
--- a/internal/operator/admin/rollouts.go
+++ b/internal/operator/admin/rollouts.go
@@ -93,7 +93,7 @@
 		return message
 	}
 	message.StateRevision = state.Revision
-	if known.Order != nil && !state.Answers(known.Order) {
+	if known.Order != nil && !state.BelongsTo(known.Order) {
 		return message
 	}
 	message.Target, message.Phase = state.Target, phases[state.Phase]
--- a/internal/quarantine/bad_days_test.go
+++ b/internal/quarantine/bad_days_test.go
@@ -131,12 +131,12 @@
 		switch {
 		case over.ended:
 			hit = true
-			try.Ended(over.leaf, over.probe)
+			try.LeafCrashed(over.leaf, over.probe)
 			if try.IsStopped() || over.probe > 0 {
 				return hit
 			}
 		case over.wasGone:
-			try.Gone(over.leaf)
+			try.LeafGone(over.leaf)
 		default:
 			try.Answered()
 			return hit // nothing counts after an answer
--- a/internal/quarantine/quarantinesync/save.go
+++ b/internal/quarantine/quarantinesync/save.go
@@ -172,7 +172,7 @@
 			next.Trials++
 			_, err := s.write(ctx, next, record.Revision)
 			if err == nil {
-				s.deps.Register.Permit(record.Content)
+				s.deps.Register.PermitTrial(record.Content)
 			}
 			s.deps.Events.Trial(next, err)
 		})
--- a/internal/quarantine/quarantinesync/sync.go
+++ b/internal/quarantine/quarantinesync/sync.go
@@ -178,20 +178,20 @@
 	}
 }
 
-// Heard takes what another node tells.
-func (s *Sync) Heard(from string, told peer.Quarantine) {
+// Handle takes what another node tells.
+func (s *Sync) Handle(from string, told peer.Quarantine) {
 	switch {
 	case told.Evidence != nil:
-		s.deps.Register.HearEvidence(*told.Evidence)
+		s.deps.Register.AddEvidence(*told.Evidence)
 	case told.Record != nil:
 		s.heardRecord(from, *told.Record)
 	case !told.Answered.IsZero():
-		s.deps.Register.HearAnswer(told.Answered)
+		s.deps.Register.Acquit(told.Answered)
 	}
 }
 
 func (s *Sync) heardRecord(from string, record quarantine.Record) {
-	if record.Validate() != nil || !s.deps.Register.Hear(record) {
+	if record.Validate() != nil || !s.deps.Register.AddRecord(record) {
 		return
 	}
 	s.mu.Lock()
@@ -213,10 +213,10 @@
 		s.mu.Unlock()
 		// What is in force may be newer than the change.
 		if record := s.deps.Catalog.Quarantine(content); record != nil {
-			s.deps.Register.Saved(*record)
+			s.deps.Register.ConfirmStored(*record)
 			continue
 		}
-		s.deps.Register.Lifted(content)
+		s.deps.Register.Lift(content)
 		s.deps.Events.Lifted(content)
 	}
 }
--- a/internal/quarantine/quarantinesync/sync_test.go
+++ b/internal/quarantine/quarantinesync/sync_test.go
@@ -60,7 +60,7 @@
 func (f *fleet) start(id string) *node {
 	record := catalog.NodeRecord{ID: id, Address: "address-of-" + id}
 	n := &node{fleet: f, record: record, catalog: catalog.New(func(key string, err error) { f.t.Errorf("%s: %v", key, err) })}
-	n.register = quarantine.NewRegister(quarantine.Deps{Config: quarantine.DefaultConfig(), Stored: n.catalog.Quarantine, Self: id})
+	n.register = quarantine.NewRegister(quarantine.Deps{Config: quarantine.DefaultConfig(), StoredRecord: n.catalog.Quarantine, Self: id})
 	n.sync = New(Deps{
 		Config: DefaultConfig(), Limits: quarantine.DefaultConfig(), Register: n.register, Catalog: n.catalog, Store: f,
 		Self: record, Sender: n, Events: silentEvents{},
@@ -108,7 +108,7 @@
 	if err := json.Unmarshal(content, &read); err != nil {
 		n.fleet.t.Error(err)
 	}
-	time.AfterFunc(time.Millisecond, func() { to.sync.Heard("somewhere", *read.Quarantine) })
+	time.AfterFunc(time.Millisecond, func() { to.sync.Handle("somewhere", *read.Quarantine) })
 }
 
 // countSent gives how many datagrams the node sent.
@@ -204,9 +204,9 @@
 // endLeafs has a request end three leafs at a node, in two episodes.
 func (n *node) endLeafs() {
 	try := n.register.Begin(subject, func() {})
-	try.Ended("leaf-1", 0)
-	try.Ended("leaf-2", 0)
-	try.Ended("leaf-3", 1)
+	try.LeafCrashed("leaf-1", 0)
+	try.LeafCrashed("leaf-2", 0)
+	try.LeafCrashed("leaf-3", 1)
 	try.End()
 }
 
@@ -334,7 +334,7 @@
 		f := newFleet(t, "a", "b", "c", "d", "e", "f")
 		for index, id := range []string{"a", "b", "c"} {
 			try := f.node(id).register.Begin(subject, func() {})
-			try.Ended("leaf-"+id, 0)
+			try.LeafCrashed("leaf-"+id, 0)
 			try.End()
 			time.Sleep(100 * time.Millisecond)
 			is.Equal(f.allHold(quarantine.Quarantined), index == 2)
@@ -348,7 +348,7 @@
 		is := is.New(t)
 		f := newFleet(t, "a", "b", "c", "d")
 		try := f.node("a").register.Begin(subject, func() {})
-		try.Ended("leaf-1", 0)
+		try.LeafCrashed("leaf-1", 0)
 		time.Sleep(100 * time.Millisecond)
 		is.True(!f.allHold(quarantine.Clear))
 		try.Answered()
@@ -356,7 +356,7 @@
 		is.True(f.allHold(quarantine.Clear))
 		sent := f.node("a").countSent()
 		try = f.node("a").register.Begin(subject, func() {})
-		try.Ended("leaf-2", 0)
+		try.LeafCrashed("leaf-2", 0)
 		time.Sleep(time.Millisecond)
 		f.node("a").register.Begin(subject, func() {}).Answered()
 		time.Sleep(time.Second)
@@ -372,8 +372,8 @@
 		f := newFleet(t, "a", "b", "c")
 		f.node("a").endLeafs()
 		time.Sleep(time.Second)
-		trials := func() []*quarantine.Try {
-			var permitted []*quarantine.Try
+		trials := func() []*quarantine.Execution {
+			var permitted []*quarantine.Execution
 			for _, n := range f.nodes {
 				if try := n.register.Begin(subject, func() {}); try.State() == quarantine.Suspect {
 					permitted = append(permitted, try)
@@ -387,7 +387,7 @@
 		is.Equal(len(trials()), 0) // asked for
 		first := trials()
 		is.Equal(len(first), 1)
-		first[0].Ended("leaf-4", 1)
+		first[0].LeafCrashed("leaf-4", 1)
 		is.Equal(len(trials())+len(trials()), 0)
 		time.Sleep(quarantine.DefaultConfig().Term * time.Duration(quarantine.DefaultConfig().Lengthening))
 		is.Equal(len(trials()), 0)
--- a/internal/quarantine/register.go
+++ b/internal/quarantine/register.go
@@ -55,7 +55,7 @@
 	// terms are those of records of the store that were asked for.
 	terms map[fingerprint.Fingerprint]*term
 	// running are the tries under way.
-	running map[fingerprint.Fingerprint]map[*Try]bool
+	running map[fingerprint.Fingerprint]map[*Execution]bool
 	// explained are the requests that ended leafs, by leaf.
 	explained map[string]fingerprint.Fingerprint
 	// condemnedAt is when a request was last put under quarantine.
@@ -82,8 +82,8 @@
 	Config Config
 	// Clock counts the time for which the machine was suspended.
 	Clock boottime.Clock
-	// Stored gives the store's record of a request, as far as this node knows it; nil where there is none.
-	Stored func(fingerprint.Fingerprint) *Record
+	// StoredRecord gives the store's record of a request, as far as this node knows it; nil where there is none.
+	StoredRecord func(fingerprint.Fingerprint) *Record
 	// Self is the id of this node.
 	Self string
 }
@@ -91,9 +91,9 @@
 // NewRegister makes a register; SetListener must be called before it is used.
 func NewRegister(deps Deps) *Register {
 	return &Register{
-		cfg: deps.Config, clock: deps.Clock, stored: deps.Stored, self: deps.Self,
+		cfg: deps.Config, clock: deps.Clock, stored: deps.StoredRecord, self: deps.Self,
 		suspects: map[fingerprint.Fingerprint]*suspect{}, found: map[fingerprint.Fingerprint]*held{},
-		terms: map[fingerprint.Fingerprint]*term{}, running: map[fingerprint.Fingerprint]map[*Try]bool{},
+		terms: map[fingerprint.Fingerprint]*term{}, running: map[fingerprint.Fingerprint]map[*Execution]bool{},
 		explained: map[string]fingerprint.Fingerprint{},
 	}
 }
@@ -191,7 +191,7 @@
 		return
 	}
 	known := r.suspectOf(evidence.Subject)
-	for _, end := range evidence.Ends {
+	for _, end := range evidence.Crashes {
 		if !r.isExplained(end.Leaf, evidence.Content) {
 			known.add(end, r.clock.Now())
 		}
@@ -242,7 +242,7 @@
 
 // hold keeps a record that the store does not have yet, and gives the tries of the request that are to be stopped. The
 // lock must be held.
-func (r *Register) hold(record Record) []*Try {
+func (r *Register) hold(record Record) []*Execution {
 	if len(r.found) >= r.cfg.MaximumRecords {
 		r.dropOldestFound()
 	}
@@ -263,7 +263,7 @@
 
 // condemn takes from other suspects what a record explains, and gives the tries of the request that are to be stopped.
 // The lock must be held.
-func (r *Register) condemn(record Record) []*Try {
+func (r *Register) condemn(record Record) []*Execution {
 	r.dropSuspect(record.Content)
 	if len(r.explained) >= mostLeafs*r.cfg.MaximumRecords {
 		clear(r.explained)
@@ -277,7 +277,7 @@
 			}
 		}
 	}
-	stops := make([]*Try, 0, len(r.running[record.Content]))
+	stops := make([]*Execution, 0, len(r.running[record.Content]))
 	for try := range r.running[record.Content] {
 		if !try.isTrial {
 			stops = append(stops, try)
@@ -286,14 +286,14 @@
 	return stops
 }
 
-func stopAll(tries []*Try) {
+func stopAll(tries []*Execution) {
 	for _, try := range tries {
 		try.halt()
 	}
 }
 
-// Hear takes another node's word that a request is under quarantine, and reports whether it is news.
-func (r *Register) Hear(record Record) bool {
+// AddRecord takes another node's word that a request is under quarantine, and reports whether it is news.
+func (r *Register) AddRecord(record Record) bool {
 	r.mu.Lock()
 	if r.recordOf(record.Content) != nil {
 		r.mu.Unlock()
@@ -305,18 +305,18 @@
 	return true
 }
 
-// HearEvidence takes evidence that another node has.
-func (r *Register) HearEvidence(evidence Evidence) { r.learn(evidence, false) }
+// AddEvidence takes evidence that another node has.
+func (r *Register) AddEvidence(evidence Evidence) { r.learn(evidence, false) }
 
-// HearAnswer takes another node's word that a request was answered.
-func (r *Register) HearAnswer(content fingerprint.Fingerprint) {
+// Acquit takes another node's word that a request was answered.
+func (r *Register) Acquit(content fingerprint.Fingerprint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.dropSuspect(content)
 }
 
-// Saved takes that the store has a record.
-func (r *Register) Saved(record Record) {
+// ConfirmStored takes that the store has a record.
+func (r *Register) ConfirmStored(record Record) {
 	r.mu.Lock()
 	delete(r.found, record.Content)
 	stops := r.condemn(record)
@@ -324,8 +324,8 @@
 	stopAll(stops)
 }
 
-// Lifted takes that the store has no record of a request any more.
-func (r *Register) Lifted(content fingerprint.Fingerprint) {
+// Lift takes that the store has no record of a request any more.
+func (r *Register) Lift(content fingerprint.Fingerprint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.found, content)
@@ -337,8 +337,8 @@
 	}
 }
 
-// Permit lets the next try of a request under quarantine go to one leaf.
-func (r *Register) Permit(content fingerprint.Fingerprint) {
+// PermitTrial lets the next try of a request under quarantine go to one leaf.
+func (r *Register) PermitTrial(content fingerprint.Fingerprint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if known, isKnown := r.terms[content]; isKnown {
@@ -369,7 +369,7 @@
 		return Evidence{}, false
 	}
 	known.isReported = true
-	return Evidence{Subject: known.subject, Ends: known.ends(), InHerd: known.inHerd}, true
+	return Evidence{Subject: known.subject, Crashes: known.ends(), InHerd: known.inHerd}, true
 }
 
 // Counts gives how many requests are suspects, and how many under quarantine that the store does not have yet.
--- a/internal/quarantine/register_test.go
+++ b/internal/quarantine/register_test.go
@@ -26,7 +26,7 @@
 	f := &fleet{at: time.Unix(1000, 0), store: map[fingerprint.Fingerprint]*Record{}}
 	f.Register = NewRegister(Deps{
 		Config: DefaultConfig(), Clock: func() time.Time { return f.at }, Self: "n1",
-		Stored: func(content fingerprint.Fingerprint) *Record { return f.store[content] },
+		StoredRecord: func(content fingerprint.Fingerprint) *Record { return f.store[content] },
 	})
 	f.SetListener(f)
 	return f
@@ -42,7 +42,7 @@
 func (f *fleet) save(record Record, revision int64) {
 	record.Revision = revision
 	f.store[record.Content] = &record
-	f.Saved(record)
+	f.ConfirmStored(record)
 }
 
 func subject(name string) Subject {
@@ -58,9 +58,9 @@
 }
 
 // endAll has leafs end under attempts of a try that were sent together.
-func endAll(try *Try, number int, names ...string) {
+func endAll(try *Execution, number int, names ...string) {
 	for _, name := range names {
-		try.Ended(name, number)
+		try.LeafCrashed(name, number)
 	}
 }
 
@@ -74,14 +74,14 @@
 	endAll(try, 0, leafs("leaf-", 20)...)
 	is.Equal(len(f.quarantined), 0)
 	is.Equal(f.State(subject("a").Content), Suspect)
-	try.Ended("probed", 1)
+	try.LeafCrashed("probed", 1)
 	is.Equal(len(f.quarantined), 1)
 	is.Equal(f.quarantined[0].By, "n1")
 	is.Equal(stopped, 1)
 	is.True(try.IsStopped())
 	is.Equal(f.Begin(subject("a"), func() {}).State(), Quarantined)
 	is.Equal(f.Begin(subject("b"), func() {}).State(), Clear)
-	is.True(f.Left(subject("a").Content) > 0)
+	is.True(f.RetryAfter(subject("a").Content) > 0)
 }
 
 // A request that was with leafs which crashed together is not what ended them, be it tried again at others that are gone.
@@ -103,12 +103,12 @@
 	home := newFleet()
 	for index, name := range leafs("leaf-", 3) {
 		other := newFleet()
-		other.Begin(subject("a"), func() {}).Ended(name, 0)
+		other.Begin(subject("a"), func() {}).LeafCrashed(name, 0)
 		is.Equal(len(other.suspected), 1)
 		told, found := other.Evidence(subject("a").Content)
 		is.True(found)
-		home.HearEvidence(told)
-		home.HearEvidence(told) // heard twice is as good as once
+		home.AddEvidence(told)
+		home.AddEvidence(told) // heard twice is as good as once
 		is.Equal(len(home.quarantined), index/2)
 	}
 	is.Equal(len(home.suspected), 0) // evidence of others is not told of again
@@ -120,18 +120,18 @@
 	f := newFleet()
 	try := f.Begin(subject("a"), func() {})
 	endAll(try, 0, leafs("leaf-", 20)...)
-	try.Gone("leaf-3") // ended under it
+	try.LeafGone("leaf-3") // ended under it
 	is.Equal(f.State(subject("a").Content), Suspect)
-	try.Gone("another")
+	try.LeafGone("another")
 	for probe := range DefaultConfig().HerdEpisodes - 1 {
 		is.Equal(len(f.quarantined), 0)
-		try.Ended(fmt.Sprint("probed-", probe), 1+probe)
+		try.LeafCrashed(fmt.Sprint("probed-", probe), 1+probe)
 	}
 	is.Equal(len(f.quarantined), 1)
 	next := f.Begin(subject("b"), func() {})
-	next.Gone("leaf-0") // by the other one's doing
+	next.LeafGone("leaf-0") // by the other one's doing
 	endAll(next, 0, "x", "y")
-	next.Ended("z", 1)
+	next.LeafCrashed("z", 1)
 	is.Equal(len(f.quarantined), 2)
 }
 
@@ -140,26 +140,26 @@
 	is := is.New(t)
 	f := newFleet()
 	neighbour := f.Begin(subject("neighbour"), func() {})
-	neighbour.Ended("leaf-0", 0)
-	neighbour.Ended("leaf-1", 1)
+	neighbour.LeafCrashed("leaf-0", 0)
+	neighbour.LeafCrashed("leaf-1", 1)
 	culprit := f.Begin(subject("culprit"), func() {})
-	culprit.Ended("leaf-0", 0)
-	culprit.Ended("leaf-1", 1)
-	culprit.Ended("leaf-2", 2)
+	culprit.LeafCrashed("leaf-0", 0)
+	culprit.LeafCrashed("leaf-1", 1)
+	culprit.LeafCrashed("leaf-2", 2)
 	is.Equal(len(f.quarantined), 1)
 	is.Equal(f.State(subject("neighbour").Content), Clear)
-	neighbour.Ended("leaf-2", 2) // told late
+	neighbour.LeafCrashed("leaf-2", 2) // told late
 	is.Equal(f.State(subject("neighbour").Content), Clear)
 }
 
 func TestEvidenceLapses(t *testing.T) {
 	is := is.New(t)
 	f := newFleet()
-	f.Begin(subject("a"), func() {}).Ended("leaf-0", 0)
-	f.Begin(subject("a"), func() {}).Ended("leaf-1", 0)
+	f.Begin(subject("a"), func() {}).LeafCrashed("leaf-0", 0)
+	f.Begin(subject("a"), func() {}).LeafCrashed("leaf-1", 0)
 	f.at = f.at.Add(DefaultConfig().SuspectMemory)
 	is.Equal(f.State(subject("a").Content), Clear)
-	f.Begin(subject("a"), func() {}).Ended("leaf-2", 0)
+	f.Begin(subject("a"), func() {}).LeafCrashed("leaf-2", 0)
 	is.Equal(len(f.quarantined), 0)
 }
 
@@ -167,13 +167,13 @@
 func TestAnAnswerAcquitsEverywhere(t *testing.T) {
 	is := is.New(t)
 	f, home := newFleet(), newFleet()
-	f.Begin(subject("a"), func() {}).Ended("leaf-0", 0)
+	f.Begin(subject("a"), func() {}).LeafCrashed("leaf-0", 0)
 	told, _ := f.Evidence(subject("a").Content)
-	home.HearEvidence(told)
+	home.AddEvidence(told)
 	is.Equal(home.State(subject("a").Content), Suspect)
 	f.Begin(subject("a"), func() {}).Answered()
 	is.Equal(len(f.acquitted), 1)
-	home.HearAnswer(f.acquitted[0].Content)
+	home.Acquit(f.acquitted[0].Content)
 	is.Equal(home.State(subject("a").Content), Clear)
 }
 
@@ -188,18 +188,18 @@
 	is := is.New(t)
 	f := newFleet()
 	f.condemn("a", 7, 0)
-	come := func() *Try { return f.Begin(subject("a"), func() {}) }
+	come := func() *Execution { return f.Begin(subject("a"), func() {}) }
 	is.Equal(come().State(), Quarantined)
 	f.at = f.at.Add(DefaultConfig().Term)
 	is.Equal(come().State(), Quarantined)
 	is.Equal(come().State(), Quarantined)
 	is.Equal(len(f.due), 1) // once, however often it comes
-	f.Permit(subject("a").Content)
+	f.PermitTrial(subject("a").Content)
 	f.condemn("a", 8, 1)
 	trial := come()
 	is.Equal(trial.State(), Suspect)
 	is.Equal(come().State(), Quarantined) // one try only
-	trial.Ended("leaf-0", 0)
+	trial.LeafCrashed("leaf-0", 0)
 	is.True(trial.IsStopped())
 	is.Equal(come().State(), Quarantined)
 	f.at = f.at.Add(DefaultConfig().Term)
@@ -213,7 +213,7 @@
 	f.at = f.at.Add(1000 * time.Hour)
 	come()
 	is.Equal(len(f.due), 2)
-	is.Equal(f.Left(subject("a").Content), time.Duration(0))
+	is.Equal(f.RetryAfter(subject("a").Content), time.Duration(0))
 }
 
 func TestATrialThatIsAnsweredSurvives(t *testing.T) {
@@ -221,7 +221,7 @@
 	f := newFleet()
 	f.condemn("a", 7, 0)
 	f.Begin(subject("a"), func() {})
-	f.Permit(subject("a").Content)
+	f.PermitTrial(subject("a").Content)
 	f.Begin(subject("a"), func() {}).Answered()
 	is.Equal(len(f.survived), 1)
 	is.Equal(f.survived[0].Revision, int64(7))
@@ -231,13 +231,13 @@
 func TestLifted(t *testing.T) {
 	is := is.New(t)
 	f := newFleet()
-	is.True(f.Hear(Record{Subject: subject("a"), Leafs: []string{"x"}, By: "n2"}))
-	is.True(!f.Hear(Record{Subject: subject("a"), Leafs: []string{"x"}, By: "n2"}))
+	is.True(f.AddRecord(Record{Subject: subject("a"), Leafs: []string{"x"}, By: "n2"}))
+	is.True(!f.AddRecord(Record{Subject: subject("a"), Leafs: []string{"x"}, By: "n2"}))
 	is.Equal(len(f.Unsaved()), 1)
 	f.condemn("a", 7, 0)
 	is.Equal(len(f.Unsaved()), 0)
 	delete(f.store, subject("a").Content)
-	f.Lifted(subject("a").Content)
+	f.Lift(subject("a").Content)
 	is.Equal(f.State(subject("a").Content), Clear)
 }
 
@@ -248,11 +248,11 @@
 	cfg := DefaultConfig()
 	for index := range 2 * cfg.MaximumSuspects {
 		f.at = f.at.Add(time.Millisecond)
-		f.Begin(subject(fmt.Sprint(index)), func() {}).Ended(fmt.Sprint("leaf-", index), 0)
+		f.Begin(subject(fmt.Sprint(index)), func() {}).LeafCrashed(fmt.Sprint("leaf-", index), 0)
 	}
 	for index := range 2 * cfg.MaximumRecords {
 		f.at = f.at.Add(time.Millisecond)
-		f.Hear(Record{Subject: subject(fmt.Sprint("found-", index)), Leafs: []string{fmt.Sprint("found-leaf-", index)}})
+		f.AddRecord(Record{Subject: subject(fmt.Sprint("found-", index)), Leafs: []string{fmt.Sprint("found-leaf-", index)}})
 	}
 	suspects, unsaved := f.Counts()
 	is.Equal(suspects, cfg.MaximumSuspects)
--- a/internal/quarantine/suspect.go
+++ b/internal/quarantine/suspect.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// End is the end of a leaf under a request.
-type End struct {
+// Crash is the end of a leaf under a request.
+type Crash struct {
 	Leaf string `json:"leaf"`
 	// Episode is the same for ends that were seen by attempts sent without knowledge of each other.
 	Episode uint64 `json:"episode"`
@@ -16,7 +16,7 @@
 // Evidence is what one node has against a request.
 type Evidence struct {
 	Subject
-	Ends []End `json:"ends,omitempty"`
+	Crashes []Crash `json:"ends,omitempty"`
 	// InHerd says that leafs were gone besides on which the request was not.
 	InHerd bool `json:"in_herd,omitempty"`
 }
@@ -35,7 +35,7 @@
 }
 
 // add takes an end in. A leaf ends once.
-func (s *suspect) add(end End, now time.Time) {
+func (s *suspect) add(end Crash, now time.Time) {
 	if _, found := s.episodes[end.Leaf]; !found && len(s.episodes) < mostLeafs {
 		s.episodes[end.Leaf] = end.Episode
 	}
@@ -61,11 +61,11 @@
 }
 
 // ends gives as much of the evidence as others are told: one end of each episode before the rest.
-func (s *suspect) ends() []End {
-	var first, rest []End
+func (s *suspect) ends() []Crash {
+	var first, rest []Crash
 	seen := map[uint64]bool{}
 	for _, leaf := range slices.Sorted(maps.Keys(s.episodes)) {
-		end := End{Leaf: leaf, Episode: s.episodes[leaf]}
+		end := Crash{Leaf: leaf, Episode: s.episodes[leaf]}
 		if seen[end.Episode] {
 			rest = append(rest, end)
 			continue
--- a/internal/quarantine/try.go
+++ b/internal/quarantine/try.go
@@ -14,8 +14,8 @@
 	trialPermit = 30 * time.Second
 )
 
-// Try is one try of a request under way.
-type Try struct {
+// Execution is one try of a request under way.
+type Execution struct {
 	register *Register
 	subject  Subject
 	state    State
@@ -37,8 +37,8 @@
 
 // Begin counts a try in. If its state is Quarantined, it must not go on; stop is called, once at most and from any
 // goroutine, if it must not any more. End must be called in any case.
-func (r *Register) Begin(subject Subject, stop func()) *Try {
-	try := &Try{register: r, subject: subject, stop: stop, episode: rand.Uint64()}
+func (r *Register) Begin(subject Subject, stop func()) *Execution {
+	try := &Execution{register: r, subject: subject, stop: stop, episode: rand.Uint64()}
 	r.mu.Lock()
 	try.isAlert = r.isAlert()
 	record := r.recordOf(subject.Content)
@@ -63,10 +63,10 @@
 }
 
 // run notes a try as under way. The lock must be held.
-func (r *Register) run(try *Try) {
+func (r *Register) run(try *Execution) {
 	running := r.running[try.subject.Content]
 	if running == nil {
-		running = map[*Try]bool{}
+		running = map[*Execution]bool{}
 		r.running[try.subject.Content] = running
 	}
 	running[try] = true
@@ -113,8 +113,8 @@
 	return isPermitted
 }
 
-// Left gives how long a request is refused at least that came again; 0 for one that waits for an operator.
-func (r *Register) Left(content fingerprint.Fingerprint) time.Duration {
+// RetryAfter gives how long a request is refused at least that came again; 0 for one that waits for an operator.
+func (r *Register) RetryAfter(content fingerprint.Fingerprint) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	record := r.recordOf(content)
@@ -130,17 +130,17 @@
 }
 
 // State gives how the request was held when the try began.
-func (t *Try) State() State { return t.state }
+func (t *Execution) State() State { return t.state }
 
 // IsAlert reports whether another request was put under quarantine so short a while before the try that more are expected.
-func (t *Try) IsAlert() bool { return t.isAlert }
+func (t *Execution) IsAlert() bool { return t.isAlert }
 
 // IsStopped reports whether nothing more of the try may be sent.
-func (t *Try) IsStopped() bool { return t.isStopped.Load() }
+func (t *Execution) IsStopped() bool { return t.isStopped.Load() }
 
-// Ended takes that a leaf ended under the try. Ends that were seen by attempts which were sent in knowledge of others
+// LeafCrashed takes that a leaf ended under the try. Ends that were seen by attempts which were sent in knowledge of others
 // have another number.
-func (t *Try) Ended(leaf string, number int) {
+func (t *Execution) LeafCrashed(leaf string, number int) {
 	if t.isAnswered.Load() {
 		return
 	}
@@ -148,19 +148,19 @@
 		t.halt()
 		return
 	}
-	end := End{Leaf: leaf, Episode: t.episode + uint64(number)}
-	t.register.learn(Evidence{Subject: t.subject, Ends: []End{end}, InHerd: t.inHerd.Load()}, true)
+	end := Crash{Leaf: leaf, Episode: t.episode + uint64(number)}
+	t.register.learn(Evidence{Subject: t.subject, Crashes: []Crash{end}, InHerd: t.inHerd.Load()}, true)
 }
 
-// Gone takes that a leaf was gone when the try came to it.
-func (t *Try) Gone(leaf string) {
+// LeafGone takes that a leaf was gone when the try came to it.
+func (t *Execution) LeafGone(leaf string) {
 	if !t.inHerd.Load() && t.register.learnGone(t.subject.Content, leaf) {
 		t.inHerd.Store(true)
 	}
 }
 
 // Answered takes that a leaf has run the request and lived.
-func (t *Try) Answered() {
+func (t *Execution) Answered() {
 	if t.isAnswered.Swap(true) || t.register.suspectCount.Load() == 0 && !t.isTrial {
 		return
 	}
@@ -178,7 +178,7 @@
 }
 
 // End counts the try out.
-func (t *Try) End() {
+func (t *Execution) End() {
 	r := t.register
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -190,7 +190,7 @@
 }
 
 // halt stops the try, once.
-func (t *Try) halt() {
+func (t *Execution) halt() {
 	if !t.isStopped.Swap(true) {
 		t.stop()
 	}
--- a/internal/request/gateway/crash.go
+++ b/internal/request/gateway/crash.go
@@ -96,7 +96,7 @@
 	if execution != failure.NotRun {
 		return failed
 	}
-	return failed.WithRetryAfter(w.gateway.quarantine.Left(w.query.content))
+	return failed.WithRetryAfter(w.gateway.quarantine.RetryAfter(w.query.content))
 }
 
 // caution sets how a plan treats leafs that end under the request. A part that is gathered for another node is given up
@@ -184,7 +184,7 @@
 		w.try.Answered()
 	}
 	if leafhttp.IsGone(end.err) && w.gateway.isListed(leafID) {
-		w.try.Gone(leafID)
+		w.try.LeafGone(leafID)
 	}
 }
 
@@ -238,7 +238,7 @@
 	w.mu.Lock()
 	w.ended = append(w.ended, lost.Leaf)
 	w.mu.Unlock()
-	w.try.Ended(lost.Leaf, lost.Probe)
+	w.try.LeafCrashed(lost.Leaf, lost.Probe)
 }
 
 // afterCheck is the result of an attempt once it is known whether its leaf ended. A connection that seemed refused may
@@ -284,6 +284,6 @@
 		return
 	}
 	for _, leaf := range leafs {
-		w.try.Ended(leaf, 0)
+		w.try.LeafCrashed(leaf, 0)
 	}
 }
--- a/internal/request/gateway/crash_test.go
+++ b/internal/request/gateway/crash_test.go
@@ -46,7 +46,7 @@
 
 func newRegister() *quarantine.Register {
 	register := quarantine.NewRegister(quarantine.Deps{
-		Config: quarantine.DefaultConfig(), Self: "n", Stored: func(fingerprint.Fingerprint) *quarantine.Record { return nil },
+		Config: quarantine.DefaultConfig(), Self: "n", StoredRecord: func(fingerprint.Fingerprint) *quarantine.Record { return nil },
 	})
 	register.SetListener(noListener{})
 	return register
@@ -186,7 +186,7 @@
 		is := is.New(t)
 		leafs := newFatalLeafs()
 		register := newRegister()
-		register.Hear(quarantine.Record{Subject: quarantine.Subject{Content: DefaultConfig().contentOf(ask("/pages/0"))}})
+		register.AddRecord(quarantine.Record{Subject: quarantine.Subject{Content: DefaultConfig().contentOf(ask("/pages/0"))}})
 		g := guarded(t, leafs, register)
 		for count := 1; count <= quarantine.DefaultConfig().Ends; count++ {
 			_, err := g.Serve(t.Context(), ask("/pages/1"))
@@ -222,7 +222,7 @@
 			return fatalWork, answered(200, records(leaf)), nil
 		}}
 		register := newRegister()
-		register.Hear(quarantine.Record{Subject: quarantine.Subject{Content: DefaultConfig().contentOf(ask("/pages/0"))}})
+		register.AddRecord(quarantine.Record{Subject: quarantine.Subject{Content: DefaultConfig().contentOf(ask("/pages/0"))}})
 		g := guarded(t, slow, register)
 		answer, err := g.Serve(t.Context(), ask("/pages/1"))
 		is.NoErr(err)
@@ -341,7 +341,7 @@
 		node.gateway.quarantine = newRegister()
 		node.gateway.leafs = &endingLeafs{treeLeafs: node.leafs, ended: ended}
 	}
-	b.nodes["there"].gateway.quarantine.Hear(quarantine.Record{Subject: quarantine.Subject{Content: DefaultConfig().contentOf(ask("/pages/1"))}})
+	b.nodes["there"].gateway.quarantine.AddRecord(quarantine.Record{Subject: quarantine.Subject{Content: DefaultConfig().contentOf(ask("/pages/1"))}})
 	b.nodes["root"].leafs.treat(func(string) (time.Duration, *leafhttp.Response, error) { return time.Hour, nil, nil })
 	_, err := b.ask("root")
 	is.True(failure.Is(err, failure.Quarantined))
--- a/internal/request/gateway/gathering.go
+++ b/internal/request/gateway/gathering.go
@@ -42,7 +42,7 @@
 	// slept is for how many nanoseconds the machine was suspended since the request came.
 	slept atomic.Int64
 	// try is the request's place in the register of those that end leafs; nil where there is no register.
-	try *quarantine.Try
+	try *quarantine.Execution
 	// probes counts the attempts that were sent alone.
 	probes int
 	// mu guards the rest, which attempts and groups set as they end.
--- a/internal/request/gateway/trial.go
+++ b/internal/request/gateway/trial.go
@@ -24,7 +24,7 @@
 	if g.canary == nil {
 		return canary.Serving
 	}
-	return g.canary.Later(service)
+	return g.canary.RetryVersions(service)
 }
 
 // draw gives the draw of a shard, which is made once; unserved says that no leaf of the serving version can be asked, or
@@ -48,7 +48,7 @@
 // returnDraw takes the draw of a shard back, by which nothing was sent.
 func (w *gathering) returnDraw(shard int) {
 	if made := w.draws[shard]; made.IsBounded {
-		w.gateway.canary.Return(made.request, made.Draw)
+		w.gateway.canary.Refund(made.request, made.Draw)
 	}
 }
 
@@ -97,7 +97,7 @@
 
 // focus keeps the first candidate in the order of the draws from the bounded share that can be asked.
 func (w *gathering) focus(service string, candidates []balancer.Candidate) []balancer.Candidate {
-	for _, leaf := range w.gateway.canary.Focus(service, w.gateway.catalog.View().Leafs.OnTrial(service)) {
+	for _, leaf := range w.gateway.canary.FocusOrder(service, w.gateway.catalog.View().Leafs.OnTrial(service)) {
 		at := slices.IndexFunc(candidates, func(candidate balancer.Candidate) bool { return candidate.LeafID == leaf.ID })
 		if at < 0 {
 			continue
@@ -113,14 +113,14 @@
 // began counts an attempt at a leaf in, before it is made.
 func (g *Gateway) began(leaf *leafset.Leaf) {
 	if g.canary != nil && leaf != nil {
-		g.canary.Began(leaf.Service, leaf.Version)
+		g.canary.AttemptStarted(leaf.Service, leaf.Version)
 	}
 }
 
 // ended counts an attempt at a leaf out.
 func (g *Gateway) ended(leaf *leafset.Leaf) {
 	if g.canary != nil && leaf != nil {
-		g.canary.Ended(leaf.Service, leaf.Version)
+		g.canary.AttemptEnded(leaf.Service, leaf.Version)
 	}
 }
 
--- a/internal/request/gateway/trial_fixture_test.go
+++ b/internal/request/gateway/trial_fixture_test.go
@@ -81,7 +81,7 @@
 // learn takes note of the configuration, as newest.
 func (b *trialed) learn() {
 	b.catalog.Confirm(time.Now())
-	b.canary.Learn()
+	b.canary.Refresh()
 }
 
 // enter has the fleet be in a phase of the order.
--- a/internal/request/gateway/warm.go
+++ b/internal/request/gateway/warm.go
@@ -70,7 +70,7 @@
 	}
 	for service := range view.Rollouts {
 		order := view.Leafs.Rule(service).Order
-		if order == 0 || warmed[service] == order || len(warmed) >= mostWarmed || !g.canary.MayTry(service) {
+		if order == 0 || warmed[service] == order || len(warmed) >= mostWarmed || !g.canary.IsTrialOpen(service) {
 			continue
 		}
 		if g.warmTrial(view, service) {
@@ -81,7 +81,7 @@
 
 // warmTrial opens a connection to the leaf on trial that comes first by now, and reports whether there is any.
 func (g *Gateway) warmTrial(view *catalog.View, service string) bool {
-	leafs := g.canary.Focus(service, view.Leafs.OnTrial(service))
+	leafs := g.canary.FocusOrder(service, view.Leafs.OnTrial(service))
 	if len(leafs) == 0 || view.Routes == nil {
 		return false
 	}
@@ -129,6 +129,6 @@
 	if g.canary == nil {
 		return
 	}
-	g.canary.Learn()
+	g.canary.Refresh()
 	g.warmTrials(warmed)
 }
--- a/internal/request/search/crash.go
+++ b/internal/request/search/crash.go
@@ -40,7 +40,7 @@
 	}
 	if query.try.State() == quarantine.Quarantined {
 		release()
-		return nil, nil, quarantined(subject.Content, failure.NotRun).WithRetryAfter(e.quarantine.Left(subject.Content))
+		return nil, nil, quarantined(subject.Content, failure.NotRun).WithRetryAfter(e.quarantine.RetryAfter(subject.Content))
 	}
 	return guarded, release, nil
 }
@@ -77,13 +77,13 @@
 	if !attempt.Probe {
 		go func() {
 			if s.engine.leafs.HasEnded(context.WithoutCancel(ctx), address) {
-				try.Ended(nameEnd(attempt.Leaf.ID), 0)
+				try.LeafCrashed(nameEnd(attempt.Leaf.ID), 0)
 			}
 		}()
 		return result
 	}
 	if result.Ended = s.engine.leafs.HasEnded(ctx, address); result.Ended {
-		try.Ended(nameEnd(attempt.Leaf.ID), attempt.Number)
+		try.LeafCrashed(nameEnd(attempt.Leaf.ID), attempt.Number)
 	}
 	return result
 }
--- a/internal/request/search/crash_test.go
+++ b/internal/request/search/crash_test.go
@@ -38,7 +38,7 @@
 				}}
 				engine, _ := newTestEngine(t, leafs)
 				engine.quarantine = quarantine.NewRegister(quarantine.Deps{
-					Config: quarantine.DefaultConfig(), Stored: func(fingerprint.Fingerprint) *quarantine.Record { return nil },
+					Config: quarantine.DefaultConfig(), StoredRecord: func(fingerprint.Fingerprint) *quarantine.Record { return nil },
 				})
 				engine.quarantine.SetListener(noListener{})
 				search := func(id string) error {
--- a/internal/request/search/request.go
+++ b/internal/request/search/request.go
@@ -35,7 +35,7 @@
 	deadline time.Time
 	arrived  time.Time
 	// try is the search's place in the register of requests that end leafs; nil where there is none.
-	try *quarantine.Try
+	try *quarantine.Execution
 }
 
 // newQuery checks a request against its service's settings; failures name the field.
--- a/internal/rollout/canary/bound_test.go
+++ b/internal/rollout/canary/bound_test.go
@@ -87,7 +87,7 @@
 		}
 		built.order()
 		for _, splitter := range fleet {
-			splitter.Learn()
+			splitter.Refresh()
 		}
 		start, drawn := built.clock, 0
 		made := arrivals(source, nodes, 2000/float64(nodes))
@@ -182,7 +182,7 @@
 	drawn := splitter.Draw(request)
 	is.True(drawn.First == Trial && drawn.IsBounded)
 	is.Equal(draw(splitter, 1, false), 0)
-	splitter.Return(request, drawn)
+	splitter.Refund(request, drawn)
 	is.Equal(draw(splitter, 1, false), 1)
 }
 
@@ -196,7 +196,7 @@
 	is.True(drawn.IsBounded)
 	built.order()
 	is.Equal(draw(splitter, 13, false), 1)
-	splitter.Return(request, drawn)
+	splitter.Refund(request, drawn)
 	is.Equal(draw(splitter, 11, false), 0)
 }
 
--- a/internal/rollout/canary/fixture_test.go
+++ b/internal/rollout/canary/fixture_test.go
@@ -120,7 +120,7 @@
 	splitter := built.splitter(config(slack), &one{1})
 	splitter.random = func() float64 { return 0 }
 	order := built.order()
-	splitter.Learn()
+	splitter.Refresh()
 	return built, splitter, order
 }
 
@@ -129,6 +129,6 @@
 	t.Helper()
 	built, splitter, _ := started(t, 0)
 	order := built.orderFor(duration)
-	splitter.Learn()
+	splitter.Refresh()
 	return built, splitter, order
 }
--- a/internal/rollout/canary/flights.go
+++ b/internal/rollout/canary/flights.go
@@ -15,11 +15,13 @@
 	counts map[flight]int
 }
 
-// Began counts an attempt in that is about to be made, before MayAsk is asked for it.
-func (s *Splitter) Began(service, version string) { s.flights.add(flight{service, version}, 1) }
+// AttemptStarted counts an attempt in that is about to be made, before MayAsk is asked for it.
+func (s *Splitter) AttemptStarted(service, version string) {
+	s.flights.add(flight{service, version}, 1)
+}
 
-// Ended counts an attempt out.
-func (s *Splitter) Ended(service, version string) { s.flights.add(flight{service, version}, -1) }
+// AttemptEnded counts an attempt out.
+func (s *Splitter) AttemptEnded(service, version string) { s.flights.add(flight{service, version}, -1) }
 
 func (f *flights) add(key flight, by int) {
 	f.mu.Lock()
--- a/internal/rollout/canary/splitter.go
+++ b/internal/rollout/canary/splitter.go
@@ -78,7 +78,7 @@
 		config: cfg, catalog: known, fleet: fleet, now: time.Now, random: rand.Float64,
 		trials: map[string]*trial{}, holds: map[string]int64{},
 	}
-	s.Learn()
+	s.Refresh()
 	return s
 }
 
@@ -86,9 +86,9 @@
 // suspended would go on by a rule that it holds for fresh. It must be called before the catalog has any state.
 func (s *Splitter) SetClock(clock boottime.Clock) { s.now = clock.Now }
 
-// Learn notes the orders in force, whose durations begin for this node when it learns of them. It is to be called
+// Refresh notes the orders in force, whose durations begin for this node when it learns of them. It is to be called
 // whenever the configuration has changed.
-func (s *Splitter) Learn() {
+func (s *Splitter) Refresh() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	view := s.view()
@@ -144,8 +144,8 @@
 	return Draw{}
 }
 
-// Return takes back a draw from the bounded share by which nothing was sent. The request itself stays counted.
-func (s *Splitter) Return(request Request, draw Draw) {
+// Refund takes back a draw from the bounded share by which nothing was sent. The request itself stays counted.
+func (s *Splitter) Refund(request Request, draw Draw) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if known, found := s.trials[request.Service]; found && draw.IsBounded && known.order == draw.order {
@@ -153,9 +153,9 @@
 	}
 }
 
-// Focus gives leafs of the version on trial, sorted by id, in the order in which draws from the bounded share try
+// FocusOrder gives leafs of the version on trial, sorted by id, in the order in which draws from the bounded share try
 // them: at a time all nodes have the same leaf first.
-func (s *Splitter) Focus(service string, leafs []*leafset.Leaf) []*leafset.Leaf {
+func (s *Splitter) FocusOrder(service string, leafs []*leafset.Leaf) []*leafset.Leaf {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	known, found := s.trials[service]
@@ -165,8 +165,8 @@
 	return known.focus(leafs, s.now())
 }
 
-// Later gives the versions that attempts after the first, or without a draw, may go to now.
-func (s *Splitter) Later(service string) Versions {
+// RetryVersions gives the versions that attempts after the first, or without a draw, may go to now.
+func (s *Splitter) RetryVersions(service string) Versions {
 	switch s.stageNow(service) {
 	case ramping:
 		return Both
@@ -177,8 +177,8 @@
 	return Serving
 }
 
-// MayTry reports whether the version on trial may get anything now.
-func (s *Splitter) MayTry(service string) bool { return s.stageNow(service) != stopped }
+// IsTrialOpen reports whether the version on trial may get anything now.
+func (s *Splitter) IsTrialOpen(service string) bool { return s.stageNow(service) != stopped }
 
 // MayAsk reports whether a leaf may be sent a request now, by its version: what was planned a while ago may not be
 // sent any more. A leaf that nothing is known of may not.
@@ -193,7 +193,7 @@
 		return rule.IsServing(leaf.Version)
 	}
 	if rule.IsTrial(leaf.Version) {
-		return s.MayTry(leaf.Service)
+		return s.IsTrialOpen(leaf.Service)
 	}
 	return rule.IsServing(leaf.Version) && s.stageNow(leaf.Service) != moved
 }
--- a/internal/rollout/canary/stage_test.go
+++ b/internal/rollout/canary/stage_test.go
@@ -24,9 +24,9 @@
 	built := newSite(t)
 	splitter := built.splitter(config(50), &one{1})
 	is.Equal(draw(splitter, 100, false), 0)
-	is.Equal(splitter.Later("s"), Serving)
+	is.Equal(splitter.RetryVersions("s"), Serving)
 	is.Equal(may(splitter), "true false")
-	is.True(!splitter.MayTry("s") && !splitter.MayAsk("unknown"))
+	is.True(!splitter.IsTrialOpen("s") && !splitter.MayAsk("unknown"))
 	is.Equal(len(splitter.trials), 0)
 }
 
@@ -60,17 +60,17 @@
 	built.phase(order, rollout.Switching)
 	built.pass(time.Hour)
 	is.Equal(draw(splitter, 100, false), 0)
-	is.Equal(splitter.Later("s"), Serving)
+	is.Equal(splitter.RetryVersions("s"), Serving)
 	is.Equal(may(splitter), "true false")
 	splitter.Hold("s", order-1)
 	is.Equal(may(splitter), "true false")
 
 	next := built.order()
-	splitter.Learn()
+	splitter.Refresh()
 	is.Equal(len(splitter.holds), 0)
 	is.Equal(may(splitter), "true true")
 	splitter.Hold("s", next+1)
-	splitter.Learn()
+	splitter.Refresh()
 	is.Equal(may(splitter), "true false") // the one before it is replaced
 	built.order()
 	is.Equal(draw(splitter, 100, false), 0)
@@ -85,7 +85,7 @@
 	}
 	is.Equal(len(splitter.holds), mostHeld)
 	built.put(catalog.EvacuationKey("z"), struct{}{})
-	splitter.Learn()
+	splitter.Refresh()
 	is.Equal(len(splitter.holds), 0)
 }
 
@@ -97,7 +97,7 @@
 	built.put(catalog.RolloutKey("s"), nil)
 	is.Equal(may(splitter), "true false")
 	is.Equal(draw(splitter, 100, false), 0)
-	splitter.Learn()
+	splitter.Refresh()
 	is.Equal(len(splitter.trials), 0)
 }
 
@@ -108,8 +108,8 @@
 	chance := 0.0
 	splitter.random = func() float64 { return chance }
 	built.phase(order, rollout.Switching)
-	splitter.Learn()
-	is.Equal(splitter.Later("s"), Both)
+	splitter.Refresh()
+	is.Equal(splitter.RetryVersions("s"), Both)
 	for _, step := range []struct {
 		part  float64
 		share float64
@@ -123,7 +123,7 @@
 	}
 	built.pass(2 * time.Second)
 	is.Equal(splitter.Draw(Request{Service: "s", Once: true}), Draw{First: Trial})
-	is.Equal(splitter.Later("s"), Trial)
+	is.Equal(splitter.RetryVersions("s"), Trial)
 	is.Equal(may(splitter), "false true")
 	built.pass(lasts)
 	is.Equal(may(splitter), "false true") // its time only ends what is not found good
@@ -136,11 +136,11 @@
 	is.Equal(splitter.Ramp(12*time.Second), 1200*time.Millisecond)
 	is.Equal(splitter.Ramp(time.Hour), 2*time.Second)
 	built.phase(order, rollout.Switching)
-	splitter.Learn()
+	splitter.Refresh()
 	built.pass(1199 * time.Millisecond)
-	is.Equal(splitter.Later("s"), Both)
+	is.Equal(splitter.RetryVersions("s"), Both)
 	built.pass(time.Millisecond)
-	is.Equal(splitter.Later("s"), Trial)
+	is.Equal(splitter.RetryVersions("s"), Trial)
 }
 
 // Beyond the share nothing goes while the configuration was not confirmed lately.
@@ -148,11 +148,11 @@
 	is := is.New(t)
 	built, splitter, order := started(t, 0)
 	built.phase(order, rollout.Switching)
-	splitter.Learn()
+	splitter.Refresh()
 	built.clock = built.clock.Add(3 * time.Second)
 	is.Equal(draw(splitter, 10, false), 10)
 	built.clock = built.clock.Add(config(0).ConfirmedWithin - 2500*time.Millisecond)
-	is.Equal(splitter.Later("s"), Serving)
+	is.Equal(splitter.RetryVersions("s"), Serving)
 	is.Equal(draw(splitter, 50, false), 0) // of its share it had more already
 	is.Equal(draw(splitter, 200, false), 260*8/100-10)
 	is.Equal(may(splitter), "true true")
@@ -164,22 +164,22 @@
 func TestSettledOnceNothingIsUnderWay(t *testing.T) {
 	is := is.New(t)
 	built, splitter, order := started(t, 0)
-	splitter.Began("s", before)
-	splitter.Began("s", target)
+	splitter.AttemptStarted("s", before)
+	splitter.AttemptStarted("s", target)
 	is.Equal(splitter.SettledRevision(), built.known.Revision())
 	switched := built.phase(order, rollout.Switching)
 	built.put(catalog.EvacuationKey("z"), struct{}{})
 	is.Equal(splitter.SettledRevision(), switched-1)
 	built.pass(2 * time.Second)
 	is.Equal(splitter.SettledRevision(), switched-1)
-	splitter.Ended("s", before)
+	splitter.AttemptEnded("s", before)
 	is.Equal(splitter.SettledRevision(), switched+1)
 	built.clock = built.clock.Add(time.Minute) // lapsed: the version that served may be asked again
 	is.Equal(splitter.SettledRevision(), switched-1)
 	built.pass(0)
 	splitter.Hold("s", order)
 	is.Equal(splitter.SettledRevision(), switched-1)
-	splitter.Ended("s", target)
+	splitter.AttemptEnded("s", target)
 	is.Equal(len(splitter.flights.counts), 0)
 }
 
@@ -207,14 +207,14 @@
 	leafs := built.known.View().Leafs.OnTrial("s")
 	seen := map[string]int{}
 	for range focusTurns {
-		focused := splitter.Focus("s", leafs)
+		focused := splitter.FocusOrder("s", leafs)
 		is.Equal(len(focused), 3)
-		is.Equal(focused[0], splitter.Focus("s", leafs)[0])
+		is.Equal(focused[0], splitter.FocusOrder("s", leafs)[0])
 		seen[focused[0].ID]++
 		built.pass(lasts / focusTurns)
 	}
 	is.Equal(seen, map[string]int{leafID(target, 0): 4, leafID(target, 1): 4, leafID(target, 2): 4})
-	is.Equal(splitter.Focus("other", nil), nil)
+	is.Equal(splitter.FocusOrder("other", nil), nil)
 }
 
 // Without a leaf on trial nothing is drawn.
@@ -249,9 +249,9 @@
 	splitter := New(config(0), built.known, &one{1})
 	splitter.SetClock(clock)
 	order := built.order()
-	splitter.Learn()
+	splitter.Refresh()
 	built.phase(order, rollout.Switching)
-	splitter.Learn()
+	splitter.Refresh()
 	built.pass(splitter.Ramp(lasts) + time.Second)
 	is.Equal(splitter.stageNow("s"), moved)
 	built.clock = built.clock.Add(config(0).ConfirmedWithin + time.Second) // asleep
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -62,9 +62,9 @@
 	return order, order.Validate()
 }
 
-// Follow takes the id of an order that was in force before, if this one is the same: as it was, and written again after a
+// InheritID takes the id of an order that was in force before, if this one is the same: as it was, and written again after a
 // restore of the store.
-func (o *Order) Follow(before *Order) {
+func (o *Order) InheritID(before *Order) {
 	if before == nil || !revision.IsLater(o.Revision, before.Revision) {
 		return
 	}
@@ -123,9 +123,9 @@
 	return state, checks.Err()
 }
 
-// Answers reports whether the state is of an order. One of before a restore of the store is of the order that operators
+// BelongsTo reports whether the state is of an order. One of before a restore of the store is of the order that operators
 // wrote again after it, for the same version.
-func (s *State) Answers(order *Order) bool {
+func (s *State) BelongsTo(order *Order) bool {
 	if order == nil || s.Target != order.Target {
 		return false
 	}
@@ -133,8 +133,8 @@
 	return count == order.ID() || count == revision.Count(order.Revision) || revision.IsLater(order.Revision, s.Revision)
 }
 
-// Served gives the version that serves once the state is final, or until then.
-func (s *State) Served() string {
+// ServingVersion gives the version that serves once the state is final, or until then.
+func (s *State) ServingVersion() string {
 	if s.Phase == Succeeded {
 		return s.Target
 	}
@@ -170,8 +170,8 @@
 	// Barred is the version that was rolled back or taken back where Serving is empty; else empty, since then all but
 	// Serving and Trial are barred.
 	Barred string
-	// IsNamed says that the leafs that tell no version were those that served before Serving, and get nothing.
-	IsNamed bool
+	// ExcludesUnversioned says that the leafs that tell no version were those that served before Serving, and get nothing.
+	ExcludesUnversioned bool
 	// Trial is the version that an order wants to serve; empty where there is none under way.
 	Trial string
 	// Phase is Canary or Switching while there is a Trial, else empty.
@@ -187,18 +187,18 @@
 func RuleOf(order *Order, state *State, written string) Rule {
 	rule := Rule{Serving: written}
 	if state != nil {
-		rule.Serving, rule.Revision = state.Served(), state.Revision
+		rule.Serving, rule.Revision = state.ServingVersion(), state.Revision
 	}
 	if state != nil && state.Serving == "" {
-		rule.IsNamed = rule.Serving != ""
-		if !rule.IsNamed {
+		rule.ExcludesUnversioned = rule.Serving != ""
+		if !rule.ExcludesUnversioned {
 			rule.Barred = state.Target
 		}
 	}
 	if order == nil || order.Target == rule.Serving {
 		return rule
 	}
-	answered := state != nil && state.Answers(order)
+	answered := state != nil && state.BelongsTo(order)
 	if answered && state.Phase.IsFinal() {
 		return rule
 	}
@@ -212,9 +212,9 @@
 	return rule
 }
 
-// WithFirst gives the rule of a service that is served by the version that was there first, empty where none was,
+// WithDefaultServing gives the rule of a service that is served by the version that was there first, empty where none was,
 // unless the rule names one that serves. An order of the version that serves already asks for nothing.
-func (r Rule) WithFirst(first string) Rule {
+func (r Rule) WithDefaultServing(first string) Rule {
 	if r.Serving != "" || first == "" || r.Barred == first {
 		return r
 	}
@@ -229,7 +229,7 @@
 // replaced.
 func (r Rule) IsServing(version string) bool {
 	if version == "" {
-		return !r.IsNamed
+		return !r.ExcludesUnversioned
 	}
 	return version == r.Serving || r.Serving == "" && version != r.Trial && version != r.Barred
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -54,8 +54,8 @@
 		{"taken back where leafs told no version", nil, unnamed(Switching, orderRevision), "", Rule{Barred: "v2", Revision: 9}},
 		{"on trial again where leafs told no version", order("v2"), unnamed(RolledBack, 5), "", Rule{Trial: "v2", Phase: Canary, Order: orderRevision, Revision: 9}},
 		{"another on trial where leafs told no version", order("v3"), unnamed(RolledBack, 5), "", Rule{Barred: "v2", Trial: "v3", Phase: Canary, Order: orderRevision, Revision: 9}},
-		{"succeeded where leafs told no version", order("v2"), unnamed(Succeeded, orderRevision), "", Rule{Serving: "v2", IsNamed: true, Revision: 9}},
-		{"another on trial after that", order("v3"), unnamed(Succeeded, 5), "", Rule{Serving: "v2", IsNamed: true, Trial: "v3", Phase: Canary, Order: orderRevision, Revision: 9}},
+		{"succeeded where leafs told no version", order("v2"), unnamed(Succeeded, orderRevision), "", Rule{Serving: "v2", ExcludesUnversioned: true, Revision: 9}},
+		{"another on trial after that", order("v3"), unnamed(Succeeded, 5), "", Rule{Serving: "v2", ExcludesUnversioned: true, Trial: "v3", Phase: Canary, Order: orderRevision, Revision: 9}},
 		{"the target serves already", order("v1"), nil, "v1", Rule{Serving: "v1"}},
 	}
 	for _, c := range cases {
@@ -75,9 +75,9 @@
 	is.True(unknown.IsServing("v1") && !unknown.IsServing("v2"))
 	rolledBack := Rule{Barred: "v2"}
 	is.True(rolledBack.IsServing("v1") && rolledBack.IsServing("") && !rolledBack.IsServing("v2") && !rolledBack.IsTrial("v2"))
-	is.Equal(rolledBack.WithFirst("v2"), rolledBack)
-	is.Equal(rolledBack.WithFirst("v1"), Rule{Serving: "v1"})
-	named := Rule{Serving: "v2", IsNamed: true}
+	is.Equal(rolledBack.WithDefaultServing("v2"), rolledBack)
+	is.Equal(rolledBack.WithDefaultServing("v1"), Rule{Serving: "v1"})
+	named := Rule{Serving: "v2", ExcludesUnversioned: true}
 	is.True(named.IsServing("v2") && !named.IsServing("") && !named.IsServing("v1"))
 	is.True(Rule{}.IsServing("v9") && !Rule{}.IsTrial(""))
 }
--- a/internal/rollout/rolloutcontrol/controller.go
+++ b/internal/rollout/rolloutcontrol/controller.go
@@ -42,7 +42,7 @@
 	Self     catalog.NodeRecord
 	Counts   Counts
 	Splitter Splitter
-	Judging  JudgingFactory
+	Judging  EvaluatorFactory
 	States   StateWriter
 	Fleet    Fleet
 	Sender   Sender
@@ -81,7 +81,7 @@
 // writeResult is how a write went.
 type writeResult struct {
 	pacer  *writePacer
-	record PhaseRecord
+	record PhaseWriteEvent
 }
 
 // mostWrites bounds the writes in flight of one node: many orders at once must not flood the store.
@@ -221,7 +221,7 @@
 		if c.holds.has(orderKey{service, known.Order.ID()}) {
 			c.deps.Splitter.Hold(service, known.Order.ID()) // word of it came before the order
 		}
-		c.deps.Events.OrderSeen(OrderRecord{Order: *known.Order, Rank: c.rank(view, service)})
+		c.deps.Events.OrderSeen(OrderEvent{Order: *known.Order, Rank: c.rank(view, service)})
 	}
 	followed.order = *known.Order // a restored store has it at another revision
 	before := followed.state
@@ -233,7 +233,7 @@
 
 // isAnswered reports whether the state is of the order.
 func isAnswered(known catalog.Rollout) bool {
-	return known.State != nil && known.State.Answers(known.Order)
+	return known.State != nil && known.State.BelongsTo(known.Order)
 }
 
 // isUnderWay reports whether there is an order without a final state.
@@ -264,5 +264,5 @@
 	c.reports.step(now, judges, func(order orderKey) bool { return c.isWanted(view, order) })
 }
 
-// Standings gives the roll-outs under way as this node sees them, with the counts of those that it judges.
-func (c *Controller) Standings() []Standing { return c.standings.get() }
+// Statuses gives the roll-outs under way as this node sees them, with the counts of those that it judges.
+func (c *Controller) Statuses() []Status { return c.standings.get() }
--- a/internal/rollout/rolloutcontrol/events.go
+++ b/internal/rollout/rolloutcontrol/events.go
@@ -10,28 +10,28 @@
 // must not block.
 type EventLog interface {
 	// OrderSeen is told of an order that this node learned of.
-	OrderSeen(OrderRecord)
+	OrderSeen(OrderEvent)
 	// PhaseLearned is told of a state that came into force.
 	PhaseLearned(rollout.State)
 	// PhaseWritten is told of a write of this node, be it done or not.
-	PhaseWritten(PhaseRecord)
+	PhaseWritten(PhaseWriteEvent)
 	// Held is told of a hold that this node sent or heard.
-	Held(HoldRecord)
+	Held(HoldEvent)
 	// RowsDropped is told of rows of counts that were not kept or not sent.
-	RowsDropped(DroppedRecord)
+	RowsDropped(RowsDroppedEvent)
 	// VersionsWritten is told that the versions of services were written down.
-	VersionsWritten(VersionsRecord)
+	VersionsWritten(VersionsWriteEvent)
 }
 
-// OrderRecord is an order as a node learned of it.
-type OrderRecord struct {
+// OrderEvent is an order as a node learned of it.
+type OrderEvent struct {
 	Order rollout.Order
 	// Rank is the node's place among its judges; -1 when it is none.
 	Rank int
 }
 
-// PhaseRecord is a write of a state and the counts that decided it.
-type PhaseRecord struct {
+// PhaseWriteEvent is a write of a state and the counts that decided it.
+type PhaseWriteEvent struct {
 	State rollout.State
 	// Revision is that of the write; 0 when it failed.
 	Revision int64
@@ -41,8 +41,8 @@
 	Age time.Duration
 }
 
-// HoldRecord is a hold of an order.
-type HoldRecord struct {
+// HoldEvent is a hold of an order.
+type HoldEvent struct {
 	Service string
 	Order   int64
 	Reason  string
@@ -52,8 +52,8 @@
 	From string
 }
 
-// DroppedRecord counts rows that were dropped.
-type DroppedRecord struct {
+// RowsDroppedEvent counts rows that were dropped.
+type RowsDroppedEvent struct {
 	// From is the peer address that they came from; empty when they are this node's own.
 	From string
 	Rows int
@@ -61,8 +61,8 @@
 	Err error
 }
 
-// VersionsRecord is a write of the versions of services.
-type VersionsRecord struct {
+// VersionsWriteEvent is a write of the versions of services.
+type VersionsWriteEvent struct {
 	Services int
 	Err      error
 }
--- a/internal/rollout/rolloutcontrol/fleet_test.go
+++ b/internal/rollout/rolloutcontrol/fleet_test.go
@@ -22,7 +22,7 @@
 	cfg     Config
 	store   *memoryStore
 	network *peer.MemoryNetwork
-	judging JudgingFactory
+	judging EvaluatorFactory
 	ramp    time.Duration // how long nodes take to move their requests
 	mu      sync.Mutex
 	nodes   map[string]*testNode
@@ -66,7 +66,7 @@
 	view := storeView{f.store, n}
 	n.controller = New(Deps{
 		Config: f.cfg, Catalog: n.catalog, Self: catalog.NodeRecord{ID: id, Address: id}, Counts: n, Splitter: n, Judging: f.judging,
-		States: GuardedStates{Store: view, Guarded: view, RetryPause: f.cfg.RetryPause}, Fleet: n, Sender: n, Events: n, Clock: n.clock,
+		States: GuardedStateWriter{Store: view, Guarded: view, RetryPause: f.cfg.RetryPause}, Fleet: n, Sender: n, Events: n, Clock: n.clock,
 	})
 	n.transport.Serve(n)
 	ctx, cancel := context.WithCancel(f.t.Context())
--- a/internal/rollout/rolloutcontrol/hearing.go
+++ b/internal/rollout/rolloutcontrol/hearing.go
@@ -16,13 +16,13 @@
 	}
 }
 
-func (c *Controller) dropOwn(rows int) { c.deps.Events.RowsDropped(DroppedRecord{Rows: rows}) }
+func (c *Controller) dropOwn(rows int) { c.deps.Events.RowsDropped(RowsDroppedEvent{Rows: rows}) }
 
-// HeardReports takes the counts of another node. A node that counts for an order that is held is told so.
-func (c *Controller) HeardReports(from string, reports peer.RolloutReports) {
+// HandleReports takes the counts of another node. A node that counts for an order that is held is told so.
+func (c *Controller) HandleReports(from string, reports peer.RolloutReports) {
 	rows, err := unpack(reports.Rows)
 	if err != nil {
-		c.deps.Events.RowsDropped(DroppedRecord{From: from, Err: err})
+		c.deps.Events.RowsDropped(RowsDroppedEvent{From: from, Err: err})
 		return
 	}
 	view := c.deps.Catalog.View()
@@ -36,7 +36,7 @@
 		}
 	}
 	if dropped := c.tallies.hear(reporter{reports.Node, reports.StartUnixNano}, from, wanted, c.deps.Clock.Now()); dropped > 0 {
-		c.deps.Events.RowsDropped(DroppedRecord{From: from, Rows: dropped})
+		c.deps.Events.RowsDropped(RowsDroppedEvent{From: from, Rows: dropped})
 	}
 	for order, isHeld := range held {
 		if isHeld {
@@ -45,14 +45,14 @@
 	}
 }
 
-// HeardHold takes a judge's word that an order's version is bad.
-func (c *Controller) HeardHold(from string, hold peer.RolloutHold) {
+// HandleHold takes a judge's word that an order's version is bad.
+func (c *Controller) HandleHold(from string, hold peer.RolloutHold) {
 	order := orderKey{hold.Service, hold.Order}
 	if !c.isWanted(c.deps.Catalog.View(), order) || !c.holds.put(order, "held by the word of "+from) {
 		return
 	}
 	c.deps.Splitter.Hold(order.service, order.id)
-	c.deps.Events.Held(HoldRecord{Service: order.service, Order: order.id, From: from})
+	c.deps.Events.Held(HoldEvent{Service: order.service, Order: order.id, From: from})
 }
 
 func (c *Controller) sendHold(address string, order orderKey) {
@@ -86,5 +86,5 @@
 			nodes++
 		}
 	}
-	c.deps.Events.Held(HoldRecord{Service: order.service, Order: order.id, Reason: reason, Nodes: nodes})
+	c.deps.Events.Held(HoldEvent{Service: order.service, Order: order.id, Reason: reason, Nodes: nodes})
 }
--- a/internal/rollout/rolloutcontrol/hearing_test.go
+++ b/internal/rollout/rolloutcontrol/hearing_test.go
@@ -48,7 +48,7 @@
 	scene(t, func(is *is.I, f *fleet) {
 		node := f.node("n0")
 		revision := f.order("s", "b", usual)
-		node.controller.HeardHold("n1", peer.RolloutHold{Service: "s", Order: revision})
+		node.controller.HandleHold("n1", peer.RolloutHold{Service: "s", Order: revision})
 		node.forgetHolds() // what draws knows of no order yet, and keeps no hold of it
 		time.Sleep(2 * syncDelay)
 		is.True(node.isHeld(orderKey{"s", revision}))
@@ -129,7 +129,7 @@
 		c := New(Deps{Config: f.cfg, States: writes, Events: f.node("n0"), Catalog: f.node("n0").catalog})
 		begin := func(order int64) *writePacer {
 			state := rollout.State{Service: "s", OrderRevision: order, Phase: rollout.Canary}
-			c.write(context.Background(), time.Now(), PhaseRecord{State: state}, 0, order, 0)
+			c.write(context.Background(), time.Now(), PhaseWriteEvent{State: state}, 0, order, 0)
 			synctest.Wait()
 			return c.pacers["s"]
 		}
--- a/internal/rollout/rolloutcontrol/judge.go
+++ b/internal/rollout/rolloutcontrol/judge.go
@@ -49,7 +49,7 @@
 		replaced = state.Revision
 	}
 	state := t.written(now, phase, reason, c.deps.Self.ID)
-	record := PhaseRecord{State: state, Counts: countVersions(rows)}
+	record := PhaseWriteEvent{State: state, Counts: countVersions(rows)}
 	if !newest.IsZero() {
 		record.Age = now.Sub(newest)
 	}
@@ -65,11 +65,11 @@
 func (c *Controller) endWithoutOrder(ctx context.Context, now time.Time, state rollout.State, rank int) time.Duration {
 	replaced := state.Revision
 	state.Phase, state.Reason, state.DecidedBy = rollout.RolledBack, "the order was taken back", c.deps.Self.ID
-	return c.write(ctx, now, PhaseRecord{State: state}, replaced, 0, time.Duration(rank)*c.cfg.TakeoverPause)
+	return c.write(ctx, now, PhaseWriteEvent{State: state}, replaced, 0, time.Duration(rank)*c.cfg.TakeoverPause)
 }
 
 // write sends a state to the store if that is due, and gives when it is if it is not.
-func (c *Controller) write(ctx context.Context, now time.Time, record PhaseRecord, replaced, order int64, pause time.Duration) time.Duration {
+func (c *Controller) write(ctx context.Context, now time.Time, record PhaseWriteEvent, replaced, order int64, pause time.Duration) time.Duration {
 	service := record.State.Service
 	if c.pacers[service] == nil {
 		c.pacers[service] = &writePacer{}
--- a/internal/rollout/rolloutcontrol/judging.go
+++ b/internal/rollout/rolloutcontrol/judging.go
@@ -10,14 +10,14 @@
 	"github.com/portgauge/portgauge/internal/rollout/verdict"
 )
 
-// Judging finds out whether the version on trial by one order is good.
-type Judging interface {
+// Evaluator finds out whether the version on trial by one order is good.
+type Evaluator interface {
 	// Update takes the counts of all nodes so far, added up by key, at a time since the order.
 	Update(elapsed time.Duration, rows []evidence.Row) verdict.Judgement
 }
 
-// JudgingFactory makes the judging of an order.
-type JudgingFactory func(serving, trial string, duration time.Duration) Judging
+// EvaluatorFactory makes the judging of an order.
+type EvaluatorFactory func(serving, trial string, duration time.Duration) Evaluator
 
 // VersionCounts are the attempts at a version, on all routes and leafs.
 type VersionCounts struct {
--- a/internal/rollout/rolloutcontrol/node_test.go
+++ b/internal/rollout/rolloutcontrol/node_test.go
@@ -123,9 +123,9 @@
 func (n *testNode) HandleDatagram(message peer.Message) {
 	switch {
 	case message.RolloutReports != nil:
-		n.controller.HeardReports(message.From, *message.RolloutReports)
+		n.controller.HandleReports(message.From, *message.RolloutReports)
 	case message.RolloutHold != nil:
-		n.controller.HeardHold(message.From, *message.RolloutHold)
+		n.controller.HandleHold(message.From, *message.RolloutHold)
 	}
 }
 
@@ -157,7 +157,7 @@
 	return status
 }
 
-func (n *testNode) OrderSeen(OrderRecord) {}
+func (n *testNode) OrderSeen(OrderEvent) {}
 func (n *testNode) PhaseLearned(state rollout.State) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -166,10 +166,10 @@
 	}
 }
 
-func (n *testNode) PhaseWritten(PhaseRecord)       {}
-func (n *testNode) Held(HoldRecord)                {}
-func (n *testNode) RowsDropped(DroppedRecord)      {}
-func (n *testNode) VersionsWritten(VersionsRecord) {}
+func (n *testNode) PhaseWritten(PhaseWriteEvent)       {}
+func (n *testNode) Held(HoldEvent)                     {}
+func (n *testNode) RowsDropped(RowsDroppedEvent)       {}
+func (n *testNode) VersionsWritten(VersionsWriteEvent) {}
 
 // awake waits until the node is not paused.
 func (n *testNode) awake() {
@@ -245,7 +245,7 @@
 	duration time.Duration
 }
 
-func newPlainJudging(_, trial string, duration time.Duration) Judging {
+func newPlainJudging(_, trial string, duration time.Duration) Evaluator {
 	return plainJudging{trial, duration}
 }
 
--- a/internal/rollout/rolloutcontrol/standing.go
+++ b/internal/rollout/rolloutcontrol/standing.go
@@ -10,8 +10,8 @@
 	"github.com/portgauge/portgauge/internal/rollout/evidence"
 )
 
-// Standing is a roll-out under way as a node sees it.
-type Standing struct {
+// Status is a roll-out under way as a node sees it.
+type Status struct {
 	Service string
 	// Phase is Canary also before the first state.
 	Phase   rollout.Phase
@@ -49,19 +49,19 @@
 }
 
 // standings are the roll-outs under way as they were found last; the zero value has none.
-type standings struct{ last atomic.Pointer[[]Standing] }
+type standings struct{ last atomic.Pointer[[]Status] }
 
 func (s *standings) set(trials map[string]*trial) {
-	found := make([]Standing, 0, len(trials))
+	found := make([]Status, 0, len(trials))
 	for service, t := range trials {
 		phase := cmp.Or(t.phase(), rollout.Canary)
-		found = append(found, Standing{Service: service, Phase: phase, Serving: t.serving, Target: t.order.Target, Counts: countRoutes(t.rows)})
+		found = append(found, Status{Service: service, Phase: phase, Serving: t.serving, Target: t.order.Target, Counts: countRoutes(t.rows)})
 	}
-	slices.SortFunc(found, func(a, b Standing) int { return strings.Compare(a.Service, b.Service) })
+	slices.SortFunc(found, func(a, b Status) int { return strings.Compare(a.Service, b.Service) })
 	s.last.Store(&found)
 }
 
-func (s *standings) get() []Standing {
+func (s *standings) get() []Status {
 	if last := s.last.Load(); last != nil {
 		return *last
 	}
--- a/internal/rollout/rolloutcontrol/states.go
+++ b/internal/rollout/rolloutcontrol/states.go
@@ -21,10 +21,10 @@
 	Write(ctx context.Context, state rollout.State, expected, order int64) (revision int64, err error)
 }
 
-// GuardedStates writes states to a store. A lost answer is settled by reading the state back: if it holds this
+// GuardedStateWriter writes states to a store. A lost answer is settled by reading the state back: if it holds this
 // write it was done, if it moved on without it the write lost a race, and if it is unmoved the same write, which
 // can take effect only once, is sent again.
-type GuardedStates struct {
+type GuardedStateWriter struct {
 	// Store reads states back.
 	Store store.Store
 	// Guarded writes them.
@@ -33,7 +33,7 @@
 	RetryPause time.Duration
 }
 
-var _ StateWriter = GuardedStates{}
+var _ StateWriter = GuardedStateWriter{}
 
 // guardedState is one write of a state.
 type guardedState struct {
@@ -50,7 +50,7 @@
 }
 
 // Write implements StateWriter.
-func (g GuardedStates) Write(ctx context.Context, state rollout.State, expected, order int64) (int64, error) {
+func (g GuardedStateWriter) Write(ctx context.Context, state rollout.State, expected, order int64) (int64, error) {
 	document, err := json.Marshal(state)
 	if err != nil {
 		return 0, failure.Wrap(err, failure.Internal, failure.NotRun, "encode the state of a roll-out")
@@ -64,7 +64,7 @@
 
 // apply sends a write until its outcome is known or the context ends. The first time it is sent without a look at
 // what it replaces, which is one call where all goes well.
-func (g GuardedStates) apply(ctx context.Context, write guardedState) (int64, error) {
+func (g GuardedStateWriter) apply(ctx context.Context, write guardedState) (int64, error) {
 	result, err := g.swap(ctx, write, nil)
 	for err != nil {
 		if !wait.For(ctx, g.RetryPause) {
@@ -92,7 +92,7 @@
 }
 
 // swap sends a write once.
-func (g GuardedStates) swap(ctx context.Context, write guardedState, replaced *catalog.Entry) (store.SwapResult, error) {
+func (g GuardedStateWriter) swap(ctx context.Context, write guardedState, replaced *catalog.Entry) (store.SwapResult, error) {
 	value, err := catalog.NewDocument(write.changeID, write.document, replaced)
 	if err != nil {
 		return store.SwapResult{}, err
--- a/internal/rollout/rolloutcontrol/states_test.go
+++ b/internal/rollout/rolloutcontrol/states_test.go
@@ -14,7 +14,7 @@
 )
 
 // writing runs a test of one node's writes to a store where an order stands.
-func writing(t *testing.T, run func(ctx context.Context, is *is.I, f *fleet, states GuardedStates, first rollout.State)) {
+func writing(t *testing.T, run func(ctx context.Context, is *is.I, f *fleet, states GuardedStateWriter, first rollout.State)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1)
 		defer f.stopAll()
@@ -22,13 +22,13 @@
 		time.Sleep(time.Second)
 		order := f.order("s", "b", usual)
 		view := storeView{f.store, f.node("n0")}
-		states := GuardedStates{Store: view, Guarded: view, RetryPause: f.cfg.RetryPause}
+		states := GuardedStateWriter{Store: view, Guarded: view, RetryPause: f.cfg.RetryPause}
 		run(t.Context(), is.New(t), f, states, rollout.State{Service: "s", OrderRevision: order, Phase: rollout.Canary, Target: "b", DecidedBy: "n0"})
 	})
 }
 
 func TestStateIsNotWrittenForAnOrderThatWasReplaced(t *testing.T) {
-	writing(t, func(ctx context.Context, is *is.I, f *fleet, states GuardedStates, first rollout.State) {
+	writing(t, func(ctx context.Context, is *is.I, f *fleet, states GuardedStateWriter, first rollout.State) {
 		f.order("s", "c", usual)
 		_, err := states.Write(ctx, first, 0, first.OrderRevision)
 		is.True(failure.Is(err, failure.RevisionConflict))
@@ -37,7 +37,7 @@
 }
 
 func TestStateThatMovedOnIsNotReplaced(t *testing.T) {
-	writing(t, func(ctx context.Context, is *is.I, f *fleet, states GuardedStates, first rollout.State) {
+	writing(t, func(ctx context.Context, is *is.I, f *fleet, states GuardedStateWriter, first rollout.State) {
 		revision, err := states.Write(ctx, first, 0, first.OrderRevision)
 		is.NoErr(err)
 		is.True(revision > first.OrderRevision)
@@ -51,7 +51,7 @@
 
 // What was written and then written over is known by its change among the earlier ones.
 func TestLostAnswerOfAWriteThatWasWrittenOver(t *testing.T) {
-	writing(t, func(ctx context.Context, is *is.I, f *fleet, states GuardedStates, first rollout.State) {
+	writing(t, func(ctx context.Context, is *is.I, f *fleet, states GuardedStateWriter, first rollout.State) {
 		f.store.fail(func(m *memoryStore) { m.loseDone = 1 })
 		time.AfterFunc(f.cfg.RetryPause/2, func() {
 			f.store.fail(func(m *memoryStore) {
@@ -69,7 +69,7 @@
 
 // The outcome of a write that was sent is unknown, not a failure, while the store says nothing of it.
 func TestOutcomeOfAWriteToAStoreThatIsDown(t *testing.T) {
-	writing(t, func(ctx context.Context, is *is.I, f *fleet, states GuardedStates, first rollout.State) {
+	writing(t, func(ctx context.Context, is *is.I, f *fleet, states GuardedStateWriter, first rollout.State) {
 		f.store.setDown(true)
 		short, cancel := context.WithTimeout(ctx, f.cfg.WriteTimeout)
 		defer cancel()
--- a/internal/rollout/rolloutcontrol/trial.go
+++ b/internal/rollout/rolloutcontrol/trial.go
@@ -35,7 +35,7 @@
 	serving        string
 	isServingKnown bool
 
-	judging   Judging
+	judging   Evaluator
 	judgement verdict.Judgement
 	rows      []evidence.Row
 	newest    time.Time // when the newest of the rows came
@@ -52,7 +52,7 @@
 // learn takes what is in force of the order's roll-out.
 func (t *trial) learn(now time.Time, view *catalog.View) {
 	known := view.Rollouts[t.order.Service]
-	if known.State != nil && known.State.Answers(&t.order) {
+	if known.State != nil && known.State.BelongsTo(&t.order) {
 		t.learnState(now, known.State)
 	} else {
 		t.state = nil
@@ -110,7 +110,7 @@
 func (t *trial) elapsed(now time.Time) time.Duration { return t.passed + now.Sub(t.learned) }
 
 // judge looks at the counts. A version once found bad stays so, one found good until it is found bad.
-func (t *trial) judge(now time.Time, factory JudgingFactory, rows []evidence.Row, newest time.Time) {
+func (t *trial) judge(now time.Time, factory EvaluatorFactory, rows []evidence.Row, newest time.Time) {
 	t.rows, t.newest = rows, newest
 	if t.judgement.Finding == verdict.Bad || !t.isServingKnown {
 		return
--- a/internal/rollout/rolloutcontrol/versions.go
+++ b/internal/rollout/rolloutcontrol/versions.go
@@ -60,7 +60,7 @@
 	if failure.Is(err, failure.RevisionConflict) {
 		return // another node was first
 	}
-	w.events.VersionsWritten(VersionsRecord{Services: len(w.wanted), Err: err})
+	w.events.VersionsWritten(VersionsWriteEvent{Services: len(w.wanted), Err: err})
 }
 
 // isDue reports whether what should be written down differs from what is for so long that this node writes it.
--- a/internal/rollout/verdict/finding.go
+++ b/internal/rollout/verdict/finding.go
@@ -58,7 +58,7 @@
 }
 
 // worst gives what speaks most against the version.
-func (t *Trial) worst() evidenceAgainst {
+func (t *Evaluator) worst() evidenceAgainst {
 	worst := evidenceAgainst{level: math.Inf(-1)}
 	worst = t.worstOf(worst, "", t.pooled)
 	for name, route := range t.routes {
@@ -67,7 +67,7 @@
 	return worst
 }
 
-func (t *Trial) worstOf(worst evidenceAgainst, route string, cusums []*cusum) evidenceAgainst {
+func (t *Evaluator) worstOf(worst evidenceAgainst, route string, cusums []*cusum) evidenceAgainst {
 	most := t.mostOfLeaf(t.last)
 	for i, s := range cusums {
 		level := s.level(most)
@@ -79,7 +79,7 @@
 }
 
 // find sets the finding. Bad stays, Good stays unless it turns into Bad.
-func (t *Trial) find(elapsed time.Duration, worst evidenceAgainst) {
+func (t *Evaluator) find(elapsed time.Duration, worst evidenceAgainst) {
 	switch {
 	case t.finding == Bad:
 	case worst.level >= t.threshold():
@@ -90,7 +90,7 @@
 }
 
 // isGood reports whether enough speaks for the version, at a time in the order.
-func (t *Trial) isGood(elapsed time.Duration, worst evidenceAgainst) bool {
+func (t *Evaluator) isGood(elapsed time.Duration, worst evidenceAgainst) bool {
 	part := float64(elapsed) / float64(t.duration)
 	if part < t.cfg.GoodFrom || elapsed-t.since < t.settle() || t.pooled[0].seen.all < float64(t.cfg.LeastAnswers) {
 		return false
@@ -100,7 +100,7 @@
 
 // isGoodByEnough reports whether on all routes together and on each with traffic the least bad version would have
 // shown: by the leafs without the worst, which may be unlucky.
-func (t *Trial) isGoodByEnough() bool {
+func (t *Evaluator) isGoodByEnough() bool {
 	if !t.haveEnough(t.pooled) {
 		return false
 	}
@@ -119,12 +119,12 @@
 }
 
 // isRare reports whether a route has hardly any of the answers, of either version.
-func (t *Trial) isRare(route *route) bool {
+func (t *Evaluator) isRare(route *route) bool {
 	return route.cusums[0].seen.all < rareRoute*t.pooled[0].seen.all && !t.hasTraffic(route)
 }
 
 // hasTraffic reports whether a route has more than hardly any of the serving version's answers.
-func (t *Trial) hasTraffic(route *route) bool {
+func (t *Evaluator) hasTraffic(route *route) bool {
 	whole := 0.0
 	for _, one := range t.routes {
 		whole += one.usual.all[0].all
@@ -134,7 +134,7 @@
 }
 
 // hasShown reports whether the version answered on each route with traffic.
-func (t *Trial) hasShown() bool {
+func (t *Evaluator) hasShown() bool {
 	for _, route := range t.routes {
 		if route.cusums[0].seen.all < float64(t.cfg.LeastAnswers) && t.hasTraffic(route) {
 			return false
@@ -143,7 +143,7 @@
 	return true
 }
 
-func (t *Trial) haveEnough(cusums []*cusum) bool {
+func (t *Evaluator) haveEnough(cusums []*cusum) bool {
 	for _, s := range cusums {
 		if s.clearedByOthers() > math.Log(t.cfg.Miss) || s.levelByOthers() > mostForGood {
 			return false
@@ -152,7 +152,7 @@
 	return true
 }
 
-func (t *Trial) haveNothingAgainst(cusums []*cusum) bool {
+func (t *Evaluator) haveNothingAgainst(cusums []*cusum) bool {
 	for _, s := range cusums {
 		if s.cleared(t.mostOfLeaf(t.last)) > 0 {
 			return false
@@ -163,14 +163,14 @@
 
 // isGoodByLittle reports whether there is something of each route with traffic, and all of it speaks for the version;
 // no leaf is excused.
-func (t *Trial) isGoodByLittle(worst evidenceAgainst) bool {
+func (t *Evaluator) isGoodByLittle(worst evidenceAgainst) bool {
 	return worst.level <= mostByLittle && t.hasShown() && t.haveNothingAgainst(t.all())
 }
 
 // settle is a tenth of a short order, since a judge must decide within it.
-func (t *Trial) settle() time.Duration { return min(t.cfg.Settle, t.duration/10) }
+func (t *Evaluator) settle() time.Duration { return min(t.cfg.Settle, t.duration/10) }
 
-func (t *Trial) judgement(worst evidenceAgainst) Judgement {
+func (t *Evaluator) judgement(worst evidenceAgainst) Judgement {
 	signal := Failed
 	if worst.signal > 0 {
 		signal = Late
@@ -184,7 +184,7 @@
 }
 
 // reason says the finding in a sentence.
-func (t *Trial) reason(j Judgement, worst evidenceAgainst) string {
+func (t *Evaluator) reason(j Judgement, worst evidenceAgainst) string {
 	route := "all routes"
 	if worst.route != "" {
 		route = "route " + worst.route
--- a/internal/rollout/verdict/helpers_test.go
+++ b/internal/rollout/verdict/helpers_test.go
@@ -58,10 +58,10 @@
 	return rows
 }
 
-func newTrial() *verdict.Trial { return verdict.New(verdict.DefaultConfig(), "v1", "v2", order) }
+func newTrial() *verdict.Evaluator { return verdict.New(verdict.DefaultConfig(), "v1", "v2", order) }
 
 // play updates a trial from one time to another, each half second with what grow adds to the counts.
-func play(t *verdict.Trial, c counts, from, to time.Duration, grow func()) verdict.Judgement {
+func play(t *verdict.Evaluator, c counts, from, to time.Duration, grow func()) verdict.Judgement {
 	var j verdict.Judgement
 	for at := from; at <= to; at += 500 * time.Millisecond {
 		grow()
--- a/internal/rollout/verdict/rows.go
+++ b/internal/rollout/verdict/rows.go
@@ -8,7 +8,7 @@
 
 // takePicture counts the versions' figures, and notes since when the rows are a whole picture: one with fewer
 // attempts than before is of a judge that still hears the reports.
-func (t *Trial) takePicture(elapsed time.Duration, rows []evidence.Row) {
+func (t *Evaluator) takePicture(elapsed time.Duration, rows []evidence.Row) {
 	attempts := int64(0)
 	for _, row := range rows {
 		attempts += row.Attempts()
@@ -20,7 +20,7 @@
 }
 
 // setLimits derives from the serving version's median of each route from when its answers are late.
-func (t *Trial) setLimits(rows []evidence.Row) {
+func (t *Evaluator) setLimits(rows []evidence.Row) {
 	medians := map[string]*evidence.Tally{}
 	for _, row := range rows {
 		if row.Version == t.serving && t.route(row.Route) != nil {
@@ -46,7 +46,7 @@
 }
 
 // route gives what is known of a route; nil for those beyond mostRoutes.
-func (t *Trial) route(name string) *route {
+func (t *Evaluator) route(name string) *route {
 	known := t.routes[name]
 	if known == nil && len(t.routes) < mostRoutes {
 		known = &route{usual: newUsual(1 + len(t.cfg.SlowFactors)), cusums: t.cfg.cusums()}
@@ -56,7 +56,7 @@
 }
 
 // freshOf gives what the rows have more than before.
-func (t *Trial) freshOf(elapsed time.Duration, rows []evidence.Row) []fresh {
+func (t *Evaluator) freshOf(elapsed time.Duration, rows []evidence.Row) []fresh {
 	var of []fresh
 	for _, row := range rows {
 		route := t.route(row.Route)
@@ -84,7 +84,7 @@
 // limitsOf gives the limits of a row's route; wider ones for a version on trial whose leafs may be cold, and where the
 // serving version gets too little to compare with at the same time. A leaf that starts later than the others is one
 // leaf only.
-func (t *Trial) limitsOf(key evidence.Key, route *route, elapsed time.Duration) []time.Duration {
+func (t *Evaluator) limitsOf(key evidence.Key, route *route, elapsed time.Duration) []time.Duration {
 	if key.Version != t.trial || len(route.limits) == 0 {
 		return route.limits
 	}
@@ -103,7 +103,7 @@
 }
 
 // count adds a row's growth to the figures of its version.
-func (t *Trial) count(row evidence.Row, before *followed, route *route) {
+func (t *Evaluator) count(row evidence.Row, before *followed, route *route) {
 	of := &t.figures[0]
 	if row.Version == t.trial {
 		of = &t.figures[1]
--- a/internal/rollout/verdict/verdict.go
+++ b/internal/rollout/verdict/verdict.go
@@ -23,8 +23,8 @@
 	Bad       Finding = "bad"
 )
 
-// Figures are the counts of one version.
-type Figures struct {
+// Totals are the counts of one version.
+type Totals struct {
 	Attempts int64
 	Failures int64
 	// Slow are the answers later than the middle one of the limits.
@@ -36,8 +36,8 @@
 	Finding Finding
 	// Reason says it in a sentence with the figures.
 	Reason  string
-	Serving Figures
-	Trial   Figures
+	Serving Totals
+	Trial   Totals
 	// Route is the route that speaks most against the version, empty for all routes together.
 	Route string
 	// Signal is what speaks most against it there.
@@ -47,8 +47,8 @@
 	Confidence float64
 }
 
-// Trial is the trial of one order; not safe for concurrent use.
-type Trial struct {
+// Evaluator is the trial of one order; not safe for concurrent use.
+type Evaluator struct {
 	cfg            Config
 	serving, trial string
 	duration       time.Duration
@@ -64,7 +64,7 @@
 	since    time.Duration
 	attempts int64
 	begun    bool
-	figures  [2]Figures
+	figures  [2]Totals
 	// weighed is the attempts of the version on trial until the update before.
 	weighed int64
 }
@@ -78,8 +78,8 @@
 }
 
 // New begins the trial of a version beside the serving one, for an order of a duration.
-func New(cfg Config, serving, trial string, duration time.Duration) *Trial {
-	return &Trial{
+func New(cfg Config, serving, trial string, duration time.Duration) *Evaluator {
+	return &Evaluator{
 		cfg: cfg, serving: serving, trial: trial, duration: duration, finding: Undecided,
 		rows: map[evidence.Key]*followed{}, routes: map[string]*route{}, pooled: cfg.cusums(), leafs: map[string]bool{},
 	}
@@ -107,7 +107,7 @@
 }
 
 // Update judges by the counts of the whole fleet so far, with one row for each key, at a time since the order.
-func (t *Trial) Update(elapsed time.Duration, rows []evidence.Row) Judgement {
+func (t *Evaluator) Update(elapsed time.Duration, rows []evidence.Row) Judgement {
 	t.weighed = t.figures[1].Attempts
 	t.takePicture(elapsed, rows)
 	t.setLimits(rows)
@@ -123,7 +123,7 @@
 }
 
 // weigh takes what the serving version did first, so that the version on trial is compared with the same time.
-func (t *Trial) weigh(of []fresh, elapsed time.Duration) {
+func (t *Evaluator) weigh(of []fresh, elapsed time.Duration) {
 	t.observeServing(of)
 	for _, f := range of {
 		if f.key.Version == t.trial {
@@ -135,7 +135,7 @@
 	}
 }
 
-func (t *Trial) observeServing(of []fresh) {
+func (t *Evaluator) observeServing(of []fresh) {
 	for _, f := range of {
 		if f.key.Version == t.serving {
 			t.routes[f.key.Route].usual.observe(f)
@@ -151,7 +151,7 @@
 	}
 }
 
-func (t *Trial) weighTrial(f fresh) {
+func (t *Evaluator) weighTrial(f fresh) {
 	route := t.routes[f.key.Route]
 	for i, signal := range f.signals {
 		share := route.usual.share(i, f.key.Zone)
@@ -168,7 +168,7 @@
 }
 
 // all gives the cusums of all routes.
-func (t *Trial) all() []*cusum {
+func (t *Evaluator) all() []*cusum {
 	all := append([]*cusum(nil), t.pooled...)
 	for _, route := range t.routes {
 		all = append(all, route.cusums...)
@@ -178,12 +178,12 @@
 
 // threshold is the level from which a version is bad. It grows with the answers, since a sum that starts anew
 // has more chances to exceed it by accident; those of this update don't raise it, so that a bad one never excuses.
-func (t *Trial) threshold() float64 {
+func (t *Evaluator) threshold() float64 {
 	return t.firstThreshold() + math.Log1p(float64(t.weighed)/answersOfFalseAlarm)
 }
 
 // firstThreshold is the threshold of the first answers.
-func (t *Trial) firstThreshold() float64 {
+func (t *Evaluator) firstThreshold() float64 {
 	if t.finding == Good {
 		return -math.Log(t.cfg.FalseAlarmMoving)
 	}
@@ -192,7 +192,7 @@
 
 // mostOfLeaf is the most that a leaf may give. A leaf that is the only one known of its version by the middle of the
 // order is the version. Of several, the others' part of the threshold grows with the answers as it does.
-func (t *Trial) mostOfLeaf(elapsed time.Duration) float64 {
+func (t *Evaluator) mostOfLeaf(elapsed time.Duration) float64 {
 	switch {
 	case len(t.leafs) == 1 && elapsed > t.duration/2:
 		return math.MaxFloat64
