--- a/internal/rollout/verdict/verdicttest/measure.go
+++ b/internal/rollout/verdict/verdicttest/measure.go
@@ -33,7 +33,7 @@
 }
 
 // trial is a Judge that reports only the finding.
-type trial struct{ *verdict.Trial }
+type trial struct{ *verdict.Evaluator }
 
 func newTrial(of Case) Judge {
 	return trial{verdict.New(verdict.DefaultConfig(), Serving, OnTrial, of.withDefaults().Duration)}
@@ -41,7 +41,7 @@
 
 // Update implements Judge.
 func (t trial) Update(elapsed time.Duration, rows []evidence.Row) verdict.Finding {
-	return t.Trial.Update(elapsed, rows).Finding
+	return t.Evaluator.Update(elapsed, rows).Finding
 }
 
 func (m *Measure) sort() {
