--- a/internal/config/catalog/draft.go
+++ b/internal/config/catalog/draft.go
@@ -160,7 +160,7 @@
 	}
 	record, err := leafRecord(name, entry)
 	if err != nil {
-		leafs.Disown(name)
+		leafs.Exclude(name)
 		return err
 	}
 	known, found := d.before.ByName(name)
--- a/internal/config/catalog/restored.go
+++ b/internal/config/catalog/restored.go
@@ -247,5 +247,5 @@
 		return false
 	}
 	later, err := parsed(known, leafset.Parse)
-	return err == nil && record.IsOfEarlierLife(later)
+	return err == nil && record.IsOfEarlierIncarnation(later)
 }
--- a/internal/leaf/balancer/balancer.go
+++ b/internal/leaf/balancer/balancer.go
@@ -25,7 +25,7 @@
 	// onObserved is told of what other nodes should know of a leaf.
 	onObserved func(Observation)
 	// onBelief is told of changes of what this node believes of a leaf.
-	onBelief func(Belief)
+	onBelief func(Assessment)
 
 	mu      sync.RWMutex
 	leafs   map[string]*Leaf
@@ -64,9 +64,9 @@
 	return leaf
 }
 
-// Queueing gives how many times its usual time one more attempt takes at the least busy of some
+// QueueingFactor gives how many times its usual time one more attempt takes at the least busy of some
 // replicas, because others wait there; 0 when none of them can be asked.
-func (b *Balancer) Queueing(candidates []Candidate) float64 {
+func (b *Balancer) QueueingFactor(candidates []Candidate) float64 {
 	now := b.now()
 	least := 0.0
 	for _, candidate := range candidates {
@@ -114,8 +114,8 @@
 	}
 }
 
-// Report takes the load that a leaf's reply carried.
-func (b *Balancer) Report(leaf *Leaf, load Load) {
+// ReportLoad takes the load that a leaf's reply carried.
+func (b *Balancer) ReportLoad(leaf *Leaf, load Load) {
 	leaf.report(b.config, load, b.now())
 	if load.Draining {
 		b.tellDraining(leaf)
--- a/internal/leaf/balancer/balancer_test.go
+++ b/internal/leaf/balancer/balancer_test.go
@@ -41,7 +41,7 @@
 				}
 				return 2 * time.Millisecond
 			})
-			b.Report(b.leaf(id, "z", time.Now()), Load{Slots: 10})
+			b.ReportLoad(b.leaf(id, "z", time.Now()), Load{Slots: 10})
 			counts[id]++
 		}
 		is.True(counts["b"] < 60)
@@ -143,20 +143,20 @@
 		b.Finish(stalled, Succeeded, 10*time.Millisecond, 0)
 		b.Start(stalled)
 		time.Sleep(29 * time.Millisecond)
-		is.True(!b.Choose(three()[:1], nil).Troubled)
+		is.True(!b.Choose(three()[:1], nil).Unhealthy)
 		time.Sleep(31 * time.Millisecond)
 		for range 100 {
 			is.True(b.Choose(three(), nil).Leaf.ID != "a")
 		}
-		is.True(b.Choose(three()[:1], nil).Troubled) // for want of another
+		is.True(b.Choose(three()[:1], nil).Unhealthy) // for want of another
 		b.Finish(stalled, Abandoned, 60*time.Millisecond, 0)
-		is.True(b.Choose(three()[:1], nil).Troubled) // giving up is no answer
+		is.True(b.Choose(three()[:1], nil).Unhealthy) // giving up is no answer
 		time.Sleep(2 * minimumStallPause)
-		is.True(!b.Choose(three()[:1], nil).Troubled) // it may be tried
+		is.True(!b.Choose(three()[:1], nil).Unhealthy) // it may be tried
 		b.Start(stalled)
-		is.True(b.Choose(three()[:1], nil).Troubled) // by one attempt at a time
+		is.True(b.Choose(three()[:1], nil).Unhealthy) // by one attempt at a time
 		b.Finish(stalled, Succeeded, time.Millisecond, 0)
-		is.True(!b.Choose(three()[:1], nil).Troubled)
+		is.True(!b.Choose(three()[:1], nil).Unhealthy)
 	})
 }
 
@@ -170,7 +170,7 @@
 		const typical = 10 * time.Millisecond
 		for id, took := range map[string]time.Duration{"a": typical, "b": 5 * typical} {
 			leaf := b.leaf(id, "z", time.Now())
-			b.Report(leaf, Load{Slots: 2})
+			b.ReportLoad(leaf, Load{Slots: 2})
 			for range slownessSamples {
 				b.Start(leaf)
 				b.Finish(leaf, Succeeded, took, typical)
@@ -178,11 +178,11 @@
 		}
 		choice := b.Choose(pair, nil)
 		is.Equal(choice.Leaf.ID, "a")
-		is.Equal(choice.Expected, 1.0)
-		b.Report(b.leaf("a", "z", time.Now()), Load{InFlight: 14, Slots: 2})
+		is.Equal(choice.ExpectedSlowdown, 1.0)
+		b.ReportLoad(b.leaf("a", "z", time.Now()), Load{InFlight: 14, Slots: 2})
 		choice = b.Choose(pair, nil)
 		is.Equal(choice.Leaf.ID, "b")
-		is.Equal(choice.Expected, 5.0)
+		is.Equal(choice.ExpectedSlowdown, 5.0)
 		time.Sleep(9 * slownessHalfLife) // what is known of b fades, so that it is looked at again
 		seen := false
 		for range 100 {
@@ -216,5 +216,5 @@
 	}
 	choice := b.Choose(candidates, []string{"c"})
 	is.True(choice.Leaf != nil)
-	is.True(choice.Troubled)
+	is.True(choice.Unhealthy)
 }
--- a/internal/leaf/balancer/choose.go
+++ b/internal/leaf/balancer/choose.go
@@ -27,31 +27,31 @@
 	Leaving bool
 	// LastResort says that the leaf is for attempts that no other can take.
 	LastResort bool
-	// Spare says that this node has no part of the leaf's connections, and would have to open
+	// Unallotted says that this node has no part of the leaf's connections, and would have to open
 	// one for the attempt.
-	Spare bool
+	Unallotted bool
 }
 
 // Choice is the outcome of Choose.
 type Choice struct {
 	Leaf *Leaf
 	// Reason says why there is no leaf to ask.
-	Reason NoChoice
-	// Troubled says that the leaf is ejected or stalled, and was chosen for want of another.
-	Troubled bool
-	// Expected is how many times the usual the attempt is expected to take; 0 when unknown.
-	Expected float64
+	Reason NoChoiceReason
+	// Unhealthy says that the leaf is ejected or stalled, and was chosen for want of another.
+	Unhealthy bool
+	// ExpectedSlowdown is how many times the usual the attempt is expected to take; 0 when unknown.
+	ExpectedSlowdown float64
 }
 
-// NoChoice says why no replica can be asked.
-type NoChoice string
+// NoChoiceReason says why no replica can be asked.
+type NoChoiceReason string
 
 // The reasons for having no replica to ask.
 const (
 	// NoReplica means that every replica has been tried or is leaving.
-	NoReplica NoChoice = "NO_REPLICA"
+	NoReplica NoChoiceReason = "NO_REPLICA"
 	// ReplicasFull means that every usable replica is at its in-flight limit.
-	ReplicasFull NoChoice = "REPLICAS_FULL"
+	ReplicasFull NoChoiceReason = "REPLICAS_FULL"
 )
 
 // usualReplicas is how many replicas of a shard are compared without allocating memory.
@@ -74,9 +74,9 @@
 		case state.full:
 			full = true
 		case state.ejected, state.stalled, candidate.LastResort:
-			ejected = append(ejected, scored{leaf, state, candidate.Spare})
+			ejected = append(ejected, scored{leaf, state, candidate.Unallotted})
 		default:
-			usable = append(usable, scored{leaf, state, candidate.Spare})
+			usable = append(usable, scored{leaf, state, candidate.Unallotted})
 		}
 	}
 	troubled := len(usable) == 0
@@ -87,7 +87,7 @@
 		return Choice{Reason: noChoice(full)}
 	}
 	if b.config.Method == Random {
-		return Choice{Leaf: usable[rand.IntN(len(usable))].leaf, Troubled: troubled}
+		return Choice{Leaf: usable[rand.IntN(len(usable))].leaf, Unhealthy: troubled}
 	}
 	usable = dropCold(usable)
 	if isCompared(usable) {
@@ -95,10 +95,10 @@
 	}
 	fastest := fastestLatency(usable)
 	usable = b.dropSlow(usable, fastest)
-	return Choice{Leaf: b.betterOfTwo(usable, fastest), Troubled: troubled}
+	return Choice{Leaf: b.betterOfTwo(usable, fastest), Unhealthy: troubled}
 }
 
-func noChoice(full bool) NoChoice {
+func noChoice(full bool) NoChoiceReason {
 	if full {
 		return ReplicasFull
 	}
@@ -162,7 +162,7 @@
 		}
 		if score < least {
 			least = score
-			best = Choice{Leaf: candidate.leaf, Troubled: troubled, Expected: expected}
+			best = Choice{Leaf: candidate.leaf, Unhealthy: troubled, ExpectedSlowdown: expected}
 		}
 	}
 	return best
--- a/internal/leaf/balancer/leaf.go
+++ b/internal/leaf/balancer/leaf.go
@@ -107,7 +107,7 @@
 	// news is what other nodes should know; nil when they need not.
 	news *Observation
 	// belief is the belief that it changed; nil when it changed none.
-	belief *Belief
+	belief *Assessment
 }
 
 // finish counts an attempt out and learns from its outcome.
--- a/internal/leaf/balancer/observation.go
+++ b/internal/leaf/balancer/observation.go
@@ -27,29 +27,29 @@
 
 // The conditions that are told of.
 const (
-	Slow   Condition = "slow"
-	Well   Condition = "well"
-	Silent Condition = "silent"
+	Slow    Condition = "slow"
+	Healthy Condition = "well"
+	Silent  Condition = "silent"
 )
 
-// Belief is a change of what this node believes of a leaf.
-type Belief struct {
+// Assessment is a change of what this node believes of a leaf.
+type Assessment struct {
 	LeafID    string
 	Condition Condition
 	// Slowness is how many times the usual the leaf takes; Silence, for how long it owes an
 	// answer.
 	Slowness float64
 	Silence  time.Duration
-	// Told says that another node's word changed it, not an attempt of this one.
-	Told bool
+	// FromPeer says that another node's word changed it, not an attempt of this one.
+	FromPeer bool
 }
 
-// OnBelief sets who is told, without the balancer's locks held, of changed beliefs. It must be set
+// OnAssessment sets who is told, without the balancer's locks held, of changed beliefs. It must be set
 // before the balancer is used.
-func (b *Balancer) OnBelief(tell func(Belief)) { b.onBelief = tell }
+func (b *Balancer) OnAssessment(tell func(Assessment)) { b.onBelief = tell }
 
 // believe tells of a changed belief; nil is none.
-func (b *Balancer) believe(changed *Belief) {
+func (b *Balancer) believe(changed *Assessment) {
 	if changed != nil && b.onBelief != nil {
 		b.onBelief(*changed)
 	}
@@ -57,13 +57,13 @@
 
 // judged gives the belief that the newest sample changed; nil when it changed none. A leaf between
 // slow and well stays what it was, so that one on the edge is not told of over and over.
-func (l *Leaf) judged(told bool) *Belief {
+func (l *Leaf) judged(told bool) *Assessment {
 	isSlow := l.slowness.middle >= slowNews || l.isSlow && l.slowness.middle > wellNews
 	if isSlow == l.isSlow {
 		return nil
 	}
 	l.isSlow = isSlow
-	changed := &Belief{LeafID: l.ID, Condition: Well, Slowness: l.slowness.middle, Told: told}
+	changed := &Assessment{LeafID: l.ID, Condition: Healthy, Slowness: l.slowness.middle, FromPeer: told}
 	if isSlow {
 		changed.Condition = Slow
 	}
@@ -86,8 +86,8 @@
 	b.onObserved(*news)
 }
 
-// Late tells that an attempt at a leaf is late: others should know if the leaf is silent.
-func (b *Balancer) Late(leafID string) {
+// AttemptLate tells that an attempt at a leaf is late: others should know if the leaf is silent.
+func (b *Balancer) AttemptLate(leafID string) {
 	b.mu.RLock()
 	leaf, found := b.leafs[leafID]
 	b.mu.RUnlock()
@@ -96,8 +96,8 @@
 	}
 }
 
-// Hear takes what another node saw.
-func (b *Balancer) Hear(seen Observation) {
+// HandleObservation takes what another node saw.
+func (b *Balancer) HandleObservation(seen Observation) {
 	b.mu.RLock()
 	leaf, found := b.keys[seen.Leaf]
 	b.mu.RUnlock()
@@ -119,7 +119,7 @@
 }
 
 // hear takes what another node saw. An answer that this node got meanwhile outweighs a silence.
-func (l *Leaf) hear(seen Observation, now time.Time) *Belief {
+func (l *Leaf) hear(seen Observation, now time.Time) *Assessment {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if seen.Silence > 0 {
@@ -143,7 +143,7 @@
 // for. All that many nodes saw in one pause of the leaf is one thing, not many.
 const toldSpacing = 300 * time.Millisecond
 
-func (l *Leaf) hearSilence(silence time.Duration, now time.Time) *Belief {
+func (l *Leaf) hearSilence(silence time.Duration, now time.Time) *Assessment {
 	if now.Sub(l.answeredAt) <= silence {
 		return nil
 	}
@@ -152,5 +152,5 @@
 	if !isNews {
 		return nil
 	}
-	return &Belief{LeafID: l.ID, Condition: Silent, Silence: silence, Told: true}
+	return &Assessment{LeafID: l.ID, Condition: Silent, Silence: silence, FromPeer: true}
 }
--- a/internal/leaf/balancer/observation_test.go
+++ b/internal/leaf/balancer/observation_test.go
@@ -44,8 +44,8 @@
 		is := is.New(t)
 		here := New(DefaultConfig(), "z")
 		var believed []Condition
-		here.OnBelief(func(changed Belief) {
-			is.True(changed.Told)
+		here.OnAssessment(func(changed Assessment) {
+			is.True(changed.FromPeer)
 			is.Equal(changed.LeafID, "b")
 			believed = append(believed, changed.Condition)
 		})
@@ -53,7 +53,7 @@
 		time.Sleep(recentSpan + time.Second)
 		for range leastRecent {
 			there := New(DefaultConfig(), "z")
-			there.OnObserved(here.Hear)
+			there.OnObserved(here.HandleObservation)
 			seesSlow(there, "b")
 			time.Sleep(toldSpacing)
 		}
@@ -61,7 +61,7 @@
 		is.Equal(believed, []Condition{Slow})
 		time.Sleep(recentSpan + time.Second)
 		there := New(DefaultConfig(), "z")
-		there.OnObserved(here.Hear)
+		there.OnObserved(here.HandleObservation)
 		for range leastRecent {
 			seesSlow(there, "b") // and is itself told of
 			time.Sleep(toldSpacing)
@@ -83,19 +83,19 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		here, there := New(DefaultConfig(), "z"), New(DefaultConfig(), "z")
-		there.OnObserved(here.Hear)
+		there.OnObserved(here.HandleObservation)
 		knows(here)
 		time.Sleep(time.Second)
 		silent := there.leaf("b", "z", time.Now())
 		there.Start(silent)
-		there.Late("b")
+		there.AttemptLate("b")
 		is.True(shares(here)["b"] > 0) // not late for long enough
 		time.Sleep(unknownStall + time.Millisecond)
-		there.Late("b")
+		there.AttemptLate("b")
 		is.Equal(shares(here)["b"], 0)
 		time.Sleep(maximumStallPause)
 		is.True(shares(here)["b"] > 0) // somebody has to look
-		there.Late("b")
+		there.AttemptLate("b")
 		is.Equal(shares(here)["b"], 0)
 		there.Finish(silent, Succeeded, time.Second, 0) // it answered there
 		is.True(shares(here)["b"] > 0)
@@ -106,7 +106,7 @@
 		own := here.leaf("b", "z", time.Now())
 		here.Start(own)
 		here.Finish(own, Succeeded, typicalWork, typicalWork)
-		there.Late("b")
+		there.AttemptLate("b")
 		is.True(shares(here)["b"] > 0) // it answered here a moment ago
 	})
 }
@@ -117,7 +117,7 @@
 	b := New(DefaultConfig(), "z")
 	b.OnObserved(func(Observation) { t.Error("told of a usual answer") })
 	knows(b)
-	b.Hear(Observation{Leaf: KeyOf("unknown"), Slowness: 9}) // of a leaf that there isn't
+	b.HandleObservation(Observation{Leaf: KeyOf("unknown"), Slowness: 9}) // of a leaf that there isn't
 	is.Equal(len(b.leafs), 3)
 }
 
@@ -126,12 +126,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		here := New(DefaultConfig(), "z")
-		here.OnBelief(func(changed Belief) { t.Errorf("believes %v", changed) })
+		here.OnAssessment(func(changed Assessment) { t.Errorf("believes %v", changed) })
 		knows(here)
 		time.Sleep(recentSpan + time.Second)
 		for range 8 {
 			there := New(DefaultConfig(), "z")
-			there.OnObserved(here.Hear)
+			there.OnObserved(here.HandleObservation)
 			seesSlow(there, "b")
 			time.Sleep(toldSpacing / 10)
 		}
--- a/internal/leaf/connshare/connshare.go
+++ b/internal/leaf/connshare/connshare.go
@@ -21,7 +21,6 @@
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
-	"github.com/portgauge/portgauge/internal/leaf/sameslice"
 )
 
 // Config tunes the parts.
@@ -34,13 +33,13 @@
 	StartSpan time.Duration `yaml:"start_span"`
 	// Unlimited is a node's limit at one leaf where operators set none.
 	Unlimited int `yaml:"unlimited"`
-	// Spare is how many connections to a leaf a node may try beyond its part.
-	Spare int `yaml:"spare"`
+	// ExtraConnections is how many connections to a leaf a node may try beyond its part.
+	ExtraConnections int `yaml:"spare"`
 }
 
 // DefaultConfig leaves half for the connections of dead processes.
 func DefaultConfig() Config {
-	return Config{Share: 0.9, ShareAfterStart: 0.45, StartSpan: 10 * time.Second, Unlimited: 16, Spare: 1}
+	return Config{Share: 0.9, ShareAfterStart: 0.45, StartSpan: 10 * time.Second, Unlimited: 16, ExtraConnections: 1}
 }
 
 // Validate names every field at fault.
@@ -50,7 +49,7 @@
 	checks.Refuse(c.ShareAfterStart <= 0 || c.ShareAfterStart > c.Share, "share_after_start", "must be above 0 and at most share")
 	checks.Refuse(c.StartSpan < 0, "start_span", "must not be negative")
 	checks.Refuse(c.Unlimited < 1, "unlimited", "must be at least 1")
-	checks.Refuse(c.Spare < 0, "spare", "must not be negative")
+	checks.Refuse(c.ExtraConnections < 0, "spare", "must not be negative")
 	return checks.Err()
 }
 
@@ -62,8 +61,8 @@
 	Gatherers() []catalog.NodeRecord
 }
 
-// Dealer gives one node its part; safe for concurrent use.
-type Dealer struct {
+// Allocator gives one node its part; safe for concurrent use.
+type Allocator struct {
 	config  Config
 	fleet   Fleet
 	self    catalog.NodeRecord
@@ -88,30 +87,30 @@
 	leafs []*leafset.Leaf
 	limit int
 	isNew bool
-	dealt []Dealt
+	dealt []Allotment
 }
 
 // New makes the dealer of a node that starts now.
-func New(config Config, fleet Fleet, self catalog.NodeRecord) *Dealer {
-	return &Dealer{config: config, fleet: fleet, self: self, now: time.Now, started: time.Now(), dealt: map[dealtService]deal{}}
+func New(config Config, fleet Fleet, self catalog.NodeRecord) *Allocator {
+	return &Allocator{config: config, fleet: fleet, self: self, now: time.Now, started: time.Now(), dealt: map[dealtService]deal{}}
 }
 
-// Dealt is a leaf with this node's part of its connections.
-type Dealt struct {
+// Allotment is a leaf with this node's part of its connections.
+type Allotment struct {
 	Leaf *leafset.Leaf
 	// Connections is the node's own part, 0 for leafs that others were dealt.
 	Connections int
-	// Spare is how many more may be tried while the leaf takes them: parts that others leave
+	// ExtraConnections is how many more may be tried while the leaf takes them: parts that others leave
 	// unused, and what no part covers.
-	Spare int
+	ExtraConnections int
 	// LastResort says that the leaf is only for requests that its own leafs refuse.
 	LastResort bool
 }
 
-// Deal gives the leafs of a service with this node's parts. The limit is the leaf's own, 0
+// Allot gives the leafs of a service with this node's parts. The limit is the leaf's own, 0
 // meaning none. Leafs of gathered services are shared by the nodes that gather; another node has no
 // part of them, only spare connections. The slice is shared: callers must not change it.
-func (d *Dealer) Deal(name string, gathered bool, leafs []*leafset.Leaf, limit int) []Dealt {
+func (d *Allocator) Allot(name string, gathered bool, leafs []*leafset.Leaf, limit int) []Allotment {
 	if len(leafs) == 0 {
 		return nil
 	}
@@ -138,13 +137,13 @@
 
 // equals reports whether two deals are by the same nodes and leafs, told by their shared slices.
 func (d deal) equals(other deal) bool {
-	return sameslice.Is(d.nodes, other.nodes) && sameslice.Is(d.leafs, other.leafs) && d.limit == other.limit && d.isNew == other.isNew
+	return leafset.SameSlice(d.nodes, other.nodes) && leafset.SameSlice(d.leafs, other.leafs) && d.limit == other.limit && d.isNew == other.isNew
 }
 
-func (d *Dealer) deal(service string, by deal) []Dealt {
-	dealt := make([]Dealt, len(by.leafs))
+func (d *Allocator) deal(service string, by deal) []Allotment {
+	dealt := make([]Allotment, len(by.leafs))
 	for index, leaf := range by.leafs {
-		dealt[index] = Dealt{Leaf: leaf, Connections: d.config.Unlimited}
+		dealt[index] = Allotment{Leaf: leaf, Connections: d.config.Unlimited}
 	}
 	if by.limit <= 0 {
 		return dealt
@@ -154,12 +153,12 @@
 	if each >= 1 && !isLeftOut {
 		for index := range dealt {
 			dealt[index].Connections = min(int(each), d.config.Unlimited)
-			dealt[index].Spare = d.spare(by.isNew)
+			dealt[index].ExtraConnections = d.spare(by.isNew)
 		}
 		return dealt
 	}
 	for index := range dealt {
-		dealt[index].Connections, dealt[index].Spare = 0, d.config.Spare
+		dealt[index].Connections, dealt[index].ExtraConnections = 0, d.config.ExtraConnections
 		dealt[index].LastResort = by.isNew
 	}
 	if isLeftOut {
@@ -167,31 +166,31 @@
 	}
 	for _, index := range d.own(service, by, each) {
 		own := &dealt[index]
-		own.Connections, own.Spare, own.LastResort = 1, d.spare(by.isNew), false
+		own.Connections, own.ExtraConnections, own.LastResort = 1, d.spare(by.isNew), false
 	}
 	return dealt
 }
 
 // spare gives how many connections to an own leaf may be tried beyond the part: none for a new
 // node, since what looks unused may be counted for a dead process.
-func (d *Dealer) spare(isNew bool) int {
+func (d *Allocator) spare(isNew bool) int {
 	if isNew {
 		return 0
 	}
-	return d.config.Spare
+	return d.config.ExtraConnections
 }
 
 // isNew reports whether the node started a short while ago.
-func (d *Dealer) isNew() bool { return d.now().Sub(d.started) < d.config.StartSpan }
+func (d *Allocator) isNew() bool { return d.now().Sub(d.started) < d.config.StartSpan }
 
 // isLeftOut reports whether the node is known, and not one of those that share some leafs.
-func (d *Dealer) isLeftOut(nodes []catalog.NodeRecord) bool {
+func (d *Allocator) isLeftOut(nodes []catalog.NodeRecord) bool {
 	isSelf := func(node catalog.NodeRecord) bool { return node.ID == d.self.ID }
 	return !slices.ContainsFunc(nodes, isSelf) && slices.ContainsFunc(d.fleet.Nodes(), isSelf)
 }
 
 // share gives the part of a leaf's limit that all nodes together use.
-func (d *Dealer) share(isNew bool) float64 {
+func (d *Allocator) share(isNew bool) float64 {
 	if isNew {
 		return d.config.ShareAfterStart
 	}
@@ -199,7 +198,7 @@
 }
 
 // each gives a node's part of a leaf's limit, which may be less than one connection.
-func (d *Dealer) each(nodes, limit int, isNew bool) float64 {
+func (d *Allocator) each(nodes, limit int, isNew bool) float64 {
 	nodes = max(1, nodes)
 	each := d.share(isNew) * float64(limit) / float64(nodes)
 	if nodes < limit && !isNew {
@@ -211,7 +210,7 @@
 
 // own gives the indices of the leafs that the node has one connection to, where there is less than
 // one for each node.
-func (d *Dealer) own(service string, by deal, each float64) []int {
+func (d *Allocator) own(service string, by deal, each float64) []int {
 	count := min(max(1, int(each*float64(len(by.leafs)))), len(by.leafs))
 	capacity := int(d.share(by.isNew) * float64(by.limit))
 	turn := xxhash.Sum64String(service)
@@ -224,7 +223,7 @@
 
 // zones gives the number of nodes of each zone, and this node's place among those of its own. A
 // node that others don't know of yet counts itself in.
-func (d *Dealer) zones(nodes []catalog.NodeRecord) (zones map[string]int, rank int) {
+func (d *Allocator) zones(nodes []catalog.NodeRecord) (zones map[string]int, rank int) {
 	zones = map[string]int{}
 	isKnown := false
 	for _, node := range nodes {
--- a/internal/leaf/connshare/connshare_test.go
+++ b/internal/leaf/connshare/connshare_test.go
@@ -11,7 +11,6 @@
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
-	"github.com/portgauge/portgauge/internal/leaf/sameslice"
 )
 
 type fixedFleet []catalog.NodeRecord
@@ -60,7 +59,7 @@
 				dealer := New(config, fleet, node)
 				dealer.now = func() time.Time { return dealer.started.Add(span) }
 				own := 0
-				for _, dealt := range dealer.Deal("s", true, leafs(count, leafZones), limit) {
+				for _, dealt := range dealer.Allot("s", true, leafs(count, leafZones), limit) {
 					own += dealt.Connections
 					open[dealt.Leaf.ID] += dealt.Connections
 				}
@@ -84,12 +83,12 @@
 
 func TestWithoutALimitEveryLeafIsUsed(t *testing.T) {
 	is := is.New(t)
-	used := New(DefaultConfig(), fleetOf(2, 1), fleetOf(2, 1)[0]).Deal("s", true, leafs(3, 1), 0)
+	used := New(DefaultConfig(), fleetOf(2, 1), fleetOf(2, 1)[0]).Allot("s", true, leafs(3, 1), 0)
 	is.Equal(len(used), 3)
 	for _, dealt := range used {
 		is.Equal(dealt.Connections, DefaultConfig().Unlimited)
 	}
-	is.Equal(len(New(DefaultConfig(), fixedFleet{}, catalog.NodeRecord{ID: "a"}).Deal("s", true, nil, 5)), 0)
+	is.Equal(len(New(DefaultConfig(), fixedFleet{}, catalog.NodeRecord{ID: "a"}).Allot("s", true, nil, 5)), 0)
 }
 
 // Where a node has no part of a leaf, it may still try a spare connection there.
@@ -97,15 +96,15 @@
 	is := is.New(t)
 	fleet := fleetOf(64, 1)
 	dealer := New(DefaultConfig(), fleet, fleet[7])
-	for _, dealt := range dealer.Deal("s", true, leafs(3, 1), 54) { // a new node keeps to its part
+	for _, dealt := range dealer.Allot("s", true, leafs(3, 1), 54) { // a new node keeps to its part
 		is.Equal(dealt.LastResort, dealt.Connections == 0)
-		is.Equal(dealt.Connections+dealt.Spare, 1)
+		is.Equal(dealt.Connections+dealt.ExtraConnections, 1)
 	}
 	dealer.now = func() time.Time { return dealer.started.Add(DefaultConfig().StartSpan) }
 	own, tried := 0, 0
-	for _, dealt := range dealer.Deal("s", true, leafs(3, 1), 54) {
+	for _, dealt := range dealer.Allot("s", true, leafs(3, 1), 54) {
 		own += dealt.Connections
-		tried += dealt.Connections + dealt.Spare
+		tried += dealt.Connections + dealt.ExtraConnections
 	}
 	is.Equal(own, 2)
 	is.Equal(tried, 5)
@@ -121,7 +120,7 @@
 	for _, node := range fleet {
 		dealer := New(DefaultConfig(), fleet, node)
 		dealer.now = func() time.Time { return dealer.started.Add(DefaultConfig().StartSpan) }
-		for _, dealt := range dealer.Deal("s", true, leafs(3, zones), limit) {
+		for _, dealt := range dealer.Allot("s", true, leafs(3, zones), limit) {
 			open[dealt.Leaf.ID] += dealt.Connections
 			is.True(dealt.Leaf.Zone != node.Zone || dealt.Connections == 1)
 		}
@@ -139,7 +138,7 @@
 		dealer := New(DefaultConfig(), fleet, node)
 		dealer.now = func() time.Time { return dealer.started.Add(DefaultConfig().StartSpan) }
 		own := 0
-		for _, dealt := range dealer.Deal("s", true, leafs(3, 3), 54) {
+		for _, dealt := range dealer.Allot("s", true, leafs(3, 3), 54) {
 			own += dealt.Connections
 			open[dealt.Leaf.ID] += dealt.Connections
 		}
@@ -159,7 +158,7 @@
 	shards := leafs(3, 3)
 	parts := func(leafs []*leafset.Leaf, limit int) int {
 		sum := 0
-		for _, dealt := range dealer.Deal("s", true, leafs, limit) {
+		for _, dealt := range dealer.Allot("s", true, leafs, limit) {
 			sum += dealt.Connections
 		}
 		return sum
@@ -181,15 +180,15 @@
 	for _, leaf := range after {
 		leaf.Version = "v2"
 	}
-	first := dealer.Deal("s", false, before, 52)
-	other := dealer.Deal("s", false, after, 52)
-	is.True(sameslice.Is(dealer.Deal("s", false, before, 52), first))
-	is.True(sameslice.Is(dealer.Deal("s", false, after, 52), other))
+	first := dealer.Allot("s", false, before, 52)
+	other := dealer.Allot("s", false, after, 52)
+	is.True(leafset.SameSlice(dealer.Allot("s", false, before, 52), first))
+	is.True(leafset.SameSlice(dealer.Allot("s", false, after, 52), other))
 	is.Equal(other[0].Leaf.Version, "v2")
 }
 
 func TestConfigNamesEveryFault(t *testing.T) {
 	is := is.New(t)
 	is.NoErr(DefaultConfig().Validate())
-	is.Equal(len(failure.Faults(Config{StartSpan: -1, Spare: -1}.Validate())), 5)
+	is.Equal(len(failure.Faults(Config{StartSpan: -1, ExtraConnections: -1}.Validate())), 5)
 }
--- a/internal/leaf/leafclient/leafclient.go
+++ b/internal/leaf/leafclient/leafclient.go
@@ -106,9 +106,9 @@
 	return response, nil
 }
 
-// HasEnded reports whether nothing listens at a leaf's address any more: then its process ended, and not just a connection
+// HasExited reports whether nothing listens at a leaf's address any more: then its process ended, and not just a connection
 // to it. A leaf that is silent may live.
-func (p *Pool) HasEnded(ctx context.Context, address string) bool {
+func (p *Pool) HasExited(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, lookTimeout)
 	defer cancel()
 	var dialer net.Dialer
--- a/internal/leaf/leafgossip/leafgossip.go
+++ b/internal/leaf/leafgossip/leafgossip.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// Tell queues an observation; a newer one of the same leaf replaces it. It never blocks.
-func (g *Gossip) Tell(o balancer.Observation) {
+// Announce queues an observation; a newer one of the same leaf replaces it. It never blocks.
+func (g *Gossip) Announce(o balancer.Observation) {
 	if g.cfg.Fanout == 0 {
 		return
 	}
@@ -122,8 +122,8 @@
 // base64Bytes is the length of n bytes in base64.
 func base64Bytes(n int) int { return (n + 2) / 3 * 4 }
 
-// Heard takes what another node saw.
-func (g *Gossip) Heard(reports peer.LeafReports) {
+// Receive takes what another node saw.
+func (g *Gossip) Receive(reports peer.LeafReports) {
 	for _, o := range unpack(reports) {
 		g.hear(o)
 	}
--- a/internal/leaf/leafhttp/connection.go
+++ b/internal/leaf/leafhttp/connection.go
@@ -77,7 +77,7 @@
 	}
 	socket := opened.(*net.TCPConn)
 	return &connection{
-		pool: p, incarnation: target.Incarnation, socket: socket,
+		pool: p, incarnation: target.LeafID, socket: socket,
 		reader: bufio.NewReaderSize(socket, readBuffer), idleLimit: p.config.IdleTimeout,
 	}, nil
 }
@@ -114,7 +114,7 @@
 	case remaining <= 0:
 		c.decline(e, errDeadlinePassed)
 		return
-	case c.pool.isBarred(e.target.Incarnation):
+	case c.pool.isBarred(e.target.LeafID):
 		c.decline(e, errBarred)
 		return
 	}
--- a/internal/leaf/leafhttp/connections_test.go
+++ b/internal/leaf/leafhttp/connections_test.go
@@ -35,9 +35,9 @@
 	running.Wait()
 	opened, _ := b.leaf.Connections()
 	is.Equal(opened, 2)
-	is.Equal(b.pool.Open(), 2)
-	b.pool.Keep(func(string) bool { return false })
-	is.Equal(b.pool.Open(), 0)
+	is.Equal(b.pool.OpenConnections(), 2)
+	b.pool.Prune(func(string) bool { return false })
+	is.Equal(b.pool.OpenConnections(), 0)
 }
 
 // A warmed connection carries the first request; a leaf that has one is left alone.
@@ -51,7 +51,7 @@
 	b.pool.Warm([]Target{b.target()})
 	_, err := b.do(t.Context(), b.request())
 	is.NoErr(err)
-	is.Equal(b.pool.Open(), 1)
+	is.Equal(b.pool.OpenConnections(), 1)
 	opened, _ := b.leaf.Connections()
 	is.Equal(opened, 1)
 }
@@ -72,25 +72,25 @@
 func TestRefusedSpareConnectionStopsThem(t *testing.T) {
 	is := is.New(t)
 	config := DefaultConfig()
-	config.SparePause = 200 * time.Millisecond
+	config.ExtraPause = 200 * time.Millisecond
 	b := newBench(t, config, ok("hello"))
-	target := Target{Incarnation: b.leaf.ID, Address: b.leaf.Address(), Spare: 1}
-	is.True(b.pool.CanSpare(target.Incarnation))
+	target := Target{LeafID: b.leaf.ID, Address: b.leaf.Address(), ExtraConnections: 1}
+	is.True(b.pool.MayOpenExtra(target.LeafID))
 	_, err := b.ask(t.Context(), target, b.request(), time.Now().Add(time.Second))
 	is.NoErr(err)
-	is.True(b.pool.CanSpare(target.Incarnation))
+	is.True(b.pool.MayOpenExtra(target.LeafID))
 
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	defer func() { _ = listener.Close() }()
 	go resetAll(listener)
-	refusing := Target{Incarnation: "leaf-2", Address: listener.Addr().String(), Spare: 1}
+	refusing := Target{LeafID: "leaf-2", Address: listener.Addr().String(), ExtraConnections: 1}
 	_, err = b.ask(t.Context(), refusing, b.request(), time.Now().Add(time.Second))
 	var refused *RefusedConnectionError
 	is.True(errors.As(err, &refused))
-	is.True(!b.pool.CanSpare(refusing.Incarnation))
-	time.Sleep(config.SparePause)
-	is.True(b.pool.CanSpare(refusing.Incarnation))
+	is.True(!b.pool.MayOpenExtra(refusing.LeafID))
+	time.Sleep(config.ExtraPause)
+	is.True(b.pool.MayOpenExtra(refusing.LeafID))
 }
 
 // resetAll resets every connection of a listener once a request is on it.
@@ -155,7 +155,7 @@
 		if errors.As(<-ended, &told) {
 			neverSent[request.ID] = true
 		}
-		b.pool.Keep(func(string) bool { return false })
+		b.pool.Prune(func(string) bool { return false })
 	}
 	time.Sleep(50 * time.Millisecond) // what was sent has arrived
 	for _, asked := range b.leaf.Asked() {
@@ -182,7 +182,7 @@
 	is.Equal(b.pool.resting(), 0)
 	held.wrote()
 	is.Equal(b.pool.resting(), 1)
-	is.Equal(b.pool.Open(), 1)
+	is.Equal(b.pool.OpenConnections(), 1)
 }
 
 // A leaf whose record went may serve on: what it is at work on is awaited, and its connection closed then.
@@ -202,10 +202,10 @@
 		answered <- response
 	})
 	<-began
-	b.pool.Keep(func(string) bool { return false })
+	b.pool.Prune(func(string) bool { return false })
 	close(finish)
 	is.Equal(string((<-answered).Body), "late")
-	for b.pool.Open() > 0 {
+	for b.pool.OpenConnections() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 }
@@ -219,7 +219,7 @@
 		<-answer
 		return httpleaf.Answer{Body: []byte("x")}
 	})
-	b.pool.SetMayAsk(func(string) bool { return !barred.Load() })
+	b.pool.SetMaySend(func(string) bool { return !barred.Load() })
 	target := b.target()
 	target.Connections = 1
 	ended := make(chan error, 2)
@@ -256,15 +256,15 @@
 		named = append(named, request.Incarnation)
 		return httpleaf.Answer{Body: []byte("x")}
 	})
-	name := b.target().Incarnation
+	name := b.target().LeafID
 	for _, life := range []string{name + "@10", name + "@20"} {
 		target := b.target()
-		target.Incarnation, target.Name = life, name
+		target.LeafID, target.Name = life, name
 		_, err := b.ask(t.Context(), target, b.request(), time.Now().Add(5*time.Second))
 		is.NoErr(err)
 	}
 	is.Equal(named, []string{name, name})
-	is.Equal(b.pool.Open(), 2)
-	b.pool.Keep(func(life string) bool { return life == name+"@20" })
-	is.Equal(b.pool.Open(), 1)
+	is.Equal(b.pool.OpenConnections(), 2)
+	b.pool.Prune(func(life string) bool { return life == name+"@20" })
+	is.Equal(b.pool.OpenConnections(), 1)
 }
--- a/internal/leaf/leafhttp/early_test.go
+++ b/internal/leaf/leafhttp/early_test.go
@@ -141,7 +141,7 @@
 }
 
 func (l *earlyLeaf) target() Target {
-	return Target{Incarnation: "leaf-1", Address: l.listener.Addr().String(), Connections: 1}
+	return Target{LeafID: "leaf-1", Address: l.listener.Addr().String(), Connections: 1}
 }
 
 // longRequest is a request with a body of so many bytes.
@@ -218,7 +218,7 @@
 	held.assign(e)
 	pool.mu.Unlock()
 	// The same steps as in begin, with the reader held up until the writer met the reset.
-	e.request.encode(&held.outgoing, pool.dialect, e.target.Incarnation, time.Minute)
+	e.request.encode(&held.outgoing, pool.dialect, e.target.LeafID, time.Minute)
 	_, err = held.socket.Write(held.outgoing.Bytes())
 	is.NoErr(err)
 	held.sendBody(e.request.Body)
@@ -226,5 +226,5 @@
 	got := <-ended
 	is.NoErr(got.err)
 	is.Equal(string(got.response.Body), "ok")
-	is.Equal(pool.Open(), 0)
+	is.Equal(pool.OpenConnections(), 0)
 }
--- a/internal/leaf/leafhttp/exchange.go
+++ b/internal/leaf/leafhttp/exchange.go
@@ -91,16 +91,16 @@
 	gone := e.ended
 	p.mu.Unlock()
 	if gone {
-		p.countOut(e.target.Incarnation, nil)
+		p.countOut(e.target.LeafID, nil)
 		return
 	}
 	held, err := dial(ctx, p, e.target)
 	if err != nil {
-		p.countOut(e.target.Incarnation, err)
+		p.countOut(e.target.LeafID, err)
 		e.end(nil, &NeverSentError{Cause: err})
 		return
 	}
-	p.cameUp(e.target.Incarnation)
+	p.cameUp(e.target.LeafID)
 	p.mu.Lock()
 	e.stopDial = nil
 	taken := !e.ended
--- a/internal/leaf/leafhttp/leafhttp_test.go
+++ b/internal/leaf/leafhttp/leafhttp_test.go
@@ -41,7 +41,7 @@
 }
 
 func (b *bench) target() Target {
-	return Target{Incarnation: b.leaf.ID, Address: b.leaf.Address(), Connections: 4}
+	return Target{LeafID: b.leaf.ID, Address: b.leaf.Address(), Connections: 4}
 }
 
 func (b *bench) request() *Request {
@@ -132,7 +132,7 @@
 	is := is.New(t)
 	b := newBench(t, DefaultConfig(), ok("hello"))
 	target := b.target()
-	target.Incarnation = "leaf-0"
+	target.LeafID = "leaf-0"
 	response, err := b.ask(t.Context(), target, b.request(), time.Now().Add(time.Second))
 	is.NoErr(err)
 	is.True(response.NotExecuted)
@@ -159,7 +159,7 @@
 	address := b.leaf.Address()
 	b.leaf.Stop()
 	time.Sleep(20 * time.Millisecond)
-	_, err = b.ask(t.Context(), Target{Incarnation: "leaf-1", Address: address}, b.request(), time.Now().Add(time.Second))
+	_, err = b.ask(t.Context(), Target{LeafID: "leaf-1", Address: address}, b.request(), time.Now().Add(time.Second))
 	var neverSent *NeverSentError
 	is.True(errors.As(err, &neverSent))
 }
@@ -237,7 +237,7 @@
 
 func TestHeadersOfOneConnectionAreNotPassedOn(t *testing.T) {
 	is := is.New(t)
-	passed := PassedOn(http.Header{
+	passed := ForwardedHeaders(http.Header{
 		"Connection": {"close, X-Hop"}, "X-Hop": {"1"}, "Keep-Alive": {"timeout=1"}, "Transfer-Encoding": {"chunked"},
 		"Upgrade": {"x"}, "Te": {"trailers"}, "X-Kept": {"1", "2"}, "X-Dropped": {"1"},
 	}, "X-Dropped")
--- a/internal/leaf/leafhttp/pool.go
+++ b/internal/leaf/leafhttp/pool.go
@@ -12,19 +12,19 @@
 
 // Target is the leaf that an attempt goes to.
 type Target struct {
-	// Incarnation is the leaf's id, one of each of its lives.
-	Incarnation string
+	// LeafID is the leaf's id, one of each of its lives.
+	LeafID string
 	// Name is what the leaf calls itself: it refuses requests meant for another. Empty if the id is its name.
 	Name    string
 	Address string
 	// Connections is how many this node may have to the leaf in any case.
 	Connections int
-	// Spare is how many more it may try while the leaf takes them.
-	Spare int
+	// ExtraConnections is how many more it may try while the leaf takes them.
+	ExtraConnections int
 }
 
 // expected gives the name that the leaf must have to take a request.
-func (t Target) expected() string { return cmp.Or(t.Name, t.Incarnation) }
+func (t Target) expected() string { return cmp.Or(t.Name, t.LeafID) }
 
 // Pool holds the connections of a node to leafs; safe for concurrent use.
 type Pool struct {
@@ -51,13 +51,13 @@
 	refusedAt time.Time
 	// hasEnded says that nothing listens at its address any more, checks who waits to learn that.
 	hasEnded bool
-	checks   []Ended
+	checks   []OnChecked
 }
 
 // limit gives how many connections there may be now.
 func (l *leafConnections) limit(target Target, pause time.Duration, now time.Time) int {
-	if target.Spare > 0 && now.Sub(l.refusedAt) >= pause {
-		return target.Connections + target.Spare
+	if target.ExtraConnections > 0 && now.Sub(l.refusedAt) >= pause {
+		return target.Connections + target.ExtraConnections
 	}
 	return max(1, target.Connections)
 }
@@ -70,19 +70,19 @@
 	return &Pool{config: config, dialect: dialect, opened: opened, leafs: map[string]*leafConnections{}}
 }
 
-// SetMayAsk sets what is asked right before a request is sent, so that one that waited for a connection is
+// SetMaySend sets what is asked right before a request is sent, so that one that waited for a connection is
 // not sent to a leaf that must get nothing any more. It must be set before the pool is used.
-func (p *Pool) SetMayAsk(mayAsk func(incarnation string) bool) { p.mayAsk = mayAsk }
+func (p *Pool) SetMaySend(mayAsk func(incarnation string) bool) { p.mayAsk = mayAsk }
 
 // isBarred reports whether a leaf must get nothing.
 func (p *Pool) isBarred(incarnation string) bool { return p.mayAsk != nil && !p.mayAsk(incarnation) }
 
-// CanSpare reports whether a leaf may be tried on a spare connection now.
-func (p *Pool) CanSpare(incarnation string) bool {
+// MayOpenExtra reports whether a leaf may be tried on a spare connection now.
+func (p *Pool) MayOpenExtra(incarnation string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	leaf, found := p.leafs[incarnation]
-	return !found || time.Since(leaf.refusedAt) >= p.config.SparePause
+	return !found || time.Since(leaf.refusedAt) >= p.config.ExtraPause
 }
 
 // Warm opens a connection to the first of some leafs of a service and lets it rest, unless there
@@ -94,11 +94,11 @@
 		return
 	}
 	for _, target := range targets {
-		if known, found := p.leafs[target.Incarnation]; found && known.open > 0 {
+		if known, found := p.leafs[target.LeafID]; found && known.open > 0 {
 			return
 		}
 	}
-	p.leaf(targets[0].Incarnation).open++
+	p.leaf(targets[0].LeafID).open++
 	go p.warm(targets[0], func(error) {})
 }
 
@@ -107,10 +107,10 @@
 	held, err := dial(context.Background(), p, target)
 	tell(err)
 	if err != nil {
-		p.countOut(target.Incarnation, err)
+		p.countOut(target.LeafID, err)
 		return
 	}
-	p.cameUp(target.Incarnation)
+	p.cameUp(target.LeafID)
 	held.rest(target)
 	held.read()
 }
@@ -142,7 +142,7 @@
 // reserve gives the exchange a resting connection, or counts one in that its caller may open, or
 // lets it wait. The mutex must be held.
 func (p *Pool) reserve(e *Exchange) (held *connection, mayOpen bool) {
-	leaf := p.leaf(e.target.Incarnation)
+	leaf := p.leaf(e.target.LeafID)
 	now := time.Now()
 	for len(leaf.idle) > 0 {
 		last := len(leaf.idle) - 1
@@ -156,7 +156,7 @@
 		held.close()
 		leaf.open--
 	}
-	if leaf.open < leaf.limit(e.target, p.config.SparePause, now) {
+	if leaf.open < leaf.limit(e.target, p.config.ExtraPause, now) {
 		leaf.open++
 		return nil, true
 	}
@@ -180,7 +180,7 @@
 	if e.stopDial != nil {
 		e.stopDial()
 	}
-	if leaf, found := p.leafs[e.target.Incarnation]; found {
+	if leaf, found := p.leafs[e.target.LeafID]; found {
 		leaf.waiting = slices.DeleteFunc(leaf.waiting, func(waiting *Exchange) bool { return waiting == e })
 	}
 }
@@ -202,7 +202,7 @@
 // lost counts a connection out. Whoever waits may open another. The mutex must be held.
 func (p *Pool) lost(incarnation string, leaf *leafConnections) {
 	leaf.open--
-	if len(leaf.waiting) > 0 && leaf.open < leaf.limit(leaf.waiting[0].target, p.config.SparePause, time.Now()) {
+	if len(leaf.waiting) > 0 && leaf.open < leaf.limit(leaf.waiting[0].target, p.config.ExtraPause, time.Now()) {
 		leaf.open++
 		go leaf.next().open()
 		return
@@ -216,9 +216,9 @@
 	}
 }
 
-// Keep closes connections that have rested too long, and those to leafs that are not known
+// Prune closes connections that have rested too long, and those to leafs that are not known
 // any more; connections in use are closed when their attempt ends.
-func (p *Pool) Keep(known func(incarnation string) bool) {
+func (p *Pool) Prune(known func(incarnation string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
@@ -246,8 +246,8 @@
 	leaf.idle = kept
 }
 
-// Woke takes for how long the machine was suspended: connections rested meanwhile, and leafs may have closed them.
-func (p *Pool) Woke(slept time.Duration) {
+// Resumed takes for how long the machine was suspended: connections rested meanwhile, and leafs may have closed them.
+func (p *Pool) Resumed(slept time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
@@ -259,8 +259,8 @@
 	}
 }
 
-// Open gives the number of connections, those in use included.
-func (p *Pool) Open() int {
+// OpenConnections gives the number of connections, those in use included.
+func (p *Pool) OpenConnections() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	open := 0
--- a/internal/leaf/leafhttp/presence.go
+++ b/internal/leaf/leafhttp/presence.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Ended is told whether a leaf's process has ended.
-type Ended func(ended bool)
+// OnChecked is told whether a leaf's process has ended.
+type OnChecked func(ended bool)
 
 // settleTime is how long after a connection broke the others to the same process have broken too, if it ended: their
 // resets set out together.
@@ -18,10 +18,10 @@
 // that refused a connection most likely has too many; it is not burdened with one more while others to it stand.
 // Whoever asks while that is being found out shares the answer. Check does not block; tell is called once, on a
 // goroutine of its own.
-func (p *Pool) Check(target Target, refused bool, tell Ended) {
+func (p *Pool) Check(target Target, refused bool, tell OnChecked) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	leaf := p.leaf(target.Incarnation)
+	leaf := p.leaf(target.LeafID)
 	if leaf.hasEnded {
 		go tell(true)
 		return
@@ -34,9 +34,9 @@
 }
 
 // checkUp takes a leaf for alive to which connections still stand.
-func (p *Pool) checkUp(target Target, tell Ended) {
+func (p *Pool) checkUp(target Target, tell OnChecked) {
 	p.mu.Lock()
-	leaf := p.leaf(target.Incarnation)
+	leaf := p.leaf(target.LeafID)
 	if leaf.up > 0 {
 		p.mu.Unlock()
 		tell(false)
@@ -47,12 +47,12 @@
 }
 
 // joinCheck waits for the check that is under way, or begins one. The mutex must be held.
-func (p *Pool) joinCheck(target Target, leaf *leafConnections, tell Ended) {
+func (p *Pool) joinCheck(target Target, leaf *leafConnections, tell OnChecked) {
 	leaf.checks = append(leaf.checks, tell)
 	if len(leaf.checks) == 1 {
 		leaf.open++
 		// One that comes up takes the place of the one that was lost.
-		go p.warm(target, func(err error) { p.tellChecks(target.Incarnation, IsGone(err)) })
+		go p.warm(target, func(err error) { p.tellChecks(target.LeafID, IsNotListening(err)) })
 	}
 }
 
@@ -69,5 +69,5 @@
 	}
 }
 
-// IsGone reports whether the error of an attempt means that nothing listens at the leaf's address.
-func IsGone(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+// IsNotListening reports whether the error of an attempt means that nothing listens at the leaf's address.
+func IsNotListening(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
--- a/internal/leaf/leafhttp/presence_test.go
+++ b/internal/leaf/leafhttp/presence_test.go
@@ -31,11 +31,11 @@
 	is.NoErr(err)
 	pool := New(DefaultConfig(), httpnames.Default(), nil)
 	defer pool.Close()
-	target := Target{Incarnation: leaf.ID, Address: leaf.Address(), Connections: 2}
+	target := Target{LeafID: leaf.ID, Address: leaf.Address(), Connections: 2}
 	is.True(!checked(t, pool, target, false)) // it lives
-	is.Equal(pool.Open(), 1)                  // the connection of the check rests
+	is.Equal(pool.OpenConnections(), 1)       // the connection of the check rests
 	is.True(!checked(t, pool, target, true))
-	is.Equal(pool.Open(), 1) // a leaf with too many is not asked for one more
+	is.Equal(pool.OpenConnections(), 1) // a leaf with too many is not asked for one more
 	leaf.Stop()
 	is.True(checked(t, pool, target, false))
 	is.True(checked(t, pool, target, false)) // known from then on
@@ -51,5 +51,5 @@
 	cfg.ConnectTimeout = time.Nanosecond // nothing comes up in time
 	pool := New(cfg, httpnames.Default(), nil)
 	defer pool.Close()
-	is.True(!checked(t, pool, Target{Incarnation: "leaf-1", Address: silent.Addr().String(), Connections: 1}, false))
+	is.True(!checked(t, pool, Target{LeafID: "leaf-1", Address: silent.Addr().String(), Connections: 1}, false))
 }
--- a/internal/leaf/leafhttp/request.go
+++ b/internal/leaf/leafhttp/request.go
@@ -54,9 +54,9 @@
 	"Content-Length": true, "Expect": true, "Host": true,
 }
 
-// PassedOn gives the headers that are for more than one connection: all but the hop-by-hop
+// ForwardedHeaders gives the headers that are for more than one connection: all but the hop-by-hop
 // ones, those that the Connection header names, and the given ones.
-func PassedOn(header http.Header, dropped ...string) http.Header {
+func ForwardedHeaders(header http.Header, dropped ...string) http.Header {
 	named := map[string]bool{}
 	for _, value := range header["Connection"] {
 		for _, name := range strings.Split(value, ",") {
--- a/internal/leaf/leafmemory/leafmemory_test.go
+++ b/internal/leaf/leafmemory/leafmemory_test.go
@@ -57,7 +57,7 @@
 	is.True(lastResort)
 	is.Equal(len(memory.IDs()), 2+len([]string{"a"}))
 
-	now = now.Add(DefaultConfig().Hold + time.Millisecond)
+	now = now.Add(DefaultConfig().Retention + time.Millisecond)
 	leafs, _ = memory.Candidates("s")
 	is.Equal(len(leafs), 0)
 }
@@ -114,7 +114,7 @@
 func TestConfigNamesEveryFault(t *testing.T) {
 	is := is.New(t)
 	is.NoErr(DefaultConfig().Validate())
-	is.Equal(len(failure.Faults(Config{Hold: -1, TrustAfterStart: -1, MaximumLeafs: -1}.Validate())), 4)
+	is.Equal(len(failure.Faults(Config{Retention: -1, TrustAfterStart: -1, MaximumLeafs: -1}.Validate())), 4)
 }
 
 // An evacuated zone's leafs are no last resort, be they lost a moment ago or written down.
@@ -129,18 +129,18 @@
 	put(t, known, catalog.LeafKey("a"), inZone("a", "east"))
 	put(t, known, catalog.RememberedKey, leafset.List{Leafs: []leafset.Record{inZone("a", "east"), inZone("b", "west")}})
 	memory := New(DefaultConfig(), known)
-	is.True(memory.MayAsk("a"))
+	is.True(memory.MaySend("a"))
 	put(t, known, catalog.EvacuationKey("east"), struct{}{})
-	is.True(!memory.MayAsk("a"))
+	is.True(!memory.MaySend("a"))
 	leafs, _ := memory.Candidates("s")
 	is.Equal(len(leafs), 1) // by the list that was written down
 	is.Equal(leafs[0].ID, "b")
 	put(t, known, catalog.LeafKey("a"), nil)
-	is.True(!memory.MayAsk("a"))
+	is.True(!memory.MaySend("a"))
 	leafs, _ = memory.Candidates("s")
 	is.Equal(len(leafs), 1)
 	put(t, known, catalog.EvacuationKey("east"), nil)
-	is.True(memory.MayAsk("a")) // lost a moment ago, and its zone is back
+	is.True(memory.MaySend("a")) // lost a moment ago, and its zone is back
 }
 
 // What may be sent to a leaf ends with its drain, its end and what is remembered of it.
@@ -151,14 +151,14 @@
 		put(t, known, catalog.LeafKey("a"), record("a", leafset.Ready))
 		memory := New(DefaultConfig(), known)
 		time.Sleep(DefaultConfig().TrustAfterStart)
-		is.True(memory.MayAsk("a"))
-		is.True(!memory.MayAsk("other"))
+		is.True(memory.MaySend("a"))
+		is.True(!memory.MaySend("other"))
 		put(t, known, catalog.LeafKey("a"), record("a", leafset.Draining))
-		is.True(memory.MayAsk("a"))
-		time.Sleep(DefaultConfig().Hold + time.Millisecond)
-		is.True(!memory.MayAsk("a"))
+		is.True(memory.MaySend("a"))
+		time.Sleep(DefaultConfig().Retention + time.Millisecond)
+		is.True(!memory.MaySend("a"))
 		put(t, known, catalog.LeafKey("a"), record("a", leafset.Ready))
-		is.True(memory.MayAsk("a"))
+		is.True(memory.MaySend("a"))
 	})
 }
 
@@ -179,14 +179,14 @@
 				memory, other := New(DefaultConfig(), known), New(DefaultConfig(), known)
 				time.Sleep(time.Minute)
 				lose(known)
-				time.Sleep(DefaultConfig().Hold / 2)
+				time.Sleep(DefaultConfig().Retention / 2)
 				leafs, _ := memory.Candidates("s")
 				is.Equal(len(leafs), 1)
-				is.True(memory.MayAsk("a"))
-				time.Sleep(DefaultConfig().Hold)
+				is.True(memory.MaySend("a"))
+				time.Sleep(DefaultConfig().Retention)
 				leafs, _ = other.Candidates("s") // it was asked nothing since the loss
 				is.Equal(len(leafs), 0)
-				is.True(!other.MayAsk("a"))
+				is.True(!other.MaySend("a"))
 				is.Equal(len(other.IDs()), known.View().Leafs.Len())
 			})
 		})
--- a/internal/leaf/leafmemory/memory.go
+++ b/internal/leaf/leafmemory/memory.go
@@ -19,9 +19,9 @@
 
 // Config tunes what is remembered.
 type Config struct {
-	// Hold is how long a leaf that went or drains may still be asked when its service has no
+	// Retention is how long a leaf that went or drains may still be asked when its service has no
 	// other. It must stay below the time after which such a leaf must get nothing.
-	Hold time.Duration `yaml:"hold"`
+	Retention time.Duration `yaml:"hold"`
 	// TrustAfterStart is how long after its start a node believes the list that was written down.
 	TrustAfterStart time.Duration `yaml:"trust_after_start"`
 	// WriteDelay is how long the leafs must stay the same before the list is written.
@@ -32,13 +32,13 @@
 
 // DefaultConfig holds a leaf for two seconds.
 func DefaultConfig() Config {
-	return Config{Hold: 2 * time.Second, TrustAfterStart: 2500 * time.Millisecond, WriteDelay: 2 * time.Second, MaximumLeafs: 2000}
+	return Config{Retention: 2 * time.Second, TrustAfterStart: 2500 * time.Millisecond, WriteDelay: 2 * time.Second, MaximumLeafs: 2000}
 }
 
 // Validate names every field at fault.
 func (c Config) Validate() error {
 	var checks failure.Checks
-	checks.Refuse(c.Hold < 0, "hold", "must not be negative")
+	checks.Refuse(c.Retention < 0, "hold", "must not be negative")
 	checks.Refuse(c.TrustAfterStart < 0, "trust_after_start", "must not be negative")
 	checks.Refuse(c.WriteDelay <= 0, "write_delay", "must be positive")
 	checks.Refuse(c.MaximumLeafs < 0, "maximum_leafs", "must not be negative")
@@ -98,10 +98,10 @@
 	return slices.DeleteFunc(slices.Clone(view.Remembered.Of(service)), mayNot)
 }
 
-// MayAsk reports whether a leaf may be sent a request now, be it one that serves or one on trial. What was planned
+// MaySend reports whether a leaf may be sent a request now, be it one that serves or one on trial. What was planned
 // a while ago may not be sent any more: meanwhile the leaf began to drain, went, its zone was evacuated, or its
 // version was barred.
-func (m *Memory) MayAsk(id string) bool {
+func (m *Memory) MaySend(id string) bool {
 	view := m.catalog.View()
 	leaf, found := view.Leafs.ByID(id)
 	if !found || leaf.State != leafset.Ready {
@@ -146,7 +146,7 @@
 }
 
 // heldSince is since when a leaf must have been ready to be asked still.
-func (m *Memory) heldSince() time.Time { return m.now().Add(-m.config.Hold) }
+func (m *Memory) heldSince() time.Time { return m.now().Add(-m.config.Retention) }
 
 // isNew reports whether the node started so short a while ago that it believes the list written down.
 func (m *Memory) isNew() bool { return m.now().Sub(m.started) < m.config.TrustAfterStart }
--- a/internal/leaf/leafmemory/suspended_test.go
+++ b/internal/leaf/leafmemory/suspended_test.go
@@ -22,9 +22,9 @@
 	put(t, known, catalog.LeafKey("a"), record("a", leafset.Ready))
 	now = now.Add(time.Minute)
 	put(t, known, catalog.LeafKey("a"), record("a", leafset.Draining))
-	is.True(memory.MayAsk("a"))
-	now = now.Add(DefaultConfig().Hold + time.Second) // asleep
-	is.True(!memory.MayAsk("a"))
+	is.True(memory.MaySend("a"))
+	now = now.Add(DefaultConfig().Retention + time.Second) // asleep
+	is.True(!memory.MaySend("a"))
 	leafs, _ := memory.Candidates("s")
 	is.Equal(len(leafs), 0)
 }
--- a/internal/leaf/leafset/editor.go
+++ b/internal/leaf/leafset/editor.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// Disown drops the leaf of a name without a memory of it: what is kept under its name tells of no leaf.
-func (e *Editor) Disown(name string) {
+// Exclude drops the leaf of a name without a memory of it: what is kept under its name tells of no leaf.
+func (e *Editor) Exclude(name string) {
 	e.drop(name)
 	e.forgetLoss(name)
 	if e.disowned == nil {
--- a/internal/leaf/leafset/leafset.go
+++ b/internal/leaf/leafset/leafset.go
@@ -51,8 +51,8 @@
 	Sequence int64 `json:"sequence,omitempty"`
 }
 
-// IsOfEarlierLife reports whether a record was written by a process that another one of the same name came after.
-func (r Record) IsOfEarlierLife(other Record) bool { return r.Born > 0 && r.Born < other.Born }
+// IsOfEarlierIncarnation reports whether a record was written by a process that another one of the same name came after.
+func (r Record) IsOfEarlierIncarnation(other Record) bool { return r.Born > 0 && r.Born < other.Born }
 
 // Compare orders two records of a name by what they say themselves; it is not told where they don't.
 func Compare(a, b Record) (order int, isTold bool) {
@@ -77,9 +77,9 @@
 // lifeMark is between the name and the start of a leaf in its id.
 const lifeMark = "@"
 
-// LifeID gives the id of the life of a leaf of a name that was born at a time in Unix milliseconds: the name alone where that
+// IncarnationID gives the id of the life of a leaf of a name that was born at a time in Unix milliseconds: the name alone where that
 // is 0, for leafs that have a new name at each start.
-func LifeID(name string, born int64) string {
+func IncarnationID(name string, born int64) string {
 	if born == 0 {
 		return name
 	}
@@ -102,7 +102,7 @@
 
 // NewLeaf makes a leaf from a record that this node learned of at a time.
 func NewLeaf(record Record, at int64, learned time.Time) *Leaf {
-	leaf := &Leaf{ID: LifeID(record.Name, record.Born), Record: record, Revision: at}
+	leaf := &Leaf{ID: IncarnationID(record.Name, record.Born), Record: record, Revision: at}
 	if record.WarmupMillis > 0 {
 		leaf.ColdUntil = learned.Add(time.Duration(record.WarmupMillis) * time.Millisecond)
 	}
--- a/internal/leaf/warmup/warmup.go
+++ b/internal/leaf/warmup/warmup.go
@@ -14,7 +14,6 @@
 
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
-	"github.com/portgauge/portgauge/internal/leaf/sameslice"
 	"github.com/portgauge/portgauge/internal/node/boottime"
 )
 
@@ -58,8 +57,8 @@
 // before the limiter is used.
 func (l *Limiter) SetClock(clock boottime.Clock) { l.now = clock.Now }
 
-// HasRoom reports whether this node may ask a leaf now, without taking that request from its share.
-func (l *Limiter) HasRoom(leaf *leafset.Leaf) bool {
+// HasToken reports whether this node may ask a leaf now, without taking that request from its share.
+func (l *Limiter) HasToken(leaf *leafset.Leaf) bool {
 	perSecond := l.limitOf(leaf)
 	if perSecond == 0 {
 		return true
@@ -121,7 +120,7 @@
 	if gathered {
 		nodes = l.fleet.Gatherers()
 	}
-	if !found || !sameslice.Is(nodes, share.nodes) {
+	if !found || !leafset.SameSlice(nodes, share.nodes) {
 		share.nodes = nodes
 		share.perSecond = l.shareOf(leaf, nodes, l.config.divide(perSecond, gathered))
 	}
--- a/internal/leaf/warmup/warmup_test.go
+++ b/internal/leaf/warmup/warmup_test.go
@@ -188,19 +188,19 @@
 	cold, _ := known.View().Leafs.ByID(testLeaf)
 	is.True(limiter.Take("remembered"))
 	fleet.nodes = nil
-	is.True(!limiter.HasRoom(cold))
+	is.True(!limiter.HasToken(cold))
 	now = now.Add(time.Second)
 	is.True(!limiter.Take(testLeaf))
 	fleet.nodes = nodes
-	is.True(!limiter.HasRoom(cold)) // nothing was saved up meanwhile
+	is.True(!limiter.HasToken(cold)) // nothing was saved up meanwhile
 	now = now.Add(2 * time.Second)
-	is.True(limiter.HasRoom(cold))
-	is.True(limiter.HasRoom(cold)) // asking takes nothing
+	is.True(limiter.HasToken(cold))
+	is.True(limiter.HasToken(cold)) // asking takes nothing
 	is.True(limiter.Take(testLeaf))
 	is.True(!limiter.Take(testLeaf))
 	now = now.Add(2 * time.Minute)
 	for range 20 {
-		is.True(limiter.HasRoom(cold) && limiter.Take(testLeaf))
+		is.True(limiter.HasToken(cold) && limiter.Take(testLeaf))
 	}
 	now = now.Add(-2 * time.Minute)
 	unlimited := New(DefaultConfig(), newCatalog(t, 0, false), fleet, nodes[0])
--- a/internal/node/keeper.go
+++ b/internal/node/keeper.go
@@ -52,7 +52,7 @@
 		known[leafID] = true
 	}
 	k.balancer.Forget(known)
-	k.pool.Keep(func(incarnation string) bool { return known[incarnation] })
+	k.pool.Prune(func(incarnation string) bool { return known[incarnation] })
 	k.budgets.Forget(k.isRouted(view))
 	k.setGauges(view)
 }
--- a/internal/node/provide.go
+++ b/internal/node/provide.go
@@ -118,13 +118,13 @@
 func newBalancer(config settings.Settings, events *stateEvents) *balancer.Balancer {
 	choice := balancer.New(config.Balancer, config.Node.Zone)
 	choice.OnEjected(events.leafEjected)
-	choice.OnBelief(events.leafJudged)
+	choice.OnAssessment(events.leafJudged)
 	return choice
 }
 
 func newLeafGossip(config settings.Settings, census *registry.Census, transport *peer.SocketTransport, choice *balancer.Balancer) *leafgossip.Gossip {
-	gossip := leafgossip.New(config.LeafGossip, census, transport, choice.Hear)
-	choice.OnObserved(gossip.Tell)
+	gossip := leafgossip.New(config.LeafGossip, census, transport, choice.HandleObservation)
+	choice.OnObserved(gossip.Announce)
 	return gossip
 }
 
@@ -138,14 +138,14 @@
 	return pool
 }
 
-func newDealer(config settings.Settings, census *registry.Census, self catalog.NodeRecord) *connshare.Dealer {
+func newDealer(config settings.Settings, census *registry.Census, self catalog.NodeRecord) *connshare.Allocator {
 	return connshare.New(config.ConnectionShare, census, self)
 }
 
 func newHTTPPool(config settings.Settings, dialect httpnames.Names, memory *leafmemory.Memory, cold *warmup.Limiter, splitter *canary.Splitter, metrics *telemetry.Metrics, lifecycle fx.Lifecycle) *leafhttp.Pool {
 	pool := leafhttp.New(config.LeafHTTP, dialect, metrics.LeafConnections.Inc)
-	pool.SetMayAsk(func(incarnation string) bool {
-		mayAsk := memory.MayAsk(incarnation) && (splitter == nil || splitter.MayAsk(incarnation))
+	pool.SetMaySend(func(incarnation string) bool {
+		mayAsk := memory.MaySend(incarnation) && (splitter == nil || splitter.MayAsk(incarnation))
 		return mayAsk && cold.Take(incarnation) // last, so that a leaf that may not be asked costs nothing of its share
 	})
 	lifecycle.Append(fx.StopHook(pool.Close))
@@ -183,7 +183,7 @@
 	Dialect       httpnames.Names
 	Catalog       *catalog.Catalog
 	Memory        *leafmemory.Memory
-	Dealer        *connshare.Dealer
+	Dealer        *connshare.Allocator
 	Balancer      *balancer.Balancer
 	Budgets       *retrybudget.Budgets
 	Leafs         *leafhttp.Pool
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -88,7 +88,7 @@
 	lifecycle.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			deps.Transport.Serve(configsync.NewPeerHandler(deps.Syncer, configsync.Hearers{
-				Leafs: deps.Gossip.Heard, Reach: deps.Reach.Heard, Rollouts: deps.Rollouts.hearer(),
+				Leafs: deps.Gossip.Receive, Reach: deps.Reach.Heard, Rollouts: deps.Rollouts.hearer(),
 				Quarantine: deps.Quarantine.Heard,
 			}))
 			go deps.Zones.Run(ctx)
@@ -101,7 +101,7 @@
 			running.Go(func() { deps.Rollouts.run(ctx) })
 			running.Go(func() { deps.Quarantine.Run(ctx) })
 			running.Go(func() { deps.Rewriter.Run(ctx) })
-			wakers := []func(time.Duration){deps.Gateway.Woke, deps.Leafs.Woke, func(time.Duration) { deps.Syncer.Woke() }}
+			wakers := []func(time.Duration){deps.Gateway.Woke, deps.Leafs.Resumed, func(time.Duration) { deps.Syncer.Woke() }}
 			if deps.Lessor != nil {
 				record := registry.New(deps.Config.Registry, deps.Lessor, deps.Self, deps.Logger)
 				record.ResumeFrom(deps.Catalog, deps.Syncer.Ready())
--- a/internal/node/state_events.go
+++ b/internal/node/state_events.go
@@ -219,10 +219,10 @@
 }
 
 // leafJudged logs that a leaf is held for slow, silent or well again.
-func (j *stateEvents) leafJudged(belief balancer.Belief) {
+func (j *stateEvents) leafJudged(belief balancer.Assessment) {
 	j.log.Write(decisionlog.Ordinary, judgedEvent{
 		Time: time.Now(), Event: eventLeafJudged, Leaf: belief.LeafID, Condition: belief.Condition,
-		Slowness: belief.Slowness, SilenceMillis: belief.Silence.Milliseconds(), Told: belief.Told,
+		Slowness: belief.Slowness, SilenceMillis: belief.Silence.Milliseconds(), Told: belief.FromPeer,
 	})
 }
 
--- a/internal/operator/api/api_test.go
+++ b/internal/operator/api/api_test.go
@@ -38,7 +38,7 @@
 // threeRows answers every attempt with the keys of its range among three.
 type threeRows struct{}
 
-func (threeRows) HasEnded(context.Context, string) bool { return false }
+func (threeRows) HasExited(context.Context, string) bool { return false }
 
 func (threeRows) SearchShard(_ context.Context, _ string, request *leafv1.SearchShardRequest) (*leafv1.SearchShardResponse, error) {
 	response := &leafv1.SearchShardResponse{Identity: request.GetIdentity(), CoveredFrom: request.GetKeyFrom(), CoveredTo: request.GetKeyTo()}
--- a/internal/request/front/handler.go
+++ b/internal/request/front/handler.go
@@ -77,7 +77,7 @@
 	return &gateway.Request{
 		Leaf: leafhttp.Request{
 			ID: id, Method: request.Method, Target: target, Host: request.Host, Body: body,
-			Header:  leafhttp.PassedOn(request.Header, s.dialect.RequestID, s.dialect.DeadlineMillis, s.dialect.ExpectedIncarnation),
+			Header:  leafhttp.ForwardedHeaders(request.Header, s.dialect.RequestID, s.dialect.DeadlineMillis, s.dialect.ExpectedIncarnation),
 			HasBody: len(body) > 0 || request.ContentLength >= 0 && request.Header.Get("Content-Length") != "" || len(request.TransferEncoding) > 0,
 		},
 		Path: path, Caller: callerOf(request), Arrived: arrived, Patience: patience,
--- a/internal/request/gateway/answer.go
+++ b/internal/request/gateway/answer.go
@@ -38,7 +38,7 @@
 	if reply == nil {
 		return nil, w.failed()
 	}
-	return &Answer{Status: reply.Status, Header: leafhttp.PassedOn(reply.Header), Body: reply.Body}, nil
+	return &Answer{Status: reply.Status, Header: leafhttp.ForwardedHeaders(reply.Header), Body: reply.Body}, nil
 }
 
 // failed makes the typed failure of a request without an answer.
@@ -50,7 +50,7 @@
 	reason := w.firstReason()
 	code := failure.IncompleteCoverage
 	switch {
-	case w.summary.Fatal:
+	case w.summary.StoppedByCrashes:
 		code = failure.LeafsEnded
 	case execution == failure.NotRun:
 		code = failure.Overloaded
--- a/internal/request/gateway/attempt.go
+++ b/internal/request/gateway/attempt.go
@@ -57,7 +57,7 @@
 // judgeResponse judges an answer, after the leaf's word on its load.
 func (w *gathering) judgeResponse(attempt scatter.Attempt, response *leafhttp.Response) scatter.Result[leafhttp.Response] {
 	if response.Load != nil {
-		w.gateway.balancer.Report(attempt.Leaf, balancer.Load{
+		w.gateway.balancer.ReportLoad(attempt.Leaf, balancer.Load{
 			InFlight: uint32(response.Load.Running + response.Load.Waiting), Slots: uint32(response.Load.Slots),
 		})
 	}
--- a/internal/request/gateway/await.go
+++ b/internal/request/gateway/await.go
@@ -84,7 +84,7 @@
 func (p *passing) tellParts(answer servingtree.Answer, tell told) {
 	if len(answer.Stamps) == len(p.group.shards) {
 		p.toldParts = true
-		tell(scatter.GroupResult[leafhttp.Response]{Replies: p.replies(&answer), More: true})
+		tell(scatter.GroupResult[leafhttp.Response]{Replies: p.replies(&answer), Partial: true})
 	}
 }
 
@@ -133,7 +133,7 @@
 		// Its shards are asked from here, one leaf after the other.
 		p.work.learnEnded(reply.Failure.EndedLeafs)
 		return groupEnd{outcome: GroupFailed, reason: reply.Failure.Message, result: scatter.GroupResult[leafhttp.Response]{
-			Broke: true, Execution: executionOf(reply.Failure.Execution),
+			BrokeOff: true, Execution: executionOf(reply.Failure.Execution),
 		}}
 	case reply.Failure != nil:
 		p.work.keepRefusal(p.group, reply.Failure)
--- a/internal/request/gateway/candidates.go
+++ b/internal/request/gateway/candidates.go
@@ -53,20 +53,20 @@
 
 // addParts adds those of some leafs of one version that this node may ask, and to targets how.
 func (g *Gateway) addParts(candidates []balancer.Candidate, service string, gathered bool, limit int, leafs []*leafset.Leaf, targets *[]target) []balancer.Candidate {
-	dealt := g.dealer.Deal(service, gathered, leafs, limit)
+	dealt := g.dealer.Allot(service, gathered, leafs, limit)
 	candidates = slices.Grow(candidates, len(dealt))
 	*targets = slices.Grow(*targets, len(dealt))
 	for _, part := range dealt {
 		leaf := part.Leaf
-		if part.Connections == 0 && !g.leafs.CanSpare(leaf.ID) {
+		if part.Connections == 0 && !g.leafs.MayOpenExtra(leaf.ID) {
 			continue
 		}
-		if g.warmup != nil && !g.warmup.HasRoom(leaf) {
+		if g.warmup != nil && !g.warmup.HasToken(leaf) {
 			continue
 		}
-		way := leafhttp.Target{Incarnation: leaf.ID, Name: leaf.Name, Address: leaf.Address, Connections: part.Connections, Spare: part.Spare}
+		way := leafhttp.Target{LeafID: leaf.ID, Name: leaf.Name, Address: leaf.Address, Connections: part.Connections, ExtraConnections: part.ExtraConnections}
 		*targets = append(*targets, target{way, leaf})
-		candidates = append(candidates, balancer.Candidate{LeafID: leaf.ID, Zone: leaf.Zone, Spare: part.Connections == 0, LastResort: part.LastResort})
+		candidates = append(candidates, balancer.Candidate{LeafID: leaf.ID, Zone: leaf.Zone, Unallotted: part.Connections == 0, LastResort: part.LastResort})
 	}
 	return candidates
 }
@@ -90,9 +90,9 @@
 // target gives the leaf of an attempt.
 func (w *gathering) target(attempt scatter.Attempt) target {
 	for _, target := range w.targets[attempt.Shard] {
-		if target.Incarnation == attempt.Leaf.ID {
+		if target.LeafID == attempt.Leaf.ID {
 			return target
 		}
 	}
-	return target{Target: leafhttp.Target{Incarnation: attempt.Leaf.ID}}
+	return target{Target: leafhttp.Target{LeafID: attempt.Leaf.ID}}
 }
--- a/internal/request/gateway/crash.go
+++ b/internal/request/gateway/crash.go
@@ -107,9 +107,9 @@
 	}
 	plan.NoProbes = w.collected != nil
 	plan.Cautious = w.state() == quarantine.Suspect
-	plan.FatalProbes = quarantine.FatalProbes
+	plan.CrashedProbesLimit = quarantine.FatalProbes
 	if w.try.IsAlert() && w.isGathered() && w.collected == nil {
-		plan.Lead = max(leastLead, leadTimes*w.gatheredLatency.typical())
+		plan.HeadStart = max(leastLead, leadTimes*w.gatheredLatency.typical())
 	}
 }
 
@@ -157,7 +157,7 @@
 		return
 	}
 	result := end.result
-	result.Broke = end.isBroken()
+	result.BrokeOff = end.isBroken()
 	mustWait := !end.isAbandoned() && (attempt.Probe || end.isRefused())
 	if !mustWait {
 		done(result)
@@ -183,13 +183,13 @@
 	if end.isCompleted() {
 		w.try.Answered()
 	}
-	if leafhttp.IsGone(end.err) && w.gateway.isListed(leafID) {
+	if leafhttp.IsNotListening(end.err) && w.gateway.isListed(leafID) {
 		w.try.Gone(leafID)
 	}
 }
 
 // look finds out whether a leaf's process ended, and tells.
-func (w *gathering) look(at leafhttp.Target, wasRefused bool, tell leafhttp.Ended) {
+func (w *gathering) look(at leafhttp.Target, wasRefused bool, tell leafhttp.OnChecked) {
 	looked := make(chan struct{})
 	w.mu.Lock()
 	w.looks = append(w.looks, looked)
@@ -244,9 +244,9 @@
 // afterCheck is the result of an attempt once it is known whether its leaf ended. A connection that seemed refused may
 // have carried the request to a leaf that ended by it.
 func afterCheck(result scatter.Result[leafhttp.Response], lost LossRecord) scatter.Result[leafhttp.Response] {
-	result.Ended = lost.isEvidence()
+	result.LeafCrashed = lost.isEvidence()
 	if lost.Ended && result.Reason == reasonRefusedConnection {
-		result.Reason, result.NeverArrived, result.Broke = reasonBroken, false, true
+		result.Reason, result.NeverArrived, result.BrokeOff = reasonBroken, false, true
 	}
 	return result
 }
--- a/internal/request/gateway/crash_test.go
+++ b/internal/request/gateway/crash_test.go
@@ -78,10 +78,10 @@
 	return f
 }
 
-func (f *fatalLeafs) Check(target leafhttp.Target, _ bool, tell leafhttp.Ended) {
+func (f *fatalLeafs) Check(target leafhttp.Target, _ bool, tell leafhttp.OnChecked) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	ended := f.ended[target.Incarnation]
+	ended := f.ended[target.LeafID]
 	time.AfterFunc(time.Millisecond, func() { tell(ended) })
 }
 
@@ -376,7 +376,7 @@
 	ended *endedLeafs
 }
 
-func (l *endingLeafs) Check(target leafhttp.Target, _ bool, tell leafhttp.Ended) {
-	ended := l.ended.has(target.Incarnation)
+func (l *endingLeafs) Check(target leafhttp.Target, _ bool, tell leafhttp.OnChecked) {
+	ended := l.ended.has(target.LeafID)
 	time.AfterFunc(time.Millisecond, func() { tell(ended) })
 }
--- a/internal/request/gateway/gateway.go
+++ b/internal/request/gateway/gateway.go
@@ -27,12 +27,12 @@
 type LeafCaller interface {
 	// Start begins an attempt without blocking; see leafhttp.Pool.
 	Start(target leafhttp.Target, request *leafhttp.Request, deadline time.Time, done leafhttp.Done) context.CancelCauseFunc
-	// CanSpare reports whether a leaf that other nodes were dealt may be asked.
-	CanSpare(incarnation string) bool
+	// MayOpenExtra reports whether a leaf that other nodes were dealt may be asked.
+	MayOpenExtra(incarnation string) bool
 	// Warm opens a connection to the first of some leafs, unless there is one to any.
 	Warm(targets []leafhttp.Target)
 	// Check finds out whether a leaf's process has ended, after an answer of it broke off; see leafhttp.Pool.
-	Check(target leafhttp.Target, refused bool, tell leafhttp.Ended)
+	Check(target leafhttp.Target, refused bool, tell leafhttp.OnChecked)
 }
 
 // Deps are what a gateway is built from.
@@ -41,7 +41,7 @@
 	Dialect  httpnames.Names
 	Catalog  *catalog.Catalog
 	Memory   *leafmemory.Memory
-	Dealer   *connshare.Dealer
+	Dealer   *connshare.Allocator
 	Balancer *balancer.Balancer
 	Budgets  *retrybudget.Budgets
 	Leafs    LeafCaller
@@ -71,7 +71,7 @@
 	dialect  httpnames.Names
 	catalog  *catalog.Catalog
 	memory   *leafmemory.Memory
-	dealer   *connshare.Dealer
+	dealer   *connshare.Allocator
 	balancer *balancer.Balancer
 	budgets  *retrybudget.Budgets
 	leafs    LeafCaller
--- a/internal/request/gateway/gateway_test.go
+++ b/internal/request/gateway/gateway_test.go
@@ -70,11 +70,11 @@
 
 func (s *scriptedLeafs) Start(target leafhttp.Target, _ *leafhttp.Request, _ time.Time, done leafhttp.Done) context.CancelCauseFunc {
 	s.mu.Lock()
-	s.asked = append(s.asked, target.Incarnation)
+	s.asked = append(s.asked, target.LeafID)
 	s.mu.Unlock()
 	ctx, cancel := context.WithCancelCause(context.Background())
 	go func() {
-		delay, response, err := s.answer(target.Incarnation)
+		delay, response, err := s.answer(target.LeafID)
 		select {
 		case <-time.After(delay):
 			done(response, err)
@@ -85,10 +85,10 @@
 	return cancel
 }
 
-func (s *scriptedLeafs) CanSpare(string) bool { return true }
+func (s *scriptedLeafs) MayOpenExtra(string) bool { return true }
 
 // Check finds each leaf alive.
-func (s *scriptedLeafs) Check(_ leafhttp.Target, _ bool, tell leafhttp.Ended) { go tell(false) }
+func (s *scriptedLeafs) Check(_ leafhttp.Target, _ bool, tell leafhttp.OnChecked) { go tell(false) }
 
 func (s *scriptedLeafs) warmedCount() int {
 	s.mu.Lock()
@@ -99,7 +99,7 @@
 func (s *scriptedLeafs) Warm(targets []leafhttp.Target) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.warmed = append(s.warmed, targets[0].Incarnation)
+	s.warmed = append(s.warmed, targets[0].LeafID)
 }
 
 func answered(status int, body string) *leafhttp.Response {
@@ -298,7 +298,7 @@
 				}}
 				g, _ := newGateway(t, leafs)
 				for range 3 { // earns the budget for a retry
-					g.budgets.Request("s0")
+					g.budgets.CountRequest("s0")
 				}
 				answer, err := g.Serve(t.Context(), ask(one.path))
 				if one.status != 0 {
--- a/internal/request/gateway/gathering.go
+++ b/internal/request/gateway/gathering.go
@@ -60,7 +60,7 @@
 // it: enough parts were in before.
 func (w *gathering) learnLag() {
 	enoughAt := w.summary.SufficientAt
-	if w.isGathered() && !enoughAt.IsZero() && w.summary.SoftDeadlined && enoughAt.Before(w.query.planned) {
+	if w.isGathered() && !enoughAt.IsZero() && w.summary.EndedAtSoftDeadline && enoughAt.Before(w.query.planned) {
 		w.gateway.lag.observe(time.Since(w.query.planned))
 	}
 }
@@ -80,7 +80,7 @@
 	w.drawFirst(&plan)
 	work := scatter.New(plan, scatter.Deps[leafhttp.Response]{
 		Balancer: w.gateway.balancer, Start: w.startAttempt, Observer: w, Superseded: leafhttp.ErrSuperseded,
-		StartGroup: w.startGroup, Accepted: w.accepted(),
+		StartGroup: w.startGroup, OnReply: w.accepted(),
 	})
 	w.outcomes, w.summary = work.Run(ctx)
 	switch cause := context.Cause(ctx); {
@@ -114,7 +114,7 @@
 	}
 	for index, service := range w.services {
 		if !w.isPassedOn(index) {
-			w.gateway.budgets.Request(service)
+			w.gateway.budgets.CountRequest(service)
 		}
 	}
 }
--- a/internal/request/gateway/lives_test.go
+++ b/internal/request/gateway/lives_test.go
@@ -39,12 +39,12 @@
 
 	second, secondTarget, secondCandidate := born(t, g, 2000)
 	fresh := choose(secondCandidate)
-	is.True(fresh != nil && fresh != kept)                            // leaving; load, slowness, ejection
-	is.True(balancer.KeyOf(first.ID) != balancer.KeyOf(second.ID))    // what nodes tell each other of it
-	is.True(firstTarget.Incarnation != secondTarget.Incarnation)      // connections, and checks whether it ended
-	is.Equal(secondTarget.Name, "s0a")                                // what requests name
-	is.True(!g.isListed(first.ID) && g.isListed(second.ID))           // evidence of requests that end leafs
-	is.True(!g.memory.MayAsk(first.ID) && g.memory.MayAsk(second.ID)) // requests that wait for it
+	is.True(fresh != nil && fresh != kept)                              // leaving; load, slowness, ejection
+	is.True(balancer.KeyOf(first.ID) != balancer.KeyOf(second.ID))      // what nodes tell each other of it
+	is.True(firstTarget.LeafID != secondTarget.LeafID)                  // connections, and checks whether it ended
+	is.Equal(secondTarget.Name, "s0a")                                  // what requests name
+	is.True(!g.isListed(first.ID) && g.isListed(second.ID))             // evidence of requests that end leafs
+	is.True(!g.memory.MaySend(first.ID) && g.memory.MaySend(second.ID)) // requests that wait for it
 	put(t, g.catalog, catalog.LeafKey("s0a"), leafset.Record{Name: "s0a", Service: "s0", Address: "127.0.0.1:1", State: leafset.Draining, Born: 1000})
 	is.True(g.isListed(second.ID)) // late word of the first
 }
--- a/internal/request/gateway/overload.go
+++ b/internal/request/gateway/overload.go
@@ -38,7 +38,7 @@
 		if w.isPassedOn(index) {
 			continue
 		}
-		if delay := w.gateway.balancer.Queueing(shard.Candidates); delay > 0 {
+		if delay := w.gateway.balancer.QueueingFactor(shard.Candidates); delay > 0 {
 			delays = append(delays, delay)
 		}
 	}
--- a/internal/request/gateway/overload_test.go
+++ b/internal/request/gateway/overload_test.go
@@ -33,7 +33,7 @@
 				for index := range one.busy {
 					for _, replica := range []string{"a", "b"} {
 						chosen := g.balancer.Choose([]balancer.Candidate{{LeafID: fmt.Sprintf("s%d%s", index, replica)}}, nil)
-						g.balancer.Report(chosen.Leaf, balancer.Load{InFlight: 40, Slots: 2})
+						g.balancer.ReportLoad(chosen.Leaf, balancer.Load{InFlight: 40, Slots: 2})
 					}
 				}
 				started := time.Now()
--- a/internal/request/gateway/passing.go
+++ b/internal/request/gateway/passing.go
@@ -101,7 +101,7 @@
 		ended := p.await(ctx, call, tell)
 		p.note(ended, time.Since(began))
 		result := p.withSpent(ended.result)
-		if asked == mostIntermediates || result.Replies != nil || result.Final || result.Broke || p.toldParts || ended.outcome == GroupCancelled {
+		if asked == mostIntermediates || result.Replies != nil || result.Final || result.BrokeOff || p.toldParts || ended.outcome == GroupCancelled {
 			return result
 		}
 		node, found := p.root.choose(p.group.zones)
--- a/internal/request/gateway/policy.go
+++ b/internal/request/gateway/policy.go
@@ -131,7 +131,7 @@
 	}
 	typical := p.latency.typical()
 	factor := p.config.HedgeFactor
-	switch left := p.budgets.Left(p.service); {
+	switch left := p.budgets.FreeShare(p.service); {
 	case left < tightBudget:
 		factor *= tightWait
 	case left < lowBudget:
@@ -147,7 +147,7 @@
 }
 
 // Typical implements scatter.Policy.
-func (p *shardPolicy) Typical() time.Duration { return p.latency.typical() }
+func (p *shardPolicy) TypicalLatency() time.Duration { return p.latency.typical() }
 
 // WorthHedging implements scatter.Policy: a hedge that is not expected to answer within the
 // objective is not, until that is over.
@@ -166,4 +166,4 @@
 func (p *shardPolicy) Observe(took time.Duration) { p.latency.observe(took) }
 
 // Shed implements scatter.Policy.
-func (p *shardPolicy) Shed() {}
+func (p *shardPolicy) ObserveShed() {}
--- a/internal/request/gateway/tree_fleet_test.go
+++ b/internal/request/gateway/tree_fleet_test.go
@@ -53,14 +53,14 @@
 
 func (l *treeLeafs) Start(target leafhttp.Target, _ *leafhttp.Request, _ time.Time, done leafhttp.Done) context.CancelCauseFunc {
 	l.seen.mu.Lock()
-	l.seen.asked[l.node] = append(l.seen.asked[l.node], target.Incarnation)
+	l.seen.asked[l.node] = append(l.seen.asked[l.node], target.LeafID)
 	answer := l.answer
 	l.seen.mu.Unlock()
 	ctx, cancel := context.WithCancelCause(context.Background())
 	go func() {
-		delay, response, err := time.Duration(0), answered(200, records(target.Incarnation)), error(nil)
+		delay, response, err := time.Duration(0), answered(200, records(target.LeafID)), error(nil)
 		if answer != nil {
-			delay, response, err = answer(target.Incarnation)
+			delay, response, err = answer(target.LeafID)
 		}
 		select {
 		case <-time.After(delay):
@@ -82,11 +82,11 @@
 	l.answer = answer
 }
 
-func (l *treeLeafs) CanSpare(string) bool   { return true }
-func (l *treeLeafs) Warm([]leafhttp.Target) {}
+func (l *treeLeafs) MayOpenExtra(string) bool { return true }
+func (l *treeLeafs) Warm([]leafhttp.Target)   {}
 
 // Check finds each leaf alive.
-func (l *treeLeafs) Check(_ leafhttp.Target, _ bool, tell leafhttp.Ended) { go tell(false) }
+func (l *treeLeafs) Check(_ leafhttp.Target, _ bool, tell leafhttp.OnChecked) { go tell(false) }
 
 // treeNode is one node of a test.
 type treeNode struct {
@@ -238,7 +238,7 @@
 func treeBudgets() *retrybudget.Budgets {
 	config := retrybudget.Config{Ratio: 0, Window: 20 * time.Millisecond, Allowance: 20, Share: 1}
 	budgets := retrybudget.New(config, func(string) float64 { return 1 })
-	for budgets.Left("any") == 0 {
+	for budgets.FreeShare("any") == 0 {
 		time.Sleep(time.Millisecond) // a new node leaves the allowance alone for one window
 	}
 	return budgets
--- a/internal/request/gateway/tree_test.go
+++ b/internal/request/gateway/tree_test.go
@@ -279,7 +279,7 @@
 	for index := range nearShards - 1 { // most of its own, fewer than half of all
 		for _, zone := range []string{zoneNear, zoneFar} {
 			chosen := g.balancer.Choose([]balancer.Candidate{{LeafID: fmt.Sprintf("s%d%s", index, zone), Zone: zone}}, nil)
-			g.balancer.Report(chosen.Leaf, balancer.Load{InFlight: 40, Slots: 2})
+			g.balancer.ReportLoad(chosen.Leaf, balancer.Load{InFlight: 40, Slots: 2})
 		}
 	}
 	_, err := b.ask("root")
--- a/internal/request/gateway/trial.go
+++ b/internal/request/gateway/trial.go
@@ -78,7 +78,7 @@
 // asked, those that were planned without one.
 func (w *gathering) firstCandidates(shard int, planned []balancer.Candidate) []balancer.Candidate {
 	choice := w.gateway.balancer.Choose(planned, nil)
-	draw := w.draw(shard, choice.Leaf == nil || choice.Troubled)
+	draw := w.draw(shard, choice.Leaf == nil || choice.Unhealthy)
 	if draw.First == w.gateway.later(w.services[shard]) {
 		return planned
 	}
@@ -103,7 +103,7 @@
 			continue
 		}
 		one := candidates[at : at+1]
-		if choice := w.gateway.balancer.Choose(one, nil); choice.Leaf != nil && !choice.Troubled {
+		if choice := w.gateway.balancer.Choose(one, nil); choice.Leaf != nil && !choice.Unhealthy {
 			return one
 		}
 	}
--- a/internal/request/gateway/trial_test.go
+++ b/internal/request/gateway/trial_test.go
@@ -119,7 +119,7 @@
 
 func (s *slowToSend) Start(target leafhttp.Target, request *leafhttp.Request, deadline time.Time, done leafhttp.Done) context.CancelCauseFunc {
 	time.AfterFunc(s.wait, func() {
-		if !s.mayAsk(target.Incarnation) {
+		if !s.mayAsk(target.LeafID) {
 			done(nil, &leafhttp.NeverSentError{Cause: errSilent})
 			return
 		}
--- a/internal/request/gateway/warm.go
+++ b/internal/request/gateway/warm.go
@@ -47,7 +47,7 @@
 // warmFirst opens a connection to the leaf of an id among targets, if this node has a part of it and no connection
 // to any of them.
 func (g *Gateway) warmFirst(id string, targets []target) {
-	first := slices.IndexFunc(targets, func(target target) bool { return target.Incarnation == id })
+	first := slices.IndexFunc(targets, func(target target) bool { return target.LeafID == id })
 	if first < 0 || targets[first].Connections == 0 {
 		return
 	}
@@ -89,7 +89,7 @@
 	var targets []target
 	g.partsOf(service, view.Routes.IsGathered(service), known.MaximumConnections, canary.Trial, &targets)
 	for _, leaf := range leafs {
-		if slices.ContainsFunc(targets, func(target target) bool { return target.Incarnation == leaf.ID && target.Connections > 0 }) {
+		if slices.ContainsFunc(targets, func(target target) bool { return target.LeafID == leaf.ID && target.Connections > 0 }) {
 			g.warmFirst(leaf.ID, targets)
 			break
 		}
--- a/internal/request/hedging/hedging.go
+++ b/internal/request/hedging/hedging.go
@@ -118,8 +118,8 @@
 	return delay, true
 }
 
-// Typical gives 0: replicas of key ranges are compared with each other instead.
-func (p *Policy) Typical() time.Duration { return 0 }
+// TypicalLatency gives 0: replicas of key ranges are compared with each other instead.
+func (p *Policy) TypicalLatency() time.Duration { return 0 }
 
 // WorthHedging reports that a hedge is worth its cost to any replica.
 func (p *Policy) WorthHedging(float64) bool { return true }
@@ -135,5 +135,5 @@
 // AllowRetry takes a token for a retry.
 func (p *Policy) AllowRetry() bool { return p.retries.take() }
 
-// Shed records that a leaf of the service refused for lack of capacity.
-func (p *Policy) Shed() { p.shedAt.Store(time.Now().UnixNano()) }
+// ObserveShed records that a leaf of the service refused for lack of capacity.
+func (p *Policy) ObserveShed() { p.shedAt.Store(time.Now().UnixNano()) }
--- a/internal/request/hedging/hedging_test.go
+++ b/internal/request/hedging/hedging_test.go
@@ -61,7 +61,7 @@
 		is := is.New(t)
 		policy := NewPolicy(DefaultConfig(), 0)
 		is.True(policy.AllowHedge())
-		policy.Shed()
+		policy.ObserveShed()
 		is.True(!policy.AllowHedge())
 		time.Sleep(DefaultConfig().ShedPause + time.Millisecond)
 		is.True(policy.AllowHedge())
--- a/internal/request/retrybudget/retrybudget.go
+++ b/internal/request/retrybudget/retrybudget.go
@@ -78,8 +78,8 @@
 	newest   int64 // number of the newest slice
 }
 
-// Request counts a request for a service, once for each that a caller sent.
-func (b *Budgets) Request(service string) {
+// CountRequest counts a request for a service, once for each that a caller sent.
+func (b *Budgets) CountRequest(service string) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	kept := b.window(service)
@@ -100,8 +100,8 @@
 	return true
 }
 
-// Left gives the part of the room that is still free, 0 to 1.
-func (b *Budgets) Left(service string) float64 {
+// FreeShare gives the part of the room that is still free, 0 to 1.
+func (b *Budgets) FreeShare(service string) float64 {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	kept := b.window(service)
--- a/internal/request/retrybudget/retrybudget_test.go
+++ b/internal/request/retrybudget/retrybudget_test.go
@@ -47,7 +47,7 @@
 				nodes[index] = newNode(index)
 			}
 			if rapid.Bool().Draw(t, "request") {
-				nodes[index].Request("s")
+				nodes[index].CountRequest("s")
 				events = append(events, event{at: elapsed})
 			}
 			for range rapid.IntRange(0, 8).Draw(t, "repeats") {
@@ -91,7 +91,7 @@
 	budgets.start = now
 	is.True(!budgets.Take("s", 0)) // no request yet, no allowance yet
 	for range 4 {
-		budgets.Request("s")
+		budgets.CountRequest("s")
 	}
 	is.True(budgets.Take("s", 0))
 	is.True(budgets.Take("s", 0))
@@ -101,7 +101,7 @@
 		is.True(budgets.Take("s", 0))
 	}
 	is.True(!budgets.Take("s", 0))
-	is.Equal(budgets.Left("s"), 0.0)
+	is.Equal(budgets.FreeShare("s"), 0.0)
 }
 
 func TestReserveAndUnknownFleet(t *testing.T) {
--- a/internal/request/retrybudget/suspended_test.go
+++ b/internal/request/retrybudget/suspended_test.go
@@ -14,10 +14,10 @@
 	budgets := New(Config{Ratio: 0.2, Window: 10 * time.Second, Share: 1}, func(string) float64 { return 1 })
 	budgets.SetClock(func() time.Time { return now })
 	for range 100 {
-		budgets.Request("s")
+		budgets.CountRequest("s")
 	}
 	is.True(budgets.Take("s", 0))
 	now = now.Add(12 * time.Second) // asleep
 	is.True(!budgets.Take("s", 0))
-	is.Equal(budgets.Left("s"), 0.0)
+	is.Equal(budgets.FreeShare("s"), 0.0)
 }
--- a/internal/request/scatter/caution.go
+++ b/internal/request/scatter/caution.go
@@ -7,8 +7,8 @@
 // that ends whatever runs it costs one more leaf then instead of as many as there are shards (20 instead of 40 on a
 // route over 20 shards of two leafs); any other goes on with the first answer.
 
-// LeafsEnded means that a shard was not asked, since leafs of others had ended while they worked on the request.
-const LeafsEnded Reason = "LEAFS_ENDED"
+// LeafsCrashed means that a shard was not asked, since leafs of others had ended while they worked on the request.
+const LeafsCrashed Reason = "LEAFS_ENDED"
 
 // Bounds of how long a probe is waited for before another one may be sent: a leaf that is silent has not ended.
 const (
@@ -24,7 +24,7 @@
 
 // isLeading reports whether the first attempt is ahead of the others.
 func (s *Scatter[Reply]) isLeading() bool {
-	return s.plan.Lead > 0 && time.Since(s.began) < s.plan.Lead
+	return s.plan.HeadStart > 0 && time.Since(s.began) < s.plan.HeadStart
 }
 
 // mustWait reports whether a probe is under way that an attempt for a shard must wait for.
@@ -35,7 +35,7 @@
 	if s.plan.NoProbes || s.probes == 0 {
 		return s.plan.NoProbes
 	}
-	patience := max(leastProbe, probeTimes*s.plan.Shards[index].Policy.Typical())
+	patience := max(leastProbe, probeTimes*s.plan.Shards[index].Policy.TypicalLatency())
 	return time.Since(s.probedAt) < patience || s.isLeading()
 }
 
@@ -46,7 +46,7 @@
 	}
 	shard.isHeld, s.hasHeld = true, true
 	if s.isLeading() {
-		shard.retryAt = s.began.Add(s.plan.Lead)
+		shard.retryAt = s.began.Add(s.plan.HeadStart)
 		return
 	}
 	pause := s.plan.ReplicaWait
@@ -59,7 +59,7 @@
 // holdGroups lets the groups wait for the first attempt.
 func (s *Scatter[Reply]) holdGroups() {
 	s.markGroups()
-	s.groupsAt = s.began.Add(s.plan.Lead)
+	s.groupsAt = s.began.Add(s.plan.HeadStart)
 	s.hasHeld = true
 }
 
@@ -88,15 +88,15 @@
 
 // learnCaution takes what an attempt's end says of the request itself.
 func (s *Scatter[Reply]) learnCaution(ended *finished[Reply]) {
-	s.hasBroken = s.hasBroken || ended.result.Broke
+	s.hasBroken = s.hasBroken || ended.result.BrokeOff
 	if !ended.attempt.Probe {
 		return
 	}
 	s.probes--
-	if ended.result.Ended {
+	if ended.result.LeafCrashed {
 		s.endedProbes++
 	}
-	s.isFatal = s.plan.FatalProbes > 0 && s.endedProbes >= s.plan.FatalProbes
+	s.isFatal = s.plan.CrashedProbesLimit > 0 && s.endedProbes >= s.plan.CrashedProbesLimit
 }
 
 // isStuck reports whether nothing more comes of a plan that sends no probes.
--- a/internal/request/scatter/caution_test.go
+++ b/internal/request/scatter/caution_test.go
@@ -18,13 +18,13 @@
 
 // broke is the end of an attempt whose answer broke off, with its leaf if it ended.
 func broke(ended bool) Result[string] {
-	return Result[string]{Reason: LeafFailed, Execution: Unknown, Outcome: balancer.Failed, Broke: true, Ended: ended}
+	return Result[string]{Reason: LeafFailed, Execution: Unknown, Outcome: balancer.Failed, BrokeOff: true, LeafCrashed: ended}
 }
 
 func cautionPlan(policy *testPolicy) Plan {
 	return Plan{
 		Shards: shards(manyShards, policy), Deadline: time.Now().Add(time.Second), MaximumAttempts: 2,
-		Sufficient: manyShards - 2, ReplicaWait: workTime, FatalProbes: 1,
+		Sufficient: manyShards - 2, ReplicaWait: workTime, CrashedProbesLimit: 1,
 	}
 }
 
@@ -49,7 +49,7 @@
 		})
 		is.Equal(summary.Attempts, manyShards+1)
 		is.Equal(watched.probes(), 1)
-		is.True(summary.Fatal)
+		is.True(summary.StoppedByCrashes)
 		is.Equal(time.Since(started), 2*workTime)
 	})
 }
@@ -62,7 +62,7 @@
 		plan.Cautious = true
 		outcomes, summary, _ := play(t.Context(), plan, func(string, Attempt) (time.Duration, Result[string]) { return workTime, broke(true) })
 		is.Equal(summary.Attempts, 1)
-		is.Equal(outcomes[manyShards-1].Reason, LeafsEnded)
+		is.Equal(outcomes[manyShards-1].Reason, LeafsCrashed)
 
 		plan = cautionPlan(&testPolicy{budget: 100})
 		plan.Cautious = true
@@ -133,13 +133,13 @@
 		plan.NoProbes = true
 		_, summary, _ := play(t.Context(), plan, func(string, Attempt) (time.Duration, Result[string]) { return workTime, broke(true) })
 		is.Equal(summary.Attempts, manyShards)
-		is.True(summary.Fatal)
+		is.True(summary.StoppedByCrashes)
 		is.Equal(time.Since(started), workTime)
 
 		plan.Cautious = true
 		_, summary, _ = play(t.Context(), plan, func(string, Attempt) (time.Duration, Result[string]) { return workTime, broke(true) })
 		is.Equal(summary.Attempts, 0)
-		is.True(summary.Fatal)
+		is.True(summary.StoppedByCrashes)
 	})
 }
 
@@ -150,7 +150,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				plan := cautionPlan(&testPolicy{budget: 100})
-				plan.Lead = 10 * workTime
+				plan.HeadStart = 10 * workTime
 				plan.Groups = []Group{{Shards: []int{1, 2, 3}}}
 				began := time.Now()
 				var groupAt time.Duration
@@ -170,7 +170,7 @@
 					},
 				})
 				_, summary := work.Run(t.Context())
-				is.Equal(summary.Fatal, isFatal)
+				is.Equal(summary.StoppedByCrashes, isFatal)
 				if isFatal {
 					is.Equal(groupAt, time.Duration(0))
 					is.Equal(summary.Attempts, 1)
--- a/internal/request/scatter/group.go
+++ b/internal/request/scatter/group.go
@@ -22,8 +22,8 @@
 	// Replies are those of the group's shards, in its order, nil for those that are not in; nil as a
 	// whole when there is no answer.
 	Replies []*Reply
-	// More says that the others may still come.
-	More bool
+	// Partial says that the others may still come.
+	Partial bool
 	// Execution is what is known of the leafs when there is no answer.
 	Execution Execution
 	// Spent is how many attempts of each shard may have been made when there is no answer; at least
@@ -31,8 +31,8 @@
 	Spent int
 	// Final says that there is no answer, and that asking each shard by itself could not help.
 	Final bool
-	// Broke says that there is no answer, and that leafs may have ended by the request.
-	Broke bool
+	// BrokeOff says that there is no answer, and that leafs may have ended by the request.
+	BrokeOff bool
 }
 
 // StartGroup begins the attempt of a group, by its index in the plan, without blocking. It calls told
@@ -84,12 +84,12 @@
 func (s *Scatter[Reply]) handleGroup(ended finishedGroup[Reply]) {
 	result := ended.result
 	s.learnExecution(result)
-	s.hasBroken = s.hasBroken || result.Broke
+	s.hasBroken = s.hasBroken || result.BrokeOff
 	s.release()
 	for place, index := range s.plan.Groups[ended.group].Shards {
 		shard := &s.shards[index]
 		isIn := result.Replies != nil && result.Replies[place] != nil
-		if !shard.isGrouped || result.More && !isIn {
+		if !shard.isGrouped || result.Partial && !isIn {
 			continue
 		}
 		shard.isGrouped = false
--- a/internal/request/scatter/group_test.go
+++ b/internal/request/scatter/group_test.go
@@ -37,7 +37,7 @@
 			for _, step := range g.steps[group] {
 				select {
 				case <-time.After(step.after):
-					if !step.result.More {
+					if !step.result.Partial {
 						g.set(plan.Groups[group].Shards, false)
 					}
 					told(step.result)
@@ -130,21 +130,21 @@
 		},
 		"some parts, then the rest": {
 			steps: []groupStep{
-				{20 * ms, GroupResult[string]{Replies: parts("b", "", ""), More: true}},
+				{20 * ms, GroupResult[string]{Replies: parts("b", "", ""), Partial: true}},
 				{30 * ms, GroupResult[string]{Replies: parts("", "c", "d")}},
 			},
 			want: []string{"own", "b", "c", "d"}, first: 1, soft: 25 * ms, needed: 4,
 		},
 		"some parts are enough at the soft deadline": {
 			steps: []groupStep{
-				{20 * ms, GroupResult[string]{Replies: parts("b", "c", ""), More: true}},
+				{20 * ms, GroupResult[string]{Replies: parts("b", "c", ""), Partial: true}},
 				{time.Hour, GroupResult[string]{Replies: parts("", "", "d")}},
 			},
 			want: []string{"own", "b", "c", ""}, first: 1, soft: 25 * ms, needed: 3,
 		},
 		"some parts, then it breaks": {
 			steps: []groupStep{
-				{20 * ms, GroupResult[string]{Replies: parts("b", "", "d"), More: true}},
+				{20 * ms, GroupResult[string]{Replies: parts("b", "", "d"), Partial: true}},
 				{30 * ms, GroupResult[string]{Execution: Unknown}},
 			},
 			want: []string{"own", "b", "own", "d"}, first: 1, repeats: 1, needed: 4,
@@ -196,7 +196,7 @@
 		}
 		_, summary, _ := playGroups(t.Context(), plan, groups, ownAnswer)
 		synctest.Wait()
-		is.True(summary.SoftDeadlined)
+		is.True(summary.EndedAtSoftDeadline)
 		is.Equal(groups.causes, []error{errSuperseded})
 	})
 }
@@ -295,7 +295,7 @@
 		}
 		var steps []groupStep
 		if rapid.Bool().Draw(t, "partial") {
-			steps = append(steps, groupStep{delay(), GroupResult[string]{Replies: some(), More: true}})
+			steps = append(steps, groupStep{delay(), GroupResult[string]{Replies: some(), Partial: true}})
 		}
 		end := GroupResult[string]{Replies: some()}
 		switch rapid.IntRange(0, 3).Draw(t, "end") {
--- a/internal/request/scatter/launch.go
+++ b/internal/request/scatter/launch.go
@@ -33,7 +33,7 @@
 		return false
 	}
 	// A hedge to a replica that is in trouble, or that would come too late, is wasted.
-	if kind == Hedge && (choice.Troubled || !s.plan.Shards[index].Policy.WorthHedging(choice.Expected)) {
+	if kind == Hedge && (choice.Unhealthy || !s.plan.Shards[index].Policy.WorthHedging(choice.ExpectedSlowdown)) {
 		return false
 	}
 	if !allow() {
@@ -54,7 +54,7 @@
 	s.balancer.Start(choice.Leaf)
 	s.scheduleHedge(index, now)
 	s.observer.Began(attempt)
-	typical := s.plan.Shards[index].Policy.Typical()
+	typical := s.plan.Shards[index].Policy.TypicalLatency()
 	cancel := s.start(s.ctx, attempt, func(result Result[Reply]) {
 		took := time.Since(attempt.Started)
 		s.balancer.Finish(attempt.Leaf, result.Outcome, took, typical)
--- a/internal/request/scatter/not_run_test.go
+++ b/internal/request/scatter/not_run_test.go
@@ -61,7 +61,7 @@
 	c.plan = Plan{
 		Sufficient: rapid.IntRange(0, count).Draw(t, "sufficient"), AtMostOnce: rapid.Bool().Draw(t, "once"),
 		MaximumAttempts: rapid.IntRange(1, 3).Draw(t, "attempts"), MaximumRefusals: rapid.IntRange(0, 2).Draw(t, "refusals"),
-		Cautious: rapid.Bool().Draw(t, "cautious"), FatalProbes: rapid.IntRange(0, 2).Draw(t, "fatal"),
+		Cautious: rapid.Bool().Draw(t, "cautious"), CrashedProbesLimit: rapid.IntRange(0, 2).Draw(t, "fatal"),
 	}
 	if rapid.Bool().Draw(t, "waits") {
 		c.plan.ReplicaWait = 5 * time.Millisecond
--- a/internal/request/scatter/plan.go
+++ b/internal/request/scatter/plan.go
@@ -63,8 +63,8 @@
 	// HedgeDelay gives how long to wait from the newest attempt until the hedge of a stage, 0
 	// being the first, and whether there is such a stage.
 	HedgeDelay(stage int) (time.Duration, bool)
-	// Typical is what an attempt usually takes at any leaf; 0 when that is not known.
-	Typical() time.Duration
+	// TypicalLatency is what an attempt usually takes at any leaf; 0 when that is not known.
+	TypicalLatency() time.Duration
 	// WorthHedging reports whether a hedge is of use to a replica that is expected to take so
 	// many times the usual; 0 means that nothing is known of it.
 	WorthHedging(expected float64) bool
@@ -74,8 +74,8 @@
 	AllowRetry() bool
 	// Observe records the latency of an attempt; a lower bound where it was not awaited.
 	Observe(took time.Duration)
-	// Shed records that a leaf refused for lack of capacity.
-	Shed()
+	// ObserveShed records that a leaf refused for lack of capacity.
+	ObserveShed()
 }
 
 // Shard is one part of the work.
@@ -110,13 +110,13 @@
 	// Cautious says that leafs ended lately that worked on the same request: one is asked first, and the others once
 	// a leaf has answered.
 	Cautious bool
-	// Lead is how long the first attempt goes out alone, unless a leaf answers before; 0 means not at all. The groups wait
+	// HeadStart is how long the first attempt goes out alone, unless a leaf answers before; 0 means not at all. The groups wait
 	// with the other shards.
-	Lead time.Duration
-	// FatalProbes is after how many probes whose leaf ended the scatter is given up; 0 means never. NoProbes has it given
+	HeadStart time.Duration
+	// CrashedProbesLimit is after how many probes whose leaf ended the scatter is given up; 0 means never. NoProbes has it given
 	// up instead of sending any: whoever asked for it knows of more shards.
-	FatalProbes int
-	NoProbes    bool
+	CrashedProbesLimit int
+	NoProbes           bool
 	// MaximumAttempts bounds the attempts of a shard that may have run.
 	MaximumAttempts int
 	// MaximumRefusals is how many attempts of a shard may be refused unrun beyond that.
@@ -156,10 +156,10 @@
 	NeverArrived bool
 	// Queued says that the leaf had more attempts than slots, by its own word.
 	Queued bool
-	// Broke says that the answer broke off, so that the leaf may have ended by the request. Ended says that it did,
+	// BrokeOff says that the answer broke off, so that the leaf may have ended by the request. Ended says that it did,
 	// for sure; only probes need to tell.
-	Broke bool
-	Ended bool
+	BrokeOff    bool
+	LeafCrashed bool
 }
 
 // Start begins one attempt without blocking. It calls done once, at the attempt's end; the
@@ -209,10 +209,10 @@
 	Cancelled int
 	// SufficientAt is when the plan's sufficient number of replies was in; zero when it never was.
 	SufficientAt time.Time
-	// SoftDeadlined says that the scatter ended at or after its soft deadline, with shards open.
-	SoftDeadlined bool
-	// Fatal says that the scatter was given up, since leafs may have ended by the request.
-	Fatal bool
+	// EndedAtSoftDeadline says that the scatter ended at or after its soft deadline, with shards open.
+	EndedAtSoftDeadline bool
+	// StoppedByCrashes says that the scatter was given up, since leafs may have ended by the request.
+	StoppedByCrashes bool
 }
 
 // Execution gives what is known of the whole request.
--- a/internal/request/scatter/scatter.go
+++ b/internal/request/scatter/scatter.go
@@ -101,8 +101,8 @@
 	Observer Observer[Reply]
 	// StartGroup begins the attempts of the plan's groups; nil where there are none.
 	StartGroup StartGroup[Reply]
-	// Accepted is told of each reply that settles a shard, by the shard's index; it may be nil.
-	Accepted func(shard int, reply *Reply)
+	// OnReply is told of each reply that settles a shard, by the shard's index; it may be nil.
+	OnReply func(shard int, reply *Reply)
 	// Superseded is the cause of the contexts of attempts that lost to another.
 	Superseded error
 }
@@ -111,7 +111,7 @@
 func New[Reply any](plan Plan, deps Deps[Reply]) *Scatter[Reply] {
 	s := &Scatter[Reply]{
 		plan: plan, balancer: deps.Balancer, start: deps.Start, observer: deps.Observer, superseded: deps.Superseded,
-		startGroup: deps.StartGroup, accepted: deps.Accepted,
+		startGroup: deps.StartGroup, accepted: deps.OnReply,
 		groupResults: make(chan finishedGroup[Reply], resultsOfGroup*len(plan.Groups)),
 		results:      make(chan *finished[Reply], len(plan.Shards)*(plan.MaximumAttempts+plan.MaximumRefusals+1)),
 		shards:       make([]shardState[Reply], len(plan.Shards)),
@@ -132,7 +132,7 @@
 	s.ctx = deadlined
 	s.began = time.Now()
 	defer s.cancelOutstanding()
-	if s.plan.Lead > 0 {
+	if s.plan.HeadStart > 0 {
 		s.holdGroups()
 	} else {
 		s.markGroups()
@@ -161,10 +161,10 @@
 		}
 		timer.Reset(s.untilNext())
 	}
-	s.summary.SoftDeadlined = s.open > 0 && s.enough()
+	s.summary.EndedAtSoftDeadline = s.open > 0 && s.enough()
 	if s.isFatal || s.isStuck() {
-		s.summary.Fatal = true
-		s.giveUp(LeafsEnded)
+		s.summary.StoppedByCrashes = true
+		s.giveUp(LeafsCrashed)
 	}
 	s.giveUp(Unneeded)
 	s.countCancelled()
@@ -274,7 +274,7 @@
 	}
 	if ended.result.Outcome == balancer.Shed {
 		s.summary.Shed = true
-		policy.Shed()
+		policy.ObserveShed()
 	}
 	if ended.result.Outcome == balancer.Succeeded {
 		policy.Observe(time.Since(ended.attempt.Started))
--- a/internal/request/scatter/scatter_test.go
+++ b/internal/request/scatter/scatter_test.go
@@ -29,12 +29,12 @@
 func (p *testPolicy) HedgeDelay(stage int) (time.Duration, bool) {
 	return p.hedgeAfter, p.hedgeAfter > 0 && stage == 0
 }
-func (p *testPolicy) Typical() time.Duration    { return 10 * time.Millisecond }
-func (p *testPolicy) WorthHedging(float64) bool { return !p.useless }
-func (p *testPolicy) AllowHedge() bool          { return p.take() }
-func (p *testPolicy) AllowRetry() bool          { return p.take() }
-func (p *testPolicy) Observe(time.Duration)     {}
-func (p *testPolicy) Shed()                     {}
+func (p *testPolicy) TypicalLatency() time.Duration { return 10 * time.Millisecond }
+func (p *testPolicy) WorthHedging(float64) bool     { return !p.useless }
+func (p *testPolicy) AllowHedge() bool              { return p.take() }
+func (p *testPolicy) AllowRetry() bool              { return p.take() }
+func (p *testPolicy) Observe(time.Duration)         {}
+func (p *testPolicy) ObserveShed()                  {}
 func (p *testPolicy) take() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/request/scatter/schedule.go
+++ b/internal/request/scatter/schedule.go
@@ -102,7 +102,7 @@
 	shard := &s.shards[index]
 	shard.hedgeAt = time.Time{}
 	for _, out := range shard.inFlight {
-		s.balancer.Late(out.leafID)
+		s.balancer.AttemptLate(out.leafID)
 	}
 	if !s.hasAttempts(shard) {
 		return
--- a/internal/request/search/attempt.go
+++ b/internal/request/search/attempt.go
@@ -13,8 +13,8 @@
 // LeafCaller runs one attempt at a leaf; leafclient.Pool is the real one.
 type LeafCaller interface {
 	SearchShard(ctx context.Context, address string, request *leafv1.SearchShardRequest) (*leafv1.SearchShardResponse, error)
-	// HasEnded reports whether nothing listens at a leaf's address any more.
-	HasEnded(ctx context.Context, address string) bool
+	// HasExited reports whether nothing listens at a leaf's address any more.
+	HasExited(ctx context.Context, address string) bool
 }
 
 // runAttempt asks the leaf and verifies its reply.
@@ -92,5 +92,5 @@
 	if load == nil {
 		return
 	}
-	e.balancer.Report(leaf, balancer.Load{InFlight: load.GetInFlight(), Slots: load.GetSlots(), Draining: load.GetDraining()})
+	e.balancer.ReportLoad(leaf, balancer.Load{InFlight: load.GetInFlight(), Slots: load.GetSlots(), Draining: load.GetDraining()})
 }
--- a/internal/request/search/crash.go
+++ b/internal/request/search/crash.go
@@ -56,7 +56,7 @@
 		return
 	}
 	plan.Cautious = s.query.try.State() == quarantine.Suspect
-	plan.FatalProbes = quarantine.FatalProbes
+	plan.CrashedProbesLimit = quarantine.FatalProbes
 }
 
 // learn takes what the end of an attempt tells of the search. The end of a probe is known for sure before what follows is
@@ -73,16 +73,16 @@
 	if !isBroken || s.service.Leafs[attempt.Leaf.ID].GetLeaving() {
 		return result
 	}
-	result.Broke = true
+	result.BrokeOff = true
 	if !attempt.Probe {
 		go func() {
-			if s.engine.leafs.HasEnded(context.WithoutCancel(ctx), address) {
+			if s.engine.leafs.HasExited(context.WithoutCancel(ctx), address) {
 				try.Ended(nameEnd(attempt.Leaf.ID), 0)
 			}
 		}()
 		return result
 	}
-	if result.Ended = s.engine.leafs.HasEnded(ctx, address); result.Ended {
+	if result.LeafCrashed = s.engine.leafs.HasExited(ctx, address); result.LeafCrashed {
 		try.Ended(nameEnd(attempt.Leaf.ID), attempt.Number)
 	}
 	return result
--- a/internal/request/search/engine_test.go
+++ b/internal/request/search/engine_test.go
@@ -33,7 +33,7 @@
 	ended bool
 }
 
-func (s *scriptedLeafs) HasEnded(context.Context, string) bool { return s.ended }
+func (s *scriptedLeafs) HasExited(context.Context, string) bool { return s.ended }
 
 func (s *scriptedLeafs) SearchShard(ctx context.Context, address string, request *leafv1.SearchShardRequest) (*leafv1.SearchShardResponse, error) {
 	s.mutex.Lock()
