--- a/internal/leaf/connshare/connshare.go
+++ b/internal/leaf/connshare/connshare.go
@@ -33,13 +33,13 @@
 	StartSpan time.Duration `yaml:"start_span"`
 	// Unlimited is a node's limit at one leaf where operators set none.
 	Unlimited int `yaml:"unlimited"`
-	// ExtraConnections is how many connections to a leaf a node may try beyond its part.
-	ExtraConnections int `yaml:"spare"`
+	// Spare is how many connections to a leaf a node may try beyond its part.
+	Spare int `yaml:"spare"`
 }
 
 // DefaultConfig leaves half for the connections of dead processes.
 func DefaultConfig() Config {
-	return Config{Share: 0.9, ShareAfterStart: 0.45, StartSpan: 10 * time.Second, Unlimited: 16, ExtraConnections: 1}
+	return Config{Share: 0.9, ShareAfterStart: 0.45, StartSpan: 10 * time.Second, Unlimited: 16, Spare: 1}
 }
 
 // Validate names every field at fault.
@@ -49,7 +49,7 @@
 	checks.Refuse(c.ShareAfterStart <= 0 || c.ShareAfterStart > c.Share, "share_after_start", "must be above 0 and at most share")
 	checks.Refuse(c.StartSpan < 0, "start_span", "must not be negative")
 	checks.Refuse(c.Unlimited < 1, "unlimited", "must be at least 1")
-	checks.Refuse(c.ExtraConnections < 0, "spare", "must not be negative")
+	checks.Refuse(c.Spare < 0, "spare", "must not be negative")
 	return checks.Err()
 }
 
@@ -158,7 +158,7 @@
 		return dealt
 	}
 	for index := range dealt {
-		dealt[index].Connections, dealt[index].ExtraConnections = 0, d.config.ExtraConnections
+		dealt[index].Connections, dealt[index].ExtraConnections = 0, d.config.Spare
 		dealt[index].LastResort = by.isNew
 	}
 	if isLeftOut {
@@ -177,7 +177,7 @@
 	if isNew {
 		return 0
 	}
-	return d.config.ExtraConnections
+	return d.config.Spare
 }
 
 // isNew reports whether the node started a short while ago.
--- a/internal/leaf/connshare/connshare_test.go
+++ b/internal/leaf/connshare/connshare_test.go
@@ -190,5 +190,5 @@
 func TestConfigNamesEveryFault(t *testing.T) {
 	is := is.New(t)
 	is.NoErr(DefaultConfig().Validate())
-	is.Equal(len(failure.Faults(Config{StartSpan: -1, ExtraConnections: -1}.Validate())), 5)
+	is.Equal(len(failure.Faults(Config{StartSpan: -1, Spare: -1}.Validate())), 5)
 }
--- a/internal/leaf/leafhttp/config.go
+++ b/internal/leaf/leafhttp/config.go
@@ -24,8 +24,8 @@
 	// LingerTimeout is how long the answer to a superseded attempt is still awaited, so that
 	// its connection can be used again.
 	LingerTimeout time.Duration `yaml:"linger_timeout"`
-	// ExtraPause is how long no spare connection is tried after a leaf refused one.
-	ExtraPause time.Duration `yaml:"spare_pause"`
+	// SparePause is how long no spare connection is tried after a leaf refused one.
+	SparePause time.Duration `yaml:"spare_pause"`
 	// MaximumAnswerBytes bounds the body of one answer.
 	MaximumAnswerBytes int64 `yaml:"maximum_answer_bytes"`
 }
@@ -38,7 +38,7 @@
 		IdleTimeout:        30 * time.Second,
 		IdleReserve:        500 * time.Millisecond,
 		LingerTimeout:      25 * time.Millisecond,
-		ExtraPause:         5 * time.Second,
+		SparePause:         5 * time.Second,
 		MaximumAnswerBytes: 16 << 20,
 	}
 }
@@ -51,7 +51,7 @@
 	checks.Refuse(c.IdleTimeout <= 0, "idle_timeout", "must be positive")
 	checks.Refuse(c.IdleReserve < 0, "idle_reserve", "must not be negative")
 	checks.Refuse(c.LingerTimeout < 0, "linger_timeout", "must not be negative")
-	checks.Refuse(c.ExtraPause < 0, "spare_pause", "must not be negative")
+	checks.Refuse(c.SparePause < 0, "spare_pause", "must not be negative")
 	checks.Refuse(c.MaximumAnswerBytes < 1024, "maximum_answer_bytes", "must be at least 1024")
 	return checks.Err()
 }
--- a/internal/leaf/leafhttp/connections_test.go
+++ b/internal/leaf/leafhttp/connections_test.go
@@ -72,7 +72,7 @@
 func TestRefusedSpareConnectionStopsThem(t *testing.T) {
 	is := is.New(t)
 	config := DefaultConfig()
-	config.ExtraPause = 200 * time.Millisecond
+	config.SparePause = 200 * time.Millisecond
 	b := newBench(t, config, ok("hello"))
 	target := Target{LeafID: b.leaf.ID, Address: b.leaf.Address(), ExtraConnections: 1}
 	is.True(b.pool.MayOpenExtra(target.LeafID))
@@ -89,7 +89,7 @@
 	var refused *RefusedConnectionError
 	is.True(errors.As(err, &refused))
 	is.True(!b.pool.MayOpenExtra(refusing.LeafID))
-	time.Sleep(config.ExtraPause)
+	time.Sleep(config.SparePause)
 	is.True(b.pool.MayOpenExtra(refusing.LeafID))
 }
 
--- a/internal/leaf/leafhttp/pool.go
+++ b/internal/leaf/leafhttp/pool.go
@@ -82,7 +82,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	leaf, found := p.leafs[incarnation]
-	return !found || time.Since(leaf.refusedAt) >= p.config.ExtraPause
+	return !found || time.Since(leaf.refusedAt) >= p.config.SparePause
 }
 
 // Warm opens a connection to the first of some leafs of a service and lets it rest, unless there
@@ -156,7 +156,7 @@
 		held.close()
 		leaf.open--
 	}
-	if leaf.open < leaf.limit(e.target, p.config.ExtraPause, now) {
+	if leaf.open < leaf.limit(e.target, p.config.SparePause, now) {
 		leaf.open++
 		return nil, true
 	}
@@ -202,7 +202,7 @@
 // lost counts a connection out. Whoever waits may open another. The mutex must be held.
 func (p *Pool) lost(incarnation string, leaf *leafConnections) {
 	leaf.open--
-	if len(leaf.waiting) > 0 && leaf.open < leaf.limit(leaf.waiting[0].target, p.config.ExtraPause, time.Now()) {
+	if len(leaf.waiting) > 0 && leaf.open < leaf.limit(leaf.waiting[0].target, p.config.SparePause, time.Now()) {
 		leaf.open++
 		go leaf.next().open()
 		return
--- a/internal/leaf/leafmemory/memory.go
+++ b/internal/leaf/leafmemory/memory.go
@@ -19,9 +19,9 @@
 
 // Config tunes what is remembered.
 type Config struct {
-	// Retention is how long a leaf that went or drains may still be asked when its service has no
+	// Hold is how long a leaf that went or drains may still be asked when its service has no
 	// other. It must stay below the time after which such a leaf must get nothing.
-	Retention time.Duration `yaml:"hold"`
+	Hold time.Duration `yaml:"hold"`
 	// TrustAfterStart is how long after its start a node believes the list that was written down.
 	TrustAfterStart time.Duration `yaml:"trust_after_start"`
 	// WriteDelay is how long the leafs must stay the same before the list is written.
@@ -32,13 +32,13 @@
 
 // DefaultConfig holds a leaf for two seconds.
 func DefaultConfig() Config {
-	return Config{Retention: 2 * time.Second, TrustAfterStart: 2500 * time.Millisecond, WriteDelay: 2 * time.Second, MaximumLeafs: 2000}
+	return Config{Hold: 2 * time.Second, TrustAfterStart: 2500 * time.Millisecond, WriteDelay: 2 * time.Second, MaximumLeafs: 2000}
 }
 
 // Validate names every field at fault.
 func (c Config) Validate() error {
 	var checks failure.Checks
-	checks.Refuse(c.Retention < 0, "hold", "must not be negative")
+	checks.Refuse(c.Hold < 0, "hold", "must not be negative")
 	checks.Refuse(c.TrustAfterStart < 0, "trust_after_start", "must not be negative")
 	checks.Refuse(c.WriteDelay <= 0, "write_delay", "must be positive")
 	checks.Refuse(c.MaximumLeafs < 0, "maximum_leafs", "must not be negative")
@@ -146,7 +146,7 @@
 }
 
 // heldSince is since when a leaf must have been ready to be asked still.
-func (m *Memory) heldSince() time.Time { return m.now().Add(-m.config.Retention) }
+func (m *Memory) heldSince() time.Time { return m.now().Add(-m.config.Hold) }
 
 // isNew reports whether the node started so short a while ago that it believes the list written down.
 func (m *Memory) isNew() bool { return m.now().Sub(m.started) < m.config.TrustAfterStart }
--- a/internal/leaf/leafmemory/versions_test.go
+++ b/internal/leaf/leafmemory/versions_test.go
@@ -119,7 +119,7 @@
 		put(t, known, catalog.LeafKey("2"), nil)
 		is.Equal(len(memory.OnTrial("s")), 2)
 		is.True(memory.MaySend("1") && memory.MaySend("2"))
-		time.Sleep(DefaultConfig().Retention + time.Millisecond)
+		time.Sleep(DefaultConfig().Hold + time.Millisecond)
 		is.Equal(len(memory.OnTrial("s")), 0)
 		put(t, known, catalog.LeafKey("2"), versioned("2", "v2"))
 		put(t, known, catalog.LeafKey("2"), nil)
