--- a/internal/node/housekeeping.go
+++ b/internal/node/housekeeping.go
@@ -52,7 +52,7 @@
 		known[leafID] = true
 	}
 	h.balancer.Forget(known)
-	h.pool.Keep(func(incarnation string) bool { return known[incarnation] })
+	h.pool.Prune(func(incarnation string) bool { return known[incarnation] })
 	h.budgets.Forget(h.isRouted(view))
 	h.setGauges(view)
 }
