--- a/internal/node/request_events.go
+++ b/internal/node/request_events.go
@@ -161,7 +161,7 @@
 		Revision: record.Revision, ConfigAgeMillis: record.ConfigAge.Milliseconds(), TookMillis: millis(record.Took),
 		InTime: record.InTime, Status: record.Status, Parts: record.Parts, Missing: record.MissingServices,
 		Attempts: record.Summary.Attempts, Hedges: record.Summary.Hedges, Retries: record.Summary.Retries,
-		Execution: record.Summary.Execution().String(), For: record.For,
+		Execution: record.Summary.Execution().String(), For: record.Root,
 	}
 	for _, group := range record.Groups {
 		event.Groups = append(event.Groups, newGroupEvent(group))
@@ -178,7 +178,7 @@
 	case !record.InTime:
 		importance = decisionlog.Failed
 	}
-	if record.For != "" {
+	if record.Root != "" {
 		event.Event = eventGathered
 		if event.Code == failure.Cancelled {
 			// Its root has answered with the parts that it was sent: a usual end.
@@ -200,8 +200,8 @@
 	}
 }
 
-// Passed implements gateway.EventLog. Groups that were answered are told of with their request.
-func (j *requestEvents) Passed(record gateway.GroupRecord) {
+// GroupEnded implements gateway.EventLog. Groups that were answered are told of with their request.
+func (j *requestEvents) GroupEnded(record gateway.GroupRecord) {
 	j.metrics.TreePassed.WithLabelValues(string(record.Outcome)).Inc()
 	j.metrics.TreeLatency.Observe(record.Took.Seconds())
 	if record.Outcome == gateway.GroupAnswered || record.Outcome == gateway.GroupCancelled {
@@ -224,7 +224,7 @@
 
 // LeafLost implements gateway.EventLog. It is told like a failure: in a burst of failures the attempts that never
 // reached a leaf are so many that those which ended one were left out, 3,000 to 4,400 lines in 5 s at a node.
-func (j *requestEvents) LeafLost(record gateway.LossRecord) {
+func (j *requestEvents) LeafLost(record gateway.LeafLossRecord) {
 	j.metrics.LeafsLost.WithLabelValues(strconv.FormatBool(record.Ended)).Inc()
 	j.log.Write(decisionlog.Failed, lossEvent{
 		Time: time.Now(), Event: eventLeafLost, RequestID: record.RequestID, Content: record.Content, Service: record.Service,
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -101,7 +101,7 @@
 			running.Go(func() { deps.Rollouts.run(ctx) })
 			running.Go(func() { deps.Quarantine.Run(ctx) })
 			running.Go(func() { deps.Rewriter.Run(ctx) })
-			wakers := []func(time.Duration){deps.Gateway.Woke, deps.Leafs.Woke, func(time.Duration) { deps.Syncer.Woke() }}
+			wakers := []func(time.Duration){deps.Gateway.Resumed, deps.Leafs.Woke, func(time.Duration) { deps.Syncer.Woke() }}
 			if deps.Lessor != nil {
 				record := registry.New(deps.Config.Registry, deps.Lessor, deps.Self, deps.Logger)
 				record.ResumeFrom(deps.Catalog, deps.Syncer.Ready())
--- a/internal/request/front/caller.go
+++ b/internal/request/front/caller.go
@@ -11,7 +11,7 @@
 
 // roundTrip gives the time that the ways to a caller and back mostly take at most, since an answer that is
 // late by a little has lost most of its worth; 0 when it is not known.
-func roundTrip(connection net.Conn) time.Duration { return roundtrip.Of(connection).Mostly() }
+func roundTrip(connection net.Conn) time.Duration { return roundtrip.Of(connection).High() }
 
 // caller is a connection of a caller.
 type caller struct {
--- a/internal/request/front/front_test.go
+++ b/internal/request/front/front_test.go
@@ -98,7 +98,7 @@
 	is.Equal(seen.Leaf.ID, "r1")
 	is.Equal(string(seen.Leaf.Body), "abc")
 	is.True(seen.Leaf.HasBody)
-	is.Equal(seen.Patience, 800*time.Millisecond)
+	is.Equal(seen.CallerTimeout, 800*time.Millisecond)
 	is.Equal(seen.Leaf.Header, http.Header{"X-Kept": {"1"}})
 }
 
--- a/internal/request/front/handler.go
+++ b/internal/request/front/handler.go
@@ -37,7 +37,7 @@
 		return
 	}
 	if isKnown {
-		asked.RoundTrip, asked.Connecting = from.ways(arrived)
+		asked.RoundTrip, asked.ConnectTime = from.ways(arrived)
 	}
 	answer, err := s.backend.Serve(request.Context(), asked)
 	if err != nil {
@@ -80,7 +80,7 @@
 			Header:  leafhttp.PassedOn(request.Header, s.dialect.RequestID, s.dialect.DeadlineMillis, s.dialect.ExpectedIncarnation),
 			HasBody: len(body) > 0 || request.ContentLength >= 0 && request.Header.Get("Content-Length") != "" || len(request.TransferEncoding) > 0,
 		},
-		Path: path, Caller: callerOf(request), Arrived: arrived, Patience: patience,
+		Path: path, Caller: callerOf(request), Arrived: arrived, CallerTimeout: patience,
 	}, nil
 }
 
--- a/internal/request/gateway/await.go
+++ b/internal/request/gateway/await.go
@@ -42,9 +42,9 @@
 		case ended := <-call.Done():
 			p.tellWaiting(call, tell)
 			return p.judge(ended, time.Since(began)-call.Waited())
-		case answer := <-call.Parts():
+		case answer := <-call.Partial():
 			p.tellParts(answer, tell)
-		case <-call.Signs():
+		case <-call.Acks():
 			signs++
 			unanswered = 0
 			p.root.zones.Heard(p.group.node.Zone)
@@ -74,7 +74,7 @@
 // tellWaiting tells of parts that came just before the end.
 func (p *passing) tellWaiting(call *servingtree.Call, tell told) {
 	select {
-	case answer := <-call.Parts():
+	case answer := <-call.Partial():
 		p.tellParts(answer, tell)
 	default:
 	}
@@ -131,7 +131,7 @@
 		}}
 	case reply.Failure != nil && reply.Failure.Code == failure.LeafsEnded:
 		// Its shards are asked from here, one leaf after the other.
-		p.work.learnEnded(reply.Failure.EndedLeafs)
+		p.work.learnEnded(reply.Failure.CrashedLeafs)
 		return groupEnd{outcome: GroupFailed, reason: reply.Failure.Message, result: scatter.GroupResult[leafhttp.Response]{
 			Broke: true, Execution: executionOf(reply.Failure.Execution),
 		}}
--- a/internal/request/gateway/bench_test.go
+++ b/internal/request/gateway/bench_test.go
@@ -102,7 +102,7 @@
 	for b.Loop() {
 		request := &Request{
 			Leaf: leafhttp.Request{ID: "9c41d07be2a35f68", Method: http.MethodGet, Target: "/pages/2f", Host: "h", Header: http.Header{}},
-			Path: "/pages/2f", Arrived: time.Now(), Patience: 5 * time.Second,
+			Path: "/pages/2f", Arrived: time.Now(), CallerTimeout: 5 * time.Second,
 		}
 		answer, err := g.Serve(b.Context(), request)
 		if err != nil || answer.Missing > 0 {
@@ -114,6 +114,6 @@
 // discardingEvents keeps nothing.
 type discardingEvents struct{ silentEvents }
 
-func (j *discardingEvents) Served(RequestRecord) {}
-func (j *discardingEvents) Passed(GroupRecord)   {}
-func (j *discardingEvents) LeafLost(LossRecord)  {}
+func (j *discardingEvents) Served(RequestRecord)    {}
+func (j *discardingEvents) GroupEnded(GroupRecord)  {}
+func (j *discardingEvents) LeafLost(LeafLossRecord) {}
--- a/internal/request/gateway/crash.go
+++ b/internal/request/gateway/crash.go
@@ -33,8 +33,8 @@
 	leastLead = 20 * time.Millisecond
 )
 
-// LossRecord is an attempt whose answer broke off, and whether the leaf's process ended with it.
-type LossRecord struct {
+// LeafLossRecord is an attempt whose answer broke off, and whether the leaf's process ended with it.
+type LeafLossRecord struct {
 	RequestID string
 	// Content is the same for all tries of a request.
 	Content fingerprint.Fingerprint
@@ -49,7 +49,7 @@
 }
 
 // isEvidence reports whether the loss tells of the request.
-func (l LossRecord) isEvidence() bool { return l.Ended && !l.Announced }
+func (l LeafLossRecord) isEvidence() bool { return l.Ended && !l.Announced }
 
 // guard has the work stopped when its request is put under quarantine, or the machine wakes after its deadline; release
 // must be called at its end.
@@ -162,7 +162,7 @@
 	if !mustWait {
 		done(result)
 	}
-	lost := LossRecord{
+	lost := LeafLossRecord{
 		RequestID: w.query.Leaf.ID, Content: w.query.content, Service: w.services[attempt.Shard], Leaf: attempt.Leaf.ID,
 		Probe: number, Announced: !w.gateway.isListed(attempt.Leaf.ID),
 	}
@@ -230,7 +230,7 @@
 }
 
 // lose takes a leaf whose answer broke off for evidence, if it ended unannounced.
-func (w *gathering) lose(lost LossRecord) {
+func (w *gathering) lose(lost LeafLossRecord) {
 	w.gateway.events.LeafLost(lost)
 	if w.try == nil || !lost.isEvidence() {
 		return
@@ -243,7 +243,7 @@
 
 // afterCheck is the result of an attempt once it is known whether its leaf ended. A connection that seemed refused may
 // have carried the request to a leaf that ended by it.
-func afterCheck(result scatter.Result[leafhttp.Response], lost LossRecord) scatter.Result[leafhttp.Response] {
+func afterCheck(result scatter.Result[leafhttp.Response], lost LeafLossRecord) scatter.Result[leafhttp.Response] {
 	result.Ended = lost.isEvidence()
 	if lost.Ended && result.Reason == reasonRefusedConnection {
 		result.Reason, result.NeverArrived, result.Broke = reasonBroken, false, true
--- a/internal/request/gateway/events.go
+++ b/internal/request/gateway/events.go
@@ -19,9 +19,9 @@
 	// Served tells of the end of a request.
 	Served(record RequestRecord)
 	// Passed tells of the end of a group that another node was asked to gather.
-	Passed(record GroupRecord)
+	GroupEnded(record GroupRecord)
 	// LeafLost tells of an attempt whose answer broke off, once it is known whether its leaf ended.
-	LeafLost(record LossRecord)
+	LeafLost(record LeafLossRecord)
 }
 
 // AttemptRecord is one attempt at one leaf.
@@ -64,7 +64,7 @@
 	// Groups are the services that other nodes gathered.
 	Groups []GroupRecord
 	// For is the node that this one gathered for; empty when the request is its own.
-	For string
+	Root string
 	// Failure is nil for answers, leafs' own failures included.
 	Failure *failure.Failure
 }
@@ -80,7 +80,7 @@
 func (q *query) record(work *gathering, answer *Answer, err error) RequestRecord {
 	record := RequestRecord{
 		RequestID: q.Leaf.ID, Content: q.content, Path: q.Path, Caller: q.Caller, Route: q.entry.Name, Version: q.table.Version, Revision: q.table.Revision,
-		For: q.root, Groups: work.groupRecords(), ConfigAge: work.gateway.catalog.Age(), Took: time.Since(q.Arrived),
+		Root: q.root, Groups: work.groupRecords(), ConfigAge: work.gateway.catalog.Age(), Took: time.Since(q.Arrived),
 		InTime: time.Now().Before(q.late), Parts: len(work.outcomes), Summary: work.summary,
 	}
 	for index, outcome := range work.outcomes {
--- a/internal/request/gateway/gateway_test.go
+++ b/internal/request/gateway/gateway_test.go
@@ -40,14 +40,14 @@
 func (j *silentEvents) Refused(*Request, error)        {}
 func (j *silentEvents) Attempted(string, scatter.Kind) {}
 func (j *silentEvents) AttemptEnded(AttemptRecord)     {}
-func (j *silentEvents) LeafLost(LossRecord)            {}
+func (j *silentEvents) LeafLost(LeafLossRecord)        {}
 func (j *silentEvents) Served(record RequestRecord) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.records = append(j.records, record)
 }
 
-func (j *silentEvents) Passed(record GroupRecord) {
+func (j *silentEvents) GroupEnded(record GroupRecord) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.passes = append(j.passes, record)
@@ -167,7 +167,7 @@
 func ask(path string) *Request {
 	return &Request{
 		Leaf: leafhttp.Request{ID: "r", Method: http.MethodGet, Target: path, Host: "h"}, Path: path,
-		Arrived: time.Now(), Patience: 800 * time.Millisecond,
+		Arrived: time.Now(), CallerTimeout: 800 * time.Millisecond,
 	}
 }
 
@@ -335,7 +335,7 @@
 		g, _ := newGateway(t, &scriptedLeafs{answer: func(string) (time.Duration, *leafhttp.Response, error) { return time.Hour, nil, nil }})
 		started := time.Now()
 		request := ask("/single/1")
-		request.Patience = time.Minute
+		request.CallerTimeout = time.Minute
 		_, err := g.Serve(t.Context(), request)
 		is.True(failure.Is(err, failure.DeadlineExceeded))
 		is.Equal(time.Since(started), time.Second)
@@ -351,13 +351,13 @@
 		is.NoErr(err)
 	}
 	late := ask("/pages/1")
-	late.Patience -= 50 * time.Millisecond
+	late.CallerTimeout -= 50 * time.Millisecond
 	late.RoundTrip = 6 * time.Millisecond
 	pinned, err := g.newQuery(late)
 	is.NoErr(err)
 	is.Equal(pinned.objective.Sub(late.Arrived), 200*time.Millisecond-50*time.Millisecond-6*time.Millisecond-DefaultConfig().ObjectiveReserve)
 	other := ask("/pages/1")
-	other.Patience /= 2 // a caller with another patience, or one that lost the objective already
+	other.CallerTimeout /= 2 // a caller with another patience, or one that lost the objective already
 	pinned, err = g.newQuery(other)
 	is.NoErr(err)
 	is.Equal(pinned.objective.Sub(other.Arrived), 200*time.Millisecond-DefaultConfig().ObjectiveReserve)
--- a/internal/request/gateway/impossible.go
+++ b/internal/request/gateway/impossible.go
@@ -108,8 +108,8 @@
 // latestReturn gives about the latest time after which the caller still comes back, for troubles that take
 // as long as they take: it may come back only once or twice.
 func (q *query) latestReturn() time.Duration {
-	left := q.Patience - time.Since(q.Arrived)
-	if q.Patience == 0 || left <= 0 {
+	left := q.CallerTimeout - time.Since(q.Arrived)
+	if q.CallerTimeout == 0 || left <= 0 {
 		left = returnParts * defaultReturn
 	}
 	part := leastReturnPart + (1-leastReturnPart)*rand.Float64()
--- a/internal/request/gateway/impossible_test.go
+++ b/internal/request/gateway/impossible_test.go
@@ -47,7 +47,7 @@
 			failed := failure.From(err)
 			is.Equal(failed.Execution, failure.NotRun)
 			is.Equal(failed.Code, failure.Overloaded)
-			is.True(failed.RetryAfter > request.Patience/6 && failed.RetryAfter <= request.Patience/3)
+			is.True(failed.RetryAfter > request.CallerTimeout/6 && failed.RetryAfter <= request.CallerTimeout/3)
 			is.Equal(time.Since(started), time.Duration(0))
 			is.Equal(len(leafs.asked), before)
 		}
--- a/internal/request/gateway/intermediate.go
+++ b/internal/request/gateway/intermediate.go
@@ -19,7 +19,7 @@
 //
 // What is in by the objective is sent then, and the rest when it is in: whether that is enough is for
 // the root to say, which knows of the other parts.
-func (g *Gateway) Gather(ctx context.Context, ask servingtree.Ask, send func(servingtree.Answer)) servingtree.Reply {
+func (g *Gateway) Gather(ctx context.Context, ask servingtree.Request, send func(servingtree.Answer)) servingtree.Reply {
 	if g.gathered.Add(1) > g.config.MaximumGathered {
 		g.gathered.Add(-1)
 		return servingtree.Reply{Decline: servingtree.Busy}
@@ -47,7 +47,7 @@
 	if err != nil && !work.collected.any() {
 		failed := servingtree.NewFailure(err)
 		if failed.Code == failure.LeafsEnded {
-			failed.EndedLeafs = work.endedLeafs() // the root has no use for those of other failures
+			failed.CrashedLeafs = work.endedLeafs() // the root has no use for those of other failures
 		}
 		return servingtree.Reply{Failure: failed}
 	}
@@ -56,7 +56,7 @@
 }
 
 // askedWork prepares the work on a group; nil when it does not fit the routing table in force here.
-func (g *Gateway) askedWork(ask servingtree.Ask) *gathering {
+func (g *Gateway) askedWork(ask servingtree.Request) *gathering {
 	table := g.catalog.View().Routes
 	if table == nil {
 		return nil
--- a/internal/request/gateway/passing.go
+++ b/internal/request/gateway/passing.go
@@ -138,24 +138,24 @@
 	}
 	p.root.standing.learn(node, record.Outcome)
 	p.learnZone(record.Outcome)
-	w.gateway.events.Passed(record)
+	w.gateway.events.GroupEnded(record)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.groupsEnded = append(w.groupsEnded, record)
 }
 
 // ask puts a group as it is passed on. Of its parts, as many may be missing as of the whole answer.
-func (w *gathering) ask(part group, spent int) servingtree.Ask {
+func (w *gathering) ask(part group, spent int) servingtree.Request {
 	q, r := w.query, w.gateway.root
 	mayMiss := len(w.services) - q.required
 	ways := r.hop.expected(q.entry.Objective)
 	planned := time.Until(q.planned) - ways
-	return servingtree.Ask{
+	return servingtree.Request{
 		ID: q.Leaf.ID, Method: q.Leaf.Method, Target: q.Leaf.Target, Host: q.Leaf.Host, Header: q.Leaf.Header,
 		Body: q.Leaf.Body, HasBody: q.Leaf.HasBody, Caller: q.Caller, Root: r.self.ID, GatherKey: q.entry.GatherKey,
 		Shards: part.shards, Required: max(1, len(part.shards)-mayMiss), Spent: spent,
 		ObjectiveMicros: planned.Microseconds(), DeadlineMicros: time.Until(w.deadline()).Microseconds(),
-		Ways: ways,
+		RoundTrip: ways,
 	}
 }
 
--- a/internal/request/gateway/request.go
+++ b/internal/request/gateway/request.go
@@ -24,12 +24,12 @@
 	Caller string
 	// Arrived is when the request was read.
 	Arrived time.Time
-	// Patience is how long the caller waits, by its own word; 0 when it says nothing.
-	Patience time.Duration
+	// CallerTimeout is how long the caller waits, by its own word; 0 when it says nothing.
+	CallerTimeout time.Duration
 	// RoundTrip is about the time to the caller and back; 0 when it is not known.
 	RoundTrip time.Duration
-	// Connecting is about what the caller spent on a connection for this request; 0 when it had one.
-	Connecting time.Duration
+	// ConnectTime is about what the caller spent on a connection for this request; 0 when it had one.
+	ConnectTime time.Duration
 }
 
 // Answer is a success, or a leaf's own failure that is passed on.
@@ -79,9 +79,9 @@
 	pinned.objective = request.Arrived.Add(entry.Objective - g.elsewhere(request, entry))
 	pinned.planned = pinned.objective.Add(-g.lag.expected(entry.Objective))
 	pinned.late = pinned.objective.Add(g.config.ObjectiveReserve)
-	if request.Patience > 0 {
-		reserve := min(g.config.AnswerReserve+request.RoundTrip, request.Patience/4)
-		patient := request.Arrived.Add(request.Patience - reserve)
+	if request.CallerTimeout > 0 {
+		reserve := min(g.config.AnswerReserve+request.RoundTrip, request.CallerTimeout/4)
+		patient := request.Arrived.Add(request.CallerTimeout - reserve)
 		if patient.Before(pinned.deadline) {
 			pinned.deadline = patient
 		}
@@ -106,9 +106,9 @@
 // spent before the request came, and the ways here and back.
 func (g *Gateway) elsewhere(request *Request, entry *routing.Entry) time.Duration {
 	ways := min(request.RoundTrip+g.config.ObjectiveReserve, entry.Objective/objectiveShare)
-	spent := request.Connecting
-	if request.Patience > 0 {
-		spent = max(spent, g.patience.spent(entry, request.Patience))
+	spent := request.ConnectTime
+	if request.CallerTimeout > 0 {
+		spent = max(spent, g.patience.spent(entry, request.CallerTimeout))
 	}
 	if spent+ways >= entry.Objective {
 		// The objective is lost, or this caller just waits for less than others do.
--- a/internal/request/gateway/request_test.go
+++ b/internal/request/gateway/request_test.go
@@ -16,14 +16,14 @@
 	objective := 200*time.Millisecond - 2*trip - DefaultConfig().ObjectiveReserve
 	for range patienceSightings {
 		request := ask("/pages/1")
-		request.RoundTrip, request.Connecting = trip, trip
+		request.RoundTrip, request.ConnectTime = trip, trip
 		pinned, err := g.newQuery(request)
 		is.NoErr(err)
 		is.Equal(pinned.objective.Sub(request.Arrived), objective)
 	}
 	late := ask("/pages/1")
-	late.Patience -= trip // the caller counts its connection itself
-	late.RoundTrip, late.Connecting = trip, trip
+	late.CallerTimeout -= trip // the caller counts its connection itself
+	late.RoundTrip, late.ConnectTime = trip, trip
 	pinned, err := g.newQuery(late)
 	is.NoErr(err)
 	is.Equal(pinned.objective.Sub(late.Arrived), objective)
--- a/internal/request/gateway/root.go
+++ b/internal/request/gateway/root.go
@@ -19,7 +19,7 @@
 
 // Intermediates passes groups on to other nodes; servingtree.Client is the real one.
 type Intermediates interface {
-	Start(address string, ask servingtree.Ask) *servingtree.Call
+	Start(address string, ask servingtree.Request) *servingtree.Call
 	// DropSilent closes the connection to a node if nothing came from there for so long.
 	DropSilent(address string, silence time.Duration, cause error)
 }
--- a/internal/request/gateway/stranded.go
+++ b/internal/request/gateway/stranded.go
@@ -16,7 +16,7 @@
 	if !g.zones.IsCutOff() {
 		return false
 	}
-	return slices.ContainsFunc(g.catalog.View().Routes.Gathering(), g.isLost)
+	return slices.ContainsFunc(g.catalog.View().Routes.GatheredRoutes(), g.isLost)
 }
 
 // isLost reports whether lost zones keep a gathered route from its least coverage.
--- a/internal/request/gateway/tree_fleet_test.go
+++ b/internal/request/gateway/tree_fleet_test.go
@@ -188,7 +188,7 @@
 
 func (b *tree) ask(node string) (*Answer, error) {
 	request := ask("/pages/1")
-	request.Patience = 0
+	request.CallerTimeout = 0
 	return b.nodes[node].gateway.Serve(b.t.Context(), request)
 }
 
--- a/internal/request/gateway/tree_test.go
+++ b/internal/request/gateway/tree_test.go
@@ -34,7 +34,7 @@
 	is.Equal(len(b.seen.by("there")), shardCount-nearShards)
 	is.Equal(b.outcomes("root"), []GroupOutcome{GroupAnswered})
 	record := b.nodes["there"].events.records[0]
-	is.Equal(record.For, "root")
+	is.Equal(record.Root, "root")
 	is.Equal(record.RequestID, "r")
 	is.Equal(b.nodes["root"].events.records[0].Groups[0].Intermediate, "there")
 }
@@ -143,7 +143,7 @@
 			p := &passing{root: b.nodes["root"].gateway.root, work: work, group: group{node: b.nodes["there"].record, shards: []int{5, 6}}}
 			client := servingtree.NewClient(servingtree.DefaultConfig())
 			t.Cleanup(client.Close)
-			ended := p.await(t.Context(), client.Start(saying(t, c.says), servingtree.Ask{}), nil)
+			ended := p.await(t.Context(), client.Start(saying(t, c.says), servingtree.Request{}), nil)
 			is.Equal(ended.outcome, GroupSilent)
 			is.Equal(ended.result.Final, c.isFinal)
 			is.Equal(ended.result.Execution, scatter.Unknown)
@@ -213,7 +213,7 @@
 		leave()
 	}()
 	request := ask("/pages/1")
-	request.Patience = 0
+	request.CallerTimeout = 0
 	_, err := b.nodes["root"].gateway.Serve(ctx, request)
 	is.Equal(failure.From(err).Code, failure.Cancelled)
 	for b.seen.cancels() < shardCount-nearShards {
@@ -249,15 +249,15 @@
 	b := newTree(t, near("root"), far("there"))
 	there := b.nodes["there"].gateway
 	key := b.nodes["there"].catalog.View().Routes.Match("h", "/pages/1").GatherKey
-	good := servingtree.Ask{ID: "r", Method: http.MethodGet, Target: "/pages/1", Host: "h", GatherKey: key, Shards: []int{0}, Required: 1}
-	bad := map[string]func(*servingtree.Ask){
-		"another route":  func(a *servingtree.Ask) { a.GatherKey++ },
-		"all spent":      func(a *servingtree.Ask) { a.Spent = 2 },
-		"negative spent": func(a *servingtree.Ask) { a.Spent = -1 },
-		"no route":       func(a *servingtree.Ask) { a.Target = "/other/" },
-		"no shards":      func(a *servingtree.Ask) { a.Shards = nil },
-		"unknown shard":  func(a *servingtree.Ask) { a.Shards = []int{shardCount} },
-		"negative":       func(a *servingtree.Ask) { a.Shards = []int{-1} },
+	good := servingtree.Request{ID: "r", Method: http.MethodGet, Target: "/pages/1", Host: "h", GatherKey: key, Shards: []int{0}, Required: 1}
+	bad := map[string]func(*servingtree.Request){
+		"another route":  func(a *servingtree.Request) { a.GatherKey++ },
+		"all spent":      func(a *servingtree.Request) { a.Spent = 2 },
+		"negative spent": func(a *servingtree.Request) { a.Spent = -1 },
+		"no route":       func(a *servingtree.Request) { a.Target = "/other/" },
+		"no shards":      func(a *servingtree.Request) { a.Shards = nil },
+		"unknown shard":  func(a *servingtree.Request) { a.Shards = []int{shardCount} },
+		"negative":       func(a *servingtree.Request) { a.Shards = []int{-1} },
 	}
 	for name, change := range bad {
 		asked := good
--- a/internal/request/gateway/woke.go
+++ b/internal/request/gateway/woke.go
@@ -32,8 +32,8 @@
 	delete(u.works, w)
 }
 
-// Woke has requests that came before a suspension of the machine end by their deadlines as their callers count them.
-func (g *Gateway) Woke(slept time.Duration) {
+// Resumed has requests that came before a suspension of the machine end by their deadlines as their callers count them.
+func (g *Gateway) Resumed(slept time.Duration) {
 	g.underWay.mu.Lock()
 	defer g.underWay.mu.Unlock()
 	for w := range g.underWay.works {
--- a/internal/request/gateway/woke_test.go
+++ b/internal/request/gateway/woke_test.go
@@ -32,7 +32,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g, _ := newGateway(t, &scriptedLeafs{answer: func(string) (time.Duration, *leafhttp.Response, error) { return time.Hour, nil, nil }})
-		time.AfterFunc(50*time.Millisecond, func() { g.Woke(5 * time.Second) })
+		time.AfterFunc(50*time.Millisecond, func() { g.Resumed(5 * time.Second) })
 		began := time.Now()
 		_, err := g.Serve(t.Context(), ask("/single/1"))
 		is.True(failure.Is(err, failure.DeadlineExceeded))
@@ -56,7 +56,7 @@
 			return time.Millisecond, answered(200, "x"), nil
 		}
 		g, _ := newGateway(t, leafs)
-		time.AfterFunc(50*time.Millisecond, func() { g.Woke(slept) })
+		time.AfterFunc(50*time.Millisecond, func() { g.Resumed(slept) })
 		_, err := g.Serve(t.Context(), ask("/single/1"))
 		is.NoErr(err)
 		is.Equal(len(leafs.seen), 2)
--- a/internal/request/roundtrip/roundtrip.go
+++ b/internal/request/roundtrip/roundtrip.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Ways is the kernel's estimate of the way to the other end and back; the zero value where it has none.
-type Ways struct {
+// Estimate is the kernel's estimate of the way to the other end and back; the zero value where it has none.
+type Estimate struct {
 	Mean time.Duration
 	// Deviation is by how much a way usually differs from the mean.
 	Deviation time.Duration
@@ -19,20 +19,20 @@
 // deviation of 1.6, 38 of 230 answers of an objective of 100 ms were late with none, 28 with 1, and 23 with 2.
 const rareDeviations = 2
 
-// Mostly gives what the ways take at most, but for rare ones.
-func (w Ways) Mostly() time.Duration { return w.Mean + rareDeviations*w.Deviation }
+// High gives what the ways take at most, but for rare ones.
+func (w Estimate) High() time.Duration { return w.Mean + rareDeviations*w.Deviation }
 
 // Of gives the kernel's estimate for a connection.
-func Of(connection net.Conn) Ways {
+func Of(connection net.Conn) Estimate {
 	tcp, isTCP := connection.(*net.TCPConn)
 	if !isTCP {
-		return Ways{}
+		return Estimate{}
 	}
 	raw, err := tcp.SyscallConn()
 	if err != nil {
-		return Ways{}
+		return Estimate{}
 	}
-	var estimate Ways
+	var estimate Estimate
 	err = raw.Control(func(descriptor uintptr) {
 		info, err := unix.GetsockoptTCPInfo(int(descriptor), unix.IPPROTO_TCP, unix.TCP_INFO)
 		if err == nil {
@@ -41,7 +41,7 @@
 		}
 	})
 	if err != nil {
-		return Ways{}
+		return Estimate{}
 	}
 	return estimate
 }
--- a/internal/request/roundtrip/roundtrip_test.go
+++ b/internal/request/roundtrip/roundtrip_test.go
@@ -17,14 +17,14 @@
 	dialled, err := net.Dial("tcp", listener.Addr().String())
 	is.NoErr(err)
 	defer func() { is.NoErr(dialled.Close()) }()
-	ways := Of(dialled)
-	is.True(ways.Mean > 0)
-	is.True(ways.Mostly() >= ways.Mean)
-	is.Equal(Of(nil), Ways{})
+	estimate := Of(dialled)
+	is.True(estimate.Mean > 0)
+	is.True(estimate.High() >= estimate.Mean)
+	is.Equal(Of(nil), Estimate{})
 }
 
 // The reserve grows with how much ways differ.
 func TestMostlyCountsDeviations(t *testing.T) {
 	is := is.New(t)
-	is.Equal(Ways{Mean: 6400 * time.Microsecond, Deviation: 1600 * time.Microsecond}.Mostly(), 9600*time.Microsecond)
+	is.Equal(Estimate{Mean: 6400 * time.Microsecond, Deviation: 1600 * time.Microsecond}.High(), 9600*time.Microsecond)
 }
--- a/internal/request/routing/configuration.go
+++ b/internal/request/routing/configuration.go
@@ -36,7 +36,7 @@
 }
 
 // Compare orders two configurations by the operators' own numbers; it is not told where those are the same.
-func Compare(a, b Configuration) (order int, isTold bool) {
+func Compare(a, b Configuration) (order int, isKnown bool) {
 	return cmp.Compare(a.Version, b.Version), a.Version != b.Version
 }
 
--- a/internal/request/routing/table.go
+++ b/internal/request/routing/table.go
@@ -71,7 +71,7 @@
 }
 
 // Gathering gives the routes that gather, in no order.
-func (t *Table) Gathering() []*Entry {
+func (t *Table) GatheredRoutes() []*Entry {
 	var gathering []*Entry
 	for _, entries := range t.byHost {
 		for _, entry := range entries {
--- a/internal/request/servingtree/client.go
+++ b/internal/request/servingtree/client.go
@@ -34,7 +34,7 @@
 type Call struct {
 	session *session
 	number  uint64
-	ask     *Ask
+	ask     *Request
 	began   time.Time
 	// waited is how long the request waited for its connection, in nanoseconds.
 	waited atomic.Int64
@@ -57,15 +57,15 @@
 	written
 )
 
-func newCall(ask Ask) *Call {
+func newCall(ask Request) *Call {
 	return &Call{ask: &ask, began: time.Now(), signs: make(chan struct{}, 1), parts: make(chan Answer, 1), done: make(chan Result, 1)}
 }
 
-// Signs gives a value when the intermediate has shown that it is at work on the request.
-func (c *Call) Signs() <-chan struct{} { return c.signs }
+// Acks gives a value when the intermediate has shown that it is at work on the request.
+func (c *Call) Acks() <-chan struct{} { return c.signs }
 
 // Parts gives the parts that are in before the end, once at most.
-func (c *Call) Parts() <-chan Answer { return c.parts }
+func (c *Call) Partial() <-chan Answer { return c.parts }
 
 // Done gives the result, once.
 func (c *Call) Done() <-chan Result { return c.done }
@@ -94,7 +94,7 @@
 }
 
 // Start asks the intermediate at an address. It does not wait for the connection.
-func (c *Client) Start(address string, ask Ask) *Call {
+func (c *Client) Start(address string, ask Request) *Call {
 	call := newCall(ask)
 	c.mu.Lock()
 	if c.closed {
@@ -201,8 +201,8 @@
 	}
 	waited := time.Since(call.began)
 	call.waited.Store(int64(waited))
-	ask := call.ask.after(waited, roundtrip.Of(open.socket).Mostly())
-	err := open.write(line{Number: call.number, Ask: &ask})
+	ask := call.ask.after(waited, roundtrip.Of(open.socket).High())
+	err := open.write(line{Number: call.number, Request: &ask})
 	isGivenUp := s.endWriting(call)
 	if err != nil {
 		if taken := s.take(call.number); taken != nil {
--- a/internal/request/servingtree/message.go
+++ b/internal/request/servingtree/message.go
@@ -14,8 +14,8 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// Ask is a group of shards of a gathered request, as a root passes it on.
-type Ask struct {
+// Request is a group of shards of a gathered request, as a root passes it on.
+type Request struct {
 	// ID is the caller's own id of its try.
 	ID     string `json:"id"`
 	Method string `json:"method"`
@@ -42,17 +42,17 @@
 	// DeadlineMicros, until it is of no use.
 	ObjectiveMicros int64 `json:"objective_micros"`
 	DeadlineMicros  int64 `json:"deadline_micros"`
-	// Ways is what the one who asks has taken off the objective for the ways there and back.
-	Ways time.Duration `json:"-"`
+	// RoundTrip is what the one who asks has taken off the objective for the ways there and back.
+	RoundTrip time.Duration `json:"-"`
 }
 
 // mostWays is the part of the time left, as a divisor, that ways may take up beyond what was thought.
 const mostWays = 4
 
 // after gives the request as it is sent some time after it was put, over ways that take so long.
-func (a Ask) after(waited, ways time.Duration) Ask {
+func (a Request) after(waited, ways time.Duration) Request {
 	a.ObjectiveMicros -= waited.Microseconds()
-	longer := max(0, ways-a.Ways).Microseconds()
+	longer := max(0, ways-a.RoundTrip).Microseconds()
 	a.ObjectiveMicros -= min(longer, max(0, a.ObjectiveMicros/mostWays))
 	a.DeadlineMicros -= waited.Microseconds()
 	return a
@@ -73,8 +73,8 @@
 	Execution        failure.ExecutionState `json:"execution"`
 	Message          string                 `json:"message"`
 	RetryAfterMicros int64                  `json:"retry_after_micros,omitempty"`
-	// EndedLeafs are those whose process ended while they worked on the request.
-	EndedLeafs []string `json:"ended_leafs,omitempty"`
+	// CrashedLeafs are those whose process ended while they worked on the request.
+	CrashedLeafs []string `json:"ended_leafs,omitempty"`
 }
 
 // Err gives the failure as an error.
@@ -121,16 +121,16 @@
 // version is that of the lines; a node that speaks another ends the connection.
 const version = 1
 
-// line is one line in either direction. A root sends Ask, Probe or Cancel, an intermediate
+// line is one line in either direction. A root sends Request, Probe or Cancel, an intermediate
 // Accepted or Reply.
 type line struct {
 	Version int `json:"v"`
 	// Number tells the requests of a connection apart.
 	Number uint64 `json:"n"`
 
-	Ask    *Ask `json:"ask,omitempty"`
-	Probe  bool `json:"probe,omitempty"`
-	Cancel bool `json:"cancel,omitempty"`
+	Request *Request `json:"ask,omitempty"`
+	Probe   bool     `json:"probe,omitempty"`
+	Cancel  bool     `json:"cancel,omitempty"`
 
 	// Accepted says that the node is at work on the request.
 	Accepted bool   `json:"accepted,omitempty"`
--- a/internal/request/servingtree/never_sent_test.go
+++ b/internal/request/servingtree/never_sent_test.go
@@ -96,7 +96,7 @@
 
 // start passes a request on.
 func (c *neverSentCase) start() {
-	call := newCall(Ask{ID: "r"})
+	call := newCall(Request{ID: "r"})
 	call.session = c.session
 	number := len(c.calls)
 	c.calls = append(c.calls, call)
@@ -159,7 +159,7 @@
 	close(done)
 	asked, cancelled := map[uint64]bool{}, map[uint64]bool{}
 	for _, l := range c.socket.lines {
-		asked[l.Number] = asked[l.Number] || l.Ask != nil
+		asked[l.Number] = asked[l.Number] || l.Request != nil
 		cancelled[l.Number] = l.Cancel && asked[l.Number] || cancelled[l.Number]
 	}
 	for number, call := range c.calls {
--- a/internal/request/servingtree/server.go
+++ b/internal/request/servingtree/server.go
@@ -12,7 +12,7 @@
 type Handler interface {
 	// Gather answers a request; the context ends when the root does not wait for it any more. Before
 	// its end it may call send with what is in so far, once; the reply then holds the rest.
-	Gather(ctx context.Context, ask Ask, send func(Answer)) Reply
+	Gather(ctx context.Context, ask Request, send func(Answer)) Reply
 }
 
 // Server takes requests of roots; create it with NewServer.
@@ -125,8 +125,8 @@
 
 func (c *servedConnection) receive(l line) {
 	switch {
-	case l.Ask != nil:
-		c.start(l.Number, *l.Ask)
+	case l.Request != nil:
+		c.start(l.Number, *l.Request)
 	case l.Cancel:
 		c.cancel(l.Number)
 	case l.Probe && c.isRunning(l.Number):
@@ -135,7 +135,7 @@
 }
 
 // start begins with a request, or declines it.
-func (c *servedConnection) start(number uint64, ask Ask) {
+func (c *servedConnection) start(number uint64, ask Request) {
 	if !c.server.begin() {
 		c.send(line{Number: number, Reply: &Reply{Decline: Leaving}})
 		return
@@ -162,7 +162,7 @@
 }
 
 // gather does the work of a request and sends what came of it, unless nobody waits for it.
-func (c *servedConnection) gather(ctx context.Context, number uint64, ask Ask) {
+func (c *servedConnection) gather(ctx context.Context, number uint64, ask Request) {
 	defer c.server.running.Done()
 	began := time.Now()
 	c.send(line{Number: number, Accepted: true})
--- a/internal/request/servingtree/servingtree_test.go
+++ b/internal/request/servingtree/servingtree_test.go
@@ -19,19 +19,19 @@
 )
 
 // handler is an intermediate whose work is a function.
-type handler func(ctx context.Context, ask Ask, send func(Answer)) Reply
+type handler func(ctx context.Context, ask Request, send func(Answer)) Reply
 
-func (h handler) Gather(ctx context.Context, ask Ask, send func(Answer)) Reply {
+func (h handler) Gather(ctx context.Context, ask Request, send func(Answer)) Reply {
 	return h(ctx, ask, send)
 }
 
 // echo answers with the request's own id.
-func echo(_ context.Context, ask Ask, _ func(Answer)) Reply {
+func echo(_ context.Context, ask Request, _ func(Answer)) Reply {
 	return Reply{Answer: &Answer{Stamps: []string{ask.ID}, Records: []byte(ask.ID)}}
 }
 
 // untilCancelled works until nobody waits.
-func untilCancelled(ctx context.Context, _ Ask, _ func(Answer)) Reply {
+func untilCancelled(ctx context.Context, _ Request, _ func(Answer)) Reply {
 	<-ctx.Done()
 	return Reply{}
 }
@@ -84,7 +84,7 @@
 // Many requests share a connection, and each has its own reply, in whatever order they come.
 func TestCrossingRepliesReachTheirRequests(t *testing.T) {
 	is := is.New(t)
-	_, address := serve(t, testConfig(), func(ctx context.Context, ask Ask, send func(Answer)) Reply {
+	_, address := serve(t, testConfig(), func(ctx context.Context, ask Request, send func(Answer)) Reply {
 		time.Sleep(time.Duration(len(ask.ID)*7%5) * time.Millisecond)
 		return echo(ctx, ask, send)
 	})
@@ -93,7 +93,7 @@
 	for number := range 200 {
 		running.Go(func() {
 			id := strings.Repeat("x", number)
-			ended := result(t, client.Start(address, Ask{ID: id}))
+			ended := result(t, client.Start(address, Request{ID: id}))
 			if ended.Err != nil || ended.Reply.Answer == nil || ended.Reply.Answer.Stamps[0] != id {
 				t.Errorf("request %d got %+v", number, ended)
 			}
@@ -107,10 +107,10 @@
 func TestSignsOfWork(t *testing.T) {
 	is := is.New(t)
 	_, address := serve(t, testConfig(), untilCancelled)
-	call := newClient(t, testConfig()).Start(address, Ask{ID: "a"})
-	<-call.Signs()
+	call := newClient(t, testConfig()).Start(address, Request{ID: "a"})
+	<-call.Acks()
 	call.Probe()
-	<-call.Signs()
+	<-call.Acks()
 	is.True(call.Cancel())
 }
 
@@ -118,13 +118,13 @@
 func TestPartsComeBeforeTheRest(t *testing.T) {
 	is := is.New(t)
 	goOn := make(chan struct{})
-	_, address := serve(t, testConfig(), func(_ context.Context, _ Ask, send func(Answer)) Reply {
+	_, address := serve(t, testConfig(), func(_ context.Context, _ Request, send func(Answer)) Reply {
 		send(Answer{Stamps: []string{"a", ""}})
 		<-goOn
 		return Reply{Answer: &Answer{Stamps: []string{"", "b"}}}
 	})
-	call := newClient(t, testConfig()).Start(address, Ask{ID: "a"})
-	is.Equal((<-call.Parts()).Stamps, []string{"a", ""})
+	call := newClient(t, testConfig()).Start(address, Request{ID: "a"})
+	is.Equal((<-call.Partial()).Stamps, []string{"a", ""})
 	close(goOn)
 	is.Equal(result(t, call).Reply.Answer.Stamps, []string{"", "b"})
 }
@@ -142,14 +142,14 @@
 	for name, end := range ways {
 		t.Run(name, func(t *testing.T) {
 			ended := make(chan struct{})
-			_, address := serve(t, testConfig(), func(ctx context.Context, _ Ask, _ func(Answer)) Reply {
+			_, address := serve(t, testConfig(), func(ctx context.Context, _ Request, _ func(Answer)) Reply {
 				<-ctx.Done()
 				close(ended)
 				return Reply{}
 			})
 			client := newClient(t, testConfig())
-			call := client.Start(address, Ask{ID: "a"})
-			<-call.Signs()
+			call := client.Start(address, Request{ID: "a"})
+			<-call.Acks()
 			end(client, call)
 			<-ended
 		})
@@ -160,21 +160,21 @@
 func TestPlannedStop(t *testing.T) {
 	is := is.New(t)
 	goOn := make(chan struct{})
-	server, address := serve(t, testConfig(), func(ctx context.Context, ask Ask, send func(Answer)) Reply {
+	server, address := serve(t, testConfig(), func(ctx context.Context, ask Request, send func(Answer)) Reply {
 		<-goOn
 		return echo(ctx, ask, send)
 	})
 	client := newClient(t, testConfig())
-	before := client.Start(address, Ask{ID: "before"})
-	<-before.Signs()
+	before := client.Start(address, Request{ID: "before"})
+	<-before.Acks()
 	server.Announce()
-	is.Equal(result(t, client.Start(address, Ask{ID: "after"})).Reply.Decline, Leaving)
+	is.Equal(result(t, client.Start(address, Request{ID: "after"})).Reply.Decline, Leaving)
 	stopped := make(chan error, 1)
 	go func() { stopped <- server.Shutdown(t.Context()) }()
 	close(goOn)
 	is.Equal(result(t, before).Reply.Answer.Stamps, []string{"before"})
 	is.NoErr(<-stopped)
-	is.True(result(t, client.Start(address, Ask{ID: "late"})).Err != nil)
+	is.True(result(t, client.Start(address, Request{ID: "late"})).Err != nil)
 }
 
 // Where nothing can have run, the error says so; where it may, it does too.
@@ -186,7 +186,7 @@
 
 	dead := listen(t)
 	_ = dead.Close()
-	call := client.Start(dead.Addr().String(), Ask{ID: "a"})
+	call := client.Start(dead.Addr().String(), Request{ID: "a"})
 	is.True(errors.As(result(t, call).Err, &neverSent))
 	is.True(!call.Cancel())
 
@@ -199,10 +199,10 @@
 		_, _ = bufio.NewReader(connection).ReadString('\n')
 		_ = connection.Close()
 	}()
-	is.True(errors.As(result(t, client.Start(dying.Addr().String(), Ask{ID: "a"})).Err, &broken))
+	is.True(errors.As(result(t, client.Start(dying.Addr().String(), Request{ID: "a"})).Err, &broken))
 
 	client.Close()
-	is.True(errors.As(result(t, client.Start(dying.Addr().String(), Ask{ID: "a"})).Err, &neverSent))
+	is.True(errors.As(result(t, client.Start(dying.Addr().String(), Request{ID: "a"})).Err, &neverSent))
 }
 
 // A frozen intermediate takes connections and says nothing: its connection is given up only once
@@ -212,7 +212,7 @@
 	frozen := listen(t) // the kernel takes the connection, nobody reads it
 	client := newClient(t, testConfig())
 	address := frozen.Addr().String()
-	call := client.Start(address, Ask{ID: "a"})
+	call := client.Start(address, Request{ID: "a"})
 	for !call.isAt(written) {
 		time.Sleep(time.Millisecond)
 	}
@@ -237,21 +237,21 @@
 	_, address := serve(t, narrow, untilCancelled)
 	client := newClient(t, testConfig())
 	for range 2 {
-		<-client.Start(address, Ask{ID: "a"}).Signs()
+		<-client.Start(address, Request{ID: "a"}).Acks()
 	}
-	is.Equal(result(t, client.Start(address, Ask{ID: "b"})).Reply.Decline, Busy)
+	is.Equal(result(t, client.Start(address, Request{ID: "b"})).Reply.Decline, Busy)
 
 	bounded := newClient(t, narrow)
 	for range 2 {
-		<-bounded.Start(address, Ask{ID: "a"}).Signs()
+		<-bounded.Start(address, Request{ID: "a"}).Acks()
 	}
 	var full *FullError
-	is.True(errors.As(result(t, bounded.Start(address, Ask{ID: "b"})).Err, &full))
+	is.True(errors.As(result(t, bounded.Start(address, Request{ID: "b"})).Err, &full))
 
 	small := testConfig()
 	small.MaximumLineBytes = 1024
 	var tooLong *LineTooLongError
-	is.True(errors.As(result(t, newClient(t, small).Start(address, Ask{Body: make([]byte, 4096)})).Err, &tooLong))
+	is.True(errors.As(result(t, newClient(t, small).Start(address, Request{Body: make([]byte, 4096)})).Err, &tooLong))
 }
 
 // Lines that are no lines of ours, of another version, or of requests that nobody made end the
@@ -266,7 +266,7 @@
 	for name, text := range strange {
 		cfg := testConfig()
 		cfg.MaximumLineBytes = 4 << 10
-		ended := result(t, newClient(t, cfg).Start(scripted(t, text), Ask{ID: "a"}))
+		ended := result(t, newClient(t, cfg).Start(scripted(t, text), Request{ID: "a"}))
 		var broken *BrokenError
 		if !errors.As(ended.Err, &broken) {
 			t.Errorf("%s: %+v", name, ended)
@@ -274,9 +274,9 @@
 	}
 	foreign := `{"v":1,"n":99,"reply":{"answer":{"stamps":["foreign"]}}}` + "\n" + `{"v":1,"n":99,"accepted":true}` + "\n"
 	own := `{"v":1,"n":1,"reply":{"answer":{"stamps":["own"]}}}` + "\n"
-	call := newClient(t, testConfig()).Start(scripted(t, foreign+own+own), Ask{ID: "a"})
+	call := newClient(t, testConfig()).Start(scripted(t, foreign+own+own), Request{ID: "a"})
 	is.Equal(result(t, call).Reply.Answer.Stamps, []string{"own"})
-	is.Equal(len(call.Signs()), 0)
+	is.Equal(len(call.Acks()), 0)
 }
 
 // scripted is an intermediate that answers the first line it gets with a text.
@@ -299,8 +299,8 @@
 func TestFailureIsPassedOnWhole(t *testing.T) {
 	is := is.New(t)
 	sent := failure.New(failure.Overloaded, failure.NotRun, "100%% busy").WithRetryAfter(250 * time.Millisecond)
-	_, address := serve(t, testConfig(), func(context.Context, Ask, func(Answer)) Reply { return Reply{Failure: NewFailure(sent)} })
-	ended := result(t, newClient(t, testConfig()).Start(address, Ask{ID: "a"}))
+	_, address := serve(t, testConfig(), func(context.Context, Request, func(Answer)) Reply { return Reply{Failure: NewFailure(sent)} })
+	ended := result(t, newClient(t, testConfig()).Start(address, Request{ID: "a"}))
 	got := failure.From(ended.Reply.Failure.Err())
 	is.Equal(got.Code, sent.Code)
 	is.Equal(got.Execution, sent.Execution)
@@ -317,7 +317,7 @@
 // Whatever comes is a line of ours or an error.
 func FuzzDecode(f *testing.F) {
 	for _, l := range []line{
-		{Version: version, Number: 1, Ask: &Ask{ID: "a", Shards: []int{1, 2}}},
+		{Version: version, Number: 1, Request: &Request{ID: "a", Shards: []int{1, 2}}},
 		{Version: version, Number: 2, Cancel: true},
 		{Version: version, Number: 3, Reply: &Reply{Answer: &Answer{Stamps: []string{"a", ""}, Records: []byte("r")}, Partial: true}},
 	} {
--- a/internal/request/servingtree/ways_test.go
+++ b/internal/request/servingtree/ways_test.go
@@ -13,13 +13,13 @@
 // What a request waited for its connection is taken off the times that the other node is told.
 func TestWaitForTheConnectionIsTakenOff(t *testing.T) {
 	is := is.New(t)
-	told := make(chan Ask, 2)
-	_, address := serve(t, testConfig(), func(ctx context.Context, ask Ask, send func(Answer)) Reply {
+	told := make(chan Request, 2)
+	_, address := serve(t, testConfig(), func(ctx context.Context, ask Request, send func(Answer)) Reply {
 		told <- ask
 		return echo(ctx, ask, send)
 	})
 	client := newClient(t, testConfig())
-	ask := Ask{ID: "a", ObjectiveMicros: time.Minute.Microseconds(), DeadlineMicros: time.Hour.Microseconds(), Ways: time.Minute}
+	ask := Request{ID: "a", ObjectiveMicros: time.Minute.Microseconds(), DeadlineMicros: time.Hour.Microseconds(), RoundTrip: time.Minute}
 	call := client.Start(address, ask)
 	is.NoErr(result(t, call).Err)
 	is.True(call.Waited() > 0)
@@ -34,12 +34,12 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	is.NoErr(listener.Close())
-	call := newClient(t, testConfig()).Start(listener.Addr().String(), Ask{ID: "a"})
+	call := newClient(t, testConfig()).Start(listener.Addr().String(), Request{ID: "a"})
 	is.True(result(t, call).Err != nil)
 	is.Equal(call.Waited(), time.Duration(0))
 }
 
-// Ways that take longer than thought are taken off once, and never leave less than three quarters of what
+// RoundTrip that take longer than thought are taken off once, and never leave less than three quarters of what
 // is left; shorter ones change nothing.
 func TestWaysAreTakenOff(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
@@ -47,7 +47,7 @@
 			return time.Duration(rapid.IntRange(0, most).Draw(rt, name)) * time.Millisecond
 		}
 		left, thought, waited, ways := millis("left", 200), millis("thought", 50), millis("waited", 100), millis("ways", 2000)
-		after := Ask{ObjectiveMicros: left.Microseconds(), Ways: thought}.after(waited, ways)
+		after := Request{ObjectiveMicros: left.Microseconds(), RoundTrip: thought}.after(waited, ways)
 		rest := (left - waited).Microseconds()
 		switch {
 		case ways <= thought && after.ObjectiveMicros != rest:
