--- a/internal/request/gateway/answer.go
+++ b/internal/request/gateway/answer.go
@@ -9,65 +9,65 @@
 )
 
 // gatheredAnswer merges the parts that are in, if there are enough.
-func (w *gathering) gatheredAnswer() (*Answer, error) {
+func (e *execution) gatheredAnswer() (*Answer, error) {
 	answer := &Answer{Status: http.StatusOK}
-	bodies := make([][]byte, 0, len(w.outcomes))
-	for _, outcome := range w.outcomes {
+	bodies := make([][]byte, 0, len(e.outcomes))
+	for _, outcome := range e.outcomes {
 		if outcome.Reply == nil {
 			answer.Missing++
 			continue
 		}
-		answer.Stamps = append(answer.Stamps, outcome.Reply.Header.Get(w.gateway.dialect.ResponseStamp))
+		answer.Stamps = append(answer.Stamps, outcome.Reply.Header.Get(e.gateway.dialect.ResponseStamp))
 		bodies = append(bodies, outcome.Reply.Body)
 	}
-	if len(answer.Stamps) < max(1, w.query.required) {
-		return nil, w.failed()
+	if len(answer.Stamps) < max(1, e.request.requiredParts) {
+		return nil, e.failed()
 	}
-	answer.Body = topRecords(bodies, w.query.entry.TopRecords)
+	answer.Body = topRecords(bodies, e.request.route.TopRecords)
 	return answer, nil
 }
 
 // singleAnswer passes the leaf's answer on, or its last failure when there was no success.
-func (w *gathering) singleAnswer() (*Answer, error) {
-	reply := w.outcomes[0].Reply
+func (e *execution) singleAnswer() (*Answer, error) {
+	reply := e.outcomes[0].Reply
 	if reply == nil {
-		w.mu.Lock()
-		reply = w.lastFailure
-		w.mu.Unlock()
+		e.mu.Lock()
+		reply = e.lastFailure
+		e.mu.Unlock()
 	}
 	if reply == nil {
-		return nil, w.failed()
+		return nil, e.failed()
 	}
 	return &Answer{Status: reply.Status, Header: leafhttp.PassedOn(reply.Header), Body: reply.Body}, nil
 }
 
 // failed makes the typed failure of a request without an answer.
-func (w *gathering) failed() error {
-	execution := w.execution()
-	if w.refusal != nil && execution == failure.NotRun {
-		return w.refusal
+func (e *execution) failed() error {
+	execution := e.executionState()
+	if e.groupFailure != nil && execution == failure.NotRun {
+		return e.groupFailure
 	}
-	reason := w.firstReason()
+	reason := e.firstReason()
 	code := failure.IncompleteCoverage
 	switch {
-	case w.summary.Fatal:
+	case e.summary.Fatal:
 		code = failure.LeafsEnded
 	case execution == failure.NotRun:
 		code = failure.Overloaded
 	case reason == scatter.Deadline:
 		code = failure.DeadlineExceeded
-	case !w.isGathered():
+	case !e.isGathered():
 		code = failure.LeafFailed
 	}
-	failed := failure.New(code, execution, "%d of %d shards are missing: %s", len(w.outcomes)-w.summary.Replies, len(w.outcomes), reason)
+	failed := failure.New(code, execution, "%d of %d shards are missing: %s", len(e.outcomes)-e.summary.Replies, len(e.outcomes), reason)
 	if execution == failure.NotRun {
-		failed = failed.WithRetryAfter(w.gateway.config.RetryAfter)
+		failed = failed.WithRetryAfter(e.gateway.config.RetryAfter)
 	}
 	return failed
 }
 
-func (w *gathering) firstReason() scatter.Reason {
-	for _, outcome := range w.outcomes {
+func (e *execution) firstReason() scatter.Reason {
+	for _, outcome := range e.outcomes {
 		if outcome.Reply == nil {
 			return outcome.Reason
 		}
--- a/internal/request/gateway/attempt.go
+++ b/internal/request/gateway/attempt.go
@@ -25,20 +25,20 @@
 )
 
 // startAttempt asks one leaf.
-func (w *gathering) startAttempt(_ context.Context, attempt scatter.Attempt, done func(scatter.Result[leafhttp.Response])) context.CancelCauseFunc {
-	if w.isStopped() {
+func (e *execution) startAttempt(_ context.Context, attempt scatter.Attempt, done func(scatter.Result[leafhttp.Response])) context.CancelCauseFunc {
+	if e.isStopped() {
 		done(notSent())
 		return func(error) {}
 	}
 	var isAbandoned atomic.Bool
-	asked := w.target(attempt)
-	leaf, number := asked.leaf, w.numberOf(attempt)
-	w.gateway.began(leaf)
-	cancel := w.gateway.leafs.Start(asked.Target, &w.query.Leaf, w.deadline(), func(response *leafhttp.Response, err error) {
-		w.gateway.ended(leaf)
-		result := w.judgeEnd(attempt, response, err, isAbandoned.Load())
-		w.observe(leaf, response, result, time.Since(attempt.Started))
-		w.learn(attempt, asked, number, attemptEnd{response, result, err}, done)
+	asked := e.target(attempt)
+	leaf, number := asked.leaf, e.numberOf(attempt)
+	e.gateway.attemptBegan(leaf)
+	cancel := e.gateway.leafs.Start(asked.Target, &e.request.Leaf, e.deadline(), func(response *leafhttp.Response, err error) {
+		e.gateway.attemptEnded(leaf)
+		result := e.judgeEnd(attempt, response, err, isAbandoned.Load())
+		e.countEvidence(leaf, response, result, time.Since(attempt.Started))
+		e.finishAttempt(attempt, asked, number, attemptEnd{response, result, err}, done)
 	})
 	return func(cause error) {
 		isAbandoned.Store(true)
@@ -47,29 +47,29 @@
 }
 
 // judgeEnd judges the end of an attempt, which is an answer or an error.
-func (w *gathering) judgeEnd(attempt scatter.Attempt, response *leafhttp.Response, err error, isAbandoned bool) scatter.Result[leafhttp.Response] {
+func (e *execution) judgeEnd(attempt scatter.Attempt, response *leafhttp.Response, err error, isAbandoned bool) scatter.Result[leafhttp.Response] {
 	if err != nil {
 		return judgeError(isAbandoned, err)
 	}
-	return w.judgeResponse(attempt, response)
+	return e.judgeResponse(attempt, response)
 }
 
 // judgeResponse judges an answer, after the leaf's word on its load.
-func (w *gathering) judgeResponse(attempt scatter.Attempt, response *leafhttp.Response) scatter.Result[leafhttp.Response] {
+func (e *execution) judgeResponse(attempt scatter.Attempt, response *leafhttp.Response) scatter.Result[leafhttp.Response] {
 	if response.Load != nil {
-		w.gateway.balancer.Report(attempt.Leaf, balancer.Load{
+		e.gateway.balancer.Report(attempt.Leaf, balancer.Load{
 			InFlight: uint32(response.Load.Running + response.Load.Waiting), Slots: uint32(response.Load.Slots),
 		})
 	}
-	return w.judge(response)
+	return e.judge(response)
 }
 
 // judge says what an answer is worth, and what it tells of the leaf and of the execution.
-func (w *gathering) judge(response *leafhttp.Response) scatter.Result[leafhttp.Response] {
+func (e *execution) judge(response *leafhttp.Response) scatter.Result[leafhttp.Response] {
 	if response.NotExecuted {
 		return judgeRefusal(response)
 	}
-	signed := response.Header.Get(w.gateway.dialect.ResponseStamp) != ""
+	signed := response.Header.Get(e.gateway.dialect.ResponseStamp) != ""
 	isSuccess := response.Status >= http.StatusOK && response.Status < http.StatusMultipleChoices
 	switch {
 	case isSuccess && signed:
@@ -81,7 +81,7 @@
 	if promisesNotRun(response.Status) {
 		return result
 	}
-	w.keepFailure(response)
+	e.keepFailure(response)
 	if response.Status < http.StatusInternalServerError {
 		// The request itself is at fault, by the leaf's word: others would say the same.
 		result.Final, result.Outcome = true, balancer.Declined
@@ -101,10 +101,10 @@
 }
 
 // keepFailure remembers a leaf's own failure, to be passed on if no other leaf does better.
-func (w *gathering) keepFailure(response *leafhttp.Response) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.lastFailure = response
+func (e *execution) keepFailure(response *leafhttp.Response) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.lastFailure = response
 }
 
 // judgeRefusal takes a leaf's word that it did not run the attempt.
@@ -136,15 +136,15 @@
 }
 
 // Began implements scatter.Observer.
-func (w *gathering) Began(attempt scatter.Attempt) {
-	w.gateway.events.Attempted(w.services[attempt.Shard], attempt.Kind)
+func (e *execution) Began(attempt scatter.Attempt) {
+	e.gateway.events.Attempted(e.services[attempt.Shard], attempt.Kind)
 }
 
 // Ended implements scatter.Observer.
-func (w *gathering) Ended(attempt scatter.Attempt, result scatter.Result[leafhttp.Response], took time.Duration) {
-	w.gateway.learnZone(attempt.Leaf, result, took)
-	w.gateway.events.AttemptEnded(AttemptRecord{
-		RequestID: w.query.Leaf.ID, Service: w.services[attempt.Shard], Leaf: attempt.Leaf.ID, Kind: attempt.Kind,
+func (e *execution) Ended(attempt scatter.Attempt, result scatter.Result[leafhttp.Response], took time.Duration) {
+	e.gateway.observeZone(attempt.Leaf, result, took)
+	e.gateway.events.AttemptEnded(AttemptRecord{
+		RequestID: e.request.Leaf.ID, Service: e.services[attempt.Shard], Leaf: attempt.Leaf.ID, Kind: attempt.Kind,
 		Reason: result.Reason, Execution: result.Execution, Took: took,
 		Succeeded: result.Reply != nil, Abandoned: result.Outcome == balancer.Abandoned,
 	})
--- a/internal/request/gateway/await.go
+++ b/internal/request/gateway/await.go
@@ -16,45 +16,45 @@
 // Bounds of how long an intermediate may be silent, in parts of the objective and in times of the
 // usual ways to it.
 const (
-	signParts = 4
-	signHops  = 3
-	leastSign = 10 * time.Millisecond
-	// mostProbes is how many probes may go unanswered.
-	mostProbes = 1
+	ackObjectiveDivisor = 4
+	ackHopFactor        = 3
+	minimumAckWait      = 10 * time.Millisecond
+	// maximumProbes is how many probes may go unanswered.
+	maximumProbes = 1
 )
 
-// signWait is how long an intermediate may take to show that it is at work.
-func (p *passing) signWait() time.Duration {
-	objective := p.work.query.entry.Objective
-	return max(leastSign, objective/signParts, signHops*p.root.hop.expected(objective))
+// ackWait is how long an intermediate may take to show that it is at work.
+func (p *groupCall) ackWait() time.Duration {
+	objective := p.execution.request.route.Objective
+	return max(minimumAckWait, objective/ackObjectiveDivisor, ackHopFactor*p.root.hop.expected(objective))
 }
 
 // await waits for the reply as long as the intermediate gives signs of work: at once, and whenever it
 // is asked for one after the objective.
-func (p *passing) await(ctx context.Context, call *servingtree.Call, tell told) groupEnd {
+func (p *groupCall) await(ctx context.Context, call *servingtree.Call, done groupDone) groupEnd {
 	began := time.Now()
-	wait := p.signWait()
+	wait := p.ackWait()
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	signs, unanswered := 0, 0
+	acks, unanswered := 0, 0
 	for {
 		select {
 		case ended := <-call.Done():
-			p.tellWaiting(call, tell)
+			p.deliverPending(call, done)
 			return p.judge(ended, time.Since(began)-call.Waited())
 		case answer := <-call.Partial():
-			p.tellParts(answer, tell)
+			p.deliverPartial(answer, done)
 		case <-call.Acks():
-			signs++
+			acks++
 			unanswered = 0
 			p.root.zones.Heard(p.group.node.Zone)
 			// The answer is late when the next sign is due: there is nothing to be won by haste.
-			wait = p.work.query.entry.Objective
-			timer.Reset(max(wait, time.Until(p.work.query.objective)))
+			wait = p.execution.request.route.Objective
+			timer.Reset(max(wait, time.Until(p.execution.request.objective)))
 		case <-timer.C:
 			// A node that is late itself may find its timer over before it has read the sign.
-			if unanswered >= mostProbes {
-				return p.giveUp(call, signs > 0)
+			if unanswered >= maximumProbes {
+				return p.giveUp(call, acks > 0)
 			}
 			unanswered++
 			p.root.zones.Suspect(p.group.node.Zone)
@@ -67,31 +67,31 @@
 	}
 }
 
-// leastSilence is how long nothing must have come from an intermediate for its connection to be given
+// minimumSilence is how long nothing must have come from an intermediate for its connection to be given
 // up, and with it all that is under way there.
-const leastSilence = 300 * time.Millisecond
+const minimumSilence = 300 * time.Millisecond
 
-// tellWaiting tells of parts that came just before the end.
-func (p *passing) tellWaiting(call *servingtree.Call, tell told) {
+// deliverPending tells of parts that came just before the end.
+func (p *groupCall) deliverPending(call *servingtree.Call, done groupDone) {
 	select {
 	case answer := <-call.Partial():
-		p.tellParts(answer, tell)
+		p.deliverPartial(answer, done)
 	default:
 	}
 }
 
-// tellParts tells of the parts that are in before the end.
-func (p *passing) tellParts(answer servingtree.Answer, tell told) {
+// deliverPartial tells of the parts that are in before the end.
+func (p *groupCall) deliverPartial(answer servingtree.Answer, done groupDone) {
 	if len(answer.Stamps) == len(p.group.shards) {
-		p.toldParts = true
-		tell(scatter.GroupResult[leafhttp.Response]{Replies: p.replies(&answer), More: true})
+		p.gotPartial = true
+		done(scatter.GroupResult[leafhttp.Response]{Replies: p.replies(&answer), More: true})
 	}
 }
 
 // giveUp ends a call to an intermediate that is silent.
-func (p *passing) giveUp(call *servingtree.Call, hasBegun bool) groupEnd {
+func (p *groupCall) giveUp(call *servingtree.Call, hasBegun bool) groupEnd {
 	isSent := call.Cancel()
-	p.root.intermediates.DropSilent(p.group.node.Tree, leastSilence, errSilent)
+	p.root.intermediates.DropSilent(p.group.node.Tree, minimumSilence, errSilent)
 	if !isSent {
 		return notRun(GroupNeverSent, errSilent.Error())
 	}
@@ -106,7 +106,7 @@
 }
 
 // judge says what a result is worth.
-func (p *passing) judge(ended servingtree.Result, took time.Duration) groupEnd {
+func (p *groupCall) judge(ended servingtree.Result, took time.Duration) groupEnd {
 	var neverSent *servingtree.NeverSentError
 	switch {
 	case errors.As(ended.Err, &neverSent):
@@ -118,25 +118,25 @@
 	return p.judgeReply(ended.Reply)
 }
 
-func (p *passing) judgeReply(reply servingtree.Reply) groupEnd {
+func (p *groupCall) judgeReply(reply servingtree.Reply) groupEnd {
 	switch {
 	case reply.Answer != nil && len(reply.Answer.Stamps) == len(p.group.shards):
 		return groupEnd{result: scatter.GroupResult[leafhttp.Response]{Replies: p.replies(reply.Answer)}, outcome: GroupAnswered}
 	case reply.Answer != nil:
 		return groupEnd{outcome: GroupBroken, reason: "the answer has parts of other services"}
 	case reply.Failure != nil && reply.Failure.Code == failure.Quarantined:
-		p.work.stop()
+		p.execution.stop()
 		return groupEnd{outcome: GroupFailed, reason: reply.Failure.Message, result: scatter.GroupResult[leafhttp.Response]{
 			Final: true, Execution: executionOf(reply.Failure.Execution),
 		}}
 	case reply.Failure != nil && reply.Failure.Code == failure.LeafsEnded:
 		// Its shards are asked from here, one leaf after the other.
-		p.work.learnEnded(reply.Failure.CrashedLeafs)
+		p.execution.reportCrashed(reply.Failure.CrashedLeafs)
 		return groupEnd{outcome: GroupFailed, reason: reply.Failure.Message, result: scatter.GroupResult[leafhttp.Response]{
 			Broke: true, Execution: executionOf(reply.Failure.Execution),
 		}}
 	case reply.Failure != nil:
-		p.work.keepRefusal(p.group, reply.Failure)
+		p.execution.keepGroupFailure(p.group, reply.Failure)
 		result := scatter.GroupResult[leafhttp.Response]{Final: true, Execution: executionOf(reply.Failure.Execution)}
 		return groupEnd{result: result, outcome: GroupFailed, reason: reply.Failure.Message}
 	case reply.Decline == servingtree.Leaving:
@@ -146,30 +146,30 @@
 	}
 }
 
-// keepRefusal keeps the failure of a group that is all of the request.
-func (w *gathering) keepRefusal(part group, failed *servingtree.Failure) {
-	if len(part.shards) < len(w.services) {
+// keepGroupFailure keeps the failure of a group that is all of the request.
+func (e *execution) keepGroupFailure(part group, failed *servingtree.Failure) {
+	if len(part.shards) < len(e.services) {
 		return
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.refusal = failed.Err()
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.groupFailure = failed.Err()
 }
 
 // replies gives the parts of an answer. Their records are merged already; the first part that is in
 // carries them all.
-func (p *passing) replies(answer *servingtree.Answer) []*leafhttp.Response {
+func (p *groupCall) replies(answer *servingtree.Answer) []*leafhttp.Response {
 	replies := make([]*leafhttp.Response, len(answer.Stamps))
 	records := answer.Records
-	if p.work.try != nil && slices.ContainsFunc(answer.Stamps, func(stamp string) bool { return stamp != "" }) {
-		p.work.try.Answered()
+	if p.execution.tracked != nil && slices.ContainsFunc(answer.Stamps, func(stamp string) bool { return stamp != "" }) {
+		p.execution.tracked.Answered()
 	}
 	for index, stamp := range answer.Stamps {
 		if stamp == "" {
 			continue
 		}
 		header := http.Header{}
-		header.Set(p.work.gateway.dialect.ResponseStamp, stamp)
+		header.Set(p.execution.gateway.dialect.ResponseStamp, stamp)
 		replies[index] = &leafhttp.Response{Status: http.StatusOK, Header: header, Body: records}
 		records = nil
 	}
--- a/internal/request/gateway/candidates.go
+++ b/internal/request/gateway/candidates.go
@@ -11,48 +11,48 @@
 )
 
 // target is a leaf that may be asked, and how.
-type target struct {
+type leafTarget struct {
 	leafhttp.Target
 	leaf *leafset.Leaf
 }
 
 // candidates gives the leafs of a shard that may be asked now, without a draw, and keeps how.
-func (w *gathering) candidates(shard int) []balancer.Candidate {
-	return w.candidatesOf(shard, w.gateway.later(w.services[shard]))
+func (e *execution) candidates(shard int) []balancer.Candidate {
+	return e.candidatesOf(shard, e.gateway.undrawnVersions(e.services[shard]))
 }
 
 // candidatesOf gives the leafs of a shard of some versions that may be asked now, and keeps how.
-func (w *gathering) candidatesOf(shard int, versions canary.Versions) []balancer.Candidate {
-	service := w.services[shard]
-	limit := w.query.service(service).MaximumConnections
-	candidates := w.gateway.inReach(w.gateway.partsOf(service, w.isGathered(), limit, versions, &w.targets[shard]))
-	if len(w.query.entry.Regions) == 0 {
+func (e *execution) candidatesOf(shard int, versions canary.Versions) []balancer.Candidate {
+	service := e.services[shard]
+	limit := e.request.service(service).MaximumConnections
+	candidates := e.gateway.inReach(e.gateway.askableLeafs(service, e.isGathered(), limit, versions, &e.targets[shard]))
+	if len(e.request.route.Regions) == 0 {
 		return candidates
 	}
-	return slices.DeleteFunc(candidates, func(candidate balancer.Candidate) bool { return !w.allowsZone(candidate.Zone) })
+	return slices.DeleteFunc(candidates, func(candidate balancer.Candidate) bool { return !e.allowsZone(candidate.Zone) })
 }
 
 // allowsZone reports whether leafs of a zone may run the request.
-func (w *gathering) allowsZone(zone string) bool {
-	return len(w.query.entry.Regions) == 0 || w.query.entry.AllowsRegion(w.gateway.regions[zone])
+func (e *execution) allowsZone(zone string) bool {
+	return len(e.request.route.Regions) == 0 || e.request.route.AllowsRegion(e.gateway.regions[zone])
 }
 
-// partsOf gives the leafs of a service of some versions that this node may ask, and sets targets to how. The limit
+// askableLeafs gives the leafs of a service of some versions that this node may ask, and sets targets to how. The limit
 // is that of the connections of one leaf.
-func (g *Gateway) partsOf(service string, gathered bool, limit int, versions canary.Versions, targets *[]target) []balancer.Candidate {
+func (g *Gateway) askableLeafs(service string, gathered bool, limit int, versions canary.Versions, targets *[]leafTarget) []balancer.Candidate {
 	*targets = nil
 	var candidates []balancer.Candidate
 	if versions != canary.Trial {
-		candidates = g.addParts(candidates, service, gathered, limit, g.servingLeafs(service), targets)
+		candidates = g.appendAskable(candidates, service, gathered, limit, g.servingLeafs(service), targets)
 	}
 	if versions != canary.Serving {
-		candidates = g.addParts(candidates, service, gathered, limit, g.trialLeafs(service, versions), targets)
+		candidates = g.appendAskable(candidates, service, gathered, limit, g.trialLeafs(service, versions), targets)
 	}
 	return candidates
 }
 
-// addParts adds those of some leafs of one version that this node may ask, and to targets how.
-func (g *Gateway) addParts(candidates []balancer.Candidate, service string, gathered bool, limit int, leafs []*leafset.Leaf, targets *[]target) []balancer.Candidate {
+// appendAskable adds those of some leafs of one version that this node may ask, and to targets how.
+func (g *Gateway) appendAskable(candidates []balancer.Candidate, service string, gathered bool, limit int, leafs []*leafset.Leaf, targets *[]leafTarget) []balancer.Candidate {
 	dealt := g.dealer.Deal(service, gathered, leafs, limit)
 	candidates = slices.Grow(candidates, len(dealt))
 	*targets = slices.Grow(*targets, len(dealt))
@@ -65,7 +65,7 @@
 			continue
 		}
 		way := leafhttp.Target{Incarnation: leaf.ID, Name: leaf.Name, Address: leaf.Address, Connections: part.Connections, Spare: part.Spare}
-		*targets = append(*targets, target{way, leaf})
+		*targets = append(*targets, leafTarget{way, leaf})
 		candidates = append(candidates, balancer.Candidate{LeafID: leaf.ID, Zone: leaf.Zone, Spare: part.Connections == 0, LastResort: part.LastResort})
 	}
 	return candidates
@@ -88,11 +88,11 @@
 }
 
 // target gives the leaf of an attempt.
-func (w *gathering) target(attempt scatter.Attempt) target {
-	for _, target := range w.targets[attempt.Shard] {
+func (e *execution) target(attempt scatter.Attempt) leafTarget {
+	for _, target := range e.targets[attempt.Shard] {
 		if target.Incarnation == attempt.Leaf.ID {
 			return target
 		}
 	}
-	return target{Target: leafhttp.Target{Incarnation: attempt.Leaf.ID}}
+	return leafTarget{Target: leafhttp.Target{Incarnation: attempt.Leaf.ID}}
 }
--- a/internal/request/gateway/crash.go
+++ b/internal/request/gateway/crash.go
@@ -29,8 +29,8 @@
 
 // Bounds of the lead that the first attempt of a gathered request has while requests that end leafs are about.
 const (
-	leadTimes = 3 // of what an attempt usually takes
-	leastLead = 20 * time.Millisecond
+	leadFactor  = 3 // of what an attempt usually takes
+	minimumLead = 20 * time.Millisecond
 )
 
 // LeafLossRecord is an attempt whose answer broke off, and whether the leaf's process ended with it.
@@ -53,69 +53,69 @@
 
 // guard has the work stopped when its request is put under quarantine, or the machine wakes after its deadline; release
 // must be called at its end.
-func (w *gathering) guard(ctx context.Context) (guarded context.Context, release func()) {
+func (e *execution) watch(ctx context.Context) (guarded context.Context, release func()) {
 	guarded, cancel := context.WithCancelCause(ctx)
-	w.cancel = cancel
-	w.gateway.underWay.add(w)
-	if w.gateway.quarantine != nil {
-		subject := quarantine.NewSubject(w.query.content, w.query.Path, w.query.Caller)
-		w.try = w.gateway.quarantine.Begin(subject, w.stop)
+	e.cancel = cancel
+	e.gateway.inFlight.add(e)
+	if e.gateway.quarantine != nil {
+		subject := quarantine.NewSubject(e.request.fingerprint, e.request.Path, e.request.Caller)
+		e.tracked = e.gateway.quarantine.Begin(subject, e.stop)
 	}
 	return guarded, func() {
-		if w.try != nil {
-			w.try.End()
+		if e.tracked != nil {
+			e.tracked.End()
 		}
-		w.gateway.underWay.remove(w)
+		e.gateway.inFlight.remove(e)
 		cancel(nil)
 	}
 }
 
 // stop ends the work on a request under quarantine.
-func (w *gathering) stop() { w.cancel(errQuarantined) }
+func (e *execution) stop() { e.cancel(errQuarantined) }
 
 // state gives how the request was held when the work began.
-func (w *gathering) state() quarantine.State {
-	if w.try == nil {
+func (e *execution) quarantineState() quarantine.State {
+	if e.tracked == nil {
 		return quarantine.Clear
 	}
-	return w.try.State()
+	return e.tracked.State()
 }
 
 // refuseQuarantined gives a failure for a request that must not go to any leaf. The caller is told when it will be tried
 // again, if ever.
-func (w *gathering) refuseQuarantined() error {
-	if w.state() != quarantine.Quarantined {
+func (e *execution) refuseQuarantined() error {
+	if e.quarantineState() != quarantine.Quarantined {
 		return nil
 	}
-	return w.quarantined(failure.NotRun)
+	return e.quarantineFailure(failure.NotRun)
 }
 
 // quarantined makes the failure of a request under quarantine. Only one that did not run may come again by itself.
-func (w *gathering) quarantined(execution failure.ExecutionState) error {
-	failed := failure.New(failure.Quarantined, execution, "leafs ended while they ran this request; it goes to no more of them (%s)", w.query.content)
+func (e *execution) quarantineFailure(execution failure.ExecutionState) error {
+	failed := failure.New(failure.Quarantined, execution, "leafs ended while they ran this request; it goes to no more of them (%s)", e.request.fingerprint)
 	if execution != failure.NotRun {
 		return failed
 	}
-	return failed.WithRetryAfter(w.gateway.quarantine.Left(w.query.content))
+	return failed.WithRetryAfter(e.gateway.quarantine.Left(e.request.fingerprint))
 }
 
 // caution sets how a plan treats leafs that end under the request. A part that is gathered for another node is given up
 // instead of probed: with a probe for each part, more shards would lose all of their leafs.
-func (w *gathering) caution(plan *scatter.Plan) {
-	if w.try == nil {
+func (e *execution) caution(plan *scatter.Plan) {
+	if e.tracked == nil {
 		return
 	}
-	plan.NoProbes = w.collected != nil
-	plan.Cautious = w.state() == quarantine.Suspect
+	plan.NoProbes = e.partial != nil
+	plan.Cautious = e.quarantineState() == quarantine.Suspect
 	plan.FatalProbes = quarantine.FatalProbes
-	if w.try.IsAlert() && w.isGathered() && w.collected == nil {
-		plan.Lead = max(leastLead, leadTimes*w.gatheredLatency.typical())
+	if e.tracked.IsAlert() && e.isGathered() && e.partial == nil {
+		plan.Lead = max(minimumLead, leadFactor*e.gatheredLatency.typical())
 	}
 }
 
 // spare takes a shard out of the parts that other nodes gather, if all are in one, so that one attempt can be made from
 // here before them.
-func spare(groups []group, services int) []group {
+func keepOneShard(groups []group, services int) []group {
 	passed := 0
 	for _, part := range groups {
 		passed += len(part.shards)
@@ -129,16 +129,16 @@
 }
 
 // numberOf gives the number of an attempt among the probes; 0 for those that were sent together.
-func (w *gathering) numberOf(attempt scatter.Attempt) int {
+func (e *execution) numberOf(attempt scatter.Attempt) int {
 	if !attempt.Probe {
 		return 0
 	}
-	w.probes++
-	return w.probes
+	e.probes++
+	return e.probes
 }
 
 // isStopped reports whether the request was put under quarantine meanwhile.
-func (w *gathering) isStopped() bool { return w.try != nil && w.try.IsStopped() }
+func (e *execution) isStopped() bool { return e.tracked != nil && e.tracked.IsStopped() }
 
 // notSent is the end of an attempt that must not be made any more.
 func notSent() scatter.Result[leafhttp.Response] {
@@ -150,8 +150,8 @@
 // learn takes what the end of an attempt tells of the request and its leaf, and then ends the attempt. What decides on
 // further ones waits until the leaf was looked at, a way there and back or two: the end of a probe, and that of a
 // connection which broke before its first answer, which a leaf with too many of them refuses alike.
-func (w *gathering) learn(attempt scatter.Attempt, asked target, number int, end attemptEnd, done func(scatter.Result[leafhttp.Response])) {
-	w.learnPresence(attempt.Leaf.ID, end)
+func (e *execution) finishAttempt(attempt scatter.Attempt, asked leafTarget, number int, end attemptEnd, done func(scatter.Result[leafhttp.Response])) {
+	e.observePresence(attempt.Leaf.ID, end)
 	if !end.mayBeLoss() {
 		done(end.result)
 		return
@@ -163,39 +163,39 @@
 		done(result)
 	}
 	lost := LeafLossRecord{
-		RequestID: w.query.Leaf.ID, Content: w.query.content, Service: w.services[attempt.Shard], Leaf: attempt.Leaf.ID,
-		Probe: number, Announced: !w.gateway.isListed(attempt.Leaf.ID),
+		RequestID: e.request.Leaf.ID, Content: e.request.fingerprint, Service: e.services[attempt.Shard], Leaf: attempt.Leaf.ID,
+		Probe: number, Announced: !e.gateway.isListed(attempt.Leaf.ID),
 	}
-	w.look(asked.Target, end.isRefused(), func(ended bool) {
+	e.checkProcess(asked.Target, end.isRefused(), func(ended bool) {
 		lost.Ended = ended
-		w.lose(lost)
+		e.recordLoss(lost)
 		if mustWait {
 			done(afterCheck(result, lost))
 		}
 	})
 }
 
-// learnPresence takes that a leaf lived through the request, or was gone before.
-func (w *gathering) learnPresence(leafID string, end attemptEnd) {
-	if w.try == nil {
+// observePresence takes that a leaf lived through the request, or was gone before.
+func (e *execution) observePresence(leafID string, end attemptEnd) {
+	if e.tracked == nil {
 		return
 	}
 	if end.isCompleted() {
-		w.try.Answered()
+		e.tracked.Answered()
 	}
-	if leafhttp.IsGone(end.err) && w.gateway.isListed(leafID) {
-		w.try.Gone(leafID)
+	if leafhttp.IsGone(end.err) && e.gateway.isListed(leafID) {
+		e.tracked.Gone(leafID)
 	}
 }
 
 // look finds out whether a leaf's process ended, and tells.
-func (w *gathering) look(at leafhttp.Target, wasRefused bool, tell leafhttp.Ended) {
-	looked := make(chan struct{})
-	w.mu.Lock()
-	w.looks = append(w.looks, looked)
-	w.mu.Unlock()
-	w.gateway.leafs.Check(at, wasRefused, func(ended bool) {
-		defer close(looked)
+func (e *execution) checkProcess(at leafhttp.Target, wasRefused bool, tell leafhttp.Ended) {
+	checked := make(chan struct{})
+	e.mu.Lock()
+	e.processChecks = append(e.processChecks, checked)
+	e.mu.Unlock()
+	e.gateway.leafs.Check(at, wasRefused, func(ended bool) {
+		defer close(checked)
 		tell(ended)
 	})
 }
@@ -230,15 +230,15 @@
 }
 
 // lose takes a leaf whose answer broke off for evidence, if it ended unannounced.
-func (w *gathering) lose(lost LeafLossRecord) {
-	w.gateway.events.LeafLost(lost)
-	if w.try == nil || !lost.isEvidence() {
+func (e *execution) recordLoss(lost LeafLossRecord) {
+	e.gateway.events.LeafLost(lost)
+	if e.tracked == nil || !lost.isEvidence() {
 		return
 	}
-	w.mu.Lock()
-	w.ended = append(w.ended, lost.Leaf)
-	w.mu.Unlock()
-	w.try.Ended(lost.Leaf, lost.Probe)
+	e.mu.Lock()
+	e.crashedLeafs = append(e.crashedLeafs, lost.Leaf)
+	e.mu.Unlock()
+	e.tracked.Ended(lost.Leaf, lost.Probe)
 }
 
 // afterCheck is the result of an attempt once it is known whether its leaf ended. A connection that seemed refused may
@@ -257,33 +257,33 @@
 	return found && leaf.State == leafset.Ready
 }
 
-// longestLook bounds how long the failure of a part waits until its leafs were looked at.
-const longestLook = 200 * time.Millisecond
+// processCheckWait bounds how long the failure of a part waits until its leafs were looked at.
+const processCheckWait = 200 * time.Millisecond
 
 // endedLeafs gives the leafs that ended under the request, once those that broke off were looked at.
-func (w *gathering) endedLeafs() []string {
-	w.mu.Lock()
-	looks := slices.Clone(w.looks)
-	w.mu.Unlock()
-	ctx, cancel := context.WithTimeout(context.Background(), longestLook)
+func (e *execution) crashedLeafNames() []string {
+	e.mu.Lock()
+	processChecks := slices.Clone(e.processChecks)
+	e.mu.Unlock()
+	ctx, cancel := context.WithTimeout(context.Background(), processCheckWait)
 	defer cancel()
-	for _, looked := range looks {
+	for _, checked := range processChecks {
 		select {
-		case <-looked:
+		case <-checked:
 		case <-ctx.Done():
 		}
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return slices.Clone(w.ended)
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return slices.Clone(e.crashedLeafs)
 }
 
-// learnEnded takes the leafs that ended at another node, which gathered a part.
-func (w *gathering) learnEnded(leafs []string) {
-	if w.try == nil {
+// reportCrashed takes the leafs that ended at another node, which gathered a part.
+func (e *execution) reportCrashed(leafs []string) {
+	if e.tracked == nil {
 		return
 	}
 	for _, leaf := range leafs {
-		w.try.Ended(leaf, 0)
+		e.tracked.Ended(leaf, 0)
 	}
 }
--- a/internal/request/gateway/crash_test.go
+++ b/internal/request/gateway/crash_test.go
@@ -186,7 +186,7 @@
 		is := is.New(t)
 		leafs := newFatalLeafs()
 		register := newRegister()
-		register.Hear(quarantine.Record{Subject: quarantine.Subject{Content: DefaultConfig().contentOf(ask("/pages/0"))}})
+		register.Hear(quarantine.Record{Subject: quarantine.Subject{Content: DefaultConfig().fingerprintOf(ask("/pages/0"))}})
 		g := guarded(t, leafs, register)
 		for count := 1; count <= quarantine.DefaultConfig().Ends; count++ {
 			_, err := g.Serve(t.Context(), ask("/pages/1"))
@@ -222,7 +222,7 @@
 			return fatalWork, answered(200, records(leaf)), nil
 		}}
 		register := newRegister()
-		register.Hear(quarantine.Record{Subject: quarantine.Subject{Content: DefaultConfig().contentOf(ask("/pages/0"))}})
+		register.Hear(quarantine.Record{Subject: quarantine.Subject{Content: DefaultConfig().fingerprintOf(ask("/pages/0"))}})
 		g := guarded(t, slow, register)
 		answer, err := g.Serve(t.Context(), ask("/pages/1"))
 		is.NoErr(err)
@@ -244,7 +244,7 @@
 			is.Equal(answer.Missing, 0)
 			time.Sleep(2 * time.Millisecond)
 		}
-		is.Equal(register.State(DefaultConfig().contentOf(ask("/pages/1"))), quarantine.Clear)
+		is.Equal(register.State(DefaultConfig().fingerprintOf(ask("/pages/1"))), quarantine.Clear)
 	})
 }
 
@@ -265,7 +265,7 @@
 				}
 				_, err = g.Serve(t.Context(), ask("/once/1"))
 				is.NoErr(err) // what the leaf says is passed on
-				is.Equal(register.State(DefaultConfig().contentOf(ask("/once/1"))), want)
+				is.Equal(register.State(DefaultConfig().fingerprintOf(ask("/once/1"))), want)
 			})
 		})
 	}
@@ -286,7 +286,7 @@
 		_, err := g.Serve(t.Context(), ask("/once/1"))
 		is.True(err != nil)
 		time.Sleep(2 * time.Millisecond)
-		is.Equal(register.State(DefaultConfig().contentOf(ask("/once/1"))), quarantine.Clear)
+		is.Equal(register.State(DefaultConfig().fingerprintOf(ask("/once/1"))), quarantine.Clear)
 	})
 }
 
@@ -341,7 +341,7 @@
 		node.gateway.quarantine = newRegister()
 		node.gateway.leafs = &endingLeafs{treeLeafs: node.leafs, ended: ended}
 	}
-	b.nodes["there"].gateway.quarantine.Hear(quarantine.Record{Subject: quarantine.Subject{Content: DefaultConfig().contentOf(ask("/pages/1"))}})
+	b.nodes["there"].gateway.quarantine.Hear(quarantine.Record{Subject: quarantine.Subject{Content: DefaultConfig().fingerprintOf(ask("/pages/1"))}})
 	b.nodes["root"].leafs.treat(func(string) (time.Duration, *leafhttp.Response, error) { return time.Hour, nil, nil })
 	_, err := b.ask("root")
 	is.True(failure.Is(err, failure.Quarantined))
--- a/internal/request/gateway/events.go
+++ b/internal/request/gateway/events.go
@@ -47,7 +47,7 @@
 	Path   string
 	Caller string
 	Route  string
-	// Version and Revision are those of the routing table that the request was pinned to.
+	// Version and Revision are those of the routing table that the request was routed to.
 	Version  int64
 	Revision int64
 	// ConfigAge is how long ago that revision was confirmed to be the newest.
@@ -77,11 +77,11 @@
 }
 
 // record gathers what is told of a request at its end.
-func (q *query) record(work *gathering, answer *Answer, err error) RequestRecord {
+func (r *routedRequest) record(work *execution, answer *Answer, err error) RequestRecord {
 	record := RequestRecord{
-		RequestID: q.Leaf.ID, Content: q.content, Path: q.Path, Caller: q.Caller, Route: q.entry.Name, Version: q.table.Version, Revision: q.table.Revision,
-		Root: q.root, Groups: work.groupRecords(), ConfigAge: work.gateway.catalog.Age(), Took: time.Since(q.Arrived),
-		InTime: time.Now().Before(q.late), Parts: len(work.outcomes), Summary: work.summary,
+		RequestID: r.Leaf.ID, Content: r.fingerprint, Path: r.Path, Caller: r.Caller, Route: r.route.Name, Version: r.table.Version, Revision: r.table.Revision,
+		Root: r.rootID, Groups: work.groupRecords(), ConfigAge: work.gateway.catalog.Age(), Took: time.Since(r.Arrived),
+		InTime: time.Now().Before(r.lateAfter), Parts: len(work.outcomes), Summary: work.summary,
 	}
 	for index, outcome := range work.outcomes {
 		if outcome.Reply == nil {
--- a/internal/request/gateway/gateway.go
+++ b/internal/request/gateway/gateway.go
@@ -83,10 +83,10 @@
 	zones    *reachability.Tracker
 
 	quarantine *quarantine.Register
-	underWay   underWay
+	inFlight   inFlight
 
-	latencies *latencyBook
-	patience  *patienceBook
+	latencies *latencyTable
+	timeouts  *callerTimeouts
 	shares    *routing.Shares
 	lag       lagTracker
 	root      *root // nil where no other node is asked to gather
@@ -100,7 +100,7 @@
 		config: deps.Config, dialect: deps.Dialect, catalog: deps.Catalog, memory: deps.Memory, dealer: deps.Dealer, balancer: deps.Balancer,
 		budgets: deps.Budgets, leafs: deps.Leafs, warmup: deps.Warmup, canary: deps.Canary, evidence: deps.Evidence,
 		events: deps.Events, regions: deps.Regions, zones: deps.Zones, quarantine: deps.Quarantine,
-		latencies: newLatencyBook(deps.Config.LatencyWindow), patience: newPatienceBook(), shares: routing.NewShares(),
+		latencies: newLatencyTable(deps.Config.LatencyWindow), timeouts: newCallerTimeouts(), shares: routing.NewShares(),
 	}
 	if deps.Config.ServingTree && deps.Fleet != nil && deps.Intermediates != nil {
 		g.root = newRoot(deps)
@@ -109,7 +109,7 @@
 }
 
 // Ready reports whether there are routes to serve by, and no other zone is the better place for callers.
-func (g *Gateway) Ready() bool { return g.catalog.View().Routes != nil && !g.isStranded() }
+func (g *Gateway) Ready() bool { return g.catalog.View().Routes != nil && !g.isBetterServedElsewhere() }
 
 // Limits gives the limits of callers in force.
 func (g *Gateway) Limits() routing.Limits {
@@ -121,31 +121,31 @@
 
 // Serve answers one request. Its errors are *failure.Failure.
 func (g *Gateway) Serve(ctx context.Context, request *Request) (*Answer, error) {
-	pinned, err := g.newQuery(request)
+	routed, err := g.routeRequest(request)
 	if err != nil {
 		g.events.Refused(request, err)
 		return nil, err
 	}
-	work := &gathering{gateway: g, query: pinned, services: g.servicesOf(pinned)}
-	ctx, release := work.guard(ctx)
+	work := &execution{gateway: g, request: routed, services: g.servicesOf(routed)}
+	ctx, release := work.watch(ctx)
 	defer release()
 	if err := work.refuseQuarantined(); err != nil {
 		g.events.Refused(request, err)
 		return nil, err
 	}
 	// A suspect goes to one leaf first: no other node is asked to send it to more.
-	if g.root != nil && work.isGathered() && work.state() == quarantine.Clear {
-		work.passOn(work.groupsOf(pinned.entry))
+	if g.root != nil && work.isGathered() && work.quarantineState() == quarantine.Clear {
+		work.assignGroups(work.groupsOf(routed.route))
 	}
-	answer, err := work.serve(ctx)
-	work.learnLag()
-	g.events.Served(pinned.record(work, answer, err))
+	answer, err := work.run(ctx)
+	work.observeLag()
+	g.events.Served(routed.record(work, answer, err))
 	return answer, err
 }
 
 // servicesOf gives the services whose leafs are asked.
-func (g *Gateway) servicesOf(pinned *query) []string {
-	entry := pinned.entry
+func (g *Gateway) servicesOf(routed *routedRequest) []string {
+	entry := routed.route
 	switch {
 	case len(entry.Gathered) > 0:
 		return entry.Gathered
--- a/internal/request/gateway/gateway_test.go
+++ b/internal/request/gateway/gateway_test.go
@@ -346,21 +346,21 @@
 func TestSpentPatienceShortensTheObjective(t *testing.T) {
 	is := is.New(t)
 	g, _ := newGateway(t, &scriptedLeafs{})
-	for range patienceSightings {
-		_, err := g.newQuery(ask("/pages/1"))
+	for range minimumSightings {
+		_, err := g.routeRequest(ask("/pages/1"))
 		is.NoErr(err)
 	}
 	late := ask("/pages/1")
 	late.CallerTimeout -= 50 * time.Millisecond
 	late.RoundTrip = 6 * time.Millisecond
-	pinned, err := g.newQuery(late)
+	routed, err := g.routeRequest(late)
 	is.NoErr(err)
-	is.Equal(pinned.objective.Sub(late.Arrived), 200*time.Millisecond-50*time.Millisecond-6*time.Millisecond-DefaultConfig().ObjectiveReserve)
+	is.Equal(routed.objective.Sub(late.Arrived), 200*time.Millisecond-50*time.Millisecond-6*time.Millisecond-DefaultConfig().ObjectiveReserve)
 	other := ask("/pages/1")
 	other.CallerTimeout /= 2 // a caller with another patience, or one that lost the objective already
-	pinned, err = g.newQuery(other)
+	routed, err = g.routeRequest(other)
 	is.NoErr(err)
-	is.Equal(pinned.objective.Sub(other.Arrived), 200*time.Millisecond-DefaultConfig().ObjectiveReserve)
+	is.Equal(routed.objective.Sub(other.Arrived), 200*time.Millisecond-DefaultConfig().ObjectiveReserve)
 }
 
 func TestConfigNamesEveryFault(t *testing.T) {
--- a/internal/request/gateway/gathering.go
+++ b/internal/request/gateway/gathering.go
@@ -15,34 +15,34 @@
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
-// gathering is the work on one request: one shard for each service.
-type gathering struct {
+// execution is the work on one request: one shard for each service.
+type execution struct {
 	gateway  *Gateway
-	query    *query
+	request  *routedRequest
 	services []string
 	// groups are the services that other nodes gather.
 	groups []group
-	// passedOn says by shard whether it is in a group; nil where there is none.
-	passedOn []bool
+	// inGroup says by shard whether it is in a group; nil where there is none.
+	inGroup []bool
 	// targets are the leafs that may be asked, by shard.
-	targets [][]target
+	targets [][]leafTarget
 	// draws say which versions first attempts go to, by shard; nil until the first is drawn.
-	draws []shardDraw
+	canaryDraws []canaryDraw
 	// gatheredLatency is that of all shards of a gathered request; nil until it is looked up.
 	gatheredLatency *kindLatency
 	summary         scatter.Summary
 	// spent is how many attempts another node may have made at each shard.
-	spent int
-	// collected takes the parts as they come; nil unless this is a group for another node.
-	collected *collected
-	outcomes  []scatter.Outcome[leafhttp.Response]
+	spentAttempts int
+	// partial takes the parts as they come; nil unless this is a group for another node.
+	partial  *partBuffer
+	outcomes []scatter.Outcome[leafhttp.Response]
 
 	// cancel ends the work for a cause.
 	cancel context.CancelCauseFunc
 	// slept is for how many nanoseconds the machine was suspended since the request came.
 	slept atomic.Int64
 	// try is the request's place in the register of those that end leafs; nil where there is no register.
-	try *quarantine.Try
+	tracked *quarantine.Try
 	// probes counts the attempts that were sent alone.
 	probes int
 	// mu guards the rest, which attempts and groups set as they end.
@@ -50,57 +50,57 @@
 	lastFailure *leafhttp.Response
 	groupsEnded []GroupRecord
 	// ended are the leafs that ended under the request; looks are closed once those that broke off were looked at.
-	ended []string
-	looks []<-chan struct{}
+	crashedLeafs  []string
+	processChecks []<-chan struct{}
 	// refusal is that of a node that all of the request was passed on to.
-	refusal error
+	groupFailure error
 }
 
-// learnLag compares when an answer was made with when it was planned, where only the plan decided
+// observeLag compares when an answer was made with when it was planned, where only the plan decided
 // it: enough parts were in before.
-func (w *gathering) learnLag() {
-	enoughAt := w.summary.SufficientAt
-	if w.isGathered() && !enoughAt.IsZero() && w.summary.SoftDeadlined && enoughAt.Before(w.query.planned) {
-		w.gateway.lag.observe(time.Since(w.query.planned))
+func (e *execution) observeLag() {
+	enoughAt := e.summary.SufficientAt
+	if e.isGathered() && !enoughAt.IsZero() && e.summary.SoftDeadlined && enoughAt.Before(e.request.answerBy) {
+		e.gateway.lag.observe(time.Since(e.request.answerBy))
 	}
 }
 
-func (w *gathering) isGathered() bool { return len(w.query.entry.Gathered) > 0 }
+func (e *execution) isGathered() bool { return len(e.request.route.Gathered) > 0 }
 
-func (w *gathering) serve(ctx context.Context) (*Answer, error) {
-	w.countRequests()
-	if err := w.refuseWithoutLeafs(); err != nil {
+func (e *execution) run(ctx context.Context) (*Answer, error) {
+	e.countRequests()
+	if err := e.refuseWithoutLeafs(); err != nil {
 		return nil, err
 	}
-	plan := w.plan()
-	if err := w.refuse(plan); err != nil {
-		w.returnDraws()
+	plan := e.plan()
+	if err := e.refuseOverloaded(plan); err != nil {
+		e.returnDraws()
 		return nil, err
 	}
-	w.drawFirst(&plan)
+	e.drawFirst(&plan)
 	work := scatter.New(plan, scatter.Deps[leafhttp.Response]{
-		Balancer: w.gateway.balancer, Start: w.startAttempt, Observer: w, Superseded: leafhttp.ErrSuperseded,
-		StartGroup: w.startGroup, Accepted: w.accepted(),
+		Balancer: e.gateway.balancer, Start: e.startAttempt, Observer: e, Superseded: leafhttp.ErrSuperseded,
+		StartGroup: e.startGroup, Accepted: e.accepted(),
 	})
-	w.outcomes, w.summary = work.Run(ctx)
+	e.outcomes, e.summary = work.Run(ctx)
 	switch cause := context.Cause(ctx); {
 	case errors.Is(cause, errQuarantined):
-		return nil, w.quarantined(w.execution())
-	case errors.Is(cause, errOverslept):
-		return nil, failure.New(failure.DeadlineExceeded, w.execution(), "%s", errOverslept)
+		return nil, e.quarantineFailure(e.executionState())
+	case errors.Is(cause, errSuspended):
+		return nil, failure.New(failure.DeadlineExceeded, e.executionState(), "%s", errSuspended)
 	}
 	if ctx.Err() != nil {
-		return nil, failure.New(failure.Cancelled, w.execution(), "%s", w.whoLeft())
+		return nil, failure.New(failure.Cancelled, e.executionState(), "%s", e.cancelledBy())
 	}
-	if w.isGathered() {
-		return w.gatheredAnswer()
+	if e.isGathered() {
+		return e.gatheredAnswer()
 	}
-	return w.singleAnswer()
+	return e.singleAnswer()
 }
 
-// whoLeft says who does not wait for the answer any more.
-func (w *gathering) whoLeft() string {
-	if w.collected != nil {
+// cancelledBy says who does not wait for the answer any more.
+func (e *execution) cancelledBy() string {
+	if e.partial != nil {
 		return "the root waits for no more parts"
 	}
 	return "the caller went away"
@@ -108,81 +108,81 @@
 
 // countRequests counts the request for the services whose leafs are asked from here, unless another node
 // may have counted it.
-func (w *gathering) countRequests() {
-	if w.spent > 0 {
+func (e *execution) countRequests() {
+	if e.spentAttempts > 0 {
 		return
 	}
-	for index, service := range w.services {
-		if !w.isPassedOn(index) {
-			w.gateway.budgets.Request(service)
+	for index, service := range e.services {
+		if !e.isInGroup(index) {
+			e.gateway.budgets.Request(service)
 		}
 	}
 }
 
 // accepted gives who is told of parts as they come.
-func (w *gathering) accepted() func(shard int, reply *leafhttp.Response) {
-	if w.collected == nil {
+func (e *execution) accepted() func(shard int, reply *leafhttp.Response) {
+	if e.partial == nil {
 		return nil
 	}
-	return w.collected.add
+	return e.partial.add
 }
 
-func (w *gathering) plan() scatter.Plan {
-	entry := w.query.entry
-	w.query.Leaf.AtMostOnce = entry.Repeatability == routing.AtMostOnce
+func (e *execution) plan() scatter.Plan {
+	entry := e.request.route
+	e.request.Leaf.AtMostOnce = entry.Repeatability == routing.AtMostOnce
 	plan := scatter.Plan{
-		Shards:          make([]scatter.Shard, len(w.services)),
-		Refresh:         w.candidates,
-		Deadline:        w.query.deadline,
-		Groups:          scatterGroups(w.groups),
-		Sufficient:      max(1, w.query.required),
+		Shards:          make([]scatter.Shard, len(e.services)),
+		Refresh:         e.candidates,
+		Deadline:        e.request.deadline,
+		Groups:          scatterGroups(e.groups),
+		Sufficient:      max(1, e.request.requiredParts),
 		AtMostOnce:      entry.Repeatability == routing.AtMostOnce,
 		MaximumAttempts: entry.Attempts,
-		MaximumRefusals: w.gateway.config.MaximumRefusals,
-		ReplicaWait:     w.gateway.config.ReplicaWait,
+		MaximumRefusals: e.gateway.config.MaximumRefusals,
+		ReplicaWait:     e.gateway.config.ReplicaWait,
 	}
-	if w.isGathered() && w.collected == nil {
-		plan.SoftDeadline = w.query.planned
+	if e.isGathered() && e.partial == nil {
+		plan.SoftDeadline = e.request.answerBy
 	}
-	w.targets = make([][]target, len(w.services))
-	policies := make([]shardPolicy, len(w.services))
-	for index, service := range w.services {
+	e.targets = make([][]leafTarget, len(e.services))
+	policies := make([]shardPolicy, len(e.services))
+	for index, service := range e.services {
 		policies[index] = shardPolicy{
-			config: &w.gateway.config, service: service, budgets: w.gateway.budgets,
-			latency: w.latency(service), objective: w.query.planned,
+			config: &e.gateway.config, service: service, budgets: e.gateway.budgets,
+			latency: e.latency(service), objective: e.request.answerBy,
 		}
 		plan.Shards[index] = scatter.Shard{
-			Candidates: w.candidates(index),
+			Candidates: e.candidates(index),
 			Policy:     &policies[index],
-			Spent:      w.spent,
+			Spent:      e.spentAttempts,
 		}
 	}
-	w.caution(&plan)
+	e.caution(&plan)
 	return plan
 }
 
 // latency gives the latencies of this kind of request. The shards of a gathered route are
 // alike, and are told apart from other routes by objective and priority.
-func (w *gathering) latency(service string) *kindLatency {
-	if w.isGathered() && w.gatheredLatency != nil {
-		return w.gatheredLatency
+func (e *execution) latency(service string) *kindLatency {
+	if e.isGathered() && e.gatheredLatency != nil {
+		return e.gatheredLatency
 	}
-	entry := w.query.entry
+	entry := e.request.route
 	kind := service + " "
-	if w.isGathered() {
+	if e.isGathered() {
 		kind = gatheredKind
 	}
 	kind += strconv.FormatInt(entry.ObjectiveMillis, 10) + " " + strconv.Itoa(entry.Priority)
-	latency := w.gateway.latencies.of(kind, entry.Objective/objectiveParts)
-	if w.isGathered() {
-		w.gatheredLatency = latency
+	latency := e.gateway.latencies.of(kind, entry.Objective/initialMedianDivisor)
+	if e.isGathered() {
+		e.gatheredLatency = latency
 	}
 	return latency
 }
 
-// execution gives what is known of whether the request ran.
-func (w *gathering) execution() failure.ExecutionState {
-	switch w.summary.Execution() {
+// executionState returns what is known of whether the request ran.
+func (e *execution) executionState() failure.ExecutionState {
+	switch e.summary.Execution() {
 	case scatter.Ran:
 		return failure.Ran
 	case scatter.NotRun:
--- a/internal/request/gateway/intermediate.go
+++ b/internal/request/gateway/intermediate.go
@@ -25,38 +25,38 @@
 		return servingtree.Reply{Decline: servingtree.Busy}
 	}
 	defer g.gathered.Add(-1)
-	work := g.askedWork(ask)
+	work := g.groupExecution(ask)
 	if work == nil {
 		return servingtree.Reply{Decline: servingtree.OtherRoute}
 	}
-	work.collected = newCollected(len(work.services))
-	ctx, release := work.guard(ctx)
+	work.partial = newPartBuffer(len(work.services))
+	ctx, release := work.watch(ctx)
 	defer release()
 	if err := work.refuseQuarantined(); err != nil {
-		g.events.Refused(work.query.Request, err)
+		g.events.Refused(work.request.Request, err)
 		return servingtree.Reply{Failure: servingtree.NewFailure(err)}
 	}
-	timer := time.AfterFunc(time.Until(work.query.planned), func() {
-		if work.collected.send(work.answerOf, send) {
-			g.lag.observe(time.Since(work.query.planned))
+	timer := time.AfterFunc(time.Until(work.request.answerBy), func() {
+		if work.partial.send(work.answerOf, send) {
+			g.lag.observe(time.Since(work.request.answerBy))
 		}
 	})
 	defer timer.Stop()
-	answer, err := work.serve(ctx)
-	g.events.Served(work.query.record(work, answer, err))
-	if err != nil && !work.collected.any() {
+	answer, err := work.run(ctx)
+	g.events.Served(work.request.record(work, answer, err))
+	if err != nil && !work.partial.any() {
 		failed := servingtree.NewFailure(err)
 		if failed.Code == failure.LeafsEnded {
-			failed.CrashedLeafs = work.endedLeafs() // the root has no use for those of other failures
+			failed.CrashedLeafs = work.crashedLeafNames() // the root has no use for those of other failures
 		}
 		return servingtree.Reply{Failure: failed}
 	}
-	rest := work.collected.end(work.answerOf)
+	rest := work.partial.end(work.answerOf)
 	return servingtree.Reply{Answer: &rest}
 }
 
-// askedWork prepares the work on a group; nil when it does not fit the routing table in force here.
-func (g *Gateway) askedWork(ask servingtree.Request) *gathering {
+// groupExecution prepares the work on a group; nil when it does not fit the routing table in force here.
+func (g *Gateway) groupExecution(ask servingtree.Request) *execution {
 	table := g.catalog.View().Routes
 	if table == nil {
 		return nil
@@ -84,56 +84,56 @@
 		Path: path, Caller: ask.Caller, Arrived: now,
 	}
 	objective := now.Add(time.Duration(ask.ObjectiveMicros) * time.Microsecond)
-	asked := &query{
-		Request: request, content: g.config.contentOf(request), entry: entry, table: table, root: ask.Root, required: ask.Required,
+	asked := &routedRequest{
+		Request: request, fingerprint: g.config.fingerprintOf(request), route: entry, table: table, rootID: ask.Root, requiredParts: ask.Required,
 		deadline:  now.Add(time.Duration(ask.DeadlineMicros) * time.Microsecond),
-		objective: objective, planned: objective.Add(-g.lag.expected(entry.Objective)), late: objective,
+		objective: objective, answerBy: objective.Add(-g.lag.expected(entry.Objective)), lateAfter: objective,
 	}
-	return &gathering{gateway: g, query: asked, services: services, spent: ask.Spent}
+	return &execution{gateway: g, request: asked, services: services, spentAttempts: ask.Spent}
 }
 
 // answerOf puts some parts as the root is told of them.
-func (w *gathering) answerOf(parts []*leafhttp.Response) servingtree.Answer {
+func (e *execution) answerOf(parts []*leafhttp.Response) servingtree.Answer {
 	answer := servingtree.Answer{Stamps: make([]string, len(parts))}
 	bodies := make([][]byte, 0, len(parts))
 	for index, part := range parts {
 		if part != nil {
-			answer.Stamps[index] = part.Header.Get(w.gateway.dialect.ResponseStamp)
+			answer.Stamps[index] = part.Header.Get(e.gateway.dialect.ResponseStamp)
 			bodies = append(bodies, part.Body)
 		}
 	}
-	answer.Records = topRecords(bodies, w.query.entry.TopRecords)
+	answer.Records = topRecords(bodies, e.request.route.TopRecords)
 	return answer
 }
 
-// collected are the parts of a group that the root was not told of yet; safe for concurrent use.
-type collected struct {
+// partial are the parts of a group that the root was not told of yet; safe for concurrent use.
+type partBuffer struct {
 	mu    sync.Mutex
 	parts []*leafhttp.Response // by shard
 	had   bool                 // there was any part
 	ended bool
 }
 
-func newCollected(shards int) *collected {
-	return &collected{parts: make([]*leafhttp.Response, shards)}
+func newPartBuffer(shards int) *partBuffer {
+	return &partBuffer{parts: make([]*leafhttp.Response, shards)}
 }
 
 // add takes a part.
-func (c *collected) add(shard int, part *leafhttp.Response) {
+func (c *partBuffer) add(shard int, part *leafhttp.Response) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.parts[shard], c.had = part, true
 }
 
 // any reports whether there was any part.
-func (c *collected) any() bool {
+func (c *partBuffer) any() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.had
 }
 
 // send sends what is in, unless the end came before; the lock keeps it before what end gives.
-func (c *collected) send(put func([]*leafhttp.Response) servingtree.Answer, send func(servingtree.Answer)) bool {
+func (c *partBuffer) send(put func([]*leafhttp.Response) servingtree.Answer, send func(servingtree.Answer)) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.ended || !c.had {
@@ -145,7 +145,7 @@
 }
 
 // end gives the parts that were not sent.
-func (c *collected) end(put func([]*leafhttp.Response) servingtree.Answer) servingtree.Answer {
+func (c *partBuffer) end(put func([]*leafhttp.Response) servingtree.Answer) servingtree.Answer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.ended = true
--- a/internal/request/gateway/lag.go
+++ b/internal/request/gateway/lag.go
@@ -36,8 +36,8 @@
 func (l *lagTracker) expected(objective time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return min(l.lag, objective/mostLagParts)
+	return min(l.lag, objective/lagObjectiveDivisor)
 }
 
-// mostLagParts is the part of an objective, as a divisor, that is planned for lag at most.
-const mostLagParts = 4
+// lagObjectiveDivisor is the part of an objective, as a divisor, that is planned for lag at most.
+const lagObjectiveDivisor = 4
--- a/internal/request/gateway/lives_test.go
+++ b/internal/request/gateway/lives_test.go
@@ -12,15 +12,15 @@
 )
 
 // born puts a life of the leaf "s0a" in force, and gives how the gateway knows it.
-func born(t *testing.T, g *Gateway, at int64) (*leafset.Leaf, target, balancer.Candidate) {
+func born(t *testing.T, g *Gateway, at int64) (*leafset.Leaf, leafTarget, balancer.Candidate) {
 	t.Helper()
 	put(t, g.catalog, catalog.LeafKey("s0a"), leafset.Record{Name: "s0a", Service: "s0", Address: "127.0.0.1:1", State: leafset.Ready, Born: at})
 	leaf, found := g.catalog.View().Leafs.ByName("s0a")
 	if !found {
 		t.Fatal("the leaf is not in force")
 	}
-	var targets []target
-	candidates := g.addParts(nil, "s0", false, 1, []*leafset.Leaf{leaf}, &targets)
+	var targets []leafTarget
+	candidates := g.appendAskable(nil, "s0", false, 1, []*leafset.Leaf{leaf}, &targets)
 	return leaf, targets[0], candidates[0]
 }
 
--- a/internal/request/gateway/overload.go
+++ b/internal/request/gateway/overload.go
@@ -9,18 +9,18 @@
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
-// overloadTail is how much longer than the expected one the slowest part of an answer takes.
-const overloadTail = 1.3
+// overloadTailFactor is how much longer than the expected one the slowest part of an answer takes.
+const overloadTailFactor = 1.3
 
-// leastOverload is how many times the usual an attempt must take at most shards before requests
+// minimumOverload is how many times the usual an attempt must take at most shards before requests
 // are refused for it, whatever they are expected to take: after a start little is known of that.
-const leastOverload = 2.5
+const minimumOverload = 2.5
 
 // Bounds of when a caller is told to come back, as parts of the configured time: callers that
 // were refused together must not come back together.
 const (
-	leastRetryPart = 0.6
-	mostRetryPart  = 1.4
+	leastJitter = 0.6
+	mostJitter  = 1.4
 )
 
 // refuse gives a failure for a gathered request that can't be answered within its objective,
@@ -29,16 +29,16 @@
 // short objective are refused first. Single slow or dark shards don't count: an answer can go
 // out without them. A part of a request is not refused: its root has begun with the rest. Shards that
 // another node is asked for don't count: what this one knows of their leafs is old.
-func (w *gathering) refuse(plan scatter.Plan) error {
-	if !w.isGathered() || len(w.services) < len(w.query.entry.Gathered) {
+func (e *execution) refuseOverloaded(plan scatter.Plan) error {
+	if !e.isGathered() || len(e.services) < len(e.request.route.Gathered) {
 		return nil
 	}
 	delays := make([]float64, 0, len(plan.Shards))
 	for index, shard := range plan.Shards {
-		if w.isPassedOn(index) {
+		if e.isInGroup(index) {
 			continue
 		}
-		if delay := w.gateway.balancer.Queueing(shard.Candidates); delay > 0 {
+		if delay := e.gateway.balancer.Queueing(shard.Candidates); delay > 0 {
 			delays = append(delays, delay)
 		}
 	}
@@ -47,17 +47,17 @@
 	}
 	slices.Sort(delays)
 	median := delays[len(delays)/2]
-	if median < leastOverload {
+	if median < minimumOverload {
 		return nil
 	}
-	own := w.latency("").unloaded()
-	waiting := time.Duration((median - 1) * float64(w.gateway.latencies.longestUnloaded()))
-	predicted := time.Duration(overloadTail * float64(own+max(0, waiting)))
-	if predicted <= time.Until(w.query.objective) {
+	own := e.latency("").unloaded()
+	waiting := time.Duration((median - 1) * float64(e.gateway.latencies.longestUnloaded()))
+	predicted := time.Duration(overloadTailFactor * float64(own+max(0, waiting)))
+	if predicted <= time.Until(e.request.objective) {
 		return nil
 	}
-	part := leastRetryPart + (mostRetryPart-leastRetryPart)*rand.Float64()
-	after := time.Duration(part * float64(w.gateway.config.OverloadRetryAfter))
+	part := leastJitter + (mostJitter-leastJitter)*rand.Float64()
+	after := time.Duration(part * float64(e.gateway.config.OverloadRetryAfter))
 	return failure.New(failure.Overloaded, failure.NotRun,
 		"most shards have %.1f times the usual delay; an answer is expected after %s", median, predicted).WithRetryAfter(after)
 }
--- a/internal/request/gateway/passing.go
+++ b/internal/request/gateway/passing.go
@@ -41,67 +41,67 @@
 	Took   time.Duration
 }
 
-// passOn notes which groups other nodes are asked for first.
-func (w *gathering) passOn(groups []group) {
-	w.groups = groups
-	w.passedOn = make([]bool, len(w.services))
+// assignGroups notes which groups other nodes are asked for first.
+func (e *execution) assignGroups(groups []group) {
+	e.groups = groups
+	e.inGroup = make([]bool, len(e.services))
 	for _, group := range groups {
 		for _, shard := range group.shards {
-			w.passedOn[shard] = true
+			e.inGroup[shard] = true
 		}
 	}
 }
 
 // groupsOf gives the parts of a route that other nodes gather for this work.
-func (w *gathering) groupsOf(entry *routing.Entry) []group {
-	groups := w.gateway.root.groups(entry)
-	if w.try != nil && w.try.IsAlert() {
-		return spare(groups, len(w.services))
+func (e *execution) groupsOf(entry *routing.Entry) []group {
+	groups := e.gateway.root.groups(entry)
+	if e.tracked != nil && e.tracked.IsAlert() {
+		return keepOneShard(groups, len(e.services))
 	}
 	return groups
 }
 
-// isPassedOn reports whether another node is asked for a service first.
-func (w *gathering) isPassedOn(shard int) bool { return len(w.groups) > 0 && w.passedOn[shard] }
+// isInGroup reports whether another node is asked for a service first.
+func (e *execution) isInGroup(shard int) bool { return len(e.groups) > 0 && e.inGroup[shard] }
 
 // groupRecords gives what came of the groups that ended.
-func (w *gathering) groupRecords() []GroupRecord {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.groupsEnded
+func (e *execution) groupRecords() []GroupRecord {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.groupsEnded
 }
 
 // startGroup implements scatter.StartGroup.
-func (w *gathering) startGroup(ctx context.Context, number int, tell func(scatter.GroupResult[leafhttp.Response])) context.CancelCauseFunc {
-	passed := &passing{root: w.gateway.root, work: w, group: w.groups[number]}
+func (e *execution) startGroup(ctx context.Context, number int, done func(scatter.GroupResult[leafhttp.Response])) context.CancelCauseFunc {
+	passed := &groupCall{root: e.gateway.root, execution: e, group: e.groups[number]}
 	ctx, cancel := context.WithCancelCause(ctx)
 	call := passed.start()
 	go func() {
 		defer cancel(nil)
-		tell(passed.run(ctx, call, tell))
+		done(passed.run(ctx, call, done))
 	}()
 	return cancel
 }
 
-// mostIntermediates is how many nodes are asked for one group at most: after two that gave nothing most
+// maximumIntermediates is how many nodes are asked for one group at most: after two that gave nothing most
 // of an objective is over.
-const mostIntermediates = 2
+const maximumIntermediates = 2
 
 // start asks the node of the group.
-func (p *passing) start() *servingtree.Call {
-	p.root.standing.begin(p.group.node)
-	return p.root.intermediates.Start(p.group.node.Tree, p.work.ask(p.group, p.spent))
+func (p *groupCall) start() *servingtree.Call {
+	p.root.nodes.begin(p.group.node)
+	return p.root.intermediates.Start(p.group.node.Tree, p.execution.groupRequest(p.group, p.spent))
 }
 
 // run awaits the group, and asks another node for it where the first gave nothing. Attempts that the
 // first may have made count among those of the route.
-func (p *passing) run(ctx context.Context, call *servingtree.Call, tell told) scatter.GroupResult[leafhttp.Response] {
+func (p *groupCall) run(ctx context.Context, call *servingtree.Call, done groupDone) scatter.GroupResult[leafhttp.Response] {
 	for asked := 1; ; asked++ {
 		began := time.Now()
-		ended := p.await(ctx, call, tell)
-		p.note(ended, time.Since(began))
+		ended := p.await(ctx, call, done)
+		p.recordEnd(ended, time.Since(began))
 		result := p.withSpent(ended.result)
-		if asked == mostIntermediates || result.Replies != nil || result.Final || result.Broke || p.toldParts || ended.outcome == GroupCancelled {
+		if asked == maximumIntermediates || result.Replies != nil || result.Final || result.Broke || p.gotPartial || ended.outcome == GroupCancelled {
 			return result
 		}
 		node, found := p.root.choose(p.group.zones)
@@ -114,7 +114,7 @@
 }
 
 // withSpent adds to a result what the nodes that gave nothing may have spent.
-func (p *passing) withSpent(result scatter.GroupResult[leafhttp.Response]) scatter.GroupResult[leafhttp.Response] {
+func (p *groupCall) withSpent(result scatter.GroupResult[leafhttp.Response]) scatter.GroupResult[leafhttp.Response] {
 	if result.Replies != nil {
 		return result
 	}
@@ -125,42 +125,42 @@
 		result.Execution = scatter.Unknown // by what an earlier node may have done
 	}
 	result.Spent = p.spent
-	result.Final = result.Final || p.spent >= p.work.query.entry.Attempts
+	result.Final = result.Final || p.spent >= p.execution.request.route.Attempts
 	return result
 }
 
 // note tells of the end of a group, and learns from it who can be asked.
-func (p *passing) note(ended groupEnd, took time.Duration) {
-	w, node := p.work, p.group.node
+func (p *groupCall) recordEnd(ended groupEnd, took time.Duration) {
+	e, node := p.execution, p.group.node
 	record := GroupRecord{
-		RequestID: w.query.Leaf.ID, Intermediate: node.ID, Parts: len(p.group.shards),
+		RequestID: e.request.Leaf.ID, Intermediate: node.ID, Parts: len(p.group.shards),
 		Outcome: ended.outcome, Reason: ended.reason, Took: took,
 	}
-	p.root.standing.learn(node, record.Outcome)
-	p.learnZone(record.Outcome)
-	w.gateway.events.GroupEnded(record)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.groupsEnded = append(w.groupsEnded, record)
+	p.root.nodes.end(node, record.Outcome)
+	p.observeZone(record.Outcome)
+	e.gateway.events.GroupEnded(record)
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.groupsEnded = append(e.groupsEnded, record)
 }
 
 // ask puts a group as it is passed on. Of its parts, as many may be missing as of the whole answer.
-func (w *gathering) ask(part group, spent int) servingtree.Request {
-	q, r := w.query, w.gateway.root
-	mayMiss := len(w.services) - q.required
-	ways := r.hop.expected(q.entry.Objective)
-	planned := time.Until(q.planned) - ways
+func (e *execution) groupRequest(part group, spent int) servingtree.Request {
+	r, root := e.request, e.gateway.root
+	mayMiss := len(e.services) - r.requiredParts
+	roundTrip := root.hop.expected(r.route.Objective)
+	planned := time.Until(r.answerBy) - roundTrip
 	return servingtree.Request{
-		ID: q.Leaf.ID, Method: q.Leaf.Method, Target: q.Leaf.Target, Host: q.Leaf.Host, Header: q.Leaf.Header,
-		Body: q.Leaf.Body, HasBody: q.Leaf.HasBody, Caller: q.Caller, Root: r.self.ID, GatherKey: q.entry.GatherKey,
+		ID: r.Leaf.ID, Method: r.Leaf.Method, Target: r.Leaf.Target, Host: r.Leaf.Host, Header: r.Leaf.Header,
+		Body: r.Leaf.Body, HasBody: r.Leaf.HasBody, Caller: r.Caller, Root: root.self.ID, GatherKey: r.route.GatherKey,
 		Shards: part.shards, Required: max(1, len(part.shards)-mayMiss), Spent: spent,
-		ObjectiveMicros: planned.Microseconds(), DeadlineMicros: time.Until(w.deadline()).Microseconds(),
-		RoundTrip: ways,
+		ObjectiveMicros: planned.Microseconds(), DeadlineMicros: time.Until(e.deadline()).Microseconds(),
+		RoundTrip: roundTrip,
 	}
 }
 
 // told takes what came of a group, see scatter.StartGroup.
-type told func(scatter.GroupResult[leafhttp.Response])
+type groupDone func(scatter.GroupResult[leafhttp.Response])
 
 // groupEnd is how a group ended.
 type groupEnd struct {
@@ -171,13 +171,13 @@
 }
 
 // passing is a group that is with another node.
-type passing struct {
-	root  *root
-	work  *gathering
-	group group
+type groupCall struct {
+	root      *root
+	execution *execution
+	group     group
 	// spent is how many attempts of each shard nodes that gave nothing may have made.
 	spent int
-	// toldParts says that some parts are in: their records are merged, so that no other node may give
+	// gotPartial says that some parts are in: their records are merged, so that no other node may give
 	// them again.
-	toldParts bool
+	gotPartial bool
 }
--- a/internal/request/gateway/placement.go
+++ b/internal/request/gateway/placement.go
@@ -18,11 +18,11 @@
 
 	mu    sync.Mutex
 	leafs *leafset.Set // those that parts were found by
-	parts map[*routing.Entry][]routePart
+	parts map[*routing.Entry][]zoneGroup
 }
 
-// routePart is some services of a route that are best gathered in the same zones.
-type routePart struct {
+// zoneGroup is some services of a route that are best gathered in the same zones.
+type zoneGroup struct {
 	// zones are equally good.
 	zones map[string]bool
 	// shards are indices into the route's services.
@@ -30,20 +30,20 @@
 }
 
 func newPlacement(known *catalog.Catalog, zone string, regions map[string]string) *placement {
-	return &placement{catalog: known, zone: zone, regions: regions, parts: map[*routing.Entry][]routePart{}}
+	return &placement{catalog: known, zone: zone, regions: regions, parts: map[*routing.Entry][]zoneGroup{}}
 }
 
-// mostPlaced bounds the routes whose parts are kept.
-const mostPlaced = 1024
+// maximumPlacements bounds the routes whose parts are kept.
+const maximumPlacements = 1024
 
 // of gives the parts of a gathered route: the services with a leaf in the own zone, and the others,
 // by the zones that have most of them. Only leafs in regions that the route is allowed count, so that no
 // node elsewhere reads its requests. The slices are shared: callers must not change them.
-func (p *placement) of(entry *routing.Entry) []routePart {
+func (p *placement) of(entry *routing.Entry) []zoneGroup {
 	leafs := p.catalog.View().Leafs
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if leafs != p.leafs || len(p.parts) >= mostPlaced {
+	if leafs != p.leafs || len(p.parts) >= maximumPlacements {
 		p.leafs = leafs
 		clear(p.parts)
 	}
@@ -55,9 +55,9 @@
 	return parts
 }
 
-func (p *placement) find(entry *routing.Entry, leafs *leafset.Set) []routePart {
+func (p *placement) find(entry *routing.Entry, leafs *leafset.Set) []zoneGroup {
 	zones := make([]map[string]bool, len(entry.Gathered))
-	own := routePart{zones: map[string]bool{p.zone: true}}
+	own := zoneGroup{zones: map[string]bool{p.zone: true}}
 	var rest []int
 	for index, service := range entry.Gathered {
 		zones[index] = map[string]bool{}
@@ -72,9 +72,9 @@
 			rest = append(rest, index)
 		}
 	}
-	parts := []routePart{own}
+	parts := []zoneGroup{own}
 	for len(rest) > 0 {
-		part := largestPart(rest, zones)
+		part := largestGroup(rest, zones)
 		if len(part.shards) == 0 {
 			break
 		}
@@ -92,8 +92,8 @@
 	return leafs.Ready(service)
 }
 
-// largestPart gives the most services that some zone has leafs of, with all zones that have them.
-func largestPart(rest []int, zones []map[string]bool) routePart {
+// largestGroup gives the most services that some zone has leafs of, with all zones that have them.
+func largestGroup(rest []int, zones []map[string]bool) zoneGroup {
 	counts := map[string]int{}
 	for _, index := range rest {
 		for zone := range zones[index] {
@@ -106,7 +106,7 @@
 			best = zone
 		}
 	}
-	part := routePart{zones: map[string]bool{}}
+	part := zoneGroup{zones: map[string]bool{}}
 	for _, index := range rest {
 		if zones[index][best] {
 			part.shards = append(part.shards, index)
--- a/internal/request/gateway/policy.go
+++ b/internal/request/gateway/policy.go
@@ -14,12 +14,12 @@
 
 // median and the guess of the median, as a part of the objective, while none is known.
 const (
-	medianPercent  = 50
-	objectiveParts = 6
+	medianPercent        = 50
+	initialMedianDivisor = 6
 )
 
-// latencyBook keeps the latency of each kind of request; safe for concurrent use.
-type latencyBook struct {
+// latencyTable keeps the latency of each kind of request; safe for concurrent use.
+type latencyTable struct {
 	window time.Duration
 
 	mu    sync.Mutex
@@ -36,18 +36,18 @@
 	least time.Duration
 }
 
-// leastRise lets the lowest median follow work that became slower for good.
-const leastRise = 1.003
+// minimumMedianRise lets the lowest median follow work that became slower for good.
+const minimumMedianRise = 1.003
 
 // gatheredKind begins the names of the kinds of gathered requests.
 const gatheredKind = "gathered "
 
-func newLatencyBook(window time.Duration) *latencyBook {
-	return &latencyBook{window: window, kinds: map[string]*kindLatency{}}
+func newLatencyTable(window time.Duration) *latencyTable {
+	return &latencyTable{window: window, kinds: map[string]*kindLatency{}}
 }
 
 // of gives the latencies of a kind, which start with a guess of the median.
-func (b *latencyBook) of(kind string, guess time.Duration) *kindLatency {
+func (b *latencyTable) of(kind string, guess time.Duration) *kindLatency {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	known, found := b.kinds[kind]
@@ -66,7 +66,7 @@
 		k.mu.Lock()
 		defer k.mu.Unlock()
 		k.median = median
-		rising := time.Duration(leastRise * float64(k.least))
+		rising := time.Duration(minimumMedianRise * float64(k.least))
 		if k.least == 0 || median < rising {
 			rising = median
 		}
@@ -82,7 +82,7 @@
 }
 
 // longestUnloaded gives the longest of what gathered kinds of work take while nothing waits.
-func (b *latencyBook) longestUnloaded() time.Duration {
+func (b *latencyTable) longestUnloaded() time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	longest := time.Duration(0)
--- a/internal/request/gateway/reach.go
+++ b/internal/request/gateway/reach.go
@@ -9,10 +9,10 @@
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
-// leastUnanswered is how long an attempt must have been out without an answer to say anything of the zone
+// minimumUnanswered is how long an attempt must have been out without an answer to say anything of the zone
 // of its leaf: the ways between near zones and the work of a fast leaf take less. It is not measured; one
 // that is too short only has a zone looked at for nothing.
-const leastUnanswered = 20 * time.Millisecond
+const minimumUnanswered = 20 * time.Millisecond
 
 // inReach leaves out the candidates of lost zones.
 func (g *Gateway) inReach(candidates []balancer.Candidate) []balancer.Candidate {
@@ -22,9 +22,9 @@
 	return slices.DeleteFunc(candidates, func(candidate balancer.Candidate) bool { return !g.zones.Reaches(candidate.Zone) })
 }
 
-// learnZone learns from the end of an attempt whether the zone of its leaf is in reach. A connection that
+// observeZone learns from the end of an attempt whether the zone of its leaf is in reach. A connection that
 // was refused or reset tells nothing: a leaf that died may do so from anywhere.
-func (g *Gateway) learnZone(leaf *balancer.Leaf, result scatter.Result[leafhttp.Response], took time.Duration) {
+func (g *Gateway) observeZone(leaf *balancer.Leaf, result scatter.Result[leafhttp.Response], took time.Duration) {
 	switch result.Outcome {
 	case balancer.Succeeded, balancer.Shed, balancer.Drained, balancer.Declined:
 		g.zones.Heard(leaf.Zone)
@@ -32,14 +32,14 @@
 		switch {
 		case result.Execution == scatter.Ran:
 			g.zones.Heard(leaf.Zone)
-		case took >= leastUnanswered:
+		case took >= minimumUnanswered:
 			g.zones.Silent(leaf.Zone, leaf.ID)
 		}
 	}
 }
 
-// learnZone learns from the end of a group whether the zone of the node that was asked is in reach.
-func (p *passing) learnZone(outcome GroupOutcome) {
+// observeZone learns from the end of a group whether the zone of the node that was asked is in reach.
+func (p *groupCall) observeZone(outcome GroupOutcome) {
 	zone := p.group.node.Zone
 	switch outcome {
 	case GroupAnswered, GroupFailed, GroupDeclined, GroupLeaving:
--- a/internal/request/gateway/reach_test.go
+++ b/internal/request/gateway/reach_test.go
@@ -193,7 +193,7 @@
 	is := is.New(t)
 	built := newTree(t, near("n1"), far("f1"))
 	root := built.nodes["n1"].gateway
-	looked := make(chan string, 100)
+	checked := make(chan string, 100)
 	nodes := []catalog.NodeRecord{near("n1")}
 	for index := range 5 {
 		node := far(fmt.Sprint("f", index))
@@ -201,7 +201,7 @@
 		nodes = append(nodes, node)
 	}
 	root.zones = reachability.New(reachability.Deps{
-		Config: reachability.DefaultConfig(), Self: near("n1"), Asker: tellingAsker(looked),
+		Config: reachability.DefaultConfig(), Self: near("n1"), Asker: tellingAsker(checked),
 		Nodes: func() []catalog.NodeRecord { return nodes },
 	})
 	root.root.zones = root.zones
@@ -212,7 +212,7 @@
 	built.nodes["f1"].listener.Close()
 	_, _ = built.ask("n1") // how it ends is for other tests to say
 	select {
-	case zone := <-looked:
+	case zone := <-checked:
 		is.Equal(zone, zoneFar)
 	case <-time.After(10 * time.Second):
 		t.Fatal("nobody looked")
--- a/internal/request/gateway/request.go
+++ b/internal/request/gateway/request.go
@@ -11,8 +11,8 @@
 	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
-// objectiveShare is the part of the objective that the ways to a caller may take up at most.
-const objectiveShare = 2
+// roundTripObjectiveDivisor is the part of the objective that the ways to a caller may take up at most.
+const roundTripObjectiveDivisor = 2
 
 // Request is one try of a caller.
 type Request struct {
@@ -44,29 +44,29 @@
 	Missing int
 }
 
-// query is a request with its route and times, pinned for its life.
-type query struct {
+// routedRequest is a request with its route and times, routed for its life.
+type routedRequest struct {
 	*Request
 	// content tells tries of the same request from those of others.
-	content fingerprint.Fingerprint
-	entry   *routing.Entry
-	table   *routing.Table
+	fingerprint fingerprint.Fingerprint
+	route       *routing.Entry
+	table       *routing.Table
 	// deadline is when the answer must be on its way.
 	deadline time.Time
 	// objective is when the answer must be made to have its full worth.
 	objective time.Time
 	// planned is the objective less this node's lag: when an answer with parts missing is made.
-	planned time.Time
+	answerBy time.Time
 	// late is from when an answer that goes out has lost some of its worth.
-	late time.Time
+	lateAfter time.Time
 	// required is the least number of parts that is of use.
-	required int
+	requiredParts int
 	// root is the node that the request is gathered for; empty when it is this one.
-	root string
+	rootID string
 }
 
-// newQuery finds the route of a request in the table in force.
-func (g *Gateway) newQuery(request *Request) (*query, error) {
+// routeRequest finds the route of a request in the table in force.
+func (g *Gateway) routeRequest(request *Request) (*routedRequest, error) {
 	table := g.catalog.View().Routes
 	if table == nil {
 		return nil, failure.New(failure.NotReady, failure.NotRun, "the node has no routes yet").WithRetryAfter(notReadyRetryAfter)
@@ -75,23 +75,23 @@
 	if entry == nil {
 		return nil, failure.New(failure.UnknownRoute, failure.NotRun, "no route for host %q and path %q in version %d", request.Leaf.Host, request.Path, table.Version)
 	}
-	pinned := &query{Request: request, content: g.config.contentOf(request), entry: entry, table: table, deadline: request.Arrived.Add(entry.Timeout), required: entry.RequiredParts}
-	pinned.objective = request.Arrived.Add(entry.Objective - g.elsewhere(request, entry))
-	pinned.planned = pinned.objective.Add(-g.lag.expected(entry.Objective))
-	pinned.late = pinned.objective.Add(g.config.ObjectiveReserve)
+	routed := &routedRequest{Request: request, fingerprint: g.config.fingerprintOf(request), route: entry, table: table, deadline: request.Arrived.Add(entry.Timeout), requiredParts: entry.RequiredParts}
+	routed.objective = request.Arrived.Add(entry.Objective - g.timeElsewhere(request, entry))
+	routed.answerBy = routed.objective.Add(-g.lag.expected(entry.Objective))
+	routed.lateAfter = routed.objective.Add(g.config.ObjectiveReserve)
 	if request.CallerTimeout > 0 {
 		reserve := min(g.config.AnswerReserve+request.RoundTrip, request.CallerTimeout/4)
 		patient := request.Arrived.Add(request.CallerTimeout - reserve)
-		if patient.Before(pinned.deadline) {
-			pinned.deadline = patient
+		if patient.Before(routed.deadline) {
+			routed.deadline = patient
 		}
 	}
-	return pinned, nil
+	return routed, nil
 }
 
-// contentOf gives the fingerprint of a request. With the query and the network address in it, each of 40 tries of a
+// fingerprintOf gives the fingerprint of a request. With the query and the network address in it, each of 40 tries of a
 // request that ended leafs was taken for another request.
-func (c Config) contentOf(request *Request) fingerprint.Fingerprint {
+func (c Config) fingerprintOf(request *Request) fingerprint.Fingerprint {
 	content := fingerprint.Content{Method: request.Leaf.Method, Host: request.Leaf.Host, Path: request.Path, Body: request.Leaf.Body}
 	if c.CallerHeader != "" {
 		content.Caller = request.Leaf.Header.Get(c.CallerHeader)
@@ -104,11 +104,11 @@
 
 // elsewhere estimates the part of the objective that is not this node's to use: what the caller
 // spent before the request came, and the ways here and back.
-func (g *Gateway) elsewhere(request *Request, entry *routing.Entry) time.Duration {
-	ways := min(request.RoundTrip+g.config.ObjectiveReserve, entry.Objective/objectiveShare)
+func (g *Gateway) timeElsewhere(request *Request, entry *routing.Entry) time.Duration {
+	ways := min(request.RoundTrip+g.config.ObjectiveReserve, entry.Objective/roundTripObjectiveDivisor)
 	spent := request.ConnectTime
 	if request.CallerTimeout > 0 {
-		spent = max(spent, g.patience.spent(entry, request.CallerTimeout))
+		spent = max(spent, g.timeouts.spent(entry, request.CallerTimeout))
 	}
 	if spent+ways >= entry.Objective {
 		// The objective is lost, or this caller just waits for less than others do.
@@ -118,8 +118,8 @@
 }
 
 // service gives what operators say of a service.
-func (q *query) service(name string) routing.Service {
-	service, found := q.table.Service(name)
+func (r *routedRequest) service(name string) routing.Service {
+	service, found := r.table.Service(name)
 	if !found {
 		service.Name = name
 	}
--- a/internal/request/gateway/request_test.go
+++ b/internal/request/gateway/request_test.go
@@ -14,17 +14,17 @@
 	g, _ := newGateway(t, &scriptedLeafs{})
 	const trip = 6 * time.Millisecond
 	objective := 200*time.Millisecond - 2*trip - DefaultConfig().ObjectiveReserve
-	for range patienceSightings {
+	for range minimumSightings {
 		request := ask("/pages/1")
 		request.RoundTrip, request.ConnectTime = trip, trip
-		pinned, err := g.newQuery(request)
+		routed, err := g.routeRequest(request)
 		is.NoErr(err)
-		is.Equal(pinned.objective.Sub(request.Arrived), objective)
+		is.Equal(routed.objective.Sub(request.Arrived), objective)
 	}
 	late := ask("/pages/1")
 	late.CallerTimeout -= trip // the caller counts its connection itself
 	late.RoundTrip, late.ConnectTime = trip, trip
-	pinned, err := g.newQuery(late)
+	routed, err := g.routeRequest(late)
 	is.NoErr(err)
-	is.Equal(pinned.objective.Sub(late.Arrived), objective)
+	is.Equal(routed.objective.Sub(late.Arrived), objective)
 }
--- a/internal/request/gateway/root.go
+++ b/internal/request/gateway/root.go
@@ -51,27 +51,27 @@
 	fleet         Fleet
 	intermediates Intermediates
 	placement     *placement
-	standing      *standing
+	nodes         *nodeTracker
 	zones         *reachability.Tracker
 	// hop is what the ways to and from an intermediate take.
 	hop lagTracker
 }
 
-// firstHop is what the ways to and from an intermediate are taken for until that is learnt: two ways
+// initialHop is what the ways to and from an intermediate are taken for until that is learnt: two ways
 // between zones of 1 to 1.5 ms, and as much for two nodes to read and write a line. A root of a large
 // fleet makes so few requests that it would learn it late.
-const firstHop = 5 * time.Millisecond
+const initialHop = 5 * time.Millisecond
 
 func newRoot(deps Deps) *root {
 	return &root{
 		self: deps.Self, fleet: deps.Fleet, intermediates: deps.Intermediates,
-		placement: newPlacement(deps.Catalog, deps.Self.Zone, deps.Regions), standing: newStanding(),
-		zones: deps.Zones, hop: lagTracker{lag: firstHop},
+		placement: newPlacement(deps.Catalog, deps.Self.Zone, deps.Regions), nodes: newNodeTracker(),
+		zones: deps.Zones, hop: lagTracker{lag: initialHop},
 	}
 }
 
-// leastGroup is how many services a group must have to be worth a hop.
-const leastGroup = 3
+// minimumGroup is how many services a group must have to be worth a hop.
+const minimumGroup = 3
 
 // groups gives the services of a route that other nodes gather: those of other zones, by a node
 // there, and, where others of the own zone have far more processors, the rest, by one of them.
@@ -79,7 +79,7 @@
 	isGatherer := r.fleet.IsGatherer()
 	var groups []group
 	for _, part := range r.placement.of(entry) {
-		if len(part.shards) < leastGroup || part.zones[r.self.Zone] && isGatherer {
+		if len(part.shards) < minimumGroup || part.zones[r.self.Zone] && isGatherer {
 			continue
 		}
 		if node, found := r.choose(part.zones); found {
@@ -91,7 +91,7 @@
 
 // choose gives another node in one of some zones that can be asked to gather; false when there is none.
 func (r *root) choose(zones map[string]bool) (catalog.NodeRecord, bool) {
-	return r.standing.choose(r.fleet.Gatherers(), func(node catalog.NodeRecord) bool {
+	return r.nodes.choose(r.fleet.Gatherers(), func(node catalog.NodeRecord) bool {
 		return node.Tree != "" && node.ID != r.self.ID && zones[node.Zone] && r.zones.Reaches(node.Zone)
 	})
 }
--- a/internal/request/gateway/second_test.go
+++ b/internal/request/gateway/second_test.go
@@ -24,7 +24,7 @@
 	b.t.Helper()
 	root := b.nodes["root"]
 	for range 100 {
-		root.gateway.root.standing = newStanding()
+		root.gateway.root.nodes = newNodeTracker()
 		answer, err := b.ask("root")
 		root.events.mu.Lock()
 		record := root.events.records[len(root.events.records)-1]
@@ -76,7 +76,7 @@
 	is := is.New(t)
 	b := newTreeOfThree(t)
 	entry := &routing.Entry{Attempts: 2}
-	p := &passing{root: b.nodes["root"].gateway.root, work: &gathering{query: &query{entry: entry}, services: make([]string, 2)}, group: group{shards: []int{0, 1}}}
+	p := &groupCall{root: b.nodes["root"].gateway.root, execution: &execution{request: &routedRequest{route: entry}, services: make([]string, 2)}, group: group{shards: []int{0, 1}}}
 	silent := p.withSpent(groupEnd{outcome: GroupSilent}.result)
 	is.Equal(silent.Spent, 1)
 	is.True(!silent.Final)
@@ -118,7 +118,7 @@
 	g := b.nodes["root"].gateway
 	planned := time.Now().Add(time.Second)
 	entry := &routing.Entry{Objective: time.Second}
-	work := &gathering{gateway: g, services: make([]string, 2), query: &query{Request: ask("/pages/1"), entry: entry, planned: planned}}
-	asked := work.ask(group{shards: []int{0, 1}}, 0)
-	is.True(asked.ObjectiveMicros <= (time.Second - firstHop).Microseconds())
+	work := &execution{gateway: g, services: make([]string, 2), request: &routedRequest{Request: ask("/pages/1"), route: entry, answerBy: planned}}
+	asked := work.groupRequest(group{shards: []int{0, 1}}, 0)
+	is.True(asked.ObjectiveMicros <= (time.Second - initialHop).Microseconds())
 }
--- a/internal/request/gateway/tree_test.go
+++ b/internal/request/gateway/tree_test.go
@@ -139,8 +139,8 @@
 			is := is.New(t)
 			b := newTree(t, near("root"), far("there"))
 			entry := &routing.Entry{Objective: 40 * time.Millisecond}
-			work := &gathering{gateway: b.nodes["root"].gateway, query: &query{entry: entry, objective: time.Now().Add(entry.Objective)}}
-			p := &passing{root: b.nodes["root"].gateway.root, work: work, group: group{node: b.nodes["there"].record, shards: []int{5, 6}}}
+			work := &execution{gateway: b.nodes["root"].gateway, request: &routedRequest{route: entry, objective: time.Now().Add(entry.Objective)}}
+			p := &groupCall{root: b.nodes["root"].gateway.root, execution: work, group: group{node: b.nodes["there"].record, shards: []int{5, 6}}}
 			client := servingtree.NewClient(servingtree.DefaultConfig())
 			t.Cleanup(client.Close)
 			ended := p.await(t.Context(), client.Start(saying(t, c.says), servingtree.Request{}), nil)
@@ -238,8 +238,8 @@
 func TestAnswerOfOtherShardsIsNone(t *testing.T) {
 	is := is.New(t)
 	b := newTree(t, near("root"), far("there"))
-	work := &gathering{gateway: b.nodes["root"].gateway, query: &query{entry: &routing.Entry{Objective: time.Second}}}
-	p := &passing{root: b.nodes["root"].gateway.root, work: work, group: group{shards: []int{5, 6}}}
+	work := &execution{gateway: b.nodes["root"].gateway, request: &routedRequest{route: &routing.Entry{Objective: time.Second}}}
+	p := &groupCall{root: b.nodes["root"].gateway.root, execution: work, group: group{shards: []int{5, 6}}}
 	ended := p.judge(servingtree.Result{Reply: servingtree.Reply{Answer: &servingtree.Answer{Stamps: []string{"x"}}}}, 0)
 	is.Equal(ended.outcome, GroupBroken)
 }
@@ -299,12 +299,12 @@
 	for range 3 {
 		is.Equal(len(g.root.groups(entry)), 1)
 	}
-	underWay := func() int {
-		g.root.standing.mu.Lock()
-		defer g.root.standing.mu.Unlock()
-		return g.root.standing.node(b.nodes["there"].record.Tree).underWay
+	inFlight := func() int {
+		g.root.nodes.mu.Lock()
+		defer g.root.nodes.mu.Unlock()
+		return g.root.nodes.node(b.nodes["there"].record.Tree).inFlight
 	}
-	is.Equal(underWay(), 0)
+	is.Equal(inFlight(), 0)
 	b.whole(b.ask("root"))
-	is.Equal(underWay(), 0)
+	is.Equal(inFlight(), 0)
 }
--- a/internal/request/gateway/warm.go
+++ b/internal/request/gateway/warm.go
@@ -9,8 +9,8 @@
 	"github.com/portgauge/portgauge/internal/rollout/canary"
 )
 
-// mostWarmed bounds the connections that a node opens before its first request.
-const mostWarmed = 512
+// maximumWarmed bounds the connections that a node opens before its first request.
+const maximumWarmed = 512
 
 // Warm opens a connection to one leaf of each gathered service that this node has a part of: a
 // first request that had to open all of them would spend most of its objective on it.
@@ -22,7 +22,7 @@
 	warmed := map[string]bool{}
 	for _, route := range table.Routes {
 		for _, service := range route.Gathered {
-			if len(warmed) >= mostWarmed || warmed[service] {
+			if len(warmed) >= maximumWarmed || warmed[service] {
 				continue
 			}
 			warmed[service] = true
@@ -37,8 +37,8 @@
 
 // warmOne opens a connection to the leaf that a first request would ask.
 func (g *Gateway) warmOne(service string, limit int) {
-	var targets []target
-	choice := g.balancer.Choose(g.partsOf(service, true, limit, g.later(service), &targets), nil)
+	var targets []leafTarget
+	choice := g.balancer.Choose(g.askableLeafs(service, true, limit, g.undrawnVersions(service), &targets), nil)
 	if choice.Leaf != nil {
 		g.warmFirst(choice.Leaf.ID, targets)
 	}
@@ -46,8 +46,8 @@
 
 // warmFirst opens a connection to the leaf of an id among targets, if this node has a part of it and no connection
 // to any of them.
-func (g *Gateway) warmFirst(id string, targets []target) {
-	first := slices.IndexFunc(targets, func(target target) bool { return target.Incarnation == id })
+func (g *Gateway) warmFirst(id string, targets []leafTarget) {
+	first := slices.IndexFunc(targets, func(target leafTarget) bool { return target.Incarnation == id })
 	if first < 0 || targets[first].Connections == 0 {
 		return
 	}
@@ -70,7 +70,7 @@
 	}
 	for service := range view.Rollouts {
 		order := view.Leafs.Rule(service).Order
-		if order == 0 || warmed[service] == order || len(warmed) >= mostWarmed || !g.canary.MayTry(service) {
+		if order == 0 || warmed[service] == order || len(warmed) >= maximumWarmed || !g.canary.MayTry(service) {
 			continue
 		}
 		if g.warmTrial(view, service) {
@@ -86,10 +86,10 @@
 		return false
 	}
 	known, _ := view.Routes.Service(service)
-	var targets []target
-	g.partsOf(service, view.Routes.IsGathered(service), known.MaximumConnections, canary.Trial, &targets)
+	var targets []leafTarget
+	g.askableLeafs(service, view.Routes.IsGathered(service), known.MaximumConnections, canary.Trial, &targets)
 	for _, leaf := range leafs {
-		if slices.ContainsFunc(targets, func(target target) bool { return target.Incarnation == leaf.ID && target.Connections > 0 }) {
+		if slices.ContainsFunc(targets, func(target leafTarget) bool { return target.Incarnation == leaf.ID && target.Connections > 0 }) {
 			g.warmFirst(leaf.ID, targets)
 			break
 		}
--- a/internal/request/gateway/woke_test.go
+++ b/internal/request/gateway/woke_test.go
@@ -61,6 +61,6 @@
 		is.NoErr(err)
 		is.Equal(len(leafs.seen), 2)
 		is.Equal(leafs.seen[0].Sub(leafs.seen[1]), slept)
-		is.Equal(len(g.underWay.works), 0)
+		is.Equal(len(g.inFlight.executions), 0)
 	})
 }
