--- a/internal/request/gateway/answer.go
+++ b/internal/request/gateway/answer.go
@@ -8,7 +8,7 @@
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
-// gatheredAnswer merges the parts that are in, if there are enough.
+// gatheredAnswer merges the parts that have arrived, if they are enough.
 func (e *execution) gatheredAnswer() (*Answer, error) {
 	answer := &Answer{Status: http.StatusOK}
 	bodies := make([][]byte, 0, len(e.outcomes))
@@ -27,7 +27,7 @@
 	return answer, nil
 }
 
-// singleAnswer passes the leaf's answer on, or its last failure when there was no success.
+// singleAnswer passes on the leaf's success, or the last leaf's own failure if there was no success.
 func (e *execution) singleAnswer() (*Answer, error) {
 	reply := e.outcomes[0].Reply
 	if reply == nil {
@@ -41,10 +41,19 @@
 	return &Answer{Status: reply.Status, Header: leafhttp.PassedOn(reply.Header), Body: reply.Body}, nil
 }
 
-// failed makes the typed failure of a request without an answer.
+// failed returns the failure of a request without an answer, by the first of these that is true:
+//
+//	the failure of the node that gathered all shards, if it ran nothing
+//	LEAFS_ENDED          leafs may have crashed by the request, and it was given up
+//	OVERLOADED           no leaf ran it: all refused it or could not be reached; with Retry-After
+//	DEADLINE_EXCEEDED    the first missing shard was given up at the deadline
+//	LEAF_FAILED          the leaf of a single request failed
+//	INCOMPLETE_COVERAGE  a gathered request has too few parts
+//
+// Failures of executions that were ended early are in execution.endedEarly.
 func (e *execution) failed() error {
-	execution := e.executionState()
-	if e.groupFailure != nil && execution == failure.NotRun {
+	state := e.executionState()
+	if e.groupFailure != nil && state == failure.NotRun {
 		return e.groupFailure
 	}
 	reason := e.firstReason()
@@ -52,20 +61,21 @@
 	switch {
 	case e.summary.Fatal:
 		code = failure.LeafsEnded
-	case execution == failure.NotRun:
+	case state == failure.NotRun:
 		code = failure.Overloaded
 	case reason == scatter.Deadline:
 		code = failure.DeadlineExceeded
 	case !e.isGathered():
 		code = failure.LeafFailed
 	}
-	failed := failure.New(code, execution, "%d of %d shards are missing: %s", len(e.outcomes)-e.summary.Replies, len(e.outcomes), reason)
-	if execution == failure.NotRun {
+	failed := failure.New(code, state, "%d of %d shards are missing: %s", len(e.outcomes)-e.summary.Replies, len(e.outcomes), reason)
+	if state == failure.NotRun {
 		failed = failed.WithRetryAfter(e.gateway.config.RetryAfter)
 	}
 	return failed
 }
 
+// firstReason returns the reason of the first missing shard.
 func (e *execution) firstReason() scatter.Reason {
 	for _, outcome := range e.outcomes {
 		if outcome.Reply == nil {
--- a/internal/request/gateway/attempt.go
+++ b/internal/request/gateway/attempt.go
@@ -12,19 +12,25 @@
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
-// The reasons of this package for a shard without a reply.
+// The reasons of this package for a shard without a part, besides those of packages scatter and balancer.
 const (
-	reasonGone    scatter.Reason = "LEAF_GONE"
+	// reasonGone means that the leaf is draining or is no longer the one that was meant.
+	reasonGone scatter.Reason = "LEAF_GONE"
+	// reasonNotSent means that nothing of the attempt reached the leaf.
 	reasonNotSent scatter.Reason = "NOT_SENT"
-	reasonBroken  scatter.Reason = "BROKEN_ANSWER"
-	// reasonRefusedConnection means that the leaf takes no more connections.
+	// reasonBroken means that the connection ended before the whole answer arrived.
+	reasonBroken scatter.Reason = "BROKEN_ANSWER"
+	// reasonRefusedConnection means that the leaf reset a new connection, as it does beyond its maximum number.
 	reasonRefusedConnection scatter.Reason = "REFUSED_CONNECTION"
-	reasonLeafError         scatter.Reason = "LEAF_ERROR"
-	reasonUnsigned          scatter.Reason = "UNSIGNED_ANSWER"
-	reasonLeafRefuse        scatter.Reason = "REFUSED_BY_LEAF"
+	// reasonLeafError means that the leaf ran the request and failed.
+	reasonLeafError scatter.Reason = "LEAF_ERROR"
+	// reasonUnsigned means that a success lacks the leaf's signature, so that something else may have made it.
+	reasonUnsigned scatter.Reason = "UNSIGNED_ANSWER"
+	// reasonLeafRefuse means that the leaf refused the request as malformed.
+	reasonLeafRefuse scatter.Reason = "REFUSED_BY_LEAF"
 )
 
-// startAttempt asks one leaf.
+// startAttempt asks one leaf; it implements scatter.Start.
 func (e *execution) startAttempt(_ context.Context, attempt scatter.Attempt, done func(scatter.Result[leafhttp.Response])) context.CancelCauseFunc {
 	if e.isStopped() {
 		done(notSent())
@@ -32,13 +38,13 @@
 	}
 	var isAbandoned atomic.Bool
 	asked := e.target(attempt)
-	leaf, number := asked.leaf, e.numberOf(attempt)
+	leaf, probe := asked.leaf, e.probeNumber(attempt)
 	e.gateway.attemptBegan(leaf)
 	cancel := e.gateway.leafs.Start(asked.Target, &e.request.Leaf, e.deadline(), func(response *leafhttp.Response, err error) {
 		e.gateway.attemptEnded(leaf)
 		result := e.judgeEnd(attempt, response, err, isAbandoned.Load())
 		e.countEvidence(leaf, response, result, time.Since(attempt.Started))
-		e.finishAttempt(attempt, asked, number, attemptEnd{response, result, err}, done)
+		e.finishAttempt(attempt, asked, probe, attemptEnd{response, result, err}, done)
 	})
 	return func(cause error) {
 		isAbandoned.Store(true)
@@ -54,7 +60,7 @@
 	return e.judgeResponse(attempt, response)
 }
 
-// judgeResponse judges an answer, after the leaf's word on its load.
+// judgeResponse reports the leaf's load to the balancer and judges the answer.
 func (e *execution) judgeResponse(attempt scatter.Attempt, response *leafhttp.Response) scatter.Result[leafhttp.Response] {
 	if response.Load != nil {
 		e.gateway.balancer.Report(attempt.Leaf, balancer.Load{
@@ -64,7 +70,14 @@
 	return e.judge(response)
 }
 
-// judge says what an answer is worth, and what it tells of the leaf and of the execution.
+// judge decides whether an answer may be used, whether the leaf ran the request, and whether another leaf is asked:
+//
+//	not executed, see judgeRefusal     another leaf is asked
+//	signed success                     used
+//	unsigned success                   not used; the leaf may have run the request
+//	status that promises "not run"     not used; it is not true without the "not executed" mark
+//	other status below 500             passed on; other leafs would answer the same, so that none is asked
+//	other status from 500              another leaf is asked; passed on if none succeeds
 func (e *execution) judge(response *leafhttp.Response) scatter.Result[leafhttp.Response] {
 	if response.NotExecuted {
 		return judgeRefusal(response)
@@ -83,15 +96,14 @@
 	}
 	e.keepFailure(response)
 	if response.Status < http.StatusInternalServerError {
-		// The request itself is at fault, by the leaf's word: others would say the same.
 		result.Final, result.Outcome = true, balancer.Declined
 	}
 	return result
 }
 
-// promisesNotRun reports whether callers take a status for the promise that a request has not run and never will. A leaf
-// that answers by one without the mark that it did not run the request may have run it: passed on, the status would have
-// the caller do the work twice.
+// promisesNotRun reports whether callers take a status as the promise that the request has not run and never will. A
+// leaf that answers with one but without the "not executed" mark may have run the request: if the status were passed
+// on, the caller would send the request again and have the work done twice.
 func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -100,14 +112,15 @@
 	return false
 }
 
-// keepFailure remembers a leaf's own failure, to be passed on if no other leaf does better.
+// keepFailure keeps a leaf's own failure, to be passed on if no other leaf succeeds.
 func (e *execution) keepFailure(response *leafhttp.Response) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.lastFailure = response
 }
 
-// judgeRefusal takes a leaf's word that it did not run the attempt.
+// judgeRefusal judges an answer that is marked as "not executed". 421 means that the leaf is gone or draining, 400 that
+// any leaf would refuse the request, and any other status that the leaf sheds load.
 func judgeRefusal(response *leafhttp.Response) scatter.Result[leafhttp.Response] {
 	result := scatter.Result[leafhttp.Response]{Reason: scatter.Shed, Execution: scatter.NotRun, Outcome: balancer.Shed}
 	switch response.Status {
@@ -119,6 +132,7 @@
 	return result
 }
 
+// judgeError judges an attempt without an answer.
 func judgeError(isAbandoned bool, err error) scatter.Result[leafhttp.Response] {
 	outcome := balancer.Failed
 	if isAbandoned {
--- a/internal/request/gateway/patience.go
+++ b/internal/request/gateway/caller_timeouts.go
@@ -7,26 +7,26 @@
 	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
-// callerTimeouts learns how long callers of a route wait in all, so that a caller that comes
-// with less is known to have spent time already: on a connection, or on an earlier try. It is
-// safe for concurrent use.
+// callerTimeouts learns the timeout that callers of each route start with. A caller that says less has spent the
+// difference already, on a connection or on sending the request before. It is safe for concurrent use.
 type callerTimeouts struct {
 	mu     sync.Mutex
-	routes map[string]*commonTimeout
+	routes map[string]*commonTimeout // by host and prefix
 }
 
-// commonTimeout is the longest patience seen lately, and how often it was seen.
+// commonTimeout is the longest recent timeout of a route's callers, and how often it was seen.
 type commonTimeout struct {
 	longest time.Duration
 	seen    int
 	since   time.Time
 }
 
-// Bounds of what is learnt: only a patience seen a few times counts, and one not seen for a
-// while is forgotten.
 const (
-	minimumSightings     = 5
-	timeoutMemory        = time.Minute
+	// minimumSightings is how often a timeout must be seen to count, so that a single caller decides nothing.
+	minimumSightings = 5
+	// timeoutMemory is after how long without a sighting a timeout is forgotten.
+	timeoutMemory = time.Minute
+	// maximumTimeoutRoutes bounds the routes that are kept; beyond it all are learned again.
 	maximumTimeoutRoutes = 4096
 )
 
@@ -34,9 +34,9 @@
 	return &callerTimeouts{routes: map[string]*commonTimeout{}}
 }
 
-// spent estimates how much of its time a caller has spent before the request came.
-func (b *callerTimeouts) spent(entry *routing.Entry, timeout time.Duration) time.Duration {
-	key := entry.Host + entry.Prefix
+// spent estimates how much of its timeout a caller has spent before the request arrived.
+func (b *callerTimeouts) spent(route *routing.Entry, timeout time.Duration) time.Duration {
+	key := route.Host + route.Prefix
 	now := time.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/request/gateway/trial.go
+++ b/internal/request/gateway/canary.go
@@ -12,14 +12,17 @@
 	"github.com/portgauge/portgauge/internal/rollout/canary"
 )
 
-// canaryDraw is the draw of one shard, once it was made, and for what.
+// While a service is rolled out to another version, a canary draw decides for the first attempt of each shard which
+// version it goes to (package canary). Hedges and retries are not drawn: they go to undrawnVersions.
+
+// canaryDraw is the draw of one shard.
 type canaryDraw struct {
 	isMade bool
 	canary.Draw
 	request canary.Request
 }
 
-// later gives the versions of a service that attempts without a draw may go to now.
+// undrawnVersions returns the versions of a service that attempts without a draw may go to now.
 func (g *Gateway) undrawnVersions(service string) canary.Versions {
 	if g.canary == nil {
 		return canary.Serving
@@ -27,9 +30,8 @@
 	return g.canary.Later(service)
 }
 
-// draw gives the draw of a shard, which is made once; unserved says that no leaf of the serving version can be asked, or
-// only leafs in trouble.
-// What another node may have counted is not drawn.
+// draw returns the draw of a shard, which is made once. unserved says that no leaf of the serving version can be asked,
+// or only leafs in trouble. Nothing is drawn if another node may have asked the shard before and counted its draw.
 func (e *execution) draw(shard int, unserved bool) canary.Draw {
 	if e.gateway.canary == nil || e.spentAttempts > 0 {
 		return canary.Draw{}
@@ -45,14 +47,14 @@
 	return made.Draw
 }
 
-// returnDraw takes the draw of a shard back, by which nothing was sent.
+// returnDraw returns the draw of a shard for which nothing was sent.
 func (e *execution) returnDraw(shard int) {
 	if made := e.canaryDraws[shard]; made.IsBounded {
 		e.gateway.canary.Return(made.request, made.Draw)
 	}
 }
 
-// returnDraws takes back what was drawn for a request that is refused.
+// returnDraws returns all draws of a request that is refused.
 func (e *execution) returnDraws() {
 	for shard := range e.canaryDraws {
 		e.returnDraw(shard)
@@ -61,7 +63,8 @@
 
 func (e *execution) isAtMostOnce() bool { return e.request.route.Repeatability == routing.AtMostOnce }
 
-// drawFirst draws which versions the first attempts go to that are made from here, of services with one on trial.
+// drawFirst draws the versions of the first attempts that this node makes, for services with a version on trial, and
+// sets the shards' candidates to the leafs of those versions.
 func (e *execution) drawFirst(plan *scatter.Plan) {
 	if e.gateway.canary == nil || e.spentAttempts > 0 {
 		return
@@ -74,8 +77,8 @@
 	}
 }
 
-// firstCandidates gives the leafs that a shard's first attempt may go to by its draw; where none of them can be
-// asked, those that were planned without one.
+// firstCandidates returns the leafs that a shard's first attempt may go to by its draw. If none of them can be asked,
+// it returns the draw and the candidates that were planned without one.
 func (e *execution) firstCandidates(shard int, planned []balancer.Candidate) []balancer.Candidate {
 	choice := e.gateway.balancer.Choose(planned, nil)
 	draw := e.draw(shard, choice.Leaf == nil || choice.Troubled)
@@ -95,7 +98,8 @@
 	return planned
 }
 
-// focus keeps the first candidate in the order of the draws from the bounded share that can be asked.
+// focusedLeaf returns the first candidate that can be asked and is not in trouble, in the order in which the version's
+// leafs take the bounded share of requests: one leaf at a time, so that few requests make evidence.
 func (e *execution) focusedLeaf(service string, candidates []balancer.Candidate) []balancer.Candidate {
 	for _, leaf := range e.gateway.canary.Focus(service, e.gateway.catalog.View().Leafs.OnTrial(service)) {
 		at := slices.IndexFunc(candidates, func(candidate balancer.Candidate) bool { return candidate.LeafID == leaf.ID })
@@ -110,22 +114,23 @@
 	return nil
 }
 
-// began counts an attempt at a leaf in, before it is made.
+// attemptBegan counts an attempt as in flight at its leaf's version; it is called before the attempt is made.
 func (g *Gateway) attemptBegan(leaf *leafset.Leaf) {
 	if g.canary != nil && leaf != nil {
 		g.canary.Began(leaf.Service, leaf.Version)
 	}
 }
 
-// ended counts an attempt at a leaf out.
+// attemptEnded ends the count of attemptBegan.
 func (g *Gateway) attemptEnded(leaf *leafset.Leaf) {
 	if g.canary != nil && leaf != nil {
 		g.canary.Ended(leaf.Service, leaf.Version)
 	}
 }
 
-// observe counts the end of an attempt for its leaf's version, if the version is what it came from: refusals, broken
-// connections and what never arrived say nothing of it.
+// countEvidence counts the end of an attempt as evidence of its leaf's version: a success, a signed failure, or an
+// attempt that was given up without an answer. Refusals, broken connections and attempts that were never sent say
+// nothing of the version.
 func (e *execution) countEvidence(leaf *leafset.Leaf, response *leafhttp.Response, result scatter.Result[leafhttp.Response], took time.Duration) {
 	counted := e.gateway.evidence
 	if counted == nil || leaf == nil || !counted.IsCounted(leaf) {
--- a/internal/request/gateway/candidates.go
+++ b/internal/request/gateway/candidates.go
@@ -10,35 +10,44 @@
 	"github.com/portgauge/portgauge/internal/rollout/canary"
 )
 
-// target is a leaf that may be asked, and how.
+// leafTarget is a leaf that may be asked, with how to connect to it.
 type leafTarget struct {
 	leafhttp.Target
 	leaf *leafset.Leaf
 }
 
-// candidates gives the leafs of a shard that may be asked now, without a draw, and keeps how.
+// candidates returns the leafs of a shard that may be asked now without a canary draw, and sets the shard's targets.
+// Package balancer chooses among them.
 func (e *execution) candidates(shard int) []balancer.Candidate {
 	return e.candidatesOf(shard, e.gateway.undrawnVersions(e.services[shard]))
 }
 
-// candidatesOf gives the leafs of a shard of some versions that may be asked now, and keeps how.
+// candidatesOf returns the leafs of a shard that may be asked now, and sets the shard's targets. A leaf may be asked
+// if all of these are true:
+//
+//   - it is of one of the versions;
+//   - discovery lists it as ready, or lost all leafs of its version a moment ago (leafmemory);
+//   - this node has a share of its connections, or may open a spare one (connshare);
+//   - if it is cold, this node's share of its request rate has room (warmup);
+//   - its zone is reachable;
+//   - its region is one that the route allows.
 func (e *execution) candidatesOf(shard int, versions canary.Versions) []balancer.Candidate {
 	service := e.services[shard]
 	limit := e.request.service(service).MaximumConnections
-	candidates := e.gateway.inReach(e.gateway.askableLeafs(service, e.isGathered(), limit, versions, &e.targets[shard]))
+	candidates := e.gateway.inReachableZones(e.gateway.askableLeafs(service, e.isGathered(), limit, versions, &e.targets[shard]))
 	if len(e.request.route.Regions) == 0 {
 		return candidates
 	}
 	return slices.DeleteFunc(candidates, func(candidate balancer.Candidate) bool { return !e.allowsZone(candidate.Zone) })
 }
 
-// allowsZone reports whether leafs of a zone may run the request.
+// allowsZone reports whether the route allows leafs of a zone to run the request.
 func (e *execution) allowsZone(zone string) bool {
 	return len(e.request.route.Regions) == 0 || e.request.route.AllowsRegion(e.gateway.regions[zone])
 }
 
-// askableLeafs gives the leafs of a service of some versions that this node may ask, and sets targets to how. The limit
-// is that of the connections of one leaf.
+// askableLeafs returns the leafs of a service that this node may ask, by version, connections and warm-up, and sets
+// targets to how. The limit is the maximum number of connections to one leaf.
 func (g *Gateway) askableLeafs(service string, gathered bool, limit int, versions canary.Versions, targets *[]leafTarget) []balancer.Candidate {
 	*targets = nil
 	var candidates []balancer.Candidate
@@ -51,35 +60,34 @@
 	return candidates
 }
 
-// appendAskable adds those of some leafs of one version that this node may ask, and to targets how.
+// appendAskable appends those leafs of one version that this node may ask to the candidates, and to targets how.
 func (g *Gateway) appendAskable(candidates []balancer.Candidate, service string, gathered bool, limit int, leafs []*leafset.Leaf, targets *[]leafTarget) []balancer.Candidate {
-	dealt := g.dealer.Deal(service, gathered, leafs, limit)
-	candidates = slices.Grow(candidates, len(dealt))
-	*targets = slices.Grow(*targets, len(dealt))
-	for _, part := range dealt {
-		leaf := part.Leaf
-		if part.Connections == 0 && !g.leafs.CanSpare(leaf.ID) {
+	allotted := g.dealer.Deal(service, gathered, leafs, limit)
+	candidates = slices.Grow(candidates, len(allotted))
+	*targets = slices.Grow(*targets, len(allotted))
+	for _, share := range allotted {
+		leaf := share.Leaf
+		if share.Connections == 0 && !g.leafs.CanSpare(leaf.ID) {
 			continue
 		}
 		if g.warmup != nil && !g.warmup.HasRoom(leaf) {
 			continue
 		}
-		way := leafhttp.Target{Incarnation: leaf.ID, Name: leaf.Name, Address: leaf.Address, Connections: part.Connections, Spare: part.Spare}
-		*targets = append(*targets, leafTarget{way, leaf})
-		candidates = append(candidates, balancer.Candidate{LeafID: leaf.ID, Zone: leaf.Zone, Spare: part.Connections == 0, LastResort: part.LastResort})
+		target := leafhttp.Target{Incarnation: leaf.ID, Name: leaf.Name, Address: leaf.Address, Connections: share.Connections, Spare: share.Spare}
+		*targets = append(*targets, leafTarget{target, leaf})
+		candidates = append(candidates, balancer.Candidate{LeafID: leaf.ID, Zone: leaf.Zone, Spare: share.Connections == 0, LastResort: share.LastResort})
 	}
 	return candidates
 }
 
-// servingLeafs gives the leafs of the version of a service that serves, also those lost a moment ago where there are
-// no others.
+// servingLeafs returns the leafs of a service's serving version, including recently lost ones if there are no others.
 func (g *Gateway) servingLeafs(service string) []*leafset.Leaf {
 	leafs, _ := g.memory.Candidates(service)
 	return leafs
 }
 
-// trialLeafs gives the leafs of the version of a service on trial, also those lost a moment ago where there are no
-// others and all requests go to that version.
+// trialLeafs returns the leafs of a service's version on trial. Once all requests go to that version, recently lost
+// ones are included if there are no others.
 func (g *Gateway) trialLeafs(service string, versions canary.Versions) []*leafset.Leaf {
 	if versions == canary.Trial {
 		return g.memory.OnTrial(service)
@@ -87,7 +95,7 @@
 	return g.catalog.View().Leafs.OnTrial(service)
 }
 
-// target gives the leaf of an attempt.
+// target returns the leaf of an attempt, with how to connect to it.
 func (e *execution) target(attempt scatter.Attempt) leafTarget {
 	for _, target := range e.targets[attempt.Shard] {
 		if target.Incarnation == attempt.Leaf.ID {
--- a/internal/request/gateway/config.go
+++ b/internal/request/gateway/config.go
@@ -1,8 +1,3 @@
-// Package gateway serves requests over HTTP by the routing table: to one leaf of a service, or
-// to one leaf of each of many services whose greatest records make the answer.
-//
-// It is the counterpart of package search for back ends whose records are opaque. Both use the
-// same scatter engine, replica choice and catalog.
 package gateway
 
 import (
@@ -11,14 +6,13 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// Config tunes how requests are served.
+// Config configures how requests are served.
 type Config struct {
 	// HedgeFactor times the median latency is when a second leaf is asked while the retry
 	// budget is full; with less of it left the wait grows.
 	HedgeFactor float64 `yaml:"hedge_factor"`
 	// HedgeShare is the part of the time left for the objective that the first leaf has in any
-	// case: an answer is worth the same at any time before, so that a hedge that comes early
-	// only costs load.
+	// case: an answer is worth the same at any time before, so that an early hedge only costs load.
 	HedgeShare float64 `yaml:"hedge_share"`
 	// LatencyWindow is how long a latency counts.
 	LatencyWindow time.Duration `yaml:"latency_window"`
@@ -26,33 +20,34 @@
 	HedgeReserve float64 `yaml:"hedge_reserve"`
 	// ReplicaWait is the pause before a shard without a usable leaf is tried again.
 	ReplicaWait time.Duration `yaml:"replica_wait"`
-	// AnswerReserve is kept back from a caller's deadline for the way of the answer.
+	// AnswerReserve is kept back from a caller's deadline for sending the answer.
 	AnswerReserve time.Duration `yaml:"answer_reserve"`
-	// ObjectiveReserve is kept back from the objective, besides the ways to and from the caller,
+	// ObjectiveReserve is kept back from the objective, besides the round trip to the caller,
 	// for making and sending the answer.
 	ObjectiveReserve time.Duration `yaml:"objective_reserve"`
 	// MaximumRefusals is how many attempts of a shard may be refused unrun beyond those that
 	// its route allows to run.
 	MaximumRefusals int `yaml:"maximum_refusals"`
-	// RetryAfter is when callers of an overloaded service are told to come back.
+	// RetryAfter is the Retry-After of requests that every leaf refused or that no leaf received.
 	RetryAfter time.Duration `yaml:"retry_after"`
-	// OverloadRetryAfter is about when callers are told to come back that are refused for the
-	// work that waits at most shards.
+	// OverloadRetryAfter is the mean Retry-After of requests that are refused since most shards
+	// have too much work queued.
 	OverloadRetryAfter time.Duration `yaml:"overload_retry_after"`
-	// ServingTree lets another node gather for this one, where that one is in a zone with the leafs
+	// ServingTree lets another node gather for this one, if it is in a zone with the leafs
 	// or has far more processors.
 	ServingTree bool `yaml:"serving_tree"`
-	// CallerHeader names the header by which callers identify themselves, so that what one's request did to leafs is not
-	// held against another's of the same path and body; empty means that callers are not told apart.
+	// CallerHeader names the header by which callers identify themselves, so that a request that crashed
+	// leafs does not count against another caller's of the same path and body; empty means that callers
+	// are not distinguished.
 	CallerHeader string `yaml:"caller_header"`
-	// FingerprintQuery tells requests apart by their query, too. Otherwise those of the same path and body are tries of one
-	// request.
+	// FingerprintQuery includes the query in the fingerprint of a request. Otherwise requests of the
+	// same path and body are taken for one request that is sent again.
 	FingerprintQuery bool `yaml:"fingerprint_query"`
-	// MaximumGathered bounds the requests that this node gathers for others at once.
+	// MaximumGathered bounds the groups that this node gathers for others at once.
 	MaximumGathered int64 `yaml:"maximum_gathered"`
 }
 
-// DefaultConfig suits objectives of tens of milliseconds and more.
+// DefaultConfig returns a configuration for objectives of tens of milliseconds and more.
 func DefaultConfig() Config {
 	return Config{
 		HedgeFactor:        1.6,
@@ -70,7 +65,7 @@
 	}
 }
 
-// Validate names every field at fault.
+// Validate returns an error that names every invalid field.
 func (c Config) Validate() error {
 	var checks failure.Checks
 	checks.Refuse(c.HedgeFactor < 1, "hedge_factor", "must be at least 1")
--- a/internal/request/gateway/events.go
+++ b/internal/request/gateway/events.go
@@ -8,19 +8,20 @@
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
-// EventLog is told of every decision that touches a request.
+// EventLog receives every decision that affects a request.
 type EventLog interface {
-	// Refused tells of a request that no leaf was asked for.
+	// Refused reports a request that was refused for its route or its quarantine. Other refusals are reported by
+	// Served, with a failure and without attempts.
 	Refused(request *Request, err error)
-	// Attempted tells of an attempt that begins.
+	// Attempted reports an attempt that begins.
 	Attempted(service string, kind scatter.Kind)
-	// AttemptEnded tells of the end of an attempt.
+	// AttemptEnded reports the end of an attempt.
 	AttemptEnded(record AttemptRecord)
-	// Served tells of the end of a request.
+	// Served reports the end of a request, whether it was answered or failed.
 	Served(record RequestRecord)
-	// Passed tells of the end of a group that another node was asked to gather.
+	// GroupEnded reports the end of a group that another node was asked to gather.
 	GroupEnded(record GroupRecord)
-	// LeafLost tells of an attempt whose answer broke off, once it is known whether its leaf ended.
+	// LeafLost reports an attempt whose answer broke off, once it is known whether the leaf's process has ended.
 	LeafLost(record LeafLossRecord)
 }
 
@@ -34,59 +35,60 @@
 	Execution scatter.Execution
 	Took      time.Duration
 	Succeeded bool
-	// Abandoned says that the reply was not awaited.
+	// Abandoned reports whether the attempt was given up before its answer.
 	Abandoned bool
 }
 
 // RequestRecord is a request with what decided its answer.
 type RequestRecord struct {
 	RequestID string
-	// Content is the same for all tries of a request.
+	// Content is the fingerprint of the request.
 	Content fingerprint.Fingerprint
 	// Path and Caller are what an operator knows a request by.
 	Path   string
 	Caller string
 	Route  string
-	// Version and Revision are those of the routing table that the request was routed to.
+	// Version and Revision are those of the routing table that the request was routed by.
 	Version  int64
 	Revision int64
-	// ConfigAge is how long ago that revision was confirmed to be the newest.
+	// ConfigAge is how long ago the store confirmed that revision as the newest.
 	ConfigAge time.Duration
 	Took      time.Duration
-	// InTime says that the answer went out within the objective.
+	// InTime reports whether the answer was sent within the objective.
 	InTime  bool
 	Parts   int
 	Missing int
-	// MissingServices are the services without a part, with the reason of each.
+	// MissingServices are the services without a part, each with its reason.
 	MissingServices []MissingPart
 	Summary         scatter.Summary
 	Status          int
-	// Groups are the services that other nodes gathered.
+	// Groups are the groups that other nodes gathered.
 	Groups []GroupRecord
-	// For is the node that this one gathered for; empty when the request is its own.
+	// Root is the node that the request was gathered for; empty if this node is the root.
 	Root string
-	// Failure is nil for answers, leafs' own failures included.
+	// Failure is nil for answers, including leafs' own failures.
 	Failure *failure.Failure
 }
 
-// MissingPart is a service that an answer lacks.
+// MissingPart is a service whose part an answer lacks.
 type MissingPart struct {
 	Service  string         `json:"service"`
 	Reason   scatter.Reason `json:"reason"`
 	Attempts int            `json:"attempts"`
 }
 
-// record gathers what is told of a request at its end.
-func (r *routedRequest) record(work *execution, answer *Answer, err error) RequestRecord {
+// record returns the record of an execution at its end.
+func (e *execution) record(answer *Answer, err error) RequestRecord {
+	r := e.request
 	record := RequestRecord{
 		RequestID: r.Leaf.ID, Content: r.fingerprint, Path: r.Path, Caller: r.Caller, Route: r.route.Name, Version: r.table.Version, Revision: r.table.Revision,
-		Root: r.rootID, Groups: work.groupRecords(), ConfigAge: work.gateway.catalog.Age(), Took: time.Since(r.Arrived),
-		InTime: time.Now().Before(r.lateAfter), Parts: len(work.outcomes), Summary: work.summary,
+		Root: r.rootID, Groups: e.groupRecords(), ConfigAge: e.gateway.catalog.Age(), Took: time.Since(r.Arrived),
+		InTime: time.Now().Before(r.lateAfter), Parts: len(e.outcomes), Summary: e.summary,
 	}
-	for index, outcome := range work.outcomes {
+	for index, outcome := range e.outcomes {
 		if outcome.Reply == nil {
 			record.Missing++
-			record.MissingServices = append(record.MissingServices, MissingPart{Service: work.services[index], Reason: outcome.Reason, Attempts: outcome.Attempts})
+			record.MissingServices = append(record.MissingServices, MissingPart{Service: e.services[index], Reason: outcome.Reason, Attempts: outcome.Attempts})
 		}
 	}
 	if err != nil {
--- /dev/null
+++ b/internal/request/gateway/execution.go
@@ -0,0 +1,139 @@
+package gateway
+
+import (
+	"context"
+	"errors"
+	"sync"
+	"sync/atomic"
+
+	"github.com/portgauge/portgauge/internal/failure"
+	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
+	"github.com/portgauge/portgauge/internal/quarantine"
+	"github.com/portgauge/portgauge/internal/request/scatter"
+)
+
+// execution is one run of a request at this node, for a caller or, with partial set, for the node that is its root. It
+// has one shard for each service.
+type execution struct {
+	gateway  *Gateway
+	request  *routedRequest
+	services []string
+	// groups are the sets of shards that other nodes are asked to gather.
+	groups []group
+	// inGroup tells by shard whether it is in a group; nil if there are no groups.
+	inGroup []bool
+	// targets are the leafs that may be asked, by shard.
+	targets [][]leafTarget
+	// canaryDraws are the versions drawn for first attempts, by shard; nil until the first is drawn.
+	canaryDraws []canaryDraw
+	// gatheredLatency is the latency of all shards of a gathered request; nil until it is looked up.
+	gatheredLatency *kindLatency
+	// spentAttempts is how many attempts another node may have made at each shard before this one was asked.
+	spentAttempts int
+	// partial buffers the parts for the root; nil unless this is a group that is gathered for another node.
+	partial *partBuffer
+
+	// outcomes, by shard, and summary are set when all attempts have ended.
+	outcomes []scatter.Outcome[leafhttp.Response]
+	summary  scatter.Summary
+
+	// cancel ends the execution for a cause.
+	cancel context.CancelCauseFunc
+	// slept is for how many nanoseconds the machine was suspended since the request arrived.
+	slept atomic.Int64
+	// tracked is the request's place in the quarantine register; nil if there is no register.
+	tracked *quarantine.Try
+	// probes counts the attempts that were sent alone.
+	probes int
+
+	// mu guards the rest, which attempts and groups set as they end.
+	mu          sync.Mutex
+	lastFailure *leafhttp.Response // of a leaf, to be passed on if there is no success
+	groupsEnded []GroupRecord
+	// crashedLeafs are the leafs that crashed during the request. processChecks are closed when the check of a leaf
+	// whose answer broke off has ended.
+	crashedLeafs  []string
+	processChecks []<-chan struct{}
+	// groupFailure is the failure of a node that was asked for all shards.
+	groupFailure error
+}
+
+// run makes the attempts, unless the request is refused, and returns the answer.
+func (e *execution) run(ctx context.Context) (*Answer, error) {
+	e.countRequests()
+	plan, err := e.admit()
+	if err != nil {
+		return nil, err
+	}
+	e.drawFirst(&plan)
+	attempts := scatter.New(plan, scatter.Deps[leafhttp.Response]{
+		Balancer: e.gateway.balancer, Start: e.startAttempt, Observer: e, Superseded: leafhttp.ErrSuperseded,
+		StartGroup: e.startGroup, Accepted: e.onPart(),
+	})
+	e.outcomes, e.summary = attempts.Run(ctx)
+	if err := e.endedEarly(ctx); err != nil {
+		return nil, err
+	}
+	if e.isGathered() {
+		return e.gatheredAnswer()
+	}
+	return e.singleAnswer()
+}
+
+// endedEarly returns the failure of an execution that was ended before its attempts decided the answer; nil if it was
+// not.
+func (e *execution) endedEarly(ctx context.Context) error {
+	switch cause := context.Cause(ctx); {
+	case errors.Is(cause, errQuarantined):
+		return e.quarantineFailure(e.executionState())
+	case errors.Is(cause, errSuspended):
+		return failure.New(failure.DeadlineExceeded, e.executionState(), "%s", errSuspended)
+	}
+	if ctx.Err() != nil {
+		return failure.New(failure.Cancelled, e.executionState(), "%s", e.cancelledBy())
+	}
+	return nil
+}
+
+// cancelledBy says who no longer waits for the answer.
+func (e *execution) cancelledBy() string {
+	if e.partial != nil {
+		return "the root waits for no more parts"
+	}
+	return "the caller went away"
+}
+
+// countRequests counts the request in the retry budgets of the services whose leafs this node asks, unless another
+// node may have counted it.
+func (e *execution) countRequests() {
+	if e.spentAttempts > 0 {
+		return
+	}
+	for index, service := range e.services {
+		if !e.isInGroup(index) {
+			e.gateway.budgets.Request(service)
+		}
+	}
+}
+
+// onPart returns the function that is called with each part as it arrives; nil if parts are only merged at the end.
+func (e *execution) onPart() func(shard int, reply *leafhttp.Response) {
+	if e.partial == nil {
+		return nil
+	}
+	return e.partial.add
+}
+
+func (e *execution) isGathered() bool { return len(e.request.route.Gathered) > 0 }
+
+// executionState returns what is known of whether any leaf ran the request.
+func (e *execution) executionState() failure.ExecutionState {
+	switch e.summary.Execution() {
+	case scatter.Ran:
+		return failure.Ran
+	case scatter.NotRun:
+		return failure.NotRun
+	case scatter.Unknown:
+	}
+	return failure.Unknown
+}
--- a/internal/request/gateway/gateway.go
+++ b/internal/request/gateway/gateway.go
@@ -1,3 +1,29 @@
+// Package gateway serves callers' requests by the routing table. A single request goes to one leaf of a service; a
+// gathered request goes to one leaf of each of many services, and the greatest records of all parts make the answer.
+//
+// The steps of a request, in order, with the file of each:
+//
+//	request.go     find the route and take the request's fingerprint
+//	deadlines.go   set the objective and the deadline: when a partial answer is sent and when the request is given up
+//	quarantine.go  watch for a quarantine of the request; probe suspects one leaf at a time
+//	refuse.go      refuse what can't be served, before any attempt is made: every reason, in order
+//	root.go        choose the shards that other nodes gather, and those nodes (placement.go, node_tracker.go)
+//	plan.go        describe the attempts to package scatter, which makes them
+//	candidates.go  list the leafs of a shard that may be asked (canary.go: which version, zones.go: which zones)
+//	policy.go      allow hedges and retries
+//	attempt.go     ask one leaf and judge its answer (crash.go: find out whether the leaf crashed)
+//	group_call.go  ask another node for a group of shards (group_reply.go: wait for its reply and judge it)
+//	answer.go      merge the parts, pass a leaf's answer on, or say why there is none
+//	events.go      report the decisions
+//
+// [Gateway.Serve] does this for a caller. [Gateway.Gather], in intermediate.go, does it for another node that asks
+// for a group of shards; it never passes them on to a third node.
+//
+// A Gateway owns the executions in flight and what it learns from them: latencies, callers' timeouts, its own lag,
+// and the state of the nodes that it asks. It starts one goroutine for each group call and has no background work
+// but that of KeepWarm. It relies on the catalog for routes and leafs, on package balancer to choose among leafs, on
+// package scatter for the order of attempts, and on LeafCaller and Intermediates to send them. Its errors are
+// *failure.Failure. It is the counterpart of package search for back ends whose records are opaque.
 package gateway
 
 import (
@@ -20,22 +46,19 @@
 	"github.com/portgauge/portgauge/internal/rollout/evidence"
 )
 
-// notReadyRetryAfter is what callers of a node without routes are told.
-const notReadyRetryAfter = 600 * time.Millisecond
-
-// LeafCaller starts attempts at leafs; leafhttp.Pool is the real one.
+// LeafCaller sends attempts to leafs; leafhttp.Pool implements it.
 type LeafCaller interface {
 	// Start begins an attempt without blocking; see leafhttp.Pool.
 	Start(target leafhttp.Target, request *leafhttp.Request, deadline time.Time, done leafhttp.Done) context.CancelCauseFunc
-	// CanSpare reports whether a leaf that other nodes were dealt may be asked.
+	// CanSpare reports whether a spare connection may be opened to a leaf that this node has no share of.
 	CanSpare(incarnation string) bool
-	// Warm opens a connection to the first of some leafs, unless there is one to any.
+	// Warm opens a connection to the first of the targets, unless there is one to any of them.
 	Warm(targets []leafhttp.Target)
-	// Check finds out whether a leaf's process has ended, after an answer of it broke off; see leafhttp.Pool.
+	// Check reports whether a leaf's process has ended, after an answer of it broke off; see leafhttp.Pool.
 	Check(target leafhttp.Target, refused bool, tell leafhttp.Ended)
 }
 
-// Deps are what a gateway is built from.
+// Deps are the dependencies of a Gateway.
 type Deps struct {
 	Config   Config
 	Dialect  httpnames.Names
@@ -45,56 +68,56 @@
 	Balancer *balancer.Balancer
 	Budgets  *retrybudget.Budgets
 	Leafs    LeafCaller
-	// Warmup says which cold leafs this node may ask; nil means all.
+	// Warmup limits the requests to cold leafs; nil means no limit.
 	Warmup *warmup.Limiter
-	// Canary says which requests go to versions on trial; nil means that none do.
+	// Canary decides which requests go to versions on trial; nil means none.
 	Canary *canary.Splitter
-	// Evidence counts how versions on trial answer; nil means that nothing is counted.
+	// Evidence counts the answers of versions on trial; nil means that nothing is counted.
 	Evidence *evidence.Collector
 	Events   EventLog
 	// Self is this node's own record.
 	Self catalog.NodeRecord
-	// Regions gives the region of each zone; a zone that it lacks is in none.
+	// Regions maps zones to regions; a zone that is missing belongs to no region.
 	Regions map[string]string
-	// Fleet and Intermediates let other nodes gather; nil means that this one does it all itself.
+	// Fleet and Intermediates let other nodes gather groups of shards; if either is nil, this node asks every leaf
+	// itself.
 	Fleet         Fleet
 	Intermediates Intermediates
-	// Zones knows which zones are in reach; nil holds all for so.
+	// Zones reports which zones are reachable; nil means that all are.
 	Zones *reachability.Tracker
-	// Quarantine knows the requests that end leafs; nil knows none.
+	// Quarantine keeps the requests that crash leafs; nil means that none is quarantined.
 	Quarantine *quarantine.Register
 }
 
-// Gateway serves requests by the routing table; safe for concurrent use.
+// Gateway serves requests by the routing table; it is safe for concurrent use.
 type Gateway struct {
-	config   Config
-	dialect  httpnames.Names
-	catalog  *catalog.Catalog
-	memory   *leafmemory.Memory
-	dealer   *connshare.Dealer
-	balancer *balancer.Balancer
-	budgets  *retrybudget.Budgets
-	leafs    LeafCaller
-	warmup   *warmup.Limiter
-	canary   *canary.Splitter
-	evidence *evidence.Collector
-	events   EventLog
-	regions  map[string]string // by zone
-	zones    *reachability.Tracker
-
+	config     Config
+	dialect    httpnames.Names
+	catalog    *catalog.Catalog
+	memory     *leafmemory.Memory
+	dealer     *connshare.Dealer
+	balancer   *balancer.Balancer
+	budgets    *retrybudget.Budgets
+	leafs      LeafCaller
+	warmup     *warmup.Limiter
+	canary     *canary.Splitter
+	evidence   *evidence.Collector
+	events     EventLog
+	regions    map[string]string // by zone
+	zones      *reachability.Tracker
 	quarantine *quarantine.Register
-	inFlight   inFlight
 
+	inFlight  inFlight
 	latencies *latencyTable
 	timeouts  *callerTimeouts
 	shares    *routing.Shares
 	lag       lagTracker
-	root      *root // nil where no other node is asked to gather
-	// gathered counts the groups that are being gathered for other nodes.
+	root      *root // nil if no other node is asked to gather
+	// gathered counts the groups that this node is gathering for others.
 	gathered atomic.Int64
 }
 
-// New makes a gateway.
+// New returns a gateway.
 func New(deps Deps) *Gateway {
 	g := &Gateway{
 		config: deps.Config, dialect: deps.Dialect, catalog: deps.Catalog, memory: deps.Memory, dealer: deps.Dealer, balancer: deps.Balancer,
@@ -108,10 +131,7 @@
 	return g
 }
 
-// Ready reports whether there are routes to serve by, and no other zone is the better place for callers.
-func (g *Gateway) Ready() bool { return g.catalog.View().Routes != nil && !g.isBetterServedElsewhere() }
-
-// Limits gives the limits of callers in force.
+// Limits returns the limits on callers' requests in force.
 func (g *Gateway) Limits() routing.Limits {
 	if table := g.catalog.View().Routes; table != nil {
 		return table.Limits
@@ -126,31 +146,31 @@
 		g.events.Refused(request, err)
 		return nil, err
 	}
-	work := &execution{gateway: g, request: routed, services: g.servicesOf(routed)}
-	ctx, release := work.watch(ctx)
+	e := &execution{gateway: g, request: routed, services: g.chooseServices(routed.route)}
+	ctx, release := e.watch(ctx)
 	defer release()
-	if err := work.refuseQuarantined(); err != nil {
+	if err := e.refuseQuarantined(); err != nil {
 		g.events.Refused(request, err)
 		return nil, err
 	}
-	// A suspect goes to one leaf first: no other node is asked to send it to more.
-	if g.root != nil && work.isGathered() && work.quarantineState() == quarantine.Clear {
-		work.assignGroups(work.groupsOf(routed.route))
+	// A suspect is probed one leaf at a time, which only the root of the request can do.
+	if g.root != nil && e.isGathered() && e.quarantineState() == quarantine.Clear {
+		e.assignGroups(e.chooseGroups())
 	}
-	answer, err := work.run(ctx)
-	work.observeLag()
-	g.events.Served(routed.record(work, answer, err))
+	answer, err := e.run(ctx)
+	e.observeLag()
+	g.events.Served(e.record(answer, err))
 	return answer, err
 }
 
-// servicesOf gives the services whose leafs are asked.
-func (g *Gateway) servicesOf(routed *routedRequest) []string {
-	entry := routed.route
+// chooseServices returns the services of a route whose leafs are asked: all that it gathers, the one whose turn it is
+// among weighted ones, or its only one.
+func (g *Gateway) chooseServices(route *routing.Entry) []string {
 	switch {
-	case len(entry.Gathered) > 0:
-		return entry.Gathered
-	case len(entry.Weighted) > 0:
-		return []string{entry.Weighted[g.shares.Next(entry)].Service}
+	case len(route.Gathered) > 0:
+		return route.Gathered
+	case len(route.Weighted) > 0:
+		return []string{route.Weighted[g.shares.Next(route)].Service}
 	}
-	return []string{entry.Service}
+	return []string{route.Service}
 }
--- a/internal/request/gateway/passing.go
+++ b/internal/request/gateway/group_call.go
@@ -2,22 +2,17 @@
 
 import (
 	"context"
-	"errors"
 	"time"
 
 	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
-	"github.com/portgauge/portgauge/internal/request/routing"
 	"github.com/portgauge/portgauge/internal/request/scatter"
 	"github.com/portgauge/portgauge/internal/request/servingtree"
 )
 
-// errSilent ends the connection to an intermediate that showed no sign of work.
-var errSilent = errors.New("the intermediate is silent")
-
-// GroupOutcome is how it went to let another node gather a group.
+// GroupOutcome is the result of asking another node for a group.
 type GroupOutcome string
 
-// The outcomes of a group. After the last two its leafs may have been asked.
+// The outcomes of a group. After Failed, Cancelled, Silent and Broken its leafs may have been asked.
 const (
 	GroupAnswered  GroupOutcome = "answered"
 	GroupFailed    GroupOutcome = "failed"
@@ -29,72 +24,57 @@
 	GroupBroken    GroupOutcome = "broken"
 )
 
-// GroupRecord is a group that another node was asked to gather, with what came of it.
+// GroupRecord is a group that another node was asked to gather, with its outcome.
 type GroupRecord struct {
 	RequestID string
 	// Intermediate is the id of the node that was asked.
 	Intermediate string
 	Parts        int
 	Outcome      GroupOutcome
-	// Reason is why it declined or failed, or what ended the connection.
+	// Reason says why the node declined or failed, or what ended the connection.
 	Reason string
 	Took   time.Duration
 }
 
-// assignGroups notes which groups other nodes are asked for first.
-func (e *execution) assignGroups(groups []group) {
-	e.groups = groups
-	e.inGroup = make([]bool, len(e.services))
-	for _, group := range groups {
-		for _, shard := range group.shards {
-			e.inGroup[shard] = true
-		}
-	}
-}
-
-// groupsOf gives the parts of a route that other nodes gather for this work.
-func (e *execution) groupsOf(entry *routing.Entry) []group {
-	groups := e.gateway.root.groups(entry)
-	if e.tracked != nil && e.tracked.IsAlert() {
-		return keepOneShard(groups, len(e.services))
-	}
-	return groups
-}
-
-// isInGroup reports whether another node is asked for a service first.
-func (e *execution) isInGroup(shard int) bool { return len(e.groups) > 0 && e.inGroup[shard] }
+// groupDone receives the results of a group; see scatter.StartGroup.
+type groupDone func(scatter.GroupResult[leafhttp.Response])
 
-// groupRecords gives what came of the groups that ended.
-func (e *execution) groupRecords() []GroupRecord {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return e.groupsEnded
+// groupCall is a group that other nodes are being asked to gather, one after the other.
+type groupCall struct {
+	root      *root
+	execution *execution
+	group     group
+	// spent is how many attempts at each shard may have been made by nodes that returned nothing.
+	spent int
+	// gotPartial says that some parts have arrived: their records are merged, so that no other node may return them
+	// again.
+	gotPartial bool
 }
 
-// startGroup implements scatter.StartGroup.
+// startGroup asks another node for a group; it implements scatter.StartGroup.
 func (e *execution) startGroup(ctx context.Context, number int, done func(scatter.GroupResult[leafhttp.Response])) context.CancelCauseFunc {
-	passed := &groupCall{root: e.gateway.root, execution: e, group: e.groups[number]}
+	p := &groupCall{root: e.gateway.root, execution: e, group: e.groups[number]}
 	ctx, cancel := context.WithCancelCause(ctx)
-	call := passed.start()
+	call := p.start()
 	go func() {
 		defer cancel(nil)
-		done(passed.run(ctx, call, done))
+		done(p.run(ctx, call, done))
 	}()
 	return cancel
 }
 
-// maximumIntermediates is how many nodes are asked for one group at most: after two that gave nothing most
-// of an objective is over.
+// maximumIntermediates is how many nodes are asked for one group. After two that returned nothing, most of an objective
+// is over.
 const maximumIntermediates = 2
 
-// start asks the node of the group.
+// start sends the group to its node.
 func (p *groupCall) start() *servingtree.Call {
 	p.root.nodes.begin(p.group.node)
 	return p.root.intermediates.Start(p.group.node.Tree, p.execution.groupRequest(p.group, p.spent))
 }
 
-// run awaits the group, and asks another node for it where the first gave nothing. Attempts that the
-// first may have made count among those of the route.
+// run waits for the group. If its node returned nothing, and may not have spent all attempts, another node is asked;
+// otherwise package scatter asks the leafs from here, as far as the result allows.
 func (p *groupCall) run(ctx context.Context, call *servingtree.Call, done groupDone) scatter.GroupResult[leafhttp.Response] {
 	for asked := 1; ; asked++ {
 		began := time.Now()
@@ -113,7 +93,8 @@
 	}
 }
 
-// withSpent adds to a result what the nodes that gave nothing may have spent.
+// withSpent adds to a result the attempts that nodes which returned nothing may have made. They count among the route's
+// MaximumAttempts, and the request may have run even if the last node ran nothing.
 func (p *groupCall) withSpent(result scatter.GroupResult[leafhttp.Response]) scatter.GroupResult[leafhttp.Response] {
 	if result.Replies != nil {
 		return result
@@ -122,14 +103,14 @@
 		p.spent++
 	}
 	if p.spent > 0 && result.Execution == scatter.NotRun {
-		result.Execution = scatter.Unknown // by what an earlier node may have done
+		result.Execution = scatter.Unknown
 	}
 	result.Spent = p.spent
 	result.Final = result.Final || p.spent >= p.execution.request.route.Attempts
 	return result
 }
 
-// note tells of the end of a group, and learns from it who can be asked.
+// recordEnd reports the end of a group, and what it shows of the node and its zone.
 func (p *groupCall) recordEnd(ended groupEnd, took time.Duration) {
 	e, node := p.execution, p.group.node
 	record := GroupRecord{
@@ -144,40 +125,25 @@
 	e.groupsEnded = append(e.groupsEnded, record)
 }
 
-// ask puts a group as it is passed on. Of its parts, as many may be missing as of the whole answer.
-func (e *execution) groupRequest(part group, spent int) servingtree.Request {
+// groupRecords returns the records of the groups that have ended.
+func (e *execution) groupRecords() []GroupRecord {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.groupsEnded
+}
+
+// groupRequest returns the message that asks another node for a group. The group may lack as many parts as the whole
+// answer may. The node must reply earlier than the answer is planned by the round trip to it.
+func (e *execution) groupRequest(asked group, spent int) servingtree.Request {
 	r, root := e.request, e.gateway.root
 	mayMiss := len(e.services) - r.requiredParts
 	roundTrip := root.hop.expected(r.route.Objective)
-	planned := time.Until(r.answerBy) - roundTrip
+	untilAnswer := time.Until(r.answerBy) - roundTrip
 	return servingtree.Request{
 		ID: r.Leaf.ID, Method: r.Leaf.Method, Target: r.Leaf.Target, Host: r.Leaf.Host, Header: r.Leaf.Header,
 		Body: r.Leaf.Body, HasBody: r.Leaf.HasBody, Caller: r.Caller, Root: root.self.ID, GatherKey: r.route.GatherKey,
-		Shards: part.shards, Required: max(1, len(part.shards)-mayMiss), Spent: spent,
-		ObjectiveMicros: planned.Microseconds(), DeadlineMicros: time.Until(e.deadline()).Microseconds(),
+		Shards: asked.shards, Required: max(1, len(asked.shards)-mayMiss), Spent: spent,
+		ObjectiveMicros: untilAnswer.Microseconds(), DeadlineMicros: time.Until(e.deadline()).Microseconds(),
 		RoundTrip: roundTrip,
 	}
 }
-
-// told takes what came of a group, see scatter.StartGroup.
-type groupDone func(scatter.GroupResult[leafhttp.Response])
-
-// groupEnd is how a group ended.
-type groupEnd struct {
-	result  scatter.GroupResult[leafhttp.Response]
-	outcome GroupOutcome
-	// reason says what went wrong.
-	reason string
-}
-
-// passing is a group that is with another node.
-type groupCall struct {
-	root      *root
-	execution *execution
-	group     group
-	// spent is how many attempts of each shard nodes that gave nothing may have made.
-	spent int
-	// gotPartial says that some parts are in: their records are merged, so that no other node may give
-	// them again.
-	gotPartial bool
-}
--- a/internal/request/gateway/await.go
+++ b/internal/request/gateway/group_reply.go
@@ -13,24 +13,47 @@
 	"github.com/portgauge/portgauge/internal/request/servingtree"
 )
 
-// Bounds of how long an intermediate may be silent, in parts of the objective and in times of the
-// usual ways to it.
+// errSilent is the cause of ending the connection to an intermediate that sends nothing.
+var errSilent = errors.New("the intermediate is silent")
+
 const (
+	// The wait for an intermediate's first sign of work is the largest of a quarter of the objective, three round
+	// trips to it, and minimumAckWait.
 	ackObjectiveDivisor = 4
 	ackHopFactor        = 3
 	minimumAckWait      = 10 * time.Millisecond
-	// maximumProbes is how many probes may go unanswered.
+	// maximumProbes is how many probes an intermediate may leave unanswered. One is needed: on a busy root the timer
+	// may fire before a sign of work that has arrived is read.
 	maximumProbes = 1
+	// probeWaitDivisor shortens the wait for the answer to a probe: half of the wait before it.
+	probeWaitDivisor = 2
+	// minimumSilence is how long nothing must have been received from an intermediate for its connection to be closed,
+	// and with it all other groups in flight there.
+	minimumSilence = 300 * time.Millisecond
 )
 
-// ackWait is how long an intermediate may take to show that it is at work.
+// groupEnd is how a group ended.
+type groupEnd struct {
+	result  scatter.GroupResult[leafhttp.Response]
+	outcome GroupOutcome
+	// reason says what went wrong.
+	reason string
+}
+
+// groupNotRun returns the end of a group of which no leaf was asked.
+func groupNotRun(outcome GroupOutcome, reason string) groupEnd {
+	return groupEnd{result: scatter.GroupResult[leafhttp.Response]{Execution: scatter.NotRun}, outcome: outcome, reason: reason}
+}
+
+// ackWait returns how long an intermediate may take to show that it works on the group.
 func (p *groupCall) ackWait() time.Duration {
 	objective := p.execution.request.route.Objective
 	return max(minimumAckWait, objective/ackObjectiveDivisor, ackHopFactor*p.root.hop.expected(objective))
 }
 
-// await waits for the reply as long as the intermediate gives signs of work: at once, and whenever it
-// is asked for one after the objective.
+// await waits for the reply of an intermediate, and gives up on one that is silent. An intermediate must acknowledge
+// the group within ackWait; after the objective it is probed, once an objective long, and must acknowledge each probe.
+// One that leaves more than maximumProbes unanswered is silent.
 func (p *groupCall) await(ctx context.Context, call *servingtree.Call, done groupDone) groupEnd {
 	began := time.Now()
 	wait := p.ackWait()
@@ -48,18 +71,17 @@
 			acks++
 			unanswered = 0
 			p.root.zones.Heard(p.group.node.Zone)
-			// The answer is late when the next sign is due: there is nothing to be won by haste.
+			// By the next probe the answer is late, so that there is no hurry to give up.
 			wait = p.execution.request.route.Objective
 			timer.Reset(max(wait, time.Until(p.execution.request.objective)))
 		case <-timer.C:
-			// A node that is late itself may find its timer over before it has read the sign.
 			if unanswered >= maximumProbes {
 				return p.giveUp(call, acks > 0)
 			}
 			unanswered++
 			p.root.zones.Suspect(p.group.node.Zone)
 			call.Probe()
-			timer.Reset(wait / 2)
+			timer.Reset(wait / probeWaitDivisor)
 		case <-ctx.Done():
 			call.Cancel()
 			return groupEnd{outcome: GroupCancelled}
@@ -67,11 +89,7 @@
 	}
 }
 
-// minimumSilence is how long nothing must have come from an intermediate for its connection to be given
-// up, and with it all that is under way there.
-const minimumSilence = 300 * time.Millisecond
-
-// deliverPending tells of parts that came just before the end.
+// deliverPending delivers parts that arrived just before the end.
 func (p *groupCall) deliverPending(call *servingtree.Call, done groupDone) {
 	select {
 	case answer := <-call.Partial():
@@ -80,7 +98,7 @@
 	}
 }
 
-// deliverPartial tells of the parts that are in before the end.
+// deliverPartial delivers the parts that an intermediate sends before its reply is complete.
 func (p *groupCall) deliverPartial(answer servingtree.Answer, done groupDone) {
 	if len(answer.Stamps) == len(p.group.shards) {
 		p.gotPartial = true
@@ -88,29 +106,24 @@
 	}
 }
 
-// giveUp ends a call to an intermediate that is silent.
+// giveUp ends a call to an intermediate that is silent. One that had begun may have spent all attempts that the route
+// allows, so that the shards are not asked again.
 func (p *groupCall) giveUp(call *servingtree.Call, hasBegun bool) groupEnd {
 	isSent := call.Cancel()
 	p.root.intermediates.DropSilent(p.group.node.Tree, minimumSilence, errSilent)
 	if !isSent {
-		return notRun(GroupNeverSent, errSilent.Error())
+		return groupNotRun(GroupNeverSent, errSilent.Error())
 	}
-	// Once it has begun, it may have spent all attempts that the route allows.
 	result := scatter.GroupResult[leafhttp.Response]{Final: hasBegun}
 	return groupEnd{result: result, outcome: GroupSilent, reason: errSilent.Error()}
 }
 
-// notRun is the end of a group of which no leaf was asked.
-func notRun(outcome GroupOutcome, reason string) groupEnd {
-	return groupEnd{result: scatter.GroupResult[leafhttp.Response]{Execution: scatter.NotRun}, outcome: outcome, reason: reason}
-}
-
-// judge says what a result is worth.
+// judge decides what the end of a call means for the group.
 func (p *groupCall) judge(ended servingtree.Result, took time.Duration) groupEnd {
 	var neverSent *servingtree.NeverSentError
 	switch {
 	case errors.As(ended.Err, &neverSent):
-		return notRun(GroupNeverSent, ended.Err.Error())
+		return groupNotRun(GroupNeverSent, ended.Err.Error())
 	case ended.Err != nil:
 		return groupEnd{outcome: GroupBroken, reason: ended.Err.Error()}
 	}
@@ -118,37 +131,43 @@
 	return p.judgeReply(ended.Reply)
 }
 
+// judgeReply decides what a reply means for the group: an answer is used; a failure is final, unless leafs crashed, in
+// which case the shards are probed from here; after a decline another node, or the leafs from here, can be asked.
 func (p *groupCall) judgeReply(reply servingtree.Reply) groupEnd {
 	switch {
 	case reply.Answer != nil && len(reply.Answer.Stamps) == len(p.group.shards):
 		return groupEnd{result: scatter.GroupResult[leafhttp.Response]{Replies: p.replies(reply.Answer)}, outcome: GroupAnswered}
 	case reply.Answer != nil:
 		return groupEnd{outcome: GroupBroken, reason: "the answer has parts of other services"}
-	case reply.Failure != nil && reply.Failure.Code == failure.Quarantined:
-		p.execution.stop()
-		return groupEnd{outcome: GroupFailed, reason: reply.Failure.Message, result: scatter.GroupResult[leafhttp.Response]{
-			Final: true, Execution: executionOf(reply.Failure.Execution),
-		}}
-	case reply.Failure != nil && reply.Failure.Code == failure.LeafsEnded:
-		// Its shards are asked from here, one leaf after the other.
-		p.execution.reportCrashed(reply.Failure.CrashedLeafs)
-		return groupEnd{outcome: GroupFailed, reason: reply.Failure.Message, result: scatter.GroupResult[leafhttp.Response]{
-			Broke: true, Execution: executionOf(reply.Failure.Execution),
-		}}
 	case reply.Failure != nil:
-		p.execution.keepGroupFailure(p.group, reply.Failure)
-		result := scatter.GroupResult[leafhttp.Response]{Final: true, Execution: executionOf(reply.Failure.Execution)}
-		return groupEnd{result: result, outcome: GroupFailed, reason: reply.Failure.Message}
+		return p.judgeFailure(reply.Failure)
 	case reply.Decline == servingtree.Leaving:
-		return notRun(GroupLeaving, string(reply.Decline))
+		return groupNotRun(GroupLeaving, string(reply.Decline))
+	default:
+		return groupNotRun(GroupDeclined, string(reply.Decline))
+	}
+}
+
+// judgeFailure decides what the failure of an intermediate means for the group.
+func (p *groupCall) judgeFailure(failed *servingtree.Failure) groupEnd {
+	result := scatter.GroupResult[leafhttp.Response]{Execution: executionOf(failed.Execution)}
+	switch failed.Code {
+	case failure.Quarantined:
+		p.execution.stop()
+		result.Final = true
+	case failure.LeafsEnded:
+		p.execution.reportCrashed(failed.CrashedLeafs)
+		result.Broke = true
 	default:
-		return notRun(GroupDeclined, string(reply.Decline))
+		p.execution.keepGroupFailure(p.group, failed)
+		result.Final = true
 	}
+	return groupEnd{result: result, outcome: GroupFailed, reason: failed.Message}
 }
 
-// keepGroupFailure keeps the failure of a group that is all of the request.
-func (e *execution) keepGroupFailure(part group, failed *servingtree.Failure) {
-	if len(part.shards) < len(e.services) {
+// keepGroupFailure keeps the failure of a group that has all shards of the request.
+func (e *execution) keepGroupFailure(asked group, failed *servingtree.Failure) {
+	if len(asked.shards) < len(e.services) {
 		return
 	}
 	e.mu.Lock()
@@ -156,8 +175,8 @@
 	e.groupFailure = failed.Err()
 }
 
-// replies gives the parts of an answer. Their records are merged already; the first part that is in
-// carries them all.
+// replies returns the parts of an answer, by shard of the group. Their records are merged already: the first part that
+// is there has them all.
 func (p *groupCall) replies(answer *servingtree.Answer) []*leafhttp.Response {
 	replies := make([]*leafhttp.Response, len(answer.Stamps))
 	records := answer.Records
@@ -176,7 +195,7 @@
 	return replies
 }
 
-// executionOf gives what an execution state says of attempts.
+// executionOf converts the execution state of a failure for package scatter.
 func executionOf(state failure.ExecutionState) scatter.Execution {
 	switch state {
 	case failure.NotRun:
--- a/internal/request/gateway/intermediate.go
+++ b/internal/request/gateway/intermediate.go
@@ -3,97 +3,106 @@
 import (
 	"context"
 	"strings"
-	"sync"
 	"time"
 
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
+	"github.com/portgauge/portgauge/internal/request/routing"
 	"github.com/portgauge/portgauge/internal/request/servingtree"
 )
 
 var _ servingtree.Handler = (*Gateway)(nil)
 
-// Gather implements servingtree.Handler: it asks the leafs of a group for the node that took the
-// request from its caller. Both must gather the route alike, so that no answer mixes two versions, and no
-// caller sees an older one after a newer one.
+// Gather implements servingtree.Handler: it asks the leafs of a group of shards for another node, the root of the
+// request. It declines the group if this node is busy, or gathers the route in another way than the root: no answer may
+// mix two versions of a route, and no caller may see an older one after a newer one.
 //
-// What is in by the objective is sent then, and the rest when it is in: whether that is enough is for
-// the root to say, which knows of the other parts.
-func (g *Gateway) Gather(ctx context.Context, ask servingtree.Request, send func(servingtree.Answer)) servingtree.Reply {
+// The parts that have arrived by the objective are sent then, and the rest when it has arrived. Only the root, which
+// knows of the other shards, can tell whether they are enough.
+func (g *Gateway) Gather(ctx context.Context, asked servingtree.Request, send func(servingtree.Answer)) servingtree.Reply {
 	if g.gathered.Add(1) > g.config.MaximumGathered {
 		g.gathered.Add(-1)
 		return servingtree.Reply{Decline: servingtree.Busy}
 	}
 	defer g.gathered.Add(-1)
-	work := g.groupExecution(ask)
-	if work == nil {
+	e := g.groupExecution(asked)
+	if e == nil {
 		return servingtree.Reply{Decline: servingtree.OtherRoute}
 	}
-	work.partial = newPartBuffer(len(work.services))
-	ctx, release := work.watch(ctx)
+	e.partial = newPartBuffer(len(e.services))
+	ctx, release := e.watch(ctx)
 	defer release()
-	if err := work.refuseQuarantined(); err != nil {
-		g.events.Refused(work.request.Request, err)
+	if err := e.refuseQuarantined(); err != nil {
+		g.events.Refused(e.request.Request, err)
 		return servingtree.Reply{Failure: servingtree.NewFailure(err)}
 	}
-	timer := time.AfterFunc(time.Until(work.request.answerBy), func() {
-		if work.partial.send(work.answerOf, send) {
-			g.lag.observe(time.Since(work.request.answerBy))
+	timer := time.AfterFunc(time.Until(e.request.answerBy), func() {
+		if e.partial.send(e.mergeParts, send) {
+			g.lag.observe(time.Since(e.request.answerBy))
 		}
 	})
 	defer timer.Stop()
-	answer, err := work.run(ctx)
-	g.events.Served(work.request.record(work, answer, err))
-	if err != nil && !work.partial.any() {
-		failed := servingtree.NewFailure(err)
-		if failed.Code == failure.LeafsEnded {
-			failed.CrashedLeafs = work.crashedLeafNames() // the root has no use for those of other failures
-		}
-		return servingtree.Reply{Failure: failed}
+	answer, err := e.run(ctx)
+	g.events.Served(e.record(answer, err))
+	if err != nil && !e.partial.any() {
+		return servingtree.Reply{Failure: e.groupFailureOf(err)}
 	}
-	rest := work.partial.end(work.answerOf)
+	rest := e.partial.end(e.mergeParts)
 	return servingtree.Reply{Answer: &rest}
 }
 
-// groupExecution prepares the work on a group; nil when it does not fit the routing table in force here.
-func (g *Gateway) groupExecution(ask servingtree.Request) *execution {
+// groupFailureOf converts the failure of a group for its root. It names the leafs that crashed only if the group was
+// given up for them: the root needs them for its own probes.
+func (e *execution) groupFailureOf(err error) *servingtree.Failure {
+	failed := servingtree.NewFailure(err)
+	if failed.Code == failure.LeafsEnded {
+		failed.CrashedLeafs = e.crashedLeafNames()
+	}
+	return failed
+}
+
+// groupExecution returns the execution of a group; nil if the group does not fit the routing table in force here.
+func (g *Gateway) groupExecution(asked servingtree.Request) *execution {
 	table := g.catalog.View().Routes
 	if table == nil {
 		return nil
 	}
-	path, _, _ := strings.Cut(ask.Target, "?")
-	entry := table.Match(ask.Host, path)
-	if entry == nil || entry.GatherKey != ask.GatherKey || ask.Spent < 0 || ask.Spent >= entry.Attempts {
+	path, _, _ := strings.Cut(asked.Target, "?")
+	route := table.Match(asked.Host, path)
+	if route == nil || route.GatherKey != asked.GatherKey || asked.Spent < 0 || asked.Spent >= route.Attempts {
 		return nil
 	}
-	services := make([]string, 0, len(ask.Shards))
-	for _, index := range ask.Shards {
-		if index < 0 || index >= len(entry.Gathered) {
-			return nil
-		}
-		services = append(services, entry.Gathered[index])
-	}
+	services := servicesOf(route, asked.Shards)
 	if len(services) == 0 {
 		return nil
 	}
-	now := time.Now()
 	request := &Request{
 		Leaf: leafhttp.Request{
-			ID: ask.ID, Method: ask.Method, Target: ask.Target, Host: ask.Host, Header: ask.Header, Body: ask.Body, HasBody: ask.HasBody,
+			ID: asked.ID, Method: asked.Method, Target: asked.Target, Host: asked.Host, Header: asked.Header, Body: asked.Body, HasBody: asked.HasBody,
 		},
-		Path: path, Caller: ask.Caller, Arrived: now,
+		Path: path, Caller: asked.Caller, Arrived: time.Now(),
 	}
-	objective := now.Add(time.Duration(ask.ObjectiveMicros) * time.Microsecond)
-	asked := &routedRequest{
-		Request: request, fingerprint: g.config.fingerprintOf(request), route: entry, table: table, rootID: ask.Root, requiredParts: ask.Required,
-		deadline:  now.Add(time.Duration(ask.DeadlineMicros) * time.Microsecond),
-		objective: objective, answerBy: objective.Add(-g.lag.expected(entry.Objective)), lateAfter: objective,
+	routed := &routedRequest{
+		Request: request, fingerprint: g.config.fingerprintOf(request), route: route, table: table, rootID: asked.Root, requiredParts: asked.Required,
 	}
-	return &execution{gateway: g, request: asked, services: services, spentAttempts: ask.Spent}
+	g.setGroupTimes(routed, asked)
+	return &execution{gateway: g, request: routed, services: services, spentAttempts: asked.Spent}
 }
 
-// answerOf puts some parts as the root is told of them.
-func (e *execution) answerOf(parts []*leafhttp.Response) servingtree.Answer {
+// servicesOf returns the services of some shards of a gathered route; nil if a shard is none of the route's.
+func servicesOf(route *routing.Entry, shards []int) []string {
+	services := make([]string, 0, len(shards))
+	for _, index := range shards {
+		if index < 0 || index >= len(route.Gathered) {
+			return nil
+		}
+		services = append(services, route.Gathered[index])
+	}
+	return services
+}
+
+// mergeParts merges parts into the answer for the root.
+func (e *execution) mergeParts(parts []*leafhttp.Response) servingtree.Answer {
 	answer := servingtree.Answer{Stamps: make([]string, len(parts))}
 	bodies := make([][]byte, 0, len(parts))
 	for index, part := range parts {
@@ -105,49 +114,3 @@
 	answer.Records = topRecords(bodies, e.request.route.TopRecords)
 	return answer
 }
-
-// partial are the parts of a group that the root was not told of yet; safe for concurrent use.
-type partBuffer struct {
-	mu    sync.Mutex
-	parts []*leafhttp.Response // by shard
-	had   bool                 // there was any part
-	ended bool
-}
-
-func newPartBuffer(shards int) *partBuffer {
-	return &partBuffer{parts: make([]*leafhttp.Response, shards)}
-}
-
-// add takes a part.
-func (c *partBuffer) add(shard int, part *leafhttp.Response) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.parts[shard], c.had = part, true
-}
-
-// any reports whether there was any part.
-func (c *partBuffer) any() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.had
-}
-
-// send sends what is in, unless the end came before; the lock keeps it before what end gives.
-func (c *partBuffer) send(put func([]*leafhttp.Response) servingtree.Answer, send func(servingtree.Answer)) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.ended || !c.had {
-		return false
-	}
-	send(put(c.parts))
-	clear(c.parts)
-	return true
-}
-
-// end gives the parts that were not sent.
-func (c *partBuffer) end(put func([]*leafhttp.Response) servingtree.Answer) servingtree.Answer {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.ended = true
-	return put(c.parts)
-}
--- a/internal/request/gateway/lag.go
+++ b/internal/request/gateway/lag.go
@@ -5,22 +5,25 @@
 	"time"
 )
 
-// lagTracker learns how much later than planned a node makes its answers: on a small or busy
-// machine, the timer of an objective, the merge and what waits before it take their time. Answers
-// are planned that much earlier. The zero value knows of no lag; it is safe for concurrent use.
+// lagTracker estimates a delay from samples: how much later than planned this node makes its answers, since timers,
+// merging and queueing take time on a small or busy machine, or how long the round trip to an intermediate takes. What
+// is planned is planned earlier by the estimate. The zero value estimates no lag; it is safe for concurrent use.
 type lagTracker struct {
 	mu  sync.Mutex
 	lag time.Duration
 }
 
-// Shares of the difference that a sample moves the lag by: a longer one counts at once, since an
-// answer that is late costs most of its worth, one that is early costs a few parts.
+// Shares of the difference by which a sample moves the estimate. It rises faster than it falls: a late answer loses
+// most of its worth, one that is sent early only a few parts.
 const (
 	lagRise = 0.5
 	lagFall = 0.1
 )
 
-// observe takes how much later than planned an answer was made.
+// lagObjectiveDivisor bounds the lag that is planned for: a quarter of the objective.
+const lagObjectiveDivisor = 4
+
+// observe records by how much something was late.
 func (l *lagTracker) observe(late time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -32,12 +35,18 @@
 	l.lag += time.Duration(lagFall * difference)
 }
 
-// expected gives the lag to plan for, at most a part of the objective.
+// expected returns the lag to plan for within an objective.
 func (l *lagTracker) expected(objective time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return min(l.lag, objective/lagObjectiveDivisor)
 }
 
-// lagObjectiveDivisor is the part of an objective, as a divisor, that is planned for lag at most.
-const lagObjectiveDivisor = 4
+// observeLag records how much later than planned a partial answer was made. Only answers whose required parts had all
+// arrived before count: others were late for lack of parts.
+func (e *execution) observeLag() {
+	enoughAt := e.summary.SufficientAt
+	if e.isGathered() && !enoughAt.IsZero() && e.summary.SoftDeadlined && enoughAt.Before(e.request.answerBy) {
+		e.gateway.lag.observe(time.Since(e.request.answerBy))
+	}
+}
--- a/internal/request/gateway/topk.go
+++ b/internal/request/gateway/merge.go
@@ -9,18 +9,18 @@
 // recordBytes is the size of one record of a gathered part.
 const recordBytes = 16
 
-// recordHeap is a min-heap of records, so that the least of those kept is at hand.
+// recordHeap is a min-heap of records: the least of the records that are kept is the first.
 type recordHeap [][]byte
 
-// Len, Less, Swap, Push and Pop implement heap.Interface.
+// Len, Less and Swap implement heap.Interface.
 func (h recordHeap) Len() int           { return len(h) }
 func (h recordHeap) Less(i, j int) bool { return bytes.Compare(h[i], h[j]) < 0 }
 func (h recordHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
-// Push adds a record.
+// Push implements heap.Interface.
 func (h *recordHeap) Push(record any) { *h = append(*h, record.([]byte)) }
 
-// Pop takes the last record off.
+// Pop implements heap.Interface.
 func (h *recordHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
@@ -28,8 +28,8 @@
 	return last
 }
 
-// topRecords gives the greatest records of all parts, greatest first, compared byte by byte.
-// Equal records all count. What remains of a part under the size of a record does not.
+// topRecords returns the greatest records of all parts, greatest first, compared byte by byte. Equal records are all
+// kept. An incomplete record at the end of a part is ignored.
 func topRecords(parts [][]byte, limit int) []byte {
 	if limit <= 0 {
 		return nil
--- a/internal/request/gateway/standing.go
+++ b/internal/request/gateway/node_tracker.go
@@ -8,7 +8,8 @@
 	"github.com/portgauge/portgauge/internal/config/catalog"
 )
 
-// standing knows which nodes can be asked to gather; safe for concurrent use.
+// nodeTracker chooses the nodes that are asked to gather groups, by how busy they are and how they did before; it is
+// safe for concurrent use.
 type nodeTracker struct {
 	now func() time.Time
 
@@ -16,9 +17,9 @@
 	nodes map[string]*nodeState // by address
 }
 
-// nodeState is how a node did.
+// nodeState is what is known of a node.
 type nodeState struct {
-	inFlight int
+	inFlight int // groups
 	failures int // in a row
 	// pausedUntil is until when the node is not asked.
 	pausedUntil time.Time
@@ -28,18 +29,22 @@
 	return &nodeTracker{now: time.Now, nodes: map[string]*nodeState{}}
 }
 
-// How long a node is not asked: after it declined, after it said that it leaves, and after it failed,
-// doubling.
 const (
-	declinedPause     = 300 * time.Millisecond
-	leavingPause      = 3 * time.Second
-	failedPause       = time.Second
-	longestPause      = 8 * time.Second
+	// declinedPause is how long a node is not asked after it declined: long enough for a busy node to catch up, or for
+	// one with another routing table to receive the new one.
+	declinedPause = 300 * time.Millisecond
+	// leavingPause is how long a node is not asked after it said that it leaves.
+	leavingPause = 3 * time.Second
+	// failedPause is how long a node is not asked after it failed; it doubles with each failure in a row, up to
+	// longestPause.
+	failedPause      = time.Second
+	longestPause     = 8 * time.Second
+	maximumDoublings = 3
+	// maximumNodeStates bounds the nodes that are kept; beyond it all are forgotten.
 	maximumNodeStates = 4096
 )
 
-// choose gives the less busy of two random nodes among those that fit and can be asked; false when there
-// is none.
+// choose returns the less busy of two random nodes among those that fit and are not paused; false if there is none.
 func (s *nodeTracker) choose(nodes []catalog.NodeRecord, fits func(catalog.NodeRecord) bool) (catalog.NodeRecord, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,14 +66,14 @@
 	return chosen, true
 }
 
-// begin counts a group in that a node is asked for.
+// begin counts a group as in flight at a node.
 func (s *nodeTracker) begin(node catalog.NodeRecord) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.node(node.Tree).inFlight++
 }
 
-// learn takes how a group went that was counted in, and counts it out.
+// end ends the count of begin, and pauses the node by the outcome of the group.
 func (s *nodeTracker) end(node catalog.NodeRecord, outcome GroupOutcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,15 +89,15 @@
 		known.pausedUntil = now.Add(leavingPause)
 	case GroupNeverSent, GroupSilent, GroupBroken:
 		if now.Before(known.pausedUntil) {
-			return // groups that were under way when the node failed
+			return // the group was in flight when the node failed, which counts once
 		}
-		known.pausedUntil = now.Add(min(longestPause, failedPause<<min(known.failures, 3)))
+		known.pausedUntil = now.Add(min(longestPause, failedPause<<min(known.failures, maximumDoublings)))
 		known.failures++
 	case GroupCancelled:
 	}
 }
 
-// node gives what is known of an address. The mutex must be held.
+// node returns the state of the node at an address. The mutex must be held.
 func (s *nodeTracker) node(address string) *nodeState {
 	known, found := s.nodes[address]
 	if !found {
--- /dev/null
+++ b/internal/request/gateway/plan.go
@@ -0,0 +1,50 @@
+package gateway
+
+import (
+	"github.com/portgauge/portgauge/internal/request/routing"
+	"github.com/portgauge/portgauge/internal/request/scatter"
+)
+
+// plan describes the attempts of the request to package scatter, which makes them. What may be asked is decided in
+// candidates.go, hedges and retries in policy.go, and the times in deadlines.go.
+//
+// At its soft deadline, answerBy, a gathered request of a caller is answered with the parts that have arrived if they
+// are enough. A group for another node has no soft deadline: its parts are sent then, and the root decides.
+func (e *execution) plan() scatter.Plan {
+	route := e.request.route
+	e.request.Leaf.AtMostOnce = route.Repeatability == routing.AtMostOnce
+	plan := scatter.Plan{
+		Shards:          make([]scatter.Shard, len(e.services)),
+		Refresh:         e.candidates,
+		Deadline:        e.request.deadline,
+		Groups:          scatterGroups(e.groups),
+		Sufficient:      max(1, e.request.requiredParts),
+		AtMostOnce:      route.Repeatability == routing.AtMostOnce,
+		MaximumAttempts: route.Attempts,
+		MaximumRefusals: e.gateway.config.MaximumRefusals,
+		ReplicaWait:     e.gateway.config.ReplicaWait,
+	}
+	if e.isGathered() && e.partial == nil {
+		plan.SoftDeadline = e.request.answerBy
+	}
+	e.planShards(&plan)
+	e.probeSuspects(&plan)
+	return plan
+}
+
+// planShards sets the candidates and the policy of each shard.
+func (e *execution) planShards(plan *scatter.Plan) {
+	e.targets = make([][]leafTarget, len(e.services))
+	policies := make([]shardPolicy, len(e.services))
+	for index, service := range e.services {
+		policies[index] = shardPolicy{
+			config: &e.gateway.config, service: service, budgets: e.gateway.budgets,
+			latency: e.latency(service), objective: e.request.answerBy,
+		}
+		plan.Shards[index] = scatter.Shard{
+			Candidates: e.candidates(index),
+			Policy:     &policies[index],
+			Spent:      e.spentAttempts,
+		}
+	}
+}
--- a/internal/request/gateway/request.go
+++ b/internal/request/gateway/request.go
@@ -5,37 +5,33 @@
 	"strings"
 	"time"
 
-	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
 	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
-// roundTripObjectiveDivisor is the part of the objective that the ways to a caller may take up at most.
-const roundTripObjectiveDivisor = 2
-
-// Request is one try of a caller.
+// Request is one request of a caller. A caller that sends it again sends another Request.
 type Request struct {
 	// Leaf is what leafs are sent.
 	Leaf leafhttp.Request
 	// Path is the target without its query, as the caller sent it.
 	Path string
-	// Caller is the network address that the request came from, without the port; empty when it is not known.
+	// Caller is the network address that the request came from, without the port; empty if it is not known.
 	Caller string
 	// Arrived is when the request was read.
 	Arrived time.Time
-	// CallerTimeout is how long the caller waits, by its own word; 0 when it says nothing.
+	// CallerTimeout is how long the caller says that it waits; 0 if it says nothing.
 	CallerTimeout time.Duration
-	// RoundTrip is about the time to the caller and back; 0 when it is not known.
+	// RoundTrip estimates the round-trip time to the caller; 0 if it is not known.
 	RoundTrip time.Duration
-	// ConnectTime is about what the caller spent on a connection for this request; 0 when it had one.
+	// ConnectTime estimates what the caller spent on opening a connection for this request; 0 if it had one.
 	ConnectTime time.Duration
 }
 
 // Answer is a success, or a leaf's own failure that is passed on.
 type Answer struct {
 	Status int
-	// Header is what the leaf sent, less what concerns one connection; nil for gathered answers.
+	// Header is the leaf's header without the fields that concern one connection; nil for gathered answers.
 	Header http.Header
 	Body   []byte
 	// Stamps are the signatures of a gathered answer's parts; nil for other answers.
@@ -44,10 +40,10 @@
 	Missing int
 }
 
-// routedRequest is a request with its route and times, routed for its life.
+// routedRequest is a request with the route and times that it keeps until its end, whatever the configuration becomes.
 type routedRequest struct {
 	*Request
-	// content tells tries of the same request from those of others.
+	// fingerprint is the same for all times that a caller sends the request.
 	fingerprint fingerprint.Fingerprint
 	route       *routing.Entry
 	table       *routing.Table
@@ -55,42 +51,31 @@
 	deadline time.Time
 	// objective is when the answer must be made to have its full worth.
 	objective time.Time
-	// planned is the objective less this node's lag: when an answer with parts missing is made.
+	// answerBy is the objective less this node's lag: when a partial answer is sent if it has enough parts.
 	answerBy time.Time
-	// late is from when an answer that goes out has lost some of its worth.
+	// lateAfter is from when an answer that is sent counts as late.
 	lateAfter time.Time
-	// required is the least number of parts that is of use.
+	// requiredParts is the least number of parts that an answer must have.
 	requiredParts int
-	// root is the node that the request is gathered for; empty when it is this one.
+	// rootID is the node that the request is gathered for; empty if it is this one.
 	rootID string
 }
 
-// routeRequest finds the route of a request in the table in force.
+// routeRequest finds the route of a request in the table in force and sets its times.
 func (g *Gateway) routeRequest(request *Request) (*routedRequest, error) {
-	table := g.catalog.View().Routes
-	if table == nil {
-		return nil, failure.New(failure.NotReady, failure.NotRun, "the node has no routes yet").WithRetryAfter(notReadyRetryAfter)
-	}
-	entry := table.Match(request.Leaf.Host, request.Path)
-	if entry == nil {
-		return nil, failure.New(failure.UnknownRoute, failure.NotRun, "no route for host %q and path %q in version %d", request.Leaf.Host, request.Path, table.Version)
+	table, route, err := g.findRoute(request)
+	if err != nil {
+		return nil, err
 	}
-	routed := &routedRequest{Request: request, fingerprint: g.config.fingerprintOf(request), route: entry, table: table, deadline: request.Arrived.Add(entry.Timeout), requiredParts: entry.RequiredParts}
-	routed.objective = request.Arrived.Add(entry.Objective - g.timeElsewhere(request, entry))
-	routed.answerBy = routed.objective.Add(-g.lag.expected(entry.Objective))
-	routed.lateAfter = routed.objective.Add(g.config.ObjectiveReserve)
-	if request.CallerTimeout > 0 {
-		reserve := min(g.config.AnswerReserve+request.RoundTrip, request.CallerTimeout/4)
-		patient := request.Arrived.Add(request.CallerTimeout - reserve)
-		if patient.Before(routed.deadline) {
-			routed.deadline = patient
-		}
+	routed := &routedRequest{
+		Request: request, fingerprint: g.config.fingerprintOf(request), route: route, table: table, requiredParts: route.RequiredParts,
 	}
+	g.setTimes(routed)
 	return routed, nil
 }
 
-// fingerprintOf gives the fingerprint of a request. With the query and the network address in it, each of 40 tries of a
-// request that ended leafs was taken for another request.
+// fingerprintOf returns the fingerprint by which a request that is sent again is recognised. It leaves out whatever
+// callers change between two times: the address, and the query unless the configuration says otherwise.
 func (c Config) fingerprintOf(request *Request) fingerprint.Fingerprint {
 	content := fingerprint.Content{Method: request.Leaf.Method, Host: request.Leaf.Host, Path: request.Path, Body: request.Leaf.Body}
 	if c.CallerHeader != "" {
@@ -102,22 +87,7 @@
 	return fingerprint.Of(content)
 }
 
-// elsewhere estimates the part of the objective that is not this node's to use: what the caller
-// spent before the request came, and the ways here and back.
-func (g *Gateway) timeElsewhere(request *Request, entry *routing.Entry) time.Duration {
-	ways := min(request.RoundTrip+g.config.ObjectiveReserve, entry.Objective/roundTripObjectiveDivisor)
-	spent := request.ConnectTime
-	if request.CallerTimeout > 0 {
-		spent = max(spent, g.timeouts.spent(entry, request.CallerTimeout))
-	}
-	if spent+ways >= entry.Objective {
-		// The objective is lost, or this caller just waits for less than others do.
-		return ways
-	}
-	return spent + ways
-}
-
-// service gives what operators say of a service.
+// service returns the configuration of a service; only the name is set if there is none.
 func (r *routedRequest) service(name string) routing.Service {
 	service, found := r.table.Service(name)
 	if !found {
--- a/internal/request/gateway/root.go
+++ b/internal/request/gateway/root.go
@@ -10,42 +10,42 @@
 	"github.com/portgauge/portgauge/internal/request/servingtree"
 )
 
-// Fleet gives the nodes that gather requests; registry.Census is the real one.
+// Fleet lists the nodes that may gather groups; registry.Census implements it.
 type Fleet interface {
 	Gatherers() []catalog.NodeRecord
 	// IsGatherer reports whether this node is one of them.
 	IsGatherer() bool
 }
 
-// Intermediates passes groups on to other nodes; servingtree.Client is the real one.
+// Intermediates sends groups to other nodes; servingtree.Client implements it.
 type Intermediates interface {
-	Start(address string, ask servingtree.Request) *servingtree.Call
-	// DropSilent closes the connection to a node if nothing came from there for so long.
+	Start(address string, request servingtree.Request) *servingtree.Call
+	// DropSilent closes the connection to a node if nothing was received on it for that long.
 	DropSilent(address string, silence time.Duration, cause error)
 }
 
-// group is the services that one other node gathers.
+// group is a set of shards that one other node is asked to gather.
 type group struct {
 	node catalog.NodeRecord
-	// zones are those whose nodes can gather it.
+	// zones are those whose nodes can gather the group as well.
 	zones map[string]bool
 	// shards are indices into the route's services.
 	shards []int
 }
 
-// scatterGroups puts groups as the scatter engine takes them.
+// scatterGroups converts groups for package scatter.
 func scatterGroups(groups []group) []scatter.Group {
 	if len(groups) == 0 {
 		return nil
 	}
-	plain := make([]scatter.Group, len(groups))
+	converted := make([]scatter.Group, len(groups))
 	for index, group := range groups {
-		plain[index] = scatter.Group{Shards: group.shards}
+		converted[index] = scatter.Group{Shards: group.shards}
 	}
-	return plain
+	return converted
 }
 
-// root is the side of the serving tree that asks other nodes to gather.
+// root chooses the groups of a request that other nodes gather, and those nodes.
 type root struct {
 	self          catalog.NodeRecord
 	fleet         Fleet
@@ -53,13 +53,13 @@
 	placement     *placement
 	nodes         *nodeTracker
 	zones         *reachability.Tracker
-	// hop is what the ways to and from an intermediate take.
+	// hop estimates the round-trip time to an intermediate.
 	hop lagTracker
 }
 
-// initialHop is what the ways to and from an intermediate are taken for until that is learnt: two ways
-// between zones of 1 to 1.5 ms, and as much for two nodes to read and write a line. A root of a large
-// fleet makes so few requests that it would learn it late.
+// initialHop is the estimate of the round trip to an intermediate until it is measured: two trips between zones of 1 to
+// 1.5 ms, and as much for both nodes to write and read a message. A root of a large fleet makes so few requests that it
+// would take long to learn it.
 const initialHop = 5 * time.Millisecond
 
 func newRoot(deps Deps) *root {
@@ -70,28 +70,58 @@
 	}
 }
 
-// minimumGroup is how many services a group must have to be worth a hop.
+// minimumGroup is how many shards a group must have to be worth the round trip to another node.
 const minimumGroup = 3
 
-// groups gives the services of a route that other nodes gather: those of other zones, by a node
-// there, and, where others of the own zone have far more processors, the rest, by one of them.
-func (r *root) groups(entry *routing.Entry) []group {
+// groups returns the groups of a route that other nodes gather:
+//
+//   - the shards without a leaf in this node's zone, by a node of a zone that has their leafs, since one merged answer
+//     crosses zones instead of many parts;
+//   - the other shards, by another node of this zone, unless this node is one of the fleet's gatherers. Nodes with far
+//     fewer processors than others of their zone are not: the gatherers keep the connections to leafs.
+//
+// Groups below minimumGroup, and those for which no node can be asked, are left to this node.
+func (r *root) groups(route *routing.Entry) []group {
 	isGatherer := r.fleet.IsGatherer()
 	var groups []group
-	for _, part := range r.placement.of(entry) {
-		if len(part.shards) < minimumGroup || part.zones[r.self.Zone] && isGatherer {
+	for _, placed := range r.placement.of(route) {
+		if len(placed.shards) < minimumGroup || placed.zones[r.self.Zone] && isGatherer {
 			continue
 		}
-		if node, found := r.choose(part.zones); found {
-			groups = append(groups, group{node: node, zones: part.zones, shards: part.shards})
+		if node, found := r.choose(placed.zones); found {
+			groups = append(groups, group{node: node, zones: placed.zones, shards: placed.shards})
 		}
 	}
 	return groups
 }
 
-// choose gives another node in one of some zones that can be asked to gather; false when there is none.
+// choose returns another node, in one of the zones and reachable, that can be asked to gather; false if there is none.
 func (r *root) choose(zones map[string]bool) (catalog.NodeRecord, bool) {
 	return r.nodes.choose(r.fleet.Gatherers(), func(node catalog.NodeRecord) bool {
 		return node.Tree != "" && node.ID != r.self.ID && zones[node.Zone] && r.zones.Reaches(node.Zone)
 	})
 }
+
+// chooseGroups returns the groups of the request that other nodes gather. While crashing requests are known, at least
+// one shard is left to this node for the attempt that goes ahead.
+func (e *execution) chooseGroups() []group {
+	groups := e.gateway.root.groups(e.request.route)
+	if e.tracked != nil && e.tracked.IsAlert() {
+		return keepOneShard(groups, len(e.services))
+	}
+	return groups
+}
+
+// assignGroups sets the groups that other nodes are asked for before this node asks the leafs itself.
+func (e *execution) assignGroups(groups []group) {
+	e.groups = groups
+	e.inGroup = make([]bool, len(e.services))
+	for _, group := range groups {
+		for _, shard := range group.shards {
+			e.inGroup[shard] = true
+		}
+	}
+}
+
+// isInGroup reports whether another node is asked for a shard first.
+func (e *execution) isInGroup(shard int) bool { return len(e.groups) > 0 && e.inGroup[shard] }
--- a/internal/request/gateway/woke.go
+++ b/internal/request/gateway/suspension.go
@@ -6,12 +6,11 @@
 	"time"
 )
 
-// errSuspended ends the work on a request whose deadline passed while the machine was suspended. Timers and deadlines
-// stand still meanwhile: without it the caller, if there still is one, would be held for as long again, and leafs would
-// be given time that the caller does not have.
-var errSuspended = errors.New("the machine was suspended beyond the request's deadline")
+// errSuspended ends a request whose deadline passed while the machine was suspended. The clock of timers and deadlines
+// stops during a suspension: otherwise the caller would be kept waiting, and leafs given time, for as long again.
+var errSuspended = errors.New("the machine was suspended past the request's deadline")
 
-// inFlight are the requests that are being worked on; safe for concurrent use. The zero value is empty.
+// inFlight is the set of executions in flight; it is safe for concurrent use and its zero value is empty.
 type inFlight struct {
 	mu         sync.Mutex
 	executions map[*execution]struct{}
@@ -32,7 +31,8 @@
 	delete(u.executions, e)
 }
 
-// Resumed has requests that came before a suspension of the machine end by their deadlines as their callers count them.
+// Resumed notifies the gateway that the machine was suspended for some time. Requests that arrived before have that
+// much less time, and those whose deadline has passed are ended.
 func (g *Gateway) Resumed(slept time.Duration) {
 	g.inFlight.mu.Lock()
 	defer g.inFlight.mu.Unlock()
@@ -44,7 +44,8 @@
 	}
 }
 
-// deadline gives when the answer must be on its way, by the steady clock: earlier by what the machine slept.
+// deadline returns when the answer must be on its way by the monotonic clock, which stops while the machine is
+// suspended.
 func (e *execution) deadline() time.Time {
 	return e.request.deadline.Add(-time.Duration(e.slept.Load()))
 }
--- a/internal/request/gateway/warm.go
+++ b/internal/request/gateway/warm.go
@@ -9,11 +9,13 @@
 	"github.com/portgauge/portgauge/internal/rollout/canary"
 )
 
-// maximumWarmed bounds the connections that a node opens before its first request.
+// Connections are opened before requests need them: a first request that had to open one to a leaf of every shard would
+// spend most of its objective on it.
+
+// maximumWarmed bounds the services to which a node opens connections ahead of requests.
 const maximumWarmed = 512
 
-// Warm opens a connection to one leaf of each gathered service that this node has a part of: a
-// first request that had to open all of them would spend most of its objective on it.
+// Warm opens a connection to one leaf of each gathered service that this node has a share of.
 func (g *Gateway) Warm() {
 	table := g.catalog.View().Routes
 	if table == nil {
@@ -30,37 +32,37 @@
 			if known, found := table.Service(service); found {
 				limit = known.MaximumConnections
 			}
-			g.warmOne(service, limit)
+			g.warmService(service, limit)
 		}
 	}
 }
 
-// warmOne opens a connection to the leaf that a first request would ask.
-func (g *Gateway) warmOne(service string, limit int) {
+// warmService opens a connection to the leaf that a first request would ask.
+func (g *Gateway) warmService(service string, limit int) {
 	var targets []leafTarget
 	choice := g.balancer.Choose(g.askableLeafs(service, true, limit, g.undrawnVersions(service), &targets), nil)
 	if choice.Leaf != nil {
-		g.warmFirst(choice.Leaf.ID, targets)
+		g.warmLeaf(choice.Leaf.ID, targets)
 	}
 }
 
-// warmFirst opens a connection to the leaf of an id among targets, if this node has a part of it and no connection
+// warmLeaf opens a connection to the leaf of an id among the targets, if this node has a share of it and no connection
 // to any of them.
-func (g *Gateway) warmFirst(id string, targets []leafTarget) {
+func (g *Gateway) warmLeaf(id string, targets []leafTarget) {
 	first := slices.IndexFunc(targets, func(target leafTarget) bool { return target.Incarnation == id })
 	if first < 0 || targets[first].Connections == 0 {
 		return
 	}
-	ways := make([]leafhttp.Target, 0, len(targets))
+	ordered := make([]leafhttp.Target, 0, len(targets))
 	for _, target := range targets {
-		ways = append(ways, target.Target)
+		ordered = append(ordered, target.Target)
 	}
-	ways[0], ways[first] = ways[first], ways[0]
-	g.leafs.Warm(ways)
+	ordered[0], ordered[first] = ordered[first], ordered[0]
+	g.leafs.Warm(ordered)
 }
 
-// warmTrials opens a connection to a leaf of each version on trial that draws from here would go to, once for each
-// order; the orders done are in warmed.
+// warmTrials opens a connection to a leaf of each version on trial that this node's canary draws would go to, once for
+// each rollout order. warmed has the orders that are done, by service.
 func (g *Gateway) warmTrials(warmed map[string]int64) {
 	view := g.catalog.View()
 	for service := range warmed {
@@ -79,7 +81,8 @@
 	}
 }
 
-// warmTrial opens a connection to the leaf on trial that comes first by now, and reports whether there is any.
+// warmTrial opens a connection to the leaf on trial that draws go to first, and reports whether there is any leaf on
+// trial.
 func (g *Gateway) warmTrial(view *catalog.View, service string) bool {
 	leafs := g.canary.Focus(service, view.Leafs.OnTrial(service))
 	if len(leafs) == 0 || view.Routes == nil {
@@ -90,19 +93,18 @@
 	g.askableLeafs(service, view.Routes.IsGathered(service), known.MaximumConnections, canary.Trial, &targets)
 	for _, leaf := range leafs {
 		if slices.ContainsFunc(targets, func(target leafTarget) bool { return target.Incarnation == leaf.ID && target.Connections > 0 }) {
-			g.warmFirst(leaf.ID, targets)
+			g.warmLeaf(leaf.ID, targets)
 			break
 		}
 	}
 	return true
 }
 
-// changeBacklog is how many changes of configuration may wait to be looked at.
+// changeBacklog is how many changes of the catalog may wait for KeepWarm; one is enough to have it look at the newest.
 const changeBacklog = 16
 
-// KeepWarm opens connections for the services that the configuration gathers, and for those of each
-// new one, as when an index was cut into other shards, until the context ends. Orders to move a service to another
-// version are learned of as they come, and connections opened to the leafs of that version.
+// KeepWarm opens connections for the services that the configuration in force gathers, again for each new
+// configuration, and for each version that goes on trial, until the context ends.
 func (g *Gateway) KeepWarm(ctx context.Context) {
 	changes, stop := g.catalog.Subscribe(changeBacklog)
 	defer stop()
@@ -124,7 +126,7 @@
 	}
 }
 
-// followTrials learns of new orders, and warms the versions on trial.
+// followTrials reads new rollout orders, and warms the versions on trial.
 func (g *Gateway) followTrials(warmed map[string]int64) {
 	if g.canary == nil {
 		return
--- a/internal/request/gateway/reach.go
+++ b/internal/request/gateway/zones.go
@@ -9,21 +9,21 @@
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
-// minimumUnanswered is how long an attempt must have been out without an answer to say anything of the zone
-// of its leaf: the ways between near zones and the work of a fast leaf take less. It is not measured; one
-// that is too short only has a zone looked at for nothing.
+// minimumUnanswered is how long an attempt must go without an answer to count as a sign that its leaf's zone is
+// unreachable: more than a round trip between near zones and the work of a fast leaf. If it is too short, the zone is
+// only probed in vain.
 const minimumUnanswered = 20 * time.Millisecond
 
-// inReach leaves out the candidates of lost zones.
-func (g *Gateway) inReach(candidates []balancer.Candidate) []balancer.Candidate {
+// inReachableZones removes the candidates in unreachable zones.
+func (g *Gateway) inReachableZones(candidates []balancer.Candidate) []balancer.Candidate {
 	if !g.zones.AnyLost() {
 		return candidates
 	}
 	return slices.DeleteFunc(candidates, func(candidate balancer.Candidate) bool { return !g.zones.Reaches(candidate.Zone) })
 }
 
-// observeZone learns from the end of an attempt whether the zone of its leaf is in reach. A connection that
-// was refused or reset tells nothing: a leaf that died may do so from anywhere.
+// observeZone reports to the reachability tracker what the end of an attempt says of its leaf's zone. A connection
+// that is refused or reset at once says nothing: a crashed leaf's machine does the same in any zone.
 func (g *Gateway) observeZone(leaf *balancer.Leaf, result scatter.Result[leafhttp.Response], took time.Duration) {
 	switch result.Outcome {
 	case balancer.Succeeded, balancer.Shed, balancer.Drained, balancer.Declined:
@@ -38,7 +38,7 @@
 	}
 }
 
-// observeZone learns from the end of a group whether the zone of the node that was asked is in reach.
+// observeZone reports to the reachability tracker what the end of a group says of the zone of the node that was asked.
 func (p *groupCall) observeZone(outcome GroupOutcome) {
 	zone := p.group.node.Zone
 	switch outcome {
