--- a/internal/request/front/caller_test.go
+++ b/internal/request/front/connection_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// loopback gives the accepted end of a connection.
+// loopback returns the accepted end of a connection.
 func loopback(t *testing.T) net.Conn {
 	t.Helper()
 	is := is.New(t)
@@ -24,19 +24,19 @@
 	return accepted
 }
 
-// The first request of a connection that was opened for it has cost one more way to the caller and back;
-// the next one has not, nor has the first of a connection that rested.
+// The first request of a connection that was opened for it has cost one more round trip; the next one has not, nor has
+// the first of a connection that was idle.
 func TestConnectingCountsForTheFirstRequest(t *testing.T) {
 	is := is.New(t)
 	openedAt := time.Now()
-	opened := &caller{connection: loopback(t), openedAt: openedAt}
-	trip, connecting := opened.ways(openedAt)
+	opened := &callerConnection{conn: loopback(t), openedAt: openedAt}
+	trip, connecting := opened.networkTimes(openedAt)
 	is.True(trip > 0)
 	is.Equal(connecting, trip)
-	_, connecting = opened.ways(openedAt)
+	_, connecting = opened.networkTimes(openedAt)
 	is.Equal(connecting, time.Duration(0))
 
-	rested := &caller{connection: loopback(t), openedAt: openedAt}
-	_, connecting = rested.ways(openedAt.Add(time.Minute))
+	idle := &callerConnection{conn: loopback(t), openedAt: openedAt}
+	_, connecting = idle.networkTimes(openedAt.Add(time.Minute))
 	is.Equal(connecting, time.Duration(0))
 }
--- a/internal/request/front/server.go
+++ b/internal/request/front/front.go
@@ -1,7 +1,10 @@
-// Package front serves callers that speak plain HTTP/1.1, by the routing table.
+// Package front is the HTTP/1.1 server for callers.
 //
-// It turns a request into one of the gateway and the answer or failure back into HTTP, keeps the
-// limits that operators set, and tells whoever sends connections here whether to go on.
+// It converts a request to a gateway.Request, and the gateway's answer or failure to HTTP; it enforces the limits that
+// operators set on headers, bodies and connections, and answers the readiness check of load balancers. It owns the
+// callers' connections with a timer for each, and runs the handlers of http.Server, a goroutine for each connection. It
+// relies on a Backend, the gateway, for answers, limits and readiness, and on package roundtrip for network times. Its
+// failures have a JSON body and, if the request may be sent again, a Retry-After in seconds.
 package front
 
 import (
@@ -22,33 +25,33 @@
 	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
-// Backend answers requests; *gateway.Gateway is the real one.
+// Backend answers requests; *gateway.Gateway implements it.
 type Backend interface {
 	Serve(ctx context.Context, request *gateway.Request) (*gateway.Answer, error)
 	Ready() bool
 	Limits() routing.Limits
 }
 
-// headerReserve is how many bytes beyond the operators' limit a header may have before the
-// library cuts it off; below that the limit is enforced here, with a typed failure.
+// headerReserve is the size in bytes from which net/http refuses a header by itself. Below, the operators' limit is
+// enforced here, with a typed failure.
 const headerReserve = 1 << 20
 
 // Server serves callers; create it with NewServer.
 type Server struct {
-	backend Backend
-	dialect httpnames.Names
-	logger  *zap.Logger
-	guard   *connectionGuard
-	http    *http.Server
-	// giveUp ends the work on requests that run, so that they get a final answer.
+	backend  Backend
+	dialect  httpnames.Names
+	logger   *zap.Logger
+	timeouts *connectionTimeouts
+	http     *http.Server
+	// giveUp cancels the requests in flight, so that their callers get an answer.
 	giveUp context.CancelFunc
-	// leaving is set from the announcement of a planned stop on.
+	// leaving is set when a planned stop is announced.
 	leaving atomic.Bool
 }
 
-// NewServer makes a server that does not listen yet.
+// NewServer returns a server that does not listen yet.
 func NewServer(backend Backend, dialect httpnames.Names, logger *zap.Logger) *Server {
-	server := &Server{backend: backend, dialect: dialect, logger: logger, guard: newConnectionGuard(backend.Limits)}
+	server := &Server{backend: backend, dialect: dialect, logger: logger, timeouts: newConnectionTimeouts(backend.Limits)}
 	router := newRouter()
 	router.RedirectTrailingSlash = false
 	router.NoRoute(func(c *gin.Context) { server.serve(c.Writer, c.Request) })
@@ -58,21 +61,21 @@
 		BaseContext:                  func(net.Listener) context.Context { return requests },
 		Handler:                      router,
 		MaxHeaderBytes:               headerReserve,
-		ConnState:                    server.guard.changed,
-		ConnContext:                  withCaller,
+		ConnState:                    server.timeouts.stateChanged,
+		ConnContext:                  withConnection,
 		DisableGeneralOptionsHandler: true,
 		ErrorLog:                     log.New(io.Discard, "", 0),
 	}
 	return server
 }
 
-// newRouter makes a router that writes nothing to the output, which belongs to the logs.
+// newRouter returns a router that writes nothing to standard output, which is for the logs.
 func newRouter() *gin.Engine {
 	gin.SetMode(gin.ReleaseMode)
 	return gin.New()
 }
 
-// ReadinessHandler answers 200 while the node wants new connections, else 503.
+// ReadinessHandler returns a handler that answers 200 while callers should connect to this node, and 503 otherwise.
 func (s *Server) ReadinessHandler() http.Handler {
 	router := newRouter()
 	router.GET(s.dialect.ReadinessPath, func(c *gin.Context) {
@@ -85,7 +88,7 @@
 	return router
 }
 
-// Ready reports whether callers should open connections here.
+// Ready reports whether callers should connect to this node.
 func (s *Server) Ready() bool { return s.backend.Ready() && !s.leaving.Load() }
 
 // Serve serves connections of a listener until the server is shut down.
@@ -96,16 +99,16 @@
 	}
 }
 
-// Announce begins a planned stop: the node is not ready any more, and answers ask callers to
-// close their connections, but requests are still served.
+// Announce begins a planned stop: the node is no longer ready, and its answers ask callers to close their connections,
+// but requests are still served.
 func (s *Server) Announce() { s.leaving.Store(true) }
 
-// answerReserve is how long before the end of a planned stop requests that still run are given
-// up, so that their callers get a final answer instead of a closed connection.
+// answerReserve is how long before the end of a planned stop the requests in flight are given up, so that their callers
+// get an answer instead of a closed connection.
 const answerReserve = 200 * time.Millisecond
 
-// Shutdown closes the listener and resting connections and waits for requests in flight. Those
-// that run nearly until the context ends are given up; then it closes what is left.
+// Shutdown closes the listener and idle connections, and waits for the requests in flight. It gives them up shortly
+// before the context ends, and then closes the connections that are left.
 func (s *Server) Shutdown(ctx context.Context) error {
 	if deadline, bounded := ctx.Deadline(); bounded {
 		timer := time.AfterFunc(time.Until(deadline)-answerReserve, s.giveUp)
--- a/internal/request/front/front_test.go
+++ b/internal/request/front/front_test.go
@@ -25,7 +25,7 @@
 
 var dialect = httpnames.Default()
 
-// scriptedBackend answers by a function.
+// scriptedBackend is a Backend whose answers a function makes.
 type scriptedBackend struct {
 	serve  func(ctx context.Context, request *gateway.Request) (*gateway.Answer, error)
 	ready  atomic.Bool
@@ -54,7 +54,7 @@
 	return server, backend, listener.Addr().String()
 }
 
-// exchange sends bytes on a connection of its own and reads one answer.
+// exchange sends bytes on a new connection and reads one answer.
 func exchange(t *testing.T, address, content string) (*http.Response, string) {
 	t.Helper()
 	connection, err := net.Dial("tcp4", address)
@@ -92,7 +92,7 @@
 	is.Equal(response.StatusCode, 201)
 	is.Equal(body, "body")
 	is.Equal(response.Header.Get("X-Leaf"), "1")
-	is.Equal(response.Header.Get("Content-Type"), "") // none was named by the leaf
+	is.Equal(response.Header.Get("Content-Type"), "") // the leaf named none
 	is.Equal(seen.Leaf.Target, "/a/%2Fb?q=%20")
 	is.Equal(seen.Path, "/a/%2Fb")
 	is.Equal(seen.Leaf.ID, "r1")
@@ -113,7 +113,7 @@
 	is.Equal(body, "records")
 }
 
-// 503 is said only where nothing ran, with when to come back.
+// The status is 503, with Retry-After, only if nothing ran.
 func TestFailuresHaveTheirStatus(t *testing.T) {
 	cases := []struct {
 		failed *failure.Failure
@@ -167,7 +167,7 @@
 	}
 }
 
-// A caller that closes its connection ends the work for it within milliseconds.
+// A caller that closes its connection cancels its request within milliseconds.
 func TestACallerThatLeavesCancels(t *testing.T) {
 	is := is.New(t)
 	ended := make(chan struct{})
@@ -185,11 +185,12 @@
 	select {
 	case <-ended:
 	case <-time.After(5 * time.Second):
-		is.Fail() // the work went on
+		is.Fail() // the request was not cancelled
 	}
 }
 
-// A planned stop is not ready at once, asks for closed connections, and cuts nothing.
+// From the announcement of a planned stop the node is not ready and asks for closed connections, but requests in flight
+// are answered.
 func TestPlannedStopCutsNothing(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
@@ -219,7 +220,7 @@
 	is.NoErr(<-stopped)
 }
 
-// A request that runs until the end of a planned stop gets a final answer that promises nothing.
+// A request in flight at the end of a planned stop is answered, with a status that does not promise "not run".
 func TestPlannedStopAnswersWhatItGivesUp(t *testing.T) {
 	is := is.New(t)
 	server, _, address := start(t, func(ctx context.Context, _ *gateway.Request) (*gateway.Answer, error) {
@@ -245,8 +246,7 @@
 	is.True(!server.Ready())
 }
 
-// Limits that change apply to connections that are open already.
-// Callers that keep their connections are told to open others while the node is not ready, and only then.
+// Answers ask callers to close their connections while the node is not ready, and only then.
 func TestConnectionsAreGivenUpWhileNotReady(t *testing.T) {
 	is := is.New(t)
 	_, backend, address := start(t, func(context.Context, *gateway.Request) (*gateway.Answer, error) {
@@ -263,6 +263,7 @@
 	is.True(!response.Close)
 }
 
+// Limits that change apply to connections that are open already.
 func TestLimitsInForceAreKept(t *testing.T) {
 	is := is.New(t)
 	_, backend, address := start(t, func(context.Context, *gateway.Request) (*gateway.Answer, error) {
@@ -279,7 +280,7 @@
 	is.NoErr(err)
 	is.NoErr(connection.SetReadDeadline(time.Now().Add(5 * time.Second)))
 	_, err = reader.ReadByte()
-	is.Equal(err, io.EOF) // closed after its rest
+	is.Equal(err, io.EOF) // closed after the idle timeout
 
 	slow, err := net.Dial("tcp4", address)
 	is.NoErr(err)
@@ -288,10 +289,10 @@
 	is.NoErr(err)
 	is.NoErr(slow.SetReadDeadline(time.Now().Add(5 * time.Second)))
 	_, err = bufio.NewReader(slow).ReadByte()
-	is.Equal(err, io.EOF) // closed as its header never came
+	is.Equal(err, io.EOF) // closed after the header timeout
 }
 
-// The time for the header does not bound the body.
+// The header timeout does not apply to the body.
 func TestASlowBodyIsNoSlowHeader(t *testing.T) {
 	is := is.New(t)
 	_, backend, address := start(t, func(_ context.Context, request *gateway.Request) (*gateway.Answer, error) {
--- a/internal/request/httpnames/httpnames.go
+++ b/internal/request/httpnames/httpnames.go
@@ -1,33 +1,33 @@
 // Package httpnames names the headers and paths that portgauge speaks over HTTP.
 //
-// The product has names of its own; a platform that its users run may have others. The names
-// are the whole difference: what is meant by them is the same everywhere.
+// The product has names of its own; a platform that its users run may have others for the same headers and paths. The
+// package has no state and relies on nothing.
 package httpnames
 
 // Names is one set of names. Header names are in canonical form.
 type Names struct {
-	// RequestID identifies one try of a caller; leafs echo it.
+	// RequestID identifies one sending of a caller's request; leafs echo it.
 	RequestID string
-	// DeadlineMillis is how many milliseconds the sender will wait.
+	// DeadlineMillis is how many milliseconds the sender waits for the answer.
 	DeadlineMillis string
-	// ResponseStamp is a leaf's signature of its answer, passed on unchanged.
+	// ResponseStamp is a leaf's signature of its answer; it is passed on unchanged.
 	ResponseStamp string
-	// ExpectedIncarnation names the leaf that a request is for; any other refuses it.
+	// ExpectedIncarnation names the leaf that a request is for; any other leaf refuses the request.
 	ExpectedIncarnation string
-	// NotExecuted marks a leaf's answer to a request that it did not run.
+	// NotExecuted marks the answer of a leaf that did not run the request.
 	NotExecuted string
-	// ServerLoad holds a leaf's running and waiting requests and its slots, and perhaps how long its work
-	// takes now in hundredths of the usual, joined by commas.
+	// ServerLoad has a leaf's load, separated by commas: running requests, waiting requests, slots and, optionally, the
+	// current run time as a percentage of the usual one.
 	ServerLoad string
-	// PartStamps lists the signatures of a gathered answer's parts.
+	// PartStamps lists the signatures of a gathered answer's parts, separated by commas.
 	PartStamps string
 	// MissingParts is how many parts a gathered answer lacks.
 	MissingParts string
-	// ReadinessPath answers 200 while a node wants new connections.
+	// ReadinessPath answers 200 while callers should connect to a node.
 	ReadinessPath string
 }
 
-// Default gives the product's own names.
+// Default returns the product's own names.
 func Default() Names {
 	return Names{
 		RequestID:           "Portgauge-Request-Id",
--- a/internal/request/roundtrip/roundtrip.go
+++ b/internal/request/roundtrip/roundtrip.go
@@ -1,4 +1,7 @@
-// Package roundtrip tells how long the way to the other end of a connection and back takes.
+// Package roundtrip returns the kernel's estimate of the round-trip time of a TCP connection.
+//
+// It has no state; it reads TCP_INFO of the socket at each call. Other connections have no estimate. Times are
+// durations with the kernel's resolution of a microsecond.
 package roundtrip
 
 import (
@@ -8,21 +11,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// Estimate is the kernel's estimate of the way to the other end and back; the zero value where it has none.
+// Estimate is an estimate of a connection's round-trip time; the zero value means that there is none.
 type Estimate struct {
 	Mean time.Duration
-	// Deviation is by how much a way usually differs from the mean.
+	// Deviation is the mean deviation from the mean.
 	Deviation time.Duration
 }
 
-// rareDeviations is how many mean deviations beyond the mean few ways take. Where ways were 6.4 ms with a
-// deviation of 1.6, 38 of 230 answers of an objective of 100 ms were late with none, 28 with 1, and 23 with 2.
+// rareDeviations is how many mean deviations beyond the mean only few round trips take.
 const rareDeviations = 2
 
-// High gives what the ways take at most, but for rare ones.
-func (w Estimate) High() time.Duration { return w.Mean + rareDeviations*w.Deviation }
+// High returns a time that only few round trips exceed.
+func (e Estimate) High() time.Duration { return e.Mean + rareDeviations*e.Deviation }
 
-// Of gives the kernel's estimate for a connection.
+// Of returns the estimate of a connection.
 func Of(connection net.Conn) Estimate {
 	tcp, isTCP := connection.(*net.TCPConn)
 	if !isTCP {
--- a/internal/request/roundtrip/roundtrip_test.go
+++ b/internal/request/roundtrip/roundtrip_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// The kernel knows the ways of a connection; nothing is known of what is none.
+// The kernel has an estimate for an open connection, and there is none without a connection.
 func TestOf(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -23,7 +23,7 @@
 	is.Equal(Of(nil), Estimate{})
 }
 
-// The reserve grows with how much ways differ.
+// The high estimate grows with the deviation.
 func TestMostlyCountsDeviations(t *testing.T) {
 	is := is.New(t)
 	is.Equal(Estimate{Mean: 6400 * time.Microsecond, Deviation: 1600 * time.Microsecond}.High(), 9600*time.Microsecond)
