--- /dev/null
+++ b/internal/request/gateway/suspension.go
@@ -0,0 +1,51 @@
+package gateway
+
+import (
+	"errors"
+	"sync"
+	"time"
+)
+
+// errSuspended ends a request whose deadline passed while the machine was suspended. The clock of timers and deadlines
+// stops during a suspension: otherwise the caller would be kept waiting, and leafs given time, for as long again.
+var errSuspended = errors.New("the machine was suspended past the request's deadline")
+
+// inFlight is the set of executions in flight; it is safe for concurrent use and its zero value is empty.
+type inFlight struct {
+	mu         sync.Mutex
+	executions map[*execution]struct{}
+}
+
+func (u *inFlight) add(e *execution) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if u.executions == nil {
+		u.executions = map[*execution]struct{}{}
+	}
+	u.executions[e] = struct{}{}
+}
+
+func (u *inFlight) remove(e *execution) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	delete(u.executions, e)
+}
+
+// Resumed notifies the gateway that the machine was suspended for some time. Requests that arrived before have that
+// much less time, and those whose deadline has passed are ended.
+func (g *Gateway) Resumed(slept time.Duration) {
+	g.inFlight.mu.Lock()
+	defer g.inFlight.mu.Unlock()
+	for e := range g.inFlight.executions {
+		e.slept.Add(int64(slept))
+		if !time.Now().Before(e.deadline()) {
+			e.cancel(errSuspended)
+		}
+	}
+}
+
+// deadline returns when the answer must be on its way by the monotonic clock, which stops while the machine is
+// suspended.
+func (e *execution) deadline() time.Time {
+	return e.request.deadline.Add(-time.Duration(e.slept.Load()))
+}
