--- a/internal/node/housekeeping.go
+++ b/internal/node/housekeeping.go
@@ -52,7 +52,7 @@
 		known[leafID] = true
 	}
 	h.balancer.Forget(known)
-	h.pool.Keep(func(incarnation string) bool { return known[incarnation] })
+	h.pool.Prune(func(incarnation string) bool { return known[incarnation] })
 	h.budgets.Forget(h.isRouted(view))
 	h.setGauges(view)
 }
@@ -70,7 +70,7 @@
 
 func (h *housekeeper) setGauges(view *catalog.View) {
 	h.metrics.ConfigRevision.Set(float64(view.Revision))
-	h.metrics.Kept.Set(float64(len(h.catalog.KeptEntries())))
+	h.metrics.Kept.Set(float64(len(h.catalog.RetainedEntries())))
 	h.metrics.ConfigAge.Set(h.catalog.Age().Seconds())
 	counts := h.members.Counts()
 	for _, state := range []peer.MemberState{peer.Alive, peer.Suspect, peer.Left, peer.Dead} {
--- a/internal/request/gateway/answer.go
+++ b/internal/request/gateway/answer.go
@@ -8,66 +8,76 @@
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
-// gatheredAnswer merges the parts that are in, if there are enough.
-func (w *gathering) gatheredAnswer() (*Answer, error) {
+// gatheredAnswer merges the parts that have arrived, if they are enough.
+func (e *execution) gatheredAnswer() (*Answer, error) {
 	answer := &Answer{Status: http.StatusOK}
-	bodies := make([][]byte, 0, len(w.outcomes))
-	for _, outcome := range w.outcomes {
+	bodies := make([][]byte, 0, len(e.outcomes))
+	for _, outcome := range e.outcomes {
 		if outcome.Reply == nil {
 			answer.Missing++
 			continue
 		}
-		answer.Stamps = append(answer.Stamps, outcome.Reply.Header.Get(w.gateway.dialect.ResponseStamp))
+		answer.Stamps = append(answer.Stamps, outcome.Reply.Header.Get(e.gateway.dialect.ResponseStamp))
 		bodies = append(bodies, outcome.Reply.Body)
 	}
-	if len(answer.Stamps) < max(1, w.query.required) {
-		return nil, w.failed()
+	if len(answer.Stamps) < max(1, e.request.requiredParts) {
+		return nil, e.failed()
 	}
-	answer.Body = topRecords(bodies, w.query.entry.TopRecords)
+	answer.Body = topRecords(bodies, e.request.route.TopRecords)
 	return answer, nil
 }
 
-// singleAnswer passes the leaf's answer on, or its last failure when there was no success.
-func (w *gathering) singleAnswer() (*Answer, error) {
-	reply := w.outcomes[0].Reply
+// singleAnswer passes on the leaf's success, or the last leaf's own failure if there was no success.
+func (e *execution) singleAnswer() (*Answer, error) {
+	reply := e.outcomes[0].Reply
 	if reply == nil {
-		w.mu.Lock()
-		reply = w.lastFailure
-		w.mu.Unlock()
+		e.mu.Lock()
+		reply = e.lastFailure
+		e.mu.Unlock()
 	}
 	if reply == nil {
-		return nil, w.failed()
+		return nil, e.failed()
 	}
-	return &Answer{Status: reply.Status, Header: leafhttp.PassedOn(reply.Header), Body: reply.Body}, nil
+	return &Answer{Status: reply.Status, Header: leafhttp.ForwardedHeaders(reply.Header), Body: reply.Body}, nil
 }
 
-// failed makes the typed failure of a request without an answer.
-func (w *gathering) failed() error {
-	execution := w.execution()
-	if w.refusal != nil && execution == failure.NotRun {
-		return w.refusal
+// failed returns the failure of a request without an answer, by the first of these that is true:
+//
+//	the failure of the node that gathered all shards, if it ran nothing
+//	LEAFS_ENDED          leafs may have crashed by the request, and it was given up
+//	OVERLOADED           no leaf ran it: all refused it or could not be reached; with Retry-After
+//	DEADLINE_EXCEEDED    the first missing shard was given up at the deadline
+//	LEAF_FAILED          the leaf of a single request failed
+//	INCOMPLETE_COVERAGE  a gathered request has too few parts
+//
+// Failures of executions that were ended early are in execution.endedEarly.
+func (e *execution) failed() error {
+	state := e.executionState()
+	if e.groupFailure != nil && state == failure.NotRun {
+		return e.groupFailure
 	}
-	reason := w.firstReason()
+	reason := e.firstReason()
 	code := failure.IncompleteCoverage
 	switch {
-	case w.summary.Fatal:
+	case e.summary.StoppedByCrashes:
 		code = failure.LeafsEnded
-	case execution == failure.NotRun:
+	case state == failure.NotRun:
 		code = failure.Overloaded
 	case reason == scatter.Deadline:
 		code = failure.DeadlineExceeded
-	case !w.isGathered():
+	case !e.isGathered():
 		code = failure.LeafFailed
 	}
-	failed := failure.New(code, execution, "%d of %d shards are missing: %s", len(w.outcomes)-w.summary.Replies, len(w.outcomes), reason)
-	if execution == failure.NotRun {
-		failed = failed.WithRetryAfter(w.gateway.config.RetryAfter)
+	failed := failure.New(code, state, "%d of %d shards are missing: %s", len(e.outcomes)-e.summary.Replies, len(e.outcomes), reason)
+	if state == failure.NotRun {
+		failed = failed.WithRetryAfter(e.gateway.config.RetryAfter)
 	}
 	return failed
 }
 
-func (w *gathering) firstReason() scatter.Reason {
-	for _, outcome := range w.outcomes {
+// firstReason returns the reason of the first missing shard.
+func (e *execution) firstReason() scatter.Reason {
+	for _, outcome := range e.outcomes {
 		if outcome.Reply == nil {
 			return outcome.Reason
 		}
--- a/internal/request/gateway/gateway_test.go
+++ b/internal/request/gateway/gateway_test.go
@@ -40,14 +40,14 @@
 func (j *silentEvents) Refused(*Request, error)        {}
 func (j *silentEvents) Attempted(string, scatter.Kind) {}
 func (j *silentEvents) AttemptEnded(AttemptRecord)     {}
-func (j *silentEvents) LeafLost(LossRecord)            {}
+func (j *silentEvents) LeafLost(LeafLossRecord)        {}
 func (j *silentEvents) Served(record RequestRecord) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.records = append(j.records, record)
 }
 
-func (j *silentEvents) Passed(record GroupRecord) {
+func (j *silentEvents) GroupEnded(record GroupRecord) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.passes = append(j.passes, record)
@@ -70,11 +70,11 @@
 
 func (s *scriptedLeafs) Start(target leafhttp.Target, _ *leafhttp.Request, _ time.Time, done leafhttp.Done) context.CancelCauseFunc {
 	s.mu.Lock()
-	s.asked = append(s.asked, target.Incarnation)
+	s.asked = append(s.asked, target.LeafID)
 	s.mu.Unlock()
 	ctx, cancel := context.WithCancelCause(context.Background())
 	go func() {
-		delay, response, err := s.answer(target.Incarnation)
+		delay, response, err := s.answer(target.LeafID)
 		select {
 		case <-time.After(delay):
 			done(response, err)
@@ -85,10 +85,10 @@
 	return cancel
 }
 
-func (s *scriptedLeafs) CanSpare(string) bool { return true }
+func (s *scriptedLeafs) MayOpenExtra(string) bool { return true }
 
 // Check finds each leaf alive.
-func (s *scriptedLeafs) Check(_ leafhttp.Target, _ bool, tell leafhttp.Ended) { go tell(false) }
+func (s *scriptedLeafs) Check(_ leafhttp.Target, _ bool, tell leafhttp.OnChecked) { go tell(false) }
 
 func (s *scriptedLeafs) warmedCount() int {
 	s.mu.Lock()
@@ -99,7 +99,7 @@
 func (s *scriptedLeafs) Warm(targets []leafhttp.Target) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.warmed = append(s.warmed, targets[0].Incarnation)
+	s.warmed = append(s.warmed, targets[0].LeafID)
 }
 
 func answered(status int, body string) *leafhttp.Response {
@@ -167,7 +167,7 @@
 func ask(path string) *Request {
 	return &Request{
 		Leaf: leafhttp.Request{ID: "r", Method: http.MethodGet, Target: path, Host: "h"}, Path: path,
-		Arrived: time.Now(), Patience: 800 * time.Millisecond,
+		Arrived: time.Now(), CallerTimeout: 800 * time.Millisecond,
 	}
 }
 
@@ -298,7 +298,7 @@
 				}}
 				g, _ := newGateway(t, leafs)
 				for range 3 { // earns the budget for a retry
-					g.budgets.Request("s0")
+					g.budgets.CountRequest("s0")
 				}
 				answer, err := g.Serve(t.Context(), ask(one.path))
 				if one.status != 0 {
@@ -335,7 +335,7 @@
 		g, _ := newGateway(t, &scriptedLeafs{answer: func(string) (time.Duration, *leafhttp.Response, error) { return time.Hour, nil, nil }})
 		started := time.Now()
 		request := ask("/single/1")
-		request.Patience = time.Minute
+		request.CallerTimeout = time.Minute
 		_, err := g.Serve(t.Context(), request)
 		is.True(failure.Is(err, failure.DeadlineExceeded))
 		is.Equal(time.Since(started), time.Second)
@@ -346,21 +346,21 @@
 func TestSpentPatienceShortensTheObjective(t *testing.T) {
 	is := is.New(t)
 	g, _ := newGateway(t, &scriptedLeafs{})
-	for range patienceSightings {
-		_, err := g.newQuery(ask("/pages/1"))
+	for range minimumSightings {
+		_, err := g.routeRequest(ask("/pages/1"))
 		is.NoErr(err)
 	}
 	late := ask("/pages/1")
-	late.Patience -= 50 * time.Millisecond
+	late.CallerTimeout -= 50 * time.Millisecond
 	late.RoundTrip = 6 * time.Millisecond
-	pinned, err := g.newQuery(late)
+	routed, err := g.routeRequest(late)
 	is.NoErr(err)
-	is.Equal(pinned.objective.Sub(late.Arrived), 200*time.Millisecond-50*time.Millisecond-6*time.Millisecond-DefaultConfig().ObjectiveReserve)
+	is.Equal(routed.objective.Sub(late.Arrived), 200*time.Millisecond-50*time.Millisecond-6*time.Millisecond-DefaultConfig().ObjectiveReserve)
 	other := ask("/pages/1")
-	other.Patience /= 2 // a caller with another patience, or one that lost the objective already
-	pinned, err = g.newQuery(other)
+	other.CallerTimeout /= 2 // a caller with another patience, or one that lost the objective already
+	routed, err = g.routeRequest(other)
 	is.NoErr(err)
-	is.Equal(pinned.objective.Sub(other.Arrived), 200*time.Millisecond-DefaultConfig().ObjectiveReserve)
+	is.Equal(routed.objective.Sub(other.Arrived), 200*time.Millisecond-DefaultConfig().ObjectiveReserve)
 }
 
 func TestConfigNamesEveryFault(t *testing.T) {
--- a/internal/request/gateway/tree_test.go
+++ b/internal/request/gateway/tree_test.go
@@ -34,7 +34,7 @@
 	is.Equal(len(b.seen.by("there")), shardCount-nearShards)
 	is.Equal(b.outcomes("root"), []GroupOutcome{GroupAnswered})
 	record := b.nodes["there"].events.records[0]
-	is.Equal(record.For, "root")
+	is.Equal(record.Root, "root")
 	is.Equal(record.RequestID, "r")
 	is.Equal(b.nodes["root"].events.records[0].Groups[0].Intermediate, "there")
 }
@@ -139,11 +139,11 @@
 			is := is.New(t)
 			b := newTree(t, near("root"), far("there"))
 			entry := &routing.Entry{Objective: 40 * time.Millisecond}
-			work := &gathering{gateway: b.nodes["root"].gateway, query: &query{entry: entry, objective: time.Now().Add(entry.Objective)}}
-			p := &passing{root: b.nodes["root"].gateway.root, work: work, group: group{node: b.nodes["there"].record, shards: []int{5, 6}}}
+			work := &execution{gateway: b.nodes["root"].gateway, request: &routedRequest{route: entry, objective: time.Now().Add(entry.Objective)}}
+			p := &groupCall{root: b.nodes["root"].gateway.root, execution: work, group: group{node: b.nodes["there"].record, shards: []int{5, 6}}}
 			client := servingtree.NewClient(servingtree.DefaultConfig())
 			t.Cleanup(client.Close)
-			ended := p.await(t.Context(), client.Start(saying(t, c.says), servingtree.Ask{}), nil)
+			ended := p.await(t.Context(), client.Start(saying(t, c.says), servingtree.Request{}), nil)
 			is.Equal(ended.outcome, GroupSilent)
 			is.Equal(ended.result.Final, c.isFinal)
 			is.Equal(ended.result.Execution, scatter.Unknown)
@@ -213,7 +213,7 @@
 		leave()
 	}()
 	request := ask("/pages/1")
-	request.Patience = 0
+	request.CallerTimeout = 0
 	_, err := b.nodes["root"].gateway.Serve(ctx, request)
 	is.Equal(failure.From(err).Code, failure.Cancelled)
 	for b.seen.cancels() < shardCount-nearShards {
@@ -238,8 +238,8 @@
 func TestAnswerOfOtherShardsIsNone(t *testing.T) {
 	is := is.New(t)
 	b := newTree(t, near("root"), far("there"))
-	work := &gathering{gateway: b.nodes["root"].gateway, query: &query{entry: &routing.Entry{Objective: time.Second}}}
-	p := &passing{root: b.nodes["root"].gateway.root, work: work, group: group{shards: []int{5, 6}}}
+	work := &execution{gateway: b.nodes["root"].gateway, request: &routedRequest{route: &routing.Entry{Objective: time.Second}}}
+	p := &groupCall{root: b.nodes["root"].gateway.root, execution: work, group: group{shards: []int{5, 6}}}
 	ended := p.judge(servingtree.Result{Reply: servingtree.Reply{Answer: &servingtree.Answer{Stamps: []string{"x"}}}}, 0)
 	is.Equal(ended.outcome, GroupBroken)
 }
@@ -249,15 +249,15 @@
 	b := newTree(t, near("root"), far("there"))
 	there := b.nodes["there"].gateway
 	key := b.nodes["there"].catalog.View().Routes.Match("h", "/pages/1").GatherKey
-	good := servingtree.Ask{ID: "r", Method: http.MethodGet, Target: "/pages/1", Host: "h", GatherKey: key, Shards: []int{0}, Required: 1}
-	bad := map[string]func(*servingtree.Ask){
-		"another route":  func(a *servingtree.Ask) { a.GatherKey++ },
-		"all spent":      func(a *servingtree.Ask) { a.Spent = 2 },
-		"negative spent": func(a *servingtree.Ask) { a.Spent = -1 },
-		"no route":       func(a *servingtree.Ask) { a.Target = "/other/" },
-		"no shards":      func(a *servingtree.Ask) { a.Shards = nil },
-		"unknown shard":  func(a *servingtree.Ask) { a.Shards = []int{shardCount} },
-		"negative":       func(a *servingtree.Ask) { a.Shards = []int{-1} },
+	good := servingtree.Request{ID: "r", Method: http.MethodGet, Target: "/pages/1", Host: "h", GatherKey: key, Shards: []int{0}, Required: 1}
+	bad := map[string]func(*servingtree.Request){
+		"another route":  func(a *servingtree.Request) { a.GatherKey++ },
+		"all spent":      func(a *servingtree.Request) { a.Spent = 2 },
+		"negative spent": func(a *servingtree.Request) { a.Spent = -1 },
+		"no route":       func(a *servingtree.Request) { a.Target = "/other/" },
+		"no shards":      func(a *servingtree.Request) { a.Shards = nil },
+		"unknown shard":  func(a *servingtree.Request) { a.Shards = []int{shardCount} },
+		"negative":       func(a *servingtree.Request) { a.Shards = []int{-1} },
 	}
 	for name, change := range bad {
 		asked := good
@@ -279,7 +279,7 @@
 	for index := range nearShards - 1 { // most of its own, fewer than half of all
 		for _, zone := range []string{zoneNear, zoneFar} {
 			chosen := g.balancer.Choose([]balancer.Candidate{{LeafID: fmt.Sprintf("s%d%s", index, zone), Zone: zone}}, nil)
-			g.balancer.Report(chosen.Leaf, balancer.Load{InFlight: 40, Slots: 2})
+			g.balancer.ReportLoad(chosen.Leaf, balancer.Load{InFlight: 40, Slots: 2})
 		}
 	}
 	_, err := b.ask("root")
@@ -299,12 +299,12 @@
 	for range 3 {
 		is.Equal(len(g.root.groups(entry)), 1)
 	}
-	underWay := func() int {
-		g.root.standing.mu.Lock()
-		defer g.root.standing.mu.Unlock()
-		return g.root.standing.node(b.nodes["there"].record.Tree).underWay
+	inFlight := func() int {
+		g.root.nodes.mu.Lock()
+		defer g.root.nodes.mu.Unlock()
+		return g.root.nodes.node(b.nodes["there"].record.Tree).inFlight
 	}
-	is.Equal(underWay(), 0)
+	is.Equal(inFlight(), 0)
 	b.whole(b.ask("root"))
-	is.Equal(underWay(), 0)
+	is.Equal(inFlight(), 0)
 }
--- /dev/null
+++ b/internal/request/gateway/zones.go
@@ -0,0 +1,51 @@
+package gateway
+
+import (
+	"slices"
+	"time"
+
+	"github.com/portgauge/portgauge/internal/leaf/balancer"
+	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
+	"github.com/portgauge/portgauge/internal/request/scatter"
+)
+
+// minimumUnanswered is how long an attempt must go without an answer to count as a sign that its leaf's zone is
+// unreachable: more than a round trip between near zones and the work of a fast leaf. If it is too short, the zone is
+// only probed in vain.
+const minimumUnanswered = 20 * time.Millisecond
+
+// inReachableZones removes the candidates in unreachable zones.
+func (g *Gateway) inReachableZones(candidates []balancer.Candidate) []balancer.Candidate {
+	if !g.zones.AnyLost() {
+		return candidates
+	}
+	return slices.DeleteFunc(candidates, func(candidate balancer.Candidate) bool { return !g.zones.Reaches(candidate.Zone) })
+}
+
+// observeZone reports to the reachability tracker what the end of an attempt says of its leaf's zone. A connection
+// that is refused or reset at once says nothing: a crashed leaf's machine does the same in any zone.
+func (g *Gateway) observeZone(leaf *balancer.Leaf, result scatter.Result[leafhttp.Response], took time.Duration) {
+	switch result.Outcome {
+	case balancer.Succeeded, balancer.Shed, balancer.Drained, balancer.Declined:
+		g.zones.Responded(leaf.Zone)
+	case balancer.Failed, balancer.Abandoned:
+		switch {
+		case result.Execution == scatter.Ran:
+			g.zones.Responded(leaf.Zone)
+		case took >= minimumUnanswered:
+			g.zones.NoResponse(leaf.Zone, leaf.ID)
+		}
+	}
+}
+
+// observeZone reports to the reachability tracker what the end of a group says of the zone of the node that was asked.
+func (p *groupCall) observeZone(outcome GroupOutcome) {
+	zone := p.group.node.Zone
+	switch outcome {
+	case GroupAnswered, GroupFailed, GroupDeclined, GroupLeaving:
+		p.root.zones.Responded(zone)
+	case GroupSilent, GroupNeverSent, GroupBroken:
+		p.root.zones.Suspect(zone)
+	case GroupCancelled:
+	}
+}
