--- a/internal/hangup/hangup.go
+++ b/internal/hangup/hangup.go
@@ -1,9 +1,10 @@
-// Package hangup takes over the signal by which a node is told to read its settings again, SIGHUP, as soon as a process can.
+// Package hangup catches SIGHUP, the signal by which a node is told to reload its settings, as early in the life of a process
+// as possible.
 //
-// Until a process takes it over, the signal ends it. Whoever tells all nodes to reload while one starts would end that one, and
-// nothing would start it again. A node needs up to 60 ms on a busy machine until its own code runs, most of it for what its packages
-// set up. This package needs next to nothing of them and is set up among the first: of 40 nodes each that got the signal 10, 20
-// and 30 ms after their start on a busy machine (load 26 on 8 cores), it ended 40, 37 and 30 without, 3, 0 and 0 with it.
+// Until a process catches the signal, the signal ends it, and a node needs some tens of milliseconds until its main function
+// runs, most of them for the initialisation of its packages. This package imports next to nothing, so that it is initialised
+// among the first; Go initialises packages in the order of their import paths, so its path matters, too. It owns one channel and
+// the process's disposition of SIGHUP.
 package hangup
 
 import (
@@ -12,20 +13,22 @@
 	"syscall"
 )
 
-// nodeArgument is the first argument of a process that runs a node. Others end by the signal, as when their terminal goes.
+// nodeArgument is the first argument of a process that runs a node. SIGHUP ends any other process, as when its terminal closes,
+// unless its parent ignored the signal.
 const nodeArgument = "node"
 
-var told = make(chan os.Signal, 1)
+// signals has room for one signal: a second one, before the first was received, would reload the same settings.
+var signals = make(chan os.Signal, 1)
 
 func init() {
 	if len(os.Args) > 1 && os.Args[1] == nodeArgument {
-		signal.Notify(told, syscall.SIGHUP)
+		signal.Notify(signals, syscall.SIGHUP)
 	}
 }
 
-// Signals gives the signals to reload; one that comes while another waits says nothing more. From its first call on they don't
-// end the process, whatever it runs.
+// Signals returns the channel of signals to reload. From its first call on, SIGHUP doesn't end the process, whatever it runs;
+// that holds also if the parent of the process ignored the signal.
 func Signals() <-chan os.Signal {
-	signal.Notify(told, syscall.SIGHUP)
-	return told
+	signal.Notify(signals, syscall.SIGHUP)
+	return signals
 }
--- a/internal/hangup/hangup_test.go
+++ b/internal/hangup/hangup_test.go
@@ -30,7 +30,7 @@
 	}()
 	fmt.Println("up")
 	select {
-	case <-told:
+	case <-signals:
 		fmt.Println("told")
 	case <-inputEnded:
 		fmt.Println("alive")
