--- a/internal/lab/replay/trace_test.go
+++ b/internal/lab/replay/trace_test.go
@@ -1,13 +1,16 @@
 package replay
 
 import (
+	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 
 	"github.com/matryer/is"
 
 	"github.com/portgauge/portgauge/internal/failure"
+	"github.com/portgauge/portgauge/internal/lab/process"
 )
 
 const goodHeader = `{"header":{"name":"t","seed":1,"dataset":"tiles","records":10,"duration_ms":1000,` +
@@ -27,6 +30,25 @@
 	}
 }
 
+// The shortest trace is replayed over real processes, which Run starts and kills. Its outcomes that bound a time are left to the
+// replay command.
+func TestShortestTraceIsReplayed(t *testing.T) {
+	is := is.New(t)
+	here, err := os.Getwd()
+	is.NoErr(err)
+	t.Chdir(filepath.Join(here, "..", "..", ".."))
+	trace, err := Read(filepath.Join("traces", "01-one-snapshot.jsonl"))
+	is.NoErr(err)
+	programs, err := process.Build(t.TempDir())
+	is.NoErr(err)
+	trace.Outcomes = slices.DeleteFunc(trace.Outcomes, func(outcome Outcome) bool { return outcome.WithinMS > 0 })
+	is.True(len(trace.Outcomes) > 0)
+	passed, failed, err := Run(t.Context(), trace, programs, t.Output())
+	is.NoErr(err)
+	is.Equal(passed, len(trace.Outcomes))
+	is.Equal(failed, 0)
+}
+
 func TestMalformedTracesAreRefusedWithLineAndField(t *testing.T) {
 	cases := map[string]struct {
 		content string
