--- a/internal/compression/compression.go
+++ b/internal/compression/compression.go
@@ -16,7 +16,7 @@
 // compressors holds idle compressors, each of which has about 800 KB of tables.
 var compressors = sync.Pool{New: func() any { return gzip.NewWriter(nil) }}
 
-// Compress gives the content in gzip form.
+// Compress returns the content in gzip form.
 func Compress(content []byte) ([]byte, error) {
 	var buffer bytes.Buffer
 	writer := compressors.Get().(*gzip.Writer)
@@ -31,7 +31,7 @@
 	return buffer.Bytes(), nil
 }
 
-// Expand gives the content of a gzip form, or ErrTooLong beyond so many bytes.
+// Expand returns the content of a gzip form, or ErrTooLong beyond so many bytes.
 func Expand(packed []byte, maximumBytes int64) ([]byte, error) {
 	reader, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
--- a/internal/config/catalog/catalog.go
+++ b/internal/config/catalog/catalog.go
@@ -91,7 +91,7 @@
 	isProvisional atomic.Bool
 }
 
-// New makes an empty catalog at revision 0. The rejected function is told of values that
+// New returns an empty catalog at revision 0. The rejected function is told of values that
 // can't be decoded; such a key keeps its last good value in force.
 func New(rejected func(key string, err error)) *Catalog {
 	catalog := &Catalog{startedAt: time.Now(), entries: map[string]Entry{}, subscribers: map[int]chan Change{}, rejected: rejected}
@@ -111,7 +111,7 @@
 	c.startedAt = clock.Now()
 }
 
-// Now gives the instant by the catalog's clock.
+// Now returns the instant by the catalog's clock.
 func (c *Catalog) Now() time.Time { return c.clock.Now() }
 
 // ConfirmSince records that the revision in force was the newest so long before an answer that was asked for at a mark. One
@@ -120,16 +120,16 @@
 	c.Confirm(c.Now().Add(-age - asked.Suspended()))
 }
 
-// Mark gives the instant by which ConfirmSince tells whether the machine was suspended.
+// Mark returns the instant by which ConfirmSince tells whether the machine was suspended.
 func (c *Catalog) Mark() boottime.Mark { return c.clock.Mark() }
 
-// Age gives how long ago the revision in force was last known to be the newest.
+// Age returns how long ago the revision in force was last known to be the newest.
 func (c *Catalog) Age() time.Duration { return c.clock.Since(c.ConfirmedAt()) }
 
-// View gives the configuration in force.
+// View returns the configuration in force.
 func (c *Catalog) View() *View { return c.view.Load() }
 
-// Revision gives the revision in force.
+// Revision returns the revision in force.
 func (c *Catalog) Revision() int64 { return c.view.Load().Revision }
 
 // neverConfirmed is when the revision in force of a new catalog was the newest: long before any.
@@ -147,7 +147,7 @@
 	}
 }
 
-// ConfirmedAt gives when the revision in force was last known to be the newest, by the catalog's clock. What passed
+// ConfirmedAt returns when the revision in force was last known to be the newest, by the catalog's clock. What passed
 // since does not depend on the time of day.
 func (c *Catalog) ConfirmedAt() time.Time { return c.startedAt.Add(time.Duration(c.confirmed.Load())) }
 
@@ -247,7 +247,7 @@
 	c.remember(difference)
 }
 
-// difference gives what a newer whole state changes, as one change.
+// difference returns what a newer whole state changes, as one change.
 func difference(known map[string]Entry, before int64, newer Snapshot) Change {
 	change := Change{Entry: Marker(newer.Revision), Previous: before}
 	present := make(map[string]bool, len(newer.Entries))
@@ -285,7 +285,7 @@
 	c.entries[entry.Key] = entry
 }
 
-// Since gives the changes after a revision, or false when they are no longer kept.
+// Since returns the changes after a revision, or false when they are no longer kept.
 func (c *Catalog) Since(after int64) ([]Change, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -301,7 +301,7 @@
 	return slices.Clone(c.recent[first:]), true
 }
 
-// Snapshot gives the whole state at the revision in force, tombstones included.
+// Snapshot returns the whole state at the revision in force, tombstones included.
 func (c *Catalog) Snapshot() Snapshot {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -312,7 +312,7 @@
 	return snapshot
 }
 
-// Entry gives the entry in force under a key.
+// Entry returns the entry in force under a key.
 func (c *Catalog) Entry(key string) (Entry, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -320,7 +320,7 @@
 	return entry, found
 }
 
-// Subscribe gives each change from now on, what a whole state changed as one, until the returned
+// Subscribe returns each change from now on, what a whole state changed as one, until the returned
 // function is called. A subscriber that does not keep up loses changes; each has its revision, so it
 // can tell.
 func (c *Catalog) Subscribe(buffer int) (<-chan Change, func()) {
--- a/internal/config/catalog/draft.go
+++ b/internal/config/catalog/draft.go
@@ -133,7 +133,7 @@
 	return nil
 }
 
-// leafEditor gives the editor of the draft's leafs.
+// leafEditor returns the editor of the draft's leafs.
 func (d *draft) leafEditor() *leafset.Editor {
 	if d.leafs == nil {
 		d.useEditor(d.view.Leafs.Edit())
@@ -242,7 +242,7 @@
 	return nil
 }
 
-// editable gives a copy of the service that belongs to the draft alone.
+// editable returns a copy of the service that belongs to the draft alone.
 func (d *draft) editable(name string) *Service {
 	if !d.ownService {
 		d.view.Services = maps.Clone(d.view.Services)
--- a/internal/config/catalog/drilled_test.go
+++ b/internal/config/catalog/drilled_test.go
@@ -54,7 +54,7 @@
 	return change
 }
 
-// state gives the whole state as it is read.
+// state returns the whole state as it is read.
 func (d *drilled) state() Snapshot {
 	snapshot := Snapshot{Revision: revision.At(d.epoch, d.count)}
 	for _, entry := range d.entries {
--- a/internal/config/catalog/entry.go
+++ b/internal/config/catalog/entry.go
@@ -69,7 +69,7 @@
 	Deleted  bool            `json:"deleted,omitempty"`
 }
 
-// LiveRevision gives the revision that a write in place of the entry compares with: 0 for keys that were never written
+// LiveRevision returns the revision that a write in place of the entry compares with: 0 for keys that were never written
 // and for deleted ones.
 func (e *Entry) LiveRevision() int64 {
 	if e == nil || e.Deleted {
@@ -87,7 +87,7 @@
 	More []Entry `json:"more,omitempty"`
 }
 
-// Entries gives all entries of the change.
+// Entries returns all entries of the change.
 func (c Change) Entries() []Entry { return append([]Entry{c.Entry}, c.More...) }
 
 // historyLength is how many earlier change ids an envelope keeps. A writer that lost a
@@ -114,10 +114,10 @@
 	Refused string `json:"refused,omitempty"`
 }
 
-// Marker gives the entry of a change that only moves the revision on, to the given one.
+// Marker returns the entry of a change that only moves the revision on, to the given one.
 func Marker(at int64) Entry { return Entry{Key: MarkerKey, Revision: at, Deleted: true} }
 
-// NewRefusal gives the value of an entry that can't be read, with the reason.
+// NewRefusal returns the value of an entry that can't be read, with the reason.
 func NewRefusal(reason error) []byte {
 	value, err := json.Marshal(Envelope{Refused: reason.Error()})
 	if err != nil {
--- a/internal/config/catalog/evacuation_test.go
+++ b/internal/config/catalog/evacuation_test.go
@@ -40,7 +40,7 @@
 	})
 }
 
-// withoutTombstones gives a state as a store tells it that forgets removed keys.
+// withoutTombstones returns a state as a store tells it that forgets removed keys.
 func withoutTombstones(state Snapshot) Snapshot {
 	kept := Snapshot{Revision: state.Revision}
 	for _, entry := range state.Entries {
--- a/internal/config/catalog/follow_restored_test.go
+++ b/internal/config/catalog/follow_restored_test.go
@@ -101,7 +101,7 @@
 	node.ApplyAll(changes)
 }
 
-// exchangeKept gives a node what another keeps, as peers at the same revision do.
+// exchangeKept returns a node what another keeps, as peers at the same revision do.
 func exchangeKept(node, peer *Catalog) {
 	if node.Revision() != peer.Revision() {
 		return
--- a/internal/config/catalog/kept.go
+++ b/internal/config/catalog/kept.go
@@ -53,7 +53,7 @@
 	c.restored.kept[entry.Key] = Retained{Entry: entry}
 }
 
-// Retained gives the entries that are newer than what the store has of them.
+// Retained returns the entries that are newer than what the store has of them.
 func (c *Catalog) Retained() []Retained {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,7 +64,7 @@
 	return kept
 }
 
-// RetainedEntries gives those of them that are in force.
+// RetainedEntries returns those of them that are in force.
 func (c *Catalog) RetainedEntries() []Entry {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,7 +77,7 @@
 	return entries
 }
 
-// RestoredAt gives when the node came to the epoch in force; zero where it saw no restore.
+// RestoredAt returns when the node came to the epoch in force; zero where it saw no restore.
 func (c *Catalog) RestoredAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/config/catalog/quarantine.go
+++ b/internal/config/catalog/quarantine.go
@@ -41,12 +41,12 @@
 	return nil
 }
 
-// Quarantine gives the record of a request that goes to no leaf; nil for any other.
+// Quarantine returns the record of a request that goes to no leaf; nil for any other.
 func (c *Catalog) Quarantine(content fingerprint.Fingerprint) *quarantine.Record {
 	return c.View().Quarantine[content]
 }
 
-// QuarantinedContent gives the request that a key stands for; false for keys of other kinds.
+// QuarantinedContent returns the request that a key stands for; false for keys of other kinds.
 func QuarantinedContent(key string) (fingerprint.Fingerprint, bool) {
 	text, isQuarantine := strings.CutPrefix(key, quarantinePrefix)
 	if !isQuarantine {
--- a/internal/config/catalog/restored.go
+++ b/internal/config/catalog/restored.go
@@ -64,7 +64,7 @@
 	c.restored.note(entry, &before, c.clock.Now())
 }
 
-// entriesOf gives the entries of a whole state that are put into force. The lock must be held.
+// entriesOf returns the entries of a whole state that are put into force. The lock must be held.
 func (c *Catalog) entriesOf(snapshot Snapshot, isFirst bool) []Entry {
 	switch {
 	case isFirst:
@@ -80,7 +80,7 @@
 	return snapshot.Entries
 }
 
-// reconcile gives the entries of a store that was restored, with those that this node knows to be newer in their place. It
+// reconcile returns the entries of a store that was restored, with those that this node knows to be newer in their place. It
 // notes which these are. The lock must be held.
 func (c *Catalog) reconcile(snapshot Snapshot) []Entry {
 	now := c.clock.Now()
@@ -108,7 +108,7 @@
 	return entries
 }
 
-// newest gives what is in force of a key that the state of a new epoch holds: what was read, or what is known. A process
+// newest returns what is in force of a key that the state of a new epoch holds: what was read, or what is known. A process
 // that is known to be gone is left out.
 func (c *Catalog) newest(read Entry, position int64) (entry Entry, isUsed bool) {
 	known, isKnown := c.entries[read.Key]
@@ -136,7 +136,7 @@
 	return now.Sub(c.restored.learned[known.Key]) < lossWindow
 }
 
-// stillKept gives the entries of a later state of the same epoch, with those that are kept and not written again. The lock
+// stillKept returns the entries of a later state of the same epoch, with those that are kept and not written again. The lock
 // must be held.
 func (c *Catalog) stillKept(snapshot Snapshot) []Entry {
 	entries := make([]Entry, 0, len(snapshot.Entries)+len(c.restored.kept))
--- a/internal/config/catalog/rollout.go
+++ b/internal/config/catalog/rollout.go
@@ -23,7 +23,7 @@
 	return key == VersionsKey || strings.HasPrefix(key, rolloutPrefix) || strings.HasPrefix(key, rolloutStatePrefix)
 }
 
-// Renewed gives the value by which an entry of an earlier epoch is written again; not due yet where it depends on another that
+// Renewed returns the value by which an entry of an earlier epoch is written again; not due yet where it depends on another that
 // is not written again. The state of a roll-out names its order, which a restored store may have at another count.
 func (c *Catalog) Renewed(entry Entry) (value json.RawMessage, isDue bool) {
 	service, isState := strings.CutPrefix(entry.Key, rolloutStatePrefix)
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// rolloutBefore gives what was known of a service's roll-out before the draft: of a whole state, what it takes the place of.
+// rolloutBefore returns what was known of a service's roll-out before the draft: of a whole state, what it takes the place of.
 func (d *draft) rolloutBefore(service string) Rollout {
 	if known, found := d.view.Rollouts[service]; found {
 		return known
@@ -122,7 +122,7 @@
 	return d.rolloutsBefore[service]
 }
 
-// editableRollout gives a copy of what is known of a service's roll-out.
+// editableRollout returns a copy of what is known of a service's roll-out.
 func (d *draft) editableRollout(service string) Rollout {
 	if !d.ownsRollouts {
 		d.view.Rollouts = maps.Clone(d.view.Rollouts)
--- a/internal/config/catalog/rollout_test.go
+++ b/internal/config/catalog/rollout_test.go
@@ -18,7 +18,7 @@
 	return made
 }
 
-// documentChange gives a write of a JSON document; nil removes the key.
+// documentChange returns a write of a JSON document; nil removes the key.
 func documentChange(t interface{ Fatal(...any) }, revision int64, key string, document any) Change {
 	entry := Entry{Key: key, Revision: revision, Deleted: document == nil}
 	content, err := json.Marshal(document)
@@ -126,7 +126,7 @@
 	}
 }
 
-// orderedCatalog gives a catalog whose service has a leaf of each of two versions, and an order of the second.
+// orderedCatalog returns a catalog whose service has a leaf of each of two versions, and an order of the second.
 func orderedCatalog(t *testing.T) *Catalog {
 	t.Helper()
 	known := newRolloutCatalog(func(key string, err error) { t.Errorf("%s: %v", key, err) })
--- a/internal/config/configsync/config.go
+++ b/internal/config/configsync/config.go
@@ -6,46 +6,45 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// Config tunes the distribution of configuration.
+// Config configures the distribution of configuration.
 type Config struct {
-	// WatchersPerZone is how many nodes of a zone watch the store.
+	// WatchersPerZone is how many nodes of a zone watch the store: one follows it, the others are its standbys.
 	WatchersPerZone int `yaml:"watchers_per_zone"`
-	// FanOut is how many nodes a node hands a change to.
+	// FanOut is how many nodes a node relays a push to.
 	FanOut int `yaml:"fan_out"`
-	// FirstReadDelay is how long a node that starts only asks its seeds, at most, before it reads the
-	// store beside that, whether it will be a watcher or not.
+	// FirstReadDelay is how long, at most, a node that starts asks only its seeds before it reads the store as
+	// well.
 	FirstReadDelay time.Duration `yaml:"first_read_delay"`
 	// BatchDelay is how long a watcher collects changes before it pushes them.
 	BatchDelay time.Duration `yaml:"batch_delay"`
-	// BackupDelay is how long a watcher waits for the push of the watcher before it in rank
-	// until it pushes a change itself.
+	// BackupDelay is how long a standby waits for the push of the watcher before it in rank until it pushes a
+	// change itself.
 	BackupDelay time.Duration `yaml:"backup_delay"`
 	// CallTimeout bounds one call between nodes.
 	CallTimeout time.Duration `yaml:"call_timeout"`
-	// RetryPause is the least pause between tries to reach the store or a peer.
+	// RetryPause is the minimum pause between attempts to reach the store or a peer.
 	RetryPause time.Duration `yaml:"retry_pause"`
-	// MaximumRetryPause is the most.
+	// MaximumRetryPause is the maximum pause between attempts to reach the store or a peer.
 	MaximumRetryPause time.Duration `yaml:"maximum_retry_pause"`
-	// PushInterval is the least time between two pushes of one watcher; changes of a burst
-	// that come in between are pushed together.
+	// PushInterval is the minimum time between two pushes of one watcher; the changes of a burst in between are
+	// pushed together.
 	PushInterval time.Duration `yaml:"push_interval"`
-	// PullDelay is how long a node that hears of a newer revision waits for its push until it
-	// pulls.
+	// PullDelay is how long a node that learns of a newer revision waits for its push before it pulls.
 	PullDelay time.Duration `yaml:"pull_delay"`
-	// JoinInterval is how often a node compares the members it knows with others.
+	// JoinInterval is how often a node compares the members it knows with those that other nodes know.
 	JoinInterval time.Duration `yaml:"join_interval"`
-	// WatchSilence is how long a watch may be silent before it is opened anew.
+	// WatchSilence is how long a watch may be silent before it is reopened.
 	WatchSilence time.Duration `yaml:"watch_silence"`
-	// LookAfter is after how long without word that the configuration in force is the newest a watcher that
-	// stands by looks at the store. The first watcher has such word at least each platform.watch_wait.
+	// LookAfter is how long the configuration in force may be unconfirmed before a standby checks the store. The
+	// first watcher confirms it at least each platform.watch_wait.
 	LookAfter time.Duration `yaml:"look_after"`
 	// MachineListInterval is how often watchers read the machine list.
 	MachineListInterval time.Duration `yaml:"machine_list_interval"`
-	// LeavingHold is how long word that a leaf is leaving holds unless repeated.
+	// LeavingHold is how long a notice that a leaf is leaving is valid unless repeated.
 	LeavingHold time.Duration `yaml:"leaving_hold"`
 }
 
-// DefaultConfig puts a change in force in a zone of 165 nodes within a second.
+// DefaultConfig brings a change into force in a large zone within a second.
 func DefaultConfig() Config {
 	return Config{
 		WatchersPerZone:     2,
@@ -66,7 +65,7 @@
 	}
 }
 
-// Validate names every field at fault.
+// Validate returns an error that names every invalid field.
 func (c Config) Validate() error {
 	var checks failure.Checks
 	checks.Refuse(c.WatchersPerZone < 1, "watchers_per_zone", "must be at least 1")
--- a/internal/config/configsync/configsync.go
+++ b/internal/config/configsync/configsync.go
@@ -1,11 +1,28 @@
-// Package configsync brings every accepted change of configuration to every node.
+// Package configsync distributes the configuration from the platform's store to every node.
 //
-// A few nodes of each zone, picked by rendezvous hashing over its live members, watch the
-// store. The first of them pushes each change down a tree of the zone's nodes that is drawn
-// anew for each push, so that relaying is shared; the others push only if that push does not
-// reach them. Digests that ride on membership probes reveal what a node missed, and it pulls
-// that from the peer. A zone cut off from the store pulls from other zones. A node applies
-// changes in order of revision and never goes back, whatever it is sent.
+// Only a few nodes of each zone read the store, and the zone passes on what they learn. A change goes through
+// these steps, each in the file named after it:
+//
+//   - watchers: a rendezvous hash over the zone's live members ranks its watchers, the same on all nodes.
+//   - watch: the first watcher follows the store; storestate reads its whole state where changes don't suffice.
+//   - standby: the others rely on the watchers ahead of them, and check the store once nobody confirms the
+//     configuration in force any more.
+//   - push: changes go down a tree of the zone's nodes, drawn anew for each push to share the relaying;
+//     push_check makes sure that the push of a standby reached everybody.
+//   - reorder: pushes that overtake each other are put back into order.
+//   - digest: digests on membership probes reveal what a node missed.
+//   - pull: a node fetches what it misses from a peer, and a zone without the store from another zone;
+//     snapshots serves whole states at a bounded rate.
+//
+// A node that starts (startup) takes its first state from its seeds or the store, and meanwhile joins its zone
+// (join) and learns of nodes of other zones (contacts). After a restore of the store, restored takes a node to
+// the new epoch. leaving spreads the notice that a leaf is leaving, and status counts the nodes that have a
+// revision in force.
+//
+// The package owns the loops that Syncer.Run starts and the state of the distribution; the configuration itself
+// belongs to the catalog, which applies changes in order of revision and never goes back. It relies on the
+// store, the machine list, the zone's membership and the peer transport. Configuration ages by the catalog's
+// clock, which counts the time of a suspension; everything else is timed by the monotonic clock.
 package configsync
 
 import (
@@ -26,12 +43,12 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// LeafNoticer is told of leafs that must get no new work.
+// LeafNoticer receives the ids of leafs that must get no new requests.
 type LeafNoticer interface {
 	SetLeaving(leafID string, until time.Time)
 }
 
-// Deps are what a syncer is built from. Store and Machines belong to the platform.
+// Deps are the dependencies of a Syncer. Store and Machines belong to the platform.
 type Deps struct {
 	Config    Config
 	Catalog   *catalog.Catalog
@@ -42,16 +59,17 @@
 	Logger    *zap.Logger
 	// Seeds are peer addresses to join through besides those on the machine list.
 	Seeds []string
-	// Relayed is told of messages sent, by kind; it may be nil.
+	// Relayed is called with the kind of each message sent; it may be nil.
 	Relayed func(kind string)
-	// StateDropped is told of each whole state of the store that is older than the one in force; it may be nil.
+	// StateDropped is called for each whole state of the store that is dropped because it is older than the
+	// configuration in force; it may be nil.
 	StateDropped func()
-	// Settled gives the revision at which the node is settled: it sends nothing by an older rule and has nothing
-	// in flight by one. Nil means that it always is at the revision in force.
+	// Settled returns the revision at which the node is settled: it sends no requests by an older rule and has
+	// none in flight. Nil means that it is always settled at the revision in force.
 	Settled func() int64
 }
 
-// Syncer is the configuration side of one node; safe for concurrent use.
+// Syncer is the distribution of configuration on one node; safe for concurrent use.
 type Syncer struct {
 	config    Config
 	catalog   *catalog.Catalog
@@ -66,84 +84,92 @@
 	settledAt func() int64
 	members   *membership.Membership
 
-	startedAt        time.Time
-	joined           atomic.Bool // the zone's members are known well enough to rank watchers
-	initialised      atomic.Bool
-	ready            chan struct{} // closed once initialised
-	storeDownAt      atomic.Int64  // unix nanoseconds; 0 while the watch is up
-	droppedLog       rate.Sometimes
-	hasReadAsStandby bool        // whether the node stands by and looked at the store since it does; of the watch loop
-	resumed          atomic.Bool // whether the machine was suspended since the watch was opened
-	checkingPush     atomic.Bool // whether a push is being checked
-	pullingRetained  atomic.Bool // whether what is kept is compared with a peer
-	readingForLegacy atomic.Bool // whether the store is looked at for a peer that does not count epochs
+	startedAt   time.Time
+	ready       chan struct{} // closed once initialised
+	initialised atomic.Bool   // the node has configuration
+	joined      atomic.Bool   // the zone's members are known well enough to rank watchers
+	storeDownAt atomic.Int64  // since when the store can't be followed, in unix nanoseconds; 0 while it can
+	resumed     atomic.Bool   // the machine was suspended since the watch was opened
+	droppedLog  rate.Sometimes
+
+	// hasReadAsStandby says that the node is a standby and has checked the store as one. Only the watch loop uses it.
+	hasReadAsStandby bool
+
+	// These are set while a task runs of which there is one at a time.
+	checkingPush     atomic.Bool
 	pulling          atomic.Bool
 	pullPending      atomic.Bool
-	lastPushAt       atomic.Int64 // when the last push arrived, in unix nanoseconds
-	pushes           chan catalog.Change
-	snapshots        snapshotServer
-	reorder          reorderBuffer
+	pullingRetained  atomic.Bool
+	readingForLegacy atomic.Bool
+
+	pushes     chan catalog.Change
+	lastPushAt atomic.Int64 // when the last push arrived, in unix nanoseconds
+	snapshots  snapshotServer
+	reorder    reorderBuffer
 
 	mu           sync.Mutex
 	contacts     map[string][]string // peer addresses of other zones
 	notices      map[string]*notice  // by leaf id
 	newestPushed int64               // newest revision received or sent by push
 	lastRead     boottime.Mark       // when a datagram was last read
-	// suspendedFor is how long the machine was suspended last, suspendedUntil is until when datagrams from before may be read.
+	// suspendedFor is how long the last suspension of the machine took. Until suspendedUntil, datagrams from before it
+	// may still be read.
 	suspendedFor   time.Duration
 	suspendedUntil time.Time
 }
 
-// New makes a syncer; SetMembership must be called before Run.
-func New(deps Deps) *Syncer {
-	relayed := deps.Relayed
-	if relayed == nil {
-		relayed = func(string) {}
+// withDefaults replaces the functions that are nil.
+func (d Deps) withDefaults() Deps {
+	if d.Relayed == nil {
+		d.Relayed = func(string) {}
 	}
-	dropped := deps.StateDropped
-	if dropped == nil {
-		dropped = func() {}
+	if d.StateDropped == nil {
+		d.StateDropped = func() {}
 	}
-	settledAt := deps.Settled
-	if settledAt == nil {
-		settledAt = deps.Catalog.Revision
+	if d.Settled == nil {
+		d.Settled = d.Catalog.Revision
 	}
-	return &Syncer{
-		config:    deps.Config,
-		catalog:   deps.Catalog,
-		store:     deps.Store,
-		machines:  deps.Machines,
-		transport: deps.Transport,
-		leafs:     deps.Leafs,
-		logger:    deps.Logger,
-		seeds:     deps.Seeds,
-		relayed:   relayed,
-		dropped:   dropped,
-		settledAt: settledAt,
-		startedAt: time.Now(),
-		ready:     make(chan struct{}),
-		pushes:    make(chan catalog.Change, pushBacklog),
-		contacts:  map[string][]string{},
-		notices:   map[string]*notice{},
+	return d
+}
 
+// New returns a syncer; SetMembership must be called before Run.
+func New(deps Deps) *Syncer {
+	deps = deps.withDefaults()
+	return &Syncer{
+		config:     deps.Config,
+		catalog:    deps.Catalog,
+		store:      deps.Store,
+		machines:   deps.Machines,
+		transport:  deps.Transport,
+		leafs:      deps.Leafs,
+		logger:     deps.Logger,
+		seeds:      deps.Seeds,
+		relayed:    deps.Relayed,
+		dropped:    deps.StateDropped,
+		settledAt:  deps.Settled,
+		startedAt:  time.Now(),
+		ready:      make(chan struct{}),
+		pushes:     make(chan catalog.Change, pushBacklog),
+		contacts:   map[string][]string{},
+		notices:    map[string]*notice{},
 		droppedLog: rate.Sometimes{First: 1, Interval: droppedLogInterval},
 	}
 }
 
-// pushBacklog is how many changes may wait to be pushed; digests heal what overflows.
+// pushBacklog is how many changes may wait to be pushed; digests make up for those that overflow.
 const pushBacklog = 1024
 
-// SetMembership gives the zone's members; the membership's listener is this syncer.
+// SetMembership sets the zone's members. The syncer must be the listener of the membership.
 func (s *Syncer) SetMembership(members *membership.Membership) { s.members = members }
 
-// SetSeeds changes the peer addresses to join through.
+// SetSeeds sets the peer addresses to join through.
 func (s *Syncer) SetSeeds(seeds []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.seeds = seeds
 }
 
-// Ready is closed once the node has configuration, be it empty.
+// Ready is closed once the node has configuration, even if that is empty.
 func (s *Syncer) Ready() <-chan struct{} { return s.ready }
 
 // Run distributes configuration until the context ends.
@@ -155,20 +181,20 @@
 	loops.Wait()
 }
 
-// markInitialised lets the node serve.
+// markInitialised records that the node has configuration, and lets it serve.
 func (s *Syncer) markInitialised() {
 	if s.initialised.CompareAndSwap(false, true) {
 		close(s.ready)
 	}
 }
 
-// pause waits for a time with jitter, so that nodes that failed together don't retry
-// together; false when the context ended.
+// pause waits for a duration with jitter, so that nodes that failed together don't retry together. It returns
+// false when the context ended.
 func pause(ctx context.Context, duration time.Duration) bool {
 	return wait.For(ctx, wait.Jittered(duration))
 }
 
-// backoff doubles a pause up to the most allowed.
+// backoff doubles a pause, up to the maximum.
 func (s *Syncer) backoff(current time.Duration) time.Duration {
 	return min(2*current, s.config.MaximumRetryPause)
 }
--- a/internal/config/configsync/configsync_test.go
+++ b/internal/config/configsync/configsync_test.go
@@ -15,6 +15,7 @@
 	"github.com/portgauge/portgauge/internal/fleet/registry"
 )
 
+// Changes reach every node of every zone within seconds.
 func TestChangesReachEveryNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -33,8 +34,8 @@
 	})
 }
 
-// The store forgot a change before it told of it, so that watchers read its whole state: what that
-// changed is pushed like any other change, and costs other nodes no more than the change.
+// The store no longer keeps a change that it has not delivered, so that watchers read its whole state: the
+// difference is pushed like any other change, and costs other nodes no more than that.
 func TestForgottenChangeIsPushed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -57,7 +58,7 @@
 	})
 }
 
-// The first watcher of each zone is frozen just before a change: the next one pushes it.
+// The first watcher of each zone freezes just before a change: its standby pushes the change.
 func TestFrozenWatcherDoesNotHoldChangesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -86,7 +87,7 @@
 	})
 }
 
-// A third of all datagrams is lost and calls between half of the nodes fail: digests heal it.
+// A third of all datagrams is lost and calls between half of the nodes fail: digests make up for that.
 func TestLossIsHealed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -120,12 +121,12 @@
 	})
 }
 
-// Word of a leaving leaf on the machine list reaches nodes of all zones within seconds.
+// The notice of a leaf that leaves by the machine list reaches the nodes of all zones within seconds.
 func TestLeavingLeafIsToldToAllZones(t *testing.T) {
 	testLeavingLeafIsTold(t, func(*fleet) {})
 }
 
-// The same when the watcher that pushes has the word by gossip before it reads the list.
+// The same if the watcher that pushes receives the notice by gossip before it reads the machine list.
 func TestLeavingLeafHeardByGossipIsToldToAllZones(t *testing.T) {
 	testLeavingLeafIsTold(t, func(f *fleet) {
 		for id, node := range f.nodes {
@@ -150,21 +151,20 @@
 		time.Sleep(4 * time.Second)
 		for _, node := range f.nodes {
 			node.leafs.mu.Lock()
-			_, told := node.leafs.leaving["leaf-1"]
+			_, noticed := node.leafs.leaving["leaf-1"]
 			node.leafs.mu.Unlock()
-			is.True(told) // node.id was not told
+			is.True(noticed) // node.id has no notice
 		}
 	})
 }
 
-// Nodes that never hear the same members from each other settle all the same: a zone without
-// rest still needs watchers.
+// A zone whose nodes never agree on its members has watchers all the same.
 func TestRestlessZoneHasWatchers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, 1, 6)
 		defer f.stopAll()
-		// Each node hears only of those before it, so that no two agree.
+		// Each node knows only those before it, so that no two agree.
 		f.network.Cut(func(from, to string) bool { return from < to })
 		time.Sleep(40 * time.Second)
 		for _, node := range f.nodes {
@@ -187,7 +187,8 @@
 	})
 }
 
-// A node that still sends by an older rule has the newer revision in force and is not settled at it.
+// A node that still has requests of an older rule in flight has the newer revision in force, but isn't settled
+// at it.
 func TestStatusCountsSettledNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -214,7 +215,7 @@
 	})
 }
 
-// The fingerprint of an answer is that of the nodes which answered and are registered.
+// The fingerprint in a reply covers the nodes that answered and are registered.
 func TestStatusTellsRegisteredNodesApart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -250,7 +251,7 @@
 	}
 }
 
-// The first watcher of a zone follows the store closely, the others stand by.
+// The first watcher of a zone watches as primary, the others as standbys.
 func TestAllButTheFirstWatcherStandBy(t *testing.T) {
 	for _, nodes := range []int{1, 2, 12} {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/config/configsync/contacts.go
+++ b/internal/config/configsync/contacts.go
@@ -16,8 +16,8 @@
 // contactInterval is how often watchers draw new contacts in other zones.
 const contactInterval = time.Minute
 
-// contactLoop draws a few nodes of each other zone from the machine list, for watchers; the
-// others get theirs when they join. The first draw does not wait.
+// contactLoop lets watchers draw a few nodes of each other zone from the machine list; other nodes get their
+// contacts when they join. The first draw doesn't wait.
 func (s *Syncer) contactLoop(ctx context.Context) {
 	wait := s.config.MachineListInterval
 	for pause(ctx, wait) {
@@ -33,8 +33,8 @@
 	}
 }
 
-// replaceContacts takes the drawn nodes of each other zone that is on the list; contacts of
-// zones that are not stay, since the list lags.
+// replaceContacts replaces the contacts in each zone that is on the list. Contacts in other zones stay, since
+// the list lags.
 func (s *Syncer) replaceContacts(list machines.List) {
 	own := s.members.Self().Zone
 	drawn := map[string][]string{}
@@ -56,7 +56,7 @@
 	return s.machines.ListMachines(ctx, query)
 }
 
-// Contacts gives the nodes known in other zones.
+// Contacts returns the known nodes of other zones.
 func (s *Syncer) Contacts() []peer.Contact {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/config/configsync/digest.go
+++ b/internal/config/configsync/digest.go
@@ -15,7 +15,7 @@
 	}
 }
 
-// Receive implements membership.Listener: it pulls from a peer that is ahead, or keeps something else.
+// Receive implements membership.Listener. It pulls from a peer that is ahead, or that retains other entries.
 func (s *Syncer) Receive(from string, digest peer.Digest, notices []peer.LeafNotice) {
 	s.handleNotices(notices)
 	known := s.catalog.Revision()
@@ -32,8 +32,8 @@
 	}
 }
 
-// queueDelay gives for how long a datagram that is read now may have queueDelay: those that came before the machine was suspended
-// are read soon after it wakes.
+// queueDelay returns how long a datagram that is read now may have been queued in the socket: datagrams that
+// came before the machine was suspended are read soon after it resumes.
 func (s *Syncer) queueDelay() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,8 +47,9 @@
 	return 0
 }
 
-// Resumed has the node find out at once what it missed while the machine was suspended: the calls that it waits for may have
-// ended without its knowing, and what it holds for the newest is as old as the suspension was long.
+// Resumed makes the node find out at once what it missed while the machine was suspended: the watch and the
+// calls in flight may have ended unnoticed, and the age of the configuration grew by the length of the
+// suspension.
 func (s *Syncer) Resumed() {
 	s.resumed.Store(true)
 	for _, watcher := range s.watchers() {
@@ -59,8 +60,8 @@
 	}
 }
 
-// pullLater pulls from a peer that is ahead, unless the push of what it has arrives first:
-// digests travel beside pushes, and pulling at once would fetch most changes twice.
+// pullLater pulls from a peer that is ahead, unless a push brings the changes first: digests travel beside
+// pushes, and pulling at once would fetch most changes twice.
 func (s *Syncer) pullLater(from string, revision int64) {
 	if !s.pullPending.CompareAndSwap(false, true) {
 		return
@@ -68,8 +69,8 @@
 	s.pullAfterDelay(from, revision, pullPostponements)
 }
 
-// pullPostponements is how many times a pull is put off while pushes keep arriving: in a burst
-// what is missing is most likely in the next one.
+// pullPostponements is how many times a pull is postponed while pushes keep arriving: in a burst, the next push
+// most likely brings the missing changes.
 const pullPostponements = 3
 
 func (s *Syncer) pullAfterDelay(from string, revision int64, postponements int) {
--- a/internal/config/configsync/fleet_test.go
+++ b/internal/config/configsync/fleet_test.go
@@ -33,26 +33,26 @@
 	machines []machines.Machine
 	lists    int
 	watches  int
-	// told counts the events of watches, by node; silent holds the nodes whose watches tell nothing more.
-	told   map[string]int
+	// events counts the events of watches, by node; silent names the nodes whose watches deliver no more events.
+	events map[string]int
 	silent map[string]bool
-	// roles are those of the last watches, by node.
+	// roles are the roles of the last watches, by node.
 	roles map[string]store.WatchRole
-	// staleLists counts the stale reads, which are answered by the state so many changes ago.
+	// staleLists counts the stale reads, which return the state from staleBy changes ago.
 	staleLists int
 	staleBy    int
 	// forgotten is the revision up to which changes are no longer kept.
 	forgotten int64
-	// cutOff holds the nodes that don't reach the platform.
+	// cutOff names the nodes that can't reach the platform.
 	cutOff map[string]bool
-	// epoch counts the restores, which the store tells of unless it is mute.
+	// epoch counts the restores; the store doesn't announce them if it is mute.
 	epoch  int64
 	isMute bool
-	// forgetful says that watches tell where the store is, and not of changes.
+	// forgetful makes watches deliver the store's revision without the changes.
 	forgetful bool
 }
 
-// platformView is the platform as one node reaches it.
+// platformView is the platform as one node sees it.
 type platformView struct {
 	*memoryPlatform
 	node string
@@ -81,7 +81,7 @@
 	p.put(catalog.NodeKey(node.ID), value)
 }
 
-// put writes a key and gives the revision.
+// put writes a key and returns the revision.
 func (p *memoryPlatform) put(key string, value []byte) int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -92,7 +92,7 @@
 	return at
 }
 
-// restore brings the store back as it was after so many changes.
+// restore resets the store to its state after a number of changes.
 func (p *memoryPlatform) restore(count int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -188,11 +188,11 @@
 	}
 }
 
-// counted counts the events that a watch tells of.
+// counted counts the events that a watch delivers.
 func (p platformView) counted(receive func(store.Event) error) func(store.Event) error {
 	return func(event store.Event) error {
 		p.mu.Lock()
-		p.told[p.node]++
+		p.events[p.node]++
 		p.mu.Unlock()
 		return receive(event)
 	}
@@ -236,7 +236,7 @@
 	unsettled atomic.Int64
 }
 
-// settledRevision is the revision in force, or the one before that which the node is not settled at.
+// settledRevision is the revision in force, or the one before it if the node isn't settled at that.
 func (n *testNode) settledRevision() int64 {
 	if unsettled := n.unsettled.Load(); unsettled > 0 {
 		return unsettled - 1
@@ -256,7 +256,7 @@
 func newFleet(t *testing.T, zones, perZone int) *fleet {
 	f := &fleet{
 		t: t, config: DefaultConfig(), platform: &memoryPlatform{changed: make(chan struct{}), cutOff: map[string]bool{}, roles: map[string]store.WatchRole{},
-			told: map[string]int{}, silent: map[string]bool{}},
+			events: map[string]int{}, silent: map[string]bool{}},
 		network: peer.NewMemoryNetwork(1, time.Millisecond), nodes: map[string]*testNode{},
 	}
 	for zone := range zones {
@@ -297,7 +297,7 @@
 	time.Sleep(time.Minute)
 }
 
-// lagging gives the nodes that do not have a revision in force.
+// lagging returns the nodes that do not have a revision in force.
 func (f *fleet) lagging(wanted int64) []string {
 	var lagging []string
 	for id, node := range f.nodes {
--- a/internal/config/configsync/handler.go
+++ b/internal/config/configsync/handler.go
@@ -6,26 +6,27 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
-// Handlers take the messages that neither membership nor configuration is concerned with; what has no hearer is
-// dropped.
+// Handlers receive the messages that concern neither membership nor configuration. Messages without a handler
+// are dropped.
 type Handlers struct {
-	// Leafs takes reports of leafs.
+	// Leafs receives reports on leafs.
 	Leafs func(peer.LeafReports)
-	// Reach takes what concerns zones in reach, with the peer address of the node that sent it.
+	// Reach receives messages on the reachability of zones, with the peer address of the sender.
 	Reach func(from string, reach peer.Reach)
-	// Rollouts takes what judges of roll-outs are told and tell.
+	// Rollouts receives the messages to and from the nodes that judge roll-outs.
 	Rollouts RolloutHandler
-	// Quarantine takes what is told of requests that may end leafs.
+	// Quarantine receives messages on requests that may crash leafs.
 	Quarantine func(from string, told peer.Quarantine)
 }
 
-// RolloutHandler takes what is told of roll-outs, with the peer address of the node that told it.
+// RolloutHandler receives messages on roll-outs, with the peer address of the sender.
 type RolloutHandler interface {
 	HandleReports(from string, reports peer.RolloutReports)
 	HandleHold(from string, hold peer.RolloutHold)
 }
 
-// PeerHandler answers other nodes: it hands each message to membership, configuration or one of its hearers.
+// PeerHandler is the peer.Handler of a node: it dispatches each message to membership, configuration or one of
+// the other handlers.
 type PeerHandler struct {
 	syncer  *Syncer
 	hearers Handlers
@@ -33,7 +34,7 @@
 
 var _ peer.Handler = (*PeerHandler)(nil)
 
-// NewPeerHandler makes the handler of a node's peer address.
+// NewPeerHandler returns the handler of a node's peer address.
 func NewPeerHandler(syncer *Syncer, hearers Handlers) *PeerHandler {
 	return &PeerHandler{syncer: syncer, hearers: hearers}
 }
@@ -69,14 +70,13 @@
 // HandleCall implements peer.Handler.
 func (h *PeerHandler) HandleCall(ctx context.Context, message peer.Message) peer.Message {
 	syncer := h.syncer
-	// The digest is taken before the state so that it never claims more than the state has;
-	// a state's own revision says the rest.
+	// The digest is taken before the state, so that it never claims more than the state has.
 	answer := peer.Message{Digest: syncer.Digest()}
 	switch {
 	case message.Join != nil:
 		answer.Welcome = syncer.handleJoin(*message.Join)
 	case (message.Push != nil || message.Pull != nil) && syncer.isLegacy(message.Digest):
-		// Nothing passes between epochs that can't be told apart; the node is told so by a state that is none.
+		// Revisions of unknown epochs must not mix: the peer gets an uninitialised state.
 		syncer.readStoreForLegacy(message.Digest)
 		answer.State = &peer.State{}
 	case message.Push != nil:
--- a/internal/config/configsync/join.go
+++ b/internal/config/configsync/join.go
@@ -11,11 +11,10 @@
 	"go.uber.org/zap"
 )
 
-// joinLoop joins the zone through the seeds and the machine list, again and again until what
-// is known of the zone stays the same, and pulls configuration until the node has some. From
-// then on it joins rarely, which heals a zone whose halves lost each other. A zone whose
-// members come and go all the time counts as known after a while, so that it has watchers, and
-// so that joins don't add to whatever keeps it from resting.
+// joinLoop joins the zone through the seeds and the machine list until the node's view of the zone is stable,
+// and pulls configuration until the node has some. After that it joins rarely, which heals a zone whose halves
+// lost each other. A zone whose members keep changing counts as joined after unstableTimeout, so that it has
+// watchers and joins don't add to the churn.
 func (s *Syncer) joinLoop(ctx context.Context) {
 	wait := s.config.RetryPause
 	for {
@@ -37,28 +36,28 @@
 	}
 }
 
-// unstableTimeout is after how long a node settles although the members it hears of differ.
+// unstableTimeout is how long after its start a node counts as joined although its peers know different members.
 const unstableTimeout = 15 * time.Second
 
-// settle marks that the node knows its zone well enough to tell whether it is a watcher.
+// markJoined records that the node knows its zone well enough to rank the watchers.
 func (s *Syncer) markJoined() {
 	if s.joined.CompareAndSwap(false, true) {
 		s.logger.Info("joined the zone", zap.Int("members", len(s.members.Members())))
 	}
 }
 
-// aloneTimeout is after how long a node that can't find others takes itself for alone.
+// aloneTimeout is how long after its start a node that reaches no other takes itself for the only one.
 const aloneTimeout = 5 * time.Second
 
-// listedAloneTimeout is the same when the machine list answers and names nobody: it lags, so that
-// others that start at the same moment may be missing from it.
+// listedAloneTimeout is the same if the machine list answers and names no other node. It isn't 0 because the
+// list lags: nodes that start at the same moment may be missing from it.
 const listedAloneTimeout = time.Second
 
-// joinTargets is how many nodes a node joins through at once.
+// joinTargets is how many nodes a node joins through at a time.
 const joinTargets = 3
 
-// join tells some nodes of this one and reports whether it found its zone's view stable: all
-// nodes that answered know the same members, or there is none to ask.
+// join announces this node to a few others and reports whether the view of the zone is stable: all nodes that
+// answered know the same members, or there is no node to ask.
 func (s *Syncer) join(ctx context.Context) bool {
 	targets := s.currentSeeds()
 	listed, err := s.listZone(ctx)
@@ -92,8 +91,7 @@
 	return agreed == joined
 }
 
-// joinThrough joins through one node; one of another zone gives contacts but has no say on
-// the own zone.
+// joinThrough joins through one node. A node of another zone contributes contacts, but its members don't count.
 func (s *Syncer) joinThrough(ctx context.Context, target string) (reached, same bool) {
 	ctx, cancel := context.WithTimeout(ctx, s.config.CallTimeout)
 	defer cancel()
@@ -105,17 +103,17 @@
 	return welcome.Zone == s.members.Self().Zone, same
 }
 
-// handleJoin takes a node in; one of another zone becomes a contact there.
+// handleJoin admits a node to the zone; a node of another zone becomes a contact.
 func (s *Syncer) handleJoin(join peer.Join) *peer.Welcome {
 	s.addContacts([]peer.Contact{{Zone: join.Member.Zone, Address: join.Member.Address}})
 	members, known := s.members.HandleJoin(join)
 	return &peer.Welcome{Zone: s.members.Self().Zone, Known: known, Members: members, Contacts: s.Contacts()}
 }
 
-// joinCandidates is how many nodes of its zone a node draws to join through.
+// joinCandidates is how many nodes of its zone a node draws from the machine list to join through.
 const joinCandidates = 8
 
-// listZone gives the peer addresses of the zone's nodes by the machine list.
+// listZone returns the peer addresses of nodes of the zone on the machine list.
 func (s *Syncer) listZone(ctx context.Context) ([]string, error) {
 	list, err := s.listMachines(ctx, machines.Query{Zone: s.members.Self().Zone, Role: machines.RoleNode, MostPerZone: joinCandidates})
 	if err != nil {
@@ -130,7 +128,7 @@
 	return addresses, nil
 }
 
-// currentSeeds gives the peer addresses to join through.
+// currentSeeds returns the peer addresses to join through.
 func (s *Syncer) currentSeeds() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/config/configsync/leaving.go
+++ b/internal/config/configsync/leaving.go
@@ -8,12 +8,12 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
-// notice is word that a leaf must get no new work.
+// notice says that a leaf is leaving and must get no new requests.
 type notice struct {
-	until  time.Time
-	passes int
-	// pushedUntil is what this node pushed, as a watcher; word that came by gossip was not
-	// pushed to other zones yet.
+	until  time.Time // when the notice expires
+	passes int       // how many datagrams have carried it
+	// pushedUntil is the expiry that this node pushed as a watcher. A notice received by gossip has not been
+	// pushed to other zones by this node.
 	pushedUntil time.Time
 }
 
@@ -37,19 +37,19 @@
 	return chosen
 }
 
-// renewalShare divides the hold of a notice: one that holds so much longer than known is news.
+// renewalShare divides the term of a notice: one that expires this much later than the known one is a renewal.
 const renewalShare = 2
 
-// handleNotices learns of leaving leafs from another node.
+// handleNotices records the notices from another node.
 func (s *Syncer) handleNotices(notices []peer.LeafNotice) {
 	now := time.Now()
-	for _, word := range notices {
-		hold := min(time.Duration(word.Millis)*time.Millisecond, s.config.LeavingHold)
-		s.recordNotice(word.LeafID, now.Add(hold))
+	for _, received := range notices {
+		hold := min(time.Duration(received.Millis)*time.Millisecond, s.config.LeavingHold)
+		s.recordNotice(received.LeafID, now.Add(hold))
 	}
 }
 
-// note records word of a leaving leaf; a renewal of some length is passed on anew.
+// recordNotice records that a leaf is leaving. A renewal is gossiped again.
 func (s *Syncer) recordNotice(leafID string, until time.Time) {
 	s.leafs.SetLeaving(leafID, until)
 	s.mu.Lock()
@@ -64,13 +64,12 @@
 	}
 }
 
-// isRenewal reports whether a notice holds so much longer than known that it counts as news.
+// isRenewal reports whether a notice expires so much later than the known one that it must be passed on again.
 func (s *Syncer) isRenewal(until, known time.Time) bool {
 	return until.Sub(known) >= s.config.LeavingHold/renewalShare
 }
 
-// claimNoticePush reports whether a notice is due to be pushed by this watcher, and counts it as
-// pushed.
+// claimNoticePush reports whether this watcher must push a notice, and marks it as pushed.
 func (s *Syncer) claimNoticePush(leafID string, until time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,13 +81,13 @@
 	return true
 }
 
-// LeafDraining tells the zone of a leaf that said itself that it is leaving.
+// LeafDraining notifies the zone of a leaf that said itself that it is leaving.
 func (s *Syncer) LeafDraining(leafID string) {
 	s.recordNotice(leafID, time.Now().Add(s.config.LeavingHold))
 }
 
-// machineLoop reads the zone's part of the machine list while this node is a watcher, and
-// spreads word of leaving leafs.
+// machineLoop lets watchers read the zone's leafs on the machine list and spread the notice of those that are
+// leaving.
 func (s *Syncer) machineLoop(ctx context.Context) {
 	version := uint64(0)
 	var leaving []string
@@ -119,7 +118,8 @@
 	return leaving
 }
 
-// lives gives the ids of the leafs in force of some names: the machine list doesn't tell lives apart.
+// leafIDs returns the ids of the leafs in force under the given names; the machine list doesn't distinguish
+// processes of the same name.
 func (s *Syncer) leafIDs(names []string) []string {
 	known := s.catalog.View().Leafs
 	ids := make([]string, 0, len(names))
@@ -133,8 +133,8 @@
 	return ids
 }
 
-// pushLeaving sends the own zone, and one node of each other zone for theirs, those notices
-// that this watcher has not pushed yet or that are about to lapse.
+// pushLeaving pushes the notices that this watcher has not pushed yet, or that need renewal, to its own zone and
+// to one node of each other zone, which passes them on there.
 func (s *Syncer) pushLeaving(ctx context.Context, leaving []string) {
 	until := time.Now().Add(s.config.LeavingHold)
 	isFirst := s.rank() == 0
@@ -154,7 +154,7 @@
 	}
 }
 
-// pushToOtherZone hands a push to the first contact that takes it.
+// pushToOtherZone sends a push to the first contact that accepts it.
 func (s *Syncer) pushToOtherZone(ctx context.Context, addresses []string, push peer.Push) {
 	for _, address := range addresses {
 		if s.sendPush(ctx, address, push) {
--- a/internal/config/configsync/pull.go
+++ b/internal/config/configsync/pull.go
@@ -9,7 +9,8 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
-// pullFromZone asks the watchers first, since they have configuration first, then another.
+// pullFromZone pulls from the watchers, which have configuration first, then from another member, then from
+// another zone.
 func (s *Syncer) pullFromZone(ctx context.Context) {
 	self := s.members.Self().ID
 	for _, watcher := range s.watchers() {
@@ -26,9 +27,9 @@
 	}
 }
 
-// pullFrom takes what a peer has beyond the revision in force, or what one of those has that the peer
-// names instead; true when there was any configuration. One pull runs at a time: the digests that
-// follow ask again.
+// pullFrom pulls what a peer has beyond the revision in force, or asks the nodes that the peer names instead. It
+// reports whether there was any configuration. Only one pull runs at a time; later digests repeat one that was
+// skipped.
 func (s *Syncer) pullFrom(ctx context.Context, address string) bool {
 	if !s.pulling.CompareAndSwap(false, true) {
 		return false
@@ -49,7 +50,7 @@
 	return taken
 }
 
-// pullOnce asks one peer. Elsewhere are those that it names instead.
+// pullOnce pulls from one peer. elsewhere are the nodes to ask instead, if the peer names any.
 func (s *Syncer) pullOnce(ctx context.Context, address string) (taken bool, elsewhere []string) {
 	s.relayed("pull")
 	after, asked := s.catalog.Revision(), s.catalog.Mark()
@@ -71,10 +72,10 @@
 	return true, nil
 }
 
-// pullTimeoutFactor times the call timeout bounds a pull, which may carry the whole state.
+// pullTimeoutFactor times Config.CallTimeout bounds a pull, which may carry the whole state.
 const pullTimeoutFactor = 4
 
-// takeState puts a peer's state into force, as far as it is newer.
+// takeState applies a peer's state as far as it is newer.
 func (s *Syncer) takeState(state peer.State) error {
 	if len(state.Snapshot) > 0 {
 		snapshot, err := state.Snapshot.Unpack()
@@ -91,7 +92,8 @@
 	return nil
 }
 
-// HandlePull gives a peer what it lacks.
+// HandlePull answers a pull with the changes that the peer lacks, or with the whole state if they are no longer
+// kept.
 func (s *Syncer) HandlePull(from string, pull peer.Pull) peer.State {
 	state := peer.State{Initialised: s.initialised.Load(), Revision: s.catalog.Revision()}
 	if pull.Retained {
@@ -102,18 +104,18 @@
 		state.Changes = changes
 		return state
 	}
-	given, err := s.snapshots.serve(s.catalog, from)
+	served, err := s.snapshots.serve(s.catalog, from)
 	if err != nil {
-		s.logger.Error("whole state can't be given to a peer", zap.String("peer", from), zap.Error(err))
+		s.logger.Error("whole state can't be sent to a peer", zap.String("peer", from), zap.Error(err))
 		return peer.State{}
 	}
-	// One that gave too much and can name nobody has nothing for now.
-	given.Initialised = len(given.Snapshot) > 0 || len(given.Elsewhere) > 0
-	given.Revision = state.Revision
-	return given
+	// A node that has served too many and can name no other has nothing to offer for now.
+	served.Initialised = len(served.Snapshot) > 0 || len(served.Elsewhere) > 0
+	served.Revision = state.Revision
+	return served
 }
 
-// crossZoneLoop pulls from other zones while this watcher's view of the store is down.
+// crossZoneLoop pulls from other zones while this node can't follow the store.
 func (s *Syncer) crossZoneLoop(ctx context.Context) {
 	for pause(ctx, s.config.MaximumRetryPause/2) {
 		if s.storeDownAt.Load() == 0 {
@@ -129,7 +131,7 @@
 	}
 }
 
-// pushPulled hands changes that came from another zone on to the own zone.
+// pushPulled pushes the changes pulled from another zone to the own zone.
 func (s *Syncer) pushPulled(ctx context.Context, before int64) {
 	changes, found := s.catalog.Since(before)
 	if !found || len(changes) == 0 {
--- a/internal/config/configsync/push.go
+++ b/internal/config/configsync/push.go
@@ -12,15 +12,15 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
-// Bounds of the changes in one push: those of a burst, as when hundreds of leafs leave together, are best
-// pushed at once, but each may be a configuration of 0.5 MB.
+// Bounds of the changes in one push, in number and bytes: a burst, as when hundreds of leafs leave together, is best
+// pushed at once, but a single change may be a configuration of 0.5 MB.
 const (
 	maximumBatch = 512
 	batchBytes   = 1 << 20
 )
 
-// pushLoop pushes the first change after a quiet time nearly at once, and those of a burst
-// together at intervals.
+// pushLoop pushes the first change after a quiet time with hardly a delay, and those of a burst together, one
+// batch each Config.PushInterval.
 func (s *Syncer) pushLoop(ctx context.Context) {
 	var lastPush time.Time
 	for {
@@ -39,7 +39,7 @@
 	}
 }
 
-// collect adds the changes that come within a time to a batch.
+// collect adds the changes that arrive within a span to a batch.
 func (s *Syncer) collect(batch []catalog.Change, span time.Duration) []catalog.Change {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
@@ -67,9 +67,8 @@
 	s.pushToZone(ctx, peer.Push{Batch: batch})
 }
 
-// pushToZone starts a push over a tree of the zone's members drawn for this push. The first
-// member of the tree, a different one each time, fans it out, so that the watcher that starts
-// every push does not carry more than others.
+// pushToZone starts a push over a random tree of the zone's members. The root of the tree, another member each
+// time, does the fan-out, so that the watcher that starts every push does not carry more than others.
 func (s *Syncer) pushToZone(ctx context.Context, push peer.Push) {
 	seed := strconv.FormatInt(time.Now().UnixNano(), 36)
 	self := s.members.Self()
@@ -87,27 +86,28 @@
 	s.relayOver(ctx, push, 1)
 }
 
-// relay hands a push to the first nodes of its subtree, each with a share of the rest.
+// relay sends a push to the first nodes of its subtree, each with a share of the rest.
 func (s *Syncer) relay(ctx context.Context, push peer.Push) {
 	s.relayOver(ctx, push, s.config.FanOut)
 }
 
-// relayOver relays over so many branches. The share of a node that does not take the push is
-// relayed from here.
+// relayOver sends a push over the given number of branches. If the first node of a branch does not accept the
+// push, this node relays it to the rest of the branch itself.
 func (s *Syncer) relayOver(ctx context.Context, push peer.Push, branches int) {
 	for _, branch := range split(push.Subtree, branches) {
 		go func() {
-			handed := push
-			handed.Subtree = branch[1:]
-			if s.sendPush(ctx, branch[0], handed) {
+			rest := push
+			rest.Subtree = branch[1:]
+			if s.sendPush(ctx, branch[0], rest) {
 				return
 			}
 			s.relayed("push_failed")
-			s.relay(ctx, handed)
+			s.relay(ctx, rest)
 		}()
 	}
 }
 
+// sendPush sends a push to a node and reports whether the node accepted it.
 func (s *Syncer) sendPush(ctx context.Context, address string, push peer.Push) bool {
 	ctx, cancel := context.WithTimeout(ctx, s.config.CallTimeout)
 	defer cancel()
@@ -116,7 +116,7 @@
 	return err == nil && answer.State != nil
 }
 
-// HandlePush applies a push and hands it on.
+// HandlePush applies a push and forwards it.
 func (s *Syncer) HandlePush(from string, push peer.Push) peer.State {
 	s.lastPushAt.Store(time.Now().UnixNano())
 	changes, err := push.Batch.Unpack()
@@ -137,14 +137,14 @@
 	return peer.State{Initialised: s.initialised.Load(), Revision: s.catalog.Revision()}
 }
 
-// followToEpoch takes the whole state of a new epoch from the node that pushed word of it, and hands that on then: so each
-// node takes it from the one before it in the tree, which has it by then.
+// followToEpoch pulls the whole state of a new epoch from the node that announced it, and only then forwards the
+// push: so each node pulls from its parent in the tree, which has the state by then.
 func (s *Syncer) followToEpoch(from string, push peer.Push) {
 	s.pullFrom(context.Background(), from)
 	s.forward(push)
 }
 
-// forward hands a push on to whom it names.
+// forward passes a push on to the nodes that it names.
 func (s *Syncer) forward(push peer.Push) {
 	switch {
 	case push.WholeZone:
@@ -155,6 +155,7 @@
 	}
 }
 
+// notePushed records the newest revision that a push brought.
 func (s *Syncer) notePushed(changes []catalog.Change) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -163,8 +164,8 @@
 	}
 }
 
-// split deals addresses into at most count branches of nearly equal size; the first of each
-// branch is the one to hand the rest to.
+// split divides addresses into at most count branches of nearly equal size. The first address of a branch relays
+// to the rest of it.
 func split(addresses []string, count int) [][]string {
 	count = min(count, len(addresses))
 	branches := make([][]string, 0, count)
--- a/internal/config/configsync/push_check.go
+++ b/internal/config/configsync/push_check.go
@@ -9,9 +9,9 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// checkPushLater has a watcher that stands by, once it pushed, look after that push: it pushes only where the
-// push of the watchers ahead failed, and what failed that one may fail its own. A node that relays a push and
-// reaches half of the zone only leaves the other half without it.
+// checkPushLater makes a standby that pushed check its push after Config.PushInterval: a standby pushes only if
+// the push of a watcher ahead of it failed, and the same cause may make its own fail. A relay that reaches half
+// of the zone leaves the other half without the change and without an error.
 func (s *Syncer) checkPushLater(ctx context.Context) {
 	if s.rank() <= 0 || !s.checkingPush.CompareAndSwap(false, true) {
 		return
@@ -24,7 +24,8 @@
 	}()
 }
 
-// checkPush asks every member of the zone how far it is, some at a time.
+// checkPush asks every member of the zone for its revision, Config.FanOut at a time, and sends those behind what
+// they miss.
 func (s *Syncer) checkPush(ctx context.Context) {
 	var asked sync.WaitGroup
 	for _, branch := range split(s.otherAddresses(), s.config.FanOut) {
@@ -37,7 +38,7 @@
 	asked.Wait()
 }
 
-// repairMember hands a member what it lacks.
+// repairMember sends a member the changes that it misses.
 func (s *Syncer) repairMember(ctx context.Context, address string) {
 	revision, found := s.revisionOf(ctx, address)
 	if !found || revision >= s.catalog.Revision() {
@@ -45,7 +46,7 @@
 	}
 	changes, found := s.catalog.Since(revision)
 	if !found || len(changes) == 0 {
-		return // it asks for the whole state by itself
+		return // the member pulls the whole state itself
 	}
 	batch, err := peer.PackBatch(changes[:prefixWithin(changes, maximumBatch, batchBytes)])
 	if err == nil {
@@ -53,7 +54,7 @@
 	}
 }
 
-// revisionOf asks a member for the revision that it has in force.
+// revisionOf asks a member for its revision in force.
 func (s *Syncer) revisionOf(ctx context.Context, address string) (revision int64, found bool) {
 	ctx, cancel := context.WithTimeout(ctx, s.config.CallTimeout)
 	defer cancel()
@@ -64,5 +65,5 @@
 	return answer.State.Revision, true
 }
 
-// afterAll asks for the changes after all there can be: for none, that is.
+// afterAll is a revision after all others: a pull with it asks for no changes.
 const afterAll = math.MaxInt64
--- a/internal/config/configsync/push_check_test.go
+++ b/internal/config/configsync/push_check_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// Whichever node a push goes through first, one that reaches half of the zone only does not leave the other half
-// behind: the tree of a push depends on its moment.
+// Whichever node a push goes through first, a push that reaches only half of the zone doesn't leave the other
+// half behind. The tree of a push depends on the time, so several are tried.
 func TestPushThatReachesHalfOfAZoneIsChecked(t *testing.T) {
 	for _, late := range []time.Duration{0, 10, 50, 100, 200, 333, 500, 700} {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/config/configsync/reorder.go
+++ b/internal/config/configsync/reorder.go
@@ -7,22 +7,22 @@
 	"github.com/portgauge/portgauge/internal/config/catalog"
 )
 
-// mostReordered and reorderBytes bound the changes that are kept until those before them are in: some pushes of a
-// burst, or a few configurations of 0.5 MB.
+// mostReordered and reorderBytes bound the buffered changes, in number and bytes: a few pushes of a burst, or a few
+// configurations of 0.5 MB.
 const (
 	mostReordered = 2048
 	reorderBytes  = 4 << 20
 )
 
-// reorderBuffer are changes that came before those that they follow on. Pushes go over trees that are drawn
-// anew each time, so that one may overtake another; what it brought need not be fetched again. The zero value
-// is ready; it is safe for concurrent use.
+// reorderBuffer holds changes that arrived before the changes they follow. Each push goes over another tree, so
+// that one may overtake another; what it brought need not be fetched again. The zero value is ready; it is safe
+// for concurrent use.
 type reorderBuffer struct {
 	mu      sync.Mutex
 	changes []catalog.Change // in order of revision
 }
 
-// apply puts changes into force, with the early ones that follow on them, and keeps those behind a gap. It
+// apply applies changes together with the buffered ones that follow them, and buffers those behind a gap. It
 // reports whether there is no gap.
 func (e *reorderBuffer) apply(known *catalog.Catalog, changes []catalog.Change) bool {
 	e.mu.Lock()
@@ -41,8 +41,8 @@
 	return complete
 }
 
-// prefix gives how many of some changes, from the first on, are within a number and a size in bytes; the last
-// of them may go beyond the size.
+// prefixWithin returns how many changes, from the first on, are within a number and a size in bytes; the last of
+// them may exceed the size.
 func prefixWithin(changes []catalog.Change, most, bytes int) int {
 	size := 0
 	for index, change := range changes {
--- a/internal/config/configsync/reorder_test.go
+++ b/internal/config/configsync/reorder_test.go
@@ -11,8 +11,8 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
-// Pushes that overtake each other lose nothing: once all are in, whatever their order, all is in force,
-// though no peer can be asked.
+// Pushes that overtake each other lose nothing: once all have arrived, in whatever order, all changes are in
+// force, though no peer can be asked.
 func TestPushesInAnyOrderLoseNothing(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 1, 0)
@@ -42,8 +42,8 @@
 	is.Equal(len(node.syncer.reorder.changes), 0)
 }
 
-// Whatever parts come in whatever order, some of them twice, what is in force is a state without a gap, and
-// all once all came.
+// Whatever parts arrive in whatever order, some of them twice, the configuration in force has no gap, and once
+// all have arrived it is complete.
 func TestEarlyChangesFollowTheStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var log []catalog.Change
@@ -60,12 +60,12 @@
 			}
 		}
 		if known.Revision() != int64(len(log)) || len(early.changes) != 0 {
-			t.Fatalf("revision %d of %d, %d kept", known.Revision(), len(log), len(early.changes))
+			t.Fatalf("revision %d of %d, %d buffered", known.Revision(), len(log), len(early.changes))
 		}
 	})
 }
 
-// What is kept early has a bound in number and in size.
+// The buffer is bounded in number and in bytes.
 func TestEarlyChangesAreBounded(t *testing.T) {
 	is := is.New(t)
 	known := catalog.New(nil)
@@ -75,7 +75,7 @@
 		early.apply(known, []catalog.Change{{Entry: catalog.Entry{Key: "x", Value: large, Revision: 10 + i}, Previous: 9 + i}})
 	}
 	is.Equal(len(early.changes), 4)
-	is.Equal(early.changes[0].Entry.Revision, int64(10)) // the first are those that can be put into force first
+	is.Equal(early.changes[0].Entry.Revision, int64(10)) // the earliest are buffered: they are applied first
 	early = reorderBuffer{}
 	var many []catalog.Change
 	for i := range int64(mostReordered + 100) {
--- a/internal/config/configsync/restored.go
+++ b/internal/config/configsync/restored.go
@@ -11,17 +11,17 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// When the store was restored, a node that reads it comes to a new epoch, and the others hear of that as of any later
-// revision: it is above all of the epochs before, whatever their counts were. Changes don't lead from one epoch to the next,
-// so that each takes the whole state and weighs it against what it knows, see catalog.Kept.
+// A node that reads a restored store enters a new epoch. Pushes and digests announce that like any later revision, since
+// every revision of an epoch is above all revisions of the epochs before. No change leads from one epoch to the next, so
+// each node loads the whole state and merges it with what it knows, see catalog.Retained.
 
-// epochChange gives the change that tells other nodes of a new epoch. It has nothing in it: they find that they can't apply
-// it, and ask for the whole state.
+// epochChange returns the change that announces a new epoch. It is empty: a receiver can't apply it and pulls
+// the whole state.
 func epochChange(before, now int64) catalog.Change {
 	return catalog.Change{Entry: catalog.Marker(now), Previous: before}
 }
 
-// enteredEpoch logs that the node came to a new epoch, and gives whether it did.
+// enteredEpoch reports whether the node entered a new epoch since a revision, and logs it.
 func (s *Syncer) enteredEpoch(before int64) bool {
 	now := s.catalog.Revision()
 	if before == 0 || !revision.IsLater(now, before) {
@@ -38,8 +38,9 @@
 	return len(changes) > 0 && revision.IsLater(changes[len(changes)-1].Entry.Revision, s.catalog.Revision())
 }
 
-// compareRetained asks a peer at the same revision for what it keeps, where that is something else, once at a time: a node that
-// started after the restore may have read the store without having known what it lost.
+// compareRetained pulls the retained entries of a peer at the same revision if they differ from the own ones,
+// one pull at a time: a node that started after the restore may have read the store without having known what it
+// lost.
 func (s *Syncer) compareRetained(from string, digest peer.Digest) {
 	if digest.Retained == 0 || digest.Retained == s.catalog.RetainedFingerprint() || !s.pullingRetained.CompareAndSwap(false, true) {
 		return
@@ -51,7 +52,7 @@
 	}()
 }
 
-// pullRetained takes what a peer keeps.
+// pullRetained takes over the entries that a peer retains.
 func (s *Syncer) pullRetained(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, s.config.CallTimeout)
 	defer cancel()
@@ -63,14 +64,14 @@
 	}
 }
 
-// isLegacy reports whether a digest is of a node that does not count epochs, as the version before this one, while the
-// store was restored at some time: its revisions can't be told from those of another epoch.
+// isLegacy reports whether a digest is from a node of a version that doesn't know of epochs, although the store
+// was restored at some time: its revisions can't be compared with those of this node.
 func (s *Syncer) isLegacy(digest peer.Digest) bool {
 	return !digest.CountsEpochs && revision.Epoch(s.catalog.Revision()) > 0
 }
 
-// readStoreForLegacy reads the store where a node that does not count epochs seems to be further: nothing can be taken from it,
-// and while a fleet is replaced node by node such nodes may be the ones that follow the store for a zone.
+// readStoreForLegacy reads the store if a legacy node seems to be ahead. Nothing can be taken from that node,
+// but while a fleet is upgraded node by node such nodes may be the ones that follow the store for a zone.
 func (s *Syncer) readStoreForLegacy(digest peer.Digest) {
 	if digest.Revision <= revision.Count(s.catalog.Revision()) || !s.readingForLegacy.CompareAndSwap(false, true) {
 		return
--- a/internal/config/configsync/restored_test.go
+++ b/internal/config/configsync/restored_test.go
@@ -12,17 +12,17 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
-// serviceCount gives how many services a node has in force.
+// serviceCount returns how many services a node has in force.
 func (n *testNode) serviceCount() int { return len(n.catalog.View().Services) }
 
-// listed gives how often the whole state was read.
+// listed returns how often the whole state was read.
 func (p *memoryPlatform) listed() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.lists
 }
 
-// cut has the platform out of reach of some nodes.
+// cut makes the platform unreachable for some nodes.
 func (p *memoryPlatform) cut(isCut func(id string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -31,8 +31,8 @@
 	}
 }
 
-// A store that is restored takes every node of the fleet to its new epoch, those that don't watch it too, and what is
-// accepted then is in force within four seconds; what it lost stays in force.
+// A restore of the store brings every node of the fleet to the new epoch, also those that don't watch the store,
+// and changes accepted after it are in force within four seconds; what the store lost stays in force.
 func TestRestoreReachesEveryNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -45,7 +45,7 @@
 		is.Equal(len(f.lagging(5)), 0)
 		f.platform.restore(2)
 		accepted := f.platform.write(t, "f", 1)
-		is.Equal(accepted, revision.At(1, 3)) // a count that was given out before
+		is.Equal(accepted, revision.At(1, 3)) // a count that was used before
 		time.Sleep(4 * time.Second)
 		is.Equal(f.lagging(accepted), nil)
 		for _, node := range f.nodes {
@@ -54,8 +54,8 @@
 	})
 }
 
-// A zone that was cut off during the restore, and is further by number, follows once it is back, and takes nobody back to
-// what it has.
+// A zone that was cut off during the restore, and whose count of changes is higher, follows once it is connected
+// again, and takes no other node back.
 func TestZoneThatWasCutOffDuringARestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -78,7 +78,8 @@
 	})
 }
 
-// A store that goes back without telling so is not read without a pause, and what is in force is not told as the newest.
+// A store that goes back without announcing a new epoch is not read without a pause, and doesn't confirm what is
+// in force as the newest.
 func TestStoreThatGoesBackUntoldIsLeftAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -102,7 +103,7 @@
 	})
 }
 
-// A node that started after the restore, and read the store, has what the others keep within a few seconds.
+// A node that starts after the restore and reads the store has what the others retain within a few seconds.
 func TestFreshNodeHasWhatOthersKeep(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -120,8 +121,8 @@
 	})
 }
 
-// Between a node that counts no epochs and one at a later epoch nothing passes, since its revisions are of any; where it
-// seems to be further, the store is looked at.
+// Nothing passes between a legacy node, which counts no epochs, and a node at a later epoch, since their
+// revisions can't be compared. If the legacy node seems to be ahead, the other one reads the store.
 func TestNodeThatCountsNoEpochs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -135,21 +136,21 @@
 		late := catalog.Change{Entry: catalog.Entry{Key: catalog.ServiceKey("x"), Revision: 2}, Previous: 1}
 		batch, err := peer.PackBatch([]catalog.Change{late})
 		is.NoErr(err)
-		unaware := peer.Digest{Revision: 2}
-		answer := handler.HandleCall(t.Context(), peer.Message{From: "old", Digest: unaware, Push: &peer.Push{Batch: batch}})
+		legacy := peer.Digest{Revision: 2}
+		answer := handler.HandleCall(t.Context(), peer.Message{From: "old", Digest: legacy, Push: &peer.Push{Batch: batch}})
 		is.True(!answer.State.Initialised)
-		answer = handler.HandleCall(t.Context(), peer.Message{From: "old", Digest: unaware, Pull: &peer.Pull{After: 0}})
+		answer = handler.HandleCall(t.Context(), peer.Message{From: "old", Digest: legacy, Pull: &peer.Pull{After: 0}})
 		is.Equal(len(answer.State.Changes)+len(answer.State.Snapshot), 0)
 		is.Equal(node.serviceCount(), 1)
 
-		// It looks at the store, and not at each word: looks that move nothing on are 0.2 to 2 s apart.
+		// Not every digest makes it read the store: reads that advance nothing are 0.2 to 2 s apart.
 		before := f.platform.listed()
 		for range 1000 {
-			node.syncer.Receive("old", unaware, nil)
+			node.syncer.Receive("old", legacy, nil)
 			time.Sleep(10 * time.Millisecond)
 		}
-		looks := f.platform.listed() - before
-		is.True(looks >= 4)
-		is.True(looks <= 10)
+		checks := f.platform.listed() - before
+		is.True(checks >= 4)
+		is.True(checks <= 10)
 	})
 }
--- a/internal/config/configsync/snapshots.go
+++ b/internal/config/configsync/snapshots.go
@@ -9,26 +9,24 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
-// snapshotServer gives the whole state to nodes that have none, as after a start of the whole fleet. The
-// state is packed once and given with the changes since; a node that gave it to many a moment ago
-// names some of those, so that the state spreads like a push. The zero value is ready; it is safe for
-// concurrent use.
+// snapshotServer serves the whole state to nodes that have none, as when the whole fleet starts. The state is
+// packed once and served with the changes since. A node that has served its share refers others to nodes that it
+// served before, so that the state spreads like a push. The zero value is ready; it is safe for concurrent use.
 type snapshotServer struct {
 	mu sync.Mutex
-	// revision and packed are the state that is given; packed is empty while there is none.
+	// revision and packed are the packed state; packed is empty while there is none.
 	revision int64
 	packed   peer.PackedSnapshot
-	// recipients are the addresses that were given it last, the oldest first.
+	// recipients are the addresses served last, the oldest first.
 	recipients []string
-	// since is when the present interval began, and given how many took the state in it.
+	// since is when the present interval began, and served how many nodes got the state in it.
 	since  time.Time
 	served int
 }
 
 const (
-	// serveInterval and mostServed bound what a node gives away. At 3,300 nodes and 17,000 leafs the
-	// packed state is about 0.5 MB, so that 8 of them in 100 ms take a third of a link of 1 Gbit/s;
-	// the number of nodes that have it grows ninefold in each interval.
+	// serveInterval and mostServed bound the rate at which a node serves the state: with 0.5 MB for a large fleet,
+	// it uses a third of a link of 1 Gbit/s, and the number of nodes that have the state grows ninefold an interval.
 	serveInterval = 100 * time.Millisecond
 	mostServed    = 8
 	// mostRecipients is how many recipients are remembered, mostNamed how many are named to a node.
@@ -38,7 +36,7 @@
 	mostSince = 64
 )
 
-// give gives the state of a catalog to the node of an address.
+// serve returns the state of a catalog for the node of an address, or the addresses of other nodes to ask.
 func (w *snapshotServer) serve(known *catalog.Catalog, recipient string) (peer.State, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -58,15 +56,15 @@
 	return peer.State{Snapshot: w.packed, Changes: changes}, nil
 }
 
-// keep keeps a state that another node packed, to be given away as it is.
+// cache keeps a state that another node packed, to serve it as it is.
 func (w *snapshotServer) cache(revision int64, packed peer.PackedSnapshot) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.revision, w.packed = revision, packed
 }
 
-// refresh gives the changes since the packed state, and packs the present one where they are too many
-// or no longer known. The lock must be held.
+// refresh returns the changes since the packed state. It packs the present state if they are too many or no
+// longer known. The lock must be held.
 func (w *snapshotServer) refresh(known *catalog.Catalog) ([]catalog.Change, error) {
 	if len(w.packed) > 0 {
 		if changes, found := known.Since(w.revision); found && len(changes) <= mostSince {
@@ -82,8 +80,8 @@
 	return nil, nil
 }
 
-// someRecipients gives some random nodes that were given the state, the asking one left out. The lock must
-// be held.
+// someRecipients returns some random nodes that have the state, other than the asking one. The lock must be
+// held.
 func (w *snapshotServer) someRecipients(asking string) []string {
 	var some []string
 	for _, i := range rand.Perm(len(w.recipients)) {
--- a/internal/config/configsync/snapshots_test.go
+++ b/internal/config/configsync/snapshots_test.go
@@ -12,13 +12,13 @@
 	"github.com/portgauge/portgauge/internal/config/catalog"
 )
 
-// change makes the next change of a catalog.
+// change returns the next change of a catalog.
 func change(known *catalog.Catalog, key string) catalog.Change {
 	revision := known.Revision()
 	return catalog.Change{Entry: catalog.Entry{Key: key, Value: []byte(`{}`), Revision: revision + 1}, Previous: revision}
 }
 
-// A node gives its whole state to a few at once, and names those to the others.
+// A node serves its whole state to a few nodes an interval, and refers the others to those.
 func TestWholeStateIsGivenToAFewAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -44,7 +44,7 @@
 	})
 }
 
-// The state is packed once and given with the changes since, until they are many.
+// The state is packed once and served with the changes since, until they are too many.
 func TestWholeStateIsPackedOnce(t *testing.T) {
 	is := is.New(t)
 	known := catalog.New(nil)
--- a/internal/config/configsync/standby.go
+++ b/internal/config/configsync/standby.go
@@ -10,14 +10,14 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// aheadTimeout bounds the question of a watcher that stands by to one ahead of it. A node that is well
-// answers across a zone in a few milliseconds; one that is frozen or cut off must not hold up the look at
-// the store.
+// aheadTimeout bounds a pull of a standby from a watcher ahead of it. A healthy node answers across a zone in a
+// few milliseconds; one that is frozen or cut off must not delay the check of the store.
 const aheadTimeout = 150 * time.Millisecond
 
-// standByOnce is a step of a watcher that stands by. It asks those ahead of it for what they have, which costs no
-// call of the store, and looks at the store only once nobody's word shows any more that the configuration in
-// force was the newest a moment ago: that word, whoever gave it, is the proof that a watcher is well.
+// standByOnce is one step of a standby, and decides when it takes over. It pulls from the watchers ahead of it,
+// which costs no call of the store, and checks the store itself in two cases: it has just become a standby, or
+// the configuration in force was not confirmed as the newest for checkAfter(rank). Such a confirmation, from
+// whatever peer, proves that a watcher ahead is alive.
 func (s *Syncer) standByOnce(ctx context.Context, rank int) error {
 	interval := time.Duration(rank) * s.config.RetryPause
 	s.waitForTurn(ctx, rank, interval)
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// waitForTurn waits for an interval, or until it is time to look, or until the node's rank is another.
+// waitForTurn waits for an interval, or until the store must be checked, or until the node's rank changes.
 func (s *Syncer) waitForTurn(ctx context.Context, rank int, interval time.Duration) {
 	until := time.Now().Add(min(interval, s.checkAfter(rank)-s.catalog.Age()))
 	for left := time.Until(until); left > 0 && s.rank() == rank; left = time.Until(until) {
@@ -45,18 +45,20 @@
 	}
 }
 
-// checkAfter gives the watchers of a zone turns, so that one looks for all that stand by.
+// checkAfter returns how long the configuration in force may be unconfirmed before a standby of a rank checks
+// the store: Config.LookAfter for the first, Config.BackupDelay more for each further one, so that one check
+// serves all standbys.
 func (s *Syncer) checkAfter(rank int) time.Duration {
 	return s.config.LookAfter + time.Duration(rank-1)*s.config.BackupDelay
 }
 
-// confirmedWithin reports whether the configuration in force was the newest at some time in a span that ends
-// now.
+// confirmedWithin reports whether the configuration in force was known to be the newest at some time within the
+// last span.
 func (s *Syncer) confirmedWithin(span time.Duration) bool {
 	return s.catalog.Age() < span
 }
 
-// pullFromAhead takes what the first watcher ahead of a rank has that answers.
+// pullFromAhead pulls from the first watcher ahead of a rank that answers.
 func (s *Syncer) pullFromAhead(ctx context.Context, rank int) {
 	watchers := s.watchers()
 	for _, watcher := range watchers[:min(rank, len(watchers))] {
@@ -72,7 +74,8 @@
 	return s.pullFrom(ctx, address)
 }
 
-// look takes from the store what changed and has it pushed at once: the watchers ahead had their time.
+// checkStore applies what changed in the store and queues its push without a delay: the watchers ahead had
+// theirs.
 func (s *Syncer) checkStore(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, s.config.WatchSilence)
 	defer cancel()
@@ -85,8 +88,8 @@
 	return err
 }
 
-// enqueuePulled has a watcher that stands by push what it was told since a revision and no push brings it: others
-// may lack it as well.
+// enqueuePulled makes a standby push what it pulled since a revision if no push brings it: other nodes may lack
+// it too.
 func (s *Syncer) enqueuePulled(revision int64) {
 	changes, found := s.catalog.Since(revision)
 	if s.rank() <= 0 || !found {
@@ -97,7 +100,7 @@
 	}
 }
 
-// queueUnpushed has the changes after a revision pushed that no push brought yet.
+// queueUnpushed queues those of the changes after a revision that no push has brought yet.
 func (s *Syncer) queueUnpushed(revision int64) {
 	changes, found := s.catalog.Since(revision)
 	if !found {
@@ -110,7 +113,7 @@
 	}
 }
 
-// isPushed reports whether a push brought a change or took it along.
+// isPushed reports whether a push brought a change or a later one.
 func (s *Syncer) isPushed(change catalog.Change) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/config/configsync/standby_test.go
+++ b/internal/config/configsync/standby_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// first gives the node of a zone that is the first of its watchers.
+// first returns the first watcher of a zone.
 func (f *fleet) first(zone string) string {
 	for id, node := range f.nodes {
 		if node.syncer.members.Self().Zone == zone && node.syncer.rank() == 0 {
@@ -18,38 +18,39 @@
 	return ""
 }
 
-// toldToStandbys counts the events that the store told watchers which stand by.
-func (f *fleet) toldToStandbys() int {
+// eventsToStandbys counts the events that the store delivered to standbys.
+func (f *fleet) eventsToStandbys() int {
 	f.platform.mu.Lock()
 	defer f.platform.mu.Unlock()
-	told := 0
+	events := 0
 	for id, node := range f.nodes {
 		if node.syncer.rank() > 0 {
-			told += f.platform.told[id]
+			events += f.platform.events[id]
 		}
 	}
-	return told
+	return events
 }
 
-// Watchers that stand by make no call of the store while the first of their zone is well, and have every
-// change all the same.
+// Standbys make no call of the store while the first watcher of their zone is healthy, and have every change all
+// the same.
 func TestStandbysLeaveTheStoreAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, 2, 12)
 		defer f.stopAll()
 		time.Sleep(15 * time.Second)
-		before := f.toldToStandbys()
+		before := f.eventsToStandbys()
 		for number := range 30 {
 			revision := f.platform.write(t, "a", uint32(number))
 			time.Sleep(time.Second)
 			is.Equal(len(f.lagging(revision)), 0)
 		}
-		is.Equal(f.toldToStandbys(), before)
+		is.Equal(f.eventsToStandbys(), before)
 	})
 }
 
-// While the first watcher has no store, one that stands by looks now and then, and stops when it is well again.
+// While the first watcher can't reach the store, a standby checks the store now and then, and stops once the
+// first watcher can.
 func TestStandbyLooksWhileTheFirstHasNoStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -57,16 +58,16 @@
 		defer f.stopAll()
 		time.Sleep(15 * time.Second)
 		first := f.first("z0")
-		before := f.toldToStandbys()
+		before := f.eventsToStandbys()
 		f.platform.setCutOff(first, true)
 		time.Sleep(20 * time.Second)
-		looks := f.toldToStandbys() - before
-		is.True(looks >= 8 && looks <= 12)
+		checks := f.eventsToStandbys() - before
+		is.True(checks >= 8 && checks <= 12)
 		f.platform.setCutOff(first, false)
 		time.Sleep(5 * time.Second)
-		after := f.toldToStandbys()
+		after := f.eventsToStandbys()
 		time.Sleep(20 * time.Second)
-		is.Equal(f.toldToStandbys(), after)
+		is.Equal(f.eventsToStandbys(), after)
 	})
 }
 
@@ -76,8 +77,8 @@
 	p.cutOff[id] = cutOff
 }
 
-// whatEndsAFirstWatcher are the ways in which the first watcher of a zone stops to tell of changes.
-var whatEndsAFirstWatcher = map[string]func(f *fleet, id string){
+// firstWatcherFailures are the failures by which the first watcher of a zone stops to pass on changes.
+var firstWatcherFailures = map[string]func(f *fleet, id string){
 	"dies":         func(f *fleet, id string) { f.nodes[id].stop(); f.network.Remove(id); delete(f.nodes, id) },
 	"has no store": func(f *fleet, id string) { f.platform.setCutOff(id, true) },
 	"has a silent watch": func(f *fleet, id string) {
@@ -92,10 +93,10 @@
 	},
 }
 
-// A change is in force in the whole zone within 3 s, whatever befell its first watcher just before.
+// A change is in force in the whole zone within 3 s, whatever failure its first watcher had just before.
 func TestChangeIsInForceInTimeWithoutTheFirstWatcher(t *testing.T) {
 	const bound = 3 * time.Second
-	for name, end := range whatEndsAFirstWatcher {
+	for name, end := range firstWatcherFailures {
 		t.Run(name, func(t *testing.T) {
 			for late := time.Duration(0); late < 2*time.Second; late += 230 * time.Millisecond {
 				synctest.Test(t, func(t *testing.T) {
--- a/internal/config/configsync/start_test.go
+++ b/internal/config/configsync/start_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-// A node that starts while the store is down takes its state from peers.
+// A node that starts while the store is down loads its state from peers.
 func TestNodeStartsDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -31,7 +31,7 @@
 	})
 }
 
-// A node that starts alone reads the store at once instead of waiting until it knows its zone.
+// A node that starts alone reads the store without waiting until it knows its zone.
 func TestFirstReadDoesNotWaitForTheZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -45,8 +45,8 @@
 	})
 }
 
-// A node that starts reads a stale state and what changed since, which costs the platform least; where
-// the store does not keep that any more, it reads the newest state.
+// A node that starts reads a stale state and the changes since, which costs the platform least; if the store no
+// longer keeps those changes, the node reads the newest state.
 func TestFirstReadIsStaleAndBroughtUpToDate(t *testing.T) {
 	for name, one := range map[string]struct {
 		forgotten int64
@@ -76,8 +76,8 @@
 	}
 }
 
-// A fleet that starts together reads the store at its seeds only, and has its state from them and from
-// each other.
+// In a fleet that starts together only the seeds read the store; the other nodes load their state from them and
+// from each other.
 func TestFleetStartsFromItsSeeds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -101,7 +101,7 @@
 	})
 }
 
-// A node whose seeds are dead, or have no state, reads the store after the delay.
+// A node whose seeds are dead or have no state reads the store after the delay.
 func TestNodeWithDeadSeedsReadsTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -117,7 +117,7 @@
 	})
 }
 
-// A node whose read of the store is not answered takes its state from a seed that starts later.
+// A node whose read of the store isn't answered loads its state from a seed that starts later.
 func TestSeedThatStartsLaterIsStillAsked(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/config/configsync/startup.go
+++ b/internal/config/configsync/startup.go
@@ -13,22 +13,21 @@
 )
 
 const (
-	// firstPullPause is the pause between two rounds of asking the seeds: about what a node takes to
-	// read the store when all start together.
+	// firstPullPause is the pause between two pulls from the seeds: about the time that a seed takes to read the
+	// store when a whole fleet starts.
 	firstPullPause = 40 * time.Millisecond
-	// firstPullTimeout bounds one pull from a seed. A seed may be dead without a sign; one that is well
-	// gives a state of 0.5 MB in a tenth of this.
+	// firstPullTimeout bounds one pull from a seed, which may be dead. A healthy one needs a tenth of it for a
+	// state of 0.5 MB.
 	firstPullTimeout = 250 * time.Millisecond
 )
 
-// loadFirstState gets the node's first state, from a peer or the store. A node that starts does so whether it
-// will be a watcher or not: joining its zone takes longer, and until then it can't serve. It reports
-// false when the context ended.
+// loadFirstState decides where a node that starts gets its first state, and loads it. The node does so whether
+// it will be a watcher or not: joining its zone takes longer, and it can't serve before. It returns false when
+// the context ended.
 //
-// Seeds read the store at once. The others ask them first, and read the store too if none has answered
-// after a short delay: a seed may be dead, or start later than they. Whichever comes first ends the
-// other, so that a fleet that starts together mostly takes its state from peers: at 295 nodes reading
-// the store would be over 100 MB.
+// Seeds read the store at once. Other nodes pull from the seeds, and read the store as well if none has answered
+// after firstReadDelay: a seed may be dead or start later. The first success ends the other attempts, so that a
+// fleet that starts together mostly loads its state from peers instead of reading the store once a node.
 func (s *Syncer) loadFirstState(ctx context.Context) bool {
 	first, stop := context.WithCancel(ctx)
 	defer stop()
@@ -58,15 +57,16 @@
 	return ctx.Err() == nil
 }
 
-// firstReadDelay differs between nodes, so that those that start together don't read together.
+// firstReadDelay returns half to all of Config.FirstReadDelay, at random, so that nodes that start together
+// don't read the store together.
 func (s *Syncer) firstReadDelay() time.Duration {
 	return time.Duration((0.5 + rand.Float64()/2) * float64(s.config.FirstReadDelay))
 }
 
-// isSeed reports whether others are told to join through this node.
+// isSeed reports whether this node is one of the seeds.
 func (s *Syncer) isSeed() bool { return slices.Contains(s.currentSeeds(), s.transport.Address()) }
 
-// pullFromSeeds asks the seeds until the node has its first state or the context ends.
+// pullFromSeeds pulls from random seeds until the node has its first state or the context ends.
 func (s *Syncer) pullFromSeeds(ctx context.Context) {
 	for !s.initialised.Load() {
 		seeds := s.currentSeeds()
@@ -79,15 +79,15 @@
 	}
 }
 
-// pullFromSeed asks one seed.
+// pullFromSeed pulls from one seed.
 func (s *Syncer) pullFromSeed(ctx context.Context, seed string) {
 	ctx, cancel := context.WithTimeout(ctx, firstPullTimeout)
 	defer cancel()
 	s.pullFrom(ctx, seed)
 }
 
-// readStale takes the store's whole state at a price that a fleet can pay which starts together: a
-// stale state, brought up to date by what changed since.
+// readStale reads the store's whole state in the form that costs the store least: a stale state, brought up to
+// date by the changes since.
 func (s *Syncer) readStale(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, s.config.WatchSilence)
 	defer cancel()
@@ -98,7 +98,7 @@
 	s.catalog.Replace(snapshot)
 	if err := s.catchUp(ctx); err != nil {
 		if ctx.Err() != nil {
-			return err // over, or a peer was faster
+			return err // the context ended, or a peer was faster
 		}
 		s.logger.Info("stale state can't be brought up to date; reading the newest", zap.Error(err))
 		return s.readStore(ctx)
--- a/internal/config/configsync/status.go
+++ b/internal/config/configsync/status.go
@@ -14,8 +14,8 @@
 	peer.StatusReply
 }
 
-// Status counts, zone by zone, the nodes that have a revision in force. Zones that can't be
-// reached are left out.
+// Status counts, zone by zone, the nodes that have a revision in force. Zones that can't be reached are left
+// out.
 func (s *Syncer) Status(ctx context.Context, revision int64) []ZoneStatus {
 	own := ZoneStatus{Zone: s.members.Self().Zone, StatusReply: s.HandleStatus(ctx, peer.StatusQuery{Revision: revision, WholeZone: true})}
 	statuses := []ZoneStatus{own}
@@ -64,7 +64,7 @@
 	return *answer.StatusReply, true
 }
 
-// HandleStatus counts this node and those it is asked to ask, over a tree as for pushes.
+// HandleStatus counts this node and the nodes that it must ask, over a tree as for a push.
 func (s *Syncer) HandleStatus(ctx context.Context, query peer.StatusQuery) peer.StatusReply {
 	total := s.ownStatus(query.Revision)
 	subtree := query.Subtree
@@ -95,7 +95,7 @@
 
 // ownStatus counts this node alone.
 func (s *Syncer) ownStatus(wanted int64) peer.StatusReply {
-	// Settled first: it never claims more than the revision in force, read after it.
+	// Read before the revision in force, so that it never exceeds that.
 	settledAt := s.settledAt()
 	revision := s.catalog.Revision()
 	own := peer.StatusReply{Nodes: 1, LowestRevision: revision, LowestSettled: settledAt}
--- a/internal/config/configsync/storestate.go
+++ b/internal/config/configsync/storestate.go
@@ -9,7 +9,8 @@
 	"go.uber.org/zap"
 )
 
-// readStore takes the store's whole state, and has what it changed pushed like any change.
+// readStore reads the whole state of the store, applies it if it is newer than the configuration in force, and
+// queues the push of what it changed. A state older than the one in force is dropped and confirms nothing.
 func (s *Syncer) readStore(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, s.config.WatchSilence)
 	defer cancel()
@@ -23,7 +24,7 @@
 	case isTaken || snapshot.Revision >= before:
 		s.catalog.ConfirmSince(asked, 0)
 	default:
-		// The store does not have what is in force here: that is not shown to be the newest.
+		// The store lacks what is in force here, so it doesn't confirm that as the newest.
 		s.reportDropped(snapshot.Revision, before)
 	}
 	s.markInitialised()
@@ -36,11 +37,12 @@
 	return nil
 }
 
-// errStoreNotNewer ends a try to catch up with the store whose whole state is not newer than what is in force.
+// errStoreNotNewer reports that the store's whole state is not newer than the configuration in force.
 var errStoreNotNewer = merry.New("the store's whole state is not newer than the one in force")
 
-// reread takes the whole state of a store that no longer tells of changes. Where that moves nothing on, as with a store
-// that went back without saying so, the next try has to wait: without a pause one node made 60 such reads a second.
+// reread reads the whole state of a store that no longer keeps the changes since the revision in force. If that
+// doesn't advance the revision, as when a store went back without announcing a new epoch, it fails so that the
+// caller backs off instead of reading again at once.
 func (s *Syncer) reread(ctx context.Context) error {
 	before := s.catalog.Revision()
 	if err := s.readStore(ctx); err != nil {
@@ -52,7 +54,7 @@
 	return nil
 }
 
-// enqueueSince has the changes after a revision pushed, unless the node had nothing before.
+// enqueueSince queues the push of the changes after a revision, unless the node had no configuration before.
 func (s *Syncer) enqueueSince(revision int64) {
 	changes, found := s.catalog.Since(revision)
 	if revision == 0 || !found {
@@ -63,7 +65,8 @@
 	}
 }
 
-// reportDropped counts a whole state that is older than the one in force, and tells of it now and then.
+// reportDropped counts a whole state that was dropped as older than the one in force, and logs it at a limited
+// rate.
 func (s *Syncer) reportDropped(revision, inForce int64) {
 	s.dropped()
 	s.droppedLog.Do(func() {
@@ -71,27 +74,28 @@
 	})
 }
 
-// markStoreDown notes, and tells once, that the store can't be followed.
+// markStoreDown records that the store can't be followed, and logs it once. While it is down, the node pulls
+// from other zones.
 func (s *Syncer) markStoreDown(err error) {
 	if s.storeDownAt.CompareAndSwap(0, time.Now().UnixNano()) {
 		s.logger.Warn("store lost", zap.Error(err), zap.Int64("revision", s.catalog.Revision()))
 	}
 }
 
-// leaveStoreToWatchers notes that this node need not follow the store, once it knows its zone.
+// leaveStoreToWatchers records that this node need not follow the store itself, once it knows its zone.
 func (s *Syncer) leaveStoreToWatchers() {
 	if s.joined.Load() && s.storeDownAt.Swap(0) != 0 {
 		s.logger.Info("store left to the watchers of the zone", zap.Int64("revision", s.catalog.Revision()))
 	}
 }
 
-// markStoreUp notes, and tells once, that the store is followed again.
+// markStoreUp records that the store is followed again, and logs it once.
 func (s *Syncer) markStoreUp() {
 	if since := s.storeDownAt.Swap(0); since != 0 {
 		s.logger.Info("store regained", zap.Duration("after", time.Since(time.Unix(0, since))), zap.Int64("revision", s.catalog.Revision()))
 	}
 }
 
-// droppedLogInterval is how often a whole state that was dropped is logged at most: a node that reads one again and
-// again does so up to 66 times a second.
+// droppedLogInterval is the minimum interval between two log lines about dropped states: a node may drop many in
+// a second.
 const droppedLogInterval = time.Second
--- a/internal/config/configsync/suspended_test.go
+++ b/internal/config/configsync/suspended_test.go
@@ -11,7 +11,8 @@
 	"github.com/portgauge/portgauge/internal/node/boottime"
 )
 
-// What other nodes said before the machine was suspended is read when it wakes: it proves nothing of now.
+// Datagrams that were sent before the machine was suspended are read when it resumes: they confirm nothing about
+// the present.
 func TestDatagramsFromBeforeASuspensionAreOld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/config/configsync/watch.go
+++ b/internal/config/configsync/watch.go
@@ -13,13 +13,15 @@
 	"github.com/portgauge/portgauge/internal/node/boottime"
 )
 
-// errGap ends a watch whose events do not follow on the revision in force.
+// errGap ends a watch whose events do not continue the revision in force.
 var errGap = merry.New("the watch skipped a change")
 
-// errReopenWatch ends the watch of a node that is no longer the first of its zone's watchers, or was suspended.
+// errReopenWatch ends the watch of a node that is no longer the first watcher, or whose machine was suspended.
 var errReopenWatch = merry.New("the node's rank as a watcher changed, or the machine was suspended")
 
-// watchLoop watches the store while this node ranks among the watchers.
+// watchLoop follows the store while this node is one of the watchers. It reads the first state before that,
+// whatever the rank. After an error it retries with exponential backoff between Config.RetryPause and
+// Config.MaximumRetryPause; the backoff starts over once a watch lasted for Config.WatchSilence.
 func (s *Syncer) watchLoop(ctx context.Context) {
 	if !s.loadFirstState(ctx) {
 		return
@@ -63,7 +65,8 @@
 	}
 }
 
-// follow follows the store as a watcher of a rank does, for some time.
+// follow follows the store as a watcher of the given rank does: until the watch ends, or for one step as a
+// standby.
 func (s *Syncer) follow(ctx context.Context, rank int) error {
 	if rank > 0 {
 		return s.standByOnce(ctx, rank)
@@ -72,7 +75,7 @@
 	return s.watchOnce(ctx)
 }
 
-// watchOnce reads the whole state if there is none yet, then follows the store's changes.
+// watchOnce reads the whole state if there is none yet, then follows the store's changes until the watch ends.
 func (s *Syncer) watchOnce(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -82,12 +85,12 @@
 		}
 	}
 	opened, take := time.Now(), s.eventHandler(ctx)
-	var heardAfter atomic.Int64
+	var lastEvent atomic.Int64
 	stopped := make(chan struct{})
 	defer close(stopped)
-	go s.superviseWatch(stopped, cancel, opened, &heardAfter)
+	go s.superviseWatch(stopped, cancel, opened, &lastEvent)
 	err := s.store.Watch(ctx, s.catalog.Revision(), store.Primary, func(event store.Event) error {
-		heardAfter.Store(int64(time.Since(opened)))
+		lastEvent.Store(int64(time.Since(opened)))
 		return take(event)
 	})
 	if s.rank() != 0 || s.resumed.Swap(false) {
@@ -96,9 +99,10 @@
 	return err
 }
 
-// superviseWatch ends a watch that fell silent, told by how long after it was opened it was heard last, or whose
-// node is no longer the first in rank.
-func (s *Syncer) superviseWatch(stopped <-chan struct{}, cancel context.CancelFunc, opened time.Time, heardAfter *atomic.Int64) {
+// superviseWatch cancels a watch that must not go on: no event came for Config.WatchSilence, the node is no
+// longer the first watcher, or the machine was suspended. lastEvent is the time from opening the watch to its
+// last event, in nanoseconds.
+func (s *Syncer) superviseWatch(stopped <-chan struct{}, cancel context.CancelFunc, opened time.Time, lastEvent *atomic.Int64) {
 	ticker := time.NewTicker(s.config.RetryPause)
 	defer ticker.Stop()
 	for {
@@ -107,7 +111,7 @@
 			return
 		case <-ticker.C:
 		}
-		silent := time.Since(opened) - time.Duration(heardAfter.Load())
+		silent := time.Since(opened) - time.Duration(lastEvent.Load())
 		if silent > s.config.WatchSilence || s.rank() != 0 || s.resumed.Load() {
 			cancel()
 			return
@@ -115,7 +119,8 @@
 	}
 }
 
-// eventHandler gives what takes the events of a watch that begins now: each was asked for when the one before it was taken.
+// eventHandler returns the function that handles the events of a watch that begins now. Each event counts as
+// requested when the one before it was handled, which bounds the age of what it confirms.
 func (s *Syncer) eventHandler(ctx context.Context) func(store.Event) error {
 	asked := s.catalog.Mark()
 	return func(event store.Event) error {
@@ -125,7 +130,8 @@
 	}
 }
 
-// handleEvent applies a change and has it pushed, or notes that there is none newer. It was asked for at a mark.
+// handleEvent applies a change and queues its push, or records that the revision in force is the newest. asked
+// is when the event was requested.
 func (s *Syncer) handleEvent(ctx context.Context, event store.Event, asked boottime.Mark) error {
 	s.markStoreUp()
 	if event.Change != nil {
@@ -137,7 +143,7 @@
 		s.enqueue(*event.Change)
 	}
 	if event.Change == nil && event.Current > s.catalog.Revision() {
-		// The store is further than what it told of: the changes between were not watched.
+		// The store is ahead of the changes that the watch delivered: read what is missing.
 		return s.readStore(ctx)
 	}
 	if event.Current == s.catalog.Revision() {
@@ -146,8 +152,8 @@
 	return nil
 }
 
-// enqueue hands a change to the push loop; a watcher in reserve does so after a while, and
-// only if the push of the first has not come by then.
+// enqueue decides when a watcher pushes a change: the first watcher at once, a standby of rank n after n times
+// Config.BackupDelay unless a push has brought the change by then. Other nodes don't push.
 func (s *Syncer) enqueue(change catalog.Change) {
 	rank := s.rank()
 	if rank == notAWatcher {
@@ -164,6 +170,7 @@
 	})
 }
 
+// queuePush hands a change to the push loop; it never blocks.
 func (s *Syncer) queuePush(change catalog.Change) {
 	select {
 	case s.pushes <- change:
@@ -172,10 +179,10 @@
 	}
 }
 
-// errCaughtUp ends the watch by which a node brings its state up to date.
+// errCaughtUp ends the watch by which a node catches up with the store.
 var errCaughtUp = merry.New("the state is up to date")
 
-// catchUp takes the changes since the revision in force.
+// catchUp applies the changes between the revision in force and the store's current one.
 func (s *Syncer) catchUp(ctx context.Context) error {
 	take := s.eventHandler(ctx)
 	err := s.store.Watch(ctx, s.catalog.Revision(), store.Standby, func(event store.Event) error {
--- a/internal/config/configsync/watchers.go
+++ b/internal/config/configsync/watchers.go
@@ -10,7 +10,11 @@
 // notAWatcher is the rank of a node that does not watch the store.
 const notAWatcher = -1
 
-// rank gives this node's place among its zone's watchers, 0 being the one that pushes.
+// rank decides whether this node watches the store for its zone. Members are ranked by the hash of their ids,
+// highest first, and the first Config.WatchersPerZone of them are the watchers: rank 0 follows the store and
+// pushes changes, higher ranks are its standbys. All nodes with the same members agree without a message, and a
+// death moves up only those behind it. A node that does not know its zone yet, or isn't a live member, has no
+// rank.
 func (s *Syncer) rank() int {
 	if !s.joined.Load() {
 		return notAWatcher
@@ -35,14 +39,14 @@
 	return ahead
 }
 
-// watchers gives the peer addresses of the zone's watchers, first in rank first.
+// watchers returns the zone's watchers in order of rank.
 func (s *Syncer) watchers() []peer.Member {
 	ranked := append([]peer.Member(nil), s.members.Members()...)
 	sortByWeight(ranked, func(member peer.Member) uint64 { return xxhash.Sum64String(member.ID) })
 	return ranked[:min(len(ranked), s.config.WatchersPerZone)]
 }
 
-// sortByWeight sorts members by falling weight, then by id.
+// sortByWeight sorts members by weight, highest first, then by id.
 func sortByWeight(members []peer.Member, weight func(peer.Member) uint64) {
 	weights := make(map[string]uint64, len(members))
 	for _, member := range members {
--- a/internal/config/configwriter/configwriter.go
+++ b/internal/config/configwriter/configwriter.go
@@ -76,7 +76,7 @@
 	guarded store.Guarded
 }
 
-// New makes a writer. Guarded writes need a store that is a store.Guarded too.
+// New returns a writer. Guarded writes need a store that is a store.Guarded too.
 func New(config Config, target store.Store) *Writer {
 	guarded, _ := target.(store.Guarded)
 	return &Writer{config: config, store: target, guarded: guarded}
--- a/internal/config/keyspace/keyspace.go
+++ b/internal/config/keyspace/keyspace.go
@@ -24,7 +24,7 @@
 	return r.To != "" && r.From >= r.To
 }
 
-// Intersect gives the common part of two ranges and whether there is one.
+// Intersect returns the common part of two ranges and whether there is one.
 func (r Range) Intersect(other Range) (Range, bool) {
 	common := Range{From: max(r.From, other.From), To: lowerEnd(r.To, other.To)}
 	return common, !common.Empty()
@@ -38,7 +38,7 @@
 	return r.From <= other.From && endAtMost(other.To, r.To)
 }
 
-// Subtract gives the parts of r that none of the given ranges covers, in order.
+// Subtract returns the parts of r that none of the given ranges covers, in order.
 func (r Range) Subtract(covered []Range) []Range {
 	ordered := append([]Range(nil), covered...)
 	sort.Slice(ordered, func(i, j int) bool { return ordered[i].From < ordered[j].From })
@@ -64,12 +64,12 @@
 	return missing
 }
 
-// After gives the smallest key greater than the given one.
+// After returns the smallest key greater than the given one.
 func After(key string) string {
 	return key + "\x00"
 }
 
-// lowerEnd gives the smaller of two upper ends, where empty means none.
+// lowerEnd returns the smaller of two upper ends, where empty means none.
 func lowerEnd(a, b string) string {
 	if a == "" {
 		return b
--- a/internal/config/manifest/manifest.go
+++ b/internal/config/manifest/manifest.go
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// Plan gives, in key order, the part of each shard that the asked range touches.
+// Plan returns, in key order, the part of each shard that the asked range touches.
 func (m *Manifest) Plan(asked keyspace.Range) []Part {
 	first := sort.Search(len(m.Shards), func(i int) bool {
 		end := m.Shards[i].Range.To
--- a/internal/config/revision/revision.go
+++ b/internal/config/revision/revision.go
@@ -17,13 +17,13 @@
 // MostEpoch is the highest epoch that a revision holds.
 const MostEpoch = (1<<63-1)/unit - 1
 
-// At gives the revision of a count of an epoch; both must be within their bounds.
+// At returns the revision of a count of an epoch; both must be within their bounds.
 func At(epoch, count int64) int64 { return epoch*unit + count }
 
-// Epoch gives the epoch of a revision.
+// Epoch returns the epoch of a revision.
 func Epoch(revision int64) int64 { return revision / unit }
 
-// Count gives the store's own count of a revision: unique within what the store holds, also after restores, since what it
+// Count returns the store's own count of a revision: unique within what the store holds, also after restores, since what it
 // holds from before one it has counted before it.
 func Count(revision int64) int64 { return revision % unit }
 
--- a/internal/config/rewriter/rewriter.go
+++ b/internal/config/rewriter/rewriter.go
@@ -46,7 +46,7 @@
 	tried map[string]time.Time
 }
 
-// New makes a writer for the node of an id. The catalog is told which keys the store lets nodes write.
+// New returns a writer for the node of an id. The catalog is told which keys the store lets nodes write.
 func New(known *catalog.Catalog, kept store.Store, self string, events EventLog) *Writer {
 	mayWrite := func(string) bool { return true }
 	if owned, isOwned := kept.(store.Owned); isOwned {
--- a/internal/config/rewriter/rewriter_test.go
+++ b/internal/config/rewriter/rewriter_test.go
@@ -93,7 +93,7 @@
 	return catalog.Entry{Key: key, Value: value, Revision: at}
 }
 
-// restored gives the catalog of a node to which a store came back without some entries, and with others.
+// restored returns the catalog of a node to which a store came back without some entries, and with others.
 func restored(t *testing.T, lost, left []catalog.Entry, nodes int) *catalog.Catalog {
 	t.Helper()
 	known := catalog.New(func(key string, err error) { t.Error(key, err) })
--- a/internal/fleet/machines/catalog.go
+++ b/internal/fleet/machines/catalog.go
@@ -15,7 +15,7 @@
 
 var _ Lister = (*CatalogLister)(nil)
 
-// NewCatalogLister makes a lister.
+// NewCatalogLister returns a lister.
 func NewCatalogLister(known *catalog.Catalog) *CatalogLister { return &CatalogLister{catalog: known} }
 
 // ListMachines implements Lister.
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -22,9 +22,9 @@
 
 // Listener is told of what messages from other nodes carry besides membership.
 type Listener interface {
-	// Digest gives the node's own configuration digest, for outgoing messages.
+	// Digest returns the node's own configuration digest, for outgoing messages.
 	Digest() peer.Digest
-	// Notices gives leaf notices to pass on with an outgoing message.
+	// Notices returns leaf notices to pass on with an outgoing message.
 	Notices() []peer.LeafNotice
 	// Receive is told of the digest and notices of an incoming message.
 	Receive(from string, digest peer.Digest, notices []peer.LeafNotice)
@@ -55,7 +55,7 @@
 	confirming bool // a suspect whose time is up is being probed a last time
 }
 
-// New makes a membership of one: self, with its id, zone and peer address.
+// New returns a membership of one: self, with its id, zone and peer address.
 func New(config Config, self peer.Member, transport peer.Transport, listener Listener, seed uint64) *Membership {
 	self.State = peer.Alive
 	return &Membership{
@@ -71,14 +71,14 @@
 	}
 }
 
-// Self gives the node itself.
+// Self returns the node itself.
 func (m *Membership) Self() peer.Member {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.self
 }
 
-// Members gives the usable members, self included, sorted by id. Suspects count as usable.
+// Members returns the usable members, self included, sorted by id. Suspects count as usable.
 // The slice is shared: callers must not change it.
 func (m *Membership) Members() []peer.Member {
 	m.mutex.Lock()
@@ -116,7 +116,7 @@
 	return 0
 }
 
-// Counts gives the number of members by state, self included.
+// Counts returns the number of members by state, self included.
 func (m *Membership) Counts() map[peer.MemberState]int {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -235,7 +235,7 @@
 	return m.config.RumourFactor * int(math.Ceil(math.Log10(float64(len(m.members)+2))))
 }
 
-// sample gives random usable members other than self and the excluded one.
+// sample returns random usable members other than self and the excluded one.
 func (m *Membership) sample(count int, excluded string) []peer.Member {
 	var others []peer.Member
 	for _, member := range m.usable() {
@@ -247,7 +247,7 @@
 	return others[:min(count, len(others))]
 }
 
-// Random gives a random usable member other than self.
+// Random returns a random usable member other than self.
 func (m *Membership) Random() (peer.Member, bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -68,7 +68,7 @@
 	time.Sleep(time.Minute)
 }
 
-// seenBy gives how many nodes hold a member for usable.
+// seenBy returns how many nodes hold a member for usable.
 func (z *zone) seenBy(id string) int {
 	count := 0
 	for _, member := range z.members {
--- a/internal/fleet/membership/probe.go
+++ b/internal/fleet/membership/probe.go
@@ -26,7 +26,7 @@
 	m.send(prober, peer.Message{Acknowledge: &peer.Acknowledge{Sequence: probe.Sequence}})
 }
 
-// nextTarget gives the next member of the shuffled round.
+// nextTarget returns the next member of the shuffled round.
 func (m *Membership) nextTarget() (peer.Member, bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/fleet/membership/rumours.go
+++ b/internal/fleet/membership/rumours.go
@@ -24,7 +24,7 @@
 	r.items[member.ID] = &rumour{member: member}
 }
 
-// next gives up to count changes for one message and forgets those passed on often enough.
+// next returns up to count changes for one message and forgets those passed on often enough.
 func (r *rumours) next(count, maximumPasses int) []peer.Member {
 	if len(r.items) == 0 {
 		return nil
--- a/internal/fleet/peer/batch.go
+++ b/internal/fleet/peer/batch.go
@@ -20,7 +20,7 @@
 	return compression.Compress(content)
 }
 
-// Unpack gives the changes of a batch; an empty batch has none.
+// Unpack returns the changes of a batch; an empty batch has none.
 func (b Batch) Unpack() ([]catalog.Change, error) {
 	if len(b) == 0 {
 		return nil, nil
@@ -45,7 +45,7 @@
 	return compression.Compress(content)
 }
 
-// Unpack gives the whole state.
+// Unpack returns the whole state.
 func (p PackedSnapshot) Unpack() (catalog.Snapshot, error) {
 	content, err := compression.Expand(p, MaximumLine)
 	if err != nil {
--- a/internal/fleet/peer/memory.go
+++ b/internal/fleet/peer/memory.go
@@ -26,7 +26,7 @@
 	cut      func(from, to string) bool
 }
 
-// NewMemoryNetwork makes a network whose losses are drawn from a seed.
+// NewMemoryNetwork returns a network whose losses are drawn from a seed.
 func NewMemoryNetwork(seed uint64, delay time.Duration) *MemoryNetwork {
 	return &MemoryNetwork{
 		Delay:    delay,
@@ -69,7 +69,7 @@
 	n.cut = cut
 }
 
-// route gives the handler that a message reaches, if any.
+// route returns the handler that a message reaches, if any.
 func (n *MemoryNetwork) route(from, to string, mayLose bool) Handler {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/fleet/reachability/datagrams.go
+++ b/internal/fleet/reachability/datagrams.go
@@ -26,7 +26,7 @@
 
 var _ Prober = (*Datagrams)(nil)
 
-// NewDatagrams makes an prober; OnTold says who hears of zones that others lost.
+// NewDatagrams returns an prober; OnTold says who hears of zones that others lost.
 func NewDatagrams(sender Sender) *Datagrams {
 	return &Datagrams{sender: sender, told: func(string) {}, pending: map[uint64]chan struct{}{}}
 }
--- a/internal/fleet/reachability/datagrams_test.go
+++ b/internal/fleet/reachability/datagrams_test.go
@@ -134,7 +134,7 @@
 	})
 }
 
-// count gives the number of open questions.
+// count returns the number of open questions.
 func (d *Datagrams) count() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/fleet/reachability/look.go
+++ b/internal/fleet/reachability/look.go
@@ -101,7 +101,7 @@
 	return clock.Since(began) < length+length/latePart, running
 }
 
-// nodesOf gives the other nodes that fit, in random order.
+// nodesOf returns the other nodes that fit, in random order.
 func (t *Tracker) nodesOf(fits func(catalog.NodeRecord) bool) []catalog.NodeRecord {
 	var nodes []catalog.NodeRecord
 	for _, node := range t.deps.Nodes() {
--- a/internal/fleet/reachability/reachability.go
+++ b/internal/fleet/reachability/reachability.go
@@ -38,7 +38,7 @@
 	Config Config
 	// Self is this node's own record.
 	Self catalog.NodeRecord
-	// Nodes gives the registered nodes; this one may be among them.
+	// Nodes returns the registered nodes; this one may be among them.
 	Nodes  func() []catalog.NodeRecord
 	Prober Prober
 	// Changed is told of changed beliefs; nil means nobody.
@@ -64,7 +64,7 @@
 	ctx context.Context
 }
 
-// New makes a tracker; it looks at nothing before Run.
+// New returns a tracker; it looks at nothing before Run.
 func New(deps Deps) *Tracker {
 	return &Tracker{deps: deps, zones: map[string]*zone{}}
 }
@@ -187,7 +187,7 @@
 	}
 }
 
-// of gives what is kept of a zone; nil for the own one, and where nothing is looked at.
+// of returns what is kept of a zone; nil for the own one, and where nothing is looked at.
 func (t *Tracker) of(name string) *zone {
 	if t == nil || !t.deps.Config.Enabled || name == t.deps.Self.Zone || name == "" {
 		return nil
--- a/internal/fleet/reachability/zone.go
+++ b/internal/fleet/reachability/zone.go
@@ -74,7 +74,7 @@
 // slowestParts is how many times its slowest answer a zone gets to answer.
 const slowestParts = 2
 
-// wait gives how long the zone gets to answer: more where its answers were seen to take longer.
+// wait returns how long the zone gets to answer: more where its answers were seen to take longer.
 func (z *zone) wait(least time.Duration) time.Duration {
 	z.mu.Lock()
 	defer z.mu.Unlock()
--- a/internal/fleet/registry/census.go
+++ b/internal/fleet/registry/census.go
@@ -30,7 +30,7 @@
 	until      time.Time
 }
 
-// NewCensus makes a census for the node of an id.
+// NewCensus returns a census for the node of an id.
 func NewCensus(known *catalog.Catalog, self string, memory time.Duration) *Census {
 	return &Census{catalog: known, memory: memory, self: self, now: time.Now, gone: map[string]time.Time{}}
 }
@@ -39,7 +39,7 @@
 // used.
 func (c *Census) SetClock(clock boottime.Clock) { c.now = clock.Now }
 
-// Nodes gives the nodes that are registered or were a moment ago, sorted by id. The slice is shared
+// Nodes returns the nodes that are registered or were a moment ago, sorted by id. The slice is shared
 // and never changed: callers must not change it either.
 func (c *Census) Nodes() []catalog.NodeRecord {
 	c.mu.Lock()
@@ -48,7 +48,7 @@
 	return c.nodes
 }
 
-// Gatherers gives those of the nodes that gather for the others of their zones, see Gatherers. The
+// Gatherers returns those of the nodes that gather for the others of their zones, see Gatherers. The
 // slice is shared and never changed.
 func (c *Census) Gatherers() []catalog.NodeRecord {
 	c.mu.Lock()
@@ -119,7 +119,7 @@
 	return nodes
 }
 
-// Others gives the peer addresses of up to n random nodes that are registered, this one left out.
+// Others returns the peer addresses of up to n random nodes that are registered, this one left out.
 func (c *Census) Others(n int) []string {
 	nodes := c.Nodes()
 	view := c.catalog.View()
@@ -139,7 +139,7 @@
 // have; the others have the rest, for when those fail them.
 const gatherersPart = 0.8
 
-// Part gives this node's part of a bound that all nodes share, 0 unless it is one of those that the
+// Part returns this node's part of a bound that all nodes share, 0 unless it is one of those that the
 // others know of. Of bounds on gathered services, the nodes that gather have the most.
 func (c *Census) Part(gathered bool) float64 {
 	c.mu.Lock()
--- a/internal/fleet/registry/gatherers.go
+++ b/internal/fleet/registry/gatherers.go
@@ -7,7 +7,7 @@
 // difference between them.
 const gathererShare = 0.5
 
-// Gatherers gives those of some nodes that gather requests over many shards, for themselves and for
+// Gatherers returns those of some nodes that gather requests over many shards, for themselves and for
 // the others of their zone: the ones with the most processors there, and nodes that don't say. Where
 // all are alike, all gather. The order is kept.
 func Gatherers(nodes []catalog.NodeRecord) []catalog.NodeRecord {
--- a/internal/fleet/registry/left.go
+++ b/internal/fleet/registry/left.go
@@ -26,7 +26,7 @@
 	seen int64
 }
 
-// lease gives the lease of the node's record, if that says what the node says of itself now; 0 when there is
+// lease returns the lease of the node's record, if that says what the node says of itself now; 0 when there is
 // none. It waits until there is configuration.
 func (l *leftRecord) lease(ctx context.Context, self catalog.NodeRecord) int64 {
 	if l.known == nil || !l.await(ctx) {
@@ -62,7 +62,7 @@
 	return told != 0 && told != lease && told != l.seen
 }
 
-// revision gives the revision in force; 0 where there is no configuration.
+// revision returns the revision in force; 0 where there is no configuration.
 func (l *leftRecord) revision() int64 {
 	if l.known == nil {
 		return 0
@@ -70,7 +70,7 @@
 	return l.known.Revision()
 }
 
-// read gives the record in force, an empty one when there is none that can be read.
+// read returns the record in force, an empty one when there is none that can be read.
 func (l *leftRecord) read(id string) leasedRecord {
 	var record leasedRecord
 	entry, found := l.known.Entry(catalog.NodeKey(id))
--- a/internal/fleet/registry/left_test.go
+++ b/internal/fleet/registry/left_test.go
@@ -58,7 +58,7 @@
 	return granted, kept
 }
 
-// closed gives a channel that is closed: the configuration is there.
+// closed returns a channel that is closed: the configuration is there.
 func closed() chan struct{} {
 	ready := make(chan struct{})
 	close(ready)
--- a/internal/fleet/registry/ranking.go
+++ b/internal/fleet/registry/ranking.go
@@ -21,7 +21,7 @@
 	return cmp.Or(cmp.Compare(other.weight, p.weight), cmp.Compare(p.id, other.id))
 }
 
-// Ranked gives nodes in order of rendezvous hash for a topic: the same on all nodes, another for each topic, and
+// Ranked returns nodes in order of rendezvous hash for a topic: the same on all nodes, another for each topic, and
 // those that stay keep their order when one goes.
 func Ranked(nodes map[string]catalog.NodeRecord, topic string) []catalog.NodeRecord {
 	places := make([]place, 0, len(nodes))
@@ -36,7 +36,7 @@
 	return ranked
 }
 
-// Rank gives how many nodes come before that of an id, in the order of Ranked; the id need not be among them.
+// Rank returns how many nodes come before that of an id, in the order of Ranked; the id need not be among them.
 func Rank(nodes map[string]catalog.NodeRecord, topic, id string) int {
 	own := placeOf(topic, id)
 	ahead := 0
@@ -58,5 +58,5 @@
 	return sum
 }
 
-// Mark gives the fingerprint of a single node.
+// Mark returns the fingerprint of a single node.
 func Mark(id string) uint64 { return xxhash.Sum64String(id) }
--- a/internal/fleet/registry/registry.go
+++ b/internal/fleet/registry/registry.go
@@ -61,7 +61,7 @@
 	registeredAt int64
 }
 
-// New makes a registry for a node.
+// New returns a registry for a node.
 func New(config Config, lessor store.Lessor, self catalog.NodeRecord, logger *zap.Logger) *Registry {
 	return &Registry{config: config, lessor: lessor, self: self, logger: logger, woken: make(chan struct{}, 1)}
 }
@@ -208,7 +208,7 @@
 	return r.lessor.Keep(ctx, lease)
 }
 
-// end gives the lease up; if that fails, it runs out by itself.
+// end returns the lease up; if that fails, it runs out by itself.
 func (r *Registry) end(lease int64) {
 	ctx, cancel := context.WithTimeout(context.Background(), r.config.CallTimeout)
 	defer cancel()
--- a/internal/fleet/registry/registry_test.go
+++ b/internal/fleet/registry/registry_test.go
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// calls gives what was granted, kept and ended so far, and the lease of a key.
+// calls returns what was granted, kept and ended so far, and the lease of a key.
 func (m *memoryLessor) calls(key string) (granted, kept, ended int, lease int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -162,7 +162,7 @@
 	is.Equal(len(failure.Faults(Config{}.Validate())), 4)
 }
 
-// ids gives the ids of the nodes that a census counts.
+// ids returns the ids of the nodes that a census counts.
 func ids(census *Census) []string {
 	var ids []string
 	for _, node := range census.Nodes() {
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// Jittered gives half to one and a half of a pause, so that those who failed together don't try again together.
+// Jittered returns half to one and a half of a pause, so that those who failed together don't try again together.
 func Jittered(pause time.Duration) time.Duration {
 	return time.Duration(float64(pause) * (0.5 + rand.Float64()))
 }
