--- a/internal/config/catalog/catalog.go
+++ b/internal/config/catalog/catalog.go
@@ -1,71 +1,26 @@
+// Package catalog holds the configuration that one node has in force.
+//
+// The configuration is a set of keys, each written by compare-and-swap in the store. Every write has a store-wide
+// revision. A node applies changes in order of revision and never goes back: what it has in force is the state of the
+// store at one revision.
+//
+// A Catalog owns that state: the entries, the View compiled from them, the recent changes for other nodes, and how long
+// ago the revision was confirmed as the newest. After a restore of the store it also owns the entries that are retained
+// until they are written again (restored.go, retained.go). It starts no goroutines and calls no other node; package
+// configsync brings it changes. Values that can't be decoded are reported and don't change the view. Ages are counted by a
+// boottime.Clock, which includes the time for which the machine was suspended.
 package catalog
 
 import (
-	"cmp"
-	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
 
-	adminv1 "github.com/portgauge/portgauge/gen/portgauge/admin/v1"
-	"github.com/portgauge/portgauge/internal/config/manifest"
 	"github.com/portgauge/portgauge/internal/config/revision"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
 	"github.com/portgauge/portgauge/internal/node/boottime"
-	"github.com/portgauge/portgauge/internal/quarantine"
-	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
-	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
-// recentLimit is how many changes a node keeps to bring others up to date without sending
-// the whole state. At 14,000 changes a day it spans more than two hours.
-const recentLimit = 1500
-
-// recentBytes bounds the memory of those changes.
-const recentBytes = 4 << 20
-
-// Service is one service as it is in force; immutable.
-type Service struct {
-	Spec             *adminv1.ServiceSpec
-	Revision         int64
-	Manifest         *manifest.Manifest
-	SnapshotRevision int64
-	// Leafs indexes Spec.Leafs by id.
-	Leafs map[string]*adminv1.Leaf
-}
-
-// View is the configuration in force at one revision; immutable.
-type View struct {
-	Revision int64
-	Services map[string]*Service
-	// Routes is the routing table; nil while there is none.
-	Routes *routing.Table
-	// Leafs is what discovery tells of leafs.
-	Leafs *leafset.Set
-	// Remembered is the list of leafs that the fleet wrote down last.
-	Remembered *leafset.Set
-	// Nodes are the registered nodes of the fleet by id.
-	Nodes map[string]NodeRecord
-	// Rollouts are the orders to move services to other versions, by service, and how far they are.
-	Rollouts map[string]Rollout
-	// Quarantine are the requests that go to no leaf.
-	Quarantine map[fingerprint.Fingerprint]*quarantine.Record
-	// Versions are the versions that services without a roll-out are served by, by service.
-	Versions map[string]string
-}
-
-func emptyView(at int64) *View {
-	return &View{Revision: at, Services: map[string]*Service{}, Leafs: leafset.Empty(), Remembered: leafset.Empty(), Nodes: map[string]NodeRecord{}, Rollouts: map[string]Rollout{}}
-}
-
-// Snapshot is the whole state, for a node that is too far behind for single changes.
-type Snapshot struct {
-	Revision int64   `json:"revision"`
-	Entries  []Entry `json:"entries"`
-	// IsStale says that the store may have told of an earlier state, and that the revision is only what it said with it.
-	IsStale bool `json:"-"`
-}
-
 // Catalog is the configuration state of a node. Reads are lock-free; writes take the lock.
 type Catalog struct {
 	view atomic.Pointer[View]
@@ -111,46 +66,12 @@
 	c.startedAt = clock.Now()
 }
 
-// Now returns the instant by the catalog's clock.
-func (c *Catalog) Now() time.Time { return c.clock.Now() }
-
-// ConfirmSince records that the revision in force was the newest so long before an answer that was asked for at a mark. One
-// that had come before the machine was suspended is as old as that, too.
-func (c *Catalog) ConfirmSince(asked boottime.Mark, age time.Duration) {
-	c.Confirm(c.Now().Add(-age - asked.Suspended()))
-}
-
-// Mark returns the instant by which ConfirmSince tells whether the machine was suspended.
-func (c *Catalog) Mark() boottime.Mark { return c.clock.Mark() }
-
-// Age returns how long ago the revision in force was last known to be the newest.
-func (c *Catalog) Age() time.Duration { return c.clock.Since(c.ConfirmedAt()) }
-
 // View returns the configuration in force.
 func (c *Catalog) View() *View { return c.view.Load() }
 
 // Revision returns the revision in force.
 func (c *Catalog) Revision() int64 { return c.view.Load().Revision }
 
-// neverConfirmed is when the revision in force of a new catalog was the newest: long before any.
-const neverConfirmed = -50 * 365 * 24 * time.Hour
-
-// Confirm records that the revision in force was the newest at the given time by the catalog's clock, see Now.
-func (c *Catalog) Confirm(at time.Time) {
-	c.isProvisional.Store(false)
-	after := int64(at.Sub(c.startedAt))
-	for {
-		known := c.confirmed.Load()
-		if after <= known || c.confirmed.CompareAndSwap(known, after) {
-			return
-		}
-	}
-}
-
-// ConfirmedAt returns when the revision in force was last known to be the newest, by the catalog's clock. What passed
-// since does not depend on the time of day.
-func (c *Catalog) ConfirmedAt() time.Time { return c.startedAt.Add(time.Duration(c.confirmed.Load())) }
-
 // Apply takes a change if it follows directly on the revision in force. It reports whether
 // the change is now in force, be it by this call or an earlier one; false means a gap.
 func (c *Catalog) Apply(change Change) bool { return c.ApplyAll([]Change{change}) }
@@ -189,16 +110,16 @@
 	c.isProvisional.Store(false)
 	draft := c.newDraft(current, position)
 	for _, entry := range newest {
-		if c.isOutranked(entry) {
+		if c.isOutdated(entry) {
 			continue
 		}
-		delete(c.restored.kept, entry.Key)
-		c.keep(entry)
+		delete(c.restored.retained, entry.Key)
+		c.setEntry(entry)
 		c.compile(draft, entry)
 	}
 	c.view.Store(draft.done())
 	for _, change := range applied {
-		c.remember(change)
+		c.addRecent(change)
 		c.publish(change)
 	}
 	return complete
@@ -216,68 +137,31 @@
 		return false
 	}
 	c.isProvisional.Store(snapshot.IsStale)
-	entries := c.entriesOf(snapshot, current.Revision == 0 || wasProvisional)
+	entries := c.mergeEntries(snapshot, current.Revision == 0 || wasProvisional)
 	snapshot.Entries = entries
 	difference := difference(c.entries, current.Revision, snapshot)
 	known := c.entries
 	c.entries = make(map[string]Entry, len(entries))
 	draft := c.newDraft(emptyView(snapshot.Revision), snapshot.Revision)
 	// Routes that can't be read must not leave the node without any.
-	draft.view.Routes, draft.isOlderTaken = current.Routes, wasProvisional
+	draft.view.Routes, draft.acceptsOlderRoutes = current.Routes, wasProvisional
 	draft.before, draft.rolloutsBefore = current.Leafs, current.Rollouts
 	draft.useEditor(leafset.Replace(current.Leafs))
 	for _, entry := range entries {
-		c.noteReplaced(known, entry)
+		c.noteOverwritten(known, entry)
 		c.entries[entry.Key] = entry
 		c.compile(draft, entry)
 	}
 	c.view.Store(draft.done())
 	c.publish(difference)
-	c.rememberReplaced(current.Revision, difference)
+	c.addRecentDifference(current.Revision, difference)
 	return true
 }
 
-// rememberReplaced keeps what a whole state changed, unless there was nothing before it, it is too large, or the store was
-// restored; then earlier changes don't reach the revision in force any more.
-func (c *Catalog) rememberReplaced(before int64, difference Change) {
-	if before == 0 || difference.Size() > recentBytes || revision.IsLater(difference.Entry.Revision, before) {
-		c.recent, c.recentSize = nil, 0
-		return
-	}
-	c.remember(difference)
-}
-
-// difference returns what a newer whole state changes, as one change.
-func difference(known map[string]Entry, before int64, newer Snapshot) Change {
-	change := Change{Entry: Marker(newer.Revision), Previous: before}
-	present := make(map[string]bool, len(newer.Entries))
-	for _, entry := range newer.Entries {
-		present[entry.Key] = true
-		if had, found := known[entry.Key]; !found || had.Revision != entry.Revision {
-			change.More = append(change.More, entry)
-		}
-	}
-	for key := range known {
-		if isTransient(key) && !present[key] {
-			change.More = append(change.More, Entry{Key: key, Revision: newer.Revision, Deleted: true})
-		}
-	}
-	return change
-}
-
-// Size is the size of the values of a change, in bytes.
-func (c Change) Size() int {
-	size := 0
-	for _, entry := range c.Entries() {
-		size += len(entry.Value)
-	}
-	return size
-}
-
 // keep remembers an entry; a tombstone of a record that comes and goes with its process is
 // dropped, since ids are never used again and the tombstones would pile up.
-func (c *Catalog) keep(entry Entry) {
-	c.noteReplaced(c.entries, entry)
+func (c *Catalog) setEntry(entry Entry) {
+	c.noteOverwritten(c.entries, entry)
 	if entry.Deleted && isTransient(entry.Key) {
 		delete(c.entries, entry.Key)
 		return
@@ -285,22 +169,6 @@
 	c.entries[entry.Key] = entry
 }
 
-// Since returns the changes after a revision, or false when they are no longer kept.
-func (c *Catalog) Since(after int64) ([]Change, bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if after >= c.view.Load().Revision {
-		return nil, true
-	}
-	if len(c.recent) == 0 || c.recent[0].Previous > after {
-		return nil, false
-	}
-	first, _ := slices.BinarySearchFunc(c.recent, after+1, func(change Change, wanted int64) int {
-		return cmp.Compare(change.Entry.Revision, wanted)
-	})
-	return slices.Clone(c.recent[first:]), true
-}
-
 // Snapshot returns the whole state at the revision in force, tombstones included.
 func (c *Catalog) Snapshot() Snapshot {
 	c.mu.Lock()
@@ -319,38 +187,3 @@
 	entry, found := c.entries[key]
 	return entry, found
 }
-
-// Subscribe returns each change from now on, what a whole state changed as one, until the returned
-// function is called. A subscriber that does not keep up loses changes; each has its revision, so it
-// can tell.
-func (c *Catalog) Subscribe(buffer int) (<-chan Change, func()) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	id := c.nextID
-	c.nextID++
-	changes := make(chan Change, buffer)
-	c.subscribers[id] = changes
-	return changes, func() {
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		delete(c.subscribers, id)
-	}
-}
-
-func (c *Catalog) publish(change Change) {
-	for _, subscriber := range c.subscribers {
-		select {
-		case subscriber <- change:
-		default:
-		}
-	}
-}
-
-func (c *Catalog) remember(change Change) {
-	c.recent = append(c.recent, change)
-	c.recentSize += change.Size()
-	for len(c.recent) > recentLimit || (c.recentSize > recentBytes && len(c.recent) > 1) {
-		c.recentSize -= c.recent[0].Size()
-		c.recent = c.recent[1:]
-	}
-}
--- a/internal/config/catalog/draft.go
+++ b/internal/config/catalog/draft.go
@@ -14,25 +14,6 @@
 	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
-// NodeRecord is a node's own word on itself.
-type NodeRecord struct {
-	ID   string `json:"id"`
-	Zone string `json:"zone"`
-	// Address is the node's peer address.
-	Address string `json:"address"`
-	// Tree is where the node gathers for others; empty when it does not.
-	Tree string `json:"tree,omitempty"`
-	// Processors is the node's part of processors, in cores; 0 when it does not say.
-	Processors float64 `json:"processors,omitempty"`
-}
-
-// isTransient reports whether a key may end without a tombstone that must be kept: it stands only while something
-// lasts, a process, an evacuation, a quarantine or an order, or tells of versions, of which what a whole state lacks is void.
-func isTransient(key string) bool {
-	return strings.HasPrefix(key, leafPrefix) || strings.HasPrefix(key, nodePrefix) || strings.HasPrefix(key, evacuationPrefix) ||
-		strings.HasPrefix(key, quarantinePrefix) || isRollout(key)
-}
-
 // draft is a view that is not yet in force. Parts of the view before it are copied only when
 // they change.
 type draft struct {
@@ -49,9 +30,9 @@
 	ownsRollouts bool
 	// rollouts says that versions of leafs matter.
 	rollouts bool
-	// isOlderTaken says that routes go before those in force that a later revision wrote.
-	isOlderTaken bool
-	clock        boottime.Clock
+	// acceptsOlderRoutes says that routes go before those in force that a later revision wrote.
+	acceptsOlderRoutes bool
+	clock              boottime.Clock
 }
 
 func (c *Catalog) newDraft(current *View, revision int64) *draft {
@@ -109,7 +90,7 @@
 	if err != nil {
 		return err
 	}
-	if d.view.Routes != nil && d.view.Routes.Revision >= entry.Revision && !d.isOlderTaken {
+	if d.view.Routes != nil && d.view.Routes.Revision >= entry.Revision && !d.acceptsOlderRoutes {
 		return nil
 	}
 	d.view.Routes = routing.NewTable(configuration, entry.Revision)
@@ -121,11 +102,7 @@
 		d.view.Remembered = leafset.Empty()
 		return nil
 	}
-	document, err := DecodeDocument(entry)
-	if err != nil {
-		return err
-	}
-	remembered, err := leafset.ParseList(document, entry.Revision)
+	remembered, err := parsedAt(entry, leafset.ParseList)
 	if err != nil {
 		return err
 	}
@@ -205,7 +182,7 @@
 }
 
 func (d *draft) compileService(name string, entry Entry) error {
-	service := d.editable(name)
+	service := d.editableService(name)
 	service.Revision = entry.Revision
 	if entry.Deleted {
 		service.Spec, service.Leafs = nil, nil
@@ -224,7 +201,7 @@
 }
 
 func (d *draft) compileSnapshot(name string, entry Entry) error {
-	service := d.editable(name)
+	service := d.editableService(name)
 	service.SnapshotRevision = entry.Revision
 	if entry.Deleted {
 		service.Manifest = nil
@@ -243,7 +220,7 @@
 }
 
 // editable returns a copy of the service that belongs to the draft alone.
-func (d *draft) editable(name string) *Service {
+func (d *draft) editableService(name string) *Service {
 	if !d.ownService {
 		d.view.Services = maps.Clone(d.view.Services)
 		d.ownService = true
--- /dev/null
+++ b/internal/config/catalog/envelope.go
@@ -0,0 +1,150 @@
+package catalog
+
+import (
+	json "github.com/goccy/go-json"
+	"google.golang.org/protobuf/proto"
+
+	adminv1 "github.com/portgauge/portgauge/gen/portgauge/admin/v1"
+	"github.com/portgauge/portgauge/internal/failure"
+)
+
+// historyLength is how many earlier change ids an envelope keeps. A writer that lost a
+// reply finds its change among them even if that many others wrote the key since.
+const historyLength = 16
+
+// PastChange is an earlier write of the same key.
+type PastChange struct {
+	ChangeID string `json:"change_id"`
+	Revision int64  `json:"revision"`
+}
+
+// Envelope is what the store holds under a key: the payload and the ids of recent writes.
+type Envelope struct {
+	ChangeID string       `json:"change_id"`
+	Deleted  bool         `json:"deleted,omitempty"`
+	History  []PastChange `json:"history,omitempty"`
+	// Payload is the message in compressed binary form: each watcher reads it from the store
+	// and each node is sent it at each change.
+	Payload []byte `json:"payload,omitempty"`
+	// Document is the payload of entries that are JSON: routes, leafs and nodes.
+	Document json.RawMessage `json:"document,omitempty"`
+	// Refused says why what the store has under the key can't be read; such an entry has nothing else.
+	Refused string `json:"refused,omitempty"`
+}
+
+// NewRefusal returns the value of an entry that can't be read, with the reason.
+func NewRefusal(reason error) []byte {
+	value, err := json.Marshal(Envelope{Refused: reason.Error()})
+	if err != nil {
+		return nil // a value that is refused as well
+	}
+	return value
+}
+
+// NewDocument wraps a JSON document for a write that replaces the given entry, if any.
+func NewDocument(changeID string, document json.RawMessage, replaced *Entry) ([]byte, error) {
+	envelope := Envelope{ChangeID: changeID, Deleted: document == nil, Document: document}
+	if replaced != nil {
+		envelope.History = pastChanges(replaced)
+	}
+	return json.Marshal(envelope)
+}
+
+// DecodeDocument reads the JSON document of an entry.
+func DecodeDocument(entry Entry) (json.RawMessage, error) {
+	envelope, err := OpenEnvelope(entry.Value)
+	if err == nil && envelope.Refused != "" {
+		err = failure.Invalid("value", "%s", envelope.Refused)
+	}
+	return envelope.Document, err
+}
+
+// NewEnvelope wraps a message for a write that replaces the given entry, if any.
+func NewEnvelope(changeID string, message proto.Message, replaced *Entry) ([]byte, error) {
+	envelope := Envelope{ChangeID: changeID, Deleted: message == nil}
+	if message != nil {
+		payload, err := packMessage(message)
+		if err != nil {
+			return nil, failure.Wrap(err, failure.Internal, failure.NotRun, "encode configuration value")
+		}
+		envelope.Payload = payload
+	}
+	if replaced != nil {
+		envelope.History = pastChanges(replaced)
+	}
+	return json.Marshal(envelope)
+}
+
+// pastChanges puts the replaced entry's own change before those it already remembers.
+func pastChanges(replaced *Entry) []PastChange {
+	envelope, err := OpenEnvelope(replaced.Value)
+	if err != nil {
+		return nil
+	}
+	history := append([]PastChange{{ChangeID: envelope.ChangeID, Revision: replaced.Revision}}, envelope.History...)
+	return history[:min(len(history), historyLength)]
+}
+
+// OpenEnvelope decodes a value read from the store.
+func OpenEnvelope(value []byte) (Envelope, error) {
+	var envelope Envelope
+	if err := json.Unmarshal(value, &envelope); err != nil {
+		return Envelope{}, failure.Wrap(err, failure.Internal, failure.NotRun, "configuration value is not an envelope")
+	}
+	return envelope, nil
+}
+
+// FindChange reports the revision at which a change id was written to the entry's key.
+func FindChange(entry *Entry, changeID string) (int64, bool) {
+	envelope, err := OpenEnvelope(entry.Value)
+	if err != nil {
+		return 0, false
+	}
+	if envelope.ChangeID == changeID {
+		return entry.Revision, true
+	}
+	for _, past := range envelope.History {
+		if past.ChangeID == changeID {
+			return past.Revision, true
+		}
+	}
+	return 0, false
+}
+
+// DecodeService reads a service entry's settings.
+func DecodeService(entry Entry) (*adminv1.ServiceSpec, error) {
+	spec := &adminv1.ServiceSpec{}
+	return spec, decodePayload(entry, spec)
+}
+
+// DecodeSnapshot reads a snapshot entry's manifest.
+func DecodeSnapshot(entry Entry) (*adminv1.SnapshotManifest, error) {
+	message := &adminv1.SnapshotManifest{}
+	return message, decodePayload(entry, message)
+}
+
+func decodePayload(entry Entry, message proto.Message) error {
+	envelope, err := OpenEnvelope(entry.Value)
+	if err != nil {
+		return err
+	}
+	if err := unpackMessage(envelope.Payload, message); err != nil {
+		return failure.Wrap(err, failure.Internal, failure.NotRun, "decode configuration value")
+	}
+	return nil
+}
+
+// parsed returns the parsed document of an entry.
+func parsed[T any](entry Entry, parse func([]byte) (T, error)) (T, error) {
+	document, err := DecodeDocument(entry)
+	if err != nil {
+		var none T
+		return none, err
+	}
+	return parse(document)
+}
+
+// parsedAt returns the parsed document of an entry, for documents that know the revision that wrote them.
+func parsedAt[T any](entry Entry, parse func(document []byte, revision int64) (T, error)) (T, error) {
+	return parsed(entry, func(document []byte) (T, error) { return parse(document, entry.Revision) })
+}
--- a/internal/config/catalog/follow_restored_test.go
+++ b/internal/config/catalog/follow_restored_test.go
@@ -14,7 +14,7 @@
 // never falls, and once operators have written again what was lost, all nodes have what the store has.
 func TestNodesFollowAStoreThatIsRestored(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := newDrilled(t)
+		d := newRestorableStore(t)
 		d.put(RoutesKey, routesOf(1))
 		d.save()
 		nodes := []*Catalog{follower(d), follower(d), follower(d)}
@@ -82,7 +82,7 @@
 }
 
 // writeAgain has operators write again what they wrote, and take back what they took back.
-func writeAgain(d *drilled, operators map[string]any) {
+func writeAgain(d *restorableStore, operators map[string]any) {
 	for _, key := range slices.Sorted(maps.Keys(operators)) {
 		d.put(key, operators[key])
 	}
--- /dev/null
+++ b/internal/config/catalog/keys.go
@@ -0,0 +1,82 @@
+package catalog
+
+import (
+	"strings"
+
+	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
+)
+
+// Key prefixes of the kinds of entry; there is one entry of routes.
+const (
+	servicePrefix  = "service/"
+	snapshotPrefix = "snapshot/"
+	leafPrefix     = "leaf/"
+	nodePrefix     = "node/"
+	// evacuationPrefix begins the keys of zones whose leafs must get nothing while the key stands.
+	evacuationPrefix = "evacuation/"
+	// rolloutPrefix begins the keys of operators' orders to move a service to another version, and
+	// rolloutStatePrefix those of how far the fleet is with them.
+	rolloutPrefix      = "rollout/"
+	rolloutStatePrefix = "rollout-state/"
+	// quarantinePrefix begins the keys of requests that go to no leaf.
+	quarantinePrefix = "quarantine/"
+	// RoutesKey is the store key of the routing configuration.
+	RoutesKey = "routes"
+	// RememberedKey is the store key of the list of leafs that the fleet wrote down.
+	RememberedKey = "remembered-leafs"
+	// VersionsKey is the store key of the versions that services without a roll-out are served by.
+	VersionsKey = "service-versions"
+	// MarkerKey is under no value: a change of it only moves the revision on.
+	MarkerKey = "marker"
+)
+
+// ServiceKey is the store key of a service's settings.
+func ServiceKey(name string) string { return servicePrefix + name }
+
+// SnapshotKey is the store key of a service's current manifest.
+func SnapshotKey(service string) string { return snapshotPrefix + service }
+
+// LeafKey is the store key of a leaf's own record.
+func LeafKey(id string) string { return leafPrefix + id }
+
+// NodeKey is the store key of a node's own record.
+func NodeKey(id string) string { return nodePrefix + id }
+
+// EvacuationKey is the store key that stands while a zone is evacuated.
+func EvacuationKey(zone string) string { return evacuationPrefix + zone }
+
+// RolloutKey is the store key of the order to move a service to another version.
+func RolloutKey(service string) string { return rolloutPrefix + service }
+
+// RolloutStateKey is the store key of how far the fleet is with the order of a service.
+func RolloutStateKey(service string) string { return rolloutStatePrefix + service }
+
+// QuarantineKey is the store key that stands while a request is under quarantine, by its fingerprint.
+func QuarantineKey(content string) string { return quarantinePrefix + content }
+
+// isTransient reports whether a key may end without a tombstone that must be kept: it stands only while something
+// lasts, a process, an evacuation, a quarantine or an order, or tells of versions, of which what a whole state lacks is void.
+func isTransient(key string) bool {
+	return strings.HasPrefix(key, leafPrefix) || strings.HasPrefix(key, nodePrefix) || strings.HasPrefix(key, evacuationPrefix) ||
+		strings.HasPrefix(key, quarantinePrefix) || isRollout(key)
+}
+
+// isRollout reports whether a key has to do with the versions of services.
+func isRollout(key string) bool {
+	return key == VersionsKey || strings.HasPrefix(key, rolloutPrefix) || strings.HasPrefix(key, rolloutStatePrefix)
+}
+
+// isProcessRecord reports whether a key is the record of a process, which writes it again by itself.
+func isProcessRecord(key string) bool {
+	return strings.HasPrefix(key, leafPrefix) || strings.HasPrefix(key, nodePrefix)
+}
+
+// QuarantinedContent returns the request that a key stands for; false for keys of other kinds.
+func QuarantinedContent(key string) (fingerprint.Fingerprint, bool) {
+	text, isQuarantine := strings.CutPrefix(key, quarantinePrefix)
+	if !isQuarantine {
+		return fingerprint.Fingerprint{}, false
+	}
+	content, err := fingerprint.Parse(text)
+	return content, err == nil
+}
--- a/internal/config/catalog/quarantine.go
+++ b/internal/config/catalog/quarantine.go
@@ -2,7 +2,6 @@
 
 import (
 	"maps"
-	"strings"
 
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/quarantine"
@@ -45,13 +44,3 @@
 func (c *Catalog) Quarantine(content fingerprint.Fingerprint) *quarantine.Record {
 	return c.View().Quarantine[content]
 }
-
-// QuarantinedContent returns the request that a key stands for; false for keys of other kinds.
-func QuarantinedContent(key string) (fingerprint.Fingerprint, bool) {
-	text, isQuarantine := strings.CutPrefix(key, quarantinePrefix)
-	if !isQuarantine {
-		return fingerprint.Fingerprint{}, false
-	}
-	content, err := fingerprint.Parse(text)
-	return content, err == nil
-}
--- a/internal/config/catalog/drilled_test.go
+++ b/internal/config/catalog/restorable_store_test.go
@@ -11,8 +11,8 @@
 // fatal fails a test; *testing.T and *rapid.T do.
 type fatal interface{ Fatal(...any) }
 
-// drilled is a store that is restored from backups.
-type drilled struct {
+// restorableStore is a store that is restored from backups.
+type restorableStore struct {
 	t       fatal
 	epoch   int64
 	count   int64
@@ -21,10 +21,12 @@
 	backup  Snapshot
 }
 
-func newDrilled(t fatal) *drilled { return &drilled{t: t, entries: map[string]Entry{}} }
+func newRestorableStore(t fatal) *restorableStore {
+	return &restorableStore{t: t, entries: map[string]Entry{}}
+}
 
 // put writes a document under a key, nil to remove it, and gives the change.
-func (d *drilled) put(key string, value any) Change {
+func (d *restorableStore) put(key string, value any) Change {
 	var document json.RawMessage
 	if value != nil {
 		encoded, err := json.Marshal(value)
@@ -41,7 +43,7 @@
 }
 
 // putValue writes a value as it stands under a key, or removes the key, and gives the change.
-func (d *drilled) putValue(key string, value json.RawMessage, remove bool) Change {
+func (d *restorableStore) putValue(key string, value json.RawMessage, remove bool) Change {
 	before := revision.At(d.epoch, d.count)
 	d.count++
 	entry := Entry{Key: key, Value: value, Revision: revision.At(d.epoch, d.count), Deleted: remove}
@@ -55,7 +57,7 @@
 }
 
 // state returns the whole state as it is read.
-func (d *drilled) state() Snapshot {
+func (d *restorableStore) state() Snapshot {
 	snapshot := Snapshot{Revision: revision.At(d.epoch, d.count)}
 	for _, entry := range d.entries {
 		entry.Revision = revision.At(d.epoch, revision.Count(entry.Revision))
@@ -64,10 +66,10 @@
 	return snapshot
 }
 
-func (d *drilled) save() { d.backup = d.state() }
+func (d *restorableStore) save() { d.backup = d.state() }
 
 // restore brings the store back from its backup.
-func (d *drilled) restore() {
+func (d *restorableStore) restore() {
 	d.epoch++
 	d.count = revision.Count(d.backup.Revision)
 	d.entries = map[string]Entry{}
@@ -84,7 +86,7 @@
 }
 
 // follower is a node that follows the store.
-func follower(d *drilled) *Catalog {
+func follower(d *restorableStore) *Catalog {
 	known := New(func(key string, err error) { d.t.Fatal(key, err) })
 	known.EnableRollouts()
 	known.Replace(d.state())
--- a/internal/config/catalog/restored.go
+++ b/internal/config/catalog/restored.go
@@ -24,38 +24,33 @@
 	// at is when the node came to the epoch.
 	at time.Time
 	// kept are the entries that are kept, by key.
-	kept map[string]Retained
+	retained map[string]Retained
 	// past are writes that others replaced.
-	past pastWrites
+	overwritten overwrittenWrites
 	// learned is when an entry came that is neither a leaf nor a node.
-	learned map[string]time.Time
+	changedAt map[string]time.Time
 	// mayWrite reports whether nodes may write a key; nil where they may write all.
 	mayWrite func(key string) bool
 }
 
-// isOfProcess reports whether a key is the record of a process, which writes it again by itself.
-func isOfProcess(key string) bool {
-	return strings.HasPrefix(key, leafPrefix) || strings.HasPrefix(key, nodePrefix)
-}
-
 // note remembers a write that takes the place of another, none where there was none.
 func (r *restored) note(entry Entry, replaced *Entry, now time.Time) {
 	if replaced != nil && replaced.Revision != entry.Revision {
-		r.past.add(*replaced)
+		r.overwritten.add(*replaced)
 	}
-	if isOfProcess(entry.Key) {
+	if isProcessRecord(entry.Key) {
 		return
 	}
-	if r.learned == nil {
-		r.learned = map[string]time.Time{}
+	if r.changedAt == nil {
+		r.changedAt = map[string]time.Time{}
 	}
 	if replaced == nil || !bytes.Equal(replaced.Value, entry.Value) {
-		r.learned[entry.Key] = now
+		r.changedAt[entry.Key] = now
 	}
 }
 
-// noteReplaced remembers what an entry of a whole state takes the place of.
-func (c *Catalog) noteReplaced(known map[string]Entry, entry Entry) {
+// noteOverwritten remembers what an entry of a whole state takes the place of.
+func (c *Catalog) noteOverwritten(known map[string]Entry, entry Entry) {
 	before, isKnown := known[entry.Key]
 	if !isKnown {
 		c.restored.note(entry, nil, c.clock.Now())
@@ -64,28 +59,28 @@
 	c.restored.note(entry, &before, c.clock.Now())
 }
 
-// entriesOf returns the entries of a whole state that are put into force. The lock must be held.
-func (c *Catalog) entriesOf(snapshot Snapshot, isFirst bool) []Entry {
+// mergeEntries returns the entries of a whole state that are put into force. The lock must be held.
+func (c *Catalog) mergeEntries(snapshot Snapshot, isFirst bool) []Entry {
 	switch {
 	case isFirst:
-		c.restored.kept = nil
+		c.restored.retained = nil
 		for _, entry := range snapshot.Entries {
-			c.noteKept(entry, snapshot.Revision)
+			c.noteRetained(entry, snapshot.Revision)
 		}
 	case revision.IsLater(snapshot.Revision, c.view.Load().Revision):
-		return c.reconcile(snapshot)
+		return c.mergeNewEpoch(snapshot)
 	default:
-		return c.stillKept(snapshot)
+		return c.mergeSameEpoch(snapshot)
 	}
 	return snapshot.Entries
 }
 
-// reconcile returns the entries of a store that was restored, with those that this node knows to be newer in their place. It
+// mergeNewEpoch returns the entries of a store that was restored, with those that this node knows to be newer in their place. It
 // notes which these are. The lock must be held.
-func (c *Catalog) reconcile(snapshot Snapshot) []Entry {
+func (c *Catalog) mergeNewEpoch(snapshot Snapshot) []Entry {
 	now := c.clock.Now()
 	c.restored.at = now
-	c.restored.kept = map[string]Retained{}
+	c.restored.retained = map[string]Retained{}
 	entries := make([]Entry, 0, len(snapshot.Entries))
 	isRead := make(map[string]bool, len(snapshot.Entries))
 	for _, read := range snapshot.Entries {
@@ -98,11 +93,11 @@
 		if isRead[key] || known.Deleted && isTransient(key) {
 			continue
 		}
-		if c.survives(known, now) {
-			c.restored.kept[key] = Retained{Entry: known}
+		if c.outlivesRestore(known, now) {
+			c.restored.retained[key] = Retained{Entry: known}
 			entries = append(entries, known)
 		} else if strings.HasPrefix(key, leafPrefix) {
-			c.restored.kept[key] = Retained{Entry: known, IsLost: true}
+			c.restored.retained[key] = Retained{Entry: known, IsLost: true}
 		}
 	}
 	return entries
@@ -112,51 +107,51 @@
 // that is known to be gone is left out.
 func (c *Catalog) newest(read Entry, position int64) (entry Entry, isUsed bool) {
 	known, isKnown := c.entries[read.Key]
-	if !isKnown && isOfProcess(read.Key) && c.restored.past.has(read) {
+	if !isKnown && isProcessRecord(read.Key) && c.restored.overwritten.has(read) {
 		return Entry{}, false
 	}
 	// A node's record goes with a lease, which is lost with it: what the store has of it is what there is.
 	if isKnown && !strings.HasPrefix(read.Key, nodePrefix) && c.isNewer(known, read, position) {
-		c.restored.kept[read.Key] = Retained{Entry: known}
+		c.restored.retained[read.Key] = Retained{Entry: known}
 		return known, true
 	}
-	c.noteKept(read, position)
+	c.noteRetained(read, position)
 	return read, true
 }
 
-// survives reports whether an entry that the restored store lacks stays in force. One that was there long before the store
+// outlivesRestore reports whether an entry that the restored store lacks stays in force. One that was there long before the store
 // went away was in any backup of the last while: it was removed since.
-func (c *Catalog) survives(known Entry, now time.Time) bool {
+func (c *Catalog) outlivesRestore(known Entry, now time.Time) bool {
 	switch {
 	case known.Key == RoutesKey, known.Deleted:
 		return true
-	case isOfProcess(known.Key), known.Key == RememberedKey: // written again by whoever they are of
+	case isProcessRecord(known.Key), known.Key == RememberedKey: // written again by whoever they are of
 		return false
 	}
-	return now.Sub(c.restored.learned[known.Key]) < lossWindow
+	return now.Sub(c.restored.changedAt[known.Key]) < lossWindow
 }
 
-// stillKept returns the entries of a later state of the same epoch, with those that are kept and not written again. The lock
+// mergeSameEpoch returns the entries of a later state of the same epoch, with those that are kept and not written again. The lock
 // must be held.
-func (c *Catalog) stillKept(snapshot Snapshot) []Entry {
-	entries := make([]Entry, 0, len(snapshot.Entries)+len(c.restored.kept))
+func (c *Catalog) mergeSameEpoch(snapshot Snapshot) []Entry {
+	entries := make([]Entry, 0, len(snapshot.Entries)+len(c.restored.retained))
 	isRead := make(map[string]bool, len(snapshot.Entries))
 	for _, read := range snapshot.Entries {
 		isRead[read.Key] = true
-		kept, isKept := c.restored.kept[read.Key]
-		if isKept && !kept.IsLost && c.isNewer(kept.Entry, read, snapshot.Revision) {
+		kept, isRetained := c.restored.retained[read.Key]
+		if isRetained && !kept.IsLost && c.isNewer(kept.Entry, read, snapshot.Revision) {
 			entries = append(entries, kept.Entry)
 			continue
 		}
-		if known, isKnown := c.entries[read.Key]; isKnown && strings.HasPrefix(read.Key, leafPrefix) && isOfEarlierLife(read, known) {
+		if known, isKnown := c.entries[read.Key]; isKnown && strings.HasPrefix(read.Key, leafPrefix) && isOfEarlierProcess(read, known) {
 			entries = append(entries, known)
 			continue
 		}
-		delete(c.restored.kept, read.Key)
-		c.noteKept(read, snapshot.Revision)
+		delete(c.restored.retained, read.Key)
+		c.noteRetained(read, snapshot.Revision)
 		entries = append(entries, read)
 	}
-	for key, kept := range c.restored.kept {
+	for key, kept := range c.restored.retained {
 		if !isRead[key] && !kept.IsLost {
 			entries = append(entries, kept.Entry)
 		}
@@ -172,14 +167,14 @@
 	case revision.IsLater(position, read.Revision):
 		return known.Revision > read.Revision // another node keeps it: both are of the epochs before
 	}
-	if order, isTold := compareOwn(known, read); isTold {
+	if order, isComparable := compareDocuments(known, read); isComparable {
 		return order > 0
 	}
-	return c.restored.past.has(read) || descends(known, read)
+	return c.restored.overwritten.has(read) || descends(known, read)
 }
 
-// compareOwn compares two entries of a key by what they say themselves of their order; not told where they don't.
-func compareOwn(a, b Entry) (order int, isTold bool) {
+// compareDocuments compares two entries of a key by what they say themselves of their order; not told where they don't.
+func compareDocuments(a, b Entry) (order int, isComparable bool) {
 	if a.Deleted || b.Deleted {
 		return 0, false
 	}
@@ -193,7 +188,7 @@
 }
 
 // compareParsed compares two entries by their documents; one that can't be read is older than one that can.
-func compareParsed[T any](a, b Entry, parse func([]byte) (T, error), compare func(a, b T) (order int, isTold bool)) (order int, isTold bool) {
+func compareParsed[T any](a, b Entry, parse func([]byte) (T, error), compare func(a, b T) (order int, isComparable bool)) (order int, isComparable bool) {
 	first, firstErr := parsed(a, parse)
 	second, secondErr := parsed(b, parse)
 	switch {
@@ -207,15 +202,6 @@
 	return compare(first, second)
 }
 
-func parsed[T any](entry Entry, parse func([]byte) (T, error)) (T, error) {
-	document, err := DecodeDocument(entry)
-	if err != nil {
-		var none T
-		return none, err
-	}
-	return parse(document)
-}
-
 // descends reports whether a write was made on top of another, by the changes that it remembers.
 func descends(entry, other Entry) bool {
 	envelope, err := OpenEnvelope(other.Value)
@@ -226,22 +212,22 @@
 	return found
 }
 
-// isOutranked reports whether a change is older than what is kept of its key, by what both say of their order: operators
+// isOutdated reports whether a change is older than what is kept of its key, by what both say of their order: operators
 // and leafs may write again what they wrote in between.
-func (c *Catalog) isOutranked(entry Entry) bool {
+func (c *Catalog) isOutdated(entry Entry) bool {
 	known, isKnown := c.entries[entry.Key]
 	if !isKnown || entry.Deleted {
 		return false
 	}
-	if _, isKept := c.restored.kept[entry.Key]; isKept {
-		order, isTold := compareOwn(known, entry)
-		return isTold && order > 0
+	if _, isRetained := c.restored.retained[entry.Key]; isRetained {
+		order, isComparable := compareDocuments(known, entry)
+		return isComparable && order > 0
 	}
-	return strings.HasPrefix(entry.Key, leafPrefix) && isOfEarlierLife(entry, known)
+	return strings.HasPrefix(entry.Key, leafPrefix) && isOfEarlierProcess(entry, known)
 }
 
-// isOfEarlierLife reports whether a record was written by a process of a leaf that another one came after.
-func isOfEarlierLife(entry, known Entry) bool {
+// isOfEarlierProcess reports whether a record was written by a process of a leaf that another one came after.
+func isOfEarlierProcess(entry, known Entry) bool {
 	record, err := parsed(entry, leafset.Parse)
 	if err != nil {
 		return false
--- a/internal/config/catalog/restored_test.go
+++ b/internal/config/catalog/restored_test.go
@@ -17,7 +17,7 @@
 // write it again, or something newer.
 func TestRoutesStayThroughARestore(t *testing.T) {
 	is := is.New(t)
-	d := newDrilled(t)
+	d := newRestorableStore(t)
 	d.put(RoutesKey, routesOf(21))
 	d.save()
 	node := follower(d)
@@ -45,7 +45,7 @@
 // does not.
 func TestCountsGivenOutAgain(t *testing.T) {
 	is := is.New(t)
-	d := newDrilled(t)
+	d := newRestorableStore(t)
 	d.put(RoutesKey, routesOf(1))
 	d.save()
 	node := follower(d)
@@ -66,15 +66,15 @@
 	is.Equal(len(node.Retained()), 0)
 	is.True(node.ApplyAll(late))
 	is.Equal(node.View().Routes.Version, int64(10))
-	_, isKept := node.Since(before)
-	is.True(!isKept) // no changes lead from one epoch to the next
+	_, isRetained := node.Since(before)
+	is.True(!isRetained) // no changes lead from one epoch to the next
 }
 
 // Leafs that drain or are gone stay so although the restored store lists them as before, until they write again; those that
 // it lost are the last ones asked.
 func TestLeafsThroughARestore(t *testing.T) {
 	is := is.New(t)
-	d := newDrilled(t)
+	d := newRestorableStore(t)
 	d.put(LeafKey("stays"), leafOf("stays", leafset.Ready, 1))
 	d.put(LeafKey("drains"), leafOf("drains", leafset.Ready, 1))
 	d.put(LeafKey("goes"), leafOf("goes", leafset.Ready, 1))
@@ -109,7 +109,7 @@
 func TestLeafsStayWarmThroughARestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		d := newDrilled(t)
+		d := newRestorableStore(t)
 		cold := leafOf("a", leafset.Ready, 1)
 		cold.WarmupMillis = 3000
 		d.put(LeafKey("a"), cold)
@@ -134,7 +134,7 @@
 func TestOtherEntriesThroughARestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		d := newDrilled(t)
+		d := newRestorableStore(t)
 		d.put(EvacuationKey("long"), struct{}{})
 		node := follower(d)
 		node.SetWritable(fleetMayWrite)
@@ -164,7 +164,7 @@
 func TestFleetsOwnStaysUntilItIsWritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		d := newDrilled(t)
+		d := newRestorableStore(t)
 		d.save()
 		node := follower(d)
 		node.SetWritable(fleetMayWrite)
@@ -182,14 +182,14 @@
 // A change of many entries names itself by a key under which the store has nothing: it is never kept, or written.
 func TestMarkersAreNotKept(t *testing.T) {
 	is := is.New(t)
-	d := newDrilled(t)
+	d := newRestorableStore(t)
 	d.put(RoutesKey, routesOf(1))
 	d.save()
 	first, second := follower(d), follower(d)
 	d.put(RoutesKey, routesOf(2))
 	first.Replace(d.state())
-	changes, isKept := first.Since(second.Revision())
-	is.True(isKept)
+	changes, isRetained := first.Since(second.Revision())
+	is.True(isRetained)
 	is.Equal(changes[0].Entry.Key, MarkerKey)
 	is.True(second.ApplyAll(changes))
 	is.Equal(second.View().Routes.Version, int64(2))
@@ -204,7 +204,7 @@
 	for _, isOrderLost := range []bool{false, true} {
 		t.Run(fmt.Sprint("order lost: ", isOrderLost), func(t *testing.T) {
 			is := is.New(t)
-			d := newDrilled(t)
+			d := newRestorableStore(t)
 			order := rollout.Order{Service: "s", Target: "v2", DurationMillis: 60000}
 			if isOrderLost {
 				d.save()
@@ -230,7 +230,7 @@
 			is.Equal(node.View().Leafs.Rule("s").Serving, "v1")
 
 			// What is written again can be told by a node that never saw it.
-			renewed, isDue := node.Renewed(node.Retained()[0].Entry)
+			renewed, isDue := node.RewriteValue(node.Retained()[0].Entry)
 			is.True(isDue)
 			node.Apply(d.putValue(RolloutStateKey("s"), renewed, false))
 			is.Equal(len(node.Retained()), 0)
@@ -249,7 +249,7 @@
 func TestFreshNodeLearnsWhatIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		d := newDrilled(t)
+		d := newRestorableStore(t)
 		d.put(RoutesKey, routesOf(1))
 		d.save()
 		node := follower(d)
@@ -283,7 +283,7 @@
 // Epochs may follow on each other, also two at once, while what was lost first is not written again yet.
 func TestRestoresInARow(t *testing.T) {
 	is := is.New(t)
-	d := newDrilled(t)
+	d := newRestorableStore(t)
 	d.put(RoutesKey, routesOf(1))
 	d.save()
 	node := follower(d)
@@ -302,7 +302,7 @@
 // A node that starts may read a state that the store told of late, with a revision that is none of the epoch.
 func TestStaleStateOfAnEpochBefore(t *testing.T) {
 	is := is.New(t)
-	d := newDrilled(t)
+	d := newRestorableStore(t)
 	d.put(RoutesKey, routesOf(1))
 	d.save()
 	for version := range int64(5) {
@@ -322,7 +322,7 @@
 // A record of an earlier life of a leaf that comes late, as a change or with a whole state, changes nothing.
 func TestLateRecordOfAnEarlierLife(t *testing.T) {
 	is := is.New(t)
-	d := newDrilled(t)
+	d := newRestorableStore(t)
 	first, second := leafOf("a", leafset.Draining, 9), leafOf("a", leafset.Ready, 1)
 	first.Born, second.Born = 10, 20
 	d.put(LeafKey("a"), second)
--- a/internal/config/catalog/kept.go
+++ b/internal/config/catalog/retained.go
@@ -2,9 +2,11 @@
 
 import (
 	"bytes"
+	"strings"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
+	json "github.com/goccy/go-json"
 
 	"github.com/portgauge/portgauge/internal/config/revision"
 )
@@ -29,9 +31,9 @@
 	c.restored.mayWrite = mayWrite
 }
 
-// isOver reports whether an entry that the restored store lacks was kept for long enough. One that is not in force is kept only
+// isExpired reports whether an entry that the restored store lacks was kept for long enough. One that is not in force is kept only
 // for nodes to write it.
-func (c *Catalog) isOver(one Retained) bool {
+func (c *Catalog) isExpired(one Retained) bool {
 	key := one.Entry.Key
 	if key == RoutesKey || c.restored.mayWrite == nil || c.restored.mayWrite(key) {
 		return false
@@ -39,26 +41,26 @@
 	return one.IsLost || !c.restored.at.IsZero() && c.clock.Since(c.restored.at) >= RetainFor
 }
 
-// noteKept notes an entry that another node keeps: it is of an earlier epoch than the state that it came with.
-func (c *Catalog) noteKept(entry Entry, position int64) {
+// noteRetained notes an entry that another node keeps: it is of an earlier epoch than the state that it came with.
+func (c *Catalog) noteRetained(entry Entry, position int64) {
 	if !revision.IsLater(position, entry.Revision) {
 		return
 	}
-	if c.restored.kept == nil {
-		c.restored.kept = map[string]Retained{}
+	if c.restored.retained == nil {
+		c.restored.retained = map[string]Retained{}
 	}
 	if c.restored.at.IsZero() {
 		c.restored.at = c.clock.Now()
 	}
-	c.restored.kept[entry.Key] = Retained{Entry: entry}
+	c.restored.retained[entry.Key] = Retained{Entry: entry}
 }
 
 // Retained returns the entries that are newer than what the store has of them.
 func (c *Catalog) Retained() []Retained {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	kept := make([]Retained, 0, len(c.restored.kept))
-	for _, one := range c.restored.kept {
+	kept := make([]Retained, 0, len(c.restored.retained))
+	for _, one := range c.restored.retained {
 		kept = append(kept, one)
 	}
 	return kept
@@ -69,7 +71,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var entries []Entry
-	for _, one := range c.restored.kept {
+	for _, one := range c.restored.retained {
 		if !one.IsLost {
 			entries = append(entries, one.Entry)
 		}
@@ -111,27 +113,27 @@
 	defer c.mu.Unlock()
 	current := c.view.Load()
 	draft := c.newDraft(current, current.Revision)
-	draft.isOlderTaken = true
+	draft.acceptsOlderRoutes = true
 	var taken []Entry
 	for _, entry := range entries {
-		if !c.mayKeep(entry, current.Revision) {
+		if !c.mayRetain(entry, current.Revision) {
 			continue
 		}
-		c.noteKept(entry, current.Revision)
-		c.keep(entry)
+		c.noteRetained(entry, current.Revision)
+		c.setEntry(entry)
 		c.compile(draft, entry)
 		taken = append(taken, entry)
 	}
 	c.putInForce(draft, taken)
 }
 
-// mayKeep reports whether an entry that another node keeps goes before what is in force here.
-func (c *Catalog) mayKeep(entry Entry, position int64) bool {
+// mayRetain reports whether an entry that another node keeps goes before what is in force here.
+func (c *Catalog) mayRetain(entry Entry, position int64) bool {
 	known, isKnown := c.entries[entry.Key]
 	switch {
-	case !revision.IsLater(position, entry.Revision), isOfProcess(entry.Key):
+	case !revision.IsLater(position, entry.Revision), isProcessRecord(entry.Key):
 		return false
-	case c.isOver(Retained{Entry: entry}):
+	case c.isExpired(Retained{Entry: entry}):
 		return false
 	case !isKnown:
 		return true
@@ -140,8 +142,8 @@
 	case bytes.Equal(known.Value, entry.Value):
 		return false
 	}
-	order, isTold := compareOwn(entry, known)
-	return !isTold || order > 0
+	order, isComparable := compareDocuments(entry, known)
+	return !isComparable || order > 0
 }
 
 // DropExpired ends the keeping of what was not written again in time, as if it was removed.
@@ -151,11 +153,11 @@
 	current := c.view.Load()
 	draft := c.newDraft(current, current.Revision)
 	var removed []Entry
-	for key, one := range c.restored.kept {
-		if !c.isOver(one) {
+	for key, one := range c.restored.retained {
+		if !c.isExpired(one) {
 			continue
 		}
-		delete(c.restored.kept, key)
+		delete(c.restored.retained, key)
 		if one.IsLost || one.Entry.Deleted {
 			continue
 		}
@@ -176,3 +178,32 @@
 	at := c.view.Load().Revision
 	c.publish(Change{Entry: Marker(at), Previous: at, More: entries})
 }
+
+// RewriteValue returns the value by which an entry of an earlier epoch is written again; not due yet where it depends on another that
+// is not written again. The state of a roll-out names its order, which a restored store may have at another count.
+func (c *Catalog) RewriteValue(entry Entry) (value json.RawMessage, isDue bool) {
+	service, isState := strings.CutPrefix(entry.Key, rolloutStatePrefix)
+	if !isState || entry.Deleted {
+		return entry.Value, true
+	}
+	view := c.View()
+	known := view.Rollouts[service]
+	if known.Order == nil || known.State == nil || !known.State.Answers(known.Order) {
+		return entry.Value, true
+	}
+	if revision.IsLater(view.Revision, known.Order.Revision) {
+		return nil, false
+	}
+	state := *known.State
+	state.OrderRevision = revision.Count(known.Order.Revision)
+	document, err := json.Marshal(state)
+	if err != nil {
+		return nil, false
+	}
+	envelope, err := OpenEnvelope(entry.Value)
+	if err != nil {
+		return nil, false
+	}
+	value, err = NewDocument(envelope.ChangeID, document, nil)
+	return value, err == nil
+}
--- /dev/null
+++ b/internal/config/catalog/view.go
@@ -0,0 +1,65 @@
+package catalog
+
+import (
+	adminv1 "github.com/portgauge/portgauge/gen/portgauge/admin/v1"
+	"github.com/portgauge/portgauge/internal/config/manifest"
+	"github.com/portgauge/portgauge/internal/leaf/leafset"
+	"github.com/portgauge/portgauge/internal/quarantine"
+	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
+	"github.com/portgauge/portgauge/internal/request/routing"
+	"github.com/portgauge/portgauge/internal/rollout"
+)
+
+// Service is one service as it is in force; immutable.
+type Service struct {
+	Spec             *adminv1.ServiceSpec
+	Revision         int64
+	Manifest         *manifest.Manifest
+	SnapshotRevision int64
+	// Leafs indexes Spec.Leafs by id.
+	Leafs map[string]*adminv1.Leaf
+}
+
+// View is the configuration in force at one revision; immutable.
+type View struct {
+	Revision int64
+	Services map[string]*Service
+	// Routes is the routing table; nil while there is none.
+	Routes *routing.Table
+	// Leafs is what discovery tells of leafs.
+	Leafs *leafset.Set
+	// Remembered is the list of leafs that the fleet wrote down last.
+	Remembered *leafset.Set
+	// Nodes are the registered nodes of the fleet by id.
+	Nodes map[string]NodeRecord
+	// Rollouts are the orders to move services to other versions, by service, and how far they are.
+	Rollouts map[string]Rollout
+	// Quarantine are the requests that go to no leaf.
+	Quarantine map[fingerprint.Fingerprint]*quarantine.Record
+	// Versions are the versions that services without a roll-out are served by, by service.
+	Versions map[string]string
+}
+
+func emptyView(at int64) *View {
+	return &View{Revision: at, Services: map[string]*Service{}, Leafs: leafset.Empty(), Remembered: leafset.Empty(), Nodes: map[string]NodeRecord{}, Rollouts: map[string]Rollout{}}
+}
+
+// NodeRecord is a node's own word on itself.
+type NodeRecord struct {
+	ID   string `json:"id"`
+	Zone string `json:"zone"`
+	// Address is the node's peer address.
+	Address string `json:"address"`
+	// Tree is where the node gathers for others; empty when it does not.
+	Tree string `json:"tree,omitempty"`
+	// Processors is the node's part of processors, in cores; 0 when it does not say.
+	Processors float64 `json:"processors,omitempty"`
+}
+
+// Rollout is what is known of moving a service to another version.
+type Rollout struct {
+	// Order is the operators' word; nil where there is none.
+	Order *rollout.Order
+	// State is how far the fleet is with an order, this one or one before it; nil before the first.
+	State *rollout.State
+}
--- a/internal/config/configsync/join.go
+++ b/internal/config/configsync/join.go
@@ -6,9 +6,10 @@
 	"slices"
 	"time"
 
+	"go.uber.org/zap"
+
 	"github.com/portgauge/portgauge/internal/fleet/machines"
 	"github.com/portgauge/portgauge/internal/fleet/peer"
-	"go.uber.org/zap"
 )
 
 // joinLoop joins the zone through the seeds and the machine list until the node's view of the zone is stable,
--- a/internal/config/configsync/storestate.go
+++ b/internal/config/configsync/storestate.go
@@ -5,8 +5,9 @@
 	"time"
 
 	"github.com/ansel1/merry/v2"
-	"github.com/portgauge/portgauge/internal/config/store"
 	"go.uber.org/zap"
+
+	"github.com/portgauge/portgauge/internal/config/store"
 )
 
 // readStore reads the whole state of the store, applies it if it is newer than the configuration in force, and
--- a/internal/config/configsync/watchers.go
+++ b/internal/config/configsync/watchers.go
@@ -4,6 +4,7 @@
 	"sort"
 
 	"github.com/cespare/xxhash/v2"
+
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
--- a/internal/config/rewriter/rewriter.go
+++ b/internal/config/rewriter/rewriter.go
@@ -80,7 +80,7 @@
 		if !w.mayWrite(one.Entry.Key) || !w.isDue(one.Entry.Key, time.Now()) {
 			continue
 		}
-		value, isReady := w.catalog.Renewed(one.Entry)
+		value, isReady := w.catalog.RewriteValue(one.Entry)
 		if !isReady {
 			continue
 		}
