--- a/internal/config/catalog/catalog.go
+++ b/internal/config/catalog/catalog.go
@@ -21,11 +21,11 @@
 	"github.com/portgauge/portgauge/internal/node/boottime"
 )
 
-// Catalog is the configuration state of a node. Reads are lock-free; writes take the lock.
+// Catalog is the configuration state of a node; safe for concurrent use. Reads take no lock; writes do.
 type Catalog struct {
 	view atomic.Pointer[View]
-	// confirmed is how long after the start of the catalog the revision in force was last known to be the newest;
-	// counted from there, it is free of steps of the time of day.
+	// confirmed is when the revision in force was last known to be the newest, as nanoseconds after startedAt;
+	// counted from there, it doesn't depend on steps of the wall clock.
 	confirmed atomic.Int64
 	startedAt time.Time
 	// clock counts the time for which the machine was suspended.
@@ -42,12 +42,13 @@
 	rollouts bool
 	// restored is what is known of the last restore of the store.
 	restored restored
-	// isProvisional says that the state in force is one that the store may have told of late: any other goes before it.
+	// isProvisional says that the state in force came from a stale read of the store: any other state replaces
+	// it.
 	isProvisional atomic.Bool
 }
 
-// New returns an empty catalog at revision 0. The rejected function is told of values that
-// can't be decoded; such a key keeps its last good value in force.
+// New returns an empty catalog at revision 0. rejected is called for each value that can't be decoded; the last
+// good value of its key stays in force.
 func New(rejected func(key string, err error)) *Catalog {
 	catalog := &Catalog{startedAt: time.Now(), entries: map[string]Entry{}, subscribers: map[int]chan Change{}, rejected: rejected}
 	catalog.confirmed.Store(int64(neverConfirmed))
@@ -55,12 +56,12 @@
 	return catalog
 }
 
-// EnableRollouts has services served by the leafs of one version only, and orders to move them to another be
-// followed. It must be called before the catalog has any state.
+// EnableRollouts makes services be served by the leafs of one version only, and orders to move them to another
+// one be followed. It must be called before the catalog has any state.
 func (c *Catalog) EnableRollouts() { c.rollouts = true }
 
-// SetClock has what is fresh, cold or lost for a while measured by a clock, which should count the time for which the
-// machine is suspended. It must be called before the catalog has any state.
+// SetClock sets the clock by which configuration ages and leafs are cold or lost. It should count the time for
+// which the machine is suspended. It must be called before the catalog has any state.
 func (c *Catalog) SetClock(clock boottime.Clock) {
 	c.clock = clock
 	c.startedAt = clock.Now()
@@ -72,41 +73,22 @@
 // Revision returns the revision in force.
 func (c *Catalog) Revision() int64 { return c.view.Load().Revision }
 
-// Apply takes a change if it follows directly on the revision in force. It reports whether
-// the change is now in force, be it by this call or an earlier one; false means a gap.
+// Apply applies a change if it follows directly on the revision in force. It reports whether the change is in
+// force now, by this call or an earlier one; false means a gap.
 func (c *Catalog) Apply(change Change) bool { return c.ApplyAll([]Change{change}) }
 
-// ApplyAll takes changes in order of revision, up to the first gap, and puts them into force
-// together, so that a key changed many times is decoded once. It reports whether the last of
-// them is now in force. A restore of the store is a gap: what is known from before it is weighed against
-// a whole state, see Replace.
+// ApplyAll applies changes in order of revision, up to the first gap, in one step, so that a key that changed
+// many times is decoded once. It reports whether the last of them is in force now. A restore of the store is a
+// gap: it takes a whole state, see Replace.
 func (c *Catalog) ApplyAll(changes []Change) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	current := c.view.Load()
-	position := current.Revision
-	var applied []Change
-	newest := map[string]Entry{}
-	complete := true
-	for _, change := range changes {
-		if change.Entry.Revision <= position {
-			continue
-		}
-		if change.Previous > position || revision.IsLater(change.Entry.Revision, position) {
-			complete = false
-			break
-		}
-		position = change.Entry.Revision
-		for _, entry := range change.Entries() {
-			if entry.Key != MarkerKey {
-				newest[entry.Key] = entry
-			}
-		}
-		applied = append(applied, change)
-	}
+	applied, newest, complete := consecutive(changes, current.Revision)
 	if len(applied) == 0 {
 		return complete
 	}
+	position := applied[len(applied)-1].Entry.Revision
 	c.isProvisional.Store(false)
 	draft := c.newDraft(current, position)
 	for _, entry := range newest {
@@ -117,7 +99,7 @@
 		c.setEntry(entry)
 		c.compile(draft, entry)
 	}
-	c.view.Store(draft.done())
+	c.view.Store(draft.compiled())
 	for _, change := range applied {
 		c.addRecent(change)
 		c.publish(change)
@@ -125,9 +107,31 @@
 	return complete
 }
 
-// Replace takes a whole state if it is newer than the one in force, and reports whether. What it
-// changed is kept as one change, so that other nodes can be given just that. Of a store that was restored since,
-// only what is newer than what this node knows is taken: see Kept.
+// consecutive returns the changes that follow on a revision without a gap, with the newest entry of each of their keys. It
+// reports whether there is no gap.
+func consecutive(changes []Change, position int64) (applied []Change, newest map[string]Entry, complete bool) {
+	newest = map[string]Entry{}
+	for _, change := range changes {
+		if change.Entry.Revision <= position {
+			continue
+		}
+		if change.Previous > position || revision.IsLater(change.Entry.Revision, position) {
+			return applied, newest, false
+		}
+		position = change.Entry.Revision
+		for _, entry := range change.Entries() {
+			if entry.Key != MarkerKey {
+				newest[entry.Key] = entry
+			}
+		}
+		applied = append(applied, change)
+	}
+	return applied, newest, true
+}
+
+// Replace applies a whole state if it is newer than the one in force, and reports whether it did. The difference
+// is remembered as one change, for nodes that lack just that. After a restore of the store, the entries that
+// this node knows to be newer stay in force, see Retained.
 func (c *Catalog) Replace(snapshot Snapshot) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -143,7 +147,7 @@
 	known := c.entries
 	c.entries = make(map[string]Entry, len(entries))
 	draft := c.newDraft(emptyView(snapshot.Revision), snapshot.Revision)
-	// Routes that can't be read must not leave the node without any.
+	// If the new routes can't be decoded, the old ones stay in force.
 	draft.view.Routes, draft.acceptsOlderRoutes = current.Routes, wasProvisional
 	draft.before, draft.rolloutsBefore = current.Leafs, current.Rollouts
 	draft.useEditor(leafset.Replace(current.Leafs))
@@ -152,14 +156,14 @@
 		c.entries[entry.Key] = entry
 		c.compile(draft, entry)
 	}
-	c.view.Store(draft.done())
+	c.view.Store(draft.compiled())
 	c.publish(difference)
 	c.addRecentDifference(current.Revision, difference)
 	return true
 }
 
-// keep remembers an entry; a tombstone of a record that comes and goes with its process is
-// dropped, since ids are never used again and the tombstones would pile up.
+// setEntry stores an entry. The tombstone of a transient key is dropped: the ids of processes are never used
+// again, so that tombstones would pile up.
 func (c *Catalog) setEntry(entry Entry) {
 	c.noteOverwritten(c.entries, entry)
 	if entry.Deleted && isTransient(entry.Key) {
--- a/internal/config/catalog/catalog_test.go
+++ b/internal/config/catalog/catalog_test.go
@@ -20,8 +20,8 @@
 	return Change{Entry: Entry{Key: ServiceKey(name), Value: value, Revision: revision, Deleted: deleted}, Previous: revision - 1}
 }
 
-// Whatever order single changes, batches, old states and repeats come in, a node's revision
-// never goes down, and what is in force is the store's state at that revision.
+// Whatever order single changes, batches, old states and repeats arrive in, a node's revision never decreases, and the
+// configuration in force is the store's state at that revision.
 func TestCatalogFollowsTheStoreInAnyInterleaving(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"a", "b", "c"}
@@ -84,7 +84,7 @@
 		node.Apply(serviceChange(t, revision+1, "a", uint32(revision+1), false))
 	}
 	_, kept := node.Since(3)
-	is.True(!kept) // too far back: the whole state is needed
+	is.True(!kept) // too far behind: the whole state is needed
 	other.Replace(node.Snapshot())
 	is.Equal(other.Revision(), node.Revision())
 	missed, kept := node.Since(node.Revision() - 5)
@@ -92,8 +92,8 @@
 	is.Equal(len(missed), 5)
 }
 
-// A whole state is passed on as what it changed, records that went included, and a node that is
-// between the two revisions takes it too.
+// A whole state is passed on as its difference, removed records included, and a node between the two revisions applies that
+// as well.
 func TestReplacedStateIsGivenAsOneChange(t *testing.T) {
 	is := is.New(t)
 	first, between := New(nil), New(nil)
@@ -109,7 +109,7 @@
 	changes, kept := first.Since(3)
 	is.True(kept)
 	is.Equal(len(changes), 1)
-	is.Equal(len(changes[0].More), 3) // a, c and the leaf that went
+	is.Equal(len(changes[0].More), 3) // a, c and the leaf that was removed
 	is.True(between.ApplyAll(changes))
 	for _, node := range []*Catalog{first, between} {
 		is.Equal(node.Revision(), int64(6))
@@ -118,7 +118,7 @@
 		is.Equal(len(node.View().Leafs.IDs()), 0)
 	}
 	_, kept = first.Since(2)
-	is.True(kept) // what came before is still known
+	is.True(kept) // the changes before it are still remembered
 }
 
 func leafValue(t *testing.T) []byte {
@@ -160,7 +160,7 @@
 func FuzzOpenEnvelope(f *testing.F) {
 	f.Add([]byte(`{"change_id":"a","payload":"H4sI"}`))
 	f.Fuzz(func(_ *testing.T, value []byte) {
-		// Any outcome but a crash is fine: a value of the store may hold anything.
+		// The store may hold any value: nothing may panic.
 		_, _ = OpenEnvelope(value)
 		_, _ = DecodeService(Entry{Value: value})
 		_, _ = DecodeSnapshot(Entry{Value: value})
--- a/internal/config/catalog/changes.go
+++ b/internal/config/catalog/changes.go
@@ -7,11 +7,10 @@
 	"github.com/portgauge/portgauge/internal/config/revision"
 )
 
-// recentLimit is how many changes a node keeps to bring others up to date without sending
-// the whole state. At 14,000 changes a day it spans more than two hours.
+// recentLimit is how many changes a node keeps to update other nodes without the whole state.
 const recentLimit = 1500
 
-// recentBytes bounds the memory of those changes.
+// recentBytes bounds the size of those changes, in bytes.
 const recentBytes = 4 << 20
 
 // difference returns what a newer whole state changes, as one change.
@@ -48,9 +47,9 @@
 	return slices.Clone(c.recent[first:]), true
 }
 
-// Subscribe returns each change from now on, what a whole state changed as one, until the returned
-// function is called. A subscriber that does not keep up loses changes; each has its revision, so it
-// can tell.
+// Subscribe returns a channel of the changes from now on, with the difference of a whole state as one change,
+// and a function that ends the subscription. A subscriber that doesn't keep up misses changes; their revisions
+// reveal that.
 func (c *Catalog) Subscribe(buffer int) (<-chan Change, func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,6 +64,7 @@
 	}
 }
 
+// publish sends a change to the subscribers.
 func (c *Catalog) publish(change Change) {
 	for _, subscriber := range c.subscribers {
 		select {
@@ -74,6 +74,7 @@
 	}
 }
 
+// addRecent remembers a change, and forgets the oldest beyond the limits.
 func (c *Catalog) addRecent(change Change) {
 	c.recent = append(c.recent, change)
 	c.recentSize += change.Size()
@@ -83,8 +84,9 @@
 	}
 }
 
-// addRecentDifference keeps what a whole state changed, unless there was nothing before it, it is too large, or the store was
-// restored; then earlier changes don't reach the revision in force any more.
+// addRecentDifference remembers the difference of a whole state as a change. It forgets all changes instead if
+// there was no state before, the difference is too large, or the store was restored: earlier changes don't lead
+// to the revision in force then.
 func (c *Catalog) addRecentDifference(before int64, difference Change) {
 	if before == 0 || difference.Size() > recentBytes || revision.IsLater(difference.Entry.Revision, before) {
 		c.recent, c.recentSize = nil, 0
--- a/internal/config/catalog/confirm_test.go
+++ b/internal/config/catalog/confirm_test.go
@@ -8,20 +8,20 @@
 	"github.com/matryer/is"
 )
 
-// How long ago the configuration was the newest is told by a clock that no step of the time of day moves: its
-// times have a monotonic reading, "m=" in their text. A catalog that was never confirmed is old.
+// The age of the configuration doesn't depend on steps of the wall clock: its times have a monotonic reading, "m=" in their
+// text. A catalog that was never confirmed is old.
 func TestAgeIsFreeOfTheTimeOfDay(t *testing.T) {
 	is := is.New(t)
 	known := New(nil)
 	is.True(time.Since(known.ConfirmedAt()) > 365*24*time.Hour)
 	at := time.Now().Add(-time.Minute)
 	known.Confirm(at)
-	known.Confirm(at.Add(-time.Minute)) // older word changes nothing
+	known.Confirm(at.Add(-time.Minute)) // an older confirmation changes nothing
 	is.True(known.ConfirmedAt().Equal(at))
 	is.True(strings.Contains(known.ConfirmedAt().String(), " m="))
 }
 
-// The configuration ages while the machine is suspended, and word of it that came before is as old.
+// The configuration ages while the machine is suspended, and so does a confirmation that came before.
 func TestConfigurationAgesInSleep(t *testing.T) {
 	is := is.New(t)
 	slept := time.Duration(0)
@@ -31,7 +31,7 @@
 	asked := known.Mark()
 	slept = 10 * time.Second
 	is.True(known.Age() >= 10*time.Second)
-	known.ConfirmSince(asked, time.Second) // may have come before
+	known.ConfirmSince(asked, time.Second) // may have come before the suspension
 	is.True(known.Age() >= 10*time.Second)
 	known.ConfirmSince(known.Mark(), time.Second)
 	is.True(known.Age() < 5*time.Second)
--- a/internal/config/catalog/draft.go
+++ b/internal/config/catalog/draft.go
@@ -14,25 +14,24 @@
 	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
-// draft is a view that is not yet in force. Parts of the view before it are copied only when
-// they change.
+// draft is a view under construction. Parts of the view before it are copied only when they change.
 type draft struct {
-	view   *View
-	leafs  *leafset.Editor // nil while no leaf changed
-	before *leafset.Set    // the leafs in force before the draft
-	// rolloutsBefore are the roll-outs in force before the draft.
-	rolloutsBefore map[string]Rollout
-	ownsNodes      bool
-	ownService     bool
-	// ownsQuarantine says that the requests under quarantine are a copy of the draft's own.
-	ownsQuarantine bool
-	// ownsRollouts says that the roll-outs are a copy of the draft's own.
-	ownsRollouts bool
+	view  *View
+	clock boottime.Clock
 	// rollouts says that versions of leafs matter.
 	rollouts bool
-	// acceptsOlderRoutes says that routes go before those in force that a later revision wrote.
+	// acceptsOlderRoutes says that routes replace those in force even if a later revision wrote those.
 	acceptsOlderRoutes bool
-	clock              boottime.Clock
+
+	leafs          *leafset.Editor    // nil while no leaf changed
+	before         *leafset.Set       // the leafs in force before the draft
+	rolloutsBefore map[string]Rollout // the roll-outs in force before the draft
+
+	// These say which maps of the view are the draft's own copies.
+	ownsNodes      bool
+	ownsServices   bool
+	ownsQuarantine bool
+	ownsRollouts   bool
 }
 
 func (c *Catalog) newDraft(current *View, revision int64) *draft {
@@ -41,14 +40,15 @@
 	return &draft{view: &next, before: current.Leafs, rolloutsBefore: current.Rollouts, rollouts: c.rollouts, clock: c.clock}
 }
 
-func (d *draft) done() *View {
+// compiled returns the finished view.
+func (d *draft) compiled() *View {
 	if d.leafs != nil {
 		d.view.Leafs = d.leafs.Done()
 	}
 	return d.view
 }
 
-// compile puts one entry into a draft.
+// compile applies one entry to a draft. A value that can't be decoded is rejected.
 func (c *Catalog) compile(target *draft, entry Entry) {
 	var err error
 	switch {
@@ -81,7 +81,7 @@
 	}
 }
 
-// compileRoutes takes a routing configuration that is newer than the one in force.
+// compileRoutes puts routes into force if they are newer than those in force.
 func (d *draft) compileRoutes(entry Entry) error {
 	if entry.Deleted {
 		return nil
@@ -118,7 +118,7 @@
 	return d.leafs
 }
 
-// useEditor has the draft's leafs changed by an editor.
+// useEditor makes the draft edit its leafs through an editor.
 func (d *draft) useEditor(leafs *leafset.Editor) {
 	d.leafs = leafs
 	leafs.SetClock(d.clock)
@@ -127,8 +127,8 @@
 	}
 }
 
-// compileLeaf takes the record of a leaf. One that can't be read may come from another writer: it tells of no leaf, also not
-// of the one that was told of under its name before.
+// compileLeaf puts the record of a leaf into force. A record that can't be decoded may be another writer's: the
+// leaf known under its name before counts as gone.
 func (d *draft) compileLeaf(name string, entry Entry) error {
 	leafs := d.leafEditor()
 	if entry.Deleted {
@@ -148,14 +148,14 @@
 	return nil
 }
 
-// leafRecord reads the record of a leaf, which must be kept under the leaf's name.
+// leafRecord decodes the record of a leaf, which must be stored under the leaf's name.
 func leafRecord(name string, entry Entry) (leafset.Record, error) {
 	record, err := parsed(entry, leafset.Parse)
 	if err != nil {
 		return leafset.Record{}, err
 	}
 	if record.Name != name {
-		return leafset.Record{}, failure.Invalid("id", "%q; the record is kept under %q", record.Name, name)
+		return leafset.Record{}, failure.Invalid("id", "%q; the record is stored under %q", record.Name, name)
 	}
 	return record, nil
 }
@@ -219,11 +219,11 @@
 	return nil
 }
 
-// editable returns a copy of the service that belongs to the draft alone.
+// editableService returns a copy of a service that belongs to the draft.
 func (d *draft) editableService(name string) *Service {
-	if !d.ownService {
+	if !d.ownsServices {
 		d.view.Services = maps.Clone(d.view.Services)
-		d.ownService = true
+		d.ownsServices = true
 	}
 	service := &Service{}
 	if known, found := d.view.Services[name]; found {
--- a/internal/config/catalog/entry.go
+++ b/internal/config/catalog/entry.go
@@ -12,8 +12,8 @@
 	Deleted  bool            `json:"deleted,omitempty"`
 }
 
-// LiveRevision returns the revision that a write in place of the entry compares with: 0 for keys that were never written
-// and for deleted ones.
+// LiveRevision returns the revision that a compare-and-swap of the key must expect: 0 for keys that were never
+// written and for deleted ones.
 func (e *Entry) LiveRevision() int64 {
 	if e == nil || e.Deleted {
 		return 0
@@ -21,19 +21,19 @@
 	return e.Revision
 }
 
-// Change is an entry with the revision of the change before it, which shows gaps.
+// Change is an entry with the revision of the change before it, which reveals gaps.
 type Change struct {
 	Entry    Entry `json:"entry"`
 	Previous int64 `json:"previous"`
-	// More are the other entries that the same revision wrote, or, with MarkerKey as the entry, all
-	// that differ between the two revisions.
+	// More are the other entries that the same revision wrote, or, with MarkerKey as the entry, all that differ
+	// between the two revisions.
 	More []Entry `json:"more,omitempty"`
 }
 
 // Entries returns all entries of the change.
 func (c Change) Entries() []Entry { return append([]Entry{c.Entry}, c.More...) }
 
-// Marker returns the entry of a change that only moves the revision on, to the given one.
+// Marker returns the entry of a change that only advances the revision, to the given one.
 func Marker(at int64) Entry { return Entry{Key: MarkerKey, Revision: at, Deleted: true} }
 
 // Size is the size of the values of a change, in bytes.
@@ -45,10 +45,10 @@
 	return size
 }
 
-// Snapshot is the whole state, for a node that is too far behind for single changes.
+// Snapshot is the whole state, for nodes that lack too much for single changes.
 type Snapshot struct {
 	Revision int64   `json:"revision"`
 	Entries  []Entry `json:"entries"`
-	// IsStale says that the store may have told of an earlier state, and that the revision is only what it said with it.
+	// IsStale says that the entries may be older than the revision that the store returned with them.
 	IsStale bool `json:"-"`
 }
--- a/internal/config/catalog/envelope.go
+++ b/internal/config/catalog/envelope.go
@@ -8,8 +8,8 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// historyLength is how many earlier change ids an envelope keeps. A writer that lost a
-// reply finds its change among them even if that many others wrote the key since.
+// historyLength is how many earlier change ids an envelope keeps. A writer whose reply was lost finds its change
+// among them even if that many others wrote the key since.
 const historyLength = 16
 
 // PastChange is an earlier write of the same key.
@@ -23,16 +23,15 @@
 	ChangeID string       `json:"change_id"`
 	Deleted  bool         `json:"deleted,omitempty"`
 	History  []PastChange `json:"history,omitempty"`
-	// Payload is the message in compressed binary form: each watcher reads it from the store
-	// and each node is sent it at each change.
+	// Payload is the message in compressed binary form, which bounds what watchers read and pushes carry.
 	Payload []byte `json:"payload,omitempty"`
 	// Document is the payload of entries that are JSON: routes, leafs and nodes.
 	Document json.RawMessage `json:"document,omitempty"`
-	// Refused says why what the store has under the key can't be read; such an entry has nothing else.
+	// Refused is the reason why the value in the store can't be decoded; such an entry has nothing else.
 	Refused string `json:"refused,omitempty"`
 }
 
-// NewRefusal returns the value of an entry that can't be read, with the reason.
+// NewRefusal returns the value of an entry that can't be decoded, with the reason.
 func NewRefusal(reason error) []byte {
 	value, err := json.Marshal(Envelope{Refused: reason.Error()})
 	if err != nil {
@@ -75,7 +74,8 @@
 	return json.Marshal(envelope)
 }
 
-// pastChanges puts the replaced entry's own change before those it already remembers.
+// pastChanges returns the history for a write that replaces an entry: the entry's own change, then those it
+// remembers.
 func pastChanges(replaced *Entry) []PastChange {
 	envelope, err := OpenEnvelope(replaced.Value)
 	if err != nil {
@@ -94,7 +94,7 @@
 	return envelope, nil
 }
 
-// FindChange reports the revision at which a change id was written to the entry's key.
+// FindChange returns the revision at which a change id was written to the entry's key.
 func FindChange(entry *Entry, changeID string) (int64, bool) {
 	envelope, err := OpenEnvelope(entry.Value)
 	if err != nil {
--- a/internal/config/catalog/evacuation_test.go
+++ b/internal/config/catalog/evacuation_test.go
@@ -16,8 +16,8 @@
 	return Change{Entry: Entry{Key: EvacuationKey(zone), Value: value, Revision: revision, Deleted: deleted}, Previous: revision - 1}
 }
 
-// Whatever order changes and whole states come in, the zones that a node takes for evacuated are those
-// of the store at the node's revision: an older state never takes an evacuation back, or brings it back.
+// Whatever order changes and whole states arrive in, the zones evacuated on a node are those of the store at the node's
+// revision: an older state never ends an evacuation or brings it back.
 func TestEvacuationsFollowTheStoreInAnyInterleaving(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 12).Draw(t, "changes")
@@ -40,7 +40,7 @@
 	})
 }
 
-// withoutTombstones returns a state as a store tells it that forgets removed keys.
+// withoutTombstones returns a state as a store without tombstones returns it.
 func withoutTombstones(state Snapshot) Snapshot {
 	kept := Snapshot{Revision: state.Revision}
 	for _, entry := range state.Entries {
@@ -64,7 +64,7 @@
 	}
 }
 
-// A node that is given only the difference between two whole states learns that an evacuation ended.
+// A node that receives only the difference between two whole states learns that an evacuation ended.
 func TestDifferenceTellsOfAnEndedEvacuation(t *testing.T) {
 	is := is.New(t)
 	started := evacuationChange(t, 1, "a", false)
--- a/internal/config/catalog/follow_restored_test.go
+++ b/internal/config/catalog/follow_restored_test.go
@@ -10,8 +10,8 @@
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
 )
 
-// However the store is restored, whatever nodes see of it and give each other, in whatever order: the version of the routes
-// never falls, and once operators have written again what was lost, all nodes have what the store has.
+// However the store is restored, whatever nodes read of it and send each other, in whatever order: the version of the routes
+// never decreases, and once operators have rewritten what was lost, all nodes have what the store has.
 func TestNodesFollowAStoreThatIsRestored(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := newRestorableStore(t)
@@ -52,7 +52,7 @@
 			case "pull":
 				pull(node, nodes[rapid.IntRange(0, len(nodes)-1).Draw(t, "peer")])
 			case "kept":
-				exchangeKept(node, nodes[rapid.IntRange(0, len(nodes)-1).Draw(t, "peer")])
+				exchangeRetained(node, nodes[rapid.IntRange(0, len(nodes)-1).Draw(t, "peer")])
 			}
 			for index, one := range nodes {
 				if now := one.View().Routes.Version; now < highest[index] {
@@ -81,7 +81,7 @@
 	})
 }
 
-// writeAgain has operators write again what they wrote, and take back what they took back.
+// writeAgain makes the operators rewrite what they wrote, and remove what they removed.
 func writeAgain(d *restorableStore, operators map[string]any) {
 	for _, key := range slices.Sorted(maps.Keys(operators)) {
 		d.put(key, operators[key])
@@ -91,7 +91,7 @@
 	}
 }
 
-// pull brings a node up to another as peers do.
+// pull updates a node from another one, as peers do.
 func pull(node, peer *Catalog) {
 	changes, kept := peer.Since(node.Revision())
 	if !kept {
@@ -101,8 +101,8 @@
 	node.ApplyAll(changes)
 }
 
-// exchangeKept returns a node what another keeps, as peers at the same revision do.
-func exchangeKept(node, peer *Catalog) {
+// exchangeRetained passes the entries that one node retains to another one, as peers at the same revision do.
+func exchangeRetained(node, peer *Catalog) {
 	if node.Revision() != peer.Revision() {
 		return
 	}
--- a/internal/config/catalog/freshness.go
+++ b/internal/config/catalog/freshness.go
@@ -6,13 +6,13 @@
 	"github.com/portgauge/portgauge/internal/node/boottime"
 )
 
-// neverConfirmed is when the revision in force of a new catalog was the newest: long before any.
+// neverConfirmed is the confirmation of a new catalog, far in the past.
 const neverConfirmed = -50 * 365 * 24 * time.Hour
 
-// Now returns the instant by the catalog's clock.
+// Now returns the present instant by the catalog's clock.
 func (c *Catalog) Now() time.Time { return c.clock.Now() }
 
-// Mark returns the instant by which ConfirmSince tells whether the machine was suspended.
+// Mark returns a mark for ConfirmSince, which finds from it whether the machine was suspended since.
 func (c *Catalog) Mark() boottime.Mark { return c.clock.Mark() }
 
 // Confirm records that the revision in force was the newest at the given time by the catalog's clock, see Now.
@@ -27,14 +27,13 @@
 	}
 }
 
-// ConfirmSince records that the revision in force was the newest so long before an answer that was asked for at a mark. One
-// that had come before the machine was suspended is as old as that, too.
+// ConfirmSince records that the revision in force was the newest for some time, age, before a response that was
+// requested at a mark. If the machine was suspended since the mark, the response may be from before that.
 func (c *Catalog) ConfirmSince(asked boottime.Mark, age time.Duration) {
 	c.Confirm(c.Now().Add(-age - asked.Suspended()))
 }
 
-// ConfirmedAt returns when the revision in force was last known to be the newest, by the catalog's clock. What passed
-// since does not depend on the time of day.
+// ConfirmedAt returns when the revision in force was last known to be the newest, by the catalog's clock.
 func (c *Catalog) ConfirmedAt() time.Time { return c.startedAt.Add(time.Duration(c.confirmed.Load())) }
 
 // Age returns how long ago the revision in force was last known to be the newest.
--- a/internal/config/catalog/keys.go
+++ b/internal/config/catalog/keys.go
@@ -12,21 +12,21 @@
 	snapshotPrefix = "snapshot/"
 	leafPrefix     = "leaf/"
 	nodePrefix     = "node/"
-	// evacuationPrefix begins the keys of zones whose leafs must get nothing while the key stands.
+	// evacuationPrefix begins the keys of evacuated zones, whose leafs get no requests while the key exists.
 	evacuationPrefix = "evacuation/"
 	// rolloutPrefix begins the keys of operators' orders to move a service to another version, and
-	// rolloutStatePrefix those of how far the fleet is with them.
+	// rolloutStatePrefix those of the fleet's progress with them.
 	rolloutPrefix      = "rollout/"
 	rolloutStatePrefix = "rollout-state/"
-	// quarantinePrefix begins the keys of requests that go to no leaf.
+	// quarantinePrefix begins the keys of requests under quarantine, which are sent to no leaf.
 	quarantinePrefix = "quarantine/"
 	// RoutesKey is the store key of the routing configuration.
 	RoutesKey = "routes"
-	// RememberedKey is the store key of the list of leafs that the fleet wrote down.
+	// RememberedKey is the store key of the list of leafs that the fleet saves.
 	RememberedKey = "remembered-leafs"
 	// VersionsKey is the store key of the versions that services without a roll-out are served by.
 	VersionsKey = "service-versions"
-	// MarkerKey is under no value: a change of it only moves the revision on.
+	// MarkerKey has no value: a change of it only advances the revision.
 	MarkerKey = "marker"
 )
 
@@ -42,36 +42,37 @@
 // NodeKey is the store key of a node's own record.
 func NodeKey(id string) string { return nodePrefix + id }
 
-// EvacuationKey is the store key that stands while a zone is evacuated.
+// EvacuationKey is the store key that exists while a zone is evacuated.
 func EvacuationKey(zone string) string { return evacuationPrefix + zone }
 
 // RolloutKey is the store key of the order to move a service to another version.
 func RolloutKey(service string) string { return rolloutPrefix + service }
 
-// RolloutStateKey is the store key of how far the fleet is with the order of a service.
+// RolloutStateKey is the store key of the progress of a service's order.
 func RolloutStateKey(service string) string { return rolloutStatePrefix + service }
 
-// QuarantineKey is the store key that stands while a request is under quarantine, by its fingerprint.
+// QuarantineKey is the store key that exists while the request of a fingerprint is under quarantine.
 func QuarantineKey(content string) string { return quarantinePrefix + content }
 
-// isTransient reports whether a key may end without a tombstone that must be kept: it stands only while something
-// lasts, a process, an evacuation, a quarantine or an order, or tells of versions, of which what a whole state lacks is void.
+// isTransient reports whether a key may be removed without a tombstone that must be kept: it exists only as long
+// as a process, an evacuation, a quarantine or an order, or holds versions, so that its absence from a whole
+// state means that it was removed.
 func isTransient(key string) bool {
 	return strings.HasPrefix(key, leafPrefix) || strings.HasPrefix(key, nodePrefix) || strings.HasPrefix(key, evacuationPrefix) ||
 		strings.HasPrefix(key, quarantinePrefix) || isRollout(key)
 }
 
-// isRollout reports whether a key has to do with the versions of services.
+// isRollout reports whether a key concerns the versions of services.
 func isRollout(key string) bool {
 	return key == VersionsKey || strings.HasPrefix(key, rolloutPrefix) || strings.HasPrefix(key, rolloutStatePrefix)
 }
 
-// isProcessRecord reports whether a key is the record of a process, which writes it again by itself.
+// isProcessRecord reports whether a key is the record of a process, which rewrites it itself.
 func isProcessRecord(key string) bool {
 	return strings.HasPrefix(key, leafPrefix) || strings.HasPrefix(key, nodePrefix)
 }
 
-// QuarantinedContent returns the request that a key stands for; false for keys of other kinds.
+// QuarantinedContent returns the fingerprint of the request that a quarantine key names; false for other keys.
 func QuarantinedContent(key string) (fingerprint.Fingerprint, bool) {
 	text, isQuarantine := strings.CutPrefix(key, quarantinePrefix)
 	if !isQuarantine {
--- a/internal/config/catalog/overwritten.go
+++ b/internal/config/catalog/overwritten.go
@@ -6,17 +6,17 @@
 	"github.com/portgauge/portgauge/internal/config/revision"
 )
 
-// maxOverwritten bounds the writes that are remembered: at 500 a second, as when a fleet of 17,000 leafs starts, those of the
-// last eight seconds, in about 0.5 MB.
+// maxOverwritten bounds the writes that are remembered, about 0.5 MB: the last seconds of the start of a large
+// fleet, which writes the most.
 const maxOverwritten = 4096
 
-// overwrittenWrites are writes that others replaced, the newest of them. The zero value has none.
+// overwrittenWrites remembers the newest of the writes that others replaced. The zero value is empty.
 type overwrittenWrites struct {
 	known map[overwrittenWrite]bool
 	order []overwrittenWrite
 }
 
-// overwrittenWrite tells a write from others: by its key, its count and what it wrote.
+// overwrittenWrite identifies a write by its key, its count and a hash of its value.
 type overwrittenWrite struct {
 	key   string
 	count int64
@@ -44,6 +44,6 @@
 	p.order = append(p.order, write)
 }
 
-// has reports whether a write is remembered. That the store holds it again means that it holds it from before: what is
-// written anew has another count, or the same as a lost one and says something else.
+// has reports whether a write is remembered. If a restored store holds it, it is older than what replaced it: a
+// new write has another count, or the count of a lost write and another value.
 func (p *overwrittenWrites) has(entry Entry) bool { return p.known[overwrittenOf(entry)] }
--- a/internal/config/catalog/payload.go
+++ b/internal/config/catalog/payload.go
@@ -9,8 +9,7 @@
 // maximumPayload bounds a payload in bytes once expanded.
 const maximumPayload = 16 << 20
 
-// packMessage encodes a message in compressed binary form: decoding it as JSON took most of a
-// node's time in a burst of changes.
+// packMessage encodes a message in compressed binary form, which is much cheaper to decode in a burst than JSON.
 func packMessage(message proto.Message) ([]byte, error) {
 	content, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
 	if err != nil {
--- a/internal/config/catalog/quarantine.go
+++ b/internal/config/catalog/quarantine.go
@@ -8,7 +8,7 @@
 	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 )
 
-// compileQuarantine takes that a request goes to no leaf, or does again.
+// compileQuarantine puts the quarantine of a request, or its end, into force.
 func (d *draft) compileQuarantine(key string, entry Entry) error {
 	content, err := fingerprint.Parse(key)
 	if err != nil {
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// Quarantine returns the record of a request that goes to no leaf; nil for any other.
+// Quarantine returns the record of a request under quarantine; nil for any other.
 func (c *Catalog) Quarantine(content fingerprint.Fingerprint) *quarantine.Record {
 	return c.View().Quarantine[content]
 }
--- a/internal/config/catalog/quarantine_test.go
+++ b/internal/config/catalog/quarantine_test.go
@@ -27,8 +27,8 @@
 	return Change{Entry: Entry{Key: QuarantineKey(contentOf(path).String()), Value: value, Revision: revision, Deleted: deleted}, Previous: revision - 1}
 }
 
-// Whatever order changes and whole states come in, the requests that a node holds under quarantine are those of the store
-// at the node's revision.
+// Whatever order changes and whole states arrive in, the requests under quarantine on a node are those of the store at the
+// node's revision.
 func TestQuarantineFollowsTheStoreInAnyInterleaving(t *testing.T) {
 	paths := []string{"/a", "/b"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -60,7 +60,7 @@
 	})
 }
 
-// A record under the key of another request is refused, as is one under no fingerprint.
+// A record under the key of another request is rejected, as is one under a key without a fingerprint.
 func TestRecordMustBeThatOfItsKey(t *testing.T) {
 	is := is.New(t)
 	refused := 0
--- a/internal/config/catalog/restorable_store_test.go
+++ b/internal/config/catalog/restorable_store_test.go
@@ -25,7 +25,7 @@
 	return &restorableStore{t: t, entries: map[string]Entry{}}
 }
 
-// put writes a document under a key, nil to remove it, and gives the change.
+// put writes a document under a key, nil to remove it, and returns the change.
 func (d *restorableStore) put(key string, value any) Change {
 	var document json.RawMessage
 	if value != nil {
@@ -42,7 +42,7 @@
 	return d.putValue(key, wrapped, value == nil)
 }
 
-// putValue writes a value as it stands under a key, or removes the key, and gives the change.
+// putValue writes a value under a key as it is, or removes the key, and returns the change.
 func (d *restorableStore) putValue(key string, value json.RawMessage, remove bool) Change {
 	before := revision.At(d.epoch, d.count)
 	d.count++
@@ -56,7 +56,7 @@
 	return change
 }
 
-// state returns the whole state as it is read.
+// state returns the whole state as a read returns it.
 func (d *restorableStore) state() Snapshot {
 	snapshot := Snapshot{Revision: revision.At(d.epoch, d.count)}
 	for _, entry := range d.entries {
@@ -68,7 +68,7 @@
 
 func (d *restorableStore) save() { d.backup = d.state() }
 
-// restore brings the store back from its backup.
+// restore restores the store from its backup.
 func (d *restorableStore) restore() {
 	d.epoch++
 	d.count = revision.Count(d.backup.Revision)
--- a/internal/config/catalog/restored.go
+++ b/internal/config/catalog/restored.go
@@ -10,30 +10,31 @@
 	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
-// A store that was restored from a backup holds less than what nodes have in force: what was accepted since the backup, and
-// told so, is missing there or stands there as it was before. Nodes that took its state as it is would go back by some
-// seconds: routes, leafs that drain or are gone, zones that are evacuated, verdicts on versions, requests under quarantine.
-// So a node that comes to a new epoch keeps what it knows to be newer, until that is written again. Whoever wrote it does
-// so: operators and leafs, and the nodes what the fleet wrote.
+// A store that was restored from a backup lacks the writes that it acknowledged since the backup. A node that applied its
+// state as it is would go back by some seconds: in routes, leafs that drain or are gone, evacuated zones, verdicts on
+// versions, requests under quarantine. So a node that enters a new epoch retains what it knows to be newer, until that is
+// written again: by operators and leafs what is theirs, and by nodes what the fleet wrote (package rewriter).
 
-// lossWindow is how long before the store went away an entry may have come to be lost with it: backups are some seconds old.
+// lossWindow is how long before the restore a write may have been lost: backups are some seconds old, with a
+// margin.
 const lossWindow = time.Minute
 
-// restored is what a catalog knows of the last restore; its zero value knows of none. The catalog's lock guards it.
+// restored is what a catalog knows of the last restore; the zero value is that of none. The catalog's lock
+// guards it.
 type restored struct {
-	// at is when the node came to the epoch.
+	// at is when the node entered the epoch in force.
 	at time.Time
-	// kept are the entries that are kept, by key.
+	// retained are the retained entries, by key.
 	retained map[string]Retained
-	// past are writes that others replaced.
+	// overwritten are writes that others replaced.
 	overwritten overwrittenWrites
-	// learned is when an entry came that is neither a leaf nor a node.
+	// changedAt is when the value of a key changed last, except for process records.
 	changedAt map[string]time.Time
-	// mayWrite reports whether nodes may write a key; nil where they may write all.
+	// mayWrite reports whether nodes may write a key; nil if they may write all.
 	mayWrite func(key string) bool
 }
 
-// note remembers a write that takes the place of another, none where there was none.
+// note remembers a write that replaces another one, nil if there was none.
 func (r *restored) note(entry Entry, replaced *Entry, now time.Time) {
 	if replaced != nil && replaced.Revision != entry.Revision {
 		r.overwritten.add(*replaced)
@@ -49,7 +50,7 @@
 	}
 }
 
-// noteOverwritten remembers what an entry of a whole state takes the place of.
+// noteOverwritten remembers the write that an entry replaces in a set of known entries.
 func (c *Catalog) noteOverwritten(known map[string]Entry, entry Entry) {
 	before, isKnown := known[entry.Key]
 	if !isKnown {
@@ -59,7 +60,8 @@
 	c.restored.note(entry, &before, c.clock.Now())
 }
 
-// mergeEntries returns the entries of a whole state that are put into force. The lock must be held.
+// mergeEntries decides which entries are in force once a whole state is applied: the state as it is if it is the
+// first one, otherwise the state merged with what this node retains. The lock must be held.
 func (c *Catalog) mergeEntries(snapshot Snapshot, isFirst bool) []Entry {
 	switch {
 	case isFirst:
@@ -75,8 +77,9 @@
 	return snapshot.Entries
 }
 
-// mergeNewEpoch returns the entries of a store that was restored, with those that this node knows to be newer in their place. It
-// notes which these are. The lock must be held.
+// mergeNewEpoch merges the state of a restored store with what this node knows: known entries that are newer
+// replace those read, and known entries that the store lacks stay if they outlive the restore. All of these are
+// retained. Records of leafs that the store lost are retained without being in force. The lock must be held.
 func (c *Catalog) mergeNewEpoch(snapshot Snapshot) []Entry {
 	now := c.clock.Now()
 	c.restored.at = now
@@ -103,14 +106,14 @@
 	return entries
 }
 
-// newest returns what is in force of a key that the state of a new epoch holds: what was read, or what is known. A process
-// that is known to be gone is left out.
+// newest returns the entry in force of a key that the state of a new epoch has: the one read or the known one.
+// The record of a process that is known to be gone is left out.
 func (c *Catalog) newest(read Entry, position int64) (entry Entry, isUsed bool) {
 	known, isKnown := c.entries[read.Key]
 	if !isKnown && isProcessRecord(read.Key) && c.restored.overwritten.has(read) {
 		return Entry{}, false
 	}
-	// A node's record goes with a lease, which is lost with it: what the store has of it is what there is.
+	// A node's record is bound to a lease, which the restore lost as well: the store is right about it.
 	if isKnown && !strings.HasPrefix(read.Key, nodePrefix) && c.isNewer(known, read, position) {
 		c.restored.retained[read.Key] = Retained{Entry: known}
 		return known, true
@@ -119,8 +122,9 @@
 	return read, true
 }
 
-// outlivesRestore reports whether an entry that the restored store lacks stays in force. One that was there long before the store
-// went away was in any backup of the last while: it was removed since.
+// outlivesRestore decides whether an entry that the restored store lacks stays in force. Routes and tombstones
+// do. Records that their writers rewrite don't. Anything else does if it changed within lossWindow: what is
+// older was in the backup, so that it was removed since.
 func (c *Catalog) outlivesRestore(known Entry, now time.Time) bool {
 	switch {
 	case known.Key == RoutesKey, known.Deleted:
@@ -131,16 +135,16 @@
 	return now.Sub(c.restored.changedAt[known.Key]) < lossWindow
 }
 
-// mergeSameEpoch returns the entries of a later state of the same epoch, with those that are kept and not written again. The lock
-// must be held.
+// mergeSameEpoch merges a later state of the same epoch with the retained entries that were not written again.
+// The lock must be held.
 func (c *Catalog) mergeSameEpoch(snapshot Snapshot) []Entry {
 	entries := make([]Entry, 0, len(snapshot.Entries)+len(c.restored.retained))
 	isRead := make(map[string]bool, len(snapshot.Entries))
 	for _, read := range snapshot.Entries {
 		isRead[read.Key] = true
-		kept, isRetained := c.restored.retained[read.Key]
-		if isRetained && !kept.IsLost && c.isNewer(kept.Entry, read, snapshot.Revision) {
-			entries = append(entries, kept.Entry)
+		retained, isRetained := c.restored.retained[read.Key]
+		if isRetained && !retained.IsLost && c.isNewer(retained.Entry, read, snapshot.Revision) {
+			entries = append(entries, retained.Entry)
 			continue
 		}
 		if known, isKnown := c.entries[read.Key]; isKnown && strings.HasPrefix(read.Key, leafPrefix) && isOfEarlierProcess(read, known) {
@@ -151,21 +155,24 @@
 		c.noteRetained(read, snapshot.Revision)
 		entries = append(entries, read)
 	}
-	for key, kept := range c.restored.retained {
-		if !isRead[key] && !kept.IsLost {
-			entries = append(entries, kept.Entry)
+	for key, retained := range c.restored.retained {
+		if !isRead[key] && !retained.IsLost {
+			entries = append(entries, retained.Entry)
 		}
 	}
 	return entries
 }
 
-// isNewer reports whether an entry of an earlier epoch is newer than one that came with the state of a new one.
+// isNewer decides whether a known entry of an earlier epoch is newer than one read with a state of a new epoch,
+// at a revision. Equal values aren't; of two entries from before the restore the later revision is; documents
+// with an order of their own (routes, leafs) decide themselves; otherwise the known entry is newer if it
+// replaced the one read, or was written on top of it.
 func (c *Catalog) isNewer(known, read Entry, position int64) bool {
 	switch {
 	case read.Deleted == known.Deleted && bytes.Equal(read.Value, known.Value):
 		return false
 	case revision.IsLater(position, read.Revision):
-		return known.Revision > read.Revision // another node keeps it: both are of the epochs before
+		return known.Revision > read.Revision // another node retains it: both are of earlier epochs
 	}
 	if order, isComparable := compareDocuments(known, read); isComparable {
 		return order > 0
@@ -173,7 +180,7 @@
 	return c.restored.overwritten.has(read) || descends(known, read)
 }
 
-// compareDocuments compares two entries of a key by what they say themselves of their order; not told where they don't.
+// compareDocuments compares two entries of a key by the order in their documents, if they have one.
 func compareDocuments(a, b Entry) (order int, isComparable bool) {
 	if a.Deleted || b.Deleted {
 		return 0, false
@@ -187,7 +194,7 @@
 	return 0, false
 }
 
-// compareParsed compares two entries by their documents; one that can't be read is older than one that can.
+// compareParsed compares two entries by their documents; one that can't be decoded is older than one that can.
 func compareParsed[T any](a, b Entry, parse func([]byte) (T, error), compare func(a, b T) (order int, isComparable bool)) (order int, isComparable bool) {
 	first, firstErr := parsed(a, parse)
 	second, secondErr := parsed(b, parse)
@@ -202,7 +209,7 @@
 	return compare(first, second)
 }
 
-// descends reports whether a write was made on top of another, by the changes that it remembers.
+// descends reports whether a write was made on top of another one, by the history in its envelope.
 func descends(entry, other Entry) bool {
 	envelope, err := OpenEnvelope(other.Value)
 	if err != nil || envelope.ChangeID == "" {
@@ -212,8 +219,8 @@
 	return found
 }
 
-// isOutdated reports whether a change is older than what is kept of its key, by what both say of their order: operators
-// and leafs may write again what they wrote in between.
+// isOutdated reports whether a change is older than the entry in force of its key although its revision is
+// later, by the order in their documents: operators and leafs may rewrite an intermediate state first.
 func (c *Catalog) isOutdated(entry Entry) bool {
 	known, isKnown := c.entries[entry.Key]
 	if !isKnown || entry.Deleted {
@@ -226,7 +233,7 @@
 	return strings.HasPrefix(entry.Key, leafPrefix) && isOfEarlierProcess(entry, known)
 }
 
-// isOfEarlierProcess reports whether a record was written by a process of a leaf that another one came after.
+// isOfEarlierProcess reports whether a record is from an earlier process of the leaf than the known one.
 func isOfEarlierProcess(entry, known Entry) bool {
 	record, err := parsed(entry, leafset.Parse)
 	if err != nil {
--- a/internal/config/catalog/restored_test.go
+++ b/internal/config/catalog/restored_test.go
@@ -13,8 +13,8 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// What operators were told is accepted stays in force while the restored store has it as it was before, and ends when they
-// write it again, or something newer.
+// Routes that were acknowledged to operators stay in force while the restored store has older ones, until the operators
+// rewrite them or write newer ones.
 func TestRoutesStayThroughARestore(t *testing.T) {
 	is := is.New(t)
 	d := newRestorableStore(t)
@@ -29,7 +29,7 @@
 	is.Equal(revision.Epoch(node.Revision()), int64(1))
 	is.Equal(len(node.Retained()), 1)
 
-	node.Apply(d.put(RoutesKey, routesOf(25))) // what was accepted first is written again first
+	node.Apply(d.put(RoutesKey, routesOf(25))) // an intermediate state is rewritten first
 	is.Equal(node.View().Routes.Version, int64(27))
 	node.Apply(d.put(RoutesKey, routesOf(27)))
 	is.Equal(node.View().Routes.Version, int64(27))
@@ -37,12 +37,11 @@
 	is.Equal(len(node.Retained()), 0)
 	node.Apply(d.put(RoutesKey, routesOf(30)))
 	is.Equal(node.View().Routes.Version, int64(30))
-	node.Apply(d.put(RoutesKey, routesOf(29))) // operators may go back
+	node.Apply(d.put(RoutesKey, routesOf(29))) // operators may return to an older version
 	is.Equal(node.View().Routes.Version, int64(29))
 }
 
-// A change of the new epoch whose count was given out before comes into force, and one of the epoch before that comes late
-// does not.
+// A change of the new epoch whose count was used before comes into force, and a late one of the epoch before does not.
 func TestCountsGivenOutAgain(t *testing.T) {
 	is := is.New(t)
 	d := newRestorableStore(t)
@@ -58,7 +57,7 @@
 	before := node.Revision()
 	d.restore()
 	changed := d.put(RoutesKey, routesOf(10))
-	is.True(!node.Apply(changed)) // a gap: the whole state is to be weighed
+	is.True(!node.Apply(changed)) // a gap: the whole state is needed
 	is.True(changed.Entry.Revision > before)
 	is.True(revision.Count(changed.Entry.Revision) < revision.Count(before))
 	is.True(node.Replace(d.state()))
@@ -67,11 +66,11 @@
 	is.True(node.ApplyAll(late))
 	is.Equal(node.View().Routes.Version, int64(10))
 	_, isRetained := node.Since(before)
-	is.True(!isRetained) // no changes lead from one epoch to the next
+	is.True(!isRetained) // no change leads from one epoch to the next
 }
 
 // Leafs that drain or are gone stay so although the restored store lists them as before, until they write again; those that
-// it lost are the last ones asked.
+// it lost are asked last.
 func TestLeafsThroughARestore(t *testing.T) {
 	is := is.New(t)
 	d := newRestorableStore(t)
@@ -98,14 +97,14 @@
 	is.Equal(len(leafs.Ready("s")), 1)
 
 	node.Apply(d.put(LeafKey("comes"), leafOf("comes", leafset.Ready, 2)))
-	node.Apply(d.put(LeafKey("drains"), leafOf("drains", leafset.Ready, 1))) // it says itself that this is older
+	node.Apply(d.put(LeafKey("drains"), leafOf("drains", leafset.Ready, 1))) // by its own sequence number this is older
 	drains, _ = node.View().Leafs.ByID("drains")
 	is.Equal(drains.State, leafset.Draining)
 	node.Apply(d.put(LeafKey("drains"), nil))
 	is.Equal(len(node.View().Leafs.Ready("s")), 2)
 }
 
-// A leaf that was cold when it registered is not cold anew because the store was restored.
+// A leaf that was cold when it registered is not cold again because the store was restored.
 func TestLeafsStayWarmThroughARestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -120,17 +119,17 @@
 		is.True(node.Replace(d.state()))
 		leaf, _ := node.View().Leafs.ByID("a")
 		is.True(leaf.ColdUntil.Before(time.Now()))
-		node.Apply(d.put(LeafKey("a"), cold)) // this it says anew
+		node.Apply(d.put(LeafKey("a"), cold)) // the leaf itself registered again
 		leaf, _ = node.View().Leafs.ByID("a")
 		is.True(leaf.ColdUntil.After(time.Now()))
 	})
 }
 
-// fleetMayWrite says that two evacuations are operators' to write.
+// fleetMayWrite reserves two evacuations for operators.
 func fleetMayWrite(key string) bool { return key != EvacuationKey("z") && key != EvacuationKey("new") }
 
-// What operators and the fleet wrote since the backup stays in force until it is written again, or for as long as that may
-// take; what was there before and is gone was removed.
+// What operators and the fleet wrote since the backup stays in force until it is rewritten, or for RetainFor; what is older
+// and missing was removed.
 func TestOtherEntriesThroughARestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -145,7 +144,7 @@
 		node.Apply(d.put(EvacuationKey("again"), struct{}{}))
 		node.Apply(d.put(EvacuationKey("back"), nil))
 		d.restore()
-		d.put(EvacuationKey("long"), nil) // before the node looks
+		d.put(EvacuationKey("long"), nil) // before the node reads the store
 		is.True(node.Replace(d.state()))
 		is.Equal(node.View().Leafs.EvacuatedZones(), []string{"again", "back", "new"})
 		node.Apply(d.put(EvacuationKey("again"), struct{}{}))
@@ -160,7 +159,7 @@
 	})
 }
 
-// What nodes write themselves stays until one of them has written it, however long the store takes nothing.
+// What nodes write themselves stays until one of them has rewritten it, however long the store refuses writes.
 func TestFleetsOwnStaysUntilItIsWritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -179,7 +178,7 @@
 	})
 }
 
-// A change of many entries names itself by a key under which the store has nothing: it is never kept, or written.
+// A change of many entries is named by the marker key, which has no value in the store: it is never retained or rewritten.
 func TestMarkersAreNotKept(t *testing.T) {
 	is := is.New(t)
 	d := newRestorableStore(t)
@@ -199,7 +198,7 @@
 	is.Equal(second.Retained()[0].Entry.Key, RoutesKey)
 }
 
-// A verdict on a version outlives the restore, also where its order was lost with it and is written again.
+// A verdict on a version outlives the restore, even if its order was lost as well and is rewritten.
 func TestVerdictsThroughARestore(t *testing.T) {
 	for _, isOrderLost := range []bool{false, true} {
 		t.Run(fmt.Sprint("order lost: ", isOrderLost), func(t *testing.T) {
@@ -219,7 +218,7 @@
 			node.Apply(d.put(RolloutStateKey("s"), state))
 			is.Equal(node.View().Leafs.Rule("s").Trial, "")
 			d.restore()
-			d.put(EvacuationKey("other"), struct{}{}) // takes the count of the order, or of its state
+			d.put(EvacuationKey("other"), struct{}{}) // uses the count of the order, or of its state
 			is.True(node.Replace(d.state()))
 			is.Equal(node.View().Leafs.Rule("s").Trial, "")
 			if isOrderLost {
@@ -229,7 +228,7 @@
 			is.Equal(node.View().Leafs.Rule("s").Trial, "")
 			is.Equal(node.View().Leafs.Rule("s").Serving, "v1")
 
-			// What is written again can be told by a node that never saw it.
+			// A node that never saw the lost entry understands the rewritten one.
 			renewed, isDue := node.RewriteValue(node.Retained()[0].Entry)
 			is.True(isDue)
 			node.Apply(d.putValue(RolloutStateKey("s"), renewed, false))
@@ -245,7 +244,7 @@
 	}
 }
 
-// A node that started after the restore learns from another what the store lacks, and lets it go in time.
+// A node that started after the restore learns from another one what the store lacks, and drops it in time.
 func TestFreshNodeLearnsWhatIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -268,7 +267,7 @@
 		is.Equal(fresh.RetainedFingerprint(), node.RetainedFingerprint())
 
 		another := New(nil)
-		is.True(another.Replace(node.Snapshot())) // as a peer gives it
+		is.True(another.Replace(node.Snapshot())) // as a peer sends it
 		is.Equal(another.RetainedFingerprint(), node.RetainedFingerprint())
 		is.Equal(another.View().Routes.Version, int64(2))
 
@@ -280,7 +279,7 @@
 	})
 }
 
-// Epochs may follow on each other, also two at once, while what was lost first is not written again yet.
+// Restores may follow each other, even two between two reads, while what the first one lost has not been rewritten.
 func TestRestoresInARow(t *testing.T) {
 	is := is.New(t)
 	d := newRestorableStore(t)
@@ -299,7 +298,7 @@
 	is.Equal(len(node.Retained()), 0)
 }
 
-// A node that starts may read a state that the store told of late, with a revision that is none of the epoch.
+// A node that starts may read a stale state, with a revision that is not of the epoch.
 func TestStaleStateOfAnEpochBefore(t *testing.T) {
 	is := is.New(t)
 	d := newRestorableStore(t)
@@ -319,7 +318,7 @@
 	is.True(!node.Replace(d.state()))
 }
 
-// A record of an earlier life of a leaf that comes late, as a change or with a whole state, changes nothing.
+// A late record of an earlier process of a leaf, in a change or a whole state, changes nothing.
 func TestLateRecordOfAnEarlierLife(t *testing.T) {
 	is := is.New(t)
 	d := newRestorableStore(t)
--- a/internal/config/catalog/retained.go
+++ b/internal/config/catalog/retained.go
@@ -11,28 +11,30 @@
 	"github.com/portgauge/portgauge/internal/config/revision"
 )
 
-// RetainFor is how long what others than nodes write, and the restored store lacks, stays in force unless it is written again,
-// but for routes, which stay. Operators write again within 3 s, and what they took back before they did is never written: the
-// keys of a lost entry and of one that was lost and then taken back look the same. So a zone whose evacuation ended in that
-// time stays out for so long, and no longer. What nodes write stays until they have written it again.
+// RetainFor is how long an entry that only operators write, and the restored store lacks, stays in force unless
+// it is written again. Operators rewrite within a few seconds. An entry that they removed before rewriting it
+// never comes back, and can't be told from a lost one; so a zone whose evacuation ended then stays evacuated for
+// this long. Routes stay without a limit, and what nodes write stays until a node has rewritten it.
 const RetainFor = 10 * time.Second
 
-// Retained is an entry of an earlier epoch that is newer than what the store has.
+// Retained is an entry of an earlier epoch that is newer than what the restored store has of its key.
 type Retained struct {
 	Entry Entry
-	// IsLost says that it is not in force: a leaf whose record the store lost is asked only as the last one.
+	// IsLost says that the entry is not in force: the record of a leaf that the store lost. The leaf is asked
+	// last.
 	IsLost bool
 }
 
-// SetWritable has the catalog know which keys nodes may write: only these are kept until they are written again.
+// SetWritable sets which keys nodes may write: only their entries are retained until they are rewritten.
 func (c *Catalog) SetWritable(mayWrite func(key string) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.restored.mayWrite = mayWrite
 }
 
-// isExpired reports whether an entry that the restored store lacks was kept for long enough. One that is not in force is kept only
-// for nodes to write it.
+// isExpired decides whether a retained entry is dropped: operators may write its key and nodes may not, it isn't
+// routes, and RetainFor has passed since the node entered the epoch. An entry that isn't in force is retained
+// only for nodes to rewrite it.
 func (c *Catalog) isExpired(one Retained) bool {
 	key := one.Entry.Key
 	if key == RoutesKey || c.restored.mayWrite == nil || c.restored.mayWrite(key) {
@@ -41,7 +43,8 @@
 	return one.IsLost || !c.restored.at.IsZero() && c.clock.Since(c.restored.at) >= RetainFor
 }
 
-// noteRetained notes an entry that another node keeps: it is of an earlier epoch than the state that it came with.
+// noteRetained marks an entry of a whole state as retained by another node if it is of an earlier epoch than the
+// state.
 func (c *Catalog) noteRetained(entry Entry, position int64) {
 	if !revision.IsLater(position, entry.Revision) {
 		return
@@ -55,18 +58,18 @@
 	c.restored.retained[entry.Key] = Retained{Entry: entry}
 }
 
-// Retained returns the entries that are newer than what the store has of them.
+// Retained returns the retained entries, those not in force included.
 func (c *Catalog) Retained() []Retained {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	kept := make([]Retained, 0, len(c.restored.retained))
+	all := make([]Retained, 0, len(c.restored.retained))
 	for _, one := range c.restored.retained {
-		kept = append(kept, one)
+		all = append(all, one)
 	}
-	return kept
+	return all
 }
 
-// RetainedEntries returns those of them that are in force.
+// RetainedEntries returns the retained entries that are in force.
 func (c *Catalog) RetainedEntries() []Entry {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -79,15 +82,15 @@
 	return entries
 }
 
-// RestoredAt returns when the node came to the epoch in force; zero where it saw no restore.
+// RestoredAt returns when the node entered the epoch in force; zero if it saw no restore.
 func (c *Catalog) RestoredAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.restored.at
 }
 
-// RetainedFingerprint tells sets of kept entries that are in force apart by 64 bits; 0 where there is none. All messages between nodes
-// have it: where the store was never restored, nothing is kept and no lock is taken.
+// RetainedFingerprint identifies the set of retained entries in force by a hash; 0 if it is empty. Every message
+// between nodes carries it, so no lock is taken unless the store was restored.
 func (c *Catalog) RetainedFingerprint() uint64 {
 	if revision.Epoch(c.Revision()) == 0 {
 		return 0
@@ -99,22 +102,22 @@
 	return sum
 }
 
-// Supersedes reports whether an entry that is kept is newer than what the store has of its key.
-func (c *Catalog) Supersedes(kept, stored Entry) bool {
+// Supersedes reports whether a retained entry is newer than what the store has of its key.
+func (c *Catalog) Supersedes(retained, stored Entry) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.isNewer(kept, stored, c.view.Load().Revision)
+	return c.isNewer(retained, stored, c.view.Load().Revision)
 }
 
-// Retain takes entries that another node at the same revision keeps: this one may have read the store without having known
-// what it lost. What it let go is not taken again.
+// Retain takes over entries that another node at the same revision retains: this one may have read the store
+// without having known what the store lost. Entries that this node has dropped are not taken over.
 func (c *Catalog) Retain(entries []Entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	current := c.view.Load()
 	draft := c.newDraft(current, current.Revision)
 	draft.acceptsOlderRoutes = true
-	var taken []Entry
+	var added []Entry
 	for _, entry := range entries {
 		if !c.mayRetain(entry, current.Revision) {
 			continue
@@ -122,12 +125,13 @@
 		c.noteRetained(entry, current.Revision)
 		c.setEntry(entry)
 		c.compile(draft, entry)
-		taken = append(taken, entry)
+		added = append(added, entry)
 	}
-	c.putInForce(draft, taken)
+	c.putInForce(draft, added)
 }
 
-// mayRetain reports whether an entry that another node keeps goes before what is in force here.
+// mayRetain decides whether an entry that another node retains replaces what is in force here: it is of an
+// earlier epoch, not expired, no process record, and newer than the known one, if there is one.
 func (c *Catalog) mayRetain(entry Entry, position int64) bool {
 	known, isKnown := c.entries[entry.Key]
 	switch {
@@ -146,7 +150,7 @@
 	return !isComparable || order > 0
 }
 
-// DropExpired ends the keeping of what was not written again in time, as if it was removed.
+// DropExpired drops the retained entries that were not rewritten in time, as if they were removed.
 func (c *Catalog) DropExpired() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -169,19 +173,21 @@
 	c.putInForce(draft, removed)
 }
 
-// putInForce puts a draft of the revision in force into its place, and tells of its entries. The lock must be held.
+// putInForce replaces the view by a draft of the same revision, and publishes its entries. The lock must be
+// held.
 func (c *Catalog) putInForce(changed *draft, entries []Entry) {
 	if len(entries) == 0 {
 		return
 	}
-	c.view.Store(changed.done())
+	c.view.Store(changed.compiled())
 	at := c.view.Load().Revision
 	c.publish(Change{Entry: Marker(at), Previous: at, More: entries})
 }
 
-// RewriteValue returns the value by which an entry of an earlier epoch is written again; not due yet where it depends on another that
-// is not written again. The state of a roll-out names its order, which a restored store may have at another count.
-func (c *Catalog) RewriteValue(entry Entry) (value json.RawMessage, isDue bool) {
+// RewriteValue returns the value with which an entry of an earlier epoch is rewritten. It isn't ready while the
+// entry depends on another one that has not been rewritten: the progress of a roll-out names its order by a
+// count, which changes if the restored store lost the order.
+func (c *Catalog) RewriteValue(entry Entry) (value json.RawMessage, isReady bool) {
 	service, isState := strings.CutPrefix(entry.Key, rolloutStatePrefix)
 	if !isState || entry.Deleted {
 		return entry.Value, true
--- a/internal/config/catalog/rollout.go
+++ b/internal/config/catalog/rollout.go
@@ -6,7 +6,7 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// compileVersions takes the versions that services are served by.
+// compileVersions puts the versions that services are served by into force.
 func (d *draft) compileVersions(entry Entry) error {
 	versions := map[string]string{}
 	if !entry.Deleted {
@@ -57,7 +57,8 @@
 	return nil
 }
 
-// rolloutBefore returns what was known of a service's roll-out before the draft: of a whole state, what it takes the place of.
+// rolloutBefore returns a service's roll-out before the draft; in a draft of a whole state, that of the state it
+// replaces.
 func (d *draft) rolloutBefore(service string) Rollout {
 	if known, found := d.view.Rollouts[service]; found {
 		return known
@@ -65,7 +66,7 @@
 	return d.rolloutsBefore[service]
 }
 
-// editableRollout returns a copy of what is known of a service's roll-out.
+// editableRollout returns a copy of a service's roll-out.
 func (d *draft) editableRollout(service string) Rollout {
 	if !d.ownsRollouts {
 		d.view.Rollouts = maps.Clone(d.view.Rollouts)
@@ -74,7 +75,7 @@
 	return d.view.Rollouts[service]
 }
 
-// setRollout keeps what is known of a service's roll-out, and the rule that follows from it.
+// setRollout sets a service's roll-out, and the rule that follows from it.
 func (d *draft) setRollout(service string, known Rollout) {
 	if known == (Rollout{}) {
 		delete(d.view.Rollouts, service)
@@ -84,7 +85,8 @@
 	d.updateRule(service)
 }
 
-// rule puts the rule of a service into force that follows from what is known.
+// updateRule sets the rule by which the leafs of a service are chosen, from its order, its progress and its
+// version.
 func (d *draft) updateRule(service string) {
 	known := d.view.Rollouts[service]
 	d.leafEditor().SetRule(service, rollout.RuleOf(known.Order, known.State, d.view.Versions[service]))
--- a/internal/config/catalog/rollout_test.go
+++ b/internal/config/catalog/rollout_test.go
@@ -40,7 +40,7 @@
 	someVersions = []string{"v1", "v2", "v3"}
 )
 
-// drawRolloutChange draws a write of an order, a state or the versions written down, or the end of one.
+// drawRolloutChange draws a write of an order, a state or the versions, or the removal of one.
 func drawRolloutChange(t *rapid.T, revision int64) Change {
 	service := rapid.SampledFrom(someServices).Draw(t, "service")
 	target := rapid.SampledFrom(someVersions).Draw(t, "target")
@@ -64,8 +64,8 @@
 	return documentChange(t, revision, key, document)
 }
 
-// Whatever order changes and whole states come in, from the store or from another node, the rule of a service is
-// that of the store's state at the node's revision: no older state brings a version back.
+// Whatever order changes and whole states arrive in, from the store or from another node, the rule of a service is that
+// of the store's state at the node's revision: no older state brings a version back.
 func TestRulesFollowTheStoreInAnyInterleaving(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 14).Draw(t, "changes")
@@ -93,7 +93,7 @@
 	})
 }
 
-// checkRules compares the rules of a node with those of a node that was given the store's state of its revision.
+// checkRules compares the rules of a node with those of a node with the store's state at its revision.
 func checkRules(t *rapid.T, node *Catalog, log []Change) {
 	state := withoutTombstones(stateAt(log, node.Revision()))
 	for _, service := range someServices {
@@ -154,7 +154,7 @@
 	is.Equal(len(leafs.Ready("s")), 1)
 }
 
-// A node that is given only the difference between two whole states learns that orders, states and versions went.
+// A node that receives only the difference between two whole states learns that orders, states and versions were removed.
 func TestDifferenceTellsOfWhatIsNoLongerKnownOfVersions(t *testing.T) {
 	is := is.New(t)
 	first, second := orderedCatalog(t), orderedCatalog(t)
@@ -171,7 +171,7 @@
 	is.Equal(second.View().Leafs.Rule("s"), rollout.Rule{})
 }
 
-// A value that can't be read leaves the order that is in force.
+// A value that can't be decoded leaves the order that is in force.
 func TestUnreadableOrderLeavesTheOneInForce(t *testing.T) {
 	is := is.New(t)
 	known := orderedCatalog(t)
@@ -198,7 +198,7 @@
 	is.Equal(len(known.View().Leafs.Ready("s")), 3)
 }
 
-// Where versions don't matter, neither orders nor states nor versions of leafs change anything.
+// Without EnableRollouts, neither orders nor states nor versions of leafs change anything.
 func TestRolloutsAreIgnoredUnlessEnabled(t *testing.T) {
 	is := is.New(t)
 	known := New(func(key string, err error) { t.Errorf("%s: %v", key, err) })
--- a/internal/config/catalog/view.go
+++ b/internal/config/catalog/view.go
@@ -26,15 +26,15 @@
 	Services map[string]*Service
 	// Routes is the routing table; nil while there is none.
 	Routes *routing.Table
-	// Leafs is what discovery tells of leafs.
+	// Leafs are the leafs as discovery knows them.
 	Leafs *leafset.Set
-	// Remembered is the list of leafs that the fleet wrote down last.
+	// Remembered is the list of leafs that the fleet saved last.
 	Remembered *leafset.Set
 	// Nodes are the registered nodes of the fleet by id.
 	Nodes map[string]NodeRecord
-	// Rollouts are the orders to move services to other versions, by service, and how far they are.
+	// Rollouts are the orders to move services to other versions, by service, and their progress.
 	Rollouts map[string]Rollout
-	// Quarantine are the requests that go to no leaf.
+	// Quarantine are the requests that are sent to no leaf.
 	Quarantine map[fingerprint.Fingerprint]*quarantine.Record
 	// Versions are the versions that services without a roll-out are served by, by service.
 	Versions map[string]string
@@ -44,22 +44,22 @@
 	return &View{Revision: at, Services: map[string]*Service{}, Leafs: leafset.Empty(), Remembered: leafset.Empty(), Nodes: map[string]NodeRecord{}, Rollouts: map[string]Rollout{}}
 }
 
-// NodeRecord is a node's own word on itself.
+// NodeRecord is what a node publishes of itself.
 type NodeRecord struct {
 	ID   string `json:"id"`
 	Zone string `json:"zone"`
 	// Address is the node's peer address.
 	Address string `json:"address"`
-	// Tree is where the node gathers for others; empty when it does not.
+	// Tree is the address at which the node gathers for others; empty when it does not.
 	Tree string `json:"tree,omitempty"`
-	// Processors is the node's part of processors, in cores; 0 when it does not say.
+	// Processors is the number of cores available to the node; 0 when unknown.
 	Processors float64 `json:"processors,omitempty"`
 }
 
-// Rollout is what is known of moving a service to another version.
+// Rollout is the state of moving a service to another version.
 type Rollout struct {
-	// Order is the operators' word; nil where there is none.
+	// Order is the operators' order; nil if there is none.
 	Order *rollout.Order
-	// State is how far the fleet is with an order, this one or one before it; nil before the first.
+	// State is the progress of an order, this one or an earlier one; nil before the first.
 	State *rollout.State
 }
