--- a/internal/config/catalog/restored.go
+++ b/internal/config/catalog/restored.go
@@ -240,5 +240,5 @@
 		return false
 	}
 	later, err := parsed(known, leafset.Parse)
-	return err == nil && record.IsOfEarlierLife(later)
+	return err == nil && record.IsOfEarlierIncarnation(later)
 }
--- a/internal/config/catalog/retained.go
+++ b/internal/config/catalog/retained.go
@@ -194,7 +194,7 @@
 	}
 	view := c.View()
 	known := view.Rollouts[service]
-	if known.Order == nil || known.State == nil || !known.State.Answers(known.Order) {
+	if known.Order == nil || known.State == nil || !known.State.BelongsTo(known.Order) {
 		return entry.Value, true
 	}
 	if revision.IsLater(view.Revision, known.Order.Revision) {
--- a/internal/config/catalog/rollout.go
+++ b/internal/config/catalog/rollout.go
@@ -35,7 +35,7 @@
 		if err != nil {
 			return err
 		}
-		order.Follow(d.rolloutBefore(service).Order)
+		order.InheritID(d.rolloutBefore(service).Order)
 		known.Order = order
 	}
 	d.setRollout(service, known)
--- a/internal/leaf/leafmemory/memory.go
+++ b/internal/leaf/leafmemory/memory.go
@@ -98,10 +98,10 @@
 	return slices.DeleteFunc(slices.Clone(view.Remembered.Of(service)), mayNot)
 }
 
-// MayAsk reports whether a leaf may be sent a request now, be it one that serves or one on trial. What was planned
+// MaySend reports whether a leaf may be sent a request now, be it one that serves or one on trial. What was planned
 // a while ago may not be sent any more: meanwhile the leaf began to drain, went, its zone was evacuated, or its
 // version was barred.
-func (m *Memory) MayAsk(id string) bool {
+func (m *Memory) MaySend(id string) bool {
 	view := m.catalog.View()
 	leaf, found := view.Leafs.ByID(id)
 	if !found || leaf.State != leafset.Ready {
--- a/internal/request/gateway/crash_test.go
+++ b/internal/request/gateway/crash_test.go
@@ -46,7 +46,7 @@
 
 func newRegister() *quarantine.Register {
 	register := quarantine.NewRegister(quarantine.Deps{
-		Config: quarantine.DefaultConfig(), Self: "n", Stored: func(fingerprint.Fingerprint) *quarantine.Record { return nil },
+		Config: quarantine.DefaultConfig(), Self: "n", StoredRecord: func(fingerprint.Fingerprint) *quarantine.Record { return nil },
 	})
 	register.SetListener(noListener{})
 	return register
@@ -78,10 +78,10 @@
 	return f
 }
 
-func (f *fatalLeafs) Check(target leafhttp.Target, _ bool, tell leafhttp.Ended) {
+func (f *fatalLeafs) Check(target leafhttp.Target, _ bool, tell leafhttp.OnChecked) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	ended := f.ended[target.Incarnation]
+	ended := f.ended[target.LeafID]
 	time.AfterFunc(time.Millisecond, func() { tell(ended) })
 }
 
@@ -186,7 +186,7 @@
 		is := is.New(t)
 		leafs := newFatalLeafs()
 		register := newRegister()
-		register.Hear(quarantine.Record{Subject: quarantine.Subject{Content: DefaultConfig().contentOf(ask("/pages/0"))}})
+		register.AddRecord(quarantine.Record{Subject: quarantine.Subject{Content: DefaultConfig().fingerprintOf(ask("/pages/0"))}})
 		g := guarded(t, leafs, register)
 		for count := 1; count <= quarantine.DefaultConfig().Ends; count++ {
 			_, err := g.Serve(t.Context(), ask("/pages/1"))
@@ -222,7 +222,7 @@
 			return fatalWork, answered(200, records(leaf)), nil
 		}}
 		register := newRegister()
-		register.Hear(quarantine.Record{Subject: quarantine.Subject{Content: DefaultConfig().contentOf(ask("/pages/0"))}})
+		register.AddRecord(quarantine.Record{Subject: quarantine.Subject{Content: DefaultConfig().fingerprintOf(ask("/pages/0"))}})
 		g := guarded(t, slow, register)
 		answer, err := g.Serve(t.Context(), ask("/pages/1"))
 		is.NoErr(err)
@@ -244,7 +244,7 @@
 			is.Equal(answer.Missing, 0)
 			time.Sleep(2 * time.Millisecond)
 		}
-		is.Equal(register.State(DefaultConfig().contentOf(ask("/pages/1"))), quarantine.Clear)
+		is.Equal(register.State(DefaultConfig().fingerprintOf(ask("/pages/1"))), quarantine.Clear)
 	})
 }
 
@@ -265,7 +265,7 @@
 				}
 				_, err = g.Serve(t.Context(), ask("/once/1"))
 				is.NoErr(err) // what the leaf says is passed on
-				is.Equal(register.State(DefaultConfig().contentOf(ask("/once/1"))), want)
+				is.Equal(register.State(DefaultConfig().fingerprintOf(ask("/once/1"))), want)
 			})
 		})
 	}
@@ -286,7 +286,7 @@
 		_, err := g.Serve(t.Context(), ask("/once/1"))
 		is.True(err != nil)
 		time.Sleep(2 * time.Millisecond)
-		is.Equal(register.State(DefaultConfig().contentOf(ask("/once/1"))), quarantine.Clear)
+		is.Equal(register.State(DefaultConfig().fingerprintOf(ask("/once/1"))), quarantine.Clear)
 	})
 }
 
@@ -341,7 +341,7 @@
 		node.gateway.quarantine = newRegister()
 		node.gateway.leafs = &endingLeafs{treeLeafs: node.leafs, ended: ended}
 	}
-	b.nodes["there"].gateway.quarantine.Hear(quarantine.Record{Subject: quarantine.Subject{Content: DefaultConfig().contentOf(ask("/pages/1"))}})
+	b.nodes["there"].gateway.quarantine.AddRecord(quarantine.Record{Subject: quarantine.Subject{Content: DefaultConfig().fingerprintOf(ask("/pages/1"))}})
 	b.nodes["root"].leafs.treat(func(string) (time.Duration, *leafhttp.Response, error) { return time.Hour, nil, nil })
 	_, err := b.ask("root")
 	is.True(failure.Is(err, failure.Quarantined))
@@ -376,7 +376,7 @@
 	ended *endedLeafs
 }
 
-func (l *endingLeafs) Check(target leafhttp.Target, _ bool, tell leafhttp.Ended) {
-	ended := l.ended.has(target.Incarnation)
+func (l *endingLeafs) Check(target leafhttp.Target, _ bool, tell leafhttp.OnChecked) {
+	ended := l.ended.has(target.LeafID)
 	time.AfterFunc(time.Millisecond, func() { tell(ended) })
 }
--- a/internal/request/gateway/lives_test.go
+++ b/internal/request/gateway/lives_test.go
@@ -12,15 +12,15 @@
 )
 
 // born puts a life of the leaf "s0a" in force, and gives how the gateway knows it.
-func born(t *testing.T, g *Gateway, at int64) (*leafset.Leaf, target, balancer.Candidate) {
+func born(t *testing.T, g *Gateway, at int64) (*leafset.Leaf, leafTarget, balancer.Candidate) {
 	t.Helper()
 	put(t, g.catalog, catalog.LeafKey("s0a"), leafset.Record{Name: "s0a", Service: "s0", Address: "127.0.0.1:1", State: leafset.Ready, Born: at})
 	leaf, found := g.catalog.View().Leafs.ByName("s0a")
 	if !found {
 		t.Fatal("the leaf is not in force")
 	}
-	var targets []target
-	candidates := g.addParts(nil, "s0", false, 1, []*leafset.Leaf{leaf}, &targets)
+	var targets []leafTarget
+	candidates := g.appendAskable(nil, "s0", false, 1, []*leafset.Leaf{leaf}, &targets)
 	return leaf, targets[0], candidates[0]
 }
 
@@ -39,12 +39,12 @@
 
 	second, secondTarget, secondCandidate := born(t, g, 2000)
 	fresh := choose(secondCandidate)
-	is.True(fresh != nil && fresh != kept)                            // leaving; load, slowness, ejection
-	is.True(balancer.KeyOf(first.ID) != balancer.KeyOf(second.ID))    // what nodes tell each other of it
-	is.True(firstTarget.Incarnation != secondTarget.Incarnation)      // connections, and checks whether it ended
-	is.Equal(secondTarget.Name, "s0a")                                // what requests name
-	is.True(!g.isListed(first.ID) && g.isListed(second.ID))           // evidence of requests that end leafs
-	is.True(!g.memory.MayAsk(first.ID) && g.memory.MayAsk(second.ID)) // requests that wait for it
+	is.True(fresh != nil && fresh != kept)                              // leaving; load, slowness, ejection
+	is.True(balancer.KeyOf(first.ID) != balancer.KeyOf(second.ID))      // what nodes tell each other of it
+	is.True(firstTarget.LeafID != secondTarget.LeafID)                  // connections, and checks whether it ended
+	is.Equal(secondTarget.Name, "s0a")                                  // what requests name
+	is.True(!g.isListed(first.ID) && g.isListed(second.ID))             // evidence of requests that end leafs
+	is.True(!g.memory.MaySend(first.ID) && g.memory.MaySend(second.ID)) // requests that wait for it
 	put(t, g.catalog, catalog.LeafKey("s0a"), leafset.Record{Name: "s0a", Service: "s0", Address: "127.0.0.1:1", State: leafset.Draining, Born: 1000})
 	is.True(g.isListed(second.ID)) // late word of the first
 }
--- a/internal/rollout/rolloutcontrol/hearing_test.go
+++ b/internal/rollout/rolloutcontrol/hearing_test.go
@@ -129,7 +129,7 @@
 		c := New(Deps{Config: f.cfg, States: writes, Events: f.node("n0"), Catalog: f.node("n0").catalog})
 		begin := func(order int64) *writePacer {
 			state := rollout.State{Service: "s", OrderRevision: order, Phase: rollout.Canary}
-			c.write(context.Background(), time.Now(), PhaseRecord{State: state}, 0, order, 0)
+			c.write(context.Background(), time.Now(), PhaseWriteEvent{State: state}, 0, order, 0)
 			synctest.Wait()
 			return c.pacers["s"]
 		}
