--- a/internal/rollout/rolloutcontrol/config.go
+++ b/internal/rollout/rolloutcontrol/config.go
@@ -10,7 +10,7 @@
 
 // Config tunes how the fleet carries roll-outs out.
 type Config struct {
-	// Enabled has orders to move services to other versions followed, and services served by the leafs of one
+	// Enabled has orders to move services to other versions active, and services served by the leafs of one
 	// version only.
 	Enabled bool `yaml:"enabled"`
 	// Judges is how many nodes judge the roll-out of a service.
@@ -90,32 +90,32 @@
 // The margin before an order's end and the pause between its judges take at most one in so many parts of its time,
 // so that an order of a second is not over before its judges did anything. Nothing waits for the first state.
 const (
-	marginPart     = 10
-	takeoverPart   = 20
-	firstStatePart = 4
+	marginDivisor     = 10
+	takeoverDivisor   = 20
+	firstStateDivisor = 4
 )
 
 // How long a version that was found good is looked at with all requests: a part of the order's time, as long as the move to
 // it takes, and so many reports at least.
 const (
-	lastLookPart    = 10
-	lastLookReports = 3
+	finalWatchDivisor = 10
+	finalWatchReports = 3
 )
 
-// lastLookOf gives how long a version has all requests before an order of a duration has succeeded.
-func (c Config) lastLookOf(duration time.Duration) time.Duration {
-	return max(duration/lastLookPart, lastLookReports*c.ReportInterval)
+// finalWatch gives how long a version has all requests before an order of a duration has succeeded.
+func (c Config) finalWatch(duration time.Duration) time.Duration {
+	return max(duration/finalWatchDivisor, finalWatchReports*c.ReportInterval)
 }
 
-// marginOf gives how long before the end of an order's time a version not found good is rolled back.
-func (c Config) marginOf(duration time.Duration) time.Duration {
-	return min(c.RollbackMargin, duration/marginPart)
+// rollbackMargin gives how long before the end of an order's time a version not found good is rolled back.
+func (c Config) rollbackMargin(duration time.Duration) time.Duration {
+	return min(c.RollbackMargin, duration/marginDivisor)
 }
 
-// takeoverOf gives how much longer each judge of an order waits than the one before it to write a phase.
-func (c Config) takeoverOf(phase rollout.Phase, duration time.Duration) time.Duration {
+// takeoverPause gives how much longer each judge of an order waits than the one before it to write a phase.
+func (c Config) takeoverPause(phase rollout.Phase, duration time.Duration) time.Duration {
 	if phase == rollout.Canary {
-		return min(c.TakeoverPause, duration/firstStatePart)
+		return min(c.TakeoverPause, duration/firstStateDivisor)
 	}
-	return min(c.TakeoverPause, duration/takeoverPart)
+	return min(c.TakeoverPause, duration/takeoverDivisor)
 }
--- a/internal/rollout/rolloutcontrol/controller.go
+++ b/internal/rollout/rolloutcontrol/controller.go
@@ -53,39 +53,39 @@
 
 // Controller carries roll-outs out at one node. Run must be called; the other methods are safe for concurrent use.
 type Controller struct {
-	deps    Deps
-	cfg     Config
-	tallies tallies
-	holds   holds
-	reports *reports
+	deps     Deps
+	cfg      Config
+	tallies  tallies
+	holds    holds
+	reporter *reporter
 
 	// What follows belongs to the goroutine of Run.
 	judges     judgeSet
-	trials     map[string]*trial
-	pacers     map[string]*writePacer
+	orders     map[string]*activeOrder
+	schedules  map[string]*writeSchedule
 	hasStarted bool // the first state was seen
-	lookedAt   boottime.Mark
-	judgesFrom time.Time // what it knows is older than a suspension before
+	steppedAt  boottime.Mark
+	judgeAfter time.Time // what it knows is older than a suspension before
 	reportedAt time.Time
 	askedAt    time.Time
 	answeredAt time.Time // when the newest answer of the fleet was asked for
-	asking     int       // calls of the fleet in flight
-	writing    int       // writes in flight
+	fleetCalls int       // calls of the fleet in flight
+	writes     int       // writes in flight
 	written    chan writeResult
-	statuses   chan fleetAnswer
+	answers    chan fleetAnswer
 	running    sync.WaitGroup
 
-	standings standings
+	statuses statusSnapshot
 }
 
 // writeResult is how a write went.
 type writeResult struct {
-	pacer  *writePacer
-	record PhaseWriteEvent
+	schedule *writeSchedule
+	record   PhaseWriteEvent
 }
 
-// mostWrites bounds the writes in flight of one node: many orders at once must not flood the store.
-const mostWrites = 8
+// maxWrites bounds the writes in flight of one node: many orders at once must not flood the store.
+const maxWrites = 8
 
 // changeBacklog is how many changes of configuration may wait; what overflows is seen at the next look.
 const changeBacklog = 64
@@ -93,11 +93,11 @@
 // New makes a controller.
 func New(deps Deps) *Controller {
 	c := &Controller{
-		deps: deps, cfg: deps.Config, judges: judgeSet{most: deps.Config.Judges},
-		trials: map[string]*trial{}, pacers: map[string]*writePacer{},
-		written: make(chan writeResult), statuses: make(chan fleetAnswer),
+		deps: deps, cfg: deps.Config, judges: judgeSet{max: deps.Config.Judges},
+		orders: map[string]*activeOrder{}, schedules: map[string]*writeSchedule{},
+		written: make(chan writeResult), answers: make(chan fleetAnswer),
 	}
-	c.reports = newReports(deps, c.keepOwn, c.dropOwn)
+	c.reporter = newReporter(deps, c.keepOwn, c.dropOwn)
 	return c
 }
 
@@ -106,7 +106,7 @@
 	changes, stop := c.deps.Catalog.Subscribe(changeBacklog)
 	defer stop()
 	defer c.running.Wait()
-	c.lookedAt = c.deps.Clock.Mark()
+	c.steppedAt = c.deps.Clock.Mark()
 	for {
 		timer := time.NewTimer(c.step(ctx, c.deps.Clock.Now()))
 		isOver := c.await(ctx, timer, changes)
@@ -128,10 +128,10 @@
 				return false
 			}
 		case result := <-c.written:
-			c.settle(c.deps.Clock.Now(), result)
+			c.writeDone(c.deps.Clock.Now(), result)
 			return false
-		case answer := <-c.statuses:
-			c.takeAnswer(answer)
+		case answer := <-c.answers:
+			c.handleAnswer(answer)
 			return false
 		case <-ctx.Done():
 			return true
@@ -149,32 +149,32 @@
 	return false
 }
 
-// hearIntervals is for how many report intervals a judge that woke listens: all nodes tell of their counts within one, and
+// resumeIntervals is for how many report intervals a judge that woke listens: all nodes tell of their counts within one, and
 // their way and a late tick are within another.
-const hearIntervals = 2
+const resumeIntervals = 2
 
-// mustHearFirst reports whether the machine was suspended so short a while ago that the counts and holds which came
+// mustWaitForReports reports whether the machine was suspended so short a while ago that the counts and holds which came
 // meanwhile may not be read yet. A judge that slept while a version turned bad would else find it good by old counts.
-func (c *Controller) mustHearFirst(now time.Time) bool {
-	if c.lookedAt.Suspended() > 0 {
-		c.judgesFrom = now.Add(hearIntervals * c.cfg.ReportInterval)
+func (c *Controller) mustWaitForReports(now time.Time) bool {
+	if c.steppedAt.Suspended() > 0 {
+		c.judgeAfter = now.Add(resumeIntervals * c.cfg.ReportInterval)
 	}
-	c.lookedAt = c.deps.Clock.Mark()
-	return now.Before(c.judgesFrom)
+	c.steppedAt = c.deps.Clock.Mark()
+	return now.Before(c.judgeAfter)
 }
 
 // step follows the orders in force, and gives when to look again at the latest.
 func (c *Controller) step(ctx context.Context, now time.Time) time.Duration {
-	mustHearFirst := c.mustHearFirst(now)
+	mustWaitForReports := c.mustWaitForReports(now)
 	view := c.deps.Catalog.View()
 	if view.Revision == 0 {
 		return c.cfg.ReportInterval
 	}
-	c.learn(now, view)
+	c.refreshOrders(now, view)
 	c.report(now, view)
 	next := c.cfg.ReportInterval
-	if mustHearFirst {
-		return min(next, c.judgesFrom.Sub(now))
+	if mustWaitForReports {
+		return min(next, c.judgeAfter.Sub(now))
 	}
 	for service, known := range view.Rollouts {
 		if pause := c.follow(ctx, now, view, service, known); pause > 0 {
@@ -184,49 +184,49 @@
 	if pause := c.askFleet(ctx, now, view); pause > 0 {
 		next = min(next, pause)
 	}
-	c.standings.set(c.trials)
+	c.statuses.set(c.orders)
 	return next
 }
 
-// learn takes the orders in force, and forgets those that are over.
-func (c *Controller) learn(now time.Time, view *catalog.View) {
+// refreshOrders takes the orders in force, and forgets those that are over.
+func (c *Controller) refreshOrders(now time.Time, view *catalog.View) {
 	for service, known := range view.Rollouts {
 		if isUnderWay(known) {
-			c.learnOrder(now, view, service, known)
+			c.refreshOrder(now, view, service, known)
 		}
 	}
-	for service, followed := range c.trials {
+	for service, active := range c.orders {
 		known := view.Rollouts[service]
-		if isUnderWay(known) && known.Order.ID() == followed.order.ID() {
+		if isUnderWay(known) && known.Order.ID() == active.order.ID() {
 			continue
 		}
-		if isAnswered(known) && (followed.state == nil || followed.state.Revision != known.State.Revision) {
+		if isAnswered(known) && (active.state == nil || active.state.Revision != known.State.Revision) {
 			c.deps.Events.PhaseLearned(*known.State)
 		}
-		delete(c.trials, service)
+		delete(c.orders, service)
 	}
-	maps.DeleteFunc(c.pacers, func(service string, _ *writePacer) bool { return view.Rollouts[service] == (catalog.Rollout{}) })
+	maps.DeleteFunc(c.schedules, func(service string, _ *writeSchedule) bool { return view.Rollouts[service] == (catalog.Rollout{}) })
 	isWanted := func(order orderKey) bool { return c.isWanted(view, order) }
-	c.tallies.keep(isWanted)
-	c.holds.keep(isWanted)
+	c.tallies.retain(isWanted)
+	c.holds.retain(isWanted)
 	c.hasStarted = true
 }
 
-// learnOrder takes an order that is under way.
-func (c *Controller) learnOrder(now time.Time, view *catalog.View, service string, known catalog.Rollout) {
-	followed := c.trials[service]
-	if followed == nil || followed.order.ID() != known.Order.ID() {
-		followed = &trial{order: *known.Order, learned: now, hadAtStart: !c.hasStarted}
-		c.trials[service] = followed
+// refreshOrder takes an order that is under way.
+func (c *Controller) refreshOrder(now time.Time, view *catalog.View, service string, known catalog.Rollout) {
+	active := c.orders[service]
+	if active == nil || active.order.ID() != known.Order.ID() {
+		active = &activeOrder{order: *known.Order, learnedAt: now, knownAtStart: !c.hasStarted}
+		c.orders[service] = active
 		if c.holds.has(orderKey{service, known.Order.ID()}) {
 			c.deps.Splitter.Hold(service, known.Order.ID()) // word of it came before the order
 		}
 		c.deps.Events.OrderSeen(OrderEvent{Order: *known.Order, Rank: c.rank(view, service)})
 	}
-	followed.order = *known.Order // a restored store has it at another revision
-	before := followed.state
-	followed.learn(now, view)
-	if state := followed.state; state != nil && (before == nil || before.Revision != state.Revision) {
+	active.order = *known.Order // a restored store has it at another revision
+	before := active.state
+	active.refresh(now, view)
+	if state := active.state; state != nil && (before == nil || before.Revision != state.Revision) {
 		c.deps.Events.PhaseLearned(*state)
 	}
 }
@@ -261,8 +261,8 @@
 	}
 	c.reportedAt = now
 	judges := func(service string) []catalog.NodeRecord { return c.judges.of(view, service) }
-	c.reports.step(now, judges, func(order orderKey) bool { return c.isWanted(view, order) })
+	c.reporter.step(now, judges, func(order orderKey) bool { return c.isWanted(view, order) })
 }
 
 // Statuses gives the roll-outs under way as this node sees them, with the counts of those that it judges.
-func (c *Controller) Statuses() []Status { return c.standings.get() }
+func (c *Controller) Statuses() []Status { return c.statuses.get() }
--- a/internal/rollout/rolloutcontrol/judging.go
+++ b/internal/rollout/rolloutcontrol/evaluator.go
@@ -42,8 +42,8 @@
 	return counts
 }
 
-// tooLittle says how much was known of a version that was not found good in time.
-func tooLittle(target string, rows []evidence.Row) string {
+// undecidedReason says how much was known of a version that was not found good in time.
+func undecidedReason(target string, rows []evidence.Row) string {
 	for _, one := range countVersions(rows) {
 		if one.Version == target {
 			return fmt.Sprintf("not found good in time: %d of %d attempts failed", one.Failures, one.Attempts)
--- a/internal/rollout/rolloutcontrol/hearing.go
+++ b/internal/rollout/rolloutcontrol/handlers.go
@@ -10,8 +10,8 @@
 
 // keepOwn takes this node's own counts where it is a judge.
 func (c *Controller) keepOwn(rows []evidence.Row) {
-	from := reporter{node: c.deps.Self.ID, start: c.reports.start}
-	if dropped := c.tallies.hear(from, c.deps.Self.Address, rows, c.deps.Clock.Now()); dropped > 0 {
+	from := process{node: c.deps.Self.ID, start: c.reporter.start}
+	if dropped := c.tallies.add(from, c.deps.Self.Address, rows, c.deps.Clock.Now()); dropped > 0 {
 		c.dropOwn(dropped)
 	}
 }
@@ -35,7 +35,7 @@
 			held[order] = c.holds.has(order)
 		}
 	}
-	if dropped := c.tallies.hear(reporter{reports.Node, reports.StartUnixNano}, from, wanted, c.deps.Clock.Now()); dropped > 0 {
+	if dropped := c.tallies.add(process{reports.Node, reports.StartUnixNano}, from, wanted, c.deps.Clock.Now()); dropped > 0 {
 		c.deps.Events.RowsDropped(RowsDroppedEvent{From: from, Rows: dropped})
 	}
 	for order, isHeld := range held {
@@ -48,7 +48,7 @@
 // HandleHold takes a judge's word that an order's version is bad.
 func (c *Controller) HandleHold(from string, hold peer.RolloutHold) {
 	order := orderKey{hold.Service, hold.Order}
-	if !c.isWanted(c.deps.Catalog.View(), order) || !c.holds.put(order, "held by the word of "+from) {
+	if !c.isWanted(c.deps.Catalog.View(), order) || !c.holds.add(order, "held by the word of "+from) {
 		return
 	}
 	c.deps.Splitter.Hold(order.service, order.id)
@@ -61,11 +61,11 @@
 
 // warnJudges tells the other judges of a hold, also those that told of no counts, until its state is written: any of
 // them may be the one whose write the store takes.
-func (c *Controller) warnJudges(now time.Time, view *catalog.View, t *trial, order orderKey) {
-	if now.Sub(t.warned) < c.cfg.ReportInterval {
+func (c *Controller) warnJudges(now time.Time, view *catalog.View, t *activeOrder, order orderKey) {
+	if now.Sub(t.warnedAt) < c.cfg.ReportInterval {
 		return
 	}
-	t.warned = now
+	t.warnedAt = now
 	for _, judge := range c.judges.of(view, order.service) {
 		if judge.ID != c.deps.Self.ID {
 			c.sendHold(judge.Address, order)
@@ -75,7 +75,7 @@
 
 // hold has all nodes that told of an order send nothing more to its version, whatever the store says.
 func (c *Controller) hold(order orderKey, reason string) {
-	if !c.holds.put(order, reason) {
+	if !c.holds.add(order, reason) {
 		return
 	}
 	c.deps.Splitter.Hold(order.service, order.id)
--- a/internal/rollout/rolloutcontrol/hearing_test.go
+++ b/internal/rollout/rolloutcontrol/handlers_test.go
@@ -60,7 +60,7 @@
 	scene(t, func(is *is.I, f *fleet) {
 		f.node(f.judge("s", 0)).hangs.Store(1)
 		f.order("s", "b", usual)
-		f.serve(usual/2+3*f.cfg.SettleInterval+f.cfg.lastLookOf(usual), never)
+		f.serve(usual/2+3*f.cfg.SettleInterval+f.cfg.finalWatch(usual), never)
 		is.Equal(f.store.phases("s"), succeeds)
 	})
 }
@@ -127,21 +127,21 @@
 	scene(t, func(is *is.I, f *fleet) {
 		writes := gates{1: make(chan struct{}), 2: make(chan struct{})}
 		c := New(Deps{Config: f.cfg, States: writes, Events: f.node("n0"), Catalog: f.node("n0").catalog})
-		begin := func(order int64) *writePacer {
+		begin := func(order int64) *writeSchedule {
 			state := rollout.State{Service: "s", OrderRevision: order, Phase: rollout.Canary}
 			c.write(context.Background(), time.Now(), PhaseWriteEvent{State: state}, 0, order, 0)
 			synctest.Wait()
-			return c.pacers["s"]
+			return c.schedules["s"]
 		}
 		begin(1)
-		delete(c.pacers, "s")
+		delete(c.schedules, "s")
 		next := begin(2)
 		is.True(next.isBusy)
 		close(writes[1])
-		c.settle(time.Now(), <-c.written)
+		c.writeDone(time.Now(), <-c.written)
 		is.True(next.isBusy && !next.isDone)
 		close(writes[2])
-		c.settle(time.Now(), <-c.written)
+		c.writeDone(time.Now(), <-c.written)
 		is.True(next.isDone && !next.isBusy)
 	})
 }
--- a/internal/rollout/rolloutcontrol/holds.go
+++ b/internal/rollout/rolloutcontrol/holds.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// mostHolds bounds the orders held: more than there are services with a roll-out at once.
-const mostHolds = 4096
+// maxHolds bounds the orders held: more than there are services with a roll-out at once.
+const maxHolds = 4096
 
 // holds are the orders whose versions were found bad, and why. The zero value is empty; it is safe for concurrent
 // use.
@@ -12,11 +12,11 @@
 	reasons map[orderKey]string
 }
 
-// put notes a hold and reports whether it is new.
-func (h *holds) put(order orderKey, reason string) bool {
+// add notes a hold and reports whether it is new.
+func (h *holds) add(order orderKey, reason string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if _, found := h.reasons[order]; found || len(h.reasons) >= mostHolds {
+	if _, found := h.reasons[order]; found || len(h.reasons) >= maxHolds {
 		return false
 	}
 	if h.reasons == nil {
@@ -39,8 +39,8 @@
 	return found
 }
 
-// keep drops the holds of orders that are not wanted any more.
-func (h *holds) keep(isWanted func(orderKey) bool) {
+// retain drops the holds of orders that are not wanted any more.
+func (h *holds) retain(isWanted func(orderKey) bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for order := range h.reasons {
--- a/internal/rollout/rolloutcontrol/judge.go
+++ b/internal/rollout/rolloutcontrol/judge.go
@@ -13,22 +13,22 @@
 // usual time.
 func (c *Controller) follow(ctx context.Context, now time.Time, view *catalog.View, service string, known catalog.Rollout) time.Duration {
 	rank := c.rank(view, service)
-	followed := c.trials[service]
+	active := c.orders[service]
 	switch {
 	case rank < 0:
 		return 0
-	case followed != nil:
-		return c.judge(ctx, now, view, followed, rank)
+	case active != nil:
+		return c.judge(ctx, now, view, active, rank)
 	case known.Order == nil && known.State != nil && !known.State.Phase.IsFinal():
 		return c.endWithoutOrder(ctx, now, *known.State, rank)
 	default:
-		delete(c.pacers, service)
+		delete(c.schedules, service)
 		return 0
 	}
 }
 
 // judge looks at the counts of an order and writes what follows.
-func (c *Controller) judge(ctx context.Context, now time.Time, view *catalog.View, t *trial, rank int) time.Duration {
+func (c *Controller) judge(ctx context.Context, now time.Time, view *catalog.View, t *activeOrder, rank int) time.Duration {
 	order := orderKey{t.order.Service, t.order.ID()}
 	rows, newest := c.tallies.sum(order)
 	if reason, isHeld := c.holds.reason(order); isHeld {
@@ -39,8 +39,8 @@
 		c.hold(order, t.judgement.Reason)
 		c.warnJudges(now, view, t, order)
 	}
-	untilMargin := t.order.Duration() - c.cfg.marginOf(t.order.Duration()) - t.elapsed(now)
-	phase, reason := t.next(now, c.cfg, c.judges.fingerprint(view))
+	untilMargin := t.order.Duration() - c.cfg.rollbackMargin(t.order.Duration()) - t.elapsed(now)
+	phase, reason := t.nextPhase(now, c.cfg, c.judges.fingerprint(view))
 	if phase == "" {
 		return untilMargin
 	}
@@ -48,12 +48,12 @@
 	if state := view.Rollouts[t.order.Service].State; state != nil {
 		replaced = state.Revision
 	}
-	state := t.written(now, phase, reason, c.deps.Self.ID)
+	state := t.stateOf(now, phase, reason, c.deps.Self.ID)
 	record := PhaseWriteEvent{State: state, Counts: countVersions(rows)}
 	if !newest.IsZero() {
 		record.Age = now.Sub(newest)
 	}
-	pause := time.Duration(rank) * c.cfg.takeoverOf(phase, t.order.Duration())
+	pause := time.Duration(rank) * c.cfg.takeoverPause(phase, t.order.Duration())
 	dueIn := c.write(ctx, now, record, replaced, t.order.Revision, pause)
 	if untilMargin > 0 && dueIn > 0 {
 		return min(untilMargin, dueIn)
@@ -71,33 +71,33 @@
 // write sends a state to the store if that is due, and gives when it is if it is not.
 func (c *Controller) write(ctx context.Context, now time.Time, record PhaseWriteEvent, replaced, order int64, pause time.Duration) time.Duration {
 	service := record.State.Service
-	if c.pacers[service] == nil {
-		c.pacers[service] = &writePacer{}
+	if c.schedules[service] == nil {
+		c.schedules[service] = &writeSchedule{}
 	}
-	held := c.pacers[service]
-	if !held.isDue(now, intent{record.State.Phase, record.State.OrderRevision, replaced}, pause) {
-		return held.dueIn(now, pause)
+	schedule := c.schedules[service]
+	if !schedule.isDue(now, plannedWrite{record.State.Phase, record.State.OrderRevision, replaced}, pause) {
+		return schedule.dueIn(now, pause)
 	}
-	if c.writing >= mostWrites {
+	if c.writes >= maxWrites {
 		return 0
 	}
-	held.isBusy = true
-	c.writing++
+	schedule.isBusy = true
+	c.writes++
 	c.running.Go(func() {
 		writeCtx, cancel := context.WithTimeout(ctx, c.cfg.WriteTimeout)
 		defer cancel()
 		record.Revision, record.Err = c.deps.States.Write(writeCtx, record.State, replaced, order)
 		select {
-		case c.written <- writeResult{held, record}:
+		case c.written <- writeResult{schedule, record}:
 		case <-ctx.Done():
 		}
 	})
 	return 0
 }
 
-// settle notes how a write went.
-func (c *Controller) settle(now time.Time, result writeResult) {
-	c.writing--
+// writeDone notes how a write went.
+func (c *Controller) writeDone(now time.Time, result writeResult) {
+	c.writes--
 	c.deps.Events.PhaseWritten(result.record)
-	result.pacer.settle(now, result.record.Err, c.cfg)
+	result.schedule.done(now, result.record.Err, c.cfg)
 }
--- a/internal/rollout/rolloutcontrol/judgeset.go
+++ b/internal/rollout/rolloutcontrol/judgeset.go
@@ -33,19 +33,19 @@
 // judgeSet remembers the judges of services for as long as the registered nodes stay the same. The zero judgeSet is
 // empty; it is not safe for concurrent use.
 type judgeSet struct {
-	most      int
-	view      *catalog.View
-	nodes     map[string]catalog.NodeRecord
-	byService map[string][]catalog.NodeRecord
-	marks     uint64 // the fingerprint of nodes
+	max              int
+	view             *catalog.View
+	nodes            map[string]catalog.NodeRecord
+	byService        map[string][]catalog.NodeRecord
+	nodesFingerprint uint64 // the fingerprint of nodes
 }
 
 // of gives the judges of a service. The slice is shared and the same as long as the nodes are.
 func (s *judgeSet) of(view *catalog.View, service string) []catalog.NodeRecord {
-	s.look(view)
+	s.refresh(view)
 	judges, found := s.byService[service]
 	if !found {
-		judges = judgesOf(view.Nodes, service, s.most)
+		judges = judgesOf(view.Nodes, service, s.max)
 		s.byService[service] = judges
 	}
 	return judges
@@ -53,17 +53,17 @@
 
 // fingerprint gives that of the registered nodes.
 func (s *judgeSet) fingerprint(view *catalog.View) uint64 {
-	s.look(view)
-	return s.marks
+	s.refresh(view)
+	return s.nodesFingerprint
 }
 
-// look takes the nodes of a view.
-func (s *judgeSet) look(view *catalog.View) {
+// refresh takes the nodes of a view.
+func (s *judgeSet) refresh(view *catalog.View) {
 	if view == s.view {
 		return
 	}
 	if s.byService == nil || !maps.Equal(view.Nodes, s.nodes) {
-		s.byService, s.marks = map[string][]catalog.NodeRecord{}, registry.Fingerprint(view.Nodes)
+		s.byService, s.nodesFingerprint = map[string][]catalog.NodeRecord{}, registry.Fingerprint(view.Nodes)
 	}
 	s.view, s.nodes = view, view.Nodes
 }
--- a/internal/rollout/rolloutcontrol/trial.go
+++ b/internal/rollout/rolloutcontrol/order.go
@@ -21,26 +21,26 @@
 	LowestSettled int64
 }
 
-// trial is one order as this node follows it.
-type trial struct {
+// activeOrder is one order as this node follows it.
+type activeOrder struct {
 	order rollout.Order
-	// learned is when this node learned of the order. hadAtStart says that it was in the first state that the node
-	// had: then the time that had passed until learned is told by the state only.
-	learned    time.Time
-	hadAtStart bool
-	passed     time.Duration
+	// learnedAt is when this node learnedAt of the order. hadAtStart says that it was in the first state that the node
+	// had: then the time that had passed until learnedAt is told by the state only.
+	learnedAt     time.Time
+	knownAtStart  bool
+	elapsedBefore time.Duration
 
 	// serving is the version that serves meanwhile; isServingKnown says that it was found, be it the empty one of
 	// leafs that tell none.
 	serving        string
 	isServingKnown bool
 
-	judging   Evaluator
+	evaluator Evaluator
 	judgement verdict.Judgement
 	rows      []evidence.Row
-	newest    time.Time // when the newest of the rows came
+	newestAt  time.Time // when the newest of the rows came
 
-	warned time.Time // when the other judges were told of a hold last
+	warnedAt time.Time // when the other judges were told of a hold last
 
 	state          *rollout.State // the one in force that answers the order; nil before the first
 	switchingSince time.Time
@@ -49,24 +49,24 @@
 	status       FleetStatus
 }
 
-// learn takes what is in force of the order's roll-out.
-func (t *trial) learn(now time.Time, view *catalog.View) {
+// refresh takes what is in force of the order's roll-out.
+func (t *activeOrder) refresh(now time.Time, view *catalog.View) {
 	known := view.Rollouts[t.order.Service]
 	if known.State != nil && known.State.BelongsTo(&t.order) {
-		t.learnState(now, known.State)
+		t.setState(now, known.State)
 	} else {
 		t.state = nil
 	}
 	if !t.isServingKnown {
-		t.serving, t.isServingKnown = servingBeside(view, t.order)
+		t.serving, t.isServingKnown = servingVersion(view, t.order)
 	}
 }
 
-func (t *trial) learnState(now time.Time, state *rollout.State) {
+func (t *activeOrder) setState(now time.Time, state *rollout.State) {
 	isFirst := t.state == nil
-	if isFirst && t.hadAtStart {
-		passed := time.Duration(t.learned.UnixMilli()-state.StartedUnixMillis) * time.Millisecond
-		t.passed = min(max(passed, 0), t.order.Duration())
+	if isFirst && t.knownAtStart {
+		passed := time.Duration(t.learnedAt.UnixMilli()-state.StartedUnixMillis) * time.Millisecond
+		t.elapsedBefore = min(max(passed, 0), t.order.Duration())
 	}
 	if state.Phase == rollout.Switching && t.phase() != rollout.Switching {
 		t.switchingSince, t.settledSince, t.status = now, time.Time{}, FleetStatus{}
@@ -75,9 +75,9 @@
 	t.serving, t.isServingKnown = state.Serving, true
 }
 
-// servingBeside gives the version that serves beside the target of an order: by the rule in force, or else that of
+// servingVersion gives the version that serves beside the target of an order: by the rule in force, or else that of
 // most of the other leafs. Where all leafs there are are of the target, it serves. False while there are none.
-func servingBeside(view *catalog.View, order rollout.Order) (string, bool) {
+func servingVersion(view *catalog.View, order rollout.Order) (string, bool) {
 	if serving := view.Leafs.Rule(order.Service).Serving; serving != "" {
 		return serving, true
 	}
@@ -99,7 +99,7 @@
 }
 
 // phase gives how far the roll-out is; empty before the first state.
-func (t *trial) phase() rollout.Phase {
+func (t *activeOrder) phase() rollout.Phase {
 	if t.state == nil {
 		return ""
 	}
@@ -107,37 +107,39 @@
 }
 
 // elapsed gives how much of the order's time is over; it goes on after its end.
-func (t *trial) elapsed(now time.Time) time.Duration { return t.passed + now.Sub(t.learned) }
+func (t *activeOrder) elapsed(now time.Time) time.Duration {
+	return t.elapsedBefore + now.Sub(t.learnedAt)
+}
 
 // judge looks at the counts. A version once found bad stays so, one found good until it is found bad.
-func (t *trial) judge(now time.Time, factory EvaluatorFactory, rows []evidence.Row, newest time.Time) {
-	t.rows, t.newest = rows, newest
+func (t *activeOrder) judge(now time.Time, factory EvaluatorFactory, rows []evidence.Row, newest time.Time) {
+	t.rows, t.newestAt = rows, newest
 	if t.judgement.Finding == verdict.Bad || !t.isServingKnown {
 		return
 	}
-	if t.judging == nil {
-		t.judging = factory(t.serving, t.order.Target, t.order.Duration())
+	if t.evaluator == nil {
+		t.evaluator = factory(t.serving, t.order.Target, t.order.Duration())
 	}
-	found := t.judging.Update(t.elapsed(now), rows)
+	found := t.evaluator.Update(t.elapsed(now), rows)
 	if found.Finding == verdict.Bad || t.judgement.Finding != verdict.Good {
 		t.judgement = found
 	}
 }
 
-// next gives the phase that should be written now and why; empty for none. Registered is the fingerprint of the nodes
+// nextPhase gives the phase that should be written now and why; empty for none. Registered is the fingerprint of the nodes
 // that are registered.
-func (t *trial) next(now time.Time, cfg Config, registered uint64) (rollout.Phase, string) {
+func (t *activeOrder) nextPhase(now time.Time, cfg Config, registered uint64) (rollout.Phase, string) {
 	switch {
 	case t.state == nil && t.isServingKnown && t.serving == t.order.Target:
 		return rollout.Succeeded, "the version serves already"
 	case t.judgement.Finding == verdict.Bad:
 		return rollout.RolledBack, t.judgement.Reason
 	case t.phase() == rollout.Switching:
-		return t.nextOfSwitching(now, cfg, registered)
+		return t.nextWhileSwitching(now, cfg, registered)
 	case t.judgement.Finding == verdict.Good:
 		return rollout.Switching, t.judgement.Reason
-	case t.elapsed(now) >= t.order.Duration()-cfg.marginOf(t.order.Duration()):
-		return rollout.RolledBack, tooLittle(t.order.Target, t.rows)
+	case t.elapsed(now) >= t.order.Duration()-cfg.rollbackMargin(t.order.Duration()):
+		return rollout.RolledBack, undecidedReason(t.order.Target, t.rows)
 	case t.state == nil && t.isServingKnown:
 		return rollout.Canary, ""
 	default:
@@ -145,15 +147,15 @@
 	}
 }
 
-// nextOfSwitching ends the switching phase once the nodes are settled and the version was looked at with all requests. A good
+// nextWhileSwitching ends the switching phase once the nodes are settled and the version was looked at with all requests. A good
 // version is not rolled back for slow nodes: those that don't answer are waited for only so long, and from the end of the
 // time on the others, too.
-func (t *trial) nextOfSwitching(now time.Time, cfg Config, registered uint64) (rollout.Phase, string) {
+func (t *activeOrder) nextWhileSwitching(now time.Time, cfg Config, registered uint64) (rollout.Phase, string) {
 	isWaitOver := now.Sub(t.switchingSince) >= cfg.SettleWait
 	isSettled := t.status.Answered > 0 && t.status.LowestSettled >= t.state.Revision
 	isDone := isSettled && (isWaitOver || t.status.Registered == registered)
 	switch {
-	case isDone && !t.isLookOver(now, cfg):
+	case isDone && !t.isFinalWatchOver(now, cfg):
 		return "", ""
 	case isSettled && t.status.Registered == registered:
 		return rollout.Succeeded, "all nodes are settled"
@@ -166,19 +168,19 @@
 	}
 }
 
-// isLookOver reports whether the version had all requests for long enough to show what it does with them, or there is no more
+// isFinalWatchOver reports whether the version had all requests for long enough to show what it does with them, or there is no more
 // time for that. The order has one outcome, and the old leafs may end with it: a version that fails under full load only was
 // told to have succeeded within a second of it.
-func (t *trial) isLookOver(now time.Time, cfg Config) bool {
+func (t *activeOrder) isFinalWatchOver(now time.Time, cfg Config) bool {
 	if t.settledSince.IsZero() {
 		t.settledSince = now
 	}
 	duration := t.order.Duration()
-	return now.Sub(t.settledSince) >= cfg.lastLookOf(duration) || t.elapsed(now) >= duration
+	return now.Sub(t.settledSince) >= cfg.finalWatch(duration) || t.elapsed(now) >= duration
 }
 
-// written gives the state to write for a phase.
-func (t *trial) written(now time.Time, phase rollout.Phase, reason, self string) rollout.State {
+// stateOf gives the state to write for a phase.
+func (t *activeOrder) stateOf(now time.Time, phase rollout.Phase, reason, self string) rollout.State {
 	started := now.Add(-t.elapsed(now)).UnixMilli()
 	if t.state != nil {
 		started = t.state.StartedUnixMillis
--- a/internal/rollout/rolloutcontrol/packing.go
+++ b/internal/rollout/rolloutcontrol/packing.go
@@ -16,12 +16,12 @@
 	envelopeBytes = 200
 	// headerBytes are the IP and UDP headers.
 	headerBytes = 28
-	// longestHistogram bounds the buckets of a histogram that is believed, with room for finer ones than today's.
-	longestHistogram = 256
-	// longestName bounds a name in a row, in bytes.
-	longestName = 255
-	// largestCount bounds a count that is believed, so that sums stay far from overflow.
-	largestCount = 1 << 40
+	// maxHistogramBuckets bounds the buckets of a histogram that is believed, with room for finer ones than today's.
+	maxHistogramBuckets = 256
+	// maxNameBytes bounds a name in a row, in bytes.
+	maxNameBytes = 255
+	// maxCount bounds a count that is believed, so that sums stay far from overflow.
+	maxCount = 1 << 40
 )
 
 // packedRoom is how many bytes of packed rows fit into a datagram of a node.
@@ -47,7 +47,7 @@
 		p.names = map[string]uint64{}
 	}
 	names := []string{row.Service, row.Route, row.Version, row.Leaf, row.Zone}
-	if slices.ContainsFunc(names, func(name string) bool { return len(name) > longestName }) {
+	if slices.ContainsFunc(names, func(name string) bool { return len(name) > maxNameBytes }) {
 		return false
 	}
 	before, known := len(p.content), len(p.names)
@@ -139,7 +139,7 @@
 	return int64(number)
 }
 
-func (u *unpacker) count() int64 { return u.bounded(largestCount) }
+func (u *unpacker) count() int64 { return u.bounded(maxCount) }
 
 func (u *unpacker) bounded(most int64) int64 {
 	number := u.number()
@@ -161,7 +161,7 @@
 		u.broken = true
 		return ""
 	}
-	length := int(u.bounded(longestName))
+	length := int(u.bounded(maxNameBytes))
 	if u.broken || length > len(u.content) {
 		u.broken = true
 		return ""
@@ -173,8 +173,8 @@
 }
 
 func (u *unpacker) histogram() evidence.Histogram {
-	first, length := u.bounded(longestHistogram), u.bounded(longestHistogram)
-	if u.broken || first+length > longestHistogram || length == 0 {
+	first, length := u.bounded(maxHistogramBuckets), u.bounded(maxHistogramBuckets)
+	if u.broken || first+length > maxHistogramBuckets || length == 0 {
 		return nil
 	}
 	counts := make(evidence.Histogram, first+length)
--- a/internal/rollout/rolloutcontrol/reporter.go
+++ b/internal/rollout/rolloutcontrol/reporter.go
@@ -27,19 +27,19 @@
 	Send(address string, message peer.Message)
 }
 
-// mostTaken bounds the rows that are taken at once, to a few milliseconds of packing.
-const mostTaken = 1024
+// maxRowsTaken bounds the rows that are taken at once, to a few milliseconds of packing.
+const maxRowsTaken = 1024
 
-// box holds the rows that wait to be sent to one judge, the newest of each key.
-type box struct {
+// outbox holds the rows that wait to be sent to one judge, the newest of each key.
+type outbox struct {
 	address string
 	since   time.Time // since when the first of them waits
 	rows    map[evidence.Key]evidence.Row
 }
 
-// reports tells the judges of each service what this node counted, within a bound of bytes. What is beyond the
+// reporter tells the judges of each service what this node counted, within a bound of bytes. What is beyond the
 // bound waits in a box for its judge, where newer counts take its place. It is not safe for concurrent use.
-type reports struct {
+type reporter struct {
 	self   catalog.NodeRecord
 	start  int64 // in unix nanoseconds; names this process
 	counts Counts
@@ -51,49 +51,49 @@
 	budget  *rate.Limiter
 	resend  time.Duration
 
-	boxes    map[string]*box                 // by id of the judge
-	told     map[string][]catalog.NodeRecord // the judges told last, by service
-	resentAt time.Time
+	outboxes   map[string]*outbox              // by id of the judge
+	reportedTo map[string][]catalog.NodeRecord // the judges told last, by service
+	resentAt   time.Time
 }
 
-func newReports(deps Deps, keep func([]evidence.Row), dropped func(rows int)) *reports {
+func newReporter(deps Deps, keep func([]evidence.Row), dropped func(rows int)) *reporter {
 	cfg := deps.Config
-	return &reports{
+	return &reporter{
 		self: deps.Self, start: time.Now().UnixNano(), counts: deps.Counts, sender: deps.Sender, keep: keep, dropped: dropped, resend: cfg.ResendInterval,
-		budget: rate.NewLimiter(rate.Limit(cfg.BytesPerSecond), cfg.BurstBytes),
-		boxes:  map[string]*box{}, told: map[string][]catalog.NodeRecord{}, resentAt: deps.Clock.Now(),
+		budget:   rate.NewLimiter(rate.Limit(cfg.BytesPerSecond), cfg.BurstBytes),
+		outboxes: map[string]*outbox{}, reportedTo: map[string][]catalog.NodeRecord{}, resentAt: deps.Clock.Now(),
 	}
 }
 
 // step puts what changed into the boxes and sends as much of them as the budget allows. Judges gives the judges of a
 // service, isUnderWay says which orders are worth telling of.
-func (s *reports) step(now time.Time, judges func(service string) []catalog.NodeRecord, isUnderWay func(orderKey) bool) {
+func (s *reporter) step(now time.Time, judges func(service string) []catalog.NodeRecord, isUnderWay func(orderKey) bool) {
 	moved := s.movedServices(judges)
-	s.tell(now, s.counts.TakeChanged(mostTaken), judges)
-	s.clean(judges, isUnderWay)
+	s.enqueue(now, s.counts.TakeChanged(maxRowsTaken), judges)
+	s.dropObsolete(judges, isUnderWay)
 	switch {
 	case s.isResendDue(now):
 		s.resentAt = now
-		clear(s.told)
-		s.tell(now, s.counts.Rows(), judges)
+		clear(s.reportedTo)
+		s.enqueue(now, s.counts.Rows(), judges)
 	case len(moved) > 0:
-		isToldAlready := func(row evidence.Row) bool { return !moved[row.Service] }
-		s.tell(now, slices.DeleteFunc(slices.Clone(s.counts.Rows()), isToldAlready), judges)
+		isReported := func(row evidence.Row) bool { return !moved[row.Service] }
+		s.enqueue(now, slices.DeleteFunc(slices.Clone(s.counts.Rows()), isReported), judges)
 	}
 	s.sendBoxes(now)
 }
 
-// tell puts rows into the boxes of their judges.
-func (s *reports) tell(now time.Time, rows []evidence.Row, judges func(string) []catalog.NodeRecord) {
+// enqueue puts rows into the boxes of their judges.
+func (s *reporter) enqueue(now time.Time, rows []evidence.Row, judges func(string) []catalog.NodeRecord) {
 	var own []evidence.Row
 	for _, row := range rows {
-		s.told[row.Service] = judges(row.Service)
-		for _, judge := range s.told[row.Service] {
+		s.reportedTo[row.Service] = judges(row.Service)
+		for _, judge := range s.reportedTo[row.Service] {
 			if judge.ID == s.self.ID {
 				own = append(own, row)
 				continue
 			}
-			s.box(now, judge).rows[row.Key] = row
+			s.outboxOf(now, judge).rows[row.Key] = row
 		}
 	}
 	if len(own) > 0 {
@@ -101,32 +101,32 @@
 	}
 }
 
-func (s *reports) box(now time.Time, judge catalog.NodeRecord) *box {
-	known := s.boxes[judge.ID]
+func (s *reporter) outboxOf(now time.Time, judge catalog.NodeRecord) *outbox {
+	known := s.outboxes[judge.ID]
 	if known == nil {
-		known = &box{since: now, rows: map[evidence.Key]evidence.Row{}}
-		s.boxes[judge.ID] = known
+		known = &outbox{since: now, rows: map[evidence.Key]evidence.Row{}}
+		s.outboxes[judge.ID] = known
 	}
 	known.address = judge.Address
 	return known
 }
 
-// clean drops what waits of orders that are over, and for nodes that are no judges any more.
-func (s *reports) clean(judges func(string) []catalog.NodeRecord, isUnderWay func(orderKey) bool) {
-	for id, waiting := range s.boxes {
+// dropObsolete drops what waits of orders that are over, and for nodes that are no judges any more.
+func (s *reporter) dropObsolete(judges func(string) []catalog.NodeRecord, isUnderWay func(orderKey) bool) {
+	for id, waiting := range s.outboxes {
 		maps.DeleteFunc(waiting.rows, func(key evidence.Key, _ evidence.Row) bool {
 			return !isUnderWay(orderKey{key.Service, key.Order}) || rankOf(judges(key.Service), id) < 0
 		})
 		if len(waiting.rows) == 0 {
-			delete(s.boxes, id)
+			delete(s.outboxes, id)
 		}
 	}
 }
 
 // movedServices gives the services whose judges are others than when they were last told of.
-func (s *reports) movedServices(judges func(string) []catalog.NodeRecord) map[string]bool {
+func (s *reporter) movedServices(judges func(string) []catalog.NodeRecord) map[string]bool {
 	moved := map[string]bool{}
-	for service, told := range s.told {
+	for service, told := range s.reportedTo {
 		if !slices.Equal(told, judges(service)) {
 			moved[service] = true
 		}
@@ -135,32 +135,32 @@
 }
 
 // isResendDue reports whether all counts should be told again. That waits while anything else does.
-func (s *reports) isResendDue(now time.Time) bool {
-	return len(s.boxes) == 0 && now.Sub(s.resentAt) >= s.resend
+func (s *reporter) isResendDue(now time.Time) bool {
+	return len(s.outboxes) == 0 && now.Sub(s.resentAt) >= s.resend
 }
 
 // sendBoxes sends datagrams, those of the box that waits longest first, until the boxes are empty or the budget is
 // used up.
-func (s *reports) sendBoxes(now time.Time) {
-	for len(s.boxes) > 0 {
+func (s *reporter) sendBoxes(now time.Time) {
+	for len(s.outboxes) > 0 {
 		id := s.longestWaiting()
-		if !s.sendFrom(now, s.boxes[id]) {
+		if !s.sendFrom(now, s.outboxes[id]) {
 			return
 		}
-		if len(s.boxes[id].rows) == 0 {
-			delete(s.boxes, id)
+		if len(s.outboxes[id].rows) == 0 {
+			delete(s.outboxes, id)
 		}
 	}
 }
 
-func (s *reports) longestWaiting() string {
-	return slices.MinFunc(slices.Collect(maps.Keys(s.boxes)), func(a, b string) int {
-		return cmp.Or(s.boxes[a].since.Compare(s.boxes[b].since), cmp.Compare(a, b))
+func (s *reporter) longestWaiting() string {
+	return slices.MinFunc(slices.Collect(maps.Keys(s.outboxes)), func(a, b string) int {
+		return cmp.Or(s.outboxes[a].since.Compare(s.outboxes[b].since), cmp.Compare(a, b))
 	})
 }
 
 // sendFrom sends one datagram of rows from a box; false when the budget does not allow it.
-func (s *reports) sendFrom(now time.Time, waiting *box) bool {
+func (s *reporter) sendFrom(now time.Time, waiting *outbox) bool {
 	var packed packer
 	room := packedRoom(s.self.ID)
 	var sent []evidence.Key
--- a/internal/rollout/rolloutcontrol/reports_test.go
+++ b/internal/rollout/rolloutcontrol/reports_test.go
@@ -88,13 +88,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		order := orderKey{"s", 1}
 		type report struct {
-			from reporter
+			from process
 			row  evidence.Row
 		}
 		var all []report
 		want := int64(0)
 		for number := range rapid.IntRange(1, 6).Draw(t, "processes") {
-			from := reporter{fmt.Sprint("n", number/2), int64(number % 2)}
+			from := process{fmt.Sprint("n", number/2), int64(number % 2)}
 			steps := rapid.IntRange(1, 5).Draw(t, "steps")
 			var counts evidence.Tally
 			for range steps {
@@ -108,7 +108,7 @@
 		all = append(all, all...)
 		var heard tallies
 		for _, one := range rapid.Permutation(all).Draw(t, "reports") {
-			heard.hear(one.from, "address", []evidence.Row{one.row}, time.Now())
+			heard.add(one.from, "address", []evidence.Row{one.row}, time.Now())
 		}
 		rows, _ := heard.sum(order)
 		if len(rows) != 1 || rows[0].Attempts() != want {
@@ -128,15 +128,15 @@
 			Tally: evidence.Tally{Answered: evidence.Histogram{int64(attempts)}},
 		}
 	}
-	for leaf := range mostRows {
-		is.Equal(heard.hear(reporter{"n", 1}, "a", []evidence.Row{rowOf(leaf, 1)}, time.Now()), 0)
+	for leaf := range maxRows {
+		is.Equal(heard.add(process{"n", 1}, "a", []evidence.Row{rowOf(leaf, 1)}, time.Now()), 0)
 	}
-	is.Equal(heard.hear(reporter{"n", 1}, "a", []evidence.Row{rowOf(mostRows, 1), rowOf(0, 2)}, time.Now()), 1)
-	is.Equal(heard.hear(reporter{"other", 1}, "b", []evidence.Row{rowOf(0, 1)}, time.Now()), 1)
+	is.Equal(heard.add(process{"n", 1}, "a", []evidence.Row{rowOf(maxRows, 1), rowOf(0, 2)}, time.Now()), 1)
+	is.Equal(heard.add(process{"other", 1}, "b", []evidence.Row{rowOf(0, 1)}, time.Now()), 1)
 	is.Equal(heard.addresses(orderKey{"s", 1}), []string{"a"})
 	rows, _ := heard.sum(orderKey{"s", 1})
-	is.Equal(attemptsOf(rows), int64(mostRows+1))
-	heard.keep(func(orderKey) bool { return false })
+	is.Equal(attemptsOf(rows), int64(maxRows+1))
+	heard.retain(func(orderKey) bool { return false })
 	is.Equal(heard.size, 0)
 	is.Equal(len(heard.orders), 0)
 }
@@ -186,14 +186,14 @@
 func TestRowThatFitsNowhereIsDropped(t *testing.T) {
 	is := is.New(t)
 	sent := &testNode{id: "n", rows: map[evidence.Key]evidence.Tally{}, changed: map[evidence.Key]bool{}}
-	long := evidence.Key{Service: strings.Repeat("x", longestName+1), Order: 1}
+	long := evidence.Key{Service: strings.Repeat("x", maxNameBytes+1), Order: 1}
 	sent.observe(long, false)
 	sent.observe(evidence.Key{Service: "s", Order: 1}, false)
 	dropped, datagrams := 0, countingSender{}
-	r := newReports(Deps{Config: DefaultConfig(), Self: catalog.NodeRecord{ID: "n"}, Counts: sent, Sender: &datagrams}, nil, func(rows int) { dropped += rows })
+	r := newReporter(Deps{Config: DefaultConfig(), Self: catalog.NodeRecord{ID: "n"}, Counts: sent, Sender: &datagrams}, nil, func(rows int) { dropped += rows })
 	judges := func(string) []catalog.NodeRecord { return []catalog.NodeRecord{{ID: "judge", Address: "judge"}} }
 	r.step(time.Now(), judges, func(orderKey) bool { return true })
 	is.Equal(dropped, 1)
 	is.Equal(datagrams.rows, 1)
-	is.Equal(len(r.boxes), 0)
+	is.Equal(len(r.outboxes), 0)
 }
--- a/internal/rollout/rolloutcontrol/pacer.go
+++ b/internal/rollout/rolloutcontrol/schedule.go
@@ -8,17 +8,17 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// intent is a write that a judge wants done: a phase of an order in place of the state of a revision.
-type intent struct {
+// plannedWrite is a write that a judge wants done: a phase of an order in place of the state of a revision.
+type plannedWrite struct {
 	phase    rollout.Phase
 	order    int64
 	replaces int64
 }
 
-// writePacer paces the writes of one service's state: one at a time, one where all goes well, and with growing pauses where
+// writeSchedule paces the writes of one service's state: one at a time, one where all goes well, and with growing pauses where
 // the store does not take it.
-type writePacer struct {
-	wants     intent
+type writeSchedule struct {
+	planned   plannedWrite
 	since     time.Time // when it was first wanted
 	notBefore time.Time
 	pause     time.Duration
@@ -28,26 +28,26 @@
 
 // isDue reports whether a write should be sent now: it is wanted for so long that the judges before this one had
 // their time.
-func (p *writePacer) isDue(now time.Time, wants intent, wait time.Duration) bool {
+func (p *writeSchedule) isDue(now time.Time, wants plannedWrite, wait time.Duration) bool {
 	if p.isBusy {
 		return false
 	}
-	if wants != p.wants {
-		*p = writePacer{wants: wants, since: now}
+	if wants != p.planned {
+		*p = writeSchedule{planned: wants, since: now}
 	}
 	return !p.isDone && now.Sub(p.since) >= wait && !now.Before(p.notBefore)
 }
 
 // dueIn gives how long it is until a write that was asked about is due, 0 when that is not a question of time.
-func (p *writePacer) dueIn(now time.Time, wait time.Duration) time.Duration {
+func (p *writeSchedule) dueIn(now time.Time, wait time.Duration) time.Duration {
 	if p.isBusy || p.isDone {
 		return 0
 	}
 	return max(p.since.Add(wait).Sub(now), p.notBefore.Sub(now), 0)
 }
 
-// settle notes how a write went. After a conflict the state in force is behind the store's; it comes by itself.
-func (p *writePacer) settle(now time.Time, err error, cfg Config) {
+// done notes how a write went. After a conflict the state in force is behind the store's; it comes by itself.
+func (p *writeSchedule) done(now time.Time, err error, cfg Config) {
 	p.isBusy = false
 	switch {
 	case err == nil:
--- a/internal/rollout/rolloutcontrol/settling.go
+++ b/internal/rollout/rolloutcontrol/settling.go
@@ -12,9 +12,9 @@
 // of the verdict later than it does, and end what is under way. Not measured yet.
 const firstAskPart = 0.5
 
-// mostAsking bounds the calls of the fleet in flight. A silent node holds a call up for as long as it is waited for,
+// maxFleetCalls bounds the calls of the fleet in flight. A silent node holds a call up for as long as it is waited for,
 // and the next one, which finds more nodes settled, must not wait for that.
-const mostAsking = 4
+const maxFleetCalls = 4
 
 // fleetAnswer is what the fleet answered, and when it was asked.
 type fleetAnswer struct {
@@ -26,33 +26,33 @@
 // time. One answer serves all orders.
 func (c *Controller) askFleet(ctx context.Context, now time.Time, view *catalog.View) time.Duration {
 	revision, next := int64(0), time.Duration(0)
-	for service, t := range c.trials {
+	for service, t := range c.orders {
 		rank := c.rank(view, service)
 		if rank < 0 || t.phase() != rollout.Switching || !t.settledSince.IsZero() {
 			continue
 		}
-		dueIn := t.switchingSince.Add(c.untilAsked(t.order, rank)).Sub(now)
+		dueIn := t.switchingSince.Add(c.untilFirstAsk(t.order, rank)).Sub(now)
 		if dueIn <= 0 {
 			revision = max(revision, t.state.Revision)
 			dueIn = c.askedAt.Add(c.cfg.SettleInterval).Sub(now)
 		}
 		next = earlier(next, dueIn)
 	}
-	if revision == 0 || c.asking >= mostAsking || now.Sub(c.askedAt) < c.cfg.SettleInterval {
+	if revision == 0 || c.fleetCalls >= maxFleetCalls || now.Sub(c.askedAt) < c.cfg.SettleInterval {
 		return next
 	}
 	c.ask(ctx, now, revision)
 	return c.cfg.SettleInterval
 }
 
-// untilAsked gives how long after the switch of an order the nodes are asked first: when they can be settled, and the
+// untilFirstAsk gives how long after the switch of an order the nodes are asked first: when they can be settled, and the
 // other judges when the one before them should have written what it found after its last look.
-func (c *Controller) untilAsked(order rollout.Order, rank int) time.Duration {
+func (c *Controller) untilFirstAsk(order rollout.Order, rank int) time.Duration {
 	first := c.deps.Splitter.Ramp(order.Duration()) + time.Duration(firstAskPart*float64(c.cfg.SettleInterval))
 	if rank == 0 {
 		return first
 	}
-	return first + c.cfg.lastLookOf(order.Duration()) + time.Duration(rank)*c.cfg.takeoverOf(rollout.Succeeded, order.Duration())
+	return first + c.cfg.finalWatch(order.Duration()) + time.Duration(rank)*c.cfg.takeoverPause(rollout.Succeeded, order.Duration())
 }
 
 // earlier gives the shorter of two pauses, where one of 0 or less is none.
@@ -65,27 +65,27 @@
 
 // ask asks the nodes whether they are settled at a revision.
 func (c *Controller) ask(ctx context.Context, now time.Time, revision int64) {
-	c.asking++
+	c.fleetCalls++
 	c.askedAt = now
 	c.running.Go(func() {
 		askCtx, cancel := context.WithTimeout(ctx, c.cfg.SettleWait)
 		defer cancel()
 		answer := fleetAnswer{asked: now, status: c.deps.Fleet.Settled(askCtx, revision)}
 		select {
-		case c.statuses <- answer:
+		case c.answers <- answer:
 		case <-ctx.Done():
 		}
 	})
 }
 
-// takeAnswer gives the answer of the fleet to the orders that wait for it, unless it is older than the last one.
-func (c *Controller) takeAnswer(answer fleetAnswer) {
-	c.asking--
+// handleAnswer gives the answer of the fleet to the orders that wait for it, unless it is older than the last one.
+func (c *Controller) handleAnswer(answer fleetAnswer) {
+	c.fleetCalls--
 	if answer.asked.Before(c.answeredAt) {
 		return
 	}
 	c.answeredAt = answer.asked
-	for _, t := range c.trials {
+	for _, t := range c.orders {
 		if t.phase() == rollout.Switching {
 			t.status = answer.status
 		}
--- a/internal/rollout/rolloutcontrol/settling_test.go
+++ b/internal/rollout/rolloutcontrol/settling_test.go
@@ -21,7 +21,7 @@
 				}
 				f.serve(syncDelay+ramp+f.cfg.SettleInterval, never)
 				is.Equal(f.store.phases("s"), succeeds[:2]) // it is looked at with all requests first
-				f.serve(f.cfg.lastLookOf(usual)+f.cfg.ReportInterval, never)
+				f.serve(f.cfg.finalWatch(usual)+f.cfg.ReportInterval, never)
 				is.Equal(f.store.phases("s"), succeeds)
 				calls := int32(0)
 				for _, node := range f.all() {
@@ -54,10 +54,10 @@
 	is := is.New(t)
 	cfg, duration := DefaultConfig(), 9564*time.Millisecond
 	began := time.Now()
-	order := &trial{order: rollout.Order{DurationMillis: duration.Milliseconds()}, learned: began}
-	margin := duration - cfg.marginOf(duration)
-	is.True(!order.isLookOver(began.Add(margin-100*time.Millisecond), cfg))
-	is.True(!order.isLookOver(began.Add(margin), cfg))
-	is.True(!order.isLookOver(began.Add(duration-time.Millisecond), cfg))
-	is.True(order.isLookOver(began.Add(duration), cfg))
+	order := &activeOrder{order: rollout.Order{DurationMillis: duration.Milliseconds()}, learnedAt: began}
+	margin := duration - cfg.rollbackMargin(duration)
+	is.True(!order.isFinalWatchOver(began.Add(margin-100*time.Millisecond), cfg))
+	is.True(!order.isFinalWatchOver(began.Add(margin), cfg))
+	is.True(!order.isFinalWatchOver(began.Add(duration-time.Millisecond), cfg))
+	is.True(order.isFinalWatchOver(began.Add(duration), cfg))
 }
--- a/internal/rollout/rolloutcontrol/states.go
+++ b/internal/rollout/rolloutcontrol/statewriter.go
@@ -35,8 +35,8 @@
 
 var _ StateWriter = GuardedStateWriter{}
 
-// guardedState is one write of a state.
-type guardedState struct {
+// stateWrite is one write of a state.
+type stateWrite struct {
 	key        string
 	changeID   string
 	document   json.RawMessage
@@ -55,7 +55,7 @@
 	if err != nil {
 		return 0, failure.Wrap(err, failure.Internal, failure.NotRun, "encode the state of a roll-out")
 	}
-	write := guardedState{
+	write := stateWrite{
 		key: catalog.RolloutStateKey(state.Service), changeID: changeIDOf(state, expected), document: document,
 		expected: expected, conditions: []store.Condition{{Key: catalog.RolloutKey(state.Service), Revision: order}},
 	}
@@ -64,7 +64,7 @@
 
 // apply sends a write until its outcome is known or the context ends. The first time it is sent without a look at
 // what it replaces, which is one call where all goes well.
-func (g GuardedStateWriter) apply(ctx context.Context, write guardedState) (int64, error) {
+func (g GuardedStateWriter) apply(ctx context.Context, write stateWrite) (int64, error) {
 	result, err := g.swap(ctx, write, nil)
 	for err != nil {
 		if !wait.For(ctx, g.RetryPause) {
@@ -92,7 +92,7 @@
 }
 
 // swap sends a write once.
-func (g GuardedStateWriter) swap(ctx context.Context, write guardedState, replaced *catalog.Entry) (store.SwapResult, error) {
+func (g GuardedStateWriter) swap(ctx context.Context, write stateWrite, replaced *catalog.Entry) (store.SwapResult, error) {
 	value, err := catalog.NewDocument(write.changeID, write.document, replaced)
 	if err != nil {
 		return store.SwapResult{}, err
@@ -101,7 +101,7 @@
 }
 
 // isDone reports whether an entry holds a write, and the revision that wrote it.
-func isDone(entry *catalog.Entry, write guardedState) (int64, bool) {
+func isDone(entry *catalog.Entry, write stateWrite) (int64, bool) {
 	if entry == nil {
 		return 0, false
 	}
@@ -109,7 +109,7 @@
 }
 
 // conflictOf says that a state or its order moved on.
-func conflictOf(write guardedState, current *catalog.Entry) error {
+func conflictOf(write stateWrite, current *catalog.Entry) error {
 	revision := current.LiveRevision()
 	conflict := failure.New(failure.RevisionConflict, failure.NotRun, "%s is at revision %d, not %d, or its order moved on", write.key, revision, write.expected)
 	conflict.CurrentRevision = revision
--- a/internal/rollout/rolloutcontrol/standing.go
+++ b/internal/rollout/rolloutcontrol/status.go
@@ -48,10 +48,10 @@
 	return counts
 }
 
-// standings are the roll-outs under way as they were found last; the zero value has none.
-type standings struct{ last atomic.Pointer[[]Status] }
+// statusSnapshot are the roll-outs under way as they were found last; the zero value has none.
+type statusSnapshot struct{ last atomic.Pointer[[]Status] }
 
-func (s *standings) set(trials map[string]*trial) {
+func (s *statusSnapshot) set(trials map[string]*activeOrder) {
 	found := make([]Status, 0, len(trials))
 	for service, t := range trials {
 		phase := cmp.Or(t.phase(), rollout.Canary)
@@ -61,7 +61,7 @@
 	s.last.Store(&found)
 }
 
-func (s *standings) get() []Status {
+func (s *statusSnapshot) get() []Status {
 	if last := s.last.Load(); last != nil {
 		return *last
 	}
--- a/internal/rollout/rolloutcontrol/tallies.go
+++ b/internal/rollout/rolloutcontrol/tallies.go
@@ -9,13 +9,13 @@
 	"github.com/portgauge/portgauge/internal/rollout/evidence"
 )
 
-// mostRows bounds the rows that a judge keeps, of all orders together: at 396 bytes each (2,400 rows with ten filled
+// maxRows bounds the rows that a judge keeps, of all orders together: at 396 bytes each (2,400 rows with ten filled
 // buckets, as they are unpacked) 13 MB. 75 nodes that count 8 rows each for 4 orders are 2,400; adding 600 rows up
 // takes 0.1 ms.
-const mostRows = 1 << 15
+const maxRows = 1 << 15
 
-// reporter is one process that counts.
-type reporter struct {
+// process is one process that counts.
+type process struct {
 	node  string
 	start int64
 }
@@ -26,8 +26,8 @@
 	id      int64
 }
 
-// tally is what one process counted for one order.
-type tally struct {
+// processCounts is what one process counted for one order.
+type processCounts struct {
 	address string
 	rows    map[evidence.Key]evidence.Tally
 }
@@ -37,34 +37,34 @@
 // for concurrent use.
 type tallies struct {
 	mu     sync.Mutex
-	orders map[orderKey]*heard
+	orders map[orderKey]*orderCounts
 	size   int // rows of all orders
 }
 
-// heard is what was told of one order.
-type heard struct {
-	reporters map[reporter]*tally
+// orderCounts is what was told of one order.
+type orderCounts struct {
+	processes map[process]*processCounts
 	newest    time.Time
 }
 
-// hear takes rows of a process at a time, and gives how many there was no room for. Of two rows of one key the one
+// add takes rows of a process at a time, and gives how many there was no room for. Of two rows of one key the one
 // with more attempts holds.
-func (t *tallies) hear(from reporter, address string, rows []evidence.Row, now time.Time) (dropped int) {
+func (t *tallies) add(from process, address string, rows []evidence.Row, now time.Time) (dropped int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, row := range rows {
-		if !t.take(from, address, row, now) {
+		if !t.addRow(from, address, row, now) {
 			dropped++
 		}
 	}
 	return dropped
 }
 
-// take keeps one row if there is room. The lock must be held.
-func (t *tallies) take(from reporter, address string, row evidence.Row, now time.Time) bool {
+// addRow keeps one row if there is room. The lock must be held.
+func (t *tallies) addRow(from process, address string, row evidence.Row, now time.Time) bool {
 	order := orderKey{row.Service, row.Order}
-	known, found := t.known(order, from, row.Key)
-	if !found && t.size >= mostRows {
+	known, found := t.lookup(order, from, row.Key)
+	if !found && t.size >= maxRows {
 		return false
 	}
 	if found && row.Attempts() <= known.Attempts() {
@@ -73,35 +73,35 @@
 	if !found {
 		t.size++
 	}
-	t.put(order, from, address, row, now)
+	t.store(order, from, address, row, now)
 	return true
 }
 
-// known gives what a process told under a key. The lock must be held.
-func (t *tallies) known(order orderKey, from reporter, key evidence.Key) (evidence.Tally, bool) {
+// lookup gives what a process told under a key. The lock must be held.
+func (t *tallies) lookup(order orderKey, from process, key evidence.Key) (evidence.Tally, bool) {
 	all := t.orders[order]
-	if all == nil || all.reporters[from] == nil {
+	if all == nil || all.processes[from] == nil {
 		return evidence.Tally{}, false
 	}
-	counts, found := all.reporters[from].rows[key]
+	counts, found := all.processes[from].rows[key]
 	return counts, found
 }
 
-// put keeps a row that is newer than what is known. The lock must be held.
-func (t *tallies) put(order orderKey, from reporter, address string, row evidence.Row, now time.Time) {
+// store keeps a row that is newer than what is known. The lock must be held.
+func (t *tallies) store(order orderKey, from process, address string, row evidence.Row, now time.Time) {
 	if t.orders == nil {
-		t.orders = map[orderKey]*heard{}
+		t.orders = map[orderKey]*orderCounts{}
 	}
 	if t.orders[order] == nil {
-		t.orders[order] = &heard{reporters: map[reporter]*tally{}}
+		t.orders[order] = &orderCounts{processes: map[process]*processCounts{}}
 	}
 	all := t.orders[order]
-	if all.reporters[from] == nil {
-		all.reporters[from] = &tally{rows: map[evidence.Key]evidence.Tally{}}
+	if all.processes[from] == nil {
+		all.processes[from] = &processCounts{rows: map[evidence.Key]evidence.Tally{}}
 	}
-	told := all.reporters[from]
-	told.address = address
-	told.rows[row.Key] = row.Tally
+	counted := all.processes[from]
+	counted.address = address
+	counted.rows[row.Key] = row.Tally
 	all.newest = now
 }
 
@@ -114,8 +114,8 @@
 		return nil, time.Time{}
 	}
 	sums := map[evidence.Key]*evidence.Tally{}
-	for _, told := range all.reporters {
-		for key, counts := range told.rows {
+	for _, counted := range all.processes {
+		for key, counts := range counted.rows {
 			if sums[key] == nil {
 				sums[key] = &evidence.Tally{}
 			}
@@ -142,23 +142,23 @@
 		return nil
 	}
 	var addresses []string
-	for _, told := range all.reporters {
-		addresses = append(addresses, told.address)
+	for _, counted := range all.processes {
+		addresses = append(addresses, counted.address)
 	}
 	slices.SortFunc(addresses, strings.Compare)
 	return slices.Compact(addresses)
 }
 
-// keep drops what was told of the orders that are not wanted any more.
-func (t *tallies) keep(isWanted func(orderKey) bool) {
+// retain drops what was told of the orders that are not wanted any more.
+func (t *tallies) retain(isWanted func(orderKey) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for order, all := range t.orders {
 		if isWanted(order) {
 			continue
 		}
-		for _, told := range all.reporters {
-			t.size -= len(told.rows)
+		for _, counted := range all.processes {
+			t.size -= len(counted.rows)
 		}
 		delete(t.orders, order)
 	}
--- a/internal/rollout/rolloutcontrol/versions.go
+++ b/internal/rollout/rolloutcontrol/versionswriter.go
@@ -67,7 +67,7 @@
 func (w *VersionsWriter) isDue(now time.Time, view *catalog.View) bool {
 	if view != w.view {
 		w.view = view
-		if wanted := versionsOf(view); w.wanted == nil || !maps.Equal(wanted, w.wanted) {
+		if wanted := wantedVersions(view); w.wanted == nil || !maps.Equal(wanted, w.wanted) {
 			w.wanted, w.since = wanted, now
 		}
 	}
@@ -78,9 +78,9 @@
 	return now.Sub(w.since) >= w.cfg.VersionsDelay*time.Duration(1+rank)
 }
 
-// versionsOf gives what should be written down: what is, without services that are gone, and the services whose
+// wantedVersions gives what should be written down: what is, without services that are gone, and the services whose
 // leafs are all of one version and that no order concerns.
-func versionsOf(view *catalog.View) map[string]string {
+func wantedVersions(view *catalog.View) map[string]string {
 	wanted := map[string]string{}
 	isNamed := namedServices(view)
 	for service, version := range view.Versions {
