--- a/internal/request/scatter/caution.go
+++ b/internal/request/scatter/caution.go
@@ -2,119 +2,117 @@
 
 import "time"
 
-// A request may be what ends its leafs. Once a leaf broke off its answer, and as long as none has answered, the
-// scatter is cautious: it sends one attempt at a time, a probe, and holds the others until that is back. A request
-// that ends whatever runs it costs one more leaf then instead of as many as there are shards (20 instead of 40 on a
-// route over 20 shards of two leafs); any other goes on with the first answer.
-
-// LeafsCrashed means that a shard was not asked, since leafs of others had ended while they worked on the request.
+// LeafsCrashed is the reason of shards that were not asked because leafs of others crashed while they ran the request.
 const LeafsCrashed Reason = "LEAFS_ENDED"
 
-// Bounds of how long a probe is waited for before another one may be sent: a leaf that is silent has not ended.
-const (
-	probeTimes    = 3 // of what an attempt usually takes
-	leastProbe    = 20 * time.Millisecond
-	cautiousPause = 5 * time.Millisecond // where the plan has no ReplicaWait
-)
+// caution is what the scatter knows about whether its request crashes leafs.
+//
+// Once a leaf broke off its answer, and until a leaf has answered, the scatter is cautious: it sends one attempt at a
+// time, a probe, and holds the others until that has ended. A request that crashes every leaf then costs one more leaf
+// instead of one for each shard; any other goes on with the first answer.
+type caution struct {
+	// brokeOff says that a leaf broke off its answer.
+	brokeOff bool
+	// crashedProbes counts the probes whose leaf crashed; stopped says that they reached the plan's limit.
+	crashedProbes int
+	stopped       bool
+	// probes counts the probes in flight; the last was sent at probedAt.
+	probes   int
+	probedAt time.Time
+	// unresolved counts all attempts in flight, those of settled shards included.
+	unresolved int
+	// hasHeld says that shards or groups wait for a probe.
+	hasHeld bool
+}
 
-// isCautious reports whether attempts are held back.
+// addProbe counts a probe that starts now.
+func (c *caution) addProbe(now time.Time) {
+	c.probes++
+	c.probedAt = now
+}
+
+// isCautious reports whether attempts are sent one at a time.
+//
+// Rule: no leaf has run the request, and either the plan is cautious from the start (leafs crashed under the same
+// request lately), a leaf broke off its answer, or the head start of the first attempt lasts.
 func (s *Scatter[Reply]) isCautious() bool {
-	return !s.summary.Ran && (s.plan.Cautious || s.hasBroken || s.isLeading())
+	return !s.summary.Ran && (s.plan.Cautious || s.caution.brokeOff || s.inHeadStart())
 }
 
-// isLeading reports whether the first attempt is ahead of the others.
-func (s *Scatter[Reply]) isLeading() bool {
+// inHeadStart reports whether the first attempt is still ahead of the others.
+func (s *Scatter[Reply]) inHeadStart() bool {
 	return s.plan.HeadStart > 0 && time.Since(s.began) < s.plan.HeadStart
 }
 
-// mustWait reports whether a probe is under way that an attempt for a shard must wait for.
-func (s *Scatter[Reply]) mustWait(index int) bool {
+// Bounds of how long a probe is awaited before the next one is sent: a leaf that is silent has not crashed, and must
+// not block the request.
+const (
+	probeTimeoutFactor  = 3 // times the typical latency of an attempt
+	minimumProbeTimeout = 20 * time.Millisecond
+	// heldRetryPause is after what time a held shard is tried again if the plan has no ReplicaWait.
+	heldRetryPause = 5 * time.Millisecond
+)
+
+// mustHold reports whether an attempt for a shard must wait: a plan without probes sends none while it is cautious, any
+// other sends one at a time, and the next after the probe timeout or, if that is later, the head start.
+func (s *Scatter[Reply]) mustHold(index int) bool {
 	if !s.isCautious() {
 		return false
 	}
-	if s.plan.NoProbes || s.probes == 0 {
+	if s.plan.NoProbes || s.caution.probes == 0 {
 		return s.plan.NoProbes
 	}
-	patience := max(leastProbe, probeTimes*s.plan.Shards[index].Policy.TypicalLatency())
-	return time.Since(s.probedAt) < patience || s.isLeading()
+	timeout := max(minimumProbeTimeout, probeTimeoutFactor*s.plan.Shards[index].Policy.TypicalLatency())
+	return time.Since(s.caution.probedAt) < timeout || s.inHeadStart()
 }
 
-// hold lets a shard without an attempt under way wait for the probe.
+// hold makes a shard wait for the probe, unless it has an attempt in flight.
 func (s *Scatter[Reply]) hold(shard *shardState[Reply]) {
 	if len(shard.inFlight) > 0 {
 		return
 	}
-	shard.isHeld, s.hasHeld = true, true
-	if s.isLeading() {
+	shard.isHeld, s.caution.hasHeld = true, true
+	if s.inHeadStart() {
 		shard.retryAt = s.began.Add(s.plan.HeadStart)
 		return
 	}
 	pause := s.plan.ReplicaWait
 	if pause == 0 {
-		pause = cautiousPause
+		pause = heldRetryPause
 	}
 	shard.retryAt = time.Now().Add(pause)
 }
 
-// holdGroups lets the groups wait for the first attempt.
-func (s *Scatter[Reply]) holdGroups() {
-	s.markGroups()
-	s.groupsAt = s.began.Add(s.plan.HeadStart)
-	s.hasHeld = true
-}
-
-// startHeldGroups begins the attempts of the groups once they need not wait any more. A request under which a leaf ended
-// is asked for by this node alone: the groups' shards are asked one by one.
-func (s *Scatter[Reply]) startHeldGroups() {
-	if s.groupsAt.IsZero() {
+// releaseHeld lets held shards and groups go on once a leaf has answered.
+func (s *Scatter[Reply]) releaseHeld() {
+	if !s.summary.Ran || !s.caution.hasHeld {
 		return
 	}
-	if !s.summary.Ran && s.hasBroken {
-		s.groupsAt = time.Time{}
-		s.ungroupAll()
-		return
-	}
-	if s.summary.Ran || !s.isLeading() {
-		s.groupsAt = time.Time{}
-		s.startGroups()
+	s.caution.hasHeld = false
+	s.startDelayedGroups()
+	for index := range s.shards {
+		if shard := &s.shards[index]; shard.isHeld {
+			shard.isHeld = false
+			shard.retryAt = time.Now()
+		}
 	}
 }
 
-// probe counts a probe in.
-func (s *Scatter[Reply]) probe(now time.Time) {
-	s.probes++
-	s.probedAt = now
-}
-
-// learnCaution takes what an attempt's end says of the request itself.
-func (s *Scatter[Reply]) learnCaution(ended *finished[Reply]) {
-	s.hasBroken = s.hasBroken || ended.result.BrokeOff
+// recordCrashEvidence records what the end of an attempt says about the request itself. The request is given up once
+// Plan.CrashedProbesLimit probes crashed their leafs: a probe is sent alone, so nothing else explains the crash.
+func (s *Scatter[Reply]) recordCrashEvidence(ended *finished[Reply]) {
+	s.caution.brokeOff = s.caution.brokeOff || ended.result.BrokeOff
 	if !ended.attempt.Probe {
 		return
 	}
-	s.probes--
+	s.caution.probes--
 	if ended.result.LeafCrashed {
-		s.endedProbes++
+		s.caution.crashedProbes++
 	}
-	s.isFatal = s.plan.CrashedProbesLimit > 0 && s.endedProbes >= s.plan.CrashedProbesLimit
-}
-
-// isStuck reports whether nothing more comes of a plan that sends no probes.
-func (s *Scatter[Reply]) isStuck() bool {
-	return s.plan.NoProbes && s.underWay == 0 && s.grouped == 0 && s.isCautious()
+	s.caution.stopped = s.plan.CrashedProbesLimit > 0 && s.caution.crashedProbes >= s.plan.CrashedProbesLimit
 }
 
-// release lets the shards go on that were held, once a leaf has answered.
-func (s *Scatter[Reply]) release() {
-	if !s.summary.Ran || !s.hasHeld {
-		return
-	}
-	s.hasHeld = false
-	s.startHeldGroups()
-	for index := range s.shards {
-		if shard := &s.shards[index]; shard.isHeld {
-			shard.isHeld = false
-			shard.retryAt = time.Now()
-		}
-	}
+// isBlocked reports whether a plan without probes is cautious and has nothing in flight that could end the caution.
+func (s *Scatter[Reply]) isBlocked() bool {
+	return s.plan.NoProbes && s.caution.unresolved == 0 && s.groups.openShards == 0 && s.isCautious()
 }
