--- a/internal/leaf/balancer/balancer_test.go
+++ b/internal/leaf/balancer/balancer_test.go
@@ -12,7 +12,7 @@
 	return []Candidate{{LeafID: "a", Zone: "z"}, {LeafID: "b", Zone: "z"}, {LeafID: "c", Zone: "z"}}
 }
 
-// ask chooses a replica and ends the attempt after a time in virtual time.
+// ask chooses a replica and finishes the attempt after some virtual time.
 func ask(b *Balancer, candidates []Candidate, outcome Outcome, took func(id string) time.Duration) string {
 	choice := b.Choose(candidates, nil)
 	if choice.Leaf == nil {
@@ -45,7 +45,7 @@
 			counts[id]++
 		}
 		is.True(counts["b"] < 60)
-		is.True(counts["b"] > 0) // its recovery would be seen
+		is.True(counts["b"] > 0) // its recovery would be noticed
 	})
 }
 
@@ -61,7 +61,7 @@
 		for range 200 {
 			is.True(b.Choose(three(), nil).Leaf.ID != "a")
 		}
-		is.Equal(b.Choose(three()[:1], nil).Leaf.ID, "a") // never the last replica
+		is.Equal(b.Choose(three()[:1], nil).Leaf.ID, "a") // the last replica is asked all the same
 		time.Sleep(DefaultConfig().EjectFor + time.Millisecond)
 		b.Start(bad) // the trial
 		for range 200 {
@@ -81,17 +81,17 @@
 		is := is.New(t)
 		b := New(DefaultConfig(), "z")
 		b.SetLeaving("a", time.Now().Add(time.Second))
-		told := ""
-		b.OnDraining(func(id string) { told = id })
+		notified := ""
+		b.OnDraining(func(id string) { notified = id })
 		draining := b.leaf("b", "z", time.Now())
 		b.Start(draining)
 		b.Finish(draining, Drained, time.Millisecond, 0)
-		is.Equal(told, "b")
+		is.Equal(notified, "b")
 		candidates := three()
 		candidates[2].Leaving = true
 		is.Equal(b.Choose(candidates, nil).Reason, NoReplica)
 		time.Sleep(2 * time.Second)
-		is.Equal(b.Choose(candidates, nil).Leaf.ID, "a") // the word lapsed
+		is.Equal(b.Choose(candidates, nil).Leaf.ID, "a") // its time is over
 	})
 }
 
@@ -132,8 +132,8 @@
 	is.Equal(len(b.leafs), 1)
 }
 
-// A leaf that owes an answer for long gets nothing new while another can take it, and is tried
-// again, one attempt at a time, after a pause.
+// A leaf that has owed an answer for long gets no attempt while another replica can take it, and is tried
+// again after a pause, one attempt at a time.
 func TestAStalledLeafIsPassedOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -148,9 +148,9 @@
 		for range 100 {
 			is.True(b.Choose(three(), nil).Leaf.ID != "a")
 		}
-		is.True(b.Choose(three()[:1], nil).Unhealthy) // for want of another
+		is.True(b.Choose(three()[:1], nil).Unhealthy) // there is no other
 		b.Finish(stalled, Abandoned, 60*time.Millisecond, 0)
-		is.True(b.Choose(three()[:1], nil).Unhealthy) // giving up is no answer
+		is.True(b.Choose(three()[:1], nil).Unhealthy) // an abandoned attempt is no answer
 		time.Sleep(2 * minimumStallPause)
 		is.True(!b.Choose(three()[:1], nil).Unhealthy) // it may be tried
 		b.Start(stalled)
@@ -160,8 +160,8 @@
 	})
 }
 
-// The leaf that is expected to answer first is chosen: a slow one only where the wait for the
-// others is longer.
+// The leaf that is expected to answer first is chosen: a slow one only if the queues of the others are
+// longer.
 func TestLeastExpectedDelayIsChosen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -183,7 +183,7 @@
 		choice = b.Choose(pair, nil)
 		is.Equal(choice.Leaf.ID, "b")
 		is.Equal(choice.ExpectedSlowdown, 5.0)
-		time.Sleep(9 * slownessHalfLife) // what is known of b fades, so that it is looked at again
+		time.Sleep(9 * slownessHalfLife) // the slowness of b fades, so that it is tried again
 		seen := false
 		for range 100 {
 			seen = seen || b.Choose(pair, nil).Leaf.ID == "b"
@@ -192,7 +192,7 @@
 	})
 }
 
-// One pause of a leaf does not make it a slow one.
+// A leaf is not slow because of one pause.
 func TestOnePauseIsNoSlowness(t *testing.T) {
 	is := is.New(t)
 	var known slowness
@@ -205,7 +205,7 @@
 	is.Equal(current, 1.0)
 }
 
-// A replica of last resort is asked only when no other can be.
+// A replica of last resort is asked only if no other can be.
 func TestLastResortIsAskedLast(t *testing.T) {
 	is := is.New(t)
 	b := New(DefaultConfig(), "z")
--- a/internal/leaf/balancer/config.go
+++ b/internal/leaf/balancer/config.go
@@ -6,35 +6,34 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// Method is how a replica is picked among the usable ones.
+// Method is how a replica is chosen among the usable ones.
 type Method string
 
 // The methods.
 const (
-	// TwoChoices takes the better of two random replicas.
+	// TwoChoices compares replicas, see Balancer.Choose.
 	TwoChoices Method = "two_choices"
-	// Random takes any, whatever is known of them; the baseline of experiments.
+	// Random takes any usable replica, as a baseline for comparisons.
 	Random Method = "random"
 )
 
 // Config tunes replica choice.
 type Config struct {
-	// Method is how a replica is picked.
+	// Method is how a replica is chosen.
 	Method Method `yaml:"method"`
 	// EjectAfter is how many attempts in a row must fail before a leaf is ejected.
 	EjectAfter int `yaml:"eject_after"`
 	// EjectFor is how long an ejected leaf waits before its next trial.
 	EjectFor time.Duration `yaml:"eject_for"`
-	// SlowFactor ejects a leaf whose typical latency is this many times its peers'.
+	// SlowFactor is how many times the latency of the fastest replica a replica may have and still be chosen.
 	SlowFactor float64 `yaml:"slow_factor"`
-	// WarmUp is how long a new or returned leaf takes to reach its full share.
+	// WarmUp is how long a new leaf, or one that was ejected, takes to reach its full share.
 	WarmUp time.Duration `yaml:"warm_up"`
 	// LoadAge is how long a load report counts.
 	LoadAge time.Duration `yaml:"load_age"`
-	// InFlightLimit is the most attempts one node has at one leaf at once.
+	// InFlightLimit is the maximum number of attempts that one node has in flight at one leaf.
 	InFlightLimit int `yaml:"in_flight_limit"`
-	// ForgetDrain is how long a leaf stays out of use after its own word that it drains,
-	// unless it repeats it.
+	// ForgetDrain is how long a leaf stays out of use after it last reported that it drains.
 	ForgetDrain time.Duration `yaml:"forget_drain"`
 }
 
@@ -52,7 +51,7 @@
 	}
 }
 
-// Validate names every field at fault.
+// Validate returns an error that names every invalid field.
 func (c Config) Validate() error {
 	var checks failure.Checks
 	checks.Refuse(c.Method != TwoChoices && c.Method != Random, "method", "%q; must be %q or %q", c.Method, TwoChoices, Random)
--- a/internal/leaf/balancer/observation_test.go
+++ b/internal/leaf/balancer/observation_test.go
@@ -10,14 +10,14 @@
 
 const typicalWork = 10 * time.Millisecond
 
-// seesSlow lets a balancer see one attempt at a leaf that takes eight times the usual.
+// seesSlow makes a balancer observe one attempt at a leaf that takes eight times the typical latency.
 func seesSlow(b *Balancer, id string) {
 	leaf := b.leaf(id, "z", time.Now())
 	b.Start(leaf)
 	b.Finish(leaf, Succeeded, 8*typicalWork, typicalWork)
 }
 
-// knows lets a balancer see some attempts at all leafs that take the usual time.
+// knows makes a balancer observe attempts of typical latency at all leafs.
 func knows(b *Balancer) {
 	for _, candidate := range three() {
 		leaf := b.leaf(candidate.LeafID, candidate.Zone, time.Now())
@@ -37,34 +37,34 @@
 	return counts
 }
 
-// A node that never asked a slow leaf passes it over when several others saw it slow, and asks it
-// again when one saw it well.
+// A node that never asked a slow leaf passes it over once several others observed that it is slow, and asks it
+// again once one observed that it is healthy.
 func TestSlownessSeenByOthersCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		here := New(DefaultConfig(), "z")
-		var believed []Condition
+		var conditions []Condition
 		here.OnAssessment(func(changed Assessment) {
 			is.True(changed.FromPeer)
 			is.Equal(changed.LeafID, "b")
-			believed = append(believed, changed.Condition)
+			conditions = append(conditions, changed.Condition)
 		})
 		knows(here)
 		time.Sleep(recentSpan + time.Second)
-		for range leastRecent {
+		for range minimumRecent {
 			there := New(DefaultConfig(), "z")
 			there.OnObserved(here.HandleObservation)
 			seesSlow(there, "b")
-			time.Sleep(toldSpacing)
+			time.Sleep(peerSampleInterval)
 		}
 		is.Equal(shares(here)["b"], 0)
-		is.Equal(believed, []Condition{Slow})
+		is.Equal(conditions, []Condition{Slow})
 		time.Sleep(recentSpan + time.Second)
 		there := New(DefaultConfig(), "z")
 		there.OnObserved(here.HandleObservation)
-		for range leastRecent {
-			seesSlow(there, "b") // and is itself told of
-			time.Sleep(toldSpacing)
+		for range minimumRecent {
+			seesSlow(there, "b") // and announces it
+			time.Sleep(peerSampleInterval)
 		}
 		is.Equal(shares(here)["b"], 0)
 		leaf := there.leaf("b", "z", time.Now())
@@ -78,7 +78,7 @@
 	})
 }
 
-// A leaf that another node waits for in vain is passed over for a while, unless it answered here.
+// A leaf that owes another node an answer is passed over for a while, unless it answered here.
 func TestSilenceSeenByOthersCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -89,12 +89,12 @@
 		silent := there.leaf("b", "z", time.Now())
 		there.Start(silent)
 		there.AttemptLate("b")
-		is.True(shares(here)["b"] > 0) // not late for long enough
+		is.True(shares(here)["b"] > 0) // not silent for long enough
 		time.Sleep(unknownStall + time.Millisecond)
 		there.AttemptLate("b")
 		is.Equal(shares(here)["b"], 0)
 		time.Sleep(maximumStallPause)
-		is.True(shares(here)["b"] > 0) // somebody has to look
+		is.True(shares(here)["b"] > 0) // the pause is over: it is tried again
 		there.AttemptLate("b")
 		is.Equal(shares(here)["b"], 0)
 		there.Finish(silent, Succeeded, time.Second, 0) // it answered there
@@ -111,29 +111,29 @@
 	})
 }
 
-// Usual answers are nobody's news.
+// Answers of typical latency are not announced.
 func TestUsualAnswersAreNotTold(t *testing.T) {
 	is := is.New(t)
 	b := New(DefaultConfig(), "z")
-	b.OnObserved(func(Observation) { t.Error("told of a usual answer") })
+	b.OnObserved(func(Observation) { t.Error("announced an answer of typical latency") })
 	knows(b)
-	b.HandleObservation(Observation{Leaf: KeyOf("unknown"), Slowness: 9}) // of a leaf that there isn't
+	b.HandleObservation(Observation{Leaf: KeyOf("unknown"), Slowness: 9})
 	is.Equal(len(b.leafs), 3)
 }
 
-// What many nodes see in one pause of a leaf makes it no slow one.
+// A leaf is not slow because many nodes observed the same pause.
 func TestOnePauseSeenByManyIsNoSlowness(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		here := New(DefaultConfig(), "z")
-		here.OnAssessment(func(changed Assessment) { t.Errorf("believes %v", changed) })
+		here.OnAssessment(func(changed Assessment) { t.Errorf("assessment changed to %v", changed) })
 		knows(here)
 		time.Sleep(recentSpan + time.Second)
 		for range 8 {
 			there := New(DefaultConfig(), "z")
 			there.OnObserved(here.HandleObservation)
 			seesSlow(there, "b")
-			time.Sleep(toldSpacing / 10)
+			time.Sleep(peerSampleInterval / 10)
 		}
 		is.True(shares(here)["b"] > 0)
 	})
--- a/internal/leaf/balancer/slowness.go
+++ b/internal/leaf/balancer/slowness.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// Bounds of the samples by which a leaf is compared with others.
+// Bounds of the samples by which a leaf is compared with others. Values are multiples of the typical latency.
 const (
-	slownessSamples = 7
-	leastSlowness   = 0.2
-	mostSlowness    = 30
+	slownessSamples = 7 // kept per leaf
+	minimumSlowness = 0.2
+	maximumSlowness = 30
 	// slownessHalfLife is how fast a difference fades while there are no new samples, so that
-	// a leaf that was slow is looked at again.
+	// a leaf that was slow is tried again.
 	slownessHalfLife = 2 * time.Second
-	// recentSpan and leastRecent say which samples count alone.
-	recentSpan  = 2 * time.Second
-	leastRecent = 3
+	// recentSpan is how long a sample is recent; from minimumRecent recent samples on, only those count.
+	recentSpan    = 2 * time.Second
+	minimumRecent = 3
 )
 
-// Bounds of what is told to other nodes: a sample that is slow, and one that is well again of a
-// leaf that was taken for slow.
+// Thresholds of samples that are reported to other nodes, as multiples of the typical latency: from slowThreshold on a
+// leaf is slow; up to healthyThreshold one that was slow is healthy again. The gap keeps leafs on the edge quiet.
 const (
-	slowNews = 2.5
-	wellNews = 1.5
+	slowThreshold    = 2.5
+	healthyThreshold = 1.5
 )
 
 // sample is one comparison of a leaf, by this node or another.
@@ -32,20 +32,23 @@
 	at    time.Time
 }
 
-// slowness is how much longer than usual a leaf takes for the same kind of work. It is the
-// median of a few samples: a single pause of the leaf does not count, lasting slowness does
-// within a few requests. Where there are several of the last moments, only those count, so that
-// a leaf which is asked rarely is not judged by what was long ago.
+// slowness decides how slow a leaf is compared with the usual latency of the same kind of request.
+//
+// Inputs: the last slownessSamples samples of this node and others, as multiples of the typical latency.
+//
+// Rule: the lower median, of the recent samples if there are several and else of all, fading to 1 without new samples.
+// By a median, a single pause of the leaf does not count, but lasting slowness does within a few requests. By recent
+// samples, a leaf that is rarely asked is not judged by its past.
 type slowness struct {
 	samples []sample
-	next    int
+	next    int // index of the oldest sample once there are slownessSamples
 	at      time.Time
 	// middle is the median, kept since it is read far more often than samples come.
 	middle float64
 }
 
 func (s *slowness) add(value float64, now time.Time) {
-	added := sample{min(max(value, leastSlowness), mostSlowness), now}
+	added := sample{min(max(value, minimumSlowness), maximumSlowness), now}
 	s.at = now
 	if len(s.samples) < slownessSamples {
 		s.samples = append(s.samples, added)
@@ -56,7 +59,7 @@
 	s.middle = s.median()
 }
 
-// median gives the lower median of the recent samples if there are several, else of all.
+// median returns the lower median of the recent samples if there are several, else of all.
 func (s *slowness) median() float64 {
 	recent := make([]float64, 0, slownessSamples)
 	all := make([]float64, 0, slownessSamples)
@@ -66,14 +69,14 @@
 			recent = append(recent, known.value)
 		}
 	}
-	if len(recent) < leastRecent {
+	if len(recent) < minimumRecent {
 		recent = all
 	}
 	slices.Sort(recent)
 	return recent[(len(recent)-1)/2]
 }
 
-// now gives the slowness with what faded since the last sample; false when none is known.
+// now returns the slowness, faded by the time since the last sample; false if none is known.
 func (s *slowness) now(now time.Time) (float64, bool) {
 	if len(s.samples) == 0 {
 		return 1, false
@@ -82,8 +85,9 @@
 	return 1 + (s.middle-1)*faded, true
 }
 
-// compare takes the latency of an attempt as a sample of the leaf's slowness. Typical is what
-// such work usually takes; 0 when that is not known. It gives what other nodes should know.
+// compare adds the latency of an attempt as a sample of the leaf's slowness. Typical is the usual latency of such an
+// attempt at any leaf; 0 if unknown. It returns an observation if other nodes should know: the sample is slow, or it is
+// healthy and the leaf was slow.
 func (l *Leaf) compare(config Config, outcome Outcome, took, typical time.Duration, now time.Time) *Observation {
 	if typical <= 0 || (outcome != Succeeded && outcome != Abandoned) {
 		return nil
@@ -91,26 +95,12 @@
 	sample := float64(took) / float64(typical) / l.queueing(config, now)
 	known, _ := l.slowness.now(now)
 	if outcome == Abandoned && sample <= known {
-		// The attempt would have taken at least so long.
+		// The time waited is only a lower bound of the latency.
 		return nil
 	}
 	l.slowness.add(sample, now)
-	if sample < slowNews && (sample > wellNews || known < slowNews) {
+	if sample < slowThreshold && (sample > healthyThreshold || known < slowThreshold) {
 		return nil
 	}
 	return &Observation{Slowness: sample}
 }
-
-// queueing is how many times its usual time one more attempt takes because others wait: 1 while
-// a slot is free. The leaf's own word counts for a while, with what this node sent since.
-func (l *Leaf) queueing(config Config, now time.Time) float64 {
-	slots := float64(l.reported.Slots)
-	if slots == 0 {
-		return 1 + float64(l.inFlight)
-	}
-	working := float64(l.inFlight)
-	if now.Sub(l.reportedAt) < config.LoadAge {
-		working = max(working, float64(l.reported.InFlight)+float64(l.inFlight-l.inFlightThen))
-	}
-	return 1 + max(0, working+1-slots)/slots
-}
--- a/internal/request/scatter/caution_test.go
+++ b/internal/request/scatter/caution_test.go
@@ -16,9 +16,9 @@
 	workTime   = 10 * time.Millisecond
 )
 
-// broke is the end of an attempt whose answer broke off, with its leaf if it ended.
-func broke(ended bool) Result[string] {
-	return Result[string]{Reason: LeafFailed, Execution: Unknown, Outcome: balancer.Failed, BrokeOff: true, LeafCrashed: ended}
+// broke is the result of an attempt whose answer broke off, and whether its leaf crashed.
+func broke(crashed bool) Result[string] {
+	return Result[string]{Reason: LeafFailed, Execution: Unknown, Outcome: balancer.Failed, BrokeOff: true, LeafCrashed: crashed}
 }
 
 func cautionPlan(policy *testPolicy) Plan {
@@ -39,7 +39,7 @@
 	return count
 }
 
-// A request that ends whatever runs it costs one leaf of each shard and one more, and is given up at once.
+// A request that crashes every leaf costs one leaf of each shard and one more, and is then given up at once.
 func TestRequestThatEndsLeafsIsGivenUpAfterAProbe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -54,7 +54,7 @@
 	})
 }
 
-// One that leafs ended under before is with one leaf only.
+// A request under which leafs crashed before is sent to a single leaf first.
 func TestSuspectIsProbedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -70,11 +70,11 @@
 		_, summary, _ = play(t.Context(), plan, func(string, Attempt) (time.Duration, Result[string]) { return workTime, replied("well") })
 		is.Equal(summary.Replies, manyShards)
 		is.Equal(summary.Attempts, manyShards)
-		is.Equal(time.Since(started), 2*workTime) // the others went out with the first answer
+		is.Equal(time.Since(started), 2*workTime) // the others were sent with the first answer
 	})
 }
 
-// The end of one leaf holds nothing up where others answer.
+// The crash of one leaf delays nothing if others answer.
 func TestOneLostLeafIsAskedAgainAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -90,7 +90,7 @@
 	})
 }
 
-// Where all connections are lost at once, all shards are asked again as soon as one leaf has answered.
+// If all connections are lost at once, all shards are asked again as soon as one leaf has answered.
 func TestAllConnectionsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -106,7 +106,7 @@
 	})
 }
 
-// A probe at a leaf that is silent does not hold the others up for long: silence is no end.
+// A probe at a silent leaf does not delay the others for long: silence is no crash.
 func TestSilentProbeIsNotWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -124,7 +124,7 @@
 	})
 }
 
-// A part that is gathered for another node is given up without a probe: that node knows of the other parts.
+// A part that is gathered for another node is given up without a probe: that node knows about the other parts.
 func TestPartIsGivenUpWithoutAProbe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -143,9 +143,9 @@
 	})
 }
 
-// The groups wait for the first attempt, too, and begin with its answer; if its leaf ends, they never do.
+// The groups wait for the first attempt, too, and start with its answer; if its leaf crashes, they never do.
 func TestGroupsWaitForTheFirstAttempt(t *testing.T) {
-	for name, isFatal := range map[string]bool{"answered": false, "ended": true} {
+	for name, crashes := range map[string]bool{"answered": false, "ended": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
@@ -155,23 +155,23 @@
 				began := time.Now()
 				var groupAt time.Duration
 				watched := &watcher{script: func(string, Attempt) (time.Duration, Result[string]) {
-					if isFatal {
+					if crashes {
 						return workTime, broke(true)
 					}
 					return workTime, replied("well")
 				}}
 				work := New(plan, Deps[string]{
 					Balancer: balancer.New(balancer.DefaultConfig(), ""), Start: InBackground(watched.run), Observer: watched, Superseded: errSuperseded,
-					StartGroup: func(_ context.Context, _ int, told func(GroupResult[string])) context.CancelCauseFunc {
+					StartGroup: func(_ context.Context, _ int, report func(GroupResult[string])) context.CancelCauseFunc {
 						groupAt = time.Since(began)
 						text := "grouped"
-						go told(GroupResult[string]{Replies: []*string{&text, &text, &text}})
+						go report(GroupResult[string]{Replies: []*string{&text, &text, &text}})
 						return func(error) {}
 					},
 				})
 				_, summary := work.Run(t.Context())
-				is.Equal(summary.StoppedByCrashes, isFatal)
-				if isFatal {
+				is.Equal(summary.StoppedByCrashes, crashes)
+				if crashes {
 					is.Equal(groupAt, time.Duration(0))
 					is.Equal(summary.Attempts, 1)
 					return
--- a/internal/request/scatter/group_test.go
+++ b/internal/request/scatter/group_test.go
@@ -13,24 +13,24 @@
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
 )
 
-// groupStep is one thing that the attempt of a group tells, after a delay.
+// groupStep is one result that the attempt of a group reports, after a delay.
 type groupStep struct {
 	after  time.Duration
 	result GroupResult[string]
 }
 
-// groupScript plays groups, and remembers when they were under way.
+// groupScript plays groups, and records which shards have one in flight.
 type groupScript struct {
 	steps [][]groupStep // by group
 
 	mu       sync.Mutex
-	underWay map[int]bool // by shard
+	inFlight map[int]bool // by shard
 	causes   []error
 }
 
 func (g *groupScript) start(plan Plan) StartGroup[string] {
-	g.underWay = map[int]bool{}
-	return func(ctx context.Context, group int, told func(GroupResult[string])) context.CancelCauseFunc {
+	g.inFlight = map[int]bool{}
+	return func(ctx context.Context, group int, report func(GroupResult[string])) context.CancelCauseFunc {
 		ctx, cancel := context.WithCancelCause(ctx)
 		g.set(plan.Groups[group].Shards, true)
 		go func() {
@@ -40,7 +40,7 @@
 					if !step.result.Partial {
 						g.set(plan.Groups[group].Shards, false)
 					}
-					told(step.result)
+					report(step.result)
 				case <-ctx.Done():
 					g.mu.Lock()
 					g.causes = append(g.causes, context.Cause(ctx))
@@ -53,11 +53,11 @@
 	}
 }
 
-func (g *groupScript) set(shards []int, underWay bool) {
+func (g *groupScript) set(shards []int, inFlight bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, shard := range shards {
-		g.underWay[shard] = underWay
+		g.inFlight[shard] = inFlight
 	}
 }
 
@@ -98,7 +98,7 @@
 
 const ms = time.Millisecond
 
-// What becomes of four shards of which the last three are asked as a group.
+// The outcomes of four shards of which the last three are asked as a group.
 func TestGroupOutcomes(t *testing.T) {
 	cases := map[string]struct {
 		steps   []groupStep
@@ -166,16 +166,16 @@
 					plan.SoftDeadline = time.Now().Add(c.soft)
 				}
 				outcomes, summary, watched := playGroups(t.Context(), plan, &groupScript{steps: [][]groupStep{c.steps}}, ownAnswer)
-				in := 0
+				replies := 0
 				for shard, want := range c.want {
 					got := ""
 					if outcomes[shard].Reply != nil {
 						got = *outcomes[shard].Reply
-						in++
+						replies++
 					}
 					is.Equal(got, want)
 				}
-				is.Equal(summary.Replies, in)
+				is.Equal(summary.Replies, replies)
 				is.Equal(len(asked(watched, First)), c.first)
 				is.Equal(len(asked(watched, Retry)), c.repeats)
 				is.True(summary.Ran)
@@ -185,7 +185,7 @@
 	}
 }
 
-// A group that nobody waits for any more is told why.
+// A group whose answer is no longer needed is cancelled with the cause.
 func TestGroupIsCancelledWithTheRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -216,8 +216,8 @@
 	})
 }
 
-// Whatever groups and leafs do: no leaf of a shard is asked while its group is under way, nor more
-// often than the route allows, what the group may have asked counted in; and the work ends in time.
+// Whatever groups and leafs do: no leaf of a shard is asked while its group is in flight, nor more
+// often than the route allows, counting what the group may have asked; and Run returns in time.
 func TestGroupsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		draw := drawnGroups(r)
@@ -231,14 +231,14 @@
 			violated := false
 			outcomes, summary, watched := playGroups(t.Context(), plan, groups, func(_ string, attempt Attempt) (time.Duration, Result[string]) {
 				groups.mu.Lock()
-				violated = violated || groups.underWay[attempt.Shard]
+				violated = violated || groups.inFlight[attempt.Shard]
 				groups.mu.Unlock()
 				return draw.leafDelay, draw.leafResult
 			})
 			took := time.Since(began)
-			synctest.Wait() // attempts that began at the very end note what they saw
+			synctest.Wait() // for attempts that were started last
 			if violated {
-				t.Fatal("a leaf was asked while its group was under way")
+				t.Fatal("a leaf was asked while its group was in flight")
 			}
 			if took > 300*ms {
 				t.Fatalf("took %s", took)
@@ -311,7 +311,7 @@
 	return draw
 }
 
-// What may have been spent elsewhere counts among the attempts of a shard, and the next one is a repeat
+// Attempts that may have been made elsewhere count as the shard's, and the next one is a retry
 // that needs a budget.
 func TestSpentAttemptsCount(t *testing.T) {
 	for name, one := range map[string]struct {
--- a/internal/request/scatter/not_run_test.go
+++ b/internal/request/scatter/not_run_test.go
@@ -12,15 +12,15 @@
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
 )
 
-// drawnEnd is how an attempt goes: when its leaf begins with it, when it ends, and what is known then.
+// drawnEnd is the course of an attempt: when its leaf starts to run it, when it ends, and what is known then.
 type drawnEnd struct {
 	begins  time.Duration // negative: never
 	ends    time.Duration
 	result  Result[string]
-	certain bool // the leaf gives its word that it did not run the attempt, or nothing was sent
+	certain bool // the leaf reports that it did not run the attempt, or nothing was sent
 }
 
-// drawEnd draws how an attempt goes. Who knows that it did not run is right; whoever doesn't says so.
+// drawEnd draws the course of an attempt. Its result says that it did not run only if that is certain.
 func drawEnd(t *rapid.T) drawnEnd {
 	millis := func(label string) time.Duration {
 		return time.Duration(rapid.IntRange(0, 40).Draw(t, label)) * time.Millisecond
@@ -82,7 +82,7 @@
 	return c
 }
 
-// wait waits until an attempt ends, and notes that its leaf began with it; false when it was given up before.
+// wait waits until an attempt ends, and records whether its leaf started to run it; false if it was given up before.
 func (c *notRunCase) wait(ctx context.Context, end drawnEnd) bool {
 	began := end.begins
 	if began >= 0 {
@@ -113,7 +113,7 @@
 	return result
 }
 
-func (c *notRunCase) startGroup(ctx context.Context, group int, told func(GroupResult[string])) context.CancelCauseFunc {
+func (c *notRunCase) startGroup(ctx context.Context, group int, report func(GroupResult[string])) context.CancelCauseFunc {
 	ctx, cancel := context.WithCancelCause(ctx)
 	go func() {
 		end := c.groups[group]
@@ -124,13 +124,13 @@
 			result.Replies = make([]*string, len(c.plan.Groups[group].Shards))
 			result.Replies[0] = end.result.Reply
 		}
-		told(result)
+		report(result)
 	}()
 	return cancel
 }
 
-// play plays a case and gives what is told of the execution.
-func (c *notRunCase) play(t *testing.T) (told Execution) {
+// play plays a case and returns the reported execution.
+func (c *notRunCase) play(t *testing.T) (reported Execution) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), c.givesUp)
 		defer cancel()
@@ -140,20 +140,20 @@
 			Observer: &watcher{}, Superseded: errSuperseded,
 		})
 		_, summary := work.Run(ctx)
-		told = summary.Execution()
+		reported = summary.Execution()
 		cancel()
-		time.Sleep(2 * time.Hour) // whatever goes on goes on to its end
+		time.Sleep(2 * time.Hour) // until all attempts have ended
 	})
-	return told
+	return reported
 }
 
-// A request of which any leaf began is never told as not run, in whatever order attempts, hedges, retries and groups begin,
-// end, are lost and are given up.
+// A request that any leaf started to run is never reported as not run, in whatever order attempts, hedges, retries and groups
+// start, end, are lost and are given up.
 func TestNotRunIsTold(t *testing.T) {
 	rapid.Check(t, func(drawn *rapid.T) {
 		c := drawCase(drawn)
-		if told := c.play(t); told == NotRun && c.hasBegun.Load() {
-			drawn.Fatal("told as not run, and a leaf had begun")
+		if reported := c.play(t); reported == NotRun && c.hasBegun.Load() {
+			drawn.Fatal("reported as not run, although a leaf had started to run it")
 		}
 	})
 }
--- a/internal/request/scatter/scatter_test.go
+++ b/internal/request/scatter/scatter_test.go
@@ -45,7 +45,7 @@
 // script says how a leaf treats an attempt.
 type script func(leaf string, attempt Attempt) (time.Duration, Result[string])
 
-// watcher runs attempts by a script and remembers them.
+// watcher runs attempts by a script and records them.
 type watcher struct {
 	script script
 	mutex  sync.Mutex
@@ -118,7 +118,7 @@
 	})
 }
 
-// Neither without budget nor to a leaf that would be too late is a hedge sent.
+// No hedge is sent without budget, nor to a leaf that would answer too late.
 func TestUselessHedgesAreNotSent(t *testing.T) {
 	for name, policy := range map[string]*testPolicy{
 		"no budget": {hedgeAfter: 20 * time.Millisecond}, "too late": {hedgeAfter: 20 * time.Millisecond, budget: 9, useless: true},
@@ -132,13 +132,13 @@
 				})
 				is.Equal(*outcomes[0].Reply, "first")
 				is.Equal(summary.Hedges, 0)
-				is.True(!policy.useless || policy.budget == 9) // nothing was taken for it
+				is.True(!policy.useless || policy.budget == 9) // no budget was taken
 			})
 		})
 	}
 }
 
-// At the soft deadline an answer with enough parts goes out; one with too few waits on.
+// At the soft deadline a request with enough replies ends; one with too few goes on.
 func TestSoftDeadlineTakesWhatIsEnough(t *testing.T) {
 	for name, one := range map[string]struct {
 		sufficient int
@@ -169,7 +169,7 @@
 	}
 }
 
-// When too many shards are lost for an answer, it ends at once instead of waiting for the rest.
+// A request that lost too many shards ends at once instead of waiting for the rest.
 func TestAHopelessRequestEndsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -186,7 +186,7 @@
 	})
 }
 
-// A shard without any usable leaf waits for one where the plan allows it.
+// A shard without room in its budget waits if the plan allows it.
 func TestAShardWaitsForRoomInItsBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -217,7 +217,7 @@
 	})
 }
 
-// Whatever leafs do, a shard runs no oftener than allowed; and a request that may run once has
+// Whatever leafs do, a shard runs no more often than allowed; and a request that may run at most once has
 // at most one attempt that may have run.
 func TestAttemptsStayWithinWhatMayRun(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
@@ -252,8 +252,8 @@
 	})
 }
 
-// Where most shards are late together, their hedges wait a little: it may be this node. They are
-// sent all the same when the shards stay late, as when all leafs of a zone are dark.
+// If most shards are late together, their hedges wait a little, because this node may be the cause. They are
+// sent all the same if the shards stay late, as when all leafs of a zone are down.
 func TestHedgesOfMostShardsWait(t *testing.T) {
 	const shards, hedgeAfter = 20, 40 * time.Millisecond
 	for name, one := range map[string]struct {
@@ -292,8 +292,7 @@
 	}
 }
 
-// An attempt that never reached its leaf is followed by another without a budget; one that did is
-// not.
+// A retry needs no budget if the attempt before it never reached its leaf; otherwise it does.
 func TestNoBudgetForAttemptsThatNeverArrived(t *testing.T) {
 	for name, neverArrived := range map[string]bool{"never arrived": true, "arrived": false} {
 		t.Run(name, func(t *testing.T) {
