--- /dev/null
+++ b/internal/leaf/connshare/config.go
@@ -0,0 +1,37 @@
+package connshare
+
+import (
+	"time"
+
+	"github.com/portgauge/portgauge/internal/failure"
+)
+
+// Config tunes the allotments.
+type Config struct {
+	// Share is the share of a leaf's connection limit that all nodes together use.
+	Share float64 `yaml:"share"`
+	// ShareAfterStart is the same for nodes that started a short while ago.
+	ShareAfterStart float64 `yaml:"share_after_start"`
+	// StartSpan is how long after its start a node uses the smaller share.
+	StartSpan time.Duration `yaml:"start_span"`
+	// Unlimited is a node's limit of connections to one leaf that has no limit by the operators.
+	Unlimited int `yaml:"unlimited"`
+	// Spare is how many extra connections to a leaf a node may open beyond its allotment.
+	Spare int `yaml:"spare"`
+}
+
+// DefaultConfig leaves half of the limit for the connections of dead processes after a start.
+func DefaultConfig() Config {
+	return Config{Share: 0.9, ShareAfterStart: 0.45, StartSpan: 10 * time.Second, Unlimited: 16, Spare: 1}
+}
+
+// Validate returns an error that names every invalid field.
+func (c Config) Validate() error {
+	var checks failure.Checks
+	checks.Refuse(c.Share <= 0 || c.Share > 1, "share", "must be above 0 and at most 1")
+	checks.Refuse(c.ShareAfterStart <= 0 || c.ShareAfterStart > c.Share, "share_after_start", "must be above 0 and at most share")
+	checks.Refuse(c.StartSpan < 0, "start_span", "must not be negative")
+	checks.Refuse(c.Unlimited < 1, "unlimited", "must be at least 1")
+	checks.Refuse(c.Spare < 0, "spare", "must not be negative")
+	return checks.Err()
+}
--- a/internal/leaf/connshare/connshare.go
+++ b/internal/leaf/connshare/connshare.go
@@ -1,14 +1,15 @@
-// Package connshare deals the connections that a leaf accepts among the nodes of a fleet.
+// Package connshare allots the connections that leafs accept among the nodes of a fleet.
 //
-// A leaf accepts so many connections from all nodes together and resets any beyond. Each node
-// takes an equal part. Where that is less than one connection a leaf, each node keeps to some of
-// a service's leafs, those of its own zone first. Parts are made for
-// the worst moment: most of the time others leave theirs unused, so that a node may try spare
-// connections, and stops for a while when a leaf refuses one (see package leafhttp).
+// A leaf accepts a limited number of connections from all nodes together and resets any beyond. Each node takes an
+// equal part. If that is less than one connection per leaf, each node keeps to some of a service's leafs, those of its
+// own zone first. Allotments are made for the worst case: most of the time other nodes leave part of theirs unused, so
+// that a node may open extra connections, and stops for a while when a leaf refuses one (see package leafhttp).
 //
-// A leaf does not notice when machines lose power: the connections of their processes count
-// until the leaf closes them for their long rest. A node that started a short while ago
-// therefore leaves room for those of its predecessor.
+// A leaf does not notice when machines lose power: the connections of their processes count until the leaf closes them
+// as idle. A node that started a short while ago therefore leaves room for those of its predecessor.
+//
+// Nodes compute their allotments without messages, from the fleet as package registry knows it. The package keeps the
+// computed allotments in memory, starts no goroutines, and returns no errors.
 package connshare
 
 import (
@@ -19,49 +20,33 @@
 	"github.com/cespare/xxhash/v2"
 
 	"github.com/portgauge/portgauge/internal/config/catalog"
-	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
 )
 
-// Config tunes the parts.
-type Config struct {
-	// Share is the part of a leaf's limit that all nodes together use.
-	Share float64 `yaml:"share"`
-	// ShareAfterStart is the same for nodes that started a short while ago.
-	ShareAfterStart float64 `yaml:"share_after_start"`
-	// StartSpan is how long after its start a node takes the smaller part.
-	StartSpan time.Duration `yaml:"start_span"`
-	// Unlimited is a node's limit at one leaf where operators set none.
-	Unlimited int `yaml:"unlimited"`
-	// Spare is how many connections to a leaf a node may try beyond its part.
-	Spare int `yaml:"spare"`
-}
-
-// DefaultConfig leaves half for the connections of dead processes.
-func DefaultConfig() Config {
-	return Config{Share: 0.9, ShareAfterStart: 0.45, StartSpan: 10 * time.Second, Unlimited: 16, Spare: 1}
-}
-
-// Validate names every field at fault.
-func (c Config) Validate() error {
-	var checks failure.Checks
-	checks.Refuse(c.Share <= 0 || c.Share > 1, "share", "must be above 0 and at most 1")
-	checks.Refuse(c.ShareAfterStart <= 0 || c.ShareAfterStart > c.Share, "share_after_start", "must be above 0 and at most share")
-	checks.Refuse(c.StartSpan < 0, "start_span", "must not be negative")
-	checks.Refuse(c.Unlimited < 1, "unlimited", "must be at least 1")
-	checks.Refuse(c.Spare < 0, "spare", "must not be negative")
-	return checks.Err()
-}
+// maximumKept bounds the services whose allotments are kept; beyond it all are computed again.
+const maximumKept = 4096
 
-// Fleet gives the nodes that share the leafs, sorted by id; empty while none is known. A slice is
-// never changed once it was given.
+// Fleet returns the nodes that share the leafs, sorted by id; none while they are unknown. A slice is
+// never modified once it was returned.
 type Fleet interface {
 	Nodes() []catalog.NodeRecord
 	// Gatherers are those of the nodes that ask the leafs of gathered services.
 	Gatherers() []catalog.NodeRecord
 }
 
-// Allocator gives one node its part; safe for concurrent use.
+// Allotment is a leaf with this node's part of its connections.
+type Allotment struct {
+	Leaf *leafset.Leaf
+	// Connections is the number of connections allotted to the node, 0 for leafs that are allotted to other nodes.
+	Connections int
+	// ExtraConnections is how many more may be opened while the leaf accepts them: connections that others leave
+	// unused, and those beyond Config.Share.
+	ExtraConnections int
+	// LastResort says that the leaf is only for requests that the node's own leafs refuse.
+	LastResort bool
+}
+
+// Allocator allots connections to one node; safe for concurrent use.
 type Allocator struct {
 	config  Config
 	fleet   Fleet
@@ -69,174 +54,168 @@
 	now     func() time.Time
 	started time.Time
 
-	mu    sync.Mutex
-	dealt map[dealtService]deal
+	mu   sync.Mutex
+	kept map[serviceKey]allocation
 }
 
-// dealtService is a service, and whether it is asked for gathered requests. The leafs of two versions of a service
-// are dealt apart; the version is that of the first leaf.
-type dealtService struct {
+// serviceKey is a service, and whether it is asked for gathered requests. The leafs of two versions of a service
+// are allotted separately; the version is that of the first leaf.
+type serviceKey struct {
 	name     string
 	gathered bool
 	version  string
 }
 
-// deal is what a service's leafs were dealt by, and how.
-type deal struct {
-	nodes []catalog.NodeRecord
-	leafs []*leafset.Leaf
-	limit int
-	isNew bool
-	dealt []Allotment
+// allocation is the result of allotting a service's leafs, with its inputs.
+type allocation struct {
+	nodes      []catalog.NodeRecord
+	leafs      []*leafset.Leaf
+	limit      int // connections per leaf; 0 or less means none
+	isNew      bool
+	allotments []Allotment
 }
 
-// New makes the dealer of a node that starts now.
-func New(config Config, fleet Fleet, self catalog.NodeRecord) *Allocator {
-	return &Allocator{config: config, fleet: fleet, self: self, now: time.Now, started: time.Now(), dealt: map[dealtService]deal{}}
+// hasSameInputs reports whether two allocations are by the same nodes and leafs, identified by their shared slices.
+func (a allocation) hasSameInputs(other allocation) bool {
+	return leafset.SameSlice(a.nodes, other.nodes) && leafset.SameSlice(a.leafs, other.leafs) && a.limit == other.limit && a.isNew == other.isNew
 }
 
-// Allotment is a leaf with this node's part of its connections.
-type Allotment struct {
-	Leaf *leafset.Leaf
-	// Connections is the node's own part, 0 for leafs that others were dealt.
-	Connections int
-	// ExtraConnections is how many more may be tried while the leaf takes them: parts that others leave
-	// unused, and what no part covers.
-	ExtraConnections int
-	// LastResort says that the leaf is only for requests that its own leafs refuse.
-	LastResort bool
+// New returns the allocator of a node that starts now.
+func New(config Config, fleet Fleet, self catalog.NodeRecord) *Allocator {
+	return &Allocator{config: config, fleet: fleet, self: self, now: time.Now, started: time.Now(), kept: map[serviceKey]allocation{}}
 }
 
-// Allot gives the leafs of a service with this node's parts. The limit is the leaf's own, 0
-// meaning none. Leafs of gathered services are shared by the nodes that gather; another node has no
-// part of them, only spare connections. The slice is shared: callers must not change it.
-func (d *Allocator) Allot(name string, gathered bool, leafs []*leafset.Leaf, limit int) []Allotment {
+// Allot returns the leafs of a service with this node's allotments. The limit is the leafs' own in connections, 0
+// meaning none. Leafs of gathered services are shared by the nodes that gather; another node may open only extra
+// connections to them. The slice is shared: callers must not modify it.
+func (a *Allocator) Allot(name string, gathered bool, leafs []*leafset.Leaf, limit int) []Allotment {
 	if len(leafs) == 0 {
 		return nil
 	}
-	service := dealtService{name, gathered, leafs[0].Version}
-	wanted := deal{nodes: d.fleet.Nodes(), leafs: leafs, limit: limit, isNew: d.isNew()}
+	service := serviceKey{name, gathered, leafs[0].Version}
+	wanted := allocation{nodes: a.fleet.Nodes(), leafs: leafs, limit: limit, isNew: a.isNew()}
 	if gathered {
-		wanted.nodes = d.fleet.Gatherers()
+		wanted.nodes = a.fleet.Gatherers()
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if known, found := d.dealt[service]; found && known.equals(wanted) {
-		return known.dealt
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if known, found := a.kept[service]; found && known.hasSameInputs(wanted) {
+		return known.allotments
 	}
-	if len(d.dealt) >= mostKept {
-		clear(d.dealt)
+	if len(a.kept) >= maximumKept {
+		clear(a.kept)
 	}
-	wanted.dealt = d.deal(name, wanted)
-	d.dealt[service] = wanted
-	return wanted.dealt
+	wanted.allotments = a.allot(name, wanted)
+	a.kept[service] = wanted
+	return wanted.allotments
 }
 
-// mostKept bounds the services whose parts are kept.
-const mostKept = 4096
-
-// equals reports whether two deals are by the same nodes and leafs, told by their shared slices.
-func (d deal) equals(other deal) bool {
-	return leafset.SameSlice(d.nodes, other.nodes) && leafset.SameSlice(d.leafs, other.leafs) && d.limit == other.limit && d.isNew == other.isNew
-}
-
-func (d *Allocator) deal(service string, by deal) []Allotment {
-	dealt := make([]Allotment, len(by.leafs))
+// allot decides how many connections this node may have to each leaf of a service.
+//
+// Inputs: the nodes that share the leafs, the leafs with their zones, the limit of each leaf in connections, and whether
+// this node is new, that is, started less than Config.StartSpan ago.
+//
+// Rule: without a limit, Config.Unlimited each. With one, an equal part of the share of the limit that is in use (see
+// connectionsPerNode). If that is less than one connection, the node gets one connection to each of its own leafs (see
+// ownLeafs), and only extra connections to the others. A new node uses leafs that are not its own only as a last
+// resort; the same goes for one that is not among those that share the leafs.
+func (a *Allocator) allot(service string, by allocation) []Allotment {
+	allotments := make([]Allotment, len(by.leafs))
 	for index, leaf := range by.leafs {
-		dealt[index] = Allotment{Leaf: leaf, Connections: d.config.Unlimited}
+		allotments[index] = Allotment{Leaf: leaf, Connections: a.config.Unlimited}
 	}
 	if by.limit <= 0 {
-		return dealt
+		return allotments
 	}
-	each := d.each(len(by.nodes), by.limit, by.isNew)
-	isLeftOut := d.isLeftOut(by.nodes)
-	if each >= 1 && !isLeftOut {
-		for index := range dealt {
-			dealt[index].Connections = min(int(each), d.config.Unlimited)
-			dealt[index].ExtraConnections = d.spare(by.isNew)
+	perNode := a.connectionsPerNode(len(by.nodes), by.limit, by.isNew)
+	isLeftOut := a.isLeftOut(by.nodes)
+	if perNode >= 1 && !isLeftOut {
+		for index := range allotments {
+			allotments[index].Connections = min(int(perNode), a.config.Unlimited)
+			allotments[index].ExtraConnections = a.extra(by.isNew)
 		}
-		return dealt
+		return allotments
 	}
-	for index := range dealt {
-		dealt[index].Connections, dealt[index].ExtraConnections = 0, d.config.Spare
-		dealt[index].LastResort = by.isNew
+	for index := range allotments {
+		allotments[index].Connections, allotments[index].ExtraConnections = 0, a.config.Spare
+		allotments[index].LastResort = by.isNew
 	}
 	if isLeftOut {
-		return dealt
+		return allotments
 	}
-	for _, index := range d.own(service, by, each) {
-		own := &dealt[index]
-		own.Connections, own.ExtraConnections, own.LastResort = 1, d.spare(by.isNew), false
+	for _, index := range a.ownLeafs(service, by, perNode) {
+		own := &allotments[index]
+		own.Connections, own.ExtraConnections, own.LastResort = 1, a.extra(by.isNew), false
 	}
-	return dealt
+	return allotments
 }
 
-// spare gives how many connections to an own leaf may be tried beyond the part: none for a new
-// node, since what looks unused may be counted for a dead process.
-func (d *Allocator) spare(isNew bool) int {
+// extra returns how many connections to an own leaf may be opened beyond the allotment: none for a new
+// node, since connections that look unused may be those of a dead process.
+func (a *Allocator) extra(isNew bool) int {
 	if isNew {
 		return 0
 	}
-	return d.config.Spare
+	return a.config.Spare
 }
 
 // isNew reports whether the node started a short while ago.
-func (d *Allocator) isNew() bool { return d.now().Sub(d.started) < d.config.StartSpan }
+func (a *Allocator) isNew() bool { return a.now().Sub(a.started) < a.config.StartSpan }
 
-// isLeftOut reports whether the node is known, and not one of those that share some leafs.
-func (d *Allocator) isLeftOut(nodes []catalog.NodeRecord) bool {
-	isSelf := func(node catalog.NodeRecord) bool { return node.ID == d.self.ID }
-	return !slices.ContainsFunc(nodes, isSelf) && slices.ContainsFunc(d.fleet.Nodes(), isSelf)
+// isLeftOut reports whether the node is known, but not one of those that share some leafs.
+func (a *Allocator) isLeftOut(nodes []catalog.NodeRecord) bool {
+	isSelf := func(node catalog.NodeRecord) bool { return node.ID == a.self.ID }
+	return !slices.ContainsFunc(nodes, isSelf) && slices.ContainsFunc(a.fleet.Nodes(), isSelf)
 }
 
-// share gives the part of a leaf's limit that all nodes together use.
-func (d *Allocator) share(isNew bool) float64 {
+// usedShare returns the share of a leaf's limit that all nodes together use.
+func (a *Allocator) usedShare(isNew bool) float64 {
 	if isNew {
-		return d.config.ShareAfterStart
+		return a.config.ShareAfterStart
 	}
-	return d.config.Share
+	return a.config.Share
 }
 
-// each gives a node's part of a leaf's limit, which may be less than one connection.
-func (d *Allocator) each(nodes, limit int, isNew bool) float64 {
+// connectionsPerNode returns a node's equal part of a leaf's limit, which may be less than one connection. It is at
+// least one if the limit has room for a connection of each node and the node is not new, even beyond the share in use.
+func (a *Allocator) connectionsPerNode(nodes, limit int, isNew bool) float64 {
 	nodes = max(1, nodes)
-	each := d.share(isNew) * float64(limit) / float64(nodes)
+	perNode := a.usedShare(isNew) * float64(limit) / float64(nodes)
 	if nodes < limit && !isNew {
-		// A single connection for each node fits, if hardly.
-		return max(1, each)
+		return max(1, perNode)
 	}
-	return each
+	return perNode
 }
 
-// own gives the indices of the leafs that the node has one connection to, where there is less than
+// ownLeafs returns the indices of the leafs to which the node has one connection, if there is less than
 // one for each node.
-func (d *Allocator) own(service string, by deal, each float64) []int {
-	count := min(max(1, int(each*float64(len(by.leafs)))), len(by.leafs))
-	capacity := int(d.share(by.isNew) * float64(by.limit))
-	turn := xxhash.Sum64String(service)
-	zones, rank := d.zones(by.nodes)
-	quotas := dealQuotas(zones, by.leafs, count, capacity, int(turn%uint64(len(by.leafs))))
-	own := zones[d.self.Zone]
-	// Nodes take turns, so that none has the same place at all services.
-	return quotas[d.self.Zone].of((rank+int(turn%uint64(own)))%own, own)
-}
-
-// zones gives the number of nodes of each zone, and this node's place among those of its own. A
-// node that others don't know of yet counts itself in.
-func (d *Allocator) zones(nodes []catalog.NodeRecord) (zones map[string]int, rank int) {
+func (a *Allocator) ownLeafs(service string, by allocation, perNode float64) []int {
+	count := min(max(1, int(perNode*float64(len(by.leafs)))), len(by.leafs))
+	capacity := int(a.usedShare(by.isNew) * float64(by.limit))
+	offset := xxhash.Sum64String(service)
+	zones, rank := a.zones(by.nodes)
+	quotas := allotQuotas(zones, by.leafs, count, capacity, int(offset%uint64(len(by.leafs))))
+	nodes := zones[a.self.Zone]
+	// The offset gives a node different ranks at different services.
+	return quotas[a.self.Zone].leafsOf((rank+int(offset%uint64(nodes)))%nodes, nodes)
+}
+
+// zones returns the number of nodes of each zone, and this node's rank among those of its own. A
+// node that others don't know yet counts itself in.
+func (a *Allocator) zones(nodes []catalog.NodeRecord) (zones map[string]int, rank int) {
 	zones = map[string]int{}
 	isKnown := false
 	for _, node := range nodes {
 		zones[node.Zone]++
 		switch {
-		case node.ID == d.self.ID:
+		case node.ID == a.self.ID:
 			isKnown = true
-		case node.Zone == d.self.Zone && node.ID < d.self.ID:
+		case node.Zone == a.self.Zone && node.ID < a.self.ID:
 			rank++
 		}
 	}
 	if !isKnown {
-		zones[d.self.Zone]++
+		zones[a.self.Zone]++
 	}
 	return zones, rank
 }
--- a/internal/leaf/connshare/connshare_test.go
+++ b/internal/leaf/connshare/connshare_test.go
@@ -18,7 +18,7 @@
 func (f fixedFleet) Nodes() []catalog.NodeRecord     { return f }
 func (f fixedFleet) Gatherers() []catalog.NodeRecord { return f }
 
-// fleetOf makes so many nodes, in turn in each of some zones.
+// fleetOf returns nodes, in turn in each of some zones.
 func fleetOf(nodes, zones int) fixedFleet {
 	fleet := make(fixedFleet, nodes)
 	for index := range fleet {
@@ -29,7 +29,7 @@
 
 func zoneName(index int) string { return fmt.Sprintf("zone-%d", index) }
 
-// leafs makes so many leafs, in turn in each of some zones.
+// leafs returns leafs, in turn in each of some zones.
 func leafs(count, zones int) []*leafset.Leaf {
 	list := make([]*leafset.Leaf, count)
 	for index := range list {
@@ -38,7 +38,7 @@
 	return list
 }
 
-// However many nodes there are, no leaf gets more connections than its limit, also when every
+// However many nodes there are, no leaf gets more connections than its limit, even if every
 // node lost power a moment ago and the leaf still counts the connections of all of them. The
 // exception is a limit too small for every node to have one leaf of the service.
 func TestNoLeafIsOverItsLimit(t *testing.T) {
@@ -56,12 +56,12 @@
 		for _, span := range []time.Duration{0, config.StartSpan} {
 			open := map[string]int{}
 			for _, node := range fleet {
-				dealer := New(config, fleet, node)
-				dealer.now = func() time.Time { return dealer.started.Add(span) }
+				allocator := New(config, fleet, node)
+				allocator.now = func() time.Time { return allocator.started.Add(span) }
 				own := 0
-				for _, dealt := range dealer.Allot("s", true, leafs(count, leafZones), limit) {
-					own += dealt.Connections
-					open[dealt.Leaf.ID] += dealt.Connections
+				for _, allotted := range allocator.Allot("s", true, leafs(count, leafZones), limit) {
+					own += allotted.Connections
+					open[allotted.Leaf.ID] += allotted.Connections
 				}
 				if own == 0 {
 					t.Fatal("a node has no connection to the service")
@@ -85,62 +85,62 @@
 	is := is.New(t)
 	used := New(DefaultConfig(), fleetOf(2, 1), fleetOf(2, 1)[0]).Allot("s", true, leafs(3, 1), 0)
 	is.Equal(len(used), 3)
-	for _, dealt := range used {
-		is.Equal(dealt.Connections, DefaultConfig().Unlimited)
+	for _, allotted := range used {
+		is.Equal(allotted.Connections, DefaultConfig().Unlimited)
 	}
 	is.Equal(len(New(DefaultConfig(), fixedFleet{}, catalog.NodeRecord{ID: "a"}).Allot("s", true, nil, 5)), 0)
 }
 
-// Where a node has no part of a leaf, it may still try a spare connection there.
+// A node without an allotment of a leaf may still open an extra connection to it.
 func TestEveryLeafMayBeTried(t *testing.T) {
 	is := is.New(t)
 	fleet := fleetOf(64, 1)
-	dealer := New(DefaultConfig(), fleet, fleet[7])
-	for _, dealt := range dealer.Allot("s", true, leafs(3, 1), 54) { // a new node keeps to its part
-		is.Equal(dealt.LastResort, dealt.Connections == 0)
-		is.Equal(dealt.Connections+dealt.ExtraConnections, 1)
+	allocator := New(DefaultConfig(), fleet, fleet[7])
+	for _, allotted := range allocator.Allot("s", true, leafs(3, 1), 54) { // a new node keeps to its allotment
+		is.Equal(allotted.LastResort, allotted.Connections == 0)
+		is.Equal(allotted.Connections+allotted.ExtraConnections, 1)
 	}
-	dealer.now = func() time.Time { return dealer.started.Add(DefaultConfig().StartSpan) }
+	allocator.now = func() time.Time { return allocator.started.Add(DefaultConfig().StartSpan) }
 	own, tried := 0, 0
-	for _, dealt := range dealer.Allot("s", true, leafs(3, 1), 54) {
-		own += dealt.Connections
-		tried += dealt.Connections + dealt.ExtraConnections
+	for _, allotted := range allocator.Allot("s", true, leafs(3, 1), 54) {
+		own += allotted.Connections
+		tried += allotted.Connections + allotted.ExtraConnections
 	}
 	is.Equal(own, 2)
 	is.Equal(tried, 5)
 }
 
-// Where a leaf can't have a connection of every node, the nodes of its own zone have theirs, and
-// those of other zones share what is left evenly.
+// If a leaf can't have a connection from every node, the nodes of its own zone have theirs, and
+// those of other zones share the rest evenly.
 func TestTheLeafsOfTheOwnZoneComeFirst(t *testing.T) {
 	is := is.New(t)
 	const nodes, zones, limit = 60, 3, 52
 	fleet := fleetOf(nodes, zones)
 	open := map[string]int{}
 	for _, node := range fleet {
-		dealer := New(DefaultConfig(), fleet, node)
-		dealer.now = func() time.Time { return dealer.started.Add(DefaultConfig().StartSpan) }
-		for _, dealt := range dealer.Allot("s", true, leafs(3, zones), limit) {
-			open[dealt.Leaf.ID] += dealt.Connections
-			is.True(dealt.Leaf.Zone != node.Zone || dealt.Connections == 1)
+		allocator := New(DefaultConfig(), fleet, node)
+		allocator.now = func() time.Time { return allocator.started.Add(DefaultConfig().StartSpan) }
+		for _, allotted := range allocator.Allot("s", true, leafs(3, zones), limit) {
+			open[allotted.Leaf.ID] += allotted.Connections
+			is.True(allotted.Leaf.Zone != node.Zone || allotted.Connections == 1)
 		}
 	}
 	is.Equal(open, map[string]int{"leaf-00": 40, "leaf-01": 40, "leaf-02": 40})
 }
 
-// Nodes of a zone without leafs, and one that nobody knows of yet, are dealt some all the same.
+// Nodes of a zone without leafs, and one that no other node knows yet, are allotted connections all the same.
 func TestEveryNodeIsDealtLeafs(t *testing.T) {
 	is := is.New(t)
 	fleet := fleetOf(64, 4)
 	unknown := catalog.NodeRecord{ID: "node-new", Zone: zoneName(3)}
 	open := map[string]int{}
 	for _, node := range append(fleetOf(64, 4), unknown) {
-		dealer := New(DefaultConfig(), fleet, node)
-		dealer.now = func() time.Time { return dealer.started.Add(DefaultConfig().StartSpan) }
+		allocator := New(DefaultConfig(), fleet, node)
+		allocator.now = func() time.Time { return allocator.started.Add(DefaultConfig().StartSpan) }
 		own := 0
-		for _, dealt := range dealer.Allot("s", true, leafs(3, 3), 54) {
-			own += dealt.Connections
-			open[dealt.Leaf.ID] += dealt.Connections
+		for _, allotted := range allocator.Allot("s", true, leafs(3, 3), 54) {
+			own += allotted.Connections
+			open[allotted.Leaf.ID] += allotted.Connections
 		}
 		is.Equal(own, 2)
 	}
@@ -149,17 +149,17 @@
 	}
 }
 
-// What was dealt is kept until nodes, leafs, the limit or the node's age change.
+// Allotments are kept until nodes, leafs, the limit or the node's age change.
 func TestDealFollowsWhatItDependsOn(t *testing.T) {
 	is := is.New(t)
-	dealer := New(DefaultConfig(), fleetOf(60, 3), fleetOf(60, 3)[0])
-	now := dealer.started
-	dealer.now = func() time.Time { return now }
+	allocator := New(DefaultConfig(), fleetOf(60, 3), fleetOf(60, 3)[0])
+	now := allocator.started
+	allocator.now = func() time.Time { return now }
 	shards := leafs(3, 3)
 	parts := func(leafs []*leafset.Leaf, limit int) int {
 		sum := 0
-		for _, dealt := range dealer.Allot("s", true, leafs, limit) {
-			sum += dealt.Connections
+		for _, allotted := range allocator.Allot("s", true, leafs, limit) {
+			sum += allotted.Connections
 		}
 		return sum
 	}
@@ -168,22 +168,22 @@
 	is.Equal(parts(shards, 52), 2)
 	is.Equal(parts(shards, 200), 9)
 	is.Equal(parts(leafs(1, 1), 52), 1)
-	dealer.fleet = fleetOf(6, 3)
+	allocator.fleet = fleetOf(6, 3)
 	is.Equal(parts(shards, 52), 21)
 }
 
-// The leafs of two versions of a service are dealt apart: what was dealt of one is kept beside the other.
+// The leafs of two versions of a service are allotted separately: the allotments of both are kept.
 func TestVersionsAreDealtApart(t *testing.T) {
 	is := is.New(t)
-	dealer := New(DefaultConfig(), fleetOf(60, 3), fleetOf(60, 3)[0])
+	allocator := New(DefaultConfig(), fleetOf(60, 3), fleetOf(60, 3)[0])
 	before, after := leafs(3, 3), leafs(3, 3)
 	for _, leaf := range after {
 		leaf.Version = "v2"
 	}
-	first := dealer.Allot("s", false, before, 52)
-	other := dealer.Allot("s", false, after, 52)
-	is.True(leafset.SameSlice(dealer.Allot("s", false, before, 52), first))
-	is.True(leafset.SameSlice(dealer.Allot("s", false, after, 52), other))
+	first := allocator.Allot("s", false, before, 52)
+	other := allocator.Allot("s", false, after, 52)
+	is.True(leafset.SameSlice(allocator.Allot("s", false, before, 52), first))
+	is.True(leafset.SameSlice(allocator.Allot("s", false, after, 52), other))
 	is.Equal(other[0].Leaf.Version, "v2")
 }
 
--- a/internal/leaf/connshare/quotas.go
+++ b/internal/leaf/connshare/quota.go
@@ -10,14 +10,14 @@
 // quota is how many nodes of one zone have a connection to each leaf, by the leaf's index.
 type quota []int
 
-// of gives the leafs of the node of a rank among so many of its zone. Laid side by side, the parts of
-// a quota make a row of places; a node has the places of its rank in every length of the zone. No part
-// is longer than that, so that a node has no leaf twice.
-func (q quota) of(rank, nodes int) []int {
+// leafsOf returns the leafs of the node of a rank among the nodes of its zone. Laid side by side, the parts of
+// a quota make a row of places, one per connection; every nodes-th place from the rank on is the node's. No part
+// is longer than the number of nodes, so that a node has no leaf twice.
+func (q quota) leafsOf(rank, nodes int) []int {
 	var own []int
 	place := 0
 	for leaf, part := range q {
-		// The first place of the node that is not before this part.
+		// The first place of the node at or after the start of this part.
 		first := place + ((rank-place)%nodes+nodes)%nodes
 		if first < place+part {
 			own = append(own, leaf)
@@ -27,29 +27,29 @@
 	return own
 }
 
-// dealQuotas deals each node of each zone connections to so many leafs: those of its zone as far as
+// allotQuotas allots each node of each zone connections to count leafs: those of its zone as far as
 // their capacity goes, and then those that have the fewest. First is the leaf that is taken first
-// among equals. Capacity is exceeded only where a node would have none.
-func dealQuotas(zones map[string]int, leafs []*leafset.Leaf, count, capacity, first int) map[string]quota {
+// among equals. Capacity, in connections per leaf, is exceeded only if a node would have none.
+func allotQuotas(zones map[string]int, leafs []*leafset.Leaf, count, capacity, first int) map[string]quota {
 	quotas := make(map[string]quota, len(zones))
 	for zone := range zones {
 		quotas[zone] = make(quota, len(leafs))
 	}
 	taken := make([]int, len(leafs))
-	dealInTurn(zones, quotas, count, func(zone string) bool {
+	takeInTurn(zones, quotas, count, func(zone string) bool {
 		return take(quotas[zone], taken, first, func(leaf int) bool {
 			return leafs[leaf].Zone == zone && taken[leaf] < capacity && quotas[zone][leaf] < zones[zone]
 		})
 	})
-	dealInTurn(zones, quotas, count, func(zone string) bool {
+	takeInTurn(zones, quotas, count, func(zone string) bool {
 		return take(quotas[zone], taken, first, func(leaf int) bool { return quotas[zone][leaf] < zones[zone] })
 	})
 	return quotas
 }
 
-// dealInTurn lets zones take one connection after the other, in turn, until each has so many a node
+// takeInTurn makes zones take one connection after the other, in turn, until each has count per node
 // or can't take any more.
-func dealInTurn(zones map[string]int, quotas map[string]quota, count int, takeOne func(zone string) bool) {
+func takeInTurn(zones map[string]int, quotas map[string]quota, count int, takeOne func(zone string) bool) {
 	open := slices.Sorted(maps.Keys(zones))
 	for len(open) > 0 {
 		open = slices.DeleteFunc(open, func(zone string) bool {
@@ -59,7 +59,7 @@
 }
 
 // take adds the leaf with the fewest connections, among those that may be taken, to a quota; false
-// when none may.
+// if none may.
 func take(quota quota, taken []int, first int, mayTake func(leaf int) bool) bool {
 	leaf := leastTaken(taken, first, mayTake)
 	if leaf < 0 {
@@ -70,7 +70,7 @@
 	return true
 }
 
-// leastTaken gives the leaf with the fewest connections among those that may be taken; -1 when none
+// leastTaken returns the leaf with the fewest connections among those that may be taken; -1 if none
 // may.
 func leastTaken(taken []int, first int, mayTake func(leaf int) bool) int {
 	least := -1
--- a/internal/leaf/warmup/config.go
+++ b/internal/leaf/warmup/config.go
@@ -2,18 +2,18 @@
 
 import "github.com/portgauge/portgauge/internal/failure"
 
-// Config says how far above its rate a cold leaf may be asked. Both figures are properties of the leafs.
+// Config is how far above its rate a cold leaf may be asked. Both values are properties of the leafs.
 type Config struct {
-	// Excess is how many times the rate of its service a cold leaf bears within any second.
+	// Excess is how many times the cold rate of its service a cold leaf can take within any second.
 	Excess float64 `yaml:"excess"`
-	// Slack is how many requests it bears in that second beyond them.
+	// Slack is how many requests it can take in that second beyond those.
 	Slack float64 `yaml:"slack"`
 }
 
-// DefaultConfig is for leafs of which nothing is known: they are sent their rate and one request more.
+// DefaultConfig is for leafs with unknown properties: they are sent their rate and one request more.
 func DefaultConfig() Config { return Config{Excess: 1, Slack: 1} }
 
-// Validate names every field at fault.
+// Validate returns an error that names every invalid field.
 func (c Config) Validate() error {
 	var checks failure.Checks
 	checks.Refuse(c.Excess < 1, "excess", "must be at least 1")
@@ -21,38 +21,43 @@
 	return checks.Err()
 }
 
-// most gives the requests that a cold leaf bears within any second, where its rate is per second.
-func (c Config) most(perSecond float64) float64 { return c.Excess*perSecond + c.Slack }
+// capacity returns the maximum number of requests that a cold leaf can take within any second, if its rate is
+// perSecond.
+func (c Config) capacity(perSecond float64) float64 { return c.Excess*perSecond + c.Slack }
 
-// shares is how the requests that a cold leaf bears are divided among nodes.
-type shares struct {
+// division is how the capacity of a cold leaf is divided among nodes.
+type division struct {
 	// senders is how many nodes ask the leaf at all.
 	senders int
-	// perSecond is the rate of each of them. Besides, each may send one request at any moment.
+	// perSecond is the rate of each of them. In addition, each may send one request at any moment.
 	perSecond float64
 }
 
 const (
-	// reserve is for how many times the senders there is room: nodes that know of another fleet for a
-	// moment, as after the start or the end of a node, take others for the senders.
-	reserve = 2
+	// viewReserve is how many times the senders there is room for: nodes with different views of the fleet, as
+	// after the start or the end of a node, choose different senders for a moment.
+	viewReserve = 2
 	// gatherersPerLeaf is how many of the nodes that gather ask a cold leaf: one of its zone may have died.
 	// More of them would have a lower rate, since each may send one request at any moment.
 	gatherersPerLeaf = 2
-	// sendersPart is the part of what a leaf bears, as a divisor, that is left to single requests of as many
-	// nodes. They come to any node, a few a second, so that many senders at a low rate serve more.
-	sendersPart = 4
+	// capacityPerSender is the capacity, in requests a second, that each sender of a service that is not gathered
+	// needs. Such requests come to any node, a few a second, so that many senders at a low rate serve more of them.
+	capacityPerSender = 4
 )
 
-// divide gives the shares of a leaf of a rate. In any second each sender sends at most its rate and one
-// request more; the sum stays below what the leaf bears also while there are reserve times the senders.
-func (c Config) divide(perSecond float64, gathered bool) shares {
-	most := c.most(perSecond)
-	senders := int(most / sendersPart)
+// divide decides how many nodes may ask a cold leaf, and at what rate each.
+//
+// Inputs: the cold rate of the leaf's service in requests a second, and whether the service is gathered.
+//
+// Rule: within any second each sender sends at most its rate and one request more, and the sum stays below the capacity
+// of the leaf even while there are viewReserve times the senders. The bound needs no messages between nodes.
+func (c Config) divide(perSecond float64, gathered bool) division {
+	capacity := c.capacity(perSecond)
+	senders := int(capacity / capacityPerSender)
 	if gathered {
-		senders = min(gatherersPerLeaf, int(most/reserve))
+		senders = min(gatherersPerLeaf, int(capacity/viewReserve))
 	}
 	senders = max(1, senders)
-	rate := min(perSecond, most/reserve-float64(senders))
-	return shares{senders: senders, perSecond: max(0, rate) / float64(senders)}
+	rate := min(perSecond, capacity/viewReserve-float64(senders))
+	return division{senders: senders, perSecond: max(0, rate) / float64(senders)}
 }
--- a/internal/leaf/warmup/warmup.go
+++ b/internal/leaf/warmup/warmup.go
@@ -1,9 +1,12 @@
-// Package warmup bounds what cold leafs are sent.
+// Package warmup limits the rate of requests to cold leafs.
 //
-// A leaf that started a short while ago, or whose caches went cold, bears only so many requests a second
-// from all nodes together, and breaks above that. The bound holds without any message: for each cold leaf
-// a few nodes, the same for all that know the same fleet, have an equal share of the rate. The others leave
-// the leaf alone until it is warm, and ask its siblings.
+// A leaf that started a short while ago, or whose caches went cold, can take only a limited number of requests a second
+// from all nodes together, and fails above that. The limit needs no messages: for each cold leaf
+// a few nodes, the same on all nodes with the same view of the fleet, have an equal share of the rate. The others
+// don't ask the leaf until it is warm, and ask its siblings.
+//
+// The package owns a token bucket for each cold leaf. It relies on the catalog for leafs and their services, on package
+// registry for the fleet, and on the catalog's clock. It starts no goroutines and returns no errors.
 package warmup
 
 import (
@@ -17,17 +20,17 @@
 	"github.com/portgauge/portgauge/internal/node/boottime"
 )
 
-// Fleet gives the nodes that may ask leafs; registry.Census is the real one.
+// Fleet returns the nodes that may ask leafs; registry.Census implements it.
 type Fleet interface {
 	// Nodes are all nodes of the fleet, Gatherers those that ask the leafs of gathered services. A slice is
-	// never changed once it was given.
+	// never modified once it was returned.
 	Nodes() []catalog.NodeRecord
 	Gatherers() []catalog.NodeRecord
-	// IsRegistered reports whether the other nodes know of this one.
+	// IsRegistered reports whether the other nodes know this one.
 	IsRegistered() bool
 }
 
-// Limiter gives one node its share of the rates of cold leafs; safe for concurrent use.
+// Limiter limits one node's requests to cold leafs to its share of their rates; safe for concurrent use.
 type Limiter struct {
 	config  Config
 	catalog *catalog.Catalog
@@ -36,28 +39,28 @@
 	now     func() time.Time
 
 	mu    sync.Mutex
-	leafs map[string]*bucket // by id; the cold ones that were asked about
+	leafs map[string]*bucket // of cold leafs, by id
 }
 
-// bucket is this node's share of one cold leaf: tokens come at a rate, and one is kept at most.
+// bucket is the token bucket of one cold leaf. It holds at most one token.
 type bucket struct {
-	// nodes are the fleet that the rate is by.
+	// nodes are the fleet from which the rate was computed.
 	nodes     []catalog.NodeRecord
-	perSecond float64 // 0 where the node is not one of those that ask the leaf
+	perSecond float64 // 0 if the node is not one of those that ask the leaf
 	tokens    float64
-	at        time.Time
+	at        time.Time // of the last refill
 }
 
-// New makes the limiter of a node.
+// New returns the limiter of a node.
 func New(config Config, known *catalog.Catalog, fleet Fleet, self catalog.NodeRecord) *Limiter {
 	return &Limiter{config: config, catalog: known, fleet: fleet, self: self, now: time.Now, leafs: map[string]*bucket{}}
 }
 
-// SetClock has the time for which leafs are cold measured by a clock, which must be that of the catalog. It must be called
+// SetClock sets the clock by which leafs are cold, which must be that of the catalog. It must be called
 // before the limiter is used.
 func (l *Limiter) SetClock(clock boottime.Clock) { l.now = clock.Now }
 
-// HasToken reports whether this node may ask a leaf now, without taking that request from its share.
+// HasToken reports whether this node may ask a leaf now, without taking a token.
 func (l *Limiter) HasToken(leaf *leafset.Leaf) bool {
 	perSecond := l.limitOf(leaf)
 	if perSecond == 0 {
@@ -68,12 +71,12 @@
 	return l.refill(leaf, perSecond).tokens >= 1
 }
 
-// Take takes a request to the leaf of an id from this node's share, right before it is sent. It reports
+// Take takes a token for a request to the leaf of an id, right before it is sent. It reports
 // whether the request may be sent.
 func (l *Limiter) Take(id string) bool {
 	leaf, found := l.catalog.View().Leafs.ByID(id)
 	if !found {
-		return true // what is only remembered started long ago
+		return true // a leaf that discovery lost started long ago, so that it is warm
 	}
 	perSecond := l.limitOf(leaf)
 	if perSecond == 0 {
@@ -81,15 +84,15 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	share := l.refill(leaf, perSecond)
-	if share.tokens < 1 {
+	kept := l.refill(leaf, perSecond)
+	if kept.tokens < 1 {
 		return false
 	}
-	share.tokens--
+	kept.tokens--
 	return true
 }
 
-// limitOf gives the requests a second that a leaf bears now; 0 means that there is no limit.
+// limitOf returns the rate in requests a second that a leaf can take now; 0 means that there is no limit.
 func (l *Limiter) limitOf(leaf *leafset.Leaf) float64 {
 	// Nearly all leafs are warm: the clock is read only for the others.
 	if leaf.ColdUntil.IsZero() || !leaf.ColdUntil.After(l.now()) {
@@ -103,39 +106,39 @@
 	return service.ColdRequestsPerSecond
 }
 
-// mostKept bounds the cold leafs whose shares are kept; beyond it those that are warm are dropped.
-const mostKept = 1024
+// maximumKept is the number of buckets from which on those of leafs that are warm are dropped.
+const maximumKept = 1024
 
-// refill gives the node's share of a leaf as it stands now. The lock must be held.
+// refill returns the node's bucket of a leaf, refilled. The lock must be held.
 func (l *Limiter) refill(leaf *leafset.Leaf, perSecond float64) *bucket {
 	now := l.now()
-	share, found := l.leafs[leaf.ID]
+	kept, found := l.leafs[leaf.ID]
 	if !found {
 		l.dropWarm()
-		share = &bucket{at: now}
-		l.leafs[leaf.ID] = share
+		kept = &bucket{at: now}
+		l.leafs[leaf.ID] = kept
 	}
 	gathered := l.isGathered(leaf.Service)
 	nodes := l.fleet.Nodes()
 	if gathered {
 		nodes = l.fleet.Gatherers()
 	}
-	if !found || !leafset.SameSlice(nodes, share.nodes) {
-		share.nodes = nodes
-		share.perSecond = l.shareOf(leaf, nodes, l.config.divide(perSecond, gathered))
+	if !found || !leafset.SameSlice(nodes, kept.nodes) {
+		kept.nodes = nodes
+		kept.perSecond = l.rateOf(leaf, nodes, l.config.divide(perSecond, gathered))
 	}
-	if !l.fleet.IsRegistered() || share.perSecond == 0 {
-		share.tokens, share.at = 0, now
-		return share
+	if !l.fleet.IsRegistered() || kept.perSecond == 0 {
+		kept.tokens, kept.at = 0, now
+		return kept
 	}
-	share.tokens = min(1, share.tokens+share.perSecond*now.Sub(share.at).Seconds())
-	share.at = now
-	return share
+	kept.tokens = min(1, kept.tokens+kept.perSecond*now.Sub(kept.at).Seconds())
+	kept.at = now
+	return kept
 }
 
-// dropWarm drops the shares of leafs that are warm or gone, once there are many. The lock must be held.
+// dropWarm drops the buckets of leafs that are warm or gone, once there are many. The lock must be held.
 func (l *Limiter) dropWarm() {
-	if len(l.leafs) < mostKept {
+	if len(l.leafs) < maximumKept {
 		return
 	}
 	leafs := l.catalog.View().Leafs
@@ -146,18 +149,19 @@
 	}
 }
 
-// isGathered reports whether a service is asked by the nodes that gather.
+// isGathered reports whether a service is asked by the nodes that gather only.
 func (l *Limiter) isGathered(service string) bool {
 	routes := l.catalog.View().Routes
 	return routes != nil && routes.IsGathered(service)
 }
 
-// shareOf gives this node's rate at a leaf: that of a sender, or 0.
-func (l *Limiter) shareOf(leaf *leafset.Leaf, nodes []catalog.NodeRecord, divided shares) float64 {
-	own := place(l.self, leaf)
+// rateOf decides whether this node is one of a cold leaf's senders, and returns its rate in requests a second; 0 if it
+// is not. The senders are the first nodes by their rank at the leaf, so that all nodes choose the same.
+func (l *Limiter) rateOf(leaf *leafset.Leaf, nodes []catalog.NodeRecord, divided division) float64 {
+	own := rankOf(l.self, leaf)
 	ahead := 0
 	for _, node := range nodes {
-		if node.ID != l.self.ID && place(node, leaf).isBefore(own) {
+		if node.ID != l.self.ID && rankOf(node, leaf).isBefore(own) {
 			ahead++
 		}
 	}
@@ -173,7 +177,8 @@
 	hash      uint64
 }
 
-func place(node catalog.NodeRecord, leaf *leafset.Leaf) rank {
+// rankOf returns the rank of a node at a leaf.
+func rankOf(node catalog.NodeRecord, leaf *leafset.Leaf) rank {
 	return rank{elsewhere: node.Zone != leaf.Zone, hash: xxhash.Sum64String(leaf.Name + "\x00" + node.ID)}
 }
 
--- a/internal/leaf/warmup/warmup_test.go
+++ b/internal/leaf/warmup/warmup_test.go
@@ -21,7 +21,7 @@
 	testLeaf    = "leaf"
 )
 
-// views are the fleet as one node knows it.
+// views is the fleet as one node knows it.
 type views struct {
 	self  string
 	nodes []catalog.NodeRecord
@@ -33,7 +33,7 @@
 	return slices.ContainsFunc(v.nodes, func(node catalog.NodeRecord) bool { return node.ID == v.self })
 }
 
-// fatal is what tests and properties fail by.
+// fatal is implemented by the states of tests and of property checks.
 type fatal interface{ Fatal(...any) }
 
 func put(t fatal, known *catalog.Catalog, key string, value any) {
@@ -48,7 +48,7 @@
 	known.Apply(catalog.Change{Entry: catalog.Entry{Key: key, Value: wrapped, Revision: known.Revision() + 1}, Previous: known.Revision()})
 }
 
-// newCatalog makes a state with one leaf that is cold for a minute, of a service of a rate.
+// newCatalog returns a catalog with one leaf that is cold for a minute, of a service of a rate.
 func newCatalog(t fatal, perSecond float64, gathered bool) *catalog.Catalog {
 	known := catalog.New(nil)
 	put(t, known, catalog.LeafKey(testLeaf), leafset.Record{
@@ -72,8 +72,8 @@
 	return nodes
 }
 
-// Whatever all nodes want at all moments, and though they learn of joins and deaths at different moments,
-// a cold leaf gets no more in any second than it bears.
+// Even if all nodes send as much as they may and learn of joins and deaths at different moments,
+// a cold leaf gets no more in any second than it can take.
 func TestColdLeafGetsNoMoreThanItBears(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := Config{Excess: rapid.Float64Range(1, 3).Draw(t, "excess"), Slack: rapid.Float64Range(1, 10).Draw(t, "slack")}
@@ -99,7 +99,7 @@
 		for _, id := range current {
 			join(id)
 		}
-		// At most as many changes a second as there are senders: that is what the reserve is for.
+		// At most as many changes a second as there are senders: viewReserve is for these.
 		changeEvery := time.Second / time.Duration(config.divide(perSecond, gathered).senders)
 		var sent []time.Time
 		next := now.Add(changeEvery)
@@ -125,11 +125,11 @@
 				}
 			}
 		}
-		checkWindows(t, sent, config.most(perSecond))
+		checkWindows(t, sent, config.capacity(perSecond))
 	})
 }
 
-// checkWindows fails where more was sent within some second than is allowed.
+// checkWindows fails if more was sent within any second than is allowed.
 func checkWindows(t *rapid.T, sent []time.Time, most float64) {
 	first := 0
 	for last := range sent {
@@ -142,7 +142,7 @@
 	}
 }
 
-// The leaf gets most of its rate from the nodes that ask it, the same ones on every node's account.
+// The leaf gets most of its rate from the senders, and all nodes choose the same ones.
 func TestSendersUseTheRate(t *testing.T) {
 	is := is.New(t)
 	config := Config{Excess: 1.5, Slack: 5}
@@ -172,11 +172,11 @@
 		sent += own
 	}
 	is.Equal(senders, gatherersPerLeaf)
-	is.True(sent >= 45 && sent <= 55) // 5 a second for 10 s: the rate of 6, less room for other views
+	is.True(sent >= 45 && sent <= 55) // 5 a second for 10 s: the rate of 6, less the reserve for other views
 }
 
 // Warm leafs, those of services without a rate and those that discovery does not know have no limit; a node
-// that the others don't know of sends nothing to a cold one.
+// that the others don't know sends nothing to a cold one.
 func TestOnlyKnownNodesAskColdLeafs(t *testing.T) {
 	is := is.New(t)
 	known := newCatalog(t, 6, false)
@@ -192,10 +192,10 @@
 	now = now.Add(time.Second)
 	is.True(!limiter.Take(testLeaf))
 	fleet.nodes = nodes
-	is.True(!limiter.HasToken(cold)) // nothing was saved up meanwhile
+	is.True(!limiter.HasToken(cold)) // no token was added meanwhile
 	now = now.Add(2 * time.Second)
 	is.True(limiter.HasToken(cold))
-	is.True(limiter.HasToken(cold)) // asking takes nothing
+	is.True(limiter.HasToken(cold)) // HasToken takes none
 	is.True(limiter.Take(testLeaf))
 	is.True(!limiter.Take(testLeaf))
 	now = now.Add(2 * time.Minute)
