--- a/internal/request/routing/configuration.go
+++ b/internal/request/routing/configuration.go
@@ -1,8 +1,3 @@
-// Package routing holds the table that says which services a request is for.
-//
-// A configuration is one version of all routes. It is checked as a whole, compiled into an
-// immutable table, and put into force as a whole. A request looks its route up once and keeps
-// it for its life, so that no answer mixes versions.
 package routing
 
 import (
@@ -15,82 +10,82 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// Repeatability says how often a request may run.
+// Repeatability is how often a request may run.
 type Repeatability string
 
 // The repeatabilities.
 const (
 	// Repeatable requests may run any number of times.
 	Repeatable Repeatability = "repeatable"
-	// AtMostOnce requests run once or not at all.
+	// AtMostOnce requests run at most once.
 	AtMostOnce Repeatability = "at_most_once"
 )
 
 // Configuration is one version of the routes, as operators write it.
 type Configuration struct {
-	// Version is the operators' own number; it rises with each change.
+	// Version is the operators' own number; it increases with each change.
 	Version  int64     `json:"version"`
 	Routes   []Route   `json:"routes"`
 	Services []Service `json:"services"`
 	Limits   Limits    `json:"limits"`
 }
 
-// Compare orders two configurations by the operators' own numbers; it is not told where those are the same.
+// Compare orders two configurations by the operators' own numbers. The order is not known if the numbers are equal.
 func Compare(a, b Configuration) (order int, isKnown bool) {
 	return cmp.Compare(a.Version, b.Version), a.Version != b.Version
 }
 
-// Route sends the requests of a host and path prefix to one target. Exactly one of Service,
-// Weighted and Gathered is set.
+// Route sends the requests of a host and path prefix to one target. Exactly one of Service, Weighted and Gathered is
+// set.
 type Route struct {
 	Name string `json:"name"`
 	Host string `json:"host"`
-	// Prefix begins and ends with a slash; the longest one of a host that matches wins.
+	// Prefix begins and ends with a slash; the longest prefix of a host that matches is used.
 	Prefix string `json:"prefix"`
 	// Service takes every request.
 	Service string `json:"service,omitempty"`
-	// Weighted services share the requests in proportion to their weights.
+	// Weighted services take the requests in proportion to their weights.
 	Weighted []WeightedService `json:"weighted,omitempty"`
-	// Gathered services are shards: a request goes to one leaf of each.
+	// Gathered services are shards: each request goes to one leaf of each.
 	Gathered []string `json:"gathered,omitempty"`
-	// TopRecords is how many of the greatest records a gathered answer holds.
+	// TopRecords is how many of the greatest records a gathered answer has.
 	TopRecords int `json:"top_records,omitempty"`
-	// MinimumCoverage is the least share of the gathered services that an answer needs, 0 to 1.
+	// MinimumCoverage is the least share of the gathered services that an answer must have, 0 to 1.
 	MinimumCoverage float64       `json:"minimum_coverage,omitempty"`
 	Repeatability   Repeatability `json:"repeatability"`
 	// MaximumAttempts is how many leafs of one service may run one request.
 	MaximumAttempts int `json:"maximum_attempts"`
-	// TimeoutMillis is the longest a request is held.
+	// TimeoutMillis is when a request is given up.
 	TimeoutMillis int64 `json:"timeout_millis"`
 	// ObjectiveMillis is the time within which an answer has its full worth.
 	ObjectiveMillis int64 `json:"objective_millis"`
-	// Regions are those whose leafs may run the requests, and whose nodes may read them for another; empty
-	// means all.
+	// Regions are those whose leafs may run the requests, and whose nodes may gather them for others; empty means
+	// all.
 	Regions []string `json:"regions,omitempty"`
-	// Priority ranks requests when there is too much work; 0 is the most urgent.
+	// Priority ranks requests under overload; 0 is the most urgent.
 	Priority int `json:"priority"`
 }
 
-// WeightedService is one part of a weighted target.
+// WeightedService is one service of a weighted route.
 type WeightedService struct {
 	Service string  `json:"service"`
 	Weight  float64 `json:"weight"`
 }
 
-// Service is what operators say of the leafs of a service.
+// Service is the configuration of the leafs of a service.
 type Service struct {
 	Name string `json:"name"`
 	// HealthPath answers 200 while a leaf is healthy.
 	HealthPath string `json:"health_path,omitempty"`
-	// MaximumConnections is how many connections a leaf accepts from all callers together;
-	// 0 means that there is no limit.
+	// MaximumConnections is how many connections a leaf accepts from all nodes together; 0 means that there is no
+	// limit.
 	MaximumConnections int `json:"maximum_connections,omitempty"`
-	// ColdRequestsPerSecond is how many requests a second a leaf bears from all callers together while it
-	// is cold, as after its start; 0 means that there is no limit.
+	// ColdRequestsPerSecond is how many requests a second a leaf can serve from all nodes together while it is cold,
+	// as after its start; 0 means that there is no limit.
 	ColdRequestsPerSecond float64 `json:"cold_requests_per_second,omitempty"`
 }
 
-// Limits bound what callers may send, and how long they may take; 0 means the default.
+// Limits bound what callers may send and how long they may take; 0 means the default.
 type Limits struct {
 	MaximumHeaderBytes  int   `json:"maximum_header_bytes,omitempty"`
 	MaximumBodyBytes    int64 `json:"maximum_body_bytes,omitempty"`
@@ -98,7 +93,7 @@
 	IdleTimeoutMillis   int64 `json:"idle_timeout_millis,omitempty"`
 }
 
-// Limits that hold where the configuration sets none.
+// The default limits.
 const (
 	DefaultHeaderBytes   = 64 << 10
 	DefaultBodyBytes     = 1 << 20
@@ -106,7 +101,7 @@
 	DefaultIdleTimeout   = 2 * time.Minute
 )
 
-// HeaderBytes gives the most bytes of a request's header.
+// HeaderBytes returns the maximum size of a request's header.
 func (l Limits) HeaderBytes() int {
 	if l.MaximumHeaderBytes <= 0 {
 		return DefaultHeaderBytes
@@ -114,7 +109,7 @@
 	return l.MaximumHeaderBytes
 }
 
-// BodyBytes gives the most bytes of a request's body.
+// BodyBytes returns the maximum size of a request's body.
 func (l Limits) BodyBytes() int64 {
 	if l.MaximumBodyBytes <= 0 {
 		return DefaultBodyBytes
@@ -122,12 +117,12 @@
 	return l.MaximumBodyBytes
 }
 
-// HeaderTimeout gives how long a caller may take to send a request's header.
+// HeaderTimeout returns how long a caller may take to send a request's header.
 func (l Limits) HeaderTimeout() time.Duration {
 	return millisOr(l.HeaderTimeoutMillis, DefaultHeaderTimeout)
 }
 
-// IdleTimeout gives how long a connection may rest between requests.
+// IdleTimeout returns how long a connection may be idle between requests.
 func (l Limits) IdleTimeout() time.Duration {
 	return millisOr(l.IdleTimeoutMillis, DefaultIdleTimeout)
 }
@@ -139,7 +134,7 @@
 	return time.Duration(millis) * time.Millisecond
 }
 
-// Parse reads and checks a configuration in JSON.
+// Parse decodes and validates a configuration in JSON.
 func Parse(content []byte) (Configuration, error) {
 	var configuration Configuration
 	if err := json.Unmarshal(content, &configuration); err != nil {
@@ -148,7 +143,7 @@
 	return configuration, configuration.Validate()
 }
 
-// Validate names every field at fault.
+// Validate returns an error that names every invalid field.
 func (c Configuration) Validate() error {
 	var checks failure.Checks
 	checks.Refuse(c.Version < 0, "version", "must not be negative")
--- a/internal/request/routing/table.go
+++ b/internal/request/routing/routing.go
@@ -1,3 +1,10 @@
+// Package routing maps requests to services by the operators' routes.
+//
+// A Configuration is one version of all routes. It is validated as a whole, compiled into an immutable Table, and put
+// into force as a whole; package catalog has the table in force. A request is matched to its route once and keeps it
+// until its end, so that no answer mixes versions. Shares owns the state of weighted routes; the package has no
+// goroutines and no clock. Times in a configuration are milliseconds and sizes are bytes; errors of Parse and Validate
+// are *failure.Failure that name the field.
 package routing
 
 import (
@@ -11,43 +18,43 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Defaults of a route that sets no value of its own.
+// Defaults of a route that sets no value.
 const (
 	defaultAttempts  = 2
 	defaultTimeout   = 30 * time.Second
 	defaultObjective = time.Second
 )
 
-// Table is one configuration ready for look-ups; immutable.
+// Table is a compiled configuration; it is immutable.
 type Table struct {
 	Version int64
-	// Revision is the store's revision that wrote the configuration.
+	// Revision is the revision of the store at which the configuration was written.
 	Revision int64
 	Limits   Limits
 	Routes   []Route
 
 	byHost   map[string][]*Entry // longest prefix first
 	services map[string]Service
-	gathered map[string]bool // services that some route gathers
+	gathered map[string]bool // services that a route gathers
 }
 
-// Entry is a route of a table with its derived values; immutable.
+// Entry is a route of a table with its derived values; it is immutable.
 type Entry struct {
 	Route
 	Timeout   time.Duration
 	Objective time.Duration
 	Attempts  int
-	// RequiredParts is how many gathered services an answer needs at least.
+	// RequiredParts is the least number of parts that a gathered answer must have.
 	RequiredParts int
-	// WeightKey is equal for two versions of a route whose weights are the same, so that
-	// shares are kept across versions.
+	// WeightKey is equal for two versions of a route with the same weights, so that Shares keeps its state across
+	// versions.
 	WeightKey string
-	// GatherKey is equal for two versions of a route that gather alike: one leaf of each of the same
-	// services, within as many attempts, for as many records.
+	// GatherKey is equal for two versions of a route that gather in the same way: the same services, records,
+	// attempts, repeatability and regions.
 	GatherKey uint64
 }
 
-// NewTable compiles a checked configuration.
+// NewTable compiles a valid configuration.
 func NewTable(configuration Configuration, revision int64) *Table {
 	table := &Table{
 		Version: configuration.Version, Revision: revision, Limits: configuration.Limits, Routes: configuration.Routes,
@@ -70,17 +77,17 @@
 	return table
 }
 
-// Gathering gives the routes that gather, in no order.
+// GatheredRoutes returns the routes that gather, in no particular order.
 func (t *Table) GatheredRoutes() []*Entry {
-	var gathering []*Entry
+	var gathered []*Entry
 	for _, entries := range t.byHost {
 		for _, entry := range entries {
 			if len(entry.Gathered) > 0 {
-				gathering = append(gathering, entry)
+				gathered = append(gathered, entry)
 			}
 		}
 	}
-	return gathering
+	return gathered
 }
 
 func newEntry(route Route) *Entry {
@@ -107,15 +114,15 @@
 	return xxhash.Sum64String(fmt.Sprintf("%q %d %d %s %q", entry.Gathered, entry.TopRecords, entry.Attempts, entry.Repeatability, entry.Regions))
 }
 
-// AllowsRegion reports whether leafs of a region may run the route's requests.
+// AllowsRegion reports whether leafs of a region may run the route's requests, and its nodes gather them for others.
 func (e *Entry) AllowsRegion(region string) bool {
 	return len(e.Regions) == 0 || slices.Contains(e.Regions, region)
 }
 
-// coverageTolerance absorbs the rounding of a share written in decimals.
+// coverageTolerance absorbs the rounding error of a share that is written as a decimal.
 const coverageTolerance = 1e-9
 
-// requiredParts is the least number of parts that is the wanted share of all; at least one.
+// requiredParts returns the least number of parts that is the required share of all; at least one.
 func requiredParts(parts int, coverage float64) int {
 	if parts == 0 {
 		return 0
@@ -123,8 +130,8 @@
 	return max(1, int(math.Ceil(coverage*float64(parts)-coverageTolerance)))
 }
 
-// Match finds the route of a request by its host, with or without a port, and its path
-// without the query; nil when there is none.
+// Match returns the route of a request by its host, with or without a port, and its path without the query; nil if there
+// is none.
 func (t *Table) Match(host, path string) *Entry {
 	for _, entry := range t.byHost[normalHost(host)] {
 		if strings.HasPrefix(path, entry.Prefix) {
@@ -134,6 +141,7 @@
 	return nil
 }
 
+// normalHost removes the port of a host and lower-cases it.
 func normalHost(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -141,16 +149,16 @@
 	return strings.ToLower(host)
 }
 
-// Service gives what operators say of a service; false when they say nothing.
+// Service returns the configuration of a service; false if there is none.
 func (t *Table) Service(name string) (Service, bool) {
 	service, found := t.services[name]
 	return service, found
 }
 
-// IsGathered reports whether some route gathers a service.
+// IsGathered reports whether a route gathers a service.
 func (t *Table) IsGathered(name string) bool { return t.gathered[name] }
 
-// ServiceNames gives every service that a route or the list of services names, sorted.
+// ServiceNames returns the services that routes or the list of services name, sorted.
 func (t *Table) ServiceNames() []string {
 	names := map[string]bool{}
 	for name := range t.services {
@@ -175,4 +183,5 @@
 	return sorted
 }
 
+// indexed names an element of a list field.
 func indexed(field string, index int) string { return fmt.Sprintf("%s[%d]", field, index) }
--- a/internal/request/routing/routing_test.go
+++ b/internal/request/routing/routing_test.go
@@ -90,7 +90,7 @@
 	is.Equal(configuration.Version, int64(3))
 }
 
-// Whatever the weights, every service's share is off by less than a request at each moment.
+// Whatever the weights, each service has had its share of the requests to within two at any moment.
 func TestSharesFollowTheWeightsAtEveryMoment(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var weighted []WeightedService
--- a/internal/request/routing/weights.go
+++ b/internal/request/routing/shares.go
@@ -5,26 +5,26 @@
 	"sync"
 )
 
-// Shares deals the requests of weighted routes to their services so that each service's share
-// stays within one request of its weight, at every moment. It is safe for concurrent use.
+// Shares distributes the requests of weighted routes over their services, so that at any moment each service has had
+// its share of the requests to within two. It is safe for concurrent use.
 //
-// This is smooth weighted round-robin: each service earns its weight with every request, and
-// the one with the most credit takes the request and pays the total. The first credits are
-// drawn at random, so that many nodes that start together don't deal in step.
+// It is a smooth weighted round-robin: with each request every service earns its weight as credit, and the service with
+// the most credit takes the request and pays the total. The first credits are random, so that nodes that start together
+// don't choose in step.
 type Shares struct {
 	mutex  sync.Mutex
 	routes map[string][]float64 // credit of each part, by WeightKey
 }
 
-// NewShares makes an empty dealer.
+// NewShares returns Shares without state.
 func NewShares() *Shares { return &Shares{routes: map[string][]float64{}} }
 
-// maximumKeptRoutes bounds the routes whose credits are kept; beyond it all start anew.
+// maximumKeptRoutes bounds the routes whose credits are kept; beyond it all start again.
 const maximumKeptRoutes = 4096
 
-// Next gives the index of the part of a weighted route that takes the next request. A part that is short
-// of room, or has no leaf, keeps its share: operators weigh services that are not alike, as two versions,
-// and what one can't take must not go to another.
+// Next returns the index of the weighted service that takes the route's next request. A service that is overloaded or
+// has no leaf keeps its share: operators weight services that differ, such as two versions, and the requests of one must
+// not go to the other.
 func (s *Shares) Next(entry *Entry) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -54,7 +54,7 @@
 	return best
 }
 
-// firstCredits draws credits that sum to zero, each less than the total weight.
+// firstCredits returns random credits that sum to zero, each less than the total weight.
 func firstCredits(parts []WeightedService) []float64 {
 	credits := make([]float64, len(parts))
 	total := 0.0
