--- a/internal/request/servingtree/config.go
+++ b/internal/request/servingtree/config.go
@@ -6,21 +6,21 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// Config tunes the connections between nodes.
+// Config configures the connections between nodes.
 type Config struct {
 	// ConnectTimeout bounds the opening of a connection.
 	ConnectTimeout time.Duration `yaml:"connect_timeout"`
-	// WriteTimeout is how long a node may take nothing before its connection is given up.
+	// WriteTimeout bounds the writing of a line; a node that does not read for that long loses its connection.
 	WriteTimeout time.Duration `yaml:"write_timeout"`
-	// IdleTimeout is how long a connection rests before it is closed.
+	// IdleTimeout is how long a connection is idle before it is closed.
 	IdleTimeout time.Duration `yaml:"idle_timeout"`
-	// MaximumRequests bounds the requests under way on one connection.
+	// MaximumRequests bounds the requests in flight on one connection.
 	MaximumRequests int `yaml:"maximum_requests"`
-	// MaximumLineBytes bounds a line.
+	// MaximumLineBytes bounds the size of a message.
 	MaximumLineBytes int `yaml:"maximum_line_bytes"`
 }
 
-// DefaultConfig suits nodes of one region.
+// DefaultConfig returns a configuration for nodes of one region.
 func DefaultConfig() Config {
 	return Config{
 		ConnectTimeout:   500 * time.Millisecond,
@@ -31,7 +31,7 @@
 	}
 }
 
-// Validate names every field at fault.
+// Validate returns an error that names every invalid field.
 func (c Config) Validate() error {
 	var checks failure.Checks
 	checks.Refuse(c.ConnectTimeout <= 0, "connect_timeout", "must be positive")
--- a/internal/request/servingtree/never_sent_test.go
+++ b/internal/request/servingtree/never_sent_test.go
@@ -12,18 +12,14 @@
 	"pgregory.net/rapid"
 )
 
-// What callers saw: a refusal that said "not run", although leafs worked on the request. The order of events: a request is
-// passed on to a node whose connection is still being opened; the connection comes up, and the requests that wait for it
-// are written one after the other; meanwhile this one is given up, and since it was not written yet it counts as never
-// sent; then its line goes out all the same, and no word that nobody waits for it follows. The cause: what was to be
-// written was decided at another moment than what is written.
-//
-// Evidence: without the mend the smallest drawn case is two requests that wait, a connection that comes up, and one of
-// them given up before its own line.
+// A call that is reported as never sent must not be sent later. The order of events that broke this: two requests wait
+// while a connection is opened; the connection opens, and their lines are written one after the other; the second is
+// given up before its line is written, which counts as never sent; its line is written all the same, without a cancel
+// after it. Its caller sends the request again, and it runs twice.
 
-// slowSocket takes a line only when it is let through.
+// slowSocket accepts a line only when it is let through.
 type slowSocket struct {
-	net.Conn // nil: nothing else of it is used
+	net.Conn // nil: its other methods are not used
 	entered  chan struct{}
 	let      chan struct{}
 	closed   chan struct{}
@@ -64,7 +60,7 @@
 	return len(encoded), nil
 }
 
-// take lets a line through, if one is being written or is within a moment.
+// take lets a line through if one is being written, or is within a moment.
 func (s *slowSocket) take() {
 	select {
 	case s.let <- struct{}{}:
@@ -72,10 +68,10 @@
 	}
 }
 
-// moment is enough for what goes on beside to go on, mostly; no check depends on it.
+// moment is mostly enough for other goroutines to proceed; no check depends on it.
 const moment = 100 * time.Microsecond
 
-// neverSentCase is a connection that takes a line only when the case says so.
+// neverSentCase is a session over a slowSocket, with what its callers were told.
 type neverSentCase struct {
 	session *session
 	socket  *slowSocket
@@ -84,8 +80,8 @@
 	running sync.WaitGroup
 
 	mu      sync.Mutex
-	started map[int]bool // calls that their callers have in hand
-	given   map[int]bool // calls that were given up, by whether they may have been sent
+	started map[int]bool // calls that Start has returned
+	given   map[int]bool // what Cancel returned for the calls that were given up
 	ended   bool
 }
 
@@ -94,7 +90,7 @@
 	return &neverSentCase{session: &session{client: client, calls: map[uint64]*Call{}}, socket: newSlowSocket(), started: map[int]bool{}, given: map[int]bool{}}
 }
 
-// start passes a request on.
+// start starts a call.
 func (c *neverSentCase) start() {
 	call := newCall(Request{ID: "r"})
 	call.session = c.session
@@ -109,7 +105,7 @@
 	time.Sleep(moment)
 }
 
-// open has the connection come up.
+// open opens the connection.
 func (c *neverSentCase) open() {
 	if c.isOpen {
 		return
@@ -119,7 +115,7 @@
 	time.Sleep(moment)
 }
 
-// giveUp cancels a call that its caller has in hand.
+// giveUp cancels a call that has started.
 func (c *neverSentCase) giveUp(number int) {
 	c.mu.Lock()
 	isStarted := c.started[number]
@@ -137,13 +133,13 @@
 	time.Sleep(moment)
 }
 
-// lose has the connection end.
+// lose ends the connection.
 func (c *neverSentCase) lose() {
 	c.ended = true
 	c.running.Go(func() { c.session.end(errors.New("lost")) })
 }
 
-// finish lets all lines through and says what is untrue.
+// finish lets all lines through and returns what was reported wrongly.
 func (c *neverSentCase) finish() error {
 	done := make(chan struct{})
 	go func() {
@@ -170,13 +166,13 @@
 	return nil
 }
 
-// fault says what is untrue of a call.
+// fault returns what was reported wrongly of a call.
 func (c *neverSentCase) fault(number int, isAsked, isCancelled bool) error {
 	var neverSent *NeverSentError
 	select {
 	case ended := <-c.calls[number].done:
 		if errors.As(ended.Err, &neverSent) && isAsked {
-			return fmt.Errorf("call %d was told as never sent, and was sent", number)
+			return fmt.Errorf("call %d was reported as never sent, and was sent", number)
 		}
 		return nil
 	default:
@@ -187,19 +183,19 @@
 	case !mayBeSent:
 		return fmt.Errorf("call %d was given up as never sent, and was sent", number)
 	case !c.ended && !isCancelled:
-		return fmt.Errorf("call %d was sent, and no word that it was given up after it", number)
+		return fmt.Errorf("call %d was sent and given up, and no cancel followed it", number)
 	}
 	return nil
 }
 
-// mostWaiting bounds the requests that wait for the connection from the start of a drawn case, longestCase its other steps.
+// mostWaiting bounds the requests that wait for the connection at the start of a random case, longestCase its steps.
 const (
 	mostWaiting = 4
 	longestCase = 12
 )
 
-// What was told as never sent is not sent, and what was sent and given up is told so to the other end, in whatever order
-// requests are passed on, the connection comes up, takes lines and is lost, and requests are given up.
+// A call that is reported as never sent is not sent, and one that was sent and given up is cancelled, in whatever order
+// requests are started and given up, and the connection opens, accepts lines and ends.
 func TestNeverSentIsNeverSent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newNeverSentCase()
@@ -228,14 +224,14 @@
 	})
 }
 
-// isAt reports how far the call's line is.
+// isAt reports whether the call's line is that far.
 func (c *Call) isAt(reached progress) bool {
 	c.session.mu.Lock()
 	defer c.session.mu.Unlock()
 	return c.progress == reached
 }
 
-// A request that is given up between the connection's coming up and its own line is not sent.
+// A request that is given up after the connection opened and before its line is written is not sent.
 func TestGivenUpBeforeItsLine(t *testing.T) {
 	is := is.New(t)
 	c := newNeverSentCase()
@@ -254,7 +250,7 @@
 	is.Equal(len(c.socket.lines), 1)
 }
 
-// A request that is given up while its line is being written is told as given up behind that line.
+// A request that is given up while its line is being written is cancelled after that line.
 func TestGivenUpWhileItIsWritten(t *testing.T) {
 	is := is.New(t)
 	c := newNeverSentCase()
--- a/internal/request/servingtree/server.go
+++ b/internal/request/servingtree/server.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// Handler does the work of an intermediate.
+// Handler gathers groups; gateway.Gateway implements it.
 type Handler interface {
-	// Gather answers a request; the context ends when the root does not wait for it any more. Before
-	// its end it may call send with what is in so far, once; the reply then holds the rest.
-	Gather(ctx context.Context, ask Request, send func(Answer)) Reply
+	// Gather answers a request; the context ends when the root no longer waits for the reply. It may call send once,
+	// with the parts that have arrived; the reply then has the rest.
+	Gather(ctx context.Context, request Request, send func(Answer)) Reply
 }
 
-// Server takes requests of roots; create it with NewServer.
+// Server receives requests of roots; create it with NewServer.
 type Server struct {
 	cfg     Config
 	handler Handler
@@ -27,12 +27,12 @@
 	running  sync.WaitGroup
 }
 
-// NewServer makes a server that does not listen yet.
+// NewServer returns a server that does not listen yet.
 func NewServer(cfg Config, handler Handler) *Server {
 	return &Server{cfg: cfg, handler: handler, wires: map[*wire]bool{}}
 }
 
-// Serve takes connections of a listener until the server is shut down.
+// Serve accepts the connections of a listener until the server is shut down.
 func (s *Server) Serve(listener net.Listener) {
 	s.mu.Lock()
 	s.listener = listener
@@ -49,14 +49,14 @@
 	}
 }
 
-// Announce begins a planned stop: from then on requests are declined.
+// Announce begins a planned stop: from now on requests are declined.
 func (s *Server) Announce() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = true
 }
 
-// Shutdown waits for the requests under way until the context ends, and closes all connections.
+// Shutdown waits for the requests in flight until the context ends, and then closes all connections.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.Announce()
 	ended := make(chan struct{})
@@ -81,7 +81,7 @@
 	return err
 }
 
-// serve takes the requests of one connection; those under way end with it.
+// serve handles one connection; its requests in flight are cancelled when it ends.
 func (s *Server) serve(open *wire) {
 	s.mu.Lock()
 	s.wires[open] = true
@@ -103,7 +103,7 @@
 	}
 }
 
-// begin counts a request in; false while the server is stopping.
+// begin counts a request as running; false if the server is stopping.
 func (s *Server) begin() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -114,15 +114,16 @@
 	return true
 }
 
-// servedConnection is a connection of a root with its requests under way.
+// servedConnection is a connection of a root with its requests in flight.
 type servedConnection struct {
 	server *Server
 	wire   *wire
 
 	mu      sync.Mutex
-	cancels map[uint64]context.CancelFunc
+	cancels map[uint64]context.CancelFunc // by request number
 }
 
+// receive handles a line from the root.
 func (c *servedConnection) receive(l line) {
 	switch {
 	case l.Request != nil:
@@ -134,22 +135,22 @@
 	}
 }
 
-// start begins with a request, or declines it.
-func (c *servedConnection) start(number uint64, ask Request) {
+// start begins with a request or declines it.
+func (c *servedConnection) start(number uint64, request Request) {
 	if !c.server.begin() {
 		c.send(line{Number: number, Reply: &Reply{Decline: Leaving}})
 		return
 	}
-	ctx, isIn := c.add(number)
-	if !isIn {
+	ctx, isAdded := c.add(number)
+	if !isAdded {
 		c.server.running.Done()
 		c.send(line{Number: number, Reply: &Reply{Decline: Busy}})
 		return
 	}
-	go c.gather(ctx, number, ask)
+	go c.gather(ctx, number, request)
 }
 
-// add counts a request in and gives its context; false when there are as many as allowed.
+// add registers a request and returns its context; false if there are as many as allowed.
 func (c *servedConnection) add(number uint64) (context.Context, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -161,12 +162,12 @@
 	return ctx, true
 }
 
-// gather does the work of a request and sends what came of it, unless nobody waits for it.
-func (c *servedConnection) gather(ctx context.Context, number uint64, ask Request) {
+// gather handles a request and sends the reply, unless nobody waits for it.
+func (c *servedConnection) gather(ctx context.Context, number uint64, request Request) {
 	defer c.server.running.Done()
 	began := time.Now()
 	c.send(line{Number: number, Accepted: true})
-	reply := c.server.handler.Gather(ctx, ask, func(answer Answer) {
+	reply := c.server.handler.Gather(ctx, request, func(answer Answer) {
 		c.send(line{Number: number, Reply: &Reply{Answer: &answer, Partial: true}})
 	})
 	isAwaited := ctx.Err() == nil
@@ -177,7 +178,7 @@
 	}
 }
 
-// send writes a line; a root that can't be told anything notices the end of its connection.
+// send writes a line. If it fails it closes the connection, which the root notices.
 func (c *servedConnection) send(l line) {
 	if err := c.wire.write(l); err != nil {
 		c.wire.close()
@@ -190,7 +191,7 @@
 	return c.cancels[number] != nil
 }
 
-// cancel ends a request, if it is under way.
+// cancel cancels a request if it is in flight.
 func (c *servedConnection) cancel(number uint64) {
 	c.mu.Lock()
 	cancel := c.cancels[number]
--- a/internal/request/servingtree/servingtree_test.go
+++ b/internal/request/servingtree/servingtree_test.go
@@ -18,25 +18,25 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// handler is an intermediate whose work is a function.
-type handler func(ctx context.Context, ask Request, send func(Answer)) Reply
+// handler is a Handler whose Gather is a function.
+type handler func(ctx context.Context, request Request, send func(Answer)) Reply
 
-func (h handler) Gather(ctx context.Context, ask Request, send func(Answer)) Reply {
-	return h(ctx, ask, send)
+func (h handler) Gather(ctx context.Context, request Request, send func(Answer)) Reply {
+	return h(ctx, request, send)
 }
 
-// echo answers with the request's own id.
-func echo(_ context.Context, ask Request, _ func(Answer)) Reply {
-	return Reply{Answer: &Answer{Stamps: []string{ask.ID}, Records: []byte(ask.ID)}}
+// echo answers with the id of the request.
+func echo(_ context.Context, request Request, _ func(Answer)) Reply {
+	return Reply{Answer: &Answer{Stamps: []string{request.ID}, Records: []byte(request.ID)}}
 }
 
-// untilCancelled works until nobody waits.
+// untilCancelled returns when the request is cancelled.
 func untilCancelled(ctx context.Context, _ Request, _ func(Answer)) Reply {
 	<-ctx.Done()
 	return Reply{}
 }
 
-// testConfig has bounds that no test waits for.
+// testConfig returns timeouts that no test waits for.
 func testConfig() Config {
 	cfg := DefaultConfig()
 	cfg.WriteTimeout = 10 * time.Second
@@ -81,12 +81,12 @@
 	}
 }
 
-// Many requests share a connection, and each has its own reply, in whatever order they come.
+// Many requests share a connection, and each receives its own reply, in whatever order they are sent.
 func TestCrossingRepliesReachTheirRequests(t *testing.T) {
 	is := is.New(t)
-	_, address := serve(t, testConfig(), func(ctx context.Context, ask Request, send func(Answer)) Reply {
-		time.Sleep(time.Duration(len(ask.ID)*7%5) * time.Millisecond)
-		return echo(ctx, ask, send)
+	_, address := serve(t, testConfig(), func(ctx context.Context, request Request, send func(Answer)) Reply {
+		time.Sleep(time.Duration(len(request.ID)*7%5) * time.Millisecond)
+		return echo(ctx, request, send)
 	})
 	client := newClient(t, testConfig())
 	var running sync.WaitGroup
@@ -103,7 +103,7 @@
 	is.Equal(len(client.sessions), 1)
 }
 
-// The intermediate shows at once that it is at work, and again when it is asked.
+// The intermediate acknowledges a request at once, and each probe.
 func TestSignsOfWork(t *testing.T) {
 	is := is.New(t)
 	_, address := serve(t, testConfig(), untilCancelled)
@@ -114,7 +114,7 @@
 	is.True(call.Cancel())
 }
 
-// Parts come before the end, and the rest with it.
+// Parts are received before the reply is complete, and the rest with it.
 func TestPartsComeBeforeTheRest(t *testing.T) {
 	is := is.New(t)
 	goOn := make(chan struct{})
@@ -129,9 +129,9 @@
 	is.Equal(result(t, call).Reply.Answer.Stamps, []string{"", "b"})
 }
 
-// A caller that leaves, a client that closes and a root that dies all end the work.
+// A request is cancelled if its caller leaves, its client closes or its root crashes.
 func TestWorkEndsWithItsRequest(t *testing.T) {
-	ways := map[string]func(client *Client, call *Call){
+	ends := map[string]func(client *Client, call *Call){
 		"cancelled":     func(_ *Client, call *Call) { call.Cancel() },
 		"client closed": func(client *Client, _ *Call) { client.Close() },
 		"connection cut": func(client *Client, call *Call) {
@@ -139,7 +139,7 @@
 			call.session.wire.close()
 		},
 	}
-	for name, end := range ways {
+	for name, end := range ends {
 		t.Run(name, func(t *testing.T) {
 			ended := make(chan struct{})
 			_, address := serve(t, testConfig(), func(ctx context.Context, _ Request, _ func(Answer)) Reply {
@@ -156,13 +156,13 @@
 	}
 }
 
-// A planned stop declines what comes and finishes what is there.
+// During a planned stop new requests are declined, and those in flight are answered.
 func TestPlannedStop(t *testing.T) {
 	is := is.New(t)
 	goOn := make(chan struct{})
-	server, address := serve(t, testConfig(), func(ctx context.Context, ask Request, send func(Answer)) Reply {
+	server, address := serve(t, testConfig(), func(ctx context.Context, request Request, send func(Answer)) Reply {
 		<-goOn
-		return echo(ctx, ask, send)
+		return echo(ctx, request, send)
 	})
 	client := newClient(t, testConfig())
 	before := client.Start(address, Request{ID: "before"})
@@ -177,7 +177,7 @@
 	is.True(result(t, client.Start(address, Request{ID: "late"})).Err != nil)
 }
 
-// Where nothing can have run, the error says so; where it may, it does too.
+// The error says whether the request may have run.
 func TestErrorsTellWhetherItMayHaveRun(t *testing.T) {
 	is := is.New(t)
 	var neverSent *NeverSentError
@@ -205,11 +205,11 @@
 	is.True(errors.As(result(t, client.Start(dying.Addr().String(), Request{ID: "a"})).Err, &neverSent))
 }
 
-// A frozen intermediate takes connections and says nothing: its connection is given up only once
-// nothing came for long enough.
+// A frozen intermediate accepts connections and sends nothing: its connection is closed only after it was silent for long
+// enough.
 func TestSilentConnectionIsGivenUp(t *testing.T) {
 	is := is.New(t)
-	frozen := listen(t) // the kernel takes the connection, nobody reads it
+	frozen := listen(t) // the kernel accepts the connection, nobody reads it
 	client := newClient(t, testConfig())
 	address := frozen.Addr().String()
 	call := client.Start(address, Request{ID: "a"})
@@ -229,7 +229,7 @@
 	is.True(call.Cancel())
 }
 
-// Beyond its bounds, either side refuses without having begun.
+// Both sides refuse requests beyond their limits, before anything runs.
 func TestBounds(t *testing.T) {
 	is := is.New(t)
 	narrow := testConfig()
@@ -254,8 +254,7 @@
 	is.True(errors.As(result(t, newClient(t, small).Start(address, Request{Body: make([]byte, 4096)})).Err, &tooLong))
 }
 
-// Lines that are no lines of ours, of another version, or of requests that nobody made end the
-// connection or are passed over; they reach no request.
+// Lines that can't be decoded or have another version end the connection; those of unknown requests are ignored.
 func TestStrangeLines(t *testing.T) {
 	is := is.New(t)
 	strange := map[string]string{
@@ -279,7 +278,7 @@
 	is.Equal(len(call.Acks()), 0)
 }
 
-// scripted is an intermediate that answers the first line it gets with a text.
+// scripted starts an intermediate that answers the first line with a text.
 func scripted(t *testing.T, text string) (address string) {
 	t.Helper()
 	listener := listen(t)
@@ -295,7 +294,7 @@
 	return listener.Addr().String()
 }
 
-// A failure reaches the root with all that its caller is told.
+// A failure reaches the root with everything that its caller is sent.
 func TestFailureIsPassedOnWhole(t *testing.T) {
 	is := is.New(t)
 	sent := failure.New(failure.Overloaded, failure.NotRun, "100%% busy").WithRetryAfter(250 * time.Millisecond)
@@ -314,7 +313,7 @@
 	is.Equal(len(failure.Faults(Config{}.Validate())), 5)
 }
 
-// Whatever comes is a line of ours or an error.
+// Any input decodes to a line of this version or to an error.
 func FuzzDecode(f *testing.F) {
 	for _, l := range []line{
 		{Version: version, Number: 1, Request: &Request{ID: "a", Shards: []int{1, 2}}},
--- a/internal/request/servingtree/wire.go
+++ b/internal/request/servingtree/wire.go
@@ -9,8 +9,7 @@
 	json "github.com/goccy/go-json"
 )
 
-// wire writes and reads the lines of one connection. Lines may be written by many goroutines and are
-// read by one.
+// wire writes and reads the lines of one connection. Many goroutines may write, one may read.
 type wire struct {
 	cfg    Config
 	socket net.Conn
@@ -19,7 +18,7 @@
 	mu sync.Mutex // guards writing
 }
 
-// readBytes is the size that the read buffer of a connection starts with.
+// readBytes is the initial size of the read buffer of a connection.
 const readBytes = 4 << 10
 
 func newWire(cfg Config, socket net.Conn) *wire {
@@ -28,7 +27,7 @@
 	return &wire{cfg: cfg, socket: socket, lines: lines}
 }
 
-// write sends a line, or closes the connection if its other end takes nothing.
+// write writes a line; if the socket fails, or takes nothing for the write timeout, the connection is closed.
 func (w *wire) write(l line) error {
 	l.Version = version
 	encoded, err := json.Marshal(l)
@@ -50,7 +49,7 @@
 	return nil
 }
 
-// read gives the next line.
+// read returns the next line.
 func (w *wire) read() (line, error) {
 	if err := w.socket.SetReadDeadline(time.Now().Add(w.cfg.IdleTimeout)); err != nil {
 		return line{}, err
@@ -64,7 +63,7 @@
 	return decode(w.lines.Bytes())
 }
 
-// decode reads one line.
+// decode decodes a line and checks its version.
 func decode(encoded []byte) (line, error) {
 	var l line
 	if err := json.Unmarshal(encoded, &l); err != nil {
@@ -77,7 +76,7 @@
 }
 
 func (w *wire) close() {
-	// A second close is harmless, and nothing can be done about any other failure.
+	// An error means that the connection is closed already, or that nothing can be done.
 	if err := w.socket.Close(); err != nil {
 		return
 	}
