--- /dev/null
+++ b/internal/config/catalog/overwritten.go
@@ -0,0 +1,49 @@
+package catalog
+
+import (
+	"github.com/cespare/xxhash/v2"
+
+	"github.com/portgauge/portgauge/internal/config/revision"
+)
+
+// maxOverwritten bounds the writes that are remembered, about 0.5 MB: the last seconds of the start of a large
+// fleet, which writes the most.
+const maxOverwritten = 4096
+
+// overwrittenWrites remembers the newest of the writes that others replaced. The zero value is empty.
+type overwrittenWrites struct {
+	known map[overwrittenWrite]bool
+	order []overwrittenWrite
+}
+
+// overwrittenWrite identifies a write by its key, its count and a hash of its value.
+type overwrittenWrite struct {
+	key   string
+	count int64
+	sum   uint64
+}
+
+func overwrittenOf(entry Entry) overwrittenWrite {
+	return overwrittenWrite{key: entry.Key, count: revision.Count(entry.Revision), sum: xxhash.Sum64(entry.Value)}
+}
+
+// add remembers a write.
+func (p *overwrittenWrites) add(entry Entry) {
+	write := overwrittenOf(entry)
+	if p.known == nil {
+		p.known = map[overwrittenWrite]bool{}
+	}
+	if p.known[write] {
+		return
+	}
+	if len(p.order) >= maxOverwritten {
+		delete(p.known, p.order[0])
+		p.order = p.order[1:]
+	}
+	p.known[write] = true
+	p.order = append(p.order, write)
+}
+
+// has reports whether a write is remembered. If a restored store holds it, it is older than what replaced it: a
+// new write has another count, or the count of a lost write and another value.
+func (p *overwrittenWrites) has(entry Entry) bool { return p.known[overwrittenOf(entry)] }
