--- a/cmd/portgauge-lab/rollout.go
+++ b/cmd/portgauge-lab/rollout.go
@@ -29,8 +29,8 @@
 	}
 	return withPrograms(func(ctx context.Context, programs process.Programs) error {
 		fmt.Printf("seed %d\n", seed)
-		cfg := soak.ShowConfig{Seed: seed, Duration: c.Duration, PerSecond: c.PerSecond, Cases: c.Cases, Logs: c.Logs}
-		passed, failed, err := soak.Show(ctx, programs.Portgauge, cfg, os.Stdout)
+		cfg := soak.RolloutsConfig{Seed: seed, Duration: c.Duration, PerSecond: c.PerSecond, Cases: c.Cases, Logs: c.Logs}
+		passed, failed, err := soak.PlayRollouts(ctx, programs.Portgauge, cfg, os.Stdout)
 		if err != nil {
 			return err
 		}
--- a/cmd/portgauge-lab/soak.go
+++ b/cmd/portgauge-lab/soak.go
@@ -33,7 +33,7 @@
 		passed, failed := 0, 0
 		for _, seed := range seeds {
 			fmt.Printf("seed %d\n", seed)
-			verdicts, err := soak.Run(ctx, programs.Portgauge, soak.Config{Seed: seed, Length: c.Length, PerSecond: c.PerSecond, Nodes: c.Nodes, Streams: c.Streams, Logs: c.Logs, KeepsAll: c.KeepAll}, os.Stdout)
+			verdicts, err := soak.Run(ctx, programs.Portgauge, soak.Config{Seed: seed, Length: c.Length, PerSecond: c.PerSecond, Nodes: c.Nodes, Streams: c.Streams, Logs: c.Logs, KeepAll: c.KeepAll}, os.Stdout)
 			if err != nil {
 				return err
 			}
--- a/internal/lab/httpleaf/httpleaf.go
+++ b/internal/lab/httpleaf/httpleaf.go
@@ -64,9 +64,9 @@
 
 // Leaf is one incarnation; safe for concurrent use.
 type Leaf struct {
-	ID      string
-	dialect httpnames.Names
-	answer  func(Request) Answer
+	ID     string
+	names  httpnames.Names
+	answer func(Request) Answer
 
 	listener net.Listener
 	mutex    sync.Mutex
@@ -76,22 +76,22 @@
 
 // Start listens on a free address of the loopback. The answer function says how each request is
 // answered; it is called concurrently.
-func Start(id string, dialect httpnames.Names, answer func(Request) Answer) (*Leaf, error) {
-	return StartAt("127.0.0.1:0", id, dialect, answer)
+func Start(id string, names httpnames.Names, answer func(Request) Answer) (*Leaf, error) {
+	return StartAt("127.0.0.1:0", id, names, answer)
 }
 
 // StartAt listens on a given address.
-func StartAt(address, id string, dialect httpnames.Names, answer func(Request) Answer) (*Leaf, error) {
+func StartAt(address, id string, names httpnames.Names, answer func(Request) Answer) (*Leaf, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
 		return nil, err
 	}
-	return Serve(listener, id, dialect, answer), nil
+	return Serve(listener, id, names, answer), nil
 }
 
 // Serve starts a leaf that accepts connections of a listener until Stop, which closes the listener.
-func Serve(listener net.Listener, id string, dialect httpnames.Names, answer func(Request) Answer) *Leaf {
-	leaf := &Leaf{ID: id, dialect: dialect, answer: answer, listener: listener, open: map[net.Conn]bool{}}
+func Serve(listener net.Listener, id string, names httpnames.Names, answer func(Request) Answer) *Leaf {
+	leaf := &Leaf{ID: id, names: names, answer: answer, listener: listener, open: map[net.Conn]bool{}}
 	go leaf.accept()
 	return leaf
 }
@@ -154,10 +154,10 @@
 	if err != nil {
 		return Request{}, err
 	}
-	millis, _ := strconv.ParseInt(read.Header.Get(l.dialect.DeadlineMillis), 10, 64)
+	millis, _ := strconv.ParseInt(read.Header.Get(l.names.DeadlineMillis), 10, 64)
 	request := Request{
-		ID: read.Header.Get(l.dialect.RequestID), Method: read.Method, Target: read.RequestURI, Host: read.Host,
-		Incarnation: read.Header.Get(l.dialect.ExpectedIncarnation), Header: read.Header, Body: body,
+		ID: read.Header.Get(l.names.RequestID), Method: read.Method, Target: read.RequestURI, Host: read.Host,
+		Incarnation: read.Header.Get(l.names.ExpectedIncarnation), Header: read.Header, Body: body,
 		Deadline: time.Duration(millis) * time.Millisecond, At: time.Now(),
 	}
 	l.mutex.Lock()
@@ -213,15 +213,15 @@
 	if answer.RequestID != "" {
 		id = answer.RequestID
 	}
-	headers := [][2]string{{l.dialect.RequestID, id}}
+	headers := [][2]string{{l.names.RequestID, id}}
 	add := func(wanted bool, name, value string) {
 		if wanted {
 			headers = append(headers, [2]string{name, value})
 		}
 	}
-	add(!answer.Unsigned && !answer.NotExecuted, l.dialect.ResponseStamp, l.ID+"."+id)
-	add(answer.NotExecuted, l.dialect.NotExecuted, "1")
-	add(answer.Load != "", l.dialect.ServerLoad, answer.Load)
+	add(!answer.Unsigned && !answer.NotExecuted, l.names.ResponseStamp, l.ID+"."+id)
+	add(answer.NotExecuted, l.names.NotExecuted, "1")
+	add(answer.Load != "", l.names.ServerLoad, answer.Load)
 	add(!answer.Unframed, "Content-Length", strconv.Itoa(len(answer.Body)))
 	add(answer.Close || answer.Unframed, "Connection", "close")
 	add(answer.KeepAliveSeconds > 0, "Keep-Alive", fmt.Sprintf("timeout=%d", answer.KeepAliveSeconds))
--- a/internal/lab/rollouts/fault.go
+++ b/internal/lab/rollouts/fault.go
@@ -1,28 +1,31 @@
-// Package rollouts has what the lab needs to play roll-outs over real nodes: the versions that stand-in leafs run,
-// good and bad ones, and what an order looked like from the leafs and the store.
+// Package rollouts has the versions, good and bad, that stand-in leafs run in roll-outs over real nodes, and the view that
+// leafs and operators had of a roll-out order, on which its promises are checked.
+//
+// A Version records the requests that its leafs received. It relies on package httpleaf and starts nothing.
 package rollouts
 
 import "time"
 
-// Fault is how a version is bad; the zero value is a good version.
+// Fault is what is wrong with a version; a good version has the zero value.
 type Fault struct {
 	Name string
-	// Failing is the part of the answers that fail, from 0 to 1.
+	// Failing is the share of answers that are failures, from 0 to 1.
 	Failing float64
-	// Slower is how many times longer a leaf works on a request; 0 means as long as the others.
+	// Slower multiplies the service time; 0 means 1.
 	Slower float64
-	// After is how long after the order the version turns bad.
+	// After is the time from the order until the fault shows.
 	After time.Duration
-	// AtOnce and PerSecond are how many requests a leaf bears; 0 means any number.
+	// AtOnce and PerSecond are the requests at a time, and a second, up to which a leaf shows no fault; 0 means that it
+	// always does.
 	AtOnce, PerSecond int
-	// Prefix is that of the only paths on which the version is bad; empty means all.
+	// Prefix limits the fault to paths with this prefix; empty means all paths.
 	Prefix string
 }
 
-// IsBad reports whether there is any fault.
+// IsBad reports whether there is a fault.
 func (f Fault) IsBad() bool { return f.Failing > 0 || f.Slower > 1 }
 
-// String gives the fault's name.
+// String returns the fault's name.
 func (f Fault) String() string {
 	if !f.IsBad() {
 		return "good"
@@ -30,7 +33,7 @@
 	return f.Name
 }
 
-// Faults are the sorts of bad versions that are played; a path begins with prefix on the route that one fails on.
+// Faults returns the faults that are played. One of them shows only on paths with a prefix.
 func Faults(prefix string) []Fault {
 	return []Fault{
 		{Name: "fails at once", Failing: 0.3},
--- a/internal/lab/rollouts/release.go
+++ b/internal/lab/rollouts/release.go
@@ -2,83 +2,85 @@
 
 import "time"
 
-// Outcome is what the operators were told of an order.
+// Outcome is the status of an order as operators read it.
 type Outcome string
 
-// The outcomes.
+// Outcomes of an order.
 const (
 	Running    Outcome = "running"
 	Succeeded  Outcome = "succeeded"
 	RolledBack Outcome = "rolled back"
 )
 
-// Telling is one word that the operators were told of a service.
-type Telling struct {
-	// Revision is that of the store that wrote it.
+// StatusReading is a status of a service that an operator read.
+type StatusReading struct {
+	// Revision is the store's revision of the status.
 	Revision int64
-	// Target is the version that it speaks of.
+	// Target is the version in the status.
 	Target  string
 	Outcome Outcome
 	// At is when the operator read it.
 	At time.Time
 }
 
-// Release is one order, as operators gave it and as the store and the leafs saw it.
+// Release is an order as operators gave it, with what the store and the leafs recorded.
 type Release struct {
 	Old, Target *Version
 	Duration    time.Duration
-	// At is when the order was given, and Revision what wrote it.
+	// At is when the order was given, and Revision the store's revision of it.
 	At       time.Time
 	Revision int64
-	// Ended is when it was taken back or replaced, zero if it was not, and EndRevision what wrote that.
+	// Ended is when the order was cancelled or replaced, or zero, and EndRevision the revision of that.
 	Ended       time.Time
 	EndRevision int64
-	// Until is the revision of the next order for the service, 0 if there was none, and Next the version it is for.
+	// Until is the revision of the next order for the service, or 0, and Next the version that it names.
 	Until int64
 	Next  string
-	// Told is what the operators were told of the service, of this order or not.
-	Told []Telling
+	// Statuses are all readings of the service's status, of this order and others.
+	Statuses []StatusReading
 }
 
 // Bounds of what a bad version may get.
 const (
-	// Share and Slack are as the nodes' settings have them.
+	// Share and Slack are those in the nodes' settings.
 	Share = 0.1
 	Slack = 50
-	// badAnswers and Lateness say that nothing is sent later than this after so many bad answers.
+	// A version gets nothing later than Lateness after its badAnswers-th bad answer.
 	badAnswers = 50
 	Lateness   = 5 * time.Second
 )
 
-// Clear reports whether nothing hindered who sent a visit from knowing the newest state.
+// Clear reports whether no fault kept the sender of a visit from knowing the newest state.
 type Clear func(Visit) bool
 
-// Always holds all visits to the promises.
+// Always is a Clear for runs without faults.
 func Always(Visit) bool { return true }
 
-// Outcome gives what was told of the order at last, and when.
-func (r *Release) Outcome() (told Outcome, at time.Time) {
-	for _, telling := range r.Told {
-		if r.isOwn(telling) && telling.Outcome != told {
-			told, at = telling.Outcome, telling.At
+// Outcome returns the last status of the order, and when it was first read.
+func (r *Release) Outcome() (status Outcome, at time.Time) {
+	for _, telling := range r.Statuses {
+		if r.isOwn(telling) && telling.Outcome != status {
+			status, at = telling.Outcome, telling.At
 		}
 	}
-	return told, at
+	return status, at
 }
 
-func (r *Release) isOwn(t Telling) bool {
+func (r *Release) isOwn(t StatusReading) bool {
 	return t.Revision > r.Revision && (r.Until == 0 || t.Revision < r.Until)
 }
 
-// isOver reports whether an order had been taken back or replaced before something was told of it.
-func (r *Release) isOver(t Telling) bool { return r.EndRevision != 0 && t.Revision >= r.EndRevision }
+// isOver reports whether the order had been cancelled or replaced before a status was written.
+func (r *Release) isOver(t StatusReading) bool {
+	return r.EndRevision != 0 && t.Revision >= r.EndRevision
+}
 
-// Misled gives what was told that must not be: a second outcome, one of another version, any of an order that was
-// replaced, and of one that was taken back any but that it was rolled back, which is true of it.
-func (r *Release) Misled() []Telling {
-	var misled []Telling
+// WrongStatuses returns the readings that must not be: a second outcome, a status of another version, any status of an order
+// after it was replaced, and any but rolled back after it was cancelled.
+func (r *Release) WrongStatuses() []StatusReading {
+	var misled []StatusReading
 	final := Outcome("")
-	for _, telling := range r.Told {
+	for _, telling := range r.Statuses {
 		switch {
 		case r.isOwn(telling):
 			isSecond := final != "" && telling.Outcome != final
@@ -89,7 +91,7 @@
 			if telling.Outcome != Running && final == "" {
 				final = telling.Outcome
 			}
-		case r.Next == r.Target.Name(): // what is told of this version then is told of the next order
+		case r.Next == r.Target.Name(): // a status of this version then belongs to the next order
 		case telling.Revision > r.Revision && telling.Target == r.Target.Name() && telling.Outcome != Running:
 			misled = append(misled, telling)
 		}
@@ -97,18 +99,18 @@
 	return misled
 }
 
-// Exposure is what a version got between the order and its deadline.
+// Exposure is what a version got between its order and the deadline.
 type Exposure struct {
-	// Got were requests at its leafs, of those in touch.
+	// Got counts the requests at the version's leafs from nodes without a fault.
 	Got int
-	// Reached were the requests that reached the service.
+	// Reached counts the requests that reached the service.
 	Reached int
 }
 
-// Bound is how many requests the version may get if it is bad.
+// Bound returns how many requests a bad version may get.
 func (e Exposure) Bound() float64 { return Share*float64(e.Reached) + Slack }
 
-// Exposure counts what the version got, and all that reached the service, each request once.
+// Exposure counts the requests that the version got, and all that reached the service, each request once.
 func (r *Release) Exposure(clear Clear) Exposure {
 	got := r.within(r.Target)
 	reached := map[string]bool{}
@@ -118,7 +120,7 @@
 	return Exposure{Got: len(clears(got, clear)), Reached: len(reached)}
 }
 
-// within gives the visits between the order and its deadline or end.
+// within returns the visits between the order and its deadline or end.
 func (r *Release) within(v *Version) []Visit {
 	end := r.At.Add(r.Duration)
 	if !r.Ended.IsZero() && r.Ended.Before(end) {
@@ -127,17 +129,17 @@
 	return selected(v, func(visit Visit) bool { return !visit.At.Before(r.At) && !visit.At.After(end) })
 }
 
-// Late gives the visits to the version that came too late after its 50th bad answer.
+// Late returns the visits to the version that came too late after its 50th bad answer.
 func (r *Release) Late(clear Clear) []Visit {
-	fiftieth, found := r.Condemned()
+	fiftieth, found := r.FiftiethBadAnswer()
 	if !found {
 		return nil
 	}
 	return clears(selected(r.Target, func(visit Visit) bool { return visit.At.After(fiftieth.Add(Lateness)) }), clear)
 }
 
-// Condemned gives when the version had given its 50th bad answer; false if it had not.
-func (r *Release) Condemned() (at time.Time, found bool) {
+// FiftiethBadAnswer returns when the version gave its 50th bad answer, and false if it never did.
+func (r *Release) FiftiethBadAnswer() (at time.Time, found bool) {
 	bad := selected(r.Target, Visit.isBad)
 	if len(bad) < badAnswers {
 		return time.Time{}, false
@@ -145,29 +147,29 @@
 	return bad[badAnswers-1].Done, true
 }
 
-// ShowedNothing reports whether the version had given no bad answer by the time at which the operators were told that it
-// succeeded, which is final: whatever it does later, no answer could have kept it from that. Such is a version that fails some
-// seconds after its first request, and whose service got none in those seconds.
-func (r *Release) ShowedNothing() bool {
-	told, at := r.Outcome()
+// HadNoBadAnswer reports whether the version had given no bad answer until operators read that it succeeded. That outcome is
+// final: no answer could have prevented it. A version that fails some seconds after its first request is such a case if its
+// service got no requests in those seconds.
+func (r *Release) HadNoBadAnswer() bool {
+	status, at := r.Outcome()
 	isSeen := func(visit Visit) bool { return visit.isBad() && !visit.Done.After(at) }
-	return told == Succeeded && len(selected(r.Target, isSeen)) == 0
+	return status == Succeeded && len(selected(r.Target, isSeen)) == 0
 }
 
-// BadAnswers is how many bad answers the version gave.
+// BadAnswers returns the number of the version's bad answers.
 func (r *Release) BadAnswers() int { return len(selected(r.Target, Visit.isBad)) }
 
 func (v Visit) isBad() bool { return v.Bad }
 
-// Barred gives the visits to the version without an order: before it, and some time after it was rolled back or
-// had ended.
-func (r *Release) Barred(clear Clear) []Visit {
+// Unordered returns the visits to the version without an order in force: before it, and some time after it was rolled back
+// or ended.
+func (r *Release) Unordered(clear Clear) []Visit {
 	if r.Old == r.Target {
 		return nil
 	}
 	before := selected(r.Target, func(visit Visit) bool { return visit.At.Before(r.At) })
 	end := r.Ended
-	if told, at := r.Outcome(); told == RolledBack && (end.IsZero() || at.Before(end)) {
+	if status, at := r.Outcome(); status == RolledBack && (end.IsZero() || at.Before(end)) {
 		end = at
 	}
 	if end.IsZero() {
@@ -177,11 +179,10 @@
 	return append(before, clears(after, clear)...)
 }
 
-// Leftover gives the visits at the old version that were not over when the operators were told that the new one
-// serves.
-func (r *Release) Leftover(clear Clear) []Visit {
-	told, at := r.Outcome()
-	if told != Succeeded || r.Old == r.Target {
+// AtOldVersion returns the visits at the old version that had not ended when operators read that the new one serves.
+func (r *Release) AtOldVersion(clear Clear) []Visit {
+	status, at := r.Outcome()
+	if status != Succeeded || r.Old == r.Target {
 		return nil
 	}
 	return clears(selected(r.Old, func(visit Visit) bool { return visit.Done.After(at) }), clear)
--- a/internal/lab/rollouts/release_test.go
+++ b/internal/lab/rollouts/release_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// sample is a release of 10 s with visits at some times after its order.
+// sample returns a release of 10 s with visits at some times after its order.
 func sample(fault Fault, old, target []time.Duration) *Release {
 	began := time.Now()
 	visits := func(after []time.Duration, name string) *Version {
@@ -25,7 +25,7 @@
 }
 
 func (r *Release) tell(outcome Outcome, revision int64, after time.Duration) {
-	r.Told = append(r.Told, Telling{Revision: revision, Target: "b", Outcome: outcome, At: r.At.Add(after)})
+	r.Statuses = append(r.Statuses, StatusReading{Revision: revision, Target: "b", Outcome: outcome, At: r.At.Add(after)})
 }
 
 func never(Visit) bool { return false }
@@ -49,47 +49,47 @@
 	is.Equal(len(sample(Fault{}, nil, append(after, Lateness, Lateness+time.Second)).Late(Always)), 0)
 }
 
-// A version that was found good before its first bad answer could not be found bad; one bad answer before that, and it could.
+// A version that succeeded before its first bad answer could not have been found bad; after one bad answer it could.
 func TestVersionThatShowedNothingInTime(t *testing.T) {
 	is := is.New(t)
 	r := sample(Fault{Failing: 1}, nil, []time.Duration{3 * time.Second, 4 * time.Second})
-	is.True(!r.ShowedNothing()) // nothing was told
+	is.True(!r.HadNoBadAnswer()) // without a status
 	r.tell(Succeeded, 6, 2*time.Second)
-	is.True(r.ShowedNothing())
+	is.True(r.HadNoBadAnswer())
 	r.tell(RolledBack, 7, 3*time.Second)
-	is.True(!r.ShowedNothing())
+	is.True(!r.HadNoBadAnswer())
 	r = sample(Fault{Failing: 1}, nil, []time.Duration{time.Second, 4 * time.Second})
 	r.tell(Succeeded, 6, 2*time.Second)
-	is.True(!r.ShowedNothing())
+	is.True(!r.HadNoBadAnswer())
 }
 
 func TestBarredVisits(t *testing.T) {
 	is := is.New(t)
 	r := sample(Fault{}, nil, []time.Duration{-time.Second, time.Second, 3*time.Second + Lateness})
-	is.Equal(len(r.Barred(never)), 1) // before the order, whoever sent it
+	is.Equal(len(r.Unordered(never)), 1) // before the order, by whatever sender
 	r.tell(RolledBack, 6, 2*time.Second)
-	is.Equal(len(r.Barred(Always)), 2)
-	is.Equal(len(r.Barred(never)), 1)
-	r.Told = nil
+	is.Equal(len(r.Unordered(Always)), 2)
+	is.Equal(len(r.Unordered(never)), 1)
+	r.Statuses = nil
 	r.Ended = r.At.Add(2 * time.Second)
-	is.Equal(len(r.Barred(Always)), 2)
+	is.Equal(len(r.Unordered(Always)), 2)
 }
 
 func TestVisitsLeftAtTheOldVersion(t *testing.T) {
 	is := is.New(t)
 	r := sample(Fault{}, []time.Duration{time.Second, 2*time.Second - work/2, 3 * time.Second}, nil)
-	is.Equal(len(r.Leftover(Always)), 0)
+	is.Equal(len(r.AtOldVersion(Always)), 0)
 	r.tell(Succeeded, 6, 2*time.Second)
-	is.Equal(len(r.Leftover(Always)), 2)
-	is.Equal(len(r.Leftover(never)), 0)
+	is.Equal(len(r.AtOldVersion(Always)), 2)
+	is.Equal(len(r.AtOldVersion(never)), 0)
 }
 
 func TestMisledOperators(t *testing.T) {
 	cases := map[string]struct {
-		told  []Outcome
-		end   int64
-		until int64
-		bad   int
+		status []Outcome
+		end    int64
+		until  int64
+		bad    int
 	}{
 		"one outcome":                {[]Outcome{Running, Running, Succeeded}, 0, 0, 0},
 		"the same again":             {[]Outcome{RolledBack, RolledBack}, 0, 0, 0},
@@ -105,18 +105,18 @@
 		t.Run(name, func(t *testing.T) {
 			r := sample(Fault{}, nil, nil)
 			r.EndRevision, r.Until = one.end, one.until
-			for index, outcome := range one.told {
+			for index, outcome := range one.status {
 				r.tell(outcome, r.Revision+1+int64(index), time.Second)
 			}
-			is.New(t).Equal(len(r.Misled()), one.bad)
+			is.New(t).Equal(len(r.WrongStatuses()), one.bad)
 		})
 	}
 	r := sample(Fault{}, nil, nil)
 	r.tell(Succeeded, 6, time.Second)
 	r.Until, r.Next = 7, "b"
 	r.tell(Succeeded, 8, 2*time.Second)
-	is.New(t).Equal(len(r.Misled()), 0) // the next order is for the same version
+	is.New(t).Equal(len(r.WrongStatuses()), 0) // the next order is for the same version
 	r = sample(Fault{}, nil, nil)
-	r.Told = []Telling{{Revision: 6, Target: "c", Outcome: Running}}
-	is.New(t).Equal(len(r.Misled()), 1) // of another version
+	r.Statuses = []StatusReading{{Revision: 6, Target: "c", Outcome: Running}}
+	is.New(t).Equal(len(r.WrongStatuses()), 1) // of another version
 }
--- a/internal/lab/rollouts/version.go
+++ b/internal/lab/rollouts/version.go
@@ -11,17 +11,17 @@
 	"github.com/portgauge/portgauge/internal/lab/httpleaf"
 )
 
-// Visit is one request that a leaf of a version got.
+// Visit is a request that a leaf of a version received.
 type Visit struct {
 	Leaf, ID string
-	// At is when it came, Done when the answer was due.
+	// At is when it was received, Done when the answer was due.
 	At, Done time.Time
-	// Bad says that the answer failed or was slow.
+	// Bad marks an answer that failed or was slow.
 	Bad bool
 }
 
-// Version is the software that some leafs of a service run, which notes all that they are asked; safe for
-// concurrent use.
+// Version is the software that some leafs of a service run. It records the requests that they receive; safe for concurrent
+// use.
 type Version struct {
 	service, name string
 	work          time.Duration
@@ -33,44 +33,43 @@
 	visits  []Visit
 }
 
-// NewVersion makes a version whose leafs work so long on a request, with a fault, the zero one being none.
+// NewVersion returns a version with a service time and a fault.
 func NewVersion(service, name string, work time.Duration, fault Fault) *Version {
 	return &Version{service: service, name: name, work: work, fault: fault}
 }
 
-// Service is the service that the version is of.
+// Service returns the service of the version.
 func (v *Version) Service() string { return v.service }
 
-// Name is what the leafs' records tell.
+// Name returns the version's name in the leafs' records.
 func (v *Version) Name() string { return v.name }
 
-// Fault is what is bad with the version.
+// Fault returns what is wrong with the version.
 func (v *Version) Fault() Fault { return v.fault }
 
-// Order notes when an order named the version.
+// Order notes the time of the order that names the version.
 func (v *Version) Order(now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.ordered = now
 }
 
-// Stop has the leafs end like processes that are killed: who asks them gets no answer. What they are asked is still
-// noted.
+// Stop makes the leafs drop all requests, as if their processes had been killed. The requests are still recorded.
 func (v *Version) Stop() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.isOver = true
 }
 
-// Visits gives all requests so far.
+// Visits returns all requests so far.
 func (v *Version) Visits() []Visit {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return slices.Clone(v.visits)
 }
 
-// Answer notes a request at a leaf and gives its answer, whose body is the given one unless it fails. A request
-// that names no leaf is a look at its health.
+// Answer records a request at a leaf and returns the leaf's answer, with the given body unless it fails. A request that
+// names no incarnation is a health check.
 func (v *Version) Answer(leaf string, asked httpleaf.Request, body []byte) httpleaf.Answer {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -80,7 +79,7 @@
 	}
 	answer := httpleaf.Answer{Delay: v.work, Body: body, Load: "0,0,4", KeepAliveSeconds: 20}
 	isBad := false
-	if v.isIll(leaf, asked) {
+	if v.showsFault(leaf, asked) {
 		answer.Delay = time.Duration(float64(v.work) * max(1, v.fault.Slower))
 		if rand.Float64() < v.fault.Failing {
 			answer.Status, answer.Body = http.StatusInternalServerError, nil
@@ -97,8 +96,8 @@
 	}
 }
 
-// isIll reports whether the fault shows on a request now. The lock must be held.
-func (v *Version) isIll(leaf string, asked httpleaf.Request) bool {
+// showsFault reports whether the fault shows in a request. The caller must hold the lock.
+func (v *Version) showsFault(leaf string, asked httpleaf.Request) bool {
 	isIn := v.fault.IsBad() && asked.Incarnation != "" && strings.HasPrefix(asked.Target, v.fault.Prefix)
 	if !isIn || v.ordered.IsZero() || asked.At.Sub(v.ordered) < v.fault.After {
 		return false
@@ -107,7 +106,8 @@
 	return atOnce+1 > v.fault.AtOnce && lately+1 > v.fault.PerSecond
 }
 
-// load gives how many requests a leaf works on and how many came within a second. The lock must be held.
+// load returns how many requests a leaf is working on and how many it received in the last second. The caller must hold the
+// lock.
 func (v *Version) load(leaf string, now time.Time) (atOnce, lately int) {
 	for _, visit := range slices.Backward(v.visits) {
 		if now.Sub(visit.At) > time.Second {
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -10,30 +10,30 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// touchSlack is how long after a fault a node is not held to promises with a time bound.
-const touchSlack = 5 * time.Second
+// recoverySlack is how long after a fault a node is not held to promises that bound a time.
+const recoverySlack = 5 * time.Second
 
-// fault is one kind of trouble: it begins, and gives what ends it.
+// fault is a kind of fault. Its begin function injects it and returns the function that ends it.
 type fault struct {
 	name  string
 	begin func(i *injector, span time.Duration) (end func())
 }
 
-// injector draws faults from a seed and brings them about from outside the processes.
+// injector draws faults from a seed and injects them from outside of the processes.
 type injector struct {
 	world  *world
 	kinds  []fault
 	random *rand.Rand
-	tell   func(string)
+	log    func(string)
 }
 
-// faults are all kinds of trouble that the soak knows.
+// faults returns all kinds of faults that are drawn one by one.
 func faults() []fault {
 	return []fault{
 		{"node frozen", (*injector).freezeNode},
 		{"node killed", (*injector).killNode},
 		{"node stopped and started", (*injector).stopNode},
-		{"node told to reload", (*injector).reloadNode},
+		{"node reloads", (*injector).reloadNode},
 		{"node cut from the store", (*injector).cutStore},
 		{"node's store link one way", (*injector).oneWayStore},
 		{"node cut from its peers", (*injector).cutPeers},
@@ -41,13 +41,13 @@
 		{"node's link of requests one way", (*injector).oneWayTree},
 		{"node's link of requests delayed", (*injector).slowTree},
 		{"node's link of requests reset", (*injector).resetTree},
-		{"node turned away by the store", (*injector).turnAway},
+		{"node's store link reset", (*injector).resetStore},
 		{"store refuses", (*injector).refuseStore},
 		{"store silent", (*injector).silenceStore},
 		{"store slow", (*injector).slowStore},
-		{"store hushes watches", (*injector).hushStore},
+		{"store's watches silent", (*injector).silenceWatches},
 		{"store loses answers", (*injector).loseAnswers},
-		{"store forgets its history", (*injector).compactStore},
+		{"store drops its history", (*injector).compactStore},
 		{"leaf dark", (*injector).darkLeaf},
 		{"leaf link delayed", (*injector).slowLeaf},
 		{"leaf link one way", (*injector).oneWayLeaf},
@@ -59,14 +59,14 @@
 	}
 }
 
-// Spans of faults and of the rest between them.
+// Durations of faults and of the pauses between them.
 const (
 	leastSpan = 300 * time.Millisecond
 	spanRange = 3 * time.Second
 	restRange = 2 * time.Second
 )
 
-// run brings about one fault after the other, some of them together, until the context ends.
+// run injects faults one after the other, at times two together, until the context ends.
 func (i *injector) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		count := 1 + i.random.IntN(2)
@@ -74,7 +74,7 @@
 		span := leastSpan + time.Duration(i.random.Int64N(int64(spanRange)))
 		for range count {
 			kind := i.kinds[i.random.IntN(len(i.kinds))]
-			i.tell(fmt.Sprintf("%s for %v", kind.name, span.Round(time.Millisecond)))
+			i.log(fmt.Sprintf("%s for %v", kind.name, span.Round(time.Millisecond)))
 			ends = append(ends, kind.begin(i, span))
 		}
 		wait.For(ctx, span)
@@ -87,32 +87,32 @@
 
 func (i *injector) node(span time.Duration) *nodeState {
 	node := i.world.nodes[i.random.IntN(len(i.world.nodes))]
-	node.touch(span+touchSlack, false)
+	node.noteFault(span+recoverySlack, false)
 	return node
 }
 
-// everyNode notes a fault that touches all nodes.
+// everyNode notes a fault that affects all nodes.
 func (i *injector) everyNode(span time.Duration) {
 	for _, node := range i.world.nodes {
-		node.touch(span+touchSlack, false)
+		node.noteFault(span+recoverySlack, false)
 	}
 }
 
-// leaf draws a leaf that is in use, for a fault of some span.
+// leaf draws a leaf that is neither leaving nor crashed, and notes a fault of it.
 func (i *injector) leaf(span time.Duration) (string, *leafState) {
 	i.world.mu.Lock()
 	defer i.world.mu.Unlock()
 	for {
 		id := fmt.Sprintf("leaf-%d", 1+i.random.IntN(i.world.nextID))
-		if state, found := i.world.leafs[id]; found && state.leavingAt.IsZero() && !state.hasEnded {
+		if state, found := i.world.leafs[id]; found && state.leavingAt.IsZero() && !state.hasCrashed {
 			now := time.Now()
-			state.troubles = append(state.troubles, trouble{from: now, until: now.Add(span + touchSlack)})
+			state.faultSpans = append(state.faultSpans, faultSpan{from: now, until: now.Add(span + recoverySlack)})
 			return id, state
 		}
 	}
 }
 
-// nothing ends a fault that did not begin.
+// nothing ends a fault that could not be injected.
 func nothing() {}
 
 func (i *injector) freezeNode(span time.Duration) func() {
@@ -123,8 +123,8 @@
 	node.process.Freeze()
 	return func() {
 		node.process.Wake()
-		node.touch(touchSlack, false)
-		node.yield()
+		node.noteFault(recoverySlack, false)
+		node.unclaim()
 	}
 }
 
@@ -142,11 +142,11 @@
 	if !node.claim() {
 		return nothing
 	}
-	node.stop(span + touchSlack)
+	node.stop(span + recoverySlack)
 	stopped := make(chan struct{})
 	go func() {
 		if err := node.process.Stop(); err != nil {
-			i.tell("FAILED STOP " + err.Error())
+			i.log("FAILED STOP " + err.Error())
 		}
 		close(stopped)
 	}()
@@ -157,11 +157,11 @@
 }
 
 func (i *injector) restart(node *nodeState) {
-	node.touch(touchSlack, false)
+	node.noteFault(recoverySlack, false)
 	if err := i.world.startNode(node); err != nil {
-		i.tell("FAILED START " + err.Error())
+		i.log("FAILED START " + err.Error())
 	}
-	node.yield()
+	node.unclaim()
 }
 
 func (i *injector) reloadNode(span time.Duration) func() {
@@ -170,7 +170,7 @@
 		return nothing
 	}
 	node.process.Reload()
-	return node.yield
+	return node.unclaim
 }
 
 func (i *injector) setStoreLink(span time.Duration, condition Condition) func() {
@@ -178,16 +178,16 @@
 	node.storeLink.Set(condition)
 	return func() {
 		node.storeLink.Set(Sound)
-		node.touch(touchSlack, false)
+		node.noteFault(recoverySlack, false)
 	}
 }
 
 func (i *injector) cutStore(span time.Duration) func()    { return i.setStoreLink(span, Silent) }
 func (i *injector) oneWayStore(span time.Duration) func() { return i.setStoreLink(span, OneWay) }
 
-func (i *injector) turnAway(span time.Duration) func() { return i.setStoreLink(span, Resetting) }
+func (i *injector) resetStore(span time.Duration) func() { return i.setStoreLink(span, Resetting) }
 
-// slowStore delays what all nodes say to the store and hear of it.
+// slowStore delays the bytes between all nodes and the store.
 func (i *injector) slowStore(span time.Duration) func() {
 	i.everyNode(span)
 	for _, node := range i.world.nodes {
@@ -208,8 +208,7 @@
 	return func() { node.setCut(false) }
 }
 
-// setTreeLink disturbs the link by which other nodes have a node gather for them. That touches their
-// requests, not only its own.
+// setTreeLink changes the link by which other nodes reach a node as an intermediate. That affects their requests, too.
 func (i *injector) setTreeLink(span time.Duration, condition Condition) func() {
 	i.everyNode(span)
 	node := i.world.nodes[i.random.IntN(len(i.world.nodes))]
@@ -242,8 +241,8 @@
 	return i.setStore(span, kvstore.Faults{Silent: true})
 }
 
-func (i *injector) hushStore(span time.Duration) func() {
-	return i.setStore(span, kvstore.Faults{HushWatches: true})
+func (i *injector) silenceWatches(span time.Duration) func() {
+	return i.setStore(span, kvstore.Faults{SilentWatches: true})
 }
 
 func (i *injector) loseAnswers(span time.Duration) func() {
@@ -252,7 +251,7 @@
 
 func (i *injector) compactStore(span time.Duration) func() {
 	i.everyNode(span)
-	i.world.store.SetFaults(kvstore.Faults{HushWatches: true})
+	i.world.store.SetFaults(kvstore.Faults{SilentWatches: true})
 	return func() {
 		i.world.store.Compact()
 		i.world.store.SetFaults(kvstore.Faults{})
@@ -270,13 +269,13 @@
 func (i *injector) oneWayLeaf(span time.Duration) func() { return i.setLeafLink(span, OneWay) }
 func (i *injector) resetLeaf(span time.Duration) func()  { return i.setLeafLink(span, Resetting) }
 
-// replaceLeaf starts a successor and lets the leaf drain.
+// replaceLeaf starts a successor of a leaf, which then drains.
 func (i *injector) replaceLeaf(span time.Duration) func() {
 	i.world.operating.Lock()
 	defer i.world.operating.Unlock()
 	id, state := i.leaf(span)
 	if _, err := i.world.addLeafOf(state.version); err != nil {
-		i.tell("FAILED LEAF " + err.Error())
+		i.log("FAILED LEAF " + err.Error())
 		return func() {}
 	}
 	i.world.register(id, stateDraining)
@@ -286,7 +285,7 @@
 	return func() { i.world.unregister(id) }
 }
 
-// evacuateZone has the leafs of a zone get nothing.
+// evacuateZone evacuates a zone.
 func (i *injector) evacuateZone(time.Duration) func() {
 	zone := zoneName(i.random.IntN(zoneCount))
 	i.world.operate(evacuationKey(zone), struct{}{})
@@ -297,7 +296,7 @@
 	return func() { i.world.restoreZone(number) }
 }
 
-// restoreZone ends an evacuation; the zone is restored only if no other one of it lasts.
+// restoreZone ends an evacuation. The zone stays evacuated while another evacuation of it lasts.
 func (w *world) restoreZone(number int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -320,7 +319,7 @@
 	return func() {}
 }
 
-// Bounds of configurations in quick succession.
+// Number of configurations in quick succession, and the time between them.
 const (
 	stormChanges = 6
 	stormGap     = 60 * time.Millisecond
--- a/internal/lab/soak/judge.go
+++ b/internal/lab/soak/judge.go
@@ -10,41 +10,26 @@
 	"time"
 )
 
-// Bounds that the judge holds nodes to.
+// Bounds of the promises: until a configuration is in force and until a leaving leaf gets nothing, in all nodes without a
+// fault, and the share of requests served after the faults. They follow from the stated aims of the product.
 const (
 	configurationBound = 3 * time.Second
 	drainBound         = 3 * time.Second
 	servedShare        = 0.95
 )
 
-// Verdict is one promise with what broke it.
-type Verdict struct {
-	Promise string
-	// Checked is how many cases it was checked on.
-	Checked int
-	// Broken describes the cases that broke it.
-	Broken []string
-}
-
-func (v *Verdict) check(kept bool, format string, arguments ...any) {
-	v.Checked++
-	if !kept {
-		v.Broken = append(v.Broken, fmt.Sprintf(format, arguments...))
-	}
-}
-
 func sortDescending(records [][]byte) {
 	slices.SortFunc(records, func(a, b []byte) int { return bytes.Compare(b, a) })
 }
 
-// judge checks every promise on what callers and leafs saw. Calm is since when there were no more
-// faults, with time to recover.
+// judge checks every promise on the records of callers and leafs. From calm on there were no more faults, and nodes had had
+// time to recover.
 func judge(w *world, seen []outcome, calm time.Time) []Verdict {
 	ran := w.runs()
 	return []Verdict{
 		judgeOnce(seen, ran), judgeRefusals(seen, ran), judgeAsked(seen, ran), judgeSingles(w, seen), judgeGathered(w, seen),
 		judgeConfiguration(w, seen), judgeDraining(w), judgeEvacuations(w), judgeStops(seen), judgeRecovery(seen, calm),
-		judgeFatals(w), judgeNeighbours(seen),
+		judgeCrashing(w), judgeOtherRequests(seen),
 	}
 }
 
@@ -89,7 +74,7 @@
 		if o.status != http.StatusOK || o.kind == Gathered {
 			continue
 		}
-		leafID, id, _ := strings.Cut(o.header.Get(w.dialect.ResponseStamp), ".")
+		leafID, id, _ := strings.Cut(o.header.Get(w.names.ResponseStamp), ".")
 		service := w.serviceOf(leafID)
 		v.check(id == o.id && bytes.Equal(o.body, partBody(service, o.id)), "%s got the answer %q of %s (%s)", o.id, o.body, leafID, id)
 	}
@@ -107,11 +92,11 @@
 	return v
 }
 
-// gatheredFault says what is wrong with a gathered answer; empty when nothing is.
+// gatheredFault returns what is wrong with a gathered answer, or "".
 func gatheredFault(w *world, o outcome) string {
 	services := map[string]bool{}
 	var bodies [][]byte
-	for _, stamp := range o.parts(w.dialect) {
+	for _, stamp := range o.parts(w.names) {
 		leafID, id, _ := strings.Cut(stamp, ".")
 		service := w.serviceOf(leafID)
 		if id != o.id || services[service] || !slices.Contains(w.gathered, service) {
@@ -121,7 +106,7 @@
 		bodies = append(bodies, partBody(service, o.id))
 	}
 	missing := 0
-	if text := o.header.Get(w.dialect.MissingParts); text != "" {
+	if text := o.header.Get(w.names.MissingParts); text != "" {
 		if _, err := fmt.Sscan(text, &missing); err != nil {
 			return "missing parts " + text
 		}
@@ -137,8 +122,8 @@
 	return ""
 }
 
-// judgeConfiguration checks that nodes without a fault serve by the newest configuration after its
-// bound, and that no process goes back.
+// judgeConfiguration checks that nodes without a fault serve by the newest configuration after its bound, and that no
+// process goes back to an older one.
 func judgeConfiguration(w *world, seen []outcome) Verdict {
 	v := Verdict{Promise: "an accepted configuration is in force within its bound and never reverts"}
 	bySent := slices.Clone(seen)
@@ -152,10 +137,10 @@
 		if o.kind != Switched || o.status != http.StatusOK {
 			continue
 		}
-		leafID, _, _ := strings.Cut(o.header.Get(w.dialect.ResponseStamp), ".")
+		leafID, _, _ := strings.Cut(o.header.Get(w.names.ResponseStamp), ".")
 		newest := w.newestWith(w.serviceOf(leafID), o.ended)
 		due := w.dueAt(o.sent.Add(-configurationBound))
-		inTouch := !o.node.isTroubled(o.sent.Add(-configurationBound), o.ended, true)
+		inTouch := !o.node.hadFault(o.sent.Add(-configurationBound), o.ended, true)
 		v.check(!inTouch || newest >= due, "%s at %s served by version %d at most, %d was due", o.id, o.node.name, newest, due)
 		at := process{o.node, o.life}
 		least := reached[at].by(o.sent)
@@ -167,9 +152,10 @@
 	return v
 }
 
-// reachedVersions are the least versions that a process must have had in force, and since when, in any order. Only answers
-// that ended before a request was sent say something about it: requests that are under way together, such as all of a node
-// that was frozen while the configuration changed, are served by the one and the other version in any order.
+// reachedVersions are the lowest versions that a process must have had in force, each with the end of the answer that shows
+// it, in any order. Only answers that ended before a request was sent say something about that request: requests in flight
+// together, such as all those of a node that was frozen while the configuration changed, may be served by either version in
+// any order.
 type reachedVersions []reachedVersion
 
 type reachedVersion struct {
@@ -177,7 +163,7 @@
 	seen    time.Time
 }
 
-// by gives the least version that was in force by a time; 0 where nothing tells.
+// by returns the lowest version that must have been in force at a time, or 0.
 func (r reachedVersions) by(at time.Time) int {
 	least := 0
 	for _, one := range r {
@@ -197,12 +183,13 @@
 			continue
 		}
 		late := w.lateRequests(state, state.leavingAt.Add(drainBound), time.Time{})
-		v.check(late == 0, "%s got %d requests more than %v after it said that it leaves", id, late, drainBound)
+		v.check(late == 0, "%s got %d requests more than %v after it began to leave", id, late, drainBound)
 	}
 	return v
 }
 
-// lateRequests counts those that a leaf got in calm after a time and before another, zero being never.
+// lateRequests counts the requests that a leaf received between two times while no node had a fault. A zero before means
+// never.
 func (w *world) lateRequests(state *leafState, after, before time.Time) int {
 	late := 0
 	for _, asked := range state.asked() {
@@ -231,7 +218,7 @@
 	return v
 }
 
-// stopWindow is how long before a planned stop requests are looked at that were under way.
+// stopWindow is how long before a planned stop a request must have been sent, at most, to be checked.
 const stopWindow = time.Second
 
 func judgeStops(seen []outcome) Verdict {
@@ -239,7 +226,7 @@
 	for _, o := range seen {
 		for _, stop := range o.node.stopTimes() {
 			wasUnderWay := o.sent.Before(stop) && o.ended.After(stop) && stop.Sub(o.sent) < stopWindow
-			if wasUnderWay && !o.node.isTroubled(o.sent, o.ended, false) {
+			if wasUnderWay && !o.node.hadFault(o.sent, o.ended, false) {
 				v.check(o.status != 0, "%s at %s was cut %v after the stop", o.id, o.node.name, o.ended.Sub(stop))
 			}
 		}
@@ -251,7 +238,7 @@
 	v := Verdict{Promise: "requests are served once the faults are over"}
 	served, asked := 0, 0
 	for _, o := range seen {
-		if o.sent.Before(calm) || o.isFatal {
+		if o.sent.Before(calm) || o.isCrashing {
 			continue
 		}
 		asked++
--- a/internal/lab/soak/judge_rollouts.go
+++ b/internal/lab/soak/judge_rollouts.go
@@ -6,11 +6,12 @@
 	"github.com/portgauge/portgauge/internal/lab/rollouts"
 )
 
-// judgeRollouts checks every promise on orders. Clear tells which visits are held to those with a time bound.
+// judgeRollouts checks every promise about roll-outs. Promises that bound a time hold for the visits for which clear returns
+// true.
 func judgeRollouts(played []rollouts.Release, clear rollouts.Clear) []Verdict {
 	return []Verdict{
-		judgeExposure(played, clear), judgeCondemned(played, clear), judgeBarred(played, clear),
-		judgeOutcomes(played), judgeLeftover(played, clear),
+		judgeExposure(played, clear), judgeLateRequests(played, clear), judgeUnordered(played, clear),
+		judgeOutcomes(played), judgeOldLeafs(played, clear),
 	}
 }
 
@@ -26,10 +27,10 @@
 	return v
 }
 
-func judgeCondemned(played []rollouts.Release, clear rollouts.Clear) Verdict {
+func judgeLateRequests(played []rollouts.Release, clear rollouts.Clear) Verdict {
 	v := Verdict{Promise: "a bad version gets nothing some seconds after its 50th bad answer"}
 	for _, r := range played {
-		if _, isCondemned := r.Condemned(); isCondemned && !r.ShowedNothing() {
+		if _, isCondemned := r.FiftiethBadAnswer(); isCondemned && !r.HadNoBadAnswer() {
 			late := r.Late(clear)
 			v.check(len(late) == 0, "%s got %d requests too late%s", nameOf(r), len(late), firstOf(late))
 		}
@@ -37,11 +38,11 @@
 	return v
 }
 
-func judgeBarred(played []rollouts.Release, clear rollouts.Clear) Verdict {
+func judgeUnordered(played []rollouts.Release, clear rollouts.Clear) Verdict {
 	v := Verdict{Promise: "a version that no order lets serve gets nothing"}
 	for _, r := range played {
 		if r.Old != r.Target {
-			barred := r.Barred(clear)
+			barred := r.Unordered(clear)
 			v.check(len(barred) == 0, "%s got %d requests that it must not get%s", nameOf(r), len(barred), firstOf(barred))
 		}
 	}
@@ -49,21 +50,21 @@
 }
 
 func judgeOutcomes(played []rollouts.Release) Verdict {
-	v := Verdict{Promise: "an order has one outcome: none once it was replaced, no success once it was taken back"}
+	v := Verdict{Promise: "an order has one outcome: none once it was replaced, no success once it was cancelled"}
 	for _, r := range played {
-		misled := r.Misled()
-		v.check(len(misled) == 0, "%s: told %v", nameOf(r), misled)
+		misled := r.WrongStatuses()
+		v.check(len(misled) == 0, "%s: operators read %v", nameOf(r), misled)
 	}
 	return v
 }
 
-func judgeLeftover(played []rollouts.Release, clear rollouts.Clear) Verdict {
+func judgeOldLeafs(played []rollouts.Release, clear rollouts.Clear) Verdict {
 	v := Verdict{Promise: "old leafs have nothing once an order has succeeded"}
 	for _, r := range played {
-		if told, _ := r.Outcome(); told != rollouts.Succeeded || r.Old == r.Target {
+		if status, _ := r.Outcome(); status != rollouts.Succeeded || r.Old == r.Target {
 			continue
 		}
-		left := r.Leftover(clear)
+		left := r.AtOldVersion(clear)
 		v.check(len(left) == 0, "%s: %d requests at the old leafs%s", nameOf(r), len(left), firstOf(left))
 	}
 	return v
@@ -71,7 +72,7 @@
 
 func nameOf(r rollouts.Release) string { return r.Target.Service() + " to " + r.Target.Name() }
 
-// firstOf tells of the first of some visits; empty when there are none.
+// firstOf describes the first of some visits, or returns "" if there are none.
 func firstOf(visits []rollouts.Visit) string {
 	if len(visits) == 0 {
 		return ""
@@ -79,7 +80,8 @@
 	return ", first " + visits[0].ID + " at " + visits[0].Leaf
 }
 
-// clearOf tells which visits came by links and from nodes without trouble. A gathered request may come from any node.
+// clearOf returns a function that reports whether a visit came from nodes and over links without a fault. A gathered request
+// may come from any node.
 func (w *world) clearOf(seen []outcome) rollouts.Clear {
 	byID := map[string]outcome{}
 	for _, o := range seen {
@@ -88,11 +90,11 @@
 	return func(visit rollouts.Visit) bool {
 		o, found := byID[visit.ID]
 		from := visit.At.Add(-rollouts.Lateness)
-		if !found || w.leafTroubled(visit.Leaf, from, visit.At) {
+		if !found || w.leafHadFault(visit.Leaf, from, visit.At) {
 			return false
 		}
 		for _, node := range w.nodes {
-			if (node == o.node || o.kind == Gathered) && node.isTroubled(from, visit.At, true) {
+			if (node == o.node || o.kind == Gathered) && node.hadFault(from, visit.At, true) {
 				return false
 			}
 		}
@@ -100,11 +102,11 @@
 	}
 }
 
-// leafTroubled reports whether a fault held on a leaf's link in a span.
-func (w *world) leafTroubled(id string, from, until time.Time) bool {
+// leafHadFault reports whether a leaf's link had a fault between two times.
+func (w *world) leafHadFault(id string, from, until time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, t := range w.leafs[id].troubles {
+	for _, t := range w.leafs[id].faultSpans {
 		if t.from.Before(until) && t.until.After(from) {
 			return true
 		}
--- a/internal/lab/soak/judge_rollouts_test.go
+++ b/internal/lab/soak/judge_rollouts_test.go
@@ -15,7 +15,7 @@
 
 const leafWork = time.Millisecond
 
-// visited gives a version whose leaf got requests at some times.
+// visited returns a version whose leaf received requests at some times.
 func visited(name string, fault rollouts.Fault, ordered time.Time, times ...time.Time) *rollouts.Version {
 	v := rollouts.NewVersion("s", name, leafWork, fault)
 	v.Order(ordered)
@@ -25,7 +25,7 @@
 	return v
 }
 
-// Each promise on orders holds for a good release and is found broken for a bad one.
+// Each promise about roll-outs is kept in a good case and broken in a bad one.
 func TestJudgeOfRolloutsTellsGoodFromBad(t *testing.T) {
 	began := time.Now()
 	bad := rollouts.Fault{Failing: 1}
@@ -36,13 +36,13 @@
 		}
 		return times
 	}
-	release := func(old, target []time.Time, told ...rollouts.Outcome) []rollouts.Release {
+	release := func(old, target []time.Time, status ...rollouts.Outcome) []rollouts.Release {
 		r := rollouts.Release{
 			Old: visited("a", rollouts.Fault{}, began, old...), Target: visited("b", bad, began, target...),
 			Duration: 10 * time.Second, At: began, Revision: 1,
 		}
-		for index, outcome := range told {
-			r.Told = append(r.Told, rollouts.Telling{Revision: int64(2 + index), Target: "b", Outcome: outcome, At: began.Add(time.Second)})
+		for index, outcome := range status {
+			r.Statuses = append(r.Statuses, rollouts.StatusReading{Revision: int64(2 + index), Target: "b", Outcome: outcome, At: began.Add(time.Second)})
 		}
 		return []rollouts.Release{r}
 	}
@@ -55,20 +55,20 @@
 			judgeExposure(release(serve, after(0, rollouts.Slack+20)), rollouts.Always),
 		},
 		"condemned": {
-			judgeCondemned(release(serve, append(condemned, after(time.Second, 1)...)), rollouts.Always),
-			judgeCondemned(release(serve, append(condemned, after(late, 1)...)), rollouts.Always),
+			judgeLateRequests(release(serve, append(condemned, after(time.Second, 1)...)), rollouts.Always),
+			judgeLateRequests(release(serve, append(condemned, after(late, 1)...)), rollouts.Always),
 		},
 		"barred": {
-			judgeBarred(release(serve, after(2*time.Second, 1), rollouts.RolledBack), rollouts.Always),
-			judgeBarred(release(serve, after(late, 1), rollouts.RolledBack), rollouts.Always),
+			judgeUnordered(release(serve, after(2*time.Second, 1), rollouts.RolledBack), rollouts.Always),
+			judgeUnordered(release(serve, after(late, 1), rollouts.RolledBack), rollouts.Always),
 		},
 		"outcomes": {
 			judgeOutcomes(release(nil, nil, rollouts.Running, rollouts.RolledBack)),
 			judgeOutcomes(release(nil, nil, rollouts.RolledBack, rollouts.Succeeded)),
 		},
 		"leftover": {
-			judgeLeftover(release(serve, nil, rollouts.Succeeded), rollouts.Always),
-			judgeLeftover(release(after(2*time.Second, 1), nil, rollouts.Succeeded), rollouts.Always),
+			judgeOldLeafs(release(serve, nil, rollouts.Succeeded), rollouts.Always),
+			judgeOldLeafs(release(after(2*time.Second, 1), nil, rollouts.Succeeded), rollouts.Always),
 		},
 	}
 	for name, one := range cases {
@@ -81,17 +81,17 @@
 	}
 }
 
-// A visit is held to promises with a time bound unless trouble held lately on its caller's node, on any node if it
-// was gathered, or on the leaf.
+// A visit is held to promises that bound a time unless there was a fault shortly before on its caller's node, on any node if
+// it was gathered, or on the leaf.
 func TestVisitsInTrouble(t *testing.T) {
 	w := still(t)
 	now := time.Now()
 	own, other := &nodeState{name: "own"}, &nodeState{name: "other"}
 	w.nodes = []*nodeState{own, other}
 	seen := []outcome{{id: "single", kind: Single, node: own}, {id: "gathered", kind: Gathered, node: own}}
-	lately := []trouble{{from: now.Add(-2 * time.Second), until: now.Add(-time.Second)}}
+	lately := []faultSpan{{from: now.Add(-2 * time.Second), until: now.Add(-time.Second)}}
 	cases := map[string]struct {
-		own, other, leaf []trouble
+		own, other, leaf []faultSpan
 		single, gathered bool
 	}{
 		"calm":    {nil, nil, nil, true, true},
@@ -102,7 +102,7 @@
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			own.troubles, other.troubles, w.leafs["leaf-1"].troubles = one.own, one.other, one.leaf
+			own.faultSpans, other.faultSpans, w.leafs["leaf-1"].faultSpans = one.own, one.other, one.leaf
 			clear := w.clearOf(seen)
 			is.Equal(clear(rollouts.Visit{Leaf: "leaf-1", ID: "single", At: now}), one.single)
 			is.Equal(clear(rollouts.Visit{Leaf: "leaf-1", ID: "gathered", At: now}), one.gathered)
@@ -111,7 +111,7 @@
 	}
 }
 
-// An operator reads each word once, and one of an order that was replaced is not the newer order's.
+// An operator records each status once, and doesn't take one of a replaced order for the newer order's.
 func TestOperatorReadsWhatItIsTold(t *testing.T) {
 	is := is.New(t)
 	w := still(t)
@@ -119,18 +119,18 @@
 	number, err := o.order(t.Context(), plan{service: singleName, isServing: true, duration: time.Second})
 	is.NoErr(err)
 	w.store.Put(platform.StatusKey(singleName), platform.EncodeStatus(rollout.State{Service: singleName, Target: "first", Phase: rollout.Succeeded}))
-	o.look(singleName)
-	o.look(singleName)
-	told, _ := o.outcome(number)
-	is.Equal(told, rollouts.Succeeded)
-	is.Equal(len(o.played()[number].Told), 1)
+	o.readStatus(singleName)
+	o.readStatus(singleName)
+	status, _ := o.outcome(number)
+	is.Equal(status, rollouts.Succeeded)
+	is.Equal(len(o.played()[number].Statuses), 1)
 	second, err := o.order(t.Context(), plan{service: singleName, isServing: true, duration: time.Second})
 	is.NoErr(err)
-	told, _ = o.outcome(second)
-	is.Equal(told, rollouts.Outcome(""))
+	status, _ = o.outcome(second)
+	is.Equal(status, rollouts.Outcome(""))
 }
 
-// Leafs that an operator ends note what they are asked, and answer nothing.
+// Leafs that an operator stops record requests and drop them.
 func TestEndedLeafsAnswerNothing(t *testing.T) {
 	is := is.New(t)
 	w := still(t)
--- a/internal/lab/soak/judge_test.go
+++ b/internal/lab/soak/judge_test.go
@@ -14,13 +14,13 @@
 	"github.com/portgauge/portgauge/platform"
 )
 
-// still is a world without processes: two gathered services of a leaf each, and a single one.
+// still returns a world without processes: two gathered services with a leaf each, and a single one.
 func still(t *testing.T) *world {
 	t.Helper()
 	store := kvstore.New(0)
 	server := httptest.NewServer(store.Handler())
 	t.Cleanup(server.Close)
-	w := &world{dialect: platform.HTTPNames(), store: store, leafs: map[string]*leafState{}, gathered: []string{"part0", "part1"}}
+	w := &world{names: platform.HTTPNames(), store: store, leafs: map[string]*leafState{}, gathered: []string{"part0", "part1"}}
 	for _, service := range []string{"part0", "part1", singleName, anotherName} {
 		if _, err := w.addLeaf(service); err != nil {
 			t.Fatal(err)
@@ -39,15 +39,15 @@
 func (w *world) answered(id string, kind Kind, stamps string, missing string, body []byte) outcome {
 	header := http.Header{}
 	if kind == Gathered {
-		header.Set(w.dialect.PartStamps, stamps)
-		header.Set(w.dialect.MissingParts, missing)
+		header.Set(w.names.PartStamps, stamps)
+		header.Set(w.names.MissingParts, missing)
 	} else {
-		header.Set(w.dialect.ResponseStamp, stamps)
+		header.Set(w.names.ResponseStamp, stamps)
 	}
 	return outcome{id: id, kind: kind, node: w.nodes[0], status: http.StatusOK, header: header, body: body, sent: time.Now(), ended: time.Now()}
 }
 
-// Each promise holds for a good case and is found broken for a bad one.
+// Each promise is kept in a good case and broken in a bad one.
 func TestJudgeTellsGoodFromBad(t *testing.T) {
 	w := still(t)
 	whole := greatest([][]byte{partBody("part0", "r"), partBody("part1", "r")}, topRecords)
@@ -93,8 +93,8 @@
 	}
 }
 
-// A node that serves by an old configuration after the bound, or goes back, is found; one that has
-// trouble is given time.
+// A node that serves by an old configuration after the bound, or goes back to one, breaks the promise; one that had a fault
+// gets more time.
 func TestJudgeConfiguration(t *testing.T) {
 	is := is.New(t)
 	w := still(t)
@@ -109,20 +109,20 @@
 	is.Equal(len(judgeConfiguration(w, []outcome{served(old, time.Second), served(old, 12*time.Second), served(current, 14*time.Second)}).Broken), 0)
 	is.Equal(len(judgeConfiguration(w, []outcome{served(old, 14*time.Second)}).Broken), 1)                                  // late
 	is.Equal(len(judgeConfiguration(w, []outcome{served(current, 11*time.Second), served(old, 12*time.Second)}).Broken), 1) // back
-	w.nodes[0].troubles = []trouble{{from: began.Add(12 * time.Second), until: began.Add(20 * time.Second)}}
+	w.nodes[0].faultSpans = []faultSpan{{from: began.Add(12 * time.Second), until: began.Add(20 * time.Second)}}
 	is.Equal(len(judgeConfiguration(w, []outcome{served(old, 14*time.Second)}).Broken), 0)
 }
 
 // A node was frozen while the second configuration was accepted. When it went on, the requests that waited there were served
-// within a millisecond, by the first version and the second in turn, those sent later not always by the later one. Nothing
-// went back, and a third version, which sends to the first service again, was not accepted yet: that answers of requests under
-// way show it seen was a fault of this check.
+// within a millisecond, some by the first version and some by the second, in any order. Nothing went back, and a third
+// version, which has the first service again, was not accepted yet: that answers of requests in flight show it was a fault
+// of this check.
 func TestRequestsOfAFrozenNodeAreServedInAnyOrder(t *testing.T) {
 	is := is.New(t)
 	w := still(t)
 	began := time.Now()
 	w.changes = []change{{1, singleName, began}, {2, anotherName, began.Add(8 * time.Second)}, {3, singleName, began.Add(13 * time.Second)}}
-	w.nodes[0].troubles = []trouble{{from: began.Add(6 * time.Second), until: began.Add(9300 * time.Millisecond)}}
+	w.nodes[0].faultSpans = []faultSpan{{from: began.Add(6 * time.Second), until: began.Add(9300 * time.Millisecond)}}
 	const first, second = "leaf-3", "leaf-4"
 	served := func(leafID string, sent, ended int) outcome {
 		o := w.answered("r", Switched, leafID+".r", "", nil)
@@ -131,13 +131,13 @@
 	}
 	frozen := []outcome{served(first, 6900, 9322), served(second, 7000, 9324), served(first, 7700, 9323)}
 	is.Equal(judgeConfiguration(w, append(frozen, served(second, 9400, 9430), served(first, 13500, 13530))).Broken, nil)
-	is.Equal(len(judgeConfiguration(w, append(frozen, served(first, 9400, 9430))).Broken), 1) // back, once all had ended
-	// What was seen of an earlier version holds also for requests that were sent before a later one was seen.
+	is.Equal(len(judgeConfiguration(w, append(frozen, served(first, 9400, 9430))).Broken), 1) // back to the first, after all had ended
+	// Answers of an earlier version count also for requests that were sent before the answer of a later one ended.
 	later := []outcome{served(second, 8200, 8230), served(second, 8300, 8330), served(first, 13100, 13200), served(first, 8900, 8930)}
 	is.Equal(len(judgeConfiguration(w, later).Broken), 1)
 }
 
-// A leaving leaf that is asked after the bound is found, while no node has trouble.
+// A leaving leaf that receives a request after the bound breaks the promise, if no node had a fault.
 func TestJudgeDraining(t *testing.T) {
 	is := is.New(t)
 	w := still(t)
@@ -147,12 +147,12 @@
 	is.Equal(len(judgeDraining(w).Broken), 0)
 	state.leavingAt = time.Now().Add(-drainBound - time.Second)
 	is.Equal(len(judgeDraining(w).Broken), 1)
-	w.nodes[0].touch(time.Second, false)
+	w.nodes[0].noteFault(time.Second, false)
 	ask(t, state.leaf)
-	is.Equal(len(judgeDraining(w).Broken), 1) // the first one still
+	is.Equal(len(judgeDraining(w).Broken), 1) // the first leaf still
 }
 
-// ask sends a leaf one request.
+// ask sends a leaf a request.
 func ask(t *testing.T, leaf *httpleaf.Leaf) {
 	t.Helper()
 	answer, err := http.Get("http://" + leaf.Address() + "/x")
@@ -162,7 +162,7 @@
 	_ = answer.Body.Close()
 }
 
-// A link in trouble does what its condition says, and is sound again after it.
+// A link does what its condition says, and passes bytes on again after it.
 func TestLinkConditions(t *testing.T) {
 	is := is.New(t)
 	leaf, err := httpleaf.Start("leaf-1", platform.HTTPNames(), func(httpleaf.Request) httpleaf.Answer {
@@ -201,8 +201,8 @@
 	state := w.leafs[id]
 	request, err := http.NewRequest(http.MethodGet, "http://"+state.leaf.Address()+"/x", nil)
 	is.NoErr(err)
-	request.Header.Set(w.dialect.RequestID, "r")
-	request.Header.Set(w.dialect.ExpectedIncarnation, id)
+	request.Header.Set(w.names.RequestID, "r")
+	request.Header.Set(w.names.ExpectedIncarnation, id)
 	response, err := http.DefaultClient.Do(request)
 	is.NoErr(err)
 	is.NoErr(response.Body.Close())
--- a/internal/lab/soak/link.go
+++ b/internal/lab/soak/link.go
@@ -7,31 +7,31 @@
 	"time"
 )
 
-// Condition is how a link treats the bytes on it.
+// Condition is what a link does with the bytes that it receives.
 type Condition int
 
 // The conditions of a link.
 const (
-	// Sound passes everything on.
+	// Sound passes all bytes on.
 	Sound Condition = iota
-	// Delayed holds every piece of bytes back for a while.
+	// Delayed passes bytes on after linkDelay.
 	Delayed
-	// Silent passes nothing on and says nothing.
+	// Silent passes nothing on and keeps connections open.
 	Silent
-	// OneWay passes what the opening side sends, and nothing back.
+	// OneWay passes on what the connecting side sends, and nothing back.
 	OneWay
-	// Resetting resets open connections and new ones.
+	// Resetting resets all connections.
 	Resetting
 )
 
-// Timing of a link.
+// Delay of a Delayed link, interval at which a blocked one checks its condition, and size of its buffers.
 const (
-	linkDelay = 150 * time.Millisecond
-	linkLook  = 5 * time.Millisecond
-	linkPiece = 32 << 10
+	linkDelay       = 150 * time.Millisecond
+	linkInterval    = 5 * time.Millisecond
+	linkBufferBytes = 32 << 10
 )
 
-// Link is a TCP proxy on the loopback whose condition can be changed while connections are open.
+// Link is a TCP proxy on the loopback interface whose condition can be changed while connections are open.
 type Link struct {
 	listener net.Listener
 
@@ -41,7 +41,7 @@
 	open      map[net.Conn]bool
 }
 
-// NewLink listens on a free address and passes connections on to a target.
+// NewLink returns a link that listens on a free address and forwards connections to a target.
 func NewLink(target string) (*Link, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -52,10 +52,10 @@
 	return l, nil
 }
 
-// Address is where the link listens.
+// Address returns the address at which the link listens.
 func (l *Link) Address() string { return l.listener.Addr().String() }
 
-// Set changes the link's condition.
+// Set changes the condition.
 func (l *Link) Set(condition Condition) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -67,20 +67,20 @@
 	}
 }
 
-// Aim passes new connections on to another target.
-func (l *Link) Aim(target string) {
+// SetTarget forwards new connections to another target.
+func (l *Link) SetTarget(target string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.target = target
 }
 
-func (l *Link) aim() string {
+func (l *Link) currentTarget() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.target
 }
 
-// Close ends the link.
+// Close stops listening and resets all connections.
 func (l *Link) Close() {
 	l.Set(Resetting)
 	_ = l.listener.Close()
@@ -107,7 +107,7 @@
 		reset(conn)
 		return
 	}
-	target, err := net.Dial("tcp4", l.aim())
+	target, err := net.Dial("tcp4", l.currentTarget())
 	if err != nil {
 		reset(conn)
 		return
@@ -127,9 +127,9 @@
 	_ = target.Close()
 }
 
-// pass carries one direction until it ends.
+// pass copies one direction of a connection until it ends.
 func (l *Link) pass(to io.Writer, from net.Conn, isBack bool) {
-	buffer := make([]byte, linkPiece)
+	buffer := make([]byte, linkBufferBytes)
 	for {
 		n, err := from.Read(buffer)
 		if !l.hold(isBack) {
@@ -149,7 +149,7 @@
 	}
 }
 
-// hold waits as long as the link's condition keeps bytes back; false when they are lost.
+// hold waits until the condition lets bytes pass. It returns false if they are lost.
 func (l *Link) hold(isBack bool) bool {
 	if l.now() == Delayed {
 		time.Sleep(linkDelay)
@@ -166,11 +166,11 @@
 		case Sound, Delayed:
 			return true
 		}
-		time.Sleep(linkLook)
+		time.Sleep(linkInterval)
 	}
 }
 
-// reset closes a connection so that the other side sees a reset.
+// reset closes a connection by a TCP reset.
 func reset(conn net.Conn) {
 	if tcp, isTCP := conn.(*net.TCPConn); isTCP {
 		_ = tcp.SetLinger(0)
--- a/internal/lab/soak/load.go
+++ b/internal/lab/soak/load.go
@@ -16,10 +16,11 @@
 	"github.com/portgauge/portgauge/internal/request/httpnames"
 )
 
-// Kind is what a request asks for.
+// Kind is the kind of a request: the prefix of its route.
 type Kind string
 
-// The kinds of request, named after their routes.
+// The kinds of requests: gathered, repeatable and at-most-once ones of one service, and those of the route that
+// configurations switch.
 const (
 	Gathered Kind = GatheredPrefix
 	Single   Kind = SinglePrefix
@@ -27,10 +28,10 @@
 	Switched Kind = SwitchedPrefix
 )
 
-// requestDeadline is how long a caller waits.
+// requestDeadline is the deadline of each request.
 const requestDeadline = 1500 * time.Millisecond
 
-// outcome is one request as its caller saw it.
+// outcome is a request as its caller saw it.
 type outcome struct {
 	id    string
 	kind  Kind
@@ -38,16 +39,16 @@
 	life  int
 	sent  time.Time
 	ended time.Time
-	// status is 0 where no whole answer came.
+	// status is 0 if no whole answer came.
 	status  int
 	header  http.Header
 	body    []byte
-	refused bool // no connection came up
-	// isFatal says that the request ends the leafs that run it.
-	isFatal bool
+	refused bool // the connection was refused
+	// isCrashing marks a crashing request.
+	isCrashing bool
 }
 
-// load sends requests until the context ends.
+// load sends requests and records their outcomes; safe for concurrent use.
 type load struct {
 	world  *world
 	client *http.Client
@@ -66,7 +67,8 @@
 	}}
 }
 
-// run sends requests to random nodes at a rate, each in a goroutine of its own.
+// run sends requests to random nodes at a rate until the context ends, each in a goroutine of its own, and waits for their
+// outcomes.
 func (l *load) run(ctx context.Context, random *rand.Rand, perSecond int) {
 	ticker := time.NewTicker(time.Second / time.Duration(perSecond))
 	defer ticker.Stop()
@@ -92,20 +94,20 @@
 	l.outcomes = append(l.outcomes, seen)
 }
 
-// all gives every outcome so far.
+// all returns the outcomes so far.
 func (l *load) all() []outcome {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]outcome(nil), l.outcomes...)
 }
 
-// send sends one request and takes its answer. At-most-once requests have a body, which keeps the
-// client library from sending them again.
+// send sends a request and waits for its answer. At-most-once requests have a body, which keeps net/http from repeating
+// them.
 func (l *load) send(id string, kind Kind, node *nodeState) outcome {
 	return l.sendTo(id, id, kind, node)
 }
 
-// sendTo sends one request of an id to a path under that of its kind.
+// sendTo sends a request to a path under the prefix of its kind.
 func (l *load) sendTo(id, path string, kind Kind, node *nodeState) outcome {
 	seen := outcome{id: id, kind: kind, node: node, life: node.lifeNow(), sent: time.Now()}
 	method, body := http.MethodGet, io.Reader(nil)
@@ -116,10 +118,10 @@
 	if err != nil {
 		panic(err) // the address is the soak's own
 	}
-	dialect := l.world.dialect
+	names := l.world.names
 	asked.Host = host
-	asked.Header.Set(dialect.RequestID, id)
-	asked.Header.Set(dialect.DeadlineMillis, strconv.FormatInt(requestDeadline.Milliseconds(), 10))
+	asked.Header.Set(names.RequestID, id)
+	asked.Header.Set(names.DeadlineMillis, strconv.FormatInt(requestDeadline.Milliseconds(), 10))
 	answer, err := l.client.Do(asked)
 	if err != nil {
 		seen.ended = time.Now()
@@ -135,10 +137,10 @@
 	return seen
 }
 
-// parts gives the leafs whose parts a gathered answer names.
-func (o outcome) parts(dialect httpnames.Names) []string {
+// parts returns the stamps of the parts that a gathered answer lists.
+func (o outcome) parts(names httpnames.Names) []string {
 	var parts []string
-	for _, line := range o.header.Values(dialect.PartStamps) {
+	for _, line := range o.header.Values(names.PartStamps) {
 		for stamp := range strings.SplitSeq(line, ",") {
 			if stamp = strings.TrimSpace(stamp); stamp != "" {
 				parts = append(parts, stamp)
@@ -148,7 +150,7 @@
 	return parts
 }
 
-// greatest gives the greatest records of some bodies, greatest first.
+// greatest returns the greatest records of some bodies, in descending order.
 func greatest(bodies [][]byte, count int) []byte {
 	var records [][]byte
 	for _, body := range bodies {
--- a/internal/lab/soak/node.go
+++ b/internal/lab/soak/node.go
@@ -13,7 +13,7 @@
 	"github.com/portgauge/portgauge/platform"
 )
 
-// nodeState is one node with its links; the process may be replaced.
+// nodeState is a node with its links. Its process may be replaced.
 type nodeState struct {
 	name      string
 	zone      string
@@ -26,30 +26,29 @@
 
 	mu      sync.Mutex
 	process *process.Process
-	// before is the newest output of the process before.
+	// before is the newest output of the previous process.
 	before string
 	life   int
 	cut    bool
-	// isClaimed says that a fault holds on the process, which others leave alone.
+	// isClaimed is set while a fault has the process for itself.
 	isClaimed bool
-	// troubles are when faults held on the node, with the time that it has to recover.
-	troubles []trouble
-	// stops are when it was asked to stop.
+	// faultSpans are the times in which the node is not held to promises that bound a time.
+	faultSpans []faultSpan
+	// stops are the times at which the node was asked to stop.
 	stops []time.Time
 }
 
-// trouble is a span in which a node is not held to promises with a time bound.
-type trouble struct {
+// faultSpan is a time in which a node or leaf is not held to promises that bound a time.
+type faultSpan struct {
 	from, until time.Time
-	// planned says that it is a planned stop.
+	// planned marks a planned stop.
 	planned bool
 }
 
-// nodeAddresses is how many addresses a node needs.
+// nodeAddresses is the number of addresses that a node needs.
 const nodeAddresses = 7
 
-// addNodes starts nodes. All addresses are drawn at once: drawn node by node, two of 40 nodes had one in common, since
-// those of a node are free until it listens.
+// addNodes starts nodes. Their addresses are drawn together, since an address stays free until its node listens.
 func (w *world) addNodes(count int) error {
 	addresses, err := process.FreeAddresses(nodeAddresses * count)
 	if err != nil {
@@ -88,7 +87,7 @@
 	return w.startNode(node)
 }
 
-// seed gives the peer address that a node is told to join through: the first node's own.
+// seed returns the peer address that a node joins through: that of the first node.
 func (w *world) seed(node *nodeState) string {
 	if len(w.nodes) == 0 {
 		return node.peers
@@ -96,8 +95,8 @@
 	return w.nodes[0].peers
 }
 
-// processorsOf gives the processors of a node: the first of each zone has far more, so that the others
-// let it gather for them.
+// processorsOf returns the processors of a node. The first node of each zone has many more than the others, which makes it
+// an intermediate for them.
 func processorsOf(index int) float64 {
 	if index < zoneCount {
 		return 0.8
@@ -105,7 +104,7 @@
 	return 0.2
 }
 
-// settingsText is a node's settings file.
+// settingsText is the settings file of a node.
 const settingsText = `node: {id: %s, zone: %s, processors: 1, processor_share: %[11]v}
 listen: {callers: "%[3]s", operators: "%[4]s", peers: "%[5]s", advertise_peers: "%[6]s", front: "%[7]s", ready: "%[8]s", tree: "%[9]s", advertise_tree: "%[10]s"}
 platform: {address: "%[12]s", dialect: %[13]s, watch_wait: 1500ms}
@@ -134,14 +133,14 @@
 	return nil
 }
 
-// output gives the newest output of the node's process and of the one before.
+// output returns the newest output of the node's process and of the previous one.
 func (n *nodeState) output() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.before + n.process.Output()
 }
 
-// claim takes the node's process for a fault; false while another one has it.
+// claim reserves the node's process for a fault. It returns false if another fault has it.
 func (n *nodeState) claim() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -150,8 +149,8 @@
 	return isFree
 }
 
-// yield gives the node's process back.
-func (n *nodeState) yield() {
+// unclaim ends the reservation.
+func (n *nodeState) unclaim() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.isClaimed = false
@@ -169,27 +168,27 @@
 	n.cut = cut
 }
 
-// touch notes that a fault holds on the node for a span.
-func (n *nodeState) touch(span time.Duration, planned bool) {
+// noteFault notes that the node is affected by a fault for a time.
+func (n *nodeState) noteFault(span time.Duration, planned bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
-	n.troubles = append(n.troubles, trouble{from: now, until: now.Add(span), planned: planned})
+	n.faultSpans = append(n.faultSpans, faultSpan{from: now, until: now.Add(span), planned: planned})
 }
 
 // stop notes that the node is asked to stop, as planned work.
 func (n *nodeState) stop(span time.Duration) {
-	n.touch(span, true)
+	n.noteFault(span, true)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.stops = append(n.stops, time.Now())
 }
 
-// isTroubled reports whether a fault held on the node in a span; planned stops count if asked for.
-func (n *nodeState) isTroubled(from, until time.Time, withPlanned bool) bool {
+// hadFault reports whether a fault affected the node between two times. Planned stops count if withPlanned is set.
+func (n *nodeState) hadFault(from, until time.Time, withPlanned bool) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, t := range n.troubles {
+	for _, t := range n.faultSpans {
 		if (withPlanned || !t.planned) && t.from.Before(until) && t.until.After(from) {
 			return true
 		}
@@ -197,14 +196,14 @@
 	return false
 }
 
-// lifeNow gives the number of the node's process.
+// lifeNow returns the number of the node's process, the first being 1.
 func (n *nodeState) lifeNow() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.life
 }
 
-// stopTimes gives when the node was asked to stop.
+// stopTimes returns the times at which the node was asked to stop.
 func (n *nodeState) stopTimes() []time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/lab/soak/operator.go
+++ b/internal/lab/soak/operator.go
@@ -12,90 +12,91 @@
 	"github.com/portgauge/portgauge/platform"
 )
 
-// Times of an operator who moves services to other versions.
+// Times of an operator who rolls versions out.
 const (
-	statusLook = 5 * time.Millisecond // how often it reads what it is told
-	leadTime   = 1500 * time.Millisecond
-	// tellingTime is how long after an order's time it waits for the outcome.
-	tellingTime = 6 * time.Second
-	drainAfter  = 3 * time.Second
-	drainTime   = 2 * time.Second
+	statusInterval = 5 * time.Millisecond // between two reads of the status
+	leadTime       = 1500 * time.Millisecond
+	// statusTimeout is how long after an order's deadline the operator waits for its outcome.
+	statusTimeout = 6 * time.Second
+	drainDelay    = 3 * time.Second
+	drainTime     = 2 * time.Second
 )
 
-// plan is one order that an operator is to give.
+// plan is an order that an operator is to give.
 type plan struct {
 	service  string
 	fault    rollouts.Fault
 	duration time.Duration
-	// isServing asks for the version that serves already, isEmpty for one without leafs.
+	// isServing orders the version that already serves; isEmpty a version without leafs.
 	isServing, isEmpty bool
-	// takenBack is when the order is taken back, replaced when another one takes its place; 0 for neither.
-	takenBack, replaced time.Duration
+	// cancelledAfter is when the order is cancelled, replacedAfter when another order replaces it, after its start; 0 for
+	// never.
+	cancelledAfter, replacedAfter time.Duration
 }
 
-// operator moves services to other versions, and reads what it is told of it.
+// operator gives roll-out orders and reads their status; safe for concurrent use.
 type operator struct {
 	world *world
-	tell  func(string)
+	log   func(string)
 
 	mu       sync.Mutex
 	number   int
-	told     map[string][]rollouts.Telling // by service
+	status   map[string][]rollouts.StatusReading // by service
 	releases []*rollouts.Release
 }
 
-func newOperator(w *world, tell func(string)) *operator {
-	return &operator{world: w, tell: tell, told: map[string][]rollouts.Telling{}}
+func newOperator(w *world, log func(string)) *operator {
+	return &operator{world: w, log: log, status: map[string][]rollouts.StatusReading{}}
 }
 
-// read notes what is told of all services until the context ends.
+// read records every status of all services until the context ends.
 func (o *operator) read(ctx context.Context) {
-	for wait.For(ctx, statusLook) {
+	for wait.For(ctx, statusInterval) {
 		for _, service := range o.world.services() {
-			o.look(service)
+			o.readStatus(service)
 		}
 	}
 }
 
-func (o *operator) look(service string) {
+func (o *operator) readStatus(service string) {
 	item, found := o.world.store.Item(platform.StatusKey(service))
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	known := o.told[service]
+	known := o.status[service]
 	if !found || len(known) > 0 && known[len(known)-1].Revision == item.Revision {
 		return
 	}
 	target, phase, err := platform.ParseStatus(item.Value)
 	if err != nil {
-		o.tell("UNREADABLE STATUS " + string(item.Value))
+		o.log("UNREADABLE STATUS " + string(item.Value))
 	}
-	o.told[service] = append(known, rollouts.Telling{
+	o.status[service] = append(known, rollouts.StatusReading{
 		Revision: item.Revision, Target: target, Outcome: outcomes[phase], At: time.Now(),
 	})
 }
 
-// played gives all orders so far with what was told.
+// played returns copies of all orders so far, with the status readings of their services.
 func (o *operator) played() []rollouts.Release {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var played []rollouts.Release
 	for _, release := range o.releases {
 		copied := *release
-		copied.Told = append([]rollouts.Telling(nil), o.told[release.Target.Service()]...)
+		copied.Statuses = append([]rollouts.StatusReading(nil), o.status[release.Target.Service()]...)
 		played = append(played, copied)
 	}
 	return played
 }
 
-// play gives an order and does what follows from its outcome. It gives the number of the order.
+// play gives an order and does what its outcome requires. It returns the number of the order.
 func (o *operator) play(ctx context.Context, p plan) (number int, err error) {
 	if number, err = o.order(ctx, p); err != nil {
 		return number, err
 	}
 	o.follow(ctx, number, p)
-	if told, _ := o.outcome(number); p.replaced > 0 && (told == rollouts.Running || told == "") && ctx.Err() == nil {
+	if status, _ := o.outcome(number); p.replacedAfter > 0 && (status == rollouts.Running || status == "") && ctx.Err() == nil {
 		next := p
-		next.replaced, next.fault = 0, rollouts.Fault{}
+		next.replacedAfter, next.fault = 0, rollouts.Fault{}
 		second, err := o.order(ctx, next)
 		if err != nil {
 			return number, err
@@ -109,7 +110,7 @@
 	return number, nil
 }
 
-// order starts the leafs of a version and orders it. An order under way for the service is replaced.
+// order starts the leafs of a version and orders it, which replaces an order in progress for the service.
 func (o *operator) order(ctx context.Context, p plan) (number int, err error) {
 	old := o.world.servingOf(p.service)
 	target := old
@@ -146,10 +147,10 @@
 	return len(o.releases) - 1, nil
 }
 
-// endReplaced ends an order that another one took the place of, unless it succeeded first.
+// endReplaced ends an order that was replaced by another one, unless it succeeded before.
 func (o *operator) endReplaced(ctx context.Context, number, second int) {
-	o.look(o.played()[number].Target.Service())
-	if told, _ := o.outcome(number); told == rollouts.Succeeded {
+	o.readStatus(o.played()[number].Target.Service())
+	if status, _ := o.outcome(number); status == rollouts.Succeeded {
 		o.conclude(ctx, number)
 		o.mu.Lock()
 		defer o.mu.Unlock()
@@ -162,31 +163,31 @@
 	o.drainLater(number)
 }
 
-// follow waits for the outcome of an order, or until it is to be taken back or replaced.
+// follow waits for the outcome of an order, or until it is due to be cancelled or replaced.
 func (o *operator) follow(ctx context.Context, number int, p plan) {
 	began := time.Now()
-	for wait.For(ctx, statusLook) {
-		told, _ := o.outcome(number)
+	for wait.For(ctx, statusInterval) {
+		status, _ := o.outcome(number)
 		span := time.Since(began)
 		switch {
-		case told == rollouts.Succeeded || told == rollouts.RolledBack || span > p.duration+tellingTime:
+		case status == rollouts.Succeeded || status == rollouts.RolledBack || span > p.duration+statusTimeout:
 			return
-		case p.takenBack > 0 && span >= p.takenBack:
-			o.takeBack(number)
+		case p.cancelledAfter > 0 && span >= p.cancelledAfter:
+			o.cancel(number)
 			return
-		case p.replaced > 0 && span >= p.replaced:
+		case p.replacedAfter > 0 && span >= p.replacedAfter:
 			return
 		}
 	}
 }
 
-// outcome gives what was told of an order and when.
-func (o *operator) outcome(number int) (told rollouts.Outcome, at time.Time) {
+// outcome returns the status of an order and when it was read.
+func (o *operator) outcome(number int) (status rollouts.Outcome, at time.Time) {
 	played := o.played()[number]
 	return played.Outcome()
 }
 
-func (o *operator) takeBack(number int) {
+func (o *operator) cancel(number int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	release := o.releases[number]
@@ -194,11 +195,12 @@
 	release.Ended = time.Now()
 }
 
-// conclude does what operators do after an order: the old leafs stop at once, or the new ones drain after a while.
+// conclude does what operators do after an order: they stop the old leafs at once if it succeeded, or else drain the new
+// ones after a while.
 func (o *operator) conclude(ctx context.Context, number int) {
 	release := o.played()[number]
-	o.look(release.Target.Service())
-	if told, _ := o.outcome(number); told == rollouts.Succeeded && release.Old != release.Target {
+	o.readStatus(release.Target.Service())
+	if status, _ := o.outcome(number); status == rollouts.Succeeded && release.Old != release.Target {
 		release.Old.Stop()
 		o.world.succeed(release.Old, release.Target)
 		return
@@ -206,17 +208,17 @@
 	if release.Old == release.Target {
 		return
 	}
-	if told, _ := o.outcome(number); told != rollouts.RolledBack && release.Ended.IsZero() && ctx.Err() == nil {
-		o.tell(fmt.Sprintf("no outcome of %s of %s; taken back", release.Target.Name(), release.Target.Service()))
-		o.takeBack(number)
+	if status, _ := o.outcome(number); status != rollouts.RolledBack && release.Ended.IsZero() && ctx.Err() == nil {
+		o.log(fmt.Sprintf("no outcome of %s of %s; cancelled", release.Target.Name(), release.Target.Service()))
+		o.cancel(number)
 	}
 	o.drainLater(number)
-	wait.For(ctx, drainAfter+drainTime)
+	wait.For(ctx, drainDelay+drainTime)
 }
 
-// drainLater has the new leafs of an order drain after some time, and end after some more.
+// drainLater drains the new leafs of an order after drainDelay, and removes them after drainTime more.
 func (o *operator) drainLater(number int) {
 	target := o.played()[number].Target
-	time.AfterFunc(drainAfter, func() { o.world.drain(target) })
-	time.AfterFunc(drainAfter+drainTime, func() { o.world.remove(target) })
+	time.AfterFunc(drainDelay, func() { o.world.drain(target) })
+	time.AfterFunc(drainDelay+drainTime, func() { o.world.remove(target) })
 }
--- a/internal/lab/soak/records.go
+++ b/internal/lab/soak/records.go
@@ -7,8 +7,8 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// Prefixes of the routes: a gathered one, a repeatable and an at-most-once one to the same service,
-// and one that goes to another service with each change.
+// Prefixes of the routes: a gathered one, a repeatable and an at-most-once one of the same service, and one whose service
+// each configuration switches.
 const (
 	GatheredPrefix = "/gathered/"
 	SinglePrefix   = "/single/"
@@ -16,7 +16,7 @@
 	SwitchedPrefix = "/switched/"
 )
 
-// The states of a leaf in the users' store, and its keys.
+// Values of a leaf's state, and the key of the configuration, in the users' store.
 const (
 	stateReady    = "ready"
 	stateDraining = "draining"
@@ -25,14 +25,14 @@
 
 func leafKey(id string) string { return "servers/" + id }
 
-// outcomes are what operators are told of an order, by its phase.
+// outcomes are the outcomes of an order by the phase in its status.
 var outcomes = map[rollout.Phase]rollouts.Outcome{
 	rollout.Canary: rollouts.Running, rollout.Succeeded: rollouts.Succeeded, rollout.RolledBack: rollouts.RolledBack,
 }
 
 func evacuationKey(zone string) string { return "op/evacuate/" + zone }
 
-// leafRecord is a leaf as it stands in the users' store.
+// leafRecord is the record that a leaf writes to the users' store.
 type leafRecord struct {
 	Service, Address, Zone, Version, State string
 	Capacity, Sequence                     int
@@ -57,7 +57,7 @@
 	Limits   struct{}
 }
 
-// configuration gives a version in which the switched route goes to a service.
+// configuration returns a configuration whose switched route has a service.
 func configuration(version int, gathered []string, switched string) configurationRecord {
 	route := func(prefix, kind string) routeRecord {
 		return routeRecord{
--- a/internal/lab/soak/restores.go
+++ b/internal/lab/soak/restore.go
@@ -7,41 +7,42 @@
 	"github.com/portgauge/portgauge/internal/lab/kvstore"
 )
 
-// Times of a store that is restored from a backup.
+// Times of a restore of the store.
 const (
-	// backupAge is how old the backup is at most when the store goes away.
+	// backupAge is the greatest age of the backup when the store fails.
 	backupAge = 4 * time.Second
-	// leafsAgain and operatorsAgain are within what time leafs and operators write again what they wrote.
+	// leafsAgain and operatorsAgain are the times within which leafs and operators repeat their writes.
 	leafsAgain     = 2 * time.Second
 	operatorsAgain = 3 * time.Second
 )
 
-// standing is what operators wrote that stands, by key; safe for concurrent use. The zero value is empty.
-type standing struct {
+// operatorEntries are the entries that operators have written and not removed, by key; safe for concurrent use. The zero
+// value is empty.
+type operatorEntries struct {
 	mu     sync.Mutex
 	values map[string]any
 }
 
 // operate writes a key as operators do.
 func (w *world) operate(key string, value any) {
-	w.standing.mu.Lock()
-	defer w.standing.mu.Unlock()
-	if w.standing.values == nil {
-		w.standing.values = map[string]any{}
+	w.operatorEntries.mu.Lock()
+	defer w.operatorEntries.mu.Unlock()
+	if w.operatorEntries.values == nil {
+		w.operatorEntries.values = map[string]any{}
 	}
-	w.standing.values[key] = value
+	w.operatorEntries.values[key] = value
 	w.store.Put(key, value)
 }
 
 // retract removes a key as operators do.
 func (w *world) retract(key string) {
-	w.standing.mu.Lock()
-	defer w.standing.mu.Unlock()
-	delete(w.standing.values, key)
+	w.operatorEntries.mu.Lock()
+	defer w.operatorEntries.mu.Unlock()
+	delete(w.operatorEntries.values, key)
 	w.store.Remove(key)
 }
 
-// restores are the ways in which the store is restored.
+// restores returns the kinds of restores of the store.
 func restores() []fault {
 	return []fault{
 		{"store restored from a backup", (*injector).restoreStore},
@@ -51,21 +52,21 @@
 }
 
 func (i *injector) restoreStore(span time.Duration) func() {
-	return i.bringBack(span, kvstore.Faults{Refuse: 503})
+	return i.restoreAfter(span, kvstore.Faults{Refuse: 503})
 }
 
 func (i *injector) restoreSilent(span time.Duration) func() {
-	return i.bringBack(span, kvstore.Faults{Silent: true})
+	return i.restoreAfter(span, kvstore.Faults{Silent: true})
 }
 
 func (i *injector) restoreTwice(span time.Duration) func() {
-	again := i.bringBack(span/2, kvstore.Faults{Refuse: 503})
+	again := i.restoreAfter(span/2, kvstore.Faults{Refuse: 503})
 	again()
-	return i.bringBack(span/2, kvstore.Faults{Refuse: 503})
+	return i.restoreAfter(span/2, kvstore.Faults{Refuse: 503})
 }
 
-// bringBack makes a backup, lets the store go away some time later, and brings it back from the backup.
-func (i *injector) bringBack(span time.Duration, away kvstore.Faults) func() {
+// restoreAfter backs the store up, lets it fail some time later, and restores it from the backup in the end.
+func (i *injector) restoreAfter(span time.Duration, away kvstore.Faults) func() {
 	i.world.store.Backup()
 	time.Sleep(time.Duration(i.random.Int64N(int64(backupAge))))
 	i.everyNode(span + operatorsAgain)
@@ -78,7 +79,7 @@
 	}
 }
 
-// writeAgain has leafs and operators write again what they wrote, each some time after the store is back.
+// writeAgain repeats the writes of leafs and operators, each some time after the restore.
 func (i *injector) writeAgain() {
 	w := i.world
 	w.mu.Lock()
@@ -93,7 +94,7 @@
 	time.AfterFunc(time.Duration(i.random.Int64N(int64(operatorsAgain))), w.operateAgain)
 }
 
-// writeLeafAgain has a leaf write its record again; that of one that has left lapses.
+// writeLeafAgain repeats a leaf's write. The record of a leaf that has left is removed instead.
 func (w *world) writeLeafAgain(id string) {
 	w.mu.Lock()
 	record := w.leafs[id].record
@@ -108,15 +109,15 @@
 	}
 }
 
-// operateAgain has operators write again what stands, and remove again what does not.
+// operateAgain repeats the operators' writes, and their removals of evacuations.
 func (w *world) operateAgain() {
-	w.standing.mu.Lock()
-	defer w.standing.mu.Unlock()
-	for key, value := range w.standing.values {
+	w.operatorEntries.mu.Lock()
+	defer w.operatorEntries.mu.Unlock()
+	for key, value := range w.operatorEntries.values {
 		w.store.Put(key, value)
 	}
 	for _, key := range w.store.Keys(evacuationKey("")) {
-		if _, stands := w.standing.values[key]; !stands {
+		if _, stands := w.operatorEntries.values[key]; !stands {
 			w.store.Remove(key)
 		}
 	}
--- a/internal/lab/soak/show.go
+++ b/internal/lab/soak/rollouts.go
@@ -15,43 +15,43 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// ShowConfig is one showing of roll-outs, one after the other and without other trouble.
-type ShowConfig struct {
+// RolloutsConfig is a run of roll-outs, one after the other and without faults of nodes or store.
+type RolloutsConfig struct {
 	Seed uint64
-	// Duration is that of each order.
+	// Duration is the duration of each order.
 	Duration time.Duration
-	// PerSecond is the requests a second of all callers.
+	// PerSecond is the rate of requests of all callers.
 	PerSecond int
-	// Cases are the names of those that are played; empty plays all.
+	// Cases are the names of the cases to play; empty plays all.
 	Cases []string
 	// Logs is a folder for the newest output of the nodes; empty for none.
 	Logs string
 }
 
-// showCase is one roll-out with the outcome that it must have.
-type showCase struct {
+// rolloutCase is a roll-out with the outcome that it must have.
+type rolloutCase struct {
 	name string
 	plan plan
 	want rollouts.Outcome
 }
 
-// showCases are all roll-outs that are shown.
-func showCases(duration time.Duration) []showCase {
+// rolloutCases returns all cases, with orders of a duration.
+func rolloutCases(duration time.Duration) []rolloutCase {
 	gathered := "part0"
-	cases := []showCase{
+	cases := []rolloutCase{
 		{"good", plan{service: singleName}, rollouts.Succeeded},
 		{"good, gathered", plan{service: gathered}, rollouts.Succeeded},
 	}
 	for _, fault := range rollouts.Faults(OncePrefix) {
-		cases = append(cases, showCase{fault.Name, plan{service: singleName, fault: fault}, rollouts.RolledBack})
+		cases = append(cases, rolloutCase{fault.Name, plan{service: singleName, fault: fault}, rollouts.RolledBack})
 		if fault.Prefix == "" && fault.AtOnce == 0 {
-			cases = append(cases, showCase{fault.Name + ", gathered", plan{service: gathered, fault: fault}, rollouts.RolledBack})
+			cases = append(cases, rolloutCase{fault.Name + ", gathered", plan{service: gathered, fault: fault}, rollouts.RolledBack})
 		}
 	}
 	cases = append(cases,
-		showCase{"taken back", plan{service: singleName, takenBack: duration / 2}, rollouts.RolledBack},
-		showCase{"no leaf", plan{service: singleName, isEmpty: true}, rollouts.RolledBack},
-		showCase{"serves already", plan{service: singleName, isServing: true}, rollouts.Succeeded},
+		rolloutCase{"cancelled", plan{service: singleName, cancelledAfter: duration / 2}, rollouts.RolledBack},
+		rolloutCase{"no leaf", plan{service: singleName, isEmpty: true}, rollouts.RolledBack},
+		rolloutCase{"serves already", plan{service: singleName, isServing: true}, rollouts.Succeeded},
 	)
 	for index := range cases {
 		cases[index].plan.duration = duration
@@ -59,28 +59,29 @@
 	return cases
 }
 
-// ShowNames gives the names of the cases.
-func ShowNames() []string {
+// caseNames returns the names of all cases.
+func caseNames() []string {
 	var names []string
-	for _, one := range showCases(time.Second) {
+	for _, one := range rolloutCases(time.Second) {
 		names = append(names, one.name)
 	}
 	return names
 }
 
-// Times of a showing.
+// Times without an order.
 const (
-	quietTime = 6 * time.Second // without a roll-out, to compare with
-	restTime  = 2 * time.Second // between roll-outs
+	baselineTime = 6 * time.Second // at the start, for comparison
+	restTime     = 2 * time.Second // between two orders
 )
 
-// Show plays roll-outs over the program at a path, tells a line of each and gives how many went as they must.
-func Show(ctx context.Context, program string, cfg ShowConfig, out io.Writer) (passed, failed int, err error) {
-	cases := slices.DeleteFunc(showCases(cfg.Duration), func(one showCase) bool {
+// PlayRollouts plays roll-outs over the program at a path, and writes a line for each. It returns how many had the right
+// outcome and kept all promises, and how many did not.
+func PlayRollouts(ctx context.Context, program string, cfg RolloutsConfig, out io.Writer) (passed, failed int, err error) {
+	cases := slices.DeleteFunc(rolloutCases(cfg.Duration), func(one rolloutCase) bool {
 		return len(cfg.Cases) > 0 && !slices.Contains(cfg.Cases, one.name)
 	})
 	if len(cases) == 0 {
-		return 0, 0, failure.Invalid("cases", "none of these is known; there are %q", ShowNames())
+		return 0, 0, failure.Invalid("cases", "none of these is known; there are %q", caseNames())
 	}
 	folder, err := os.MkdirTemp("", "portgauge-rollout-")
 	if err != nil {
@@ -103,7 +104,7 @@
 	o := newOperator(w, func(text string) { _, _ = fmt.Fprintln(out, text) })
 	go o.read(calling)
 	quietFrom := time.Now()
-	wait.For(ctx, quietTime)
+	wait.For(ctx, baselineTime)
 	quietUntil := time.Now()
 	for _, one := range cases {
 		number, err := o.play(ctx, one.plan)
@@ -111,8 +112,8 @@
 			return passed, failed, err
 		}
 		wait.For(ctx, restTime+requestDeadline)
-		s := sight{release: o.played()[number], seen: callers.all(), quietFrom: quietFrom, quietUntil: quietUntil}
-		if s.tell(out, one, w) {
+		s := playedRollout{release: o.played()[number], seen: callers.all(), quietFrom: quietFrom, quietUntil: quietUntil}
+		if s.report(out, one, w) {
 			passed++
 		} else {
 			failed++
@@ -124,17 +125,17 @@
 	return passed, failed, ctx.Err()
 }
 
-// sight is what one roll-out looked like.
-type sight struct {
+// playedRollout is a roll-out with the outcomes of all requests, and the time before the first one.
+type playedRollout struct {
 	release               rollouts.Release
 	seen                  []outcome
 	quietFrom, quietUntil time.Time
 }
 
-// tell writes a line on a case, with lines for what it broke, and reports whether it went as it must.
-func (s sight) tell(out io.Writer, one showCase, w *world) bool {
+// report writes a line for a case, and lines for what is wrong with it. It returns whether nothing is.
+func (s playedRollout) report(out io.Writer, one rolloutCase, w *world) bool {
 	r := s.release
-	told, at := r.Outcome()
+	status, at := r.Outcome()
 	end := r.At.Add(r.Duration)
 	took := "-"
 	if !at.IsZero() {
@@ -143,30 +144,30 @@
 	exposure := r.Exposure(rollouts.Always)
 	ours := s.callers(r, r.At, end)
 	quiet := s.callers(r, s.quietFrom, s.quietUntil)
-	broken := s.broken(one, told, at.Sub(r.At))
+	broken := s.broken(one, status, at.Sub(r.At))
 	word := "PASS"
 	if len(broken) > 0 {
 		word = "FAIL"
 	}
 	_, _ = fmt.Fprintf(out, "%s %-34s %q after %s; %d of %d requests, bound %.0f; %s; callers: %s; quiet: %s; misplaced %d\n",
-		word, one.name, told, took, exposure.Got, exposure.Reached, exposure.Bound(), s.lastAfterBad(), ours, quiet,
-		len(r.Barred(rollouts.Always))+len(r.Leftover(rollouts.Always)))
+		word, one.name, status, took, exposure.Got, exposure.Reached, exposure.Bound(), s.lastAfterBad(), ours, quiet,
+		len(r.Unordered(rollouts.Always))+len(r.AtOldVersion(rollouts.Always)))
 	for _, text := range broken {
 		_, _ = fmt.Fprintln(out, "    ", text)
 	}
 	return len(broken) == 0
 }
 
-// broken says what was not as it must be.
-func (s sight) broken(one showCase, told rollouts.Outcome, took time.Duration) []string {
+// broken returns what is wrong with the roll-out.
+func (s playedRollout) broken(one rolloutCase, status rollouts.Outcome, took time.Duration) []string {
 	var broken []string
-	if told == rollouts.Running {
-		told = ""
+	if status == rollouts.Running {
+		status = ""
 	}
-	if told != one.want {
-		broken = append(broken, fmt.Sprintf("outcome %q, %q is due", told, one.want))
+	if status != one.want {
+		broken = append(broken, fmt.Sprintf("outcome %q, %q is due", status, one.want))
 	}
-	if told != "" && took > s.release.Duration {
+	if status != "" && took > s.release.Duration {
 		broken = append(broken, fmt.Sprintf("outcome %v after the order, which was to take %v", took, s.release.Duration))
 	}
 	for _, v := range judgeRollouts([]rollouts.Release{s.release}, rollouts.Always) {
@@ -175,10 +176,10 @@
 	return broken
 }
 
-// lastAfterBad says how long after its 50th bad answer the version got its last request.
-func (s sight) lastAfterBad() string {
+// lastAfterBad describes how long after its 50th bad answer the version got its last request.
+func (s playedRollout) lastAfterBad() string {
 	bad := s.release.BadAnswers()
-	fiftieth, isCondemned := s.release.Condemned()
+	fiftieth, isCondemned := s.release.FiftiethBadAnswer()
 	if !isCondemned {
 		return fmt.Sprintf("%d bad", bad)
 	}
@@ -186,7 +187,7 @@
 	return fmt.Sprintf("%d bad, last request %v after the 50th", bad, visits[len(visits)-1].At.Sub(fiftieth).Round(10*time.Millisecond))
 }
 
-// callersSeen is how the callers of a service fared.
+// callersSeen sums up the requests of callers.
 type callersSeen struct {
 	asked, failed int
 	median, high  time.Duration
@@ -196,8 +197,8 @@
 	return fmt.Sprintf("%d of %d failed, p50 %v p99 %v", c.failed, c.asked, c.median, c.high)
 }
 
-// callers looks at the requests for the service of an order that were sent in a span.
-func (s sight) callers(r rollouts.Release, from, until time.Time) callersSeen {
+// callers sums up the requests for the service of an order that were sent between two times.
+func (s playedRollout) callers(r rollouts.Release, from, until time.Time) callersSeen {
 	kinds := []Kind{Gathered}
 	if r.Target.Service() == singleName {
 		kinds = []Kind{Single, Once, Switched}
--- a/internal/lab/soak/series.go
+++ b/internal/lab/soak/series.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// Times of work that comes in a row.
+// Times between the steps of a series, and the number of reloads in one.
 const (
 	seriesGap   = 400 * time.Millisecond
 	restartGap  = 300 * time.Millisecond
 	reloadTimes = 4
 )
 
-// series are kinds of trouble and work that come in a row, or meet several processes at once.
+// series returns the kinds of faults and planned work that come in a row or affect several processes at once.
 func series() []fault {
 	return []fault{
 		{"nodes stopped and started in turn", (*injector).rollNodes},
 		{"nodes killed at once", (*injector).killSome},
-		{"nodes told to reload in a row", (*injector).reloadOften},
+		{"node reloads in a row", (*injector).reloadOften},
 		{"configurations in a row, twice", (*injector).changeTwice},
 		{"leaf started again under its id", (*injector).restartLeaf},
 		{"leafs started again under their ids", (*injector).restartLeafs},
 	}
 }
 
-// together begins some faults one after the other and gives what ends all of them.
+// together begins some faults one after the other and returns the function that ends them all.
 func together(begin ...func() func()) func() {
 	var ends []func()
 	for _, one := range begin {
@@ -34,15 +34,15 @@
 	}
 }
 
-// rollNodes stops each node and starts it again, one after the other.
+// rollNodes stops and starts one node after the other.
 func (i *injector) rollNodes(time.Duration) func() {
 	for _, node := range i.world.nodes {
 		if !node.claim() {
 			continue
 		}
-		node.stop(touchSlack)
+		node.stop(recoverySlack)
 		if err := node.process.Stop(); err != nil {
-			i.tell("FAILED STOP " + err.Error())
+			i.log("FAILED STOP " + err.Error())
 		}
 		i.restart(node)
 		time.Sleep(seriesGap)
@@ -69,13 +69,13 @@
 	return i.changeOften(span)
 }
 
-// restartLeaf ends a leaf's process, and has another one take its id and place.
+// restartLeaf replaces a leaf's process by another one with its id and address.
 func (i *injector) restartLeaf(span time.Duration) func() {
 	id, state := i.leaf(span)
 	state.link.Set(Resetting)
 	time.Sleep(restartGap)
 	if err := i.world.startAgain(id, state); err != nil {
-		i.tell("FAILED LEAF " + err.Error())
+		i.log("FAILED LEAF " + err.Error())
 	}
 	state.link.Set(Sound)
 	return nothing
@@ -86,18 +86,18 @@
 	return together(restart, restart, restart)
 }
 
-// startAgain starts another process of a leaf under its id, which knows nothing of the one before.
+// startAgain starts another process of a leaf under its id. It has no memory of the previous one.
 func (w *world) startAgain(id string, state *leafState) error {
 	started, err := w.startLeaf(id, state.version)
 	if err != nil {
 		return err
 	}
 	w.mu.Lock()
-	before, isGone := state.leaf, state.hasEnded || state.record == ""
+	before, isGone := state.leaf, state.hasCrashed || state.record == ""
 	if !isGone {
 		state.earlier = append(state.earlier, before)
 		state.leaf, state.born, state.sequence = started, time.Now().UnixMilli(), 0
-		state.link.Aim(started.Address())
+		state.link.SetTarget(started.Address())
 	}
 	record := state.record
 	w.mu.Unlock()
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -1,6 +1,9 @@
-// Package soak runs real nodes as processes of their own over a stand-in store and leafs, brings
-// about faults from outside of them, drawn from a seed, and judges the promises of the product by
-// what callers and leafs saw.
+// Package soak runs real nodes as processes of their own over a stand-in store and stand-in leafs, injects faults drawn from
+// a seed, and checks the promises of the product on the records of callers, store and leafs.
+//
+// A world owns the processes, the links between them and the store; everything it starts ends with Run. Package process starts
+// the nodes, package kvstore is the store, package httpleaf the leafs, package rollouts their versions. Seeds that once broke a
+// promise are kept as tests, so that the order of the random draws must stay as it is.
 package soak
 
 import (
@@ -10,7 +13,6 @@
 	"math/rand/v2"
 	"os"
 	"path/filepath"
-	"slices"
 	"strings"
 	"sync"
 	"time"
@@ -21,60 +23,66 @@
 // Config is one soak.
 type Config struct {
 	Seed uint64
-	// Length is how long faults are brought about.
+	// Length is how long faults are injected.
 	Length time.Duration
-	// PerSecond is the requests a second of all callers.
+	// PerSecond is the rate of requests of all callers.
 	PerSecond int
-	// Nodes is how many nodes run; four at least.
+	// Nodes is the number of nodes, at least four.
 	Nodes int
-	// Streams is how many faults are brought about side by side, each drawn by itself, besides requests that end leafs; 0
-	// for none.
+	// Streams is how many faults are injected side by side, each stream with draws of its own; crashing requests come besides.
 	Streams int
-	// Logs is a folder for what is kept of a run: the newest output of its nodes, what was brought about, and each request
-	// as its caller saw it. Empty for none.
+	// Logs is a folder for the records of a soak that broke a promise: the newest output of its nodes, the faults, and each
+	// request as its caller saw it. Empty for none.
 	Logs string
-	// KeepsAll keeps that also of runs that broke nothing.
-	KeepsAll bool
+	// KeepAll writes these records of every soak.
+	KeepAll bool
 }
 
-// Times around the faults.
+// Times before and after the faults.
 const (
 	startTime   = 6 * time.Second
 	recoverTime = 12 * time.Second
 	calmTime    = 4 * time.Second
 )
 
-// Numbers of the streams that faults, orders, requests which end leafs, series and restores of the store are drawn from.
+// Numbers of the random streams: of callers, of the first stream of faults, of roll-out orders, crashing requests, series and
+// restores of the store. Further streams of faults follow on that of crashing requests.
 const (
+	loadStream     = 1
 	firstStream    = 2
 	operatorStream = 3
-	fatalStream    = 4
+	crashingStream = 4
 	seriesStream   = 1 << 20
 	restoreStream  = seriesStream + 1
 )
 
-// firstWithSeries is the first seed that plays series of work and processes that start again under their names; those below
-// play as they always did.
+// firstWithSeries is the first seed that plays series of planned work and leafs that start again under their names.
 const firstWithSeries = 10000
 
-// isRestored reports whether a seed has the store restored from backups, every other one of those with series. Operators move
-// no services in those: what they are told of an order goes back with the store.
+// isRestored reports whether the store of a seed is restored from backups. There are no roll-outs then, since a restore takes
+// back the status that operators read of an order.
 func isRestored(seed uint64) bool { return seed >= firstWithSeries && seed%2 == 0 }
 
-// streamOf gives the number of the stream that faults are drawn from. The first has had its number always, so that seeds
-// play as they did.
+// streamOf returns the number of the random stream of a stream of faults.
 func streamOf(stream int) uint64 {
 	if stream == 0 {
 		return firstStream
 	}
-	return fatalStream + uint64(stream)
+	return crashingStream + uint64(stream)
 }
 
-// mostShown bounds the broken cases shown of each promise.
-const mostShown = 5
+// session is a soak in progress.
+type session struct {
+	cfg       Config
+	world     *world
+	callers   *load
+	operators *operator
+	began     time.Time
+	out       io.Writer
+	events    eventLog
+}
 
-// Run plays one soak over the program at a path and gives a verdict for each promise. What happens
-// is told to out as it does.
+// Run plays a soak over the program at a path and returns a verdict for each promise. It writes what happens to out.
 func Run(ctx context.Context, program string, cfg Config, out io.Writer) ([]Verdict, error) {
 	folder, err := os.MkdirTemp("", "portgauge-soak-")
 	if err != nil {
@@ -86,109 +94,112 @@
 		return nil, err
 	}
 	defer w.close()
-	began := time.Now()
-	var story storyBuffer
-	tell := func(text string) {
-		_, _ = fmt.Fprintf(io.MultiWriter(out, &story), "%8.3f %s\n", time.Since(began).Seconds(), text)
-	}
+	s := &session{cfg: cfg, world: w, callers: newLoad(w), began: time.Now(), out: out}
+	s.operators = newOperator(w, s.log)
 	wait.For(ctx, startTime)
 	if err := w.checkStarted(); err != nil {
 		return nil, err
 	}
+	calm := s.play(ctx)
+	if err := w.failed(); err != nil {
+		return nil, err
+	}
+	verdicts, err := s.judge(calm)
+	if err != nil {
+		return nil, err
+	}
+	return verdicts, ctx.Err()
+}
+
+// log writes what happens, with the time since the soak began.
+func (s *session) log(text string) {
+	_, _ = fmt.Fprintf(io.MultiWriter(s.out, &s.events), "%8.3f %s\n", time.Since(s.began).Seconds(), text)
+}
+
+// random returns a source of one of the random streams.
+func (s *session) random(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(s.cfg.Seed, stream)) }
 
-	callers := newLoad(w)
+// play sends requests while faults are injected and for some time afterwards. It returns when the system had had the time to
+// recover.
+func (s *session) play(ctx context.Context) (calm time.Time) {
 	calling, stopCalling := context.WithCancel(ctx)
 	ended := make(chan struct{})
 	go func() {
-		callers.run(calling, rand.New(rand.NewPCG(cfg.Seed, 1)), cfg.PerSecond)
+		s.callers.run(calling, s.random(loadStream), s.cfg.PerSecond)
 		close(ended)
 	}()
-	operators := newOperator(w, tell)
-	go operators.read(calling)
-	faulty, cancel := context.WithTimeout(ctx, cfg.Length)
+	go s.operators.read(calling)
+	s.injectFaults(ctx)
+	s.log("no more faults")
+	wait.For(ctx, recoverTime)
+	calm = time.Now()
+	wait.For(ctx, calmTime)
+	stopCalling()
+	<-ended
+	return calm
+}
+
+// injectFaults injects all faults of the seed, and returns when the last one has ended.
+func (s *session) injectFaults(ctx context.Context) {
+	faulty, cancel := context.WithTimeout(ctx, s.cfg.Length)
+	defer cancel()
 	released := make(chan struct{})
 	go func() {
 		defer close(released)
-		if !isRestored(cfg.Seed) {
-			operators.run(ctx, faulty, rand.New(rand.NewPCG(cfg.Seed, operatorStream)))
+		if !isRestored(s.cfg.Seed) {
+			s.operators.run(ctx, faulty, s.random(operatorStream))
 		}
 	}()
-	var beside sync.WaitGroup
-	beside.Go(func() {
-		(&fataler{load: callers, random: rand.New(rand.NewPCG(cfg.Seed, fatalStream)), tell: tell}).run(faulty)
+	var injecting sync.WaitGroup
+	injecting.Go(func() {
+		(&crasher{load: s.callers, random: s.random(crashingStream), log: s.log}).run(faulty)
 	})
 	inject := func(kinds []fault, stream uint64) {
-		drawn := &injector{world: w, kinds: kinds, random: rand.New(rand.NewPCG(cfg.Seed, stream)), tell: tell}
-		beside.Go(func() { drawn.run(faulty) })
+		drawn := &injector{world: s.world, kinds: kinds, random: s.random(stream), log: s.log}
+		injecting.Go(func() { drawn.run(faulty) })
 	}
-	for stream := range cfg.Streams {
+	for stream := range s.cfg.Streams {
 		inject(faults(), streamOf(stream))
 	}
-	if cfg.Seed >= firstWithSeries {
+	if s.cfg.Seed >= firstWithSeries {
 		inject(series(), seriesStream)
 	}
-	if isRestored(cfg.Seed) {
+	if isRestored(s.cfg.Seed) {
 		inject(restores(), restoreStream)
 	}
-	beside.Wait()
+	injecting.Wait()
 	cancel()
 	<-released
-	tell("no more faults")
-	wait.For(ctx, recoverTime)
-	calm := time.Now()
-	wait.For(ctx, calmTime)
-	stopCalling()
-	<-ended
-	if err := w.failed(); err != nil {
-		return nil, err
-	}
-	seen := callers.all()
-	verdicts := append(judge(w, seen, calm), judgeRollouts(operators.played(), w.clearOf(seen))...)
-	if cfg.Logs != "" && (cfg.KeepsAll || hasBroken(verdicts)) {
-		folder := filepath.Join(cfg.Logs, fmt.Sprintf("seed-%d-%s", cfg.Seed, began.UTC().Format("150405")))
-		_, _ = fmt.Fprintf(out, "logs: %s\n", folder)
-		if err := w.keepRun(folder, story.String(), began, seen); err != nil {
-			return nil, err
-		}
-	}
-	return verdicts, ctx.Err()
 }
 
-// hasBroken reports whether any promise was broken.
-func hasBroken(verdicts []Verdict) bool {
-	return slices.ContainsFunc(verdicts, func(v Verdict) bool { return len(v.Broken) > 0 })
+// judge checks all promises, and writes the records of the soak to its folder if a promise was broken.
+func (s *session) judge(calm time.Time) ([]Verdict, error) {
+	seen := s.callers.all()
+	verdicts := append(judge(s.world, seen, calm), judgeRollouts(s.operators.played(), s.world.clearOf(seen))...)
+	if s.cfg.Logs == "" || !s.cfg.KeepAll && !hasBroken(verdicts) {
+		return verdicts, nil
+	}
+	folder := filepath.Join(s.cfg.Logs, fmt.Sprintf("seed-%d-%s", s.cfg.Seed, s.began.UTC().Format("150405")))
+	_, _ = fmt.Fprintf(s.out, "logs: %s\n", folder)
+	return verdicts, s.world.keepRun(folder, s.events.String(), s.began, seen)
 }
 
-// storyBuffer keeps what a soak tells; safe for concurrent use.
-type storyBuffer struct {
+// eventLog keeps what a soak logs; safe for concurrent use. The zero value is empty.
+type eventLog struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (b *storyBuffer) Write(line []byte) (int, error) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.text.Write(line)
+// Write implements io.Writer.
+func (l *eventLog) Write(line []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.text.Write(line)
 }
 
-func (b *storyBuffer) String() string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.text.String()
-}
-
-// Report writes a line for each promise, and the first broken cases; it gives how many promises
-// held and how many did not.
-func Report(verdicts []Verdict, out io.Writer) (passed, failed int) {
-	for _, v := range verdicts {
-		if len(v.Broken) == 0 {
-			passed++
-			_, _ = fmt.Fprintf(out, "PASS %s (%d checked)\n", v.Promise, v.Checked)
-			continue
-		}
-		failed++
-		shown := v.Broken[:min(len(v.Broken), mostShown)]
-		_, _ = fmt.Fprintf(out, "FAIL %s (%d of %d)\n  %s\n", v.Promise, len(v.Broken), v.Checked, strings.Join(shown, "\n  "))
-	}
-	return passed, failed
+// String returns all that was written.
+func (l *eventLog) String() string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.text.String()
 }
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -11,18 +11,18 @@
 	"github.com/portgauge/portgauge/internal/lab/process"
 )
 
-// The folder of the logs of a seed that breaks a promise, from the top of the source.
+// failedLogs is the folder for the logs of a seed that breaks a promise, relative to the top of the source.
 var failedLogs = filepath.Join("target", "soak")
 
-// Short soaks, about 50 s each, over real nodes: what longer ones find belongs to the runs that are started by hand. Their
-// faults are those of the seed each time; what falls together with them is not.
+// Short soaks over real nodes, about 50 s each; longer ones are run by hand. A seed always injects the same faults, but not
+// at the same moments of the processes.
 func TestShortSoak(t *testing.T) {
 	soak(t, Config{Seed: 35, Length: 30 * time.Second, PerSecond: 60, Streams: 1, Logs: failedLogs})
 }
 
 // The store is restored from backups while nodes stop and configurations change in series. With this seed the evacuation of
-// a zone was lost, and ended before operators had written it again: the nodes held to it for a minute, and the leafs of
-// the zone got nothing once all was calm.
+// a zone was lost, and ended before operators had written it again: the nodes kept it in force for a minute, and the zone's
+// leafs got nothing after the faults.
 func TestSoakWithRestores(t *testing.T) {
 	soak(t, Config{Seed: 10002, Length: 25 * time.Second, PerSecond: 60, Streams: 2, Logs: failedLogs})
 }
--- a/internal/lab/soak/versions.go
+++ b/internal/lab/soak/versions.go
@@ -6,7 +6,7 @@
 	"github.com/portgauge/portgauge/internal/lab/rollouts"
 )
 
-// servingOf gives the version that serves a service.
+// servingOf returns the version that serves a service.
 func (w *world) servingOf(service string) *rollouts.Version {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -19,7 +19,7 @@
 	return w.serving[service]
 }
 
-// How long leafs work on a request: long enough at single leafs that some get several at once.
+// Service times of leafs. Those of single leafs are long enough that some get several requests at once.
 const (
 	singleWork   = 30 * time.Millisecond
 	gatheredWork = 4 * time.Millisecond
@@ -32,12 +32,12 @@
 	return gatheredWork
 }
 
-// services gives the names of all services.
+// services returns the names of all services.
 func (w *world) services() []string {
 	return append([]string{singleName, anotherName}, w.gathered...)
 }
 
-// leafsOf gives the ids of a version's leafs.
+// leafsOf returns the ids of a version's leafs.
 func (w *world) leafsOf(version *rollouts.Version) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -50,7 +50,7 @@
 	return ids
 }
 
-// succeed ends the leafs of the old version; the new one serves from now on.
+// succeed removes the leafs of the old version and makes the target the version that serves.
 func (w *world) succeed(old, target *rollouts.Version) {
 	w.operating.Lock()
 	defer w.operating.Unlock()
@@ -61,7 +61,7 @@
 	w.remove(old)
 }
 
-// drain has the records of a version's leafs say that they drain.
+// drain registers the leafs of a version as draining.
 func (w *world) drain(version *rollouts.Version) {
 	w.operating.Lock()
 	defer w.operating.Unlock()
@@ -70,7 +70,7 @@
 	}
 }
 
-// leave notes that the leafs of a version leave, and gives those that didn't before.
+// leave notes that the leafs of a version are leaving, and returns those that weren't before.
 func (w *world) leave(version *rollouts.Version) []string {
 	ids := w.leafsOf(version)
 	w.mu.Lock()
--- a/internal/lab/soak/world_test.go
+++ b/internal/lab/soak/world_test.go
@@ -10,7 +10,7 @@
 	"github.com/portgauge/portgauge/internal/lab/process"
 )
 
-// endedNode gives a node whose process ended at once.
+// endedNode returns a node whose process ended at once.
 func endedNode(t *testing.T) *nodeState {
 	t.Helper()
 	ended, err := process.Start("node-9", "/bin/true")
