--- a/internal/lab/control/control.go
+++ b/internal/lab/control/control.go
@@ -1,4 +1,5 @@
-// Package control is the HTTP side door through which experiments steer stand-ins.
+// Package control has the HTTP calls by which tests steer stand-in processes: JSON bodies, answered by 204, by 200 with
+// JSON, or by 400 with what is wrong. It owns the control server of a stand-in, and is the client of it.
 package control
 
 import (
@@ -14,7 +15,7 @@
 	"github.com/gin-gonic/gin"
 )
 
-// callTimeout bounds one control call.
+// callTimeout bounds a control call.
 const callTimeout = 90 * time.Second
 
 // NewRouter returns a router without routes that answers a panicking handler's call with status 500.
@@ -25,7 +26,7 @@
 	return router
 }
 
-// Serve serves control calls until the context ends; an empty address serves none.
+// Serve serves control calls until the context ends, unless the address is empty.
 func Serve(ctx context.Context, address string, handler http.Handler) error {
 	if address == "" {
 		return nil
@@ -48,7 +49,7 @@
 	return nil
 }
 
-// Read decodes a call's body strictly, and answers for it when it is malformed.
+// Read decodes the body of a call strictly. It answers a malformed call itself and returns false.
 func Read(c *gin.Context, target any) bool {
 	decoder := json.NewDecoder(c.Request.Body)
 	decoder.DisallowUnknownFields()
@@ -59,17 +60,17 @@
 	return true
 }
 
-// refusal is the body of a refused call.
+// refusal is the body of an answer with status 400.
 type refusal struct {
 	Error string `json:"error"`
 }
 
-// Refuse answers a call with what is wrong with it.
+// Refuse answers a call by status 400 with an error.
 func Refuse(c *gin.Context, err error) {
 	c.JSON(http.StatusBadRequest, refusal{Error: err.Error()})
 }
 
-// Put makes a control call.
+// Put makes a control call with a body.
 func Put(ctx context.Context, address, path string, body any) error {
 	content, err := json.Marshal(body)
 	if err != nil {
--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo shows the product at work in one process: a node, a stand-in platform and
-// leafs over a small sample index.
+// Package demo is the demonstration of the README: a node, a stand-in platform and stand-in leafs in one process, over a
+// small sample index. Everything that it starts ends with Run.
 package demo
 
 import (
@@ -36,7 +36,7 @@
 	zone            = "zone-a"
 )
 
-// cluster is what runs in the demonstration.
+// cluster is what the demonstration runs.
 type cluster struct {
 	output    io.Writer
 	callers   string
@@ -51,7 +51,7 @@
 	ended   chan struct{}
 }
 
-// Run starts everything, searches, breaks a leaf, searches again, and stops.
+// Run starts a cluster, searches, stops a leaf, searches again, and stops.
 func Run(output io.Writer) error {
 	ctx, cancel := context.WithTimeout(context.Background(), demoTimeout)
 	defer cancel()
@@ -75,7 +75,7 @@
 	return stopNode()
 }
 
-// serveQuietly runs a server whose end the demonstration notices by its calls failing.
+// serveQuietly runs a server. Calls to it fail if it ends early.
 func serveQuietly(serve func() error) {
 	if err := serve(); err != nil {
 		return
--- a/internal/lab/forwarder/forwarder.go
+++ b/internal/lab/forwarder/forwarder.go
@@ -1,6 +1,6 @@
-// Package forwarder stands between processes of an experiment and can cut them off from each
-// other: a TCP forwarder for any protocol, and one for the peer protocol, over TCP and UDP,
-// that tells the sending node from its messages.
+// Package forwarder forwards connections between processes of the lab and can cut them: over TCP for any protocol, and over
+// TCP and UDP for the peer protocol, whose messages name their sender. A Forwarder owns its sockets and goroutines until
+// Close.
 package forwarder
 
 import (
@@ -12,11 +12,10 @@
 	"sync"
 )
 
-// Gate decides whether a message or connection may pass; it is asked anew for each.
+// Gate reports whether a connection or message of a sender may pass. It is called for each.
 type Gate func(from string) bool
 
-// Forwarder passes connections from one address on to another. Closing a gate also ends the
-// connections that are open.
+// Forwarder forwards from one address to another.
 type Forwarder struct {
 	target    string
 	listener  net.Listener
@@ -28,7 +27,7 @@
 	open  map[net.Conn]string // by sender
 }
 
-// NewTCP forwards connections; the gate is asked with an empty sender.
+// NewTCP returns a forwarder of TCP connections. It calls the gate with an empty sender.
 func NewTCP(address, target string, gate Gate) (*Forwarder, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -39,8 +38,8 @@
 	return forwarder, nil
 }
 
-// NewPeer forwards the peer protocol over TCP and UDP; the gate is asked with the peer
-// address that the message names as its sender.
+// NewPeer returns a forwarder of the peer protocol. It calls the gate with the peer address that a message names as its
+// sender.
 func NewPeer(address, target string, gate Gate) (*Forwarder, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -60,7 +59,7 @@
 	return forwarder, nil
 }
 
-// Close ends the forwarder and all its connections.
+// Close closes the sockets and all connections.
 func (f *Forwarder) Close() {
 	closeQuietly(f.listener)
 	if f.datagrams != nil {
@@ -69,7 +68,7 @@
 	f.drop(func(string) bool { return true })
 }
 
-// Recheck ends the open connections that the gate no longer lets pass.
+// Recheck closes the open connections that the gate doesn't let pass any more.
 func (f *Forwarder) Recheck() {
 	f.drop(func(sender string) bool { return !f.gate(sender) })
 }
@@ -161,8 +160,7 @@
 	}
 }
 
-// senderOf reads the sender's peer address from a message; compressed lines hide it, so that
-// they count as from nowhere and pass.
+// senderOf returns the sender's peer address in a message. Compressed lines hide it; they have an empty sender.
 func senderOf(line []byte) string {
 	var message struct {
 		From string `json:"from"`
--- a/internal/lab/httpleaf/httpleaf.go
+++ b/internal/lab/httpleaf/httpleaf.go
@@ -1,5 +1,7 @@
-// Package httpleaf is a stand-in leaf that speaks HTTP/1.1 byte by byte, so that it can answer
-// as badly as a leaf in trouble does.
+// Package httpleaf is a stand-in leaf that writes HTTP/1.1 byte by byte, so that it can answer as badly as a faulty leaf
+// does.
+//
+// A Leaf owns its listener and a goroutine for each connection until Stop, and remembers every request.
 package httpleaf
 
 import (
@@ -16,39 +18,39 @@
 	"github.com/portgauge/portgauge/internal/request/httpnames"
 )
 
-// Answer is what a leaf sends back.
+// Answer is the answer of a leaf. The zero value is a signed, empty success.
 type Answer struct {
-	// Delay is how long the leaf works.
+	// Delay is the service time.
 	Delay  time.Duration
 	Status int
 	Body   []byte
-	// NotExecuted says that the request was refused unrun.
+	// NotExecuted marks a refusal of a request that did not run.
 	NotExecuted bool
-	// Unsigned leaves the signature out.
+	// Unsigned omits the signature.
 	Unsigned bool
-	// RequestID replaces the id that is echoed.
+	// RequestID replaces the id that is echoed, unless it is empty.
 	RequestID string
-	// Unframed leaves the length out and ends the answer with the connection.
+	// Unframed omits the length and ends the answer by closing the connection.
 	Unframed bool
-	// BreakOff closes the connection after so many bytes of the body; 0 means not.
+	// BreakOff closes the connection after so many bytes of the body, unless it is 0.
 	BreakOff int
-	// Silent sends nothing at all and keeps the connection.
+	// Silent sends nothing and keeps the connection open.
 	Silent bool
 	// Dropped closes the connection without an answer.
 	Dropped bool
-	// Ends stops the leaf, with all of its connections, after the delay.
-	Ends bool
+	// Crash stops the leaf with all of its connections after the delay, without an answer.
+	Crash bool
 	// Before is sent before the answer, After behind it.
 	Before, After []byte
-	// Close asks for the connection to be closed.
+	// Close announces that the connection will be closed, and closes it.
 	Close bool
-	// KeepAliveSeconds is how long the connection may rest; 0 says nothing.
+	// KeepAliveSeconds is how long the connection may be idle, as announced to the caller; 0 announces nothing.
 	KeepAliveSeconds int
-	// Load is the leaf's word on its load, as it stands in the header.
+	// Load is the value of the header with the leaf's load.
 	Load string
 }
 
-// Request is what a leaf received.
+// Request is a request that a leaf received.
 type Request struct {
 	ID          string
 	Method      string
@@ -62,7 +64,7 @@
 	At time.Time
 }
 
-// Leaf is one incarnation; safe for concurrent use.
+// Leaf is one incarnation of a leaf; safe for concurrent use.
 type Leaf struct {
 	ID     string
 	names  httpnames.Names
@@ -74,13 +76,12 @@
 	open     map[net.Conn]bool
 }
 
-// Start listens on a free address of the loopback. The answer function says how each request is
-// answered; it is called concurrently.
+// Start starts a leaf on a free address of the loopback interface. It calls answer for each request, concurrently.
 func Start(id string, names httpnames.Names, answer func(Request) Answer) (*Leaf, error) {
 	return StartAt("127.0.0.1:0", id, names, answer)
 }
 
-// StartAt listens on a given address.
+// StartAt starts a leaf on a given address.
 func StartAt(address, id string, names httpnames.Names, answer func(Request) Answer) (*Leaf, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -96,10 +97,10 @@
 	return leaf
 }
 
-// Address gives the leaf's address.
+// Address returns the address at which the leaf listens.
 func (l *Leaf) Address() string { return l.listener.Addr().String() }
 
-// Stop ends the leaf with all of its connections.
+// Stop closes the listener and all connections.
 func (l *Leaf) Stop() {
 	_ = l.listener.Close()
 	l.mutex.Lock()
@@ -109,7 +110,7 @@
 	}
 }
 
-// Asked gives what arrived, in order.
+// Asked returns the requests so far, in order of their arrival.
 func (l *Leaf) Asked() []Request {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -166,21 +167,21 @@
 	return request, nil
 }
 
-// reply sends the answer and reports whether the connection goes on.
+// reply sends the answer and reports whether the connection stays open.
 func (l *Leaf) reply(connection net.Conn, reader *bufio.Reader, request Request) bool {
 	if request.Incarnation != "" && request.Incarnation != l.ID {
 		return l.send(connection, request, Answer{Status: http.StatusMisdirectedRequest, NotExecuted: true})
 	}
 	answer := l.answer(request)
 	if answer.Silent {
-		_, _ = reader.Peek(1) // until the caller closes
+		_, _ = reader.Peek(1) // until the caller closes the connection
 		return false
 	}
 	if answer.Dropped {
 		return false
 	}
 	time.Sleep(answer.Delay)
-	if answer.Ends {
+	if answer.Crash {
 		l.Stop()
 		return false
 	}
--- a/internal/lab/kvstore/backup.go
+++ b/internal/lab/kvstore/backup.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// backup is the whole state at an earlier revision.
+// backup is the whole state of the store at an earlier revision.
 type backup struct {
 	revision  int64
 	items     map[string]Item
@@ -14,7 +14,7 @@
 	nextLease int64
 }
 
-// Backup keeps the state as it is for Restore.
+// Backup saves the state for Restore.
 func (s *Store) Backup() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -23,8 +23,8 @@
 	}
 }
 
-// Restore brings the store back from the last backup: what was written since is gone, leases too, and revisions and ids of
-// leases are given out again.
+// Restore sets the state back to the last backup, leases included, and starts the next epoch. Counts and lease ids are
+// assigned again.
 func (s *Store) Restore() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -36,7 +36,7 @@
 	s.wake()
 }
 
-// Epoch gives how often the store was restored.
+// Epoch returns the epoch, which grows by one with each restore.
 func (s *Store) Epoch() int64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/lab/kvstore/calls.go
+++ b/internal/lab/kvstore/calls.go
@@ -29,7 +29,7 @@
 	return router
 }
 
-// admit ends leases that have expired and refuses the call if the faults say so.
+// admit ends expired leases, and refuses the call or leaves it unanswered if the faults say so.
 func (s *Store) admit(c *gin.Context) {
 	if s.isSilent() {
 		<-c.Request.Context().Done()
@@ -64,7 +64,7 @@
 	c.JSON(http.StatusOK, item)
 }
 
-// pageItems is how many items a page of a range has.
+// pageItems is the number of items in a page of a range.
 const pageItems = 50
 
 func (s *Store) getRange(c *gin.Context) {
--- a/internal/lab/kvstore/kvstore.go
+++ b/internal/lab/kvstore/kvstore.go
@@ -1,8 +1,9 @@
-// Package kvstore is a small stand-in of the users' metadata store, for tests and the lab.
+// Package kvstore is a small stand-in for the users' metadata store, for tests and the lab: linearizable reads and
+// transactions, watches that wait for changes, leases, a history that can be dropped, backups. It injects the faults that a
+// test sets.
 //
-// It keeps what the published protocol promises: linearizable reads and transactions, watches
-// that wait, leases, dropped history; and it misbehaves on request: it refuses, is silent, loses
-// answers after the change was made, hushes watches, and comes back from a backup.
+// A Store keeps its state in memory and serves it by the Handler; it starts no goroutine. Leases expire when a call comes
+// in.
 package kvstore
 
 import (
@@ -12,7 +13,7 @@
 	"sync"
 )
 
-// Item is one key.
+// Item is a key with its value.
 type Item struct {
 	Key      string `json:"TlsKey"`
 	Value    []byte `json:"Value,omitempty"`
@@ -22,17 +23,17 @@
 	Deleted  bool   `json:"gone,omitempty"`
 }
 
-// Faults are what the store does wrong.
+// Faults are the faults of the store.
 type Faults struct {
-	// Refuse answers every call with this status, if it is not 0.
+	// Refuse is the status of the answer to every call, unless it is 0.
 	Refuse int
-	// Silent answers nothing until the caller gives up.
+	// Silent leaves calls without an answer until the caller gives up.
 	Silent bool
-	// LoseAnswers makes changes without answering.
+	// LoseAnswers makes changes and closes the connection instead of answering.
 	LoseAnswers bool
-	// HoldStale answers stale reads by the state at the time when this was set.
+	// HoldStale answers stale reads from the state at the time when it was set.
 	HoldStale bool
-	// HushWatches keeps changes from watches, which answer nothing until they are cut.
+	// SilentWatches hides changes from watches, which answer without any when their wait is over.
 	SilentWatches bool
 }
 
@@ -50,7 +51,7 @@
 	// epoch grows by one with each restore; clients are sent it unless it is 0.
 	epoch  int64
 	backup backup
-	// stale is what stale reads are answered by while they are held back.
+	// stale is the state for stale reads while HoldStale is set.
 	stale staleState
 }
 
@@ -65,7 +66,7 @@
 	return &Store{items: map[string]Item{}, leases: map[int64]lease{}, changed: make(chan struct{}), nextLease: 1, epoch: epoch}
 }
 
-// SetFaults changes what the store does wrong.
+// SetFaults replaces the faults.
 func (s *Store) SetFaults(faults Faults) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -75,7 +76,7 @@
 	s.faults = faults
 }
 
-// Put writes a key as the operator or a leaf would, and gives the revision.
+// Put writes a value as JSON under a key, as operators and leafs do, and returns the count.
 func (s *Store) Put(key string, value any) int64 {
 	content, err := json.Marshal(value)
 	if err != nil {
@@ -84,7 +85,7 @@
 	return s.PutBytes(key, content)
 }
 
-// PutBytes writes bytes, which need not be JSON, under a key and gives the revision.
+// PutBytes writes bytes, which need not be JSON, under a key and returns the count.
 func (s *Store) PutBytes(key string, content []byte) int64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -94,7 +95,7 @@
 	return s.revision
 }
 
-// Remove removes a key and gives the revision.
+// Remove removes a key and returns the count.
 func (s *Store) Remove(key string) int64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -112,7 +113,7 @@
 	s.wake()
 }
 
-// Item gives a key as it is.
+// Item returns a key as it is now.
 func (s *Store) Item(key string) (Item, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -120,7 +121,7 @@
 	return item, found
 }
 
-// Keys gives the keys that begin with a prefix, in no order.
+// Keys returns the keys with a prefix, in no order.
 func (s *Store) Keys(prefix string) []string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/lab/kvstore/transaction.go
+++ b/internal/lab/kvstore/transaction.go
@@ -14,10 +14,10 @@
 	Remove      []string
 }
 
-// foreignKeys begin the keys that callers may not write.
+// foreignKeys are the prefixes of keys that only operators and leafs write.
 var foreignKeys = []string{"op/", "servers/"}
 
-// writesForeign reports whether a transaction writes a key that callers may not write.
+// writesForeign reports whether the transaction writes or removes such a key.
 func (t transaction) writesForeign() bool {
 	written := slices.Clone(t.Remove)
 	for _, item := range t.Put {
--- a/internal/lab/leaf/leaf.go
+++ b/internal/lab/leaf/leaf.go
@@ -1,5 +1,6 @@
-// Package leaf is a stand-in back end: it holds versions of a sample index, serves any range
-// of them over the leaf protocol, and records what it executed.
+// Package leaf is a stand-in leaf of the gRPC leaf protocol: it has snapshots of a sample index, serves any key range of
+// them, and records what it executed. A Leaf owns its indexes in memory and the file of executions; it reads the wall clock
+// and draws from a seed.
 package leaf
 
 import (
@@ -21,27 +22,26 @@
 	"github.com/portgauge/portgauge/internal/request/search"
 )
 
-// Config is what a leaf is and how fast it works.
+// Config describes a leaf.
 type Config struct {
 	ID      string
 	Dataset sample.Dataset
 	Seed    uint64
 	Records int
-	// Snapshots are the versions held at the start.
+	// Snapshots are the snapshots that it has at the start.
 	Snapshots []string
-	// Slots is how many attempts run at once; as many again wait for each slot.
+	// Slots is the number of attempts that run at once.
 	Slots int
-	// QueuePerSlot is how many attempts wait for each slot before the leaf sheds.
+	// QueuePerSlot is how many attempts wait for each slot before the leaf sheds load.
 	QueuePerSlot int
-	// MedianServiceTime and ServiceSpread (sigma of the logarithm) shape a log-normal
-	// service time.
+	// MedianServiceTime and ServiceSpread, the sigma of the logarithm, are those of a log-normal service time.
 	MedianServiceTime time.Duration
 	ServiceSpread     float64
-	// Record is a file that each execution is written to before it runs, if set.
+	// Record is a file to which each execution is written before it runs; empty for none.
 	Record string
 }
 
-// Validate names every field at fault.
+// Validate returns a failure with every invalid field.
 func (c Config) Validate() error {
 	var checks failure.Checks
 	checks.Refuse(c.ID == "", "id", "must not be empty")
@@ -54,7 +54,7 @@
 	return checks.Err()
 }
 
-// Execution is the record of one attempt that the leaf ran.
+// Execution is the record of an attempt that the leaf ran.
 type Execution struct {
 	LeafID      string `json:"leaf_id"`
 	Service     string `json:"service"`
@@ -63,18 +63,17 @@
 	ShardID     string `json:"shard_id"`
 	Attempt     uint32 `json:"attempt"`
 	ExecutionID string `json:"execution_id,omitempty"`
-	// At is when it started to run, in Unix microseconds.
+	// At is when it began to run, in Unix microseconds.
 	At int64 `json:"at"`
 }
 
 // recordMode is the mode of the file of executions.
 const recordMode = 0o600
 
-// executionIDMemory is how long a leaf refuses a second copy of an execution id beyond its
-// not-after time.
+// executionIDMemory is how long after its not-after time an execution id is refused if it comes again.
 const executionIDMemory = 10 * time.Minute
 
-// Leaf serves LeafService.
+// Leaf implements LeafServiceServer; safe for concurrent use.
 type Leaf struct {
 	leafv1.UnimplementedLeafServiceServer
 	config Config
@@ -88,10 +87,10 @@
 	inFlight int
 	ran      map[string]time.Time // execution ids, until when they are remembered
 	previous *leafv1.SearchShardResponse
-	record   *os.File
+	file     *os.File
 }
 
-// New makes a leaf and builds its indexes.
+// New builds the indexes of a leaf and opens its record.
 func New(config Config) (*Leaf, error) {
 	leaf := &Leaf{
 		config:  config,
@@ -102,17 +101,17 @@
 		ran:     map[string]time.Time{},
 	}
 	if config.Record != "" {
-		record, err := os.OpenFile(config.Record, os.O_CREATE|os.O_APPEND|os.O_WRONLY, recordMode)
+		file, err := os.OpenFile(config.Record, os.O_CREATE|os.O_APPEND|os.O_WRONLY, recordMode)
 		if err != nil {
 			return nil, failure.Invalid("record", "%v", err)
 		}
-		leaf.record = record
+		leaf.file = file
 	}
-	return leaf, leaf.hold(config.Snapshots)
+	return leaf, leaf.setSnapshots(config.Snapshots)
 }
 
-// hold makes the given versions the ones held.
-func (l *Leaf) hold(snapshots []string) error {
+// setSnapshots replaces the snapshots that the leaf has.
+func (l *Leaf) setSnapshots(snapshots []string) error {
 	held := map[string]bool{}
 	for _, snapshot := range snapshots {
 		if l.indexes[snapshot] == nil {
@@ -134,7 +133,7 @@
 	defer l.mutex.Unlock()
 	l.faults = faults
 	if len(faults.Snapshots) > 0 {
-		return l.hold(faults.Snapshots)
+		return l.setSnapshots(faults.Snapshots)
 	}
 	return nil
 }
@@ -159,7 +158,7 @@
 	return l.respond(request, index, faults)
 }
 
-// admit refuses what the leaf won't run and counts the rest in.
+// admit refuses an attempt while the leaf drains or sheds load, or else counts it as in flight.
 func (l *Leaf) admit(request *leafv1.SearchShardRequest) (Faults, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -199,7 +198,7 @@
 	return l.refuse(request, leafv1.RefusalReason_REFUSAL_REASON_TOO_LATE)
 }
 
-// begin records the execution, or refuses it as the last step before anything ran.
+// begin records the execution of an attempt. It is the last step that may refuse it.
 func (l *Leaf) begin(request *leafv1.SearchShardRequest, arrived time.Time) (*sample.Index, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -216,27 +215,27 @@
 			return nil, refusal
 		}
 	}
-	return l.indexes[snapshot], l.note(Execution{
+	return l.indexes[snapshot], l.record(Execution{
 		LeafID: l.config.ID, Service: request.GetService(), RequestID: request.GetIdentity().GetRequestId(), SnapshotID: snapshot,
 		ShardID: request.GetIdentity().GetShardId(), Attempt: request.GetIdentity().GetAttempt(),
 		ExecutionID: request.GetExecutionId(), At: now.UnixMicro(),
 	})
 }
 
-// note records an execution, in the file too if there is one, so that it outlives the leaf.
-func (l *Leaf) note(execution Execution) error {
-	if l.record == nil {
+// record writes an execution to the file, if there is one. The caller must hold the mutex.
+func (l *Leaf) record(execution Execution) error {
+	if l.file == nil {
 		return nil
 	}
 	line, err := json.Marshal(execution)
 	if err != nil {
 		return err
 	}
-	_, err = l.record.Write(append(line, '\n'))
+	_, err = l.file.Write(append(line, '\n'))
 	return err
 }
 
-// claim refuses an execution id that is late or ran before.
+// claim refuses an execution id that is late or was run before.
 func (l *Leaf) claim(request *leafv1.SearchShardRequest, id string, now time.Time) error {
 	if now.UnixMilli() > request.GetNotAfterUnixMillis() {
 		return l.refuse(request, leafv1.RefusalReason_REFUSAL_REASON_TOO_LATE)
@@ -248,7 +247,7 @@
 	return nil
 }
 
-// work takes as long as the leaf's service time.
+// work waits for the service time.
 func (l *Leaf) work(ctx context.Context, faults Faults) {
 	timer := time.NewTimer(l.serviceTime(faults))
 	defer timer.Stop()
@@ -275,7 +274,7 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// respond makes the reply, spoiled as the faults say.
+// respond returns the reply, with the faults drawn for it.
 func (l *Leaf) respond(request *leafv1.SearchShardRequest, index *sample.Index, faults Faults) (*leafv1.SearchShardResponse, error) {
 	response := answer(request, index)
 	l.mutex.Lock()
@@ -301,7 +300,7 @@
 	return response, nil
 }
 
-// answer gives the rows of the asked range, up to the limit.
+// answer returns the rows of the requested range, up to the limit.
 func answer(request *leafv1.SearchShardRequest, index *sample.Index) *leafv1.SearchShardResponse {
 	response := &leafv1.SearchShardResponse{
 		Identity: request.GetIdentity(), CoveredFrom: request.GetKeyFrom(), CoveredTo: request.GetKeyTo(),
@@ -319,7 +318,7 @@
 	return response
 }
 
-// truncate cuts a reply to the first half of its rows and says so.
+// truncate cuts a reply to the first half of its rows and reports that in the covered range.
 func truncate(response *leafv1.SearchShardResponse) {
 	half := len(response.GetRows()) / 2
 	if half == 0 {
@@ -339,10 +338,10 @@
 
 func (l *Leaf) draw(share float64) bool { return share > 0 && l.random.Float64() < share }
 
-// shedRetryAfter is when a shedding leaf asks to be asked again, in milliseconds.
+// shedRetryAfter is the time in milliseconds after which a caller may retry.
 const shedRetryAfter = 50
 
-// refuse makes the typed refusal of an attempt that did not run; the lock must be held.
+// refuse returns the refusal of an attempt that did not run. The caller must hold the mutex.
 func (l *Leaf) refuse(request *leafv1.SearchShardRequest, reason leafv1.RefusalReason) error {
 	state := status.New(codes.Unavailable, reason.String())
 	detailed, err := state.WithDetails(&leafv1.LeafRefusal{
--- a/internal/lab/leaf/server.go
+++ b/internal/lab/leaf/server.go
@@ -11,8 +11,8 @@
 	"github.com/portgauge/portgauge/internal/lab/control"
 )
 
-// Serve serves the leaf protocol, and on a second address the control calls,
-// until the context ends; attempts in flight are finished.
+// Serve serves the leaf protocol, and control calls at a second address, until the context ends. It finishes attempts in
+// flight.
 func (l *Leaf) Serve(ctx context.Context, address, controlAddress string) error {
 	server := grpc.NewServer()
 	leafv1.RegisterLeafServiceServer(server, l)
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -1,5 +1,6 @@
-// Package load sends searches open-loop: arrivals follow a seeded schedule whether or not
-// earlier searches were answered, and latency counts from the intended arrival.
+// Package load sends searches over gRPC at a fixed rate: arrivals follow a seeded Poisson schedule whether or not earlier
+// searches were answered, and latency counts from the scheduled arrival. It owns a goroutine for each search in flight, and
+// is the only load tool for searches.
 package load
 
 import (
@@ -20,9 +21,9 @@
 	"github.com/portgauge/portgauge/internal/operator/cli"
 )
 
-// Config is one stream of searches.
+// Config describes a load.
 type Config struct {
-	// Addresses are the caller addresses of nodes; searches go to them in turn.
+	// Addresses are the caller addresses of nodes, which get searches in turn.
 	Addresses []string
 	Service   string
 	PerSecond float64
@@ -32,11 +33,11 @@
 	Limit  uint32
 	Filter string
 	Seed   uint64
-	// Progress gets a line a second, if set.
+	// Progress receives a line each second, unless it is nil.
 	Progress io.Writer
 }
 
-// Validate names every field at fault.
+// Validate returns a failure with every invalid field.
 func (c Config) Validate() error {
 	var checks failure.Checks
 	checks.Refuse(len(c.Addresses) == 0, "addresses", "must name at least one")
@@ -56,7 +57,7 @@
 	Max  float64 `json:"max"`
 }
 
-// Result is what a stream saw.
+// Result sums up a load.
 type Result struct {
 	Sent     int `json:"sent"`
 	Answered int `json:"answered"`
@@ -66,12 +67,12 @@
 	// AnswerMillis are latencies of answers, RefusalMillis those of refusals as overloaded.
 	AnswerMillis  Quantiles `json:"answer_ms"`
 	RefusalMillis Quantiles `json:"refusal_ms"`
-	// Late answers came after the deadline.
+	// Late counts answers after the deadline.
 	Late int `json:"late"`
-	// Goodput is complete answers in time, a second.
+	// Goodput is the rate of complete answers within the deadline.
 	Goodput  float64 `json:"goodput_per_second"`
 	Coverage float64 `json:"mean_coverage"`
-	// ExtraLoad is leaf attempts over those of the plan, 1 being none extra; of answers only.
+	// ExtraLoad is the attempts at leafs over those of the plans, of answered searches; 1 means none extra.
 	ExtraLoad float64 `json:"extra_load"`
 	Hedges    uint64  `json:"hedges"`
 	Retries   uint64  `json:"retries"`
@@ -98,10 +99,10 @@
 	coverage float64
 }
 
-// clientGrace is how much longer than the deadline the caller waits.
+// clientGrace is how much longer than the deadline a caller waits.
 const clientGrace = 5 * time.Second
 
-// Run sends all searches and waits for their ends.
+// Run sends all searches and waits until each was answered or failed.
 func Run(ctx context.Context, config Config) (Result, error) {
 	if err := config.Validate(); err != nil {
 		return Result{}, err
@@ -121,7 +122,7 @@
 	return running.finish(), nil
 }
 
-// send follows a Poisson schedule drawn from the seed.
+// send sends searches on the schedule.
 func (s *stream) send(ctx context.Context) {
 	random := rand.New(rand.NewPCG(s.config.Seed, 5))
 	var running sync.WaitGroup
@@ -164,7 +165,7 @@
 func (s *stream) noteFailure(failed *failure.Failure, took time.Duration) {
 	s.result.Failures[string(failed.Code)]++
 	if failed.Code == failure.Overloaded {
-		// The value is within the histogram's bounds, so recording can't fail.
+		// The value is within the bounds of the histogram, so that recording can't fail.
 		_ = s.refusals.RecordValue(min(max(took.Microseconds(), lowestMicros), highestMicros))
 	}
 }
@@ -207,7 +208,7 @@
 	return Quantiles{P50: at(50), P90: at(90), P99: at(99), P999: at(99.9), Max: float64(histogram.Max()) / 1000}
 }
 
-// showProgress prints a line a second until the returned function is called.
+// showProgress prints a line each second until the returned function is called.
 func (s *stream) showProgress() func() {
 	if s.config.Progress == nil {
 		return func() {}
--- a/internal/lab/platform/leases.go
+++ b/internal/lab/platform/leases.go
@@ -13,38 +13,38 @@
 	platformv1 "github.com/portgauge/portgauge/gen/portgauge/platform/v1"
 )
 
-// Bounds of a lease: its time to live, and how many there may be, far above the nodes of a fleet.
+// Bounds of a lease's time to live, and the number of leases, which is far above the nodes of a fleet.
 const (
 	leastTimeToLive   = time.Second
 	longestTimeToLive = time.Hour
 	mostLeases        = 4096
 )
 
-// lease is one that is not over yet.
+// lease is a lease in force.
 type lease struct {
 	timeToLive time.Duration
 	ends       time.Time
-	// lapse ends it when its time to live is over.
-	lapse *time.Timer
+	// expiry ends it when its time to live is over.
+	expiry *time.Timer
 }
 
-// keep starts the time to live anew.
+// keep starts the time to live again.
 func (l *lease) keep() {
 	l.ends = time.Now().Add(l.timeToLive)
-	l.lapse.Reset(l.timeToLive)
+	l.expiry.Reset(l.timeToLive)
 }
 
-// leases are those granted, and the keys that stand under them. The mutex of the platform guards them.
+// leases are the leases in force and their keys. The mutex of the platform guards them.
 type leases struct {
 	last    int64
 	granted map[int64]*lease
 	byKey   map[string]int64
 }
 
-// release takes a key from under its lease, since it is written anew.
+// release removes a key from its lease, since the key is written without one.
 func (l *leases) release(key string) { delete(l.byKey, key) }
 
-// keysOf gives the keys under a lease, sorted.
+// keysOf returns the keys of a lease, sorted.
 func (l *leases) keysOf(id int64) []string {
 	var keys []string
 	for key, under := range l.byKey {
@@ -75,7 +75,7 @@
 	}
 	p.leases.last++
 	id := p.leases.last
-	granted := &lease{timeToLive: timeToLive, lapse: time.AfterFunc(timeToLive, func() { p.lapse(id) })}
+	granted := &lease{timeToLive: timeToLive, expiry: time.AfterFunc(timeToLive, func() { p.expire(id) })}
 	granted.keep()
 	p.leases.granted[id] = granted
 	return &platformv1.GrantLeaseResponse{Lease: id, TimeToLiveMillis: asked}, nil
@@ -89,7 +89,7 @@
 // EndLease implements StoreServiceServer.
 func (p *Platform) EndLease(ctx context.Context, request *platformv1.EndLeaseRequest) (*platformv1.EndLeaseResponse, error) {
 	end := func(known *lease) {
-		known.lapse.Stop()
+		known.expiry.Stop()
 		p.endLease(request.GetLease())
 	}
 	return &platformv1.EndLeaseResponse{}, p.withLease(ctx, request.GetLease(), end)
@@ -106,7 +106,7 @@
 	return response, cmp.Or(err, lost)
 }
 
-// withLease does something with a lease under the mutex, unless it is over.
+// withLease calls do with a lease under the mutex, unless the lease is over.
 func (p *Platform) withLease(ctx context.Context, id int64, do func(*lease)) error {
 	if err := p.enterLease(ctx); err != nil {
 		return err
@@ -121,9 +121,9 @@
 	return nil
 }
 
-// lapse ends a lease that was not kept. A store that is down ends none: its time to live starts anew. One that was kept
-// while its timer ran out lives on.
-func (p *Platform) lapse(id int64) {
+// expire ends a lease that was not kept. While the store is down no lease ends: its time to live starts again. A lease that
+// was kept while its timer ran out stays in force.
+func (p *Platform) expire(id int64) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	known, found := p.leases.granted[id]
@@ -136,7 +136,7 @@
 	}
 }
 
-// endLease ends a lease and removes its keys. The mutex must be held.
+// endLease ends a lease and removes its keys. The caller must hold the mutex.
 func (p *Platform) endLease(id int64) {
 	for _, key := range p.leases.keysOf(id) {
 		p.write(&platformv1.Entry{Key: key, Deleted: true})
--- a/internal/lab/platform/platform.go
+++ b/internal/lab/platform/platform.go
@@ -1,5 +1,5 @@
-// Package platform is a stand-in for the platform: a store with compare-and-swap and watches
-// that is rate-limited and has outages, and a machine list that lags.
+// Package platform is a stand-in for the platform of the product's own protocol: a rate-limited store with compare-and-swap,
+// watches, leases and outages, and a machine list that lags. A Platform keeps its state in memory; leases expire by timers.
 package platform
 
 import (
@@ -17,22 +17,22 @@
 	platformv1 "github.com/portgauge/portgauge/gen/portgauge/platform/v1"
 )
 
-// heartbeatInterval is how often a watch without changes confirms the current revision.
+// heartbeatInterval is how often a watch without changes reports the current revision.
 const heartbeatInterval = 500 * time.Millisecond
 
-// Faults are the ways the platform misbehaves, changed while it runs.
+// Faults are the faults of the platform.
 type Faults struct {
 	// StoreDown fails every call to the store and ends its watches.
 	StoreDown bool `json:"store_down,omitempty"`
 	// DelayMillis is added to every call to the store.
 	DelayMillis int64 `json:"delay_millis,omitempty"`
-	// LoseReplies is how many coming writes take effect but fail with no reply.
+	// LoseReplies is the number of coming writes that take effect without a reply.
 	LoseReplies int `json:"lose_replies,omitempty"`
-	// MachinesStale keeps the machine list as it was.
+	// MachinesStale hides changes of the machine list.
 	MachinesStale bool `json:"machines_stale,omitempty"`
 }
 
-// Write is one write that took effect.
+// Write is a write that took effect.
 type Write struct {
 	Key      string `json:"key"`
 	Revision int64  `json:"revision"`
@@ -42,20 +42,20 @@
 	At int64 `json:"at"`
 }
 
-// Counts are the calls that the store took and refused.
+// Counts are the numbers of calls by kind, and of those refused by the rate limit.
 type Counts struct {
 	Gets    int64 `json:"gets"`
 	Lists   int64 `json:"lists"`
 	Swaps   int64 `json:"swaps"`
 	Watches int64 `json:"watches"`
 	Limited int64 `json:"limited"`
-	// Leases are the calls about leases, writes under one included.
+	// Leases counts calls about leases, writes under one included.
 	Leases int64 `json:"leases"`
-	// MachineLists is how many times the machine list was read.
+	// MachineLists counts reads of the machine list.
 	MachineLists int64 `json:"machine_lists"`
 }
 
-// Platform serves StoreService and MachineListService.
+// Platform implements StoreServiceServer and MachineListServiceServer.
 type Platform struct {
 	platformv1.UnimplementedStoreServiceServer
 	platformv1.UnimplementedMachineListServiceServer
@@ -70,11 +70,11 @@
 	changed  chan struct{} // closed and replaced at each change, also of faults
 	leases   leases
 	machines []*platformv1.Machine
-	shown    []*platformv1.Machine // the list as read by others
+	shown    []*platformv1.Machine // the list that reads return
 	counts   Counts
 }
 
-// New makes an empty platform whose store takes so many calls a second.
+// New returns an empty platform whose store accepts so many calls a second.
 func New(callsPerSecond float64) *Platform {
 	return &Platform{
 		limiter: rate.NewLimiter(rate.Limit(callsPerSecond), max(1, int(callsPerSecond))),
@@ -107,14 +107,14 @@
 	}
 }
 
-// Writes gives every write that took effect, in order.
+// Writes returns every write that took effect, in order.
 func (p *Platform) Writes() []Write {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return append([]Write(nil), p.writes...)
 }
 
-// Counts gives the calls so far.
+// Counts returns the numbers of calls so far.
 func (p *Platform) Counts() Counts {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -184,7 +184,7 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	current := p.entries[request.GetKey()]
-	if liveRevision(current) != request.GetExpectedRevision() || !p.hold(request.GetConditions()) {
+	if liveRevision(current) != request.GetExpectedRevision() || !p.areMet(request.GetConditions()) {
 		return &platformv1.CompareAndSwapResponse{Entry: current}, nil
 	}
 	p.leases.release(request.GetKey())
@@ -195,8 +195,8 @@
 	return &platformv1.CompareAndSwapResponse{Swapped: true, Entry: entry}, nil
 }
 
-// hold reports whether all conditions hold. The mutex must be held.
-func (p *Platform) hold(conditions []*platformv1.Condition) bool {
+// areMet reports whether all conditions are met. The caller must hold the mutex.
+func (p *Platform) areMet(conditions []*platformv1.Condition) bool {
 	for _, condition := range conditions {
 		if liveRevision(p.entries[condition.GetKey()]) != condition.GetRevision() {
 			return false
@@ -212,7 +212,7 @@
 	return entry.GetRevision()
 }
 
-// loseReply fails where the reply of a write that took effect is to be lost. The mutex must be held.
+// loseReply returns an error if the reply of a write is to be lost. The caller must hold the mutex.
 func (p *Platform) loseReply() error {
 	if p.faults.LoseReplies == 0 {
 		return nil
@@ -221,7 +221,7 @@
 	return status.Error(codes.Unavailable, "reply lost")
 }
 
-// write puts an entry into force at the next revision, and gives it. The mutex must be held.
+// write writes an entry at the next revision and returns it. The caller must hold the mutex.
 func (p *Platform) write(entry *platformv1.Entry) *platformv1.Entry {
 	p.revision++
 	entry.Revision = p.revision
@@ -234,7 +234,7 @@
 	return entry
 }
 
-// Watch implements StoreServiceServer. It begins by saying where the store is, if nothing was missed.
+// Watch implements StoreServiceServer. It begins by sending the current revision if nothing was missed.
 func (p *Platform) Watch(request *platformv1.WatchRequest, stream platformv1.StoreService_WatchServer) error {
 	ctx := stream.Context()
 	if err := p.enter(ctx, func(c *Counts) { c.Watches++ }); err != nil {
@@ -272,7 +272,7 @@
 	}
 }
 
-// since gives the changes after a revision and a channel that closes at the next one.
+// since returns the changes after a revision, and a channel that is closed at the next one.
 func (p *Platform) since(revision int64) (missed []*platformv1.Entry, current int64, changed <-chan struct{}, down bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -309,7 +309,7 @@
 		(request.GetRole() == "" || machine.GetRole() == request.GetRole())
 }
 
-// somePerZone picks at most so many machines of each zone at random; 0 means all.
+// somePerZone returns at most so many machines of each zone, drawn at random; 0 means all.
 func somePerZone(all []*platformv1.Machine, most int) []*platformv1.Machine {
 	if most == 0 {
 		return all
--- a/internal/lab/process/process.go
+++ b/internal/lab/process/process.go
@@ -1,4 +1,5 @@
-// Package process starts, freezes and ends the processes of an experiment, by their ids.
+// Package process builds the project's programs, and starts, freezes and ends processes by their ids, for the lab. A Process
+// owns a goroutine that waits for its end, and the newest part of its output.
 package process
 
 import (
@@ -16,7 +17,7 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// stopTimeout is how long a process asked to stop may take until it is killed.
+// stopTimeout is how long a process may take to stop until it is killed.
 const stopTimeout = 60 * time.Second
 
 // Programs are the paths of the project's binaries.
@@ -25,7 +26,7 @@
 	Lab       string
 }
 
-// Build compiles both programs into a folder, from the source tree of the working directory.
+// Build compiles both programs into a folder. The working directory must be the top of the source.
 func Build(folder string) (Programs, error) {
 	command := exec.Command("go", "build", "-o", folder+string(filepath.Separator), "./cmd/portgauge", "./cmd/portgauge-lab")
 	if output, err := command.CombinedOutput(); err != nil {
@@ -34,7 +35,7 @@
 	return Programs{Portgauge: filepath.Join(folder, "portgauge"), Lab: filepath.Join(folder, "portgauge-lab")}, nil
 }
 
-// Process is one running process of an experiment.
+// Process is a process that was started.
 type Process struct {
 	Name    string
 	command *exec.Cmd
@@ -44,7 +45,7 @@
 	output  *tail
 }
 
-// tailBytes is how much of a process's newest output is kept: a minute of a node that logs each of 15 requests a second.
+// tailBytes is how much of a process's newest output is kept: a minute of a node that logs 15 requests a second.
 const tailBytes = 512 << 10
 
 // tail keeps the newest output of a process.
@@ -64,7 +65,7 @@
 	return len(chunk), nil
 }
 
-// Start starts a process.
+// Start starts a process. Name describes it in errors.
 func Start(name, program string, arguments ...string) (*Process, error) {
 	started := &Process{Name: name, command: exec.Command(program, arguments...), ended: make(chan struct{}), output: &tail{}}
 	started.command.Stdout = started.output
@@ -80,7 +81,7 @@
 	return started, nil
 }
 
-// Output gives the newest output.
+// Output returns the newest output, standard output and error together.
 func (p *Process) Output() string {
 	p.output.mutex.Lock()
 	defer p.output.mutex.Unlock()
@@ -97,31 +98,30 @@
 	}
 }
 
-// Kill ends the process without warning and waits for its end.
+// Kill ends the process by SIGKILL and waits for its end.
 func (p *Process) Kill() {
 	p.signal(syscall.SIGCONT)
 	p.signal(syscall.SIGKILL)
 	<-p.ended
 }
 
-// Freeze stops the process from running; Wake lets it run on.
+// Freeze suspends the process by SIGSTOP.
 func (p *Process) Freeze() { p.signal(syscall.SIGSTOP) }
 
-// Wake lets a frozen process run on.
+// Wake resumes a frozen process.
 func (p *Process) Wake() { p.signal(syscall.SIGCONT) }
 
-// firstSteps is how old a process is at least when it is told to reload: until its first instruction runs, and a few ms more
-// on a busy machine, nothing of it can keep the signal from ending it.
+// firstSteps is the age that a process has at least when it gets a signal to reload. Before its first instructions have run,
+// which takes a few milliseconds on a busy machine, it can't catch the signal and is ended by it.
 const firstSteps = 20 * time.Millisecond
 
-// Reload tells the process to read its settings again.
+// Reload signals the process to reload its settings.
 func (p *Process) Reload() {
 	time.Sleep(firstSteps - time.Since(p.started))
 	p.signal(syscall.SIGHUP)
 }
 
-// Stop asks the process to stop and waits for its end; it reports whether the process ended
-// in time and without an error.
+// Stop signals the process to stop and waits for its end. It returns an error if the process fails or has to be killed.
 func (p *Process) Stop() error {
 	p.signal(syscall.SIGTERM)
 	select {
@@ -137,21 +137,21 @@
 	if !p.Running() {
 		return
 	}
-	// The process may end at any moment; a signal that comes too late is no fault.
+	// The process may end at any moment; a late signal is no error.
 	if err := p.command.Process.Signal(signal); err != nil {
 		return
 	}
 }
 
-// Ports for processes come from below the range that the kernel hands out by itself, so that
-// no outgoing connection takes one between its choice and its use.
+// Ports for processes are below the range that the kernel assigns to outgoing connections, so that none of these takes a
+// port between its choice and its use.
 const (
 	lowestPort  = 15000
 	highestPort = 32000
 )
 
-// FreeAddresses gives loopback addresses whose ports were free, for TCP and UDP, a moment
-// ago. All are held until the last is found, so that they differ.
+// FreeAddresses returns loopback addresses whose ports were free for TCP and UDP a moment ago. It holds each until it has
+// found all, so that they differ.
 func FreeAddresses(count int) ([]string, error) {
 	var addresses []string
 	var held []io.Closer
--- a/internal/lab/retry/retry.go
+++ b/internal/lab/retry/retry.go
@@ -1,4 +1,4 @@
-// Package retry repeats calls while the processes of an experiment are starting.
+// Package retry repeats calls to processes that are starting.
 package retry
 
 import (
@@ -8,10 +8,10 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// pause is the pause between two tries.
+// pause is the time between two calls.
 const pause = 100 * time.Millisecond
 
-// Eventually repeats a call until it succeeds or the time is up, and then gives its last error.
+// Eventually repeats a call until it succeeds, and returns its last error after the timeout.
 func Eventually(ctx context.Context, timeout time.Duration, call func() error) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/lab/sample/sample.go
+++ b/internal/lab/sample/sample.go
@@ -1,5 +1,5 @@
-// Package sample makes the records of the sample indexes from a seed: map tiles keyed by
-// coastline or field, and invoices keyed by debtor and number.
+// Package sample generates the records of sample indexes from a seed: map tiles keyed by coastline or field, and invoices
+// keyed by debtor and number. Equal arguments give equal indexes.
 package sample
 
 import (
@@ -23,23 +23,23 @@
 	Invoices Dataset = "invoices"
 )
 
-// Record is one row of an index.
+// Record is a row of an index.
 type Record struct {
 	Key   string
 	Value []byte
 }
 
-// Index is all records of one snapshot, sorted by key.
+// Index has all records of a snapshot, sorted by key.
 type Index struct {
 	Snapshot string
 	Records  []Record
 }
 
-// absentOneIn is how many records one is absent of, a different one in each snapshot, so
-// that snapshots differ in which rows they have, too.
+// absentOneIn is the number of records of which one is absent, a different one in each snapshot, so that snapshots differ in
+// which rows they have.
 const absentOneIn = 16
 
-// Build makes the index of a snapshot. The same arguments always give the same index.
+// Build returns the index of a snapshot.
 func Build(dataset Dataset, seed uint64, count int, snapshot string) (*Index, error) {
 	random := rand.New(rand.NewPCG(seed, 7))
 	index := &Index{Snapshot: snapshot}
@@ -97,7 +97,7 @@
 	return "", nil, failure.Invalid("dataset", "%q; must be %q or %q", dataset, Tiles, Invoices)
 }
 
-// In gives the records of a range.
+// In returns the records of a key range.
 func (index *Index) In(keys keyspace.Range) []Record {
 	first := sort.Search(len(index.Records), func(i int) bool { return index.Records[i].Key >= keys.From })
 	last := len(index.Records)
@@ -107,7 +107,7 @@
 	return index.Records[first:max(first, last)]
 }
 
-// Split gives the ranges of count shards of nearly equal size that tile the key space.
+// Split returns the ranges of so many shards of nearly equal size, which together cover all keys.
 func (index *Index) Split(count int) []keyspace.Range {
 	ranges := make([]keyspace.Range, count)
 	previous := ""
--- a/internal/lab/sample/service.go
+++ b/internal/lab/sample/service.go
@@ -8,13 +8,12 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// Service makes a service over leafs, with defaults for all limits.
+// Service returns a service over leafs, with default limits.
 func Service(name string, leafs []*adminv1.Leaf) *adminv1.ServiceSpec {
 	return &adminv1.ServiceSpec{Name: name, Leafs: leafs}
 }
 
-// Manifest makes a manifest whose shards are of equal size; the replicas of each are dealt
-// over the leafs in turn.
+// Manifest returns a manifest whose shards are of equal size, with their replicas assigned to the leafs in turn.
 func Manifest(service string, index *Index, shards, replicas int, leafIDs []string) *adminv1.SnapshotManifest {
 	manifest := &adminv1.SnapshotManifest{Service: service, SnapshotId: index.Snapshot}
 	replicas = min(replicas, len(leafIDs))
@@ -30,7 +29,7 @@
 	return manifest
 }
 
-// ParseLeafs reads leafs of the form id=address@zone.
+// ParseLeafs parses leafs of the form id=address@zone.
 func ParseLeafs(texts []string) ([]*adminv1.Leaf, error) {
 	var leafs []*adminv1.Leaf
 	for _, text := range texts {
