--- a/cmd/portgauge-lab/soak.go
+++ b/cmd/portgauge-lab/soak.go
@@ -33,11 +33,11 @@
 		passed, failed := 0, 0
 		for _, seed := range seeds {
 			fmt.Printf("seed %d\n", seed)
-			verdicts, err := soak.Run(ctx, programs.Portgauge, soak.Config{Seed: seed, Length: c.Length, PerSecond: c.PerSecond, Nodes: c.Nodes, Streams: c.Streams, Logs: c.Logs, KeepAll: c.KeepAll}, os.Stdout)
+			results, err := soak.Run(ctx, programs.Portgauge, soak.Config{Seed: seed, Length: c.Length, PerSecond: c.PerSecond, Nodes: c.Nodes, Streams: c.Streams, Logs: c.Logs, KeepAll: c.KeepAll}, os.Stdout)
 			if err != nil {
 				return err
 			}
-			held, broken := soak.Report(verdicts, os.Stdout)
+			held, broken := soak.Report(results, os.Stdout)
 			passed, failed = passed+held, failed+broken
 		}
 		fmt.Printf("%d passed, %d failed\n", passed, failed)
--- a/internal/lab/replay/verdict.go
+++ b/internal/lab/replay/answer_faults.go
@@ -11,21 +11,21 @@
 	"github.com/portgauge/portgauge/internal/request/search"
 )
 
-// verdict counts what is wrong with one answer.
-type verdict struct {
-	// Mixed rows carry another snapshot's mark than the answer names.
+// answerFaults counts what is wrong with an answer.
+type answerFaults struct {
+	// Mixed rows are marked with another snapshot than the answer names.
 	Mixed int
-	// Foreign rows are not among those that the request asked for.
+	// Foreign rows don't match the request.
 	Foreign int
-	// Unsaid rows should be there, and the answer does not say that their range is missing.
-	Unsaid int
-	// Surplus rows lie in ranges that the answer says are missing.
+	// Missing rows are absent, and the answer doesn't report their range as missing.
+	Missing int
+	// Surplus rows are in a range that the answer reports as missing.
 	Surplus int
-	// WrongFraction is set when completeness and missing ranges contradict each other.
+	// WrongFraction is set if completeness, fraction and missing ranges contradict each other.
 	WrongFraction bool
 }
 
-// indexCache holds the sample index of each snapshot, by which answers are judged.
+// indexCache has the sample index of each snapshot, to check answers with; safe for concurrent use.
 type indexCache struct {
 	header  *Header
 	mutex   sync.Mutex
@@ -59,8 +59,8 @@
 	return &searchv1.KeyRange{From: records[min(first, second)].Key, To: records[max(first, second)].Key}
 }
 
-// judge compares an answer with the rows of the snapshot that it names.
-func (c *indexCache) judge(request *searchv1.SearchRequest, response *searchv1.SearchResponse) verdict {
+// check compares an answer with the rows of the snapshot that it names.
+func (c *indexCache) check(request *searchv1.SearchRequest, response *searchv1.SearchResponse) answerFaults {
 	report := response.GetReport()
 	index := c.index(report.GetSnapshotId())
 	asked := keyspace.Range{From: request.GetRange().GetFrom(), To: request.GetRange().GetTo()}
@@ -71,7 +71,7 @@
 	for _, part := range report.GetCoverage().GetMissing() {
 		missing = append(missing, keyspace.Range{From: part.GetRange().GetFrom(), To: part.GetRange().GetTo()})
 	}
-	result := verdict{WrongFraction: report.GetCoverage().GetComplete() != (len(missing) == 0) ||
+	result := answerFaults{WrongFraction: report.GetCoverage().GetComplete() != (len(missing) == 0) ||
 		(report.GetCoverage().GetFraction() == 1) != (len(missing) == 0)}
 	expected := expectedRows(index, asked, request.GetFilter())
 	for _, row := range response.GetRows() {
@@ -88,14 +88,14 @@
 	}
 	for key := range expected {
 		if !inAny(missing, key) {
-			result.Unsaid++
+			result.Missing++
 		}
 	}
 	return result
 }
 
-// expectedRows gives the wanted rows; a key that comes twice in an answer counts as foreign
-// the second time, since it is taken out at the first.
+// expectedRows returns the rows that match a request, by key. The check removes each that it finds, so that a row that comes
+// twice is foreign the second time.
 func expectedRows(index *sample.Index, asked keyspace.Range, filter string) map[string][]byte {
 	expected := map[string][]byte{}
 	for _, record := range index.In(asked) {
--- a/internal/lab/replay/callers.go
+++ b/internal/lab/replay/callers.go
@@ -17,21 +17,21 @@
 	"github.com/portgauge/portgauge/internal/operator/cli"
 )
 
-// call is what a caller recorded of one request that it sent.
+// call is a request that a caller sent, and what came of it.
 type call struct {
 	Service    string
 	RequestID  string
 	Node       string
 	AtMostOnce bool
 	Full       bool
-	// Last says that the caller did not send the search again.
+	// Last is set if the caller did not repeat the search.
 	Last   bool
 	SentAt time.Time
 	Took   time.Duration
-	// Failure is set when there was no answer.
+	// Failure is set if there was no answer.
 	Failure *failure.Failure
-	// Verdict is what is wrong with the answer.
-	Verdict  verdict
+	// Faults is what is wrong with the answer.
+	Faults   answerFaults
 	Snapshot string
 	Revision int64
 	Complete bool
@@ -39,7 +39,7 @@
 	Extra    *searchv1.ExtraLoad
 }
 
-// callers runs the loads of a trace and keeps their records.
+// callers sends the loads of a trace and records the calls; safe for concurrent use.
 type callers struct {
 	cluster *cluster
 	indexes *indexCache
@@ -58,10 +58,10 @@
 	return made
 }
 
-// clientGrace is how much longer than the deadline a caller waits for the answer.
+// clientGrace is how much longer than the deadline a caller waits.
 const clientGrace = 2 * time.Second
 
-// run sends searches at the load's rate, whether or not earlier ones were answered.
+// run sends searches at the rate of a load, whether or not earlier ones were answered.
 func (c *callers) run(ctx context.Context, load *Load, seed uint64, until time.Time) {
 	random := rand.New(rand.NewPCG(seed, 11))
 	interval := time.Duration(float64(time.Second) / load.PerSecond)
@@ -79,13 +79,13 @@
 	}
 }
 
-// filters are texts that callers search for; the empty one matches all.
+// filters are the texts that callers search for, by dataset; the empty one matches all rows.
 var filters = map[sample.Dataset][]string{
 	sample.Tiles:    {"", "", "coast/", "skagen", "vejle/0"},
 	sample.Invoices: {"", "", "clancy", "funded\":true", "howth"},
 }
 
-// request asks for all keys, or a range between two records.
+// request returns a search of all keys, or of a range between two records.
 func (c *callers) request(load *Load, random *rand.Rand, id string) *searchv1.SearchRequest {
 	texts := filters[c.cluster.header.Dataset]
 	request := &searchv1.SearchRequest{
@@ -106,17 +106,17 @@
 	return request
 }
 
-// maximumSends bounds how often a caller sends one search.
+// maximumSends bounds how often a caller sends a search.
 const maximumSends = 4
 
-// search sends a search, and again to other nodes as the load says.
+// search sends a search, and repeats it at other nodes if the load says so.
 func (c *callers) search(ctx context.Context, load *Load, request *searchv1.SearchRequest, first int) {
 	id := request.GetRequestId()
 	for send := range maximumSends {
 		node := load.Nodes[(first+send)%len(load.Nodes)]
 		if load.Follow && send > 0 {
-			// A search refused as not run is a new request; only its own id tells whether
-			// the refused one ran all the same.
+			// A search that was refused as not run is repeated as a new request: only an id of its own shows whether the
+			// refused one ran after all.
 			request.RequestId = fmt.Sprintf("%s/%d", id, send)
 		}
 		made := c.send(ctx, load, request, node)
@@ -151,7 +151,7 @@
 		return made
 	}
 	report := response.GetReport()
-	made.Verdict = c.indexes.judge(request, response)
+	made.Faults = c.indexes.check(request, response)
 	made.Snapshot = report.GetSnapshotId()
 	made.Revision = report.GetConfigRevision()
 	made.Complete = report.GetCoverage().GetComplete()
--- a/internal/lab/replay/cluster.go
+++ b/internal/lab/replay/cluster.go
@@ -24,7 +24,7 @@
 	"github.com/portgauge/portgauge/internal/operator/cli"
 )
 
-// cluster is the processes of one trace.
+// cluster has the processes of a trace and the forwarders between them.
 type cluster struct {
 	header   *Header
 	programs process.Programs
@@ -41,19 +41,19 @@
 	cuts     map[[2]string]bool
 }
 
-// nodeProcess is a node and the forwarders in front of and behind it.
+// nodeProcess is a node with the forwarders to it and from it to the platform.
 type nodeProcess struct {
 	spec       NodeSpec
 	callers    string
 	operators  string
 	peers      string // where it listens
-	advertised string // the forwarder in front of it
-	platform   string // the forwarder between it and the platform
+	advertised string // the forwarder from other nodes
+	platform   string // the forwarder to the platform
 	running    *process.Process
 	forwarders []*forwarder.Forwarder
 }
 
-// leafProcess is a leaf and the forwarder in front of it.
+// leafProcess is a leaf with the forwarder to it.
 type leafProcess struct {
 	spec      LeafSpec
 	address   string
@@ -81,7 +81,7 @@
 	}
 }
 
-// start starts everything and waits until all services answer on all nodes.
+// start starts all processes and waits until all nodes have all services.
 func (c *cluster) start(ctx context.Context) error {
 	count := addressesOfPlatform + addressesPerNode*len(c.header.Nodes) + addressesPerLeaf*len(c.header.Leafs)
 	addresses, err := process.FreeAddresses(count)
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// stop ends every process.
+// stop kills all processes and closes all forwarders.
 func (c *cluster) stop() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -212,7 +212,7 @@
 	return err
 }
 
-// createService applies a service and its first snapshot, and waits until every node answers.
+// createService applies a service and its first snapshot, and waits until every node has the snapshot.
 func (c *cluster) createService(ctx context.Context, spec ServiceSpec) error {
 	first := c.nodes[c.header.Nodes[0].ID]
 	client := cli.AdminClient(first.operators)
@@ -221,7 +221,7 @@
 		return err
 	})
 	if err != nil {
-		return merry.Prepend(api.FailureOf(err), "create service; node said: "+first.running.Output())
+		return merry.Prepend(api.FailureOf(err), "create service; output of the node: "+first.running.Output())
 	}
 	manifest, err := c.manifest(spec, spec.Snapshot, spec.Shards, spec.Replicas)
 	if err != nil {
@@ -273,7 +273,7 @@
 	return control.Put(ctx, c.platformControl, "/machines", list)
 }
 
-// process gives a running process by its name.
+// process returns the process of a node or leaf.
 func (c *cluster) process(name string) *process.Process {
 	if node, found := c.nodes[name]; found {
 		return node.running
@@ -281,7 +281,7 @@
 	return c.leafs[name].running
 }
 
-// restart starts a killed or stopped process again on its old addresses.
+// restart starts a process again on its old addresses.
 func (c *cluster) restart(name string) error {
 	if node, found := c.nodes[name]; found {
 		return c.startNode(node)
@@ -289,11 +289,11 @@
 	return c.startLeaf(c.leafs[name])
 }
 
-// platformOrNodes is the other end of a cut of a leaf from all nodes: which node a connection
-// to a leaf comes from can't be told, so a leaf is cut from all or none.
+// platformOrNodes stands for all senders to a leaf: its forwarder can't tell the node of a connection, so that a leaf is cut
+// off from all or none.
 const platformOrNodes = "*"
 
-// setCut makes or heals a cut between two groups.
+// setCut makes or heals a cut between two groups, and applies it to open connections.
 func (c *cluster) setCut(between []string, cut bool) {
 	c.mutex.Lock()
 	for _, first := range c.expand(between[0]) {
@@ -319,7 +319,7 @@
 	}
 }
 
-// expand gives the nodes of a zone, or the name itself.
+// expand returns the nodes of a zone, or the name itself if it is no zone.
 func (c *cluster) expand(name string) []string {
 	var names []string
 	for id, node := range c.nodes {
@@ -339,7 +339,7 @@
 	return c.cuts[[2]string{from, to}]
 }
 
-// nodeAt gives the node that advertises a peer address.
+// nodeAt returns the node that advertises a peer address, or "".
 func (c *cluster) nodeAt(address string) string {
 	for id, node := range c.nodes {
 		if node.advertised == address {
@@ -349,5 +349,5 @@
 	return ""
 }
 
-// makeFolder makes the folder of a run's records.
+// makeFolder creates the folder for the records of a run.
 func makeFolder() (string, error) { return os.MkdirTemp("", "portgauge-replay-") }
--- a/internal/lab/replay/judges.go
+++ b/internal/lab/replay/judges.go
@@ -9,19 +9,19 @@
 	"github.com/portgauge/portgauge/internal/lab/leaf"
 )
 
-// CheckName names a check of a trace's outcome.
+// CheckName is the name of a check.
 type CheckName string
 
-// result is a judged outcome.
+// result says whether an outcome holds, and with which figures.
 type result struct {
 	passed bool
 	figure string
 }
 
-// judge checks an outcome against the evidence.
-type judge func(*evidence, Outcome) result
+// judge checks an outcome on the recording of a run.
+type judge func(*recording, Outcome) result
 
-// judges are all checks by name; docs/TRACES.md describes each.
+// judges are all checks by name. docs/TRACES.md describes them.
 var judges = map[CheckName]judge{
 	"one_snapshot":     judgeOneSnapshot,
 	"true_coverage":    judgeTrueCoverage,
@@ -44,7 +44,7 @@
 	"store_calls":      judgeStoreCalls,
 }
 
-func (e *evidence) answered(service string) []call {
+func (e *recording) answered(service string) []call {
 	var answered []call
 	for _, made := range e.calls {
 		if made.Failure == nil && (service == "" || made.Service == service) {
@@ -54,23 +54,23 @@
 	return answered
 }
 
-// countAnswers passes when no answer has the fault.
-func countAnswers(e *evidence, outcome Outcome, unit string, faults func(verdict) int) result {
+// countAnswers passes if no answer has a fault.
+func countAnswers(e *recording, outcome Outcome, unit string, faults func(answerFaults) int) result {
 	answers := e.answered(outcome.Service)
 	total := 0
 	for _, answer := range answers {
-		total += faults(answer.Verdict)
+		total += faults(answer.Faults)
 	}
 	return result{total == 0, fmt.Sprintf("%d %s in %d answers", total, unit, len(answers))}
 }
 
-func judgeOneSnapshot(e *evidence, outcome Outcome) result {
-	return countAnswers(e, outcome, "rows of another snapshot", func(v verdict) int { return v.Mixed })
+func judgeOneSnapshot(e *recording, outcome Outcome) result {
+	return countAnswers(e, outcome, "rows of another snapshot", func(v answerFaults) int { return v.Mixed })
 }
 
-func judgeTrueCoverage(e *evidence, outcome Outcome) result {
-	return countAnswers(e, outcome, "rows missing unsaid or present in a range said missing", func(v verdict) int {
-		wrong := v.Unsaid + v.Surplus
+func judgeTrueCoverage(e *recording, outcome Outcome) result {
+	return countAnswers(e, outcome, "rows missing but not reported, or present in a range reported as missing", func(v answerFaults) int {
+		wrong := v.Missing + v.Surplus
 		if v.WrongFraction {
 			wrong++
 		}
@@ -78,12 +78,12 @@
 	})
 }
 
-func judgeOwnAnswers(e *evidence, outcome Outcome) result {
-	return countAnswers(e, outcome, "foreign rows", func(v verdict) int { return v.Foreign })
+func judgeOwnAnswers(e *recording, outcome Outcome) result {
+	return countAnswers(e, outcome, "foreign rows", func(v answerFaults) int { return v.Foreign })
 }
 
-// judgeNotRun looks for executions of requests that were only ever refused as not run.
-func judgeNotRun(e *evidence, outcome Outcome) result {
+// judgeNotRun finds requests that were always refused as not run, and that a leaf ran.
+func judgeNotRun(e *recording, outcome Outcome) result {
 	ran := map[string]bool{}
 	for _, execution := range e.executions {
 		ran[execution.RequestID] = true
@@ -109,8 +109,8 @@
 	return result{wrong == 0 && enough, fmt.Sprintf("%d of %d requests refused as not run had run (at least %g refusals wanted)", wrong, len(claimed), outcome.AtLeast)}
 }
 
-// judgeAtMostOnce counts executions by id over all leafs.
-func judgeAtMostOnce(e *evidence, outcome Outcome) result {
+// judgeAtMostOnce finds execution ids that ran more than once, over all leafs.
+func judgeAtMostOnce(e *recording, outcome Outcome) result {
 	counts := map[string]int{}
 	for _, execution := range e.executions {
 		if execution.ExecutionID != "" {
@@ -127,7 +127,7 @@
 	return result{twice == 0 && enough, fmt.Sprintf("%d of %d execution ids ran more than once (at least %g ids wanted)", twice, len(counts), outcome.AtLeast)}
 }
 
-func (e *evidence) executionsOf(leafID string) []leaf.Execution {
+func (e *recording) executionsOf(leafID string) []leaf.Execution {
 	var executions []leaf.Execution
 	for _, execution := range e.executions {
 		if leafID == "" || execution.LeafID == leafID {
@@ -137,8 +137,8 @@
 	return executions
 }
 
-// judgeNoNewWork finds the last execution at a leaf after it began to leave.
-func judgeNoNewWork(e *evidence, outcome Outcome) result {
+// judgeNoNewWork measures when a leaf that is leaving ran its last attempt.
+func judgeNoNewWork(e *recording, outcome Outcome) result {
 	leftAt := e.began.Add(time.Duration(outcome.AfterMS) * time.Millisecond)
 	last := time.Duration(0)
 	before := 0
@@ -153,8 +153,8 @@
 	return result{last <= bound && before > 0, fmt.Sprintf("last new attempt %d ms after the leaf began to leave, bound %d ms, %d attempts before", last.Milliseconds(), outcome.WithinMS, before)}
 }
 
-// judgeNoFailures passes when every search was answered in the end.
-func judgeNoFailures(e *evidence, outcome Outcome) result {
+// judgeNoFailures passes if every search was answered after its repetitions.
+func judgeNoFailures(e *recording, outcome Outcome) result {
 	failed, total, first := 0, 0, ""
 	for _, made := range e.calls {
 		if !made.Last || (outcome.Service != "" && made.Service != outcome.Service) {
@@ -171,13 +171,12 @@
 	return result{failed == 0 && total > 0, fmt.Sprintf("%d of %d searches failed%s", failed, total, first)}
 }
 
-func judgeCleanStops(e *evidence, _ Outcome) result {
+func judgeCleanStops(e *recording, _ Outcome) result {
 	return result{len(e.stopFailures) == 0, fmt.Sprintf("%d stops were not clean %s", len(e.stopFailures), strings.Join(e.stopFailures, "; "))}
 }
 
-// judgeInForce compares when the store took each change of a service with when each node
-// showed it.
-func judgeInForce(e *evidence, outcome Outcome) result {
+// judgeInForce measures the time from the store's acceptance of each change of a service until each node serves it.
+func judgeInForce(e *recording, outcome Outcome) result {
 	nodes := outcome.Nodes
 	if len(nodes) == 0 {
 		nodes = e.nodes
@@ -203,15 +202,14 @@
 	return result{late == 0 && total > 0, fmt.Sprintf("%d changes on %d nodes, %d late or never, slowest %d ms, bound %d ms", total, len(nodes), late, slowest.Milliseconds(), outcome.WithinMS)}
 }
 
-// judgeNeverReverts looks for revisions that go down, as shown by nodes and in answers of one
-// node to one caller after another.
-func judgeNeverReverts(e *evidence, _ Outcome) result {
+// judgeNeverReverts counts how often a node served a lower revision than before.
+func judgeNeverReverts(e *recording, _ Outcome) result {
 	return result{e.observed.reversals == 0, fmt.Sprintf("%d times a node showed a lower revision than before", e.observed.reversals)}
 }
 
-// judgeWritesSettled compares what operators were told with what the store took: each
-// accepted change exactly once at its revision, each refused one never.
-func judgeWritesSettled(e *evidence, outcome Outcome) result {
+// judgeWritesSettled compares the outcomes that operators got with the writes of the store: each accepted change was made
+// once, at its revision, and each refused one never.
+func judgeWritesSettled(e *recording, outcome Outcome) result {
 	taken := map[string][]int64{}
 	for _, write := range e.writes {
 		if id := changeIDIn(write.Value); id != "" {
@@ -241,12 +239,11 @@
 		}
 	}
 	enough := float64(accepted) >= outcome.AtLeast
-	return result{wrong == 0 && unsettled == 0 && enough, fmt.Sprintf("%d accepted, %d refused, %d never settled, %d told wrongly, %d sent more than once", accepted, refused, unsettled, wrong, again)}
+	return result{wrong == 0 && unsettled == 0 && enough, fmt.Sprintf("%d accepted, %d refused, %d never settled, %d reported wrongly, %d sent more than once", accepted, refused, unsettled, wrong, again)}
 }
 
-// judgeSnapshotCurrent looks for attempts at an older snapshot long after a newer one was
-// taken by the store.
-func judgeSnapshotCurrent(e *evidence, outcome Outcome) result {
+// judgeSnapshotCurrent finds attempts at a snapshot that had been replaced long before.
+func judgeSnapshotCurrent(e *recording, outcome Outcome) result {
 	bound := time.Duration(outcome.WithinMS) * time.Millisecond
 	current := currentSnapshots(e, outcome.Service)
 	stale := 0
@@ -264,7 +261,7 @@
 	return result{stale == 0 && len(current.published) > 0, fmt.Sprintf("%d of %d attempts at a snapshot replaced over %d ms before, longest %d ms", stale, len(e.executions), outcome.WithinMS, slowest.Milliseconds())}
 }
 
-func judgeCompleteShare(e *evidence, outcome Outcome) result {
+func judgeCompleteShare(e *recording, outcome Outcome) result {
 	complete, total := 0, 0
 	for _, made := range e.calls {
 		if !made.Last || (outcome.Service != "" && made.Service != outcome.Service) {
@@ -279,12 +276,12 @@
 	return result{share >= outcome.AtLeast && total > 0, fmt.Sprintf("%.4f of %d searches answered completely, at least %g", share, total, outcome.AtLeast)}
 }
 
-func judgeAnswers(e *evidence, outcome Outcome) result {
+func judgeAnswers(e *recording, outcome Outcome) result {
 	count := len(e.answered(outcome.Service))
 	return result{float64(count) >= outcome.AtLeast, fmt.Sprintf("%d answers, at least %g", count, outcome.AtLeast)}
 }
 
-func judgeFailures(e *evidence, outcome Outcome) result {
+func judgeFailures(e *recording, outcome Outcome) result {
 	codes := map[failure.Code]int{}
 	count := 0
 	for _, made := range e.calls {
@@ -297,12 +294,12 @@
 	return result{inBounds, fmt.Sprintf("%d failed requests %v, at least %g", count, codes, outcome.AtLeast)}
 }
 
-func judgeAttempts(e *evidence, outcome Outcome) result {
+func judgeAttempts(e *recording, outcome Outcome) result {
 	count := len(e.executionsOf(outcome.Leaf))
 	return result{float64(count) >= outcome.AtLeast, fmt.Sprintf("%d attempts ran, at least %g", count, outcome.AtLeast)}
 }
 
-func judgeAcceptedChanges(e *evidence, outcome Outcome) result {
+func judgeAcceptedChanges(e *recording, outcome Outcome) result {
 	count := 0
 	for _, operation := range e.operations {
 		if operation.Failure == nil {
@@ -312,9 +309,8 @@
 	return result{float64(count) >= outcome.AtLeast, fmt.Sprintf("%d changes accepted of %d sent, at least %g", count, len(e.operations), outcome.AtLeast)}
 }
 
-// judgePromptRefusals passes when refusals say when to come back and none was held back to
-// near the caller's patience.
-func judgePromptRefusals(e *evidence, outcome Outcome) result {
+// judgePromptRefusals passes if refusals as overloaded came soon, with a time to retry after.
+func judgePromptRefusals(e *recording, outcome Outcome) result {
 	bound := time.Duration(outcome.WithinMS) * time.Millisecond
 	refused, late, silent := 0, 0, 0
 	slowest := time.Duration(0)
@@ -332,10 +328,10 @@
 		}
 	}
 	enough := float64(refused) >= outcome.AtLeast
-	return result{late == 0 && silent == 0 && enough, fmt.Sprintf("%d refusals, slowest %d ms, %d over %d ms, %d without a time to come back", refused, slowest.Milliseconds(), late, outcome.WithinMS, silent)}
+	return result{late == 0 && silent == 0 && enough, fmt.Sprintf("%d refusals, slowest %d ms, %d over %d ms, %d without a time to retry after", refused, slowest.Milliseconds(), late, outcome.WithinMS, silent)}
 }
 
-func judgeStoreCalls(e *evidence, outcome Outcome) result {
+func judgeStoreCalls(e *recording, outcome Outcome) result {
 	reads := e.counts.Lists + e.counts.Watches
 	return result{e.counts.Limited == 0 && float64(reads) <= outcome.AtMost, fmt.Sprintf("%d lists and watches, at most %g; %d calls over the store's limit", reads, outcome.AtMost, e.counts.Limited)}
 }
--- a/internal/lab/replay/observers.go
+++ b/internal/lab/replay/observers.go
@@ -11,14 +11,14 @@
 	"github.com/portgauge/portgauge/internal/operator/cli"
 )
 
-// observers follows what each node puts into force.
+// observers records the revisions that nodes serve; safe for concurrent use.
 type observers struct {
 	cluster *cluster
 	mutex   sync.Mutex
-	// reached is when each node first showed at least a revision.
+	// reached is when each node first served at least a revision.
 	reached map[string]map[int64]time.Time
 	highest map[string]int64
-	// reversals counts revisions that a process showed after a higher one.
+	// reversals counts revisions that a node served after a higher one.
 	reversals int
 }
 
@@ -26,11 +26,10 @@
 	return &observers{cluster: cluster, reached: map[string]map[int64]time.Time{}, highest: map[string]int64{}}
 }
 
-// observePause is the pause between two looks at a node.
+// observePause is the time between two calls to a node.
 const observePause = 25 * time.Millisecond
 
-// follow asks a node again and again which revision it has in force, without any call to
-// other nodes.
+// follow records the revision of a node until the context ends. Its calls cause none between nodes.
 func (o *observers) follow(ctx context.Context, node *nodeProcess) {
 	client := cli.AdminClient(node.operators)
 	for ctx.Err() == nil {
@@ -44,7 +43,7 @@
 	}
 }
 
-// revisionOf gives the newest revision of any service shown.
+// revisionOf returns the highest revision of any service.
 func revisionOf(services *adminv1.ListServicesResponse) int64 {
 	newest := int64(0)
 	for _, service := range services.GetServices() {
@@ -68,7 +67,7 @@
 	}
 }
 
-// reachedAt gives when a node first showed the revision or a later one.
+// reachedAt returns when a node first served a revision or a later one, and false if it never did.
 func (o *observers) reachedAt(node string, revision int64) (time.Time, bool) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
--- a/internal/lab/replay/operators.go
+++ b/internal/lab/replay/operators.go
@@ -15,19 +15,19 @@
 	"github.com/portgauge/portgauge/internal/operator/cli"
 )
 
-// writeRecord is what an operator recorded of one change.
+// writeRecord is a change that an operator sent, and what came of it.
 type writeRecord struct {
 	ChangeID string
 	Key      string
-	// Revision is set when the change was accepted.
+	// Revision is set if the change was accepted.
 	Revision int64
-	// Failure is the last outcome when it was not.
+	// Failure is the last outcome if it was not accepted.
 	Failure *failure.Failure
-	// Sends is how many times the operator sent it.
+	// Sends is how often the operator sent it.
 	Sends int
 }
 
-// operators carries out the operators' events and keeps their records.
+// operators sends the operators' changes and records them; safe for concurrent use.
 type operators struct {
 	cluster *cluster
 	mutex   sync.Mutex
@@ -39,7 +39,7 @@
 // maximumWriteSends bounds how often an operator sends a change whose outcome is unknown.
 const maximumWriteSends = 10
 
-// write sends a change, with the same change id again while its outcome is unknown.
+// write sends a change, and repeats it with the same change id while its outcome is unknown.
 func (o *operators) write(ctx context.Context, key string, send func(changeID string) (int64, error)) writeRecord {
 	o.mutex.Lock()
 	o.next++
@@ -67,7 +67,7 @@
 	return record
 }
 
-// publish makes snapshots current in turn.
+// publish publishes snapshots in turn.
 func (o *operators) publish(ctx context.Context, publish *Publish, spec ServiceSpec, until time.Time) {
 	for turn := 0; ; turn++ {
 		snapshot := publish.Snapshots[turn%len(publish.Snapshots)]
@@ -102,7 +102,7 @@
 	})
 }
 
-// apply changes a service's limits again and again, each time from what the node shows.
+// apply changes a service's limits again and again, each time from what the node has.
 func (o *operators) apply(ctx context.Context, apply *Apply, until time.Time) {
 	client := cli.AdminClient(o.cluster.nodes[apply.Node].operators)
 	for turn := uint32(0); ctx.Err() == nil; turn++ {
--- a/internal/lab/replay/replay.go
+++ b/internal/lab/replay/replay.go
@@ -1,3 +1,7 @@
+// Package replay replays traces over real processes and checks their outcomes on the records of leafs, store and callers.
+//
+// A cluster owns the processes and the forwarders between them; all have ended when Run returns. Callers, operators and observers
+// record what they see while the events are played in real time. Judges check the outcomes afterwards.
 package replay
 
 import (
@@ -18,8 +22,8 @@
 	"github.com/portgauge/portgauge/internal/lab/process"
 )
 
-// evidence is everything recorded while a trace ran.
-type evidence struct {
+// recording is everything that was recorded while a trace ran.
+type recording struct {
 	began      time.Time
 	calls      []call
 	operations []writeRecord
@@ -27,12 +31,12 @@
 	counts     platform.Counts
 	executions []leaf.Execution
 	observed   *observers
-	// stopFailures are processes that a planned stop did not end cleanly.
+	// stopFailures describe the planned stops that failed.
 	stopFailures []string
 	nodes        []string
 }
 
-// player runs one trace.
+// player plays the events of a trace.
 type player struct {
 	trace     *Trace
 	cluster   *cluster
@@ -46,7 +50,8 @@
 	background   sync.WaitGroup
 }
 
-// Run replays a trace and prints a line for each outcome; it gives how many passed and failed.
+// Run replays a trace and writes a line for each outcome. It returns how many hold and how many don't, and an error if the
+// trace could not be played. All processes that it started have ended when it returns.
 func Run(ctx context.Context, trace *Trace, programs process.Programs, output io.Writer) (passed, failed int, err error) {
 	recorded, err := play(ctx, trace, programs)
 	if err != nil {
@@ -54,21 +59,21 @@
 	}
 	for _, outcome := range trace.Outcomes {
 		result := judges[outcome.Check](recorded, outcome)
-		word := "PASS"
+		status := "PASS"
 		if result.passed {
 			passed++
 		} else {
 			failed++
-			word = "FAIL"
+			status = "FAIL"
 		}
-		if _, err := fmt.Fprintf(output, "%s %s %s: %s\n", word, trace.Header.Name, outcome.Check, result.figure); err != nil {
+		if _, err := fmt.Fprintf(output, "%s %s %s: %s\n", status, trace.Header.Name, outcome.Check, result.figure); err != nil {
 			return passed, failed, err
 		}
 	}
 	return passed, failed, nil
 }
 
-func play(ctx context.Context, trace *Trace, programs process.Programs) (*evidence, error) {
+func play(ctx context.Context, trace *Trace, programs process.Programs) (*recording, error) {
 	folder, err := makeFolder()
 	if err != nil {
 		return nil, err
@@ -92,8 +97,8 @@
 	return p.run(ctx)
 }
 
-// run plays the events in order of time, waits for what they started, and gathers records.
-func (p *player) run(ctx context.Context) (*evidence, error) {
+// run plays the events in order of time, waits for the loads and operators, and collects the records.
+func (p *player) run(ctx context.Context) (*recording, error) {
 	followContext, stopFollowing := context.WithCancel(ctx)
 	defer stopFollowing()
 	for _, node := range p.cluster.nodes {
@@ -184,8 +189,8 @@
 	return p.cluster.putMachines(ctx)
 }
 
-func (p *player) gather(ctx context.Context) (*evidence, error) {
-	recorded := &evidence{
+func (p *player) gather(ctx context.Context) (*recording, error) {
+	recorded := &recording{
 		began: p.began, calls: p.callers.calls, operations: p.operators.writes, observed: p.observed, stopFailures: p.stopFailures,
 	}
 	for id := range p.cluster.nodes {
@@ -207,8 +212,7 @@
 	return recorded, nil
 }
 
-// readExecutions reads what a leaf wrote down before it ran anything; a killed leaf may have
-// left its last line short.
+// readExecutions reads the executions that a leaf recorded. The last line of a killed leaf may be cut off.
 func readExecutions(path string) ([]leaf.Execution, error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/internal/lab/replay/snapshots.go
+++ b/internal/lab/replay/snapshots.go
@@ -9,18 +9,18 @@
 	"github.com/portgauge/portgauge/internal/lab/platform"
 )
 
-// publication is a snapshot that the store took at a time.
+// publication is a snapshot that the store accepted at a time.
 type publication struct {
 	snapshot string
 	at       time.Time
 }
 
-// history is the publications of one service in order.
+// history has the publications of a service in order.
 type history struct {
 	published []publication
 }
 
-func currentSnapshots(e *evidence, service string) history {
+func currentSnapshots(e *recording, service string) history {
 	var found history
 	for _, write := range e.writes {
 		if write.Key != catalog.SnapshotKey(service) || write.Deleted {
@@ -34,7 +34,7 @@
 	return found
 }
 
-// age gives how long before an execution its snapshot had been replaced; 0 when it had not.
+// age returns how long before an execution its snapshot had been replaced, or 0.
 func (h history) age(execution leaf.Execution) time.Duration {
 	at := time.UnixMicro(execution.At)
 	replacedAt := time.Time{}
--- a/internal/lab/replay/trace.go
+++ b/internal/lab/replay/trace.go
@@ -1,5 +1,3 @@
-// Package replay runs recorded traces over real processes and judges their stated outcomes
-// from what leafs, store and callers recorded.
 package replay
 
 import (
@@ -15,8 +13,7 @@
 	"github.com/portgauge/portgauge/internal/lab/sample"
 )
 
-// Trace is one file: what runs, what happens, and what must hold. docs/TRACES.md describes
-// the fields.
+// Trace is a parsed trace. docs/TRACES.md describes its fields.
 type Trace struct {
 	Path     string
 	Header   Header
@@ -24,7 +21,7 @@
 	Outcomes []Outcome
 }
 
-// Header says what runs.
+// Header describes the processes.
 type Header struct {
 	Name        string         `json:"name"`
 	Description string         `json:"description"`
@@ -35,19 +32,19 @@
 	Nodes       []NodeSpec     `json:"nodes"`
 	Leafs       []LeafSpec     `json:"leafs"`
 	Services    []ServiceSpec  `json:"services"`
-	// StoreCallsPerSecond is the store's rate limit; 0 means 200.
+	// StoreCallsPerSecond is the rate limit of the store; 0 means 200.
 	StoreCallsPerSecond float64 `json:"store_calls_per_second,omitempty"`
 }
 
-// NodeSpec is one node.
+// NodeSpec describes a node.
 type NodeSpec struct {
 	ID   string `json:"id"`
 	Zone string `json:"zone"`
-	// Set overrides settings of the node.
+	// Set has settings by name.
 	Set map[string]string `json:"set,omitempty"`
 }
 
-// LeafSpec is one leaf.
+// LeafSpec describes a leaf.
 type LeafSpec struct {
 	ID        string   `json:"id"`
 	Zone      string   `json:"zone"`
@@ -56,7 +53,7 @@
 	Snapshots []string `json:"snapshots"`
 }
 
-// ServiceSpec is one service with its first snapshot.
+// ServiceSpec describes a service and its first snapshot.
 type ServiceSpec struct {
 	Name        string   `json:"name"`
 	Leafs       []string `json:"leafs"`
@@ -67,7 +64,7 @@
 	Queue       uint32   `json:"queue,omitempty"`
 }
 
-// Event is something that happens at a time; exactly one of its kinds is set.
+// Event is something that happens at a time. Exactly one of its kinds is set.
 type Event struct {
 	AtMS int64 `json:"at_ms"`
 
@@ -86,36 +83,35 @@
 	Heal           *Cut            `json:"heal,omitempty"`
 }
 
-// Load is a stream of searches from an open-loop caller.
+// Load is a stream of searches at a fixed rate.
 type Load struct {
 	Service    string   `json:"service"`
 	Nodes      []string `json:"nodes"`
 	UntilMS    int64    `json:"until_ms"`
 	PerSecond  float64  `json:"per_second"`
 	DeadlineMS uint32   `json:"deadline_ms"`
-	// Limit is the page size asked for; 0 means the service's.
+	// Limit is the page size; 0 means the service's.
 	Limit      uint32 `json:"limit,omitempty"`
 	AtMostOnce bool   `json:"at_most_once,omitempty"`
 	Full       bool   `json:"full,omitempty"`
-	// Follow makes the caller go to another node after a refusal as not run, as well-behaved
-	// callers do.
+	// Follow sends a search that was refused as not run to another node, as a new request.
 	Follow bool `json:"follow,omitempty"`
-	// Repeat makes the caller send the same request id to another node after any failure.
+	// Repeat sends the same request id to another node after any failure.
 	Repeat bool `json:"repeat,omitempty"`
-	// Unnamed leaves the request id to the node.
+	// Unnamed lets the node make the request id.
 	Unnamed bool `json:"unnamed,omitempty"`
-	// Stream asks for a streamed answer.
+	// Stream requests a streamed answer.
 	Stream bool `json:"stream,omitempty"`
 }
 
-// Publish makes a snapshot current, once or again and again in turn.
+// Publish publishes snapshots.
 type Publish struct {
 	Service   string   `json:"service"`
 	Node      string   `json:"node"`
 	Snapshots []string `json:"snapshots"`
 	Shards    []int    `json:"shards"`
 	Replicas  int      `json:"replicas"`
-	// EveryMS and UntilMS repeat it; 0 publishes the first snapshot once.
+	// EveryMS and UntilMS publish them in turn, again and again; if EveryMS is 0 the first is published once.
 	EveryMS int64 `json:"every_ms,omitempty"`
 	UntilMS int64 `json:"until_ms,omitempty"`
 }
@@ -126,17 +122,17 @@
 	Node    string `json:"node"`
 	EveryMS int64  `json:"every_ms"`
 	UntilMS int64  `json:"until_ms"`
-	// Leaving names leafs that the operator marks as leaving.
+	// Leaving has the leafs that the operator marks as leaving.
 	Leaving []string `json:"leaving,omitempty"`
 }
 
-// LeafFaults changes how leafs misbehave.
+// LeafFaults replaces the faults of leafs.
 type LeafFaults struct {
 	Leafs  []string    `json:"leafs"`
 	Faults leaf.Faults `json:"faults"`
 }
 
-// PlatformFaults changes how the platform misbehaves.
+// PlatformFaults replaces the faults of the platform.
 type PlatformFaults struct {
 	Faults platform.Faults `json:"faults"`
 }
@@ -154,14 +150,14 @@
 
 // Cut is a cut between two groups of nodes, or between nodes and the platform or a leaf.
 type Cut struct {
-	// Between holds two names, each a zone, a node, a leaf or "platform".
+	// Between has two names, each a zone, a node, a leaf or "platform".
 	Between []string `json:"between"`
 }
 
-// Outcome is something that must hold.
+// Outcome is a check that must pass.
 type Outcome struct {
 	Check CheckName `json:"check"`
-	// Service narrows the check to one service.
+	// Service limits the check to a service.
 	Service string `json:"service,omitempty"`
 	// Leaf, Nodes, AfterMS, WithinMS, AtLeast and AtMost are parameters of some checks.
 	Leaf     string   `json:"leaf,omitempty"`
@@ -172,17 +168,17 @@
 	AtMost   float64  `json:"at_most,omitempty"`
 }
 
-// line is any line of a trace; exactly one kind is set.
+// line is a line of a trace. Exactly one kind is set.
 type line struct {
 	Header  *Header  `json:"header,omitempty"`
 	Event   *Event   `json:"event,omitempty"`
 	Outcome *Outcome `json:"outcome,omitempty"`
 }
 
-// maximumLine bounds one line of a trace in bytes.
+// maximumLine bounds a line of a trace in bytes.
 const maximumLine = 1 << 20
 
-// Read reads and checks a trace; a failure names the file, line and field.
+// Read parses the trace in a file. A failure names the file, line and field.
 func Read(path string) (*Trace, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -191,7 +187,7 @@
 	return Parse(path, content)
 }
 
-// Parse checks the content of a trace.
+// Parse parses a trace. Path is the file that failures name.
 func Parse(path string, content []byte) (*Trace, error) {
 	trace := &Trace{Path: path}
 	scanner := bufio.NewScanner(bytes.NewReader(content))
--- a/internal/lab/replay/validate.go
+++ b/internal/lab/replay/validate.go
@@ -7,9 +7,10 @@
 	"github.com/portgauge/portgauge/internal/lab/sample"
 )
 
-// platformName names the platform in cuts.
+// platformName is the platform's name in cuts.
 const platformName = "platform"
 
+// checkHeader returns a failure with every invalid field of the header.
 func (t *Trace) checkHeader(where string) error {
 	header := &t.Header
 	var checks failure.Checks
@@ -49,63 +50,91 @@
 	return slices.ContainsFunc(t.Header.Services, func(spec ServiceSpec) bool { return spec.Name == name })
 }
 
+// checkEvent returns a failure with every invalid field of an event.
 func (t *Trace) checkEvent(where string, event *Event) error {
 	var checks failure.Checks
 	checks.Refuse(event.AtMS < 0 || event.AtMS > t.Header.DurationMS, where+" at_ms", "%d; must lie within duration_ms %d", event.AtMS, t.Header.DurationMS)
-	kinds := 0
-	count := func(set bool) bool {
-		if set {
-			kinds++
+	t.checkLoad(&checks, where, event)
+	t.checkOperators(&checks, where, event)
+	t.checkMachines(&checks, where, event)
+	t.checkCuts(&checks, where, event)
+	kinds := event.kinds()
+	checks.Refuse(kinds != 1, where, "must hold exactly one kind of event, not %d", kinds)
+	return checks.Err()
+}
+
+// kinds returns how many kinds of an event are set.
+func (e *Event) kinds() int {
+	count := 0
+	for _, isSet := range []bool{
+		e.Load != nil, e.Publish != nil, e.Apply != nil, e.LeafFaults != nil, e.PlatformFaults != nil, e.Machine != nil,
+		e.Kill != nil, e.Freeze != nil, e.Wake != nil, e.Stop != nil, e.Start != nil, e.Cut != nil, e.Heal != nil,
+	} {
+		if isSet {
+			count++
 		}
-		return set
 	}
-	if load := event.Load; count(load != nil) {
-		checks.Refuse(!t.isService(load.Service), where+" load.service", "no service %q", load.Service)
-		checks.Refuse(len(load.Nodes) == 0, where+" load.nodes", "must name at least one")
-		checks.Refuse(load.PerSecond <= 0, where+" load.per_second", "must be positive")
-		checks.Refuse(load.UntilMS <= event.AtMS, where+" load.until_ms", "must be later than at_ms")
-		for _, node := range load.Nodes {
-			checks.Refuse(!t.isNode(node), where+" load.nodes", "no node %q", node)
-		}
+	return count
+}
+
+func (t *Trace) checkLoad(checks *failure.Checks, where string, event *Event) {
+	load := event.Load
+	if load == nil {
+		return
 	}
-	if publish := event.Publish; count(publish != nil) {
+	checks.Refuse(!t.isService(load.Service), where+" load.service", "no service %q", load.Service)
+	checks.Refuse(len(load.Nodes) == 0, where+" load.nodes", "must name at least one")
+	checks.Refuse(load.PerSecond <= 0, where+" load.per_second", "must be positive")
+	checks.Refuse(load.UntilMS <= event.AtMS, where+" load.until_ms", "must be later than at_ms")
+	for _, node := range load.Nodes {
+		checks.Refuse(!t.isNode(node), where+" load.nodes", "no node %q", node)
+	}
+}
+
+func (t *Trace) checkOperators(checks *failure.Checks, where string, event *Event) {
+	if publish := event.Publish; publish != nil {
 		checks.Refuse(!t.isService(publish.Service), where+" publish.service", "no service %q", publish.Service)
 		checks.Refuse(!t.isNode(publish.Node), where+" publish.node", "no node %q", publish.Node)
 		checks.Refuse(len(publish.Snapshots) == 0 || len(publish.Shards) == 0 || publish.Replicas < 1, where+" publish", "snapshots, shards and replicas must be given")
 	}
-	if apply := event.Apply; count(apply != nil) {
+	if apply := event.Apply; apply != nil {
 		checks.Refuse(!t.isService(apply.Service), where+" apply.service", "no service %q", apply.Service)
 		checks.Refuse(!t.isNode(apply.Node), where+" apply.node", "no node %q", apply.Node)
 		checks.Refuse(apply.EveryMS < 1, where+" apply.every_ms", "must be at least 1")
 	}
-	if faults := event.LeafFaults; count(faults != nil) {
+}
+
+func (t *Trace) checkMachines(checks *failure.Checks, where string, event *Event) {
+	if faults := event.LeafFaults; faults != nil {
 		for _, leafID := range faults.Leafs {
 			checks.Refuse(!t.isLeaf(leafID), where+" leaf_faults.leafs", "no leaf %q", leafID)
 		}
 	}
-	count(event.PlatformFaults != nil)
-	if machine := event.Machine; count(machine != nil) {
+	if machine := event.Machine; machine != nil {
 		checks.Refuse(!t.isLeaf(machine.ID) && !t.isNode(machine.ID), where+" machine.id", "no process %q", machine.ID)
 		checks.Refuse(machine.State != "live" && machine.State != "leaving", where+" machine.state", "%q; must be live or leaving", machine.State)
 	}
 	for name, target := range map[string]*Target{"kill": event.Kill, "freeze": event.Freeze, "wake": event.Wake, "stop": event.Stop, "start": event.Start} {
-		if count(target != nil) {
+		if target != nil {
 			checks.Refuse(!t.isLeaf(target.Process) && !t.isNode(target.Process), where+" "+name+".process", "no process %q", target.Process)
 		}
 	}
+}
+
+func (t *Trace) checkCuts(checks *failure.Checks, where string, event *Event) {
 	for name, cut := range map[string]*Cut{"cut": event.Cut, "heal": event.Heal} {
-		if count(cut != nil) {
-			checks.Refuse(len(cut.Between) != 2, where+" "+name+".between", "must hold two names")
-			for _, end := range cut.Between {
-				known := end == platformName || t.isLeaf(end) || t.isNode(end) || t.isZone(end)
-				checks.Refuse(!known, where+" "+name+".between", "%q is no zone, node, leaf or %q", end, platformName)
-			}
+		if cut == nil {
+			continue
+		}
+		checks.Refuse(len(cut.Between) != 2, where+" "+name+".between", "must hold two names")
+		for _, end := range cut.Between {
+			isKnown := end == platformName || t.isLeaf(end) || t.isNode(end) || t.isZone(end)
+			checks.Refuse(!isKnown, where+" "+name+".between", "%q is no zone, node, leaf or %q", end, platformName)
 		}
 	}
-	checks.Refuse(kinds != 1, where, "must hold exactly one kind of event, not %d", kinds)
-	return checks.Err()
 }
 
+// checkOutcome returns a failure with every invalid field of an outcome.
 func (t *Trace) checkOutcome(where string, outcome *Outcome) error {
 	var checks failure.Checks
 	_, known := judges[outcome.Check]
--- a/internal/lab/soak/crashing.go
+++ b/internal/lab/soak/crashing.go
@@ -170,8 +170,8 @@
 }
 
 // judgeCrashing checks that a request that crashed three leafs reaches few more of them once all nodes must know it.
-func judgeCrashing(w *world) Verdict {
-	v := Verdict{Promise: "a request that crashed three leafs reaches few more of them after its bound"}
+func judgeCrashing(w *world) Result {
+	v := Result{Promise: "a request that crashed three leafs reaches few more of them after its bound"}
 	w.crashLog.mu.Lock()
 	defer w.crashLog.mu.Unlock()
 	for path, seen := range w.crashLog.seen {
@@ -192,8 +192,8 @@
 }
 
 // judgeOtherRequests checks that no other request is refused as a crashing one.
-func judgeOtherRequests(seen []outcome) Verdict {
-	v := Verdict{Promise: "no other request is refused as one that crashes leafs"}
+func judgeOtherRequests(seen []outcome) Result {
+	v := Result{Promise: "no other request is refused as one that crashes leafs"}
 	for _, o := range seen {
 		if o.isCrashing || o.status == 0 || o.status == http.StatusOK {
 			continue
--- a/internal/lab/soak/judge.go
+++ b/internal/lab/soak/judge.go
@@ -24,17 +24,17 @@
 
 // judge checks every promise on the records of callers and leafs. From calm on there were no more faults, and nodes had had
 // time to recover.
-func judge(w *world, seen []outcome, calm time.Time) []Verdict {
+func judge(w *world, seen []outcome, calm time.Time) []Result {
 	ran := w.runs()
-	return []Verdict{
+	return []Result{
 		judgeOnce(seen, ran), judgeRefusals(seen, ran), judgeAsked(seen, ran), judgeSingles(w, seen), judgeGathered(w, seen),
 		judgeConfiguration(w, seen), judgeDraining(w), judgeEvacuations(w), judgeStops(seen), judgeRecovery(seen, calm),
 		judgeCrashing(w), judgeOtherRequests(seen),
 	}
 }
 
-func judgeOnce(seen []outcome, ran map[string][]string) Verdict {
-	v := Verdict{Promise: "a request marked not repeatable runs at most once"}
+func judgeOnce(seen []outcome, ran map[string][]string) Result {
+	v := Result{Promise: "a request marked not repeatable runs at most once"}
 	for _, o := range seen {
 		if o.kind == Once {
 			v.check(len(ran[o.id]) <= 1, "%s ran at %v", o.id, ran[o.id])
@@ -43,8 +43,8 @@
 	return v
 }
 
-func judgeRefusals(seen []outcome, ran map[string][]string) Verdict {
-	v := Verdict{Promise: "a refusal that says not run is true"}
+func judgeRefusals(seen []outcome, ran map[string][]string) Result {
+	v := Result{Promise: "a refusal that says not run is true"}
 	for _, o := range seen {
 		switch o.status {
 		case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
@@ -56,8 +56,8 @@
 	return v
 }
 
-func judgeAsked(seen []outcome, ran map[string][]string) Verdict {
-	v := Verdict{Promise: "leafs run only what callers sent"}
+func judgeAsked(seen []outcome, ran map[string][]string) Result {
+	v := Result{Promise: "leafs run only what callers sent"}
 	known := map[string]bool{}
 	for _, o := range seen {
 		known[o.id] = true
@@ -68,8 +68,8 @@
 	return v
 }
 
-func judgeSingles(w *world, seen []outcome) Verdict {
-	v := Verdict{Promise: "an answer of one leaf is whole and the caller's own"}
+func judgeSingles(w *world, seen []outcome) Result {
+	v := Result{Promise: "an answer of one leaf is whole and the caller's own"}
 	for _, o := range seen {
 		if o.status != http.StatusOK || o.kind == Gathered {
 			continue
@@ -81,8 +81,8 @@
 	return v
 }
 
-func judgeGathered(w *world, seen []outcome) Verdict {
-	v := Verdict{Promise: "a gathered answer holds the greatest records of the parts that it names, and says how many are missing"}
+func judgeGathered(w *world, seen []outcome) Result {
+	v := Result{Promise: "a gathered answer holds the greatest records of the parts that it names, and says how many are missing"}
 	for _, o := range seen {
 		if o.status == http.StatusOK && o.kind == Gathered {
 			fault := gatheredFault(w, o)
@@ -124,8 +124,8 @@
 
 // judgeConfiguration checks that nodes without a fault serve by the newest configuration after its bound, and that no
 // process goes back to an older one.
-func judgeConfiguration(w *world, seen []outcome) Verdict {
-	v := Verdict{Promise: "an accepted configuration is in force within its bound and never reverts"}
+func judgeConfiguration(w *world, seen []outcome) Result {
+	v := Result{Promise: "an accepted configuration is in force within its bound and never reverts"}
 	bySent := slices.Clone(seen)
 	slices.SortFunc(bySent, func(a, b outcome) int { return a.sent.Compare(b.sent) })
 	type process struct {
@@ -174,8 +174,8 @@
 	return least
 }
 
-func judgeDraining(w *world) Verdict {
-	v := Verdict{Promise: "a leaving leaf gets no new work after its bound"}
+func judgeDraining(w *world) Result {
+	v := Result{Promise: "a leaving leaf gets no new work after its bound"}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for id, state := range w.leafs {
@@ -201,8 +201,8 @@
 	return late
 }
 
-func judgeEvacuations(w *world) Verdict {
-	v := Verdict{Promise: "the leafs of an evacuated zone get nothing after its bound"}
+func judgeEvacuations(w *world) Result {
+	v := Result{Promise: "the leafs of an evacuated zone get nothing after its bound"}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, span := range w.evacuations {
@@ -221,8 +221,8 @@
 // stopWindow is how long before a planned stop a request must have been sent, at most, to be checked.
 const stopWindow = time.Second
 
-func judgeStops(seen []outcome) Verdict {
-	v := Verdict{Promise: "a planned stop cuts no request in flight"}
+func judgeStops(seen []outcome) Result {
+	v := Result{Promise: "a planned stop cuts no request in flight"}
 	for _, o := range seen {
 		for _, stop := range o.node.stopTimes() {
 			wasUnderWay := o.sent.Before(stop) && o.ended.After(stop) && stop.Sub(o.sent) < stopWindow
@@ -234,8 +234,8 @@
 	return v
 }
 
-func judgeRecovery(seen []outcome, calm time.Time) Verdict {
-	v := Verdict{Promise: "requests are served once the faults are over"}
+func judgeRecovery(seen []outcome, calm time.Time) Result {
+	v := Result{Promise: "requests are served once the faults are over"}
 	served, asked := 0, 0
 	for _, o := range seen {
 		if o.sent.Before(calm) || o.isCrashing {
--- a/internal/lab/soak/judge_rollouts.go
+++ b/internal/lab/soak/judge_rollouts.go
@@ -8,15 +8,15 @@
 
 // judgeRollouts checks every promise about roll-outs. Promises that bound a time hold for the visits for which clear returns
 // true.
-func judgeRollouts(played []rollouts.Release, clear rollouts.Clear) []Verdict {
-	return []Verdict{
+func judgeRollouts(played []rollouts.Release, clear rollouts.Clear) []Result {
+	return []Result{
 		judgeExposure(played, clear), judgeLateRequests(played, clear), judgeUnordered(played, clear),
 		judgeOutcomes(played), judgeOldLeafs(played, clear),
 	}
 }
 
-func judgeExposure(played []rollouts.Release, clear rollouts.Clear) Verdict {
-	v := Verdict{Promise: "a bad version gets its share and the slack at most"}
+func judgeExposure(played []rollouts.Release, clear rollouts.Clear) Result {
+	v := Result{Promise: "a bad version gets its share and the slack at most"}
 	for _, r := range played {
 		if !r.Target.Fault().IsBad() {
 			continue
@@ -27,8 +27,8 @@
 	return v
 }
 
-func judgeLateRequests(played []rollouts.Release, clear rollouts.Clear) Verdict {
-	v := Verdict{Promise: "a bad version gets nothing some seconds after its 50th bad answer"}
+func judgeLateRequests(played []rollouts.Release, clear rollouts.Clear) Result {
+	v := Result{Promise: "a bad version gets nothing some seconds after its 50th bad answer"}
 	for _, r := range played {
 		if _, isCondemned := r.FiftiethBadAnswer(); isCondemned && !r.HadNoBadAnswer() {
 			late := r.Late(clear)
@@ -38,8 +38,8 @@
 	return v
 }
 
-func judgeUnordered(played []rollouts.Release, clear rollouts.Clear) Verdict {
-	v := Verdict{Promise: "a version that no order lets serve gets nothing"}
+func judgeUnordered(played []rollouts.Release, clear rollouts.Clear) Result {
+	v := Result{Promise: "a version that no order lets serve gets nothing"}
 	for _, r := range played {
 		if r.Old != r.Target {
 			barred := r.Unordered(clear)
@@ -49,8 +49,8 @@
 	return v
 }
 
-func judgeOutcomes(played []rollouts.Release) Verdict {
-	v := Verdict{Promise: "an order has one outcome: none once it was replaced, no success once it was cancelled"}
+func judgeOutcomes(played []rollouts.Release) Result {
+	v := Result{Promise: "an order has one outcome: none once it was replaced, no success once it was cancelled"}
 	for _, r := range played {
 		misled := r.WrongStatuses()
 		v.check(len(misled) == 0, "%s: operators read %v", nameOf(r), misled)
@@ -58,8 +58,8 @@
 	return v
 }
 
-func judgeOldLeafs(played []rollouts.Release, clear rollouts.Clear) Verdict {
-	v := Verdict{Promise: "old leafs have nothing once an order has succeeded"}
+func judgeOldLeafs(played []rollouts.Release, clear rollouts.Clear) Result {
+	v := Result{Promise: "old leafs have nothing once an order has succeeded"}
 	for _, r := range played {
 		if status, _ := r.Outcome(); status != rollouts.Succeeded || r.Old == r.Target {
 			continue
--- a/internal/lab/soak/judge_rollouts_test.go
+++ b/internal/lab/soak/judge_rollouts_test.go
@@ -49,7 +49,7 @@
 	serve := after(0, 100)
 	condemned := after(0, rollouts.Slack)
 	const late = rollouts.Lateness + 2*time.Second
-	cases := map[string]struct{ good, bad Verdict }{
+	cases := map[string]struct{ good, bad Result }{
 		"exposure": {
 			judgeExposure(release(serve, after(0, rollouts.Slack)), rollouts.Always),
 			judgeExposure(release(serve, after(0, rollouts.Slack+20)), rollouts.Always),
--- a/internal/lab/soak/judge_test.go
+++ b/internal/lab/soak/judge_test.go
@@ -57,7 +57,7 @@
 	once := outcome{id: "r", kind: Once, node: node, status: http.StatusServiceUnavailable}
 	stopped := &nodeState{name: "stopped", stops: []time.Time{now}}
 	cases := map[string]struct {
-		good, bad Verdict
+		good, bad Result
 	}{
 		"once":     {judgeOnce([]outcome{once}, map[string][]string{"r": {"leaf-1"}}), judgeOnce([]outcome{once}, map[string][]string{"r": {"leaf-1", "leaf-2"}})},
 		"refusals": {judgeRefusals([]outcome{once}, nil), judgeRefusals([]outcome{once}, map[string][]string{"r": {"leaf-1"}})},
--- a/internal/lab/soak/verdict.go
+++ b/internal/lab/soak/result.go
@@ -10,8 +10,8 @@
 // maximumShown bounds the broken cases that Report writes of each promise.
 const maximumShown = 5
 
-// Verdict is a promise with the cases that broke it.
-type Verdict struct {
+// Result is a promise with the cases that broke it.
+type Result struct {
 	Promise string
 	// Checked is the number of cases that were checked.
 	Checked int
@@ -20,7 +20,7 @@
 }
 
 // check counts a case, and describes it if the promise wasn't kept.
-func (v *Verdict) check(kept bool, format string, arguments ...any) {
+func (v *Result) check(kept bool, format string, arguments ...any) {
 	v.Checked++
 	if !kept {
 		v.Broken = append(v.Broken, fmt.Sprintf(format, arguments...))
@@ -28,14 +28,14 @@
 }
 
 // hasBroken reports whether any promise was broken.
-func hasBroken(verdicts []Verdict) bool {
-	return slices.ContainsFunc(verdicts, func(v Verdict) bool { return len(v.Broken) > 0 })
+func hasBroken(results []Result) bool {
+	return slices.ContainsFunc(results, func(v Result) bool { return len(v.Broken) > 0 })
 }
 
 // Report writes a line for each promise, and the first cases that broke it. It returns how many promises were kept and how
 // many broken.
-func Report(verdicts []Verdict, out io.Writer) (passed, failed int) {
-	for _, v := range verdicts {
+func Report(results []Result, out io.Writer) (passed, failed int) {
+	for _, v := range results {
 		if len(v.Broken) == 0 {
 			passed++
 			_, _ = fmt.Fprintf(out, "PASS %s (%d checked)\n", v.Promise, v.Checked)
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -82,8 +82,8 @@
 	events    eventLog
 }
 
-// Run plays a soak over the program at a path and returns a verdict for each promise. It writes what happens to out.
-func Run(ctx context.Context, program string, cfg Config, out io.Writer) ([]Verdict, error) {
+// Run plays a soak over the program at a path and returns a result for each promise. It writes what happens to out.
+func Run(ctx context.Context, program string, cfg Config, out io.Writer) ([]Result, error) {
 	folder, err := os.MkdirTemp("", "portgauge-soak-")
 	if err != nil {
 		return nil, err
@@ -104,11 +104,11 @@
 	if err := w.failed(); err != nil {
 		return nil, err
 	}
-	verdicts, err := s.judge(calm)
+	results, err := s.judge(calm)
 	if err != nil {
 		return nil, err
 	}
-	return verdicts, ctx.Err()
+	return results, ctx.Err()
 }
 
 // log writes what happens, with the time since the soak began.
@@ -173,15 +173,15 @@
 }
 
 // judge checks all promises, and writes the records of the soak to its folder if a promise was broken.
-func (s *session) judge(calm time.Time) ([]Verdict, error) {
+func (s *session) judge(calm time.Time) ([]Result, error) {
 	seen := s.callers.all()
-	verdicts := append(judge(s.world, seen, calm), judgeRollouts(s.operators.played(), s.world.clearOf(seen))...)
-	if s.cfg.Logs == "" || !s.cfg.KeepAll && !hasBroken(verdicts) {
-		return verdicts, nil
+	results := append(judge(s.world, seen, calm), judgeRollouts(s.operators.played(), s.world.clearOf(seen))...)
+	if s.cfg.Logs == "" || !s.cfg.KeepAll && !hasBroken(results) {
+		return results, nil
 	}
 	folder := filepath.Join(s.cfg.Logs, fmt.Sprintf("seed-%d-%s", s.cfg.Seed, s.began.UTC().Format("150405")))
 	_, _ = fmt.Fprintf(s.out, "logs: %s\n", folder)
-	return verdicts, s.world.keepRun(folder, s.events.String(), s.began, seen)
+	return results, s.world.keepRun(folder, s.events.String(), s.began, seen)
 }
 
 // eventLog keeps what a soak logs; safe for concurrent use. The zero value is empty.
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -36,9 +36,9 @@
 	t.Chdir(filepath.Join(here, "..", "..", ".."))
 	programs, err := process.Build(t.TempDir())
 	is.NoErr(err)
-	verdicts, err := Run(t.Context(), programs.Portgauge, config, t.Output())
+	results, err := Run(t.Context(), programs.Portgauge, config, t.Output())
 	is.NoErr(err)
-	passed, failed := Report(verdicts, t.Output())
+	passed, failed := Report(results, t.Output())
 	is.True(passed > 0)
 	is.Equal(failed, 0)
 }
