--- a/cmd/portgauge-lab/http_leaf.go
+++ b/cmd/portgauge-lab/http_leaf.go
@@ -13,12 +13,12 @@
 	"github.com/portgauge/portgauge/internal/request/httpnames"
 )
 
-// httpLeafCommand runs a stand-in back end for routes, which answers with random records.
+// httpLeafCommand runs a stand-in leaf for routes, which answers with random records.
 type httpLeafCommand struct {
 	ID      string        `help:"Identity of this start of the leaf." required:""`
 	Address string        `help:"IP number and port." default:"127.0.0.1:7600"`
 	Records int           `help:"Records of 16 bytes in an answer." default:"20"`
-	Delay   time.Duration `help:"How long the leaf works on a request." default:"2ms"`
+	Delay   time.Duration `help:"Service time of a request." default:"2ms"`
 }
 
 // Run serves until SIGTERM or SIGINT.
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// records makes an answer of readable records, each 16 bytes and a line of its own.
+// records returns an answer of readable records, each 16 bytes on a line of its own.
 func (c *httpLeafCommand) records() []byte {
 	var body bytes.Buffer
 	for range c.Records {
--- a/cmd/portgauge-lab/leaf.go
+++ b/cmd/portgauge-lab/leaf.go
@@ -10,7 +10,7 @@
 	"github.com/portgauge/portgauge/internal/lab/sample"
 )
 
-// leafCommand runs a stand-in back end.
+// leafCommand runs a stand-in leaf for searches.
 type leafCommand struct {
 	ID                string         `help:"Identity of the leaf." required:""`
 	Address           string         `help:"IP number and port of the leaf protocol." default:"127.0.0.1:7500"`
@@ -18,7 +18,7 @@
 	Dataset           sample.Dataset `help:"Sample index: ${enum}." enum:"tiles,invoices" default:"tiles"`
 	Seed              uint64         `help:"Seed of the sample index." default:"1"`
 	Records           int            `help:"Records of the sample index." default:"4000"`
-	Snapshots         []string       `help:"Versions held at the start." default:"v1"`
+	Snapshots         []string       `help:"Snapshots at the start." default:"v1"`
 	Slots             int            `help:"Attempts that run at once." default:"5"`
 	QueuePerSlot      int            `help:"Attempts that wait for each slot before the leaf sheds load." default:"8"`
 	MedianServiceTime time.Duration  `help:"Median of the log-normal service time." default:"2ms"`
@@ -26,7 +26,7 @@
 	Record            string         `help:"File to which each execution is written before it runs." placeholder:"FILE"`
 }
 
-// Run serves until SIGTERM or SIGINT; attempts in flight are finished.
+// Run serves until SIGTERM or SIGINT, and finishes attempts in flight.
 func (c *leafCommand) Run() error {
 	config := leaf.Config{
 		ID: c.ID, Dataset: c.Dataset, Seed: c.Seed, Records: c.Records, Snapshots: c.Snapshots,
--- a/cmd/portgauge-lab/load.go
+++ b/cmd/portgauge-lab/load.go
@@ -23,7 +23,7 @@
 	Seed      uint64        `help:"Seed of the arrivals." default:"1"`
 }
 
-// longestLoad bounds a load, so that it ends by itself.
+// longestLoad bounds the duration of a load.
 const longestLoad = time.Hour
 
 // Run prints the result as JSON.
--- a/cmd/portgauge-lab/main.go
+++ b/cmd/portgauge-lab/main.go
@@ -10,10 +10,10 @@
 
 // commandLine is the tree of subcommands; each has a file of its own.
 type commandLine struct {
-	Leaf     leafCommand     `cmd:"" help:"Run a stand-in back end."`
-	HTTPLeaf httpLeafCommand `cmd:"" name:"http-leaf" help:"Run a stand-in back end for routes."`
+	Leaf     leafCommand     `cmd:"" help:"Run a stand-in leaf for searches."`
+	HTTPLeaf httpLeafCommand `cmd:"" name:"http-leaf" help:"Run a stand-in leaf for routes."`
 	Platform platformCommand `cmd:"" help:"Run a stand-in store and machine list."`
-	Sample   sampleCommand   `cmd:"" help:"Print a service or manifest over stand-in back ends."`
+	Sample   sampleCommand   `cmd:"" help:"Print a service or manifest over stand-in leafs."`
 	Load     loadCommand     `cmd:"" help:"Send searches at a fixed rate and print latency, coverage and extra load."`
 	Soak     soakCommand     `cmd:"" help:"Inject random faults around real nodes and check the promises."`
 	Rollout  rolloutCommand  `cmd:"" help:"Roll good and bad versions out over real nodes and check the outcomes."`
--- a/cmd/portgauge-lab/platform.go
+++ b/cmd/portgauge-lab/platform.go
@@ -12,7 +12,7 @@
 type platformCommand struct {
 	Address        string  `help:"IP number and port of the platform's protocol." default:"127.0.0.1:7300"`
 	Control        string  `help:"IP number and port of the control calls; empty for none."`
-	CallsPerSecond float64 `help:"Calls a second that the store takes." default:"200"`
+	CallsPerSecond float64 `help:"Calls a second that the store accepts." default:"200"`
 }
 
 // Run serves until SIGTERM or SIGINT.
--- a/cmd/portgauge-lab/programs.go
+++ b/cmd/portgauge-lab/programs.go
@@ -9,8 +9,7 @@
 	"github.com/portgauge/portgauge/internal/lab/process"
 )
 
-// withPrograms compiles the programs into a folder of their own, runs a command on them until
-// SIGTERM or SIGINT, and removes the folder.
+// withPrograms builds the programs into a temporary folder and calls run with them. The context ends with SIGTERM or SIGINT.
 func withPrograms(run func(context.Context, process.Programs) error) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
--- a/cmd/portgauge-lab/replay.go
+++ b/cmd/portgauge-lab/replay.go
@@ -16,7 +16,7 @@
 	Check bool     `help:"Only check the traces; run nothing."`
 }
 
-// Run replays each trace in turn and fails if any outcome does.
+// Run replays each trace in turn and fails if any outcome does not hold.
 func (c *replayCommand) Run() error {
 	var traces []*replay.Trace
 	for _, file := range c.Files {
@@ -35,7 +35,7 @@
 	})
 }
 
-// playAll replays each trace in turn and fails if any outcome does.
+// playAll replays each trace in turn and fails if any outcome does not hold.
 func playAll(ctx context.Context, traces []*replay.Trace, programs process.Programs) error {
 	totalPassed, totalFailed := 0, 0
 	for _, trace := range traces {
--- a/cmd/portgauge-lab/rollout.go
+++ b/cmd/portgauge-lab/rollout.go
@@ -21,7 +21,7 @@
 	Logs      string        `help:"Folder for the newest output of the nodes."`
 }
 
-// Run plays the cases and fails if any went otherwise than it must.
+// Run plays the cases and fails if any had the wrong outcome or broke a promise.
 func (c *rolloutCommand) Run() error {
 	seed := c.Seed
 	if seed == 0 {
--- a/cmd/portgauge-lab/soak.go
+++ b/cmd/portgauge-lab/soak.go
@@ -12,13 +12,13 @@
 	"github.com/portgauge/portgauge/internal/lab/soak"
 )
 
-// soakCommand brings about random faults around real nodes and judges the promises.
+// soakCommand injects random faults around real nodes and checks the promises.
 type soakCommand struct {
 	Seeds     []uint64      `help:"Seeds to play; empty draws one."`
-	Length    time.Duration `default:"40s" help:"How long faults are brought about, for each seed."`
+	Length    time.Duration `default:"40s" help:"How long faults are injected, for each seed."`
 	PerSecond int           `default:"60" help:"Requests a second."`
 	Nodes     int           `default:"4" help:"Nodes, each a process."`
-	Streams   int           `default:"2" help:"Faults that are brought about side by side."`
+	Streams   int           `default:"2" help:"Faults that are injected side by side."`
 	Logs      string        `default:"target/soak" help:"Folder for the logs of each seed that broke a promise."`
 	KeepAll   bool          `help:"Keep the logs of all seeds."`
 }
--- a/internal/lab/demo/demo_test.go
+++ b/internal/lab/demo/demo_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// The README's first command: it must end by itself and show a missing range.
+// The demonstration, the README's first command, ends by itself and shows a missing range.
 func TestDemoRuns(t *testing.T) {
 	is := is.New(t)
 	var output bytes.Buffer
--- a/internal/lab/platform/leases_test.go
+++ b/internal/lab/platform/leases_test.go
@@ -14,7 +14,7 @@
 
 const lives = 30 * time.Second
 
-// leased is a platform with key "k" under a lease.
+// leased returns a platform with key "k" under a lease.
 type leased struct {
 	*Platform
 	t     *testing.T
@@ -35,7 +35,7 @@
 	return &leased{p, t, granted.GetLease()}
 }
 
-// isThere reports whether the key stands.
+// isThere reports whether the key exists.
 func (l *leased) isThere() bool {
 	l.t.Helper()
 	read, err := l.Get(l.t.Context(), &platformv1.GetRequest{Key: "k"})
@@ -82,7 +82,7 @@
 	})
 }
 
-// A key that was written since is under its lease no more.
+// A key that was written again is no longer under its lease.
 func TestKeyWrittenAnewOutlivesTheLease(t *testing.T) {
 	inLease(t, func(is *is.I, l *leased) {
 		read, err := l.Get(t.Context(), &platformv1.GetRequest{Key: "k"})
--- a/internal/rollout/verdict/verdicttest/answers.go
+++ b/internal/rollout/verdict/verdicttest/answers.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// What leafs do. The spread is of the logarithm of the latency.
+// Latencies of leafs: medians of the first and the other routes, the spread of the logarithm, and the caller's deadline; and
+// the sizes of mishaps.
 const (
 	firstMedian = 15 * time.Millisecond
 	nextMedian  = 45 * time.Millisecond
@@ -22,19 +23,19 @@
 	flapPeriod     = 1500 * time.Millisecond
 	bothFailShare  = 0.15
 	burstFactor    = 3
-	// The mishaps that pass last for the middle third of the order.
+	// Mishaps that pass last for the middle third of the order.
 	mishapFrom = 1.0 / 3
 	mishapTo   = 2.0 / 3
 )
 
-// A pause of a leaf lasts 100 to 250 ms each 2.4 to 6 s, 4% of the time.
+// A leaf pauses for 100 to 250 ms every 2.5 to 6.25 s, 4% of the time.
 const (
 	shortestPause = 100 * time.Millisecond
 	longestPause  = 250 * time.Millisecond
 	pauseShare    = 0.04
 )
 
-// leaf is one leaf of a version.
+// leaf is a leaf of a version.
 type leaf struct {
 	id      string
 	zone    int
@@ -53,25 +54,25 @@
 	}
 }
 
-// paused gives how long a pause goes on at a time, or 0.
+// paused returns how much longer a pause lasts at a time, or 0.
 func (l *leaf) paused(at time.Duration) time.Duration {
 	period := time.Duration(float64(l.pause) / pauseShare)
 	return max(0, l.pause-(at+l.phase)%period)
 }
 
-// answer is what became of an attempt.
+// answer is the outcome of an attempt.
 type answer struct {
 	at      time.Duration
 	took    time.Duration
 	failed  bool
 	givenUp bool
-	// isBad says that it was bad by the version's fault.
+	// isBad marks an answer that is bad by the version's fault.
 	isBad bool
 	route int
 	leaf  *leaf
 }
 
-// attempt plays a request at a leaf; loaded says whether the leaf gets as many as in full service.
+// attempt plays a request at a leaf. Loaded says whether the leaf receives as many requests as in full service.
 func (p *play) attempt(at time.Duration, l *leaf, route int, loaded bool) answer {
 	work := firstMedian
 	if route > 0 {
@@ -114,7 +115,7 @@
 	return factor
 }
 
-// happen lets the mishap befall an attempt.
+// happen applies the mishap to an attempt.
 func (p *play) happen(a *answer, at time.Duration, l *leaf) {
 	part := float64(at) / float64(p.of.Duration)
 	passing := part >= mishapFrom && part < mishapTo
@@ -143,7 +144,7 @@
 	}
 }
 
-// lose lets an attempt get no answer.
+// lose makes an attempt fail without an answer if lost is set.
 func (a *answer) lose(lost bool, after time.Duration) {
 	if lost {
 		a.took, a.failed, a.givenUp = after, false, true
--- a/internal/rollout/verdict/verdicttest/case.go
+++ b/internal/rollout/verdict/verdicttest/case.go
@@ -1,7 +1,3 @@
-// Package verdicttest plays an order that moves a service to a new version in virtual time, for tests of package
-// verdict: it draws arrivals and latencies from a seed, divides the requests between the two versions as nodes do,
-// brings about faults of the version and mishaps that are not its fault, and passes the counts to a Judge. It starts
-// no goroutine, reads no clock and sends nothing.
 package verdicttest
 
 import "time"
--- a/internal/rollout/verdict/verdicttest/play.go
+++ b/internal/rollout/verdict/verdicttest/verdicttest.go
@@ -1,3 +1,7 @@
+// Package verdicttest plays an order that moves a service to a new version in virtual time, for tests of package verdict: it
+// draws arrivals and latencies from a seed, divides the requests between the two versions as nodes do, applies faults of the
+// version and mishaps that are not its fault, and passes the counts to a Judge. It starts no goroutine, reads no clock and sends
+// nothing.
 package verdicttest
 
 import (
@@ -16,7 +20,7 @@
 	OnTrial = "v2"
 )
 
-// The share of the requests that an unproven version gets, as the nodes keep it.
+// Requests that an unproven version gets, as nodes divide them.
 const (
 	share = 0.1
 	slack = 50
@@ -25,13 +29,13 @@
 	slackFrom = 0.25
 	slackTo   = 0.5
 	moments   = 6
-	// ramp is the part of the order in which the requests move to a version found good.
+	// ramp is the part of the order in which requests move to a version found good.
 	ramp = 0.05
-	// every is how often the counts are judged.
+	// every is the interval at which the counts are judged.
 	every = 300 * time.Millisecond
 )
 
-// Judge judges by the counts so far.
+// Judge finds a version good or bad by the counts so far.
 type Judge interface {
 	Update(elapsed time.Duration, rows []evidence.Row) verdict.Finding
 }
@@ -40,16 +44,16 @@
 type Outcome struct {
 	// Last is the finding at the end.
 	Last verdict.Finding
-	// GoodAt and BadAt are when it was found so, 0 for never.
+	// GoodAt and BadAt are when the judge first found the version good and bad; 0 for never.
 	GoodAt, BadAt time.Duration
-	// Answers and BadAnswers are those of the version on trial until it was found bad or the order ended.
+	// Answers and BadAnswers count the answers of the version on trial until it was found bad or the order ended.
 	Answers    int
 	BadAnswers int
-	// SpentInSwitch says that it was found good before.
+	// SpentInSwitch is set if it was found good before it was found bad.
 	SpentInSwitch bool
 }
 
-// play is a case that is played.
+// play is a case in progress.
 type play struct {
 	of      Case
 	random  *rand.Rand
@@ -58,11 +62,11 @@
 	tallies map[evidence.Key]*evidence.Tally
 	order   []evidence.Key
 	outcome Outcome
-	// spent are the requests that the version got beyond its share, and sent those within it.
+	// spent counts the requests that the version got from the slack, sent those within its share, and requests all.
 	spent, sent, requests float64
 }
 
-// Play plays a case before a judge.
+// Play plays a case with a seed before a judge.
 func Play(of Case, seed uint64, judge Judge) Outcome {
 	p := newPlay(of.withDefaults(), seed)
 	at, judged := p.next(0), every
@@ -89,7 +93,7 @@
 	return p
 }
 
-// next gives when the next request comes.
+// next returns the arrival of the next request.
 func (p *play) next(at time.Duration) time.Duration {
 	perSecond := p.of.PerSecond
 	part := float64(at) / float64(p.of.Duration)
@@ -99,7 +103,7 @@
 	return at + time.Duration(p.random.ExpFloat64()/perSecond*float64(time.Second))
 }
 
-// request sends a request to one of the versions.
+// request sends a request to a leaf of one of the versions.
 func (p *play) request(at time.Duration) {
 	p.requests++
 	route := p.random.IntN(p.of.Routes)
@@ -130,7 +134,7 @@
 	return &p.leafs[version][p.random.IntN(p.of.Leafs)]
 }
 
-// inMoment gives the leaf that gets all requests now, from the slack, or nil.
+// inMoment returns the leaf that gets all requests of the moment from the slack, or nil.
 func (p *play) inMoment(at time.Duration) *leaf {
 	part := (float64(at)/float64(p.of.Duration) - slackFrom) / (slackTo - slackFrom)
 	if part < 0 || part >= 1 {
--- a/internal/rollout/verdict/verdicttest/play_test.go
+++ b/internal/rollout/verdict/verdicttest/verdicttest_test.go
@@ -11,12 +11,12 @@
 	"github.com/portgauge/portgauge/internal/rollout/verdict"
 )
 
-// nobody never finds anything.
+// nobody is a Judge that stays undecided.
 type nobody struct{}
 
 func (nobody) Update(time.Duration, []evidence.Row) verdict.Finding { return verdict.Undecided }
 
-// An unproven version stays below what the nodes let it have.
+// An unproven version gets no more than its share and the slack.
 func TestUnprovenVersionGetsItsShareOnly(t *testing.T) {
 	is := is.New(t)
 	for _, rate := range []float64{1, 5, 40, 500} {
