--- a/internal/config/configsync/status.go
+++ b/internal/config/configsync/status.go
@@ -107,7 +107,7 @@
 	}
 	self := s.members.Self().ID
 	if _, isRegistered := s.catalog.View().Nodes[self]; isRegistered {
-		own.Registered = registry.Mark(self)
+		own.Registered = registry.NodeFingerprint(self)
 	}
 	return own
 }
--- a/internal/fleet/membership/config.go
+++ b/internal/fleet/membership/config.go
@@ -6,24 +6,22 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// Config tunes failure detection. All nodes of a zone should use the same values.
+// Config configures failure detection. All nodes of a zone should use the same values.
 type Config struct {
 	// ProbeInterval is how often a node probes one other member.
 	ProbeInterval time.Duration `yaml:"probe_interval"`
 	// ProbeTimeout is how long a direct probe waits before others are asked to probe.
 	ProbeTimeout time.Duration `yaml:"probe_timeout"`
-	// IndirectProbes is how many others are asked.
+	// IndirectProbes is how many other members are asked to probe.
 	IndirectProbes int `yaml:"indirect_probes"`
 	// SuspicionIntervals is how many probe intervals a suspect has to refute, times the
 	// decimal logarithm of the zone's size.
 	SuspicionIntervals float64 `yaml:"suspicion_intervals"`
 	// RumoursPerMessage bounds the member changes on one datagram.
 	RumoursPerMessage int `yaml:"rumours_per_message"`
-	// RumourFactor times the decimal logarithm of the zone's size is how many times a node
-	// passes a change on.
+	// RumourFactor times the decimal logarithm of the zone's size is how many times a node passes a change on.
 	RumourFactor int `yaml:"rumour_factor"`
-	// KeepDead is how long dead members are remembered, so that old rumours don't revive
-	// them.
+	// KeepDead is how long dead members are remembered, so that old rumours don't revive them.
 	KeepDead time.Duration `yaml:"keep_dead"`
 }
 
@@ -40,7 +38,7 @@
 	}
 }
 
-// Validate names every field at fault.
+// Validate returns an error that names every invalid field.
 func (c Config) Validate() error {
 	var checks failure.Checks
 	checks.Refuse(c.ProbeInterval <= 0, "probe_interval", "must be positive")
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -1,10 +1,13 @@
-// Package membership keeps the list of a zone's live nodes by probing and gossip.
+// Package membership keeps the list of a zone's live nodes by probes and gossip, as SWIM does.
 //
-// Each interval a node probes one member, in a shuffled round so that each is probed once a
-// round. A member that does not answer is probed through others, then suspected, and declared
-// dead only after it had time to refute. Changes ride on the probes. Bytes a second are
-// bounded whatever the zone's size. Zones don't probe each other: a cut between zones kills
-// nobody.
+// Each interval a node probes one member, in shuffled rounds that probe every member once. A member that does
+// not answer is probed through others, then suspected, and declared dead only after it had time to refute that
+// (probe.go). Changes are gossiped on the probes (rumours.go), so that the bytes per second are bounded whatever
+// the zone's size. Zones don't probe each other: a cut between zones makes no node dead.
+//
+// A Membership owns the list and one goroutine per probe, which end with the context of Run. It relies on the
+// peer transport, and its Listener provides and receives what else travels on the datagrams. Times are by the
+// monotonic clock.
 package membership
 
 import (
@@ -20,13 +23,13 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
-// Listener is told of what messages from other nodes carry besides membership.
+// Listener provides and receives what the datagrams of the membership carry besides members.
 type Listener interface {
 	// Digest returns the node's own configuration digest, for outgoing messages.
 	Digest() peer.Digest
 	// Notices returns leaf notices to pass on with an outgoing message.
 	Notices() []peer.LeafNotice
-	// Receive is told of the digest and notices of an incoming message.
+	// Receive receives the digest and the notices of an incoming message.
 	Receive(from string, digest peer.Digest, notices []peer.LeafNotice)
 }
 
@@ -35,18 +38,17 @@
 	config    Config
 	transport peer.Transport
 	listener  Listener
-	random    *rand.Rand // guarded by mutex
+	random    *rand.Rand // guarded by mu
 
-	mutex    sync.Mutex
-	self     peer.Member
-	members  map[string]*record // by id, self left out
-	rumours  *rumours
-	round    []string // ids still to probe in this round
-	sequence uint64
-	pending  map[uint64]chan struct{} // probes without an answer yet
-	version  uint64                   // raised whenever the set of usable members changes
-	cached   []peer.Member
-	cachedAt uint64
+	mu         sync.Mutex
+	self       peer.Member
+	members    map[string]*record // by id, self left out
+	rumours    *rumours
+	probeRound []string     // ids still to probe in this round
+	probes     peer.Pending // those without an answer yet
+	version    uint64       // raised whenever the set of usable members changes
+	cached     []peer.Member
+	cachedAt   uint64
 }
 
 type record struct {
@@ -66,23 +68,22 @@
 		self:      self,
 		members:   map[string]*record{},
 		rumours:   newRumours(),
-		pending:   map[uint64]chan struct{}{},
 		version:   1,
 	}
 }
 
 // Self returns the node itself.
 func (m *Membership) Self() peer.Member {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	return m.self
 }
 
-// Members returns the usable members, self included, sorted by id. Suspects count as usable.
-// The slice is shared: callers must not change it.
+// Members returns the usable members, self included, sorted by id. Suspects count as usable. The slice is
+// shared: callers must not change it.
 func (m *Membership) Members() []peer.Member {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	return m.usable()
 }
 
@@ -118,8 +119,8 @@
 
 // Counts returns the number of members by state, self included.
 func (m *Membership) Counts() map[peer.MemberState]int {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	counts := map[peer.MemberState]int{m.self.State: 1}
 	for _, known := range m.members {
 		counts[known.member.State]++
@@ -136,7 +137,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			m.expire(ctx, time.Now())
+			m.expireSuspects(ctx, time.Now())
 			if target, found := m.nextTarget(); found {
 				go m.probe(ctx, target)
 			}
@@ -144,8 +145,8 @@
 	}
 }
 
-// Join tells a node of this one and takes over the members that it knows. It reports whether
-// the two already knew the same.
+// Join announces this node to another one and merges the members known there. It reports whether both knew the
+// same members before.
 func (m *Membership) Join(ctx context.Context, address string) (welcome *peer.Welcome, same bool, err error) {
 	join := &peer.Join{Member: m.Self(), Known: m.fingerprint()}
 	answer, err := m.transport.Call(ctx, address, peer.Message{Digest: m.listener.Digest(), Join: join})
@@ -155,22 +156,22 @@
 	if answer.Welcome == nil {
 		return nil, false, nil
 	}
-	m.mergeQuietly(answer.Welcome.Members)
+	m.mergeList(answer.Welcome.Members)
 	m.listener.Receive(address, answer.Digest, answer.Notices)
 	return answer.Welcome, answer.Welcome.Known == join.Known, nil
 }
 
-// HandleJoin takes a node in and gives it the members known here, unless it knows the same.
+// HandleJoin admits a node and returns the members known here, unless it knows the same.
 func (m *Membership) HandleJoin(join peer.Join) (members []peer.Member, known uint64) {
 	m.merge([]peer.Member{join.Member})
 	known = m.fingerprint()
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	if join.Member.Zone != m.self.Zone {
 		return nil, known
 	}
 	if record, found := m.members[join.Member.ID]; found && !isUsable(record.member.State) {
-		// The joining node must hear that it is held for dead, or it can't refute it.
+		// The joining node must learn that it is considered dead, or it can't refute that.
 		return append(slices.Clone(m.usable()), record.member), known
 	}
 	if known == join.Known {
@@ -179,8 +180,8 @@
 	return slices.Clone(m.usable()), known
 }
 
-// fingerprint is equal for two nodes that know the same usable members. Incarnations are left
-// out: they change with every refutation, which the other node need not have heard of.
+// fingerprint is equal for two nodes that know the same usable members. Incarnations are left out: they change
+// with every refutation, which the other node may not have received.
 func (m *Membership) fingerprint() uint64 {
 	digest := xxhash.New()
 	for _, member := range m.Members() {
@@ -190,23 +191,23 @@
 	return digest.Sum64()
 }
 
-// Leave tells some members that this node is stopping, so that no suspicion is needed.
+// Leave notifies some members that this node is stopping, so that no suspicion is needed.
 func (m *Membership) Leave() {
-	m.mutex.Lock()
+	m.mu.Lock()
 	m.self.State = peer.Left
 	m.version++
 	m.rumours.add(m.self)
 	targets := m.sample(leaveFanOut, "")
-	m.mutex.Unlock()
+	m.mu.Unlock()
 	for _, target := range targets {
 		m.send(target.Address, peer.Message{})
 	}
 }
 
-// leaveFanOut is how many members are told of a planned stop at once.
+// leaveFanOut is how many members are notified of a planned stop directly; gossip reaches the others.
 const leaveFanOut = 8
 
-// HandleDatagram takes what a datagram says of members, and answers probes.
+// HandleDatagram merges what a datagram says of members, and answers probes.
 func (m *Membership) HandleDatagram(message peer.Message) {
 	m.merge(message.Members)
 	m.listener.Receive(message.From, message.Digest, message.Notices)
@@ -216,17 +217,17 @@
 	case message.Acknowledge != nil:
 		m.acknowledged(message.Acknowledge.Sequence)
 	case message.ProbeRequest != nil:
-		go m.probeFor(message.From, *message.ProbeRequest)
+		go m.probeOnBehalf(message.From, *message.ProbeRequest)
 	}
 }
 
-// send adds the digest, notices and rumours that ride on every datagram.
+// send adds the digest, notices and rumours that every datagram carries.
 func (m *Membership) send(address string, message peer.Message) {
 	message.Digest = m.listener.Digest()
 	message.Notices = m.listener.Notices()
-	m.mutex.Lock()
+	m.mu.Lock()
 	message.Members = m.rumours.next(m.config.RumoursPerMessage, m.rumourPasses())
-	m.mutex.Unlock()
+	m.mu.Unlock()
 	m.transport.Send(address, message)
 }
 
@@ -249,8 +250,8 @@
 
 // Random returns a random usable member other than self.
 func (m *Membership) Random() (peer.Member, bool) {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	chosen := m.sample(1, "")
 	if len(chosen) == 0 {
 		return peer.Member{}, false
@@ -258,33 +259,33 @@
 	return chosen[0], true
 }
 
-// merge takes word of members and passes on what is news; word of other zones is ignored.
+// merge merges reports of members and gossips those that are news; members of other zones are ignored.
 func (m *Membership) merge(members []peer.Member) {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	for _, member := range members {
-		if m.take(member) {
+		if m.update(member) {
 			m.rumours.add(member)
 		}
 	}
 }
 
-// mergeQuietly takes a whole list over without passing it on: what is news to a node that
-// joins is known to the others. A member that this node holds for dead but the list does not
-// is taken for alive again: a node that was cut off alone holds everyone for dead.
-func (m *Membership) mergeQuietly(members []peer.Member) {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
+// mergeList merges a whole list without gossiping it: what is news to a node that joins is known to the others.
+// A member that this node considers dead but the list does not is alive again: a node that was cut off alone
+// considers all others dead.
+func (m *Membership) mergeList(members []peer.Member) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	for _, member := range members {
 		known, found := m.members[member.ID]
 		if found && known.member.State == peer.Dead && known.member.Incarnation == member.Incarnation && isUsable(member.State) {
 			delete(m.members, member.ID)
 		}
-		m.take(member)
+		m.update(member)
 	}
 }
 
-// refute answers word that this node is suspect or dead with a higher incarnation.
+// refute answers a report that this node is suspect or dead with a higher incarnation.
 func (m *Membership) refute(member peer.Member) {
 	if member.State == peer.Alive || m.self.State == peer.Left || member.Incarnation < m.self.Incarnation {
 		return
@@ -294,8 +295,8 @@
 	m.rumours.add(m.self)
 }
 
-// take learns of a member and reports whether that changed the usable members or their states.
-func (m *Membership) take(member peer.Member) bool {
+// update merges a report of a member, and reports whether that changed the usable members or their states.
+func (m *Membership) update(member peer.Member) bool {
 	if member.Zone != m.self.Zone || member.ID == "" {
 		return false
 	}
@@ -309,19 +310,19 @@
 	}
 	m.members[member.ID] = &record{member: member, changedAt: time.Now()}
 	if !found && !isUsable(member.State) {
-		// A death never heard of before still stops older word of life, but is no news.
+		// The death of an unknown member is no news, but overrides older reports that it is alive.
 		return false
 	}
 	m.version++
 	return true
 }
 
-// supersedes reports whether word of a member is newer than what is known.
-func supersedes(word, known peer.Member) bool {
-	if word.Incarnation != known.Incarnation {
-		return word.Incarnation > known.Incarnation
+// supersedes reports whether a report of a member is newer than what is known.
+func supersedes(reported, known peer.Member) bool {
+	if reported.Incarnation != known.Incarnation {
+		return reported.Incarnation > known.Incarnation
 	}
-	return stateRank(word.State) > stateRank(known.State)
+	return stateRank(reported.State) > stateRank(known.State)
 }
 
 func stateRank(state peer.MemberState) int {
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -13,7 +13,7 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer/peertest"
 )
 
-// quiet is a listener with nothing to say.
+// quiet is a listener that provides nothing and ignores what it receives.
 type quiet struct{}
 
 func (quiet) Digest() peer.Digest                            { return peer.Digest{} }
@@ -69,7 +69,7 @@
 	time.Sleep(time.Minute)
 }
 
-// seenBy returns how many nodes hold a member for usable.
+// seenBy returns how many nodes consider a member usable.
 func (z *zone) seenBy(id string) int {
 	count := 0
 	for _, member := range z.members {
@@ -104,12 +104,11 @@
 		z.network.Remove("n7")
 		time.Sleep(30 * time.Second)
 		is.Equal(z.seenBy("n7"), 0)
-		is.Equal(z.seenBy("n8"), 29) // the stopped node's own view counts, too
+		is.Equal(z.seenBy("n8"), 29) // the stopped node's own view is included
 	})
 }
 
-// A node cut off for so long that it and the others hold each other for dead comes back when
-// it joins again.
+// A node cut off for so long that it and the others consider each other dead is alive again when it joins again.
 func TestFrozenNodeComesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -130,8 +129,8 @@
 	})
 }
 
-// With a fifth of all datagrams lost, hardly any node is held for dead by any other at any
-// time, and none for long: last probes and refutation hold.
+// With a fifth of all datagrams lost, hardly any node considers another one dead at any time, and none for long, thanks to
+// the last probes and refutation.
 func TestLossKillsHardlyAnybody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -147,7 +146,7 @@
 				deadBeliefs += member.Counts()[peer.Dead]
 			}
 		}
-		is.True(deadBeliefs < looks*size*(size-1)/200) // under half a percent of all beliefs
+		is.True(deadBeliefs < looks*size*(size-1)/200) // under half a percent of all opinions
 		z.network.SetLoss(0)
 		for _, member := range z.members[1:] {
 			_, _, err := member.Join(t.Context(), "n0")
--- a/internal/fleet/membership/probe.go
+++ b/internal/fleet/membership/probe.go
@@ -10,96 +10,99 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// answerProbe acknowledges a probe meant for this node. A prober that is held for suspect or
-// dead is told so, since it can refute only what it hears of.
+// answerProbe acknowledges a probe of this node. A prober that is suspect or dead here is notified of that,
+// since it can refute only what it knows.
 func (m *Membership) answerProbe(prober string, probe peer.Probe) {
 	if probe.TargetID != m.Self().ID {
 		return
 	}
-	m.mutex.Lock()
+	m.mu.Lock()
 	for _, known := range m.members {
 		if known.member.Address == prober && known.member.State != peer.Alive {
 			m.rumours.add(known.member)
 		}
 	}
-	m.mutex.Unlock()
+	m.mu.Unlock()
 	m.send(prober, peer.Message{Acknowledge: &peer.Acknowledge{Sequence: probe.Sequence}})
 }
 
 // nextTarget returns the next member of the shuffled round.
 func (m *Membership) nextTarget() (peer.Member, bool) {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	for range 2 {
-		for len(m.round) > 0 {
-			id := m.round[len(m.round)-1]
-			m.round = m.round[:len(m.round)-1]
+		for len(m.probeRound) > 0 {
+			id := m.probeRound[len(m.probeRound)-1]
+			m.probeRound = m.probeRound[:len(m.probeRound)-1]
 			if known, found := m.members[id]; found && isUsable(known.member.State) {
 				return known.member, true
 			}
 		}
 		for id := range m.members {
-			m.round = append(m.round, id)
+			m.probeRound = append(m.probeRound, id)
 		}
-		slices.Sort(m.round)
-		m.random.Shuffle(len(m.round), func(i, j int) { m.round[i], m.round[j] = m.round[j], m.round[i] })
+		slices.Sort(m.probeRound)
+		m.random.Shuffle(len(m.probeRound), func(i, j int) { m.probeRound[i], m.probeRound[j] = m.probeRound[j], m.probeRound[i] })
 	}
 	return peer.Member{}, false
 }
 
-// probe asks a member whether it lives, then asks others to ask, then suspects it.
+// probe decides whether a member is suspected: it probes the member, after Config.ProbeTimeout asks
+// Config.IndirectProbes others to probe it, and suspects it if there is still no answer after twice
+// Config.ProbeTimeout.
 func (m *Membership) probe(ctx context.Context, target peer.Member) {
-	sequence, answered := m.expect()
-	defer m.forget(sequence)
+	sequence, answered := m.openProbe()
+	defer m.closeProbe(sequence)
 	m.send(target.Address, peer.Message{Probe: &peer.Probe{Sequence: sequence, TargetID: target.ID}})
-	if waitFor(ctx, answered, m.config.ProbeTimeout) {
+	if awaitAnswer(ctx, answered, m.config.ProbeTimeout) {
 		return
 	}
-	m.mutex.Lock()
+	m.mu.Lock()
 	helpers := m.sample(m.config.IndirectProbes, target.ID)
-	m.mutex.Unlock()
+	m.mu.Unlock()
 	for _, helper := range helpers {
 		m.send(helper.Address, peer.Message{ProbeRequest: &peer.ProbeRequest{
 			Sequence: sequence, TargetID: target.ID, TargetAddress: target.Address,
 		}})
 	}
-	if waitFor(ctx, answered, 2*m.config.ProbeTimeout) || ctx.Err() != nil {
+	if awaitAnswer(ctx, answered, 2*m.config.ProbeTimeout) || ctx.Err() != nil {
 		return
 	}
 	target.State = peer.Suspect
 	m.merge([]peer.Member{target})
-	m.tellSuspect(ctx, target)
+	m.notifySuspect(ctx, target)
 }
 
-// suspectTellings is how many times a suspect is told of its suspicion by the node that
-// raised it. Gossip alone reaches it too late when many messages are lost.
-const suspectTellings = 4
+// suspectNotices is how many times a suspect is notified by the node that suspects it. Gossip alone reaches it
+// too late if many messages are lost.
+const suspectNotices = 4
 
-// tellSuspect sends the suspicion to the suspect itself, so that it can refute.
-func (m *Membership) tellSuspect(ctx context.Context, suspect peer.Member) {
-	for range suspectTellings {
+// notifySuspect sends a suspicion to the suspect itself, so that it can refute it.
+func (m *Membership) notifySuspect(ctx context.Context, suspect peer.Member) {
+	for range suspectNotices {
 		m.transport.Send(suspect.Address, peer.Message{Digest: m.listener.Digest(), Members: []peer.Member{suspect}})
 		if !wait.For(ctx, m.config.ProbeInterval) {
 			return
 		}
-		m.mutex.Lock()
+		m.mu.Lock()
 		known, found := m.members[suspect.ID]
 		refuted := !found || known.member.State != peer.Suspect
-		m.mutex.Unlock()
+		m.mu.Unlock()
 		if refuted {
 			return
 		}
 	}
 }
 
-// probeFor probes a member on behalf of another node and passes its answer on.
-func (m *Membership) probeFor(asker string, request peer.ProbeRequest) {
+// probeOnBehalf probes a member on behalf of another node and passes on its answer.
+func (m *Membership) probeOnBehalf(requester string, request peer.ProbeRequest) {
 	if m.probeOnce(context.Background(), peer.Member{ID: request.TargetID, Address: request.TargetAddress}) {
-		m.send(asker, peer.Message{Acknowledge: &peer.Acknowledge{Sequence: request.Sequence}})
+		m.send(requester, peer.Message{Acknowledge: &peer.Acknowledge{Sequence: request.Sequence}})
 	}
 }
 
-func waitFor(ctx context.Context, answered <-chan struct{}, timeout time.Duration) bool {
+// awaitAnswer reports whether a probe is answered before a timeout.
+func awaitAnswer(ctx context.Context, answered <-chan struct{}, timeout time.Duration) bool {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
@@ -112,34 +115,29 @@
 	}
 }
 
-func (m *Membership) expect() (uint64, <-chan struct{}) {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	m.sequence++
-	answered := make(chan struct{})
-	m.pending[m.sequence] = answered
-	return m.sequence, answered
+func (m *Membership) openProbe() (uint64, <-chan struct{}) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.probes.Open()
 }
 
-func (m *Membership) forget(sequence uint64) {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	delete(m.pending, sequence)
+func (m *Membership) closeProbe(sequence uint64) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.probes.Close(sequence)
 }
 
 func (m *Membership) acknowledged(sequence uint64) {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	if answered, found := m.pending[sequence]; found {
-		close(answered)
-		delete(m.pending, sequence)
-	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.probes.Answer(sequence)
 }
 
-// expire has suspects confirmed whose time to refute is over, and forgets the long dead.
-func (m *Membership) expire(ctx context.Context, now time.Time) {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
+// expireSuspects probes suspects a last time whose time to refute is over, and forgets members that have been
+// dead for Config.KeepDead.
+func (m *Membership) expireSuspects(ctx context.Context, now time.Time) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	suspicion := m.suspicionTime()
 	for id, known := range m.members {
 		age := now.Sub(known.changedAt)
@@ -156,8 +154,8 @@
 // confirmationProbes is how many last probes a suspect gets.
 const confirmationProbes = 5
 
-// confirmDeath declares a suspect dead unless it answers a last probe. Its refutation may
-// have been lost on the way here although all others have it.
+// confirmDeath decides whether a suspect is dead: it is, unless it answers one of confirmationProbes last
+// probes. Its refutation may have been lost on the way here although all others received it.
 func (m *Membership) confirmDeath(ctx context.Context, suspect peer.Member) {
 	answers := false
 	for range confirmationProbes {
@@ -165,8 +163,8 @@
 			break
 		}
 	}
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	known, found := m.members[suspect.ID]
 	if !found || known.member != suspect || ctx.Err() != nil {
 		return
@@ -177,19 +175,21 @@
 		return
 	}
 	suspect.State = peer.Dead
-	if m.take(suspect) {
+	if m.update(suspect) {
 		m.rumours.add(suspect)
 	}
 }
 
 // probeOnce probes a member directly and reports whether it answered in time.
 func (m *Membership) probeOnce(ctx context.Context, target peer.Member) bool {
-	sequence, answered := m.expect()
-	defer m.forget(sequence)
+	sequence, answered := m.openProbe()
+	defer m.closeProbe(sequence)
 	m.send(target.Address, peer.Message{Probe: &peer.Probe{Sequence: sequence, TargetID: target.ID}})
-	return waitFor(ctx, answered, m.config.ProbeTimeout)
+	return awaitAnswer(ctx, answered, m.config.ProbeTimeout)
 }
 
+// suspicionTime returns how long a suspect has to refute: Config.SuspicionIntervals probe intervals times the
+// decimal logarithm of the zone's size, since gossip takes longer in a larger zone.
 func (m *Membership) suspicionTime() time.Duration {
 	scale := math.Max(1, math.Log10(float64(len(m.members)+1)))
 	return time.Duration(m.config.SuspicionIntervals * scale * float64(m.config.ProbeInterval))
--- a/internal/fleet/membership/rumours.go
+++ b/internal/fleet/membership/rumours.go
@@ -6,8 +6,8 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
-// rumours are member changes to pass on, each a bounded number of times, the least passed
-// on first. The owner's lock guards it.
+// rumours are the member changes to gossip, each a bounded number of times, the least gossiped first. The
+// owner's lock guards it.
 type rumours struct {
 	items map[string]*rumour // by member id
 }
@@ -19,12 +19,12 @@
 
 func newRumours() *rumours { return &rumours{items: map[string]*rumour{}} }
 
-// add makes a change the newest word on its member.
+// add makes a change the newest rumour of its member.
 func (r *rumours) add(member peer.Member) {
 	r.items[member.ID] = &rumour{member: member}
 }
 
-// next returns up to count changes for one message and forgets those passed on often enough.
+// next returns up to count changes for one message and forgets those that were passed on often enough.
 func (r *rumours) next(count, maximumPasses int) []peer.Member {
 	if len(r.items) == 0 {
 		return nil
--- a/internal/fleet/reachability/config.go
+++ b/internal/fleet/reachability/config.go
@@ -6,27 +6,27 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// Config tunes how soon a zone is held for out of reach, and how soon for back.
+// Config configures how soon a zone counts as lost, and how soon it is reachable again.
 type Config struct {
-	// Enabled lets the node hold zones for out of reach.
+	// Enabled lets the node treat zones as lost.
 	Enabled bool `yaml:"enabled"`
-	// FirstWait is how long the first two nodes of a zone have to answer once one of it was silent.
+	// FirstWait is how long the first two nodes of a zone have to answer a check.
 	FirstWait time.Duration `yaml:"first_wait"`
-	// Wait is how long the other nodes of a look have then; a zone whose nodes were seen to take longer
-	// gets twice what they took.
+	// Wait is how long the other nodes of a check have to answer; a zone with longer round trips gets twice its
+	// longest.
 	Wait time.Duration `yaml:"wait"`
-	// LeastNodes is how many distinct nodes of a zone must leave a look unanswered.
+	// LeastNodes is how many different nodes of a zone must leave a check unanswered.
 	LeastNodes int `yaml:"least_nodes"`
-	// Pause is how long a zone that was found in reach is not looked at again.
+	// Pause is how long a zone is not checked again after a check.
 	Pause time.Duration `yaml:"pause"`
-	// ProbeInterval is how often one node of a lost zone is asked whether it is back.
+	// ProbeInterval is how often one node of a lost zone is pinged.
 	ProbeInterval time.Duration `yaml:"probe_interval"`
-	// Fanout is how many nodes of the own zone are told of a lost one.
+	// Fanout is how many nodes of the own zone are notified of a lost zone.
 	Fanout int `yaml:"fanout"`
 }
 
-// DefaultConfig suits zones of one region or near ones: answers of small nodes take a few milliseconds
-// there, and longer ways are learnt. None of the figures is tuned.
+// DefaultConfig suits zones within a region or near each other, with round trips of a few milliseconds; longer
+// ones are learnt.
 func DefaultConfig() Config {
 	return Config{
 		Enabled:       true,
@@ -39,17 +39,17 @@
 	}
 }
 
-// mostNodes bounds the nodes that one look asks.
-const mostNodes = 64
+// maxNodes bounds the nodes that one check pings.
+const maxNodes = 64
 
-// Validate names every field at fault.
+// Validate returns an error that names every invalid field.
 func (c Config) Validate() error {
 	var checks failure.Checks
 	checks.Refuse(c.FirstWait <= 0, "first_wait", "must be positive")
 	checks.Refuse(c.Wait <= 0 || c.Wait > answerLimit, "wait", "must be positive and at most %s", answerLimit)
-	checks.Refuse(c.LeastNodes < 2 || c.LeastNodes > mostNodes, "least_nodes", "must be at least 2 and at most %d", mostNodes)
+	checks.Refuse(c.LeastNodes < 2 || c.LeastNodes > maxNodes, "least_nodes", "must be at least 2 and at most %d", maxNodes)
 	checks.Refuse(c.Pause < 0, "pause", "must not be negative")
 	checks.Refuse(c.ProbeInterval <= 0, "probe_interval", "must be positive")
-	checks.Refuse(c.Fanout < 0 || c.Fanout > mostNodes, "fanout", "must be at least 0 and at most %d", mostNodes)
+	checks.Refuse(c.Fanout < 0 || c.Fanout > maxNodes, "fanout", "must be at least 0 and at most %d", maxNodes)
 	return checks.Err()
 }
--- a/internal/fleet/reachability/datagrams.go
+++ b/internal/fleet/reachability/datagrams.go
@@ -13,31 +13,31 @@
 	Send(address string, message peer.Message)
 }
 
-// Datagrams is the Asker over peer datagrams; safe for concurrent use.
+// Datagrams is the Prober over peer datagrams; safe for concurrent use.
 type Datagrams struct {
 	sender Sender
-	// told takes a zone that another node has lost.
-	told func(zone string)
+	// zoneLost is called with a zone that another node has lost.
+	zoneLost func(zone string)
 
 	mu      sync.Mutex
-	next    uint64
-	pending map[uint64]chan struct{} // by number; an open question each
+	pending peer.Pending
 }
 
 var _ Prober = (*Datagrams)(nil)
 
-// NewDatagrams returns an prober; OnTold says who hears of zones that others lost.
+// NewDatagrams returns a prober; OnZoneLost sets who learns of zones that other nodes lost.
 func NewDatagrams(sender Sender) *Datagrams {
-	return &Datagrams{sender: sender, told: func(string) {}, pending: map[uint64]chan struct{}{}}
+	return &Datagrams{sender: sender, zoneLost: func(string) {}}
 }
 
-// OnZoneLost sets who is told of a zone that another node has lost. It must be set before datagrams come in.
-func (d *Datagrams) OnZoneLost(told func(zone string)) { d.told = told }
+// OnZoneLost sets the function that is called with a zone that another node has lost. It must be set before
+// datagrams arrive.
+func (d *Datagrams) OnZoneLost(zoneLost func(zone string)) { d.zoneLost = zoneLost }
 
-// mostPending bounds the open questions; further ones count as unanswered at once.
-const mostPending = 4096
+// maxPending bounds the open requests; further ones count as unanswered.
+const maxPending = 4096
 
-// Answers implements Asker.
+// Ping implements Prober.
 func (d *Datagrams) Ping(ctx context.Context, node catalog.NodeRecord) bool {
 	number, answered := d.open()
 	if answered == nil {
@@ -53,16 +53,16 @@
 	}
 }
 
-// Tell implements Asker.
+// AnnounceLost implements Prober.
 func (d *Datagrams) AnnounceLost(node catalog.NodeRecord, zone string) {
 	d.sender.Send(node.Address, peer.Message{Reach: &peer.Reach{Lost: zone}})
 }
 
-// Handle takes a datagram: it answers a question, and takes an answer or what another node tells.
+// Handle handles a datagram: it answers a ping, and passes on an answer or the announcement of a lost zone.
 func (d *Datagrams) Handle(from string, reach peer.Reach) {
 	switch {
 	case reach.Lost != "":
-		d.told(reach.Lost)
+		d.zoneLost(reach.Lost)
 	case reach.Answer:
 		d.answered(reach.Number)
 	default:
@@ -70,30 +70,24 @@
 	}
 }
 
-// open counts a question in; the channel is nil when there are too many.
-func (d *Datagrams) open() (uint64, chan struct{}) {
+// open returns the number of a new request; the channel is nil when there are too many.
+func (d *Datagrams) open() (uint64, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if len(d.pending) >= mostPending {
+	if d.pending.Len() >= maxPending {
 		return 0, nil
 	}
-	d.next++
-	answered := make(chan struct{})
-	d.pending[d.next] = answered
-	return d.next, answered
+	return d.pending.Open()
 }
 
 func (d *Datagrams) close(number uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	delete(d.pending, number)
+	d.pending.Close(number)
 }
 
 func (d *Datagrams) answered(number uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if answered, found := d.pending[number]; found {
-		close(answered)
-		delete(d.pending, number)
-	}
+	d.pending.Answer(number)
 }
--- a/internal/fleet/reachability/datagrams_test.go
+++ b/internal/fleet/reachability/datagrams_test.go
@@ -13,7 +13,7 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
-// link carries datagrams between nodes, by address.
+// link delivers datagrams between nodes, by address.
 type link struct {
 	nodes map[string]*Datagrams
 
@@ -22,7 +22,7 @@
 	lost func(from, to string) bool
 }
 
-// drop says which datagrams are dropped from now on.
+// drop sets which datagrams are dropped.
 func (l *link) drop(lost func(from, to string) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -35,7 +35,7 @@
 	return l.lost(from, to)
 }
 
-// end is the link as one node uses it.
+// end is the link as seen by one node.
 type end struct {
 	link *link
 	from string
@@ -70,7 +70,7 @@
 	return l, trackers
 }
 
-// A cut of one direction is found at both of its sides, and so is its end.
+// A cut of one direction is noticed on both sides, and so is its end.
 func TestOneWayCutIsFoundAtBothSides(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -79,7 +79,7 @@
 		l.drop(func(from, to string) bool { return from[:3] == far && to[:3] != far })
 		trackers["near-0"].Suspect(far)
 		trackers["far-0"].Suspect(near)
-		time.Sleep(lookTime())
+		time.Sleep(checkTime())
 		is.True(!trackers["near-0"].Reaches(far))
 		is.True(!trackers["far-0"].Reaches(near))
 		is.True(trackers["near-0"].Reaches(mid))
@@ -90,7 +90,7 @@
 	})
 }
 
-// What one node finds out its zone's other nodes look into within a moment, without a request of their own.
+// If one node loses a zone, the other nodes of its own zone check that zone within a moment, without a request of their own.
 func TestOneSuspicionIsEnoughForAZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -98,14 +98,14 @@
 		l, trackers := newLink(t, w)
 		l.drop(func(from, to string) bool { return (from[:3] == far) != (to[:3] == far) })
 		trackers["near-0"].Suspect(far)
-		time.Sleep(4 * lookTime())
+		time.Sleep(4 * checkTime())
 		for _, id := range []string{"near-0", "near-1", "near-2", "near-3", "near-4"} {
 			is.True(!trackers[id].Reaches(far))
 		}
 	})
 }
 
-// A false word of another node costs a look, and loses nothing.
+// A false announcement of another node causes a check, and loses nothing.
 func TestFalseWordLosesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -117,26 +117,26 @@
 	})
 }
 
-// The number of open questions is bounded, and each ends with its context.
+// The number of open requests is bounded, and each ends with its context.
 func TestOpenQuestionsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := NewDatagrams(end{&link{lost: func(string, string) bool { return true }}, "a"})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		for range 2 * mostPending {
+		for range 2 * maxPending {
 			go d.Ping(ctx, catalog.NodeRecord{Address: "b"})
 		}
 		synctest.Wait()
-		is.Equal(d.count(), mostPending)
+		is.Equal(d.count(), maxPending)
 		time.Sleep(2 * time.Second)
 		is.Equal(d.count(), 0)
 	})
 }
 
-// count returns the number of open questions.
+// count returns the number of open requests.
 func (d *Datagrams) count() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return len(d.pending)
+	return d.pending.Len()
 }
--- a/internal/fleet/reachability/reachability.go
+++ b/internal/fleet/reachability/reachability.go
@@ -1,12 +1,16 @@
-// Package reachability knows which zones a node reaches, so that work which only a lost zone could do is
-// refused at once, and other work is not sent there.
+// Package reachability tracks which zones this node can reach, so that requests which only a lost zone could
+// serve are rejected without a wait, and others are not sent there.
 //
-// The silence of leafs or intermediates is never proof: leafs pause, and nodes die. It only makes the node
-// look: it asks several nodes of the zone by datagram, and some of other zones beside them. A zone is lost
-// when none of its own answers, nothing else is heard from there meanwhile, and the others do answer, so
-// that neither this node's own delay nor its own isolation is taken for it. Since a question and its answer
-// must both arrive, a cut of one direction is found by both sides. While a zone is lost, one of its nodes at
-// a time is asked again; any answer from there brings the zone back.
+// A leaf or an intermediate that doesn't respond is no proof: leafs pause, and nodes crash. It only makes the
+// node check the zone (zonecheck.go): it pings several nodes there, and some of other zones as a control. A zone
+// is lost if none of its nodes answers, nothing else is received from it meanwhile, and a control does answer,
+// so that neither this node's own delay nor its own isolation is taken for the zone's. Since both the ping and
+// its answer must arrive, a cut of one direction is noticed on both sides. While a zone is lost, one of its
+// nodes at a time is pinged; any response from there ends the loss.
+//
+// A Tracker owns the state of each zone and the goroutines of its checks, which end with the context of Run. It
+// relies on the list of registered nodes, a Prober (Datagrams sends over the peer transport) and a clock that
+// counts the time of a suspension.
 package reachability
 
 import (
@@ -19,21 +23,21 @@
 	"github.com/portgauge/portgauge/internal/node/boottime"
 )
 
-// Prober carries datagrams between nodes.
+// Prober exchanges datagrams with nodes.
 type Prober interface {
-	// Answers asks a node for a sign of life; false when none came before the context ended.
+	// Ping reports whether a node answers before the context ends.
 	Ping(ctx context.Context, node catalog.NodeRecord) bool
-	// Tell tells a node, without waiting, that this one has lost a zone.
+	// AnnounceLost notifies a node, without waiting, that this one has lost a zone.
 	AnnounceLost(node catalog.NodeRecord, zone string)
 }
 
-// Change is a zone that was lost, or is back.
+// Change is a zone that was lost, or that is reachable again.
 type Change struct {
 	Zone string
 	Lost bool
 }
 
-// Deps are what a Tracker is built from.
+// Deps are the dependencies of a Tracker.
 type Deps struct {
 	Config Config
 	// Self is this node's own record.
@@ -41,35 +45,35 @@
 	// Nodes returns the registered nodes; this one may be among them.
 	Nodes  func() []catalog.NodeRecord
 	Prober Prober
-	// Changed is told of changed beliefs; nil means nobody.
+	// Changed is called for each zone that is lost or reachable again; it may be nil.
 	Changed func(Change)
 	// Clock counts the time for which the machine was suspended.
 	Clock boottime.Clock
 }
 
-// mostZones bounds the zones that are kept; the silence of further ones is not looked into.
-const mostZones = 256
+// maxZones bounds the zones that are tracked; further ones always count as reachable.
+const maxZones = 256
 
-// answerLimit is how long an answer may take that still brings a zone back.
+// answerLimit is how long an answer may take and still end the loss of a zone.
 const answerLimit = time.Second
 
-// Tracker knows which zones are lost; safe for concurrent use. A nil one holds every zone for in reach.
+// Tracker tracks which zones are lost; safe for concurrent use. To a nil Tracker every zone is reachable.
 type Tracker struct {
 	deps Deps
 	lost atomic.Int32 // how many zones are lost
 
 	mu    sync.RWMutex
 	zones map[string]*zone
-	// stop ends all looks; nil before Run.
+	// ctx ends all checks; nil before Run.
 	ctx context.Context
 }
 
-// New returns a tracker; it looks at nothing before Run.
+// New returns a tracker; it checks nothing before Run.
 func New(deps Deps) *Tracker {
 	return &Tracker{deps: deps, zones: map[string]*zone{}}
 }
 
-// Run lets the tracker look at zones until the context ends.
+// Run lets the tracker check zones until the context ends.
 func (t *Tracker) Run(ctx context.Context) {
 	t.mu.Lock()
 	t.ctx = ctx
@@ -80,7 +84,7 @@
 // AnyLost reports whether any zone is lost.
 func (t *Tracker) AnyLost() bool { return t != nil && t.lost.Load() > 0 }
 
-// Reaches reports whether a zone is in reach. The own one always is.
+// Reaches reports whether a zone is reachable. The own one always is.
 func (t *Tracker) Reaches(name string) bool {
 	if !t.AnyLost() {
 		return true
@@ -91,7 +95,7 @@
 	return known == nil || !known.lost.Load()
 }
 
-// IsCutOff reports whether most of the registered nodes are in lost zones.
+// IsCutOff reports whether more than half of the registered nodes are in lost zones.
 func (t *Tracker) IsCutOff() bool {
 	if !t.AnyLost() {
 		return false
@@ -106,7 +110,7 @@
 	return 2*lost > len(nodes)
 }
 
-// Responded tells that something of a zone answered this node.
+// Responded records that something in a zone responded to this node, which ends the loss of the zone.
 func (t *Tracker) Responded(name string) {
 	if t == nil || name == t.deps.Self.Zone {
 		return
@@ -114,70 +118,70 @@
 	t.mu.RLock()
 	known := t.zones[name]
 	t.mu.RUnlock()
-	if known == nil || known.heard.Load() {
+	if known == nil || known.responded.Load() {
 		return
 	}
-	known.heard.Store(true)
+	known.responded.Store(true)
 	if known.lost.Load() {
-		t.found(known)
+		t.markFound(known)
 	}
 }
 
-// NoResponse tells of a leaf of a zone that left an attempt unanswered. Two of them, with nothing heard of
-// the zone between, are looked into.
+// NoResponse records that a leaf of a zone left an attempt unanswered. minSilentLeafs different leafs, with no
+// response from the zone in between, make the node check the zone.
 func (t *Tracker) NoResponse(name, leafID string) {
-	if known := t.of(name); known != nil && known.another(leafID) {
+	if known := t.zoneOf(name); known != nil && known.addSilent(leafID) {
 		t.Suspect(name)
 	}
 }
 
-// Suspect has a zone looked at, as when one of its nodes gave no sign in time, or another node lost it. It
-// doesn't block.
+// Suspect checks a zone, as when one of its nodes did not respond in time or another node lost it. It doesn't
+// block, and does nothing within Config.Pause of the last check.
 func (t *Tracker) Suspect(name string) {
-	known := t.of(name)
+	known := t.zoneOf(name)
 	if known == nil {
 		return
 	}
 	t.mu.RLock()
 	ctx := t.ctx
 	t.mu.RUnlock()
-	if ctx == nil || ctx.Err() != nil || !known.beginLook(t.deps.Config.Pause) {
+	if ctx == nil || ctx.Err() != nil || !known.beginCheck(t.deps.Config.Pause) {
 		return
 	}
 	go func() {
-		defer known.endLook()
-		look := look{tracker: t, zone: known}
-		if look.isLost(ctx) {
-			t.lose(ctx, known)
+		defer known.endCheck()
+		check := zoneCheck{tracker: t, zone: known}
+		if check.isLost(ctx) {
+			t.markLost(ctx, known)
 		}
 	}()
 }
 
-// SuspectAndRecheck has a zone looked at now and, unless that loses it, once more after the pause between looks: a node
-// that looked a moment before a cut would else be the only one of its zone that learns of it late, and callers are sent
-// to other zones only once no node of a zone is ready.
+// SuspectAndRecheck checks a zone now and, unless that loses it, once more after the pause between checks.
+// Otherwise a node that checked right before a cut would notice it later than the rest of its zone, and callers
+// are sent to other zones only once no node of a zone is ready.
 func (t *Tracker) SuspectAndRecheck(name string) {
-	known := t.of(name)
+	known := t.zoneOf(name)
 	if known == nil {
 		return
 	}
 	t.Suspect(name)
-	if !known.looksAgain.CompareAndSwap(false, true) {
+	if !known.recheckPending.CompareAndSwap(false, true) {
 		return
 	}
-	time.AfterFunc(t.deps.Config.Pause+lookAgainSlack, func() {
-		known.looksAgain.Store(false)
+	time.AfterFunc(t.deps.Config.Pause+recheckSlack, func() {
+		known.recheckPending.Store(false)
 		if !known.lost.Load() {
 			t.Suspect(name)
 		}
 	})
 }
 
-// lookAgainSlack is how long after the pause a zone is looked at once more: a look under way has ended then.
-const lookAgainSlack = 200 * time.Millisecond
+// recheckSlack is how long after the pause a zone is checked once more: a check in progress has ended by then.
+const recheckSlack = 200 * time.Millisecond
 
-// lookAround has every other zone looked at: what cut one off often cuts off more.
-func (t *Tracker) lookAround(lost string) {
+// suspectOtherZones checks every other zone: what cuts off one zone often cuts off more.
+func (t *Tracker) suspectOtherZones(lost string) {
 	seen := map[string]bool{lost: true, t.deps.Self.Zone: true}
 	for _, node := range t.deps.Nodes() {
 		if !seen[node.Zone] {
@@ -187,8 +191,8 @@
 	}
 }
 
-// of returns what is kept of a zone; nil for the own one, and where nothing is looked at.
-func (t *Tracker) of(name string) *zone {
+// zoneOf returns the state of a zone; nil for the own one, and for zones that aren't tracked.
+func (t *Tracker) zoneOf(name string) *zone {
 	if t == nil || !t.deps.Config.Enabled || name == t.deps.Self.Zone || name == "" {
 		return nil
 	}
@@ -200,20 +204,21 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if known = t.zones[name]; known == nil && len(t.zones) < mostZones {
+	if known = t.zones[name]; known == nil && len(t.zones) < maxZones {
 		known = &zone{name: name}
 		t.zones[name] = known
 	}
 	return known
 }
 
-// lose holds a zone for lost, tells others of it, and asks there until something answers.
-func (t *Tracker) lose(ctx context.Context, known *zone) {
-	known.heard.Store(false)
+// markLost records that a zone is lost, announces that to some nodes of the own zone, and pings the lost zone
+// until it responds.
+func (t *Tracker) markLost(ctx context.Context, known *zone) {
+	known.responded.Store(false)
 	known.lost.Store(true)
 	t.lost.Add(1)
 	t.changed(Change{Zone: known.name, Lost: true})
-	t.lookAround(known.name)
+	t.suspectOtherZones(known.name)
 	own := t.nodesOf(func(node catalog.NodeRecord) bool { return node.Zone == t.deps.Self.Zone })
 	for _, node := range own[:min(t.deps.Config.Fanout, len(own))] {
 		t.deps.Prober.AnnounceLost(node, known.name)
@@ -221,8 +226,8 @@
 	t.awaitReturn(ctx, known)
 }
 
-// awaitReturn asks one node of a lost zone after the other, in turn, until anything of it is heard. A zone
-// without any node is not held for lost: nothing could say that it is back.
+// awaitReturn pings the nodes of a lost zone, one each Config.ProbeInterval, until there is any response from
+// the zone. A zone without nodes counts as reachable: nothing could end its loss.
 func (t *Tracker) awaitReturn(ctx context.Context, known *zone) {
 	ticker := time.NewTicker(t.deps.Config.ProbeInterval)
 	defer ticker.Stop()
@@ -232,10 +237,10 @@
 			turn = t.nodesOf(func(node catalog.NodeRecord) bool { return node.Zone == known.name })
 		}
 		if len(turn) == 0 {
-			t.found(known)
+			t.markFound(known)
 			return
 		}
-		go t.ask(ctx, known, turn[0])
+		go t.probe(ctx, known, turn[0])
 		turn = turn[1:]
 		select {
 		case <-ticker.C:
@@ -245,21 +250,21 @@
 	}
 }
 
-// ask asks a node of a zone, and takes its answer, however late, as heard.
-func (t *Tracker) ask(ctx context.Context, known *zone, node catalog.NodeRecord) bool {
+// probe pings a node of a zone, and records its answer, however late, as a response.
+func (t *Tracker) probe(ctx context.Context, known *zone, node catalog.NodeRecord) bool {
 	ctx, cancel := context.WithTimeout(ctx, answerLimit)
 	defer cancel()
 	began := time.Now()
 	if !t.deps.Prober.Ping(ctx, node) {
 		return false
 	}
-	known.took(time.Since(began))
+	known.recordAnswerTime(time.Since(began))
 	t.Responded(known.name)
 	return true
 }
 
-// found holds a zone for in reach again.
-func (t *Tracker) found(known *zone) {
+// markFound records that a zone is reachable again.
+func (t *Tracker) markFound(known *zone) {
 	if known.lost.CompareAndSwap(true, false) {
 		t.lost.Add(-1)
 		t.changed(Change{Zone: known.name})
--- a/internal/fleet/reachability/reachability_test.go
+++ b/internal/fleet/reachability/reachability_test.go
@@ -22,16 +22,16 @@
 	mid  = "mid"
 )
 
-// world is the nodes that a tracker asks, and how they answer.
+// world is the Prober of a tracker: the nodes that it pings, and how they answer.
 type world struct {
 	mu    sync.Mutex
 	nodes []catalog.NodeRecord
-	// silent are the zones and nodes that answer nothing.
+	// silent are the zones and nodes that don't answer.
 	silent map[string]bool
-	// delay is what an answer takes.
-	delay time.Duration
-	asked map[string]int // by zone
-	told  []string
+	// delay is the round trip of a ping.
+	delay     time.Duration
+	asked     map[string]int // by zone
+	announced []string       // "zone of the receiver of lost zone"
 }
 
 func newWorld(nodes int, zones ...string) *world {
@@ -65,7 +65,7 @@
 func (w *world) AnnounceLost(node catalog.NodeRecord, zone string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.told = append(w.told, node.Zone+" of "+zone)
+	w.announced = append(w.announced, node.Zone+" of "+zone)
 }
 
 // set makes zones or nodes silent, or lets them answer.
@@ -109,28 +109,28 @@
 	})
 }
 
-// lookTime is what a look takes at most.
-func lookTime() time.Duration {
+// checkTime is the longest that a check takes.
+func checkTime() time.Duration {
 	cfg := DefaultConfig()
 	return cfg.FirstWait + cfg.Wait + time.Millisecond
 }
 
-// A zone that is cut off is lost after one look, and some nodes of the own zone are told.
+// A zone that is cut off is lost after one check, and that is announced to some nodes of the own zone.
 func TestCutZoneIsLost(t *testing.T) {
 	within(t, func(is *is.I, w *world, tracker *Tracker) {
 		w.set(true, far)
 		tracker.Suspect(far)
-		time.Sleep(lookTime())
+		time.Sleep(checkTime())
 		is.True(!tracker.Reaches(far))
 		is.True(tracker.Reaches(mid))
 		is.True(tracker.Reaches(near))
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		is.Equal(w.told, []string{"near of far", "near of far", "near of far", "near of far"})
+		is.Equal(w.announced, []string{"near of far", "near of far", "near of far", "near of far"})
 	})
 }
 
-// A zone that is healed is back within a second, without any request.
+// A zone that is connected again is reachable within a second, without any request.
 func TestHealedZoneIsBack(t *testing.T) {
 	within(t, func(is *is.I, w *world, tracker *Tracker) {
 		w.set(true, far)
@@ -144,22 +144,22 @@
 	})
 }
 
-// A node that lost one zone looks at the others by itself: of a zone cut off from all, it learns without being told.
+// A node that lost one zone checks the others by itself, and notices a second lost zone without an announcement.
 func TestLossOfOneZoneHasTheOthersLookedAt(t *testing.T) {
 	within(t, func(is *is.I, w *world, tracker *Tracker) {
 		w.set(true, far, mid)
 		tracker.Suspect(far)
-		time.Sleep(2 * lookTime())
+		time.Sleep(2 * checkTime())
 		is.True(!tracker.Reaches(far))
 		is.True(!tracker.Reaches(mid))
 	})
 }
 
-// A node that looked right before a cut, and is told of it in the pause that follows, looks again by itself.
+// A node that checked right before a cut, and receives an announcement in the pause that follows, checks again by itself.
 func TestWordInThePauseIsLookedIntoAfterIt(t *testing.T) {
 	within(t, func(is *is.I, w *world, tracker *Tracker) {
 		tracker.Suspect(far)
-		time.Sleep(lookTime())
+		time.Sleep(checkTime())
 		is.True(tracker.Reaches(far))
 		w.set(true, far)
 		tracker.SuspectAndRecheck(far)
@@ -168,19 +168,19 @@
 	})
 }
 
-// A lost zone is asked by one datagram at a time.
+// A lost zone is pinged by one datagram at a time.
 func TestLostZoneIsAskedSparsely(t *testing.T) {
 	within(t, func(is *is.I, w *world, tracker *Tracker) {
 		w.set(true, far)
 		tracker.Suspect(far)
-		time.Sleep(lookTime())
+		time.Sleep(checkTime())
 		before := w.count(far)
 		time.Sleep(10 * time.Second)
 		is.True(w.count(far)-before <= 40)
 	})
 }
 
-// One leaf that is silent is no reason to look.
+// A single silent leaf causes no check.
 func TestOneDeadLeafIsNotLookedInto(t *testing.T) {
 	within(t, func(is *is.I, w *world, tracker *Tracker) {
 		for range 10 {
@@ -191,7 +191,7 @@
 	})
 }
 
-// Silent leafs among others that answer are no reason either.
+// Silent leafs among others that respond cause no check either.
 func TestSilentLeafsAmongOthersAreNotLookedInto(t *testing.T) {
 	within(t, func(is *is.I, w *world, tracker *Tracker) {
 		for index := range 10 {
@@ -203,7 +203,7 @@
 	})
 }
 
-// Leafs that are slow or paused together don't lose a zone whose nodes answer.
+// Leafs that are slow or paused together don't make a zone lost whose nodes answer.
 func TestSlowLeafsDontLoseAZone(t *testing.T) {
 	within(t, func(is *is.I, w *world, tracker *Tracker) {
 		for range 20 {
@@ -212,22 +212,22 @@
 			time.Sleep(100 * time.Millisecond)
 			is.True(tracker.Reaches(far))
 		}
-		is.True(w.count(far) <= 5*firstAsked) // one small look each pause
+		is.True(w.count(far) <= 5*firstProbed) // one small check each pause
 	})
 }
 
-// Two silent leafs of a zone that is cut off are enough.
+// Two silent leafs of a zone that is cut off make it lost.
 func TestTwoSilentLeafsOfACutZone(t *testing.T) {
 	within(t, func(is *is.I, w *world, tracker *Tracker) {
 		w.set(true, far)
 		tracker.NoResponse(far, "leaf 1")
 		tracker.NoResponse(far, "leaf 2")
-		time.Sleep(lookTime())
+		time.Sleep(checkTime())
 		is.True(!tracker.Reaches(far))
 	})
 }
 
-// Where no other zone answers either, it is this node that is late or cut off: nothing is lost.
+// If no other zone answers either, this node itself is late or cut off: no zone is lost.
 func TestIsolatedNodeLosesNothing(t *testing.T) {
 	within(t, func(is *is.I, w *world, tracker *Tracker) {
 		w.set(true, near, mid, far)
@@ -238,7 +238,7 @@
 	})
 }
 
-// All answers are late, as for a node that was frozen: nothing is lost.
+// If all answers are late, as on a node that was frozen, no zone is lost.
 func TestFrozenNodeLosesNothing(t *testing.T) {
 	within(t, func(is *is.I, w *world, tracker *Tracker) {
 		w.delay = 300 * time.Millisecond
@@ -250,7 +250,7 @@
 	})
 }
 
-// The machine is suspended in the middle of a look, after other zones answered and before the one that is looked at did.
+// The machine is suspended in the middle of a check, after other zones answered and before the checked one did.
 func TestSuspendedNodeLosesNothing(t *testing.T) {
 	within(t, func(is *is.I, w *world, tracker *Tracker) {
 		var slept atomic.Int64
@@ -262,11 +262,11 @@
 		w.set(false, far)
 		time.Sleep(time.Second)
 		is.True(tracker.Reaches(far))
-		is.Equal(w.told, nil) // nor was it lost meanwhile
+		is.Equal(w.announced, nil) // nor was it lost meanwhile
 	})
 }
 
-// A leaf's answer that comes during a look outweighs the silence of nodes.
+// The response of a leaf during a check outweighs the silence of nodes.
 func TestAnswerOfALeafOutweighsSilentNodes(t *testing.T) {
 	within(t, func(is *is.I, w *world, tracker *Tracker) {
 		w.set(true, far)
@@ -278,19 +278,19 @@
 	})
 }
 
-// An answer of a leaf brings a lost zone back at once.
+// The response of a leaf ends the loss of a zone.
 func TestAnswerOfALeafBringsAZoneBack(t *testing.T) {
 	within(t, func(is *is.I, w *world, tracker *Tracker) {
 		w.set(true, far)
 		tracker.Suspect(far)
-		time.Sleep(lookTime())
+		time.Sleep(checkTime())
 		is.True(!tracker.Reaches(far))
 		tracker.Responded(far)
 		is.True(tracker.Reaches(far))
 	})
 }
 
-// A zone with too few nodes to tell is never lost.
+// A zone with too few nodes is never lost.
 func TestZoneOfFewNodesIsNotLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -303,10 +303,10 @@
 	})
 }
 
-// A zone whose answers take longer than a look waits is lost once at most: its way is learnt.
+// A zone with longer round trips than a check waits is lost once at most: its round trip is learnt.
 func TestLongWayIsLearnt(t *testing.T) {
 	within(t, func(is *is.I, w *world, tracker *Tracker) {
-		w.delay = 30 * time.Millisecond // as long as the others' answers still count
+		w.delay = 30 * time.Millisecond // the answers of the controls still count
 		for range 5 {
 			tracker.Suspect(far)
 			time.Sleep(time.Second)
@@ -315,24 +315,24 @@
 		w.mu.Lock()
 		asked := w.asked[far]
 		w.mu.Unlock()
-		is.Equal(asked, firstAsked+DefaultConfig().LeastNodes+4*firstAsked) // later looks wait long enough
+		is.Equal(asked, firstProbed+DefaultConfig().LeastNodes+4*firstProbed) // later checks wait long enough
 	})
 }
 
-// A node that lost most of the fleet is cut off; one that lost a small part is not.
+// A node that lost most of the fleet is cut off; a node that lost a small part isn't.
 func TestIsCutOff(t *testing.T) {
 	within(t, func(is *is.I, w *world, tracker *Tracker) {
 		w.set(true, far, mid)
 		tracker.Suspect(far)
-		time.Sleep(lookTime())
+		time.Sleep(checkTime())
 		is.True(!tracker.IsCutOff())
 		tracker.Suspect(mid)
-		time.Sleep(lookTime())
+		time.Sleep(checkTime())
 		is.True(tracker.IsCutOff())
 	})
 }
 
-// However many nodes of a zone died together, one that lives brings it back after a turn of questions.
+// However many nodes of a zone crashed together, a single live one ends its loss after a round of pings.
 func TestOneLivingNodeKeepsAZone(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		nodes := rapid.IntRange(DefaultConfig().LeastNodes, 12).Draw(rt, "nodes")
@@ -344,7 +344,7 @@
 			}
 			tracker := w.tracker(t)
 			tracker.Suspect(far)
-			time.Sleep(lookTime() + time.Duration(nodes)*DefaultConfig().ProbeInterval)
+			time.Sleep(checkTime() + time.Duration(nodes)*DefaultConfig().ProbeInterval)
 			if !tracker.Reaches(far) {
 				t.Error("lost")
 			}
@@ -352,7 +352,7 @@
 	})
 }
 
-// A nil tracker, and one that is switched off, hold all zones for in reach and ask nothing.
+// To a nil tracker, and to one that is disabled, all zones are reachable, and neither pings.
 func TestOffAsksNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -372,7 +372,7 @@
 	})
 }
 
-// Validate names every field at fault.
+// Validate names every invalid field.
 func TestValidateNamesEveryField(t *testing.T) {
 	is := is.New(t)
 	is.NoErr(DefaultConfig().Validate())
--- a/internal/fleet/reachability/zone.go
+++ b/internal/fleet/reachability/zone.go
@@ -7,76 +7,80 @@
 	"time"
 )
 
-// leastSilent is how many distinct leafs of a zone must be silent for it to be looked at: one may be dead.
-const leastSilent = 2
+// minSilentLeafs is how many different leafs of a zone must be silent to check it: a single one may have
+// crashed.
+const minSilentLeafs = 2
 
-// zone is what a node knows of another zone.
+// zone is the state of another zone.
 type zone struct {
 	name string
 	lost atomic.Bool
-	// heard says that the zone was heard of since the last silence was noted, or the last look began.
-	heard atomic.Bool
-	// looksAgain says that a further look is to come.
-	looksAgain atomic.Bool
+	// responded says that something in the zone responded since the last silent leaf, or since the last check
+	// began.
+	responded atomic.Bool
+	// recheckPending says that a further check is scheduled.
+	recheckPending atomic.Bool
 
 	mu sync.Mutex
-	// silent are distinct leafs that were silent with nothing heard since, leastSilent at most.
-	silent  []string
-	looking bool
-	// endedAt is when the last look ended.
+	// silent are distinct leafs that were silent with nothing heard since, minSilentLeafs at most.
+	silent   []string
+	checking bool
+	// endedAt is when the last check ended.
 	endedAt time.Time
-	// slowest is the longest that an answer of one of its nodes took.
+	// slowest is the longest round trip to one of its nodes.
 	slowest time.Duration
 }
 
-// another notes a silent leaf, and reports whether enough are. A look under way has its own count.
-func (z *zone) another(leafID string) bool {
+// addSilent records a silent leaf, and reports whether there are enough to check the zone. A check in progress
+// makes its own observations.
+func (z *zone) addSilent(leafID string) bool {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	if z.looking {
+	if z.checking {
 		return false
 	}
-	if z.heard.Swap(false) {
+	if z.responded.Swap(false) {
 		z.silent = nil
 	}
-	if !slices.Contains(z.silent, leafID) && len(z.silent) < leastSilent {
+	if !slices.Contains(z.silent, leafID) && len(z.silent) < minSilentLeafs {
 		z.silent = append(z.silent, leafID)
 	}
-	return len(z.silent) >= leastSilent
+	return len(z.silent) >= minSilentLeafs
 }
 
-// beginLook reports whether the zone may be looked at now; endLook must follow.
-func (z *zone) beginLook(pause time.Duration) bool {
+// beginCheck reports whether the zone may be checked now; if so, endCheck must follow.
+func (z *zone) beginCheck(pause time.Duration) bool {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	if z.looking || !z.endedAt.IsZero() && time.Since(z.endedAt) < pause {
+	if z.checking || !z.endedAt.IsZero() && time.Since(z.endedAt) < pause {
 		return false
 	}
-	z.looking = true
-	z.heard.Store(false)
+	z.checking = true
+	z.responded.Store(false)
 	return true
 }
 
-func (z *zone) endLook() {
+func (z *zone) endCheck() {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	z.looking, z.silent = false, nil
+	z.checking, z.silent = false, nil
 	z.endedAt = time.Now()
 }
 
-// took notes how long an answer took.
-func (z *zone) took(answer time.Duration) {
+// recordAnswerTime records the round trip of an answer.
+func (z *zone) recordAnswerTime(answer time.Duration) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	z.slowest = max(z.slowest, answer)
 }
 
-// slowestParts is how many times its slowest answer a zone gets to answer.
-const slowestParts = 2
+// slowestFactor times its longest round trip is how long a zone has to answer.
+const slowestFactor = 2
 
-// wait returns how long the zone gets to answer: more where its answers were seen to take longer.
-func (z *zone) wait(least time.Duration) time.Duration {
+// timeout returns how long the zone has to answer: at least the given time, longer if its round trips are
+// longer, and at most answerLimit.
+func (z *zone) timeout(least time.Duration) time.Duration {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	return min(max(least, slowestParts*z.slowest), answerLimit)
+	return min(max(least, slowestFactor*z.slowest), answerLimit)
 }
--- a/internal/fleet/registry/census.go
+++ b/internal/fleet/registry/census.go
@@ -135,9 +135,9 @@
 	return addresses
 }
 
-// gatherersPart is the part of a bound on the leafs of gathered services that the nodes which gather
+// gatherersShare is the part of a bound on the leafs of gathered services that the nodes which gather
 // have; the others have the rest, for when those fail them.
-const gatherersPart = 0.8
+const gatherersShare = 0.8
 
 // Part returns this node's part of a bound that all nodes share, 0 unless it is one of those that the
 // others know of. Of bounds on gathered services, the nodes that gather have the most.
@@ -153,8 +153,8 @@
 	case !gathered || others == 0:
 		return 1 / float64(len(c.nodes))
 	case c.isGatherer:
-		return gatherersPart / float64(len(c.gatherers))
+		return gatherersShare / float64(len(c.gatherers))
 	default:
-		return (1 - gatherersPart) / float64(others)
+		return (1 - gatherersShare) / float64(others)
 	}
 }
--- a/internal/fleet/registry/ranking_test.go
+++ b/internal/fleet/registry/ranking_test.go
@@ -41,13 +41,13 @@
 		nodes := drawNodes(t)
 		sum := uint64(0)
 		for id := range nodes {
-			sum += Mark(id)
+			sum += NodeFingerprint(id)
 		}
 		if sum != Fingerprint(nodes) {
 			t.Fatal("the parts are not the whole")
 		}
 		for id := range nodes {
-			if sum-Mark(id)+Mark("other") == sum || sum+Mark(id) == sum {
+			if sum-NodeFingerprint(id)+NodeFingerprint("other") == sum || sum+NodeFingerprint(id) == sum {
 				t.Fatal("another set has the same fingerprint")
 			}
 		}
--- a/internal/fleet/registry/registry.go
+++ b/internal/fleet/registry/registry.go
@@ -49,13 +49,13 @@
 
 // Registry keeps the record of one node.
 type Registry struct {
-	config Config
-	lessor store.Lessor
-	self   catalog.NodeRecord
-	logger *zap.Logger
-	left   leftRecord
-	// woken tells that the machine was suspended.
-	woken chan struct{}
+	config   Config
+	lessor   store.Lessor
+	self     catalog.NodeRecord
+	logger   *zap.Logger
+	previous previousRecord
+	// resumed tells that the machine was suspended.
+	resumed chan struct{}
 	// registeredAt is the revision in force when the node registered: a restore of the store since may have lost its lease, and
 	// given the lease's id to another node.
 	registeredAt int64
@@ -63,7 +63,7 @@
 
 // New returns a registry for a node.
 func New(config Config, lessor store.Lessor, self catalog.NodeRecord, logger *zap.Logger) *Registry {
-	return &Registry{config: config, lessor: lessor, self: self, logger: logger, woken: make(chan struct{}, 1)}
+	return &Registry{config: config, lessor: lessor, self: self, logger: logger, resumed: make(chan struct{}, 1)}
 }
 
 // renewals is how many times a lease is renewed in its time to live.
@@ -72,10 +72,10 @@
 // Run registers the node and renews its lease until the context ends; then it ends the lease.
 func (r *Registry) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		r.registeredAt = r.left.revision()
+		r.registeredAt = r.previous.revision()
 		lease, granted, err := r.register(ctx)
 		if r.registeredAt == 0 { // there was no configuration yet
-			r.registeredAt = r.left.revision()
+			r.registeredAt = r.previous.revision()
 		}
 		if err != nil {
 			r.logger.Warn("node can't be registered", zap.Error(err))
@@ -93,7 +93,7 @@
 // configuration: to renew its lease is a tenth of a call of the store, and to register anew is two. It waits
 // for the configuration for a while. Call it before Run.
 func (r *Registry) ResumeFrom(known *catalog.Catalog, ready <-chan struct{}) {
-	r.left = leftRecord{known: known, ready: ready}
+	r.previous = previousRecord{known: known, ready: ready}
 }
 
 // pause spreads the tries of nodes that failed together.
@@ -121,7 +121,7 @@
 // resume renews the lease of the record that an earlier process left, if the record still holds; 0 when there
 // is none.
 func (r *Registry) resume(ctx context.Context) (lease int64, err error) {
-	lease = r.left.lease(ctx, r.self)
+	lease = r.previous.lease(ctx, r.self)
 	if lease == 0 {
 		return 0, nil
 	}
@@ -135,12 +135,12 @@
 // renew keeps the lease until it is over or the context ends.
 func (r *Registry) renew(ctx context.Context, lease int64, granted time.Duration) {
 	pause := granted / renewals
-	for r.rest(ctx, pause) {
+	for r.waitToRenew(ctx, pause) {
 		if r.isRestored() {
 			r.logger.Info("the store was restored: looking after the node's record", zap.Int64("lease", lease))
 			return
 		}
-		if r.left.isReplaced(r.self, lease) {
+		if r.previous.isReplaced(r.self, lease) {
 			return
 		}
 		err := r.keep(ctx, lease)
@@ -161,28 +161,28 @@
 }
 
 // isRestored reports whether the store was restored since the node registered.
-func (r *Registry) isRestored() bool { return revision.IsLater(r.left.revision(), r.registeredAt) }
+func (r *Registry) isRestored() bool { return revision.IsLater(r.previous.revision(), r.registeredAt) }
 
 // Resumed has the lease renewed at once: it went on to run out while the machine was suspended.
 func (r *Registry) Resumed() {
 	select {
-	case r.woken <- struct{}{}:
+	case r.resumed <- struct{}{}:
 	default:
 	}
 }
 
-// lookInterval is how often a node looks whether the store was restored. The looks of a fleet are spread over it, so that
+// epochCheckInterval is how often a node looks whether the store was restored. The looks of a fleet are spread over it, so that
 // 3,300 nodes renew or register within a second, of the 6,000 calls that a store of that size takes.
-const lookInterval = time.Second
+const epochCheckInterval = time.Second
 
 // rest waits for a time, or until the machine wakes or the store was restored; false when the context ended.
-func (r *Registry) rest(ctx context.Context, pause time.Duration) bool {
+func (r *Registry) waitToRenew(ctx context.Context, pause time.Duration) bool {
 	for until := time.Now().Add(pause); ctx.Err() == nil; {
 		left := time.Until(until)
 		if left <= 0 || r.isRestored() {
 			return true
 		}
-		if r.awoke(ctx, min(left, lookInterval)) {
+		if r.waitResumed(ctx, min(left, epochCheckInterval)) {
 			return ctx.Err() == nil
 		}
 	}
@@ -190,12 +190,12 @@
 }
 
 // awoke waits for a time, and reports whether the machine woke meanwhile.
-func (r *Registry) awoke(ctx context.Context, pause time.Duration) bool {
+func (r *Registry) waitResumed(ctx context.Context, pause time.Duration) bool {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-r.woken:
+	case <-r.resumed:
 		return true
 	case <-ctx.Done():
 	}
--- a/internal/rollout/rolloutcontrol/node_test.go
+++ b/internal/rollout/rolloutcontrol/node_test.go
@@ -152,7 +152,7 @@
 		}
 		status.Answered++
 		if _, isRegistered := other.catalog.View().Nodes[other.id]; isRegistered {
-			status.Registered += registry.Mark(other.id)
+			status.Registered += registry.NodeFingerprint(other.id)
 		}
 	}
 	return status
