--- a/internal/compression/compression.go
+++ b/internal/compression/compression.go
@@ -1,4 +1,5 @@
-// Package compression compresses values and messages, and expands them within a bound.
+// Package compression compresses values and messages as gzip, and expands them up to a bound in bytes. It owns a
+// pool of idle compressors.
 package compression
 
 import (
@@ -10,13 +11,13 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// ErrTooLong is the error of content beyond its bound once expanded.
+// ErrTooLong is the error of content that exceeds its bound once expanded.
 var ErrTooLong = merry.New("content too long once expanded")
 
-// compressors holds idle compressors, each of which has about 800 KB of tables.
+// compressors are idle compressors, which are worth keeping: each has about 800 KB of tables.
 var compressors = sync.Pool{New: func() any { return gzip.NewWriter(nil) }}
 
-// Compress returns the content in gzip form.
+// Compress returns the content as gzip.
 func Compress(content []byte) ([]byte, error) {
 	var buffer bytes.Buffer
 	writer := compressors.Get().(*gzip.Writer)
@@ -31,7 +32,7 @@
 	return buffer.Bytes(), nil
 }
 
-// Expand returns the content of a gzip form, or ErrTooLong beyond so many bytes.
+// Expand returns the content of a gzip form, or ErrTooLong if it exceeds maximumBytes.
 func Expand(packed []byte, maximumBytes int64) ([]byte, error) {
 	reader, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
--- a/internal/config/configwriter/configwriter.go
+++ b/internal/config/configwriter/configwriter.go
@@ -1,10 +1,13 @@
-// Package configwriter writes operators' changes to the store and settles lost replies.
+// Package configwriter writes operators' changes to the store and resolves writes whose reply was lost.
 //
-// A write is a compare-and-swap with the revision the operator saw and a unique change id
-// that the value keeps. When a reply is lost the key is read back: if the id is there, the
-// change was accepted; if the key moved on without it, the write lost a race; if the key is
-// unmoved, the same compare-and-swap is sent again, which can take effect only once. A guarded
-// write has conditions on other keys besides, which it lost the race to if they no longer hold.
+// A write is a compare-and-swap with the revision that the operator saw and a unique change id that the value
+// keeps. When a reply is lost the key is read back: if the id is there, the change was accepted; if the key
+// moved on without it, the write lost a race; if the key did not change, the same compare-and-swap is sent
+// again, which can take effect only once. A guarded write also has conditions on other keys; if one no longer
+// holds, the write lost a race as well.
+//
+// A Writer keeps no state between writes. It relies on the store; each write is bounded by Config.TotalTimeout.
+// Errors are of type failure.Failure and say whether the change may have been made.
 package configwriter
 
 import (
@@ -20,7 +23,7 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// Config bounds how long a write is pursued.
+// Config bounds how long a write is attempted.
 type Config struct {
 	// CallTimeout bounds one call to the store.
 	CallTimeout time.Duration `yaml:"call_timeout"`
@@ -35,7 +38,7 @@
 	return Config{CallTimeout: time.Second, TotalTimeout: 5 * time.Second, RetryPause: 100 * time.Millisecond}
 }
 
-// Validate names every field at fault.
+// Validate returns an error that names every invalid field.
 func (c Config) Validate() error {
 	var checks failure.Checks
 	checks.Refuse(c.CallTimeout <= 0, "call_timeout", "must be positive")
@@ -49,11 +52,11 @@
 	Key      string
 	Expected int64
 	ChangeID string
-	// Message or Document is the new value, by the kind of key; with neither the key is deleted.
+	// Message or Document is the new value, depending on the kind of key; with neither the key is deleted.
 	Message  proto.Message
 	Document json.RawMessage
 
-	// conditions are those of a guarded write.
+	// conditions are the conditions of a guarded write.
 	conditions []store.Condition
 }
 
@@ -68,48 +71,47 @@
 	return catalog.NewEnvelope(w.ChangeID, w.Message, replaced)
 }
 
-// Writer writes changes; it holds no state between them and is safe for concurrent use.
+// Writer writes changes; it keeps no state between them and is safe for concurrent use.
 type Writer struct {
 	config Config
 	store  store.Store
-	// guarded is the store where it takes conditions on other keys, else nil.
+	// guarded is the store if it supports conditions on other keys, else nil.
 	guarded store.Guarded
 }
 
-// New returns a writer. Guarded writes need a store that is a store.Guarded too.
+// New returns a writer. Guarded writes need a store that is a store.Guarded as well.
 func New(config Config, target store.Store) *Writer {
 	guarded, _ := target.(store.Guarded)
 	return &Writer{config: config, store: target, guarded: guarded}
 }
 
-// Apply writes a change and gives the revision at which it was accepted. Failures are
-// RevisionConflict (not accepted), StoreUnavailable (nothing was sent) and OutcomeUnknown
-// (sent, no reply, and no read-back either: apply again with the same change id). What the store
-// refuses as not to be run is given as it is.
+// Apply writes a change and returns the revision at which it was accepted. It fails with RevisionConflict (not
+// accepted), StoreUnavailable (nothing was sent) or OutcomeUnknown (sent, without a reply or a read-back: apply
+// again with the same change id). A refusal of the store is returned as it is.
 func (w *Writer) Apply(ctx context.Context, write Write) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, w.config.TotalTimeout)
 	defer cancel()
 	sent := false
 	for {
-		revision, settled, err := w.try(ctx, write, &sent)
-		if settled {
+		revision, resolved, err := w.attempt(ctx, write, &sent)
+		if resolved {
 			return revision, err
 		}
 		select {
 		case <-ctx.Done():
-			return 0, w.unsettled(write, sent, err)
+			return 0, w.unresolved(write, sent, err)
 		case <-time.After(w.config.RetryPause):
 		}
 	}
 }
 
-// try reads the key and writes it once. It is settled when the outcome is known.
-func (w *Writer) try(ctx context.Context, write Write, sent *bool) (revision int64, settled bool, err error) {
+// attempt reads the key and writes it once. It is resolved when the outcome is known.
+func (w *Writer) attempt(ctx context.Context, write Write, sent *bool) (revision int64, resolved bool, err error) {
 	current, err := w.get(ctx, write.Key)
 	if err != nil {
 		return 0, false, err
 	}
-	if revision, settled, err = settle(write, current); settled {
+	if revision, resolved, err = resolve(write, current); resolved {
 		return revision, true, err
 	}
 	value, err := write.value(current)
@@ -124,15 +126,16 @@
 		return result.Entry.Revision, true, nil
 	}
 	if len(write.conditions) > 0 {
-		return settleGuarded(write, result.Entry)
+		return resolveGuarded(write, result.Entry)
 	}
-	// The key moved between the read and the write, perhaps by an earlier copy of this
-	// very write: the next read tells.
+	// The key changed between the read and the write, perhaps by an earlier copy of this very write: the next read
+	// shows which.
 	return 0, false, nil
 }
 
-// settle settles a write by its key as it was read: the change was accepted, or another one moved the key.
-func settle(write Write, current *catalog.Entry) (revision int64, settled bool, err error) {
+// resolve finds the outcome of a write from its key as it was read: the change was accepted, or another one
+// changed the key.
+func resolve(write Write, current *catalog.Entry) (revision int64, resolved bool, err error) {
 	if current != nil {
 		if accepted, found := catalog.FindChange(current, write.ChangeID); found {
 			return accepted, true, nil
@@ -160,13 +163,14 @@
 	return w.store.CompareAndSwap(ctx, write.Key, write.Expected, value, write.removes())
 }
 
-// isRefused reports whether the store will never make a write, however often it is asked.
+// isRefused reports whether the store will never make a write, however often it is attempted.
 func isRefused(err error) bool {
 	refused, isTyped := errors.AsType[*failure.Failure](err)
 	return isTyped && refused.Execution == failure.NotRun && refused.RetryAfter == 0
 }
 
-func (w *Writer) unsettled(write Write, sent bool, cause error) error {
+// unresolved returns the error of a write whose outcome is not known in time.
+func (w *Writer) unresolved(write Write, sent bool, cause error) error {
 	if cause == nil {
 		cause = context.DeadlineExceeded
 	}
@@ -179,6 +183,7 @@
 	return unavailable.WithRetryAfter(w.config.TotalTimeout)
 }
 
+// conflict returns the error of a write whose key has another revision than expected.
 func conflict(write Write, current *catalog.Entry) error {
 	revision := current.LiveRevision()
 	failed := failure.New(failure.RevisionConflict, failure.NotRun,
--- a/internal/config/configwriter/configwriter_test.go
+++ b/internal/config/configwriter/configwriter_test.go
@@ -20,8 +20,7 @@
 
 var errLost = errors.New("reply lost")
 
-// memoryStore is a store whose faults come from a script, one per call; past its end there
-// are none.
+// memoryStore is a store whose faults come from a script, one per call; after its end there are none.
 type memoryStore struct {
 	store.Store
 	mutex    sync.Mutex
@@ -80,8 +79,8 @@
 	return store.SwapResult{Swapped: swapped, Entry: s.entry}, nil
 }
 
-// With any requests and replies lost and several operators racing: a change told as accepted
-// took effect once, one told as a conflict never.
+// With any requests and replies lost and several operators racing, a change reported as accepted took effect once, and a
+// change reported as a conflict never.
 func TestWritesAreToldRightly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		target := &memoryStore{applied: map[string]int{}}
@@ -146,7 +145,7 @@
 
 		target.script = nil
 		revision, err := New(DefaultConfig(), target).Apply(t.Context(), write)
-		is.NoErr(err) // the same change id gives the first outcome
+		is.NoErr(err) // the same change id returns the first outcome
 		is.Equal(revision, int64(1))
 		is.Equal(target.applied["a"], 1)
 	})
--- a/internal/config/configwriter/guarded.go
+++ b/internal/config/configwriter/guarded.go
@@ -9,7 +9,7 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// GuardedWrite is one change of one key under conditions on others.
+// GuardedWrite is one change of one key under conditions on other keys.
 type GuardedWrite struct {
 	Key      string
 	Expected int64
@@ -19,7 +19,7 @@
 	Document   json.RawMessage
 }
 
-// Validate names every field at fault.
+// Validate returns an error that names every invalid field.
 func (w GuardedWrite) Validate() error {
 	var checks failure.Checks
 	checks.Refuse(w.Key == "", "key", "must not be empty")
@@ -30,8 +30,9 @@
 	return checks.Err()
 }
 
-// ApplyGuarded writes a change like Apply. RevisionConflict says that the key moved or that a condition no longer
-// holds. OutcomeUnknown says that the change may yet be made, later than now, as long as the conditions hold.
+// ApplyGuarded writes a change like Apply. RevisionConflict says that the key changed or that a condition no
+// longer holds. OutcomeUnknown says that the change may yet be made, later than now, as long as the conditions
+// hold.
 func (w *Writer) ApplyGuarded(ctx context.Context, write GuardedWrite) (int64, error) {
 	if w.guarded == nil {
 		return 0, failure.New(failure.Internal, failure.NotRun, "this store takes no conditions on other keys")
@@ -45,10 +46,10 @@
 	})
 }
 
-// settleGuarded settles a guarded write that the store did not make, by its key as it stood after the call: where
-// neither this change nor another one moved it, a condition no longer holds.
-func settleGuarded(write Write, current *catalog.Entry) (revision int64, settled bool, err error) {
-	if revision, settled, err = settle(write, current); settled {
+// resolveGuarded finds the outcome of a guarded write that the store did not make from its key after the call:
+// if neither this change nor another one changed the key, a condition no longer holds.
+func resolveGuarded(write Write, current *catalog.Entry) (revision int64, resolved bool, err error) {
+	if revision, resolved, err = resolve(write, current); resolved {
 		return revision, true, err
 	}
 	failed := failure.New(failure.RevisionConflict, failure.NotRun,
--- a/internal/config/configwriter/guarded_test.go
+++ b/internal/config/configwriter/guarded_test.go
@@ -18,9 +18,9 @@
 type guardedStore struct {
 	memoryStore
 	guard int64
-	// late are the writes that got no answer and may be made later.
+	// late are the writes without a reply that may take effect later.
 	late []func()
-	// writes counts the writes that reached the store; before and after run around the one of a number.
+	// writes counts the writes that reached the store; before and after run around the write of a number.
 	writes        int
 	before, after map[int]func()
 }
@@ -47,7 +47,7 @@
 	return store.SwapResult{Entry: s.entry}, nil
 }
 
-// run runs what is due at the write that is under way.
+// run runs the function that is due at the present write.
 func (s *guardedStore) run(due map[int]func()) {
 	if act, found := due[s.writes]; found {
 		act()
@@ -84,7 +84,7 @@
 	}
 }
 
-// What was written before the order was replaced stands, though its answer was lost; what was not is a conflict.
+// A write made before the order was replaced is accepted although its reply was lost; a later one is a conflict.
 func TestReplacedOrderSettlesALostAnswer(t *testing.T) {
 	for name, lost := range map[string]fault{"done": loseReply, "not done": loseRequest} {
 		t.Run(name, func(t *testing.T) {
@@ -135,7 +135,7 @@
 	target.entry = &catalog.Entry{Key: "state", Value: value, Revision: target.revision}
 }
 
-// A write that may yet be made while its conditions hold is of unknown outcome, and is found when asked again.
+// A write that may yet take effect while its conditions hold has an unknown outcome, and is found when applied again.
 func TestGuardedWriteThatMayYetBeMadeIsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -156,8 +156,8 @@
 	})
 }
 
-// Whatever is lost, and whenever the order is replaced: what is told as accepted took effect once, what is told as a
-// conflict never, then or later.
+// Whatever is lost, and whenever the order is replaced, a write reported as accepted takes effect once, and a write reported
+// as a conflict never, then or later.
 func TestGuardedWritesAreToldRightly(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		script := rapid.SliceOfN(rapid.SampledFrom([]fault{noFault, loseRequest, loseReply}), 0, 12).Draw(rt, "faults")
@@ -185,7 +185,7 @@
 	is.True(failure.Is(err, failure.Internal))
 }
 
-// refusingStore will never make a write.
+// refusingStore refuses every write for good.
 type refusingStore struct{ store.Store }
 
 func (refusingStore) Get(context.Context, string) (*catalog.Entry, error) { return nil, nil }
@@ -194,7 +194,7 @@
 	return store.SwapResult{}, failure.Invalid("key", "not for nodes to write")
 }
 
-// A write that the store will never make is not tried again, and is not told as one that may have been made.
+// A write that the store refuses for good is not retried, and not reported as one that may have taken effect.
 func TestRefusedWriteIsTold(t *testing.T) {
 	is := is.New(t)
 	_, err := New(DefaultConfig(), refusingStore{}).Apply(t.Context(), Write{Key: "k", ChangeID: "a", Document: []byte(`{}`)})
--- a/internal/config/keyspace/keyspace.go
+++ b/internal/config/keyspace/keyspace.go
@@ -1,7 +1,7 @@
-// Package keyspace does arithmetic on half-open intervals of keys.
+// Package keyspace computes with half-open intervals of keys.
 //
-// Keys are byte strings in lexical order. A Range with an empty To has no upper end, so the
-// zero Range is the whole key space.
+// Keys are byte strings in lexical order. A Range with an empty To has no upper end, so the zero Range is the
+// whole key space. The package has no state.
 package keyspace
 
 import (
@@ -24,7 +24,7 @@
 	return r.To != "" && r.From >= r.To
 }
 
-// Intersect returns the common part of two ranges and whether there is one.
+// Intersect returns the common part of two ranges, and whether there is one.
 func (r Range) Intersect(other Range) (Range, bool) {
 	common := Range{From: max(r.From, other.From), To: lowerEnd(r.To, other.To)}
 	return common, !common.Empty()
--- a/internal/config/manifest/manifest.go
+++ b/internal/config/manifest/manifest.go
@@ -1,8 +1,8 @@
-// Package manifest validates snapshot manifests and answers which shards hold a key range.
+// Package manifest validates snapshot manifests and finds the shards that hold a key range.
 //
-// A manifest is immutable. Its shards tile the key space exactly: sorted by key, the first
-// starts at the lowest key, each next one starts where the last ended, and the last has no
-// upper end. Queries plan over ranges, so a repartition is just another manifest.
+// A manifest is immutable. Its shards tile the key space exactly: sorted by key, the first starts at the lowest
+// key, each next one starts where the last ended, and the last has no upper end. Queries plan over ranges, so a
+// repartition is just another manifest. Errors are of type failure.Failure and name the invalid field.
 package manifest
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// MaxShards bounds a manifest, so that one change fits the control traffic of a node.
+// MaxShards bounds the shards of a manifest, so that one change fits the control traffic of a node.
 const MaxShards = 4096
 
 // Shard is one part of the key space with the leafs that hold it.
@@ -32,13 +32,13 @@
 	Shards     []Shard
 }
 
-// Part is the piece of one shard that a query asks for.
+// Part is the piece of one shard that a query covers.
 type Part struct {
 	Shard *Shard
 	Range keyspace.Range
 }
 
-// New validates a manifest; every failure names the field at fault.
+// New validates a manifest; its error names the invalid field.
 func New(message *adminv1.SnapshotManifest) (*Manifest, error) {
 	if message.GetService() == "" {
 		return nil, failure.Invalid("manifest.service", "must not be empty")
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// Plan returns, in key order, the part of each shard that the asked range touches.
+// Plan returns, in key order, the part of each shard that overlaps a range.
 func (m *Manifest) Plan(asked keyspace.Range) []Part {
 	first := sort.Search(len(m.Shards), func(i int) bool {
 		end := m.Shards[i].Range.To
--- a/internal/config/manifest/manifest_test.go
+++ b/internal/config/manifest/manifest_test.go
@@ -31,7 +31,7 @@
 	return boundaries
 }
 
-// Every key of an asked range lies in exactly one part of the plan, whatever the tiling.
+// Every key of a queried range lies in exactly one part of the plan, whatever the tiling.
 func TestPlanTilesTheAskedRange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		compiled, err := New(manifestOf(drawBoundaries(t)))
@@ -56,7 +56,7 @@
 	})
 }
 
-// Moving one boundary of a tiling always leaves a gap or an overlap, which is refused.
+// Moving one boundary of a tiling always leaves a gap or an overlap, which is rejected.
 func TestMovedBoundaryIsRefused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		message := manifestOf(drawBoundaries(t))
--- a/internal/config/revision/revision_test.go
+++ b/internal/config/revision/revision_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// Revisions are ordered by epoch, then by count, and give both back.
+// Revisions are ordered by epoch, then by count, and both can be read from them.
 func TestOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
--- a/internal/config/rewriter/rewriter.go
+++ b/internal/config/rewriter/rewriter.go
@@ -1,7 +1,12 @@
-// Package rewriter writes again what the fleet wrote to the platform's store and a restore of the store lost.
+// Package rewriter writes entries of the fleet to the platform's store again that a restore of the store lost.
 //
-// Every node keeps such entries in force, see catalog.Kept. One of them writes each: the first by the hash of their ids, and
-// the others take over one after the other if nothing comes of it. Operators and leafs write again what is theirs.
+// Every node retains such entries in force, see catalog.Retained. One node writes each of them: the first in the
+// ranking of the entry's key, and the next ones take over in turn if it does not. Operators and leafs rewrite
+// their own entries.
+//
+// A Writer owns one goroutine, Run, and remembers when it last wrote each key. It relies on the catalog, the
+// store, and the registered nodes for the ranking. A write that fails is logged and attempted again by the next
+// turn.
 package rewriter
 
 import (
@@ -17,36 +22,36 @@
 )
 
 const (
-	// checkInterval is how often a node looks for what is to be written again.
+	// checkInterval is how often a node checks what has to be rewritten.
 	checkInterval = time.Second
-	// takeover is how long each node waits for the one before it: two looks, and a call that times out.
+	// takeover is how long each node waits for the one before it: two checks, and a call that times out.
 	takeover = 3 * time.Second
-	// mostWrites bounds the entries that a node writes again at one look. All of 3,300 nodes together write what is kept once;
-	// a store that takes 400 writes a second has 20 entries of 20 nodes written in one.
-	mostWrites = 20
+	// maxWrites bounds the entries that a node rewrites in one check, so that all nodes together stay within the
+	// store's rate of writes.
+	maxWrites = 20
 	// callTimeout bounds one call of the store.
 	callTimeout = time.Second
 )
 
-// EventLog is told of entries that are written again.
+// EventLog records entries that are rewritten.
 type EventLog interface {
-	// Rewritten tells that the store took an entry again, or why not.
+	// Rewritten records that the store accepted an entry again, or why it did not.
 	Rewritten(key string, err error)
 }
 
-// Writer writes again what is lost, for one node.
+// Writer rewrites lost entries, on behalf of one node.
 type Writer struct {
 	catalog *catalog.Catalog
 	store   store.Store
 	self    string
 	events  EventLog
-	// mayWrite reports whether the store lets nodes write a key; the others write what is theirs again themselves.
+	// mayWrite reports whether the store lets nodes write a key; other keys are rewritten by those who own them.
 	mayWrite func(key string) bool
 	// tried is when this node last wrote a key, by key.
 	tried map[string]time.Time
 }
 
-// New returns a writer for the node of an id. The catalog is told which keys the store lets nodes write.
+// New returns a writer for the node of an id. It sets in the catalog which keys the store lets nodes write.
 func New(known *catalog.Catalog, kept store.Store, self string, events EventLog) *Writer {
 	mayWrite := func(string) bool { return true }
 	if owned, isOwned := kept.(store.Owned); isOwned {
@@ -56,7 +61,7 @@
 	return &Writer{catalog: known, store: kept, self: self, events: events, mayWrite: mayWrite, tried: map[string]time.Time{}}
 }
 
-// Run writes again what is lost until the context ends.
+// Run rewrites lost entries until the context ends, and makes the catalog drop those that expired.
 func (w *Writer) Run(ctx context.Context) {
 	for wait.For(ctx, wait.Jittered(checkInterval)) {
 		w.catalog.DropExpired()
@@ -64,7 +69,7 @@
 	}
 }
 
-// writeDue writes the entries that are this node's to write now.
+// writeDue rewrites the entries that are this node's turn now, in order of their keys.
 func (w *Writer) writeDue(ctx context.Context) {
 	kept := w.catalog.Retained()
 	if len(kept) == 0 {
@@ -74,7 +79,7 @@
 	slices.SortFunc(kept, func(a, b catalog.Retained) int { return strings.Compare(a.Entry.Key, b.Entry.Key) })
 	writes := 0
 	for _, one := range kept {
-		if writes >= mostWrites || ctx.Err() != nil {
+		if writes >= maxWrites || ctx.Err() != nil {
 			return
 		}
 		if !w.mayWrite(one.Entry.Key) || !w.isDue(one.Entry.Key, time.Now()) {
@@ -90,7 +95,8 @@
 	}
 }
 
-// isDue reports whether it is this node's turn to write a key.
+// isDue decides whether it is this node's turn to rewrite a key: checkInterval after the restore for the first
+// node in the ranking of the key, takeover later for each next one, and at most once each takeover.
 func (w *Writer) isDue(key string, now time.Time) bool {
 	view := w.catalog.View()
 	rank := registry.Rank(view.Nodes, key, w.self)
@@ -98,7 +104,8 @@
 	return !now.Before(turn) && now.Sub(w.tried[key]) >= takeover
 }
 
-// write puts an entry in the place of what the store has, unless that is newer: then word of it is on its way.
+// write replaces what the store has of a key by the retained entry, unless the store's is newer: then the change
+// is on its way here.
 func (w *Writer) write(ctx context.Context, entry catalog.Entry, value []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/internal/config/rewriter/rewriter_test.go
+++ b/internal/config/rewriter/rewriter_test.go
@@ -23,13 +23,13 @@
 
 var errDown = errors.New("down")
 
-// memoryStore is a store in its second epoch, of which some keys are others' to write.
+// memoryStore is a store in its second epoch; nodes may not write some of its keys.
 type memoryStore struct {
 	store.Store
 	mu      sync.Mutex
 	count   int64
 	entries map[string]catalog.Entry
-	foreign string // prefix of what others write
+	foreign string // prefix of the keys that nodes may not write
 	down    bool
 	writes  []string
 }
@@ -79,7 +79,7 @@
 
 func (silent) Rewritten(string, error) {}
 
-// entry makes an entry of a document.
+// entry returns an entry with a document.
 func entry(t *testing.T, key string, document any, at int64) catalog.Entry {
 	t.Helper()
 	encoded, err := json.Marshal(document)
@@ -93,7 +93,7 @@
 	return catalog.Entry{Key: key, Value: value, Revision: at}
 }
 
-// restored returns the catalog of a node to which a store came back without some entries, and with others.
+// restored returns the catalog of a node after a restore by which the store lost some entries and kept others.
 func restored(t *testing.T, lost, left []catalog.Entry, nodes int) *catalog.Catalog {
 	t.Helper()
 	known := catalog.New(func(key string, err error) { t.Error(key, err) })
@@ -115,7 +115,7 @@
 	return known
 }
 
-// run runs the writers of some nodes for a time.
+// run runs the writers of some nodes for a while.
 func run(t *testing.T, kept *memoryStore, known *catalog.Catalog, ids []string, span time.Duration) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), span)
@@ -127,7 +127,7 @@
 	running.Wait()
 }
 
-// What the fleet wrote is written again once, by one of the nodes; leafs that write their own records are left to it.
+// What the fleet wrote is rewritten once, by one of the nodes; leafs rewrite their own records.
 func TestLostEntriesAreWrittenOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -142,11 +142,11 @@
 		written := kept.written()
 		slices.Sort(written)
 		is.Equal(written, []string{catalog.EvacuationKey("a"), catalog.EvacuationKey("b")})
-		is.Equal(len(known.Retained()), 2) // the leaf is nobody's to write
+		is.Equal(len(known.Retained()), 2) // no node may write the leaf's record
 	})
 }
 
-// Where the first node writes nothing the others take over, one after the other; while the store is down, nothing is lost.
+// If the first node writes nothing, the others take over one after the other; while the store is down, nothing is lost.
 func TestOthersTakeOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -163,7 +163,7 @@
 	})
 }
 
-// What was written meanwhile by somebody who knows better is not replaced.
+// A newer entry that somebody wrote meanwhile is not replaced.
 func TestNewerIsNotReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/fleet/machines/catalog.go
+++ b/internal/fleet/machines/catalog.go
@@ -7,8 +7,8 @@
 	"github.com/portgauge/portgauge/internal/config/catalog"
 )
 
-// CatalogLister lists the nodes that registered themselves, from the configuration that this
-// node has: no call leaves it. Leafs are in the configuration too, and are not listed.
+// CatalogLister lists the nodes that registered themselves, from the configuration in force: no call leaves the
+// node. Leafs are in the configuration too, and are not listed.
 type CatalogLister struct {
 	catalog *catalog.Catalog
 }
--- a/internal/fleet/machines/machines.go
+++ b/internal/fleet/machines/machines.go
@@ -1,9 +1,11 @@
-// Package machines is the interface to the platform's list of machines, which lags.
+// Package machines is the interface to the platform's list of machines, which lags behind reality. CatalogLister
+// implements it from the registered nodes in the configuration, for platforms without such a list. The package
+// owns no state; errors are those of the platform's client.
 package machines
 
 import "context"
 
-// State is the platform's word on a machine.
+// State is the state of a machine by the platform.
 type State string
 
 // The states of a machine.
@@ -38,12 +40,12 @@
 	Unchanged bool
 }
 
-// Query says which part of the list is wanted.
+// Query selects a part of the list.
 type Query struct {
 	// Zone and Role narrow the list when set.
 	Zone string
 	Role Role
-	// MostPerZone bounds the machines given of each zone, picked at random; 0 means all.
+	// MostPerZone bounds the machines returned of each zone, picked at random; 0 means all.
 	MostPerZone uint32
 	// KnownVersion is the version the caller has.
 	KnownVersion uint64
--- a/internal/fleet/peer/batch.go
+++ b/internal/fleet/peer/batch.go
@@ -7,11 +7,10 @@
 	"github.com/portgauge/portgauge/internal/config/catalog"
 )
 
-// Batch is a list of changes, compressed once by the node that starts a push, so that relays
-// pass it on as it is.
+// Batch is a list of changes, compressed once by the node that starts a push; relays pass it on as it is.
 type Batch []byte
 
-// PackBatch makes a batch.
+// PackBatch compresses changes.
 func PackBatch(changes []catalog.Change) (Batch, error) {
 	content, err := json.Marshal(changes)
 	if err != nil {
@@ -33,10 +32,10 @@
 	return changes, json.Unmarshal(content, &changes)
 }
 
-// PackedSnapshot is a whole state, compressed once and then given to many nodes as it is.
+// PackedSnapshot is a whole state, compressed once and sent to many nodes as it is.
 type PackedSnapshot []byte
 
-// PackSnapshot makes a packed snapshot.
+// PackSnapshot compresses a whole state.
 func PackSnapshot(snapshot catalog.Snapshot) (PackedSnapshot, error) {
 	content, err := json.Marshal(snapshot)
 	if err != nil {
--- a/internal/fleet/peer/line.go
+++ b/internal/fleet/peer/line.go
@@ -10,16 +10,16 @@
 	"github.com/portgauge/portgauge/internal/compression"
 )
 
-// compressAbove is the size in bytes from which a line is sent compressed. A configuration
-// value is mostly repeated field names and addresses, and shrinks about fivefold.
+// compressAbove is the size in bytes above which a line is compressed: a configuration value, mostly repeated
+// field names and addresses, shrinks to a fraction.
 const compressAbove = 1024
 
-// compressed is the form of a large message: a line that holds the line, compressed.
+// compressed is the form of a large message: a line that contains the compressed line.
 type compressed struct {
 	Gzip []byte `json:"gzip"`
 }
 
-// writeLine sends a message as one line and gives the bytes sent.
+// writeLine sends a message as one line and returns the bytes sent.
 func writeLine(connection net.Conn, message Message) (int, error) {
 	line, err := encodeLine(message)
 	if err != nil {
@@ -28,7 +28,7 @@
 	return connection.Write(append(line, '\n'))
 }
 
-// readLine receives a message and gives the bytes received.
+// readLine receives a message and returns the bytes received.
 func readLine(connection net.Conn) (Message, int, error) {
 	reader := bufio.NewReader(io.LimitReader(connection, MaximumLine))
 	line, err := reader.ReadBytes('\n')
--- a/internal/fleet/peer/message.go
+++ b/internal/fleet/peer/message.go
@@ -1,9 +1,12 @@
-// Package peer carries messages between nodes: JSON lines, over UDP for small ones that may
-// be lost and over TCP for those that need a reply.
+// Package peer carries messages between nodes: JSON lines, over UDP for small messages that may be lost and over
+// TCP for calls that need an answer.
 //
-// A node has one peer address for both. There are no standing connections between nodes: a
-// call opens one, sends a line, reads a line and closes it, since nodes talk to random peers
-// and changes are rare.
+// A node has one peer address for both. There are no permanent connections between nodes: a call opens one,
+// sends a line, reads a line and closes it, since nodes call random peers and changes are rare.
+//
+// A SocketTransport owns the sockets and the goroutines that read them, until Close. It passes messages to its
+// Handler and knows nothing of what they mean. Datagrams are lost without an error; the errors of calls are
+// those of the network.
 package peer
 
 import (
@@ -12,10 +15,10 @@
 	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 )
 
-// MemberState is what is known of a node.
+// MemberState is the state of a node as its peers know it.
 type MemberState string
 
-// The states of a member. Among equal incarnations a later one in this list wins.
+// The states of a member. Of two states of the same incarnation, the later one in this list overrides the earlier.
 const (
 	Alive   MemberState = "alive"
 	Suspect MemberState = "suspect"
@@ -33,26 +36,27 @@
 	State       MemberState `json:"state"`
 }
 
-// LeafNotice says that a leaf must get no new work for a while.
+// LeafNotice says that a leaf must get no new requests for a while.
 type LeafNotice struct {
 	LeafID string `json:"leaf_id"`
-	// Millis is how long the notice holds from its receipt.
+	// Millis is how long the notice is valid from its receipt, in milliseconds.
 	Millis int64 `json:"millis"`
 }
 
-// LeafReports is what the sender saw of leafs, packed by package leafgossip.
+// LeafReports are the sender's observations of leafs, packed by package leafgossip.
 type LeafReports []byte
 
-// Digest tells how far a node's configuration is.
+// Digest summarises a node's configuration.
 type Digest struct {
-	// Revision is that in force, see package revision.
+	// Revision is the revision in force, see package revision.
 	Revision int64 `json:"revision"`
 	// AgeMillis is how long ago the revision was last confirmed to be the newest.
 	AgeMillis int64 `json:"age_millis"`
-	// Retained tells what the node keeps that a restored store lacks from what others keep; 0 where it keeps nothing.
+	// Retained is the fingerprint of the entries that the node retains after a restore of the store; 0 if there
+	// are none.
 	Retained uint64 `json:"kept,omitempty"`
-	// CountsEpochs says that the node knows of restores of the store: the revisions of one that does not are bare counts,
-	// of whatever epoch.
+	// CountsEpochs says that the node knows of restores of the store. The revisions of a node that doesn't are
+	// bare counts, of an unknown epoch.
 	CountsEpochs bool `json:"counts_epochs,omitempty"`
 }
 
@@ -60,7 +64,7 @@
 type Message struct {
 	// From is the sender's peer address.
 	From string `json:"from"`
-	// Digest and the rumours ride on every datagram of the membership.
+	// Digest, Members and Notices are on every datagram of the membership.
 	Digest  Digest       `json:"digest,omitzero"`
 	Members []Member     `json:"members,omitempty"`
 	Notices []LeafNotice `json:"notices,omitempty"`
@@ -84,7 +88,7 @@
 	Quarantine *Quarantine `json:"quarantine,omitempty"`
 }
 
-// Probe asks a member whether it lives.
+// Probe asks a member whether it is alive.
 type Probe struct {
 	Sequence uint64 `json:"sequence"`
 	// TargetID names the member meant, so that a new process on an old address does not
@@ -104,16 +108,15 @@
 	TargetAddress string `json:"target_address"`
 }
 
-// Reach asks a node of any zone for a sign of life, answers that, or tells of a zone that the sender
-// has lost.
+// Reach pings a node of any zone, answers a ping, or announces a zone that the sender has lost.
 type Reach struct {
-	// Number is that of the question, which the answer repeats; 0 when a zone is told of.
+	// Number is the number of the ping, which the answer repeats; 0 in an announcement.
 	Number uint64 `json:"number,omitempty"`
 	Answer bool   `json:"answer,omitempty"`
 	Lost   string `json:"lost,omitempty"`
 }
 
-// Join asks for the members of the zone and tells of the sender.
+// Join asks for the members of the zone and announces the sender.
 type Join struct {
 	Member Member `json:"member"`
 	// Known is the fingerprint of the members that the sender knows.
@@ -137,7 +140,7 @@
 	Contacts []Contact `json:"contacts,omitempty"`
 }
 
-// Push hands changes to a node, which hands them on to the given addresses.
+// Push sends changes to a node, which relays them to the given addresses.
 type Push struct {
 	Batch   Batch        `json:"batch,omitempty"`
 	Notices []LeafNotice `json:"notices,omitempty"`
@@ -150,11 +153,11 @@
 // Pull asks for everything after a revision.
 type Pull struct {
 	After int64 `json:"after"`
-	// Retained asks for what the node keeps that a restored store lacks, too.
+	// Retained asks for the entries that the node retains after a restore of the store, too.
 	Retained bool `json:"kept,omitempty"`
 }
 
-// State answers Pull and Push: changes, preceded by a whole state when changes alone don't reach back.
+// State answers Pull and Push: changes, preceded by a whole state if changes alone don't reach back far enough.
 type State struct {
 	// Initialised is false while the sender has no configuration at all.
 	Initialised bool  `json:"initialised"`
@@ -162,18 +165,17 @@
 	// Snapshot is a whole state that the changes follow on; empty when they reach back far enough.
 	Snapshot PackedSnapshot   `json:"snapshot,omitempty"`
 	Changes  []catalog.Change `json:"changes,omitempty"`
-	// Retained are the entries that the node keeps, where they are asked for.
+	// Retained are the entries that the node retains, if they are asked for.
 	Retained []catalog.Entry `json:"kept,omitempty"`
-	// Elsewhere are peer addresses to ask instead: the sender gave its whole state to many a moment
-	// ago, and to these among them.
+	// Elsewhere are peer addresses to ask instead: nodes that the sender has just sent its whole state.
 	Elsewhere []string `json:"elsewhere,omitempty"`
 }
 
-// RolloutReports are counts of attempts at the versions of services, told to the judges of roll-outs.
+// RolloutReports are counts of attempts at the versions of services, sent to the nodes that judge roll-outs.
 type RolloutReports struct {
 	// Node is the id of the node that counted.
 	Node string `json:"node"`
-	// StartUnixNano names the process that counted: one that starts anew counts from nothing.
+	// StartUnixNano identifies the process that counted: a new process counts from zero.
 	StartUnixNano int64 `json:"start_unix_nano"`
 	// Rows are the counts, packed by package rolloutcontrol.
 	Rows []byte `json:"rows"`
@@ -189,7 +191,7 @@
 	Record *quarantine.Record `json:"record,omitempty"`
 }
 
-// RolloutHold says that nothing more may be sent to the version on trial by an order.
+// RolloutHold says that no further requests may be sent to the version on trial by an order.
 type RolloutHold struct {
 	Service string `json:"service"`
 	// Order is the revision of the order.
@@ -210,11 +212,11 @@
 	Nodes          uint32 `json:"nodes"`
 	InForce        uint32 `json:"in_force"`
 	LowestRevision int64  `json:"lowest_revision"`
-	// Settled counts the nodes that send nothing by a rule from before the revision and have nothing in flight by
-	// one; LowestSettled is the least revision at which a node is settled.
+	// Settled counts the nodes that send no requests by a rule from before the revision and have none in flight;
+	// LowestSettled is the lowest revision at which a node is settled.
 	Settled       uint32 `json:"settled"`
 	LowestSettled int64  `json:"lowest_settled"`
-	// Registered is the fingerprint of those of the nodes that are registered, as each of them knows it: nodes that
-	// are not don't stand in for silent ones.
+	// Registered is the fingerprint of those of the nodes that are registered, as each of them knows it, so that
+	// unregistered nodes aren't counted in place of silent ones.
 	Registered uint64 `json:"registered,omitempty"`
 }
--- a/internal/fleet/peer/peer_test.go
+++ b/internal/fleet/peer/peer_test.go
@@ -13,7 +13,7 @@
 	"github.com/portgauge/portgauge/internal/config/catalog"
 )
 
-// echo answers a pull with its revision and keeps datagrams.
+// echo answers a pull with its revision and records datagrams.
 type echo struct {
 	mutex     sync.Mutex
 	datagrams []Message
@@ -66,7 +66,7 @@
 	is.Equal(handler.datagrams[0].From, first.Address())
 }
 
-// Garbage on the sockets neither stops the node nor is answered.
+// Garbage on the sockets is ignored, and the node goes on.
 func TestGarbageIsIgnored(t *testing.T) {
 	is := is.New(t)
 	transport := listenForTest(t, &echo{})
@@ -106,7 +106,7 @@
 	f.Add(line)
 	f.Add([]byte(`{"gzip":"H4sIAAAAAAAA/wMAAAAAAAAAAAA="}`))
 	f.Fuzz(func(_ *testing.T, line []byte) {
-		// Any outcome but a crash is fine.
+		// Nothing may panic.
 		_, _ = decodeLine(line)
 		_, _ = Batch(line).Unpack()
 	})
--- a/internal/fleet/peer/transport.go
+++ b/internal/fleet/peer/transport.go
@@ -12,11 +12,11 @@
 	json "github.com/goccy/go-json"
 )
 
-// Handler takes the messages that arrive at a node. Calls come concurrently.
+// Handler handles the messages that arrive at a node. It is called concurrently.
 type Handler interface {
-	// HandleDatagram takes a message that expects no reply on the same path.
+	// HandleDatagram handles a message that expects no answer on the same path.
 	HandleDatagram(message Message)
-	// HandleCall answers a message.
+	// HandleCall returns the answer to a message.
 	HandleCall(ctx context.Context, message Message) Message
 }
 
@@ -36,9 +36,8 @@
 	MaximumLine     = 32 << 20
 )
 
-// Estimated bytes on the wire beside a message's own, for the accounting of control traffic:
-// the IP and UDP headers of a datagram, and the packets that open, acknowledge and close a
-// TCP connection.
+// Estimated bytes on the wire besides a message's own, for the accounting of control traffic: the IP and UDP headers of a
+// datagram, and the packets that open, acknowledge and close a TCP connection.
 const (
 	datagramOverhead = 28
 	callOverhead     = 480
@@ -47,7 +46,7 @@
 // callTimeout bounds the handling of one call at its receiver.
 const callTimeout = 5 * time.Second
 
-// Meter is told of bytes sent and received, overhead included.
+// Meter receives the bytes of each message sent or received, overhead included.
 type Meter func(transport string, sent, received int)
 
 // Names of the transports for the meter.
@@ -71,13 +70,12 @@
 
 var _ Transport = (*SocketTransport)(nil)
 
-// Listen opens the UDP and TCP sockets of an address given by IP number; with port 0 one
-// free port is chosen for both. Advertise is the address told to others; empty means the
-// one listened on.
+// Listen opens the UDP and TCP sockets of an address given by IP number; with port 0, one free port is chosen
+// for both. advertise is the address for other nodes; empty means the one listened on.
 func Listen(address, advertise string, meter Meter) (*SocketTransport, error) {
-	const tries = 20 // the port free for TCP may be taken for UDP
+	const attempts = 20 // the port chosen for TCP may be in use for UDP
 	var lastErr error
-	for range tries {
+	for range attempts {
 		transport, err := listenOnce(address, meter)
 		if err == nil {
 			if transport.advertise = advertise; advertise == "" {
@@ -108,7 +106,7 @@
 	return &SocketTransport{datagrams: datagrams, listener: listener, meter: meter, ctx: ctx, cancel: cancel}, nil
 }
 
-// Serve starts taking messages.
+// Serve starts to receive messages.
 func (t *SocketTransport) Serve(handler Handler) {
 	t.handler = handler
 	t.done.Add(2)
@@ -163,13 +161,13 @@
 		return Message{}, merry.Prepend(err, "call peer")
 	}
 	t.meter(meterCall, sent+callOverhead, received)
-	forgetConnection(connection)
+	resetOnClose(connection)
 	return answer, nil
 }
 
-// forgetConnection makes the close of a connection whose exchange is complete leave no state
-// behind in the kernel, which would keep the port for a minute. Nothing is in flight any more.
-func forgetConnection(connection net.Conn) {
+// resetOnClose makes the close of a connection reset it. The exchange is complete and nothing in flight; a
+// normal close would keep the port in TIME_WAIT for a minute.
+func resetOnClose(connection net.Conn) {
 	if tcp, isTCP := connection.(*net.TCPConn); isTCP {
 		if err := tcp.SetLinger(0); err != nil {
 			return
@@ -228,7 +226,7 @@
 	}
 }
 
-// closeQuietly closes a connection that is done with; a second close is harmless.
+// closeQuietly closes a connection that is no longer needed; a second close is harmless.
 func closeQuietly(connection io.Closer) {
 	if err := connection.Close(); err != nil {
 		return
--- a/internal/fleet/reachability/zone.go
+++ b/internal/fleet/reachability/zone.go
@@ -22,7 +22,8 @@
 	recheckPending atomic.Bool
 
 	mu sync.Mutex
-	// silent are distinct leafs that were silent with nothing heard since, minSilentLeafs at most.
+	// silent are different leafs that were silent without a response from the zone since, at most
+	// minSilentLeafs.
 	silent   []string
 	checking bool
 	// endedAt is when the last check ended.
--- a/internal/fleet/registry/census.go
+++ b/internal/fleet/registry/census.go
@@ -11,8 +11,8 @@
 	"github.com/portgauge/portgauge/internal/node/boottime"
 )
 
-// Census knows the nodes of the fleet. A node that went still counts for a while, since what it
-// used up is not free at once. It is safe for concurrent use.
+// Census knows the nodes of the fleet. A node that is gone still counts for a while, since its share of common
+// bounds is not free at once. It is safe for concurrent use.
 type Census struct {
 	catalog *catalog.Catalog
 	memory  time.Duration
@@ -20,27 +20,26 @@
 	now     func() time.Time
 
 	mu    sync.Mutex
-	view  *catalog.View // the last one looked at
-	gone  map[string]time.Time
+	view  *catalog.View        // the view that nodes was computed from
+	gone  map[string]time.Time // until when nodes that are gone still count, by id
 	nodes []catalog.NodeRecord // sorted by id
-	// gatherers are of nodes.
+	// gatherers are the nodes of nodes that gather, see Gatherers.
 	gatherers []catalog.NodeRecord
-	// isGatherer says whether this node is one of them.
+	// isGatherer says whether this node gathers.
 	isGatherer bool
-	until      time.Time
+	until      time.Time // when the first of them no longer counts; zero if there is none
 }
 
-// NewCensus returns a census for the node of an id.
+// NewCensus returns a census for the node of an id; nodes that are gone still count for the time of memory.
 func NewCensus(known *catalog.Catalog, self string, memory time.Duration) *Census {
 	return &Census{catalog: known, memory: memory, self: self, now: time.Now, gone: map[string]time.Time{}}
 }
 
-// SetClock has the time for which nodes that went still count measured by a clock. It must be called before the census is
-// used.
+// SetClock sets the clock by which nodes that are gone still count. It must be called before the census is used.
 func (c *Census) SetClock(clock boottime.Clock) { c.now = clock.Now }
 
-// Nodes returns the nodes that are registered or were a moment ago, sorted by id. The slice is shared
-// and never changed: callers must not change it either.
+// Nodes returns the nodes that are registered or were a moment ago, sorted by id. The slice is shared and never
+// changed: callers must not change it either.
 func (c *Census) Nodes() []catalog.NodeRecord {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -48,8 +47,8 @@
 	return c.nodes
 }
 
-// Gatherers returns those of the nodes that gather for the others of their zones, see Gatherers. The
-// slice is shared and never changed.
+// Gatherers returns the nodes that gather for the others of their zones, see the function Gatherers. The slice
+// is shared and never changed.
 func (c *Census) Gatherers() []catalog.NodeRecord {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -57,7 +56,7 @@
 	return c.gatherers
 }
 
-// IsGatherer reports whether this node is one of those that gather for others.
+// IsGatherer reports whether this node gathers for others.
 func (c *Census) IsGatherer() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,13 +64,13 @@
 	return c.isGatherer
 }
 
-// IsRegistered reports whether the others know of this node, as far as it knows itself.
+// IsRegistered reports whether this node is registered, as far as it knows itself.
 func (c *Census) IsRegistered() bool {
 	_, registered := c.catalog.View().Nodes[c.self]
 	return registered
 }
 
-// refresh looks at the configuration in force. The lock must be held.
+// refresh updates the nodes from the configuration in force. The lock must be held.
 func (c *Census) refresh() {
 	view := c.catalog.View()
 	now := c.now()
@@ -83,14 +82,14 @@
 	if !slices.Equal(nodes, c.nodes) {
 		c.nodes = nodes
 	}
-	// What is dealt by the gatherers holds as long as their slice is the same.
+	// Callers compare the slice to find out whether the gatherers changed, so it is replaced only if they did.
 	if gatherers := Gatherers(nodes); !slices.Equal(gatherers, c.gatherers) {
 		c.gatherers = gatherers
 		c.isGatherer = slices.ContainsFunc(c.gatherers, func(node catalog.NodeRecord) bool { return node.ID == c.self })
 	}
 }
 
-// current finds the nodes that count, and until when that holds. The lock must be held.
+// current returns the nodes that count, and sets until when that is valid. The lock must be held.
 func (c *Census) current(view *catalog.View, now time.Time) []catalog.NodeRecord {
 	nodes := make([]catalog.NodeRecord, 0, len(view.Nodes))
 	c.until = time.Time{}
@@ -119,7 +118,7 @@
 	return nodes
 }
 
-// Others returns the peer addresses of up to n random nodes that are registered, this one left out.
+// Others returns the peer addresses of up to n random registered nodes other than this one.
 func (c *Census) Others(n int) []string {
 	nodes := c.Nodes()
 	view := c.catalog.View()
@@ -135,12 +134,12 @@
 	return addresses
 }
 
-// gatherersShare is the part of a bound on the leafs of gathered services that the nodes which gather
-// have; the others have the rest, for when those fail them.
+// gatherersShare is the part of a bound on the leafs of gathered services that the gatherers have together; the
+// other nodes have the rest, for when the gatherers fail them.
 const gatherersShare = 0.8
 
-// Part returns this node's part of a bound that all nodes share, 0 unless it is one of those that the
-// others know of. Of bounds on gathered services, the nodes that gather have the most.
+// Part returns this node's share, between 0 and 1, of a bound that all nodes share; 0 unless it is registered.
+// Of bounds on gathered services, the gatherers have most.
 func (c *Census) Part(gathered bool) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fleet/registry/gatherers.go
+++ b/internal/fleet/registry/gatherers.go
@@ -2,14 +2,13 @@
 
 import "github.com/portgauge/portgauge/internal/config/catalog"
 
-// gathererShare is the part of its zone's largest share of processors that a node must have to gather
-// for others: below it, the time that the work of one request takes a node is most of the
-// difference between them.
+// gathererShare is the part of the most cores of a node in the zone that a node needs to gather for others: with
+// less, it takes clearly longer for the same request.
 const gathererShare = 0.5
 
-// Gatherers returns those of some nodes that gather requests over many shards, for themselves and for
-// the others of their zone: the ones with the most processors there, and nodes that don't say. Where
-// all are alike, all gather. The order is kept.
+// Gatherers returns the nodes that gather requests over many shards, for themselves and for the others of their
+// zone: those with at least gathererShare of the most cores there, and those of unknown size. If all are alike,
+// all gather. The order is kept.
 func Gatherers(nodes []catalog.NodeRecord) []catalog.NodeRecord {
 	largest := map[string]float64{}
 	for _, node := range nodes {
--- a/internal/fleet/registry/previous.go
+++ b/internal/fleet/registry/previous.go
@@ -8,17 +8,18 @@
 	"github.com/portgauge/portgauge/internal/config/catalog"
 )
 
-// leasedRecord is a node's record with the lease that it goes with, for the next process of the node.
+// leasedRecord is a node's record with the lease that it is bound to, for the next process of the node.
 type leasedRecord struct {
 	catalog.NodeRecord
 	Lease int64 `json:"lease,omitempty"`
 }
 
-// configurationWait is how long a node that starts waits for its configuration before it registers without a look at
-// it. In a power cut of 87 nodes at once half had theirs in 0.4 s; longer, and the others miss the node.
+// configurationWait is how long a node that starts waits for its configuration before it registers without
+// checking for an earlier record.
 const configurationWait = 2 * time.Second
 
-// previousRecord finds the record of a node in the configuration in force. The zero value finds none.
+// previousRecord finds the record of an earlier process of the node in the configuration. The zero value finds
+// none.
 type previousRecord struct {
 	known *catalog.Catalog
 	ready <-chan struct{}
@@ -26,8 +27,8 @@
 	seen int64
 }
 
-// lease returns the lease of the node's record, if that says what the node says of itself now; 0 when there is
-// none. It waits until there is configuration.
+// lease returns the lease of the node's record if that equals the node's own present record; otherwise 0. It
+// waits for the configuration.
 func (p *previousRecord) lease(ctx context.Context, self catalog.NodeRecord) int64 {
 	if p.known == nil || !p.await(ctx) {
 		return 0
@@ -40,7 +41,7 @@
 	return record.Lease
 }
 
-// await reports whether there is configuration, and waits for it.
+// await waits for the configuration and reports whether there is any.
 func (p *previousRecord) await(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, configurationWait)
 	defer cancel()
@@ -52,8 +53,8 @@
 	}
 }
 
-// isReplaced reports whether the node's record came to go with another lease than the one that is renewed: that
-// was resumed by an old state, or a write of which nothing was heard was made late.
+// isReplaced reports whether the node's record is now bound to another lease than the one that is renewed: the
+// node resumed by an old state, or a write whose outcome was unknown took effect late.
 func (p *previousRecord) isReplaced(self catalog.NodeRecord, lease int64) bool {
 	if p.known == nil {
 		return false
@@ -62,7 +63,7 @@
 	return written != 0 && written != lease && written != p.seen
 }
 
-// revision returns the revision in force; 0 where there is no configuration.
+// revision returns the revision in force; 0 if there is no configuration.
 func (p *previousRecord) revision() int64 {
 	if p.known == nil {
 		return 0
@@ -70,7 +71,7 @@
 	return p.known.Revision()
 }
 
-// read returns the record in force, an empty one when there is none that can be read.
+// read returns the record in force; an empty one if there is none or it can't be decoded.
 func (p *previousRecord) read(id string) leasedRecord {
 	var record leasedRecord
 	entry, found := p.known.Entry(catalog.NodeKey(id))
@@ -79,7 +80,7 @@
 	}
 	document, err := catalog.DecodeDocument(entry)
 	if err != nil || json.Unmarshal(document, &record) != nil {
-		return leasedRecord{} // the view refused it as well, and said so
+		return leasedRecord{} // the catalog has reported this value as rejected
 	}
 	return record
 }
--- a/internal/fleet/registry/previous_test.go
+++ b/internal/fleet/registry/previous_test.go
@@ -15,7 +15,7 @@
 
 var resuming = catalog.NodeRecord{ID: "n", Zone: "z", Address: "127.0.0.1:1"}
 
-// leave puts a record under a lease into a configuration.
+// leave puts a record that is bound to a lease into a configuration.
 func leave(t *testing.T, known *catalog.Catalog, left leasedRecord) {
 	t.Helper()
 	document, err := json.Marshal(left)
@@ -30,8 +30,8 @@
 	known.Apply(catalog.Change{Entry: catalog.Entry{Key: catalog.NodeKey(left.ID), Value: value, Revision: revision + 1}, Previous: revision})
 }
 
-// startResuming runs the registry of a node that had a record left for it, in virtual time, and gives what stops it and
-// waits for its end.
+// startResuming runs the registry of a node with an earlier record, in virtual time, and returns the function that stops it
+// and waits for its end.
 func startResuming(t *testing.T, lessor *memoryLessor, known *catalog.Catalog, ready chan struct{}) (stop func()) {
 	t.Helper()
 	record := New(DefaultConfig(), lessor, resuming, zap.NewNop())
@@ -48,7 +48,7 @@
 	}
 }
 
-// runResuming runs such a registry and gives what it called for in some seconds.
+// runResuming runs such a registry and returns its calls in some seconds.
 func runResuming(t *testing.T, lessor *memoryLessor, known *catalog.Catalog, ready chan struct{}, seconds int) (granted, kept int) {
 	t.Helper()
 	stop := startResuming(t, lessor, known, ready)
@@ -58,15 +58,15 @@
 	return granted, kept
 }
 
-// closed returns a channel that is closed: the configuration is there.
+// closed returns a closed channel: there is configuration.
 func closed() chan struct{} {
 	ready := make(chan struct{})
 	close(ready)
 	return ready
 }
 
-// A node that starts again before its record is gone renews the lease of that in place of registering, unless
-// the record says something else, or its lease is over.
+// A node that restarts before its record is gone renews the lease of the record instead of registering, unless the record
+// differs, or its lease is over.
 func TestRecordOfAnEarlierProcessIsResumed(t *testing.T) {
 	moved := resuming
 	moved.Address = "127.0.0.1:2"
@@ -94,7 +94,7 @@
 	}
 }
 
-// A node whose configuration does not come registers all the same.
+// A node that gets no configuration registers all the same.
 func TestNodeWithoutConfigurationRegisters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -104,7 +104,7 @@
 	})
 }
 
-// A node that resumed by an old state goes over to the lease that its record goes with.
+// A node that resumed by an old state changes to the lease that its record is bound to.
 func TestReplacedLeaseIsNotKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/fleet/registry/ranking.go
+++ b/internal/fleet/registry/ranking.go
@@ -9,7 +9,7 @@
 	"github.com/portgauge/portgauge/internal/config/catalog"
 )
 
-// place is where a node stands in the order of a topic: by weight, the highest first, and by id where those are alike.
+// position is the position of a node in the ranking of a topic: by weight, highest first, then by id.
 type position struct {
 	weight uint64
 	id     string
@@ -23,8 +23,8 @@
 	return cmp.Or(cmp.Compare(other.weight, p.weight), cmp.Compare(p.id, other.id))
 }
 
-// Ranked returns nodes in order of rendezvous hash for a topic: the same on all nodes, another for each topic, and
-// those that stay keep their order when one goes.
+// Ranked returns nodes in order of rendezvous hash for a topic: the same on all nodes, different for each topic,
+// and stable for the remaining nodes when one goes.
 func Ranked(nodes map[string]catalog.NodeRecord, topic string) []catalog.NodeRecord {
 	positions := make([]position, 0, len(nodes))
 	for id := range nodes {
@@ -38,7 +38,7 @@
 	return ranked
 }
 
-// Rank returns how many nodes come before that of an id, in the order of Ranked; the id need not be among them.
+// Rank returns how many nodes come before that of an id in the order of Ranked; the id need not be among them.
 func Rank(nodes map[string]catalog.NodeRecord, topic, id string) int {
 	own := positionOf(topic, id)
 	ahead := 0
@@ -50,8 +50,8 @@
 	return ahead
 }
 
-// Fingerprint tells sets of nodes apart by 64 bits. That of two sets that have no node in common is the sum of
-// theirs, so that nodes can be told of in parts.
+// Fingerprint identifies a set of nodes by a hash. The fingerprint of two disjoint sets is the sum of theirs, so
+// that it can be computed in parts.
 func Fingerprint(nodes map[string]catalog.NodeRecord) uint64 {
 	sum := uint64(0)
 	for id := range nodes {
--- a/internal/fleet/registry/ranking_test.go
+++ b/internal/fleet/registry/ranking_test.go
@@ -18,7 +18,7 @@
 	return nodes
 }
 
-// A node's rank is its place in the order, and what it is without the node being among them.
+// A node's rank is its position in the order, also if the node isn't among them.
 func TestRankIsThePlaceInTheOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := drawNodes(t)
@@ -35,7 +35,7 @@
 	})
 }
 
-// The parts of a set make up its fingerprint; a node that stands in for another, or is told of twice, does not.
+// The fingerprints of the parts of a set add up to its own; not if a node replaces another or is counted twice.
 func TestFingerprintTellsNodesApart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := drawNodes(t)
--- a/internal/fleet/registry/registry.go
+++ b/internal/fleet/registry/registry.go
@@ -1,8 +1,13 @@
-// Package registry makes a node known to the fleet, and knows how many nodes there are.
+// Package registry registers a node with the fleet, and counts the fleet's nodes.
 //
-// Each node writes a record of itself into the store, under a lease that it renews. The records
-// reach every node with the rest of the configuration. No right depends on a record: the count
-// of nodes only says how large a node's part of shared bounds is.
+// A Registry writes a record of its node into the store, under a lease that it renews; the records reach every
+// node with the configuration. A Census reads them: which nodes there are, which of them gather for others, and
+// what share of a common bound a node has. Ranking orders nodes by rendezvous hash. No permission depends on a
+// record.
+//
+// A Registry owns the lease of its node; Run is its only goroutine. It relies on a store.Lessor, and on the
+// catalog to find the record that an earlier process of the node left and to notice restores of the store. A
+// Census owns the list of nodes and ages it by a clock that counts the time of a suspension.
 package registry
 
 import (
@@ -20,11 +25,11 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// Config tunes the registration of a node.
+// Config configures the registration of a node.
 type Config struct {
 	// TimeToLive is how long a record outlives its node.
 	TimeToLive time.Duration `yaml:"time_to_live"`
-	// RetryPause is the pause between tries to register.
+	// RetryPause is the pause between attempts to register.
 	RetryPause time.Duration `yaml:"retry_pause"`
 	// CallTimeout bounds one call of the store.
 	CallTimeout time.Duration `yaml:"call_timeout"`
@@ -37,7 +42,7 @@
 	return Config{TimeToLive: 30 * time.Second, RetryPause: time.Second, CallTimeout: time.Second, Memory: 15 * time.Second}
 }
 
-// Validate names every field at fault.
+// Validate returns an error that names every invalid field.
 func (c Config) Validate() error {
 	var checks failure.Checks
 	checks.Refuse(c.TimeToLive < time.Second, "time_to_live", "must be at least 1s")
@@ -47,17 +52,17 @@
 	return checks.Err()
 }
 
-// Registry keeps the record of one node.
+// Registry keeps the record of one node in the store.
 type Registry struct {
 	config   Config
 	lessor   store.Lessor
 	self     catalog.NodeRecord
 	logger   *zap.Logger
 	previous previousRecord
-	// resumed tells that the machine was suspended.
+	// resumed receives a value when the machine resumed from a suspension.
 	resumed chan struct{}
-	// registeredAt is the revision in force when the node registered: a restore of the store since may have lost its lease, and
-	// given the lease's id to another node.
+	// registeredAt is the revision in force when the node registered. A restore of the store since then may have
+	// lost the lease and assigned its id to another node.
 	registeredAt int64
 }
 
@@ -66,7 +71,7 @@
 	return &Registry{config: config, lessor: lessor, self: self, logger: logger, resumed: make(chan struct{}, 1)}
 }
 
-// renewals is how many times a lease is renewed in its time to live.
+// renewals is how many times a lease is renewed in its time to live: two renewals in a row may fail.
 const renewals = 3
 
 // Run registers the node and renews its lease until the context ends; then it ends the lease.
@@ -89,18 +94,19 @@
 	}
 }
 
-// ResumeFrom has the registry take over the record that an earlier process of the node left in the
-// configuration: to renew its lease is a tenth of a call of the store, and to register anew is two. It waits
-// for the configuration for a while. Call it before Run.
+// ResumeFrom makes the registry take over the record that an earlier process of the node left in the
+// configuration: renewing its lease costs the store far less than registering. Run waits a while for the
+// configuration then. Call it before Run.
 func (r *Registry) ResumeFrom(known *catalog.Catalog, ready <-chan struct{}) {
 	r.previous = previousRecord{known: known, ready: ready}
 }
 
-// pause spreads the tries of nodes that failed together.
+// pause returns the pause before the next attempt, with jitter for nodes that failed together.
 func (r *Registry) pause() time.Duration {
 	return wait.Jittered(r.config.RetryPause)
 }
 
+// register takes over the record of an earlier process, or writes a new record under a new lease.
 func (r *Registry) register(ctx context.Context) (lease int64, granted time.Duration, err error) {
 	if lease, err = r.resume(ctx); lease != 0 || err != nil {
 		return lease, r.config.TimeToLive, err
@@ -118,8 +124,8 @@
 	return lease, granted, r.lessor.PutLeased(ctx, catalog.NodeKey(r.self.ID), document, lease)
 }
 
-// resume renews the lease of the record that an earlier process left, if the record still holds; 0 when there
-// is none.
+// resume renews the lease of the record that an earlier process left; 0 if there is no such record or its lease
+// is over.
 func (r *Registry) resume(ctx context.Context) (lease int64, err error) {
 	lease = r.previous.lease(ctx, r.self)
 	if lease == 0 {
@@ -132,12 +138,15 @@
 	return lease, err
 }
 
-// renew keeps the lease until it is over or the context ends.
+// renew decides when the lease is renewed or given up. It renews the lease renewals times in its time to live,
+// after a failure after Config.RetryPause, and at once when the machine resumed. It returns, so that the node
+// registers again, when the store was restored, the lease is over, or the record is bound to another lease. When
+// the context ends, it ends the lease.
 func (r *Registry) renew(ctx context.Context, lease int64, granted time.Duration) {
 	pause := granted / renewals
 	for r.waitToRenew(ctx, pause) {
 		if r.isRestored() {
-			r.logger.Info("the store was restored: looking after the node's record", zap.Int64("lease", lease))
+			r.logger.Info("the store was restored: checking the node's record", zap.Int64("lease", lease))
 			return
 		}
 		if r.previous.isReplaced(r.self, lease) {
@@ -155,7 +164,7 @@
 			pause = granted / renewals
 		}
 	}
-	if !r.isRestored() { // the id may be another node's by now
+	if !r.isRestored() { // otherwise the id may be another node's lease by now
 		r.end(lease)
 	}
 }
@@ -163,7 +172,8 @@
 // isRestored reports whether the store was restored since the node registered.
 func (r *Registry) isRestored() bool { return revision.IsLater(r.previous.revision(), r.registeredAt) }
 
-// Resumed has the lease renewed at once: it went on to run out while the machine was suspended.
+// Resumed makes the registry renew its lease at once: the lease kept running out while the machine was
+// suspended.
 func (r *Registry) Resumed() {
 	select {
 	case r.resumed <- struct{}{}:
@@ -171,11 +181,12 @@
 	}
 }
 
-// epochCheckInterval is how often a node looks whether the store was restored. The looks of a fleet are spread over it, so that
-// 3,300 nodes renew or register within a second, of the 6,000 calls that a store of that size takes.
+// epochCheckInterval is how often a node checks whether the store was restored. The checks of a fleet are spread
+// over it, and so are the renewals and registrations that follow.
 const epochCheckInterval = time.Second
 
-// rest waits for a time, or until the machine wakes or the store was restored; false when the context ended.
+// waitToRenew waits for a pause, or until the machine resumes or the store was restored; false when the context
+// ended.
 func (r *Registry) waitToRenew(ctx context.Context, pause time.Duration) bool {
 	for until := time.Now().Add(pause); ctx.Err() == nil; {
 		left := time.Until(until)
@@ -189,7 +200,7 @@
 	return false
 }
 
-// awoke waits for a time, and reports whether the machine woke meanwhile.
+// waitResumed waits for a pause, and reports whether the machine resumed meanwhile.
 func (r *Registry) waitResumed(ctx context.Context, pause time.Duration) bool {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
@@ -202,17 +213,18 @@
 	return false
 }
 
+// keep renews the lease once.
 func (r *Registry) keep(ctx context.Context, lease int64) error {
 	ctx, cancel := context.WithTimeout(ctx, r.config.CallTimeout)
 	defer cancel()
 	return r.lessor.Keep(ctx, lease)
 }
 
-// end returns the lease up; if that fails, it runs out by itself.
+// end ends the lease; if that fails, the lease expires by itself.
 func (r *Registry) end(lease int64) {
 	ctx, cancel := context.WithTimeout(context.Background(), r.config.CallTimeout)
 	defer cancel()
 	if err := r.lessor.End(ctx, lease); err != nil {
-		r.logger.Info("lease of the node was left to run out", zap.Error(err))
+		r.logger.Info("lease of the node can't be ended; it expires by itself", zap.Error(err))
 	}
 }
--- a/internal/fleet/registry/registry_test.go
+++ b/internal/fleet/registry/registry_test.go
@@ -29,7 +29,7 @@
 	kept    int
 	ended   int
 	put     map[string]int64
-	// keptLast is the lease that was renewed last.
+	// keptLast is the lease renewed last.
 	keptLast int64
 }
 
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// calls returns what was granted, kept and ended so far, and the lease of a key.
+// calls returns the numbers of leases granted, renewed and ended so far, and the lease of a key.
 func (m *memoryLessor) calls(key string) (granted, kept, ended int, lease int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -87,8 +87,8 @@
 	m.failing, m.lost = failing, lost
 }
 
-// A node registers, renews, registers anew when its lease is over, and gives it up at its end;
-// an outage of the store costs nothing but tries.
+// A node registers, renews its lease, registers again when the lease is over, and ends it when it stops; an outage of the
+// store causes retries only.
 func TestRecordIsKeptThroughOutages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -134,7 +134,7 @@
 	known.Apply(catalog.Change{Entry: catalog.Entry{Key: catalog.NodeKey(id), Value: value, Revision: revision + 1, Deleted: deleted}, Previous: revision})
 }
 
-// Nodes that went still count for a while, and a node that the others don't know shares nothing.
+// Nodes that are gone still count for a while, and a node that isn't registered has no share.
 func TestCensusRemembersNodesForAWhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -171,8 +171,8 @@
 	return ids
 }
 
-// However nodes are made up, their parts of a bound are all of it, and the nodes that gather have most
-// of what concerns gathered services.
+// Whatever the nodes are, their shares of a bound add up to all of it, and the gatherers have most of the bounds on gathered
+// services.
 func TestPartsOfABound(t *testing.T) {
 	is := is.New(t)
 	for _, large := range []int{0, 1, 2, 5} {
@@ -197,8 +197,7 @@
 	}
 }
 
-// A node with less than half of its zone's largest share of processors does not gather, one that says
-// nothing of it does.
+// A node with less than half of the most cores in its zone does not gather; one of unknown size does.
 func TestGatherers(t *testing.T) {
 	is := is.New(t)
 	nodes := []catalog.NodeRecord{
@@ -227,7 +226,7 @@
 	known.Apply(catalog.Change{Entry: catalog.Entry{Key: catalog.NodeKey(node.ID), Value: value, Revision: known.Revision() + 1}, Previous: known.Revision()})
 }
 
-// A node that does not gather comes and goes without a new slice of those that do.
+// The slice of the gatherers stays the same when a node comes or goes that doesn't gather.
 func TestGatherersStayTheSameSlice(t *testing.T) {
 	is := is.New(t)
 	known := catalog.New(nil)
@@ -251,7 +250,7 @@
 	is.True(!census.IsGatherer())
 }
 
-// A lease that ran out while the machine was suspended is found out at once when it wakes, not at its next renewal.
+// A lease that expired while the machine was suspended is noticed when the machine resumes, not at its next renewal.
 func TestLeaseIsRenewedOnWaking(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/fleet/registry/restored_test.go
+++ b/internal/fleet/registry/restored_test.go
@@ -11,8 +11,8 @@
 	"github.com/portgauge/portgauge/internal/config/revision"
 )
 
-// A restore of the store is noticed within a second, not by the next renewal: a node whose record it lost registers anew, one
-// whose record it still has renews that lease, and neither touches the lease that it had, which may be another node's.
+// A restore of the store is noticed within a second, not by the next renewal: a node whose record was lost registers again, a
+// node whose record is still there renews its lease, and neither touches the lease that it had, which may be another node's.
 func TestRecordIsLookedAfterOnceTheStoreIsRestored(t *testing.T) {
 	for name, isLost := range map[string]bool{"lost": true, "still there": false} {
 		t.Run(name, func(t *testing.T) {
@@ -45,7 +45,7 @@
 	}
 }
 
-// A node that stops before it has noticed a restore leaves the lease that it had alone.
+// A node that stops before it has noticed a restore doesn't end the lease that it had.
 func TestLeaseOfBeforeARestoreIsNotEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,5 @@
-// Package wait sleeps until a time has passed or a context has ended.
+// Package wait waits for a time that a context may cut short. It relies on the monotonic clock, which stands
+// still while the machine is suspended.
 package wait
 
 import (
@@ -7,7 +8,7 @@
 	"time"
 )
 
-// For sleeps and reports whether the whole time has passed; false means the context ended.
+// For waits, and reports whether the whole time has passed; false means that the context ended.
 func For(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -19,7 +20,8 @@
 	}
 }
 
-// Jittered returns half to one and a half of a pause, so that those who failed together don't try again together.
+// Jittered returns half to one and a half times a pause, at random, so that callers that failed together don't
+// retry together.
 func Jittered(pause time.Duration) time.Duration {
 	return time.Duration(float64(pause) * (0.5 + rand.Float64()))
 }
