--- a/internal/config/configsync/snapshots.go
+++ b/internal/config/configsync/snapshots.go
@@ -32,7 +32,7 @@
 	// mostRecipients is how many recipients are remembered, mostNamed how many are named to a node.
 	mostRecipients = 32
 	mostNamed      = 3
-	// mostSince is how many changes may follow the packed state before it is packed anew.
+	// mostSince is how many changes may follow the packed state before it is packed again.
 	mostSince = 64
 )
 
--- a/internal/config/store/store.go
+++ b/internal/config/store/store.go
@@ -47,7 +47,7 @@
 	// Epoch counts the restores of the store from a backup; 0 if the store doesn't count them, or there was no
 	// response.
 	Epoch int64
-	// Revision is where the store stands by the answer; 0 where it does not say.
+	// Revision is the store's revision by the response; 0 if it doesn't contain one.
 	Revision int64
 }
 
--- a/internal/fleet/peer/message.go
+++ b/internal/fleet/peer/message.go
@@ -181,13 +181,13 @@
 	Rows []byte `json:"rows"`
 }
 
-// Quarantine tells of a request that may end the leafs which run it; exactly one of the fields is set.
+// Quarantine reports on a request that may crash the leafs that run it; exactly one of the fields is set.
 type Quarantine struct {
-	// Evidence is what the sender has against it.
+	// Evidence is the sender's evidence against the request.
 	Evidence *quarantine.Evidence `json:"evidence,omitempty"`
-	// Answered is the request whose evidence the sender takes back: a leaf answered it.
+	// Answered is the request whose evidence the sender withdraws: a leaf answered it.
 	Answered fingerprint.Fingerprint `json:"answered,omitzero"`
-	// Record says that the request goes to no leaf.
+	// Record says that the request is under quarantine.
 	Record *quarantine.Record `json:"record,omitempty"`
 }
 
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,5 +1,5 @@
-// Package wait waits for a time that a context may cut short. It relies on the monotonic clock, which stands
-// still while the machine is suspended.
+// Package wait waits for a time that a context may cut short. It relies on the monotonic clock, which does not
+// advance while the machine is suspended.
 package wait
 
 import (
