--- a/internal/config/configsync/configsync.go
+++ b/internal/config/configsync/configsync.go
@@ -43,6 +43,9 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
+// pushBacklog is how many changes may wait to be pushed; digests make up for those that overflow.
+const pushBacklog = 1024
+
 // LeafNoticer receives the ids of leafs that must get no new requests.
 type LeafNoticer interface {
 	SetLeaving(leafID string, until time.Time)
@@ -156,9 +159,6 @@
 	}
 }
 
-// pushBacklog is how many changes may wait to be pushed; digests make up for those that overflow.
-const pushBacklog = 1024
-
 // SetMembership sets the zone's members. The syncer must be the listener of the membership.
 func (s *Syncer) SetMembership(members *membership.Membership) { s.members = members }
 
--- a/internal/config/configsync/digest.go
+++ b/internal/config/configsync/digest.go
@@ -8,6 +8,10 @@
 	"github.com/portgauge/portgauge/internal/node/boottime"
 )
 
+// pullPostponements is how many times a pull is postponed while pushes keep arriving: in a burst, the next push
+// most likely brings the missing changes.
+const pullPostponements = 3
+
 // Digest implements membership.Listener.
 func (s *Syncer) Digest() peer.Digest {
 	return peer.Digest{
@@ -69,10 +73,6 @@
 	s.pullAfterDelay(from, revision, pullPostponements)
 }
 
-// pullPostponements is how many times a pull is postponed while pushes keep arriving: in a burst, the next push
-// most likely brings the missing changes.
-const pullPostponements = 3
-
 func (s *Syncer) pullAfterDelay(from string, revision int64, postponements int) {
 	time.AfterFunc(s.config.PullDelay, func() {
 		pushed := time.Since(time.Unix(0, s.lastPushAt.Load()))
--- a/internal/config/configsync/join.go
+++ b/internal/config/configsync/join.go
@@ -12,6 +12,22 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
+// unstableTimeout is how long after its start a node counts as joined although its peers know different members.
+const unstableTimeout = 15 * time.Second
+
+// aloneTimeout is how long after its start a node that reaches no other takes itself for the only one.
+const aloneTimeout = 5 * time.Second
+
+// listedAloneTimeout is the same if the machine list answers and names no other node. It isn't 0 because the
+// list lags: nodes that start at the same moment may be missing from it.
+const listedAloneTimeout = time.Second
+
+// joinTargets is how many nodes a node joins through at a time.
+const joinTargets = 3
+
+// joinCandidates is how many nodes of its zone a node draws from the machine list to join through.
+const joinCandidates = 8
+
 // joinLoop joins the zone through the seeds and the machine list until the node's view of the zone is stable,
 // and pulls configuration until the node has some. After that it joins rarely, which heals a zone whose halves
 // lost each other. A zone whose members keep changing counts as joined after unstableTimeout, so that it has
@@ -37,9 +53,6 @@
 	}
 }
 
-// unstableTimeout is how long after its start a node counts as joined although its peers know different members.
-const unstableTimeout = 15 * time.Second
-
 // markJoined records that the node knows its zone well enough to rank the watchers.
 func (s *Syncer) markJoined() {
 	if s.joined.CompareAndSwap(false, true) {
@@ -47,16 +60,6 @@
 	}
 }
 
-// aloneTimeout is how long after its start a node that reaches no other takes itself for the only one.
-const aloneTimeout = 5 * time.Second
-
-// listedAloneTimeout is the same if the machine list answers and names no other node. It isn't 0 because the
-// list lags: nodes that start at the same moment may be missing from it.
-const listedAloneTimeout = time.Second
-
-// joinTargets is how many nodes a node joins through at a time.
-const joinTargets = 3
-
 // join announces this node to a few others and reports whether the view of the zone is stable: all nodes that
 // answered know the same members, or there is no node to ask.
 func (s *Syncer) join(ctx context.Context) bool {
@@ -111,9 +114,6 @@
 	return &peer.Welcome{Zone: s.members.Self().Zone, Known: known, Members: members, Contacts: s.Contacts()}
 }
 
-// joinCandidates is how many nodes of its zone a node draws from the machine list to join through.
-const joinCandidates = 8
-
 // listZone returns the peer addresses of nodes of the zone on the machine list.
 func (s *Syncer) listZone(ctx context.Context) ([]string, error) {
 	list, err := s.listMachines(ctx, machines.Query{Zone: s.members.Self().Zone, Role: machines.RoleNode, MostPerZone: joinCandidates})
--- a/internal/config/configsync/leaving.go
+++ b/internal/config/configsync/leaving.go
@@ -8,6 +8,15 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
+// renewalShare divides the term of a notice: one that expires this much later than the known one is a renewal.
+const renewalShare = 2
+
+// Bounds of the notices on datagrams: how many are on one, and how often each is passed on.
+const (
+	noticesPerMessage = 4
+	noticePasses      = 8
+)
+
 // notice says that a leaf is leaving and must get no new requests.
 type notice struct {
 	until  time.Time // when the notice expires
@@ -17,7 +26,7 @@
 	pushedUntil time.Time
 }
 
-// Notices implements membership.Listener.
+// Notices implements membership.Listener: it returns notices that have not been passed on often enough.
 func (s *Syncer) Notices() []peer.LeafNotice {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -37,9 +46,6 @@
 	return chosen
 }
 
-// renewalShare divides the term of a notice: one that expires this much later than the known one is a renewal.
-const renewalShare = 2
-
 // handleNotices records the notices from another node.
 func (s *Syncer) handleNotices(notices []peer.LeafNotice) {
 	now := time.Now()
@@ -81,7 +87,7 @@
 	return true
 }
 
-// LeafDraining notifies the zone of a leaf that said itself that it is leaving.
+// LeafDraining records that a leaf announced that it is leaving; gossip passes the notice on in the zone.
 func (s *Syncer) LeafDraining(leafID string) {
 	s.recordNotice(leafID, time.Now().Add(s.config.LeavingHold))
 }
@@ -162,9 +168,3 @@
 		}
 	}
 }
-
-// Notices ride on datagrams: at most so many on one, each passed on so many times.
-const (
-	noticesPerMessage = 4
-	noticePasses      = 8
-)
--- a/internal/config/configsync/pull.go
+++ b/internal/config/configsync/pull.go
@@ -9,6 +9,9 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
+// pullTimeoutFactor times Config.CallTimeout bounds a pull, which may carry the whole state.
+const pullTimeoutFactor = 4
+
 // pullFromZone pulls from the watchers, which have configuration first, then from another member, then from
 // another zone.
 func (s *Syncer) pullFromZone(ctx context.Context) {
@@ -72,9 +75,6 @@
 	return true, nil
 }
 
-// pullTimeoutFactor times Config.CallTimeout bounds a pull, which may carry the whole state.
-const pullTimeoutFactor = 4
-
 // takeState applies a peer's state as far as it is newer.
 func (s *Syncer) takeState(state peer.State) error {
 	if len(state.Snapshot) > 0 {
--- a/internal/config/configsync/push_check.go
+++ b/internal/config/configsync/push_check.go
@@ -9,6 +9,9 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
+// afterAll is a revision after all others: a pull with it asks for no changes.
+const afterAll = math.MaxInt64
+
 // checkPushLater makes a standby that pushed check its push after Config.PushInterval: a standby pushes only if
 // the push of a watcher ahead of it failed, and the same cause may make its own fail. A relay that reaches half
 // of the zone leaves the other half without the change and without an error.
@@ -64,6 +67,3 @@
 	}
 	return answer.State.Revision, true
 }
-
-// afterAll is a revision after all others: a pull with it asks for no changes.
-const afterAll = math.MaxInt64
--- a/internal/config/configsync/snapshots.go
+++ b/internal/config/configsync/snapshots.go
@@ -9,6 +9,18 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
+const (
+	// serveInterval and mostServed bound the rate at which a node serves the state: with 0.5 MB for a large fleet,
+	// it uses a third of a link of 1 Gbit/s, and the number of nodes that have the state grows ninefold an interval.
+	serveInterval = 100 * time.Millisecond
+	mostServed    = 8
+	// mostRecipients is how many recipients are remembered, mostNamed how many are named to a node.
+	mostRecipients = 32
+	mostNamed      = 3
+	// mostSince is how many changes may follow the packed state before it is packed again.
+	mostSince = 64
+)
+
 // snapshotServer serves the whole state to nodes that have none, as when the whole fleet starts. The state is
 // packed once and served with the changes since. A node that has served its share refers others to nodes that it
 // served before, so that the state spreads like a push. The zero value is ready; it is safe for concurrent use.
@@ -24,18 +36,6 @@
 	served int
 }
 
-const (
-	// serveInterval and mostServed bound the rate at which a node serves the state: with 0.5 MB for a large fleet,
-	// it uses a third of a link of 1 Gbit/s, and the number of nodes that have the state grows ninefold an interval.
-	serveInterval = 100 * time.Millisecond
-	mostServed    = 8
-	// mostRecipients is how many recipients are remembered, mostNamed how many are named to a node.
-	mostRecipients = 32
-	mostNamed      = 3
-	// mostSince is how many changes may follow the packed state before it is packed again.
-	mostSince = 64
-)
-
 // serve returns the state of a catalog for the node of an address, or the addresses of other nodes to ask.
 func (w *snapshotServer) serve(known *catalog.Catalog, recipient string) (peer.State, error) {
 	w.mu.Lock()
--- a/internal/config/configsync/storestate.go
+++ b/internal/config/configsync/storestate.go
@@ -10,6 +10,13 @@
 	"github.com/portgauge/portgauge/internal/config/store"
 )
 
+// droppedLogInterval is the minimum interval between two log lines about dropped states: a node may drop many in
+// a second.
+const droppedLogInterval = time.Second
+
+// errStoreNotNewer reports that the store's whole state is not newer than the configuration in force.
+var errStoreNotNewer = merry.New("the store's whole state is not newer than the one in force")
+
 // readStore reads the whole state of the store, applies it if it is newer than the configuration in force, and
 // queues the push of what it changed. A state older than the one in force is dropped and confirms nothing.
 func (s *Syncer) readStore(ctx context.Context) error {
@@ -20,9 +27,9 @@
 	if err != nil {
 		return err
 	}
-	isTaken := s.catalog.Replace(snapshot)
+	replaced := s.catalog.Replace(snapshot)
 	switch {
-	case isTaken || snapshot.Revision >= before:
+	case replaced || snapshot.Revision >= before:
 		s.catalog.ConfirmSince(asked, 0)
 	default:
 		// The store lacks what is in force here, so it doesn't confirm that as the newest.
@@ -38,9 +45,6 @@
 	return nil
 }
 
-// errStoreNotNewer reports that the store's whole state is not newer than the configuration in force.
-var errStoreNotNewer = merry.New("the store's whole state is not newer than the one in force")
-
 // reread reads the whole state of a store that no longer keeps the changes since the revision in force. If that
 // doesn't advance the revision, as when a store went back without announcing a new epoch, it fails so that the
 // caller backs off instead of reading again at once.
@@ -96,7 +100,3 @@
 		s.logger.Info("store regained", zap.Duration("after", time.Since(time.Unix(0, since))), zap.Int64("revision", s.catalog.Revision()))
 	}
 }
-
-// droppedLogInterval is the minimum interval between two log lines about dropped states: a node may drop many in
-// a second.
-const droppedLogInterval = time.Second
--- a/internal/config/configsync/watch.go
+++ b/internal/config/configsync/watch.go
@@ -19,6 +19,9 @@
 // errReopenWatch ends the watch of a node that is no longer the first watcher, or whose machine was suspended.
 var errReopenWatch = merry.New("the node's rank as a watcher changed, or the machine was suspended")
 
+// errCaughtUp ends the watch by which a node catches up with the store.
+var errCaughtUp = merry.New("the state is up to date")
+
 // watchLoop follows the store while this node is one of the watchers. It reads the first state before that,
 // whatever the rank. After an error it retries with exponential backoff between Config.RetryPause and
 // Config.MaximumRetryPause; the backoff starts over once a watch lasted for Config.WatchSilence.
@@ -30,9 +33,7 @@
 	for {
 		rank := s.rank()
 		if rank == notAWatcher {
-			s.hasReadAsStandby = false
-			s.leaveStoreToWatchers()
-			if !pause(ctx, s.config.RetryPause) {
+			if !s.awaitRank(ctx) {
 				return
 			}
 			continue
@@ -65,6 +66,13 @@
 	}
 }
 
+// awaitRank waits a moment before the rank of a node is checked again that is no watcher; false when the context ended.
+func (s *Syncer) awaitRank(ctx context.Context) bool {
+	s.hasReadAsStandby = false
+	s.leaveStoreToWatchers()
+	return pause(ctx, s.config.RetryPause)
+}
+
 // follow follows the store as a watcher of the given rank does: until the watch ends, or for one step as a
 // standby.
 func (s *Syncer) follow(ctx context.Context, rank int) error {
@@ -84,14 +92,14 @@
 			return err
 		}
 	}
-	opened, take := time.Now(), s.eventHandler(ctx)
+	opened, handle := time.Now(), s.eventHandler(ctx)
 	var lastEvent atomic.Int64
 	stopped := make(chan struct{})
 	defer close(stopped)
 	go s.superviseWatch(stopped, cancel, opened, &lastEvent)
 	err := s.store.Watch(ctx, s.catalog.Revision(), store.Primary, func(event store.Event) error {
 		lastEvent.Store(int64(time.Since(opened)))
-		return take(event)
+		return handle(event)
 	})
 	if s.rank() != 0 || s.resumed.Swap(false) {
 		return errReopenWatch
@@ -179,14 +187,11 @@
 	}
 }
 
-// errCaughtUp ends the watch by which a node catches up with the store.
-var errCaughtUp = merry.New("the state is up to date")
-
 // catchUp applies the changes between the revision in force and the store's current one.
 func (s *Syncer) catchUp(ctx context.Context) error {
-	take := s.eventHandler(ctx)
+	handle := s.eventHandler(ctx)
 	err := s.store.Watch(ctx, s.catalog.Revision(), store.Standby, func(event store.Event) error {
-		if err := take(event); err != nil {
+		if err := handle(event); err != nil {
 			return err
 		}
 		if s.catalog.Revision() < event.Current {
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -23,6 +23,9 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
+// leaveFanOut is how many members are notified of a planned stop directly; gossip reaches the others.
+const leaveFanOut = 8
+
 // Listener provides and receives what the datagrams of the membership carry besides members.
 type Listener interface {
 	// Digest returns the node's own configuration digest, for outgoing messages.
@@ -204,9 +207,6 @@
 	}
 }
 
-// leaveFanOut is how many members are notified of a planned stop directly; gossip reaches the others.
-const leaveFanOut = 8
-
 // HandleDatagram merges what a datagram says of members, and answers probes.
 func (m *Membership) HandleDatagram(message peer.Message) {
 	m.merge(message.Members)
--- a/internal/fleet/membership/probe.go
+++ b/internal/fleet/membership/probe.go
@@ -10,6 +10,13 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
+// suspectNotices is how many times a suspect is notified by the node that suspects it. Gossip alone reaches it
+// too late if many messages are lost.
+const suspectNotices = 4
+
+// confirmationProbes is how many last probes a suspect gets.
+const confirmationProbes = 5
+
 // answerProbe acknowledges a probe of this node. A prober that is suspect or dead here is notified of that,
 // since it can refute only what it knows.
 func (m *Membership) answerProbe(prober string, probe peer.Probe) {
@@ -73,10 +80,6 @@
 	m.notifySuspect(ctx, target)
 }
 
-// suspectNotices is how many times a suspect is notified by the node that suspects it. Gossip alone reaches it
-// too late if many messages are lost.
-const suspectNotices = 4
-
 // notifySuspect sends a suspicion to the suspect itself, so that it can refute it.
 func (m *Membership) notifySuspect(ctx context.Context, suspect peer.Member) {
 	for range suspectNotices {
@@ -151,9 +154,6 @@
 	}
 }
 
-// confirmationProbes is how many last probes a suspect gets.
-const confirmationProbes = 5
-
 // confirmDeath decides whether a suspect is dead: it is, unless it answers one of confirmationProbes last
 // probes. Its refutation may have been lost on the way here although all others received it.
 func (m *Membership) confirmDeath(ctx context.Context, suspect peer.Member) {
--- a/internal/fleet/peer/transport.go
+++ b/internal/fleet/peer/transport.go
@@ -12,24 +12,6 @@
 	json "github.com/goccy/go-json"
 )
 
-// Handler handles the messages that arrive at a node. It is called concurrently.
-type Handler interface {
-	// HandleDatagram handles a message that expects no answer on the same path.
-	HandleDatagram(message Message)
-	// HandleCall returns the answer to a message.
-	HandleCall(ctx context.Context, message Message) Message
-}
-
-// Transport sends messages to other nodes.
-type Transport interface {
-	// Address is the node's own peer address.
-	Address() string
-	// Send sends a datagram; it may be lost without an error.
-	Send(address string, message Message)
-	// Call sends a message and waits for its answer.
-	Call(ctx context.Context, address string, message Message) (Message, error)
-}
-
 // Bounds of messages in bytes. A datagram beyond its bound is not sent.
 const (
 	MaximumDatagram = 1400
@@ -46,15 +28,33 @@
 // callTimeout bounds the handling of one call at its receiver.
 const callTimeout = 5 * time.Second
 
-// Meter receives the bytes of each message sent or received, overhead included.
-type Meter func(transport string, sent, received int)
-
 // Names of the transports for the meter.
 const (
 	meterDatagram = "udp"
 	meterCall     = "tcp"
 )
 
+// Handler handles the messages that arrive at a node. It is called concurrently.
+type Handler interface {
+	// HandleDatagram handles a message that expects no answer on the same path.
+	HandleDatagram(message Message)
+	// HandleCall returns the answer to a message.
+	HandleCall(ctx context.Context, message Message) Message
+}
+
+// Transport sends messages to other nodes.
+type Transport interface {
+	// Address is the node's own peer address.
+	Address() string
+	// Send sends a datagram; it may be lost without an error.
+	Send(address string, message Message)
+	// Call sends a message and waits for its answer.
+	Call(ctx context.Context, address string, message Message) (Message, error)
+}
+
+// Meter receives the bytes of each message sent or received, overhead included.
+type Meter func(transport string, sent, received int)
+
 // SocketTransport is the Transport over real sockets.
 type SocketTransport struct {
 	datagrams *net.UDPConn
--- a/internal/fleet/reachability/config.go
+++ b/internal/fleet/reachability/config.go
@@ -6,6 +6,9 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
+// maxNodes bounds the nodes that one check pings.
+const maxNodes = 64
+
 // Config configures how soon a zone counts as lost, and how soon it is reachable again.
 type Config struct {
 	// Enabled lets the node treat zones as lost.
@@ -39,9 +42,6 @@
 	}
 }
 
-// maxNodes bounds the nodes that one check pings.
-const maxNodes = 64
-
 // Validate returns an error that names every invalid field.
 func (c Config) Validate() error {
 	var checks failure.Checks
--- a/internal/fleet/reachability/datagrams.go
+++ b/internal/fleet/reachability/datagrams.go
@@ -8,6 +8,9 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
+// maxPending bounds the open requests; further ones count as unanswered.
+const maxPending = 4096
+
 // Sender sends datagrams to nodes; peer.Transport is one.
 type Sender interface {
 	Send(address string, message peer.Message)
@@ -34,9 +37,6 @@
 // datagrams arrive.
 func (d *Datagrams) OnZoneLost(zoneLost func(zone string)) { d.zoneLost = zoneLost }
 
-// maxPending bounds the open requests; further ones count as unanswered.
-const maxPending = 4096
-
 // Ping implements Prober.
 func (d *Datagrams) Ping(ctx context.Context, node catalog.NodeRecord) bool {
 	number, answered := d.open()
--- a/internal/fleet/reachability/reachability.go
+++ b/internal/fleet/reachability/reachability.go
@@ -23,6 +23,15 @@
 	"github.com/portgauge/portgauge/internal/node/boottime"
 )
 
+// maxZones bounds the zones that are tracked; further ones always count as reachable.
+const maxZones = 256
+
+// answerLimit is how long an answer may take and still end the loss of a zone.
+const answerLimit = time.Second
+
+// recheckSlack is how long after the pause a zone is checked once more: a check in progress has ended by then.
+const recheckSlack = 200 * time.Millisecond
+
 // Prober exchanges datagrams with nodes.
 type Prober interface {
 	// Ping reports whether a node answers before the context ends.
@@ -51,12 +60,6 @@
 	Clock boottime.Clock
 }
 
-// maxZones bounds the zones that are tracked; further ones always count as reachable.
-const maxZones = 256
-
-// answerLimit is how long an answer may take and still end the loss of a zone.
-const answerLimit = time.Second
-
 // Tracker tracks which zones are lost; safe for concurrent use. To a nil Tracker every zone is reachable.
 type Tracker struct {
 	deps Deps
@@ -177,9 +180,6 @@
 	})
 }
 
-// recheckSlack is how long after the pause a zone is checked once more: a check in progress has ended by then.
-const recheckSlack = 200 * time.Millisecond
-
 // suspectOtherZones checks every other zone: what cuts off one zone often cuts off more.
 func (t *Tracker) suspectOtherZones(lost string) {
 	seen := map[string]bool{lost: true, t.deps.Self.Zone: true}
--- a/internal/fleet/reachability/zone.go
+++ b/internal/fleet/reachability/zone.go
@@ -11,6 +11,9 @@
 // crashed.
 const minSilentLeafs = 2
 
+// slowestFactor times its longest round trip is how long a zone has to answer.
+const slowestFactor = 2
+
 // zone is the state of another zone.
 type zone struct {
 	name string
@@ -75,9 +78,6 @@
 	z.slowest = max(z.slowest, answer)
 }
 
-// slowestFactor times its longest round trip is how long a zone has to answer.
-const slowestFactor = 2
-
 // timeout returns how long the zone has to answer: at least the given time, longer if its round trips are
 // longer, and at most answerLimit.
 func (z *zone) timeout(least time.Duration) time.Duration {
--- a/internal/fleet/reachability/zonecheck.go
+++ b/internal/fleet/reachability/zonecheck.go
@@ -20,6 +20,10 @@
 // maxRepeats bounds how often a check starts over because this node itself was late.
 const maxRepeats = 3
 
+// lateDivisor divides a wait: this node is late if it wakes later than that part of the wait, since answers that
+// have arrived may not be read yet.
+const lateDivisor = 2
+
 // zoneCheck is one check of a zone.
 type zoneCheck struct {
 	tracker *Tracker
@@ -92,10 +96,6 @@
 	return 0
 }
 
-// lateDivisor divides a wait: this node is late if it wakes later than that part of the wait, since answers that
-// have arrived may not be read yet.
-const lateDivisor = 2
-
 // wait waits, and reports whether this node woke in time and whether the context has not ended. A machine that
 // was suspended is late as well: the answers of one zone may have come before the suspension and those of the
 // other during it.
--- a/internal/fleet/registry/census.go
+++ b/internal/fleet/registry/census.go
@@ -11,6 +11,10 @@
 	"github.com/portgauge/portgauge/internal/node/boottime"
 )
 
+// gatherersShare is the part of a bound on the leafs of gathered services that the gatherers have together; the
+// other nodes have the rest, for when the gatherers fail them.
+const gatherersShare = 0.8
+
 // Census knows the nodes of the fleet. A node that is gone still counts for a while, since its share of common
 // bounds is not free at once. It is safe for concurrent use.
 type Census struct {
@@ -134,10 +138,6 @@
 	return addresses
 }
 
-// gatherersShare is the part of a bound on the leafs of gathered services that the gatherers have together; the
-// other nodes have the rest, for when the gatherers fail them.
-const gatherersShare = 0.8
-
 // Part returns this node's share, between 0 and 1, of a bound that all nodes share; 0 unless it is registered.
 // Of bounds on gathered services, the gatherers have most.
 func (c *Census) Part(gathered bool) float64 {
--- a/internal/fleet/registry/previous.go
+++ b/internal/fleet/registry/previous.go
@@ -8,16 +8,16 @@
 	"github.com/portgauge/portgauge/internal/config/catalog"
 )
 
+// configurationWait is how long a node that starts waits for its configuration before it registers without
+// checking for an earlier record.
+const configurationWait = 2 * time.Second
+
 // leasedRecord is a node's record with the lease that it is bound to, for the next process of the node.
 type leasedRecord struct {
 	catalog.NodeRecord
 	Lease int64 `json:"lease,omitempty"`
 }
 
-// configurationWait is how long a node that starts waits for its configuration before it registers without
-// checking for an earlier record.
-const configurationWait = 2 * time.Second
-
 // previousRecord finds the record of an earlier process of the node in the configuration. The zero value finds
 // none.
 type previousRecord struct {
--- a/internal/fleet/registry/registry.go
+++ b/internal/fleet/registry/registry.go
@@ -25,6 +25,13 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
+// renewals is how many times a lease is renewed in its time to live: two renewals in a row may fail.
+const renewals = 3
+
+// epochCheckInterval is how often a node checks whether the store was restored. The checks of a fleet are spread
+// over it, and so are the renewals and registrations that follow.
+const epochCheckInterval = time.Second
+
 // Config configures the registration of a node.
 type Config struct {
 	// TimeToLive is how long a record outlives its node.
@@ -71,9 +78,6 @@
 	return &Registry{config: config, lessor: lessor, self: self, logger: logger, resumed: make(chan struct{}, 1)}
 }
 
-// renewals is how many times a lease is renewed in its time to live: two renewals in a row may fail.
-const renewals = 3
-
 // Run registers the node and renews its lease until the context ends; then it ends the lease.
 func (r *Registry) Run(ctx context.Context) {
 	for ctx.Err() == nil {
@@ -181,10 +185,6 @@
 	}
 }
 
-// epochCheckInterval is how often a node checks whether the store was restored. The checks of a fleet are spread
-// over it, and so are the renewals and registrations that follow.
-const epochCheckInterval = time.Second
-
 // waitToRenew waits for a pause, or until the machine resumes or the store was restored; false when the context
 // ended.
 func (r *Registry) waitToRenew(ctx context.Context, pause time.Duration) bool {
