--- a/internal/config/catalog/retained.go
+++ b/internal/config/catalog/retained.go
@@ -35,12 +35,12 @@
 // isExpired decides whether a retained entry is dropped: operators may write its key and nodes may not, it isn't
 // routes, and RetainFor has passed since the node entered the epoch. An entry that isn't in force is retained
 // only for nodes to rewrite it.
-func (c *Catalog) isExpired(one Retained) bool {
-	key := one.Entry.Key
+func (c *Catalog) isExpired(retained Retained) bool {
+	key := retained.Entry.Key
 	if key == RoutesKey || c.restored.mayWrite == nil || c.restored.mayWrite(key) {
 		return false
 	}
-	return one.IsLost || !c.restored.at.IsZero() && c.clock.Since(c.restored.at) >= RetainFor
+	return retained.IsLost || !c.restored.at.IsZero() && c.clock.Since(c.restored.at) >= RetainFor
 }
 
 // noteRetained marks an entry of a whole state as retained by another node if it is of an earlier epoch than the
@@ -63,8 +63,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	all := make([]Retained, 0, len(c.restored.retained))
-	for _, one := range c.restored.retained {
-		all = append(all, one)
+	for _, retained := range c.restored.retained {
+		all = append(all, retained)
 	}
 	return all
 }
@@ -74,9 +74,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var entries []Entry
-	for _, one := range c.restored.retained {
-		if !one.IsLost {
-			entries = append(entries, one.Entry)
+	for _, retained := range c.restored.retained {
+		if !retained.IsLost {
+			entries = append(entries, retained.Entry)
 		}
 	}
 	return entries
@@ -131,7 +131,7 @@
 }
 
 // mayRetain decides whether an entry that another node retains replaces what is in force here: it is of an
-// earlier epoch, not expired, no process record, and newer than the known one, if there is one.
+// earlier epoch, not expired, no process record, and newer than the known entry, if there is one.
 func (c *Catalog) mayRetain(entry Entry, position int64) bool {
 	known, isKnown := c.entries[entry.Key]
 	switch {
@@ -157,12 +157,12 @@
 	current := c.view.Load()
 	draft := c.newDraft(current, current.Revision)
 	var removed []Entry
-	for key, one := range c.restored.retained {
-		if !c.isExpired(one) {
+	for key, retained := range c.restored.retained {
+		if !c.isExpired(retained) {
 			continue
 		}
 		delete(c.restored.retained, key)
-		if one.IsLost || one.Entry.Deleted {
+		if retained.IsLost || retained.Entry.Deleted {
 			continue
 		}
 		entry := Entry{Key: key, Revision: current.Revision, Deleted: true}
--- a/internal/config/configsync/pull.go
+++ b/internal/config/configsync/pull.go
@@ -43,18 +43,18 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, pullTimeoutFactor*s.config.CallTimeout)
 	defer cancel()
-	taken, elsewhere := s.pullOnce(ctx, address)
+	loaded, elsewhere := s.pullOnce(ctx, address)
 	for _, other := range elsewhere {
-		if taken || ctx.Err() != nil {
+		if loaded || ctx.Err() != nil {
 			break
 		}
-		taken, _ = s.pullOnce(ctx, other)
+		loaded, _ = s.pullOnce(ctx, other)
 	}
-	return taken
+	return loaded
 }
 
 // pullOnce pulls from one peer. elsewhere are the nodes to ask instead, if the peer names any.
-func (s *Syncer) pullOnce(ctx context.Context, address string) (taken bool, elsewhere []string) {
+func (s *Syncer) pullOnce(ctx context.Context, address string) (loaded bool, elsewhere []string) {
 	s.relayed("pull")
 	after, asked := s.catalog.Revision(), s.catalog.Mark()
 	answer, err := s.transport.Call(ctx, address, peer.Message{Digest: s.Digest(), Pull: &peer.Pull{After: after}})
@@ -64,7 +64,7 @@
 	if len(answer.State.Elsewhere) > 0 {
 		return false, answer.State.Elsewhere
 	}
-	if err := s.takeState(*answer.State); err != nil {
+	if err := s.applyState(*answer.State); err != nil {
 		s.logger.Warn("state of a peer can't be read", zap.String("peer", address), zap.Error(err))
 		return false, nil
 	}
@@ -75,8 +75,8 @@
 	return true, nil
 }
 
-// takeState applies a peer's state as far as it is newer.
-func (s *Syncer) takeState(state peer.State) error {
+// applyState applies a peer's state as far as it is newer.
+func (s *Syncer) applyState(state peer.State) error {
 	if len(state.Snapshot) > 0 {
 		snapshot, err := state.Snapshot.Unpack()
 		if err != nil {
--- a/internal/config/configsync/push.go
+++ b/internal/config/configsync/push.go
@@ -71,13 +71,7 @@
 // time, does the fan-out, so that the watcher that starts every push does not carry more than others.
 func (s *Syncer) pushToZone(ctx context.Context, push peer.Push) {
 	seed := strconv.FormatInt(time.Now().UnixNano(), 36)
-	self := s.members.Self()
-	var members []peer.Member
-	for _, member := range s.members.Members() {
-		if member.ID != self.ID {
-			members = append(members, member)
-		}
-	}
+	members := s.otherMembers()
 	sortByWeight(members, func(member peer.Member) uint64 { return xxhash.Sum64String(seed + "\x00" + member.ID) })
 	push.Subtree = make([]string, len(members))
 	for index, member := range members {
--- a/internal/config/configsync/reorder.go
+++ b/internal/config/configsync/reorder.go
@@ -24,10 +24,10 @@
 
 // apply applies changes together with the buffered ones that follow them, and buffers those behind a gap. It
 // reports whether there is no gap.
-func (e *reorderBuffer) apply(known *catalog.Catalog, changes []catalog.Change) bool {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	all := append(slices.Clone(e.changes), changes...)
+func (b *reorderBuffer) apply(known *catalog.Catalog, changes []catalog.Change) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	all := append(slices.Clone(b.changes), changes...)
 	slices.SortStableFunc(all, func(a, b catalog.Change) int { return int(a.Entry.Revision - b.Entry.Revision) })
 	complete := known.ApplyAll(all)
 	revision := known.Revision()
@@ -37,7 +37,7 @@
 		return a.Entry.Revision == b.Entry.Revision && a.Previous == b.Previous
 	}
 	waiting = slices.CompactFunc(waiting, isSame)
-	e.changes = slices.Clip(waiting[:prefixWithin(waiting, mostReordered, reorderBytes)])
+	b.changes = slices.Clip(waiting[:prefixWithin(waiting, mostReordered, reorderBytes)])
 	return complete
 }
 
--- a/internal/config/configsync/restored.go
+++ b/internal/config/configsync/restored.go
@@ -27,9 +27,9 @@
 	if before == 0 || !revision.IsLater(now, before) {
 		return false
 	}
-	kept, all := len(s.catalog.RetainedEntries()), len(s.catalog.Retained())
+	inForce, all := len(s.catalog.RetainedEntries()), len(s.catalog.Retained())
 	s.logger.Warn("the store was restored", zap.Int64("revision", now), zap.Int64("before", before),
-		zap.Int("kept", kept), zap.Int("leafs_lost", all-kept))
+		zap.Int("kept", inForce), zap.Int("leafs_lost", all-inForce))
 	return true
 }
 
--- a/internal/config/configsync/snapshots.go
+++ b/internal/config/configsync/snapshots.go
@@ -37,37 +37,37 @@
 }
 
 // serve returns the state of a catalog for the node of an address, or the addresses of other nodes to ask.
-func (w *snapshotServer) serve(known *catalog.Catalog, recipient string) (peer.State, error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if now := time.Now(); now.Sub(w.since) >= serveInterval {
-		w.since, w.served = now, 0
+func (s *snapshotServer) serve(known *catalog.Catalog, recipient string) (peer.State, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if now := time.Now(); now.Sub(s.since) >= serveInterval {
+		s.since, s.served = now, 0
 	}
-	if w.served >= mostServed {
-		return peer.State{Elsewhere: w.someRecipients(recipient)}, nil
+	if s.served >= mostServed {
+		return peer.State{Elsewhere: s.someRecipients(recipient)}, nil
 	}
-	changes, err := w.refresh(known)
+	changes, err := s.refresh(known)
 	if err != nil {
 		return peer.State{}, err
 	}
-	w.served++
-	w.recipients = append(w.recipients, recipient)
-	w.recipients = w.recipients[max(0, len(w.recipients)-mostRecipients):]
-	return peer.State{Snapshot: w.packed, Changes: changes}, nil
+	s.served++
+	s.recipients = append(s.recipients, recipient)
+	s.recipients = s.recipients[max(0, len(s.recipients)-mostRecipients):]
+	return peer.State{Snapshot: s.packed, Changes: changes}, nil
 }
 
 // cache keeps a state that another node packed, to serve it as it is.
-func (w *snapshotServer) cache(revision int64, packed peer.PackedSnapshot) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.revision, w.packed = revision, packed
+func (s *snapshotServer) cache(revision int64, packed peer.PackedSnapshot) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.revision, s.packed = revision, packed
 }
 
 // refresh returns the changes since the packed state. It packs the present state if they are too many or no
 // longer known. The lock must be held.
-func (w *snapshotServer) refresh(known *catalog.Catalog) ([]catalog.Change, error) {
-	if len(w.packed) > 0 {
-		if changes, found := known.Since(w.revision); found && len(changes) <= mostSince {
+func (s *snapshotServer) refresh(known *catalog.Catalog) ([]catalog.Change, error) {
+	if len(s.packed) > 0 {
+		if changes, found := known.Since(s.revision); found && len(changes) <= mostSince {
 			return changes, nil
 		}
 	}
@@ -76,17 +76,17 @@
 	if err != nil {
 		return nil, err
 	}
-	w.revision, w.packed = snapshot.Revision, packed
+	s.revision, s.packed = snapshot.Revision, packed
 	return nil, nil
 }
 
 // someRecipients returns some random nodes that have the state, other than the asking one. The lock must be
 // held.
-func (w *snapshotServer) someRecipients(asking string) []string {
+func (s *snapshotServer) someRecipients(asking string) []string {
 	var some []string
-	for _, i := range rand.Perm(len(w.recipients)) {
-		if w.recipients[i] != asking && len(some) < mostNamed {
-			some = append(some, w.recipients[i])
+	for _, i := range rand.Perm(len(s.recipients)) {
+		if s.recipients[i] != asking && len(some) < mostNamed {
+			some = append(some, s.recipients[i])
 		}
 	}
 	return some
--- a/internal/config/configsync/status.go
+++ b/internal/config/configsync/status.go
@@ -123,13 +123,23 @@
 	return peer.StatusReply{}, false
 }
 
+// otherAddresses returns the peer addresses of the other members of the zone.
 func (s *Syncer) otherAddresses() []string {
-	self := s.members.Self().ID
 	var addresses []string
+	for _, member := range s.otherMembers() {
+		addresses = append(addresses, member.Address)
+	}
+	return addresses
+}
+
+// otherMembers returns the other members of the zone.
+func (s *Syncer) otherMembers() []peer.Member {
+	self := s.members.Self().ID
+	var others []peer.Member
 	for _, member := range s.members.Members() {
 		if member.ID != self {
-			addresses = append(addresses, member.Address)
+			others = append(others, member)
 		}
 	}
-	return addresses
+	return others
 }
--- a/internal/config/rewriter/rewriter.go
+++ b/internal/config/rewriter/rewriter.go
@@ -47,18 +47,18 @@
 	events  EventLog
 	// mayWrite reports whether the store lets nodes write a key; other keys are rewritten by those who own them.
 	mayWrite func(key string) bool
-	// tried is when this node last wrote a key, by key.
-	tried map[string]time.Time
+	// lastWrite is when this node last wrote a key, by key.
+	lastWrite map[string]time.Time
 }
 
 // New returns a writer for the node of an id. It sets in the catalog which keys the store lets nodes write.
-func New(known *catalog.Catalog, kept store.Store, self string, events EventLog) *Writer {
+func New(known *catalog.Catalog, target store.Store, self string, events EventLog) *Writer {
 	mayWrite := func(string) bool { return true }
-	if owned, isOwned := kept.(store.Owned); isOwned {
+	if owned, isOwned := target.(store.Owned); isOwned {
 		mayWrite = owned.MayWrite
 	}
 	known.SetWritable(mayWrite)
-	return &Writer{catalog: known, store: kept, self: self, events: events, mayWrite: mayWrite, tried: map[string]time.Time{}}
+	return &Writer{catalog: known, store: target, self: self, events: events, mayWrite: mayWrite, lastWrite: map[string]time.Time{}}
 }
 
 // Run rewrites lost entries until the context ends, and makes the catalog drop those that expired.
@@ -71,27 +71,27 @@
 
 // writeDue rewrites the entries that are this node's turn now, in order of their keys.
 func (w *Writer) writeDue(ctx context.Context) {
-	kept := w.catalog.Retained()
-	if len(kept) == 0 {
-		clear(w.tried)
+	retained := w.catalog.Retained()
+	if len(retained) == 0 {
+		clear(w.lastWrite)
 		return
 	}
-	slices.SortFunc(kept, func(a, b catalog.Retained) int { return strings.Compare(a.Entry.Key, b.Entry.Key) })
+	slices.SortFunc(retained, func(a, b catalog.Retained) int { return strings.Compare(a.Entry.Key, b.Entry.Key) })
 	writes := 0
-	for _, one := range kept {
+	for _, lost := range retained {
 		if writes >= maxWrites || ctx.Err() != nil {
 			return
 		}
-		if !w.mayWrite(one.Entry.Key) || !w.isDue(one.Entry.Key, time.Now()) {
+		if !w.mayWrite(lost.Entry.Key) || !w.isDue(lost.Entry.Key, time.Now()) {
 			continue
 		}
-		value, isReady := w.catalog.RewriteValue(one.Entry)
+		value, isReady := w.catalog.RewriteValue(lost.Entry)
 		if !isReady {
 			continue
 		}
 		writes++
-		w.tried[one.Entry.Key] = time.Now()
-		w.events.Rewritten(one.Entry.Key, w.write(ctx, one.Entry, value))
+		w.lastWrite[lost.Entry.Key] = time.Now()
+		w.events.Rewritten(lost.Entry.Key, w.write(ctx, lost.Entry, value))
 	}
 }
 
@@ -101,7 +101,7 @@
 	view := w.catalog.View()
 	rank := registry.Rank(view.Nodes, key, w.self)
 	turn := w.catalog.RestoredAt().Add(checkInterval + time.Duration(rank)*takeover)
-	return !now.Before(turn) && now.Sub(w.tried[key]) >= takeover
+	return !now.Before(turn) && now.Sub(w.lastWrite[key]) >= takeover
 }
 
 // write replaces what the store has of a key by the retained entry, unless the store's is newer: then the change
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -15,6 +15,7 @@
 	"math"
 	"math/rand/v2"
 	"slices"
+	"strings"
 	"sync"
 	"time"
 
@@ -45,7 +46,7 @@
 
 	mu         sync.Mutex
 	self       peer.Member
-	members    map[string]*record // by id, self left out
+	members    map[string]*knownMember // by id, self left out
 	rumours    *rumours
 	probeRound []string     // ids still to probe in this round
 	probes     peer.Pending // those without an answer yet
@@ -54,7 +55,8 @@
 	cachedAt   uint64
 }
 
-type record struct {
+// knownMember is what this node knows of another member.
+type knownMember struct {
 	member     peer.Member
 	changedAt  time.Time
 	confirming bool // a suspect whose time is up is being probed a last time
@@ -69,7 +71,7 @@
 		listener:  listener,
 		random:    rand.New(rand.NewPCG(seed, 1)),
 		self:      self,
-		members:   map[string]*record{},
+		members:   map[string]*knownMember{},
 		rumours:   newRumours(),
 		version:   1,
 	}
@@ -103,23 +105,13 @@
 			usable = append(usable, known.member)
 		}
 	}
-	slices.SortFunc(usable, func(a, b peer.Member) int { return compareIDs(a.ID, b.ID) })
+	slices.SortFunc(usable, func(a, b peer.Member) int { return strings.Compare(a.ID, b.ID) })
 	m.cached, m.cachedAt = usable, m.version
 	return usable
 }
 
 func isUsable(state peer.MemberState) bool { return state == peer.Alive || state == peer.Suspect }
 
-func compareIDs(a, b string) int {
-	switch {
-	case a < b:
-		return -1
-	case a > b:
-		return 1
-	}
-	return 0
-}
-
 // Counts returns the number of members by state, self included.
 func (m *Membership) Counts() map[peer.MemberState]int {
 	m.mu.Lock()
@@ -173,9 +165,9 @@
 	if join.Member.Zone != m.self.Zone {
 		return nil, known
 	}
-	if record, found := m.members[join.Member.ID]; found && !isUsable(record.member.State) {
+	if joining, found := m.members[join.Member.ID]; found && !isUsable(joining.member.State) {
 		// The joining node must learn that it is considered dead, or it can't refute that.
-		return append(slices.Clone(m.usable()), record.member), known
+		return append(slices.Clone(m.usable()), joining.member), known
 	}
 	if known == join.Known {
 		return nil, known
@@ -308,7 +300,7 @@
 	if found && !supersedes(member, known.member) {
 		return false
 	}
-	m.members[member.ID] = &record{member: member, changedAt: time.Now()}
+	m.members[member.ID] = &knownMember{member: member, changedAt: time.Now()}
 	if !found && !isUsable(member.State) {
 		// The death of an unknown member is no news, but overrides older reports that it is alive.
 		return false
--- a/internal/fleet/membership/probe.go
+++ b/internal/fleet/membership/probe.go
@@ -171,7 +171,7 @@
 	}
 	if answers {
 		suspect.State = peer.Alive
-		m.members[suspect.ID] = &record{member: suspect, changedAt: time.Now()}
+		m.members[suspect.ID] = &knownMember{member: suspect, changedAt: time.Now()}
 		return
 	}
 	suspect.State = peer.Dead
