--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -57,9 +57,9 @@
 	events := rolloutEvents{log: deps.StateEvents.log}
 	controller := rolloutcontrol.New(rolloutcontrol.Deps{
 		Config: cfg, Catalog: deps.Catalog, Self: deps.Self, Counts: deps.Counts, Splitter: deps.Splitter,
-		Judging: judging(deps.Config.RolloutVerdict),
-		States:  rolloutcontrol.GuardedStateWriter{Store: deps.Store, Guarded: deps.Guarded, RetryPause: cfg.RetryPause},
-		Fleet:   fleetStatus{deps.Syncer}, Sender: deps.Transport, Events: events, Clock: deps.Clock,
+		NewEvaluator: judging(deps.Config.RolloutVerdict),
+		States:       rolloutcontrol.GuardedStateWriter{Store: deps.Store, Guarded: deps.Guarded, RetryPause: cfg.RetryPause},
+		Fleet:        fleetStatus{deps.Syncer}, Sender: deps.Transport, Events: events, Clock: deps.Clock,
 	})
 	if err := deps.Metrics.RegisterRollouts(controller.Statuses); err != nil {
 		return nil, err
--- a/internal/rollout/rolloutcontrol/controller.go
+++ b/internal/rollout/rolloutcontrol/controller.go
@@ -1,10 +1,16 @@
-// Package rolloutcontrol carries orders out that move services to other versions: it tells the judges of a service
-// what each node counted, judges versions on trial, and writes how far the fleet is.
+// Package rolloutcontrol carries out the orders that move services to other versions: it reports what each node
+// counted to the judges of a service, evaluates versions on trial, and writes the phase of each roll-out to the
+// store.
 //
-// All nodes run it. The judges of a service are the first of the registered nodes by rendezvous hash. No right depends
-// on that belief: each judge may write, and the store takes a write only in place of the state that the judge knew and
-// while the order stands, so that of judges that disagree the first one wins and one that comes late has no effect. A
-// version found bad is held at once by word between nodes, whether the store takes the verdict or not.
+// Every node runs a Controller. The judges of a service are the first registered nodes by rendezvous hash.
+// Correctness does not depend on nodes agreeing about who they are: each judge may write, and the store accepts a
+// write only in place of the state that the judge knew and while the order is unchanged. If judges disagree the first
+// write wins, and a late one has no effect. A version found bad is stopped at once by messages between nodes (a
+// hold), whether or not the store accepts the write.
+//
+// The package owns the counts of all nodes at a judge, the holds, and the goroutines of Run with its writes and fleet
+// calls. It relies on the catalog for orders, states and registered nodes, on datagrams for reports and holds, on
+// conditional writes of the store, and on a clock that counts suspended time.
 package rolloutcontrol
 
 import (
@@ -19,39 +25,40 @@
 	"github.com/portgauge/portgauge/internal/node/boottime"
 )
 
-// Splitter is what draws the requests for versions on trial at this node.
+// Splitter is what draws this node's requests for versions on trial; canary.Splitter is the real one.
 type Splitter interface {
-	// Hold ends the trial of an order at this node; it is never lifted.
+	// Hold stops the trial of an order at this node for good.
 	Hold(service string, order int64)
-	// SettledRevision gives the revision at which the node is settled.
+	// SettledRevision returns the revision at which the node is settled: it sends nothing by an older rule any more.
 	SettledRevision() int64
-	// Ramp gives how long the nodes take to move the requests of an order of a duration.
+	// Ramp returns how long the nodes take to move the requests of an order with the given duration.
 	Ramp(order time.Duration) time.Duration
 }
 
-// Fleet asks all nodes how far they are.
+// Fleet queries the other nodes.
 type Fleet interface {
-	// Settled asks at which revision the nodes are settled; those that don't answer in time are not counted.
+	// Settled asks the nodes at which revision they are settled. Nodes that don't answer before the context ends are
+	// not counted.
 	Settled(ctx context.Context, revision int64) FleetStatus
 }
 
-// Deps are what a controller is made of.
+// Deps are the dependencies of a Controller.
 type Deps struct {
-	Config   Config
-	Catalog  *catalog.Catalog
-	Self     catalog.NodeRecord
-	Counts   Counts
-	Splitter Splitter
-	Judging  EvaluatorFactory
-	States   StateWriter
-	Fleet    Fleet
-	Sender   Sender
-	Events   EventLog
-	// Clock counts the time for which the machine was suspended: an order's time goes on meanwhile.
+	Config       Config
+	Catalog      *catalog.Catalog
+	Self         catalog.NodeRecord
+	Counts       Counts
+	Splitter     Splitter
+	NewEvaluator EvaluatorFactory
+	States       StateWriter
+	Fleet        Fleet
+	Sender       Sender
+	Events       EventLog
+	// Clock counts the time for which the machine was suspended, because an order's duration continues meanwhile.
 	Clock boottime.Clock
 }
 
-// Controller carries roll-outs out at one node. Run must be called; the other methods are safe for concurrent use.
+// Controller carries out roll-outs at one node. Run must be called; the other methods are safe for concurrent use.
 type Controller struct {
 	deps     Deps
 	cfg      Config
@@ -59,18 +66,18 @@
 	holds    holds
 	reporter *reporter
 
-	// What follows belongs to the goroutine of Run.
+	// The fields up to running belong to the goroutine of Run.
 	judges     judgeSet
 	orders     map[string]*activeOrder
 	schedules  map[string]*writeSchedule
-	hasStarted bool // the first state was seen
+	hasStarted bool // a first configuration was handled
 	steppedAt  boottime.Mark
-	judgeAfter time.Time // what it knows is older than a suspension before
+	judgeAfter time.Time // after a suspension: earlier, reports may be unread
 	reportedAt time.Time
 	askedAt    time.Time
-	answeredAt time.Time // when the newest answer of the fleet was asked for
-	fleetCalls int       // calls of the fleet in flight
-	writes     int       // writes in flight
+	answeredAt time.Time // when the call of the newest answer was made
+	fleetCalls int       // in flight
+	writes     int       // in flight
 	written    chan writeResult
 	answers    chan fleetAnswer
 	running    sync.WaitGroup
@@ -78,19 +85,20 @@
 	statuses statusSnapshot
 }
 
-// writeResult is how a write went.
+// writeResult is the outcome of a write.
 type writeResult struct {
 	schedule *writeSchedule
-	record   PhaseWriteEvent
+	event    PhaseWriteEvent
 }
 
-// maxWrites bounds the writes in flight of one node: many orders at once must not flood the store.
+// maxWrites bounds the writes of one node in flight, so that many orders at once do not flood the store.
 const maxWrites = 8
 
-// changeBacklog is how many changes of configuration may wait; what overflows is seen at the next look.
+// changeBacklog is how many configuration changes may wait. Changes beyond it are picked up by the next periodic
+// step.
 const changeBacklog = 64
 
-// New makes a controller.
+// New returns a controller.
 func New(deps Deps) *Controller {
 	c := &Controller{
 		deps: deps, cfg: deps.Config, judges: judgeSet{max: deps.Config.Judges},
@@ -101,7 +109,7 @@
 	return c
 }
 
-// Run follows orders until the context ends.
+// Run follows orders until the context ends, and returns after its goroutines have ended.
 func (c *Controller) Run(ctx context.Context) {
 	changes, stop := c.deps.Catalog.Subscribe(changeBacklog)
 	defer stop()
@@ -117,7 +125,7 @@
 	}
 }
 
-// await returns when there is something to look at, and reports whether the context ended.
+// await returns when there is something to do, and reports whether the context ended.
 func (c *Controller) await(ctx context.Context, timer *time.Timer, changes <-chan catalog.Change) bool {
 	for {
 		select {
@@ -139,7 +147,7 @@
 	}
 }
 
-// concernsRollouts reports whether a change is one of an order or of a state.
+// concernsRollouts reports whether a change is of an order or of a state.
 func concernsRollouts(change catalog.Change) bool {
 	for _, entry := range change.Entries() {
 		if strings.HasPrefix(entry.Key, catalog.RolloutKey("")) || strings.HasPrefix(entry.Key, catalog.RolloutStateKey("")) {
@@ -149,12 +157,12 @@
 	return false
 }
 
-// resumeIntervals is for how many report intervals a judge that woke listens: all nodes tell of their counts within one, and
-// their way and a late tick are within another.
+// resumeIntervals is for how many report intervals a judge collects reports after its machine resumed: all nodes
+// report their counts within one; the second covers delivery and late ticks.
 const resumeIntervals = 2
 
-// mustWaitForReports reports whether the machine was suspended so short a while ago that the counts and holds which came
-// meanwhile may not be read yet. A judge that slept while a version turned bad would else find it good by old counts.
+// mustWaitForReports reports whether the machine resumed so recently that reports and holds sent meanwhile may still
+// be unread. Otherwise a judge could find a version good by counts from before it turned bad.
 func (c *Controller) mustWaitForReports(now time.Time) bool {
 	if c.steppedAt.Suspended() > 0 {
 		c.judgeAfter = now.Add(resumeIntervals * c.cfg.ReportInterval)
@@ -163,7 +171,7 @@
 	return now.Before(c.judgeAfter)
 }
 
-// step follows the orders in force, and gives when to look again at the latest.
+// step follows the orders in force and returns the longest time until the next step.
 func (c *Controller) step(ctx context.Context, now time.Time) time.Duration {
 	mustWaitForReports := c.mustWaitForReports(now)
 	view := c.deps.Catalog.View()
@@ -188,7 +196,7 @@
 	return next
 }
 
-// refreshOrders takes the orders in force, and forgets those that are over.
+// refreshOrders starts to follow the orders in force and forgets those that are over.
 func (c *Controller) refreshOrders(now time.Time, view *catalog.View) {
 	for service, known := range view.Rollouts {
 		if isUnderWay(known) {
@@ -212,14 +220,14 @@
 	c.hasStarted = true
 }
 
-// refreshOrder takes an order that is under way.
+// refreshOrder follows an order that is under way.
 func (c *Controller) refreshOrder(now time.Time, view *catalog.View, service string, known catalog.Rollout) {
 	active := c.orders[service]
 	if active == nil || active.order.ID() != known.Order.ID() {
 		active = &activeOrder{order: *known.Order, learnedAt: now, knownAtStart: !c.hasStarted}
 		c.orders[service] = active
 		if c.holds.has(orderKey{service, known.Order.ID()}) {
-			c.deps.Splitter.Hold(service, known.Order.ID()) // word of it came before the order
+			c.deps.Splitter.Hold(service, known.Order.ID()) // the hold came before the order
 		}
 		c.deps.Events.OrderSeen(OrderEvent{Order: *known.Order, Rank: c.rank(view, service)})
 	}
@@ -231,7 +239,7 @@
 	}
 }
 
-// isAnswered reports whether the state is of the order.
+// isAnswered reports whether the state belongs to the order.
 func isAnswered(known catalog.Rollout) bool {
 	return known.State != nil && known.State.BelongsTo(known.Order)
 }
@@ -241,7 +249,8 @@
 	return known.Order != nil && !(isAnswered(known) && known.State.Phase.IsFinal())
 }
 
-// isWanted reports whether counts and holds of an order still matter: it is under way, or not learned of yet.
+// isWanted reports whether counts and holds of an order still matter: it is under way, or this node has not learned
+// of it yet.
 func (c *Controller) isWanted(view *catalog.View, order orderKey) bool {
 	if order.id > revision.Count(view.Revision) {
 		return true
@@ -254,7 +263,7 @@
 	return rankOf(c.judges.of(view, service), c.deps.Self.ID)
 }
 
-// report tells the judges what this node counted, if it is time.
+// report sends this node's counts to the judges once each report interval.
 func (c *Controller) report(now time.Time, view *catalog.View) {
 	if now.Sub(c.reportedAt) < c.cfg.ReportInterval {
 		return
@@ -264,5 +273,5 @@
 	c.reporter.step(now, judges, func(order orderKey) bool { return c.isWanted(view, order) })
 }
 
-// Statuses gives the roll-outs under way as this node sees them, with the counts of those that it judges.
+// Statuses returns the roll-outs under way as this node sees them, with the counts of those that it judges.
 func (c *Controller) Statuses() []Status { return c.statuses.get() }
--- a/internal/rollout/rolloutcontrol/controller_test.go
+++ b/internal/rollout/rolloutcontrol/controller_test.go
@@ -12,7 +12,8 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// scene is a fleet of five nodes with a service "s" that is served by version a, and leafs of version b beside it.
+// scene runs a test on a fleet of five nodes with a service "s" that version a serves, and leafs of version b beside
+// it.
 func scene(t *testing.T, run func(is *is.I, f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 5)
@@ -247,8 +248,8 @@
 	}
 }
 
-// Nodes that still send to the old version are waited for until some time after the deadline; the version is not
-// rolled back for them.
+// Nodes that still send to the old version are waited for until some time after the order's end; the version is not
+// rolled back because of them.
 func TestSlowNodesDontUndoAGoodVersion(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		f.node("n1").setUnsettled()
@@ -260,7 +261,7 @@
 	})
 }
 
-// 90 orders at once are carried out within the bounds of bytes, and by few calls of the store.
+// Ninety orders at once stay within the bound of bytes and take few calls of the store.
 func TestManyOrdersAtOnce(t *testing.T) {
 	const orders = 90
 	scene(t, func(is *is.I, f *fleet) {
--- a/internal/rollout/rolloutcontrol/events.go
+++ b/internal/rollout/rolloutcontrol/events.go
@@ -6,38 +6,38 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// EventLog is told of what a node learns and does of roll-outs. Its methods are called from several goroutines and
+// EventLog records what a node learns and does about roll-outs. Its methods are called from several goroutines and
 // must not block.
 type EventLog interface {
-	// OrderSeen is told of an order that this node learned of.
+	// OrderSeen records an order that this node learned of.
 	OrderSeen(OrderEvent)
-	// PhaseLearned is told of a state that came into force.
+	// PhaseLearned records a state that came into force.
 	PhaseLearned(rollout.State)
-	// PhaseWritten is told of a write of this node, be it done or not.
+	// PhaseWritten records a write by this node, successful or not.
 	PhaseWritten(PhaseWriteEvent)
-	// Held is told of a hold that this node sent or heard.
+	// Held records a hold that this node sent or received.
 	Held(HoldEvent)
-	// RowsDropped is told of rows of counts that were not kept or not sent.
+	// RowsDropped records rows of counts that were not kept or not sent.
 	RowsDropped(RowsDroppedEvent)
-	// VersionsWritten is told that the versions of services were written down.
+	// VersionsWritten records a write of the serving versions, successful or not.
 	VersionsWritten(VersionsWriteEvent)
 }
 
 // OrderEvent is an order as a node learned of it.
 type OrderEvent struct {
 	Order rollout.Order
-	// Rank is the node's place among its judges; -1 when it is none.
+	// Rank is the node's rank among the judges of the service, -1 if it is not one of them.
 	Rank int
 }
 
-// PhaseWriteEvent is a write of a state and the counts that decided it.
+// PhaseWriteEvent is a write of a state, with the counts that led to it.
 type PhaseWriteEvent struct {
 	State rollout.State
-	// Revision is that of the write; 0 when it failed.
+	// Revision is the store's revision of the write, 0 if it failed.
 	Revision int64
 	Err      error
 	Counts   []VersionCounts
-	// Age is how old the newest of the counts is; 0 when there are none.
+	// Age is the age of the newest of the counts, 0 if there are none.
 	Age time.Duration
 }
 
@@ -46,7 +46,7 @@
 	Service string
 	Order   int64
 	Reason  string
-	// Nodes is how many nodes it was sent to.
+	// Nodes is the number of nodes that it was sent to.
 	Nodes int
 	// From is the peer address that it came from; empty when this node sent it.
 	From string
--- a/internal/rollout/rolloutcontrol/fleet_test.go
+++ b/internal/rollout/rolloutcontrol/fleet_test.go
@@ -16,7 +16,7 @@
 	"github.com/portgauge/portgauge/internal/rollout/evidence"
 )
 
-// fleet is some nodes over one store and a memory network, in virtual time.
+// fleet is a set of nodes over one store and a memory network, in virtual time.
 type fleet struct {
 	t       *testing.T
 	cfg     Config
@@ -28,7 +28,7 @@
 	nodes   map[string]*testNode
 }
 
-// all gives the nodes that run.
+// all returns the running nodes.
 func (f *fleet) all() []*testNode {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -41,7 +41,7 @@
 	return f.nodes[id]
 }
 
-// syncDelay is how long a change takes to all nodes.
+// syncDelay is how long a change takes to reach all nodes.
 const syncDelay = 100 * time.Millisecond
 
 func newFleet(t *testing.T, size int) *fleet {
@@ -58,14 +58,14 @@
 	return f
 }
 
-// start starts a node, or a process anew that has the id of one that ended.
+// start starts a node, or restarts one that was killed under the same id.
 func (f *fleet) start(id string) *testNode {
 	n := &testNode{id: id, fleet: f, catalog: catalog.New(nil), transport: f.network.Attach(id)}
 	n.rows, n.changed, n.held = map[evidence.Key]evidence.Tally{}, map[evidence.Key]bool{}, map[orderKey]bool{}
 	n.catalog.EnableRollouts()
 	view := storeView{f.store, n}
 	n.controller = New(Deps{
-		Config: f.cfg, Catalog: n.catalog, Self: catalog.NodeRecord{ID: id, Address: id}, Counts: n, Splitter: n, Judging: f.judging,
+		Config: f.cfg, Catalog: n.catalog, Self: catalog.NodeRecord{ID: id, Address: id}, Counts: n, Splitter: n, NewEvaluator: f.judging,
 		States: GuardedStateWriter{Store: view, Guarded: view, RetryPause: f.cfg.RetryPause}, Fleet: n, Sender: n, Events: n, Clock: n.clock,
 	})
 	n.transport.Serve(n)
@@ -94,7 +94,7 @@
 	}
 }
 
-// pause stops a node for a while: it neither sends nor learns, and what it sent to the store waits.
+// pause stops a node for a while: it neither sends nor receives, and its calls of the store wait.
 func (f *fleet) pause(id string, span time.Duration) {
 	node := f.node(id)
 	ended := make(chan struct{})
@@ -112,7 +112,7 @@
 	})
 }
 
-// setCut cuts a node off from the others and the store, or heals that.
+// setCut cuts a node off from the others and the store, or reconnects it.
 func (f *fleet) setCut(id string, cut bool) {
 	node := f.node(id)
 	node.mu.Lock()
@@ -129,7 +129,7 @@
 	time.Sleep(10 * time.Second)
 }
 
-// judge gives the id of a judge of a service by rank.
+// judge returns the id of a judge of a service by rank.
 func (f *fleet) judge(service string, rank int) string {
 	return f.judges(service)[rank].ID
 }
@@ -138,7 +138,7 @@
 	return judgesOf(f.all()[0].catalog.View().Nodes, service, f.cfg.Judges)
 }
 
-// nonJudge gives a node that does not judge a service.
+// nonJudge returns the id of a node that does not judge a service.
 func (f *fleet) nonJudge(service string) string {
 	for _, node := range f.all() {
 		if rankOf(f.judges(service), node.id) < 0 {
@@ -148,14 +148,14 @@
 	panic("all nodes are judges")
 }
 
-// heardBy gives the attempts that a node heard of for an order of "s".
-func (f *fleet) heardBy(id string, revision int64) int64 {
+// attemptsSeenBy returns the attempts that were reported to a node for an order of "s".
+func (f *fleet) attemptsSeenBy(id string, revision int64) int64 {
 	rows, _ := f.node(id).controller.tallies.sum(orderKey{"s", revision})
 	return attemptsOf(rows)
 }
 
-// told gives the attempts that the nodes that run counted.
-func (f *fleet) told() int64 {
+// attemptsReported returns the attempts that the running nodes counted.
+func (f *fleet) attemptsReported() int64 {
 	sum := int64(0)
 	for _, node := range f.all() {
 		sum += attemptsOf(node.Rows())
@@ -179,13 +179,13 @@
 	}
 }
 
-// order has operators ask for a version.
+// order writes an order of the operators and returns its revision.
 func (f *fleet) order(service, target string, duration time.Duration) int64 {
 	return f.store.set(catalog.RolloutKey(service), rollout.Order{Service: service, Target: target, DurationMillis: duration.Milliseconds()})
 }
 
-// serve has each node ask the version on trial of each service every 100 ms for a while, as long as it is not held;
-// the version fails from a time on.
+// serve makes each node send a request to the version on trial of each service every 100 ms, unless it is held; the
+// version fails from failsFrom on.
 func (f *fleet) serve(span, failsFrom time.Duration) {
 	const pause = 100 * time.Millisecond
 	for passed := time.Duration(0); passed < span; passed += pause {
--- a/internal/rollout/rolloutcontrol/handlers_test.go
+++ b/internal/rollout/rolloutcontrol/handlers_test.go
@@ -13,7 +13,7 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// Judges that hear nothing at first hear all counts later.
+// Judges that received no reports at first get all counts later.
 func TestReportsThatWereLostAreMadeUpFor(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		revision := f.order("s", "b", time.Hour)
@@ -22,12 +22,12 @@
 		time.Sleep(2 * f.cfg.ReportInterval) // whatever changed was told, and lost
 		f.network.SetLoss(0)
 		time.Sleep(2 * f.cfg.ResendInterval)
-		is.True(f.told() > 0)
-		is.Equal(f.heardBy(f.judge("s", 0), revision), f.told())
+		is.True(f.attemptsReported() > 0)
+		is.Equal(f.attemptsSeenBy(f.judge("s", 0), revision), f.attemptsReported())
 	})
 }
 
-// A node that a hold did not reach is told again as long as it counts.
+// A node that did not receive a hold is sent it again while it reports counts.
 func TestHoldThatWasLostIsToldAgain(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		missed := f.nonJudge("s")
@@ -43,7 +43,7 @@
 	})
 }
 
-// Word of a hold that overtakes its order holds the order when that comes.
+// A hold that arrives before its order applies once the order does.
 func TestHoldBeforeItsOrder(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		node := f.node("n0")
@@ -55,7 +55,7 @@
 	})
 }
 
-// A call of the fleet that hangs does not keep the next one back.
+// A fleet call that hangs does not delay the next one.
 func TestSilentNodeDoesNotHoldTheSwitchUp(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		f.node(f.judge("s", 0)).hangs.Store(1)
@@ -65,7 +65,7 @@
 	})
 }
 
-// A node that answers without being registered does not stand in for a registered one that is silent.
+// A node that answers without being registered does not count for a registered one that is silent.
 func TestUnregisteredNodeDoesNotStandIn(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		silent := f.nonJudge("s")
@@ -83,7 +83,7 @@
 	})
 }
 
-// A judge that heard no counts itself takes another's word that the version is bad.
+// A judge without counts of its own applies the hold of another.
 func TestJudgesBelieveAHold(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		first, second, third := f.judge("s", 0), f.judge("s", 1), f.judge("s", 2)
@@ -98,7 +98,7 @@
 	})
 }
 
-// A judge that told of no counts hears of a hold, also when the first word of it is lost.
+// A judge that reported no counts receives the hold too, even if the first message is lost.
 func TestJudgesWithoutCountsHearOfAHold(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		first, second, third := f.judge("s", 0), f.judge("s", 1), f.judge("s", 2)
@@ -114,7 +114,7 @@
 	})
 }
 
-// gates hold the writes for each order until they are opened.
+// gates delay the write for each order until its channel is closed.
 type gates map[int64]chan struct{}
 
 func (g gates) Write(_ context.Context, _ rollout.State, _, order int64) (int64, error) {
@@ -122,14 +122,14 @@
 	return 1, nil
 }
 
-// A write that ends after its order was replaced settles nothing of the next one's.
+// A write that ends after its order was replaced does not change the schedule of the next one.
 func TestLateWriteSettlesItsOwnPenOnly(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		writes := gates{1: make(chan struct{}), 2: make(chan struct{})}
 		c := New(Deps{Config: f.cfg, States: writes, Events: f.node("n0"), Catalog: f.node("n0").catalog})
 		begin := func(order int64) *writeSchedule {
 			state := rollout.State{Service: "s", OrderRevision: order, Phase: rollout.Canary}
-			c.write(context.Background(), time.Now(), PhaseWriteEvent{State: state}, 0, order, 0)
+			c.write(context.Background(), time.Now(), phaseWrite{event: PhaseWriteEvent{State: state}, order: order})
 			synctest.Wait()
 			return c.schedules["s"]
 		}
@@ -146,7 +146,7 @@
 	})
 }
 
-// New judges of a service hear what was counted before they were judges.
+// New judges of a service get the counts from before they were judges.
 func TestNewJudgesHearAllCounts(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		revision := f.order("s", "b", time.Hour)
@@ -155,12 +155,12 @@
 		f.store.set(catalog.NodeKey(f.judge("s", 0)), nil)
 		time.Sleep(syncDelay + 2*f.cfg.ReportInterval)
 		for _, judge := range f.judges("s") {
-			is.Equal(f.heardBy(judge.ID, revision), f.told())
+			is.Equal(f.attemptsSeenBy(judge.ID, revision), f.attemptsReported())
 		}
 	})
 }
 
-// A process that starts anew counts from nothing; what the one before it told is neither lost nor counted twice.
+// A restarted process counts from zero; the counts of the one before it are neither lost nor counted twice.
 func TestReporterThatRestarts(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		revision := f.order("s", "b", time.Hour)
@@ -168,7 +168,7 @@
 		f.serve(2*time.Second, never)
 		time.Sleep(time.Second)
 		restarted := f.nonJudge("s")
-		count := func() int64 { return f.heardBy(reports, revision) }
+		count := func() int64 { return f.attemptsSeenBy(reports, revision) }
 		before := count()
 		f.kill(restarted)
 		node := f.start(restarted)
@@ -182,22 +182,22 @@
 	})
 }
 
-// A node that starts in the middle of an order takes the time that passed from the state.
-// The time of an order goes on while machines are suspended.
+// An order's time continues while machines are suspended.
 func TestSuspendedJudgesKeepTheDeadline(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		f.order("s", "missing", usual)
 		f.serve(usual/2, never)
 		is.Equal(f.store.phases("s"), []rollout.Phase{rollout.Canary})
 		for _, node := range f.all() {
-			node.slept.Store(int64(usual / 2))
+			node.suspended.Store(int64(usual / 2))
 		}
 		f.serve(2*time.Second, never) // they hear first what came meanwhile
 		is.Equal(f.store.phases("s"), rollsBack)
 	})
 }
 
-// A judge that slept past the time at which a version may be found good hears first that it turned bad meanwhile.
+// A judge that was suspended past the time from which a version may be found good reads the reports first, by which it
+// turned bad meanwhile.
 func TestJudgeThatWakesHearsFirst(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		f.order("s", "b", usual)
@@ -205,7 +205,7 @@
 		first := f.judge("s", 0)
 		f.pause(first, 500*time.Millisecond)
 		f.serve(300*time.Millisecond, 0)
-		f.node(first).slept.Store(int64(usual / 2))
+		f.node(first).suspended.Store(int64(usual / 2))
 		f.serve(time.Second, 0)
 		is.Equal(f.store.phases("s"), rollsBack)
 	})
--- a/internal/rollout/rolloutcontrol/holds.go
+++ b/internal/rollout/rolloutcontrol/holds.go
@@ -1,18 +1,24 @@
 package rolloutcontrol
 
-import "sync"
+import (
+	"sync"
+	"time"
 
-// maxHolds bounds the orders held: more than there are services with a roll-out at once.
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/fleet/peer"
+)
+
+// maxHolds bounds the orders that are held, well above the services with a roll-out at once.
 const maxHolds = 4096
 
-// holds are the orders whose versions were found bad, and why. The zero value is empty; it is safe for concurrent
-// use.
+// holds are the orders whose versions were found bad, with the reasons. The zero value is empty; it is safe for
+// concurrent use.
 type holds struct {
 	mu      sync.Mutex
 	reasons map[orderKey]string
 }
 
-// add notes a hold and reports whether it is new.
+// add adds a hold and reports whether it is new.
 func (h *holds) add(order orderKey, reason string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -26,7 +32,7 @@
 	return true
 }
 
-// reason gives why an order is held.
+// reason returns why an order is held, and whether it is.
 func (h *holds) reason(order orderKey) (string, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -49,3 +55,38 @@
 		}
 	}
 }
+
+// hold makes this node and all nodes that reported counts for an order stop sending requests to its version, whether
+// or not the store accepts the verdict.
+func (c *Controller) hold(order orderKey, reason string) {
+	if !c.holds.add(order, reason) {
+		return
+	}
+	c.deps.Splitter.Hold(order.service, order.id)
+	nodes := 0
+	for _, address := range c.tallies.addresses(order) {
+		if address != c.deps.Self.Address {
+			c.sendHold(address, order)
+			nodes++
+		}
+	}
+	c.deps.Events.Held(HoldEvent{Service: order.service, Order: order.id, Reason: reason, Nodes: nodes})
+}
+
+func (c *Controller) sendHold(address string, order orderKey) {
+	c.deps.Sender.Send(address, peer.Message{RolloutHold: &peer.RolloutHold{Service: order.service, Order: order.id}})
+}
+
+// warnJudges sends a hold to the other judges once each report interval until the state is written, because the store
+// may accept the write of any of them.
+func (c *Controller) warnJudges(now time.Time, view *catalog.View, active *activeOrder, order orderKey) {
+	if now.Sub(active.warnedAt) < c.cfg.ReportInterval {
+		return
+	}
+	active.warnedAt = now
+	for _, judge := range c.judges.of(view, order.service) {
+		if judge.ID != c.deps.Self.ID {
+			c.sendHold(judge.Address, order)
+		}
+	}
+}
--- a/internal/rollout/rolloutcontrol/judge.go
+++ b/internal/rollout/rolloutcontrol/judge.go
@@ -9,8 +9,8 @@
 	"github.com/portgauge/portgauge/internal/rollout/verdict"
 )
 
-// follow does what this node must do now for the roll-out of a service, and gives when to look again, 0 for the
-// usual time.
+// follow does what this node must do now for the roll-out of a service. It returns the time until the next check, 0
+// for the report interval.
 func (c *Controller) follow(ctx context.Context, now time.Time, view *catalog.View, service string, known catalog.Rollout) time.Duration {
 	rank := c.rank(view, service)
 	active := c.orders[service]
@@ -27,56 +27,75 @@
 	}
 }
 
-// judge looks at the counts of an order and writes what follows.
-func (c *Controller) judge(ctx context.Context, now time.Time, view *catalog.View, t *activeOrder, rank int) time.Duration {
-	order := orderKey{t.order.Service, t.order.ID()}
+// judge evaluates the counts of an order, stops a version found bad, and writes the phase that follows. It returns the
+// time until the next check, 0 for the report interval.
+func (c *Controller) judge(ctx context.Context, now time.Time, view *catalog.View, active *activeOrder, rank int) time.Duration {
+	order := orderKey{active.order.Service, active.order.ID()}
 	rows, newest := c.tallies.sum(order)
 	if reason, isHeld := c.holds.reason(order); isHeld {
-		t.judgement = verdict.Judgement{Finding: verdict.Bad, Reason: reason}
+		active.judgement = verdict.Judgement{Finding: verdict.Bad, Reason: reason}
 	}
-	t.judge(now, c.deps.Judging, rows, newest)
-	if t.judgement.Finding == verdict.Bad {
-		c.hold(order, t.judgement.Reason)
-		c.warnJudges(now, view, t, order)
+	active.judge(now, c.deps.NewEvaluator, rows, newest)
+	if active.judgement.Finding == verdict.Bad {
+		c.hold(order, active.judgement.Reason)
+		c.warnJudges(now, view, active, order)
 	}
-	untilMargin := t.order.Duration() - c.cfg.rollbackMargin(t.order.Duration()) - t.elapsed(now)
-	phase, reason := t.nextPhase(now, c.cfg, c.judges.fingerprint(view))
+	untilMargin := active.order.Duration() - c.cfg.rollbackMargin(active.order.Duration()) - active.elapsed(now)
+	phase, reason := active.nextPhase(now, c.cfg, c.judges.fingerprint(view))
 	if phase == "" {
 		return untilMargin
 	}
-	replaced := int64(0)
-	if state := view.Rollouts[t.order.Service].State; state != nil {
-		replaced = state.Revision
-	}
-	state := t.stateOf(now, phase, reason, c.deps.Self.ID)
-	record := PhaseWriteEvent{State: state, Counts: countVersions(rows)}
-	if !newest.IsZero() {
-		record.Age = now.Sub(newest)
-	}
-	pause := time.Duration(rank) * c.cfg.takeoverPause(phase, t.order.Duration())
-	dueIn := c.write(ctx, now, record, replaced, t.order.Revision, pause)
+	state := active.stateOf(now, phase, reason, c.deps.Self.ID)
+	dueIn := c.write(ctx, now, c.phaseWriteOf(now, view, active, state, rank))
 	if untilMargin > 0 && dueIn > 0 {
 		return min(untilMargin, dueIn)
 	}
 	return max(untilMargin, dueIn)
 }
 
-// endWithoutOrder ends a roll-out whose order was taken back: the version that served serves on.
+// phaseWrite is a write of a state that a judge wants done.
+type phaseWrite struct {
+	event PhaseWriteEvent
+	// replaced is the revision of the state that the write replaces, 0 for none.
+	replaced int64
+	// order is the revision at which the order must still be, 0 for no order.
+	order int64
+	// delay is how long the write must have been due before this judge sends it: the judges before it go first.
+	delay time.Duration
+}
+
+// phaseWriteOf returns the write of a new state of an order.
+func (c *Controller) phaseWriteOf(now time.Time, view *catalog.View, active *activeOrder, state rollout.State, rank int) phaseWrite {
+	event := PhaseWriteEvent{State: state, Counts: countVersions(active.rows)}
+	if !active.newestAt.IsZero() {
+		event.Age = now.Sub(active.newestAt)
+	}
+	replaced := int64(0)
+	if before := view.Rollouts[active.order.Service].State; before != nil {
+		replaced = before.Revision
+	}
+	delay := time.Duration(rank) * c.cfg.takeoverPause(state.Phase, active.order.Duration())
+	return phaseWrite{event: event, replaced: replaced, order: active.order.Revision, delay: delay}
+}
+
+// endWithoutOrder ends a roll-out whose order was withdrawn: the version that served continues to serve.
 func (c *Controller) endWithoutOrder(ctx context.Context, now time.Time, state rollout.State, rank int) time.Duration {
 	replaced := state.Revision
 	state.Phase, state.Reason, state.DecidedBy = rollout.RolledBack, "the order was taken back", c.deps.Self.ID
-	return c.write(ctx, now, PhaseWriteEvent{State: state}, replaced, 0, time.Duration(rank)*c.cfg.TakeoverPause)
+	delay := time.Duration(rank) * c.cfg.TakeoverPause
+	return c.write(ctx, now, phaseWrite{event: PhaseWriteEvent{State: state}, replaced: replaced, delay: delay})
 }
 
-// write sends a state to the store if that is due, and gives when it is if it is not.
-func (c *Controller) write(ctx context.Context, now time.Time, record PhaseWriteEvent, replaced, order int64, pause time.Duration) time.Duration {
-	service := record.State.Service
-	if c.schedules[service] == nil {
-		c.schedules[service] = &writeSchedule{}
+// write sends a state to the store if that is due; otherwise it returns the time until it is, 0 if that does not depend
+// on time.
+func (c *Controller) write(ctx context.Context, now time.Time, w phaseWrite) time.Duration {
+	state := w.event.State
+	if c.schedules[state.Service] == nil {
+		c.schedules[state.Service] = &writeSchedule{}
 	}
-	schedule := c.schedules[service]
-	if !schedule.isDue(now, plannedWrite{record.State.Phase, record.State.OrderRevision, replaced}, pause) {
-		return schedule.dueIn(now, pause)
+	schedule := c.schedules[state.Service]
+	if !schedule.isDue(now, plannedWrite{state.Phase, state.OrderRevision, w.replaced}, w.delay) {
+		return schedule.dueIn(now, w.delay)
 	}
 	if c.writes >= maxWrites {
 		return 0
@@ -86,18 +105,18 @@
 	c.running.Go(func() {
 		writeCtx, cancel := context.WithTimeout(ctx, c.cfg.WriteTimeout)
 		defer cancel()
-		record.Revision, record.Err = c.deps.States.Write(writeCtx, record.State, replaced, order)
+		w.event.Revision, w.event.Err = c.deps.States.Write(writeCtx, state, w.replaced, w.order)
 		select {
-		case c.written <- writeResult{schedule, record}:
+		case c.written <- writeResult{schedule, w.event}:
 		case <-ctx.Done():
 		}
 	})
 	return 0
 }
 
-// writeDone notes how a write went.
+// writeDone records the outcome of a write.
 func (c *Controller) writeDone(now time.Time, result writeResult) {
 	c.writes--
-	c.deps.Events.PhaseWritten(result.record)
-	result.schedule.done(now, result.record.Err, c.cfg)
+	c.deps.Events.PhaseWritten(result.event)
+	result.schedule.done(now, result.event.Err, c.cfg)
 }
--- a/internal/rollout/rolloutcontrol/judgeset.go
+++ b/internal/rollout/rolloutcontrol/judgeset.go
@@ -8,13 +8,13 @@
 	"github.com/portgauge/portgauge/internal/fleet/registry"
 )
 
-// rankOf gives the place of a node among some; -1 when it is not among them.
+// rankOf returns the index of a node in a list, -1 if it is not in it.
 func rankOf(nodes []catalog.NodeRecord, id string) int {
 	return slices.IndexFunc(nodes, func(node catalog.NodeRecord) bool { return node.ID == id })
 }
 
-// judgesOf gives the nodes that judge the roll-out of a service: the first by rank of distinct zones, then, where
-// there are fewer zones, the first of the others.
+// judgesOf returns the nodes that judge the roll-out of a service: the first by rendezvous hash in distinct zones,
+// then, if there are too few zones, the first of the others.
 func judgesOf(nodes map[string]catalog.NodeRecord, service string, most int) []catalog.NodeRecord {
 	var judges, others []catalog.NodeRecord
 	zones := map[string]bool{}
@@ -30,8 +30,8 @@
 	return judges[:min(most, len(judges))]
 }
 
-// judgeSet remembers the judges of services for as long as the registered nodes stay the same. The zero judgeSet is
-// empty; it is not safe for concurrent use.
+// judgeSet caches the judges of services while the registered nodes stay the same. The zero value is empty; it is not
+// safe for concurrent use.
 type judgeSet struct {
 	max              int
 	view             *catalog.View
@@ -40,7 +40,7 @@
 	nodesFingerprint uint64 // the fingerprint of nodes
 }
 
-// of gives the judges of a service. The slice is shared and the same as long as the nodes are.
+// of returns the judges of a service. The slice is shared, and stays the same while the nodes do.
 func (s *judgeSet) of(view *catalog.View, service string) []catalog.NodeRecord {
 	s.refresh(view)
 	judges, found := s.byService[service]
@@ -51,13 +51,13 @@
 	return judges
 }
 
-// fingerprint gives that of the registered nodes.
+// fingerprint returns the fingerprint of the registered nodes.
 func (s *judgeSet) fingerprint(view *catalog.View) uint64 {
 	s.refresh(view)
 	return s.nodesFingerprint
 }
 
-// refresh takes the nodes of a view.
+// refresh empties the cache if the nodes of the view differ.
 func (s *judgeSet) refresh(view *catalog.View) {
 	if view == s.view {
 		return
--- a/internal/rollout/rolloutcontrol/node_test.go
+++ b/internal/rollout/rolloutcontrol/node_test.go
@@ -34,8 +34,8 @@
 	silent    bool // it asks nothing
 	unsettled bool
 	sentBytes int
-	// slept is for how long the machine was suspended, in nanoseconds.
-	slept atomic.Int64
+	// suspended is for how long the machine was suspended, in nanoseconds.
+	suspended atomic.Int64
 	// hangs is how many more calls of the fleet take as long as they may.
 	hangs atomic.Int32
 	// calls are those of the fleet that this node made; switched is when it learned that the requests move.
@@ -43,8 +43,8 @@
 	switched time.Time
 }
 
-// clock counts suspended time beside the virtual one.
-func (n *testNode) clock() time.Time { return time.Now().Add(time.Duration(n.slept.Load())) }
+// clock returns the virtual time plus the time that the machine was suspended.
+func (n *testNode) clock() time.Time { return time.Now().Add(time.Duration(n.suspended.Load())) }
 
 func (n *testNode) TakeChanged(most int) []evidence.Row {
 	n.mu.Lock()
@@ -69,7 +69,7 @@
 	return rows
 }
 
-// row gives a copy of the counts of a key; the lock must be held.
+// row returns a copy of the counts of a key; the lock must be held.
 func (n *testNode) row(key evidence.Key) evidence.Row {
 	counts := evidence.Tally{}
 	counts.Add(n.rows[key])
@@ -131,7 +131,7 @@
 
 func (n *testNode) HandleCall(context.Context, peer.Message) peer.Message { return peer.Message{} }
 
-// Settled counts the nodes that this one reaches.
+// Settled returns the status of the nodes that this one reaches.
 func (n *testNode) Settled(ctx context.Context, _ int64) FleetStatus {
 	n.calls.Add(1)
 	if n.hangs.Add(-1) >= 0 {
@@ -239,17 +239,17 @@
 	}
 }
 
-// plainJudging finds a version bad by 10 failures, and good without any after half of the time.
-type plainJudging struct {
+// thresholdEvaluator finds a version bad by 10 failures, and good after half of the time without any.
+type thresholdEvaluator struct {
 	trial    string
 	duration time.Duration
 }
 
 func newPlainJudging(_, trial string, duration time.Duration) Evaluator {
-	return plainJudging{trial, duration}
+	return thresholdEvaluator{trial, duration}
 }
 
-func (j plainJudging) Update(elapsed time.Duration, rows []evidence.Row) verdict.Judgement {
+func (j thresholdEvaluator) Update(elapsed time.Duration, rows []evidence.Row) verdict.Judgement {
 	for _, one := range countVersions(rows) {
 		switch {
 		case one.Version != j.trial:
--- a/internal/rollout/rolloutcontrol/order.go
+++ b/internal/rollout/rolloutcontrol/order.go
@@ -10,73 +10,64 @@
 	"github.com/portgauge/portgauge/internal/rollout/verdict"
 )
 
-// FleetStatus is what the nodes that answered say of how far they are.
-type FleetStatus struct {
-	// Answered is how many answered.
-	Answered int
-	// Registered is the fingerprint of those of them that are registered.
-	Registered uint64
-	// LowestSettled is the least revision at which one of them is settled: it sends nothing by an older rule and has
-	// nothing in flight by one.
-	LowestSettled int64
-}
-
-// activeOrder is one order as this node follows it.
+// activeOrder is an order under way as this node follows it.
 type activeOrder struct {
 	order rollout.Order
-	// learnedAt is when this node learnedAt of the order. hadAtStart says that it was in the first state that the node
-	// had: then the time that had passed until learnedAt is told by the state only.
+	// learnedAt is when this node learned of the order. knownAtStart says that the order was in the first
+	// configuration that the node had; elapsedBefore is then the time that had passed before learnedAt, as given by
+	// the state.
 	learnedAt     time.Time
 	knownAtStart  bool
 	elapsedBefore time.Duration
 
-	// serving is the version that serves meanwhile; isServingKnown says that it was found, be it the empty one of
-	// leafs that tell none.
+	// serving is the version that serves meanwhile; it may be empty, for leafs without a version. isServingKnown says
+	// that it was determined.
 	serving        string
 	isServingKnown bool
 
 	evaluator Evaluator
 	judgement verdict.Judgement
 	rows      []evidence.Row
-	newestAt  time.Time // when the newest of the rows came
+	newestAt  time.Time // when the newest of the rows arrived
 
-	warnedAt time.Time // when the other judges were told of a hold last
+	warnedAt time.Time // when the hold was last sent to the other judges
 
-	state          *rollout.State // the one in force that answers the order; nil before the first
+	state          *rollout.State // the one in force for the order; nil before the first
 	switchingSince time.Time
-	// settledSince is from when the nodes are known to be settled, or no more of them are waited for; zero until then.
+	// settledSince is when the nodes were known to be settled, or were no longer waited for; zero until then.
 	settledSince time.Time
 	status       FleetStatus
 }
 
-// refresh takes what is in force of the order's roll-out.
-func (t *activeOrder) refresh(now time.Time, view *catalog.View) {
-	known := view.Rollouts[t.order.Service]
-	if known.State != nil && known.State.BelongsTo(&t.order) {
-		t.setState(now, known.State)
+// refresh updates the order's state and serving version from the configuration in force.
+func (o *activeOrder) refresh(now time.Time, view *catalog.View) {
+	known := view.Rollouts[o.order.Service]
+	if known.State != nil && known.State.BelongsTo(&o.order) {
+		o.setState(now, known.State)
 	} else {
-		t.state = nil
+		o.state = nil
 	}
-	if !t.isServingKnown {
-		t.serving, t.isServingKnown = servingVersion(view, t.order)
+	if !o.isServingKnown {
+		o.serving, o.isServingKnown = servingVersion(view, o.order)
 	}
 }
 
-func (t *activeOrder) setState(now time.Time, state *rollout.State) {
-	isFirst := t.state == nil
-	if isFirst && t.knownAtStart {
-		passed := time.Duration(t.learnedAt.UnixMilli()-state.StartedUnixMillis) * time.Millisecond
-		t.elapsedBefore = min(max(passed, 0), t.order.Duration())
+func (o *activeOrder) setState(now time.Time, state *rollout.State) {
+	isFirst := o.state == nil
+	if isFirst && o.knownAtStart {
+		passed := time.Duration(o.learnedAt.UnixMilli()-state.StartedUnixMillis) * time.Millisecond
+		o.elapsedBefore = min(max(passed, 0), o.order.Duration())
 	}
-	if state.Phase == rollout.Switching && t.phase() != rollout.Switching {
-		t.switchingSince, t.settledSince, t.status = now, time.Time{}, FleetStatus{}
+	if state.Phase == rollout.Switching && o.phase() != rollout.Switching {
+		o.switchingSince, o.settledSince, o.status = now, time.Time{}, FleetStatus{}
 	}
-	t.state = state
-	t.serving, t.isServingKnown = state.Serving, true
+	o.state = state
+	o.serving, o.isServingKnown = state.Serving, true
 }
 
-// servingVersion gives the version that serves beside the target of an order: by the rule in force, or else that of
-// most of the other leafs. Where all leafs there are are of the target, it serves. False while there are none.
+// servingVersion returns the version that serves beside the target of an order: that of the rule in force, else that
+// of most of the other leafs. If all leafs are of the target, that is the target itself. It returns false while there
+// are no leafs.
 func servingVersion(view *catalog.View, order rollout.Order) (string, bool) {
 	if serving := view.Leafs.Rule(order.Service).Serving; serving != "" {
 		return serving, true
@@ -98,95 +89,42 @@
 	return best, found
 }
 
-// phase gives how far the roll-out is; empty before the first state.
-func (t *activeOrder) phase() rollout.Phase {
-	if t.state == nil {
+// phase returns the phase of the roll-out, empty before the first state.
+func (o *activeOrder) phase() rollout.Phase {
+	if o.state == nil {
 		return ""
 	}
-	return t.state.Phase
+	return o.state.Phase
 }
 
-// elapsed gives how much of the order's time is over; it goes on after its end.
-func (t *activeOrder) elapsed(now time.Time) time.Duration {
-	return t.elapsedBefore + now.Sub(t.learnedAt)
+// elapsed returns the time since the order was accepted; it may exceed the order's duration.
+func (o *activeOrder) elapsed(now time.Time) time.Duration {
+	return o.elapsedBefore + now.Sub(o.learnedAt)
 }
 
-// judge looks at the counts. A version once found bad stays so, one found good until it is found bad.
-func (t *activeOrder) judge(now time.Time, factory EvaluatorFactory, rows []evidence.Row, newest time.Time) {
-	t.rows, t.newestAt = rows, newest
-	if t.judgement.Finding == verdict.Bad || !t.isServingKnown {
+// judge evaluates the counts. A bad finding is final, and a good one only changes to bad.
+func (o *activeOrder) judge(now time.Time, factory EvaluatorFactory, rows []evidence.Row, newest time.Time) {
+	o.rows, o.newestAt = rows, newest
+	if o.judgement.Finding == verdict.Bad || !o.isServingKnown {
 		return
 	}
-	if t.evaluator == nil {
-		t.evaluator = factory(t.serving, t.order.Target, t.order.Duration())
-	}
-	found := t.evaluator.Update(t.elapsed(now), rows)
-	if found.Finding == verdict.Bad || t.judgement.Finding != verdict.Good {
-		t.judgement = found
-	}
-}
-
-// nextPhase gives the phase that should be written now and why; empty for none. Registered is the fingerprint of the nodes
-// that are registered.
-func (t *activeOrder) nextPhase(now time.Time, cfg Config, registered uint64) (rollout.Phase, string) {
-	switch {
-	case t.state == nil && t.isServingKnown && t.serving == t.order.Target:
-		return rollout.Succeeded, "the version serves already"
-	case t.judgement.Finding == verdict.Bad:
-		return rollout.RolledBack, t.judgement.Reason
-	case t.phase() == rollout.Switching:
-		return t.nextWhileSwitching(now, cfg, registered)
-	case t.judgement.Finding == verdict.Good:
-		return rollout.Switching, t.judgement.Reason
-	case t.elapsed(now) >= t.order.Duration()-cfg.rollbackMargin(t.order.Duration()):
-		return rollout.RolledBack, undecidedReason(t.order.Target, t.rows)
-	case t.state == nil && t.isServingKnown:
-		return rollout.Canary, ""
-	default:
-		return "", ""
+	if o.evaluator == nil {
+		o.evaluator = factory(o.serving, o.order.Target, o.order.Duration())
 	}
-}
-
-// nextWhileSwitching ends the switching phase once the nodes are settled and the version was looked at with all requests. A good
-// version is not rolled back for slow nodes: those that don't answer are waited for only so long, and from the end of the
-// time on the others, too.
-func (t *activeOrder) nextWhileSwitching(now time.Time, cfg Config, registered uint64) (rollout.Phase, string) {
-	isWaitOver := now.Sub(t.switchingSince) >= cfg.SettleWait
-	isSettled := t.status.Answered > 0 && t.status.LowestSettled >= t.state.Revision
-	isDone := isSettled && (isWaitOver || t.status.Registered == registered)
-	switch {
-	case isDone && !t.isFinalWatchOver(now, cfg):
-		return "", ""
-	case isSettled && t.status.Registered == registered:
-		return rollout.Succeeded, "all nodes are settled"
-	case isSettled && isWaitOver:
-		return rollout.Succeeded, "all nodes that answer are settled"
-	case isWaitOver && t.elapsed(now) >= t.order.Duration()+cfg.SettleWait:
-		return rollout.Succeeded, "found good, and the time is over"
-	default:
-		return "", ""
-	}
-}
-
-// isFinalWatchOver reports whether the version had all requests for long enough to show what it does with them, or there is no more
-// time for that. The order has one outcome, and the old leafs may end with it: a version that fails under full load only was
-// told to have succeeded within a second of it.
-func (t *activeOrder) isFinalWatchOver(now time.Time, cfg Config) bool {
-	if t.settledSince.IsZero() {
-		t.settledSince = now
+	found := o.evaluator.Update(o.elapsed(now), rows)
+	if found.Finding == verdict.Bad || o.judgement.Finding != verdict.Good {
+		o.judgement = found
 	}
-	duration := t.order.Duration()
-	return now.Sub(t.settledSince) >= cfg.finalWatch(duration) || t.elapsed(now) >= duration
 }
 
-// stateOf gives the state to write for a phase.
-func (t *activeOrder) stateOf(now time.Time, phase rollout.Phase, reason, self string) rollout.State {
-	started := now.Add(-t.elapsed(now)).UnixMilli()
-	if t.state != nil {
-		started = t.state.StartedUnixMillis
+// stateOf returns the state to write for a phase.
+func (o *activeOrder) stateOf(now time.Time, phase rollout.Phase, reason, self string) rollout.State {
+	started := now.Add(-o.elapsed(now)).UnixMilli()
+	if o.state != nil {
+		started = o.state.StartedUnixMillis
 	}
 	return rollout.State{
-		Service: t.order.Service, OrderRevision: revision.Count(t.order.Revision), Phase: phase, Serving: t.serving, Target: t.order.Target,
+		Service: o.order.Service, OrderRevision: revision.Count(o.order.Revision), Phase: phase, Serving: o.serving, Target: o.order.Target,
 		StartedUnixMillis: started, Reason: reason, DecidedBy: self,
 	}
 }
--- a/internal/rollout/rolloutcontrol/packing.go
+++ b/internal/rollout/rolloutcontrol/packing.go
@@ -11,37 +11,38 @@
 
 // Bounds of packed rows.
 const (
-	// envelopeBytes is about what a datagram takes beside its rows and the sender's id: the names of its fields,
-	// the sender's address and its start.
+	// envelopeBytes is roughly the size of a datagram without its rows and the sender's id: the names of its fields,
+	// the sender's address and its start time.
 	envelopeBytes = 200
 	// headerBytes are the IP and UDP headers.
 	headerBytes = 28
-	// maxHistogramBuckets bounds the buckets of a histogram that is believed, with room for finer ones than today's.
+	// maxHistogramBuckets bounds the buckets of a received histogram, with room for finer ones than this version
+	// sends.
 	maxHistogramBuckets = 256
 	// maxNameBytes bounds a name in a row, in bytes.
 	maxNameBytes = 255
-	// maxCount bounds a count that is believed, so that sums stay far from overflow.
+	// maxCount bounds a received count, so that sums stay far from overflow.
 	maxCount = 1 << 40
 )
 
-// packedRoom is how many bytes of packed rows fit into a datagram of a node.
+// packedRoom returns how many bytes of packed rows fit into a datagram of a node.
 func packedRoom(node string) int {
 	return (peer.MaximumDatagram - envelopeBytes - len(node)) / 4 * 3
 }
 
-// datagramBytes is about the size on the wire of a datagram with packed rows.
+// datagramBytes returns the approximate size on the wire of a datagram with packed rows.
 func datagramBytes(node string, packed int) int {
 	return envelopeBytes + len(node) + (packed+2)/3*4 + headerBytes
 }
 
-// packer packs rows for one datagram. Names that came before are told by number: the rows of a datagram have most
-// of them in common.
+// packer packs rows for one datagram. A name that occurred before is replaced by its number, since the rows of a
+// datagram share most names.
 type packer struct {
 	content []byte
 	names   map[string]uint64
 }
 
-// add packs a row if it fits into some room, and reports whether it did.
+// add packs a row if it fits into the given room, and reports whether it did.
 func (p *packer) add(row evidence.Row, room int) bool {
 	if p.names == nil {
 		p.names = map[string]uint64{}
@@ -70,7 +71,7 @@
 	return false
 }
 
-// name packs a name: its number, and the name itself if it is new. Numbers begin at 1, 0 announces a new name.
+// name packs a name: its number, or 0 followed by the name itself if it is new. Numbers start at 1.
 func (p *packer) name(name string) {
 	number, found := p.names[name]
 	if found {
@@ -97,14 +98,14 @@
 	}
 }
 
-// unpacker reads what a packer packed; it keeps the first fault.
+// unpacker reads what a packer packed; it remembers the first error.
 type unpacker struct {
 	content []byte
 	names   []string
 	broken  bool
 }
 
-// unpack reads all rows of a datagram, or none if any of it can't be read.
+// unpack returns all rows of a datagram, or an error if any of it is malformed.
 func unpack(content []byte) ([]evidence.Row, error) {
 	u := &unpacker{content: content}
 	var rows []evidence.Row
--- a/internal/rollout/rolloutcontrol/property_test.go
+++ b/internal/rollout/rolloutcontrol/property_test.go
@@ -12,8 +12,8 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// happening is something that befalls a fleet, and how long it is left to itself after it.
-type happening struct {
+// fault is a fault of a fleet, and how long it is left alone after it.
+type fault struct {
 	what string
 	node string
 	// target and seconds are of an order.
@@ -27,9 +27,9 @@
 	"messages lost", "messages pass", "fails", "works",
 }
 
-func drawHappenings(t *rapid.T) []happening {
-	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) happening {
-		return happening{
+func drawFaults(t *rapid.T) []fault {
+	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) fault {
+		return fault{
 			what:    rapid.SampledFrom(kinds).Draw(t, "what"),
 			node:    fmt.Sprintf("n%d", rapid.IntRange(0, 4).Draw(t, "node")),
 			target:  rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "target"),
@@ -39,8 +39,8 @@
 	}), 1, 14).Draw(t, "happenings")
 }
 
-// befall has something happen, and reports whether versions on trial fail from then on.
-func (f *fleet) befall(h happening, fails bool) bool {
+// inject injects a fault and reports whether versions on trial fail from then on.
+func (f *fleet) inject(h fault, fails bool) bool {
 	switch h.what {
 	case "order":
 		f.order("s", h.target, time.Duration(h.seconds)*time.Second)
@@ -77,7 +77,7 @@
 	return fails
 }
 
-// healAll ends all that fails.
+// healAll ends all faults.
 func (f *fleet) healAll() {
 	f.store.fail(func(m *memoryStore) {
 		m.isDown, m.loseDone, m.loseUndone = false, 0, 0
@@ -91,7 +91,7 @@
 	}
 }
 
-// rankOfPhase orders phases: none may follow on one of a higher or, if final, the same rank.
+// rankOfPhase orders phases: none may follow one of a higher or, if final, the same rank.
 func rankOfPhase(phase rollout.Phase) int {
 	switch phase {
 	case rollout.Canary:
@@ -103,7 +103,7 @@
 	}
 }
 
-// violation says what is wrong with the states that were written; empty for nothing.
+// violation describes what is wrong with the states that were written; empty for nothing.
 func (m *memoryStore) violation() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -123,7 +123,7 @@
 	return ""
 }
 
-// unfinished says whether the last order, or a state whose order was taken back, was left without an end.
+// unfinished describes a last order, or a state of a withdrawn order, without a final phase; empty for none.
 func (m *memoryStore) unfinished() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -141,11 +141,11 @@
 	return ""
 }
 
-// Whatever fails: at most one of the final phases is written for an order, none for one that was replaced, phases
-// never go back, and once nothing fails any more each order comes to its end.
+// Under any faults at most one final phase is written for an order, none for one that was replaced, phases never go
+// back, and without faults each order comes to its end.
 func TestOneEndForEachOrderWhateverFails(t *testing.T) {
 	rapid.Check(t, func(check *rapid.T) {
-		happenings := drawHappenings(check)
+		happenings := drawFaults(check)
 		var violated, unfinished string
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t, 5)
@@ -157,7 +157,7 @@
 			time.Sleep(time.Second)
 			fails := false
 			for _, h := range happenings {
-				fails = f.befall(h, fails)
+				fails = f.inject(h, fails)
 				failsFrom := time.Duration(never)
 				if fails {
 					failsFrom = 0
--- a/internal/rollout/rolloutcontrol/reporter.go
+++ b/internal/rollout/rolloutcontrol/reporter.go
@@ -13,12 +13,12 @@
 	"github.com/portgauge/portgauge/internal/rollout/evidence"
 )
 
-// Counts are what a node itself counted for the orders under way. The rows that it gives are the caller's own: counting
-// on does not change them.
+// Counts are this node's own counts for the orders under way; evidence.Collector is the real one. Returned rows
+// belong to the caller.
 type Counts interface {
-	// TakeChanged gives up to a number of rows that changed since they were last taken.
+	// TakeChanged returns up to max rows that changed since they were last taken.
 	TakeChanged(most int) []evidence.Row
-	// Rows gives all rows.
+	// Rows returns all rows.
 	Rows() []evidence.Row
 }
 
@@ -27,32 +27,32 @@
 	Send(address string, message peer.Message)
 }
 
-// maxRowsTaken bounds the rows that are taken at once, to a few milliseconds of packing.
+// maxRowsTaken bounds the rows taken at once, to a few milliseconds of packing.
 const maxRowsTaken = 1024
 
 // outbox holds the rows that wait to be sent to one judge, the newest of each key.
 type outbox struct {
 	address string
-	since   time.Time // since when the first of them waits
+	since   time.Time // when the first of them was added
 	rows    map[evidence.Key]evidence.Row
 }
 
-// reporter tells the judges of each service what this node counted, within a bound of bytes. What is beyond the
-// bound waits in a box for its judge, where newer counts take its place. It is not safe for concurrent use.
+// reporter sends this node's counts to the judges of each service, within a bound of bytes a second. Rows beyond the
+// bound wait in an outbox for each judge, where newer counts replace them. It is not safe for concurrent use.
 type reporter struct {
 	self   catalog.NodeRecord
-	start  int64 // in unix nanoseconds; names this process
+	start  int64 // Unix nanoseconds; identifies this process
 	counts Counts
 	sender Sender
-	// keep takes the node's own counts where it is a judge itself.
+	// keep stores the node's own counts where it is a judge itself.
 	keep func([]evidence.Row)
-	// dropped is told of rows that no datagram can hold.
+	// dropped is called with the number of rows that fit into no datagram.
 	dropped func(rows int)
 	budget  *rate.Limiter
 	resend  time.Duration
 
 	outboxes   map[string]*outbox              // by id of the judge
-	reportedTo map[string][]catalog.NodeRecord // the judges told last, by service
+	reportedTo map[string][]catalog.NodeRecord // the judges of the latest report, by service
 	resentAt   time.Time
 }
 
@@ -65,8 +65,8 @@
 	}
 }
 
-// step puts what changed into the boxes and sends as much of them as the budget allows. Judges gives the judges of a
-// service, isUnderWay says which orders are worth telling of.
+// step moves changed rows into the outboxes and sends as much of them as the budget allows. judges returns the judges
+// of a service; isUnderWay reports whether an order still needs counts.
 func (s *reporter) step(now time.Time, judges func(service string) []catalog.NodeRecord, isUnderWay func(orderKey) bool) {
 	moved := s.movedServices(judges)
 	s.enqueue(now, s.counts.TakeChanged(maxRowsTaken), judges)
@@ -83,7 +83,7 @@
 	s.sendBoxes(now)
 }
 
-// enqueue puts rows into the boxes of their judges.
+// enqueue puts rows into the outboxes of their judges.
 func (s *reporter) enqueue(now time.Time, rows []evidence.Row, judges func(string) []catalog.NodeRecord) {
 	var own []evidence.Row
 	for _, row := range rows {
@@ -111,7 +111,7 @@
 	return known
 }
 
-// dropObsolete drops what waits of orders that are over, and for nodes that are no judges any more.
+// dropObsolete drops rows of orders that are over, and rows for nodes that are no judges any more.
 func (s *reporter) dropObsolete(judges func(string) []catalog.NodeRecord, isUnderWay func(orderKey) bool) {
 	for id, waiting := range s.outboxes {
 		maps.DeleteFunc(waiting.rows, func(key evidence.Key, _ evidence.Row) bool {
@@ -123,7 +123,7 @@
 	}
 }
 
-// movedServices gives the services whose judges are others than when they were last told of.
+// movedServices returns the services whose judges have changed since the last report.
 func (s *reporter) movedServices(judges func(string) []catalog.NodeRecord) map[string]bool {
 	moved := map[string]bool{}
 	for service, told := range s.reportedTo {
@@ -134,12 +134,12 @@
 	return moved
 }
 
-// isResendDue reports whether all counts should be told again. That waits while anything else does.
+// isResendDue reports whether all counts are to be sent again. That waits until the outboxes are empty.
 func (s *reporter) isResendDue(now time.Time) bool {
 	return len(s.outboxes) == 0 && now.Sub(s.resentAt) >= s.resend
 }
 
-// sendBoxes sends datagrams, those of the box that waits longest first, until the boxes are empty or the budget is
+// sendBoxes sends datagrams, those of the longest waiting outbox first, until the outboxes are empty or the budget is
 // used up.
 func (s *reporter) sendBoxes(now time.Time) {
 	for len(s.outboxes) > 0 {
@@ -159,7 +159,7 @@
 	})
 }
 
-// sendFrom sends one datagram of rows from a box; false when the budget does not allow it.
+// sendFrom sends one datagram of rows from an outbox. It returns false if the budget does not allow it.
 func (s *reporter) sendFrom(now time.Time, waiting *outbox) bool {
 	var packed packer
 	room := packedRoom(s.self.ID)
@@ -173,7 +173,7 @@
 			break
 		}
 		sent = append(sent, key)
-		s.dropped(1) // its names are too long for any datagram
+		s.dropped(1) // its names fit into no datagram
 	}
 	if size := len(packed.content); size > 0 {
 		if !s.budget.AllowN(now, datagramBytes(s.self.ID, size)) {
--- a/internal/rollout/rolloutcontrol/reports_test.go
+++ b/internal/rollout/rolloutcontrol/reports_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// Rows that fit into a datagram come out as they went in, and those that don't leave no trace.
+// Rows that fit into a datagram are unpacked as they were, and rows that don't fit leave no trace.
 func TestPackKeepsRows(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rows := rapid.SliceOfN(rapid.Custom(drawRow), 0, 30).Draw(t, "rows")
@@ -58,7 +58,7 @@
 	})
 }
 
-// sameCounts compares histograms but for empty buckets at their ends.
+// sameCounts compares histograms, ignoring empty buckets at their ends.
 func sameCounts(a, b evidence.Histogram) bool {
 	return slices.Equal(withoutTail(a), withoutTail(b))
 }
@@ -83,7 +83,7 @@
 	})
 }
 
-// In whatever order reports come, and however often, the sums are those of the newest row of each process.
+// The sums are those of the newest row of each process, whatever the order and number of reports.
 func TestSumsDontDependOnTheOrderOfReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		order := orderKey{"s", 1}
@@ -117,7 +117,7 @@
 	})
 }
 
-// A judge keeps so many rows and no more, takes newer counts of those that it keeps, and has room again once an
+// A judge keeps a bounded number of rows, accepts newer counts of those that it keeps, and has room again once an
 // order is over.
 func TestTalliesAreBounded(t *testing.T) {
 	is := is.New(t)
@@ -141,7 +141,8 @@
 	is.Equal(len(heard.orders), 0)
 }
 
-// The judges are of distinct zones as far as there are, the same for all nodes, and one that goes changes no other.
+// The judges are in distinct zones where possible, the same for all nodes, and a node that leaves changes no other
+// judge.
 func TestJudgesAreOfDistinctZonesAndStay(t *testing.T) {
 	is := is.New(t)
 	nodes := map[string]catalog.NodeRecord{}
@@ -182,7 +183,7 @@
 	c.rows += len(rows)
 }
 
-// A name that no judge would read does not keep other rows from being sent.
+// A row that no datagram can hold does not keep other rows from being sent.
 func TestRowThatFitsNowhereIsDropped(t *testing.T) {
 	is := is.New(t)
 	sent := &testNode{id: "n", rows: map[evidence.Key]evidence.Tally{}, changed: map[evidence.Key]bool{}}
--- a/internal/rollout/rolloutcontrol/schedule.go
+++ b/internal/rollout/rolloutcontrol/schedule.go
@@ -8,15 +8,15 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// plannedWrite is a write that a judge wants done: a phase of an order in place of the state of a revision.
+// plannedWrite identifies a write that a judge wants done: a phase of an order in place of the state at a revision.
 type plannedWrite struct {
 	phase    rollout.Phase
 	order    int64
 	replaces int64
 }
 
-// writeSchedule paces the writes of one service's state: one at a time, one where all goes well, and with growing pauses where
-// the store does not take it.
+// writeSchedule decides when the state of one service is written: one write at a time, each successful write once,
+// and with growing pauses while the store does not accept it.
 type writeSchedule struct {
 	planned   plannedWrite
 	since     time.Time // when it was first wanted
@@ -26,8 +26,8 @@
 	isDone    bool
 }
 
-// isDue reports whether a write should be sent now: it is wanted for so long that the judges before this one had
-// their time.
+// isDue reports whether a write is to be sent now: it has been planned for the given wait, which leaves the judges
+// before this one their time, and no pause after a failure is running.
 func (p *writeSchedule) isDue(now time.Time, wants plannedWrite, wait time.Duration) bool {
 	if p.isBusy {
 		return false
@@ -38,7 +38,7 @@
 	return !p.isDone && now.Sub(p.since) >= wait && !now.Before(p.notBefore)
 }
 
-// dueIn gives how long it is until a write that was asked about is due, 0 when that is not a question of time.
+// dueIn returns the time until a planned write is due, 0 if that does not depend on time.
 func (p *writeSchedule) dueIn(now time.Time, wait time.Duration) time.Duration {
 	if p.isBusy || p.isDone {
 		return 0
@@ -46,7 +46,8 @@
 	return max(p.since.Add(wait).Sub(now), p.notBefore.Sub(now), 0)
 }
 
-// done notes how a write went. After a conflict the state in force is behind the store's; it comes by itself.
+// done records the outcome of a write. After a conflict the state in force is older than the store's; the newer one
+// arrives by itself, and the write is only tried again after the longest pause.
 func (p *writeSchedule) done(now time.Time, err error, cfg Config) {
 	p.isBusy = false
 	switch {
--- a/internal/rollout/rolloutcontrol/settling.go
+++ b/internal/rollout/rolloutcontrol/settling.go
@@ -8,32 +8,43 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// firstAskPart is the part of the interval that a judge leaves the nodes after the ramp until it asks first: they learn
-// of the verdict later than it does, and end what is under way. Not measured yet.
+// firstAskPart is the part of the settle interval, after the ramp, that a judge leaves the nodes before it asks
+// first: they learn of the verdict later than the judge, and finish what is in flight.
 const firstAskPart = 0.5
 
-// maxFleetCalls bounds the calls of the fleet in flight. A silent node holds a call up for as long as it is waited for,
-// and the next one, which finds more nodes settled, must not wait for that.
+// maxFleetCalls bounds the fleet calls in flight. A silent node delays a call up to SettleWait, and the next call,
+// which finds more nodes settled, must not wait for it.
 const maxFleetCalls = 4
 
-// fleetAnswer is what the fleet answered, and when it was asked.
+// FleetStatus is how far the nodes that answered are.
+type FleetStatus struct {
+	// Answered is the number of nodes that answered.
+	Answered int
+	// Registered is the fingerprint of those of them that are registered.
+	Registered uint64
+	// LowestSettled is the lowest revision at which one of them is settled: it sends nothing by an older rule any
+	// more and has nothing in flight by one.
+	LowestSettled int64
+}
+
+// fleetAnswer is the answer to a fleet call and when the call was made.
 type fleetAnswer struct {
 	asked  time.Time
 	status FleetStatus
 }
 
-// askFleet asks all nodes how far they are if this node waits for them, and gives when to look again, 0 for the usual
-// time. One answer serves all orders.
+// askFleet asks all nodes whether they are settled if an order that this node judges waits for that, and returns the
+// time until the next check, 0 for the report interval. One answer serves all orders.
 func (c *Controller) askFleet(ctx context.Context, now time.Time, view *catalog.View) time.Duration {
 	revision, next := int64(0), time.Duration(0)
-	for service, t := range c.orders {
+	for service, order := range c.orders {
 		rank := c.rank(view, service)
-		if rank < 0 || t.phase() != rollout.Switching || !t.settledSince.IsZero() {
+		if rank < 0 || order.phase() != rollout.Switching || !order.settledSince.IsZero() {
 			continue
 		}
-		dueIn := t.switchingSince.Add(c.untilFirstAsk(t.order, rank)).Sub(now)
+		dueIn := order.switchingSince.Add(c.untilFirstAsk(order.order, rank)).Sub(now)
 		if dueIn <= 0 {
-			revision = max(revision, t.state.Revision)
+			revision = max(revision, order.state.Revision)
 			dueIn = c.askedAt.Add(c.cfg.SettleInterval).Sub(now)
 		}
 		next = earlier(next, dueIn)
@@ -45,8 +56,8 @@
 	return c.cfg.SettleInterval
 }
 
-// untilFirstAsk gives how long after the switch of an order the nodes are asked first: when they can be settled, and the
-// other judges when the one before them should have written what it found after its last look.
+// untilFirstAsk returns how long after the switch of an order a judge asks first: the first judge once the nodes can
+// be settled, the others when the one before should have written the outcome of its final watch.
 func (c *Controller) untilFirstAsk(order rollout.Order, rank int) time.Duration {
 	first := c.deps.Splitter.Ramp(order.Duration()) + time.Duration(firstAskPart*float64(c.cfg.SettleInterval))
 	if rank == 0 {
@@ -55,7 +66,7 @@
 	return first + c.cfg.finalWatch(order.Duration()) + time.Duration(rank)*c.cfg.takeoverPause(rollout.Succeeded, order.Duration())
 }
 
-// earlier gives the shorter of two pauses, where one of 0 or less is none.
+// earlier returns the shorter of two pauses, where 0 or less means none.
 func earlier(one, other time.Duration) time.Duration {
 	if one <= 0 || other <= 0 {
 		return max(one, other)
@@ -78,16 +89,16 @@
 	})
 }
 
-// handleAnswer gives the answer of the fleet to the orders that wait for it, unless it is older than the last one.
+// handleAnswer hands an answer of the fleet to the orders that wait for it, unless a newer one was handled.
 func (c *Controller) handleAnswer(answer fleetAnswer) {
 	c.fleetCalls--
 	if answer.asked.Before(c.answeredAt) {
 		return
 	}
 	c.answeredAt = answer.asked
-	for _, t := range c.orders {
-		if t.phase() == rollout.Switching {
-			t.status = answer.status
+	for _, order := range c.orders {
+		if order.phase() == rollout.Switching {
+			order.status = answer.status
 		}
 	}
 }
--- a/internal/rollout/rolloutcontrol/settling_test.go
+++ b/internal/rollout/rolloutcontrol/settling_test.go
@@ -9,7 +9,7 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// The nodes are asked once the requests can have moved and not before, so that success is told soon by few calls.
+// The nodes are asked once the requests can have moved and not before, so that success is known soon by few calls.
 func TestNodesAreAskedOnceTheyCanBeSettled(t *testing.T) {
 	for _, ramp := range []time.Duration{100 * time.Millisecond, 1200 * time.Millisecond, 2 * time.Second} {
 		t.Run(ramp.String(), func(t *testing.T) {
@@ -33,8 +33,8 @@
 	}
 }
 
-// A version that fails once it has all requests is found bad before its order is told to have succeeded: the old leafs end
-// with that word. Seen: a version found good by 11 answers failed a sixth of the next 17, and was told as good within a second.
+// A version that fails once it has all requests is found bad before its order succeeds, since the old leafs may stop
+// then.
 func TestVersionThatFailsWithAllRequestsIsFound(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		f.order("s", "b", usual)
@@ -47,9 +47,8 @@
 	})
 }
 
-// A version that was found good late is looked at with all requests until its order's time is over, not only until a version
-// that was never found good would be rolled back. Seen: of an order of 9.6 s the look began 0.1 s before that, and the version,
-// which failed two of the eight answers told of so far and then six in ten, was told to have succeeded.
+// A version that was found good late is watched with all requests until its order's time is over, not only until the
+// rollback margin.
 func TestLastLookLastsUntilTheEndOfTheOrder(t *testing.T) {
 	is := is.New(t)
 	cfg, duration := DefaultConfig(), 9564*time.Millisecond
--- a/internal/rollout/rolloutcontrol/statewriter.go
+++ b/internal/rollout/rolloutcontrol/statewriter.go
@@ -14,20 +14,20 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// StateWriter writes how far a roll-out is. It writes only if the state is still at the expected revision (0 for
-// none) and the order of its service still at the given one (0 for none). Failures are RevisionConflict (not
-// written), StoreUnavailable (nothing was sent) and OutcomeUnknown (sent, and neither answered nor read back).
+// StateWriter writes the state of a roll-out, only if the state is still at the expected revision (0 for none) and
+// the order of its service at the given one (0 for none). Its errors are RevisionConflict (not written),
+// StoreUnavailable (nothing was sent) and OutcomeUnknown (sent, but neither answered nor read back).
 type StateWriter interface {
 	Write(ctx context.Context, state rollout.State, expected, order int64) (revision int64, err error)
 }
 
-// GuardedStateWriter writes states to a store. A lost answer is settled by reading the state back: if it holds this
-// write it was done, if it moved on without it the write lost a race, and if it is unmoved the same write, which
-// can take effect only once, is sent again.
+// GuardedStateWriter writes states to a store. After a lost answer it reads the state back: if the state contains the
+// write, it is done; if the state has moved on without it, the write lost a race; if it is unchanged, the same write
+// is sent again, which can take effect only once.
 type GuardedStateWriter struct {
 	// Store reads states back.
 	Store store.Store
-	// Guarded writes them.
+	// Guarded writes them under conditions.
 	Guarded store.Guarded
 	// RetryPause is the pause before a state is read back.
 	RetryPause time.Duration
@@ -44,7 +44,8 @@
 	conditions []store.Condition
 }
 
-// changeIDOf names a write: the same state written in place of the same one by the same node is the same write.
+// changeIDOf returns the id of a write. The same state, written in place of the same one by the same node, is the
+// same write.
 func changeIDOf(state rollout.State, expected int64) string {
 	return fmt.Sprintf("%s/%d/%s/%d/%s", state.Service, state.OrderRevision, state.Phase, expected, state.DecidedBy)
 }
@@ -62,8 +63,8 @@
 	return g.apply(ctx, write)
 }
 
-// apply sends a write until its outcome is known or the context ends. The first time it is sent without a look at
-// what it replaces, which is one call where all goes well.
+// apply sends a write until its outcome is known or the context ends. The first time it does not read the current
+// state, so that the usual case takes one call.
 func (g GuardedStateWriter) apply(ctx context.Context, write stateWrite) (int64, error) {
 	result, err := g.swap(ctx, write, nil)
 	for err != nil {
@@ -100,7 +101,7 @@
 	return g.Guarded.CompareAndSwapIf(ctx, write.conditions, write.key, write.expected, value)
 }
 
-// isDone reports whether an entry holds a write, and the revision that wrote it.
+// isDone reports whether an entry contains a write, and the revision of it.
 func isDone(entry *catalog.Entry, write stateWrite) (int64, bool) {
 	if entry == nil {
 		return 0, false
@@ -108,7 +109,7 @@
 	return catalog.FindChange(entry, write.changeID)
 }
 
-// conflictOf says that a state or its order moved on.
+// conflictOf returns the error for a state or order that has moved on.
 func conflictOf(write stateWrite, current *catalog.Entry) error {
 	revision := current.LiveRevision()
 	conflict := failure.New(failure.RevisionConflict, failure.NotRun, "%s is at revision %d, not %d, or its order moved on", write.key, revision, write.expected)
--- a/internal/rollout/rolloutcontrol/statewriter_test.go
+++ b/internal/rollout/rolloutcontrol/statewriter_test.go
@@ -13,7 +13,7 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// writing runs a test of one node's writes to a store where an order stands.
+// writing runs a test of one node's writes to a store that has an order.
 func writing(t *testing.T, run func(ctx context.Context, is *is.I, f *fleet, states GuardedStateWriter, first rollout.State)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1)
@@ -49,7 +49,7 @@
 	})
 }
 
-// What was written and then written over is known by its change among the earlier ones.
+// A write that was overwritten meanwhile is found by its change id among the earlier changes.
 func TestLostAnswerOfAWriteThatWasWrittenOver(t *testing.T) {
 	writing(t, func(ctx context.Context, is *is.I, f *fleet, states GuardedStateWriter, first rollout.State) {
 		f.store.fail(func(m *memoryStore) { m.loseDone = 1 })
@@ -67,7 +67,7 @@
 	})
 }
 
-// The outcome of a write that was sent is unknown, not a failure, while the store says nothing of it.
+// The outcome of a write is unknown, not a failure, while the store does not answer.
 func TestOutcomeOfAWriteToAStoreThatIsDown(t *testing.T) {
 	writing(t, func(ctx context.Context, is *is.I, f *fleet, states GuardedStateWriter, first rollout.State) {
 		f.store.setDown(true)
--- a/internal/rollout/rolloutcontrol/status.go
+++ b/internal/rollout/rolloutcontrol/status.go
@@ -7,48 +7,20 @@
 	"sync/atomic"
 
 	"github.com/portgauge/portgauge/internal/rollout"
-	"github.com/portgauge/portgauge/internal/rollout/evidence"
 )
 
 // Status is a roll-out under way as a node sees it.
 type Status struct {
 	Service string
-	// Phase is Canary also before the first state.
+	// Phase is Canary also before the first state is written.
 	Phase   rollout.Phase
 	Serving string
 	Target  string
-	// Counts are those of all nodes that told this one; empty where it does not judge the service.
+	// Counts are those reported to this node; empty if it does not judge the service.
 	Counts []RouteCounts
 }
 
-// RouteCounts are the attempts at a version for a route.
-type RouteCounts struct {
-	Version  string
-	Route    string
-	Attempts int64
-	Failures int64
-}
-
-// countRoutes adds rows up by version and route, in that order.
-func countRoutes(rows []evidence.Row) []RouteCounts {
-	var counts []RouteCounts
-	for _, row := range rows {
-		isSame := func(one RouteCounts) bool { return one.Version == row.Version && one.Route == row.Route }
-		at := slices.IndexFunc(counts, isSame)
-		if at < 0 {
-			at = len(counts)
-			counts = append(counts, RouteCounts{Version: row.Version, Route: row.Route})
-		}
-		counts[at].Attempts += row.Attempts()
-		counts[at].Failures += row.Failures
-	}
-	slices.SortFunc(counts, func(a, b RouteCounts) int {
-		return cmp.Or(strings.Compare(a.Version, b.Version), strings.Compare(a.Route, b.Route))
-	})
-	return counts
-}
-
-// statusSnapshot are the roll-outs under way as they were found last; the zero value has none.
+// statusSnapshot holds the latest statuses; the zero value has none. It is safe for concurrent use.
 type statusSnapshot struct{ last atomic.Pointer[[]Status] }
 
 func (s *statusSnapshot) set(trials map[string]*activeOrder) {
--- a/internal/rollout/rolloutcontrol/store_test.go
+++ b/internal/rollout/rolloutcontrol/store_test.go
@@ -42,7 +42,7 @@
 
 const storeDelay = 5 * time.Millisecond
 
-// reach is one call: it counts, takes its time, and waits while its node is paused.
+// reach is one call: it is counted, takes time, and waits while its node is paused.
 func (v storeView) reach(ctx context.Context) error {
 	v.mu.Lock()
 	v.calls[v.node.id]++
@@ -93,7 +93,7 @@
 	return store.SwapResult{Swapped: true, Entry: v.find(key)}, nil
 }
 
-// find gives an entry; the lock must be held.
+// find returns an entry; the lock must be held.
 func (m *memoryStore) find(key string) *catalog.Entry {
 	entry, found := m.entries[key]
 	if !found {
@@ -116,7 +116,7 @@
 	m.changed()
 }
 
-// set writes a document as operators, leafs and nodes do; nil removes the key. It gives the revision.
+// set writes a document as operators, leafs and nodes do, nil removes the key, and returns the revision.
 func (m *memoryStore) set(key string, document any) int64 {
 	var value []byte
 	if document != nil {
@@ -143,7 +143,7 @@
 
 func (m *memoryStore) setDown(down bool) { m.fail(func(m *memoryStore) { m.isDown = down }) }
 
-// written gives the states that were written.
+// written returns the states that were written.
 func (m *memoryStore) written() []rollout.State {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -156,7 +156,7 @@
 	return catalog.Snapshot{Revision: m.revision, Entries: slices.Collect(maps.Values(m.entries))}
 }
 
-// phases gives what was written for the orders of a service, in order.
+// phases returns the phases that were written for the orders of a service, in order.
 func (m *memoryStore) phases(service string) []rollout.Phase {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/rollout/rolloutcontrol/tallies.go
+++ b/internal/rollout/rolloutcontrol/tallies.go
@@ -9,46 +9,43 @@
 	"github.com/portgauge/portgauge/internal/rollout/evidence"
 )
 
-// maxRows bounds the rows that a judge keeps, of all orders together: at 396 bytes each (2,400 rows with ten filled
-// buckets, as they are unpacked) 13 MB. 75 nodes that count 8 rows each for 4 orders are 2,400; adding 600 rows up
-// takes 0.1 ms.
+// maxRows bounds the rows that a judge keeps, of all orders together: about 13 MB at 396 bytes a row.
 const maxRows = 1 << 15
 
-// process is one process that counts.
+// process is one run of a node's program; its counts start at zero.
 type process struct {
 	node  string
 	start int64
 }
 
-// orderKey names the order of a service.
+// orderKey identifies an order of a service.
 type orderKey struct {
 	service string
 	id      int64
 }
 
-// processCounts is what one process counted for one order.
+// processCounts are the counts of one process for one order.
 type processCounts struct {
 	address string
 	rows    map[evidence.Key]evidence.Tally
 }
 
-// tallies are the counts that a judge was told, by order and by the process that counted. A process that starts
-// anew counts from nothing, so that what its predecessor told is kept beside it. The zero value is empty; it is safe
-// for concurrent use.
+// tallies are the counts reported to a judge, by order and process. The counts of a restarted node are kept beside
+// those of its earlier process. The zero value is empty; it is safe for concurrent use.
 type tallies struct {
 	mu     sync.Mutex
 	orders map[orderKey]*orderCounts
 	size   int // rows of all orders
 }
 
-// orderCounts is what was told of one order.
+// orderCounts are the counts reported for one order.
 type orderCounts struct {
 	processes map[process]*processCounts
 	newest    time.Time
 }
 
-// add takes rows of a process at a time, and gives how many there was no room for. Of two rows of one key the one
-// with more attempts holds.
+// add adds rows of a process and returns the number of rows that there was no room for. Of two rows with the same key
+// the one with more attempts is kept.
 func (t *tallies) add(from process, address string, rows []evidence.Row, now time.Time) (dropped int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -60,7 +57,7 @@
 	return dropped
 }
 
-// addRow keeps one row if there is room. The lock must be held.
+// addRow adds one row and reports whether there was room. The lock must be held.
 func (t *tallies) addRow(from process, address string, row evidence.Row, now time.Time) bool {
 	order := orderKey{row.Service, row.Order}
 	known, found := t.lookup(order, from, row.Key)
@@ -77,7 +74,7 @@
 	return true
 }
 
-// lookup gives what a process told under a key. The lock must be held.
+// lookup returns what a process reported under a key. The lock must be held.
 func (t *tallies) lookup(order orderKey, from process, key evidence.Key) (evidence.Tally, bool) {
 	all := t.orders[order]
 	if all == nil || all.processes[from] == nil {
@@ -87,7 +84,7 @@
 	return counts, found
 }
 
-// store keeps a row that is newer than what is known. The lock must be held.
+// store stores a row that is newer than the known one. The lock must be held.
 func (t *tallies) store(order orderKey, from process, address string, row evidence.Row, now time.Time) {
 	if t.orders == nil {
 		t.orders = map[orderKey]*orderCounts{}
@@ -105,7 +102,7 @@
 	all.newest = now
 }
 
-// sum gives the counts of all processes for an order added up by key, in order of key, and when the newest came.
+// sum returns the counts for an order over all processes, summed and sorted by key, and when the newest arrived.
 func (t *tallies) sum(order orderKey) (rows []evidence.Row, newest time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -133,7 +130,7 @@
 	return slices.Compare([]string{a.Route, a.Version, a.Leaf, a.Zone}, []string{b.Route, b.Version, b.Leaf, b.Zone})
 }
 
-// addresses gives the peer addresses of the nodes that told of an order, sorted.
+// addresses returns the peer addresses of the nodes that reported counts for an order, sorted.
 func (t *tallies) addresses(order orderKey) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -149,7 +146,7 @@
 	return slices.Compact(addresses)
 }
 
-// retain drops what was told of the orders that are not wanted any more.
+// retain drops the counts of orders that are not wanted any more.
 func (t *tallies) retain(isWanted func(orderKey) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/rollout/rolloutcontrol/versionswriter.go
+++ b/internal/rollout/rolloutcontrol/versionswriter.go
@@ -18,12 +18,12 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// versionsInterval is how often the versions are compared with what is written down.
+// versionsInterval is how often the serving versions are compared with those in the store.
 const versionsInterval = time.Second
 
-// VersionsWriter writes down which version serves each service that never had a roll-out, so that another version
-// which comes beside it gets nothing without an order. All nodes run one; the first by hash writes, and the others
-// take over the longer nothing comes. The write is fenced by the revision that it replaces.
+// VersionsWriter writes to the store which version serves each service that never had a roll-out, so that another
+// version beside it gets nothing without an order. Every node runs one; the first by rendezvous hash writes, and the
+// others take over after growing delays. A write applies only in place of the revision that it was computed from.
 type VersionsWriter struct {
 	cfg     Config
 	catalog *catalog.Catalog
@@ -31,17 +31,17 @@
 	self    string
 	events  EventLog
 
-	view   *catalog.View // the last one looked at
+	view   *catalog.View // the latest one handled
 	wanted map[string]string
-	since  time.Time // when that became wanted, or was last tried
+	since  time.Time // when that became wanted, or was last written
 }
 
-// NewVersionsWriter makes a writer for the node of an id.
+// NewVersionsWriter returns a writer for the node with the given id.
 func NewVersionsWriter(cfg Config, known *catalog.Catalog, kept store.Store, self string, events EventLog) *VersionsWriter {
 	return &VersionsWriter{cfg: cfg, catalog: known, store: kept, self: self, events: events}
 }
 
-// Run writes the versions whenever they changed, until the context ends.
+// Run writes the versions whenever they have changed, until the context ends.
 func (w *VersionsWriter) Run(ctx context.Context) {
 	for wait.For(ctx, versionsInterval) {
 		w.step(ctx, time.Now())
@@ -49,7 +49,7 @@
 }
 
 func (w *VersionsWriter) step(ctx context.Context, now time.Time) {
-	// The entry first: what is wanted then follows from it or from a later one, and a later one refuses the write.
+	// Read the entry first: the wanted versions are then computed from it or a later one, and a later one fails the write.
 	replaced, _ := w.catalog.Entry(catalog.VersionsKey)
 	view := w.catalog.View()
 	if !w.isDue(now, view) {
@@ -63,7 +63,8 @@
 	w.events.VersionsWritten(VersionsWriteEvent{Services: len(w.wanted), Err: err})
 }
 
-// isDue reports whether what should be written down differs from what is for so long that this node writes it.
+// isDue reports whether the wanted versions have differed from the stored ones for long enough that this node writes
+// them.
 func (w *VersionsWriter) isDue(now time.Time, view *catalog.View) bool {
 	if view != w.view {
 		w.view = view
@@ -78,8 +79,8 @@
 	return now.Sub(w.since) >= w.cfg.VersionsDelay*time.Duration(1+rank)
 }
 
-// wantedVersions gives what should be written down: what is, without services that are gone, and the services whose
-// leafs are all of one version and that no order concerns.
+// wantedVersions returns what the store should have: the stored versions, without services that are gone, and the
+// services whose leafs are all of one version and that no order concerns.
 func wantedVersions(view *catalog.View) map[string]string {
 	wanted := map[string]string{}
 	isNamed := namedServices(view)
@@ -102,8 +103,8 @@
 	return wanted
 }
 
-// namedServices tells which services a route, an order or a state names. While there are no routes at all, every
-// service may be one that they name.
+// namedServices returns a function that reports whether a route, an order or a state names a service. While there are
+// no routes at all it returns true for every service.
 func namedServices(view *catalog.View) func(service string) bool {
 	if view.Routes == nil {
 		return func(string) bool { return true }
@@ -115,13 +116,13 @@
 	}
 }
 
-// isOneVersion reports whether all of some leafs tell the same version.
+// isOneVersion reports whether all leafs have the same, known version.
 func isOneVersion(leafs []*leafset.Leaf) bool {
 	version := leafs[0].Version
 	return version != "" && !slices.ContainsFunc(leafs, func(leaf *leafset.Leaf) bool { return leaf.Version != version })
 }
 
-// documentOf gives versions by service as they are written down.
+// documentOf returns the stored form of versions by service.
 func documentOf(byService map[string]string) (json.RawMessage, error) {
 	versions := rollout.Versions{ByVersion: map[string][]string{}}
 	for service, version := range byService {
--- a/internal/rollout/rolloutcontrol/versionswriter_test.go
+++ b/internal/rollout/rolloutcontrol/versionswriter_test.go
@@ -13,7 +13,7 @@
 	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
-// versionsScene is a fleet whose nodes write versions down, with the services named by the routes.
+// versionsScene runs a test on a fleet whose nodes write the serving versions, with the services named by the routes.
 func versionsScene(t *testing.T, run func(is *is.I, f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3)
@@ -27,7 +27,7 @@
 	})
 }
 
-// versions are those in force, when enough time has passed for any node to write what it wants written.
+// versions returns the versions in force after enough time for any node to write.
 func (f *fleet) versions() map[string]string {
 	time.Sleep(time.Duration(len(f.all())+1)*f.cfg.VersionsDelay + versionsInterval)
 	return f.all()[0].catalog.View().Versions
@@ -42,7 +42,7 @@
 	})
 }
 
-// The version that is written down stays, also when another comes beside it or in its place.
+// The stored version stays, also when another appears beside it or in its place.
 func TestVersionThatIsWrittenDownStays(t *testing.T) {
 	versionsScene(t, func(is *is.I, f *fleet) {
 		f.addLeafs("s", "a", 1)
@@ -64,7 +64,7 @@
 	})
 }
 
-// A service that an order concerns has a state in place of a written version.
+// A service that an order concerns has a state and no stored version.
 func TestNoVersionIsWrittenOfServicesUnderAnOrder(t *testing.T) {
 	versionsScene(t, func(is *is.I, f *fleet) {
 		f.order("s", "b", time.Hour)
