--- /dev/null
+++ b/internal/config/configsync/storestate.go
@@ -0,0 +1,102 @@
+package configsync
+
+import (
+	"context"
+	"time"
+
+	"github.com/ansel1/merry/v2"
+	"go.uber.org/zap"
+
+	"github.com/portgauge/portgauge/internal/config/store"
+)
+
+// readStore reads the whole state of the store, applies it if it is newer than the configuration in force, and
+// queues the push of what it changed. A state older than the one in force is dropped and confirms nothing.
+func (s *Syncer) readStore(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, s.config.WatchSilence)
+	defer cancel()
+	asked, before := s.catalog.Mark(), s.catalog.Revision()
+	snapshot, err := s.store.List(ctx, store.Linearizable)
+	if err != nil {
+		return err
+	}
+	isTaken := s.catalog.Replace(snapshot)
+	switch {
+	case isTaken || snapshot.Revision >= before:
+		s.catalog.ConfirmSince(asked, 0)
+	default:
+		// The store lacks what is in force here, so it doesn't confirm that as the newest.
+		s.reportDropped(snapshot.Revision, before)
+	}
+	s.markInitialised()
+	s.markStoreUp()
+	if s.enteredEpoch(before) {
+		s.enqueue(epochChange(before, s.catalog.Revision()))
+		return nil
+	}
+	s.enqueueSince(before)
+	return nil
+}
+
+// errStoreNotNewer reports that the store's whole state is not newer than the configuration in force.
+var errStoreNotNewer = merry.New("the store's whole state is not newer than the one in force")
+
+// reread reads the whole state of a store that no longer keeps the changes since the revision in force. If that
+// doesn't advance the revision, as when a store went back without announcing a new epoch, it fails so that the
+// caller backs off instead of reading again at once.
+func (s *Syncer) reread(ctx context.Context) error {
+	before := s.catalog.Revision()
+	if err := s.readStore(ctx); err != nil {
+		return err
+	}
+	if s.catalog.Revision() == before {
+		return errStoreNotNewer
+	}
+	return nil
+}
+
+// enqueueSince queues the push of the changes after a revision, unless the node had no configuration before.
+func (s *Syncer) enqueueSince(revision int64) {
+	changes, found := s.catalog.Since(revision)
+	if revision == 0 || !found {
+		return
+	}
+	for _, change := range changes {
+		s.enqueue(change)
+	}
+}
+
+// reportDropped counts a whole state that was dropped as older than the one in force, and logs it at a limited
+// rate.
+func (s *Syncer) reportDropped(revision, inForce int64) {
+	s.dropped()
+	s.droppedLog.Do(func() {
+		s.logger.Warn("whole state of the store dropped as older", zap.Int64("revision", revision), zap.Int64("in_force", inForce))
+	})
+}
+
+// markStoreDown records that the store can't be followed, and logs it once. While it is down, the node pulls
+// from other zones.
+func (s *Syncer) markStoreDown(err error) {
+	if s.storeDownAt.CompareAndSwap(0, time.Now().UnixNano()) {
+		s.logger.Warn("store lost", zap.Error(err), zap.Int64("revision", s.catalog.Revision()))
+	}
+}
+
+// leaveStoreToWatchers records that this node need not follow the store itself, once it knows its zone.
+func (s *Syncer) leaveStoreToWatchers() {
+	if s.joined.Load() && s.storeDownAt.Swap(0) != 0 {
+		s.logger.Info("store left to the watchers of the zone", zap.Int64("revision", s.catalog.Revision()))
+	}
+}
+
+// markStoreUp records that the store is followed again, and logs it once.
+func (s *Syncer) markStoreUp() {
+	if since := s.storeDownAt.Swap(0); since != 0 {
+		s.logger.Info("store regained", zap.Duration("after", time.Since(time.Unix(0, since))), zap.Int64("revision", s.catalog.Revision()))
+	}
+}
+
+// droppedLogInterval is the minimum interval between two log lines about dropped states: a node may drop many in
+// a second.
+const droppedLogInterval = time.Second
--- a/internal/fleet/registry/registry.go
+++ b/internal/fleet/registry/registry.go
@@ -61,7 +61,7 @@
 	registeredAt int64
 }
 
-// New makes a registry for a node.
+// New returns a registry for a node.
 func New(config Config, lessor store.Lessor, self catalog.NodeRecord, logger *zap.Logger) *Registry {
 	return &Registry{config: config, lessor: lessor, self: self, logger: logger, woken: make(chan struct{}, 1)}
 }
@@ -163,8 +163,8 @@
 // isRestored reports whether the store was restored since the node registered.
 func (r *Registry) isRestored() bool { return revision.IsLater(r.left.revision(), r.registeredAt) }
 
-// Woke has the lease renewed at once: it went on to run out while the machine was suspended.
-func (r *Registry) Woke() {
+// Resumed has the lease renewed at once: it went on to run out while the machine was suspended.
+func (r *Registry) Resumed() {
 	select {
 	case r.woken <- struct{}{}:
 	default:
@@ -208,7 +208,7 @@
 	return r.lessor.Keep(ctx, lease)
 }
 
-// end gives the lease up; if that fails, it runs out by itself.
+// end returns the lease up; if that fails, it runs out by itself.
 func (r *Registry) end(lease int64) {
 	ctx, cancel := context.WithTimeout(context.Background(), r.config.CallTimeout)
 	defer cancel()
--- a/internal/node/request_events.go
+++ b/internal/node/request_events.go
@@ -160,7 +160,7 @@
 		Revision: record.Revision, ConfigAgeMillis: record.ConfigAge.Milliseconds(), TookMillis: millis(record.Took),
 		InTime: record.InTime, Status: record.Status, Parts: record.Parts, Missing: record.MissingServices,
 		Attempts: record.Summary.Attempts, Hedges: record.Summary.Hedges, Retries: record.Summary.Retries,
-		Execution: record.Summary.Execution().String(), For: record.For,
+		Execution: record.Summary.Execution().String(), For: record.Root,
 	}
 	for _, group := range record.Groups {
 		event.Groups = append(event.Groups, newGroupEvent(group))
@@ -177,7 +177,7 @@
 	case !record.InTime:
 		importance = decisionlog.Failed
 	}
-	if record.For != "" {
+	if record.Root != "" {
 		event.Event = eventGathered
 		if event.Code == failure.Cancelled {
 			// The root has answered with the parts it had: not a failure.
@@ -199,8 +199,8 @@
 	}
 }
 
-// Passed implements gateway.EventLog. Groups that were answered are part of their request's event.
-func (e *requestEvents) Passed(record gateway.GroupRecord) {
+// GroupEnded implements gateway.EventLog. Groups that were answered are part of their request's event.
+func (e *requestEvents) GroupEnded(record gateway.GroupRecord) {
 	e.metrics.TreePassed.WithLabelValues(string(record.Outcome)).Inc()
 	e.metrics.TreeLatency.Observe(record.Took.Seconds())
 	if record.Outcome == gateway.GroupAnswered || record.Outcome == gateway.GroupCancelled {
@@ -223,7 +223,7 @@
 
 // LeafLost implements gateway.EventLog. It uses the failures' share of the log: in a burst of failed attempts the ordinary
 // share is used up, and this line is what connects a crash with a request.
-func (e *requestEvents) LeafLost(record gateway.LossRecord) {
+func (e *requestEvents) LeafLost(record gateway.LeafLossRecord) {
 	e.metrics.LeafsLost.WithLabelValues(strconv.FormatBool(record.Ended)).Inc()
 	e.log.Write(decisionlog.Failed, lossEvent{
 		Time: time.Now(), Event: eventLeafLost, RequestID: record.RequestID, Content: record.Content, Service: record.Service,
--- /dev/null
+++ b/internal/request/gateway/caller_timeouts.go
@@ -0,0 +1,62 @@
+package gateway
+
+import (
+	"sync"
+	"time"
+
+	"github.com/portgauge/portgauge/internal/request/routing"
+)
+
+// callerTimeouts learns the timeout that callers of each route start with. A caller that says less has spent the
+// difference already, on a connection or on sending the request before. It is safe for concurrent use.
+type callerTimeouts struct {
+	mu     sync.Mutex
+	routes map[string]*commonTimeout // by host and prefix
+}
+
+// commonTimeout is the longest recent timeout of a route's callers, and how often it was seen.
+type commonTimeout struct {
+	longest time.Duration
+	seen    int
+	since   time.Time
+}
+
+const (
+	// minimumSightings is how often a timeout must be seen to count, so that a single caller decides nothing.
+	minimumSightings = 5
+	// timeoutMemory is after how long without a sighting a timeout is forgotten.
+	timeoutMemory = time.Minute
+	// maximumTimeoutRoutes bounds the routes that are kept; beyond it all are learned again.
+	maximumTimeoutRoutes = 4096
+)
+
+func newCallerTimeouts() *callerTimeouts {
+	return &callerTimeouts{routes: map[string]*commonTimeout{}}
+}
+
+// spent estimates how much of its timeout a caller has spent before the request arrived.
+func (b *callerTimeouts) spent(route *routing.Entry, timeout time.Duration) time.Duration {
+	key := route.Host + route.Prefix
+	now := time.Now()
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	common, found := b.routes[key]
+	if !found || now.Sub(common.since) > timeoutMemory {
+		if len(b.routes) >= maximumTimeoutRoutes {
+			clear(b.routes)
+		}
+		common = &commonTimeout{}
+		b.routes[key] = common
+	}
+	switch {
+	case timeout > common.longest:
+		*common = commonTimeout{longest: timeout, seen: 1, since: now}
+	case timeout == common.longest:
+		common.seen++
+		common.since = now
+	}
+	if common.seen < minimumSightings {
+		return 0
+	}
+	return common.longest - timeout
+}
--- /dev/null
+++ b/internal/request/gateway/canary.go
@@ -0,0 +1,148 @@
+package gateway
+
+import (
+	"slices"
+	"time"
+
+	"github.com/portgauge/portgauge/internal/leaf/balancer"
+	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
+	"github.com/portgauge/portgauge/internal/leaf/leafset"
+	"github.com/portgauge/portgauge/internal/request/routing"
+	"github.com/portgauge/portgauge/internal/request/scatter"
+	"github.com/portgauge/portgauge/internal/rollout/canary"
+)
+
+// While a service is rolled out to another version, a canary draw decides for the first attempt of each shard which
+// version it goes to (package canary). Hedges and retries are not drawn: they go to undrawnVersions.
+
+// canaryDraw is the draw of one shard.
+type canaryDraw struct {
+	isMade bool
+	canary.Draw
+	request canary.Request
+}
+
+// undrawnVersions returns the versions of a service that attempts without a draw may go to now.
+func (g *Gateway) undrawnVersions(service string) canary.Versions {
+	if g.canary == nil {
+		return canary.Serving
+	}
+	return g.canary.RetryVersions(service)
+}
+
+// draw returns the draw of a shard, which is made once. unserved says that no leaf of the serving version can be asked,
+// or only leafs in trouble. Nothing is drawn if another node may have asked the shard before and counted its draw.
+func (e *execution) draw(shard int, unserved bool) canary.Draw {
+	if e.gateway.canary == nil || e.spentAttempts > 0 {
+		return canary.Draw{}
+	}
+	if e.canaryDraws == nil {
+		e.canaryDraws = make([]canaryDraw, len(e.services))
+	}
+	made := &e.canaryDraws[shard]
+	if !made.isMade {
+		request := canary.Request{Service: e.services[shard], Once: e.isAtMostOnce(), Unserved: unserved}
+		*made = canaryDraw{true, e.gateway.canary.Draw(request), request}
+	}
+	return made.Draw
+}
+
+// returnDraw returns the draw of a shard for which nothing was sent.
+func (e *execution) returnDraw(shard int) {
+	if made := e.canaryDraws[shard]; made.IsBounded {
+		e.gateway.canary.Refund(made.request, made.Draw)
+	}
+}
+
+// returnDraws returns all draws of a request that is refused.
+func (e *execution) returnDraws() {
+	for shard := range e.canaryDraws {
+		e.returnDraw(shard)
+	}
+}
+
+func (e *execution) isAtMostOnce() bool { return e.request.route.Repeatability == routing.AtMostOnce }
+
+// drawFirst draws the versions of the first attempts that this node makes, for services with a version on trial, and
+// sets the shards' candidates to the leafs of those versions.
+func (e *execution) drawFirst(plan *scatter.Plan) {
+	if e.gateway.canary == nil || e.spentAttempts > 0 {
+		return
+	}
+	leafs := e.gateway.catalog.View().Leafs
+	for index, service := range e.services {
+		if leafs.Rule(service).Trial != "" && !e.isInGroup(index) {
+			plan.Shards[index].Candidates = e.firstCandidates(index, plan.Shards[index].Candidates)
+		}
+	}
+}
+
+// firstCandidates returns the leafs that a shard's first attempt may go to by its draw. If none of them can be asked,
+// it returns the draw and the candidates that were planned without one.
+func (e *execution) firstCandidates(shard int, planned []balancer.Candidate) []balancer.Candidate {
+	choice := e.gateway.balancer.Choose(planned, nil)
+	draw := e.draw(shard, choice.Leaf == nil || choice.Unhealthy)
+	if draw.First == e.gateway.undrawnVersions(e.services[shard]) {
+		return planned
+	}
+	targets := e.targets[shard]
+	drawn := e.candidatesOf(shard, draw.First)
+	if draw.IsBounded {
+		drawn = e.focusedLeaf(e.services[shard], drawn)
+	}
+	if e.gateway.balancer.Choose(drawn, nil).Leaf != nil {
+		return drawn
+	}
+	e.targets[shard] = targets
+	e.returnDraw(shard)
+	return planned
+}
+
+// focusedLeaf returns the first candidate that can be asked and is not in trouble, in the order in which the version's
+// leafs take the bounded share of requests: one leaf at a time, so that few requests make evidence.
+func (e *execution) focusedLeaf(service string, candidates []balancer.Candidate) []balancer.Candidate {
+	for _, leaf := range e.gateway.canary.FocusOrder(service, e.gateway.catalog.View().Leafs.OnTrial(service)) {
+		at := slices.IndexFunc(candidates, func(candidate balancer.Candidate) bool { return candidate.LeafID == leaf.ID })
+		if at < 0 {
+			continue
+		}
+		one := candidates[at : at+1]
+		if choice := e.gateway.balancer.Choose(one, nil); choice.Leaf != nil && !choice.Unhealthy {
+			return one
+		}
+	}
+	return nil
+}
+
+// attemptBegan counts an attempt as in flight at its leaf's version; it is called before the attempt is made.
+func (g *Gateway) attemptBegan(leaf *leafset.Leaf) {
+	if g.canary != nil && leaf != nil {
+		g.canary.AttemptStarted(leaf.Service, leaf.Version)
+	}
+}
+
+// attemptEnded ends the count of attemptBegan.
+func (g *Gateway) attemptEnded(leaf *leafset.Leaf) {
+	if g.canary != nil && leaf != nil {
+		g.canary.AttemptEnded(leaf.Service, leaf.Version)
+	}
+}
+
+// countEvidence counts the end of an attempt as evidence of its leaf's version: a success, a signed failure, or an
+// attempt that was given up without an answer. Refusals, broken connections and attempts that were never sent say
+// nothing of the version.
+func (e *execution) countEvidence(leaf *leafset.Leaf, response *leafhttp.Response, result scatter.Result[leafhttp.Response], took time.Duration) {
+	counted := e.gateway.evidence
+	if counted == nil || leaf == nil || !counted.IsCounted(leaf) {
+		return
+	}
+	route := e.request.route.Name
+	switch {
+	case result.Reply != nil:
+		counted.Observe(route, leaf, false, took)
+	case result.Reason == reasonLeafError && response.Header.Get(e.gateway.dialect.ResponseStamp) != "":
+		counted.Observe(route, leaf, true, took)
+	case result.Reason == reasonBroken && result.Outcome == balancer.Abandoned:
+		counted.ObserveGivenUp(route, leaf, took)
+	}
+}
