--- a/internal/rollout/canary/bound_test.go
+++ b/internal/rollout/canary/bound_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// member is one node of a fleet over the time of an order.
+// member is one node of a fleet during an order.
 type member struct {
 	fleet    *one
 	splitter *Splitter
@@ -22,7 +22,7 @@
 	node int
 }
 
-// arrivals spreads the requests of a fleet over the order, so many a node on average.
+// arrivals spreads the requests of a fleet over the order, with a mean number for each node.
 func arrivals(source *rand.Rand, nodes int, each float64) []arrival {
 	count := int(float64(nodes)*each + 0.5)
 	made := make([]arrival, 0, count)
@@ -33,8 +33,8 @@
 	return made
 }
 
-// Over any fleet, whose nodes learn of the order at other times, see other numbers of nodes, come and start again,
-// the version gets no more than its share and the slack.
+// The version gets no more than its share and the slack, whatever the fleet: its nodes learn of the order at
+// different times, see different numbers of nodes, join and restart.
 func TestBoundHoldsOverTheFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(1, 300).Draw(t, "nodes")
@@ -74,7 +74,7 @@
 	})
 }
 
-// At least half of what is allowed is used once there are requests enough.
+// At least half of the bound is used if there are enough requests.
 func TestBoundIsUsed(t *testing.T) {
 	is := is.New(t)
 	source := rand.New(rand.NewPCG(1, 2))
@@ -99,7 +99,7 @@
 	}
 }
 
-// Many nodes with one request each neither all try the version with it nor none of them.
+// Of many nodes with one request each some send it to the version, not all or none.
 func TestNodesWithARequestEachStartAtRandom(t *testing.T) {
 	is := is.New(t)
 	source := rand.New(rand.NewPCG(3, 4))
@@ -117,8 +117,8 @@
 	is.True(drawn > 10 && drawn < 60)
 }
 
-// The slack comes with the second quarter of the time; a node that found the order at its start has none, and one
-// whose fleet has grown has less.
+// The slack is released in the second quarter of the order. A node that found the order when it started has none, and
+// one whose fleet has grown has less.
 func TestSlackIsReleasedOnce(t *testing.T) {
 	is := is.New(t)
 	built, splitter, _ := started(t, 50)
@@ -141,7 +141,7 @@
 	is.Equal(draw(splitter, 99, false), 17)
 }
 
-// Requests that must run once at most get what repeatable ones left of the slack, after those had their time.
+// Requests that must run at most once get what repeatable ones left of the slack after its release.
 func TestOnceOnlyRequestsGetWhatIsLeft(t *testing.T) {
 	is := is.New(t)
 	built, splitter, _ := started(t, 50)
@@ -154,7 +154,7 @@
 	is.Equal(draw(splitter, 100, false), 40+40-31-40)
 }
 
-// Repeatable requests leave their part of the slack to requests that must run once at most, however many they are.
+// Repeatable requests leave a part of the slack to requests that must run at most once, however many they are.
 func TestPartOfTheSlackIsForOnceOnlyRequests(t *testing.T) {
 	is := is.New(t)
 	built, splitter, _ := started(t, 50)
@@ -165,7 +165,7 @@
 	is.Equal(draw(splitter, 900, false), 72-8+8)
 }
 
-// Where all requests may be repeated nothing is kept back.
+// Without requests that must run at most once no slack is reserved.
 func TestNoSlackIsKeptWithoutOnceOnlyRequests(t *testing.T) {
 	is := is.New(t)
 	built, splitter, _ := started(t, 50)
@@ -173,7 +173,7 @@
 	is.Equal(draw(splitter, 1000, false), 80+40)
 }
 
-// What could not be sent is drawn for another request.
+// A draw by which nothing could be sent is available to another request.
 func TestReturnedDrawIsMadeAgain(t *testing.T) {
 	is := is.New(t)
 	_, splitter, _ := started(t, 0)
@@ -186,7 +186,7 @@
 	is.Equal(draw(splitter, 1, false), 1)
 }
 
-// A draw by an order that was replaced meanwhile earns the next one nothing.
+// A draw of an order that was replaced meanwhile does not add to the budget of the next one.
 func TestDrawOfAnotherOrderIsNotReturned(t *testing.T) {
 	is := is.New(t)
 	built, splitter, _ := started(t, 0)
@@ -200,7 +200,7 @@
 	is.Equal(draw(splitter, 11, false), 0)
 }
 
-// Requests that no leaf of the serving version can be asked for earn no share; they get what there is of the slack.
+// Requests that no leaf of the serving version can take earn no share; they get what there is of the slack.
 func TestUnservedRequestsGetTheSlackOnly(t *testing.T) {
 	is := is.New(t)
 	unserved := func(s *Splitter, n int) int {
--- a/internal/rollout/canary/config.go
+++ b/internal/rollout/canary/config.go
@@ -1,8 +1,12 @@
-// Package canary decides for one node which requests of a service go to the leafs of a version on trial.
+// Package canary decides, for one node, which requests of a service go to the leafs of a version on trial.
 //
-// A version that is not yet found good gets a bounded share of the requests. Each node keeps the bound by its own
-// requests, without messages. When the version was found good, each node moves all of its requests there within a
-// short while, and can tell when it has nothing more with the version that served before.
+// A version that is not yet found good gets a bounded share of the requests. Each node keeps the bound by counting
+// its own requests, without messages. Once the version was found good, each node moves all of its requests to it
+// within a short ramp, and reports when it has nothing in flight at the version that served before.
+//
+// A Splitter owns the counts of the orders in force and the attempts in flight; it starts no goroutine. It relies on
+// the catalog for rules and orders, on the census of the fleet for its part of the slack, and on a clock that counts
+// suspended time.
 package canary
 
 import (
@@ -11,29 +15,29 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// Config tunes the share of a version on trial.
+// Config sets the share of requests for a version on trial.
 type Config struct {
-	// Share is the part of a service's requests that a version not yet found good may get.
+	// Share is the part of a service's requests, 0 to 1, that a version not yet found good may get.
 	Share float64 `yaml:"share"`
-	// Slack is how many requests of a service it may get beyond that during one order, in the whole fleet.
+	// Slack is the number of requests of a service that it may get beyond the share during one order, over the whole
+	// fleet.
 	Slack float64 `yaml:"slack"`
-	// Used is the part of both that is used; the rest covers what nodes can't see.
+	// Used is the part of both bounds that is used, 0 to 1; the rest covers what nodes cannot see.
 	Used float64 `yaml:"used"`
-	// Ramp is how long a node takes to move its requests to a version that was found good; for short orders it is less.
+	// Ramp is how long a node takes to move its requests to a version that was found good; shorter for short orders.
 	Ramp time.Duration `yaml:"ramp"`
-	// ConfirmedWithin is how old the last word that the configuration is the newest may be for a node to go beyond
-	// the share.
+	// ConfirmedWithin is the longest time since the configuration was last confirmed as the newest for which a node
+	// goes beyond the share.
 	ConfirmedWithin time.Duration `yaml:"confirmed_within"`
 }
 
-// DefaultConfig gives a version on trial a tenth of the requests. Of the ages of the configuration that 87 nodes
-// logged on a calm day of one fleet 99 in 100 were below 3.7 s and the highest was 5.2 s, so that a node that is well
-// does not lapse. The other figures are not measured yet.
+// DefaultConfig gives a version on trial a tenth of the requests. ConfirmedWithin lies above the age of the
+// configuration at a healthy node, so that the move of the requests does not lapse there.
 func DefaultConfig() Config {
 	return Config{Share: 0.1, Used: 0.8, Ramp: 2 * time.Second, ConfirmedWithin: 6 * time.Second}
 }
 
-// Validate names every field at fault.
+// Validate returns an error that names every invalid field.
 func (c Config) Validate() error {
 	var checks failure.Checks
 	checks.Refuse(!(c.Share >= 0 && c.Share <= 1), "share", "must be between 0 and 1")
--- a/internal/rollout/canary/fixture_test.go
+++ b/internal/rollout/canary/fixture_test.go
@@ -17,13 +17,13 @@
 	lasts  = 60 * time.Second
 )
 
-// fataler is what the tests of the package and those of rapid have in common.
+// fataler is what testing.T and rapid.T have in common.
 type fataler interface {
 	Helper()
 	Fatal(args ...any)
 }
 
-// site is a configuration with a service s of two versions, by a clock of its own.
+// site is a configuration with a service s of two versions, with its own clock.
 type site struct {
 	t     fataler
 	known *catalog.Catalog
@@ -50,7 +50,7 @@
 
 func leafID(version string, index int) string { return fmt.Sprintf("%s-%d", version, index) }
 
-// put writes a document, or removes it where there is none, and gives the revision.
+// put writes a document, or removes the key if it is nil, and returns the revision.
 func (s *site) put(key string, document any) int64 {
 	s.t.Helper()
 	var content json.RawMessage
@@ -78,7 +78,7 @@
 	return s.put(catalog.RolloutStateKey("s"), rollout.State{Service: "s", OrderRevision: order, Phase: phase, Serving: before, Target: target})
 }
 
-// pass lets time go by, with the configuration confirmed.
+// pass advances the clock, with the configuration confirmed.
 func (s *site) pass(time time.Duration) {
 	s.clock = s.clock.Add(time)
 	s.known.Confirm(s.clock)
@@ -90,7 +90,7 @@
 	return made
 }
 
-// draw draws n times and gives how many went to the version on trial.
+// draw draws n times and returns how many requests went to the version on trial.
 func draw(s *Splitter, n int, once bool) int {
 	drawn := 0
 	for range n {
@@ -101,7 +101,7 @@
 	return drawn
 }
 
-// one is a fleet by itself; its part can be set.
+// one is a fleet of a single node with a settable part.
 type one struct{ part float64 }
 
 func (o *one) Part(bool) float64  { return o.part }
@@ -113,7 +113,7 @@
 	return cfg
 }
 
-// started makes a site whose node was there before the order.
+// started returns a site whose node was there before the order.
 func started(t *testing.T, slack float64) (*site, *Splitter, int64) {
 	t.Helper()
 	built := newSite(t)
@@ -124,7 +124,7 @@
 	return built, splitter, order
 }
 
-// startedFor is the same without slack, for an order of a duration.
+// startedFor is like started, without slack, for an order of a duration.
 func startedFor(t *testing.T, duration time.Duration) (*site, *Splitter, int64) {
 	t.Helper()
 	built, splitter, _ := started(t, 0)
--- a/internal/rollout/canary/splitter.go
+++ b/internal/rollout/canary/splitter.go
@@ -12,7 +12,7 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// Versions names versions of a service that may be asked.
+// Versions selects versions of a service.
 type Versions int
 
 // The versions.
@@ -25,88 +25,92 @@
 	Both
 )
 
-// Request is one whose first attempt is about to be made.
+// Request is a request whose first attempt is about to be made.
 type Request struct {
 	Service string
-	// Once says that it must run once at most.
+	// Once says that the request must run at most once.
 	Once bool
-	// Unserved says that no leaf of the version that serves can be asked for it, or only leafs in trouble. Since it may
-	// reach the service only if it is drawn, it earns the version on trial no share.
+	// Unserved says that no healthy leaf of the serving version can take the request. Such requests may only be
+	// counted because they are drawn, so they do not increase the share of the version on trial.
 	Unserved bool
 }
 
-// Draw says which version the first attempt of a request goes to.
+// Draw is the decision where the first attempt of a request goes.
 type Draw struct {
 	// First is Serving or Trial.
 	First Versions
-	// IsBounded says that the attempt was drawn from the bounded share: it goes to the first usable leaf by Focus.
+	// IsBounded says that the attempt uses the bounded share: it goes to the first usable leaf by FocusOrder.
 	IsBounded bool
-	// order is that of a bounded draw.
+	// order is the order of a bounded draw.
 	order int64
 }
 
-// Fleet gives what a node must know of the others; registry.Census is the real one.
+// Fleet is what a node must know of the others; registry.Census is the real one.
 type Fleet interface {
-	// Part is this node's part of a bound that all nodes share on requests that are gathered, or are not.
+	// Part returns this node's part, 0 to 1, of a bound that all nodes share, for requests that are gathered or not.
 	Part(gathered bool) float64
-	// IsRegistered reports whether the other nodes know of this one.
+	// IsRegistered reports whether the other nodes know this one.
 	IsRegistered() bool
 }
 
-// Splitter splits one node's requests between the versions of services; safe for concurrent use.
+// Splitter splits the requests of one node between the versions of services. It is safe for concurrent use.
 type Splitter struct {
-	config  Config
-	catalog *catalog.Catalog
-	fleet   Fleet
-	now     func() time.Time
-	random  func() float64
-	flights flights
+	cfg      Config
+	catalog  *catalog.Catalog
+	fleet    Fleet
+	now      func() time.Time
+	random   func() float64
+	inFlight inFlight
 
 	mu sync.Mutex
-	// first is the revision of the first state that was seen; 0 while there is none.
-	first  int64
-	trials map[string]*trial // by service
-	// holds are the newest orders held, by service; an order before it was replaced.
+	// startRevision is the revision of the first configuration seen; 0 before it.
+	startRevision int64
+	budgets       map[string]*budget // by service
+	// holds are the highest orders that were stopped, by service; an order below it was replaced.
 	holds map[string]int64
-	// heldAt is the revision at which the holds were looked at last; 0 before the first state.
-	heldAt int64
+	// holdsRevision is the revision at which old holds were last dropped; 0 before the first configuration.
+	holdsRevision int64
 }
 
-// New makes the splitter of a node.
+// New returns the splitter of a node.
 func New(cfg Config, known *catalog.Catalog, fleet Fleet) *Splitter {
 	s := &Splitter{
-		config: cfg, catalog: known, fleet: fleet, now: time.Now, random: rand.Float64,
-		trials: map[string]*trial{}, holds: map[string]int64{},
+		cfg: cfg, catalog: known, fleet: fleet, now: time.Now, random: rand.Float64,
+		budgets: map[string]*budget{}, holds: map[string]int64{},
 	}
 	s.Refresh()
 	return s
 }
 
-// SetClock has orders, ramps and freshness measured by a clock, which must be that of the catalog: a machine that was
-// suspended would go on by a rule that it holds for fresh. It must be called before the catalog has any state.
+// SetClock sets the clock by which orders, ramps and the age of the configuration are measured. It must be the
+// catalog's: by another a machine that was suspended would trust an old rule. It must be called before the catalog
+// has any state.
 func (s *Splitter) SetClock(clock boottime.Clock) { s.now = clock.Now }
 
-// Refresh notes the orders in force, whose durations begin for this node when it learns of them. It is to be called
-// whenever the configuration has changed.
+// Refresh picks up the orders in force, whose durations begin for this node when it learns of them. It is to be
+// called whenever the configuration has changed.
 func (s *Splitter) Refresh() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	view := s.view()
-	s.dropHolds()
-	for service := range s.trials {
-		if view.Leafs.Rule(service).Order != s.trials[service].order {
-			delete(s.trials, service)
+	s.dropOldHolds()
+	for service := range s.budgets {
+		if view.Leafs.Rule(service).Order != s.budgets[service].order {
+			delete(s.budgets, service)
 		}
 	}
 	for service := range view.Rollouts {
 		if rule := view.Leafs.Rule(service); rule.Trial != "" {
-			s.trial(view, service, rule)
+			s.budget(view, service, rule)
 		}
 	}
 }
 
-// Draw counts a request and draws which version its first attempt goes to. Whatever is drawn for the version on trial
-// counts as sent there.
+// Draw decides which version the first attempt of a request goes to, and counts the request.
+//
+// Before a version is found good, it gets the request if it has a usable leaf and the budget has room. During the
+// ramp it gets the request with a probability that rises from Share to 1; after it, always. A drawn request counts as
+// sent.
 func (s *Splitter) Draw(request Request) Draw {
 	service, once := request.Service, request.Once
 	if s.catalog.View().Leafs.Rule(service).Trial == "" {
@@ -119,24 +123,24 @@
 	if rule.Trial == "" {
 		return Draw{}
 	}
-	known, now := s.trial(view, service, rule), s.now()
-	known.hasOnce = known.hasOnce || once
+	budget, now := s.budget(view, service, rule), s.now()
+	budget.hasOnce = budget.hasOnce || once
 	if !request.Unserved {
-		known.requests++
+		budget.requests++
 	}
-	switch s.stage(service, rule, known, now) {
+	switch s.stage(service, rule, budget, now) {
 	case moved:
-		known.count(once, 1)
+		budget.count(once, 1)
 		return Draw{First: Trial}
 	case ramping:
-		if len(view.Leafs.OnTrial(service)) > 0 && s.random() < s.ramp(known, now) {
-			known.count(once, 1)
+		if len(view.Leafs.OnTrial(service)) > 0 && s.random() < s.ramp(budget, now) {
+			budget.count(once, 1)
 			return Draw{First: Trial}
 		}
 	case bounded:
-		s.lowerPart(view, service, known)
-		if len(view.Leafs.OnTrial(service)) > 0 && known.hasRoom(s.config, once, now) {
-			known.count(once, 1)
+		s.lowerFleetPart(view, service, budget)
+		if len(view.Leafs.OnTrial(service)) > 0 && budget.hasRoom(s.cfg, once, now) {
+			budget.count(once, 1)
 			return Draw{First: Trial, IsBounded: true, order: rule.Order}
 		}
 	case stopped:
@@ -144,28 +148,29 @@
 	return Draw{}
 }
 
-// Refund takes back a draw from the bounded share by which nothing was sent. The request itself stays counted.
+// Refund takes back a bounded draw by which nothing was sent. The request itself stays counted.
 func (s *Splitter) Refund(request Request, draw Draw) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if known, found := s.trials[request.Service]; found && draw.IsBounded && known.order == draw.order {
-		known.count(request.Once, -1)
+	if budget, found := s.budgets[request.Service]; found && draw.IsBounded && budget.order == draw.order {
+		budget.count(request.Once, -1)
 	}
 }
 
-// FocusOrder gives leafs of the version on trial, sorted by id, in the order in which draws from the bounded share try
-// them: at a time all nodes have the same leaf first.
+// FocusOrder returns leafs of the version on trial, sorted by id, in the order in which bounded draws try them. At
+// any time all nodes try the same leaf first, so that single leafs get the load of full service.
 func (s *Splitter) FocusOrder(service string, leafs []*leafset.Leaf) []*leafset.Leaf {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known, found := s.trials[service]
+	budget, found := s.budgets[service]
 	if !found {
 		return leafs
 	}
-	return known.focus(leafs, s.now())
+	return budget.focusOrder(leafs, s.now())
 }
 
-// RetryVersions gives the versions that attempts after the first, or without a draw, may go to now.
+// RetryVersions returns the versions that attempts after the first, or without a draw, may go to now. Before the ramp
+// that is the serving version only.
 func (s *Splitter) RetryVersions(service string) Versions {
 	switch s.stageNow(service) {
 	case ramping:
@@ -177,11 +182,11 @@
 	return Serving
 }
 
-// IsTrialOpen reports whether the version on trial may get anything now.
+// IsTrialOpen reports whether the version on trial may get any request now.
 func (s *Splitter) IsTrialOpen(service string) bool { return s.stageNow(service) != stopped }
 
-// MayAsk reports whether a leaf may be sent a request now, by its version: what was planned a while ago may not be
-// sent any more. A leaf that nothing is known of may not.
+// MayAsk reports whether a leaf may be sent a request now, by its version. Attempts planned earlier are checked by it
+// again just before they are sent. An unknown leaf may not.
 func (s *Splitter) MayAsk(leafID string) bool {
 	view := s.catalog.View()
 	leaf, found := find(view, leafID)
@@ -198,7 +203,7 @@
 	return rule.IsServing(leaf.Version) && s.stageNow(leaf.Service) != moved
 }
 
-// find gives a leaf that is known, or was a moment ago.
+// find returns a leaf that is known, or was until a moment ago.
 func find(view *catalog.View, id string) (*leafset.Leaf, bool) {
 	if leaf, found := view.Leafs.ByID(id); found {
 		return leaf, true
@@ -209,49 +214,51 @@
 	return view.Remembered.ByID(id)
 }
 
-// view gives the configuration in force. The lock must be held, so that no older one is looked at after a newer.
+// view returns the configuration in force. The lock must be held, so that no older one is used after a newer.
 func (s *Splitter) view() *catalog.View {
 	view := s.catalog.View()
-	if s.first == 0 {
-		s.first = view.Revision
+	if s.startRevision == 0 {
+		s.startRevision = view.Revision
 	}
 	return view
 }
 
-// trial gives what is kept of the order in force for a service. The lock must be held.
-func (s *Splitter) trial(view *catalog.View, service string, rule rollout.Rule) *trial {
-	known, found := s.trials[service]
-	if !found || known.order != rule.Order {
-		known = s.newTrial(view, service, rule)
-		s.trials[service] = known
+// budget returns the budget of the order in force for a service. The lock must be held.
+func (s *Splitter) budget(view *catalog.View, service string, rule rollout.Rule) *budget {
+	budget, found := s.budgets[service]
+	if !found || budget.order != rule.Order {
+		budget = s.newBudget(view, service, rule)
+		s.budgets[service] = budget
 	}
-	if rule.Phase == rollout.Switching && known.switched.IsZero() {
-		known.switched = s.now()
+	if rule.Phase == rollout.Switching && budget.switchedAt.IsZero() {
+		budget.switchedAt = s.now()
 	}
-	return known
+	return budget
 }
 
-// newTrial begins what is kept of an order. A node that found the order in force at its start does not know what its
-// predecessor spent of the slack, and has none. Without slack the bound leaves no room for a random start either.
-func (s *Splitter) newTrial(view *catalog.View, service string, rule rollout.Rule) *trial {
-	begun := &trial{order: rule.Order, learned: s.now(), duration: time.Nanosecond}
+// newBudget returns the budget of an order that this node learns of. A node that found the order in force when it
+// started does not know what its earlier process spent of the slack, and gets none. Without slack there is no random
+// start either.
+func (s *Splitter) newBudget(view *catalog.View, service string, rule rollout.Rule) *budget {
+	begun := &budget{order: rule.Order, learnedAt: s.now(), duration: time.Nanosecond}
 	if order := view.Rollouts[service].Order; order != nil {
 		begun.duration = order.Duration()
 	}
-	if s.config.Slack > 0 && rule.Order > revision.Count(s.first) && s.fleet.IsRegistered() {
-		begun.part, begun.start = s.part(view, service), s.random()
+	if s.cfg.Slack > 0 && rule.Order > revision.Count(s.startRevision) && s.fleet.IsRegistered() {
+		begun.fleetPart, begun.start = s.fleetPart(view, service), s.random()
 	}
 	return begun
 }
 
-// lowerPart follows a fleet that has grown. While the others don't know of this node it has no part to compare.
-func (s *Splitter) lowerPart(view *catalog.View, service string, known *trial) {
-	if known.part > 0 && s.fleet.IsRegistered() {
-		known.part = min(known.part, s.part(view, service))
+// lowerFleetPart lowers the node's part of the slack when the fleet grows. While the others don't know this node it
+// has no part to compare with.
+func (s *Splitter) lowerFleetPart(view *catalog.View, service string, budget *budget) {
+	if budget.fleetPart > 0 && s.fleet.IsRegistered() {
+		budget.fleetPart = min(budget.fleetPart, s.fleetPart(view, service))
 	}
 }
 
-// part gives this node's part of the slack of a service, which goes by whether any route gathers it.
-func (s *Splitter) part(view *catalog.View, service string) float64 {
+// fleetPart returns this node's part of the slack of a service, which depends on whether any route gathers it.
+func (s *Splitter) fleetPart(view *catalog.View, service string) float64 {
 	return s.fleet.Part(view.Routes != nil && view.Routes.IsGathered(service))
 }
--- a/internal/rollout/canary/stage.go
+++ b/internal/rollout/canary/stage.go
@@ -12,17 +12,17 @@
 
 // The stages.
 const (
-	// stopped gives the version on trial nothing: there is none, its order is held, or its time is over.
+	// stopped means that the version on trial gets nothing: there is none, its order is held, or its time is over.
 	stopped stage = iota
-	// bounded gives it the bounded share, of first attempts only.
+	// bounded means that it gets the bounded share, of first attempts only.
 	bounded
-	// ramping moves requests to it.
+	// ramping means that requests move to it.
 	ramping
-	// moved gives it everything, and the version that served nothing.
+	// moved means that it gets everything, the version that served nothing.
 	moved
 )
 
-// stageNow gives how far this node is with the order of a service.
+// stageNow returns the stage of the order of a service.
 func (s *Splitter) stageNow(service string) stage {
 	if s.catalog.View().Leafs.Rule(service).Trial == "" {
 		return stopped
@@ -34,56 +34,59 @@
 	if rule.Trial == "" {
 		return stopped
 	}
-	return s.stage(service, rule, s.trial(view, service, rule), s.now())
+	return s.stage(service, rule, s.budget(view, service, rule), s.now())
 }
 
-// stage gives how far this node is with an order. A version that was found good goes by the bound again while the
-// configuration was not confirmed lately: it may have been taken back. The lock must be held.
-func (s *Splitter) stage(service string, rule rollout.Rule, known *trial, now time.Time) stage {
+// stage decides how far this node is with an order, by the order's phase, the time since this node learned of it, and
+// the time since the configuration was confirmed as the newest. A held order is stopped. A version found good ramps
+// up and then gets everything, but only while the configuration was confirmed within ConfirmedWithin: otherwise the
+// verdict may have been revoked, and the bound applies again. After the order's duration an undecided version gets
+// nothing. The lock must be held.
+func (s *Splitter) stage(service string, rule rollout.Rule, budget *budget, now time.Time) stage {
 	switch {
 	case rule.Order <= s.holds[service]:
 		return stopped
-	case rule.Phase == rollout.Switching && now.Sub(s.catalog.ConfirmedAt()) <= s.config.ConfirmedWithin:
-		if now.Sub(known.switched) < s.Ramp(known.duration) {
+	case rule.Phase == rollout.Switching && now.Sub(s.catalog.ConfirmedAt()) <= s.cfg.ConfirmedWithin:
+		if now.Sub(budget.switchedAt) < s.Ramp(budget.duration) {
 			return ramping
 		}
 		return moved
-	case known.isOver(now):
+	case budget.isOver(now):
 		return stopped
 	}
 	return bounded
 }
 
-// Ramp gives how long the nodes take to move the requests of an order of a duration to a version found good.
+// Ramp returns how long the nodes take to move the requests of an order of a duration to a version found good.
 func (s *Splitter) Ramp(duration time.Duration) time.Duration {
-	return min(s.config.Ramp, time.Duration(rampPart*float64(duration)))
+	return min(s.cfg.Ramp, time.Duration(rampPart*float64(duration)))
 }
 
-// ramp gives the part of the requests that goes to a version found good.
-func (s *Splitter) ramp(known *trial, now time.Time) float64 {
-	over := float64(now.Sub(known.switched)) / float64(s.Ramp(known.duration))
-	return s.config.Share + (1-s.config.Share)*over
+// ramp returns the part of the requests, rising from Share to 1, that goes to a version found good.
+func (s *Splitter) ramp(budget *budget, now time.Time) float64 {
+	over := float64(now.Sub(budget.switchedAt)) / float64(s.Ramp(budget.duration))
+	return s.cfg.Share + (1-s.cfg.Share)*over
 }
 
-// mostHeld bounds the services whose holds are kept, far above those that a fleet moves at once.
-const mostHeld = 4096
+// maxHolds bounds the services whose holds are kept, well above those that a fleet moves at once.
+const maxHolds = 4096
 
-// Hold stops the version on trial by an order for good, whatever the configuration says of it.
+// Hold stops the version on trial of an order for good, whatever the configuration says about it.
 func (s *Splitter) Hold(service string, order int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.dropHolds()
-	if len(s.holds) < mostHeld || s.holds[service] > 0 {
+	s.dropOldHolds()
+	if len(s.holds) < maxHolds || s.holds[service] > 0 {
 		s.holds[service] = max(s.holds[service], order)
 	}
 }
 
-// dropHolds forgets holds of orders that were replaced or taken back; those that this node has yet to learn of stay. After a
-// restore of the store there are none of those: orders that were lost have ids that others get. The lock must be held.
-func (s *Splitter) dropHolds() {
+// dropOldHolds drops holds of orders that were replaced or withdrawn. Holds of orders that this node has not learned
+// of yet stay, except after a restore of the store, when lost orders' ids are given to others. The lock must be held.
+func (s *Splitter) dropOldHolds() {
 	view := s.view()
-	isRestored := s.heldAt != 0 && revision.IsLater(view.Revision, s.heldAt)
-	s.heldAt = view.Revision
+	isRestored := s.holdsRevision != 0 && revision.IsLater(view.Revision, s.holdsRevision)
+	s.holdsRevision = view.Revision
 	for service, order := range s.holds {
 		if (isRestored || order <= revision.Count(view.Revision)) && view.Leafs.Rule(service).Order != order {
 			delete(s.holds, service)
--- a/internal/rollout/canary/stage_test.go
+++ b/internal/rollout/canary/stage_test.go
@@ -13,12 +13,12 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// may says which of the versions may be sent something now.
+// may returns for each of the versions whether a leaf of it may be sent a request now.
 func may(s *Splitter) string {
 	return fmt.Sprintf("%v %v", s.MayAsk(leafID(before, 0)), s.MayAsk(leafID(target, 0)))
 }
 
-// Without an order only the version that serves is asked.
+// Without an order only the serving version gets requests.
 func TestWithoutAnOrderOneVersionServes(t *testing.T) {
 	is := is.New(t)
 	built := newSite(t)
@@ -27,10 +27,10 @@
 	is.Equal(splitter.RetryVersions("s"), Serving)
 	is.Equal(may(splitter), "true false")
 	is.True(!splitter.IsTrialOpen("s") && !splitter.MayAsk("unknown"))
-	is.Equal(len(splitter.trials), 0)
+	is.Equal(len(splitter.budgets), 0)
 }
 
-// When the order's time is over by this node's clock, the version gets nothing more, also not what was planned.
+// After the order's duration by this node's clock the version gets nothing more, not even attempts planned before.
 func TestNothingIsDrawnAfterTheOrdersTime(t *testing.T) {
 	is := is.New(t)
 	built, splitter, _ := started(t, 0)
@@ -42,7 +42,7 @@
 	is.Equal(may(splitter), "true false")
 }
 
-// The time of an order begins when a node learns of it, not with its first request.
+// The duration of an order begins when a node learns of it, not with its first request.
 func TestTimeBeginsWhenTheOrderIsLearnedOf(t *testing.T) {
 	is := is.New(t)
 	built, splitter, _ := started(t, 0)
@@ -50,7 +50,7 @@
 	is.Equal(draw(splitter, 100, false), 0)
 }
 
-// A held order is stopped in each phase, also before it is known; another order of the same version is not.
+// A held order is stopped in each phase, also before it is known; another order for the same version is not.
 func TestHoldIsOfOneOrderAndStays(t *testing.T) {
 	is := is.New(t)
 	built, splitter, order := started(t, 50)
@@ -76,20 +76,20 @@
 	is.Equal(draw(splitter, 100, false), 0)
 }
 
-// Holds of services without an order go, and more than are kept are not taken.
+// Holds of services without an order are dropped, and more than the bound are not kept.
 func TestHoldsAreBounded(t *testing.T) {
 	is := is.New(t)
 	built, splitter, order := started(t, 50)
-	for index := range 2 * mostHeld {
+	for index := range 2 * maxHolds {
 		splitter.Hold(fmt.Sprint(index), order+1)
 	}
-	is.Equal(len(splitter.holds), mostHeld)
+	is.Equal(len(splitter.holds), maxHolds)
 	built.put(catalog.EvacuationKey("z"), struct{}{})
 	splitter.Refresh()
 	is.Equal(len(splitter.holds), 0)
 }
 
-// An order that is taken back leaves nothing to the version, nor does it keep anything.
+// An order that is withdrawn leaves the version no requests and no budget.
 func TestOrderTakenBack(t *testing.T) {
 	is := is.New(t)
 	built, splitter, _ := started(t, 50)
@@ -98,7 +98,7 @@
 	is.Equal(may(splitter), "true false")
 	is.Equal(draw(splitter, 100, false), 0)
 	splitter.Refresh()
-	is.Equal(len(splitter.trials), 0)
+	is.Equal(len(splitter.budgets), 0)
 }
 
 // A version found good gets everything within the ramp, and the one before it nothing after that.
@@ -114,7 +114,7 @@
 		part  float64
 		share float64
 	}{{0, 0.1}, {0.5, 0.55}, {0.9, 0.91}} {
-		built.clock = splitter.trials["s"].switched.Add(time.Duration(step.part * float64(2*time.Second)))
+		built.clock = splitter.budgets["s"].switchedAt.Add(time.Duration(step.part * float64(2*time.Second)))
 		chance = step.share - 0.001
 		is.Equal(splitter.Draw(Request{Service: "s"}), Draw{First: Trial})
 		chance = step.share + 0.001
@@ -129,7 +129,7 @@
 	is.Equal(may(splitter), "false true") // its time only ends what is not found good
 }
 
-// In a short order the requests move within a part of its time.
+// In a short order the requests move within a part of its duration.
 func TestRampOfAShortOrder(t *testing.T) {
 	is := is.New(t)
 	built, splitter, order := startedFor(t, 12*time.Second)
@@ -143,7 +143,7 @@
 	is.Equal(splitter.RetryVersions("s"), Trial)
 }
 
-// Beyond the share nothing goes while the configuration was not confirmed lately.
+// While the configuration was not confirmed recently nothing goes beyond the share.
 func TestSwitchLapsesWithoutConfirmation(t *testing.T) {
 	is := is.New(t)
 	built, splitter, order := started(t, 0)
@@ -160,7 +160,7 @@
 	is.Equal(may(splitter), "false true")
 }
 
-// A node is settled once its ramp has ended and nothing is under way at other versions, whenever that began.
+// A node is settled once its ramp has ended and nothing is in flight at other versions, whenever that began.
 func TestSettledOnceNothingIsUnderWay(t *testing.T) {
 	is := is.New(t)
 	built, splitter, order := started(t, 0)
@@ -180,7 +180,7 @@
 	splitter.Hold("s", order)
 	is.Equal(splitter.SettledRevision(), switched-1)
 	splitter.AttemptEnded("s", target)
-	is.Equal(len(splitter.flights.counts), 0)
+	is.Equal(len(splitter.inFlight.counts), 0)
 }
 
 // A leaf of a version that no rule lets serve gets nothing, be it ready, lost or only remembered.
@@ -239,7 +239,7 @@
 	is.Equal(fields, []string{"share", "slack", "used", "ramp", "confirmed_within"})
 }
 
-// A machine that wakes does not go on as if the rule it had before were fresh.
+// A machine that resumes does not treat the rule from before the suspension as recent.
 func TestSuspendedMachineGoesByTheBoundUntilItLearns(t *testing.T) {
 	is := is.New(t)
 	built := newSite(t)
--- a/internal/rollout/evidence/collector.go
+++ b/internal/rollout/evidence/collector.go
@@ -10,35 +10,35 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// mostRows bounds the rows that a node keeps. A service has one for each route and version, and one for each route
-// and leaf on trial.
-const mostRows = 4096
+// maxRows bounds the rows that a node keeps. A service has one for each route of the serving version, and one for
+// each route and leaf on trial.
+const maxRows = 4096
 
-// Collector counts how one node's attempts end at the leafs of services with a version on trial; safe for
-// concurrent use. The leafs of the version that serves share a row for each route, without leaf and zone.
+// Collector counts how one node's attempts end at leafs of services with a version on trial. The leafs of the serving
+// version share a row for each route, without leaf and zone. It is safe for concurrent use.
 type Collector struct {
 	catalog *catalog.Catalog
 
 	mu   sync.Mutex
 	rows map[Key]*collected
-	// changed are the rows that changed since they were taken, longest waiting first.
+	// changed are the rows that changed since they were taken, the longest waiting first.
 	changed []*collected
-	// leafs are those whose rules the rows were last checked by.
+	// leafs is the set whose rules the rows were last checked against.
 	leafs *leafset.Set
 }
 
-// collected is a row that is counted on.
+// collected is a row that is being counted.
 type collected struct {
 	Row
 	isChanged bool
 }
 
-// NewCollector makes a collector without rows.
+// NewCollector returns a collector without rows.
 func NewCollector(known *catalog.Catalog) *Collector {
 	return &Collector{catalog: known, rows: map[Key]*collected{}}
 }
 
-// Observe counts an answer that a leaf gave.
+// Observe counts an answer of a leaf.
 func (c *Collector) Observe(route string, leaf *leafset.Leaf, failed bool, took time.Duration) {
 	if !c.IsCounted(leaf) {
 		return
@@ -59,12 +59,12 @@
 	return isCounted(c.catalog.View().Leafs.Rule(leaf.Service), leaf)
 }
 
-// isCounted reports whether a rule has a leaf's attempts counted.
+// isCounted reports whether a leaf's attempts are counted under a rule.
 func isCounted(rule rollout.Rule, leaf *leafset.Leaf) bool {
 	return rule.Trial != "" && (rule.IsTrial(leaf.Version) || rule.IsServing(leaf.Version))
 }
 
-// Rows gives all rows, in no order.
+// Rows returns copies of all rows, in no particular order.
 func (c *Collector) Rows() []Row {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -76,18 +76,18 @@
 	return rows
 }
 
-// TakeChanged gives up to so many of the rows that changed since they were last taken, longest waiting first.
-func (c *Collector) TakeChanged(most int) []Row {
+// TakeChanged returns copies of up to limit rows that changed since they were last taken, the longest waiting first.
+func (c *Collector) TakeChanged(limit int) []Row {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.dropOld()
-	most = min(max(0, most), len(c.changed))
-	rows := make([]Row, 0, most)
-	for _, kept := range c.changed[:most] {
+	limit = min(max(0, limit), len(c.changed))
+	rows := make([]Row, 0, limit)
+	for _, kept := range c.changed[:limit] {
 		kept.isChanged = false
 		rows = append(rows, kept.copy())
 	}
-	c.changed = slices.Delete(c.changed, 0, most)
+	c.changed = slices.Delete(c.changed, 0, limit)
 	return rows
 }
 
@@ -97,7 +97,7 @@
 	c.dropOld()
 	rule := c.leafs.Rule(leaf.Service)
 	if !isCounted(rule, leaf) {
-		return // the rule changed since it was asked about
+		return // the rule has changed since IsCounted
 	}
 	key := Key{Service: leaf.Service, Order: rule.Order, Route: route, Version: leaf.Version}
 	if rule.IsTrial(leaf.Version) {
@@ -105,7 +105,7 @@
 	}
 	kept, found := c.rows[key]
 	if !found {
-		if len(c.rows) >= mostRows {
+		if len(c.rows) >= maxRows {
 			return
 		}
 		kept = &collected{Row: Row{Key: key}}
@@ -118,7 +118,7 @@
 	}
 }
 
-// dropOld drops the rows of orders that are not in force any more. The lock must be held.
+// dropOld drops the rows of orders that are no longer in force. The lock must be held.
 func (c *Collector) dropOld() {
 	leafs := c.catalog.View().Leafs
 	if leafs == c.leafs {
@@ -134,7 +134,7 @@
 	c.changed = slices.DeleteFunc(c.changed, isOld)
 }
 
-// copy gives the row as it is now.
+// copy returns a copy of the row.
 func (c *collected) copy() Row {
 	row := c.Row
 	row.Answered, row.GivenUp = slices.Clone(row.Answered), slices.Clone(row.GivenUp)
--- a/internal/rollout/evidence/collector_test.go
+++ b/internal/rollout/evidence/collector_test.go
@@ -34,7 +34,7 @@
 	return revision
 }
 
-// ordered gives a collector of a node that knows of an order to move service s from v1 to v2.
+// ordered returns a collector of a node that knows an order to move service s from v1 to v2.
 func ordered(t *testing.T) (*Collector, *catalog.Catalog, int64) {
 	t.Helper()
 	known := catalog.New(func(key string, err error) { t.Fatal(key, err) })
@@ -48,7 +48,7 @@
 	return leafset.NewLeaf(leafset.Record{Name: id, Service: service, Version: version, Zone: "z-" + id}, 0, time.Time{})
 }
 
-// Leafs on trial have a row each, those that serve share one for each route; nothing else has any.
+// Leafs on trial have a row each, those that serve share one for each route; other leafs have none.
 func TestRowsTellLeafsOnTrialApart(t *testing.T) {
 	is := is.New(t)
 	c, _, order := ordered(t)
@@ -72,7 +72,7 @@
 	})
 }
 
-// An attempt that ends as the order is replaced is not counted for the next one.
+// An attempt that ends while its order is replaced is not counted for the next one.
 func TestAttemptOfAnotherOrderIsNotCounted(t *testing.T) {
 	is := is.New(t)
 	c, known, _ := ordered(t)
@@ -81,7 +81,7 @@
 	is.Equal(len(c.Rows()), 0)
 }
 
-// Rows are given when they changed, each with all of its counts, longest waiting first.
+// Rows are returned when they have changed, each with all of its counts, the longest waiting first.
 func TestChangedRowsAreTakenInTurn(t *testing.T) {
 	is := is.New(t)
 	c, _, _ := ordered(t)
@@ -108,7 +108,7 @@
 	}
 }
 
-// Rows of an order go when it is no longer in force; the next one starts from nothing.
+// Rows of an order are dropped when it is no longer in force; the next one starts at zero.
 func TestRowsGoWithTheirOrder(t *testing.T) {
 	is := is.New(t)
 	c, known, _ := ordered(t)
@@ -125,17 +125,17 @@
 	is.Equal(len(c.Rows()), 0)
 }
 
-// The rows are bounded; those that there are count on.
+// The number of rows is bounded; existing rows go on counting.
 func TestRowsAreBounded(t *testing.T) {
 	is := is.New(t)
 	c, _, _ := ordered(t)
 	var counting sync.WaitGroup
-	for index := range 2 * mostRows {
+	for index := range 2 * maxRows {
 		counting.Go(func() { c.Observe("r", leaf(fmt.Sprint(index), "s", "v2"), false, time.Millisecond) })
 	}
 	counting.Wait()
-	is.Equal(len(c.Rows()), mostRows)
-	is.Equal(len(c.TakeChanged(2*mostRows)), mostRows)
+	is.Equal(len(c.Rows()), maxRows)
+	is.Equal(len(c.TakeChanged(2*maxRows)), maxRows)
 	kept := c.Rows()[0].Leaf
 	c.Observe("r", leaf(kept, "s", "v2"), false, time.Millisecond)
 	is.Equal(len(c.TakeChanged(9)), 1)
--- a/internal/rollout/evidence/evidence.go
+++ b/internal/rollout/evidence/evidence.go
@@ -1,8 +1,9 @@
-// Package evidence counts how the leafs of each version of a service answer, so that a new version can be
-// compared with the one that serves: route by route, at the same time, by failures and by latency.
+// Package evidence counts how the leafs of each version of a service answer, so that a new version can be compared
+// with the serving one: by route, at the same time, by failures and latency.
 //
-// Counts only ever grow within one order, so that a report that comes twice, late or not at all does no harm:
-// of two reports of one row the one with more attempts holds.
+// Counts only grow during one order, so that a report that arrives twice, late or not at all does no harm: of two
+// reports of one row the one with more attempts is kept. A Collector owns the rows of one node; the package starts no
+// goroutine, and relies on the catalog for the orders in force.
 package evidence
 
 import (
@@ -10,20 +11,20 @@
 	"time"
 )
 
-// Key names a row of counts.
+// Key identifies a row of counts.
 type Key struct {
 	Service string `json:"service"`
-	// Order is the revision of the order that the counts are for.
+	// Order is the id of the order that the counts are for.
 	Order   int64  `json:"order"`
 	Route   string `json:"route"`
 	Version string `json:"version"`
-	// Leaf is the id of the leaf, so that one bad leaf is not taken for a bad version.
+	// Leaf is the id of the leaf, so that one bad leaf is not taken for a bad version; empty for the serving version.
 	Leaf string `json:"leaf"`
-	// Zone is the leaf's zone.
+	// Zone is the leaf's zone; empty for the serving version.
 	Zone string `json:"zone,omitempty"`
 }
 
-// Row is the counts of one node.
+// Row is the counts of one key, of one node or summed over nodes.
 type Row struct {
 	Key
 	Tally
@@ -31,12 +32,12 @@
 
 // Tally counts attempts.
 type Tally struct {
-	// Failures are the answers by which the leaf itself said that it failed.
+	// Failures counts the answers by which the leaf reported its own failure.
 	Failures int64 `json:"failures,omitempty"`
-	// Answered counts all answers by how long they took.
+	// Answered counts all answers by latency.
 	Answered Histogram `json:"answered,omitempty"`
-	// GivenUp counts the attempts that were given up without an answer, by how long they had taken until then: the
-	// answer would have taken longer.
+	// GivenUp counts the attempts that were given up without an answer, by their time until then; the answer would
+	// have taken longer.
 	GivenUp Histogram `json:"given_up,omitempty"`
 }
 
@@ -51,47 +52,47 @@
 // ObserveGivenUp counts an attempt without an answer.
 func (t *Tally) ObserveGivenUp(took time.Duration) { t.GivenUp.observe(took) }
 
-// Attempts gives how many attempts were counted.
+// Attempts returns the number of attempts.
 func (t *Tally) Attempts() int64 { return t.Answered.Total() + t.GivenUp.Total() }
 
-// Add counts the attempts of another tally too.
+// Add adds the counts of another tally.
 func (t *Tally) Add(other Tally) {
 	t.Failures += other.Failures
 	t.Answered.add(other.Answered)
 	t.GivenUp.add(other.GivenUp)
 }
 
-// Slow gives how many attempts took longer than a limit, and how many are known to have taken longer or
-// shorter: of those that were given up sooner it is not known.
+// Slow returns how many attempts took longer than a limit, and for how many it is known: it is not for those that
+// were given up earlier.
 func (t *Tally) Slow(limit time.Duration) (slow, known int64) {
 	slow = t.Answered.Above(limit) + t.GivenUp.Above(limit)
 	return slow, t.Answered.Total() + t.GivenUp.Above(limit)
 }
 
-// Buckets of a histogram: the first ends at leastLatency, each of the others at stepsPerDoubling-th root of 2
-// times the one before it. So 48 buckets reach from 0.25 ms to 700 s, each known to within a fifth.
+// The first bucket of a histogram ends at minLatency, each other at 2^(1/stepsPerDoubling) times the one before it. So 48
+// buckets reach from 0.25 ms to 700 s, each known to within a fifth.
 const (
-	leastLatency     = 250 * time.Microsecond
+	minLatency       = 250 * time.Microsecond
 	stepsPerDoubling = 2
 	buckets          = 48
 )
 
-// Histogram counts attempts by latency, in buckets of a fixed width on a log scale; the zero value is empty.
-// Trailing empty buckets are left out.
+// Histogram counts attempts by latency, in buckets on a logarithmic scale; the zero value is empty. Trailing empty
+// buckets are omitted.
 type Histogram []int64
 
-// bucketOf gives the bucket of a latency.
+// bucketOf returns the bucket of a latency.
 func bucketOf(took time.Duration) int {
-	if took <= leastLatency {
+	if took <= minLatency {
 		return 0
 	}
-	index := int(math.Ceil(stepsPerDoubling * math.Log2(float64(took)/float64(leastLatency))))
+	index := int(math.Ceil(stepsPerDoubling * math.Log2(float64(took)/float64(minLatency))))
 	return min(index, buckets-1)
 }
 
-// UpperBound gives the longest latency of a bucket.
+// UpperBound returns the longest latency of a bucket.
 func UpperBound(bucket int) time.Duration {
-	return time.Duration(float64(leastLatency) * math.Exp2(float64(bucket)/stepsPerDoubling))
+	return time.Duration(float64(minLatency) * math.Exp2(float64(bucket)/stepsPerDoubling))
 }
 
 func (h *Histogram) observe(took time.Duration) {
@@ -113,7 +114,7 @@
 	}
 }
 
-// Total gives the attempts counted.
+// Total returns the number of attempts.
 func (h Histogram) Total() int64 {
 	total := int64(0)
 	for _, count := range h {
@@ -122,7 +123,7 @@
 	return total
 }
 
-// Above gives the attempts that took longer than a latency, to within the width of a bucket.
+// Above returns the number of attempts that took longer than a latency, to within the width of a bucket.
 func (h Histogram) Above(limit time.Duration) int64 {
 	above := int64(0)
 	for index := bucketOf(limit) + 1; index < len(h); index++ {
@@ -131,8 +132,8 @@
 	return above
 }
 
-// Quantile gives the upper bound of the bucket with the given part of the attempts, 0 to 1, at or below it;
-// 0 when nothing was counted.
+// Quantile returns the upper bound of the bucket at which the given part of the attempts, 0 to 1, is reached; 0 if
+// there are none.
 func (h Histogram) Quantile(part float64) time.Duration {
 	total := h.Total()
 	if total == 0 {
--- a/internal/rollout/evidence/evidence_test.go
+++ b/internal/rollout/evidence/evidence_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// A latency lies in the bucket whose upper bound is the first that it does not exceed.
+// A latency is in the first bucket whose upper bound it does not exceed.
 func TestBucketsHoldTheirLatencies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		took := time.Duration(rapid.Int64Range(0, int64(10*time.Minute)).Draw(t, "took"))
@@ -40,7 +40,7 @@
 	is.Equal(Histogram(nil).Quantile(0.5), time.Duration(0))
 }
 
-// An attempt that was given up sooner than a limit says nothing of whether it was slow.
+// For an attempt that was given up before a limit it is not known whether it was slow.
 func TestSlowCountsWhatIsKnown(t *testing.T) {
 	is := is.New(t)
 	var tally Tally
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -1,8 +1,8 @@
-// Package rollout holds what moves the requests of a service from the leafs of one version to those of another:
-// the operators' order, the fleet's state of carrying it out, and the rule that follows for each node.
+// Package rollout defines how the requests of a service move from the leafs of one version to those of another: the
+// operators' order, the fleet's state of carrying it out, and the rule for each node that follows from both.
 //
-// It keeps nothing and talks to nobody. Order and state are keys of the store, each with the revision that
-// wrote it; a node derives its rule from both as they are at the revision that it has in force.
+// The package keeps no state and does no I/O. Orders and states are keys of the store, each with the revision that
+// wrote it. A node derives its rule from both as of the revision that it has in force.
 package rollout
 
 import (
@@ -18,18 +18,18 @@
 // Order asks that the requests of a service move to the leafs of a version.
 type Order struct {
 	Service string `json:"service"`
-	// Target is the version that is to serve.
+	// Target is the version to move to.
 	Target string `json:"target"`
-	// DurationMillis is how long the roll-out may take, from when the order was accepted.
+	// DurationMillis is how long the roll-out may take after the order was accepted.
 	DurationMillis int64 `json:"duration_millis"`
 	// Revision is the store's revision that wrote the order.
 	Revision int64 `json:"-"`
-	// id is that of the order that this one is written again of; 0 where it is none.
+	// id is that of the earlier order that this one repeats, 0 if there is none.
 	id int64
 }
 
-// ID names the order among those of its service: the store's count that wrote it first, which stays the same when the store
-// is restored, and when operators write it again after that as it was.
+// ID identifies the order among those of its service: the store's count at its first write. It stays the same when
+// the store is restored and operators write the same order again.
 func (o *Order) ID() int64 {
 	if o.id != 0 {
 		return o.id
@@ -37,13 +37,13 @@
 	return revision.Count(o.Revision)
 }
 
-// Duration is how long the roll-out may take.
+// Duration returns how long the roll-out may take.
 func (o *Order) Duration() time.Duration { return time.Duration(o.DurationMillis) * time.Millisecond }
 
-// longestMillis is the longest duration of an order in milliseconds: what a time.Duration holds.
+// longestMillis is the longest duration of an order in milliseconds, limited by time.Duration.
 const longestMillis = math.MaxInt64 / int64(time.Millisecond)
 
-// Validate names every field at fault.
+// Validate returns an error that names every invalid field.
 func (o *Order) Validate() error {
 	var checks failure.Checks
 	checks.Refuse(o.Service == "", "service", "must not be empty")
@@ -53,7 +53,7 @@
 	return checks.Err()
 }
 
-// ParseOrder reads and checks an order in JSON that a revision wrote.
+// ParseOrder reads and validates an order in JSON that was written at a revision.
 func ParseOrder(content []byte, at int64) (*Order, error) {
 	order := &Order{Revision: at}
 	if err := json.Unmarshal(content, order); err != nil {
@@ -62,7 +62,7 @@
 	return order, order.Validate()
 }
 
-// InheritID takes the id of an order that was in force before, if this one is the same: as it was, and written again after a
+// InheritID gives the order the id of the one in force before it if it is the same order, written again after a
 // restore of the store.
 func (o *Order) InheritID(before *Order) {
 	if before == nil || !revision.IsLater(o.Revision, before.Revision) {
@@ -78,11 +78,11 @@
 
 // The phases. The last two are final: only another order follows on them.
 const (
-	// Canary sends the target a bounded share of the requests, to judge it by.
+	// Canary sends the target a bounded share of the requests, to evaluate it.
 	Canary Phase = "canary"
 	// Switching moves all requests to the target, which was found good.
 	Switching Phase = "switching"
-	// Succeeded means that the target serves, and that the version before it gets nothing more.
+	// Succeeded means that the target serves, and the version before it gets nothing more.
 	Succeeded Phase = "succeeded"
 	// RolledBack means that the target gets nothing.
 	RolledBack Phase = "rolled_back"
@@ -91,19 +91,19 @@
 // IsFinal reports whether no phase follows.
 func (p Phase) IsFinal() bool { return p == Succeeded || p == RolledBack }
 
-// State is how far the fleet is with an order. It is replaced by compare-and-swap only, under the condition
-// that the order is still the one that it answers.
+// State is how far the fleet is with an order. It is replaced by compare-and-swap only, on condition that the order
+// is unchanged.
 type State struct {
 	Service string `json:"service"`
-	// OrderRevision is the store's count that wrote the order which the state answers.
+	// OrderRevision is the store's count at which the order was written.
 	OrderRevision int64 `json:"order_revision"`
 	Phase         Phase `json:"phase"`
-	// Serving is the version that served before the order, and serves on unless it succeeds.
+	// Serving is the version that served before the order, and continues to unless the order succeeds.
 	Serving string `json:"serving"`
 	Target  string `json:"target"`
-	// StartedUnixMillis is when the first state of the order was written, by its writer's time of day.
+	// StartedUnixMillis is when the first state of the order was written, by its writer's wall clock.
 	StartedUnixMillis int64 `json:"started_unix_millis"`
-	// Reason says in a sentence what the phase was decided by, with the figures.
+	// Reason explains the phase in one sentence, with figures.
 	Reason string `json:"reason,omitempty"`
 	// DecidedBy is the id of the node that wrote the state.
 	DecidedBy string `json:"decided_by,omitempty"`
@@ -111,7 +111,7 @@
 	Revision int64 `json:"-"`
 }
 
-// ParseState reads and checks a state in JSON that a revision wrote.
+// ParseState reads and validates a state in JSON that was written at a revision.
 func ParseState(content []byte, at int64) (*State, error) {
 	state := &State{Revision: at}
 	if err := json.Unmarshal(content, state); err != nil {
@@ -123,8 +123,8 @@
 	return state, checks.Err()
 }
 
-// BelongsTo reports whether the state is of an order. One of before a restore of the store is of the order that operators
-// wrote again after it, for the same version.
+// BelongsTo reports whether the state is of an order. A state from before a restore of the store belongs to the order
+// for the same version that operators wrote again after it.
 func (s *State) BelongsTo(order *Order) bool {
 	if order == nil || s.Target != order.Target {
 		return false
@@ -133,7 +133,7 @@
 	return count == order.ID() || count == revision.Count(order.Revision) || revision.IsLater(order.Revision, s.Revision)
 }
 
-// ServingVersion gives the version that serves once the state is final, or until then.
+// ServingVersion returns the version that serves by the state.
 func (s *State) ServingVersion() string {
 	if s.Phase == Succeeded {
 		return s.Target
@@ -141,14 +141,14 @@
 	return s.Serving
 }
 
-// Versions are the versions that services without a roll-out are served by, as the fleet wrote them down when
-// it first saw their leafs. A version that comes beside the one written down gets nothing without an order.
+// Versions are the versions that serve the services without a roll-out, as the fleet stored them when it first saw
+// their leafs. Another version that appears beside the stored one gets nothing without an order.
 type Versions struct {
-	// ByVersion gives the names of the services that a version serves; each service stands once.
+	// ByVersion lists the services that each version serves; each service occurs once.
 	ByVersion map[string][]string `json:"by_version"`
 }
 
-// ParseVersions reads versions in JSON, as the version by service.
+// ParseVersions reads versions in JSON, and returns the version by service.
 func ParseVersions(content []byte) (map[string]string, error) {
 	var versions Versions
 	if err := json.Unmarshal(content, &versions); err != nil {
@@ -163,27 +163,31 @@
 	return byService, nil
 }
 
-// Rule says which versions of a service may get requests; the zero rule allows all.
+// Rule decides which versions of a service may get requests; the zero rule allows all.
 type Rule struct {
 	// Serving is the version that serves; empty means any but Trial and Barred.
 	Serving string
-	// Barred is the version that was rolled back or taken back where Serving is empty; else empty, since then all but
+	// Barred is the version that was rolled back or withdrawn, if Serving is empty; otherwise all versions but
 	// Serving and Trial are barred.
 	Barred string
-	// ExcludesUnversioned says that the leafs that tell no version were those that served before Serving, and get nothing.
+	// ExcludesUnversioned says that leafs without a version are those that served before Serving, and get nothing.
 	ExcludesUnversioned bool
-	// Trial is the version that an order wants to serve; empty where there is none under way.
+	// Trial is the version on trial, the target of the order under way; empty if there is none.
 	Trial string
 	// Phase is Canary or Switching while there is a Trial, else empty.
 	Phase Phase
-	// Order is the id of the order under way, 0 where there is none.
+	// Order is the id of the order under way, 0 if there is none.
 	Order int64
 	// Revision is that of the state that the rule follows from, 0 where there is none yet.
 	Revision int64
 }
 
-// RuleOf gives the rule that follows from the order and the state of a service, each nil where there is none,
-// and the version written down for it, empty where there is none.
+// RuleOf derives the rule of a service from its order and state, each nil if there is none, and the stored serving
+// version, empty if there is none. It is the only place that does.
+//
+// A final state decides which version serves. An order that is not answered by a final state puts its target on
+// trial, in phase canary until a state says otherwise. If only leafs without a version served, the rule bars the
+// target that was rolled back, or excludes them once a version has replaced them.
 func RuleOf(order *Order, state *State, written string) Rule {
 	rule := Rule{Serving: written}
 	if state != nil {
@@ -212,8 +216,8 @@
 	return rule
 }
 
-// WithDefaultServing gives the rule of a service that is served by the version that was there first, empty where none was,
-// unless the rule names one that serves. An order of the version that serves already asks for nothing.
+// WithDefaultServing returns the rule with the version that was there first as the serving one, unless the rule names
+// one. An order for that version has nothing left to do.
 func (r Rule) WithDefaultServing(first string) Rule {
 	if r.Serving != "" || first == "" || r.Barred == first {
 		return r
@@ -225,8 +229,8 @@
 	return r
 }
 
-// IsServing reports whether a version serves by the rule; a leaf that tells no version does, unless such leafs were
-// replaced.
+// IsServing reports whether a version serves by the rule. Leafs without a version serve unless the rule excludes
+// them.
 func (r Rule) IsServing(version string) bool {
 	if version == "" {
 		return !r.ExcludesUnversioned
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -18,7 +18,7 @@
 	return &State{Service: "s", OrderRevision: answered, Phase: phase, Serving: "v1", Target: "v2", Revision: 9}
 }
 
-// unnamed is a state where the version that served has no name.
+// unnamed returns a state in which the version that served has no name.
 func unnamed(phase Phase, answered int64) *State {
 	made := state(phase, answered)
 	made.Serving = ""
--- a/internal/rollout/rolloutcontrol/reporter.go
+++ b/internal/rollout/rolloutcontrol/reporter.go
@@ -16,8 +16,8 @@
 // Counts are this node's own counts for the orders under way; evidence.Collector is the real one. Returned rows
 // belong to the caller.
 type Counts interface {
-	// TakeChanged returns up to max rows that changed since they were last taken.
-	TakeChanged(most int) []evidence.Row
+	// TakeChanged returns up to limit rows that changed since they were last taken.
+	TakeChanged(limit int) []evidence.Row
 	// Rows returns all rows.
 	Rows() []evidence.Row
 }
