--- a/internal/config/catalog/draft.go
+++ b/internal/config/catalog/draft.go
@@ -14,44 +14,24 @@
 	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
-// NodeRecord is a node's own word on itself.
-type NodeRecord struct {
-	ID   string `json:"id"`
-	Zone string `json:"zone"`
-	// Address is the node's peer address.
-	Address string `json:"address"`
-	// Tree is where the node gathers for others; empty when it does not.
-	Tree string `json:"tree,omitempty"`
-	// Processors is the node's part of processors, in cores; 0 when it does not say.
-	Processors float64 `json:"processors,omitempty"`
-}
+// draft is a view under construction. Parts of the view before it are copied only when they change.
+type draft struct {
+	view  *View
+	clock boottime.Clock
+	// rollouts says that versions of leafs matter.
+	rollouts bool
+	// acceptsOlderRoutes says that routes replace those in force even if a later revision wrote those.
+	acceptsOlderRoutes bool
 
-// isTransient reports whether a key may end without a tombstone that must be kept: it stands only while something
-// lasts, a process, an evacuation, a quarantine or an order, or tells of versions, of which what a whole state lacks is void.
-func isTransient(key string) bool {
-	return strings.HasPrefix(key, leafPrefix) || strings.HasPrefix(key, nodePrefix) || strings.HasPrefix(key, evacuationPrefix) ||
-		strings.HasPrefix(key, quarantinePrefix) || isRollout(key)
-}
+	leafs          *leafset.Editor    // nil while no leaf changed
+	before         *leafset.Set       // the leafs in force before the draft
+	rolloutsBefore map[string]Rollout // the roll-outs in force before the draft
 
-// draft is a view that is not yet in force. Parts of the view before it are copied only when
-// they change.
-type draft struct {
-	view   *View
-	leafs  *leafset.Editor // nil while no leaf changed
-	before *leafset.Set    // the leafs in force before the draft
-	// rolloutsBefore are the roll-outs in force before the draft.
-	rolloutsBefore map[string]Rollout
+	// These say which maps of the view are the draft's own copies.
 	ownsNodes      bool
-	ownService     bool
-	// ownsQuarantine says that the requests under quarantine are a copy of the draft's own.
+	ownsServices   bool
 	ownsQuarantine bool
-	// ownsRollouts says that the roll-outs are a copy of the draft's own.
-	ownsRollouts bool
-	// rollouts says that versions of leafs matter.
-	rollouts bool
-	// isOlderTaken says that routes go before those in force that a later revision wrote.
-	isOlderTaken bool
-	clock        boottime.Clock
+	ownsRollouts   bool
 }
 
 func (c *Catalog) newDraft(current *View, revision int64) *draft {
@@ -60,14 +40,15 @@
 	return &draft{view: &next, before: current.Leafs, rolloutsBefore: current.Rollouts, rollouts: c.rollouts, clock: c.clock}
 }
 
-func (d *draft) done() *View {
+// compiled returns the finished view.
+func (d *draft) compiled() *View {
 	if d.leafs != nil {
 		d.view.Leafs = d.leafs.Done()
 	}
 	return d.view
 }
 
-// compile puts one entry into a draft.
+// compile applies one entry to a draft. A value that can't be decoded is rejected.
 func (c *Catalog) compile(target *draft, entry Entry) {
 	var err error
 	switch {
@@ -100,7 +81,7 @@
 	}
 }
 
-// compileRoutes takes a routing configuration that is newer than the one in force.
+// compileRoutes puts routes into force if they are newer than those in force.
 func (d *draft) compileRoutes(entry Entry) error {
 	if entry.Deleted {
 		return nil
@@ -109,7 +90,7 @@
 	if err != nil {
 		return err
 	}
-	if d.view.Routes != nil && d.view.Routes.Revision >= entry.Revision && !d.isOlderTaken {
+	if d.view.Routes != nil && d.view.Routes.Revision >= entry.Revision && !d.acceptsOlderRoutes {
 		return nil
 	}
 	d.view.Routes = routing.NewTable(configuration, entry.Revision)
@@ -121,11 +102,7 @@
 		d.view.Remembered = leafset.Empty()
 		return nil
 	}
-	document, err := DecodeDocument(entry)
-	if err != nil {
-		return err
-	}
-	remembered, err := leafset.ParseList(document, entry.Revision)
+	remembered, err := parsedAt(entry, leafset.ParseList)
 	if err != nil {
 		return err
 	}
@@ -133,7 +110,7 @@
 	return nil
 }
 
-// leafEditor gives the editor of the draft's leafs.
+// leafEditor returns the editor of the draft's leafs.
 func (d *draft) leafEditor() *leafset.Editor {
 	if d.leafs == nil {
 		d.useEditor(d.view.Leafs.Edit())
@@ -141,7 +118,7 @@
 	return d.leafs
 }
 
-// useEditor has the draft's leafs changed by an editor.
+// useEditor makes the draft edit its leafs through an editor.
 func (d *draft) useEditor(leafs *leafset.Editor) {
 	d.leafs = leafs
 	leafs.SetClock(d.clock)
@@ -150,8 +127,8 @@
 	}
 }
 
-// compileLeaf takes the record of a leaf. One that can't be read may come from another writer: it tells of no leaf, also not
-// of the one that was told of under its name before.
+// compileLeaf puts the record of a leaf into force. A record that can't be decoded may be another writer's: the
+// leaf known under its name before counts as gone.
 func (d *draft) compileLeaf(name string, entry Entry) error {
 	leafs := d.leafEditor()
 	if entry.Deleted {
@@ -171,14 +148,14 @@
 	return nil
 }
 
-// leafRecord reads the record of a leaf, which must be kept under the leaf's name.
+// leafRecord decodes the record of a leaf, which must be stored under the leaf's name.
 func leafRecord(name string, entry Entry) (leafset.Record, error) {
 	record, err := parsed(entry, leafset.Parse)
 	if err != nil {
 		return leafset.Record{}, err
 	}
 	if record.Name != name {
-		return leafset.Record{}, failure.Invalid("id", "%q; the record is kept under %q", record.Name, name)
+		return leafset.Record{}, failure.Invalid("id", "%q; the record is stored under %q", record.Name, name)
 	}
 	return record, nil
 }
@@ -205,7 +182,7 @@
 }
 
 func (d *draft) compileService(name string, entry Entry) error {
-	service := d.editable(name)
+	service := d.editableService(name)
 	service.Revision = entry.Revision
 	if entry.Deleted {
 		service.Spec, service.Leafs = nil, nil
@@ -224,7 +201,7 @@
 }
 
 func (d *draft) compileSnapshot(name string, entry Entry) error {
-	service := d.editable(name)
+	service := d.editableService(name)
 	service.SnapshotRevision = entry.Revision
 	if entry.Deleted {
 		service.Manifest = nil
@@ -242,11 +219,11 @@
 	return nil
 }
 
-// editable gives a copy of the service that belongs to the draft alone.
-func (d *draft) editable(name string) *Service {
-	if !d.ownService {
+// editableService returns a copy of a service that belongs to the draft.
+func (d *draft) editableService(name string) *Service {
+	if !d.ownsServices {
 		d.view.Services = maps.Clone(d.view.Services)
-		d.ownService = true
+		d.ownsServices = true
 	}
 	service := &Service{}
 	if known, found := d.view.Services[name]; found {
--- a/internal/config/catalog/restored_test.go
+++ b/internal/config/catalog/restored_test.go
@@ -13,11 +13,11 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// What operators were told is accepted stays in force while the restored store has it as it was before, and ends when they
-// write it again, or something newer.
+// Routes that were acknowledged to operators stay in force while the restored store has older ones, until the operators
+// rewrite them or write newer ones.
 func TestRoutesStayThroughARestore(t *testing.T) {
 	is := is.New(t)
-	d := newDrilled(t)
+	d := newRestorableStore(t)
 	d.put(RoutesKey, routesOf(21))
 	d.save()
 	node := follower(d)
@@ -27,25 +27,24 @@
 	is.True(node.Replace(d.state()))
 	is.Equal(node.View().Routes.Version, int64(27))
 	is.Equal(revision.Epoch(node.Revision()), int64(1))
-	is.Equal(len(node.Kept()), 1)
+	is.Equal(len(node.Retained()), 1)
 
-	node.Apply(d.put(RoutesKey, routesOf(25))) // what was accepted first is written again first
+	node.Apply(d.put(RoutesKey, routesOf(25))) // an intermediate state is rewritten first
 	is.Equal(node.View().Routes.Version, int64(27))
 	node.Apply(d.put(RoutesKey, routesOf(27)))
 	is.Equal(node.View().Routes.Version, int64(27))
 	is.Equal(node.View().Routes.Revision, revision.At(1, 3))
-	is.Equal(len(node.Kept()), 0)
+	is.Equal(len(node.Retained()), 0)
 	node.Apply(d.put(RoutesKey, routesOf(30)))
 	is.Equal(node.View().Routes.Version, int64(30))
-	node.Apply(d.put(RoutesKey, routesOf(29))) // operators may go back
+	node.Apply(d.put(RoutesKey, routesOf(29))) // operators may return to an older version
 	is.Equal(node.View().Routes.Version, int64(29))
 }
 
-// A change of the new epoch whose count was given out before comes into force, and one of the epoch before that comes late
-// does not.
+// A change of the new epoch whose count was used before comes into force, and a late one of the epoch before does not.
 func TestCountsGivenOutAgain(t *testing.T) {
 	is := is.New(t)
-	d := newDrilled(t)
+	d := newRestorableStore(t)
 	d.put(RoutesKey, routesOf(1))
 	d.save()
 	node := follower(d)
@@ -58,23 +57,23 @@
 	before := node.Revision()
 	d.restore()
 	changed := d.put(RoutesKey, routesOf(10))
-	is.True(!node.Apply(changed)) // a gap: the whole state is to be weighed
+	is.True(!node.Apply(changed)) // a gap: the whole state is needed
 	is.True(changed.Entry.Revision > before)
 	is.True(revision.Count(changed.Entry.Revision) < revision.Count(before))
 	is.True(node.Replace(d.state()))
 	is.Equal(node.View().Routes.Version, int64(10))
-	is.Equal(len(node.Kept()), 0)
+	is.Equal(len(node.Retained()), 0)
 	is.True(node.ApplyAll(late))
 	is.Equal(node.View().Routes.Version, int64(10))
-	_, isKept := node.Since(before)
-	is.True(!isKept) // no changes lead from one epoch to the next
+	_, isRetained := node.Since(before)
+	is.True(!isRetained) // no change leads from one epoch to the next
 }
 
 // Leafs that drain or are gone stay so although the restored store lists them as before, until they write again; those that
-// it lost are the last ones asked.
+// it lost are asked last.
 func TestLeafsThroughARestore(t *testing.T) {
 	is := is.New(t)
-	d := newDrilled(t)
+	d := newRestorableStore(t)
 	d.put(LeafKey("stays"), leafOf("stays", leafset.Ready, 1))
 	d.put(LeafKey("drains"), leafOf("drains", leafset.Ready, 1))
 	d.put(LeafKey("goes"), leafOf("goes", leafset.Ready, 1))
@@ -98,18 +97,18 @@
 	is.Equal(len(leafs.Ready("s")), 1)
 
 	node.Apply(d.put(LeafKey("comes"), leafOf("comes", leafset.Ready, 2)))
-	node.Apply(d.put(LeafKey("drains"), leafOf("drains", leafset.Ready, 1))) // it says itself that this is older
+	node.Apply(d.put(LeafKey("drains"), leafOf("drains", leafset.Ready, 1))) // by its own sequence number this is older
 	drains, _ = node.View().Leafs.ByID("drains")
 	is.Equal(drains.State, leafset.Draining)
 	node.Apply(d.put(LeafKey("drains"), nil))
 	is.Equal(len(node.View().Leafs.Ready("s")), 2)
 }
 
-// A leaf that was cold when it registered is not cold anew because the store was restored.
+// A leaf that was cold when it registered is not cold again because the store was restored.
 func TestLeafsStayWarmThroughARestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		d := newDrilled(t)
+		d := newRestorableStore(t)
 		cold := leafOf("a", leafset.Ready, 1)
 		cold.WarmupMillis = 3000
 		d.put(LeafKey("a"), cold)
@@ -120,24 +119,24 @@
 		is.True(node.Replace(d.state()))
 		leaf, _ := node.View().Leafs.ByID("a")
 		is.True(leaf.ColdUntil.Before(time.Now()))
-		node.Apply(d.put(LeafKey("a"), cold)) // this it says anew
+		node.Apply(d.put(LeafKey("a"), cold)) // the leaf itself registered again
 		leaf, _ = node.View().Leafs.ByID("a")
 		is.True(leaf.ColdUntil.After(time.Now()))
 	})
 }
 
-// fleetMayWrite says that two evacuations are operators' to write.
+// fleetMayWrite reserves two evacuations for operators.
 func fleetMayWrite(key string) bool { return key != EvacuationKey("z") && key != EvacuationKey("new") }
 
-// What operators and the fleet wrote since the backup stays in force until it is written again, or for as long as that may
-// take; what was there before and is gone was removed.
+// What operators and the fleet wrote since the backup stays in force until it is rewritten, or for RetainFor; what is older
+// and missing was removed.
 func TestOtherEntriesThroughARestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		d := newDrilled(t)
+		d := newRestorableStore(t)
 		d.put(EvacuationKey("long"), struct{}{})
 		node := follower(d)
-		node.SetOwners(fleetMayWrite)
+		node.SetWritable(fleetMayWrite)
 		time.Sleep(2 * lossWindow)
 		node.Apply(d.put(EvacuationKey("back"), struct{}{}))
 		d.save()
@@ -145,66 +144,66 @@
 		node.Apply(d.put(EvacuationKey("again"), struct{}{}))
 		node.Apply(d.put(EvacuationKey("back"), nil))
 		d.restore()
-		d.put(EvacuationKey("long"), nil) // before the node looks
+		d.put(EvacuationKey("long"), nil) // before the node reads the store
 		is.True(node.Replace(d.state()))
 		is.Equal(node.View().Leafs.EvacuatedZones(), []string{"again", "back", "new"})
 		node.Apply(d.put(EvacuationKey("again"), struct{}{}))
-		is.Equal(len(node.Kept()), 1)
-		time.Sleep(KeepFor - time.Second)
-		node.LetGo()
+		is.Equal(len(node.Retained()), 1)
+		time.Sleep(RetainFor - time.Second)
+		node.DropExpired()
 		is.Equal(node.View().Leafs.EvacuatedZones(), []string{"again", "back", "new"})
 		time.Sleep(time.Second)
-		node.LetGo()
+		node.DropExpired()
 		is.Equal(node.View().Leafs.EvacuatedZones(), []string{"again", "back"})
-		is.Equal(len(node.Kept()), 0)
+		is.Equal(len(node.Retained()), 0)
 	})
 }
 
-// What nodes write themselves stays until one of them has written it, however long the store takes nothing.
+// What nodes write themselves stays until one of them has rewritten it, however long the store refuses writes.
 func TestFleetsOwnStaysUntilItIsWritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		d := newDrilled(t)
+		d := newRestorableStore(t)
 		d.save()
 		node := follower(d)
-		node.SetOwners(fleetMayWrite)
+		node.SetWritable(fleetMayWrite)
 		node.Apply(d.put(EvacuationKey("fleets"), struct{}{}))
 		d.restore()
 		is.True(node.Replace(d.state()))
 		time.Sleep(time.Hour)
-		node.LetGo()
+		node.DropExpired()
 		is.Equal(node.View().Leafs.EvacuatedZones(), []string{"fleets"})
 		node.Apply(d.put(EvacuationKey("fleets"), struct{}{}))
-		is.Equal(len(node.Kept()), 0)
+		is.Equal(len(node.Retained()), 0)
 	})
 }
 
-// A change of many entries names itself by a key under which the store has nothing: it is never kept, or written.
+// A change of many entries is named by the marker key, which has no value in the store: it is never retained or rewritten.
 func TestMarkersAreNotKept(t *testing.T) {
 	is := is.New(t)
-	d := newDrilled(t)
+	d := newRestorableStore(t)
 	d.put(RoutesKey, routesOf(1))
 	d.save()
 	first, second := follower(d), follower(d)
 	d.put(RoutesKey, routesOf(2))
 	first.Replace(d.state())
-	changes, isKept := first.Since(second.Revision())
-	is.True(isKept)
+	changes, isRetained := first.Since(second.Revision())
+	is.True(isRetained)
 	is.Equal(changes[0].Entry.Key, MarkerKey)
 	is.True(second.ApplyAll(changes))
 	is.Equal(second.View().Routes.Version, int64(2))
 	d.restore()
 	is.True(second.Replace(d.state()))
-	is.Equal(len(second.Kept()), 1)
-	is.Equal(second.Kept()[0].Entry.Key, RoutesKey)
+	is.Equal(len(second.Retained()), 1)
+	is.Equal(second.Retained()[0].Entry.Key, RoutesKey)
 }
 
-// A verdict on a version outlives the restore, also where its order was lost with it and is written again.
+// A verdict on a version outlives the restore, even if its order was lost as well and is rewritten.
 func TestVerdictsThroughARestore(t *testing.T) {
 	for _, isOrderLost := range []bool{false, true} {
 		t.Run(fmt.Sprint("order lost: ", isOrderLost), func(t *testing.T) {
 			is := is.New(t)
-			d := newDrilled(t)
+			d := newRestorableStore(t)
 			order := rollout.Order{Service: "s", Target: "v2", DurationMillis: 60000}
 			if isOrderLost {
 				d.save()
@@ -219,7 +218,7 @@
 			node.Apply(d.put(RolloutStateKey("s"), state))
 			is.Equal(node.View().Leafs.Rule("s").Trial, "")
 			d.restore()
-			d.put(EvacuationKey("other"), struct{}{}) // takes the count of the order, or of its state
+			d.put(EvacuationKey("other"), struct{}{}) // uses the count of the order, or of its state
 			is.True(node.Replace(d.state()))
 			is.Equal(node.View().Leafs.Rule("s").Trial, "")
 			if isOrderLost {
@@ -229,11 +228,11 @@
 			is.Equal(node.View().Leafs.Rule("s").Trial, "")
 			is.Equal(node.View().Leafs.Rule("s").Serving, "v1")
 
-			// What is written again can be told by a node that never saw it.
-			renewed, isDue := node.Renewed(node.Kept()[0].Entry)
+			// A node that never saw the lost entry understands the rewritten one.
+			renewed, isDue := node.RewriteValue(node.Retained()[0].Entry)
 			is.True(isDue)
 			node.Apply(d.putValue(RolloutStateKey("s"), renewed, false))
-			is.Equal(len(node.Kept()), 0)
+			is.Equal(len(node.Retained()), 0)
 			fresh := follower(d)
 			is.Equal(fresh.View().Leafs.Rule("s").Trial, "")
 
@@ -245,45 +244,45 @@
 	}
 }
 
-// A node that started after the restore learns from another what the store lacks, and lets it go in time.
+// A node that started after the restore learns from another one what the store lacks, and drops it in time.
 func TestFreshNodeLearnsWhatIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		d := newDrilled(t)
+		d := newRestorableStore(t)
 		d.put(RoutesKey, routesOf(1))
 		d.save()
 		node := follower(d)
-		node.SetOwners(fleetMayWrite)
+		node.SetWritable(fleetMayWrite)
 		node.Apply(d.put(RoutesKey, routesOf(2)))
 		node.Apply(d.put(EvacuationKey("z"), struct{}{}))
 		d.restore()
 		is.True(node.Replace(d.state()))
 		fresh := follower(d)
 		is.Equal(fresh.View().Routes.Version, int64(1))
-		is.True(fresh.KeptSum() != node.KeptSum())
-		kept := node.KeptEntries()
-		fresh.Keep(kept)
+		is.True(fresh.RetainedFingerprint() != node.RetainedFingerprint())
+		kept := node.RetainedEntries()
+		fresh.Retain(kept)
 		is.Equal(fresh.View().Routes.Version, int64(2))
 		is.Equal(fresh.View().Leafs.EvacuatedZones(), []string{"z"})
-		is.Equal(fresh.KeptSum(), node.KeptSum())
+		is.Equal(fresh.RetainedFingerprint(), node.RetainedFingerprint())
 
 		another := New(nil)
-		is.True(another.Replace(node.Snapshot())) // as a peer gives it
-		is.Equal(another.KeptSum(), node.KeptSum())
+		is.True(another.Replace(node.Snapshot())) // as a peer sends it
+		is.Equal(another.RetainedFingerprint(), node.RetainedFingerprint())
 		is.Equal(another.View().Routes.Version, int64(2))
 
-		time.Sleep(KeepFor)
-		node.LetGo()
-		node.Keep(kept)
+		time.Sleep(RetainFor)
+		node.DropExpired()
+		node.Retain(kept)
 		is.Equal(len(node.View().Leafs.EvacuatedZones()), 0)
 		is.Equal(node.View().Routes.Version, int64(2)) // routes stay
 	})
 }
 
-// Epochs may follow on each other, also two at once, while what was lost first is not written again yet.
+// Restores may follow each other, even two between two reads, while what the first one lost has not been rewritten.
 func TestRestoresInARow(t *testing.T) {
 	is := is.New(t)
-	d := newDrilled(t)
+	d := newRestorableStore(t)
 	d.put(RoutesKey, routesOf(1))
 	d.save()
 	node := follower(d)
@@ -296,13 +295,13 @@
 	is.Equal(revision.Epoch(node.Revision()), int64(3))
 	is.Equal(node.View().Routes.Version, int64(2))
 	node.Apply(d.put(RoutesKey, routesOf(2)))
-	is.Equal(len(node.Kept()), 0)
+	is.Equal(len(node.Retained()), 0)
 }
 
-// A node that starts may read a state that the store told of late, with a revision that is none of the epoch.
+// A node that starts may read a stale state, with a revision that is not of the epoch.
 func TestStaleStateOfAnEpochBefore(t *testing.T) {
 	is := is.New(t)
-	d := newDrilled(t)
+	d := newRestorableStore(t)
 	d.put(RoutesKey, routesOf(1))
 	d.save()
 	for version := range int64(5) {
@@ -319,10 +318,10 @@
 	is.True(!node.Replace(d.state()))
 }
 
-// A record of an earlier life of a leaf that comes late, as a change or with a whole state, changes nothing.
+// A late record of an earlier process of a leaf, in a change or a whole state, changes nothing.
 func TestLateRecordOfAnEarlierLife(t *testing.T) {
 	is := is.New(t)
-	d := newDrilled(t)
+	d := newRestorableStore(t)
 	first, second := leafOf("a", leafset.Draining, 9), leafOf("a", leafset.Ready, 1)
 	first.Born, second.Born = 10, 20
 	d.put(LeafKey("a"), second)
--- a/internal/config/configsync/restored.go
+++ b/internal/config/configsync/restored.go
@@ -11,72 +11,73 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// When the store was restored, a node that reads it comes to a new epoch, and the others hear of that as of any later
-// revision: it is above all of the epochs before, whatever their counts were. Changes don't lead from one epoch to the next,
-// so that each takes the whole state and weighs it against what it knows, see catalog.Kept.
+// A node that reads a restored store enters a new epoch. Pushes and digests announce that like any later revision, since
+// every revision of an epoch is above all revisions of the epochs before. No change leads from one epoch to the next, so
+// each node loads the whole state and merges it with what it knows, see catalog.Retained.
 
-// epochChange gives the change that tells other nodes of a new epoch. It has nothing in it: they find that they can't apply
-// it, and ask for the whole state.
+// epochChange returns the change that announces a new epoch. It is empty: a receiver can't apply it and pulls
+// the whole state.
 func epochChange(before, now int64) catalog.Change {
 	return catalog.Change{Entry: catalog.Marker(now), Previous: before}
 }
 
-// cameToEpoch logs that the node came to a new epoch, and gives whether it did.
-func (s *Syncer) cameToEpoch(before int64) bool {
+// enteredEpoch reports whether the node entered a new epoch since a revision, and logs it.
+func (s *Syncer) enteredEpoch(before int64) bool {
 	now := s.catalog.Revision()
 	if before == 0 || !revision.IsLater(now, before) {
 		return false
 	}
-	kept, all := len(s.catalog.KeptEntries()), len(s.catalog.Kept())
+	kept, all := len(s.catalog.RetainedEntries()), len(s.catalog.Retained())
 	s.logger.Warn("the store was restored", zap.Int64("revision", now), zap.Int64("before", before),
 		zap.Int("kept", kept), zap.Int("leafs_lost", all-kept))
 	return true
 }
 
-// leadsToEpoch reports whether changes lead to a later epoch than the one in force.
-func (s *Syncer) leadsToEpoch(changes []catalog.Change) bool {
+// leadToNewEpoch reports whether changes lead to a later epoch than the one in force.
+func (s *Syncer) leadToNewEpoch(changes []catalog.Change) bool {
 	return len(changes) > 0 && revision.IsLater(changes[len(changes)-1].Entry.Revision, s.catalog.Revision())
 }
 
-// compareKept asks a peer at the same revision for what it keeps, where that is something else, once at a time: a node that
-// started after the restore may have read the store without having known what it lost.
-func (s *Syncer) compareKept(from string, digest peer.Digest) {
-	if digest.Kept == 0 || digest.Kept == s.catalog.KeptSum() || !s.comparing.CompareAndSwap(false, true) {
+// compareRetained pulls the retained entries of a peer at the same revision if they differ from the own ones,
+// one pull at a time: a node that started after the restore may have read the store without having known what it
+// lost.
+func (s *Syncer) compareRetained(from string, digest peer.Digest) {
+	if digest.Retained == 0 || digest.Retained == s.catalog.RetainedFingerprint() || !s.pullingRetained.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
-		defer s.comparing.Store(false)
-		s.pullKept(context.Background(), from)
+		defer s.pullingRetained.Store(false)
+		s.pullRetained(context.Background(), from)
 		wait.For(context.Background(), s.config.RetryPause)
 	}()
 }
 
-// pullKept takes what a peer keeps.
-func (s *Syncer) pullKept(ctx context.Context, address string) {
+// pullRetained takes over the entries that a peer retains.
+func (s *Syncer) pullRetained(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, s.config.CallTimeout)
 	defer cancel()
 	s.relayed("pull")
-	asked := peer.Pull{After: s.catalog.Revision(), Kept: true}
+	asked := peer.Pull{After: s.catalog.Revision(), Retained: true}
 	answer, err := s.transport.Call(ctx, address, peer.Message{Digest: s.Digest(), Pull: &asked})
 	if err == nil && answer.State != nil && answer.State.Revision == s.catalog.Revision() {
-		s.catalog.Keep(answer.State.Kept)
+		s.catalog.Retain(answer.State.Retained)
 	}
 }
 
-// isForeign reports whether a digest is of a node that does not count epochs, as the version before this one, while the
-// store was restored at some time: its revisions can't be told from those of another epoch.
-func (s *Syncer) isForeign(digest peer.Digest) bool {
+// isLegacy reports whether a digest is from a node of a version that doesn't know of epochs, although the store
+// was restored at some time: its revisions can't be compared with those of this node.
+func (s *Syncer) isLegacy(digest peer.Digest) bool {
 	return !digest.CountsEpochs && revision.Epoch(s.catalog.Revision()) > 0
 }
 
-// lookForUnaware reads the store where a node that does not count epochs seems to be further: nothing can be taken from it,
-// and while a fleet is replaced node by node such nodes may be the ones that follow the store for a zone.
-func (s *Syncer) lookForUnaware(digest peer.Digest) {
-	if digest.Revision <= revision.Count(s.catalog.Revision()) || !s.looking.CompareAndSwap(false, true) {
+// readStoreForLegacy reads the store if a legacy node seems to be ahead. Nothing can be taken from that node,
+// but while a fleet is upgraded node by node such nodes may be the ones that follow the store for a zone.
+func (s *Syncer) readStoreForLegacy(digest peer.Digest) {
+	if digest.Revision <= revision.Count(s.catalog.Revision()) || !s.readingForLegacy.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
-		defer s.looking.Store(false)
+		defer s.readingForLegacy.Store(false)
 		if err := s.readStore(context.Background()); err != nil {
 			s.logger.Info("the store can't be read", zap.Error(err))
 		}
--- a/internal/config/configsync/suspended_test.go
+++ b/internal/config/configsync/suspended_test.go
@@ -11,7 +11,8 @@
 	"github.com/portgauge/portgauge/internal/node/boottime"
 )
 
-// What other nodes said before the machine was suspended is read when it wakes: it proves nothing of now.
+// Datagrams that were sent before the machine was suspended are read when it resumes: they confirm nothing about
+// the present.
 func TestDatagramsFromBeforeASuspensionAreOld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -19,14 +20,14 @@
 		known := catalog.New(nil)
 		known.SetClock(func() time.Time { return time.Now().Add(slept) })
 		s := New(Deps{Config: DefaultConfig(), Catalog: known})
-		is.Equal(s.waited(), time.Duration(0))
+		is.Equal(s.queueDelay(), time.Duration(0))
 		time.Sleep(time.Second)
-		is.Equal(s.waited(), time.Duration(0))
+		is.Equal(s.queueDelay(), time.Duration(0))
 		slept = 10 * time.Second
-		is.Equal(s.waited(), 10*time.Second)
+		is.Equal(s.queueDelay(), 10*time.Second)
 		time.Sleep(time.Millisecond)
-		is.Equal(s.waited(), 10*time.Second) // the next in the queue
+		is.Equal(s.queueDelay(), 10*time.Second) // the next in the queue
 		time.Sleep(boottime.CheckInterval)
-		is.Equal(s.waited(), time.Duration(0))
+		is.Equal(s.queueDelay(), time.Duration(0))
 	})
 }
--- /dev/null
+++ b/internal/config/configsync/watchers.go
@@ -0,0 +1,63 @@
+package configsync
+
+import (
+	"sort"
+
+	"github.com/cespare/xxhash/v2"
+
+	"github.com/portgauge/portgauge/internal/fleet/peer"
+)
+
+// notAWatcher is the rank of a node that does not watch the store.
+const notAWatcher = -1
+
+// rank decides whether this node watches the store for its zone. Members are ranked by the hash of their ids,
+// highest first, and the first Config.WatchersPerZone of them are the watchers: rank 0 follows the store and
+// pushes changes, higher ranks are its standbys. All nodes with the same members agree without a message, and a
+// death moves up only those behind it. A node that does not know its zone yet, or isn't a live member, has no
+// rank.
+func (s *Syncer) rank() int {
+	if !s.joined.Load() {
+		return notAWatcher
+	}
+	self := s.members.Self().ID
+	members := s.members.Members()
+	own := xxhash.Sum64String(self)
+	ahead := 0
+	present := false
+	for _, member := range members {
+		if member.ID == self {
+			present = true
+			continue
+		}
+		if xxhash.Sum64String(member.ID) > own {
+			ahead++
+		}
+	}
+	if !present || ahead >= s.config.WatchersPerZone {
+		return notAWatcher
+	}
+	return ahead
+}
+
+// watchers returns the zone's watchers in order of rank.
+func (s *Syncer) watchers() []peer.Member {
+	ranked := append([]peer.Member(nil), s.members.Members()...)
+	sortByWeight(ranked, func(member peer.Member) uint64 { return xxhash.Sum64String(member.ID) })
+	return ranked[:min(len(ranked), s.config.WatchersPerZone)]
+}
+
+// sortByWeight sorts members by weight, highest first, then by id.
+func sortByWeight(members []peer.Member, weight func(peer.Member) uint64) {
+	weights := make(map[string]uint64, len(members))
+	for _, member := range members {
+		weights[member.ID] = weight(member)
+	}
+	sort.Slice(members, func(i, j int) bool {
+		first, second := weights[members[i].ID], weights[members[j].ID]
+		if first != second {
+			return first > second
+		}
+		return members[i].ID < members[j].ID
+	})
+}
--- a/internal/config/rewriter/rewriter.go
+++ b/internal/config/rewriter/rewriter.go
@@ -46,32 +46,32 @@
 	tried map[string]time.Time
 }
 
-// New makes a writer for the node of an id. The catalog is told which keys the store lets nodes write.
+// New returns a writer for the node of an id. The catalog is told which keys the store lets nodes write.
 func New(known *catalog.Catalog, kept store.Store, self string, events EventLog) *Writer {
 	mayWrite := func(string) bool { return true }
 	if owned, isOwned := kept.(store.Owned); isOwned {
 		mayWrite = owned.MayWrite
 	}
-	known.SetOwners(mayWrite)
+	known.SetWritable(mayWrite)
 	return &Writer{catalog: known, store: kept, self: self, events: events, mayWrite: mayWrite, tried: map[string]time.Time{}}
 }
 
 // Run writes again what is lost until the context ends.
 func (w *Writer) Run(ctx context.Context) {
 	for wait.For(ctx, wait.Jittered(checkInterval)) {
-		w.catalog.LetGo()
+		w.catalog.DropExpired()
 		w.writeDue(ctx)
 	}
 }
 
 // writeDue writes the entries that are this node's to write now.
 func (w *Writer) writeDue(ctx context.Context) {
-	kept := w.catalog.Kept()
+	kept := w.catalog.Retained()
 	if len(kept) == 0 {
 		clear(w.tried)
 		return
 	}
-	slices.SortFunc(kept, func(a, b catalog.Kept) int { return strings.Compare(a.Entry.Key, b.Entry.Key) })
+	slices.SortFunc(kept, func(a, b catalog.Retained) int { return strings.Compare(a.Entry.Key, b.Entry.Key) })
 	writes := 0
 	for _, one := range kept {
 		if writes >= mostWrites || ctx.Err() != nil {
@@ -80,7 +80,7 @@
 		if !w.mayWrite(one.Entry.Key) || !w.isDue(one.Entry.Key, time.Now()) {
 			continue
 		}
-		value, isReady := w.catalog.Renewed(one.Entry)
+		value, isReady := w.catalog.RewriteValue(one.Entry)
 		if !isReady {
 			continue
 		}
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -10,14 +10,15 @@
 	"github.com/matryer/is"
 
 	"github.com/portgauge/portgauge/internal/fleet/peer"
+	"github.com/portgauge/portgauge/internal/fleet/peer/peertest"
 )
 
 // quiet is a listener with nothing to say.
 type quiet struct{}
 
-func (quiet) Digest() peer.Digest                          { return peer.Digest{} }
-func (quiet) Notices() []peer.LeafNotice                   { return nil }
-func (quiet) Heard(string, peer.Digest, []peer.LeafNotice) {}
+func (quiet) Digest() peer.Digest                            { return peer.Digest{} }
+func (quiet) Notices() []peer.LeafNotice                     { return nil }
+func (quiet) Receive(string, peer.Digest, []peer.LeafNotice) {}
 
 type handler struct{ members *Membership }
 
@@ -29,13 +30,13 @@
 }
 
 type zone struct {
-	network *peer.MemoryNetwork
+	network *peertest.Network
 	members []*Membership
 	cancels []context.CancelFunc
 }
 
 func newZone(t *testing.T, size int) *zone {
-	z := &zone{network: peer.NewMemoryNetwork(3, time.Millisecond)}
+	z := &zone{network: peertest.NewNetwork(3, time.Millisecond)}
 	for number := range size {
 		z.start(t, number, int64(1))
 	}
@@ -68,7 +69,7 @@
 	time.Sleep(time.Minute)
 }
 
-// seenBy gives how many nodes hold a member for usable.
+// seenBy returns how many nodes hold a member for usable.
 func (z *zone) seenBy(id string) int {
 	count := 0
 	for _, member := range z.members {
--- a/internal/request/gateway/candidates.go
+++ b/internal/request/gateway/candidates.go
@@ -10,76 +10,84 @@
 	"github.com/portgauge/portgauge/internal/rollout/canary"
 )
 
-// target is a leaf that may be asked, and how.
-type target struct {
+// leafTarget is a leaf that may be asked, with how to connect to it.
+type leafTarget struct {
 	leafhttp.Target
 	leaf *leafset.Leaf
 }
 
-// candidates gives the leafs of a shard that may be asked now, without a draw, and keeps how.
-func (w *gathering) candidates(shard int) []balancer.Candidate {
-	return w.candidatesOf(shard, w.gateway.later(w.services[shard]))
+// candidates returns the leafs of a shard that may be asked now without a canary draw, and sets the shard's targets.
+// Package balancer chooses among them.
+func (e *execution) candidates(shard int) []balancer.Candidate {
+	return e.candidatesOf(shard, e.gateway.undrawnVersions(e.services[shard]))
 }
 
-// candidatesOf gives the leafs of a shard of some versions that may be asked now, and keeps how.
-func (w *gathering) candidatesOf(shard int, versions canary.Versions) []balancer.Candidate {
-	service := w.services[shard]
-	limit := w.query.service(service).MaximumConnections
-	candidates := w.gateway.inReach(w.gateway.partsOf(service, w.isGathered(), limit, versions, &w.targets[shard]))
-	if len(w.query.entry.Regions) == 0 {
+// candidatesOf returns the leafs of a shard that may be asked now, and sets the shard's targets. A leaf may be asked
+// if all of these are true:
+//
+//   - it is of one of the versions;
+//   - discovery lists it as ready, or lost all leafs of its version a moment ago (leafmemory);
+//   - this node has a share of its connections, or may open a spare one (connshare);
+//   - if it is cold, this node's share of its request rate has room (warmup);
+//   - its zone is reachable;
+//   - its region is one that the route allows.
+func (e *execution) candidatesOf(shard int, versions canary.Versions) []balancer.Candidate {
+	service := e.services[shard]
+	limit := e.request.service(service).MaximumConnections
+	candidates := e.gateway.inReachableZones(e.gateway.askableLeafs(service, e.isGathered(), limit, versions, &e.targets[shard]))
+	if len(e.request.route.Regions) == 0 {
 		return candidates
 	}
-	return slices.DeleteFunc(candidates, func(candidate balancer.Candidate) bool { return !w.allowsZone(candidate.Zone) })
+	return slices.DeleteFunc(candidates, func(candidate balancer.Candidate) bool { return !e.allowsZone(candidate.Zone) })
 }
 
-// allowsZone reports whether leafs of a zone may run the request.
-func (w *gathering) allowsZone(zone string) bool {
-	return len(w.query.entry.Regions) == 0 || w.query.entry.AllowsRegion(w.gateway.regions[zone])
+// allowsZone reports whether the route allows leafs of a zone to run the request.
+func (e *execution) allowsZone(zone string) bool {
+	return len(e.request.route.Regions) == 0 || e.request.route.AllowsRegion(e.gateway.regions[zone])
 }
 
-// partsOf gives the leafs of a service of some versions that this node may ask, and sets targets to how. The limit
-// is that of the connections of one leaf.
-func (g *Gateway) partsOf(service string, gathered bool, limit int, versions canary.Versions, targets *[]target) []balancer.Candidate {
+// askableLeafs returns the leafs of a service that this node may ask, by version, connections and warm-up, and sets
+// targets to how. The limit is the maximum number of connections to one leaf.
+func (g *Gateway) askableLeafs(service string, gathered bool, limit int, versions canary.Versions, targets *[]leafTarget) []balancer.Candidate {
 	*targets = nil
 	var candidates []balancer.Candidate
 	if versions != canary.Trial {
-		candidates = g.addParts(candidates, service, gathered, limit, g.servingLeafs(service), targets)
+		candidates = g.appendAskable(candidates, service, gathered, limit, g.servingLeafs(service), targets)
 	}
 	if versions != canary.Serving {
-		candidates = g.addParts(candidates, service, gathered, limit, g.trialLeafs(service, versions), targets)
+		candidates = g.appendAskable(candidates, service, gathered, limit, g.trialLeafs(service, versions), targets)
 	}
 	return candidates
 }
 
-// addParts adds those of some leafs of one version that this node may ask, and to targets how.
-func (g *Gateway) addParts(candidates []balancer.Candidate, service string, gathered bool, limit int, leafs []*leafset.Leaf, targets *[]target) []balancer.Candidate {
-	dealt := g.dealer.Allot(service, gathered, leafs, limit)
-	candidates = slices.Grow(candidates, len(dealt))
-	*targets = slices.Grow(*targets, len(dealt))
-	for _, part := range dealt {
-		leaf := part.Leaf
-		if part.Connections == 0 && !g.leafs.MayOpenExtra(leaf.ID) {
+// appendAskable appends those leafs of one version that this node may ask to the candidates, and to targets how.
+func (g *Gateway) appendAskable(candidates []balancer.Candidate, service string, gathered bool, limit int, leafs []*leafset.Leaf, targets *[]leafTarget) []balancer.Candidate {
+	allotted := g.dealer.Allot(service, gathered, leafs, limit)
+	candidates = slices.Grow(candidates, len(allotted))
+	*targets = slices.Grow(*targets, len(allotted))
+	for _, share := range allotted {
+		leaf := share.Leaf
+		if share.Connections == 0 && !g.leafs.MayOpenExtra(leaf.ID) {
 			continue
 		}
 		if g.warmup != nil && !g.warmup.HasToken(leaf) {
 			continue
 		}
-		way := leafhttp.Target{LeafID: leaf.ID, Name: leaf.Name, Address: leaf.Address, Connections: part.Connections, ExtraConnections: part.ExtraConnections}
-		*targets = append(*targets, target{way, leaf})
-		candidates = append(candidates, balancer.Candidate{LeafID: leaf.ID, Zone: leaf.Zone, Unallotted: part.Connections == 0, LastResort: part.LastResort})
+		target := leafhttp.Target{LeafID: leaf.ID, Name: leaf.Name, Address: leaf.Address, Connections: share.Connections, ExtraConnections: share.ExtraConnections}
+		*targets = append(*targets, leafTarget{target, leaf})
+		candidates = append(candidates, balancer.Candidate{LeafID: leaf.ID, Zone: leaf.Zone, Unallotted: share.Connections == 0, LastResort: share.LastResort})
 	}
 	return candidates
 }
 
-// servingLeafs gives the leafs of the version of a service that serves, also those lost a moment ago where there are
-// no others.
+// servingLeafs returns the leafs of a service's serving version, including recently lost ones if there are no others.
 func (g *Gateway) servingLeafs(service string) []*leafset.Leaf {
 	leafs, _ := g.memory.Candidates(service)
 	return leafs
 }
 
-// trialLeafs gives the leafs of the version of a service on trial, also those lost a moment ago where there are no
-// others and all requests go to that version.
+// trialLeafs returns the leafs of a service's version on trial. Once all requests go to that version, recently lost
+// ones are included if there are no others.
 func (g *Gateway) trialLeafs(service string, versions canary.Versions) []*leafset.Leaf {
 	if versions == canary.Trial {
 		return g.memory.OnTrial(service)
@@ -87,12 +95,12 @@
 	return g.catalog.View().Leafs.OnTrial(service)
 }
 
-// target gives the leaf of an attempt.
-func (w *gathering) target(attempt scatter.Attempt) target {
-	for _, target := range w.targets[attempt.Shard] {
+// target returns the leaf of an attempt, with how to connect to it.
+func (e *execution) target(attempt scatter.Attempt) leafTarget {
+	for _, target := range e.targets[attempt.Shard] {
 		if target.LeafID == attempt.Leaf.ID {
 			return target
 		}
 	}
-	return target{Target: leafhttp.Target{LeafID: attempt.Leaf.ID}}
+	return leafTarget{Target: leafhttp.Target{LeafID: attempt.Leaf.ID}}
 }
--- /dev/null
+++ b/internal/request/gateway/deadlines_test.go
@@ -0,0 +1,30 @@
+package gateway
+
+import (
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+)
+
+// The time that a caller spent on its connection is taken off the objective once, whether or not the common timeout is
+// known.
+func TestConnectingShortensTheObjective(t *testing.T) {
+	is := is.New(t)
+	g, _ := newGateway(t, &scriptedLeafs{})
+	const trip = 6 * time.Millisecond
+	objective := 200*time.Millisecond - 2*trip - DefaultConfig().ObjectiveReserve
+	for range minimumSightings {
+		request := newRequest("/pages/1")
+		request.RoundTrip, request.ConnectTime = trip, trip
+		routed, err := g.routeRequest(request)
+		is.NoErr(err)
+		is.Equal(routed.objective.Sub(request.Arrived), objective)
+	}
+	late := newRequest("/pages/1")
+	late.CallerTimeout -= trip // the caller has taken it off its timeout, too
+	late.RoundTrip, late.ConnectTime = trip, trip
+	routed, err := g.routeRequest(late)
+	is.NoErr(err)
+	is.Equal(routed.objective.Sub(late.Arrived), objective)
+}
--- a/internal/request/gateway/warm.go
+++ b/internal/request/gateway/warm.go
@@ -9,11 +9,13 @@
 	"github.com/portgauge/portgauge/internal/rollout/canary"
 )
 
-// mostWarmed bounds the connections that a node opens before its first request.
-const mostWarmed = 512
+// Connections are opened before requests need them: a first request that had to open one to a leaf of every shard would
+// spend most of its objective on it.
 
-// Warm opens a connection to one leaf of each gathered service that this node has a part of: a
-// first request that had to open all of them would spend most of its objective on it.
+// maximumWarmed bounds the services to which a node opens connections ahead of requests.
+const maximumWarmed = 512
+
+// Warm opens a connection to one leaf of each gathered service that this node has a share of.
 func (g *Gateway) Warm() {
 	table := g.catalog.View().Routes
 	if table == nil {
@@ -22,7 +24,7 @@
 	warmed := map[string]bool{}
 	for _, route := range table.Routes {
 		for _, service := range route.Gathered {
-			if len(warmed) >= mostWarmed || warmed[service] {
+			if len(warmed) >= maximumWarmed || warmed[service] {
 				continue
 			}
 			warmed[service] = true
@@ -30,37 +32,37 @@
 			if known, found := table.Service(service); found {
 				limit = known.MaximumConnections
 			}
-			g.warmOne(service, limit)
+			g.warmService(service, limit)
 		}
 	}
 }
 
-// warmOne opens a connection to the leaf that a first request would ask.
-func (g *Gateway) warmOne(service string, limit int) {
-	var targets []target
-	choice := g.balancer.Choose(g.partsOf(service, true, limit, g.later(service), &targets), nil)
+// warmService opens a connection to the leaf that a first request would ask.
+func (g *Gateway) warmService(service string, limit int) {
+	var targets []leafTarget
+	choice := g.balancer.Choose(g.askableLeafs(service, true, limit, g.undrawnVersions(service), &targets), nil)
 	if choice.Leaf != nil {
-		g.warmFirst(choice.Leaf.ID, targets)
+		g.warmLeaf(choice.Leaf.ID, targets)
 	}
 }
 
-// warmFirst opens a connection to the leaf of an id among targets, if this node has a part of it and no connection
+// warmLeaf opens a connection to the leaf of an id among the targets, if this node has a share of it and no connection
 // to any of them.
-func (g *Gateway) warmFirst(id string, targets []target) {
-	first := slices.IndexFunc(targets, func(target target) bool { return target.LeafID == id })
+func (g *Gateway) warmLeaf(id string, targets []leafTarget) {
+	first := slices.IndexFunc(targets, func(target leafTarget) bool { return target.LeafID == id })
 	if first < 0 || targets[first].Connections == 0 {
 		return
 	}
-	ways := make([]leafhttp.Target, 0, len(targets))
+	ordered := make([]leafhttp.Target, 0, len(targets))
 	for _, target := range targets {
-		ways = append(ways, target.Target)
+		ordered = append(ordered, target.Target)
 	}
-	ways[0], ways[first] = ways[first], ways[0]
-	g.leafs.Warm(ways)
+	ordered[0], ordered[first] = ordered[first], ordered[0]
+	g.leafs.Warm(ordered)
 }
 
-// warmTrials opens a connection to a leaf of each version on trial that draws from here would go to, once for each
-// order; the orders done are in warmed.
+// warmTrials opens a connection to a leaf of each version on trial that this node's canary draws would go to, once for
+// each rollout order. warmed has the orders that are done, by service.
 func (g *Gateway) warmTrials(warmed map[string]int64) {
 	view := g.catalog.View()
 	for service := range warmed {
@@ -70,7 +72,7 @@
 	}
 	for service := range view.Rollouts {
 		order := view.Leafs.Rule(service).Order
-		if order == 0 || warmed[service] == order || len(warmed) >= mostWarmed || !g.canary.MayTry(service) {
+		if order == 0 || warmed[service] == order || len(warmed) >= maximumWarmed || !g.canary.IsTrialOpen(service) {
 			continue
 		}
 		if g.warmTrial(view, service) {
@@ -79,30 +81,30 @@
 	}
 }
 
-// warmTrial opens a connection to the leaf on trial that comes first by now, and reports whether there is any.
+// warmTrial opens a connection to the leaf on trial that draws go to first, and reports whether there is any leaf on
+// trial.
 func (g *Gateway) warmTrial(view *catalog.View, service string) bool {
-	leafs := g.canary.Focus(service, view.Leafs.OnTrial(service))
+	leafs := g.canary.FocusOrder(service, view.Leafs.OnTrial(service))
 	if len(leafs) == 0 || view.Routes == nil {
 		return false
 	}
 	known, _ := view.Routes.Service(service)
-	var targets []target
-	g.partsOf(service, view.Routes.IsGathered(service), known.MaximumConnections, canary.Trial, &targets)
+	var targets []leafTarget
+	g.askableLeafs(service, view.Routes.IsGathered(service), known.MaximumConnections, canary.Trial, &targets)
 	for _, leaf := range leafs {
-		if slices.ContainsFunc(targets, func(target target) bool { return target.LeafID == leaf.ID && target.Connections > 0 }) {
-			g.warmFirst(leaf.ID, targets)
+		if slices.ContainsFunc(targets, func(target leafTarget) bool { return target.LeafID == leaf.ID && target.Connections > 0 }) {
+			g.warmLeaf(leaf.ID, targets)
 			break
 		}
 	}
 	return true
 }
 
-// changeBacklog is how many changes of configuration may wait to be looked at.
+// changeBacklog is how many changes of the catalog may wait for KeepWarm; one is enough to have it look at the newest.
 const changeBacklog = 16
 
-// KeepWarm opens connections for the services that the configuration gathers, and for those of each
-// new one, as when an index was cut into other shards, until the context ends. Orders to move a service to another
-// version are learned of as they come, and connections opened to the leafs of that version.
+// KeepWarm opens connections for the services that the configuration in force gathers, again for each new
+// configuration, and for each version that goes on trial, until the context ends.
 func (g *Gateway) KeepWarm(ctx context.Context) {
 	changes, stop := g.catalog.Subscribe(changeBacklog)
 	defer stop()
@@ -124,11 +126,11 @@
 	}
 }
 
-// followTrials learns of new orders, and warms the versions on trial.
+// followTrials reads new rollout orders, and warms the versions on trial.
 func (g *Gateway) followTrials(warmed map[string]int64) {
 	if g.canary == nil {
 		return
 	}
-	g.canary.Learn()
+	g.canary.Refresh()
 	g.warmTrials(warmed)
 }
--- a/internal/rollout/rolloutcontrol/judging.go
+++ b/internal/rollout/rolloutcontrol/evaluator.go
@@ -10,14 +10,14 @@
 	"github.com/portgauge/portgauge/internal/rollout/verdict"
 )
 
-// Judging finds out whether the version on trial by one order is good.
-type Judging interface {
+// Evaluator finds out whether the version on trial by one order is good.
+type Evaluator interface {
 	// Update takes the counts of all nodes so far, added up by key, at a time since the order.
 	Update(elapsed time.Duration, rows []evidence.Row) verdict.Judgement
 }
 
-// JudgingFactory makes the judging of an order.
-type JudgingFactory func(serving, trial string, duration time.Duration) Judging
+// EvaluatorFactory makes the judging of an order.
+type EvaluatorFactory func(serving, trial string, duration time.Duration) Evaluator
 
 // VersionCounts are the attempts at a version, on all routes and leafs.
 type VersionCounts struct {
@@ -42,8 +42,8 @@
 	return counts
 }
 
-// tooLittle says how much was known of a version that was not found good in time.
-func tooLittle(target string, rows []evidence.Row) string {
+// undecidedReason says how much was known of a version that was not found good in time.
+func undecidedReason(target string, rows []evidence.Row) string {
 	for _, one := range countVersions(rows) {
 		if one.Version == target {
 			return fmt.Sprintf("not found good in time: %d of %d attempts failed", one.Failures, one.Attempts)
