--- a/internal/config/catalog/draft.go
+++ b/internal/config/catalog/draft.go
@@ -123,7 +123,7 @@
 	d.leafs = leafs
 	leafs.SetClock(d.clock)
 	if d.rollouts {
-		leafs.ServeOneVersion()
+		leafs.DefaultToFirstVersion()
 	}
 }
 
--- a/internal/config/catalog/rollout_test.go
+++ b/internal/config/catalog/rollout_test.go
@@ -142,14 +142,14 @@
 func TestOrderThatIsTakenBackLeavesWhatServed(t *testing.T) {
 	is := is.New(t)
 	known := orderedCatalog(t)
-	is.Equal(len(known.View().Leafs.OnTrial("s")), 1)
+	is.Equal(len(known.View().Leafs.Canaries("s")), 1)
 	is.Equal(known.View().Rollouts["s"].Order.Revision, int64(4))
 	known.Apply(documentChange(t, 5, RolloutStateKey("s"), rollout.State{Service: "s", OrderRevision: 4, Phase: rollout.Switching, Serving: "v1", Target: "v2"}))
 	is.Equal(known.View().Leafs.Rule("s").Phase, rollout.Switching)
 	known.Apply(documentChange(t, 6, RolloutKey("s"), nil))
 	leafs := known.View().Leafs
 	is.Equal(leafs.Rule("s"), rollout.Rule{Serving: "v1", Revision: 5})
-	is.Equal(len(leafs.OnTrial("s")), 0)
+	is.Equal(len(leafs.Canaries("s")), 0)
 	is.Equal(leafs.Ready("s")[0].ID, "old")
 	is.Equal(len(leafs.Ready("s")), 1)
 }
--- a/internal/leaf/leafmemory/memory.go
+++ b/internal/leaf/leafmemory/memory.go
@@ -77,14 +77,14 @@
 	return m.left(view, service, view.Leafs.MayServe), true
 }
 
-// OnTrial gives the leafs of a service that may be asked where all requests go to its version on trial: ready ones,
+// Canaries gives the leafs of a service that may be asked where all requests go to its version on trial: ready ones,
 // or, where there is none, those that were ready a moment ago. Leafs of an evacuated zone are never among them.
-func (m *Memory) OnTrial(service string) []*leafset.Leaf {
+func (m *Memory) Canaries(service string) []*leafset.Leaf {
 	view := m.catalog.View()
-	if ready := view.Leafs.OnTrial(service); len(ready) > 0 {
+	if ready := view.Leafs.Canaries(service); len(ready) > 0 {
 		return ready
 	}
-	return m.left(view, service, view.Leafs.MayTry)
+	return m.left(view, service, view.Leafs.MayServeCanary)
 }
 
 // left gives what is left of a service without ready leafs: of those that may be asked the ones that were ready a
@@ -95,7 +95,7 @@
 	if len(recent) > 0 || !m.isNew() {
 		return recent
 	}
-	return slices.DeleteFunc(slices.Clone(view.Remembered.Of(service)), mayNot)
+	return slices.DeleteFunc(slices.Clone(view.Remembered.ByService(service)), mayNot)
 }
 
 // MaySend reports whether a leaf may be sent a request now, be it one that serves or one on trial. What was planned
--- a/internal/leaf/leafset/leafset.go
+++ b/internal/leaf/leafset/leafset.go
@@ -185,8 +185,8 @@
 	}
 }
 
-// Of gives the leafs of a service. The slice is shared: callers must not change it.
-func (s *Set) Of(service string) []*Leaf { return s.byService[service] }
+// ByService gives the leafs of a service. The slice is shared: callers must not change it.
+func (s *Set) ByService(service string) []*Leaf { return s.byService[service] }
 
 // Ready gives the leafs of a service that take work and are of a version that serves. The slice is shared:
 // callers must not change it.
--- a/internal/leaf/leafset/leafset_test.go
+++ b/internal/leaf/leafset/leafset_test.go
@@ -17,7 +17,7 @@
 			id := rapid.SampledFrom([]string{"1", "2", "3", "4"}).Draw(t, "id")
 			service := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "service")
 			before := set
-			sizeBefore, ofABefore := before.Len(), len(before.Of("a"))
+			sizeBefore, ofABefore := before.Len(), len(before.ByService("a"))
 			editor := set.Edit()
 			if rapid.Bool().Draw(t, "remove") {
 				editor.Remove(id)
@@ -27,10 +27,10 @@
 				wanted[id] = service
 			}
 			set = editor.Done()
-			if before.Len() != sizeBefore || len(before.Of("a")) != ofABefore {
+			if before.Len() != sizeBefore || len(before.ByService("a")) != ofABefore {
 				t.Fatal("an edit changed the set before it")
 			}
-			if set.Len() != len(wanted) || len(set.Of("a"))+len(set.Of("b")) != len(wanted) {
+			if set.Len() != len(wanted) || len(set.ByService("a"))+len(set.ByService("b")) != len(wanted) {
 				t.Fatalf("set has %d leafs, wanted %d", set.Len(), len(wanted))
 			}
 			for id, service := range wanted {
@@ -70,7 +70,7 @@
 	is.Equal(len(during.Ready("s")), 1)
 	is.Equal(during.Ready("s")[0].ID, "2")
 	is.Equal(len(during.Ready("t")), 0)
-	is.Equal(len(during.Of("s")), 2)
+	is.Equal(len(during.ByService("s")), 2)
 	is.Equal(during.EvacuatedZones(), []string{"a"})
 	editor = during.Edit()
 	editor.SetEvacuated("a", false)
--- a/internal/leaf/leafset/lives_test.go
+++ b/internal/leaf/leafset/lives_test.go
@@ -45,7 +45,7 @@
 			is.Equal(second.LostIDs(time.Time{}), nil)
 			known, _ := second.ByName("a")
 			is.Equal(known.Born, int64(20))
-			is.Equal(len(second.Of("s")), 1)
+			is.Equal(len(second.ByService("s")), 1)
 		})
 	}
 }
--- a/internal/leaf/leafset/versions.go
+++ b/internal/leaf/leafset/versions.go
@@ -6,9 +6,9 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// OnTrial gives the leafs of a service that take work and are of the version on trial; none where there is no
+// Canaries gives the leafs of a service that take work and are of the version on trial; none where there is no
 // roll-out under way. The slice is shared: callers must not change it.
-func (s *Set) OnTrial(service string) []*Leaf { return s.trial[service] }
+func (s *Set) Canaries(service string) []*Leaf { return s.trial[service] }
 
 // Rule says which versions of a service may get requests.
 func (s *Set) Rule(service string) rollout.Rule {
@@ -31,9 +31,9 @@
 	return !s.evacuated[leaf.Zone] && s.Rule(leaf.Service).IsServing(leaf.Version)
 }
 
-// MayTry reports whether a leaf may be sent requests of a trial if it is ready: its zone is not evacuated, and its
+// MayServeCanary reports whether a leaf may be sent requests of a trial if it is ready: its zone is not evacuated, and its
 // version is on trial.
-func (s *Set) MayTry(leaf *Leaf) bool {
+func (s *Set) MayServeCanary(leaf *Leaf) bool {
 	return !s.evacuated[leaf.Zone] && s.Rule(leaf.Service).IsTrial(leaf.Version)
 }
 
@@ -42,7 +42,7 @@
 
 // isOnTrial reports whether a leaf is ready and of the version on trial.
 func (s *Set) isOnTrial(leaf *Leaf) bool {
-	return leaf.State == Ready && s.MayTry(leaf)
+	return leaf.State == Ready && s.MayServeCanary(leaf)
 }
 
 // SetRule notes which versions of a service may get requests.
@@ -59,9 +59,9 @@
 	e.set.rules[service] = rule
 }
 
-// ServeOneVersion has services for which no rule says which version serves be served by the one whose leafs were
+// DefaultToFirstVersion has services for which no rule says which version serves be served by the one whose leafs were
 // there first, or, where leafs of several come at once, by that of most. It stays the first until a rule names one.
-func (e *Editor) ServeOneVersion() { e.oneVersion = true }
+func (e *Editor) DefaultToFirstVersion() { e.oneVersion = true }
 
 // noteFirst notes the version that was there first of a service, while no rule says which serves.
 func (e *Editor) noteFirst(service string, leafs []*Leaf) {
--- a/internal/leaf/leafset/versions_test.go
+++ b/internal/leaf/leafset/versions_test.go
@@ -15,7 +15,7 @@
 
 // edited gives a set with some leafs put and some removed, where services are served by one version.
 func edited(editor *Editor, leafs []*Leaf, removed ...string) *Set {
-	editor.ServeOneVersion()
+	editor.DefaultToFirstVersion()
 	for _, leaf := range leafs {
 		editor.Put(leaf)
 	}
@@ -27,7 +27,7 @@
 
 func ruled(set *Set, rule rollout.Rule) *Set {
 	editor := set.Edit()
-	editor.ServeOneVersion()
+	editor.DefaultToFirstVersion()
 	editor.SetRule("s", rule)
 	return editor.Done()
 }
@@ -70,9 +70,9 @@
 			editor.SetRule("s", c.rule)
 			set := editor.Done()
 			is.Equal(ids(set.Ready("s")), c.ready)
-			is.Equal(ids(set.OnTrial("s")), c.onTrial)
+			is.Equal(ids(set.Canaries("s")), c.onTrial)
 			var allowed []string
-			for _, leaf := range set.Of("s") {
+			for _, leaf := range set.ByService("s") {
 				if set.IsAllowed(leaf) {
 					allowed = append(allowed, leaf.ID)
 				}
@@ -90,9 +90,9 @@
 	editor := set.Edit()
 	editor.SetEvacuated("", true)
 	during := editor.Done()
-	is.Equal(len(during.OnTrial("s")), 0)
+	is.Equal(len(during.Canaries("s")), 0)
 	is.True(!during.IsAllowed(newer[0]))
-	is.Equal(len(set.OnTrial("s")), 2) // the set before it stays as it is
+	is.Equal(len(set.Canaries("s")), 2) // the set before it stays as it is
 }
 
 // Where nothing is written down the version that was there first serves on, however many leafs come beside it,
@@ -121,7 +121,7 @@
 		})
 	}
 	is := is.New(t)
-	is.Equal(ids(ordered.OnTrial("s")), []string{"2", "3"})
+	is.Equal(ids(ordered.Canaries("s")), []string{"2", "3"})
 	is.Equal(cases["an order of what serves"].Rule("s"), rollout.Rule{Serving: "v1"})
 	gone := edited(both.Edit(), nil, "1")
 	is.Equal(len(gone.Ready("s")), 0) // no order lets the other serve
--- a/internal/request/gateway/canary.go
+++ b/internal/request/gateway/canary.go
@@ -101,7 +101,7 @@
 // focusedLeaf returns the first candidate that can be asked and is not in trouble, in the order in which the version's
 // leafs take the bounded share of requests: one leaf at a time, so that few requests make evidence.
 func (e *execution) focusedLeaf(service string, candidates []balancer.Candidate) []balancer.Candidate {
-	for _, leaf := range e.gateway.canary.FocusOrder(service, e.gateway.catalog.View().Leafs.OnTrial(service)) {
+	for _, leaf := range e.gateway.canary.FocusOrder(service, e.gateway.catalog.View().Leafs.Canaries(service)) {
 		at := slices.IndexFunc(candidates, func(candidate balancer.Candidate) bool { return candidate.LeafID == leaf.ID })
 		if at < 0 {
 			continue
--- a/internal/request/gateway/candidates.go
+++ b/internal/request/gateway/candidates.go
@@ -90,9 +90,9 @@
 // ones are included if there are no others.
 func (g *Gateway) trialLeafs(service string, versions canary.Versions) []*leafset.Leaf {
 	if versions == canary.Trial {
-		return g.memory.OnTrial(service)
+		return g.memory.Canaries(service)
 	}
-	return g.catalog.View().Leafs.OnTrial(service)
+	return g.catalog.View().Leafs.Canaries(service)
 }
 
 // target returns the leaf of an attempt, with how to connect to it.
--- a/internal/request/gateway/placement.go
+++ b/internal/request/gateway/placement.go
@@ -94,7 +94,7 @@
 // being switched to their version.
 func placedLeafs(leafs *leafset.Set, service string) []*leafset.Leaf {
 	if leafs.Rule(service).Phase == rollout.Switching {
-		return leafs.OnTrial(service)
+		return leafs.Canaries(service)
 	}
 	return leafs.Ready(service)
 }
--- a/internal/request/gateway/refuse.go
+++ b/internal/request/gateway/refuse.go
@@ -138,7 +138,7 @@
 
 // mayBeDrawn reports whether a canary draw of this node could send a shard to a leaf on trial.
 func (e *execution) mayBeDrawn(index int) bool {
-	return !e.isInGroup(index) && e.anyMayRun(e.gateway.catalog.View().Leafs.OnTrial(e.services[index]))
+	return !e.isInGroup(index) && e.anyMayRun(e.gateway.catalog.View().Leafs.Canaries(e.services[index]))
 }
 
 // anyMayRun reports whether any of the leafs is in a zone that the route allows and this node reaches.
--- a/internal/request/gateway/warm.go
+++ b/internal/request/gateway/warm.go
@@ -84,7 +84,7 @@
 // warmTrial opens a connection to the leaf on trial that draws go to first, and reports whether there is any leaf on
 // trial.
 func (g *Gateway) warmTrial(view *catalog.View, service string) bool {
-	leafs := g.canary.FocusOrder(service, view.Leafs.OnTrial(service))
+	leafs := g.canary.FocusOrder(service, view.Leafs.Canaries(service))
 	if len(leafs) == 0 || view.Routes == nil {
 		return false
 	}
--- a/internal/rollout/canary/splitter.go
+++ b/internal/rollout/canary/splitter.go
@@ -129,13 +129,13 @@
 		known.count(once, 1)
 		return Draw{First: Trial}
 	case ramping:
-		if len(view.Leafs.OnTrial(service)) > 0 && s.random() < s.ramp(known, now) {
+		if len(view.Leafs.Canaries(service)) > 0 && s.random() < s.ramp(known, now) {
 			known.count(once, 1)
 			return Draw{First: Trial}
 		}
 	case bounded:
 		s.lowerPart(view, service, known)
-		if len(view.Leafs.OnTrial(service)) > 0 && known.hasRoom(s.config, once, now) {
+		if len(view.Leafs.Canaries(service)) > 0 && known.hasRoom(s.config, once, now) {
 			known.count(once, 1)
 			return Draw{First: Trial, IsBounded: true, order: rule.Order}
 		}
--- a/internal/rollout/canary/stage_test.go
+++ b/internal/rollout/canary/stage_test.go
@@ -204,7 +204,7 @@
 func TestFocusGoesRound(t *testing.T) {
 	is := is.New(t)
 	built, splitter, _ := started(t, 0)
-	leafs := built.known.View().Leafs.OnTrial("s")
+	leafs := built.known.View().Leafs.Canaries("s")
 	seen := map[string]int{}
 	for range focusTurns {
 		focused := splitter.FocusOrder("s", leafs)
--- a/internal/rollout/rolloutcontrol/node_test.go
+++ b/internal/rollout/rolloutcontrol/node_test.go
@@ -232,7 +232,7 @@
 		if rule.Trial == "" || n.isHeld(orderKey{service, rule.Order}) {
 			continue
 		}
-		for _, leaf := range view.Leafs.OnTrial(service) {
+		for _, leaf := range view.Leafs.Canaries(service) {
 			n.observe(evidence.Key{Service: service, Order: rule.Order, Route: "r", Version: leaf.Version, Leaf: leaf.ID}, fails)
 			break
 		}
--- a/internal/rollout/rolloutcontrol/order.go
+++ b/internal/rollout/rolloutcontrol/order.go
@@ -82,7 +82,7 @@
 		return serving, true
 	}
 	counts := map[string]int{}
-	for _, leaf := range view.Leafs.Of(order.Service) {
+	for _, leaf := range view.Leafs.ByService(order.Service) {
 		counts[leaf.Version]++
 	}
 	best, found := "", false
--- a/internal/rollout/rolloutcontrol/versionswriter.go
+++ b/internal/rollout/rolloutcontrol/versionswriter.go
@@ -84,7 +84,7 @@
 	wanted := map[string]string{}
 	isNamed := namedServices(view)
 	for service, version := range view.Versions {
-		if isNamed(service) || len(view.Leafs.Of(service)) > 0 {
+		if isNamed(service) || len(view.Leafs.ByService(service)) > 0 {
 			wanted[service] = version
 		}
 	}
@@ -95,7 +95,7 @@
 			continue
 		}
 		seen[leaf.Service] = true
-		if isOneVersion(view.Leafs.Of(leaf.Service)) {
+		if isOneVersion(view.Leafs.ByService(leaf.Service)) {
 			wanted[leaf.Service] = leaf.Version
 		}
 	}
