--- a/internal/leaf/leafmemory/leafmemory_test.go
+++ b/internal/leaf/leafmemory/leafmemory_test.go
@@ -14,7 +14,7 @@
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
 )
 
-// put changes a key of a catalog as a watch would.
+// put changes a key of a catalog as a watch does.
 func put(t *testing.T, known *catalog.Catalog, key string, value any) {
 	t.Helper()
 	entry := catalog.Entry{Key: key, Revision: known.Revision() + 1, Deleted: value == nil}
@@ -48,7 +48,7 @@
 
 	put(t, known, catalog.LeafKey("a"), record("a", leafset.Draining))
 	leafs, lastResort = memory.Candidates("s")
-	is.Equal(len(leafs), 1) // a draining leaf gets nothing while there is another
+	is.Equal(len(leafs), 1) // a draining leaf gets no requests while there is another
 	is.True(!lastResort)
 
 	put(t, known, catalog.LeafKey("b"), nil)
@@ -88,7 +88,7 @@
 	var writers []*Writer
 	for _, id := range []string{"n1", "n2", "n3"} {
 		writer := NewWriter(DefaultConfig(), known, nil, id, zap.NewNop())
-		is.True(!writer.isDue(now)) // the leafs are news
+		is.True(!writer.isDue(now)) // the leafs are new
 		writers = append(writers, writer)
 	}
 	due := func(after time.Duration) int {
@@ -108,7 +108,7 @@
 	put(t, known, catalog.RememberedKey, leafset.List{Leafs: []leafset.Record{record("a", leafset.Ready)}})
 	is.Equal(due(3*delay), 0)
 	put(t, known, catalog.LeafKey("a"), record("a", leafset.Draining))
-	is.Equal(due(3*delay), 0) // no ready leaf at all is an outage of discovery, not news
+	is.Equal(due(3*delay), 0) // no ready leaf at all means an outage of discovery
 }
 
 func TestConfigNamesEveryFault(t *testing.T) {
@@ -117,7 +117,7 @@
 	is.Equal(len(failure.Faults(Config{Hold: -1, TrustAfterStart: -1, MaximumLeafs: -1}.Validate())), 4)
 }
 
-// An evacuated zone's leafs are no last resort, be they lost a moment ago or written down.
+// An evacuated zone's leafs are no last resort, whether lost a moment ago or on the stored list.
 func TestEvacuatedLeafsAreNoLastResort(t *testing.T) {
 	is := is.New(t)
 	known := catalog.New(nil)
@@ -133,17 +133,17 @@
 	put(t, known, catalog.EvacuationKey("east"), struct{}{})
 	is.True(!memory.MaySend("a"))
 	leafs, _ := memory.Candidates("s")
-	is.Equal(len(leafs), 1) // by the list that was written down
+	is.Equal(len(leafs), 1) // by the stored list
 	is.Equal(leafs[0].ID, "b")
 	put(t, known, catalog.LeafKey("a"), nil)
 	is.True(!memory.MaySend("a"))
 	leafs, _ = memory.Candidates("s")
 	is.Equal(len(leafs), 1)
 	put(t, known, catalog.EvacuationKey("east"), nil)
-	is.True(memory.MaySend("a")) // lost a moment ago, and its zone is back
+	is.True(memory.MaySend("a")) // lost a moment ago, and its zone is no longer evacuated
 }
 
-// What may be sent to a leaf ends with its drain, its end and what is remembered of it.
+// A leaf may be sent requests until it drains or is gone and no longer remembered.
 func TestLeafThatWentMayBeAskedForAWhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -162,7 +162,7 @@
 	})
 }
 
-// The time of a loss is that at which it came into force, be the service asked then or not: a node that
+// The time of a loss is when the node applied it, whether the service was asked then or not: a node that
 // serves few requests would otherwise ask a leaf that drained long ago.
 func TestLossCountsFromWhenItCameIntoForce(t *testing.T) {
 	losses := map[string]func(known *catalog.Catalog){
@@ -184,7 +184,7 @@
 				is.Equal(len(leafs), 1)
 				is.True(memory.MaySend("a"))
 				time.Sleep(DefaultConfig().Hold)
-				leafs, _ = other.Candidates("s") // it was asked nothing since the loss
+				leafs, _ = other.Candidates("s") // its first call since the loss
 				is.Equal(len(leafs), 0)
 				is.True(!other.MaySend("a"))
 				is.Equal(len(other.IDs()), known.View().Leafs.Len())
--- a/internal/leaf/leafmemory/suspended_test.go
+++ b/internal/leaf/leafmemory/suspended_test.go
@@ -10,7 +10,8 @@
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
 )
 
-// A leaf that was lost just before a suspension is not asked after it, however short a while the machine ran since.
+// A leaf that was lost just before the machine was suspended is not asked after that, however short a time the machine has
+// run since.
 func TestSuspendedMachineDoesNotAskWhatWasLostLongAgo(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -23,7 +24,7 @@
 	now = now.Add(time.Minute)
 	put(t, known, catalog.LeafKey("a"), record("a", leafset.Draining))
 	is.True(memory.MaySend("a"))
-	now = now.Add(DefaultConfig().Hold + time.Second) // asleep
+	now = now.Add(DefaultConfig().Hold + time.Second) // suspended
 	is.True(!memory.MaySend("a"))
 	leafs, _ := memory.Candidates("s")
 	is.Equal(len(leafs), 0)
--- a/internal/leaf/leafmemory/versions_test.go
+++ b/internal/leaf/leafmemory/versions_test.go
@@ -13,7 +13,7 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// newVersioned gives a catalog whose service is served by v1, with v2 on trial if ordered.
+// newVersioned returns a catalog whose service is served by v1, with v2 as canary if ordered.
 func newVersioned(t *testing.T, ordered bool) *catalog.Catalog {
 	t.Helper()
 	known := catalog.New(func(key string, err error) { t.Errorf("%s: %v", key, err) })
@@ -31,7 +31,7 @@
 	return made
 }
 
-// rollBack writes that the order in force was found bad.
+// rollBack stores that the current order was found bad.
 func rollBack(t *testing.T, known *catalog.Catalog) {
 	t.Helper()
 	order := known.View().Rollouts["s"].Order.Revision
@@ -57,7 +57,7 @@
 	is.Equal(memory.IDs(), []string{"new"})
 	rollBack(t, known)
 	is.True(!memory.MaySend("new"))
-	is.Equal(memory.IDs(), nil) // nor is a connection to it kept
+	is.Equal(memory.IDs(), nil) // nor are connections to it kept
 }
 
 func TestBarredLeafMayNotBeAsked(t *testing.T) {
@@ -72,7 +72,7 @@
 	is.Equal(candidateIDs(memory), []string{"untold"})
 }
 
-// Of the leafs lost a moment ago only those that serve are a last resort, also after the rule has changed.
+// Of the leafs lost a moment ago only those that serve are a last resort, even after the rule has changed.
 func TestLostLeafsGoByTheRuleInForce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -92,7 +92,7 @@
 	})
 }
 
-// Lost leafs that may not be asked don't hide those written down that may.
+// Lost leafs that may not be asked don't hide those on the stored list that may.
 func TestLostLeafsDontHideWrittenOnes(t *testing.T) {
 	is := is.New(t)
 	known := newVersioned(t, true)
@@ -103,7 +103,7 @@
 	is.Equal(candidateIDs(memory), []string{"old"})
 }
 
-// Leafs of the version on trial are remembered as those that serve are, and by the rule in force.
+// Lost canaries are remembered like leafs that serve, and by the current rule.
 func TestLostLeafsOnTrialAreHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -129,8 +129,7 @@
 	})
 }
 
-// A node that starts believes of the list written down only what the rule lets serve, and asks the rest of it by the
-// rule as well.
+// A node that starts uses only those leafs of the stored list that the rule allows.
 func TestWrittenListGoesByTheRuleInForce(t *testing.T) {
 	is := is.New(t)
 	known := newVersioned(t, true)
@@ -146,7 +145,7 @@
 	is.Equal(ids, []string{"new", "old"})
 }
 
-// The list that is written down keeps versions: without them a node that starts would ask any leaf of it.
+// The stored list includes versions: without them a node that starts would ask any leaf of it.
 func TestWrittenListKeepsVersions(t *testing.T) {
 	is := is.New(t)
 	known := newVersioned(t, false)
--- a/internal/leaf/leafmemory/writer.go
+++ b/internal/leaf/leafmemory/writer.go
@@ -23,9 +23,9 @@
 // writeTimeout bounds one write of the list.
 const writeTimeout = time.Second
 
-// Writer writes the list of leafs down for nodes that start. All nodes run one; the first by
-// the hash of their ids writes, and the others take over the longer nothing comes, one after the
-// other. The write is fenced by the revision that it replaces, so that two do no harm.
+// Writer stores the list of leafs for nodes that start. All nodes run one; the first by
+// the hash of their ids writes, and if it does not, the others take over one after the
+// other. Each write is conditional on the revision that it replaces, so that concurrent ones do no harm.
 type Writer struct {
 	config  Config
 	catalog *catalog.Catalog
@@ -33,32 +33,35 @@
 	self    string
 	logger  *zap.Logger
 
-	wanted []leafset.Record
-	since  time.Time // when the leafs became what is wanted
-	// leafs and remembered are those last compared, isWritten what came of it: most looks find nothing
-	// new, and comparing thousands of leafs each second is a small node's dearest work at rest.
+	wanted []leafset.Record // what the list should be
+	since  time.Time        // when wanted last changed
+	// leafs and remembered are the sets that were compared last, and isWritten is the result: mostly nothing
+	// changed, and comparing thousands of leafs each second would be a large part of an idle node's CPU time.
 	leafs, remembered *leafset.Set
 	isWritten         bool
 }
 
-// NewWriter makes a writer for the node of an id.
+// NewWriter returns the writer of the node of an id.
 func NewWriter(config Config, known *catalog.Catalog, kept store.Store, self string, logger *zap.Logger) *Writer {
 	return &Writer{config: config, catalog: known, store: kept, self: self, logger: logger}
 }
 
-// Run writes the list whenever it changed, until the context ends.
+// Run stores the list whenever it has changed, until the context ends.
 func (w *Writer) Run(ctx context.Context) {
 	for wait.For(ctx, checkInterval) {
 		if !w.isDue(time.Now()) {
 			continue
 		}
 		if err := w.write(ctx); err != nil {
-			w.logger.Info("list of leafs can't be written", zap.Error(err))
+			w.logger.Info("list of leafs can't be stored", zap.Error(err))
 		}
 	}
 }
 
-// isDue reports whether the list differs from the leafs for so long that this node writes it.
+// isDue decides whether this node stores the list now.
+//
+// Rule: the leafs have differed from the stored list, and been unchanged themselves, for Config.WriteDelay times one
+// more than the node's rank. A set without ready leafs is not stored, since it means an outage of discovery.
 func (w *Writer) isDue(now time.Time) bool {
 	view := w.catalog.View()
 	w.compare(view, now)
@@ -69,7 +72,7 @@
 	return now.Sub(w.since) >= w.config.WriteDelay*time.Duration(1+rank)
 }
 
-// compare finds what is wanted, and whether it is written, if either changed since the last look.
+// compare updates wanted and isWritten, if the leafs or the stored list changed since the last call.
 func (w *Writer) compare(view *catalog.View, now time.Time) {
 	if view.Leafs == w.leafs && view.Remembered == w.remembered {
 		return
@@ -81,7 +84,7 @@
 	w.isWritten = slices.Equal(w.wanted, records(view.Remembered))
 }
 
-// records gives the ready leafs in order of name, without what changes from one of their writes to the next.
+// records returns the records of the ready leafs in order of name, without the fields that change with each heartbeat.
 func records(set *leafset.Set) []leafset.Record {
 	var ready []leafset.Record
 	for _, id := range set.IDs() {
@@ -97,6 +100,7 @@
 	return ready
 }
 
+// write stores the list.
 func (w *Writer) write(ctx context.Context) error {
 	document, err := json.Marshal(leafset.List{Leafs: w.wanted})
 	if err != nil {
@@ -110,6 +114,6 @@
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	_, err = w.store.CompareAndSwap(ctx, catalog.RememberedKey, replaced.LiveRevision(), value, false)
-	w.since = time.Now() // the next try, if any, waits as long again
+	w.since = time.Now() // a retry waits as long again
 	return err
 }
--- a/internal/leaf/leafset/editor.go
+++ b/internal/leaf/leafset/editor.go
@@ -8,29 +8,29 @@
 	"github.com/portgauge/portgauge/internal/node/boottime"
 )
 
-// Editor changes a copy of a set; the original stays as it is.
+// Editor makes a changed copy of a set; the original remains unchanged. What the copy does not change, it shares with the
+// original.
 type Editor struct {
 	set   *Set
-	owned map[string]bool // services whose slice is the copy's own
+	owned map[string]bool // services whose slice is not shared
 	ruled map[string]bool // services whose rule changed
-	// ownsRules, ownsFirst and ownsTrial say which of these the copy has of its own.
-	ownsRules, ownsFirst, ownsTrial bool
-	// oneVersion says that services for which no rule names a version that serves are given one.
-	oneVersion bool
-	// evacuationsChanged says that the ready leafs of every service must be found anew.
+	// ownsRules, ownsFirst, ownsCanaries and ownsLost say which of these maps are not shared.
+	ownsRules, ownsFirst, ownsCanaries, ownsLost bool
+	// defaultToFirst says that services for which no rule names a serving version get one.
+	defaultToFirst bool
+	// evacuationsChanged says that the ready leafs of every service must be determined again.
 	evacuationsChanged bool
-	ownsLost           bool
-	// replaced is the set that a whole new one takes the place of; nil for changes of a set.
+	// replaced is the set that is replaced as a whole; nil for changes of a set.
 	replaced *Set
-	// disowned are names under which no leaf is told of.
-	disowned map[string]bool
+	// excluded are the names passed to Exclude.
+	excluded map[string]bool
 	clock    boottime.Clock
 }
 
-// SetClock has losses noted by a clock other than the steady one.
+// SetClock sets the clock by which losses are recorded, instead of the monotonic one.
 func (e *Editor) SetClock(clock boottime.Clock) { e.clock = clock }
 
-// Replace starts a set from nothing that takes the place of another: what it lacks was lost.
+// Replace starts an empty set that replaces another: the leafs that it lacks at the end were lost.
 func Replace(before *Set) *Editor {
 	editor := Empty().Edit()
 	editor.set.lost, editor.set.first = before.lost, before.first
@@ -38,21 +38,21 @@
 	return editor
 }
 
-// Edit starts a copy.
+// Edit starts a copy of the set.
 func (s *Set) Edit() *Editor {
 	copied := &Set{
 		byService: maps.Clone(s.byService), ready: maps.Clone(s.ready), byName: maps.Clone(s.byName), evacuated: s.evacuated,
-		rules: s.rules, first: s.first, trial: s.trial, lost: s.lost,
+		rules: s.rules, first: s.first, canaries: s.canaries, lost: s.lost,
 	}
 	return &Editor{set: copied, owned: map[string]bool{}, ruled: map[string]bool{}}
 }
 
-// Put adds a leaf or replaces the one of its name. One of another life is gone with its process: it isn't lost, as one that
-// may only be unlisted for a while.
+// Put adds a leaf or replaces the one of its name. If that was another incarnation, its process is gone, so that it is not
+// recorded as lost: a lost leaf may only be unlisted for a while, and still be asked.
 func (e *Editor) Put(leaf *Leaf) {
 	known := e.drop(leaf.Name)
 	switch {
-	case leaf.State == Ready, e.isOtherLifeLost(leaf), known != nil && known.ID != leaf.ID:
+	case leaf.State == Ready, e.isOtherIncarnationLost(leaf), known != nil && known.ID != leaf.ID:
 		e.forgetLoss(leaf.Name)
 	case known != nil && known.State == Ready:
 		e.lose(known)
@@ -63,36 +63,36 @@
 	e.set.byService[leaf.Service] = slices.Insert(leafs, at, leaf)
 }
 
-// Remove drops the leaf of a name, if there is one.
+// Remove removes the leaf of a name, if there is one, and records it as lost if it was ready.
 func (e *Editor) Remove(name string) {
 	if known := e.drop(name); known != nil && known.State == Ready {
 		e.lose(known)
 	}
 }
 
-// Exclude drops the leaf of a name without a memory of it: what is kept under its name tells of no leaf.
+// Exclude removes the leaf of a name without recording it as lost, because its record is not that of a leaf.
 func (e *Editor) Exclude(name string) {
 	e.drop(name)
 	e.forgetLoss(name)
-	if e.disowned == nil {
-		e.disowned = map[string]bool{}
+	if e.excluded == nil {
+		e.excluded = map[string]bool{}
 	}
-	e.disowned[name] = true
+	e.excluded[name] = true
 }
 
-// isOtherLifeLost reports whether a life of a leaf other than a given one is remembered as lost.
-func (e *Editor) isOtherLifeLost(leaf *Leaf) bool {
+// isOtherIncarnationLost reports whether another incarnation of a leaf is recorded as lost.
+func (e *Editor) isOtherIncarnationLost(leaf *Leaf) bool {
 	one, wasLost := e.set.lost[leaf.Name]
 	return wasLost && one.leaf.ID != leaf.ID
 }
 
-// lose remembers a leaf that was ready until now.
+// lose records a leaf that was ready until now as lost.
 func (e *Editor) lose(known *Leaf) {
 	e.ownLost()
-	e.set.lost[known.Name] = lost{leaf: known, at: e.clock.Now()}
+	e.set.lost[known.Name] = lostLeaf{leaf: known, at: e.clock.Now()}
 }
 
-// forgetLoss forgets that a leaf was lost: it is ready again, or its process is over.
+// forgetLoss forgets that a leaf was lost: it is ready again, or its process is gone.
 func (e *Editor) forgetLoss(name string) {
 	if _, wasLost := e.set.lost[name]; wasLost {
 		e.ownLost()
@@ -100,18 +100,18 @@
 	}
 }
 
-// ownLost makes the copy's lost leafs its own, without those that were lost long ago.
+// ownLost copies the lost leafs, without those lost more than lostRetention ago.
 func (e *Editor) ownLost() {
 	if e.ownsLost {
 		return
 	}
 	e.ownsLost = true
-	oldest := e.clock.Now().Add(-lostKept)
+	oldest := e.clock.Now().Add(-lostRetention)
 	e.set.lost = maps.Clone(e.set.lost)
-	maps.DeleteFunc(e.set.lost, func(_ string, one lost) bool { return one.at.Before(oldest) })
+	maps.DeleteFunc(e.set.lost, func(_ string, one lostLeaf) bool { return one.at.Before(oldest) })
 }
 
-// drop takes the leaf of a name out and gives it; nil when there is none.
+// drop removes the leaf of a name and returns it; nil if there is none.
 func (e *Editor) drop(name string) *Leaf {
 	known, found := e.set.byName[name]
 	if !found {
@@ -127,7 +127,7 @@
 	return known
 }
 
-// SetEvacuated notes whether a zone is evacuated.
+// SetEvacuated sets whether a zone is evacuated.
 func (e *Editor) SetEvacuated(zone string, evacuated bool) {
 	if e.set.evacuated[zone] == evacuated {
 		return
@@ -141,31 +141,31 @@
 	delete(e.set.evacuated, zone)
 }
 
-// Done gives the changed set; the editor must not be used after it.
+// Done returns the changed set; the editor must not be used after it.
 func (e *Editor) Done() *Set {
 	if e.replaced != nil {
 		e.loseReplaced()
 	}
 	if e.evacuationsChanged {
 		for service := range e.set.byService {
-			e.findReady(service)
+			e.updateReady(service)
 		}
 	}
 	for service := range e.owned {
-		e.findReady(service)
+		e.updateReady(service)
 	}
 	for service := range e.ruled {
-		e.findReady(service)
+		e.updateReady(service)
 	}
 	return e.set
 }
 
-// loseReplaced remembers the ready leafs of the replaced set that are not ready in the new one.
+// loseReplaced records the ready leafs of the replaced set that are not ready in the new one as lost.
 func (e *Editor) loseReplaced() {
 	for name, before := range e.replaced.byName {
 		now, found := e.set.byName[name]
 		switch {
-		case found && now.ID != before.ID, e.disowned[name]:
+		case found && now.ID != before.ID, e.excluded[name]:
 			e.forgetLoss(name)
 		case before.State == Ready && (!found || now.State != Ready):
 			e.lose(before)
@@ -173,12 +173,12 @@
 	}
 }
 
-// findReady finds which leafs of a service take work, and which of those are on trial.
-func (e *Editor) findReady(service string) {
+// updateReady determines which leafs of a service get requests, and which are canaries.
+func (e *Editor) updateReady(service string) {
 	leafs := e.set.byService[service]
-	e.noteFirst(service, leafs)
-	e.findOnTrial(service, leafs)
-	isUnusable := func(leaf *Leaf) bool { return !e.set.takesWork(leaf) }
+	e.updateFirst(service, leafs)
+	e.updateCanaries(service, leafs)
+	isUnusable := func(leaf *Leaf) bool { return !e.set.isServing(leaf) }
 	if !slices.ContainsFunc(leafs, isUnusable) {
 		delete(e.set.ready, service)
 		return
@@ -186,6 +186,7 @@
 	e.set.ready[service] = slices.DeleteFunc(slices.Clone(leafs), isUnusable)
 }
 
+// own returns the leafs of a service as a slice that is not shared.
 func (e *Editor) own(service string) []*Leaf {
 	if !e.owned[service] {
 		e.owned[service] = true
--- a/internal/leaf/leafset/lives_test.go
+++ b/internal/leaf/leafset/incarnations_test.go
@@ -7,14 +7,14 @@
 	"github.com/matryer/is"
 )
 
-// life is the record of a leaf that was born at a time.
+// life is the record of a leaf whose process started at a time.
 func life(born int64, state State) *Leaf {
 	record := Record{Name: "a", Service: "s", Address: "127.0.0.1:1", State: state, Born: born}
 	return NewLeaf(record, born+1, time.Time{})
 }
 
-// A leaf that starts again under its name is another one: nothing is found under the id of the life before, which is not
-// asked as one that is only unlisted either.
+// A leaf that restarts under its name is another one: nothing is found under the id of the earlier incarnation, which is
+// not recorded as lost either.
 func TestEachLifeHasItsID(t *testing.T) {
 	cases := map[string]func(first *Set) *Set{
 		"registers over the first": func(first *Set) *Set { return put(first, life(20, Ready)) },
@@ -50,7 +50,7 @@
 	}
 }
 
-// A life that is only unlisted for a while is remembered by its id, and found by it once more.
+// An incarnation that is only unlisted for a while is recorded as lost by its id, and found by it again.
 func TestLifeThatIsUnlisted(t *testing.T) {
 	is := is.New(t)
 	editor := put(Empty(), life(10, Ready)).Edit()
@@ -65,7 +65,7 @@
 	is.True(found)
 }
 
-// Leafs that tell of no start have their name as id, whatever it holds.
+// Leafs of unknown start have their name as id, whatever it contains.
 func TestNamesWithoutLives(t *testing.T) {
 	is := is.New(t)
 	set := put(Empty(), NewLeaf(Record{Name: "a@10", Service: "s", State: Ready}, 1, time.Time{}))
@@ -75,7 +75,7 @@
 	is.Equal(set.IDs(), []string{"a@10"})
 }
 
-// A list that was written down names lives: one that started again since is not taken for the one on it.
+// The stored list identifies incarnations: a leaf that restarted since is not the one on the list.
 func TestListsNameLives(t *testing.T) {
 	is := is.New(t)
 	set, err := ParseList([]byte(`{"leafs":[{"id":"a","service":"s","address":"127.0.0.1:1","state":"ready","born":10}]}`), 3)
--- a/internal/leaf/leafset/leafset_test.go
+++ b/internal/leaf/leafset/leafset_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// Edits never change a set that is in use, and every set holds what the edits left.
+// Edits never change the set before them, and every set has the result of the edits.
 func TestSetsAreImmutable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := Empty()
@@ -55,7 +55,7 @@
 	is.True(err != nil)
 }
 
-// The leafs of an evacuated zone are known, and take nothing until the evacuation ends.
+// The leafs of an evacuated zone are known, and get no requests until the evacuation ends.
 func TestEvacuatedLeafsTakeNothing(t *testing.T) {
 	is := is.New(t)
 	editor := Empty().Edit()
--- a/internal/leaf/leafset/versions.go
+++ b/internal/leaf/leafset/versions.go
@@ -6,46 +6,44 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// Canaries gives the leafs of a service that take work and are of the version on trial; none where there is no
-// roll-out under way. The slice is shared: callers must not change it.
-func (s *Set) Canaries(service string) []*Leaf { return s.trial[service] }
+// Canaries returns the leafs of a service that are ready and of the canary version; none if there is no
+// roll-out in progress. The slice is shared: callers must not modify it.
+func (s *Set) Canaries(service string) []*Leaf { return s.canaries[service] }
 
-// Rule says which versions of a service may get requests.
+// Rule returns which versions of a service may get requests.
 func (s *Set) Rule(service string) rollout.Rule {
 	return s.rules[service].WithDefaultServing(s.first[service])
 }
 
-// IsBarred reports whether a leaf's version neither serves nor is on trial.
+// IsBarred reports whether a leaf's version neither serves nor is the canary version.
 func (s *Set) IsBarred(leaf *Leaf) bool {
 	rule := s.Rule(leaf.Service)
 	return !rule.IsServing(leaf.Version) && !rule.IsTrial(leaf.Version)
 }
 
-// IsAllowed reports whether a leaf may be sent requests if it is ready: its zone is not evacuated, and its
-// version serves or is on trial.
+// IsAllowed reports whether a leaf may get requests if it is ready: its zone is not evacuated, and its
+// version serves or is the canary version.
 func (s *Set) IsAllowed(leaf *Leaf) bool { return !s.evacuated[leaf.Zone] && !s.IsBarred(leaf) }
 
-// MayServe reports whether a leaf may be sent requests outside of a trial if it is ready: its zone is not
+// MayServe reports whether a leaf may get requests other than those for canaries if it is ready: its zone is not
 // evacuated, and its version serves.
 func (s *Set) MayServe(leaf *Leaf) bool {
 	return !s.evacuated[leaf.Zone] && s.Rule(leaf.Service).IsServing(leaf.Version)
 }
 
-// MayServeCanary reports whether a leaf may be sent requests of a trial if it is ready: its zone is not evacuated, and its
-// version is on trial.
+// MayServeCanary reports whether a leaf may get requests for canaries if it is ready: its zone is not evacuated, and its
+// version is the canary version.
 func (s *Set) MayServeCanary(leaf *Leaf) bool {
 	return !s.evacuated[leaf.Zone] && s.Rule(leaf.Service).IsTrial(leaf.Version)
 }
 
-// takesWork reports whether a leaf is ready and of a version that serves.
-func (s *Set) takesWork(leaf *Leaf) bool { return leaf.State == Ready && s.MayServe(leaf) }
+// isServing reports whether a leaf is ready and MayServe.
+func (s *Set) isServing(leaf *Leaf) bool { return leaf.State == Ready && s.MayServe(leaf) }
 
-// isOnTrial reports whether a leaf is ready and of the version on trial.
-func (s *Set) isOnTrial(leaf *Leaf) bool {
-	return leaf.State == Ready && s.MayServeCanary(leaf)
-}
+// isCanary reports whether a leaf is ready and MayServeCanary.
+func (s *Set) isCanary(leaf *Leaf) bool { return leaf.State == Ready && s.MayServeCanary(leaf) }
 
-// SetRule notes which versions of a service may get requests.
+// SetRule sets which versions of a service may get requests.
 func (e *Editor) SetRule(service string, rule rollout.Rule) {
 	if e.set.rules[service] == rule {
 		return
@@ -59,13 +57,17 @@
 	e.set.rules[service] = rule
 }
 
-// DefaultToFirstVersion has services for which no rule says which version serves be served by the one whose leafs were
-// there first, or, where leafs of several come at once, by that of most. It stays the first until a rule names one.
-func (e *Editor) DefaultToFirstVersion() { e.oneVersion = true }
-
-// noteFirst notes the version that was there first of a service, while no rule says which serves.
-func (e *Editor) noteFirst(service string, leafs []*Leaf) {
-	if !e.oneVersion {
+// DefaultToFirstVersion makes services for which no rule names a serving version be served by one version, see
+// updateFirst.
+func (e *Editor) DefaultToFirstVersion() { e.defaultToFirst = true }
+
+// updateFirst decides which version of a service serves while no rule names one.
+//
+// Rule: the version whose leafs were there first, or, if leafs of several come at once, the one with the most leafs. It
+// remains the first until a rule names a serving version or bars it. A new version must not get requests just because
+// its leafs appear: a roll-out order decides that.
+func (e *Editor) updateFirst(service string, leafs []*Leaf) {
+	if !e.defaultToFirst {
 		return
 	}
 	first := ""
@@ -86,7 +88,7 @@
 	e.set.first[service] = first
 }
 
-// countVersions counts the leafs of each version but the one on trial and the one that is barred.
+// countVersions counts the leafs of each version except the canary version and the barred one.
 func countVersions(leafs []*Leaf, rule rollout.Rule) map[string]int {
 	counts := map[string]int{}
 	for _, leaf := range leafs {
@@ -97,7 +99,7 @@
 	return counts
 }
 
-// mostCounted gives the version that was counted most; of several, the first by name.
+// mostCounted returns the version with the highest count; of several, the first by name.
 func mostCounted(counts map[string]int) string {
 	best := ""
 	for version, count := range counts {
@@ -108,26 +110,26 @@
 	return best
 }
 
-// findOnTrial finds which leafs of a service are on trial.
-func (e *Editor) findOnTrial(service string, leafs []*Leaf) {
-	var trial []*Leaf
+// updateCanaries determines which leafs of a service are canaries.
+func (e *Editor) updateCanaries(service string, leafs []*Leaf) {
+	var canaries []*Leaf
 	for _, leaf := range leafs {
-		if e.set.isOnTrial(leaf) {
-			trial = append(trial, leaf)
+		if e.set.isCanary(leaf) {
+			canaries = append(canaries, leaf)
 		}
 	}
-	if len(trial) == 0 && len(e.set.trial[service]) == 0 {
+	if len(canaries) == 0 && len(e.set.canaries[service]) == 0 {
 		return
 	}
-	e.ownTrial()
-	if len(trial) == 0 {
-		delete(e.set.trial, service)
+	e.ownCanaries()
+	if len(canaries) == 0 {
+		delete(e.set.canaries, service)
 		return
 	}
-	e.set.trial[service] = trial
+	e.set.canaries[service] = canaries
 }
 
-// ownRules makes the copy's rules its own.
+// ownRules copies the rules.
 func (e *Editor) ownRules() {
 	if !e.ownsRules {
 		e.ownsRules = true
@@ -135,7 +137,7 @@
 	}
 }
 
-// ownFirst makes the copy's first versions its own.
+// ownFirst copies the first versions.
 func (e *Editor) ownFirst() {
 	if !e.ownsFirst {
 		e.ownsFirst = true
@@ -143,10 +145,10 @@
 	}
 }
 
-// ownTrial makes the copy's leafs on trial its own.
-func (e *Editor) ownTrial() {
-	if !e.ownsTrial {
-		e.ownsTrial = true
-		e.set.trial = maps.Clone(e.set.trial)
+// ownCanaries copies the canaries.
+func (e *Editor) ownCanaries() {
+	if !e.ownsCanaries {
+		e.ownsCanaries = true
+		e.set.canaries = maps.Clone(e.set.canaries)
 	}
 }
--- a/internal/leaf/leafset/versions_test.go
+++ b/internal/leaf/leafset/versions_test.go
@@ -13,7 +13,7 @@
 	return NewLeaf(Record{Name: id, Service: "s", Version: version, State: state}, 0, time.Time{})
 }
 
-// edited gives a set with some leafs put and some removed, where services are served by one version.
+// edited returns a set with some leafs added and some removed, where services default to the first version.
 func edited(editor *Editor, leafs []*Leaf, removed ...string) *Set {
 	editor.DefaultToFirstVersion()
 	for _, leaf := range leafs {
@@ -56,8 +56,8 @@
 	}{
 		{"none", rollout.Rule{}, []string{"1", "2", "3"}, nil, []string{"1", "2", "3", "4"}},
 		{"one serves", rollout.Rule{Serving: "v1"}, []string{"1"}, nil, []string{"1"}},
-		{"one is on trial", rollout.Rule{Serving: "v1", Trial: "v2"}, []string{"1"}, []string{"2", "3"}, []string{"1", "2", "3", "4"}},
-		{"the trial is all that is known", rollout.Rule{Trial: "v2"}, []string{"1"}, []string{"2", "3"}, []string{"1", "2", "3", "4"}},
+		{"one is a canary", rollout.Rule{Serving: "v1", Trial: "v2"}, []string{"1"}, []string{"2", "3"}, []string{"1", "2", "3", "4"}},
+		{"only a canary is known", rollout.Rule{Trial: "v2"}, []string{"1"}, []string{"2", "3"}, []string{"1", "2", "3", "4"}},
 		{"neither has leafs", rollout.Rule{Serving: "v8", Trial: "v9"}, nil, nil, nil},
 	}
 	for _, c := range cases {
@@ -82,7 +82,7 @@
 	}
 }
 
-// An evacuation holds for leafs on trial as for those that serve.
+// An evacuation applies to canaries as to leafs that serve.
 func TestEvacuatedLeafsAreNotOnTrial(t *testing.T) {
 	is := is.New(t)
 	_, newer := oldAndNew()
@@ -92,11 +92,11 @@
 	during := editor.Done()
 	is.Equal(len(during.Canaries("s")), 0)
 	is.True(!during.IsAllowed(newer[0]))
-	is.Equal(len(set.Canaries("s")), 2) // the set before it stays as it is
+	is.Equal(len(set.Canaries("s")), 2) // the set before it is unchanged
 }
 
-// Where nothing is written down the version that was there first serves on, however many leafs come beside it,
-// whatever is ordered and taken back, and when the whole state is read anew.
+// Without a rule the version that was there first goes on serving, however many leafs of others appear,
+// whatever is ordered and withdrawn, and when the whole state is read again.
 func TestVersionThatWasThereFirstServes(t *testing.T) {
 	older, newer := oldAndNew()
 	first := edited(Empty().Edit(), older)
@@ -124,7 +124,7 @@
 	is.Equal(ids(ordered.Canaries("s")), []string{"2", "3"})
 	is.Equal(cases["an order of what serves"].Rule("s"), rollout.Rule{Serving: "v1"})
 	gone := edited(both.Edit(), nil, "1")
-	is.Equal(len(gone.Ready("s")), 0) // no order lets the other serve
+	is.Equal(len(gone.Ready("s")), 0) // no order makes the other version serve
 	again := edited(gone.Edit(), older)
 	is.Equal(ids(again.Ready("s")), []string{"1"})
 }
@@ -138,7 +138,7 @@
 	is.Equal(len(written.first), 0)
 }
 
-// Of versions that come at once the one with most leafs serves, and leafs that tell no version do beside it.
+// Of versions that appear at once the one with the most leafs serves, and so do leafs of unknown version.
 func TestMostServeWhereAllComeAtOnce(t *testing.T) {
 	is := is.New(t)
 	older, newer := oldAndNew()
@@ -147,13 +147,13 @@
 	is.Equal(set.Rule("s").Serving, "v2")
 }
 
-// A version that was rolled back is not taken for the one that was there first, also where the leafs beside it tell
-// no version, or are gone.
+// A version that was rolled back never becomes the first version, even if the other leafs are of unknown
+// version, or are gone.
 func TestVersionRolledBackIsNotTheFirst(t *testing.T) {
 	is := is.New(t)
 	_, newer := oldAndNew()
-	untold := leafOf("1", "", Ready)
-	set := ruled(edited(Empty().Edit(), []*Leaf{untold}), rollout.Rule{Trial: "v2"})
+	unknown := leafOf("1", "", Ready)
+	set := ruled(edited(Empty().Edit(), []*Leaf{unknown}), rollout.Rule{Trial: "v2"})
 	set = ruled(edited(set.Edit(), newer), rollout.Rule{Barred: "v2"})
 	is.Equal(ids(set.Ready("s")), []string{"1"})
 	is.True(set.IsBarred(newer[0]))
