--- a/internal/leaf/leafclient/leafclient.go
+++ b/internal/leaf/leafclient/leafclient.go
@@ -1,10 +1,13 @@
-// Package leafclient asks back ends over gRPC.
+// Package leafclient sends searches to leafs over gRPC.
 //
-// One connection a leaf is opened on first use and closed when idle or when too many are
-// open: a node never needs a connection to every leaf. The library's own retries, service
-// config and discovery are off. Its transparent replay stays: it replays only streams that
+// A Pool owns the connections of a node: one per leaf, opened on first use and closed when idle or when too many are
+// open, since a node never needs a connection to every leaf. The library's own retries, service
+// config and discovery are off. Its transparent retries remain on: they resend only streams that
 // never left this process or that the server refused unprocessed, which is proof that the
 // attempt did not run.
+//
+// Errors say what is known about the execution: *Refusal and *NeverSentError mean that the attempt did not run, any
+// other error that it may have.
 package leafclient
 
 import (
@@ -39,7 +42,7 @@
 	return Config{MaximumConnections: 512, IdleTimeout: 5 * time.Minute, MaximumReplyBytes: 8 << 20}
 }
 
-// Validate names every field at fault.
+// Validate returns an error that names every invalid field.
 func (c Config) Validate() error {
 	var checks failure.Checks
 	checks.Refuse(c.MaximumConnections < 1, "maximum_connections", "must be at least 1")
@@ -48,12 +51,12 @@
 	return checks.Err()
 }
 
-// Refusal is a leaf's typed word that it did not run an attempt.
+// Refusal means that the leaf reported that it did not run the attempt.
 type Refusal struct {
 	Detail *leafv1.LeafRefusal
 }
 
-// Error names the reason.
+// Error returns a message with the reason.
 func (r *Refusal) Error() string { return "leaf refused: " + r.Detail.GetReason().String() }
 
 // NeverSentError means that no connection could be opened, so that nothing reached the leaf.
@@ -61,21 +64,22 @@
 	Cause error
 }
 
-// Error gives the cause.
+// Error returns the message with its cause.
 func (e *NeverSentError) Error() string { return "attempt never sent: " + e.Cause.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *NeverSentError) Unwrap() error { return e.Cause }
 
-// Pool holds the connections of a node; safe for concurrent use.
+// Pool owns the connections of a node; safe for concurrent use.
 type Pool struct {
 	config Config
 
-	mutex       sync.Mutex
+	mu          sync.Mutex
 	connections map[string]*pooled // by address
 	recent      list.List          // of *pooled, most recently used first
 }
 
+// pooled is the connection to one leaf.
 type pooled struct {
 	address    string
 	connection *grpc.ClientConn
@@ -85,7 +89,7 @@
 	element    *list.Element
 }
 
-// New makes a pool.
+// New returns a pool.
 func New(config Config) *Pool {
 	return &Pool{config: config, connections: map[string]*pooled{}}
 }
@@ -93,40 +97,40 @@
 // SearchShard runs one attempt. Its error is a *Refusal, a *NeverSentError, or any other
 // error, which says nothing about whether the leaf ran it.
 func (p *Pool) SearchShard(ctx context.Context, address string, request *leafv1.SearchShardRequest) (*leafv1.SearchShardResponse, error) {
-	held, err := p.acquire(address)
+	conn, err := p.acquire(address)
 	if err != nil {
 		return nil, &NeverSentError{Cause: err}
 	}
-	defer p.release(held)
+	defer p.release(conn)
 	sent := &sendRecord{}
-	response, err := held.client.SearchShard(context.WithValue(ctx, sendRecordKey{}, sent), request)
+	response, err := conn.client.SearchShard(context.WithValue(ctx, sendRecordKey{}, sent), request)
 	if err != nil {
 		return nil, classify(err, sent)
 	}
 	return response, nil
 }
 
-// HasExited reports whether nothing listens at a leaf's address any more: then its process ended, and not just a connection
-// to it. A leaf that is silent may live.
+// HasExited reports whether no process listens at a leaf's address any more: then the leaf has exited, and did not just
+// lose a connection. A silent leaf may be alive.
 func (p *Pool) HasExited(ctx context.Context, address string) bool {
-	ctx, cancel := context.WithTimeout(ctx, lookTimeout)
+	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
 	var dialer net.Dialer
 	opened, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
 	}
-	// It only showed that the leaf lives.
+	// The connection only showed that the leaf is alive.
 	if err := opened.Close(); err != nil {
 		return false
 	}
 	return false
 }
 
-// lookTimeout bounds a look at a leaf's address: two ways between regions and some more.
-const lookTimeout = 200 * time.Millisecond
+// checkTimeout is how long HasExited waits: two round trips between regions and some more.
+const checkTimeout = 200 * time.Millisecond
 
-// classify finds the leaf's refusal, or the proof that the attempt never left, in an error.
+// classify returns the leaf's refusal if the error has one, a NeverSentError if nothing was sent, and else the error.
 func classify(err error, sent *sendRecord) error {
 	if state, isStatus := status.FromError(err); isStatus {
 		for _, detail := range state.Details() {
@@ -142,22 +146,22 @@
 }
 
 func (p *Pool) acquire(address string) (*pooled, error) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	if held, found := p.connections[address]; found {
-		held.users++
-		p.recent.MoveToFront(held.element)
-		return held, nil
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if conn, found := p.connections[address]; found {
+		conn.users++
+		p.recent.MoveToFront(conn.element)
+		return conn, nil
 	}
 	connection, err := p.dial(address)
 	if err != nil {
 		return nil, err
 	}
-	held := &pooled{address: address, connection: connection, client: leafv1.NewLeafServiceClient(connection), users: 1}
-	held.element = p.recent.PushFront(held)
-	p.connections[address] = held
+	conn := &pooled{address: address, connection: connection, client: leafv1.NewLeafServiceClient(connection), users: 1}
+	conn.element = p.recent.PushFront(conn)
+	p.connections[address] = conn
 	p.evictOldest()
-	return held, nil
+	return conn, nil
 }
 
 func (p *Pool) dial(address string) (*grpc.ClientConn, error) {
@@ -184,29 +188,29 @@
 	}
 }
 
-func (p *Pool) release(held *pooled) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	held.users--
-	if held.evicted && held.users == 0 {
-		closeConnection(held)
+func (p *Pool) release(conn *pooled) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	conn.users--
+	if conn.evicted && conn.users == 0 {
+		closeConnection(conn)
 	}
 }
 
 // Close closes every connection.
 func (p *Pool) Close() {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	for address, held := range p.connections {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for address, conn := range p.connections {
 		delete(p.connections, address)
-		closeConnection(held)
+		closeConnection(conn)
 	}
 	p.recent.Init()
 }
 
-func closeConnection(held *pooled) {
+func closeConnection(conn *pooled) {
 	// Closing a client connection fails only when it is closed already.
-	if err := held.connection.Close(); err != nil {
+	if err := conn.connection.Close(); err != nil {
 		return
 	}
 }
--- a/internal/leaf/leafclient/leafclient_test.go
+++ b/internal/leaf/leafclient/leafclient_test.go
@@ -13,7 +13,7 @@
 	leafv1 "github.com/portgauge/portgauge/gen/portgauge/leaf/v1"
 )
 
-// countingLeaf counts the attempts that reach it.
+// countingLeaf counts the attempts that it gets.
 type countingLeaf struct {
 	leafv1.UnimplementedLeafServiceServer
 	ran chan struct{}
@@ -58,7 +58,7 @@
 	is.True(errors.As(err, &neverSent))
 }
 
-// cuttingListener hands out connections that close after so many bytes were read from them.
+// cuttingListener returns connections that close after a number of bytes were read from them.
 type cuttingListener struct {
 	net.Listener
 	after int
@@ -86,8 +86,8 @@
 	return size, err
 }
 
-// The connection is lost at each byte of what the node sends: an attempt that reached the
-// leaf is never called never sent.
+// Wherever the connection is lost in what the node sends, an attempt that reached the
+// leaf is never reported as never sent.
 func TestLossAtEachByteIsNeverCalledNeverSent(t *testing.T) {
 	const longest = 420
 	for after := 0; after < longest; after += 7 {
@@ -100,7 +100,7 @@
 		pool.Close()
 		var neverSent *NeverSentError
 		if errors.As(err, &neverSent) && len(served.ran) > 0 {
-			t.Fatalf("cut after %d bytes: the leaf ran an attempt that was called never sent: %v", after, err)
+			t.Fatalf("cut after %d bytes: the leaf ran an attempt that was reported as never sent: %v", after, err)
 		}
 		if len(served.ran) > 1 {
 			t.Fatalf("cut after %d bytes: the attempt ran %d times", after, len(served.ran))
--- a/internal/leaf/leafclient/send_observer.go
+++ b/internal/leaf/leafclient/send_observer.go
@@ -10,7 +10,7 @@
 	"google.golang.org/grpc/stats"
 )
 
-// connectParameters try a lost leaf again soon, since its replacement takes its address.
+// connectParameters reconnect to a lost leaf soon, since its replacement uses the same address.
 var connectParameters = grpc.ConnectParams{
 	Backoff: backoff.Config{
 		BaseDelay:  50 * time.Millisecond,
@@ -23,13 +23,13 @@
 
 type sendRecordKey struct{}
 
-// sendRecord notes whether the headers of an attempt were handed to a connection. While
-// they were not, the leaf can't have seen the attempt.
+// sendRecord records whether the headers of an attempt were handed to a connection. Before
+// that, the leaf can't have got the attempt.
 type sendRecord struct {
 	headers atomic.Bool
 }
 
-// sendObserver fills the sendRecord of each attempt from the library's own events.
+// sendObserver sets the sendRecord of each attempt by the events of the gRPC library.
 type sendObserver struct{}
 
 var _ stats.Handler = sendObserver{}
--- a/internal/leaf/leafgossip/config.go
+++ b/internal/leaf/leafgossip/config.go
@@ -7,26 +7,26 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
-// Config bounds what a node tells others of leafs.
+// Config limits what a node sends to others about leafs.
 type Config struct {
-	// Fanout is how many random nodes are told of each batch; 0 turns telling off.
+	// Fanout is how many random nodes get each batch; 0 disables sending.
 	Fanout int `yaml:"fanout"`
-	// BatchDelay is how long an observation waits for others.
+	// BatchDelay is how long an observation waits for others to be sent with it.
 	BatchDelay time.Duration `yaml:"batch_delay"`
-	// BytesPerSecond bounds what is sent, headers included. What is beyond is dropped: it would
-	// be old by the time it could be sent.
+	// BytesPerSecond is the maximum rate of sending, including headers. Anything beyond is dropped: it would
+	// be outdated by the time it could be sent.
 	BytesPerSecond int `yaml:"bytes_per_second"`
-	// BurstBytes may be sent at once after a quiet time.
+	// BurstBytes is how much may be sent at once after an idle time.
 	BurstBytes int `yaml:"burst_bytes"`
 }
 
-// DefaultConfig leaves membership and configuration three quarters of the 2 KB a second that a node
-// may spend for control.
+// DefaultConfig leaves three quarters of the 2 KB a second that a node may use for control messages to membership and
+// configuration.
 func DefaultConfig() Config {
 	return Config{Fanout: 8, BatchDelay: 15 * time.Millisecond, BytesPerSecond: 500, BurstBytes: 16000}
 }
 
-// Validate names every field at fault.
+// Validate returns an error that names every invalid field.
 func (c Config) Validate() error {
 	var checks failure.Checks
 	checks.Refuse(c.Fanout < 0, "fanout", "must not be negative")
--- a/internal/leaf/leafgossip/leafgossip.go
+++ b/internal/leaf/leafgossip/leafgossip.go
@@ -1,10 +1,13 @@
-// Package leafgossip tells other nodes what this node saw of leafs that turned slow, silent, or
-// well again, so that a fleet learns of it within a few requests, not each node by its own.
+// Package leafgossip announces to other nodes which leafs this node observed to become slow, silent or healthy, so that a
+// fleet learns it within a few requests.
 //
-// A node that asks a leaf once a second needs many seconds to tell a slow leaf from a slow
-// request; all nodes together ask it often enough. Each node tells only what it saw itself, to a
-// few random nodes, within a bound of bytes: what is told grows with what is asked, and nothing
-// is passed on. A lost message is made up for by the next observation.
+// A node that asks a leaf once a second needs many seconds to distinguish a slow leaf from a slow
+// request; all nodes together ask it often enough. Each node announces only its own observations, to a
+// few random nodes, within a limit of bytes a second: the traffic grows with the requests, and nothing
+// is forwarded. After a lost message, the next observation serves as well.
+//
+// A Gossip owns the queue of observations, which package balancer makes and handles; its Run is a goroutine of the node.
+// Messages are datagrams of package peer. It returns no errors: what can't be sent is dropped.
 package leafgossip
 
 import (
@@ -22,27 +25,27 @@
 // maximumPending bounds the observations that wait, and those of one datagram.
 const maximumPending = 128
 
-// envelopeBytes is about what a datagram takes beside its observations.
+// envelopeBytes is the approximate size of a datagram without its observations.
 const envelopeBytes = 100
 
-// Nodes gives the peer addresses of random nodes of the fleet.
+// Nodes returns the peer addresses of random nodes of the fleet.
 type Nodes interface {
-	// Others gives up to n distinct addresses, this node's own left out.
+	// Others returns up to n distinct addresses, without this node's own.
 	Others(n int) []string
 }
 
-// Sender sends datagrams to nodes; peer.Transport is one.
+// Sender sends datagrams to nodes; peer.Transport implements it.
 type Sender interface {
 	Send(address string, message peer.Message)
 }
 
-// Gossip tells and hears of leafs; safe for concurrent use.
+// Gossip sends and receives observations of leafs; safe for concurrent use.
 type Gossip struct {
 	cfg    Config
 	nodes  Nodes
 	sender Sender
-	// hear takes what other nodes saw.
-	hear   func(balancer.Observation)
+	// handle is called with each observation of other nodes.
+	handle func(balancer.Observation)
 	budget *rate.Limiter
 
 	mu      sync.Mutex
@@ -50,10 +53,10 @@
 	wake    chan struct{}
 }
 
-// New makes a gossip; Run must be called for anything to be told.
-func New(cfg Config, nodes Nodes, sender Sender, hear func(balancer.Observation)) *Gossip {
+// New returns a gossip; nothing is sent until Run is called.
+func New(cfg Config, nodes Nodes, sender Sender, handle func(balancer.Observation)) *Gossip {
 	return &Gossip{
-		cfg: cfg, nodes: nodes, sender: sender, hear: hear,
+		cfg: cfg, nodes: nodes, sender: sender, handle: handle,
 		budget:  rate.NewLimiter(rate.Limit(cfg.BytesPerSecond), cfg.BurstBytes),
 		pending: map[balancer.LeafKey]balancer.Observation{},
 		wake:    make(chan struct{}, 1),
@@ -76,7 +79,7 @@
 	}
 }
 
-// Run sends what is told, in batches, until the context ends.
+// Run sends the queued observations in batches, until the context ends.
 func (g *Gossip) Run(ctx context.Context) {
 	for {
 		select {
@@ -103,7 +106,7 @@
 	return seen
 }
 
-// send tells as many random nodes as the budget allows.
+// send sends observations to as many random nodes as the budget allows.
 func (g *Gossip) send(seen []balancer.Observation) {
 	if len(seen) == 0 {
 		return
@@ -122,9 +125,9 @@
 // base64Bytes is the length of n bytes in base64.
 func base64Bytes(n int) int { return (n + 2) / 3 * 4 }
 
-// Receive takes what another node saw.
+// Receive handles the observations of another node.
 func (g *Gossip) Receive(reports peer.LeafReports) {
 	for _, o := range unpack(reports) {
-		g.hear(o)
+		g.handle(o)
 	}
 }
--- a/internal/leaf/leafgossip/leafgossip_test.go
+++ b/internal/leaf/leafgossip/leafgossip_test.go
@@ -17,7 +17,7 @@
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
 )
 
-// fleet is n addresses.
+// fleet returns n addresses.
 type fleet int
 
 func (f fleet) Others(n int) []string {
@@ -28,7 +28,7 @@
 	return addresses
 }
 
-// recorder keeps what is sent.
+// recorder records what is sent.
 type recorder struct {
 	mu   sync.Mutex
 	sent []peer.Message
@@ -46,8 +46,8 @@
 	return len(r.sent)
 }
 
-// Packed observations keep the leaf, and its figures to within a unit, never turning something
-// into nothing.
+// Packed observations keep the leaf's key, and its values to within a unit; no positive value becomes
+// zero.
 func TestPackKeepsObservations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seen := balancer.Observation{
@@ -68,7 +68,7 @@
 	})
 }
 
-// What one node sees is heard by others, in one batch, the newest of each leaf.
+// The observations of one node reach others in one batch, with the newest of each leaf.
 func TestObservationsAreHeard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -90,7 +90,7 @@
 	})
 }
 
-// However much is seen, what is sent stays within the bound, and every datagram fits.
+// However much is observed, the bytes sent stay within the limit, and every datagram fits.
 func TestBytesAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/leaf/leafgossip/report.go
+++ b/internal/leaf/leafgossip/report.go
@@ -9,11 +9,11 @@
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
 )
 
-// A packed observation is the leaf's key, its slowness and its silence, in this many bytes: a
-// message to 3,300 nodes over 17,000 leafs must be small.
+// packedBytes is the size of a packed observation: 4 bytes for the leaf's key, 1 for its slowness and 1 for its silence.
+// Messages must be small, since fleets have thousands of nodes and leafs.
 const packedBytes = 6
 
-// Units of the packed figures; larger values are cut to what a byte holds.
+// Units of the packed values; larger values are limited to the maximum of a byte.
 const (
 	slownessUnit = 0.125
 	silenceUnit  = 20 * time.Millisecond
@@ -29,7 +29,7 @@
 	return packed
 }
 
-// unpack decodes observations; a rest that is no whole observation is left out.
+// unpack decodes observations; an incomplete one at the end is ignored.
 func unpack(packed peer.LeafReports) []balancer.Observation {
 	seen := make([]balancer.Observation, 0, len(packed)/packedBytes)
 	for len(packed) >= packedBytes {
@@ -43,7 +43,7 @@
 	return seen
 }
 
-// toByte rounds up, so that nothing positive becomes zero.
-func toByte(figure float64) byte {
-	return byte(min(max(math.Ceil(figure), 0), math.MaxUint8))
+// toByte rounds up, so that no positive value becomes zero.
+func toByte(value float64) byte {
+	return byte(min(max(math.Ceil(value), 0), math.MaxUint8))
 }
