--- a/internal/request/admission/admission.go
+++ b/internal/request/admission/admission.go
@@ -1,15 +1,17 @@
-// Package admission decides whether a node takes a query, lets it wait, or refuses it.
+// Package admission decides whether a node starts a query, queues it, or refuses it.
 //
-// Each service has a concurrency limit and a bounded queue on each node. A query that
-// cannot finish in its remaining time is refused at once, with when to come back, rather
-// than kept waiting. The limit in use moves below the operator's when leafs shed load, and
-// back up when they don't.
+// Each service has a concurrency limit and a bounded queue on each node. A query that can't finish in its remaining time
+// is refused at once, with the time after which the caller may retry, rather than kept waiting. The limit in use moves
+// below the operator's while leafs shed load, and back up when they don't.
+//
+// A Gate owns the counts, the queue and the limit in use of one service on one node. Times are by the runtime's clock. It
+// starts no goroutines. Refusals are failure.Failure errors with the code Overloaded, or Cancelled if the caller went
+// away; both say that the query did not run.
 package admission
 
 import (
 	"container/list"
 	"context"
-	"math"
 	"sync"
 	"time"
 
@@ -18,60 +20,33 @@
 
 // Limits are a service's limits on one node.
 type Limits struct {
-	// Concurrency is the most queries that run at once.
+	// Concurrency is the maximum number of queries that run at once.
 	Concurrency int
-	// Queue is the most queries that wait.
+	// Queue is the maximum number of queries that wait.
 	Queue int
 }
 
-// serviceTimeWeight is the share of a new sample in the moving average service time.
-const serviceTimeWeight = 0.05
-
-// congestedBackoff multiplies the limit in use after a congested query.
-const congestedBackoff = 0.9
-
-// backoffPause is the least time between two reductions, so that the queries of one
-// congested moment count once.
-const backoffPause = 100 * time.Millisecond
-
-// minimumRetryAfter is the least time a refused caller is told to wait.
-const minimumRetryAfter = 20 * time.Millisecond
-
 // Gate admits the queries of one service on one node. It is safe for concurrent use.
 type Gate struct {
-	mutex       sync.Mutex
+	mu          sync.Mutex
 	limits      Limits
-	inUse       float64 // the limit in use; between 1 and limits.Concurrency
+	limitInUse  float64 // queries; between 1 and limits.Concurrency
 	running     int
 	waiting     list.List // of *waiter, in order of arrival
 	serviceTime float64   // moving average in seconds
 	reducedAt   time.Time
 }
 
+// waiter is a query in the queue.
 type waiter struct {
 	admitted chan struct{}
-	refused  chan struct{} // closed when the wait has become hopeless
+	refused  chan struct{} // closed when it can't finish in time any more
 	deadline time.Time
 }
 
-// NewGate makes a gate.
+// NewGate returns a gate.
 func NewGate(limits Limits) *Gate {
-	return &Gate{limits: limits, inUse: float64(limits.Concurrency)}
-}
-
-// SetLimits takes new limits into force; running queries are not affected.
-func (g *Gate) SetLimits(limits Limits) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	if g.limits == limits {
-		return
-	}
-	if g.inUse >= float64(g.limits.Concurrency) {
-		g.inUse = float64(limits.Concurrency)
-	}
-	g.limits = limits
-	g.inUse = math.Max(1, math.Min(g.inUse, float64(limits.Concurrency)))
-	g.admitWaiting()
+	return &Gate{limits: limits, limitInUse: float64(limits.Concurrency)}
 }
 
 // Ticket is the place of an admitted query; Done must be called once.
@@ -80,27 +55,51 @@
 	started time.Time
 }
 
-// Enter admits the query, perhaps after a wait. It fails at once when the wait would not
-// leave the query the time it typically needs.
+// Usage is the state of a gate.
+type Usage struct {
+	Running    int
+	Waiting    int
+	LimitInUse int
+}
+
+// Usage returns the gate's state for metrics.
+func (g *Gate) Usage() Usage {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return Usage{Running: g.running, Waiting: g.waiting.Len(), LimitInUse: int(g.limitInUse)}
+}
+
+// Enter admits the query, at once or after a wait, or refuses it.
+//
+// Rule: it is admitted at once if fewer queries run than the limit in use and none waits. Otherwise it is refused at once
+// (see refuse) or waits, until it is admitted, its wait has become too long, or its caller goes away.
 func (g *Gate) Enter(ctx context.Context, deadline time.Time) (*Ticket, error) {
-	g.mutex.Lock()
-	if g.running < int(g.inUse) && g.waiting.Len() == 0 {
+	g.mu.Lock()
+	if g.running < int(g.limitInUse) && g.waiting.Len() == 0 {
 		g.running++
-		g.mutex.Unlock()
+		g.mu.Unlock()
 		return &Ticket{gate: g, started: time.Now()}, nil
 	}
-	wait := g.expectedWait()
+	wait := g.expectedWait(g.waiting.Len())
 	if refused := g.refuse(wait, deadline); refused != nil {
-		g.mutex.Unlock()
+		g.mu.Unlock()
 		return nil, refused
 	}
 	place := &waiter{admitted: make(chan struct{}), refused: make(chan struct{}), deadline: deadline}
 	element := g.waiting.PushBack(place)
-	g.mutex.Unlock()
+	g.mu.Unlock()
 	return g.wait(ctx, deadline, place, element)
 }
 
-// refuse tells a query that can't be served why and when to come back.
+// minimumRetryAfter is the minimum time after which a refused caller may retry.
+const minimumRetryAfter = 20 * time.Millisecond
+
+// refuse returns the failure of a query that is refused without waiting; nil if it may wait. The mutex must be held.
+//
+// Inputs: the expected wait, the query's deadline, the length of the queue, and the time that a query needs.
+//
+// Rule: it is refused as Overloaded if the queue is full, or if its deadline leaves less than the expected wait plus the
+// time that it needs. The caller may retry after the expected wait, at least minimumRetryAfter.
 func (g *Gate) refuse(wait time.Duration, deadline time.Time) error {
 	retryAfter := max(wait, minimumRetryAfter)
 	if g.waiting.Len() >= g.limits.Queue {
@@ -112,10 +111,11 @@
 	return nil
 }
 
+// wait waits until a query in the queue is admitted or must leave it.
 func (g *Gate) wait(ctx context.Context, deadline time.Time, place *waiter, element *list.Element) (*Ticket, error) {
-	g.mutex.Lock()
+	g.mu.Lock()
 	latestStart := deadline.Add(-g.needed())
-	g.mutex.Unlock()
+	g.mu.Unlock()
 	timer := time.NewTimer(time.Until(latestStart))
 	defer timer.Stop()
 	select {
@@ -125,8 +125,8 @@
 	case <-ctx.Done():
 	case <-timer.C:
 	}
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	select {
 	case <-place.admitted:
 		return &Ticket{gate: g, started: time.Now()}, nil
@@ -136,92 +136,46 @@
 	if ctx.Err() != nil {
 		return nil, failure.New(failure.Cancelled, failure.NotRun, "the caller went away while the query waited")
 	}
-	return nil, failure.New(failure.Overloaded, failure.NotRun, "no place became free in time").WithRetryAfter(max(g.expectedWait(), minimumRetryAfter))
+	retryAfter := max(g.expectedWait(g.waiting.Len()), minimumRetryAfter)
+	return nil, failure.New(failure.Overloaded, failure.NotRun, "no place became free in time").WithRetryAfter(retryAfter)
 }
 
-// neededFactor times the typical service time is what a query must have left to be worth
-// starting.
-const neededFactor = 1.5
-
-// needed is the time that a query must have left when it starts.
-func (g *Gate) needed() time.Duration {
-	return time.Duration(neededFactor * g.serviceTime * float64(time.Second))
-}
-
-// expectedWait estimates how long a query that joins the queue now will wait.
-func (g *Gate) expectedWait() time.Duration { return g.waitBehind(g.waiting.Len()) }
-
-// waitBehind estimates the wait of a query behind so many waiting ones.
-func (g *Gate) waitBehind(ahead int) time.Duration {
-	return time.Duration(float64(ahead+1) * g.serviceTime / math.Max(1, g.inUse) * float64(time.Second))
-}
-
-// refuseHopeless refuses, from the end of the queue, those whose wait has become too long for
-// their deadline, as when the limit in use went down. They hear so at once.
-func (g *Gate) refuseHopeless(now time.Time) {
-	for g.waiting.Len() > 0 {
-		last := g.waiting.Back()
-		place := last.Value.(*waiter)
-		if now.Add(g.waitBehind(g.waiting.Len() - 1)).Add(g.needed()).Before(place.deadline) {
-			return
-		}
-		g.waiting.Remove(last)
-		close(place.refused)
-	}
-}
-
-// Done gives the place back. Congested says that leafs shed load during the query.
+// Done releases the place. Congested says that leafs shed load during the query.
 func (t *Ticket) Done(congested bool) {
 	g := t.gate
 	now := time.Now()
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	g.running--
 	g.serviceTime += serviceTimeWeight * (now.Sub(t.started).Seconds() - g.serviceTime)
 	if congested {
-		g.reduce(now)
+		g.reduceLimit(now)
 	} else {
-		g.inUse = math.Min(float64(g.limits.Concurrency), g.inUse+1/g.inUse)
+		g.raiseLimit()
 	}
 	g.admitWaiting()
 	g.refuseHopeless(now)
 }
 
-// Congested lowers the limit in use for the sake of a more urgent service.
-func (g *Gate) Congested() {
-	now := time.Now()
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	g.reduce(now)
-	g.refuseHopeless(now)
-}
-
-func (g *Gate) reduce(now time.Time) {
-	if now.Sub(g.reducedAt) < backoffPause {
-		return
-	}
-	g.reducedAt = now
-	g.inUse = math.Max(1, math.Min(g.inUse, float64(g.running+1))*congestedBackoff)
-}
-
+// admitWaiting admits queries from the front of the queue. The mutex must be held.
 func (g *Gate) admitWaiting() {
-	for g.running < int(g.inUse) && g.waiting.Len() > 0 {
+	for g.running < int(g.limitInUse) && g.waiting.Len() > 0 {
 		place := g.waiting.Remove(g.waiting.Front()).(*waiter)
 		g.running++
 		close(place.admitted)
 	}
 }
 
-// Usage is what a gate is doing.
-type Usage struct {
-	Running    int
-	Waiting    int
-	LimitInUse int
-}
-
-// Usage gives the gate's state for metrics.
-func (g *Gate) Usage() Usage {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	return Usage{Running: g.running, Waiting: g.waiting.Len(), LimitInUse: int(g.inUse)}
+// refuseHopeless refuses queries from the end of the queue whose expected wait has become too long for
+// their deadline, as when the limit in use was reduced. The mutex must be held.
+func (g *Gate) refuseHopeless(now time.Time) {
+	for g.waiting.Len() > 0 {
+		last := g.waiting.Back()
+		place := last.Value.(*waiter)
+		if now.Add(g.expectedWait(g.waiting.Len() - 1)).Add(g.needed()).Before(place.deadline) {
+			return
+		}
+		g.waiting.Remove(last)
+		close(place.refused)
+	}
 }
--- a/internal/request/admission/admission_test.go
+++ b/internal/request/admission/admission_test.go
@@ -43,7 +43,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		gate := NewGate(Limits{Concurrency: 1, Queue: 100})
-		for range 200 { // teach the gate that a query takes 50 ms
+		for range 200 { // the gate learns that a query takes 50 ms
 			ticket, err := gate.Enter(t.Context(), time.Now().Add(time.Hour))
 			is.NoErr(err)
 			time.Sleep(50 * time.Millisecond)
--- a/internal/request/hedging/budget.go
+++ b/internal/request/hedging/budget.go
@@ -2,23 +2,23 @@
 
 import "sync"
 
-// tokenUnit is one token in thousandths, so that a share per mille is a whole number.
+// tokenUnit is one token in thousandths, so that a share in per mille is an integer.
 const tokenUnit = 1000
 
-// budget is a token bucket that is filled by work done rather than by time: each first
-// attempt earns a share of a token. It is safe for concurrent use.
+// budget is a token bucket that is filled by first attempts rather than by time: each
+// earns a share of a token. It is safe for concurrent use.
 type budget struct {
-	mutex    sync.Mutex
+	mu       sync.Mutex
 	perMille int
 	tokens   int // in thousandths
-	limit    int // in thousandths
+	limit    int // in thousandths; 0 before init
 }
 
-// init sets the share earned per attempt and the most tokens kept. Tokens start at the
-// limit only the first time, so that changing the share grants nothing.
+// init sets the share of a token earned per attempt and the maximum number of tokens. The budget is full only
+// after the first call, so that a changed share adds no tokens.
 func (b *budget) init(perMille uint32, burst int) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	if b.limit == 0 {
 		b.tokens = burst * tokenUnit
 	}
@@ -26,15 +26,17 @@
 	b.limit = burst * tokenUnit
 }
 
+// earn adds the tokens that first attempts earn.
 func (b *budget) earn(attempts int) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	b.tokens = min(b.limit, b.tokens+attempts*b.perMille)
 }
 
+// take takes a token and reports whether there was one.
 func (b *budget) take() bool {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	if b.tokens < tokenUnit {
 		return false
 	}
--- a/internal/request/hedging/hedging_test.go
+++ b/internal/request/hedging/hedging_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is earned and taken, tokens taken stay within the burst and the share earned.
+// Whatever is earned and taken, the tokens taken stay within the burst plus the share earned.
 func TestBudgetIsNeverOverdrawn(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		perMille := rapid.Uint32Range(0, 1000).Draw(t, "per mille")
@@ -37,7 +37,7 @@
 		is := is.New(t)
 		policy := NewPolicy(DefaultConfig(), 0)
 		_, known := policy.HedgeDelay(0)
-		is.True(!known) // nothing is known yet
+		is.True(!known) // no latency is known yet
 		for number := range 1000 {
 			took := 2 * time.Millisecond
 			if number%100 == 0 {
--- a/internal/request/hedging/latencies.go
+++ b/internal/request/hedging/latencies.go
@@ -14,23 +14,23 @@
 	significantDigits = 2
 )
 
-// refreshEvery is after how many samples quantiles are worth computing anew.
+// refreshEvery is after how many samples quantiles are worth computing again.
 const refreshEvery = 64
 
-// Latencies is the distribution of the latencies of the last moments; safe for concurrent use.
+// Latencies is the distribution of recent latencies; safe for concurrent use.
 type Latencies struct {
 	window  time.Duration
-	minimum int64 // samples that must be known before there are quantiles
+	minimum int64 // samples before there are quantiles
 
-	mutex    sync.Mutex
+	mu       sync.Mutex
 	current  *hdrhistogram.Histogram
 	previous *hdrhistogram.Histogram
 	rotated  time.Time
-	unread   int
+	unread   int // samples since Observe last returned true
 }
 
-// NewLatencies makes an empty distribution. A sample counts for a window at least and two at
-// most; quantiles are given once so many samples are known.
+// NewLatencies returns an empty distribution. A sample counts for at least one window and at most two;
+// quantiles are known from the minimum number of samples on.
 func NewLatencies(window time.Duration, minimum int) *Latencies {
 	return &Latencies{
 		window:   window,
@@ -41,13 +41,13 @@
 	}
 }
 
-// Observe records a latency and reports whether quantiles are worth computing anew.
+// Observe records a latency and reports whether quantiles are worth computing again.
 func (l *Latencies) Observe(took time.Duration) bool {
 	micros := min(max(took.Microseconds(), lowestMicros), highestMicros)
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	l.rotate()
-	// The value is clamped into the histogram's bounds, so recording can't fail.
+	// The value is within the histogram's bounds, so that recording can't fail.
 	_ = l.current.RecordValue(micros)
 	l.unread++
 	if l.unread < refreshEvery {
@@ -57,6 +57,7 @@
 	return true
 }
 
+// rotate starts a new window if the current one is over. The mutex must be held.
 func (l *Latencies) rotate() {
 	now := time.Now()
 	if now.Sub(l.rotated) < l.window {
@@ -67,11 +68,11 @@
 	l.current.Reset()
 }
 
-// Quantile gives a quantile in percent, of the fuller one of the two windows; false while too
-// few samples are known.
+// Quantile returns a quantile, in percent, of the window with more samples; false while too
+// few are known.
 func (l *Latencies) Quantile(percent float64) (time.Duration, bool) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	source := l.current
 	if l.current.TotalCount() < l.previous.TotalCount() {
 		source = l.previous
--- a/internal/request/retrybudget/retrybudget.go
+++ b/internal/request/retrybudget/retrybudget.go
@@ -1,11 +1,13 @@
-// Package retrybudget bounds how often a service is asked more than once for the same request,
+// Package retrybudget limits how often a service is asked more than once for the same request, by hedges and retries,
 // for all nodes of a fleet together.
 //
 // Over any window of time, the repeats that reach a service must stay below a share of the
-// requests for it plus a fixed allowance. Each node keeps below the same share of its own
-// requests plus its part of the allowance, so that the sum holds without the nodes talking to
-// each other. A node that started a short while ago has forgotten what its predecessor spent,
-// and leaves its part of the allowance alone for one window.
+// requests for it plus a fixed allowance. Each node stays below the same share of its own
+// requests plus its part of the allowance, so that the limit holds for the sum without messages between nodes.
+//
+// Budgets owns the counts of one node in memory; they are lost when the node restarts. It relies on a clock that counts
+// the time for which the machine is suspended (package boottime). It starts no goroutines and returns errors only for
+// invalid settings.
 package retrybudget
 
 import (
@@ -16,15 +18,15 @@
 	"github.com/portgauge/portgauge/internal/node/boottime"
 )
 
-// Config is the bound that the fleet keeps.
+// Config is the limit of the fleet.
 type Config struct {
-	// Ratio is the repeats allowed per request.
+	// Ratio is the number of repeats allowed per request.
 	Ratio float64 `yaml:"ratio"`
-	// Window is the span over which both are counted.
+	// Window is the time over which both are counted.
 	Window time.Duration `yaml:"window"`
-	// Allowance is the repeats allowed in a window whatever the requests, in the whole fleet.
+	// Allowance is the number of repeats allowed in a window in the whole fleet, in addition to the ratio.
 	Allowance float64 `yaml:"allowance"`
-	// Share is the part of the bound that is used; the rest covers what nodes can't see.
+	// Share is the share of the limit that is used; the rest is for what nodes can't know, such as restarts of others.
 	Share float64 `yaml:"share"`
 }
 
@@ -33,7 +35,7 @@
 	return Config{Ratio: 0.1, Window: 10 * time.Second, Allowance: 20, Share: 0.85}
 }
 
-// Validate names every field at fault.
+// Validate returns an error that names every invalid field.
 func (c Config) Validate() error {
 	var checks failure.Checks
 	checks.Refuse(c.Ratio < 0 || c.Ratio > 1, "ratio", "must be between 0 and 1")
@@ -43,35 +45,35 @@
 	return checks.Err()
 }
 
-// slices is how many parts a window is counted in; a part is forgotten as a whole.
+// slices is the number of slices in which a window is counted; a slice expires as a whole.
 const slices = 20
 
-// Budgets holds the budget of each service on one node; safe for concurrent use.
+// Budgets has the budget of each service on one node; safe for concurrent use.
 type Budgets struct {
 	config Config
-	part   func(service string) float64
+	part   func(service string) float64 // of the allowance, 0 to 1
 	now    func() time.Time
 	start  time.Time
 
-	mutex    sync.Mutex
+	mu       sync.Mutex
 	services map[string]*window
 }
 
-// New makes the budgets of a node. The part function gives the node's part of the allowance for a
-// service, 0 while that is unknown; those of all nodes must not exceed 1 together.
+// New returns the budgets of a node. The part function returns the node's part of the allowance for a
+// service, 0 while that is unknown; the sum over all nodes must not exceed 1.
 func New(config Config, part func(service string) float64) *Budgets {
 	return &Budgets{config: config, part: part, now: time.Now, start: time.Now(), services: map[string]*window{}}
 }
 
-// SetClock has windows measured by a clock, which should count the time for which the machine is suspended: else the
-// requests of a window that is long over allow repeats when the machine wakes. It must be called before the budgets are
-// used.
+// SetClock sets the clock of the windows, which should count the time for which the machine is suspended: otherwise the
+// requests of a window that is long over would allow repeats when the machine resumes. It must be called before the
+// budgets are used.
 func (b *Budgets) SetClock(clock boottime.Clock) {
 	b.now = clock.Now
 	b.start = clock.Now()
 }
 
-// window counts the requests and repeats of the last moments.
+// window counts the requests and repeats of the last Config.Window, in a ring of slices.
 type window struct {
 	requests [slices + 1]int
 	repeats  [slices + 1]int
@@ -80,17 +82,22 @@
 
 // CountRequest counts a request for a service, once for each that a caller sent.
 func (b *Budgets) CountRequest(service string) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	kept := b.window(service)
 	kept.requests[kept.newest%(slices+1)]++
 }
 
-// Take counts a repeat in and reports true, if the bound leaves room for it. The reserve is a
-// part of the room, 0 to 1, that must stay free after it.
+// Take decides whether a service may be asked again, and counts the repeat if so.
+//
+// Inputs: the requests and repeats that this node counted within the last Config.Window, the node's part of the
+// allowance, and the reserve, the share of the limit, 0 to 1, that must remain free.
+//
+// Rule: the repeats, including this one, must not exceed the limit (see limit) less the reserve. Retries and hedges beyond
+// a share of the requests would overload a service that is slow already.
 func (b *Budgets) Take(service string, reserve float64) bool {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	kept := b.window(service)
 	limit := b.limit(service, kept)
 	if float64(kept.sumRepeats()+1) > limit*(1-reserve) {
@@ -100,10 +107,10 @@
 	return true
 }
 
-// FreeShare gives the part of the room that is still free, 0 to 1.
+// FreeShare returns the share of the limit that is still free, 0 to 1.
 func (b *Budgets) FreeShare(service string) float64 {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	kept := b.window(service)
 	limit := b.limit(service, kept)
 	if limit <= 0 {
@@ -112,7 +119,8 @@
 	return max(0, 1-float64(kept.sumRepeats())/limit)
 }
 
-// limit is the most repeats in the window that ends now.
+// limit returns the maximum number of repeats in the window that ends now: Config.Share of the ratio's and, once the node
+// has run for a window, of its part of the allowance. Before that, its predecessor may have used that part up.
 func (b *Budgets) limit(service string, kept *window) float64 {
 	requests := 0
 	for index := range kept.requests {
@@ -133,7 +141,7 @@
 	return repeats
 }
 
-// window gives the counts of a service with what is too old forgotten.
+// window returns the counts of a service, without expired slices. The mutex must be held.
 func (b *Budgets) window(service string) *window {
 	current := b.now().Sub(b.start).Nanoseconds() * slices / b.config.Window.Nanoseconds()
 	kept, found := b.services[service]
@@ -152,10 +160,10 @@
 	return kept
 }
 
-// Forget drops the counts of services that are not known any more and were not used lately.
+// Forget drops the counts of services that are not known any more and had no repeats lately.
 func (b *Budgets) Forget(known func(service string) bool) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	for service := range b.services {
 		if kept := b.window(service); !known(service) && kept.sumRepeats() == 0 {
 			delete(b.services, service)
--- a/internal/request/retrybudget/retrybudget_test.go
+++ b/internal/request/retrybudget/retrybudget_test.go
@@ -10,13 +10,13 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// event is one request or repeat of the whole fleet.
+// event is one request or repeat anywhere in the fleet.
 type event struct {
 	at     time.Duration
 	repeat bool
 }
 
-// Nodes come, restart and go; whatever they are asked for, the repeats of the fleet over any
+// While nodes join, restart and leave, and whatever they are asked for, the repeats of the fleet over any
 // window stay below the ratio of its requests plus the allowance.
 func TestTheFleetKeepsTheBoundOverEveryWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -60,7 +60,7 @@
 	})
 }
 
-// checkWindows counts the repeats of each window against the requests of the fullest of that
+// checkWindows compares the repeats of each window with the largest number of requests in that
 // window, the one before it and the one half a window before it.
 func checkWindows(t *rapid.T, config Config, events []event) {
 	count := func(from, to time.Duration, repeat bool) float64 {
@@ -111,14 +111,14 @@
 	budgets := New(Config{Ratio: 0, Window: time.Second, Allowance: 8, Share: 1}, func(string) float64 { return part })
 	budgets.now = func() time.Time { return now }
 	budgets.start = now.Add(-time.Minute)
-	is.True(!budgets.Take("s", 0)) // its part is not known
+	is.True(!budgets.Take("s", 0)) // its part is unknown
 	part = 0.5
 	is.True(budgets.Take("s", 0.5))
 	is.True(budgets.Take("s", 0.5))
-	is.True(!budgets.Take("s", 0.5)) // the other half is kept back
+	is.True(!budgets.Take("s", 0.5)) // the other half is reserved
 	is.True(budgets.Take("s", 0))
 	budgets.Forget(func(string) bool { return false })
-	is.True(len(budgets.services) == 1) // spent lately
+	is.True(len(budgets.services) == 1) // it had repeats lately
 	now = now.Add(time.Minute)
 	budgets.Forget(func(string) bool { return false })
 	is.Equal(len(budgets.services), 0)
--- a/internal/request/retrybudget/suspended_test.go
+++ b/internal/request/retrybudget/suspended_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// Requests from before a suspension are out of the window when the machine wakes, and allow nothing.
+// Requests from before a suspension have left the window when the machine resumes, and allow no repeats.
 func TestSuspendedMachineSpendsNothingOfAnOldWindow(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -17,7 +17,7 @@
 		budgets.CountRequest("s")
 	}
 	is.True(budgets.Take("s", 0))
-	now = now.Add(12 * time.Second) // asleep
+	now = now.Add(12 * time.Second) // suspended
 	is.True(!budgets.Take("s", 0))
 	is.Equal(budgets.FreeShare("s"), 0.0)
 }
