--- a/internal/config/configsync/fleet_test.go
+++ b/internal/config/configsync/fleet_test.go
@@ -20,6 +20,7 @@
 	"github.com/portgauge/portgauge/internal/fleet/machines"
 	"github.com/portgauge/portgauge/internal/fleet/membership"
 	"github.com/portgauge/portgauge/internal/fleet/peer"
+	"github.com/portgauge/portgauge/internal/fleet/peer/peertest"
 )
 
 var errDown = errors.New("store is down")
@@ -249,7 +250,7 @@
 	t        *testing.T
 	config   Config
 	platform *memoryPlatform
-	network  *peer.MemoryNetwork
+	network  *peertest.Network
 	nodes    map[string]*testNode
 }
 
@@ -257,7 +258,7 @@
 	f := &fleet{
 		t: t, config: DefaultConfig(), platform: &memoryPlatform{changed: make(chan struct{}), cutOff: map[string]bool{}, roles: map[string]store.WatchRole{},
 			told: map[string]int{}, silent: map[string]bool{}},
-		network: peer.NewMemoryNetwork(1, time.Millisecond), nodes: map[string]*testNode{},
+		network: peertest.NewNetwork(1, time.Millisecond), nodes: map[string]*testNode{},
 	}
 	for zone := range zones {
 		for number := range perZone {
@@ -284,7 +285,7 @@
 	node.syncer.SetMembership(members)
 	ctx, cancel := context.WithCancel(f.t.Context())
 	node.stop = cancel
-	transport.Serve(NewPeerHandler(node.syncer, Hearers{}))
+	transport.Serve(NewPeerHandler(node.syncer, Handlers{}))
 	go node.syncer.Run(ctx)
 	go members.Run(ctx)
 	f.nodes[id] = node
--- a/internal/node/state_events.go
+++ b/internal/node/state_events.go
@@ -217,10 +217,10 @@
 }
 
 // leafJudged logs that a leaf is assessed as slow, silent or well again.
-func (e *stateEvents) leafJudged(belief balancer.Belief) {
+func (e *stateEvents) leafJudged(assessment balancer.Assessment) {
 	e.log.Write(decisionlog.Ordinary, judgedEvent{
-		Time: time.Now(), Event: eventLeafJudged, Leaf: belief.LeafID, Condition: belief.Condition,
-		Slowness: belief.Slowness, SilenceMillis: belief.Silence.Milliseconds(), Told: belief.Told,
+		Time: time.Now(), Event: eventLeafJudged, Leaf: assessment.LeafID, Condition: assessment.Condition,
+		Slowness: assessment.Slowness, SilenceMillis: assessment.Silence.Milliseconds(), Told: assessment.FromPeer,
 	})
 }
 
--- a/internal/node/telemetry/rollouts.go
+++ b/internal/node/telemetry/rollouts.go
@@ -9,7 +9,7 @@
 // rolloutCollector collects the roll-outs under way at each scrape, so that finished ones leave no series behind. Their
 // number is bounded by the roll-outs under way, and by versions and routes of those that this node judges.
 type rolloutCollector struct {
-	standings func() []rolloutcontrol.Standing
+	standings func() []rolloutcontrol.Status
 	phase     *prometheus.Desc
 	attempts  *prometheus.Desc
 	failures  *prometheus.Desc
@@ -18,7 +18,7 @@
 var _ prometheus.Collector = (*rolloutCollector)(nil)
 
 // RegisterRollouts adds the roll-outs under way to the metrics.
-func (m *Metrics) RegisterRollouts(standings func() []rolloutcontrol.Standing) error {
+func (m *Metrics) RegisterRollouts(standings func() []rolloutcontrol.Status) error {
 	counted := []string{"service", "version", "route"}
 	return m.Registry.Register(&rolloutCollector{
 		standings: standings,
--- a/internal/request/front/handler.go
+++ b/internal/request/front/handler.go
@@ -77,7 +77,7 @@
 	return &gateway.Request{
 		Leaf: leafhttp.Request{
 			ID: id, Method: r.Method, Target: target, Host: r.Host, Body: body,
-			Header:  leafhttp.PassedOn(r.Header, s.dialect.RequestID, s.dialect.DeadlineMillis, s.dialect.ExpectedIncarnation),
+			Header:  leafhttp.ForwardedHeaders(r.Header, s.dialect.RequestID, s.dialect.DeadlineMillis, s.dialect.ExpectedIncarnation),
 			HasBody: len(body) > 0 || r.ContentLength >= 0 && r.Header.Get("Content-Length") != "" || len(r.TransferEncoding) > 0,
 		},
 		Path: path, Caller: callerAddress(r), Arrived: arrived, CallerTimeout: timeout,
--- a/internal/request/gateway/answer.go
+++ b/internal/request/gateway/answer.go
@@ -38,7 +38,7 @@
 	if reply == nil {
 		return nil, e.failed()
 	}
-	return &Answer{Status: reply.Status, Header: leafhttp.PassedOn(reply.Header), Body: reply.Body}, nil
+	return &Answer{Status: reply.Status, Header: leafhttp.ForwardedHeaders(reply.Header), Body: reply.Body}, nil
 }
 
 // failed returns the failure of a request without an answer, by the first of these that is true:
@@ -59,7 +59,7 @@
 	reason := e.firstReason()
 	code := failure.IncompleteCoverage
 	switch {
-	case e.summary.Fatal:
+	case e.summary.StoppedByCrashes:
 		code = failure.LeafsEnded
 	case state == failure.NotRun:
 		code = failure.Overloaded
--- a/internal/request/gateway/attempt.go
+++ b/internal/request/gateway/attempt.go
@@ -63,7 +63,7 @@
 // judgeResponse reports the leaf's load to the balancer and judges the answer.
 func (e *execution) judgeResponse(attempt scatter.Attempt, response *leafhttp.Response) scatter.Result[leafhttp.Response] {
 	if response.Load != nil {
-		e.gateway.balancer.Report(attempt.Leaf, balancer.Load{
+		e.gateway.balancer.ReportLoad(attempt.Leaf, balancer.Load{
 			InFlight: uint32(response.Load.Running + response.Load.Waiting), Slots: uint32(response.Load.Slots),
 		})
 	}
--- a/internal/request/gateway/canary.go
+++ b/internal/request/gateway/canary.go
@@ -27,7 +27,7 @@
 	if g.canary == nil {
 		return canary.Serving
 	}
-	return g.canary.Later(service)
+	return g.canary.RetryVersions(service)
 }
 
 // draw returns the draw of a shard, which is made once. unserved says that no leaf of the serving version can be asked,
@@ -50,7 +50,7 @@
 // returnDraw returns the draw of a shard for which nothing was sent.
 func (e *execution) returnDraw(shard int) {
 	if made := e.canaryDraws[shard]; made.IsBounded {
-		e.gateway.canary.Return(made.request, made.Draw)
+		e.gateway.canary.Refund(made.request, made.Draw)
 	}
 }
 
@@ -81,7 +81,7 @@
 // it returns the draw and the candidates that were planned without one.
 func (e *execution) firstCandidates(shard int, planned []balancer.Candidate) []balancer.Candidate {
 	choice := e.gateway.balancer.Choose(planned, nil)
-	draw := e.draw(shard, choice.Leaf == nil || choice.Troubled)
+	draw := e.draw(shard, choice.Leaf == nil || choice.Unhealthy)
 	if draw.First == e.gateway.undrawnVersions(e.services[shard]) {
 		return planned
 	}
@@ -101,13 +101,13 @@
 // focusedLeaf returns the first candidate that can be asked and is not in trouble, in the order in which the version's
 // leafs take the bounded share of requests: one leaf at a time, so that few requests make evidence.
 func (e *execution) focusedLeaf(service string, candidates []balancer.Candidate) []balancer.Candidate {
-	for _, leaf := range e.gateway.canary.Focus(service, e.gateway.catalog.View().Leafs.OnTrial(service)) {
+	for _, leaf := range e.gateway.canary.FocusOrder(service, e.gateway.catalog.View().Leafs.OnTrial(service)) {
 		at := slices.IndexFunc(candidates, func(candidate balancer.Candidate) bool { return candidate.LeafID == leaf.ID })
 		if at < 0 {
 			continue
 		}
 		one := candidates[at : at+1]
-		if choice := e.gateway.balancer.Choose(one, nil); choice.Leaf != nil && !choice.Troubled {
+		if choice := e.gateway.balancer.Choose(one, nil); choice.Leaf != nil && !choice.Unhealthy {
 			return one
 		}
 	}
@@ -117,14 +117,14 @@
 // attemptBegan counts an attempt as in flight at its leaf's version; it is called before the attempt is made.
 func (g *Gateway) attemptBegan(leaf *leafset.Leaf) {
 	if g.canary != nil && leaf != nil {
-		g.canary.Began(leaf.Service, leaf.Version)
+		g.canary.AttemptStarted(leaf.Service, leaf.Version)
 	}
 }
 
 // attemptEnded ends the count of attemptBegan.
 func (g *Gateway) attemptEnded(leaf *leafset.Leaf) {
 	if g.canary != nil && leaf != nil {
-		g.canary.Ended(leaf.Service, leaf.Version)
+		g.canary.AttemptEnded(leaf.Service, leaf.Version)
 	}
 }
 
--- a/internal/request/gateway/canary_fixture_test.go
+++ b/internal/request/gateway/canary_fixture_test.go
@@ -81,7 +81,7 @@
 // learn confirms the configuration as the newest and has the splitter read it.
 func (b *trialGateway) learn() {
 	b.catalog.Confirm(time.Now())
-	b.canary.Learn()
+	b.canary.Refresh()
 }
 
 // enter puts the rollout into a phase.
--- a/internal/request/gateway/candidates.go
+++ b/internal/request/gateway/candidates.go
@@ -62,20 +62,20 @@
 
 // appendAskable appends those leafs of one version that this node may ask to the candidates, and to targets how.
 func (g *Gateway) appendAskable(candidates []balancer.Candidate, service string, gathered bool, limit int, leafs []*leafset.Leaf, targets *[]leafTarget) []balancer.Candidate {
-	allotted := g.dealer.Deal(service, gathered, leafs, limit)
+	allotted := g.dealer.Allot(service, gathered, leafs, limit)
 	candidates = slices.Grow(candidates, len(allotted))
 	*targets = slices.Grow(*targets, len(allotted))
 	for _, share := range allotted {
 		leaf := share.Leaf
-		if share.Connections == 0 && !g.leafs.CanSpare(leaf.ID) {
+		if share.Connections == 0 && !g.leafs.MayOpenExtra(leaf.ID) {
 			continue
 		}
-		if g.warmup != nil && !g.warmup.HasRoom(leaf) {
+		if g.warmup != nil && !g.warmup.HasToken(leaf) {
 			continue
 		}
-		target := leafhttp.Target{Incarnation: leaf.ID, Name: leaf.Name, Address: leaf.Address, Connections: share.Connections, Spare: share.Spare}
+		target := leafhttp.Target{LeafID: leaf.ID, Name: leaf.Name, Address: leaf.Address, Connections: share.Connections, ExtraConnections: share.ExtraConnections}
 		*targets = append(*targets, leafTarget{target, leaf})
-		candidates = append(candidates, balancer.Candidate{LeafID: leaf.ID, Zone: leaf.Zone, Spare: share.Connections == 0, LastResort: share.LastResort})
+		candidates = append(candidates, balancer.Candidate{LeafID: leaf.ID, Zone: leaf.Zone, Unallotted: share.Connections == 0, LastResort: share.LastResort})
 	}
 	return candidates
 }
@@ -98,9 +98,9 @@
 // target returns the leaf of an attempt, with how to connect to it.
 func (e *execution) target(attempt scatter.Attempt) leafTarget {
 	for _, target := range e.targets[attempt.Shard] {
-		if target.Incarnation == attempt.Leaf.ID {
+		if target.LeafID == attempt.Leaf.ID {
 			return target
 		}
 	}
-	return leafTarget{Target: leafhttp.Target{Incarnation: attempt.Leaf.ID}}
+	return leafTarget{Target: leafhttp.Target{LeafID: attempt.Leaf.ID}}
 }
--- a/internal/request/gateway/crash.go
+++ b/internal/request/gateway/crash.go
@@ -71,7 +71,7 @@
 		return
 	}
 	result := end.result
-	result.Broke = end.isBroken()
+	result.BrokeOff = end.isBroken()
 	mustWait := !end.isAbandoned() && (attempt.Probe || end.isRefused())
 	if !mustWait {
 		done(result)
@@ -97,13 +97,13 @@
 	if end.isCompleted() {
 		e.tracked.Answered()
 	}
-	if leafhttp.IsGone(end.err) && e.gateway.isListed(leafID) {
-		e.tracked.Gone(leafID)
+	if leafhttp.IsNotListening(end.err) && e.gateway.isListed(leafID) {
+		e.tracked.LeafGone(leafID)
 	}
 }
 
 // checkProcess calls done with whether a leaf's process has ended.
-func (e *execution) checkProcess(leaf leafhttp.Target, wasRefused bool, done leafhttp.Ended) {
+func (e *execution) checkProcess(leaf leafhttp.Target, wasRefused bool, done leafhttp.OnChecked) {
 	checked := make(chan struct{})
 	e.mu.Lock()
 	e.processChecks = append(e.processChecks, checked)
@@ -123,15 +123,15 @@
 	e.mu.Lock()
 	e.crashedLeafs = append(e.crashedLeafs, lost.Leaf)
 	e.mu.Unlock()
-	e.tracked.Ended(lost.Leaf, lost.Probe)
+	e.tracked.LeafCrashed(lost.Leaf, lost.Probe)
 }
 
 // afterCheck returns the result of an attempt once its leaf was checked. A connection that seemed refused may have
 // carried the request to a leaf that crashed.
 func afterCheck(result scatter.Result[leafhttp.Response], lost LeafLossRecord) scatter.Result[leafhttp.Response] {
-	result.Ended = lost.isEvidence()
+	result.LeafCrashed = lost.isEvidence()
 	if lost.Ended && result.Reason == reasonRefusedConnection {
-		result.Reason, result.NeverArrived, result.Broke = reasonBroken, false, true
+		result.Reason, result.NeverArrived, result.BrokeOff = reasonBroken, false, true
 	}
 	return result
 }
@@ -169,6 +169,6 @@
 		return
 	}
 	for _, leaf := range leafs {
-		e.tracked.Ended(leaf, 0)
+		e.tracked.LeafCrashed(leaf, 0)
 	}
 }
--- a/internal/request/gateway/crash_test.go
+++ b/internal/request/gateway/crash_test.go
@@ -39,7 +39,7 @@
 
 func newRegister() *quarantine.Register {
 	register := quarantine.NewRegister(quarantine.Deps{
-		Config: quarantine.DefaultConfig(), Self: "n", Stored: func(fingerprint.Fingerprint) *quarantine.Record { return nil },
+		Config: quarantine.DefaultConfig(), Self: "n", StoredRecord: func(fingerprint.Fingerprint) *quarantine.Record { return nil },
 	})
 	register.SetListener(noListener{})
 	return register
@@ -71,10 +71,10 @@
 	return f
 }
 
-func (f *crashingLeafs) Check(target leafhttp.Target, _ bool, tell leafhttp.Ended) {
+func (f *crashingLeafs) Check(target leafhttp.Target, _ bool, tell leafhttp.OnChecked) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	ended := f.ended[target.Incarnation]
+	ended := f.ended[target.LeafID]
 	time.AfterFunc(time.Millisecond, func() { tell(ended) })
 }
 
@@ -179,7 +179,7 @@
 		is := is.New(t)
 		leafs := newCrashingLeafs()
 		register := newRegister()
-		register.Hear(quarantine.Record{Subject: quarantine.Subject{Content: DefaultConfig().fingerprintOf(newRequest("/pages/0"))}})
+		register.AddRecord(quarantine.Record{Subject: quarantine.Subject{Content: DefaultConfig().fingerprintOf(newRequest("/pages/0"))}})
 		g := newGuardedGateway(t, leafs, register)
 		for count := 1; count <= quarantine.DefaultConfig().Ends; count++ {
 			_, err := g.Serve(t.Context(), newRequest("/pages/1"))
@@ -215,7 +215,7 @@
 			return crashAfter, answered(200, records(leaf)), nil
 		}}
 		register := newRegister()
-		register.Hear(quarantine.Record{Subject: quarantine.Subject{Content: DefaultConfig().fingerprintOf(newRequest("/pages/0"))}})
+		register.AddRecord(quarantine.Record{Subject: quarantine.Subject{Content: DefaultConfig().fingerprintOf(newRequest("/pages/0"))}})
 		g := newGuardedGateway(t, slow, register)
 		answer, err := g.Serve(t.Context(), newRequest("/pages/1"))
 		is.NoErr(err)
@@ -334,7 +334,7 @@
 		node.gateway.quarantine = newRegister()
 		node.gateway.leafs = &crashingTreeLeafs{treeLeafs: node.leafs, ended: ended}
 	}
-	b.nodes["there"].gateway.quarantine.Hear(quarantine.Record{Subject: quarantine.Subject{Content: DefaultConfig().fingerprintOf(newRequest("/pages/1"))}})
+	b.nodes["there"].gateway.quarantine.AddRecord(quarantine.Record{Subject: quarantine.Subject{Content: DefaultConfig().fingerprintOf(newRequest("/pages/1"))}})
 	b.nodes["root"].leafs.setAnswer(func(string) (time.Duration, *leafhttp.Response, error) { return time.Hour, nil, nil })
 	_, err := b.ask("root")
 	is.True(failure.Is(err, failure.Quarantined))
@@ -369,7 +369,7 @@
 	ended *crashedLeafSet
 }
 
-func (l *crashingTreeLeafs) Check(target leafhttp.Target, _ bool, tell leafhttp.Ended) {
-	ended := l.ended.has(target.Incarnation)
+func (l *crashingTreeLeafs) Check(target leafhttp.Target, _ bool, tell leafhttp.OnChecked) {
+	ended := l.ended.has(target.LeafID)
 	time.AfterFunc(time.Millisecond, func() { tell(ended) })
 }
--- a/internal/request/gateway/execution.go
+++ b/internal/request/gateway/execution.go
@@ -42,7 +42,7 @@
 	// slept is for how many nanoseconds the machine was suspended since the request arrived.
 	slept atomic.Int64
 	// tracked is the request's place in the quarantine register; nil if there is no register.
-	tracked *quarantine.Try
+	tracked *quarantine.Execution
 	// probes counts the attempts that were sent alone.
 	probes int
 
@@ -68,7 +68,7 @@
 	e.drawFirst(&plan)
 	attempts := scatter.New(plan, scatter.Deps[leafhttp.Response]{
 		Balancer: e.gateway.balancer, Start: e.startAttempt, Observer: e, Superseded: leafhttp.ErrSuperseded,
-		StartGroup: e.startGroup, Accepted: e.onPart(),
+		StartGroup: e.startGroup, OnReply: e.onPart(),
 	})
 	e.outcomes, e.summary = attempts.Run(ctx)
 	if err := e.endedEarly(ctx); err != nil {
@@ -111,7 +111,7 @@
 	}
 	for index, service := range e.services {
 		if !e.isInGroup(index) {
-			e.gateway.budgets.Request(service)
+			e.gateway.budgets.CountRequest(service)
 		}
 	}
 }
--- a/internal/request/gateway/fixture_test.go
+++ b/internal/request/gateway/fixture_test.go
@@ -65,11 +65,11 @@
 
 func (s *scriptedLeafs) Start(target leafhttp.Target, _ *leafhttp.Request, _ time.Time, done leafhttp.Done) context.CancelCauseFunc {
 	s.mu.Lock()
-	s.asked = append(s.asked, target.Incarnation)
+	s.asked = append(s.asked, target.LeafID)
 	s.mu.Unlock()
 	ctx, cancel := context.WithCancelCause(context.Background())
 	go func() {
-		delay, response, err := s.answer(target.Incarnation)
+		delay, response, err := s.answer(target.LeafID)
 		select {
 		case <-time.After(delay):
 			done(response, err)
@@ -80,10 +80,10 @@
 	return cancel
 }
 
-func (s *scriptedLeafs) CanSpare(string) bool { return true }
+func (s *scriptedLeafs) MayOpenExtra(string) bool { return true }
 
 // Check reports each leaf as alive.
-func (s *scriptedLeafs) Check(_ leafhttp.Target, _ bool, tell leafhttp.Ended) { go tell(false) }
+func (s *scriptedLeafs) Check(_ leafhttp.Target, _ bool, tell leafhttp.OnChecked) { go tell(false) }
 
 func (s *scriptedLeafs) warmedCount() int {
 	s.mu.Lock()
@@ -94,7 +94,7 @@
 func (s *scriptedLeafs) Warm(targets []leafhttp.Target) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.warmed = append(s.warmed, targets[0].Incarnation)
+	s.warmed = append(s.warmed, targets[0].LeafID)
 }
 
 func answered(status int, body string) *leafhttp.Response {
--- a/internal/request/gateway/gateway.go
+++ b/internal/request/gateway/gateway.go
@@ -50,12 +50,12 @@
 type LeafCaller interface {
 	// Start begins an attempt without blocking; see leafhttp.Pool.
 	Start(target leafhttp.Target, request *leafhttp.Request, deadline time.Time, done leafhttp.Done) context.CancelCauseFunc
-	// CanSpare reports whether a spare connection may be opened to a leaf that this node has no share of.
-	CanSpare(incarnation string) bool
+	// MayOpenExtra reports whether a spare connection may be opened to a leaf that this node has no share of.
+	MayOpenExtra(incarnation string) bool
 	// Warm opens a connection to the first of the targets, unless there is one to any of them.
 	Warm(targets []leafhttp.Target)
 	// Check reports whether a leaf's process has ended, after an answer of it broke off; see leafhttp.Pool.
-	Check(target leafhttp.Target, refused bool, tell leafhttp.Ended)
+	Check(target leafhttp.Target, refused bool, tell leafhttp.OnChecked)
 }
 
 // Deps are the dependencies of a Gateway.
@@ -64,7 +64,7 @@
 	Dialect  httpnames.Names
 	Catalog  *catalog.Catalog
 	Memory   *leafmemory.Memory
-	Dealer   *connshare.Dealer
+	Dealer   *connshare.Allocator
 	Balancer *balancer.Balancer
 	Budgets  *retrybudget.Budgets
 	Leafs    LeafCaller
@@ -95,7 +95,7 @@
 	dialect    httpnames.Names
 	catalog    *catalog.Catalog
 	memory     *leafmemory.Memory
-	dealer     *connshare.Dealer
+	dealer     *connshare.Allocator
 	balancer   *balancer.Balancer
 	budgets    *retrybudget.Budgets
 	leafs      LeafCaller
--- a/internal/request/gateway/gateway_test.go
+++ b/internal/request/gateway/gateway_test.go
@@ -135,7 +135,7 @@
 				}}
 				g, _ := newGateway(t, leafs)
 				for range 3 { // earns the budget for a retry
-					g.budgets.Request("s0")
+					g.budgets.CountRequest("s0")
 				}
 				answer, err := g.Serve(t.Context(), newRequest(one.path))
 				if one.status != 0 {
--- a/internal/request/gateway/group_call.go
+++ b/internal/request/gateway/group_call.go
@@ -81,7 +81,7 @@
 		ended := p.await(ctx, call, done)
 		p.recordEnd(ended, time.Since(began))
 		result := p.withSpent(ended.result)
-		if asked == maximumIntermediates || result.Replies != nil || result.Final || result.Broke || p.gotPartial || ended.outcome == GroupCancelled {
+		if asked == maximumIntermediates || result.Replies != nil || result.Final || result.BrokeOff || p.gotPartial || ended.outcome == GroupCancelled {
 			return result
 		}
 		node, found := p.root.choose(p.group.zones)
--- a/internal/request/gateway/group_reply.go
+++ b/internal/request/gateway/group_reply.go
@@ -70,7 +70,7 @@
 		case <-call.Acks():
 			acks++
 			unanswered = 0
-			p.root.zones.Heard(p.group.node.Zone)
+			p.root.zones.Responded(p.group.node.Zone)
 			// By the next probe the answer is late, so that there is no hurry to give up.
 			wait = p.execution.request.route.Objective
 			timer.Reset(max(wait, time.Until(p.execution.request.objective)))
@@ -102,7 +102,7 @@
 func (p *groupCall) deliverPartial(answer servingtree.Answer, done groupDone) {
 	if len(answer.Stamps) == len(p.group.shards) {
 		p.gotPartial = true
-		done(scatter.GroupResult[leafhttp.Response]{Replies: p.replies(&answer), More: true})
+		done(scatter.GroupResult[leafhttp.Response]{Replies: p.replies(&answer), Partial: true})
 	}
 }
 
@@ -157,7 +157,7 @@
 		result.Final = true
 	case failure.LeafsEnded:
 		p.execution.reportCrashed(failed.CrashedLeafs)
-		result.Broke = true
+		result.BrokeOff = true
 	default:
 		p.execution.keepGroupFailure(p.group, failed)
 		result.Final = true
--- a/internal/request/gateway/lag.go
+++ b/internal/request/gateway/lag.go
@@ -46,7 +46,7 @@
 // arrived before count: others were late for lack of parts.
 func (e *execution) observeLag() {
 	enoughAt := e.summary.SufficientAt
-	if e.isGathered() && !enoughAt.IsZero() && e.summary.SoftDeadlined && enoughAt.Before(e.request.answerBy) {
+	if e.isGathered() && !enoughAt.IsZero() && e.summary.EndedAtSoftDeadline && enoughAt.Before(e.request.answerBy) {
 		e.gateway.lag.observe(time.Since(e.request.answerBy))
 	}
 }
--- a/internal/request/gateway/policy.go
+++ b/internal/request/gateway/policy.go
@@ -46,7 +46,7 @@
 	}
 	typical := p.latency.typical()
 	factor := p.config.HedgeFactor
-	switch left := p.budgets.Left(p.service); {
+	switch left := p.budgets.FreeShare(p.service); {
 	case left < tightBudget:
 		factor *= tightWait
 	case left < lowBudget:
@@ -62,7 +62,7 @@
 }
 
 // Typical implements scatter.Policy.
-func (p *shardPolicy) Typical() time.Duration { return p.latency.typical() }
+func (p *shardPolicy) TypicalLatency() time.Duration { return p.latency.typical() }
 
 // WorthHedging implements scatter.Policy. Before the objective, a hedge is worth its cost only if it is expected to
 // answer by then; after it, any answer is.
@@ -81,4 +81,4 @@
 func (p *shardPolicy) Observe(took time.Duration) { p.latency.observe(took) }
 
 // Shed implements scatter.Policy. It does nothing: the balancer learns of refusals from the outcome of the attempt.
-func (p *shardPolicy) Shed() {}
+func (p *shardPolicy) ObserveShed() {}
--- a/internal/request/gateway/quarantine.go
+++ b/internal/request/gateway/quarantine.go
@@ -77,7 +77,7 @@
 	if execution != failure.NotRun {
 		return failed
 	}
-	return failed.WithRetryAfter(e.gateway.quarantine.Left(e.request.fingerprint))
+	return failed.WithRetryAfter(e.gateway.quarantine.RetryAfter(e.request.fingerprint))
 }
 
 // probeSuspects sets how a plan limits the leafs that a request may crash: the attempts of a suspect are probes, sent
@@ -90,9 +90,9 @@
 	}
 	plan.NoProbes = e.partial != nil
 	plan.Cautious = e.quarantineState() == quarantine.Suspect
-	plan.FatalProbes = quarantine.FatalProbes
+	plan.CrashedProbesLimit = quarantine.FatalProbes
 	if e.tracked.IsAlert() && e.isGathered() && e.partial == nil {
-		plan.Lead = max(minimumLead, leadFactor*e.gatheredLatency.typical())
+		plan.HeadStart = max(minimumLead, leadFactor*e.gatheredLatency.typical())
 	}
 }
 
--- a/internal/request/gateway/refuse.go
+++ b/internal/request/gateway/refuse.go
@@ -220,7 +220,7 @@
 		if e.isInGroup(index) {
 			continue
 		}
-		if delay := e.gateway.balancer.Queueing(shard.Candidates); delay > 0 {
+		if delay := e.gateway.balancer.QueueingFactor(shard.Candidates); delay > 0 {
 			delays = append(delays, delay)
 		}
 	}
--- a/internal/request/gateway/warm.go
+++ b/internal/request/gateway/warm.go
@@ -49,7 +49,7 @@
 // warmLeaf opens a connection to the leaf of an id among the targets, if this node has a share of it and no connection
 // to any of them.
 func (g *Gateway) warmLeaf(id string, targets []leafTarget) {
-	first := slices.IndexFunc(targets, func(target leafTarget) bool { return target.Incarnation == id })
+	first := slices.IndexFunc(targets, func(target leafTarget) bool { return target.LeafID == id })
 	if first < 0 || targets[first].Connections == 0 {
 		return
 	}
@@ -72,7 +72,7 @@
 	}
 	for service := range view.Rollouts {
 		order := view.Leafs.Rule(service).Order
-		if order == 0 || warmed[service] == order || len(warmed) >= maximumWarmed || !g.canary.MayTry(service) {
+		if order == 0 || warmed[service] == order || len(warmed) >= maximumWarmed || !g.canary.IsTrialOpen(service) {
 			continue
 		}
 		if g.warmTrial(view, service) {
@@ -84,7 +84,7 @@
 // warmTrial opens a connection to the leaf on trial that draws go to first, and reports whether there is any leaf on
 // trial.
 func (g *Gateway) warmTrial(view *catalog.View, service string) bool {
-	leafs := g.canary.Focus(service, view.Leafs.OnTrial(service))
+	leafs := g.canary.FocusOrder(service, view.Leafs.OnTrial(service))
 	if len(leafs) == 0 || view.Routes == nil {
 		return false
 	}
@@ -92,7 +92,7 @@
 	var targets []leafTarget
 	g.askableLeafs(service, view.Routes.IsGathered(service), known.MaximumConnections, canary.Trial, &targets)
 	for _, leaf := range leafs {
-		if slices.ContainsFunc(targets, func(target leafTarget) bool { return target.Incarnation == leaf.ID && target.Connections > 0 }) {
+		if slices.ContainsFunc(targets, func(target leafTarget) bool { return target.LeafID == leaf.ID && target.Connections > 0 }) {
 			g.warmLeaf(leaf.ID, targets)
 			break
 		}
@@ -131,6 +131,6 @@
 	if g.canary == nil {
 		return
 	}
-	g.canary.Learn()
+	g.canary.Refresh()
 	g.warmTrials(warmed)
 }
--- a/internal/request/gateway/zones_test.go
+++ b/internal/request/gateway/zones_test.go
@@ -17,13 +17,13 @@
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
 )
 
-// partitionedProber is an Asker for which the nodes of some zones don't answer.
+// partitionedProber is a Prober for which the nodes of some zones don't answer.
 type partitionedProber map[string]bool
 
-func (a partitionedProber) Answers(_ context.Context, node catalog.NodeRecord) bool {
+func (a partitionedProber) Ping(_ context.Context, node catalog.NodeRecord) bool {
 	return !a[node.Zone]
 }
-func (a partitionedProber) Tell(catalog.NodeRecord, string) {}
+func (a partitionedProber) AnnounceLost(catalog.NodeRecord, string) {}
 
 // trackerWithout returns the reachability tracker of a node in the near zone to which some zones, of 5 nodes each, are
 // unreachable. It stops at the end of the test.
@@ -41,7 +41,7 @@
 		}
 	}
 	zones := reachability.New(reachability.Deps{
-		Config: reachability.DefaultConfig(), Self: nodes[0], Asker: cut, Nodes: func() []catalog.NodeRecord { return nodes },
+		Config: reachability.DefaultConfig(), Self: nodes[0], Prober: cut, Nodes: func() []catalog.NodeRecord { return nodes },
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	go zones.Run(ctx)
@@ -203,7 +203,7 @@
 		nodes = append(nodes, node)
 	}
 	root.zones = reachability.New(reachability.Deps{
-		Config: reachability.DefaultConfig(), Self: near("n1"), Asker: recordingProber(checked),
+		Config: reachability.DefaultConfig(), Self: near("n1"), Prober: recordingProber(checked),
 		Nodes: func() []catalog.NodeRecord { return nodes },
 	})
 	root.root.zones = root.zones
@@ -221,14 +221,14 @@
 	}
 }
 
-// recordingProber is an Asker that records the zones of the nodes it probes; none answers.
+// recordingProber is a Prober that records the zones of the nodes it probes; none answers.
 type recordingProber chan string
 
-func (a recordingProber) Answers(_ context.Context, node catalog.NodeRecord) bool {
+func (a recordingProber) Ping(_ context.Context, node catalog.NodeRecord) bool {
 	select {
 	case a <- node.Zone:
 	default:
 	}
 	return false
 }
-func (a recordingProber) Tell(catalog.NodeRecord, string) {}
+func (a recordingProber) AnnounceLost(catalog.NodeRecord, string) {}
--- a/internal/rollout/rolloutcontrol/node_test.go
+++ b/internal/rollout/rolloutcontrol/node_test.go
@@ -10,6 +10,7 @@
 
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/fleet/peer"
+	"github.com/portgauge/portgauge/internal/fleet/peer/peertest"
 	"github.com/portgauge/portgauge/internal/fleet/registry"
 	"github.com/portgauge/portgauge/internal/rollout"
 	"github.com/portgauge/portgauge/internal/rollout/evidence"
@@ -22,7 +23,7 @@
 	fleet      *fleet
 	catalog    *catalog.Catalog
 	controller *Controller
-	transport  *peer.MemoryTransport
+	transport  *peertest.Transport
 	stop       context.CancelFunc
 
 	mu        sync.Mutex
@@ -123,9 +124,9 @@
 func (n *testNode) HandleDatagram(message peer.Message) {
 	switch {
 	case message.RolloutReports != nil:
-		n.controller.HeardReports(message.From, *message.RolloutReports)
+		n.controller.HandleReports(message.From, *message.RolloutReports)
 	case message.RolloutHold != nil:
-		n.controller.HeardHold(message.From, *message.RolloutHold)
+		n.controller.HandleHold(message.From, *message.RolloutHold)
 	}
 }
 
@@ -157,7 +158,7 @@
 	return status
 }
 
-func (n *testNode) OrderSeen(OrderRecord) {}
+func (n *testNode) OrderSeen(OrderEvent) {}
 func (n *testNode) PhaseLearned(state rollout.State) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -166,10 +167,10 @@
 	}
 }
 
-func (n *testNode) PhaseWritten(PhaseRecord)       {}
-func (n *testNode) Held(HoldRecord)                {}
-func (n *testNode) RowsDropped(DroppedRecord)      {}
-func (n *testNode) VersionsWritten(VersionsRecord) {}
+func (n *testNode) PhaseWritten(PhaseWriteEvent)       {}
+func (n *testNode) Held(HoldEvent)                     {}
+func (n *testNode) RowsDropped(RowsDroppedEvent)       {}
+func (n *testNode) VersionsWritten(VersionsWriteEvent) {}
 
 // awake waits until the node is not paused.
 func (n *testNode) awake() {
@@ -245,7 +246,7 @@
 	duration time.Duration
 }
 
-func newPlainJudging(_, trial string, duration time.Duration) Judging {
+func newPlainJudging(_, trial string, duration time.Duration) Evaluator {
 	return plainJudging{trial, duration}
 }
 
