--- a/internal/request/gateway/bench_test.go
+++ b/internal/request/gateway/bench_test.go
@@ -94,7 +94,7 @@
 	defer pool.Close()
 	g := New(Deps{
 		Config: DefaultConfig(), Dialect: dialect, Catalog: known, Memory: leafmemory.New(leafmemory.DefaultConfig(), known),
-		Dealer: connshare.New(connshare.DefaultConfig(), singleNodeFleet{}, catalog.NodeRecord{ID: "n"}), Balancer: balancer.New(balancer.DefaultConfig(), "z"),
+		Allocator: connshare.New(connshare.DefaultConfig(), singleNodeFleet{}, catalog.NodeRecord{ID: "n"}), Balancer: balancer.New(balancer.DefaultConfig(), "z"),
 		Budgets: retrybudget.New(retrybudget.DefaultConfig(), func(string) float64 { return 1 }), Leafs: pool, Events: &discardingEvents{}, Quarantine: newRegister(),
 	})
 	b.ReportAllocs()
--- a/internal/request/gateway/candidates.go
+++ b/internal/request/gateway/candidates.go
@@ -27,7 +27,7 @@
 //
 //   - it is of one of the versions;
 //   - discovery lists it as ready, or lost all leafs of its version a moment ago (leafmemory);
-//   - this node has a share of its connections, or may open a spare one (connshare);
+//   - this node has a share of its connections, or may open an extra one (connshare);
 //   - if it is cold, this node's share of its request rate has room (warmup);
 //   - its zone is reachable;
 //   - its region is one that the route allows.
@@ -62,7 +62,7 @@
 
 // appendAskable appends those leafs of one version that this node may ask to the candidates, and to targets how.
 func (g *Gateway) appendAskable(candidates []balancer.Candidate, service string, gathered bool, limit int, leafs []*leafset.Leaf, targets *[]leafTarget) []balancer.Candidate {
-	allotted := g.dealer.Allot(service, gathered, leafs, limit)
+	allotted := g.allocator.Allot(service, gathered, leafs, limit)
 	candidates = slices.Grow(candidates, len(allotted))
 	*targets = slices.Grow(*targets, len(allotted))
 	for _, share := range allotted {
--- a/internal/request/gateway/crash_test.go
+++ b/internal/request/gateway/crash_test.go
@@ -173,7 +173,7 @@
 	})
 }
 
-// While crashing requests are known, a new one costs one leaf each time that it is sent, instead of one of each shard.
+// During a quarantine alert, a new crashing request costs one leaf each time that it is sent, instead of one of each shard.
 func TestTheNextRequestThatEndsLeafsCostsThree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/request/gateway/fixture_test.go
+++ b/internal/request/gateway/fixture_test.go
@@ -158,8 +158,8 @@
 	budget := retrybudget.Config{Ratio: 1, Window: 10 * time.Second, Share: 1}
 	return New(Deps{
 		Config: DefaultConfig(), Dialect: dialect, Catalog: known, Memory: leafmemory.New(leafmemory.DefaultConfig(), known),
-		Dealer:   connshare.New(connshare.DefaultConfig(), singleNodeFleet{}, catalog.NodeRecord{ID: "n"}),
-		Balancer: balancer.New(balancer.DefaultConfig(), "z"), Budgets: retrybudget.New(budget, func(string) float64 { return 1 }),
+		Allocator: connshare.New(connshare.DefaultConfig(), singleNodeFleet{}, catalog.NodeRecord{ID: "n"}),
+		Balancer:  balancer.New(balancer.DefaultConfig(), "z"), Budgets: retrybudget.New(budget, func(string) float64 { return 1 }),
 		Leafs: leafs, Events: events,
 	}), events
 }
--- a/internal/request/gateway/gateway.go
+++ b/internal/request/gateway/gateway.go
@@ -50,24 +50,24 @@
 type LeafCaller interface {
 	// Start begins an attempt without blocking; see leafhttp.Pool.
 	Start(target leafhttp.Target, request *leafhttp.Request, deadline time.Time, done leafhttp.Done) context.CancelCauseFunc
-	// MayOpenExtra reports whether a spare connection may be opened to a leaf that this node has no share of.
-	MayOpenExtra(incarnation string) bool
+	// MayOpenExtra reports whether an extra connection may be opened to a leaf that this node has no share of.
+	MayOpenExtra(leafID string) bool
 	// Warm opens a connection to the first of the targets, unless there is one to any of them.
 	Warm(targets []leafhttp.Target)
 	// Check reports whether a leaf's process has ended, after an answer of it broke off; see leafhttp.Pool.
-	Check(target leafhttp.Target, refused bool, tell leafhttp.OnChecked)
+	Check(target leafhttp.Target, refused bool, done leafhttp.OnChecked)
 }
 
 // Deps are the dependencies of a Gateway.
 type Deps struct {
-	Config   Config
-	Dialect  httpnames.Names
-	Catalog  *catalog.Catalog
-	Memory   *leafmemory.Memory
-	Dealer   *connshare.Allocator
-	Balancer *balancer.Balancer
-	Budgets  *retrybudget.Budgets
-	Leafs    LeafCaller
+	Config    Config
+	Dialect   httpnames.Names
+	Catalog   *catalog.Catalog
+	Memory    *leafmemory.Memory
+	Allocator *connshare.Allocator
+	Balancer  *balancer.Balancer
+	Budgets   *retrybudget.Budgets
+	Leafs     LeafCaller
 	// Warmup limits the requests to cold leafs; nil means no limit.
 	Warmup *warmup.Limiter
 	// Canary decides which requests go to versions on trial; nil means none.
@@ -95,7 +95,7 @@
 	dialect    httpnames.Names
 	catalog    *catalog.Catalog
 	memory     *leafmemory.Memory
-	dealer     *connshare.Allocator
+	allocator  *connshare.Allocator
 	balancer   *balancer.Balancer
 	budgets    *retrybudget.Budgets
 	leafs      LeafCaller
@@ -120,7 +120,7 @@
 // New returns a gateway.
 func New(deps Deps) *Gateway {
 	g := &Gateway{
-		config: deps.Config, dialect: deps.Dialect, catalog: deps.Catalog, memory: deps.Memory, dealer: deps.Dealer, balancer: deps.Balancer,
+		config: deps.Config, dialect: deps.Dialect, catalog: deps.Catalog, memory: deps.Memory, allocator: deps.Allocator, balancer: deps.Balancer,
 		budgets: deps.Budgets, leafs: deps.Leafs, warmup: deps.Warmup, canary: deps.Canary, evidence: deps.Evidence,
 		events: deps.Events, regions: deps.Regions, zones: deps.Zones, quarantine: deps.Quarantine,
 		latencies: newLatencyTable(deps.Config.LatencyWindow), timeouts: newCallerTimeouts(), shares: routing.NewShares(),
--- a/internal/request/gateway/quarantine.go
+++ b/internal/request/gateway/quarantine.go
@@ -18,7 +18,7 @@
 // otherwise it takes one leaf after the other away from all other requests. Package quarantine judges the evidence and
 // keeps the state of each request; this file says what a request in each state may do, and crash.go finds the evidence.
 //
-//	Clear        no limits; while any request is quarantined, the first attempt of a gathered request has a lead
+//	Clear        no limits, but a head start for the first attempt of a gathered request during an alert
 //	Suspect      attempts are made one at a time, as probes, until a leaf has answered; no other node is asked
 //	Quarantined  no attempt is made, and those in flight are cancelled
 
@@ -29,12 +29,13 @@
 // saves the leafs that have not begun to run them.
 var errQuarantined = errors.New("the request crashes the leafs that run it")
 
-// Bounds of the lead that the first attempt of a gathered request has while crashing requests are known.
+// Bounds of the head start that the first attempt of a gathered request has during an alert, which is a while after
+// any request was quarantined: crashing requests rarely come alone.
 const (
-	// leadFactor is how many typical latencies the lead is.
-	leadFactor = 3
-	// minimumLead is the shortest lead: a leaf that crashes needs some time to do so.
-	minimumLead = 20 * time.Millisecond
+	// headStartFactor is how many typical latencies the head start is.
+	headStartFactor = 3
+	// minimumHeadStart is the shortest head start: a leaf that crashes needs some time to do so.
+	minimumHeadStart = 20 * time.Millisecond
 )
 
 // watch registers the execution as in flight and with the quarantine register, so that it is ended when its request is
@@ -81,8 +82,8 @@
 }
 
 // probeSuspects sets how a plan limits the leafs that a request may crash: the attempts of a suspect are probes, sent
-// one at a time; the request is given up after FatalProbes leafs crashed under probes; and a gathered request has one
-// attempt ahead of the others while crashing requests are known. A group for another node is given up instead of
+// one at a time; the request is given up after FatalProbes leafs crashed during probes; and a gathered request has one
+// attempt ahead of the others during an alert. A group for another node is given up instead of
 // probed: probes of each group would crash more leafs than those of the root alone.
 func (e *execution) probeSuspects(plan *scatter.Plan) {
 	if e.tracked == nil {
@@ -92,7 +93,7 @@
 	plan.Cautious = e.quarantineState() == quarantine.Suspect
 	plan.CrashedProbesLimit = quarantine.FatalProbes
 	if e.tracked.IsAlert() && e.isGathered() && e.partial == nil {
-		plan.HeadStart = max(minimumLead, leadFactor*e.gatheredLatency.typical())
+		plan.HeadStart = max(minimumHeadStart, headStartFactor*e.gatheredLatency.typical())
 	}
 }
 
--- a/internal/request/gateway/root.go
+++ b/internal/request/gateway/root.go
@@ -102,7 +102,7 @@
 	})
 }
 
-// chooseGroups returns the groups of the request that other nodes gather. While crashing requests are known, at least
+// chooseGroups returns the groups of the request that other nodes gather. During a quarantine alert, at least
 // one shard is left to this node for the attempt that goes ahead.
 func (e *execution) chooseGroups() []group {
 	groups := e.gateway.root.groups(e.request.route)
--- a/internal/request/gateway/tree_fixture_test.go
+++ b/internal/request/gateway/tree_fixture_test.go
@@ -168,10 +168,10 @@
 	b.t.Cleanup(client.Close)
 	node.gateway = New(Deps{
 		Config: DefaultConfig(), Dialect: dialect, Catalog: node.catalog, Memory: leafmemory.New(leafmemory.DefaultConfig(), node.catalog),
-		Dealer:   connshare.New(connshare.DefaultConfig(), census, node.record),
-		Balancer: balancer.New(balancer.DefaultConfig(), node.record.Zone),
-		Budgets:  treeBudgets(),
-		Leafs:    node.leafs, Events: node.events, Self: node.record, Fleet: census, Intermediates: client,
+		Allocator: connshare.New(connshare.DefaultConfig(), census, node.record),
+		Balancer:  balancer.New(balancer.DefaultConfig(), node.record.Zone),
+		Budgets:   treeBudgets(),
+		Leafs:     node.leafs, Events: node.events, Self: node.record, Fleet: census, Intermediates: client,
 		Regions: map[string]string{zoneNear: regionWest, zoneFar: regionWest, zoneFarther: regionSouth},
 	})
 	node.server = servingtree.NewServer(servingtree.DefaultConfig(), node.gateway)
