--- a/internal/config/catalog/quarantine.go
+++ b/internal/config/catalog/quarantine.go
@@ -2,14 +2,13 @@
 
 import (
 	"maps"
-	"strings"
 
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/quarantine"
 	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 )
 
-// compileQuarantine takes that a request goes to no leaf, or does again.
+// compileQuarantine puts the quarantine of a request, or its end, into force.
 func (d *draft) compileQuarantine(key string, entry Entry) error {
 	content, err := fingerprint.Parse(key)
 	if err != nil {
@@ -41,17 +40,7 @@
 	return nil
 }
 
-// Quarantine gives the record of a request that goes to no leaf; nil for any other.
+// Quarantine returns the record of a request under quarantine; nil for any other.
 func (c *Catalog) Quarantine(content fingerprint.Fingerprint) *quarantine.Record {
 	return c.View().Quarantine[content]
 }
-
-// QuarantinedContent gives the request that a key stands for; false for keys of other kinds.
-func QuarantinedContent(key string) (fingerprint.Fingerprint, bool) {
-	text, isQuarantine := strings.CutPrefix(key, quarantinePrefix)
-	if !isQuarantine {
-		return fingerprint.Fingerprint{}, false
-	}
-	content, err := fingerprint.Parse(text)
-	return content, err == nil
-}
--- /dev/null
+++ b/internal/config/catalog/retained.go
@@ -0,0 +1,215 @@
+package catalog
+
+import (
+	"bytes"
+	"strings"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+	json "github.com/goccy/go-json"
+
+	"github.com/portgauge/portgauge/internal/config/revision"
+)
+
+// RetainFor is how long an entry that only operators write, and the restored store lacks, stays in force unless
+// it is written again. Operators rewrite within a few seconds. An entry that they removed before rewriting it
+// never comes back, and can't be told from a lost one; so a zone whose evacuation ended then stays evacuated for
+// this long. Routes stay without a limit, and what nodes write stays until a node has rewritten it.
+const RetainFor = 10 * time.Second
+
+// Retained is an entry of an earlier epoch that is newer than what the restored store has of its key.
+type Retained struct {
+	Entry Entry
+	// IsLost says that the entry is not in force: the record of a leaf that the store lost. The leaf is asked
+	// last.
+	IsLost bool
+}
+
+// SetWritable sets which keys nodes may write: only their entries are retained until they are rewritten.
+func (c *Catalog) SetWritable(mayWrite func(key string) bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.restored.mayWrite = mayWrite
+}
+
+// isExpired decides whether a retained entry is dropped: operators may write its key and nodes may not, it isn't
+// routes, and RetainFor has passed since the node entered the epoch. An entry that isn't in force is retained
+// only for nodes to rewrite it.
+func (c *Catalog) isExpired(one Retained) bool {
+	key := one.Entry.Key
+	if key == RoutesKey || c.restored.mayWrite == nil || c.restored.mayWrite(key) {
+		return false
+	}
+	return one.IsLost || !c.restored.at.IsZero() && c.clock.Since(c.restored.at) >= RetainFor
+}
+
+// noteRetained marks an entry of a whole state as retained by another node if it is of an earlier epoch than the
+// state.
+func (c *Catalog) noteRetained(entry Entry, position int64) {
+	if !revision.IsLater(position, entry.Revision) {
+		return
+	}
+	if c.restored.retained == nil {
+		c.restored.retained = map[string]Retained{}
+	}
+	if c.restored.at.IsZero() {
+		c.restored.at = c.clock.Now()
+	}
+	c.restored.retained[entry.Key] = Retained{Entry: entry}
+}
+
+// Retained returns the retained entries, those not in force included.
+func (c *Catalog) Retained() []Retained {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	all := make([]Retained, 0, len(c.restored.retained))
+	for _, one := range c.restored.retained {
+		all = append(all, one)
+	}
+	return all
+}
+
+// RetainedEntries returns the retained entries that are in force.
+func (c *Catalog) RetainedEntries() []Entry {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	var entries []Entry
+	for _, one := range c.restored.retained {
+		if !one.IsLost {
+			entries = append(entries, one.Entry)
+		}
+	}
+	return entries
+}
+
+// RestoredAt returns when the node entered the epoch in force; zero if it saw no restore.
+func (c *Catalog) RestoredAt() time.Time {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.restored.at
+}
+
+// RetainedFingerprint identifies the set of retained entries in force by a hash; 0 if it is empty. Every message
+// between nodes carries it, so no lock is taken unless the store was restored.
+func (c *Catalog) RetainedFingerprint() uint64 {
+	if revision.Epoch(c.Revision()) == 0 {
+		return 0
+	}
+	sum := uint64(0)
+	for _, entry := range c.RetainedEntries() {
+		sum += xxhash.Sum64String(entry.Key + "\x00" + string(entry.Value))
+	}
+	return sum
+}
+
+// Supersedes reports whether a retained entry is newer than what the store has of its key.
+func (c *Catalog) Supersedes(retained, stored Entry) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.isNewer(retained, stored, c.view.Load().Revision)
+}
+
+// Retain takes over entries that another node at the same revision retains: this one may have read the store
+// without having known what the store lost. Entries that this node has dropped are not taken over.
+func (c *Catalog) Retain(entries []Entry) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	current := c.view.Load()
+	draft := c.newDraft(current, current.Revision)
+	draft.acceptsOlderRoutes = true
+	var added []Entry
+	for _, entry := range entries {
+		if !c.mayRetain(entry, current.Revision) {
+			continue
+		}
+		c.noteRetained(entry, current.Revision)
+		c.setEntry(entry)
+		c.compile(draft, entry)
+		added = append(added, entry)
+	}
+	c.putInForce(draft, added)
+}
+
+// mayRetain decides whether an entry that another node retains replaces what is in force here: it is of an
+// earlier epoch, not expired, no process record, and newer than the known one, if there is one.
+func (c *Catalog) mayRetain(entry Entry, position int64) bool {
+	known, isKnown := c.entries[entry.Key]
+	switch {
+	case !revision.IsLater(position, entry.Revision), isProcessRecord(entry.Key):
+		return false
+	case c.isExpired(Retained{Entry: entry}):
+		return false
+	case !isKnown:
+		return true
+	case revision.IsLater(position, known.Revision):
+		return entry.Revision > known.Revision
+	case bytes.Equal(known.Value, entry.Value):
+		return false
+	}
+	order, isComparable := compareDocuments(entry, known)
+	return !isComparable || order > 0
+}
+
+// DropExpired drops the retained entries that were not rewritten in time, as if they were removed.
+func (c *Catalog) DropExpired() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	current := c.view.Load()
+	draft := c.newDraft(current, current.Revision)
+	var removed []Entry
+	for key, one := range c.restored.retained {
+		if !c.isExpired(one) {
+			continue
+		}
+		delete(c.restored.retained, key)
+		if one.IsLost || one.Entry.Deleted {
+			continue
+		}
+		entry := Entry{Key: key, Revision: current.Revision, Deleted: true}
+		delete(c.entries, key)
+		c.compile(draft, entry)
+		removed = append(removed, entry)
+	}
+	c.putInForce(draft, removed)
+}
+
+// putInForce replaces the view by a draft of the same revision, and publishes its entries. The lock must be
+// held.
+func (c *Catalog) putInForce(changed *draft, entries []Entry) {
+	if len(entries) == 0 {
+		return
+	}
+	c.view.Store(changed.compiled())
+	at := c.view.Load().Revision
+	c.publish(Change{Entry: Marker(at), Previous: at, More: entries})
+}
+
+// RewriteValue returns the value with which an entry of an earlier epoch is rewritten. It isn't ready while the
+// entry depends on another one that has not been rewritten: the progress of a roll-out names its order by a
+// count, which changes if the restored store lost the order.
+func (c *Catalog) RewriteValue(entry Entry) (value json.RawMessage, isReady bool) {
+	service, isState := strings.CutPrefix(entry.Key, rolloutStatePrefix)
+	if !isState || entry.Deleted {
+		return entry.Value, true
+	}
+	view := c.View()
+	known := view.Rollouts[service]
+	if known.Order == nil || known.State == nil || !known.State.BelongsTo(known.Order) {
+		return entry.Value, true
+	}
+	if revision.IsLater(view.Revision, known.Order.Revision) {
+		return nil, false
+	}
+	state := *known.State
+	state.OrderRevision = revision.Count(known.Order.Revision)
+	document, err := json.Marshal(state)
+	if err != nil {
+		return nil, false
+	}
+	envelope, err := OpenEnvelope(entry.Value)
+	if err != nil {
+		return nil, false
+	}
+	value, err = NewDocument(envelope.ChangeID, document, nil)
+	return value, err == nil
+}
--- a/internal/config/rewriter/rewriter.go
+++ b/internal/config/rewriter/rewriter.go
@@ -46,7 +46,7 @@
 	tried map[string]time.Time
 }
 
-// New makes a writer for the node of an id. The catalog is told which keys the store lets nodes write.
+// New returns a writer for the node of an id. The catalog is told which keys the store lets nodes write.
 func New(known *catalog.Catalog, kept store.Store, self string, events EventLog) *Writer {
 	mayWrite := func(string) bool { return true }
 	if owned, isOwned := kept.(store.Owned); isOwned {
@@ -80,7 +80,7 @@
 		if !w.mayWrite(one.Entry.Key) || !w.isDue(one.Entry.Key, time.Now()) {
 			continue
 		}
-		value, isReady := w.catalog.Renewed(one.Entry)
+		value, isReady := w.catalog.RewriteValue(one.Entry)
 		if !isReady {
 			continue
 		}
