--- a/internal/request/gateway/attempt.go
+++ b/internal/request/gateway/attempt.go
@@ -30,8 +30,11 @@
 	reasonLeafRefuse scatter.Reason = "REFUSED_BY_LEAF"
 )
 
+// attemptResult is how an attempt ended, as package scatter receives it.
+type attemptResult = scatter.Result[leafhttp.Response]
+
 // startAttempt asks one leaf; it implements scatter.Start.
-func (e *execution) startAttempt(_ context.Context, attempt scatter.Attempt, done func(scatter.Result[leafhttp.Response])) context.CancelCauseFunc {
+func (e *execution) startAttempt(_ context.Context, attempt scatter.Attempt, done func(attemptResult)) context.CancelCauseFunc {
 	if e.isStopped() {
 		done(notSent())
 		return func(error) {}
@@ -53,7 +56,7 @@
 }
 
 // judgeEnd judges the end of an attempt, which is an answer or an error.
-func (e *execution) judgeEnd(attempt scatter.Attempt, response *leafhttp.Response, err error, isAbandoned bool) scatter.Result[leafhttp.Response] {
+func (e *execution) judgeEnd(attempt scatter.Attempt, response *leafhttp.Response, err error, isAbandoned bool) attemptResult {
 	if err != nil {
 		return judgeError(isAbandoned, err)
 	}
@@ -61,7 +64,7 @@
 }
 
 // judgeResponse reports the leaf's load to the balancer and judges the answer.
-func (e *execution) judgeResponse(attempt scatter.Attempt, response *leafhttp.Response) scatter.Result[leafhttp.Response] {
+func (e *execution) judgeResponse(attempt scatter.Attempt, response *leafhttp.Response) attemptResult {
 	if response.Load != nil {
 		e.gateway.balancer.ReportLoad(attempt.Leaf, balancer.Load{
 			InFlight: uint32(response.Load.Running + response.Load.Waiting), Slots: uint32(response.Load.Slots),
@@ -78,7 +81,7 @@
 //	status that promises "not run"     not used; it is not true without the "not executed" mark
 //	other status below 500             passed on; other leafs would answer the same, so that none is asked
 //	other status from 500              another leaf is asked; passed on if none succeeds
-func (e *execution) judge(response *leafhttp.Response) scatter.Result[leafhttp.Response] {
+func (e *execution) judge(response *leafhttp.Response) attemptResult {
 	if response.NotExecuted {
 		return judgeRefusal(response)
 	}
@@ -86,11 +89,11 @@
 	isSuccess := response.Status >= http.StatusOK && response.Status < http.StatusMultipleChoices
 	switch {
 	case isSuccess && signed:
-		return scatter.Result[leafhttp.Response]{Reply: response, Execution: scatter.Ran, Outcome: balancer.Succeeded}
+		return attemptResult{Reply: response, Execution: scatter.Ran, Outcome: balancer.Succeeded}
 	case isSuccess:
-		return scatter.Result[leafhttp.Response]{Reason: reasonUnsigned, Execution: scatter.Unknown, Outcome: balancer.Failed}
+		return attemptResult{Reason: reasonUnsigned, Execution: scatter.Unknown, Outcome: balancer.Failed}
 	}
-	result := scatter.Result[leafhttp.Response]{Reason: reasonLeafError, Execution: scatter.Ran, Outcome: balancer.Failed}
+	result := attemptResult{Reason: reasonLeafError, Execution: scatter.Ran, Outcome: balancer.Failed}
 	if promisesNotRun(response.Status) {
 		return result
 	}
@@ -121,8 +124,8 @@
 
 // judgeRefusal judges an answer that is marked as "not executed". 421 means that the leaf is gone or draining, 400 that
 // any leaf would refuse the request, and any other status that the leaf sheds load.
-func judgeRefusal(response *leafhttp.Response) scatter.Result[leafhttp.Response] {
-	result := scatter.Result[leafhttp.Response]{Reason: scatter.Shed, Execution: scatter.NotRun, Outcome: balancer.Shed}
+func judgeRefusal(response *leafhttp.Response) attemptResult {
+	result := attemptResult{Reason: scatter.Shed, Execution: scatter.NotRun, Outcome: balancer.Shed}
 	switch response.Status {
 	case http.StatusMisdirectedRequest:
 		result.Reason, result.Outcome = reasonGone, balancer.Drained
@@ -133,20 +136,20 @@
 }
 
 // judgeError judges an attempt without an answer.
-func judgeError(isAbandoned bool, err error) scatter.Result[leafhttp.Response] {
+func judgeError(isAbandoned bool, err error) attemptResult {
 	outcome := balancer.Failed
 	if isAbandoned {
 		outcome = balancer.Abandoned
 	}
 	var neverSent *leafhttp.NeverSentError
 	if errors.As(err, &neverSent) {
-		return scatter.Result[leafhttp.Response]{Reason: reasonNotSent, Execution: scatter.NotRun, Outcome: outcome, NeverArrived: true}
+		return attemptResult{Reason: reasonNotSent, Execution: scatter.NotRun, Outcome: outcome, NeverArrived: true}
 	}
 	var refused *leafhttp.RefusedConnectionError
 	if errors.As(err, &refused) {
-		return scatter.Result[leafhttp.Response]{Reason: reasonRefusedConnection, Execution: scatter.Unknown, Outcome: outcome, NeverArrived: true}
+		return attemptResult{Reason: reasonRefusedConnection, Execution: scatter.Unknown, Outcome: outcome, NeverArrived: true}
 	}
-	return scatter.Result[leafhttp.Response]{Reason: reasonBroken, Execution: scatter.Unknown, Outcome: outcome}
+	return attemptResult{Reason: reasonBroken, Execution: scatter.Unknown, Outcome: outcome}
 }
 
 // Began implements scatter.Observer.
@@ -155,7 +158,7 @@
 }
 
 // Ended implements scatter.Observer.
-func (e *execution) Ended(attempt scatter.Attempt, result scatter.Result[leafhttp.Response], took time.Duration) {
+func (e *execution) Ended(attempt scatter.Attempt, result attemptResult, took time.Duration) {
 	e.gateway.observeZone(attempt.Leaf, result, took)
 	e.gateway.events.AttemptEnded(AttemptRecord{
 		RequestID: e.request.Leaf.ID, Service: e.services[attempt.Shard], Leaf: attempt.Leaf.ID, Kind: attempt.Kind,
--- a/internal/request/gateway/canary.go
+++ b/internal/request/gateway/canary.go
@@ -131,7 +131,7 @@
 // countEvidence counts the end of an attempt as evidence of its leaf's version: a success, a signed failure, or an
 // attempt that was given up without an answer. Refusals, broken connections and attempts that were never sent say
 // nothing of the version.
-func (e *execution) countEvidence(leaf *leafset.Leaf, response *leafhttp.Response, result scatter.Result[leafhttp.Response], took time.Duration) {
+func (e *execution) countEvidence(leaf *leafset.Leaf, response *leafhttp.Response, result attemptResult, took time.Duration) {
 	counted := e.gateway.evidence
 	if counted == nil || leaf == nil || !counted.IsCounted(leaf) {
 		return
--- a/internal/request/gateway/candidates.go
+++ b/internal/request/gateway/candidates.go
@@ -33,8 +33,8 @@
 //   - its region is one that the route allows.
 func (e *execution) candidatesOf(shard int, versions canary.Versions) []balancer.Candidate {
 	service := e.services[shard]
-	limit := e.request.service(service).MaximumConnections
-	candidates := e.gateway.inReachableZones(e.gateway.askableLeafs(service, e.isGathered(), limit, versions, &e.targets[shard]))
+	asked := askedService{name: service, isGathered: e.isGathered(), maximumConnections: e.request.service(service).MaximumConnections}
+	candidates := e.gateway.inReachableZones(e.gateway.askableLeafs(asked, versions, &e.targets[shard]))
 	if len(e.request.route.Regions) == 0 {
 		return candidates
 	}
@@ -46,23 +46,32 @@
 	return len(e.request.route.Regions) == 0 || e.request.route.AllowsRegion(e.gateway.regions[zone])
 }
 
+// askedService is a service whose leafs are asked.
+type askedService struct {
+	name string
+	// isGathered selects the share of connections for gathered requests.
+	isGathered bool
+	// maximumConnections is how many connections a leaf accepts from all nodes together; 0 means no limit.
+	maximumConnections int
+}
+
 // askableLeafs returns the leafs of a service that this node may ask, by version, connections and warm-up, and sets
-// targets to how. The limit is the maximum number of connections to one leaf.
-func (g *Gateway) askableLeafs(service string, gathered bool, limit int, versions canary.Versions, targets *[]leafTarget) []balancer.Candidate {
+// targets to how.
+func (g *Gateway) askableLeafs(service askedService, versions canary.Versions, targets *[]leafTarget) []balancer.Candidate {
 	*targets = nil
 	var candidates []balancer.Candidate
 	if versions != canary.Trial {
-		candidates = g.appendAskable(candidates, service, gathered, limit, g.servingLeafs(service), targets)
+		candidates = g.appendAskable(candidates, service, g.servingLeafs(service.name), targets)
 	}
 	if versions != canary.Serving {
-		candidates = g.appendAskable(candidates, service, gathered, limit, g.trialLeafs(service, versions), targets)
+		candidates = g.appendAskable(candidates, service, g.trialLeafs(service.name, versions), targets)
 	}
 	return candidates
 }
 
 // appendAskable appends those leafs of one version that this node may ask to the candidates, and to targets how.
-func (g *Gateway) appendAskable(candidates []balancer.Candidate, service string, gathered bool, limit int, leafs []*leafset.Leaf, targets *[]leafTarget) []balancer.Candidate {
-	allotted := g.allocator.Allot(service, gathered, leafs, limit)
+func (g *Gateway) appendAskable(candidates []balancer.Candidate, service askedService, leafs []*leafset.Leaf, targets *[]leafTarget) []balancer.Candidate {
+	allotted := g.allocator.Allot(service.name, service.isGathered, leafs, service.maximumConnections)
 	candidates = slices.Grow(candidates, len(allotted))
 	*targets = slices.Grow(*targets, len(allotted))
 	for _, share := range allotted {
--- a/internal/request/gateway/crash.go
+++ b/internal/request/gateway/crash.go
@@ -34,7 +34,7 @@
 // attemptEnd is how an attempt ended.
 type attemptEnd struct {
 	response *leafhttp.Response // nil if err is not
-	result   scatter.Result[leafhttp.Response]
+	result   attemptResult
 	err      error
 }
 
@@ -64,7 +64,7 @@
 // the leaf may have crashed, its process is checked. Done waits for the check, a round trip or two, if the next attempt
 // depends on it: after a probe, and after a connection broke before its first answer, which looks the same if the leaf
 // crashed and if it refused one connection too many.
-func (e *execution) finishAttempt(attempt scatter.Attempt, asked leafTarget, probe int, end attemptEnd, done func(scatter.Result[leafhttp.Response])) {
+func (e *execution) finishAttempt(attempt scatter.Attempt, asked leafTarget, probe int, end attemptEnd, done func(attemptResult)) {
 	e.observePresence(attempt.Leaf.ID, end)
 	if !end.mayBeLoss() {
 		done(end.result)
@@ -128,7 +128,7 @@
 
 // afterCheck returns the result of an attempt once its leaf was checked. A connection that seemed refused may have
 // carried the request to a leaf that crashed.
-func afterCheck(result scatter.Result[leafhttp.Response], lost LeafLossRecord) scatter.Result[leafhttp.Response] {
+func afterCheck(result attemptResult, lost LeafLossRecord) attemptResult {
 	result.LeafCrashed = lost.isEvidence()
 	if lost.Ended && result.Reason == reasonRefusedConnection {
 		result.Reason, result.NeverArrived, result.BrokeOff = reasonBroken, false, true
--- a/internal/request/gateway/group_call.go
+++ b/internal/request/gateway/group_call.go
@@ -36,8 +36,11 @@
 	Took   time.Duration
 }
 
+// groupResult is what came of a group, as package scatter receives it.
+type groupResult = scatter.GroupResult[leafhttp.Response]
+
 // groupDone receives the results of a group; see scatter.StartGroup.
-type groupDone func(scatter.GroupResult[leafhttp.Response])
+type groupDone func(groupResult)
 
 // groupCall is a group that other nodes are being asked to gather, one after the other.
 type groupCall struct {
@@ -52,7 +55,7 @@
 }
 
 // startGroup asks another node for a group; it implements scatter.StartGroup.
-func (e *execution) startGroup(ctx context.Context, number int, done func(scatter.GroupResult[leafhttp.Response])) context.CancelCauseFunc {
+func (e *execution) startGroup(ctx context.Context, number int, done func(groupResult)) context.CancelCauseFunc {
 	p := &groupCall{root: e.gateway.root, execution: e, group: e.groups[number]}
 	ctx, cancel := context.WithCancelCause(ctx)
 	call := p.start()
@@ -75,7 +78,7 @@
 
 // run waits for the group. If its node returned nothing, and may not have spent all attempts, another node is asked;
 // otherwise package scatter asks the leafs from here, as far as the result allows.
-func (p *groupCall) run(ctx context.Context, call *servingtree.Call, done groupDone) scatter.GroupResult[leafhttp.Response] {
+func (p *groupCall) run(ctx context.Context, call *servingtree.Call, done groupDone) groupResult {
 	for asked := 1; ; asked++ {
 		began := time.Now()
 		ended := p.await(ctx, call, done)
@@ -95,7 +98,7 @@
 
 // withSpent adds to a result the attempts that nodes which returned nothing may have made. They count among the route's
 // MaximumAttempts, and the request may have run even if the last node ran nothing.
-func (p *groupCall) withSpent(result scatter.GroupResult[leafhttp.Response]) scatter.GroupResult[leafhttp.Response] {
+func (p *groupCall) withSpent(result groupResult) groupResult {
 	if result.Replies != nil {
 		return result
 	}
--- a/internal/request/gateway/group_reply.go
+++ b/internal/request/gateway/group_reply.go
@@ -34,7 +34,7 @@
 
 // groupEnd is how a group ended.
 type groupEnd struct {
-	result  scatter.GroupResult[leafhttp.Response]
+	result  groupResult
 	outcome GroupOutcome
 	// reason says what went wrong.
 	reason string
@@ -42,7 +42,7 @@
 
 // groupNotRun returns the end of a group of which no leaf was asked.
 func groupNotRun(outcome GroupOutcome, reason string) groupEnd {
-	return groupEnd{result: scatter.GroupResult[leafhttp.Response]{Execution: scatter.NotRun}, outcome: outcome, reason: reason}
+	return groupEnd{result: groupResult{Execution: scatter.NotRun}, outcome: outcome, reason: reason}
 }
 
 // ackWait returns how long an intermediate may take to show that it works on the group.
@@ -102,7 +102,7 @@
 func (p *groupCall) deliverPartial(answer servingtree.Answer, done groupDone) {
 	if len(answer.Stamps) == len(p.group.shards) {
 		p.gotPartial = true
-		done(scatter.GroupResult[leafhttp.Response]{Replies: p.replies(&answer), Partial: true})
+		done(groupResult{Replies: p.replies(&answer), Partial: true})
 	}
 }
 
@@ -114,7 +114,7 @@
 	if !isSent {
 		return groupNotRun(GroupNeverSent, errSilent.Error())
 	}
-	result := scatter.GroupResult[leafhttp.Response]{Final: hasBegun}
+	result := groupResult{Final: hasBegun}
 	return groupEnd{result: result, outcome: GroupSilent, reason: errSilent.Error()}
 }
 
@@ -136,7 +136,7 @@
 func (p *groupCall) judgeReply(reply servingtree.Reply) groupEnd {
 	switch {
 	case reply.Answer != nil && len(reply.Answer.Stamps) == len(p.group.shards):
-		return groupEnd{result: scatter.GroupResult[leafhttp.Response]{Replies: p.replies(reply.Answer)}, outcome: GroupAnswered}
+		return groupEnd{result: groupResult{Replies: p.replies(reply.Answer)}, outcome: GroupAnswered}
 	case reply.Answer != nil:
 		return groupEnd{outcome: GroupBroken, reason: "the answer has parts of other services"}
 	case reply.Failure != nil:
@@ -150,7 +150,7 @@
 
 // judgeFailure decides what the failure of an intermediate means for the group.
 func (p *groupCall) judgeFailure(failed *servingtree.Failure) groupEnd {
-	result := scatter.GroupResult[leafhttp.Response]{Execution: executionOf(failed.Execution)}
+	result := groupResult{Execution: executionOf(failed.Execution)}
 	switch failed.Code {
 	case failure.Quarantined:
 		p.execution.stop()
--- a/internal/request/gateway/quarantine.go
+++ b/internal/request/gateway/quarantine.go
@@ -8,7 +8,6 @@
 
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
-	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
 	"github.com/portgauge/portgauge/internal/quarantine"
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
@@ -122,8 +121,8 @@
 }
 
 // notSent is the result of an attempt that is not made, since the request was quarantined.
-func notSent() scatter.Result[leafhttp.Response] {
-	return scatter.Result[leafhttp.Response]{
+func notSent() attemptResult {
+	return attemptResult{
 		Reason: reasonQuarantined, Execution: scatter.NotRun, Outcome: balancer.Abandoned, Final: true, NeverArrived: true,
 	}
 }
--- a/internal/request/gateway/warm.go
+++ b/internal/request/gateway/warm.go
@@ -39,8 +39,9 @@
 
 // warmService opens a connection to the leaf that a first request would ask.
 func (g *Gateway) warmService(service string, limit int) {
+	asked := askedService{name: service, isGathered: true, maximumConnections: limit}
 	var targets []leafTarget
-	choice := g.balancer.Choose(g.askableLeafs(service, true, limit, g.undrawnVersions(service), &targets), nil)
+	choice := g.balancer.Choose(g.askableLeafs(asked, g.undrawnVersions(service), &targets), nil)
 	if choice.Leaf != nil {
 		g.warmLeaf(choice.Leaf.ID, targets)
 	}
@@ -89,8 +90,9 @@
 		return false
 	}
 	known, _ := view.Routes.Service(service)
+	asked := askedService{name: service, isGathered: view.Routes.IsGathered(service), maximumConnections: known.MaximumConnections}
 	var targets []leafTarget
-	g.askableLeafs(service, view.Routes.IsGathered(service), known.MaximumConnections, canary.Trial, &targets)
+	g.askableLeafs(asked, canary.Trial, &targets)
 	for _, leaf := range leafs {
 		if slices.ContainsFunc(targets, func(target leafTarget) bool { return target.LeafID == leaf.ID && target.Connections > 0 }) {
 			g.warmLeaf(leaf.ID, targets)
--- a/internal/request/gateway/zones.go
+++ b/internal/request/gateway/zones.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
-	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
@@ -24,7 +23,7 @@
 
 // observeZone reports to the reachability tracker what the end of an attempt says of its leaf's zone. A connection
 // that is refused or reset at once says nothing: a crashed leaf's machine does the same in any zone.
-func (g *Gateway) observeZone(leaf *balancer.Leaf, result scatter.Result[leafhttp.Response], took time.Duration) {
+func (g *Gateway) observeZone(leaf *balancer.Leaf, result attemptResult, took time.Duration) {
 	switch result.Outcome {
 	case balancer.Succeeded, balancer.Shed, balancer.Drained, balancer.Declined:
 		g.zones.Responded(leaf.Zone)
