--- a/internal/request/gateway/gateway.go
+++ b/internal/request/gateway/gateway.go
@@ -5,15 +5,17 @@
 //
 //	request.go     find the route and take the request's fingerprint
 //	deadlines.go   set the objective and the deadline: when a partial answer is sent and when the request is given up
+//	               (caller_timeouts.go, lag.go: the estimates; suspension.go: after a suspension of the machine)
 //	quarantine.go  watch for a quarantine of the request; probe suspects one leaf at a time
-//	refuse.go      refuse what can't be served, before any attempt is made: every reason, in order
 //	root.go        choose the shards that other nodes gather, and those nodes (placement.go, node_tracker.go)
+//	execution.go   run the steps below
+//	refuse.go      refuse what can't be served, before any attempt is made: every reason, in order
 //	plan.go        describe the attempts to package scatter, which makes them
 //	candidates.go  list the leafs of a shard that may be asked (canary.go: which version, zones.go: which zones)
-//	policy.go      allow hedges and retries
+//	policy.go      allow hedges and retries (latency.go: the latencies they depend on)
 //	attempt.go     ask one leaf and judge its answer (crash.go: find out whether the leaf crashed)
 //	group_call.go  ask another node for a group of shards (group_reply.go: wait for its reply and judge it)
-//	answer.go      merge the parts, pass a leaf's answer on, or say why there is none
+//	answer.go      merge the parts (merge.go), pass a leaf's answer on, or say why there is none
 //	events.go      report the decisions
 //
 // [Gateway.Serve] does this for a caller. [Gateway.Gather], in intermediate.go, does it for another node that asks
--- a/internal/request/gateway/policy.go
+++ b/internal/request/gateway/policy.go
@@ -11,8 +11,8 @@
 //
 // There is at most one hedge, after HedgeDelay, if the balancer expects another leaf to answer within the objective,
 // and if the retry budget of the service has more than HedgeReserve left. A retry takes what is left of that budget.
-// Each costs one request of the budget; the route's MaximumAttempts and, for requests that run at most once, proof that
-// no leaf ran them bound both.
+// Each takes one from the budget. The route's MaximumAttempts bounds both; requests that run at most once are not hedged,
+// and are retried only with proof that no leaf ran them.
 type shardPolicy struct {
 	config  *Config
 	service string
@@ -61,7 +61,7 @@
 	return max(delay, minimumHedge), true
 }
 
-// Typical implements scatter.Policy.
+// TypicalLatency implements scatter.Policy.
 func (p *shardPolicy) TypicalLatency() time.Duration { return p.latency.typical() }
 
 // WorthHedging implements scatter.Policy. Before the objective, a hedge is worth its cost only if it is expected to
@@ -80,5 +80,5 @@
 // Observe implements scatter.Policy.
 func (p *shardPolicy) Observe(took time.Duration) { p.latency.observe(took) }
 
-// Shed implements scatter.Policy. It does nothing: the balancer learns of refusals from the outcome of the attempt.
+// ObserveShed implements scatter.Policy. It does nothing: the balancer learns of refusals from the outcome of the attempt.
 func (p *shardPolicy) ObserveShed() {}
