--- a/internal/config/configsync/status.go
+++ b/internal/config/configsync/status.go
@@ -107,7 +107,7 @@
 	}
 	self := s.members.Self().ID
 	if _, isRegistered := s.catalog.View().Nodes[self]; isRegistered {
-		own.Registered = registry.Mark(self)
+		own.Registered = registry.NodeFingerprint(self)
 	}
 	return own
 }
@@ -123,13 +123,23 @@
 	return peer.StatusReply{}, false
 }
 
+// otherAddresses returns the peer addresses of the other members of the zone.
 func (s *Syncer) otherAddresses() []string {
-	self := s.members.Self().ID
 	var addresses []string
+	for _, member := range s.otherMembers() {
+		addresses = append(addresses, member.Address)
+	}
+	return addresses
+}
+
+// otherMembers returns the other members of the zone.
+func (s *Syncer) otherMembers() []peer.Member {
+	self := s.members.Self().ID
+	var others []peer.Member
 	for _, member := range s.members.Members() {
 		if member.ID != self {
-			addresses = append(addresses, member.Address)
+			others = append(others, member)
 		}
 	}
-	return addresses
+	return others
 }
--- a/internal/request/gateway/canary.go
+++ b/internal/request/gateway/canary.go
@@ -101,7 +101,7 @@
 // focusedLeaf returns the first candidate that can be asked and is not in trouble, in the order in which the version's
 // leafs take the bounded share of requests: one leaf at a time, so that few requests make evidence.
 func (e *execution) focusedLeaf(service string, candidates []balancer.Candidate) []balancer.Candidate {
-	for _, leaf := range e.gateway.canary.FocusOrder(service, e.gateway.catalog.View().Leafs.OnTrial(service)) {
+	for _, leaf := range e.gateway.canary.FocusOrder(service, e.gateway.catalog.View().Leafs.Canaries(service)) {
 		at := slices.IndexFunc(candidates, func(candidate balancer.Candidate) bool { return candidate.LeafID == leaf.ID })
 		if at < 0 {
 			continue
@@ -131,7 +131,7 @@
 // countEvidence counts the end of an attempt as evidence of its leaf's version: a success, a signed failure, or an
 // attempt that was given up without an answer. Refusals, broken connections and attempts that were never sent say
 // nothing of the version.
-func (e *execution) countEvidence(leaf *leafset.Leaf, response *leafhttp.Response, result scatter.Result[leafhttp.Response], took time.Duration) {
+func (e *execution) countEvidence(leaf *leafset.Leaf, response *leafhttp.Response, result attemptResult, took time.Duration) {
 	counted := e.gateway.evidence
 	if counted == nil || leaf == nil || !counted.IsCounted(leaf) {
 		return
--- a/internal/request/gateway/gateway.go
+++ b/internal/request/gateway/gateway.go
@@ -5,15 +5,17 @@
 //
 //	request.go     find the route and take the request's fingerprint
 //	deadlines.go   set the objective and the deadline: when a partial answer is sent and when the request is given up
+//	               (caller_timeouts.go, lag.go: the estimates; suspension.go: after a suspension of the machine)
 //	quarantine.go  watch for a quarantine of the request; probe suspects one leaf at a time
-//	refuse.go      refuse what can't be served, before any attempt is made: every reason, in order
 //	root.go        choose the shards that other nodes gather, and those nodes (placement.go, node_tracker.go)
+//	execution.go   run the steps below
+//	refuse.go      refuse what can't be served, before any attempt is made: every reason, in order
 //	plan.go        describe the attempts to package scatter, which makes them
 //	candidates.go  list the leafs of a shard that may be asked (canary.go: which version, zones.go: which zones)
-//	policy.go      allow hedges and retries
+//	policy.go      allow hedges and retries (latency.go: the latencies they depend on)
 //	attempt.go     ask one leaf and judge its answer (crash.go: find out whether the leaf crashed)
 //	group_call.go  ask another node for a group of shards (group_reply.go: wait for its reply and judge it)
-//	answer.go      merge the parts, pass a leaf's answer on, or say why there is none
+//	answer.go      merge the parts (merge.go), pass a leaf's answer on, or say why there is none
 //	events.go      report the decisions
 //
 // [Gateway.Serve] does this for a caller. [Gateway.Gather], in intermediate.go, does it for another node that asks
@@ -50,24 +52,24 @@
 type LeafCaller interface {
 	// Start begins an attempt without blocking; see leafhttp.Pool.
 	Start(target leafhttp.Target, request *leafhttp.Request, deadline time.Time, done leafhttp.Done) context.CancelCauseFunc
-	// MayOpenExtra reports whether a spare connection may be opened to a leaf that this node has no share of.
-	MayOpenExtra(incarnation string) bool
+	// MayOpenExtra reports whether an extra connection may be opened to a leaf that this node has no share of.
+	MayOpenExtra(leafID string) bool
 	// Warm opens a connection to the first of the targets, unless there is one to any of them.
 	Warm(targets []leafhttp.Target)
 	// Check reports whether a leaf's process has ended, after an answer of it broke off; see leafhttp.Pool.
-	Check(target leafhttp.Target, refused bool, tell leafhttp.OnChecked)
+	Check(target leafhttp.Target, refused bool, done leafhttp.OnChecked)
 }
 
 // Deps are the dependencies of a Gateway.
 type Deps struct {
-	Config   Config
-	Dialect  httpnames.Names
-	Catalog  *catalog.Catalog
-	Memory   *leafmemory.Memory
-	Dealer   *connshare.Allocator
-	Balancer *balancer.Balancer
-	Budgets  *retrybudget.Budgets
-	Leafs    LeafCaller
+	Config    Config
+	Dialect   httpnames.Names
+	Catalog   *catalog.Catalog
+	Memory    *leafmemory.Memory
+	Allocator *connshare.Allocator
+	Balancer  *balancer.Balancer
+	Budgets   *retrybudget.Budgets
+	Leafs     LeafCaller
 	// Warmup limits the requests to cold leafs; nil means no limit.
 	Warmup *warmup.Limiter
 	// Canary decides which requests go to versions on trial; nil means none.
@@ -95,7 +97,7 @@
 	dialect    httpnames.Names
 	catalog    *catalog.Catalog
 	memory     *leafmemory.Memory
-	dealer     *connshare.Allocator
+	allocator  *connshare.Allocator
 	balancer   *balancer.Balancer
 	budgets    *retrybudget.Budgets
 	leafs      LeafCaller
@@ -120,7 +122,7 @@
 // New returns a gateway.
 func New(deps Deps) *Gateway {
 	g := &Gateway{
-		config: deps.Config, dialect: deps.Dialect, catalog: deps.Catalog, memory: deps.Memory, dealer: deps.Dealer, balancer: deps.Balancer,
+		config: deps.Config, dialect: deps.Dialect, catalog: deps.Catalog, memory: deps.Memory, allocator: deps.Allocator, balancer: deps.Balancer,
 		budgets: deps.Budgets, leafs: deps.Leafs, warmup: deps.Warmup, canary: deps.Canary, evidence: deps.Evidence,
 		events: deps.Events, regions: deps.Regions, zones: deps.Zones, quarantine: deps.Quarantine,
 		latencies: newLatencyTable(deps.Config.LatencyWindow), timeouts: newCallerTimeouts(), shares: routing.NewShares(),
