--- a/internal/lab/replay/cluster.go
+++ b/internal/lab/replay/cluster.go
@@ -10,18 +10,11 @@
 	"sync"
 	"time"
 
-	"connectrpc.com/connect"
-	"github.com/ansel1/merry/v2"
-
-	adminv1 "github.com/portgauge/portgauge/gen/portgauge/admin/v1"
 	platformv1 "github.com/portgauge/portgauge/gen/portgauge/platform/v1"
 	"github.com/portgauge/portgauge/internal/lab/control"
 	"github.com/portgauge/portgauge/internal/lab/forwarder"
 	"github.com/portgauge/portgauge/internal/lab/process"
 	"github.com/portgauge/portgauge/internal/lab/retry"
-	"github.com/portgauge/portgauge/internal/lab/sample"
-	"github.com/portgauge/portgauge/internal/operator/api"
-	"github.com/portgauge/portgauge/internal/operator/cli"
 )
 
 // cluster has the processes of a trace and the forwarders between them.
@@ -92,17 +85,8 @@
 	if err := c.startPlatform(); err != nil {
 		return err
 	}
-	for _, spec := range c.header.Leafs {
-		if err := c.addLeaf(spec, addresses[:addressesPerLeaf]); err != nil {
-			return err
-		}
-		addresses = addresses[addressesPerLeaf:]
-	}
-	for _, spec := range c.header.Nodes {
-		if err := c.addNode(spec, addresses[:addressesPerNode]); err != nil {
-			return err
-		}
-		addresses = addresses[addressesPerNode:]
+	if err := c.addMachines(addresses); err != nil {
+		return err
 	}
 	if err := retry.Eventually(ctx, startTimeout, func() error { return c.putMachines(ctx) }); err != nil {
 		return err
@@ -120,6 +104,23 @@
 	return nil
 }
 
+// addMachines starts the leafs and the forwarders of all machines.
+func (c *cluster) addMachines(addresses []string) error {
+	for _, spec := range c.header.Leafs {
+		if err := c.addLeaf(spec, addresses[:addressesPerLeaf]); err != nil {
+			return err
+		}
+		addresses = addresses[addressesPerLeaf:]
+	}
+	for _, spec := range c.header.Nodes {
+		if err := c.addNode(spec, addresses[:addressesPerNode]); err != nil {
+			return err
+		}
+		addresses = addresses[addressesPerNode:]
+	}
+	return nil
+}
+
 // stop kills all processes and closes all forwarders.
 func (c *cluster) stop() {
 	c.mutex.Lock()
@@ -160,7 +161,7 @@
 		record: filepath.Join(c.folder, spec.ID+".jsonl"),
 	}
 	var err error
-	added.forwarder, err = forwarder.NewTCP(added.forwarded, added.address, func(string) bool { return !c.isCut(platformOrNodes, spec.ID) })
+	added.forwarder, err = forwarder.NewTCP(added.forwarded, added.address, func(string) bool { return !c.isCut(anySender, spec.ID) })
 	if err != nil {
 		return err
 	}
@@ -212,56 +213,6 @@
 	return err
 }
 
-// createService applies a service and its first snapshot, and waits until every node has the snapshot.
-func (c *cluster) createService(ctx context.Context, spec ServiceSpec) error {
-	first := c.nodes[c.header.Nodes[0].ID]
-	client := cli.AdminClient(first.operators)
-	err := retry.Eventually(ctx, startTimeout, func() error {
-		_, err := client.ApplyService(ctx, connect.NewRequest(&adminv1.ApplyServiceRequest{Spec: c.serviceSpec(spec)}))
-		return err
-	})
-	if err != nil {
-		return merry.Prepend(api.FailureOf(err), "create service; output of the node: "+first.running.Output())
-	}
-	manifest, err := c.manifest(spec, spec.Snapshot, spec.Shards, spec.Replicas)
-	if err != nil {
-		return err
-	}
-	if _, err := client.PublishSnapshot(ctx, connect.NewRequest(&adminv1.PublishSnapshotRequest{Manifest: manifest})); err != nil {
-		return api.FailureOf(err)
-	}
-	for _, node := range c.nodes {
-		err := retry.Eventually(ctx, startTimeout, func() error {
-			status, err := cli.AdminClient(node.operators).ListSnapshots(ctx, connect.NewRequest(&adminv1.ListSnapshotsRequest{Service: spec.Name}))
-			if err == nil && len(status.Msg.GetSnapshots()) == 0 {
-				return merry.Errorf("node %s has no snapshot of %s", node.spec.ID, spec.Name)
-			}
-			return err
-		})
-		if err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
-func (c *cluster) serviceSpec(spec ServiceSpec) *adminv1.ServiceSpec {
-	made := &adminv1.ServiceSpec{Name: spec.Name, ConcurrencyLimit: spec.Concurrency, QueueLimit: spec.Queue}
-	for _, leafID := range spec.Leafs {
-		served := c.leafs[leafID]
-		made.Leafs = append(made.Leafs, &adminv1.Leaf{Id: leafID, Address: served.forwarded, Zone: served.spec.Zone})
-	}
-	return made
-}
-
-func (c *cluster) manifest(spec ServiceSpec, snapshot string, shards, replicas int) (*adminv1.SnapshotManifest, error) {
-	index, err := sample.Build(c.header.Dataset, c.header.Seed, c.header.Records, snapshot)
-	if err != nil {
-		return nil, err
-	}
-	return sample.Manifest(spec.Name, index, shards, replicas, spec.Leafs), nil
-}
-
 func (c *cluster) putMachines(ctx context.Context) error {
 	c.mutex.Lock()
 	var list []*platformv1.Machine
@@ -289,65 +240,5 @@
 	return c.startLeaf(c.leafs[name])
 }
 
-// platformOrNodes stands for all senders to a leaf: its forwarder can't tell the node of a connection, so that a leaf is cut
-// off from all or none.
-const platformOrNodes = "*"
-
-// setCut makes or heals a cut between two groups, and applies it to open connections.
-func (c *cluster) setCut(between []string, cut bool) {
-	c.mutex.Lock()
-	for _, first := range c.expand(between[0]) {
-		for _, second := range c.expand(between[1]) {
-			c.cuts[[2]string{first, second}] = cut
-			c.cuts[[2]string{second, first}] = cut
-			if _, isLeaf := c.leafs[second]; isLeaf {
-				c.cuts[[2]string{platformOrNodes, second}] = cut
-			}
-			if _, isLeaf := c.leafs[first]; isLeaf {
-				c.cuts[[2]string{platformOrNodes, first}] = cut
-			}
-		}
-	}
-	c.mutex.Unlock()
-	for _, node := range c.nodes {
-		for _, passing := range node.forwarders {
-			passing.Recheck()
-		}
-	}
-	for _, served := range c.leafs {
-		served.forwarder.Recheck()
-	}
-}
-
-// expand returns the nodes of a zone, or the name itself if it is no zone.
-func (c *cluster) expand(name string) []string {
-	var names []string
-	for id, node := range c.nodes {
-		if node.spec.Zone == name {
-			names = append(names, id)
-		}
-	}
-	if len(names) == 0 {
-		return []string{name}
-	}
-	return names
-}
-
-func (c *cluster) isCut(from, to string) bool {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	return c.cuts[[2]string{from, to}]
-}
-
-// nodeAt returns the node that advertises a peer address, or "".
-func (c *cluster) nodeAt(address string) string {
-	for id, node := range c.nodes {
-		if node.advertised == address {
-			return id
-		}
-	}
-	return ""
-}
-
 // makeFolder creates the folder for the records of a run.
 func makeFolder() (string, error) { return os.MkdirTemp("", "portgauge-replay-") }
--- a/internal/lab/replay/replay.go
+++ b/internal/lab/replay/replay.go
@@ -123,10 +123,11 @@
 	return p.began.Add(time.Duration(millis) * time.Millisecond)
 }
 
+// perform starts what an event says. Loads, operators and planned stops run in the background.
 func (p *player) perform(ctx context.Context, number int, event Event) error {
-	seed := p.trace.Header.Seed + uint64(number)
 	switch {
 	case event.Load != nil:
+		seed := p.trace.Header.Seed + uint64(number)
 		p.background.Go(func() { p.callers.run(ctx, event.Load, seed, p.at(event.Load.UntilMS)) })
 	case event.Publish != nil:
 		spec := p.service(event.Publish.Service)
@@ -134,11 +135,7 @@
 	case event.Apply != nil:
 		p.background.Go(func() { p.operators.apply(ctx, event.Apply, p.at(event.Apply.UntilMS)) })
 	case event.LeafFaults != nil:
-		for _, leafID := range event.LeafFaults.Leafs {
-			if err := control.Put(ctx, p.cluster.leafs[leafID].control, "/faults", event.LeafFaults.Faults); err != nil {
-				return err
-			}
-		}
+		return p.setLeafFaults(ctx, event.LeafFaults)
 	case event.PlatformFaults != nil:
 		return control.Put(ctx, p.cluster.platformControl, "/faults", event.PlatformFaults.Faults)
 	case event.Machine != nil:
@@ -147,6 +144,15 @@
 		p.cluster.setCut(event.Cut.Between, true)
 	case event.Heal != nil:
 		p.cluster.setCut(event.Heal.Between, false)
+	default:
+		return p.signal(event)
+	}
+	return nil
+}
+
+// signal stops, kills, freezes, wakes or starts a process.
+func (p *player) signal(event Event) error {
+	switch {
 	case event.Start != nil:
 		return p.cluster.restart(event.Start.Process)
 	case event.Stop != nil:
@@ -161,6 +167,15 @@
 	return nil
 }
 
+func (p *player) setLeafFaults(ctx context.Context, change *LeafFaults) error {
+	for _, leafID := range change.Leafs {
+		if err := control.Put(ctx, p.cluster.leafs[leafID].control, "/faults", change.Faults); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
 func (p *player) plannedStop(name string) {
 	if err := p.cluster.process(name).Stop(); err != nil {
 		p.mutex.Lock()
--- a/internal/lab/soak/rollouts.go
+++ b/internal/lab/soak/rollouts.go
@@ -97,10 +97,21 @@
 	if err := w.checkStarted(); err != nil {
 		return 0, 0, err
 	}
+	if passed, failed, err = playCases(ctx, w, cfg, cases, out); err != nil {
+		return passed, failed, err
+	}
+	if err := w.keepLogs(cfg.Logs); err != nil {
+		return passed, failed, err
+	}
+	return passed, failed, ctx.Err()
+}
+
+// playCases sends requests to a world and plays cases there, one after the other.
+func playCases(ctx context.Context, w *world, cfg RolloutsConfig, cases []rolloutCase, out io.Writer) (passed, failed int, err error) {
 	callers := newLoad(w)
 	calling, stopCalling := context.WithCancel(ctx)
 	defer stopCalling()
-	go callers.run(calling, rand.New(rand.NewPCG(cfg.Seed, 1)), cfg.PerSecond)
+	go callers.run(calling, rand.New(rand.NewPCG(cfg.Seed, loadStream)), cfg.PerSecond)
 	o := newOperator(w, func(text string) { _, _ = fmt.Fprintln(out, text) })
 	go o.read(calling)
 	quietFrom := time.Now()
@@ -119,10 +130,7 @@
 			failed++
 		}
 	}
-	if err := w.keepLogs(cfg.Logs); err != nil {
-		return passed, failed, err
-	}
-	return passed, failed, ctx.Err()
+	return passed, failed, nil
 }
 
 // playedRollout is a roll-out with the outcomes of all requests, and the time before the first one.
