--- a/internal/config/catalog/restored_test.go
+++ b/internal/config/catalog/restored_test.go
@@ -65,8 +65,8 @@
 	is.Equal(len(node.Retained()), 0)
 	is.True(node.ApplyAll(late))
 	is.Equal(node.View().Routes.Version, int64(10))
-	_, isRetained := node.Since(before)
-	is.True(!isRetained) // no change leads from one epoch to the next
+	_, found := node.Since(before)
+	is.True(!found) // no change leads from one epoch to the next
 }
 
 // Leafs that drain or are gone stay so although the restored store lists them as before, until they write again; those that
@@ -187,8 +187,8 @@
 	first, second := follower(d), follower(d)
 	d.put(RoutesKey, routesOf(2))
 	first.Replace(d.state())
-	changes, isRetained := first.Since(second.Revision())
-	is.True(isRetained)
+	changes, found := first.Since(second.Revision())
+	is.True(found)
 	is.Equal(changes[0].Entry.Key, MarkerKey)
 	is.True(second.ApplyAll(changes))
 	is.Equal(second.View().Routes.Version, int64(2))
