--- a/internal/config/catalog/retained.go
+++ b/internal/config/catalog/retained.go
@@ -13,7 +13,7 @@
 
 // RetainFor is how long an entry that only operators write, and the restored store lacks, stays in force unless
 // it is written again. Operators rewrite within a few seconds. An entry that they removed before rewriting it
-// never comes back, and can't be told from a lost one; so a zone whose evacuation ended then stays evacuated for
+// never comes back, and can't be distinguished from a lost one; so a zone whose evacuation ended then stays evacuated for
 // this long. Routes stay without a limit, and what nodes write stays until a node has rewritten it.
 const RetainFor = 10 * time.Second
 
--- a/internal/config/configsync/configsync.go
+++ b/internal/config/configsync/configsync.go
@@ -7,7 +7,7 @@
 //   - watch: the first watcher follows the store; storestate reads its whole state where changes don't suffice.
 //   - standby: the others rely on the watchers ahead of them, and check the store once nobody confirms the
 //     configuration in force any more.
-//   - push: changes go down a tree of the zone's nodes, drawn anew for each push to share the relaying;
+//   - push: changes go down a tree of the zone's nodes, redrawn for each push to share the relaying;
 //     push_check makes sure that the push of a standby reached everybody.
 //   - reorder: pushes that overtake each other are put back into order.
 //   - digest: digests on membership probes reveal what a node missed.
--- a/internal/config/configsync/handler.go
+++ b/internal/config/configsync/handler.go
@@ -16,7 +16,7 @@
 	// Rollouts receives the messages to and from the nodes that judge roll-outs.
 	Rollouts RolloutHandler
 	// Quarantine receives messages on requests that may crash leafs.
-	Quarantine func(from string, told peer.Quarantine)
+	Quarantine func(from string, message peer.Quarantine)
 }
 
 // RolloutHandler receives messages on roll-outs, with the peer address of the sender.
@@ -28,39 +28,39 @@
 // PeerHandler is the peer.Handler of a node: it dispatches each message to membership, configuration or one of
 // the other handlers.
 type PeerHandler struct {
-	syncer  *Syncer
-	hearers Handlers
+	syncer   *Syncer
+	handlers Handlers
 }
 
 var _ peer.Handler = (*PeerHandler)(nil)
 
 // NewPeerHandler returns the handler of a node's peer address.
-func NewPeerHandler(syncer *Syncer, hearers Handlers) *PeerHandler {
-	return &PeerHandler{syncer: syncer, hearers: hearers}
+func NewPeerHandler(syncer *Syncer, handlers Handlers) *PeerHandler {
+	return &PeerHandler{syncer: syncer, handlers: handlers}
 }
 
 // HandleDatagram implements peer.Handler.
 func (h *PeerHandler) HandleDatagram(message peer.Message) {
 	switch {
 	case len(message.LeafReports) > 0:
-		if h.hearers.Leafs != nil {
-			h.hearers.Leafs(message.LeafReports)
+		if h.handlers.Leafs != nil {
+			h.handlers.Leafs(message.LeafReports)
 		}
 	case message.Reach != nil:
-		if h.hearers.Reach != nil {
-			h.hearers.Reach(message.From, *message.Reach)
+		if h.handlers.Reach != nil {
+			h.handlers.Reach(message.From, *message.Reach)
 		}
 	case message.RolloutReports != nil:
-		if h.hearers.Rollouts != nil {
-			h.hearers.Rollouts.HandleReports(message.From, *message.RolloutReports)
+		if h.handlers.Rollouts != nil {
+			h.handlers.Rollouts.HandleReports(message.From, *message.RolloutReports)
 		}
 	case message.RolloutHold != nil:
-		if h.hearers.Rollouts != nil {
-			h.hearers.Rollouts.HandleHold(message.From, *message.RolloutHold)
+		if h.handlers.Rollouts != nil {
+			h.handlers.Rollouts.HandleHold(message.From, *message.RolloutHold)
 		}
 	case message.Quarantine != nil:
-		if h.hearers.Quarantine != nil {
-			h.hearers.Quarantine(message.From, *message.Quarantine)
+		if h.handlers.Quarantine != nil {
+			h.handlers.Quarantine(message.From, *message.Quarantine)
 		}
 	default:
 		h.syncer.members.HandleDatagram(message)
--- a/internal/fleet/peer/message.go
+++ b/internal/fleet/peer/message.go
@@ -144,7 +144,7 @@
 type Push struct {
 	Batch   Batch        `json:"batch,omitempty"`
 	Notices []LeafNotice `json:"notices,omitempty"`
-	// Subtree is whom the receiver must hand the push on to, itself left out.
+	// Subtree are the addresses to which the receiver must relay the push.
 	Subtree []string `json:"subtree,omitempty"`
 	// WholeZone asks the receiver to hand the push on to all members of its zone.
 	WholeZone bool `json:"whole_zone,omitempty"`
