--- a/internal/quarantine/bad_days_test.go
+++ b/internal/quarantine/bad_days_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-// A bad day: herds of leafs that crash by themselves, one of them each minute of an hour, at moments spread over a while.
+// A bad day is an hour in which a group of leafs crashes for its own reasons each minute, within a short time.
 const (
 	badDays    = 1000
 	herds      = 60
@@ -18,14 +18,14 @@
 	leafBack   = 3 * time.Second
 	herdSpread = 400 * time.Millisecond
 	askedEvery = 50 * time.Millisecond // by one caller, for the same path
-	leastWork  = 5 * time.Millisecond
+	minWork    = 5 * time.Millisecond
 	workRange  = 10 * time.Millisecond
 )
 
-// herd says when each replica of each shard crashes; those that don't have no time.
+// herd is when each replica of each shard crashes; those that don't have no time.
 type herd map[string]time.Time
 
-// drawHerd has a drawn part of the leafs crash, up to all.
+// drawHerd makes a random part of the leafs crash, up to all.
 func drawHerd(random *rand.Rand, began time.Time, shards int) herd {
 	drawn := herd{}
 	part := random.Float64()
@@ -41,9 +41,10 @@
 
 func leafName(shard, replica int) string { return strconv.Itoa(shard) + "-" + strconv.Itoa(replica) }
 
-// ask says what comes of an attempt at a leaf: when it is over, and whether the leaf ended under it or was gone before.
+// ask returns the outcome of an attempt at a leaf: when it is over, and whether the leaf crashed under it or was gone
+// before.
 func (h herd) ask(random *rand.Rand, leaf string, at time.Time) (over time.Time, ended, wasGone bool) {
-	over = at.Add(leastWork + time.Duration(random.Int64N(int64(workRange))))
+	over = at.Add(minWork + time.Duration(random.Int64N(int64(workRange))))
 	crashed, crashes := h[leaf]
 	switch {
 	case !crashes || crashed.After(over) || at.After(crashed.Add(leafBack)):
@@ -54,7 +55,7 @@
 	return crashed, true, false
 }
 
-// attempt is one at a leaf.
+// attempt is an attempt at a leaf.
 type attempt struct {
 	over    time.Time
 	leaf    string
@@ -63,8 +64,9 @@
 	probe   int // 0 for those that were sent together
 }
 
-// play is one try of a request, as the nodes carry it out: an attempt at a leaf of each shard, and, where leafs ended and
-// none has answered, one probe after the other at the other leafs, until one of those ends. A suspect begins with a probe.
+// play is one execution of a request, as the nodes carry it out: an attempt at a leaf of each shard, and, if leafs
+// crashed and none has answered, one probe after the other at the other leafs until one of those crashes. A suspect
+// begins with a probe.
 type play struct {
 	random   *rand.Rand
 	crashing herd
@@ -78,7 +80,7 @@
 	p.pending = append(p.pending, attempt{over: over, leaf: leaf, ended: ended, wasGone: wasGone, probe: probe})
 }
 
-// next takes the attempt that is over first.
+// next returns the attempt that is over first.
 func (p *play) next() attempt {
 	first := 0
 	for index := range p.pending {
@@ -91,12 +93,12 @@
 	return taken
 }
 
-// isProbing reports whether a probe is under way.
+// isProbing reports whether a probe is in flight.
 func (p *play) isProbing() bool {
 	return slices.ContainsFunc(p.pending, func(one attempt) bool { return one.probe > 0 })
 }
 
-// probe sends a probe to the first leaf that is left.
+// probe sends a probe to the first remaining leaf.
 func (p *play) probe(at time.Time) {
 	if p.isProbing() || len(p.lost) == 0 {
 		return
@@ -107,7 +109,7 @@
 	p.send(leaf, at, p.probes)
 }
 
-// playTry plays one try and reports whether a leaf ended under it.
+// playTry plays one execution and reports whether a leaf crashed under it.
 func playTry(f *fleet, random *rand.Rand, crashing herd, at time.Time, shards int) (hit bool) {
 	f.at = at
 	try := f.Begin(subject("busy"), func() {})
@@ -149,15 +151,14 @@
 	return hit
 }
 
-// otherLeaf gives the other leaf of a leaf's shard.
+// otherLeaf returns the other leaf of a leaf's shard.
 func otherLeaf(leaf string) string {
 	last := len(leaf) - 1
 	return leaf[:last] + string('0'+'1'-leaf[last])
 }
 
-// A path that one caller asks for all day must not be condemned by bad days of its leafs. 1,000 drawn days of 60 herds
-// each condemn it on 1 where it goes to 20 shards (66,989 tries had a leaf end under them), on none where it goes to one
-// leaf. Where two episodes are enough whatever else is gone, it is condemned on 215 days.
+// A path that one caller requests all day is not put under quarantine by bad days of its leafs, whether it goes to
+// one leaf or to many shards. If two episodes were enough whatever else is gone, it often would be.
 func TestBusyPathIsNotCondemnedByBadDays(t *testing.T) {
 	cases := map[string]struct{ shards, condemned int }{"gathered": {20, 1}, "single": {1, 0}}
 	for name, one := range cases {
--- a/internal/quarantine/config.go
+++ b/internal/quarantine/config.go
@@ -1,14 +1,3 @@
-// Package quarantine tells requests that end the leafs which run them, and keeps them away from leafs.
-//
-// Evidence is the end of a leaf's process while it worked on a request, by its address that refuses connections
-// afterwards; a lost connection, silence, or the end of a leaf that had said that it leaves is none. A request is put
-// under quarantine once so many leafs ended under it, in two episodes at least: the ends that one attempt, or several sent
-// together, saw are one episode, those of an attempt that was sent in knowledge of them another. A herd of leafs that
-// crash together is one episode for every request that was with them, and more are wanted where leafs are found gone on
-// which the request was not. The answer of any leaf acquits a request, since one that ends its leafs never gets one.
-//
-// The package decides, in memory and by a clock that is given. Package quarantinesync carries its findings to other nodes
-// and to the store.
 package quarantine
 
 import (
@@ -17,32 +6,33 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// FatalProbes is after how many leafs that ended under probes a try is given up. What it told of them decides on the next.
+// FatalProbes is the number of leafs that may crash under probes of one execution before it is given up. The evidence
+// decides about the next execution.
 const FatalProbes = 1
 
-// Config tunes what puts a request under quarantine, and for how long.
+// Config sets what puts a request under quarantine, and for how long.
 type Config struct {
-	// Ends is how many leafs must have ended under a request, Episodes in how many episodes, and HerdEpisodes in how
-	// many where other leafs were gone that nobody explains.
+	// Ends is the number of leafs that must have crashed under a request, Episodes the number of episodes of these
+	// crashes, and HerdEpisodes the same if other leafs are gone without a known cause.
 	Ends         int `yaml:"ends"`
 	Episodes     int `yaml:"episodes"`
 	HerdEpisodes int `yaml:"herd_episodes"`
 	// SuspectMemory is how long evidence counts that is not enough yet.
 	SuspectMemory time.Duration `yaml:"suspect_memory"`
-	// Term is how long a request is refused until it is tried again at one leaf, Lengthening how many times longer the
-	// next term is, and Trials how often it is tried at most; after that only an operator lifts the quarantine.
+	// Term is how long a request is refused until it is tried again at one leaf, Lengthening the factor by which each
+	// next term is longer, and Trials the largest number of trials; after that only an operator lifts the quarantine.
 	Term        time.Duration `yaml:"term"`
 	Lengthening int           `yaml:"lengthening"`
 	Trials      int           `yaml:"trials"`
-	// Alert is how long after a request was put under quarantine the next one is expected: gathered requests go to one leaf
-	// first then.
+	// Alert is how long after a request was put under quarantine further ones are expected: gathered requests go to
+	// one leaf first then.
 	Alert time.Duration `yaml:"alert"`
-	// MaximumSuspects and MaximumRecords bound what is kept; the oldest goes first.
+	// MaximumSuspects and MaximumRecords bound what is kept; the oldest is dropped first.
 	MaximumSuspects int `yaml:"maximum_suspects"`
 	MaximumRecords  int `yaml:"maximum_records"`
 }
 
-// DefaultConfig lets a request end three leafs, and tries it again after 10 minutes, an hour and six hours.
+// DefaultConfig lets a request crash three leafs, and tries it again after 10 minutes, an hour and six hours.
 func DefaultConfig() Config {
 	return Config{
 		Ends: 3, Episodes: 2, HerdEpisodes: 4, SuspectMemory: time.Minute, Term: 10 * time.Minute, Lengthening: 6, Trials: 3,
@@ -50,7 +40,7 @@
 	}
 }
 
-// Validate names every field at fault.
+// Validate returns an error that names every invalid field.
 func (c Config) Validate() error {
 	var checks failure.Checks
 	checks.Refuse(c.Ends < 1, "ends", "must be at least 1")
@@ -65,12 +55,3 @@
 	checks.Refuse(c.MaximumRecords < 1, "maximum_records", "must be at least 1")
 	return checks.Err()
 }
-
-// termOf gives how long a request is refused that was tried again so often.
-func (c Config) termOf(trials int) time.Duration {
-	term := c.Term
-	for range trials {
-		term *= time.Duration(c.Lengthening)
-	}
-	return term
-}
--- a/internal/quarantine/fingerprint/fingerprint.go
+++ b/internal/quarantine/fingerprint/fingerprint.go
@@ -1,5 +1,5 @@
-// Package fingerprint names what a request asks for, so that the tries of one request are known as such at any node: each
-// try has an id of its own, but path, caller and body stay.
+// Package fingerprint identifies requests by what they ask for, so that repetitions of a request are recognised at
+// any node: each has its own id, but the path, caller and body stay the same. The package keeps no state.
 package fingerprint
 
 import (
@@ -12,26 +12,27 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// size is the length of a fingerprint in bytes. A caller who wants another's requests to have its own fingerprint, or two of
-// its own to share one, must find 2^64 and 2^128 hashes; 64 bits would take it 2^32, which is an hour.
+// size is the length of a fingerprint in bytes. To give another caller's request a fingerprint of its own choice a
+// caller must compute about 2^128 hashes, and 2^64 for two of its own that share one; with 64 bits it would be 2^32,
+// about an hour.
 const size = 16
 
-// Fingerprint is that of a request; the zero value is that of none.
+// Fingerprint identifies a request; the zero value identifies none.
 type Fingerprint [size]byte
 
-// Content is what a fingerprint is made of.
+// Content is what a fingerprint is computed from.
 type Content struct {
 	Method string
 	Host   string
 	Path   string
-	// Query counts only where the operator says so: page numbers and the like change from try to try.
+	// Query counts only if the operator configures it: page numbers and the like change between repetitions.
 	Query string
-	// Caller is by what callers identify themselves; not their network address, which they may share or change.
+	// Caller is how callers identify themselves; not the network address, which they may share or change.
 	Caller string
 	Body   []byte
 }
 
-// Of gives the fingerprint of a content.
+// Of returns the fingerprint of a content.
 func Of(content Content) Fingerprint {
 	sum := sha256.New()
 	for _, part := range []string{content.Method, content.Host, content.Path, content.Query, content.Caller} {
@@ -41,7 +42,7 @@
 	return Fingerprint(sum.Sum(nil)[:size])
 }
 
-// writePart adds a part behind its length, so that no two contents run together to the same bytes.
+// writePart writes a part preceded by its length, so that no two contents are encoded alike.
 func writePart(sum hash.Hash, part []byte) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(part)))
@@ -49,14 +50,14 @@
 	mustWrite(sum, part)
 }
 
-// mustWrite writes to a hash, which never fails by the word of its interface.
+// mustWrite writes to a hash, which never returns an error.
 func mustWrite(w io.Writer, part []byte) {
 	if _, err := w.Write(part); err != nil {
 		panic(err)
 	}
 }
 
-// String gives the fingerprint as operators and logs have it: 32 hexadecimal digits, nothing for none.
+// String returns the fingerprint as 32 hexadecimal digits, empty for none.
 func (f Fingerprint) String() string {
 	if f.IsZero() {
 		return ""
@@ -67,7 +68,7 @@
 // IsZero reports whether there is no fingerprint.
 func (f Fingerprint) IsZero() bool { return f == Fingerprint{} }
 
-// Parse reads a fingerprint as String gives it.
+// Parse parses a fingerprint as returned by String.
 func Parse(text string) (Fingerprint, error) {
 	read, err := hex.DecodeString(text)
 	if err != nil || len(read) != size {
--- a/internal/quarantine/quarantinesync/config.go
+++ b/internal/quarantine/quarantinesync/config.go
@@ -1,10 +1,13 @@
-// Package quarantinesync carries what package quarantine finds out to the other nodes and to the store.
+// Package quarantinesync carries the findings of package quarantine to the other nodes and to the store.
 //
-// Evidence that is not enough goes by datagram to three nodes, picked by rendezvous hash for the request, which add up what
-// all nodes saw: a request that must run only once ends one leaf at each node that it comes to. A request under quarantine
-// is told of to all nodes by datagram, at once, and written to the store, by which it reaches those that the datagram did
-// not, that were cut off or start later. While the store does not take it, the node that found it, or one of three others,
-// goes on writing and telling.
+// Evidence that is not enough goes by datagram to three nodes, chosen by rendezvous hash for the request, which add
+// up what all nodes saw: a request that must run only once crashes one leaf at each node that it arrives at. A
+// request under quarantine is announced to all nodes by datagram at once, and written to the store, by which it
+// reaches nodes that missed the datagram, were cut off, or start later. While the store does not accept it, the node
+// that found it, or one of the three others, continues to write and to announce it.
+//
+// A Sync owns the goroutine of Run, the timers of reports and the calls of the store in flight. It relies on the
+// catalog for registered nodes and stored records, and on package peer for datagrams.
 package quarantinesync
 
 import (
@@ -13,22 +16,22 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// Config tunes how findings are carried.
+// Config sets how findings are carried.
 type Config struct {
-	// ReportDelay is how long evidence waits for an answer that takes it back; RepeatDelay is when it is told again, since
-	// a datagram may be lost.
+	// ReportDelay is how long evidence is kept back in case an answer withdraws it; RepeatDelay is when it is
+	// reported again, since a datagram may be lost.
 	ReportDelay time.Duration `yaml:"report_delay"`
 	RepeatDelay time.Duration `yaml:"repeat_delay"`
-	// SaveInterval is how often a record that the store does not have is written and, in fleets of up to 45 nodes, told of
+	// SaveInterval is how often a record that the store does not have is written and, in small fleets, announced
 	// again.
 	SaveInterval time.Duration `yaml:"save_interval"`
-	// TakeoverPause is how long after the node that found a record each of the others writes it.
+	// TakeoverPause is how much later than the node before it each other node writes a record.
 	TakeoverPause time.Duration `yaml:"takeover_pause"`
 	// CallTimeout bounds a call of the store.
 	CallTimeout time.Duration `yaml:"call_timeout"`
 }
 
-// DefaultConfig has a request refused everywhere within two ways of a datagram, and kept by the store within a second.
+// DefaultConfig has a request refused everywhere within two datagrams' time, and stored within a second.
 func DefaultConfig() Config {
 	return Config{
 		ReportDelay: 20 * time.Millisecond, RepeatDelay: 300 * time.Millisecond, SaveInterval: 500 * time.Millisecond,
@@ -36,7 +39,7 @@
 	}
 }
 
-// Validate names every field at fault.
+// Validate returns an error that names every invalid field.
 func (c Config) Validate() error {
 	var checks failure.Checks
 	checks.Refuse(c.ReportDelay <= 0, "report_delay", "must be positive")
--- a/internal/quarantine/quarantinesync/restored_test.go
+++ b/internal/quarantine/quarantinesync/restored_test.go
@@ -12,8 +12,8 @@
 	"github.com/portgauge/portgauge/internal/quarantine"
 )
 
-// A record that the store took and lost again before it was in force at any node is saved once more by the node that found
-// it, also if there is no other that takes over: the store was restored from a copy in between.
+// A record that the store accepted and lost in a restore before it was in force at any node is written again by the
+// node that found it, even if there is no other node to take over.
 func TestRecordThatARestoreLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/quarantine/quarantinesync/save.go
+++ b/internal/quarantine/quarantinesync/save.go
@@ -17,23 +17,24 @@
 	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 )
 
-// saveAll writes the records that the store does not have and that are this node's to write, and tells of its own again.
+// saveAll writes the records that the store does not have and that this node is to write, and broadcasts its own
+// again.
 func (s *Sync) saveAll(ctx context.Context) {
 	unsaved := s.deps.Register.Unsaved()
-	s.forget(unsaved)
+	s.dropLapsed(unsaved)
 	for _, record := range unsaved {
-		if !s.isMine(record) {
+		if !s.isWriter(record) {
 			continue
 		}
-		if record.By == s.deps.Self.ID && s.isTellDue(record.Content) {
-			s.tellAll(record)
+		if record.By == s.deps.Self.ID && s.isBroadcastDue(record.Content) {
+			s.broadcast(record)
 		}
 		s.save(ctx, record)
 	}
 }
 
-// forget drops what is known of records that lapsed before the store took them.
-func (s *Sync) forget(unsaved []quarantine.Record) {
+// dropLapsed drops the times of records that lapsed before the store accepted them.
+func (s *Sync) dropLapsed(unsaved []quarantine.Record) {
 	isUnsaved := map[fingerprint.Fingerprint]bool{}
 	for _, record := range unsaved {
 		isUnsaved[record.Content] = true
@@ -41,44 +42,45 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	isOver := func(content fingerprint.Fingerprint, _ time.Time) bool { return !isUnsaved[content] }
-	maps.DeleteFunc(s.heardAt, isOver)
-	maps.DeleteFunc(s.toldAt, isOver)
+	maps.DeleteFunc(s.receivedAt, isOver)
+	maps.DeleteFunc(s.broadcastAt, isOver)
 }
 
-// tellBytesPerSecond bounds what is told again of one record while the store does not take it. All nodes are told each 0.5 s
-// up to 45 of them, each 3.2 s at 300 and each 35 s at 3,300, where every 0.5 s would be 9 MB a second.
-const tellBytesPerSecond = 128 << 10
+// rebroadcastBytesPerSecond bounds the repeated announcements of one record while the store does not accept it. Small
+// fleets repeat them each SaveInterval, large ones less often.
+const rebroadcastBytesPerSecond = 128 << 10
 
-// isTellDue reports whether all nodes are to be told of a record again.
-func (s *Sync) isTellDue(content fingerprint.Fingerprint) bool {
+// isBroadcastDue reports whether a record is to be sent to all nodes again.
+func (s *Sync) isBroadcastDue(content fingerprint.Fingerprint) bool {
 	bytes := len(s.deps.Catalog.View().Nodes) * peer.MaximumDatagram
-	pause := time.Duration(bytes) * time.Second / tellBytesPerSecond
+	pause := time.Duration(bytes) * time.Second / rebroadcastBytesPerSecond
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if time.Since(s.toldAt[content]) < pause {
+	if time.Since(s.broadcastAt[content]) < pause {
 		return false
 	}
-	s.toldAt[content] = time.Now()
+	s.broadcastAt[content] = time.Now()
 	return true
 }
 
-// isMine reports whether this node writes a record now: it found it, or who did has not had it written for a while.
-func (s *Sync) isMine(record quarantine.Record) bool {
+// isWriter decides whether this node writes a record now: it found it, or the nodes before it have not had it written
+// for their share of TakeoverPause. The node that found it comes first, then the aggregators in their order.
+func (s *Sync) isWriter(record quarantine.Record) bool {
 	if record.By == s.deps.Self.ID {
 		return true
 	}
-	isHome := func(node catalog.NodeRecord) bool { return node.ID == s.deps.Self.ID }
-	rank := slices.IndexFunc(s.homesOf(record.Content), isHome)
+	isSelf := func(node catalog.NodeRecord) bool { return node.ID == s.deps.Self.ID }
+	rank := slices.IndexFunc(s.aggregatorsOf(record.Content), isSelf)
 	if rank < 0 {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return time.Since(s.heardAt[record.Content]) >= time.Duration(1+rank)*s.deps.Config.TakeoverPause
+	return time.Since(s.receivedAt[record.Content]) >= time.Duration(1+rank)*s.deps.Config.TakeoverPause
 }
 
-// save writes a record to the store beside whatever else is done. A write whose answer is lost may have been made, and is
-// made again: the key is there then, by whoever wrote it.
+// save writes a record to the store in a goroutine of its own. After a lost answer it is written again: the key
+// exists then, whoever wrote it.
 func (s *Sync) save(ctx context.Context, record quarantine.Record) {
 	if !s.claimSave(record.Content) {
 		return
@@ -91,27 +93,27 @@
 		}
 		if err != nil {
 			s.mu.Lock()
-			delete(s.saved, record.Content)
+			delete(s.savedAt, record.Content)
 			s.mu.Unlock()
 		}
 		s.deps.Events.Saved(record, err)
 	})
 }
 
-// claimSave reports whether a record is to be written, and notes that it is: once for each epoch of the store.
+// claimSave reports whether a record is to be written, and notes that it is: once between two restores of the store.
 func (s *Sync) claimSave(content fingerprint.Fingerprint) bool {
 	now := s.deps.Catalog.Revision()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	at, isSaved := s.saved[content]
+	at, isSaved := s.savedAt[content]
 	if isSaved && !revision.IsLater(now, at) {
 		return false
 	}
-	s.saved[content] = now
+	s.savedAt[content] = now
 	return true
 }
 
-// write puts a record in place of what is at a revision, 0 for nothing. It fails with RevisionConflict where something
+// write writes a record in place of what is at a revision, 0 for nothing. It fails with RevisionConflict if something
 // else is there.
 func (s *Sync) write(ctx context.Context, record quarantine.Record, expected int64) (int64, error) {
 	document, err := json.Marshal(record)
@@ -125,13 +127,13 @@
 	return s.swap(ctx, record, expected, value)
 }
 
-// remove takes a record out of the store that is at its revision.
+// remove removes a record from the store if it is at its revision.
 func (s *Sync) remove(ctx context.Context, record quarantine.Record) error {
 	_, err := s.swap(ctx, record, record.Revision, nil)
 	return err
 }
 
-// swap puts a value in place of a record, none to remove it.
+// swap writes a value in place of a record; nil removes it.
 func (s *Sync) swap(ctx context.Context, record quarantine.Record, expected int64, value json.RawMessage) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.deps.Config.CallTimeout)
 	defer cancel()
@@ -146,7 +148,7 @@
 	return result.Entry.Revision, nil
 }
 
-// makeRoom takes out the oldest record where there are as many as there may be.
+// makeRoom removes the oldest record if the store has as many as it may.
 func (s *Sync) makeRoom(ctx context.Context) {
 	records := s.deps.Catalog.View().Quarantine
 	if len(records) < s.deps.Limits.MaximumRecords {
@@ -163,10 +165,10 @@
 	}
 }
 
-// TrialDue implements quarantine.Listener. Of all nodes to which the request comes, the one whose write the store takes
-// may try it.
+// TrialDue implements quarantine.Listener. Of all nodes that the request arrives at, the one whose write the store
+// accepts may try it.
 func (s *Sync) TrialDue(record quarantine.Record) {
-	s.carry(func(ctx context.Context) {
+	s.enqueue(func(ctx context.Context) {
 		s.running.Go(func() {
 			next := record
 			next.Trials++
@@ -179,9 +181,9 @@
 	})
 }
 
-// Survived implements quarantine.Listener: the request goes to all leafs again.
+// Survived implements quarantine.Listener: the record is removed, so that the request goes to all leafs again.
 func (s *Sync) Survived(record quarantine.Record) {
-	s.carry(func(ctx context.Context) {
+	s.enqueue(func(ctx context.Context) {
 		s.running.Go(func() {
 			current := s.deps.Catalog.Quarantine(record.Content)
 			if current == nil {
--- a/internal/quarantine/quarantinesync/sync.go
+++ b/internal/quarantine/quarantinesync/sync.go
@@ -13,13 +13,13 @@
 	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 )
 
-// homes is how many nodes add up the evidence against a request, and how many besides the one that found it write its
-// record: any two may be gone.
-const homes = 3
+// aggregatorCount is the number of nodes that add up the evidence against a request and that, besides the node that
+// found it, write its record: any two of them may be gone.
+const aggregatorCount = 3
 
-// Bounds of what waits: findings to be carried, and changes of the configuration.
+// Lengths of the queues of findings and of configuration changes.
 const (
-	backlog       = 256
+	queueLength   = 256
 	changeBacklog = 256
 )
 
@@ -28,22 +28,22 @@
 	Send(address string, message peer.Message)
 }
 
-// EventLog is told of findings.
+// EventLog records findings.
 type EventLog interface {
-	// Quarantined tells of a request under quarantine; from is the peer address of who told of it, empty where this node
-	// found it.
+	// Quarantined records a request under quarantine; from is the peer address of the node that announced it, empty
+	// if this node found it.
 	Quarantined(record quarantine.Record, from string)
-	// Saved tells that the store took a record, or why not.
+	// Saved records that the store accepted a record, or the error.
 	Saved(record quarantine.Record, err error)
-	// Trial tells that a request under quarantine may be tried once more, or why not.
+	// Trial records that a request under quarantine may be tried once more, or the error.
 	Trial(record quarantine.Record, err error)
-	// Lifted tells that a request is under quarantine no more.
+	// Lifted records that a request is no longer under quarantine.
 	Lifted(content fingerprint.Fingerprint)
-	// Dropped tells that so many findings were not carried.
+	// Dropped records that a number of findings were dropped because the queue was full.
 	Dropped(findings int)
 }
 
-// Deps are what a Sync is built from.
+// Deps are the dependencies of a Sync.
 type Deps struct {
 	Config   Config
 	Limits   quarantine.Config
@@ -55,37 +55,38 @@
 	Events   EventLog
 }
 
-// Sync carries findings; safe for concurrent use.
+// Sync sends what a register finds to other nodes and to the store, and hands it what comes from them. It is safe for
+// concurrent use.
 type Sync struct {
-	deps     Deps
-	findings chan func(context.Context)
-	running  sync.WaitGroup
+	deps    Deps
+	queue   chan func(context.Context)
+	running sync.WaitGroup
 
 	mu sync.Mutex
-	// waiting are the requests whose evidence is about to be told of.
-	waiting map[fingerprint.Fingerprint]bool
-	// heardAt is when a record came to this node that the store does not have.
-	heardAt map[fingerprint.Fingerprint]time.Time
-	// toldAt is when all nodes were told again of a record that the store does not have.
-	toldAt map[fingerprint.Fingerprint]time.Time
-	// saved are records that the store took or is asked to, with the revision that was in force then, until they are in
-	// force here. A restore of the store in between may have lost them.
-	saved map[fingerprint.Fingerprint]int64
+	// reportPending are the requests whose evidence is about to be reported.
+	reportPending map[fingerprint.Fingerprint]bool
+	// receivedAt is when this node received a record that the store does not have.
+	receivedAt map[fingerprint.Fingerprint]time.Time
+	// broadcastAt is when a record that the store does not have was last sent to all nodes again.
+	broadcastAt map[fingerprint.Fingerprint]time.Time
+	// savedAt are the records that the store has accepted or is being asked to, until they are in force here, with
+	// the revision that was in force then. A restore of the store in between may have lost them.
+	savedAt map[fingerprint.Fingerprint]int64
 }
 
 var _ quarantine.Listener = (*Sync)(nil)
 
-// New makes a Sync and has the register tell it of its findings.
+// New returns a Sync and makes it the listener of the register.
 func New(deps Deps) *Sync {
 	s := &Sync{
-		deps: deps, findings: make(chan func(context.Context), backlog), waiting: map[fingerprint.Fingerprint]bool{},
-		heardAt: map[fingerprint.Fingerprint]time.Time{}, toldAt: map[fingerprint.Fingerprint]time.Time{}, saved: map[fingerprint.Fingerprint]int64{},
+		deps: deps, queue: make(chan func(context.Context), queueLength), reportPending: map[fingerprint.Fingerprint]bool{},
+		receivedAt: map[fingerprint.Fingerprint]time.Time{}, broadcastAt: map[fingerprint.Fingerprint]time.Time{}, savedAt: map[fingerprint.Fingerprint]int64{},
 	}
 	deps.Register.SetListener(s)
 	return s
 }
 
-// Run carries findings until the context ends.
+// Run processes findings and configuration changes until the context ends.
 func (s *Sync) Run(ctx context.Context) {
 	defer s.running.Wait()
 	changes, stop := s.deps.Catalog.Subscribe(changeBacklog)
@@ -94,10 +95,10 @@
 	defer ticker.Stop()
 	for {
 		select {
-		case finding := <-s.findings:
+		case finding := <-s.queue:
 			finding(ctx)
 		case change := <-changes:
-			s.takeChange(change)
+			s.handleChange(change)
 		case <-ticker.C:
 			s.saveAll(ctx)
 		case <-ctx.Done():
@@ -106,71 +107,71 @@
 	}
 }
 
-// carry queues what is to be done about a finding.
-func (s *Sync) carry(finding func(context.Context)) {
+// enqueue queues the handling of a finding for Run; it drops it if the queue is full.
+func (s *Sync) enqueue(finding func(context.Context)) {
 	select {
-	case s.findings <- finding:
+	case s.queue <- finding:
 	default:
 		s.deps.Events.Dropped(1)
 	}
 }
 
-// Suspected implements quarantine.Listener: the evidence is told of after a while, unless an answer takes it back.
+// Suspected implements quarantine.Listener: the evidence is reported after ReportDelay, unless an answer withdraws
+// it, and again after RepeatDelay.
 func (s *Sync) Suspected(subject quarantine.Subject) {
 	s.mu.Lock()
-	isWaiting := s.waiting[subject.Content]
-	s.waiting[subject.Content] = true
+	isWaiting := s.reportPending[subject.Content]
+	s.reportPending[subject.Content] = true
 	s.mu.Unlock()
 	if isWaiting {
 		return
 	}
 	time.AfterFunc(s.deps.Config.ReportDelay, func() {
 		s.mu.Lock()
-		delete(s.waiting, subject.Content)
+		delete(s.reportPending, subject.Content)
 		s.mu.Unlock()
 		s.report(subject.Content)
 	})
 	time.AfterFunc(s.deps.Config.RepeatDelay, func() { s.report(subject.Content) })
 }
 
-// report tells the homes of a request what this node has against it.
+// report sends this node's evidence against a request to the nodes that add it up.
 func (s *Sync) report(content fingerprint.Fingerprint) {
 	evidence, found := s.deps.Register.Evidence(content)
 	if !found {
 		return
 	}
-	s.tellHomes(content, peer.Quarantine{Evidence: &evidence})
+	s.sendToAggregators(content, peer.Quarantine{Evidence: &evidence})
 }
 
 // Acquitted implements quarantine.Listener.
 func (s *Sync) Acquitted(subject quarantine.Subject) {
-	s.tellHomes(subject.Content, peer.Quarantine{Answered: subject.Content})
+	s.sendToAggregators(subject.Content, peer.Quarantine{Answered: subject.Content})
 }
 
-func (s *Sync) tellHomes(content fingerprint.Fingerprint, told peer.Quarantine) {
-	for _, node := range s.homesOf(content) {
+func (s *Sync) sendToAggregators(content fingerprint.Fingerprint, message peer.Quarantine) {
+	for _, node := range s.aggregatorsOf(content) {
 		if node.ID != s.deps.Self.ID {
-			s.deps.Sender.Send(node.Address, peer.Message{Quarantine: &told})
+			s.deps.Sender.Send(node.Address, peer.Message{Quarantine: &message})
 		}
 	}
 }
 
-// homesOf gives the nodes that add up the evidence against a request.
-func (s *Sync) homesOf(content fingerprint.Fingerprint) []catalog.NodeRecord {
+// aggregatorsOf returns the nodes that add up the evidence against a request.
+func (s *Sync) aggregatorsOf(content fingerprint.Fingerprint) []catalog.NodeRecord {
 	ranked := registry.Ranked(s.deps.Catalog.View().Nodes, content.String())
-	return ranked[:min(len(ranked), homes)]
+	return ranked[:min(len(ranked), aggregatorCount)]
 }
 
-// Quarantined implements quarantine.Listener: all nodes are told, and the store is written to.
+// Quarantined implements quarantine.Listener: the record is sent to all nodes and written to the store.
 func (s *Sync) Quarantined(record quarantine.Record) {
 	s.deps.Events.Quarantined(record, "")
-	s.tellAll(record)
-	s.carry(func(ctx context.Context) { s.save(ctx, record) })
+	s.broadcast(record)
+	s.enqueue(func(ctx context.Context) { s.save(ctx, record) })
 }
 
-// tellAll tells all nodes of a record. At 3,300 nodes that is 3,300 datagrams of up to 1,400 bytes from one node: 53 bytes a
-// second over a day if there is one finding a day.
-func (s *Sync) tellAll(record quarantine.Record) {
+// broadcast sends a record to all nodes, one datagram each.
+func (s *Sync) broadcast(record quarantine.Record) {
 	for _, node := range s.deps.Catalog.View().Nodes {
 		if node.ID != s.deps.Self.ID {
 			s.deps.Sender.Send(node.Address, peer.Message{Quarantine: &peer.Quarantine{Record: &record}})
@@ -178,38 +179,38 @@
 	}
 }
 
-// Handle takes what another node tells.
-func (s *Sync) Handle(from string, told peer.Quarantine) {
+// Handle handles a message of another node.
+func (s *Sync) Handle(from string, message peer.Quarantine) {
 	switch {
-	case told.Evidence != nil:
-		s.deps.Register.AddEvidence(*told.Evidence)
-	case told.Record != nil:
-		s.heardRecord(from, *told.Record)
-	case !told.Answered.IsZero():
-		s.deps.Register.Acquit(told.Answered)
+	case message.Evidence != nil:
+		s.deps.Register.AddEvidence(*message.Evidence)
+	case message.Record != nil:
+		s.handleRecord(from, *message.Record)
+	case !message.Answered.IsZero():
+		s.deps.Register.Acquit(message.Answered)
 	}
 }
 
-func (s *Sync) heardRecord(from string, record quarantine.Record) {
+func (s *Sync) handleRecord(from string, record quarantine.Record) {
 	if record.Validate() != nil || !s.deps.Register.AddRecord(record) {
 		return
 	}
 	s.mu.Lock()
-	s.heardAt[record.Content] = time.Now()
+	s.receivedAt[record.Content] = time.Now()
 	s.mu.Unlock()
 	s.deps.Events.Quarantined(record, from)
 }
 
-// takeChange learns which requests the store has under quarantine, and which no more.
-func (s *Sync) takeChange(change catalog.Change) {
+// handleChange notes which requests the store has under quarantine, and which it no longer has.
+func (s *Sync) handleChange(change catalog.Change) {
 	for _, entry := range change.Entries() {
 		content, isQuarantine := catalog.QuarantinedContent(entry.Key)
 		if !isQuarantine {
 			continue
 		}
 		s.mu.Lock()
-		delete(s.heardAt, content)
-		delete(s.saved, content)
+		delete(s.receivedAt, content)
+		delete(s.savedAt, content)
 		s.mu.Unlock()
 		// What is in force may be newer than the change.
 		if record := s.deps.Catalog.Quarantine(content); record != nil {
--- a/internal/quarantine/quarantinesync/sync_test.go
+++ b/internal/quarantine/quarantinesync/sync_test.go
@@ -21,7 +21,7 @@
 
 var errDown = errors.New("the store is down")
 
-// fleet is some nodes over one store, whose changes reach each node's catalog at once unless it is cut off.
+// fleet is a set of nodes over one store, whose changes reach each node's catalog at once unless it is cut off.
 type fleet struct {
 	t *testing.T
 	// writing makes a look at a revision and the write that follows one step.
@@ -47,7 +47,7 @@
 	sent     int
 }
 
-// newFleet starts nodes of the given ids.
+// newFleet starts nodes with the given ids.
 func newFleet(t *testing.T, ids ...string) *fleet {
 	t.Helper()
 	f := &fleet{t: t, entries: map[string]catalog.Entry{}, nodes: map[string]*node{}}
@@ -111,7 +111,7 @@
 	time.AfterFunc(time.Millisecond, func() { to.sync.Handle("somewhere", *read.Quarantine) })
 }
 
-// countSent gives how many datagrams the node sent.
+// countSent returns the number of datagrams that the node sent.
 func (n *node) countSent() int {
 	n.fleet.mu.Lock()
 	defer n.fleet.mu.Unlock()
@@ -190,7 +190,7 @@
 	return store.SwapResult{Swapped: true, Entry: &entry}, nil
 }
 
-// silentEvents takes everything.
+// silentEvents discards all events.
 type silentEvents struct{}
 
 func (silentEvents) Quarantined(quarantine.Record, string) {}
@@ -201,7 +201,7 @@
 
 var subject = quarantine.NewSubject(fingerprint.Of(fingerprint.Content{Path: "/a"}), "/a", "192.0.2.1")
 
-// endLeafs has a request end three leafs at a node, in two episodes.
+// endLeafs makes a request crash three leafs at a node, in two episodes.
 func (n *node) endLeafs() {
 	try := n.register.Begin(subject, func() {})
 	try.LeafCrashed("leaf-1", 0)
@@ -227,10 +227,11 @@
 	return true
 }
 
-// contact is the time within which all nodes must know of the third end.
+// contact is the time within which all nodes must know of the third crash.
 const contact = 4 * time.Second
 
-// A node that found out tells all others at once, and the store keeps it for those that start later.
+// The node that puts a request under quarantine announces it to all others at once, and the store keeps it for nodes
+// that start later.
 func TestAllNodesRefuseAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -247,7 +248,7 @@
 	})
 }
 
-// A node that was cut off learns it from the store when it is back.
+// A node that was cut off gets the record from the store when it is back.
 func TestANodeThatWasCutOffLearns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -262,7 +263,7 @@
 	})
 }
 
-// While the store is down nodes tell each other again and again, and the store has it soon after its return, also when
+// While the store is down nodes repeat the announcement, and the store has the record soon after its return, even if
 // the node that found it is gone.
 func TestStoreThatIsDown(t *testing.T) {
 	for name, finderGoes := range map[string]bool{"finder stays": false, "finder goes": true} {
@@ -276,7 +277,7 @@
 				is.Equal(f.node("c").register.State(subject.Content), quarantine.Clear)
 				f.set(func() { f.node("c").isCut = false })
 				time.Sleep(2 * time.Second)
-				is.True(f.allHold(quarantine.Quarantined)) // told again
+				is.True(f.allHold(quarantine.Quarantined)) // announced again
 				if finderGoes {
 					f.set(func() { f.node("a").isCut = true })
 				}
@@ -291,7 +292,7 @@
 	}
 }
 
-// What a large fleet is told while the store is down stays within its bound.
+// Repeated announcements in a large fleet stay within their bound while the store is down.
 func TestTellingIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -308,11 +309,11 @@
 		time.Sleep(span * time.Second)
 		sent := (f.node("a").countSent() - before) * peer.MaximumDatagram
 		is.True(sent > 0)
-		is.True(sent <= span*tellBytesPerSecond*5/4)
+		is.True(sent <= span*rebroadcastBytesPerSecond*5/4)
 	})
 }
 
-// A write whose answer is lost is made once.
+// A write whose answer is lost takes effect once.
 func TestLostAnswerOfAWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -327,7 +328,8 @@
 	})
 }
 
-// Three nodes see one end each, too few for any of them: those that add them up find out.
+// Three nodes see one crash each, too few for any of them; the nodes that add them up put the request under
+// quarantine.
 func TestEvidenceIsAddedUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -342,7 +344,7 @@
 	})
 }
 
-// An answer takes the evidence back wherever it was told, before and after.
+// An answer withdraws the evidence wherever it was reported, before and after.
 func TestAnswerTakesEvidenceBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -360,11 +362,11 @@
 		time.Sleep(time.Millisecond)
 		f.node("a").register.Begin(subject, func() {}).Answered()
 		time.Sleep(time.Second)
-		is.Equal(f.node("a").countSent(), sent) // nothing was told of yet
+		is.Equal(f.node("a").countSent(), sent) // nothing was reported yet
 	})
 }
 
-// Of all nodes to which a request comes after its term, one tries it, and once more only after a longer term; if it is
+// Of all nodes that a request arrives at after its term, one tries it, and again only after a longer term; if it is
 // answered, all nodes serve it.
 func TestOneNodeTriesItAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -7,43 +7,43 @@
 	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 )
 
-// Bounds of what is told of a request, so that it fits into a datagram of 1,400 bytes: a path, the ids of leafs
-// together, and the ends of them.
+// Bounds that make evidence and records fit into a datagram (peer.MaximumDatagram): the bytes of a path, of the ids of
+// leafs together, and the number of crashes.
 const (
-	longestPath = 120
-	leafBytes   = 600
-	mostEnds    = 8
+	maxPathBytes       = 120
+	maxLeafBytes       = 600
+	maxReportedCrashes = 8
 )
 
-// mostLeafs is how many leafs are kept that ended under a request.
-const mostLeafs = 64
+// maxLeafs bounds the crashed leafs that are kept of a request.
+const maxLeafs = 64
 
-// Subject is a request as operators know it.
+// Subject identifies a request to operators.
 type Subject struct {
 	Content fingerprint.Fingerprint `json:"content"`
 	Path    string                  `json:"path,omitempty"`
 	Caller  string                  `json:"caller,omitempty"`
 }
 
-// NewSubject names a request; a long path is cut off.
+// NewSubject returns the subject of a request; a long path is truncated.
 func NewSubject(content fingerprint.Fingerprint, path, caller string) Subject {
-	return Subject{Content: content, Path: path[:min(len(path), longestPath)], Caller: caller}
+	return Subject{Content: content, Path: path[:min(len(path), maxPathBytes)], Caller: caller}
 }
 
-// Record is a request under quarantine, as the store keeps it and nodes tell each other of it.
+// Record is a request under quarantine, as the store keeps it and nodes announce it to each other.
 type Record struct {
 	Subject
-	// Leafs ended under it; 600 bytes of ids at most.
+	// Leafs crashed under it; at most maxLeafBytes of ids.
 	Leafs []string `json:"leafs"`
-	// Trials is how often it was tried again since.
+	// Trials is the number of trials since.
 	Trials int `json:"trials,omitempty"`
 	// By is the id of the node that found it.
 	By string `json:"by"`
-	// Revision is that of the store; 0 while the store does not have it.
+	// Revision is the store's revision, 0 while the store does not have the record.
 	Revision int64 `json:"-"`
 }
 
-// ParseRecord reads a record of the store.
+// ParseRecord reads and validates a record of the store.
 func ParseRecord(document json.RawMessage, revision int64) (*Record, error) {
 	var record Record
 	if err := json.Unmarshal(document, &record); err != nil {
@@ -53,11 +53,11 @@
 	return &record, record.Validate()
 }
 
-// Validate names every field at fault.
+// Validate returns an error that names every invalid field.
 func (r Record) Validate() error {
 	var checks failure.Checks
 	checks.Refuse(r.Content.IsZero(), "content", "must not be empty")
 	checks.Refuse(r.Trials < 0, "trials", "must not be negative")
-	checks.Refuse(len(r.Leafs) > mostLeafs, "leafs", "%d; at most %d", len(r.Leafs), mostLeafs)
+	checks.Refuse(len(r.Leafs) > maxLeafs, "leafs", "%d; at most %d", len(r.Leafs), maxLeafs)
 	return checks.Err()
 }
--- a/internal/quarantine/register_test.go
+++ b/internal/quarantine/register_test.go
@@ -10,7 +10,7 @@
 	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 )
 
-// fleet is a register with all that it tells, a store, and a clock that is set.
+// fleet is a register with its announcements, a store, and a clock that is set.
 type fleet struct {
 	*Register
 	at          time.Time
@@ -57,14 +57,14 @@
 	return names
 }
 
-// endAll has leafs end under attempts of a try that were sent together.
+// endAll makes leafs crash under attempts of an execution that were sent together.
 func endAll(try *Execution, number int, names ...string) {
 	for _, name := range names {
 		try.LeafCrashed(name, number)
 	}
 }
 
-// One attempt at every shard, and one more in knowledge of what became of them.
+// One attempt is sent to every shard, and one more that knows their outcome.
 func TestEndsInTwoEpisodesPutARequestUnderQuarantine(t *testing.T) {
 	is := is.New(t)
 	f := newFleet()
@@ -84,7 +84,8 @@
 	is.True(f.RetryAfter(subject("a").Content) > 0)
 }
 
-// A request that was with leafs which crashed together is not what ended them, be it tried again at others that are gone.
+// A request that was at leafs which crashed together is not put under quarantine, also if it is tried again at others
+// that are gone.
 func TestAHerdOfCrashesIsOneEpisode(t *testing.T) {
 	is := is.New(t)
 	f := newFleet()
@@ -97,7 +98,7 @@
 	is.Equal(f.State(subject("a").Content), Clear)
 }
 
-// Once-only requests are never sent again by a node: three tries at three nodes make the evidence.
+// Requests that must run at most once are never sent again by a node: executions at three nodes make up the evidence.
 func TestEvidenceOfManyNodes(t *testing.T) {
 	is := is.New(t)
 	home := newFleet()
@@ -108,13 +109,13 @@
 		told, found := other.Evidence(subject("a").Content)
 		is.True(found)
 		home.AddEvidence(told)
-		home.AddEvidence(told) // heard twice is as good as once
+		home.AddEvidence(told) // a repeated report changes nothing
 		is.Equal(len(home.quarantined), index/2)
 	}
-	is.Equal(len(home.suspected), 0) // evidence of others is not told of again
+	is.Equal(len(home.suspected), 0) // evidence of others is not reported again
 }
 
-// Where leafs are gone on which the request was not, a herd may be under way: more episodes are wanted.
+// If leafs are gone that the request was not at, leafs may be crashing for another reason: more episodes are needed.
 func TestMoreEpisodesAreWantedInAHerd(t *testing.T) {
 	is := is.New(t)
 	f := newFleet()
@@ -135,7 +136,7 @@
 	is.Equal(len(f.quarantined), 2)
 }
 
-// What another request is known to have brought about says nothing of those beside it.
+// Crashes attributed to one request don't count against others that were at the same leafs.
 func TestNeighboursAreExplainedAway(t *testing.T) {
 	is := is.New(t)
 	f := newFleet()
@@ -148,7 +149,7 @@
 	culprit.LeafCrashed("leaf-2", 2)
 	is.Equal(len(f.quarantined), 1)
 	is.Equal(f.State(subject("neighbour").Content), Clear)
-	neighbour.LeafCrashed("leaf-2", 2) // told late
+	neighbour.LeafCrashed("leaf-2", 2) // reported late
 	is.Equal(f.State(subject("neighbour").Content), Clear)
 }
 
@@ -163,7 +164,7 @@
 	is.Equal(len(f.quarantined), 0)
 }
 
-// A suspect that is answered at this node is none any more, at those that were told of it neither.
+// A suspect that is answered at this node is acquitted here and at the nodes it was reported to.
 func TestAnAnswerAcquitsEverywhere(t *testing.T) {
 	is := is.New(t)
 	f, home := newFleet(), newFleet()
@@ -177,13 +178,14 @@
 	is.Equal(home.State(subject("a").Content), Clear)
 }
 
-// quarantined puts a request under quarantine, by its record in the store.
+// condemn puts a request under quarantine by a record in the store.
 func (f *fleet) condemn(name string, revision int64, trials int) {
 	f.save(Record{Subject: subject(name), Leafs: []string{"x", "y", "z"}, Trials: trials, By: "n1"}, revision)
 }
 
-// Once its term is over, a request that comes again is refused still, and asks for a trial; with a permit of the store one
-// try may go to one leaf. If that ends, the next term is longer; after the last only an operator lifts the quarantine.
+// A request that arrives again after its term is still refused, and a trial is requested. With a permit of the store
+// one execution may go to one leaf. If that crashes, the next term is longer; after the last trial only an operator
+// lifts the quarantine.
 func TestTrialsAreFewAndPermitted(t *testing.T) {
 	is := is.New(t)
 	f := newFleet()
@@ -227,7 +229,7 @@
 	is.Equal(f.survived[0].Revision, int64(7))
 }
 
-// A record that the store took and an operator lifted stays lifted.
+// A record that the store had and an operator lifted stays lifted.
 func TestLifted(t *testing.T) {
 	is := is.New(t)
 	f := newFleet()
@@ -241,7 +243,7 @@
 	is.Equal(f.State(subject("a").Content), Clear)
 }
 
-// A caller who ends a leaf with each of many requests fills the table of suspects with the newest of them only.
+// A caller who crashes a leaf with each of many requests fills the table of suspects with the newest of them only.
 func TestTablesAreBounded(t *testing.T) {
 	is := is.New(t)
 	f := newFleet()
--- /dev/null
+++ b/internal/quarantine/unsaved.go
@@ -0,0 +1,130 @@
+package quarantine
+
+import (
+	"time"
+
+	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
+)
+
+// unsavedRecord is a record that the store does not have yet.
+type unsavedRecord struct {
+	record Record
+	since  time.Time
+}
+
+// recordOf returns the record of a request, nil if it is not under quarantine. A record that the store has not
+// accepted within Config.Term lapses. The lock must be held.
+func (r *Register) recordOf(content fingerprint.Fingerprint) *Record {
+	if record := r.stored(content); record != nil {
+		return record
+	}
+	known, isFound := r.unsaved[content]
+	if !isFound {
+		return nil
+	}
+	if r.clock.Since(known.since) >= r.cfg.Term {
+		delete(r.unsaved, content) // the store has not accepted it
+		return nil
+	}
+	return &known.record
+}
+
+// AddRecord adds a record that another node announced, and reports whether it is new.
+func (r *Register) AddRecord(record Record) bool {
+	r.mu.Lock()
+	if r.recordOf(record.Content) != nil {
+		r.mu.Unlock()
+		return false
+	}
+	stops := r.addUnsaved(record)
+	r.mu.Unlock()
+	haltAll(stops)
+	return true
+}
+
+// ConfirmStored notes that the store has a record.
+func (r *Register) ConfirmStored(record Record) {
+	r.mu.Lock()
+	delete(r.unsaved, record.Content)
+	stops := r.apply(record)
+	r.mu.Unlock()
+	haltAll(stops)
+}
+
+// Lift notes that the store has no record of a request any more.
+func (r *Register) Lift(content fingerprint.Fingerprint) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	delete(r.unsaved, content)
+	delete(r.terms, content)
+	for leaf, by := range r.attributed {
+		if by == content {
+			delete(r.attributed, leaf)
+		}
+	}
+}
+
+// Unsaved returns the records that the store does not have yet.
+func (r *Register) Unsaved() []Record {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	records := make([]Record, 0, len(r.unsaved))
+	for content := range r.unsaved {
+		if record := r.recordOf(content); record != nil && record.Revision == 0 {
+			records = append(records, *record)
+		}
+	}
+	return records
+}
+
+// addUnsaved adds a record that the store does not have yet, and returns the executions of the request that must be
+// halted. The lock must be held.
+func (r *Register) addUnsaved(record Record) []*Execution {
+	if len(r.unsaved) >= r.cfg.MaximumRecords {
+		r.dropOldestUnsaved()
+	}
+	r.quarantinedAt = r.clock.Now()
+	r.unsaved[record.Content] = &unsavedRecord{record: record, since: r.quarantinedAt}
+	return r.apply(record)
+}
+
+func (r *Register) dropOldestUnsaved() {
+	var oldest *unsavedRecord
+	for _, known := range r.unsaved {
+		if oldest == nil || known.since.Before(oldest.since) {
+			oldest = known
+		}
+	}
+	delete(r.unsaved, oldest.record.Content)
+}
+
+// apply attributes the crashes of a record to its request, which removes them from other suspects, and returns the
+// executions of the request that must be halted. The lock must be held.
+func (r *Register) apply(record Record) []*Execution {
+	r.dropSuspect(record.Content)
+	if len(r.attributed) >= maxLeafs*r.cfg.MaximumRecords {
+		clear(r.attributed)
+	}
+	for _, leaf := range record.Leafs {
+		r.attributed[leaf] = record.Content
+		for content, other := range r.suspects {
+			other.removeCrash(leaf)
+			if len(other.episodes) == 0 {
+				r.dropSuspect(content)
+			}
+		}
+	}
+	stops := make([]*Execution, 0, len(r.executions[record.Content]))
+	for execution := range r.executions[record.Content] {
+		if !execution.isTrial {
+			stops = append(stops, execution)
+		}
+	}
+	return stops
+}
+
+func haltAll(executions []*Execution) {
+	for _, execution := range executions {
+		execution.halt()
+	}
+}
--- a/internal/rollout/rolloutcontrol/handlers_test.go
+++ b/internal/rollout/rolloutcontrol/handlers_test.go
@@ -19,7 +19,7 @@
 		revision := f.order("s", "b", time.Hour)
 		f.network.SetLoss(1)
 		f.serve(2*time.Second, never)
-		time.Sleep(2 * f.cfg.ReportInterval) // whatever changed was told, and lost
+		time.Sleep(2 * f.cfg.ReportInterval) // all changes were reported, and the reports lost
 		f.network.SetLoss(0)
 		time.Sleep(2 * f.cfg.ResendInterval)
 		is.True(f.attemptsReported() > 0)
@@ -151,7 +151,7 @@
 	scene(t, func(is *is.I, f *fleet) {
 		revision := f.order("s", "b", time.Hour)
 		f.serve(2*time.Second, never)
-		time.Sleep(f.cfg.ResendInterval / 2) // so that nothing is told again soon
+		time.Sleep(f.cfg.ResendInterval / 2) // so that no resend is due soon
 		f.store.set(catalog.NodeKey(f.judge("s", 0)), nil)
 		time.Sleep(syncDelay + 2*f.cfg.ReportInterval)
 		for _, judge := range f.judges("s") {
@@ -191,7 +191,7 @@
 		for _, node := range f.all() {
 			node.suspended.Store(int64(usual / 2))
 		}
-		f.serve(2*time.Second, never) // they hear first what came meanwhile
+		f.serve(2*time.Second, never) // they first read what arrived meanwhile
 		is.Equal(f.store.phases("s"), rollsBack)
 	})
 }
