--- a/cmd/portgauge/demo.go
+++ b/cmd/portgauge/demo.go
@@ -6,8 +6,8 @@
 	"github.com/portgauge/portgauge/internal/lab/demo"
 )
 
-// demoCommand shows the product at work in one process.
+// demoCommand demonstrates the product in one process.
 type demoCommand struct{}
 
-// Run runs the demonstration; it ends by itself.
+// Run runs the demonstration to its end.
 func (c *demoCommand) Run() error { return demo.Run(os.Stdout) }
--- a/cmd/portgauge/dialects.go
+++ b/cmd/portgauge/dialects.go
@@ -7,7 +7,7 @@
 	"github.com/portgauge/portgauge/platform"
 )
 
-// dialects gives the protocols of platforms that this program speaks besides its own.
+// dialects returns the platform protocols that this program supports besides its own.
 func dialects() []node.Dialect {
 	return []node.Dialect{{
 		Name: platform.Name,
--- a/cmd/portgauge/node.go
+++ b/cmd/portgauge/node.go
@@ -18,8 +18,8 @@
 	Set      []string `help:"Override a setting, such as --set search.merge_reserve=2ms. May be repeated; 'portgauge settings show' lists the names." placeholder:"NAME=VALUE" sep:"none"`
 }
 
-// Run runs until SIGTERM or SIGINT begins a planned stop; a second signal ends at once. SIGHUP
-// has the settings read again.
+// Run runs until SIGTERM or SIGINT begins a planned stop; a second signal exits at once. SIGHUP
+// reloads the settings.
 func (c *nodeCommand) Run() error {
 	load := func() (settings.Settings, error) { return loadSettings(c.Settings, c.Set) }
 	config, err := load()
--- a/cmd/portgauge/quarantine.go
+++ b/cmd/portgauge/quarantine.go
@@ -5,16 +5,14 @@
 	"strconv"
 	"strings"
 
-	"connectrpc.com/connect"
-
 	adminv1 "github.com/portgauge/portgauge/gen/portgauge/admin/v1"
-	"github.com/portgauge/portgauge/internal/operator/api"
+	"github.com/portgauge/portgauge/gen/portgauge/admin/v1/adminv1connect"
 	"github.com/portgauge/portgauge/internal/operator/cli"
 )
 
-// quarantineCommand groups the calls about requests that end leafs.
+// quarantineCommand groups the calls about crashing requests.
 type quarantineCommand struct {
-	List quarantineListCommand `cmd:"" help:"List the requests that go to no leaf, since leafs ended while they ran them."`
+	List quarantineListCommand `cmd:"" help:"List the requests that go to no leaf because leafs crashed under them."`
 	Lift quarantineLiftCommand `cmd:"" help:"Let a request go to leafs again."`
 }
 
@@ -25,21 +23,19 @@
 
 // Run prints the requests under quarantine that are in force on the node.
 func (c *quarantineListCommand) Run() error {
-	ctx, cancel := c.context()
-	defer cancel()
-	response, err := cli.AdminClient(c.Address).ListQuarantine(ctx, connect.NewRequest(&adminv1.ListQuarantineRequest{}))
+	response, err := call(&c.operatorFlags, adminv1connect.AdminServiceClient.ListQuarantine, &adminv1.ListQuarantineRequest{})
 	if err != nil {
-		return api.FailureOf(err)
+		return err
 	}
 	var rows [][]string
-	for _, request := range response.Msg.GetRequests() {
+	for _, request := range response.GetRequests() {
 		rows = append(rows, []string{
 			request.GetContent(), request.GetPath(), request.GetCaller(), strings.Join(request.GetLeafs(), ","),
 			strconv.Itoa(int(request.GetTrials())), request.GetFoundBy(), strconv.FormatInt(request.GetRevision(), 10),
 		})
 	}
 	header := []string{"CONTENT", "PATH", "CALLER", "ENDED LEAFS", "TRIALS", "FOUND BY", "REVISION"}
-	return cli.PrintMessage(os.Stdout, c.Output, response.Msg, header, rows)
+	return cli.PrintMessage(os.Stdout, c.Output, response, header, rows)
 }
 
 // quarantineLiftCommand lifts the quarantine of a request.
@@ -51,14 +47,11 @@
 
 // Run lifts the quarantine and prints the revision that accepted it.
 func (c *quarantineLiftCommand) Run() error {
-	ctx, cancel := c.context()
-	defer cancel()
-	response, err := cli.AdminClient(c.Address).LiftQuarantine(ctx, connect.NewRequest(&adminv1.LiftQuarantineRequest{
+	response, err := call(&c.operatorFlags, adminv1connect.AdminServiceClient.LiftQuarantine, &adminv1.LiftQuarantineRequest{
 		Content: c.Content, ExpectedRevision: c.Revision, ChangeId: c.ChangeID,
-	}))
+	})
 	if err != nil {
-		return api.FailureOf(err)
+		return err
 	}
-	row := []string{c.Content, strconv.FormatInt(response.Msg.GetRevision(), 10)}
-	return cli.PrintMessage(os.Stdout, c.Output, response.Msg, []string{"CONTENT", "REVISION"}, [][]string{row})
+	return printRevision(c.Output, response, "CONTENT", c.Content, response.GetRevision())
 }
--- a/cmd/portgauge/rollout.go
+++ b/cmd/portgauge/rollout.go
@@ -6,19 +6,16 @@
 	"strings"
 	"time"
 
-	"connectrpc.com/connect"
-	"google.golang.org/protobuf/proto"
-
 	adminv1 "github.com/portgauge/portgauge/gen/portgauge/admin/v1"
-	"github.com/portgauge/portgauge/internal/operator/api"
+	"github.com/portgauge/portgauge/gen/portgauge/admin/v1/adminv1connect"
 	"github.com/portgauge/portgauge/internal/operator/cli"
 )
 
 // rolloutCommand groups the calls about roll-outs.
 type rolloutCommand struct {
-	Start  rolloutStartCommand  `cmd:"" help:"Order that a service moves to the leafs of a version, if they prove good."`
-	Status rolloutStatusCommand `cmd:"" help:"Show how far the roll-out of a service is, and why."`
-	Cancel rolloutCancelCommand `cmd:"" help:"Take an order back; the version before it serves on."`
+	Start  rolloutStartCommand  `cmd:"" help:"Order a service to move to the leafs of a version if that is found good."`
+	Status rolloutStatusCommand `cmd:"" help:"Show the phase of a service's roll-out and the reason."`
+	Cancel rolloutCancelCommand `cmd:"" help:"Cancel an order; the version before it continues to serve."`
 	List   rolloutListCommand   `cmd:"" help:"List the roll-outs of all services."`
 }
 
@@ -27,46 +24,37 @@
 	operatorFlags
 	writeFlags
 	Service  string        `arg:"" help:"Service to move."`
-	Target   string        `arg:"" help:"Version that is to serve; its leafs stand beside those that serve now."`
+	Target   string        `arg:"" help:"Version to move to; its leafs run beside those that serve now."`
 	Duration time.Duration `help:"How long the roll-out may take; without a verdict by then it is rolled back." default:"10m"`
 }
 
 // Run writes the order and prints the revision that accepted it.
 func (c *rolloutStartCommand) Run() error {
-	ctx, cancel := c.context()
-	defer cancel()
-	response, err := cli.AdminClient(c.Address).StartRollout(ctx, connect.NewRequest(&adminv1.StartRolloutRequest{
+	response, err := call(&c.operatorFlags, adminv1connect.AdminServiceClient.StartRollout, &adminv1.StartRolloutRequest{
 		Service: c.Service, Target: c.Target, DurationMillis: c.Duration.Milliseconds(), ExpectedRevision: c.Revision, ChangeId: c.ChangeID,
-	}))
+	})
 	if err != nil {
-		return api.FailureOf(err)
+		return err
 	}
-	return printOrder(c.Output, response.Msg, c.Service, response.Msg.GetRevision())
+	return printRevision(c.Output, response, "SERVICE", c.Service, response.GetRevision())
 }
 
-// rolloutCancelCommand takes an order back.
+// rolloutCancelCommand cancels an order.
 type rolloutCancelCommand struct {
 	operatorFlags
 	writeFlags
-	Service string `arg:"" help:"Service whose order is taken back."`
+	Service string `arg:"" help:"Service whose order is cancelled."`
 }
 
-// Run takes the order back and prints the revision that accepted it.
+// Run cancels the order and prints the revision that accepted it.
 func (c *rolloutCancelCommand) Run() error {
-	ctx, cancel := c.context()
-	defer cancel()
-	response, err := cli.AdminClient(c.Address).CancelRollout(ctx, connect.NewRequest(&adminv1.CancelRolloutRequest{
+	response, err := call(&c.operatorFlags, adminv1connect.AdminServiceClient.CancelRollout, &adminv1.CancelRolloutRequest{
 		Service: c.Service, ExpectedRevision: c.Revision, ChangeId: c.ChangeID,
-	}))
+	})
 	if err != nil {
-		return api.FailureOf(err)
+		return err
 	}
-	return printOrder(c.Output, response.Msg, c.Service, response.Msg.GetRevision())
-}
-
-// printOrder prints a change of an order with the revision that accepted it.
-func printOrder(format cli.Format, message proto.Message, service string, revision int64) error {
-	return cli.PrintMessage(os.Stdout, format, message, []string{"SERVICE", "REVISION"}, [][]string{{service, strconv.FormatInt(revision, 10)}})
+	return printRevision(c.Output, response, "SERVICE", c.Service, response.GetRevision())
 }
 
 // rolloutStatusCommand shows one roll-out.
@@ -77,13 +65,11 @@
 
 // Run prints the roll-out as the asked node has it in force.
 func (c *rolloutStatusCommand) Run() error {
-	ctx, cancel := c.context()
-	defer cancel()
-	response, err := cli.AdminClient(c.Address).GetRollout(ctx, connect.NewRequest(&adminv1.GetRolloutRequest{Service: c.Service}))
+	response, err := call(&c.operatorFlags, adminv1connect.AdminServiceClient.GetRollout, &adminv1.GetRolloutRequest{Service: c.Service})
 	if err != nil {
-		return api.FailureOf(err)
+		return err
 	}
-	return cli.PrintMessage(os.Stdout, c.Output, response.Msg, rolloutHeader(), [][]string{rolloutRow(response.Msg.GetRollout())})
+	return cli.PrintMessage(os.Stdout, c.Output, response, rolloutHeader(), [][]string{rolloutRow(response.GetRollout())})
 }
 
 // rolloutListCommand lists all roll-outs.
@@ -93,30 +79,28 @@
 
 // Run prints the roll-outs as the asked node has them in force.
 func (c *rolloutListCommand) Run() error {
-	ctx, cancel := c.context()
-	defer cancel()
-	response, err := cli.AdminClient(c.Address).ListRollouts(ctx, connect.NewRequest(&adminv1.ListRolloutsRequest{}))
+	response, err := call(&c.operatorFlags, adminv1connect.AdminServiceClient.ListRollouts, &adminv1.ListRolloutsRequest{})
 	if err != nil {
-		return api.FailureOf(err)
+		return err
 	}
 	var rows [][]string
-	for _, one := range response.Msg.GetRollouts() {
-		rows = append(rows, rolloutRow(one))
+	for _, rollout := range response.GetRollouts() {
+		rows = append(rows, rolloutRow(rollout))
 	}
-	return cli.PrintMessage(os.Stdout, c.Output, response.Msg, rolloutHeader(), rows)
+	return cli.PrintMessage(os.Stdout, c.Output, response, rolloutHeader(), rows)
 }
 
 func rolloutHeader() []string {
 	return []string{"SERVICE", "SERVING", "TARGET", "PHASE", "ORDER", "STATE", "DECIDED BY", "REASON"}
 }
 
-func rolloutRow(one *adminv1.Rollout) []string {
-	phase := strings.ToLower(strings.TrimPrefix(one.GetPhase().String(), "ROLLOUT_PHASE_"))
-	if one.GetPhase() == adminv1.RolloutPhase_ROLLOUT_PHASE_UNSPECIFIED {
+func rolloutRow(rollout *adminv1.Rollout) []string {
+	phase := strings.ToLower(strings.TrimPrefix(rollout.GetPhase().String(), "ROLLOUT_PHASE_"))
+	if rollout.GetPhase() == adminv1.RolloutPhase_ROLLOUT_PHASE_UNSPECIFIED {
 		phase = "ordered"
 	}
 	return []string{
-		one.GetService(), one.GetServing(), one.GetTarget(), phase, strconv.FormatInt(one.GetOrderRevision(), 10),
-		strconv.FormatInt(one.GetStateRevision(), 10), one.GetDecidedBy(), one.GetReason(),
+		rollout.GetService(), rollout.GetServing(), rollout.GetTarget(), phase, strconv.FormatInt(rollout.GetOrderRevision(), 10),
+		strconv.FormatInt(rollout.GetStateRevision(), 10), rollout.GetDecidedBy(), rollout.GetReason(),
 	}
 }
--- a/cmd/portgauge/rollout_test.go
+++ b/cmd/portgauge/rollout_test.go
@@ -28,13 +28,13 @@
 	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
-// patience bounds how long tests wait for what must come.
+// patience bounds how long the tests wait for an expected state.
 const patience = 60 * time.Second
 
-// callsPerSecond is more than the nodes of a test make of the store.
+// callsPerSecond exceeds the store calls that the nodes of a test make.
 const callsPerSecond = 1000
 
-// ownSite is the product on its own interfaces: a stand-in platform, nodes and leafs of a service "s".
+// ownSite is the product on its own interfaces: a simulated platform, nodes and leafs of a service "s".
 type ownSite struct {
 	t         *testing.T
 	operators operatorFlags
@@ -104,7 +104,7 @@
 	s.fronts = append(s.fronts, own[3])
 }
 
-// route sends all requests to the service.
+// route routes all requests to the service.
 func (s *ownSite) route() {
 	s.t.Helper()
 	document, err := json.Marshal(routing.Configuration{Version: 1, Routes: []routing.Route{{
@@ -147,7 +147,7 @@
 	}
 }
 
-// get asks a node and gives the status.
+// get sends a request to a node and returns the status.
 func (s *ownSite) get(front string) int {
 	request, err := http.NewRequestWithContext(s.t.Context(), http.MethodGet, "http://"+front+"/", nil)
 	if err != nil {
@@ -162,7 +162,7 @@
 	return response.StatusCode
 }
 
-// keepAsking asks all nodes until it is stopped.
+// keepAsking sends requests to all nodes until it is stopped.
 func (s *ownSite) keepAsking() (stop func()) {
 	ended := make(chan struct{})
 	var asking sync.WaitGroup
@@ -187,7 +187,7 @@
 // inForceBound is how long after it was accepted a change may take to be in force at a node.
 const inForceBound = 4 * time.Second
 
-// end waits for the end of the roll-out and gives it.
+// end waits for the end of the roll-out and returns it.
 func (s *ownSite) end() *adminv1.Rollout {
 	s.t.Helper()
 	var found *adminv1.Rollout
@@ -209,7 +209,7 @@
 	return nil
 }
 
-// asked gives how many requests the leafs of some ids got.
+// asked returns the number of requests that the leafs with the given ids got.
 func (s *ownSite) asked(ids ...string) int {
 	asked := 0
 	for _, id := range ids {
@@ -218,8 +218,7 @@
 	return asked
 }
 
-// On the product's own interfaces an order moves a service to the leafs of a good version, and not to those of a bad
-// one.
+// On the product's own interfaces an order moves a service to the leafs of a good version, but not to those of a bad one.
 func TestRolloutOnTheProductsOwnInterfaces(t *testing.T) {
 	cases := []struct {
 		name       string
--- a/cmd/portgauge/routes.go
+++ b/cmd/portgauge/routes.go
@@ -5,17 +5,15 @@
 	"os"
 	"strconv"
 
-	"connectrpc.com/connect"
-
 	adminv1 "github.com/portgauge/portgauge/gen/portgauge/admin/v1"
-	"github.com/portgauge/portgauge/internal/operator/api"
+	"github.com/portgauge/portgauge/gen/portgauge/admin/v1/adminv1connect"
 	"github.com/portgauge/portgauge/internal/operator/cli"
 	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
 // routesCommand groups the calls about routes.
 type routesCommand struct {
-	Check routesCheckCommand `cmd:"" help:"Check a routing configuration and name all faults."`
+	Check routesCheckCommand `cmd:"" help:"Check a routing configuration and list all faults."`
 	Apply routesApplyCommand `cmd:"" help:"Replace the routing configuration from a file or standard input."`
 	Get   routesGetCommand   `cmd:"" help:"Show the routing configuration in force on a node, with its age."`
 }
@@ -52,16 +50,14 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := c.context()
-	defer cancel()
-	response, err := cli.AdminClient(c.Address).ApplyRoutes(ctx, connect.NewRequest(&adminv1.ApplyRoutesRequest{
+	response, err := call(&c.operatorFlags, adminv1connect.AdminServiceClient.ApplyRoutes, &adminv1.ApplyRoutesRequest{
 		Document: string(document), ExpectedRevision: c.Revision, ChangeId: c.ChangeID,
-	}))
+	})
 	if err != nil {
-		return api.FailureOf(err)
+		return err
 	}
-	rows := [][]string{{strconv.FormatInt(response.Msg.GetRevision(), 10), response.Msg.GetChangeId()}}
-	return cli.PrintMessage(os.Stdout, c.Output, response.Msg, []string{"REVISION", "CHANGE"}, rows)
+	rows := [][]string{{strconv.FormatInt(response.GetRevision(), 10), response.GetChangeId()}}
+	return cli.PrintMessage(os.Stdout, c.Output, response, []string{"REVISION", "CHANGE"}, rows)
 }
 
 // routesGetCommand shows the routing configuration.
@@ -71,24 +67,22 @@
 
 // Run prints the routes that the node serves by.
 func (c *routesGetCommand) Run() error {
-	ctx, cancel := c.context()
-	defer cancel()
-	response, err := cli.AdminClient(c.Address).GetRoutes(ctx, connect.NewRequest(&adminv1.GetRoutesRequest{}))
+	response, err := call(&c.operatorFlags, adminv1connect.AdminServiceClient.GetRoutes, &adminv1.GetRoutesRequest{})
 	if err != nil {
-		return api.FailureOf(err)
+		return err
 	}
-	configuration, err := routing.Parse([]byte(response.Msg.GetDocument()))
+	configuration, err := routing.Parse([]byte(response.GetDocument()))
 	if err != nil {
 		return err
 	}
 	var rows [][]string
 	for _, route := range configuration.Routes {
 		rows = append(rows, []string{
-			strconv.FormatInt(response.Msg.GetVersion(), 10), strconv.FormatInt(response.Msg.GetRevision(), 10),
+			strconv.FormatInt(response.GetVersion(), 10), strconv.FormatInt(response.GetRevision(), 10),
 			route.Name, route.Host, route.Prefix, targetOf(route), string(route.Repeatability),
 		})
 	}
-	return cli.PrintMessage(os.Stdout, c.Output, response.Msg, []string{"VERSION", "REVISION", "ROUTE", "HOST", "PREFIX", "TARGET", "REPEATABILITY"}, rows)
+	return cli.PrintMessage(os.Stdout, c.Output, response, []string{"VERSION", "REVISION", "ROUTE", "HOST", "PREFIX", "TARGET", "REPEATABILITY"}, rows)
 }
 
 func targetOf(route routing.Route) string {
--- a/cmd/portgauge/service.go
+++ b/cmd/portgauge/service.go
@@ -10,22 +10,12 @@
 	"connectrpc.com/connect"
 
 	adminv1 "github.com/portgauge/portgauge/gen/portgauge/admin/v1"
+	"github.com/portgauge/portgauge/gen/portgauge/admin/v1/adminv1connect"
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/operator/api"
 	"github.com/portgauge/portgauge/internal/operator/cli"
 )
 
-// operatorFlags are shared by the operators' commands.
-type operatorFlags struct {
-	Address string        `help:"Operator address of a node." default:"127.0.0.1:7401"`
-	Timeout time.Duration `help:"Time allowed for the call." default:"10s"`
-	Output  cli.Format    `help:"Output format: ${enum}." enum:"json,table" default:"table"`
-}
-
-func (f *operatorFlags) context() (context.Context, context.CancelFunc) {
-	return context.WithTimeout(context.Background(), f.Timeout)
-}
-
 // serviceCommand groups the calls about services.
 type serviceCommand struct {
 	Apply  serviceApplyCommand  `cmd:"" help:"Create or replace a service from a file or standard input."`
@@ -33,13 +23,7 @@
 	List   serviceListCommand   `cmd:"" help:"List all services."`
 	Delete serviceDeleteCommand `cmd:"" help:"Delete a service."`
 	Watch  serviceWatchCommand  `cmd:"" help:"Print each change as it comes into force on the node."`
-	Status serviceStatusCommand `cmd:"" help:"Show by zone how many nodes have a revision in force."`
-}
-
-// writeFlags are shared by the commands that change something.
-type writeFlags struct {
-	Revision int64  `help:"Revision that is to be replaced; 0 to create." default:"0"`
-	ChangeID string `help:"Identity of the change; give the same one to repeat a call whose outcome is unknown."`
+	Status serviceStatusCommand `cmd:"" help:"Show, by zone, how many nodes have a revision in force."`
 }
 
 // serviceApplyCommand creates or replaces a service.
@@ -55,16 +39,14 @@
 	if err := cli.ReadMessage(c.File, os.Stdin, spec); err != nil {
 		return err
 	}
-	ctx, cancel := c.context()
-	defer cancel()
-	response, err := cli.AdminClient(c.Address).ApplyService(ctx, connect.NewRequest(&adminv1.ApplyServiceRequest{
+	response, err := call(&c.operatorFlags, adminv1connect.AdminServiceClient.ApplyService, &adminv1.ApplyServiceRequest{
 		Spec: spec, ExpectedRevision: c.Revision, ChangeId: c.ChangeID,
-	}))
+	})
 	if err != nil {
-		return api.FailureOf(err)
+		return err
 	}
-	rows := [][]string{{spec.GetName(), strconv.FormatInt(response.Msg.GetRevision(), 10), response.Msg.GetChangeId()}}
-	return cli.PrintMessage(os.Stdout, c.Output, response.Msg, []string{"SERVICE", "REVISION", "CHANGE"}, rows)
+	rows := [][]string{{spec.GetName(), strconv.FormatInt(response.GetRevision(), 10), response.GetChangeId()}}
+	return cli.PrintMessage(os.Stdout, c.Output, response, []string{"SERVICE", "REVISION", "CHANGE"}, rows)
 }
 
 // serviceGetCommand shows a service.
@@ -75,13 +57,11 @@
 
 // Run prints the service.
 func (c *serviceGetCommand) Run() error {
-	ctx, cancel := c.context()
-	defer cancel()
-	response, err := cli.AdminClient(c.Address).GetService(ctx, connect.NewRequest(&adminv1.GetServiceRequest{Name: c.Name}))
+	response, err := call(&c.operatorFlags, adminv1connect.AdminServiceClient.GetService, &adminv1.GetServiceRequest{Name: c.Name})
 	if err != nil {
-		return api.FailureOf(err)
+		return err
 	}
-	return cli.PrintMessage(os.Stdout, c.Output, response.Msg, serviceHeader(), [][]string{serviceRow(response.Msg)})
+	return cli.PrintMessage(os.Stdout, c.Output, response, serviceHeader(), [][]string{serviceRow(response)})
 }
 
 func serviceHeader() []string {
@@ -104,17 +84,15 @@
 
 // Run prints all services.
 func (c *serviceListCommand) Run() error {
-	ctx, cancel := c.context()
-	defer cancel()
-	response, err := cli.AdminClient(c.Address).ListServices(ctx, connect.NewRequest(&adminv1.ListServicesRequest{}))
+	response, err := call(&c.operatorFlags, adminv1connect.AdminServiceClient.ListServices, &adminv1.ListServicesRequest{})
 	if err != nil {
-		return api.FailureOf(err)
+		return err
 	}
 	var rows [][]string
-	for _, service := range response.Msg.GetServices() {
+	for _, service := range response.GetServices() {
 		rows = append(rows, serviceRow(service))
 	}
-	return cli.PrintMessage(os.Stdout, c.Output, response.Msg, serviceHeader(), rows)
+	return cli.PrintMessage(os.Stdout, c.Output, response, serviceHeader(), rows)
 }
 
 // serviceDeleteCommand deletes a service.
@@ -126,16 +104,13 @@
 
 // Run deletes the service at the given revision.
 func (c *serviceDeleteCommand) Run() error {
-	ctx, cancel := c.context()
-	defer cancel()
-	response, err := cli.AdminClient(c.Address).DeleteService(ctx, connect.NewRequest(&adminv1.DeleteServiceRequest{
+	response, err := call(&c.operatorFlags, adminv1connect.AdminServiceClient.DeleteService, &adminv1.DeleteServiceRequest{
 		Name: c.Name, ExpectedRevision: c.Revision, ChangeId: c.ChangeID,
-	}))
+	})
 	if err != nil {
-		return api.FailureOf(err)
+		return err
 	}
-	rows := [][]string{{c.Name, strconv.FormatInt(response.Msg.GetRevision(), 10)}}
-	return cli.PrintMessage(os.Stdout, c.Output, response.Msg, []string{"DELETED", "REVISION"}, rows)
+	return printRevision(c.Output, response, "DELETED", c.Name, response.GetRevision())
 }
 
 // serviceWatchCommand prints changes.
@@ -164,14 +139,14 @@
 	return nil
 }
 
-// serviceStatusCommand shows how far a revision has come.
+// serviceStatusCommand shows how many nodes have a revision in force.
 type serviceStatusCommand struct {
 	operatorFlags
 	Revision int64 `help:"Revision to ask about; 0 means the one in force on the asked node."`
 	Wait     bool  `help:"Wait until every node reached has the revision in force."`
 }
 
-// statusPause is the pause between two looks of --wait.
+// statusPause is the pause between two calls with --wait.
 const statusPause = 200 * time.Millisecond
 
 // Run prints the nodes in force by zone.
--- a/cmd/portgauge/settings.go
+++ b/cmd/portgauge/settings.go
@@ -11,7 +11,7 @@
 
 // settingsCommand checks and shows settings.
 type settingsCommand struct {
-	Check settingsCheckCommand `cmd:"" help:"Check a settings file and name all faults."`
+	Check settingsCheckCommand `cmd:"" help:"Check a settings file and list all faults."`
 	Show  settingsShowCommand  `cmd:"" help:"Print every setting with its default, as a settings file."`
 }
 
--- a/cmd/portgauge/snapshot.go
+++ b/cmd/portgauge/snapshot.go
@@ -4,10 +4,8 @@
 	"os"
 	"strconv"
 
-	"connectrpc.com/connect"
-
 	adminv1 "github.com/portgauge/portgauge/gen/portgauge/admin/v1"
-	"github.com/portgauge/portgauge/internal/operator/api"
+	"github.com/portgauge/portgauge/gen/portgauge/admin/v1/adminv1connect"
 	"github.com/portgauge/portgauge/internal/operator/cli"
 )
 
@@ -30,16 +28,14 @@
 	if err := cli.ReadMessage(c.File, os.Stdin, manifest); err != nil {
 		return err
 	}
-	ctx, cancel := c.context()
-	defer cancel()
-	response, err := cli.AdminClient(c.Address).PublishSnapshot(ctx, connect.NewRequest(&adminv1.PublishSnapshotRequest{
+	response, err := call(&c.operatorFlags, adminv1connect.AdminServiceClient.PublishSnapshot, &adminv1.PublishSnapshotRequest{
 		Manifest: manifest, ExpectedRevision: c.Revision, ChangeId: c.ChangeID,
-	}))
+	})
 	if err != nil {
-		return api.FailureOf(err)
+		return err
 	}
-	rows := [][]string{{manifest.GetService(), manifest.GetSnapshotId(), strconv.FormatInt(response.Msg.GetRevision(), 10)}}
-	return cli.PrintMessage(os.Stdout, c.Output, response.Msg, []string{"SERVICE", "SNAPSHOT", "REVISION"}, rows)
+	rows := [][]string{{manifest.GetService(), manifest.GetSnapshotId(), strconv.FormatInt(response.GetRevision(), 10)}}
+	return cli.PrintMessage(os.Stdout, c.Output, response, []string{"SERVICE", "SNAPSHOT", "REVISION"}, rows)
 }
 
 // snapshotListCommand lists manifests.
@@ -50,18 +46,16 @@
 
 // Run prints the current manifests.
 func (c *snapshotListCommand) Run() error {
-	ctx, cancel := c.context()
-	defer cancel()
-	response, err := cli.AdminClient(c.Address).ListSnapshots(ctx, connect.NewRequest(&adminv1.ListSnapshotsRequest{Service: c.Service}))
+	response, err := call(&c.operatorFlags, adminv1connect.AdminServiceClient.ListSnapshots, &adminv1.ListSnapshotsRequest{Service: c.Service})
 	if err != nil {
-		return api.FailureOf(err)
+		return err
 	}
 	var rows [][]string
-	for _, snapshot := range response.Msg.GetSnapshots() {
+	for _, snapshot := range response.GetSnapshots() {
 		manifest := snapshot.GetManifest()
 		rows = append(rows, []string{
 			manifest.GetService(), manifest.GetSnapshotId(), strconv.Itoa(len(manifest.GetShards())), strconv.FormatInt(snapshot.GetRevision(), 10),
 		})
 	}
-	return cli.PrintMessage(os.Stdout, c.Output, response.Msg, []string{"SERVICE", "SNAPSHOT", "SHARDS", "REVISION"}, rows)
+	return cli.PrintMessage(os.Stdout, c.Output, response, []string{"SERVICE", "SNAPSHOT", "SHARDS", "REVISION"}, rows)
 }
--- a/cmd/portgauge/zone.go
+++ b/cmd/portgauge/zone.go
@@ -4,17 +4,14 @@
 	"os"
 	"strconv"
 
-	"connectrpc.com/connect"
-	"google.golang.org/protobuf/proto"
-
 	adminv1 "github.com/portgauge/portgauge/gen/portgauge/admin/v1"
-	"github.com/portgauge/portgauge/internal/operator/api"
+	"github.com/portgauge/portgauge/gen/portgauge/admin/v1/adminv1connect"
 	"github.com/portgauge/portgauge/internal/operator/cli"
 )
 
 // zoneCommand groups the calls about evacuations.
 type zoneCommand struct {
-	Evacuate zoneEvacuateCommand `cmd:"" help:"Send nothing more to the leafs of a zone."`
+	Evacuate zoneEvacuateCommand `cmd:"" help:"Stop sending requests to the leafs of a zone."`
 	Restore  zoneRestoreCommand  `cmd:"" help:"End the evacuation of a zone."`
 	List     zoneListCommand     `cmd:"" help:"List the evacuated zones with the revisions of their evacuations."`
 }
@@ -22,39 +19,35 @@
 // zoneEvacuateCommand evacuates a zone.
 type zoneEvacuateCommand struct {
 	operatorFlags
-	Zone     string `arg:"" help:"Zone whose leafs must get nothing."`
-	ChangeID string `help:"Identity of the change; give the same one to repeat a call whose outcome is unknown."`
+	Zone     string `arg:"" help:"Zone to evacuate."`
+	ChangeID string `help:"Identity of the change; use the same one to repeat a call whose outcome is unknown."`
 }
 
 // Run evacuates the zone and prints the revision that accepted it.
 func (c *zoneEvacuateCommand) Run() error {
-	ctx, cancel := c.context()
-	defer cancel()
-	response, err := cli.AdminClient(c.Address).EvacuateZone(ctx, connect.NewRequest(&adminv1.EvacuateZoneRequest{Zone: c.Zone, ChangeId: c.ChangeID}))
+	response, err := call(&c.operatorFlags, adminv1connect.AdminServiceClient.EvacuateZone, &adminv1.EvacuateZoneRequest{Zone: c.Zone, ChangeId: c.ChangeID})
 	if err != nil {
-		return api.FailureOf(err)
+		return err
 	}
-	return printZoneRevision(c.Output, response.Msg, c.Zone, response.Msg.GetRevision())
+	return printRevision(c.Output, response, "ZONE", c.Zone, response.GetRevision())
 }
 
 // zoneRestoreCommand ends an evacuation.
 type zoneRestoreCommand struct {
 	operatorFlags
 	writeFlags
-	Zone string `arg:"" help:"Zone whose leafs take work again."`
+	Zone string `arg:"" help:"Zone to restore."`
 }
 
 // Run ends the evacuation and prints the revision that accepted it.
 func (c *zoneRestoreCommand) Run() error {
-	ctx, cancel := c.context()
-	defer cancel()
-	response, err := cli.AdminClient(c.Address).RestoreZone(ctx, connect.NewRequest(&adminv1.RestoreZoneRequest{
+	response, err := call(&c.operatorFlags, adminv1connect.AdminServiceClient.RestoreZone, &adminv1.RestoreZoneRequest{
 		Zone: c.Zone, ExpectedRevision: c.Revision, ChangeId: c.ChangeID,
-	}))
+	})
 	if err != nil {
-		return api.FailureOf(err)
+		return err
 	}
-	return printZoneRevision(c.Output, response.Msg, c.Zone, response.Msg.GetRevision())
+	return printRevision(c.Output, response, "ZONE", c.Zone, response.GetRevision())
 }
 
 // zoneListCommand lists the evacuated zones.
@@ -64,22 +57,13 @@
 
 // Run prints the evacuations in force on the node.
 func (c *zoneListCommand) Run() error {
-	ctx, cancel := c.context()
-	defer cancel()
-	response, err := cli.AdminClient(c.Address).ListEvacuatedZones(ctx, connect.NewRequest(&adminv1.ListEvacuatedZonesRequest{}))
+	response, err := call(&c.operatorFlags, adminv1connect.AdminServiceClient.ListEvacuatedZones, &adminv1.ListEvacuatedZonesRequest{})
 	if err != nil {
-		return api.FailureOf(err)
+		return err
 	}
 	var rows [][]string
-	for _, zone := range response.Msg.GetZones() {
+	for _, zone := range response.GetZones() {
 		rows = append(rows, []string{zone.GetZone(), strconv.FormatInt(zone.GetRevision(), 10)})
 	}
-	return cli.PrintMessage(os.Stdout, c.Output, response.Msg, zoneHeader(), rows)
-}
-
-func zoneHeader() []string { return []string{"ZONE", "REVISION"} }
-
-// printZoneRevision prints a change of a zone with the revision that accepted it.
-func printZoneRevision(format cli.Format, message proto.Message, zone string, revision int64) error {
-	return cli.PrintMessage(os.Stdout, format, message, zoneHeader(), [][]string{{zone, strconv.FormatInt(revision, 10)}})
+	return cli.PrintMessage(os.Stdout, c.Output, response, []string{"ZONE", "REVISION"}, rows)
 }
--- a/internal/operator/admin/admin.go
+++ b/internal/operator/admin/admin.go
@@ -1,5 +1,9 @@
-// Package admin carries out operators' calls: checked changes by compare-and-swap, and views
-// of what is in force.
+// Package admin carries out the operators' calls: it validates changes, writes them by compare-and-swap, and returns
+// what is in force on the node.
+//
+// An Admin keeps no state and starts no goroutine. It reads the catalog, which may lag behind the store, and writes
+// through a configwriter.Writer. Errors are failures of package failure: InvalidField, the Unknown codes,
+// RevisionConflict, StoreUnavailable and OutcomeUnknown.
 package admin
 
 import (
@@ -17,19 +21,19 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// Admin carries out operators' calls on one node; safe for concurrent use.
+// Admin carries out operators' calls on one node. It is safe for concurrent use.
 type Admin struct {
 	catalog *catalog.Catalog
 	store   store.Store
 	writer  *configwriter.Writer
 }
 
-// New makes an Admin.
+// New returns an Admin.
 func New(known *catalog.Catalog, target store.Store, writer *configwriter.Writer) *Admin {
 	return &Admin{catalog: known, store: target, writer: writer}
 }
 
-// ApplyService checks and writes a service's settings.
+// ApplyService validates and writes a service's settings.
 func (a *Admin) ApplyService(ctx context.Context, request *adminv1.ApplyServiceRequest) (*adminv1.ApplyServiceResponse, error) {
 	spec := request.GetSpec()
 	if spec != nil {
@@ -37,7 +41,7 @@
 		FillDefaults(spec)
 	}
 	if err := ValidateSpec(spec); err != nil {
-		return nil, firstFault(err)
+		return nil, joinFaults(err)
 	}
 	if err := a.checkReplicasRemain(spec); err != nil {
 		return nil, err
@@ -55,8 +59,7 @@
 	return &adminv1.ApplyServiceResponse{Revision: revision, ChangeId: changeID}, nil
 }
 
-// checkReplicasRemain refuses settings that leave a shard of the snapshot in force without
-// any replica.
+// checkReplicasRemain refuses settings that leave a shard of the current snapshot without any replica.
 func (a *Admin) checkReplicasRemain(spec *adminv1.ServiceSpec) error {
 	service, found := a.catalog.View().Services[spec.GetName()]
 	if !found || service.Manifest == nil {
@@ -88,7 +91,7 @@
 	return ids
 }
 
-// DeleteService removes a service; its snapshot stays for the case that it comes back.
+// DeleteService removes a service. Its snapshot stays, in case the service comes back.
 func (a *Admin) DeleteService(ctx context.Context, request *adminv1.DeleteServiceRequest) (*adminv1.DeleteServiceResponse, error) {
 	changeID, err := changeIDOf(request.GetChangeId())
 	if err != nil {
@@ -106,7 +109,7 @@
 	return &adminv1.DeleteServiceResponse{Revision: revision}, nil
 }
 
-// PublishSnapshot checks a manifest and makes it the current one of its service.
+// PublishSnapshot validates a manifest and makes it the current one of its service.
 func (a *Admin) PublishSnapshot(ctx context.Context, request *adminv1.PublishSnapshotRequest) (*adminv1.PublishSnapshotResponse, error) {
 	compiled, err := manifest.New(request.GetManifest())
 	if err != nil {
@@ -131,8 +134,8 @@
 	return &adminv1.PublishSnapshotResponse{Revision: revision, ChangeId: changeID}, nil
 }
 
-// checkManifestLeafs compares with the store rather than with what is in force here, which
-// may lag behind a service applied a moment ago through another node.
+// checkManifestLeafs compares a manifest with the service in the store. What is in force here may lag behind a
+// service that was just applied through another node.
 func (a *Admin) checkManifestLeafs(ctx context.Context, compiled *manifest.Manifest) error {
 	entry, err := a.store.Get(ctx, catalog.ServiceKey(compiled.Service))
 	if err != nil {
@@ -148,7 +151,7 @@
 	return compiled.CheckLeafs(leafIDs(spec))
 }
 
-// GetService gives a service as in force on this node.
+// GetService returns a service as in force on this node.
 func (a *Admin) GetService(name string) (*adminv1.GetServiceResponse, error) {
 	service, found := a.catalog.View().Services[name]
 	if !found || service.Spec == nil {
@@ -157,7 +160,7 @@
 	return &adminv1.GetServiceResponse{Spec: service.Spec, Revision: service.Revision}, nil
 }
 
-// ListServices gives all services in force on this node, by name.
+// ListServices returns all services in force on this node, sorted by name.
 func (a *Admin) ListServices() *adminv1.ListServicesResponse {
 	response := &adminv1.ListServicesResponse{}
 	for _, service := range a.catalog.View().Services {
@@ -171,7 +174,7 @@
 	return response
 }
 
-// ListSnapshots gives the snapshots in force on this node, of one service or all.
+// ListSnapshots returns the snapshots in force on this node, of one service or, if it is empty, of all.
 func (a *Admin) ListSnapshots(service string) (*adminv1.ListSnapshotsResponse, error) {
 	response := &adminv1.ListSnapshotsResponse{}
 	for name, known := range a.catalog.View().Services {
@@ -194,6 +197,7 @@
 	return response, nil
 }
 
+// changeIDOf returns the change id of a request, or a new one if it has none.
 func changeIDOf(given string) (string, error) {
 	if given == "" {
 		return uuid.NewString(), nil
@@ -204,8 +208,8 @@
 	return given, nil
 }
 
-// firstFault gives the first fault with the others in its message.
-func firstFault(err error) error {
+// joinFaults returns the first fault of an error with the others in its message.
+func joinFaults(err error) error {
 	faults := failure.Faults(err)
 	first := *faults[0]
 	for _, other := range faults[1:] {
--- a/internal/operator/admin/evacuations.go
+++ b/internal/operator/admin/evacuations.go
@@ -9,11 +9,11 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// evacuation is the document that stands while a zone is evacuated; its key says all.
+// evacuation is the document that exists while a zone is evacuated; its key says everything.
 var evacuation = json.RawMessage(`{}`)
 
-// EvacuateZone has all nodes send nothing more to the leafs of a zone. Of two operators who evacuate a
-// zone at once, one gets a conflict.
+// EvacuateZone makes all nodes stop sending requests to the leafs of a zone. If two operators evacuate a zone at
+// once, one gets a conflict.
 func (a *Admin) EvacuateZone(ctx context.Context, request *adminv1.EvacuateZoneRequest) (*adminv1.EvacuateZoneResponse, error) {
 	if request.GetZone() == "" {
 		return nil, failure.Invalid("zone", "must not be empty")
@@ -40,13 +40,13 @@
 	return &adminv1.RestoreZoneResponse{Revision: revision}, nil
 }
 
-// ListEvacuatedZones gives the evacuations in force on this node, by zone.
+// ListEvacuatedZones returns the evacuations in force on this node, sorted by zone.
 func (a *Admin) ListEvacuatedZones() *adminv1.ListEvacuatedZonesResponse {
 	response := &adminv1.ListEvacuatedZonesResponse{}
 	for _, zone := range a.catalog.View().Leafs.EvacuatedZones() {
 		entry, found := a.catalog.Entry(catalog.EvacuationKey(zone))
 		if !found {
-			continue // taken back since the view was read
+			continue // restored since the view was read
 		}
 		response.Zones = append(response.Zones, &adminv1.EvacuatedZone{Zone: zone, Revision: entry.Revision})
 	}
--- a/internal/operator/admin/evacuations_test.go
+++ b/internal/operator/admin/evacuations_test.go
@@ -14,7 +14,7 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// keptStore is a store in memory that puts each change into a catalog at once.
+// keptStore is an in-memory store that applies each change to a catalog at once.
 type keptStore struct {
 	store.Store
 	known *catalog.Catalog
@@ -56,8 +56,7 @@
 	return New(known, kept, configwriter.New(configwriter.DefaultConfig(), kept)), known
 }
 
-// A zone is evacuated, listed and restored; who restores an evacuation that is over, or evacuates twice,
-// learns that another was faster.
+// A zone is evacuated, listed and restored; restoring an evacuation that is over, or evacuating twice, is a conflict.
 func TestZoneIsEvacuatedAndRestored(t *testing.T) {
 	is := is.New(t)
 	admin, known := newTestAdmin()
@@ -83,7 +82,7 @@
 	is.Equal(len(admin.ListEvacuatedZones().GetZones()), 0)
 }
 
-// Of operators who evacuate a zone at once, one does.
+// If several operators evacuate a zone at once, one of them succeeds.
 func TestOneOfRacingOperatorsEvacuates(t *testing.T) {
 	is := is.New(t)
 	admin, _ := newTestAdmin()
--- a/internal/operator/admin/quarantine_test.go
+++ b/internal/operator/admin/quarantine_test.go
@@ -13,7 +13,7 @@
 	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 )
 
-// A request under quarantine is listed and lifted; who lifts one that was found anew meanwhile learns so.
+// A request under quarantine is listed and lifted; lifting one that has been found again meanwhile is a conflict.
 func TestQuarantineIsListedAndLifted(t *testing.T) {
 	is := is.New(t)
 	admin, known := newTestAdmin()
--- a/internal/operator/admin/rollouts.go
+++ b/internal/operator/admin/rollouts.go
@@ -12,12 +12,12 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// StartRollout orders that the requests of a service move to the leafs of a version. Of two operators who
-// order at once, one gets a conflict.
+// StartRollout orders that the requests of a service move to the leafs of a version. If two operators order at once,
+// one gets a conflict.
 func (a *Admin) StartRollout(ctx context.Context, request *adminv1.StartRolloutRequest) (*adminv1.StartRolloutResponse, error) {
 	order := rollout.Order{Service: request.GetService(), Target: request.GetTarget(), DurationMillis: request.GetDurationMillis()}
 	if err := order.Validate(); err != nil {
-		return nil, firstFault(err)
+		return nil, joinFaults(err)
 	}
 	document, err := json.Marshal(order)
 	if err != nil {
@@ -31,7 +31,7 @@
 	return &adminv1.StartRolloutResponse{Revision: revision, ChangeId: changeID}, nil
 }
 
-// CancelRollout takes back the order of a service that the operator saw at a revision.
+// CancelRollout withdraws the order of a service that the operator saw at a revision.
 func (a *Admin) CancelRollout(ctx context.Context, request *adminv1.CancelRolloutRequest) (*adminv1.CancelRolloutResponse, error) {
 	if request.GetService() == "" {
 		return nil, failure.Invalid("service", "must not be empty")
@@ -47,7 +47,7 @@
 	return &adminv1.CancelRolloutResponse{Revision: revision}, nil
 }
 
-// GetRollout gives the order of a service and how far it is, by what this node has in force.
+// GetRollout returns the order of a service and its progress, as in force on this node.
 func (a *Admin) GetRollout(request *adminv1.GetRolloutRequest) (*adminv1.GetRolloutResponse, error) {
 	if request.GetService() == "" {
 		return nil, failure.Invalid("service", "must not be empty")
@@ -62,8 +62,8 @@
 	}, nil
 }
 
-// ListRollouts gives the orders of all services that ever had one and how far they are, by service, by what
-// this node has in force.
+// ListRollouts returns the orders of all services that ever had one and their progress, sorted by service, as in
+// force on this node.
 func (a *Admin) ListRollouts() *adminv1.ListRolloutsResponse {
 	view := a.catalog.View()
 	response := &adminv1.ListRolloutsResponse{ConfigAgeMillis: a.catalog.Age().Milliseconds()}
@@ -73,7 +73,7 @@
 	return response
 }
 
-// phases are the phases as operators are told them.
+// phases maps phases to those of the operators' interface.
 var phases = map[rollout.Phase]adminv1.RolloutPhase{
 	rollout.Canary:     adminv1.RolloutPhase_ROLLOUT_PHASE_CANARY,
 	rollout.Switching:  adminv1.RolloutPhase_ROLLOUT_PHASE_SWITCHING,
@@ -81,8 +81,8 @@
 	rollout.RolledBack: adminv1.RolloutPhase_ROLLOUT_PHASE_ROLLED_BACK,
 }
 
-// rolloutMessage puts what is known of a roll-out as operators are told it. A state that answers an order which
-// was replaced tells only of the version that serves.
+// rolloutMessage returns a roll-out in the form of the operators' interface. Of a state that belongs to an order
+// which was replaced, only the serving version is used.
 func rolloutMessage(view *catalog.View, service string, known catalog.Rollout) *adminv1.Rollout {
 	message := &adminv1.Rollout{Service: service, Serving: view.Leafs.Rule(service).Serving}
 	if order := known.Order; order != nil {
--- a/internal/operator/admin/rollouts_test.go
+++ b/internal/operator/admin/rollouts_test.go
@@ -23,7 +23,7 @@
 	return &adminv1.StartRolloutRequest{Service: "maps", Target: "v2", DurationMillis: 60000, ChangeId: changeID, ExpectedRevision: expected}
 }
 
-// A roll-out is ordered, shown and taken back; a repeated call after a lost reply changes nothing.
+// A roll-out is ordered, shown and cancelled; a call repeated after a lost reply changes nothing.
 func TestRolloutIsOrderedAndTakenBack(t *testing.T) {
 	is := is.New(t)
 	admin, known := newRolloutAdmin()
@@ -47,7 +47,7 @@
 	is.True(failure.Is(err, failure.UnknownService))
 }
 
-// Of operators who order at once one does, and who takes back an order that was replaced learns of it.
+// If several operators order at once one of them succeeds, and cancelling an order that was replaced is a conflict.
 func TestRacingOrdersConflict(t *testing.T) {
 	is := is.New(t)
 	admin, _ := newRolloutAdmin()
@@ -95,7 +95,7 @@
 	is.Equal(shown.GetRollout().GetReason(), "")
 }
 
-// writeState puts the state of a roll-out into force, as a judge of it does by the store.
+// writeState brings the state of a roll-out into force, as a judge does through the store.
 func writeState(t *testing.T, known *catalog.Catalog, state rollout.State) {
 	t.Helper()
 	document, err := json.Marshal(state)
--- a/internal/operator/admin/routes.go
+++ b/internal/operator/admin/routes.go
@@ -13,11 +13,11 @@
 	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
-// ApplyRoutes checks the routing configuration and writes it as a whole.
+// ApplyRoutes validates the routing configuration and writes it as a whole.
 func (a *Admin) ApplyRoutes(ctx context.Context, request *adminv1.ApplyRoutesRequest) (*adminv1.ApplyRoutesResponse, error) {
 	configuration, err := routing.Parse([]byte(request.GetDocument()))
 	if err != nil {
-		return nil, firstFault(err)
+		return nil, joinFaults(err)
 	}
 	document, err := json.Marshal(configuration)
 	if err != nil {
@@ -30,7 +30,7 @@
 	return &adminv1.ApplyRoutesResponse{Revision: revision, ChangeId: changeID}, nil
 }
 
-// GetRoutes gives the routing configuration in force on this node.
+// GetRoutes returns the routing configuration in force on this node.
 func (a *Admin) GetRoutes() (*adminv1.GetRoutesResponse, error) {
 	table := a.catalog.View().Routes
 	entry, found := a.catalog.Entry(catalog.RoutesKey)
@@ -47,11 +47,11 @@
 	}, nil
 }
 
-// ApplyLeaf checks and writes the record of a leaf.
+// ApplyLeaf validates and writes the record of a leaf.
 func (a *Admin) ApplyLeaf(ctx context.Context, request *adminv1.ApplyLeafRequest) (*adminv1.ApplyLeafResponse, error) {
 	leaf := request.GetLeaf()
 	if err := validateLeafRecord(leaf); err != nil {
-		return nil, firstFault(err)
+		return nil, joinFaults(err)
 	}
 	record := leafset.Record{
 		Name: leaf.GetId(), Service: leaf.GetService(), Address: leaf.GetAddress(), Zone: leaf.GetZone(),
--- a/internal/operator/admin/spec.go
+++ b/internal/operator/admin/spec.go
@@ -10,7 +10,7 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// notReadyRetryAfter is when to ask again after the store did not answer.
+// notReadyRetryAfter is the Retry-After when the store did not answer.
 const notReadyRetryAfter = time.Second
 
 // Values of a service's settings where the operator gives none.
@@ -34,7 +34,7 @@
 	maximumQueueLimitAllowed = 100_000
 )
 
-// FillDefaults puts the default in place of each setting not given.
+// FillDefaults sets each setting that is not given to its default.
 func FillDefaults(spec *adminv1.ServiceSpec) {
 	fill := func(field *uint32, value uint32) {
 		if *field == 0 {
@@ -51,7 +51,7 @@
 	}
 }
 
-// ValidateSpec names every field at fault in a service's settings.
+// ValidateSpec returns an error that names every invalid field of a service's settings.
 func ValidateSpec(spec *adminv1.ServiceSpec) error {
 	var checks failure.Checks
 	if spec == nil {
@@ -85,7 +85,7 @@
 	}
 }
 
-// checkName allows letters, digits and a few signs, so that names fit keys, logs and metrics.
+// checkName allows letters, digits and a few punctuation marks, so that names fit into keys, logs and metrics.
 func checkName(checks *failure.Checks, field, name string, maximum int) {
 	checks.Refuse(name == "", field, "must not be empty")
 	checks.Refuse(len(name) > maximum, field, "%d bytes; at most %d", len(name), maximum)
--- a/internal/operator/api/api_test.go
+++ b/internal/operator/api/api_test.go
@@ -35,7 +35,7 @@
 	"github.com/portgauge/portgauge/internal/request/search"
 )
 
-// threeRows answers every attempt with the keys of its range among three.
+// threeRows answers every attempt with those of three rows whose keys are in its range.
 type threeRows struct{}
 
 func (threeRows) HasExited(context.Context, string) bool { return false }
@@ -106,7 +106,7 @@
 	return response.StatusCode, response.Header, content
 }
 
-// A plain gRPC client, a streamed answer and JSON over HTTP give the same rows.
+// A plain gRPC client, a streamed answer and JSON over HTTP return the same rows.
 func TestSameRowsByEveryProtocol(t *testing.T) {
 	is := is.New(t)
 	address := serve(t, true)
@@ -178,7 +178,7 @@
 	is.Equal(code, http.StatusOK) // the node still answers
 }
 
-// A client that sends its body slowly does not hold others up.
+// A client that sends its body slowly does not delay others.
 func TestSlowClientDoesNotHoldOthersUp(t *testing.T) {
 	is := is.New(t)
 	address := serve(t, true)
--- a/internal/operator/api/errors.go
+++ b/internal/operator/api/errors.go
@@ -20,7 +20,7 @@
 // retryAfterHeader is the standard header, in whole seconds.
 const retryAfterHeader = "Retry-After"
 
-// rpcCodes maps failure codes to RPC codes; those left out are Internal.
+// rpcCodes maps failure codes to RPC codes; any other is Internal.
 var rpcCodes = map[failure.Code]connect.Code{
 	failure.InvalidField:       connect.CodeInvalidArgument,
 	failure.UnknownService:     connect.CodeNotFound,
@@ -38,7 +38,7 @@
 	failure.Cancelled:          connect.CodeCanceled,
 }
 
-// toRPC makes the error a client receives: RPC code, typed details, Retry-After.
+// toRPC returns the error that a client receives: RPC code, typed details, Retry-After.
 func toRPC(err error) error {
 	failed := failure.From(err)
 	code, known := rpcCodes[failed.Code]
@@ -68,15 +68,14 @@
 	}
 }
 
-// dialOperation is what net calls the opening of a connection in its errors.
+// dialOperation is the name of opening a connection in errors of package net.
 const dialOperation = "dial"
 
-// unreachableRetryAfter is when to ask a node again that could not be connected to.
+// unreachableRetryAfter is the Retry-After for a node that no connection could be opened to.
 const unreachableRetryAfter = 100 * time.Millisecond
 
-// FailureOf reads the typed failure from an error that a client of the API received. An
-// error without one came from the transport: where no connection was opened nothing ran,
-// otherwise nothing is known of the execution.
+// FailureOf returns the typed failure of an error that a client of the API received. An error without one came from
+// the transport: if no connection was opened nothing ran, otherwise the execution is unknown.
 func FailureOf(err error) *failure.Failure {
 	var networkError *net.OpError
 	if errors.As(err, &networkError) && networkError.Op == dialOperation {
@@ -107,7 +106,7 @@
 	return failed
 }
 
-// statusOf gives the HTTP status of a health probe.
+// statusOf returns the HTTP status of a health probe.
 func statusOf(healthy bool) int {
 	if healthy {
 		return http.StatusOK
--- a/internal/operator/api/health.go
+++ b/internal/operator/api/health.go
@@ -9,7 +9,7 @@
 	"github.com/portgauge/portgauge/internal/request/search"
 )
 
-// healthChecker answers gRPC health checks by the engine's readiness.
+// healthChecker answers gRPC health checks by the readiness of the engine.
 type healthChecker struct {
 	engine  *search.Engine
 	service string
--- a/internal/operator/api/search_handler.go
+++ b/internal/operator/api/search_handler.go
@@ -10,7 +10,7 @@
 	"github.com/portgauge/portgauge/internal/request/search"
 )
 
-// streamChunkRows is how many rows one streamed chunk carries.
+// streamChunkRows is the number of rows in a streamed chunk.
 const streamChunkRows = 256
 
 // searchHandler serves SearchService.
--- a/internal/operator/api/server.go
+++ b/internal/operator/api/server.go
@@ -1,5 +1,8 @@
-// Package api serves callers and operators over HTTP: gRPC, gRPC-Web and JSON on one port
-// each, by connect on net/http under gin.
+// Package api serves callers and operators over HTTP: gRPC, gRPC-Web and JSON on one port each, by connect on
+// net/http under gin.
+//
+// It translates between the RPC messages and packages search and admin, which do the work, and between failures and
+// RPC codes. It owns no state but the servers that Serve runs.
 package api
 
 import (
@@ -35,12 +38,12 @@
 	idleTimeout        = 2 * time.Minute
 )
 
-// CallerDeps are what the callers' server is built from.
+// CallerDeps are the dependencies of the callers' server.
 type CallerDeps struct {
 	Engine *search.Engine
 }
 
-// NewCallerHandler serves SearchService, health checks and reflection.
+// NewCallerHandler returns the handler of SearchService, health checks and reflection.
 func NewCallerHandler(deps CallerDeps) http.Handler {
 	router := newRouter()
 	mount(router)(searchv1connect.NewSearchServiceHandler(&searchHandler{engine: deps.Engine}, connect.WithReadMaxBytes(maximumSearchBytes)))
@@ -49,7 +52,7 @@
 	return router
 }
 
-// OperatorDeps are what the operators' server is built from.
+// OperatorDeps are the dependencies of the operators' server.
 type OperatorDeps struct {
 	Admin   *admin.Admin
 	Catalog *catalog.Catalog
@@ -60,7 +63,7 @@
 	NodeID  string
 }
 
-// NewOperatorHandler serves AdminService, metrics, the log level, profiles and health.
+// NewOperatorHandler returns the handler of AdminService, metrics, the log level, profiles and health.
 func NewOperatorHandler(deps OperatorDeps) http.Handler {
 	router := newRouter()
 	handler := &adminHandler{admin: deps.Admin, catalog: deps.Catalog, syncer: deps.Syncer, engine: deps.Engine, nodeID: deps.NodeID}
@@ -82,7 +85,7 @@
 	return router
 }
 
-// mount puts a connect handler under its path.
+// mount returns a function that mounts a connect handler under its path.
 func mount(router *gin.Engine) func(path string, handler http.Handler) {
 	return func(path string, handler http.Handler) {
 		router.Any(path+"*method", gin.WrapH(handler))
@@ -119,7 +122,7 @@
 	})
 }
 
-// NewServer makes a server that speaks HTTP/1.1 and HTTP/2, both without TLS.
+// NewServer returns a server for HTTP/1.1 and HTTP/2, both without TLS.
 func NewServer(handler http.Handler) *http.Server {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
@@ -134,7 +137,7 @@
 	}
 }
 
-// Serve serves until the server is shut down; any other end is logged.
+// Serve serves until the server is shut down; any other error is logged.
 func Serve(server *http.Server, listener net.Listener, logger *zap.Logger) {
 	err := server.Serve(listener)
 	if err != nil && !errors.Is(err, http.ErrServerClosed) {
--- a/internal/operator/cli/clients.go
+++ b/internal/operator/cli/clients.go
@@ -25,7 +25,7 @@
 	standardInputMarker = "-"
 )
 
-// NewHTTPClient makes a client for one node that keeps its connections.
+// NewHTTPClient returns a client for one node that keeps its connections open.
 func NewHTTPClient() *http.Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &http.Client{Transport: &http.Transport{
@@ -36,18 +36,18 @@
 	}}
 }
 
-// AdminClient makes a client of a node's operator address.
+// AdminClient returns a client for a node's operator address.
 func AdminClient(address string) adminv1connect.AdminServiceClient {
 	return adminv1connect.NewAdminServiceClient(NewHTTPClient(), "http://"+address)
 }
 
-// SearchClient makes a client of a node's caller address.
+// SearchClient returns a client for a node's caller address.
 func SearchClient(address string) searchv1connect.SearchServiceClient {
 	return searchv1connect.NewSearchServiceClient(NewHTTPClient(), "http://"+address)
 }
 
-// ReadMessage reads a message as YAML or JSON from a file, or from standard input for "-".
-// Unknown fields are refused.
+// ReadMessage reads a message as YAML or JSON from a file, or from standard input for "-". Unknown fields are an
+// error.
 func ReadMessage(path string, input io.Reader, message proto.Message) error {
 	asJSON, err := ReadDocument(path, input)
 	if err != nil {
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// ReadDocument reads YAML or JSON from a file, or from standard input for "-", and gives JSON.
+// ReadDocument reads YAML or JSON from a file, or from standard input for "-", and returns JSON.
 func ReadDocument(path string, input io.Reader) ([]byte, error) {
 	content, err := readInput(path, input)
 	if err != nil {
--- a/internal/operator/cli/exit.go
+++ b/internal/operator/cli/exit.go
@@ -37,7 +37,7 @@
 	failure.IncompleteCoverage: ExitIncomplete,
 }
 
-// Fail prints what went wrong, every fault on a line, and gives the exit code.
+// Fail prints an error, each fault on a line of its own, and returns the exit code.
 func Fail(output io.Writer, err error) int {
 	code := ExitInternal
 	for _, fault := range failure.Faults(err) {
@@ -46,7 +46,7 @@
 			line += fmt.Sprintf(" (%s)", fault.Execution)
 		}
 		if fault.RetryAfter > 0 {
-			line += fmt.Sprintf(" (ask again after %v)", fault.RetryAfter)
+			line += fmt.Sprintf(" (retry after %v)", fault.RetryAfter)
 		}
 		if fault.CurrentRevision > 0 {
 			line += fmt.Sprintf(" (current revision %d)", fault.CurrentRevision)
--- a/internal/operator/cli/output.go
+++ b/internal/operator/cli/output.go
@@ -1,5 +1,5 @@
-// Package cli holds what the command lines share: output as table or JSON, exit codes and
-// clients.
+// Package cli is what the command lines share: clients of a node, input of documents, output as a table or JSON, and
+// exit codes. It keeps no state.
 package cli
 
 import (
@@ -12,7 +12,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Format is how a command prints its result.
+// Format is the output format of a command.
 type Format string
 
 // The formats.
--- a/internal/operator/cli/run.go
+++ b/internal/operator/cli/run.go
@@ -6,15 +6,15 @@
 	"github.com/alecthomas/kong"
 )
 
-// Run parses arguments into a tree of subcommands, runs the one that is asked for, and gives the
-// exit code. What is prepared is done with the parser before it parses.
+// Run parses arguments into a tree of subcommands, runs the selected one, and returns the exit code. The prepare
+// functions are called with the parser before it parses.
 func Run(name, description string, commands any, arguments []string, prepare ...func(*kong.Kong)) int {
 	parser, err := kong.New(commands, kong.Name(name), kong.Description(description), kong.UsageOnError())
 	if err != nil {
 		return Fail(os.Stderr, err)
 	}
-	for _, do := range prepare {
-		do(parser)
+	for _, prepareParser := range prepare {
+		prepareParser(parser)
 	}
 	command, err := parser.Parse(arguments)
 	if err != nil {
