--- a/internal/leaf/leafhttp/counted_leaf_test.go
+++ b/internal/leaf/leafhttp/counted_leaf_test.go
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	counting := &countingListener{Listener: listener}
-	leaf := httpleaf.Serve(counting, id, dialect, answer)
+	leaf := httpleaf.Serve(counting, id, names, answer)
 	t.Cleanup(leaf.Stop)
 	return &countedLeaf{Leaf: leaf, listener: counting}
 }
--- a/internal/request/gateway/zones_test.go
+++ b/internal/request/gateway/zones_test.go
@@ -17,7 +17,7 @@
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
 )
 
-// partitionedProber is an Asker for which the nodes of some zones don't answer.
+// partitionedProber is a Prober for which the nodes of some zones don't answer.
 type partitionedProber map[string]bool
 
 func (a partitionedProber) Ping(_ context.Context, node catalog.NodeRecord) bool {
@@ -221,7 +221,7 @@
 	}
 }
 
-// recordingProber is an Asker that records the zones of the nodes it probes; none answers.
+// recordingProber is a Prober that records the zones of the nodes it probes; none answers.
 type recordingProber chan string
 
 func (a recordingProber) Ping(_ context.Context, node catalog.NodeRecord) bool {
--- a/internal/rollout/canary/splitter.go
+++ b/internal/rollout/canary/splitter.go
@@ -133,13 +133,13 @@
 		budget.count(once, 1)
 		return Draw{First: Trial}
 	case ramping:
-		if len(view.Leafs.OnTrial(service)) > 0 && s.random() < s.ramp(budget, now) {
+		if len(view.Leafs.Canaries(service)) > 0 && s.random() < s.ramp(budget, now) {
 			budget.count(once, 1)
 			return Draw{First: Trial}
 		}
 	case bounded:
 		s.lowerFleetPart(view, service, budget)
-		if len(view.Leafs.OnTrial(service)) > 0 && budget.hasRoom(s.cfg, once, now) {
+		if len(view.Leafs.Canaries(service)) > 0 && budget.hasRoom(s.cfg, once, now) {
 			budget.count(once, 1)
 			return Draw{First: Trial, IsBounded: true, order: rule.Order}
 		}
--- a/internal/rollout/rolloutcontrol/node_test.go
+++ b/internal/rollout/rolloutcontrol/node_test.go
@@ -152,7 +152,7 @@
 		}
 		status.Answered++
 		if _, isRegistered := other.catalog.View().Nodes[other.id]; isRegistered {
-			status.Registered += registry.Mark(other.id)
+			status.Registered += registry.NodeFingerprint(other.id)
 		}
 	}
 	return status
@@ -232,7 +232,7 @@
 		if rule.Trial == "" || n.isHeld(orderKey{service, rule.Order}) {
 			continue
 		}
-		for _, leaf := range view.Leafs.OnTrial(service) {
+		for _, leaf := range view.Leafs.Canaries(service) {
 			n.observe(evidence.Key{Service: service, Order: rule.Order, Route: "r", Version: leaf.Version, Leaf: leaf.ID}, fails)
 			break
 		}
