--- a/internal/operator/admin/spec.go
+++ b/internal/operator/admin/spec.go
@@ -13,7 +13,7 @@
 // notReadyRetryAfter is the Retry-After when the store did not answer.
 const notReadyRetryAfter = time.Second
 
-// Values of a service's settings where the operator gives none.
+// Defaults and bounds of a service's settings.
 const (
 	defaultDeadlineMillis    = 1000
 	defaultMaximumDeadline   = 30_000
--- a/internal/quarantine/fingerprint/fingerprint_test.go
+++ b/internal/quarantine/fingerprint/fingerprint_test.go
@@ -36,10 +36,10 @@
 
 func TestTextIsReadBack(t *testing.T) {
 	is := is.New(t)
-	told, err := json.Marshal(Of(sample()))
+	encoded, err := json.Marshal(Of(sample()))
 	is.NoErr(err)
 	var read Fingerprint
-	is.NoErr(json.Unmarshal(told, &read))
+	is.NoErr(json.Unmarshal(encoded, &read))
 	is.Equal(read, Of(sample()))
 	is.NoErr(json.Unmarshal([]byte(`""`), &read))
 	is.True(read.IsZero())
--- a/internal/quarantine/register_test.go
+++ b/internal/quarantine/register_test.go
@@ -106,10 +106,10 @@
 		other := newFleet()
 		other.Begin(subject("a"), func() {}).LeafCrashed(name, 0)
 		is.Equal(len(other.suspected), 1)
-		told, found := other.Evidence(subject("a").Content)
+		reported, found := other.Evidence(subject("a").Content)
 		is.True(found)
-		home.AddEvidence(told)
-		home.AddEvidence(told) // a repeated report changes nothing
+		home.AddEvidence(reported)
+		home.AddEvidence(reported) // a repeated report changes nothing
 		is.Equal(len(home.quarantined), index/2)
 	}
 	is.Equal(len(home.suspected), 0) // evidence of others is not reported again
@@ -169,8 +169,8 @@
 	is := is.New(t)
 	f, home := newFleet(), newFleet()
 	f.Begin(subject("a"), func() {}).LeafCrashed("leaf-0", 0)
-	told, _ := f.Evidence(subject("a").Content)
-	home.AddEvidence(told)
+	reported, _ := f.Evidence(subject("a").Content)
+	home.AddEvidence(reported)
 	is.Equal(home.State(subject("a").Content), Suspect)
 	f.Begin(subject("a"), func() {}).Answered()
 	is.Equal(len(f.acquitted), 1)
--- a/internal/rollout/canary/splitter.go
+++ b/internal/rollout/canary/splitter.go
@@ -112,7 +112,7 @@
 // ramp it gets the request with a probability that rises from Share to 1; after it, always. A drawn request counts as
 // sent.
 func (s *Splitter) Draw(request Request) Draw {
-	service, once := request.Service, request.Once
+	service := request.Service
 	if s.catalog.View().Leafs.Rule(service).Trial == "" {
 		return Draw{}
 	}
@@ -124,28 +124,34 @@
 		return Draw{}
 	}
 	budget, now := s.budget(view, service, rule), s.now()
-	budget.hasOnce = budget.hasOnce || once
+	budget.hasOnce = budget.hasOnce || request.Once
 	if !request.Unserved {
 		budget.requests++
 	}
-	switch s.stage(service, rule, budget, now) {
+	stage := s.stage(service, rule, budget, now)
+	if !s.isForTrial(view, request, stage, budget, now) {
+		return Draw{}
+	}
+	budget.count(request.Once, 1)
+	if stage == bounded {
+		return Draw{First: Trial, IsBounded: true, order: rule.Order}
+	}
+	return Draw{First: Trial}
+}
+
+// isForTrial decides whether the first attempt of a request goes to the version on trial. The lock must be held.
+func (s *Splitter) isForTrial(view *catalog.View, request Request, stage stage, budget *budget, now time.Time) bool {
+	switch stage {
 	case moved:
-		budget.count(once, 1)
-		return Draw{First: Trial}
+		return true
 	case ramping:
-		if len(view.Leafs.Canaries(service)) > 0 && s.random() < s.ramp(budget, now) {
-			budget.count(once, 1)
-			return Draw{First: Trial}
-		}
+		return len(view.Leafs.Canaries(request.Service)) > 0 && s.random() < s.ramp(budget, now)
 	case bounded:
-		s.lowerFleetPart(view, service, budget)
-		if len(view.Leafs.Canaries(service)) > 0 && budget.hasRoom(s.cfg, once, now) {
-			budget.count(once, 1)
-			return Draw{First: Trial, IsBounded: true, order: rule.Order}
-		}
+		s.lowerFleetPart(view, request.Service, budget)
+		return len(view.Leafs.Canaries(request.Service)) > 0 && budget.hasRoom(s.cfg, request.Once, now)
 	case stopped:
 	}
-	return Draw{}
+	return false
 }
 
 // Refund takes back a bounded draw by which nothing was sent. The request itself stays counted.
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -40,8 +40,8 @@
 // Duration returns how long the roll-out may take.
 func (o *Order) Duration() time.Duration { return time.Duration(o.DurationMillis) * time.Millisecond }
 
-// longestMillis is the longest duration of an order in milliseconds, limited by time.Duration.
-const longestMillis = math.MaxInt64 / int64(time.Millisecond)
+// maxDurationMillis is the longest duration of an order in milliseconds, limited by time.Duration.
+const maxDurationMillis = math.MaxInt64 / int64(time.Millisecond)
 
 // Validate returns an error that names every invalid field.
 func (o *Order) Validate() error {
@@ -49,7 +49,7 @@
 	checks.Refuse(o.Service == "", "service", "must not be empty")
 	checks.Refuse(o.Target == "", "target", "must not be empty")
 	checks.Refuse(o.DurationMillis <= 0, "duration_millis", "must be positive")
-	checks.Refuse(o.DurationMillis > longestMillis, "duration_millis", "must be at most %d", longestMillis)
+	checks.Refuse(o.DurationMillis > maxDurationMillis, "duration_millis", "must be at most %d", maxDurationMillis)
 	return checks.Err()
 }
 
--- a/internal/rollout/rolloutcontrol/reporter.go
+++ b/internal/rollout/rolloutcontrol/reporter.go
@@ -126,8 +126,8 @@
 // movedServices returns the services whose judges have changed since the last report.
 func (s *reporter) movedServices(judges func(string) []catalog.NodeRecord) map[string]bool {
 	moved := map[string]bool{}
-	for service, told := range s.reportedTo {
-		if !slices.Equal(told, judges(service)) {
+	for service, before := range s.reportedTo {
+		if !slices.Equal(before, judges(service)) {
 			moved[service] = true
 		}
 	}
--- a/internal/rollout/rolloutcontrol/reports_test.go
+++ b/internal/rollout/rolloutcontrol/reports_test.go
@@ -99,9 +99,9 @@
 			var counts evidence.Tally
 			for range steps {
 				counts.Observe(false, time.Millisecond)
-				var told evidence.Tally
-				told.Add(counts)
-				all = append(all, report{from, evidence.Row{Key: evidence.Key{Service: "s", Order: 1, Version: "b"}, Tally: told}})
+				var sum evidence.Tally
+				sum.Add(counts)
+				all = append(all, report{from, evidence.Row{Key: evidence.Key{Service: "s", Order: 1, Version: "b"}, Tally: sum}})
 			}
 			want += int64(steps)
 		}
