--- a/internal/rollout/verdict/cases_test.go
+++ b/internal/rollout/verdict/cases_test.go
@@ -8,13 +8,13 @@
 
 const seeds = 24
 
-func weigh(of verdicttest.Case) verdicttest.Measure { return verdicttest.Weigh(of, seeds) }
+func weigh(of verdicttest.Case) verdicttest.Measure { return verdicttest.Repeat(of, seeds) }
 
 // A good version is rarely refused for faults that are not its own.
 func TestGoodIsFoundGoodInTime(t *testing.T) {
-	for _, mishap := range verdicttest.Mishaps() {
+	for _, incident := range verdicttest.Incidents() {
 		for _, leafs := range []int{3, 30} {
-			of := verdicttest.Case{Name: string(mishap), PerSecond: 500, Leafs: leafs, Mishap: mishap}
+			of := verdicttest.Case{Name: string(incident), PerSecond: 500, Leafs: leafs, Incident: incident}
 			t.Run(of.Name, func(t *testing.T) {
 				m := weigh(of)
 				if m.Wrong() > 0.1 {
@@ -31,13 +31,13 @@
 // With few requests a fault elsewhere may leave a good version undecided, but it is rarely found bad. Failures of both
 // versions are the hardest: all requests of a moment go to one version, so there is little to compare with.
 func TestGoodWithFewRequestsIsNotFoundBad(t *testing.T) {
-	for _, mishap := range verdicttest.Mishaps() {
+	for _, incident := range verdicttest.Incidents() {
 		most := seeds / 10
-		if mishap == verdicttest.BothFail {
+		if incident == verdicttest.BothFail {
 			most = seeds / 4
 		}
 		for _, rate := range []float64{1, 5, 40} {
-			of := verdicttest.Case{Name: string(mishap), PerSecond: rate, Mishap: mishap}
+			of := verdicttest.Case{Name: string(incident), PerSecond: rate, Incident: incident}
 			t.Run(of.Name, func(t *testing.T) {
 				m := weigh(of)
 				if m.Bad > most {
@@ -62,7 +62,7 @@
 	{verdicttest.Case{Name: "fails while switching", PerSecond: 40, Fault: verdicttest.Fault{Failing: 0.4, From: 0.8}}, 15, 30},
 	{verdicttest.Case{Name: "fails on one route", PerSecond: 40, Routes: 2, Fault: verdicttest.Fault{Failing: 0.4, LastRoute: true}}, 8, 15},
 	{verdicttest.Case{Name: "fails under load", PerSecond: 40, Fault: verdicttest.Fault{Failing: 0.4, UnderLoad: true}}, 10, 15},
-	{verdicttest.Case{Name: "fails beside a grey serving leaf", PerSecond: 40, Mishap: verdicttest.OldGrey, Fault: verdicttest.Fault{Failing: 0.2}}, 12, 20},
+	{verdicttest.Case{Name: "fails beside a grey serving leaf", PerSecond: 40, Incident: verdicttest.OldGrey, Fault: verdicttest.Fault{Failing: 0.2}}, 12, 20},
 	{verdicttest.Case{Name: "all 3 times slower", PerSecond: 40, Fault: verdicttest.Fault{Slow: 3, SlowShare: 1}}, 50, 70},
 	{verdicttest.Case{Name: "all 8 times slower", PerSecond: 5, Fault: verdicttest.Fault{Slow: 8, SlowShare: 1}}, 20, 35},
 	{verdicttest.Case{Name: "some 5 times slower", PerSecond: 500, Fault: verdicttest.Fault{Slow: 5, SlowShare: 0.3}}, 40, 80},
--- a/internal/rollout/verdict/verdict_test.go
+++ b/internal/rollout/verdict/verdict_test.go
@@ -77,7 +77,7 @@
 
 // A long burst that makes nearly all answers of both versions late condemns neither.
 func TestLongBurstDoesNotCondemn(t *testing.T) {
-	m := weigh(verdicttest.Case{Name: "long burst", PerSecond: 200, Duration: 2 * time.Minute, Mishap: verdicttest.Burst})
+	m := weigh(verdicttest.Case{Name: "long burst", PerSecond: 200, Duration: 2 * time.Minute, Incident: verdicttest.Burst})
 	if m.Wrong() > 0.1 {
 		t.Fatal(m.String())
 	}
--- a/internal/rollout/verdict/verdicttest/answers.go
+++ b/internal/rollout/verdict/verdicttest/answers.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// What leafs do. The spread is of the logarithm of the latency.
+// Behaviour of leafs. The spread is of the logarithm of the latency.
 const (
 	firstMedian = 15 * time.Millisecond
 	nextMedian  = 45 * time.Millisecond
@@ -22,12 +22,12 @@
 	flapPeriod     = 1500 * time.Millisecond
 	bothFailShare  = 0.15
 	burstFactor    = 3
-	// The mishaps that pass last for the middle third of the order.
-	mishapFrom = 1.0 / 3
-	mishapTo   = 2.0 / 3
+	// Passing incidents last for the middle third of the order.
+	incidentFrom = 1.0 / 3
+	incidentTo   = 2.0 / 3
 )
 
-// A pause of a leaf lasts 100 to 250 ms each 2.4 to 6 s, 4% of the time.
+// A leaf pauses for 100 to 250 ms every 2.4 to 6 s, 4% of the time.
 const (
 	shortestPause = 100 * time.Millisecond
 	longestPause  = 250 * time.Millisecond
@@ -53,25 +53,25 @@
 	}
 }
 
-// paused gives how long a pause goes on at a time, or 0.
+// paused returns for how long a pause still lasts at a time, 0 for none.
 func (l *leaf) paused(at time.Duration) time.Duration {
 	period := time.Duration(float64(l.pause) / pauseShare)
 	return max(0, l.pause-(at+l.phase)%period)
 }
 
-// answer is what became of an attempt.
+// answer is the outcome of an attempt.
 type answer struct {
 	at      time.Duration
 	took    time.Duration
 	failed  bool
 	givenUp bool
-	// isBad says that it was bad by the version's fault.
+	// isBad says that the version's fault made it bad.
 	isBad bool
 	route int
 	leaf  *leaf
 }
 
-// attempt plays a request at a leaf; loaded says whether the leaf gets as many as in full service.
+// attempt plays a request at a leaf; loaded says that the leaf gets as many requests as in full service.
 func (p *play) attempt(at time.Duration, l *leaf, route int, loaded bool) answer {
 	work := firstMedian
 	if route > 0 {
@@ -82,11 +82,11 @@
 	if l.onTrial && at < coldFor {
 		factor *= coldFactor
 	}
-	if l.onTrial && p.shows(at, route, loaded) {
-		factor = p.blame(&a, factor)
+	if l.onTrial && p.isFaultActive(at, route, loaded) {
+		factor = p.applyFault(&a, factor)
 	}
 	a.took = time.Duration(factor * float64(work))
-	p.happen(&a, at, l)
+	p.applyIncident(&a, at, l)
 	a.took += l.paused(at)
 	if a.took > deadline {
 		a.took, a.givenUp, a.failed = deadline, true, false
@@ -95,14 +95,14 @@
 	return a
 }
 
-// shows reports whether the version's fault shows in a request.
-func (p *play) shows(at time.Duration, route int, loaded bool) bool {
+// isFaultActive reports whether the version's fault affects a request.
+func (p *play) isFaultActive(at time.Duration, route int, loaded bool) bool {
 	fault := p.of.Fault
 	return float64(at) >= fault.From*float64(p.of.Duration) &&
 		(!fault.LastRoute || route == p.of.Routes-1) && (!fault.UnderLoad || loaded)
 }
 
-func (p *play) blame(a *answer, factor float64) float64 {
+func (p *play) applyFault(a *answer, factor float64) float64 {
 	fault := p.of.Fault
 	if p.random.Float64() < fault.Failing {
 		a.failed, a.isBad = true, true
@@ -114,14 +114,14 @@
 	return factor
 }
 
-// happen lets the mishap befall an attempt.
-func (p *play) happen(a *answer, at time.Duration, l *leaf) {
+// applyIncident applies the incident to an attempt.
+func (p *play) applyIncident(a *answer, at time.Duration, l *leaf) {
 	part := float64(at) / float64(p.of.Duration)
-	passing := part >= mishapFrom && part < mishapTo
+	passing := part >= incidentFrom && part < incidentTo
 	chosen := l.onTrial && l.number == 0
-	switch p.of.Mishap {
+	switch p.of.Incident {
 	case DeadLeaf:
-		a.lose(chosen, time.Millisecond)
+		a.dropAnswer(chosen, time.Millisecond)
 	case SlowLeaf:
 		if chosen {
 			a.took *= slowLeafFactor
@@ -129,9 +129,9 @@
 	case GreyLeaf:
 		a.failed = a.failed || chosen && p.random.Float64() < greyShare
 	case Flapping:
-		a.lose(chosen && at/flapPeriod%2 == 0, deadline)
+		a.dropAnswer(chosen && at/flapPeriod%2 == 0, deadline)
 	case ZoneCut:
-		a.lose(passing && l.zone == 0, deadline)
+		a.dropAnswer(passing && l.zone == 0, deadline)
 	case Burst:
 		if passing {
 			a.took *= burstFactor
@@ -143,8 +143,8 @@
 	}
 }
 
-// lose lets an attempt get no answer.
-func (a *answer) lose(lost bool, after time.Duration) {
+// dropAnswer makes an attempt end without an answer if it is lost.
+func (a *answer) dropAnswer(lost bool, after time.Duration) {
 	if lost {
 		a.took, a.failed, a.givenUp = after, false, true
 	}
--- a/internal/rollout/verdict/verdicttest/case.go
+++ b/internal/rollout/verdict/verdicttest/case.go
@@ -1,31 +1,31 @@
 // Package verdicttest plays an order that moves a service to a new version in virtual time, for tests of package
 // verdict: it draws arrivals and latencies from a seed, divides the requests between the two versions as nodes do,
-// brings about faults of the version and mishaps that are not its fault, and passes the counts to a Judge. It starts
-// no goroutine, reads no clock and sends nothing.
+// injects faults of the version and incidents that are not its fault, and passes the counts to an Evaluator. It
+// starts no goroutine, reads no clock and sends nothing.
 package verdicttest
 
 import "time"
 
-// Mishap is an incident that is not the new version's fault. Cold leafs and pauses occur in all cases.
-type Mishap string
+// Incident is a disturbance that is not the new version's fault. Cold leafs and pauses occur in all cases.
+type Incident string
 
-// The mishaps. Those of one leaf befall a leaf of the version on trial, except OldGrey.
+// The incidents. Those of one leaf affect a leaf of the version on trial, except OldGrey.
 const (
-	None      Mishap = "none"
-	DeadLeaf  Mishap = "dead leaf"
-	SlowLeaf  Mishap = "slow leaf"
-	GreyLeaf  Mishap = "grey leaf"
-	Flapping  Mishap = "flapping leaf"
-	ZoneCut   Mishap = "zone cut"
-	Burst     Mishap = "burst"
-	BothFail  Mishap = "both fail"
-	OldGrey   Mishap = "old leaf grey"
-	NoReports Mishap = "no reports"
+	None      Incident = "none"
+	DeadLeaf  Incident = "dead leaf"
+	SlowLeaf  Incident = "slow leaf"
+	GreyLeaf  Incident = "grey leaf"
+	Flapping  Incident = "flapping leaf"
+	ZoneCut   Incident = "zone cut"
+	Burst     Incident = "burst"
+	BothFail  Incident = "both fail"
+	OldGrey   Incident = "old leaf grey"
+	NoReports Incident = "no reports"
 )
 
-// Mishaps returns all mishaps.
-func Mishaps() []Mishap {
-	return []Mishap{None, DeadLeaf, SlowLeaf, GreyLeaf, Flapping, ZoneCut, Burst, BothFail, OldGrey, NoReports}
+// Incidents returns all incidents.
+func Incidents() []Incident {
+	return []Incident{None, DeadLeaf, SlowLeaf, GreyLeaf, Flapping, ZoneCut, Burst, BothFail, OldGrey, NoReports}
 }
 
 // Fault is what is wrong with a version; a good version has the zero value.
@@ -56,7 +56,7 @@
 	Routes   int
 	Duration time.Duration
 	Fault    Fault
-	Mishap   Mishap
+	Incident Incident
 }
 
 // withDefaults returns the case with defaults in place of zero values.
@@ -68,8 +68,8 @@
 	if c.Duration == 0 {
 		c.Duration = 12 * time.Second
 	}
-	if c.Mishap == "" {
-		c.Mishap = None
+	if c.Incident == "" {
+		c.Incident = None
 	}
 	return c
 }
--- a/internal/rollout/verdict/verdicttest/measure.go
+++ b/internal/rollout/verdict/verdicttest/measure.go
@@ -22,26 +22,26 @@
 	GoodParts  []float64
 }
 
-// Weigh plays a case with so many seeds before a trial with the default configuration.
-func Weigh(of Case, seeds int) Measure {
+// Repeat plays a case with the given number of seeds and the default configuration.
+func Repeat(of Case, seeds int) Measure {
 	measured := Measure{Case: of, Seeds: seeds}
 	for seed := range seeds {
-		measured.count(Play(of, uint64(seed)+1, newTrial(of)))
+		measured.count(Play(of, uint64(seed)+1, newEvaluator(of)))
 	}
 	measured.sort()
 	return measured
 }
 
-// trial is a Judge that reports only the finding.
-type trial struct{ *verdict.Evaluator }
+// findingOnly is an Evaluator that returns only the finding.
+type findingOnly struct{ *verdict.Evaluator }
 
-func newTrial(of Case) Judge {
-	return trial{verdict.New(verdict.DefaultConfig(), Serving, OnTrial, of.withDefaults().Duration)}
+func newEvaluator(of Case) Evaluator {
+	return findingOnly{verdict.New(verdict.DefaultConfig(), Serving, OnTrial, of.withDefaults().Duration)}
 }
 
-// Update implements Judge.
-func (t trial) Update(elapsed time.Duration, rows []evidence.Row) verdict.Finding {
-	return t.Evaluator.Update(elapsed, rows).Finding
+// Update implements Evaluator.
+func (f findingOnly) Update(elapsed time.Duration, rows []evidence.Row) verdict.Finding {
+	return f.Evaluator.Update(elapsed, rows).Finding
 }
 
 func (m *Measure) sort() {
--- a/internal/rollout/verdict/verdicttest/play.go
+++ b/internal/rollout/verdict/verdicttest/play.go
@@ -16,40 +16,40 @@
 	OnTrial = "v2"
 )
 
-// The share of the requests that an unproven version gets, as the nodes keep it.
+// The share of the requests that a version not yet found good gets, as the nodes keep it.
 const (
 	share = 0.1
 	slack = 50
 	used  = 0.8
-	// The slack is spent in the second quarter of the order, in so many moments, each at one leaf.
+	// The slack is spent in the second quarter of the order, in this many moments, each at one leaf.
 	slackFrom = 0.25
 	slackTo   = 0.5
 	moments   = 6
 	// ramp is the part of the order in which the requests move to a version found good.
 	ramp = 0.05
-	// every is how often the counts are judged.
+	// every is how often the counts are evaluated.
 	every = 300 * time.Millisecond
 )
 
-// Judge judges by the counts so far.
-type Judge interface {
+// Evaluator evaluates the counts so far.
+type Evaluator interface {
 	Update(elapsed time.Duration, rows []evidence.Row) verdict.Finding
 }
 
-// Outcome is what a judge found in a case.
+// Outcome is what an evaluator found in a case.
 type Outcome struct {
 	// Last is the finding at the end.
 	Last verdict.Finding
-	// GoodAt and BadAt are when it was found so, 0 for never.
+	// GoodAt and BadAt are when it was found good and bad, 0 for never.
 	GoodAt, BadAt time.Duration
 	// Answers and BadAnswers are those of the version on trial until it was found bad or the order ended.
 	Answers    int
 	BadAnswers int
-	// SpentInSwitch says that it was found good before.
+	// SpentInSwitch says that it was found good before it was found bad.
 	SpentInSwitch bool
 }
 
-// play is a case that is played.
+// play is one run of a case.
 type play struct {
 	of      Case
 	random  *rand.Rand
@@ -58,22 +58,22 @@
 	tallies map[evidence.Key]*evidence.Tally
 	order   []evidence.Key
 	outcome Outcome
-	// spent are the requests that the version got beyond its share, and sent those within it.
+	// spent are the requests that the version got beyond its share, sent those within it.
 	spent, sent, requests float64
 }
 
-// Play plays a case before a judge.
-func Play(of Case, seed uint64, judge Judge) Outcome {
+// Play plays a case and returns the outcome.
+func Play(of Case, seed uint64, evaluator Evaluator) Outcome {
 	p := newPlay(of.withDefaults(), seed)
-	at, judged := p.next(0), every
-	for ; judged <= p.of.Duration && p.outcome.Last != verdict.Bad; judged += every {
-		for at < judged {
+	at, evaluated := p.next(0), every
+	for ; evaluated <= p.of.Duration && p.outcome.Last != verdict.Bad; evaluated += every {
+		for at < evaluated {
 			p.request(at)
 			at = p.next(at)
 		}
-		p.deliver(judged)
-		if p.of.Mishap != NoReports || judged < p.of.Duration/4 || judged > p.of.Duration/2 {
-			p.judge(judged, judge)
+		p.deliver(evaluated)
+		if p.of.Incident != NoReports || evaluated < p.of.Duration/4 || evaluated > p.of.Duration/2 {
+			p.evaluate(evaluated, evaluator)
 		}
 	}
 	return p.outcome
@@ -89,11 +89,11 @@
 	return p
 }
 
-// next gives when the next request comes.
+// next returns when the next request arrives.
 func (p *play) next(at time.Duration) time.Duration {
 	perSecond := p.of.PerSecond
 	part := float64(at) / float64(p.of.Duration)
-	if p.of.Mishap == Burst && part >= mishapFrom && part < mishapTo {
+	if p.of.Incident == Burst && part >= incidentFrom && part < incidentTo {
 		perSecond *= burstFactor
 	}
 	return at + time.Duration(p.random.ExpFloat64()/perSecond*float64(time.Second))
@@ -130,7 +130,7 @@
 	return &p.leafs[version][p.random.IntN(p.of.Leafs)]
 }
 
-// inMoment gives the leaf that gets all requests now, from the slack, or nil.
+// inMoment returns the leaf that gets all requests now from the slack, or nil.
 func (p *play) inMoment(at time.Duration) *leaf {
 	part := (float64(at)/float64(p.of.Duration) - slackFrom) / (slackTo - slackFrom)
 	if part < 0 || part >= 1 {
@@ -143,7 +143,7 @@
 	return &p.leafs[1][int(moment)%p.of.Leafs]
 }
 
-// deliver counts the answers until a time.
+// deliver counts the answers up to a time.
 func (p *play) deliver(until time.Duration) {
 	left := p.pending[:0]
 	for _, a := range p.pending {
@@ -176,12 +176,12 @@
 	p.tallies[key].Observe(a.failed, a.took)
 }
 
-func (p *play) judge(at time.Duration, judge Judge) {
+func (p *play) evaluate(at time.Duration, evaluator Evaluator) {
 	rows := make([]evidence.Row, 0, len(p.order))
 	for _, key := range p.order {
 		rows = append(rows, evidence.Row{Key: key, Tally: *p.tallies[key]})
 	}
-	finding := judge.Update(at, rows)
+	finding := evaluator.Update(at, rows)
 	if finding == p.outcome.Last {
 		return
 	}
--- a/internal/rollout/verdict/verdicttest/play_test.go
+++ b/internal/rollout/verdict/verdicttest/play_test.go
@@ -11,12 +11,12 @@
 	"github.com/portgauge/portgauge/internal/rollout/verdict"
 )
 
-// nobody never finds anything.
+// nobody is an Evaluator that never decides.
 type nobody struct{}
 
 func (nobody) Update(time.Duration, []evidence.Row) verdict.Finding { return verdict.Undecided }
 
-// An unproven version stays below what the nodes let it have.
+// A version not yet found good gets no more than its share and the slack.
 func TestUnprovenVersionGetsItsShareOnly(t *testing.T) {
 	is := is.New(t)
 	for _, rate := range []float64{1, 5, 40, 500} {
@@ -36,13 +36,13 @@
 	is.Equal(Play(of, 1, nobody{}).BadAnswers, 0)
 }
 
-// The default configuration tells the plainest cases apart.
+// The default configuration distinguishes the plainest cases.
 func TestWaysTellPlainCasesApart(t *testing.T) {
 	const seeds = 8
 	good := Case{Name: "good", PerSecond: 500, Leafs: 30}
 	bad := Case{Name: "bad", PerSecond: 500, Leafs: 30, Fault: Fault{Failing: 1}}
 	for _, of := range []Case{good, bad} {
-		m := Weigh(of, seeds)
+		m := Repeat(of, seeds)
 		if m.Wrong() > 0.25 {
 			t.Error(m.String())
 		}
