--- a/internal/request/search/attempt.go
+++ b/internal/request/search/attempt.go
@@ -10,14 +10,14 @@
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
-// LeafCaller runs one attempt at a leaf; leafclient.Pool is the real one.
+// LeafCaller runs one attempt at a leaf; leafclient.Pool implements it.
 type LeafCaller interface {
 	SearchShard(ctx context.Context, address string, request *leafv1.SearchShardRequest) (*leafv1.SearchShardResponse, error)
-	// HasExited reports whether nothing listens at a leaf's address any more.
+	// HasExited reports whether no process listens at a leaf's address any more.
 	HasExited(ctx context.Context, address string) bool
 }
 
-// runAttempt asks the leaf and verifies its reply.
+// runAttempt sends an attempt to its leaf and verifies the reply.
 func (s *keyScatter) runAttempt(ctx context.Context, attempt scatter.Attempt) scatter.Result[shardReply] {
 	if s.isStopped() {
 		return scatter.Result[shardReply]{Reason: scatter.Reason(missingLeafFailed), Execution: scatter.NotRun, Outcome: balancer.Abandoned, Final: true}
@@ -29,6 +29,8 @@
 	return s.learn(ctx, attempt, address, err, result)
 }
 
+// judge decides what an attempt's end means: whether the reply is used, whether the leaf ran the attempt, and what that
+// says about the leaf. A reply that fails verification leaves the execution unknown.
 func (e *Engine) judge(ctx context.Context, request *leafv1.SearchShardRequest, leaf *balancer.Leaf, response *leafv1.SearchShardResponse, err error) scatter.Result[shardReply] {
 	if err != nil {
 		return e.judgeError(ctx, request, leaf, err)
@@ -43,6 +45,7 @@
 	return scatter.Result[shardReply]{Reply: &reply, Execution: scatter.Ran, Outcome: balancer.Succeeded, Queued: load.GetInFlight() > load.GetSlots()}
 }
 
+// judgeError judges an attempt without a reply. It did not run only if it was never sent or the leaf refused it.
 func (e *Engine) judgeError(ctx context.Context, request *leafv1.SearchShardRequest, leaf *balancer.Leaf, err error) scatter.Result[shardReply] {
 	var refusal *leafclient.Refusal
 	if errors.As(err, &refusal) {
@@ -65,7 +68,7 @@
 	return scatter.Result[shardReply]{Reason: scatter.Reason(missingLeafFailed), Execution: scatter.Unknown, Outcome: balancer.Failed}
 }
 
-// judgeRefusal takes a leaf's word that it did not run the attempt, unless the refusal is
+// judgeRefusal judges an attempt that the leaf refused: it did not run, unless the refusal is
 // for another attempt or says that the request ran before.
 func (e *Engine) judgeRefusal(request *leafv1.SearchShardRequest, leaf *balancer.Leaf, refusal *leafv1.LeafRefusal) scatter.Result[shardReply] {
 	if !sameIdentity(request.GetIdentity(), refusal.GetIdentity()) {
@@ -88,6 +91,7 @@
 	return scatter.Result[shardReply]{Reason: scatter.Reason(missingLeafFailed), Execution: scatter.Unknown, Outcome: balancer.Failed}
 }
 
+// reportLoad passes on the load that a leaf reported.
 func (e *Engine) reportLoad(leaf *balancer.Leaf, load *leafv1.LeafLoad) {
 	if load == nil {
 		return
--- a/internal/request/search/config.go
+++ b/internal/request/search/config.go
@@ -6,17 +6,17 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// Config bounds searches.
+// Config limits searches.
 type Config struct {
-	// MinimumDeadline is the least time a query may ask for.
+	// MinimumDeadline is the minimum deadline that a query may ask for.
 	MinimumDeadline time.Duration `yaml:"minimum_deadline"`
-	// MergeReserve is kept back from the deadline for merging and sending the answer.
+	// MergeReserve is the part of the time until the deadline that is reserved for merging and sending the answer.
 	MergeReserve time.Duration `yaml:"merge_reserve"`
-	// MaximumAttempts is how many times one shard is asked for one query.
+	// MaximumAttempts is the maximum number of attempts at one shard for one query.
 	MaximumAttempts int `yaml:"maximum_attempts"`
-	// MaximumAnswerBytes bounds the rows merged into one answer.
+	// MaximumAnswerBytes is the maximum size of the rows merged into one answer.
 	MaximumAnswerBytes int `yaml:"maximum_answer_bytes"`
-	// ReplanLimit is how many times a query is planned again on a newer snapshot.
+	// ReplanLimit is the maximum number of times that a query is planned again on a newer snapshot.
 	ReplanLimit int `yaml:"replan_limit"`
 }
 
@@ -31,7 +31,7 @@
 	}
 }
 
-// Validate names every field at fault.
+// Validate returns an error that names every invalid field.
 func (c Config) Validate() error {
 	var checks failure.Checks
 	checks.Refuse(c.MinimumDeadline <= c.MergeReserve, "minimum_deadline", "must be greater than merge_reserve")
--- /dev/null
+++ b/internal/request/search/failures.go
@@ -0,0 +1,86 @@
+package search
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	searchv1 "github.com/portgauge/portgauge/gen/portgauge/search/v1"
+	"github.com/portgauge/portgauge/internal/failure"
+	"github.com/portgauge/portgauge/internal/leaf/balancer"
+)
+
+// failureOf returns the failure of a search without a usable answer: it was quarantined, its caller went away, ranges
+// are missing although full coverage was demanded, or nothing is covered at all. It returns nil otherwise.
+func (e *Engine) failureOf(ctx context.Context, query *query, merged *page, response *searchv1.SearchResponse, execution failure.ExecutionState) error {
+	if errors.Is(context.Cause(ctx), errQuarantined) {
+		return quarantined(query.content(), execution)
+	}
+	if ctx.Err() != nil {
+		return failure.New(failure.Cancelled, execution, "the caller went away")
+	}
+	if merged.complete() {
+		return nil
+	}
+	if len(merged.covered) > 0 && !query.wantsFull {
+		return nil
+	}
+	failed := failure.New(failureCode(merged, query), execution, "%d ranges are missing, first %q: %s",
+		len(merged.missing), merged.missing[0].keys.From, merged.missing[0].reason)
+	failed.Coverage = response.GetReport().GetCoverage()
+	failed.RetryAfter = e.retryAfter(merged)
+	return failed
+}
+
+// failureCode returns the code of a search with missing ranges: the common cause if nothing at all was covered.
+func failureCode(merged *page, query *query) failure.Code {
+	if len(merged.covered) > 0 {
+		return failure.IncompleteCoverage
+	}
+	allShed, allLate := true, true
+	for _, part := range merged.missing {
+		allShed = allShed && (part.reason == missingShed || part.reason == missingReason(balancer.ReplicasFull))
+		allLate = allLate && part.reason == missingDeadline
+		if part.reason == missingNotRepeated {
+			return failure.NotRepeatable
+		}
+	}
+	switch {
+	case allShed:
+		return failure.Overloaded
+	case allLate && !query.atMostOnce:
+		return failure.DeadlineExceeded
+	}
+	return failure.IncompleteCoverage
+}
+
+// retryAfterMissing is after what time a query with missing ranges may be repeated.
+const retryAfterMissing = 200 * time.Millisecond
+
+// retryAfter returns after what time a query may be repeated; 0 if that can't help because it has run already.
+func (e *Engine) retryAfter(merged *page) time.Duration {
+	for _, part := range merged.missing {
+		if part.reason == missingNotRepeated {
+			return 0
+		}
+	}
+	return retryAfterMissing
+}
+
+// executionOf returns the execution state of a search.
+func executionOf(ran, maybeRan bool) failure.ExecutionState {
+	if ran {
+		return failure.Ran
+	}
+	if maybeRan {
+		return failure.Unknown
+	}
+	return failure.NotRun
+}
+
+// withExecution returns a failure to start over with the execution state of the plans before it, which may have run.
+func withExecution(err error, execution failure.ExecutionState) error {
+	failed := *failure.From(err)
+	failed.Execution = execution
+	return &failed
+}
--- a/internal/request/search/scatter.go
+++ b/internal/request/search/key_scatter.go
@@ -16,10 +16,10 @@
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
-// errSuperseded ends attempts that nobody waits for any more.
+// errSuperseded is the cancellation cause of attempts whose replies are no longer needed.
 var errSuperseded = errors.New("superseded")
 
-// keyScatter asks the leafs for every part of one plan of key ranges.
+// keyScatter asks leafs for every part of a plan of key ranges.
 type keyScatter struct {
 	engine  *Engine
 	query   *query
@@ -35,7 +35,7 @@
 	return &keyScatter{engine: engine, query: query, service: service, policy: policy, parts: parts}
 }
 
-// run gives one outcome for each part. It returns when all are known or time is up.
+// run returns one outcome for each part, once all are known or time is up.
 func (s *keyScatter) run(ctx context.Context) []shardOutcome {
 	plan := scatter.Plan{
 		Shards:          make([]scatter.Shard, len(s.parts)),
@@ -62,9 +62,9 @@
 	return s.outcomes
 }
 
-// candidatesFor gives the replicas that may be asked. A request that may run at most once,
+// candidatesFor returns the replicas that may be asked. A request that may run at most once,
 // and that its caller may repeat at another node under the same id, goes to the one replica
-// that every node picks for that id; its leaf refuses a second copy.
+// that every node chooses for that id; its leaf refuses a second copy.
 func (s *keyScatter) candidatesFor(part manifest.Part) []balancer.Candidate {
 	leafIDs := part.Shard.LeafIDs
 	if s.query.atMostOnce && s.query.callerNamed {
@@ -83,6 +83,7 @@
 	return candidates
 }
 
+// leafRequest returns the request of an attempt.
 func (s *keyScatter) leafRequest(attempt scatter.Attempt) *leafv1.SearchShardRequest {
 	part := s.parts[attempt.Shard]
 	request := &leafv1.SearchShardRequest{
@@ -115,7 +116,7 @@
 // Ended implements scatter.Observer.
 func (s *keyScatter) Ended(scatter.Attempt, scatter.Result[shardReply], time.Duration) {}
 
-// extraLoad gives the figures for the answer's report.
+// extraLoad returns the counts for the answer's report.
 func (s *keyScatter) extraLoad() *searchv1.ExtraLoad {
 	return &searchv1.ExtraLoad{
 		Attempts: uint32(s.summary.Attempts), Hedges: uint32(s.summary.Hedges),
@@ -124,8 +125,8 @@
 }
 
 // congested reports whether leafs lack capacity for the query: one shed load or, for bulk
-// services, most of them have attempts waiting. Bulk work leaves the queues of leafs short,
-// so that urgent work beside it finds them so.
+// services, most of them have attempts queued. Bulk searches keep the queues of leafs short,
+// so that urgent ones don't wait behind them.
 func (s *keyScatter) congested() bool {
 	if s.summary.Shed {
 		return true
@@ -134,7 +135,7 @@
 	return isBulk && 2*s.summary.Queued > len(s.parts)
 }
 
-// snapshotGone reports whether a part failed because its leafs no longer hold the snapshot.
+// snapshotGone reports whether a part failed because its leafs no longer have the snapshot.
 func (s *keyScatter) snapshotGone() bool {
 	for _, outcome := range s.outcomes {
 		if outcome.reply == nil && outcome.reason == missingSnapshotGone {
--- a/internal/request/search/merge.go
+++ b/internal/request/search/merge.go
@@ -7,7 +7,7 @@
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
-// missingReason says why a range is not covered by an answer. It is part of the public
+// missingReason says why a range is not covered by an answer. Its values are part of the public
 // interface.
 type missingReason string
 
@@ -25,18 +25,18 @@
 	missingRetryBudget  missingReason = "RETRY_BUDGET"
 )
 
-// shardOutcome is what the scatter step got for one part of the plan.
+// shardOutcome is the result of the scatter step for one part of the plan.
 type shardOutcome struct {
 	part  manifest.Part
 	reply *shardReply
-	// reason is set when there is no reply.
+	// reason is set if there is no reply.
 	reason missingReason
 }
 
 // page is a merged answer.
 type page struct {
 	rows []*searchv1.Row
-	// asked is the part of the query's range that this page is about.
+	// asked is the part of the query's range that this page covers or misses.
 	asked   keyspace.Range
 	nextKey string
 	covered []keyspace.Range
@@ -51,9 +51,9 @@
 	reason missingReason
 }
 
-// merge joins the parts' rows in key order into one page. Parts come in key order and don't
-// overlap, so rows need no comparing and no row can come twice. The page ends after the
-// limit's row; what lies beyond it is neither covered nor missing.
+// merge joins the parts' rows in key order into one page. Parts are in key order and don't
+// overlap, so that rows need not be compared and no row can appear twice. The page ends at the
+// limit of rows or bytes; what lies beyond is neither covered nor missing.
 func merge(asked keyspace.Range, outcomes []shardOutcome, limit, maximumBytes int) page {
 	merged := page{asked: asked}
 	size := 0
@@ -81,7 +81,7 @@
 	return merged
 }
 
-// cover counts a part's covered range, and what the leaf left out as missing.
+// cover adds a part's covered range to the page, and what the leaf left out as missing.
 func (p *page) cover(part manifest.Part, covered keyspace.Range) {
 	p.askedWeight += float64(part.Shard.Weight)
 	missing := part.Range.Subtract([]keyspace.Range{covered})
@@ -94,12 +94,13 @@
 	}
 }
 
+// miss adds a missing range to the page.
 func (p *page) miss(part manifest.Part, keys keyspace.Range, reason missingReason) {
 	p.askedWeight += float64(part.Shard.Weight)
 	p.missing = append(p.missing, missingPart{keys: keys, reason: reason})
 }
 
-// end closes the page inside a part; the asked range shrinks to what the page is about.
+// end ends the page inside a part, and shrinks the asked range accordingly.
 func (p *page) end(part manifest.Part, covered keyspace.Range, next string) {
 	if p.asked.To != "" && next >= p.asked.To {
 		p.cover(part, keyspace.Range{From: covered.From, To: part.Range.To})
@@ -116,7 +117,7 @@
 
 func (p *page) complete() bool { return len(p.missing) == 0 }
 
-// report states the page's coverage from what was merged and nothing else.
+// coverage returns the page's coverage, computed only from what was merged.
 func (p *page) coverage() *searchv1.Coverage {
 	coverage := &searchv1.Coverage{Complete: p.complete(), Fraction: 1}
 	if p.askedWeight > 0 {
--- a/internal/request/search/merge_test.go
+++ b/internal/request/search/merge_test.go
@@ -13,8 +13,8 @@
 	"github.com/portgauge/portgauge/internal/config/manifest"
 )
 
-// For any tiling, any parts lost or cut short and any limit: a key of the page's range is
-// either among the rows, or in a missing range, and never both or twice.
+// For any partition, any parts lost or cut short and any limit: a key of the page's range is
+// either among the rows or in a missing range, and never both or twice.
 func TestMergeAccountsForEveryKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		keys := rapid.SliceOfNDistinct(rapid.StringMatching("[a-h]{1,3}"), 0, 30, rapid.ID[string]).Draw(t, "keys")
--- a/internal/request/search/crash_test.go
+++ b/internal/request/search/quarantine_test.go
@@ -17,7 +17,7 @@
 	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 )
 
-// noListener takes no findings.
+// noListener ignores all findings.
 type noListener struct{}
 
 func (noListener) Suspected(quarantine.Subject)  {}
@@ -26,8 +26,8 @@
 func (noListener) TrialDue(quarantine.Record)    {}
 func (noListener) Survived(quarantine.Record)    {}
 
-// A search that ends the leafs which run it goes to no more of them, by whatever id it comes again; where only the calls
-// broke off, it does.
+// A search that crashes the leafs that run it is sent to no more of them, whatever id it is repeated under; if only the calls
+// broke off, it is.
 func TestSearchThatEndsLeafs(t *testing.T) {
 	for name, ended := range map[string]bool{"ended": true, "cut off": false} {
 		t.Run(name, func(t *testing.T) {
@@ -45,7 +45,7 @@
 					_, err := engine.Search(t.Context(), &searchv1.SearchRequest{Service: "s", RequestId: id})
 					return err
 				}
-				// Each leaf is back under its id after a while; three ends in all are enough, be it of one leaf.
+				// Each leaf is back under its id after a while; three crashes in all are enough, even of one leaf.
 				for number := range 3 {
 					is.True(search(fmt.Sprint("try-", number)) != nil)
 					time.Sleep(2 * time.Second)
--- a/internal/request/search/request.go
+++ b/internal/request/search/query.go
@@ -31,14 +31,14 @@
 	limit       int
 	atMostOnce  bool
 	wantsFull   bool
-	// deadline is when the answer must be on its way.
+	// deadline is when the answer must be sent.
 	deadline time.Time
 	arrived  time.Time
-	// try is the search's place in the register of requests that end leafs; nil where there is none.
-	try *quarantine.Execution
+	// tracked is the search's entry in the register of crashing requests; nil if there is no register.
+	tracked *quarantine.Execution
 }
 
-// newQuery checks a request against its service's settings; failures name the field.
+// newQuery validates a request against its service's settings; failures name the field.
 func newQuery(config Config, request *searchv1.SearchRequest, spec *adminv1.ServiceSpec, arrived time.Time) (*query, error) {
 	if err := checkText(request); err != nil {
 		return nil, err
@@ -76,6 +76,7 @@
 	}, nil
 }
 
+// allowedTime returns how long a search may take, by the deadline asked for and the service's settings.
 func allowedTime(config Config, askedMillis uint32, spec *adminv1.ServiceSpec) (time.Duration, error) {
 	if askedMillis == 0 {
 		askedMillis = spec.GetDefaultDeadlineMillis()
@@ -90,6 +91,7 @@
 	return allowed, nil
 }
 
+// checkText validates the lengths and the encoding of a request's text fields.
 func checkText(request *searchv1.SearchRequest) error {
 	fields := []struct {
 		name    string
--- /dev/null
+++ b/internal/request/search/search.go
@@ -0,0 +1,165 @@
+// Package search runs searches over key ranges: admit, pin a snapshot, plan, scatter, verify, merge, report.
+//
+// Each step is a file or package of its own. A query is pinned to one manifest: all of its
+// attempts, hedges and retries name that snapshot, so that an answer never mixes versions.
+//
+// An Engine owns the gates (package admission) and policies (package hedging) of the services on one node, and the count of
+// searches in flight. It relies on the catalog for services, snapshots and leafs, on package scatter for the attempts, on
+// package balancer for the choice of leafs, and on package quarantine for searches that crash leafs. Deadlines are by the
+// runtime's clock. Its errors are *failure.Failure.
+package search
+
+import (
+	"context"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"go.uber.org/zap"
+
+	adminv1 "github.com/portgauge/portgauge/gen/portgauge/admin/v1"
+	searchv1 "github.com/portgauge/portgauge/gen/portgauge/search/v1"
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/leaf/balancer"
+	"github.com/portgauge/portgauge/internal/node/telemetry"
+	"github.com/portgauge/portgauge/internal/quarantine"
+	"github.com/portgauge/portgauge/internal/request/admission"
+	"github.com/portgauge/portgauge/internal/request/hedging"
+)
+
+// Engine answers searches on one node. It is safe for concurrent use.
+type Engine struct {
+	config   Config
+	hedging  hedging.Config
+	catalog  *catalog.Catalog
+	balancer *balancer.Balancer
+	leafs    LeafCaller
+	metrics  *telemetry.Metrics
+	logger   *zap.Logger
+	// quarantine tracks crashing requests; nil tracks none.
+	quarantine *quarantine.Register
+
+	ready     atomic.Bool
+	announced atomic.Bool // a planned stop is announced, but searches are still accepted
+	draining  atomic.Bool
+
+	// mu guards the maps and running, but not the values of the maps.
+	mu       sync.Mutex
+	gates    map[string]*admission.Gate
+	policies map[string]*hedging.Policy
+	running  int
+	idle     chan struct{} // closed when draining and nothing runs
+}
+
+// Deps are what an engine is built from.
+type Deps struct {
+	Config   Config
+	Hedging  hedging.Config
+	Catalog  *catalog.Catalog
+	Balancer *balancer.Balancer
+	Leafs    LeafCaller
+	Metrics  *telemetry.Metrics
+	Logger   *zap.Logger
+	// Quarantine tracks crashing requests; nil tracks none.
+	Quarantine *quarantine.Register
+}
+
+// New returns an engine that is not ready yet.
+func New(deps Deps) *Engine {
+	return &Engine{
+		config:     deps.Config,
+		hedging:    deps.Hedging,
+		catalog:    deps.Catalog,
+		balancer:   deps.Balancer,
+		leafs:      deps.Leafs,
+		metrics:    deps.Metrics,
+		logger:     deps.Logger,
+		quarantine: deps.Quarantine,
+		gates:      map[string]*admission.Gate{},
+		policies:   map[string]*hedging.Policy{},
+		idle:       make(chan struct{}),
+	}
+}
+
+// Search answers one request. Its errors are *failure.Failure. The caller must call Hold first and release it once
+// the answer is sent.
+func (e *Engine) Search(ctx context.Context, request *searchv1.SearchRequest) (*searchv1.SearchResponse, error) {
+	arrived := time.Now()
+	response, err := e.search(ctx, request, arrived)
+	e.observe(request, response, err, time.Since(arrived))
+	return response, err
+}
+
+func (e *Engine) search(ctx context.Context, request *searchv1.SearchRequest, arrived time.Time) (*searchv1.SearchResponse, error) {
+	service, err := e.service(request.GetService())
+	if err != nil {
+		return nil, err
+	}
+	query, err := newQuery(e.config, request, service.Spec, arrived)
+	if err != nil {
+		return nil, err
+	}
+	ticket, err := e.gate(service.Spec).Enter(ctx, query.deadline)
+	if err != nil {
+		return nil, err
+	}
+	ctx, release, err := e.guard(ctx, query)
+	if err != nil {
+		ticket.Done(false)
+		return nil, err
+	}
+	defer release()
+	answer, congested, err := e.answer(ctx, query)
+	if congested && e.yieldTo(service.Spec) {
+		congested = false
+	}
+	ticket.Done(congested)
+	return answer, err
+}
+
+// yieldTo decides whose limit is reduced after a congested search of a service: it reduces the limits of less urgent
+// services with searches in flight, and reports whether there was one; then the more urgent service keeps its own.
+func (e *Engine) yieldTo(spec *adminv1.ServiceSpec) bool {
+	yielded := false
+	for name, other := range e.catalog.View().Services {
+		if other.Spec == nil || other.Spec.GetUrgency() <= spec.GetUrgency() {
+			continue
+		}
+		e.mu.Lock()
+		gate, found := e.gates[name]
+		e.mu.Unlock()
+		if found && gate.Usage().Running > 0 {
+			gate.Congested()
+			yielded = true
+		}
+	}
+	return yielded
+}
+
+// gate returns the service's gate, with the current limits.
+func (e *Engine) gate(spec *adminv1.ServiceSpec) *admission.Gate {
+	limits := admission.Limits{Concurrency: int(spec.GetConcurrencyLimit()), Queue: int(spec.GetQueueLimit())}
+	e.mu.Lock()
+	gate, found := e.gates[spec.GetName()]
+	if !found {
+		gate = admission.NewGate(limits)
+		e.gates[spec.GetName()] = gate
+	}
+	e.mu.Unlock()
+	gate.SetLimits(limits)
+	return gate
+}
+
+// policy returns the service's hedge and retry policy, with the current budget.
+func (e *Engine) policy(spec *adminv1.ServiceSpec) *hedging.Policy {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	policy, found := e.policies[spec.GetName()]
+	if !found {
+		policy = hedging.NewPolicy(e.hedging, spec.GetHedge().GetBudgetPerMille())
+		e.policies[spec.GetName()] = policy
+		return policy
+	}
+	policy.SetHedgeBudget(spec.GetHedge().GetBudgetPerMille())
+	return policy
+}
--- a/internal/request/search/engine_test.go
+++ b/internal/request/search/search_test.go
@@ -26,19 +26,19 @@
 
 // scriptedLeafs answers attempts by a function of address and attempt, in virtual time.
 type scriptedLeafs struct {
-	mutex  sync.Mutex
+	mu     sync.Mutex
 	asked  []string
 	answer func(address string, request *leafv1.SearchShardRequest) (time.Duration, error)
-	// ended says that leafs are found gone when they are looked at.
+	// ended says that HasExited reports leafs as exited.
 	ended bool
 }
 
 func (s *scriptedLeafs) HasExited(context.Context, string) bool { return s.ended }
 
 func (s *scriptedLeafs) SearchShard(ctx context.Context, address string, request *leafv1.SearchShardRequest) (*leafv1.SearchShardResponse, error) {
-	s.mutex.Lock()
+	s.mu.Lock()
 	s.asked = append(s.asked, address)
-	s.mutex.Unlock()
+	s.mu.Unlock()
 	wait, err := s.answer(address, request)
 	select {
 	case <-time.After(wait):
@@ -65,7 +65,7 @@
 	known.Apply(catalog.Change{Entry: catalog.Entry{Key: key, Value: json.RawMessage(value), Revision: revision + 1}, Previous: revision})
 }
 
-// newTestEngine serves one service of two shards on three leafs.
+// newTestEngine returns an engine with one service of two shards on three leafs.
 func newTestEngine(t *testing.T, leafs *scriptedLeafs) (*Engine, *catalog.Catalog) {
 	t.Helper()
 	known := catalog.New(nil)
@@ -132,7 +132,7 @@
 	}
 }
 
-// A request that may run once, named by its caller, goes to the same replica of each shard
+// A request that may run at most once and has its caller's id goes to the same replica of each shard
 // from every node, and nowhere else, whatever the leafs answer.
 func TestAtMostOnceStaysAtTheDesignatedReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -145,7 +145,7 @@
 			_, err := engine.Search(t.Context(), atMostOnce("same"))
 			is.True(err != nil)
 		}
-		is.Equal(len(leafs.asked), 6) // two shards, three sends
+		is.Equal(len(leafs.asked), 6) // two shards, three searches
 		distinct := map[string]bool{}
 		for _, address := range leafs.asked {
 			distinct[address] = true
@@ -154,7 +154,7 @@
 	})
 }
 
-// An attempt that was refused unrun is tried at another replica, also for such a request if
+// An attempt that was refused without running is retried at another replica, even for such a request if
 // its id is the node's own; one of unknown outcome is not.
 func TestAtMostOnceIsRetriedOnlyAfterProof(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -180,7 +180,7 @@
 	})
 }
 
-// Leafs that dropped the pinned snapshot make the whole query start over on the newer one.
+// If leafs dropped the pinned snapshot, the whole query starts over on the newer one.
 func TestSnapshotGoneStartsOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -201,8 +201,8 @@
 	})
 }
 
-// A search whose first plan has run at a leaf is not told as not run when its service is gone before it starts over. Callers
-// got NOT_RUN: the failure of the second look at the configuration said what holds for a search that has not begun.
+// A search whose first plan ran at a leaf is not reported as not run if its service is gone before it starts over: that
+// failure must have the execution state of the whole search, not of the second plan.
 func TestServiceGoneBeforeStartingOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -244,7 +244,7 @@
 	})
 }
 
-// Hedges answer for a straggler, and their number stays within the budget.
+// Hedges replace slow attempts, and their number stays within the budget.
 func TestHedgesStayWithinBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/request/search/verify.go
+++ b/internal/request/search/verify.go
@@ -28,8 +28,8 @@
 	rows    []*leafv1.Row
 }
 
-// verify checks a reply against the attempt it must answer. A reply that differs in any part
-// of the identity, or whose rows can't be that attempt's, is dropped whole.
+// verify checks a reply against the attempt that it must answer. A reply that differs in any part
+// of the identity, or has rows that can't be that attempt's, is dropped as a whole.
 func verify(request *leafv1.SearchShardRequest, response *leafv1.SearchShardResponse) (shardReply, dropReason) {
 	if !sameIdentity(request.GetIdentity(), response.GetIdentity()) {
 		return shardReply{}, dropWrongIdentity
@@ -65,7 +65,7 @@
 	return replyAccepted
 }
 
-// Matches reports whether a row is wanted by a filter.
+// Matches reports whether a row matches a filter.
 func Matches(filter, key string, value []byte) bool {
 	return filter == "" || strings.Contains(key, filter) || bytes.Contains(value, []byte(filter))
 }
