--- /dev/null
+++ b/internal/leaf/leafset/leaf.go
@@ -0,0 +1,66 @@
+package leafset
+
+import (
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/portgauge/portgauge/internal/config/revision"
+)
+
+// Leaf is a record as this node received it; immutable.
+type Leaf struct {
+	// ID identifies one incarnation of the leaf, see IncarnationID.
+	ID string
+	Record
+	// Revision is the store's revision that wrote the record.
+	Revision int64
+	// ColdUntil is until when the leaf can take few requests only, by this node's clock; zero if it is warm. It is later
+	// than the leaf's own time by the delay of the record.
+	ColdUntil time.Time
+}
+
+// incarnationMark separates name and start in the id of a leaf.
+const incarnationMark = "@"
+
+// IncarnationID returns the id of the incarnation of a leaf that started at a time in Unix milliseconds: the name alone if
+// that is 0, for leafs that have a new name at each start.
+func IncarnationID(name string, born int64) string {
+	if born == 0 {
+		return name
+	}
+	return name + incarnationMark + strconv.FormatInt(born, 10)
+}
+
+// byNameOf returns the value of the name in an id, whichever incarnation it is of: an id without a time is the name, which
+// may contain the mark.
+func byNameOf[V any](byName map[string]V, id string) (value V, found bool) {
+	if value, found = byName[id]; found {
+		return value, true
+	}
+	at := strings.LastIndex(id, incarnationMark)
+	if at <= 0 {
+		return value, false
+	}
+	value, found = byName[id[:at]]
+	return value, found
+}
+
+// NewLeaf returns the leaf of a record of a store revision that this node received at a time.
+func NewLeaf(record Record, at int64, received time.Time) *Leaf {
+	leaf := &Leaf{ID: IncarnationID(record.Name, record.Born), Record: record, Revision: at}
+	if record.WarmupMillis > 0 {
+		leaf.ColdUntil = received.Add(time.Duration(record.WarmupMillis) * time.Millisecond)
+	}
+	return leaf
+}
+
+// Learn returns the leaf of a record that replaces the known leaf of its name, nil if there is none. A record that is read
+// again after a restore of the store, the same write in another epoch, does not make the leaf cold again.
+func Learn(known *Leaf, record Record, at int64, received time.Time) *Leaf {
+	leaf := NewLeaf(record, at, received)
+	if known != nil && known.Record == record && revision.Count(known.Revision) == revision.Count(at) {
+		leaf.ColdUntil = known.ColdUntil
+	}
+	return leaf
+}
--- a/internal/request/admission/admission.go
+++ b/internal/request/admission/admission.go
@@ -62,7 +62,7 @@
 	LimitInUse int
 }
 
-// Usage returns the gate's state for metrics.
+// Usage returns the gate's state.
 func (g *Gate) Usage() Usage {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- /dev/null
+++ b/internal/request/retrybudget/config.go
@@ -0,0 +1,34 @@
+package retrybudget
+
+import (
+	"time"
+
+	"github.com/portgauge/portgauge/internal/failure"
+)
+
+// Config is the limit of the fleet.
+type Config struct {
+	// Ratio is the number of repeats allowed per request.
+	Ratio float64 `yaml:"ratio"`
+	// Window is the time over which both are counted.
+	Window time.Duration `yaml:"window"`
+	// Allowance is the number of repeats allowed in a window in the whole fleet, in addition to the ratio.
+	Allowance float64 `yaml:"allowance"`
+	// Share is the share of the limit that is used; the rest is for what nodes can't know, such as restarts of others.
+	Share float64 `yaml:"share"`
+}
+
+// DefaultConfig allows a tenth of the requests to be repeated.
+func DefaultConfig() Config {
+	return Config{Ratio: 0.1, Window: 10 * time.Second, Allowance: 20, Share: 0.85}
+}
+
+// Validate returns an error that names every invalid field.
+func (c Config) Validate() error {
+	var checks failure.Checks
+	checks.Refuse(c.Ratio < 0 || c.Ratio > 1, "ratio", "must be between 0 and 1")
+	checks.Refuse(c.Window < time.Second, "window", "must be at least 1s")
+	checks.Refuse(c.Allowance < 0, "allowance", "must not be negative")
+	checks.Refuse(c.Share <= 0 || c.Share > 1, "share", "must be above 0 and at most 1")
+	return checks.Err()
+}
