--- a/internal/request/search/merge.go
+++ b/internal/request/search/merge.go
@@ -18,7 +18,11 @@
 	missingLeafFailed                 = missingReason(scatter.LeafFailed)
 	missingShed                       = missingReason(scatter.Shed)
 	missingTruncated    missingReason = "TRUNCATED_BY_LEAF"
+	missingAnswerSize   missingReason = "ANSWER_SIZE"
+	missingOutcomeUnknw missingReason = "OUTCOME_UNKNOWN"
+	missingUnknownLeaf  missingReason = "UNKNOWN_LEAF"
 	missingNotRepeated  missingReason = "NOT_REPEATED"
+	missingRetryBudget  missingReason = "RETRY_BUDGET"
 )
 
 // shardOutcome is the result of the scatter step for one part of the plan.
