--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -60,7 +60,7 @@
 			newLeafWriter,
 			newBalancer,
 			newLeafPool,
-			newDealer,
+			newAllocator,
 			newHTTPPool,
 			newBudgets,
 			newWarmup,
--- a/internal/node/provide.go
+++ b/internal/node/provide.go
@@ -137,7 +137,7 @@
 	return pool
 }
 
-func newDealer(config settings.Settings, census *registry.Census, self catalog.NodeRecord) *connshare.Allocator {
+func newAllocator(config settings.Settings, census *registry.Census, self catalog.NodeRecord) *connshare.Allocator {
 	return connshare.New(config.ConnectionShare, census, self)
 }
 
@@ -181,7 +181,7 @@
 	Dialect       httpnames.Names
 	Catalog       *catalog.Catalog
 	Memory        *leafmemory.Memory
-	Dealer        *connshare.Allocator
+	Allocator     *connshare.Allocator
 	Balancer      *balancer.Balancer
 	Budgets       *retrybudget.Budgets
 	Leafs         *leafhttp.Pool
@@ -198,7 +198,7 @@
 
 func newGateway(deps gatewayDeps) *gateway.Gateway {
 	return gateway.New(gateway.Deps{
-		Config: deps.Config.Gateway, Dialect: deps.Dialect, Catalog: deps.Catalog, Memory: deps.Memory, Allocator: deps.Dealer,
+		Config: deps.Config.Gateway, Dialect: deps.Dialect, Catalog: deps.Catalog, Memory: deps.Memory, Allocator: deps.Allocator,
 		Balancer: deps.Balancer, Budgets: deps.Budgets, Leafs: deps.Leafs, Warmup: deps.Warmup,
 		Canary: deps.Canary, Evidence: deps.Evidence, Events: deps.Events,
 		Self: deps.Self, Regions: deps.Config.Regions, Fleet: deps.Fleet, Intermediates: deps.Intermediates, Zones: deps.Zones,
--- a/internal/request/scatter/hedge.go
+++ b/internal/request/scatter/hedge.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// Bounds by which a node that is late itself is told from late leafs, see isNodeLate.
+// Bounds by which late leafs are distinguished from a node that is late itself, see isNodeLate.
 const (
 	lateShareLimit  = 0.5 // of all shards
 	lateCountLimit  = 8   // shards; with fewer, slow leafs are as likely
--- a/internal/request/search/merge.go
+++ b/internal/request/search/merge.go
@@ -13,16 +13,16 @@
 
 // The reasons for a missing range, besides those of the balancer.
 const (
-	missingDeadline                   = missingReason(scatter.Deadline)
-	missingSnapshotGone missingReason = "SNAPSHOT_GONE"
-	missingLeafFailed                 = missingReason(scatter.LeafFailed)
-	missingShed                       = missingReason(scatter.Shed)
-	missingTruncated    missingReason = "TRUNCATED_BY_LEAF"
-	missingAnswerSize   missingReason = "ANSWER_SIZE"
-	missingOutcomeUnknw missingReason = "OUTCOME_UNKNOWN"
-	missingUnknownLeaf  missingReason = "UNKNOWN_LEAF"
-	missingNotRepeated  missingReason = "NOT_REPEATED"
-	missingRetryBudget  missingReason = "RETRY_BUDGET"
+	missingDeadline                     = missingReason(scatter.Deadline)
+	missingSnapshotGone   missingReason = "SNAPSHOT_GONE"
+	missingLeafFailed                   = missingReason(scatter.LeafFailed)
+	missingShed                         = missingReason(scatter.Shed)
+	missingTruncated      missingReason = "TRUNCATED_BY_LEAF"
+	missingAnswerSize     missingReason = "ANSWER_SIZE"
+	missingOutcomeUnknown missingReason = "OUTCOME_UNKNOWN"
+	missingUnknownLeaf    missingReason = "UNKNOWN_LEAF"
+	missingNotRepeated    missingReason = "NOT_REPEATED"
+	missingRetryBudget    missingReason = "RETRY_BUDGET"
 )
 
 // shardOutcome is the result of the scatter step for one part of the plan.
