--- a/internal/leaf/balancer/balancer.go
+++ b/internal/leaf/balancer/balancer.go
@@ -1,7 +1,7 @@
 // Package balancer chooses which replica of a shard is asked, and keeps the health state of each leaf for that.
 //
 // For each leaf it keeps the attempts in flight, the latency of this node's attempts, the load that the leaf reports,
-// failures in a row, and how much slower than usual the leaf is by this node's attempts and by the observations of
+// failures in a row, and how much slower than typical the leaf is by this node's attempts and by the observations of
 // other nodes. What replies show outweighs what a leaf reports: a leaf that claims to be idle but answers slowly is
 // passed over. Failing leafs are ejected, but the last replica of a shard is always asked, and ejected leafs come back
 // through one trial attempt at a time.
@@ -58,8 +58,8 @@
 // Start counts an attempt at the leaf as in flight.
 func (b *Balancer) Start(leaf *Leaf) { leaf.start(b.now()) }
 
-// Finish records the end of an attempt at the leaf. Typical is the usual latency of such an attempt at any leaf; 0 if
-// unknown.
+// Finish records the end of an attempt at the leaf. Typical is the typical latency of such an attempt at any leaf; 0
+// if unknown.
 func (b *Balancer) Finish(leaf *Leaf, outcome Outcome, took, typical time.Duration) {
 	change := leaf.finish(b.config, outcome, took, typical, b.now())
 	if change.ejectionChanged && b.onEjected != nil {
--- a/internal/leaf/balancer/choose.go
+++ b/internal/leaf/balancer/choose.go
@@ -71,7 +71,8 @@
 //
 // Rule:
 //  1. Tried, leaving and draining replicas are left out, and those at their in-flight limit.
-//  2. Ejected and stalled replicas and those of last resort are taken only if there is no other.
+//  2. Ejected and stalled replicas and those of last resort are taken only if there is no other (see isEjected,
+//     isStalled and Candidate.LastResort).
 //  3. A replica that is warming up takes part in a share of the choices only, so that its caches fill first.
 //  4. If the slowdown of any replica is known, the one with the least expected delay wins: its slowdown, times how much
 //     longer attempts take because others wait there, with penalties for another zone and for a new connection.
--- a/internal/leaf/balancer/slowness.go
+++ b/internal/leaf/balancer/slowness.go
@@ -32,7 +32,7 @@
 	at    time.Time
 }
 
-// slowness decides how slow a leaf is compared with the usual latency of the same kind of request.
+// slowness decides how slow a leaf is compared with the typical latency of the same kind of request.
 //
 // Inputs: the last slownessSamples samples of this node and others, as multiples of the typical latency.
 //
@@ -85,7 +85,7 @@
 	return 1 + (s.middle-1)*faded, true
 }
 
-// compare adds the latency of an attempt as a sample of the leaf's slowness. Typical is the usual latency of such an
+// compare adds the latency of an attempt as a sample of the leaf's slowness. Typical is the typical latency of such an
 // attempt at any leaf; 0 if unknown. It returns an observation if other nodes should know: the sample is slow, or it is
 // healthy and the leaf was slow.
 func (l *Leaf) compare(config Config, outcome Outcome, took, typical time.Duration, now time.Time) *Observation {
--- a/internal/leaf/balancer/stall.go
+++ b/internal/leaf/balancer/stall.go
@@ -23,11 +23,11 @@
 
 // isStalled decides whether a leaf is passed over because it owes answers.
 //
-// Inputs: since when the leaf owes this node an answer and its usual latency, and the silence that another node
-// reported.
+// Inputs: how long the leaf has owed this node an answer, its average latency at this node, and the silence that another
+// node reported.
 //
-// Rule: a leaf is stalled once it owes an answer for stallFactor times its latency, at least minimumStall. While an
-// attempt is in flight it stays stalled; after that one attempt at a time finds out whether it is back, with pauses that
+// Rule: a leaf is stalled once it has owed an answer for stallFactor times its latency, at least minimumStall. While an
+// attempt is in flight it stays stalled; after that, one attempt at a time finds out whether it is back, with pauses that
 // grow with the silence (see stallPause). What another node reports counts for one such pause.
 func (l *Leaf) isStalled(now time.Time) bool {
 	if l.peerSilence > 0 && now.Sub(l.peerSilenceAt) < stallPause(l.peerSilence) {
--- a/internal/leaf/balancer/status.go
+++ b/internal/leaf/balancer/status.go
@@ -20,9 +20,9 @@
 	latency  float64 // moving average in seconds; 0 if unknown
 	load     float64 // attempts in flight and the reported load, plus the next attempt
 	queueing float64 // latency as a multiple of that of an idle leaf, because other attempts wait
-	slowness float64 // latency as a multiple of the usual one for the same kind of request
+	slowness float64 // latency as a multiple of the typical one for the same kind of request
 	compared bool    // slowness is known
-	warmth   float64 // share of its full load that a new or readmitted leaf should get
+	warmth   float64 // share of its full load that the leaf should get, below 1 while it is new or readmitted
 }
 
 // status returns the leaf's status now.
--- a/internal/request/admission/limit.go
+++ b/internal/request/admission/limit.go
@@ -36,8 +36,8 @@
 	g.refuseHopeless(now)
 }
 
-// reduceLimit lowers the limit in use after a congested query: to congestedBackoff times the queries that run now, at
-// most once per backoffPause. The mutex must be held.
+// reduceLimit lowers the limit in use after a congested query, at most once per backoffPause: to congestedBackoff times
+// itself or, if that is less, times one more than the queries that run now. The mutex must be held.
 func (g *Gate) reduceLimit(now time.Time) {
 	if now.Sub(g.reducedAt) < backoffPause {
 		return
--- a/internal/request/hedging/hedging.go
+++ b/internal/request/hedging/hedging.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// minimumSamples is how many latencies must be known before any hedge is sent: fewer give no high quantile.
+// minimumSamples is how many latencies must be known before any hedge is sent: a high quantile of fewer would be arbitrary.
 const minimumSamples = 100
 
 // Policy decides for one service; it implements scatter.Policy. It is safe for concurrent use.
--- a/internal/request/hedging/latencies.go
+++ b/internal/request/hedging/latencies.go
@@ -14,7 +14,7 @@
 	significantDigits = 2
 )
 
-// refreshEvery is after how many samples quantiles are worth computing again.
+// refreshEvery is the number of new samples after which quantiles are worth computing again.
 const refreshEvery = 64
 
 // Latencies is the distribution of recent latencies; safe for concurrent use.
--- a/internal/request/scatter/caution.go
+++ b/internal/request/scatter/caution.go
@@ -5,7 +5,7 @@
 // LeafsCrashed is the reason of shards that were not asked because leafs of others crashed while they ran the request.
 const LeafsCrashed Reason = "LEAFS_ENDED"
 
-// caution is what the scatter knows about whether its request crashes leafs.
+// caution is the evidence on whether the request crashes leafs, and the probes that are sent to find out.
 //
 // Once a leaf broke off its answer, and until a leaf has answered, the scatter is cautious: it sends one attempt at a
 // time, a probe, and holds the others until that has ended. A request that crashes every leaf then costs one more leaf
@@ -49,12 +49,14 @@
 const (
 	probeTimeoutFactor  = 3 // times the typical latency of an attempt
 	minimumProbeTimeout = 20 * time.Millisecond
-	// heldRetryPause is after what time a held shard is tried again if the plan has no ReplicaWait.
+	// heldRetryPause is the pause after which a held shard is tried again if the plan has no ReplicaWait.
 	heldRetryPause = 5 * time.Millisecond
 )
 
-// mustHold reports whether an attempt for a shard must wait: a plan without probes sends none while it is cautious, any
-// other sends one at a time, and the next after the probe timeout or, if that is later, the head start.
+// mustHold reports whether an attempt for a shard must wait.
+//
+// Rule: only while the scatter is cautious. A plan without probes then sends no attempt at all. Any other sends one probe
+// at a time; if that has not ended after the probe timeout, and the head start is over, the next one is sent.
 func (s *Scatter[Reply]) mustHold(index int) bool {
 	if !s.isCautious() {
 		return false
--- a/internal/request/scatter/hedge.go
+++ b/internal/request/scatter/hedge.go
@@ -37,10 +37,10 @@
 
 // Bounds by which late leafs are distinguished from a node that is late itself, see isNodeLate.
 const (
-	lateShareLimit  = 0.5 // of all shards
-	lateCountLimit  = 8   // shards; with fewer, slow leafs are as likely
-	postponedShare  = 0.4 // of the time that the request took before
-	hedgePostponing = 5 * time.Millisecond
+	lateShareLimit  = 0.5                  // of all shards
+	lateCountLimit  = 8                    // shards; with fewer, slow leafs are as likely
+	postponedShare  = 0.4                  // of the time from the start until hedges were first postponed
+	hedgePostponing = 5 * time.Millisecond // by which a due hedge is postponed each time
 )
 
 // isNodeLate reports whether hedges must wait because this node, not the leafs, is most likely what is late.
@@ -48,8 +48,8 @@
 // Inputs: the shards that are still open and asked one by one, the number of all shards, and the time since Run began.
 //
 // Rule: at least lateCountLimit shards and more than lateShareLimit of all are open when something is due. That many
-// leafs are hardly ever slow together, and hedges would add to the work of a node that is short of CPU. Hedges wait for
-// at most postponedShare of the time that had passed when they first had to.
+// leafs are hardly ever slow together, and hedges would add to the work of a node that is short of CPU. Hedges are
+// postponed for at most postponedShare of the time that had passed when the first of them was.
 func (s *Scatter[Reply]) isNodeLate(now time.Time) bool {
 	open := s.open - s.groups.openShards
 	if open < lateCountLimit || float64(open) <= lateShareLimit*float64(len(s.shards)) {
--- a/internal/request/scatter/plan.go
+++ b/internal/request/scatter/plan.go
@@ -17,7 +17,7 @@
 	Refresh func(shard int) []balancer.Candidate
 	// Deadline is when every open shard is given up.
 	Deadline time.Time
-	// SoftDeadline is from when Sufficient replies are enough; zero means never.
+	// SoftDeadline is the time from which Sufficient replies are enough; zero means never.
 	SoftDeadline time.Time
 	// Sufficient is the minimum number of useful replies: the scatter ends as soon as that many can't come any more.
 	// 0 means that any number is useful.
@@ -26,23 +26,25 @@
 	AtMostOnce bool
 	// NoHedges forbids hedges.
 	NoHedges bool
-	// Cautious says that leafs crashed lately while they ran the same request: one is asked first, and the others once
-	// a leaf has answered.
+	// Cautious says that leafs crashed lately while they ran the same request: attempts are sent one at a time until
+	// a leaf has answered, see isCautious.
 	Cautious bool
-	// HeadStart is how long the first attempt goes out alone, unless a leaf answers before; 0 means not at all. The groups
-	// wait with the other shards.
+	// HeadStart is how long the first attempt is in flight alone, unless a leaf answers before; 0 means that all start
+	// together. Groups wait, too.
 	HeadStart time.Duration
-	// CrashedProbesLimit is after how many probes whose leaf crashed the scatter is given up; 0 means never.
+	// CrashedProbesLimit is the number of probes that crashed their leafs at which the scatter is given up; 0 means
+	// never.
 	CrashedProbesLimit int
 	// NoProbes makes the scatter give up instead of sending probes, because the node that asked for it knows of more
 	// shards and sends the probes itself.
 	NoProbes bool
 	// MaximumAttempts bounds the attempts of a shard that may have run.
 	MaximumAttempts int
-	// MaximumRefusals is how many attempts of a shard may be refused without running beyond that.
+	// MaximumRefusals is the maximum number of a shard's attempts that did not run and therefore don't count toward
+	// MaximumAttempts.
 	MaximumRefusals int
 	// ReplicaWait is the pause after which a shard without a usable replica, or without room
-	// in its budget, is tried again; 0 means that it is given up at once.
+	// in its budget, is tried again; 0 means that it is settled without a reply, see waitOrSettle.
 	ReplicaWait time.Duration
 }
 
@@ -50,8 +52,8 @@
 type Shard struct {
 	Candidates []balancer.Candidate
 	Policy     Policy
-	// Spent is how many of MaximumAttempts may have been made elsewhere, without a reply: attempts from here are
-	// retries. It must be less than MaximumAttempts.
+	// Spent is how many of MaximumAttempts may have been made by another node, without a reply: the attempts of this
+	// scatter are then retries. It must be less than MaximumAttempts.
 	Spent int
 }
 
@@ -62,7 +64,7 @@
 	// HedgeDelay returns how long to wait from the newest attempt until the hedge of a stage, counted from 0,
 	// and whether there is such a stage.
 	HedgeDelay(stage int) (time.Duration, bool)
-	// TypicalLatency is the usual latency of an attempt at any leaf; 0 if unknown.
+	// TypicalLatency returns the typical latency of an attempt at any leaf; 0 if unknown.
 	TypicalLatency() time.Duration
 	// WorthHedging reports whether a hedge to a replica is useful that is expected to take that many
 	// times the typical latency; 0 means unknown.
--- a/internal/request/scatter/stop.go
+++ b/internal/request/scatter/stop.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// mustWait reports whether the scatter goes on.
+// mustWait reports whether Run must wait for more results.
 //
 // It ends as soon as one of these holds: every shard has an outcome; crashed probes show that the request crashes leafs
 // (see recordCrashEvidence), or no probe may be sent (see isBlocked); enough replies are in and the soft deadline has
--- a/internal/request/search/answer.go
+++ b/internal/request/search/answer.go
@@ -47,7 +47,7 @@
 
 // mayReplan decides whether a query whose leafs dropped the pinned snapshot starts over on a newer one.
 //
-// Rule: yes, unless it was planned Config.ReplanLimit times again already, it may run at most once and may have run, less
+// Rule: yes, unless it was already planned again Config.ReplanLimit times, it may run at most once and may have run, less
 // than Config.MinimumDeadline is left, or there is no newer snapshot.
 func (e *Engine) mayReplan(query *query, pinned *catalog.Service, replans int, ran bool) bool {
 	if replans >= e.config.ReplanLimit || (query.atMostOnce && ran) {
--- a/internal/request/search/failures.go
+++ b/internal/request/search/failures.go
@@ -54,10 +54,10 @@
 	return failure.IncompleteCoverage
 }
 
-// retryAfterMissing is after what time a query with missing ranges may be repeated.
+// retryAfterMissing is the delay after which a query with missing ranges may be repeated.
 const retryAfterMissing = 200 * time.Millisecond
 
-// retryAfter returns after what time a query may be repeated; 0 if that can't help because it has run already.
+// retryAfter returns the delay after which a query may be repeated; 0 if that can't help because it has run already.
 func (e *Engine) retryAfter(merged *page) time.Duration {
 	for _, part := range merged.missing {
 		if part.reason == missingNotRepeated {
@@ -78,7 +78,8 @@
 	return failure.NotRun
 }
 
-// withExecution returns a failure to start over with the execution state of the plans before it, which may have run.
+// withExecution returns the failure of a query that could not be planned again, with the execution state of its earlier
+// plans, which may have run.
 func withExecution(err error, execution failure.ExecutionState) error {
 	failed := *failure.From(err)
 	failed.Execution = execution
--- a/internal/request/search/lifecycle.go
+++ b/internal/request/search/lifecycle.go
@@ -7,11 +7,11 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// drainRetryAfter is after what time callers of a stopping node may retry; by then the machine list and
+// drainRetryAfter is the delay after which callers of a stopping node may retry; by then the machine list and
 // the other nodes know that it stops.
 const drainRetryAfter = 50 * time.Millisecond
 
-// notReadyRetryAfter is after what time callers of a node without configuration may retry.
+// notReadyRetryAfter is the delay after which callers of a node without configuration may retry.
 const notReadyRetryAfter = time.Second
 
 // SetReady makes the engine accept searches, once the configuration is loaded.
--- a/internal/request/search/quarantine.go
+++ b/internal/request/search/quarantine.go
@@ -60,7 +60,7 @@
 }
 
 // learn records what the end of an attempt says about the search. After a call broke off, it checks whether the leaf has
-// exited: for a probe before it returns, since the next attempt depends on it, and else concurrently.
+// exited. For a probe it waits for the result, since the next attempt depends on it; otherwise the check is concurrent.
 func (s *keyScatter) learn(ctx context.Context, attempt scatter.Attempt, address string, err error, result scatter.Result[shardReply]) scatter.Result[shardReply] {
 	tracked := s.query.tracked
 	if tracked == nil {
