--- a/internal/leaf/connshare/config.go
+++ b/internal/leaf/connshare/config.go
@@ -10,11 +10,11 @@
 type Config struct {
 	// Share is the share of a leaf's connection limit that all nodes together use.
 	Share float64 `yaml:"share"`
-	// ShareAfterStart is the same for nodes that started a short while ago.
+	// ShareAfterStart replaces Share on a node that started less than StartSpan ago.
 	ShareAfterStart float64 `yaml:"share_after_start"`
-	// StartSpan is how long after its start a node uses the smaller share.
+	// StartSpan is how long after its start a node uses ShareAfterStart.
 	StartSpan time.Duration `yaml:"start_span"`
-	// Unlimited is a node's limit of connections to one leaf that has no limit by the operators.
+	// Unlimited is a node's maximum number of connections to a leaf for which the operators set no limit.
 	Unlimited int `yaml:"unlimited"`
 	// Spare is how many extra connections to a leaf a node may open beyond its allotment.
 	Spare int `yaml:"spare"`
--- a/internal/leaf/leafgossip/leafgossip.go
+++ b/internal/leaf/leafgossip/leafgossip.go
@@ -4,7 +4,7 @@
 // A node that asks a leaf once a second needs many seconds to distinguish a slow leaf from a slow
 // request; all nodes together ask it often enough. Each node announces only its own observations, to a
 // few random nodes, within a limit of bytes a second: the traffic grows with the requests, and nothing
-// is forwarded. After a lost message, the next observation serves as well.
+// is forwarded. A lost message is not repeated: the next observation replaces it.
 //
 // A Gossip owns the queue of observations, which package balancer makes and handles; its Run is a goroutine of the node.
 // Messages are datagrams of package peer. It returns no errors: what can't be sent is dropped.
@@ -53,7 +53,7 @@
 	wake    chan struct{}
 }
 
-// New returns a gossip; nothing is sent until Run is called.
+// New returns a Gossip; nothing is sent until Run is called.
 func New(cfg Config, nodes Nodes, sender Sender, handle func(balancer.Observation)) *Gossip {
 	return &Gossip{
 		cfg: cfg, nodes: nodes, sender: sender, handle: handle,
--- a/internal/leaf/leafhttp/check.go
+++ b/internal/leaf/leafhttp/check.go
@@ -9,14 +9,14 @@
 // OnChecked is called with whether a leaf's process has exited.
 type OnChecked func(exited bool)
 
-// resetSettleTime is how long after one connection broke the others to the same process are known to be broken, if it
-// exited: their resets are sent together.
+// resetSettleTime is the time within which all connections to a process that exits are reset: the kernel sends the resets
+// together.
 const resetSettleTime = 3 * time.Millisecond
 
 // Check finds out whether a leaf's process has exited, after an answer of it broke off.
 //
-// Rule: it has exited if its address refuses a new connection. A leaf that accepts one is alive and lost only the old
-// one, and a silent leaf may be alive. A leaf that reset a new connection (refused) most likely has too many; it is not
+// Rule: it has exited if its address refuses a new connection. A leaf that accepts one is alive and only lost the old
+// one; a silent leaf may be alive. A leaf that reset a new connection (refused) most likely has too many; it is not
 // sent one more while others to it are established, which show that it is alive.
 //
 // Concurrent checks of a leaf share one connection. Check does not block; report is called once, on another goroutine.
--- a/internal/leaf/leafhttp/connection.go
+++ b/internal/leaf/leafhttp/connection.go
@@ -18,7 +18,8 @@
 // longer one is written concurrently, since the leaf may answer before it has read all of it.
 const inlineBody = 4 << 10
 
-// extraIdleLimit is how long a connection beyond the allotment may be idle: other nodes may need it.
+// extraIdleLimit is how long a connection beyond the allotment may be idle. It is short since other nodes may need the
+// connection.
 const extraIdleLimit = 2 * time.Second
 
 // connection is one connection to a leaf, used by one exchange at a time. One goroutine reads it
--- a/internal/leaf/leafhttp/exchange.go
+++ b/internal/leaf/leafhttp/exchange.go
@@ -24,7 +24,7 @@
 	// conn carries the exchange; nil while it waits for a connection and after its end.
 	conn      *connection
 	ended     bool
-	finished  bool // its answer is complete, and done is about to be called
+	finished  bool // its answer is complete, and done will be called with it
 	lingering bool // it is superseded, and its answer is still awaited
 	// stopDial cancels the opening of its connection; nil unless one is being opened.
 	stopDial context.CancelFunc
--- a/internal/leaf/leafhttp/leaf_connections.go
+++ b/internal/leaf/leafhttp/leaf_connections.go
@@ -19,8 +19,8 @@
 	checks    []OnChecked
 }
 
-// limit returns how many connections there may be now: the node's allotment, at least one, and the extra ones unless
-// the leaf refused a connection within the pause.
+// limit returns the maximum number of connections now: the node's allotment and the extra ones, at least one in all. The
+// extra ones don't count while the leaf's last refusal of a connection is less than the pause ago.
 func (l *leafConnections) limit(target Target, pause time.Duration, now time.Time) int {
 	if target.ExtraConnections > 0 && now.Sub(l.refusedAt) >= pause {
 		return target.Connections + target.ExtraConnections
@@ -54,9 +54,11 @@
 	return leaf
 }
 
-// reserve decides how an exchange gets a connection: the idle one that was used last, unless it has been idle for too
-// long; else a new one, which is counted already and which the caller must open; or, if there are as many as there may
-// be (see limit), the next one that is released. The mutex must be held.
+// reserve decides how an exchange gets a connection.
+//
+// Rule: the idle one that was used last, unless it has been idle for too long; otherwise a new one, which is counted here
+// and which the caller must open; or, at the limit (see limit), the next one that is released, for which the exchange
+// waits. The mutex must be held.
 func (p *Pool) reserve(e *Exchange) (conn *connection, mayOpen bool) {
 	leaf := p.leaf(e.target.LeafID)
 	now := time.Now()
@@ -99,7 +101,7 @@
 	p.leaf(leafID).established++
 }
 
-// dialFailed uncounts a connection that could not be opened, and lets another exchange open one.
+// dialFailed removes a connection that could not be opened from the count, and lets an exchange that waits open another.
 func (p *Pool) dialFailed(leafID string, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -113,7 +115,8 @@
 	p.removeOpen(leafID, leaf)
 }
 
-// removeOpen uncounts a connection. The exchange that has waited the longest may open another. The mutex must be held.
+// removeOpen removes a connection from the count. If the limit then allows one, the exchange that has waited the longest
+// opens another. The mutex must be held.
 func (p *Pool) removeOpen(leafID string, leaf *leafConnections) {
 	leaf.open--
 	if len(leaf.waiting) > 0 && leaf.open < leaf.limit(leaf.waiting[0].target, p.config.SparePause, time.Now()) {
--- a/internal/leaf/leafhttp/pool.go
+++ b/internal/leaf/leafhttp/pool.go
@@ -46,8 +46,8 @@
 	return !found || time.Since(leaf.refusedAt) >= p.config.SparePause
 }
 
-// Warm opens an idle connection to the first of some leafs of a service, unless there
-// is one to any of them. It does not block.
+// Warm opens a connection to the first of some leafs of a service and keeps it idle, unless there
+// is a connection to any of them. It does not block.
 func (p *Pool) Warm(targets []Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/leaf/leafmemory/writer.go
+++ b/internal/leaf/leafmemory/writer.go
@@ -35,8 +35,8 @@
 
 	wanted []leafset.Record // what the list should be
 	since  time.Time        // when wanted last changed
-	// leafs and remembered are the sets that were compared last, and isWritten is the result: mostly nothing
-	// changed, and comparing thousands of leafs each second would be a large part of an idle node's CPU time.
+	// leafs and remembered are the sets that were compared last, and isWritten is the result. It is kept because the sets
+	// rarely change, and comparing thousands of leafs each second would be a large part of an idle node's CPU time.
 	leafs, remembered *leafset.Set
 	isWritten         bool
 }
--- a/internal/leaf/leafset/incarnations_test.go
+++ b/internal/leaf/leafset/incarnations_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// life is the record of a leaf whose process started at a time.
-func life(born int64, state State) *Leaf {
+// incarnation returns a leaf whose process started at a time, in Unix milliseconds.
+func incarnation(born int64, state State) *Leaf {
 	record := Record{Name: "a", Service: "s", Address: "127.0.0.1:1", State: state, Born: born}
 	return NewLeaf(record, born+1, time.Time{})
 }
@@ -17,23 +17,23 @@
 // not recorded as lost either.
 func TestEachLifeHasItsID(t *testing.T) {
 	cases := map[string]func(first *Set) *Set{
-		"registers over the first": func(first *Set) *Set { return put(first, life(20, Ready)) },
-		"drains at once":           func(first *Set) *Set { return put(first, life(20, Draining)) },
+		"registers over the first": func(first *Set) *Set { return put(first, incarnation(20, Ready)) },
+		"drains at once":           func(first *Set) *Set { return put(first, incarnation(20, Draining)) },
 		"after the first went": func(first *Set) *Set {
 			editor := first.Edit()
 			editor.Remove("a")
-			return put(editor.Done(), life(20, Draining))
+			return put(editor.Done(), incarnation(20, Draining))
 		},
 		"in a whole state": func(first *Set) *Set {
 			editor := Replace(first)
-			editor.Put(life(20, Draining))
+			editor.Put(incarnation(20, Draining))
 			return editor.Done()
 		},
 	}
 	for name, begin := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			first := put(Empty(), life(10, Ready))
+			first := put(Empty(), incarnation(10, Ready))
 			_, found := first.ByID("a@10")
 			is.True(found)
 			second := begin(first)
@@ -53,7 +53,7 @@
 // An incarnation that is only unlisted for a while is recorded as lost by its id, and found by it again.
 func TestLifeThatIsUnlisted(t *testing.T) {
 	is := is.New(t)
-	editor := put(Empty(), life(10, Ready)).Edit()
+	editor := put(Empty(), incarnation(10, Ready)).Edit()
 	editor.Remove("a")
 	without := editor.Done()
 	is.Equal(without.LostIDs(time.Time{}), []string{"a@10"})
@@ -61,7 +61,7 @@
 	is.True(isLost)
 	_, isLost = without.LostByID("a@9", time.Time{})
 	is.True(!isLost)
-	_, found := put(without, life(10, Ready)).ByID("a@10")
+	_, found := put(without, incarnation(10, Ready)).ByID("a@10")
 	is.True(found)
 }
 
--- a/internal/leaf/leafset/leaf.go
+++ b/internal/leaf/leafset/leaf.go
@@ -15,8 +15,8 @@
 	Record
 	// Revision is the store's revision that wrote the record.
 	Revision int64
-	// ColdUntil is until when the leaf can take few requests only, by this node's clock; zero if it is warm. It is later
-	// than the leaf's own time by the delay of the record.
+	// ColdUntil is the time, by this node's clock, until which the leaf can take only few requests; zero if it is warm. The
+	// leaf is really warm a little earlier, by the time that the record took to arrive.
 	ColdUntil time.Time
 }
 
@@ -32,8 +32,8 @@
 	return name + incarnationMark + strconv.FormatInt(born, 10)
 }
 
-// byNameOf returns the value of the name in an id, whichever incarnation it is of: an id without a time is the name, which
-// may contain the mark.
+// byNameOf returns the value for the name in an id, whichever incarnation the value is of. It first tries the whole id as
+// a name: an id without a start time is the name alone, which may contain the mark.
 func byNameOf[V any](byName map[string]V, id string) (value V, found bool) {
 	if value, found = byName[id]; found {
 		return value, true
--- a/internal/leaf/warmup/config.go
+++ b/internal/leaf/warmup/config.go
@@ -4,9 +4,9 @@
 
 // Config is how far above its rate a cold leaf may be asked. Both values are properties of the leafs.
 type Config struct {
-	// Excess is how many times the cold rate of its service a cold leaf can take within any second.
+	// Excess is the multiple of its service's cold rate that a cold leaf can take within any second.
 	Excess float64 `yaml:"excess"`
-	// Slack is how many requests it can take in that second beyond those.
+	// Slack is the number of requests that it can take within that second in addition.
 	Slack float64 `yaml:"slack"`
 }
 
@@ -40,8 +40,8 @@
 	// gatherersPerLeaf is how many of the nodes that gather ask a cold leaf: one of its zone may have died.
 	// More of them would have a lower rate, since each may send one request at any moment.
 	gatherersPerLeaf = 2
-	// capacityPerSender is the capacity, in requests a second, that each sender of a service that is not gathered
-	// needs. Such requests come to any node, a few a second, so that many senders at a low rate serve more of them.
+	// capacityPerSender is the capacity of the leaf, in requests a second, per node that may ask it, for services that are
+	// not gathered. Their requests come to any node, a few a second, so that many senders at a low rate serve more.
 	capacityPerSender = 4
 )
 
--- a/internal/leaf/warmup/warmup.go
+++ b/internal/leaf/warmup/warmup.go
@@ -106,7 +106,7 @@
 	return service.ColdRequestsPerSecond
 }
 
-// maximumKept is the number of buckets from which on those of leafs that are warm are dropped.
+// maximumKept is the number of buckets at which those of warm leafs are dropped.
 const maximumKept = 1024
 
 // refill returns the node's bucket of a leaf, refilled. The lock must be held.
