--- a/internal/failure/checks.go
+++ b/internal/failure/checks.go
@@ -2,19 +2,19 @@
 
 import "errors"
 
-// Checks collects the faults of a set of fields, so that all are named at once.
+// Checks collects the failures of a set of fields, so that one error names every invalid field.
 type Checks struct {
 	faults []error
 }
 
-// Refuse records an InvalidField failure when the condition holds.
+// Refuse records an InvalidField failure if the condition is true.
 func (c *Checks) Refuse(condition bool, field, format string, arguments ...any) {
 	if condition {
 		c.faults = append(c.faults, Invalid(field, format, arguments...))
 	}
 }
 
-// Add records the faults of a nested set of fields under a prefix.
+// Add records the failures of a nested set of fields, with a prefix before the names of the fields.
 func (c *Checks) Add(prefix string, err error) {
 	for _, fault := range Faults(err) {
 		nested := *fault
@@ -23,13 +23,13 @@
 	}
 }
 
-// Err gives the faults joined, or nil.
+// Err returns the recorded failures, joined; nil if there are none.
 func (c *Checks) Err() error { return errors.Join(c.faults...) }
 
-// joined is what errors.Join makes.
+// joined is the interface of the errors that errors.Join returns.
 type joined interface{ Unwrap() []error }
 
-// Faults gives the failures joined in an error; one of another type counts as Internal.
+// Faults returns the failures that are joined in an error; an error of another type becomes an Internal failure.
 func Faults(err error) []*Failure {
 	if err == nil {
 		return nil
--- a/internal/failure/failure.go
+++ b/internal/failure/failure.go
@@ -1,7 +1,8 @@
 // Package failure defines the typed errors that portgauge returns to callers and operators.
 //
-// Every failure has a stable code, says whether any back end ran the request, and, where
-// asking again makes sense, says when.
+// Every failure has a stable code, says whether any back end ran the request and, if a retry is useful, how long to wait
+// before it. The package owns no state; internal/request/front and internal/operator/api encode failures for callers and
+// operators.
 package failure
 
 import (
@@ -37,8 +38,8 @@
 	OutcomeUnknown     Code = "OUTCOME_UNKNOWN"
 	Cancelled          Code = "CANCELLED"
 	Unreachable        Code = "UNREACHABLE"
-	// LeafsEnded means that leafs ended while they worked on the request, and Quarantined that so many did that it goes to
-	// no more of them.
+	// LeafsEnded means that leafs crashed while they ran the request, Quarantined that so many did that it is sent to no
+	// leaf any more.
 	LeafsEnded  Code = "LEAFS_ENDED"
 	Quarantined Code = "QUARANTINED"
 	Internal    Code = "INTERNAL"
@@ -58,11 +59,11 @@
 type Failure struct {
 	Code      Code
 	Execution ExecutionState
-	// Field is the path of the field at fault, for InvalidField.
+	// Field is the path of the invalid field, for InvalidField.
 	Field string
 	// Message is one sentence for a person; programs read the other fields.
 	Message string
-	// RetryAfter is when asking again makes sense; zero when it does not.
+	// RetryAfter is how long to wait before a retry; zero if a retry is useless.
 	RetryAfter time.Duration
 	// Coverage is what was reached, for IncompleteCoverage.
 	Coverage *searchv1.Coverage
@@ -72,30 +73,30 @@
 	cause error
 }
 
-// New makes a failure with a formatted message.
+// New returns a failure with a formatted message.
 func New(code Code, execution ExecutionState, format string, arguments ...any) *Failure {
 	return &Failure{Code: code, Execution: execution, Message: fmt.Sprintf(format, arguments...)}
 }
 
-// Invalid makes an InvalidField failure; nothing ran.
+// Invalid returns an InvalidField failure; nothing ran.
 func Invalid(field, format string, arguments ...any) *Failure {
 	invalid := New(InvalidField, NotRun, format, arguments...)
 	invalid.Field = field
 	return invalid
 }
 
-// Wrap makes a failure that keeps its cause, with the stack of the caller.
+// Wrap returns a failure that keeps its cause, with the stack of the caller.
 func Wrap(cause error, code Code, execution ExecutionState, message string) *Failure {
 	return &Failure{Code: code, Execution: execution, Message: message, cause: merry.WrapSkipping(cause, 1)}
 }
 
-// WithRetryAfter sets when asking again makes sense.
+// WithRetryAfter sets how long to wait before a retry.
 func (f *Failure) WithRetryAfter(after time.Duration) *Failure {
 	f.RetryAfter = after
 	return f
 }
 
-// Error gives the code, the field if any, the message and the cause.
+// Error returns the code, the field if any, the message and the cause.
 func (f *Failure) Error() string {
 	text := string(f.Code)
 	if f.Field != "" {
@@ -108,10 +109,10 @@
 	return text
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.cause }
 
-// From finds the Failure in an error chain, or makes an Internal one of unknown execution.
+// From returns the Failure in an error chain, or a new one with code Internal and execution Unknown if there is none.
 func From(err error) *Failure {
 	var found *Failure
 	if errors.As(err, &found) {
@@ -120,7 +121,7 @@
 	return Wrap(err, Internal, Unknown, "unexpected error")
 }
 
-// Is reports whether an error chain holds a failure of the code.
+// Is reports whether an error chain contains a failure with the code.
 func Is(err error, code Code) bool {
 	var found *Failure
 	return errors.As(err, &found) && found.Code == code
