--- a/internal/config/catalog/overwritten.go
+++ b/internal/config/catalog/overwritten.go
@@ -28,22 +28,22 @@
 }
 
 // add remembers a write.
-func (p *overwrittenWrites) add(entry Entry) {
+func (w *overwrittenWrites) add(entry Entry) {
 	write := overwrittenOf(entry)
-	if p.known == nil {
-		p.known = map[overwrittenWrite]bool{}
+	if w.known == nil {
+		w.known = map[overwrittenWrite]bool{}
 	}
-	if p.known[write] {
+	if w.known[write] {
 		return
 	}
-	if len(p.order) >= maxOverwritten {
-		delete(p.known, p.order[0])
-		p.order = p.order[1:]
+	if len(w.order) >= maxOverwritten {
+		delete(w.known, w.order[0])
+		w.order = w.order[1:]
 	}
-	p.known[write] = true
-	p.order = append(p.order, write)
+	w.known[write] = true
+	w.order = append(w.order, write)
 }
 
 // has reports whether a write is remembered. If a restored store holds it, it is older than what replaced it: a
 // new write has another count, or the count of a lost write and another value.
-func (p *overwrittenWrites) has(entry Entry) bool { return p.known[overwrittenOf(entry)] }
+func (w *overwrittenWrites) has(entry Entry) bool { return w.known[overwrittenOf(entry)] }
--- a/internal/config/catalog/restored.go
+++ b/internal/config/catalog/restored.go
@@ -61,7 +61,8 @@
 }
 
 // mergeEntries decides which entries are in force once a whole state is applied: the state as it is if it is the
-// first one, otherwise the state merged with what this node retains. The lock must be held.
+// first one or replaces a provisional one, otherwise the state merged with what this node knows or retains. The lock must be
+// held.
 func (c *Catalog) mergeEntries(snapshot Snapshot, isFirst bool) []Entry {
 	switch {
 	case isFirst:
@@ -129,7 +130,7 @@
 	switch {
 	case known.Key == RoutesKey, known.Deleted:
 		return true
-	case isProcessRecord(known.Key), known.Key == RememberedKey: // written again by whoever they are of
+	case isProcessRecord(known.Key), known.Key == RememberedKey: // rewritten by their owners
 		return false
 	}
 	return now.Sub(c.restored.changedAt[known.Key]) < lossWindow
--- a/internal/config/catalog/retained.go
+++ b/internal/config/catalog/retained.go
@@ -20,8 +20,8 @@
 // Retained is an entry of an earlier epoch that is newer than what the restored store has of its key.
 type Retained struct {
 	Entry Entry
-	// IsLost says that the entry is not in force: the record of a leaf that the store lost. The leaf is asked
-	// last.
+	// IsLost says that the entry is not in force: it is the record of a leaf that the store lost. Such a leaf is
+	// the last choice for requests.
 	IsLost bool
 }
 
@@ -32,9 +32,9 @@
 	c.restored.mayWrite = mayWrite
 }
 
-// isExpired decides whether a retained entry is dropped: operators may write its key and nodes may not, it isn't
-// routes, and RetainFor has passed since the node entered the epoch. An entry that isn't in force is retained
-// only for nodes to rewrite it.
+// isExpired decides whether a retained entry is dropped. Routes and entries that nodes may write never are. Any
+// other entry is once RetainFor has passed since the node entered the epoch, or immediately if it isn't in force:
+// such an entry is retained only for nodes to rewrite it.
 func (c *Catalog) isExpired(retained Retained) bool {
 	key := retained.Entry.Key
 	if key == RoutesKey || c.restored.mayWrite == nil || c.restored.mayWrite(key) {
@@ -43,8 +43,8 @@
 	return retained.IsLost || !c.restored.at.IsZero() && c.clock.Since(c.restored.at) >= RetainFor
 }
 
-// noteRetained marks an entry of a whole state as retained by another node if it is of an earlier epoch than the
-// state.
+// noteRetained marks an entry received at a revision as retained if it is of an earlier epoch than the revision:
+// another node retains it.
 func (c *Catalog) noteRetained(entry Entry, position int64) {
 	if !revision.IsLater(position, entry.Revision) {
 		return
--- a/internal/config/configsync/join.go
+++ b/internal/config/configsync/join.go
@@ -18,8 +18,8 @@
 // aloneTimeout is how long after its start a node that reaches no other takes itself for the only one.
 const aloneTimeout = 5 * time.Second
 
-// listedAloneTimeout is the same if the machine list answers and names no other node. It isn't 0 because the
-// list lags: nodes that start at the same moment may be missing from it.
+// listedAloneTimeout is the same if the machine list answers and neither it nor the seeds name any address to join
+// through. It isn't 0 because the list lags: nodes that start at the same time may be missing from it.
 const listedAloneTimeout = time.Second
 
 // joinTargets is how many nodes a node joins through at a time.
--- a/internal/config/configsync/pull.go
+++ b/internal/config/configsync/pull.go
@@ -31,8 +31,8 @@
 }
 
 // pullFrom pulls what a peer has beyond the revision in force, or asks the nodes that the peer names instead. It
-// reports whether there was any configuration. Only one pull runs at a time; later digests repeat one that was
-// skipped.
+// reports whether there was any configuration. Only one pull runs at a time; a later digest makes up for a pull that
+// was skipped.
 func (s *Syncer) pullFrom(ctx context.Context, address string) bool {
 	if !s.pulling.CompareAndSwap(false, true) {
 		return false
--- a/internal/config/configsync/watch.go
+++ b/internal/config/configsync/watch.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// awaitRank waits a moment before the rank of a node is checked again that is no watcher; false when the context ended.
+// awaitRank pauses a node that is no watcher before its rank is checked again; false when the context ended.
 func (s *Syncer) awaitRank(ctx context.Context) bool {
 	s.hasReadAsStandby = false
 	s.leaveStoreToWatchers()
--- a/internal/fleet/machines/machines.go
+++ b/internal/fleet/machines/machines.go
@@ -5,7 +5,7 @@
 
 import "context"
 
-// State is the state of a machine by the platform.
+// State is the state of a machine as the platform reports it.
 type State string
 
 // The states of a machine.
@@ -32,7 +32,7 @@
 	Role    Role
 }
 
-// List is the asked part of the machine list at a version.
+// List is the requested part of the machine list at a version.
 type List struct {
 	Machines []Machine
 	Version  uint64
--- a/internal/fleet/membership/probe.go
+++ b/internal/fleet/membership/probe.go
@@ -155,7 +155,7 @@
 }
 
 // confirmDeath decides whether a suspect is dead: it is, unless it answers one of confirmationProbes last
-// probes. Its refutation may have been lost on the way here although all others received it.
+// probes. Its refutation may not have reached this node although all others received it.
 func (m *Membership) confirmDeath(ctx context.Context, suspect peer.Member) {
 	answers := false
 	for range confirmationProbes {
--- a/internal/fleet/peer/message.go
+++ b/internal/fleet/peer/message.go
@@ -146,7 +146,7 @@
 	Notices []LeafNotice `json:"notices,omitempty"`
 	// Subtree are the addresses to which the receiver must relay the push.
 	Subtree []string `json:"subtree,omitempty"`
-	// WholeZone asks the receiver to hand the push on to all members of its zone.
+	// WholeZone asks the receiver to relay the push to all members of its zone.
 	WholeZone bool `json:"whole_zone,omitempty"`
 }
 
--- a/internal/fleet/registry/registry.go
+++ b/internal/fleet/registry/registry.go
@@ -25,7 +25,8 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// renewals is how many times a lease is renewed in its time to live: two renewals in a row may fail.
+// renewals is how many times a lease is renewed in its time to live: if a renewal fails, two thirds of that time are left
+// for retries.
 const renewals = 3
 
 // epochCheckInterval is how often a node checks whether the store was restored. The checks of a fleet are spread
