--- a/internal/config/catalog/confirm_test.go
+++ b/internal/config/catalog/confirm_test.go
@@ -24,12 +24,12 @@
 // The configuration ages while the machine is suspended, and so does a confirmation that came before.
 func TestConfigurationAgesInSleep(t *testing.T) {
 	is := is.New(t)
-	slept := time.Duration(0)
+	suspendedFor := time.Duration(0)
 	known := New(nil)
-	known.SetClock(func() time.Time { return time.Now().Add(slept) })
+	known.SetClock(func() time.Time { return time.Now().Add(suspendedFor) })
 	known.Confirm(known.Now())
 	asked := known.Mark()
-	slept = 10 * time.Second
+	suspendedFor = 10 * time.Second
 	is.True(known.Age() >= 10*time.Second)
 	known.ConfirmSince(asked, time.Second) // may have come before the suspension
 	is.True(known.Age() >= 10*time.Second)
--- a/internal/config/catalog/restored_test.go
+++ b/internal/config/catalog/restored_test.go
@@ -70,7 +70,7 @@
 }
 
 // Leafs that drain or are gone stay so although the restored store lists them as before, until they write again; those that
-// it lost are asked last.
+// it lost are the last choice.
 func TestLeafsThroughARestore(t *testing.T) {
 	is := is.New(t)
 	d := newRestorableStore(t)
--- a/internal/config/configsync/reorder_test.go
+++ b/internal/config/configsync/reorder_test.go
@@ -52,15 +52,15 @@
 		}
 		order := rapid.Permutation(log).Draw(t, "order")
 		known := catalog.New(nil)
-		var early reorderBuffer
+		var buffer reorderBuffer
 		for part := range slices.Chunk(order, rapid.IntRange(1, 7).Draw(t, "part")) {
-			early.apply(known, part)
+			buffer.apply(known, part)
 			if rapid.Bool().Draw(t, "twice") {
-				early.apply(known, part)
+				buffer.apply(known, part)
 			}
 		}
-		if known.Revision() != int64(len(log)) || len(early.changes) != 0 {
-			t.Fatalf("revision %d of %d, %d buffered", known.Revision(), len(log), len(early.changes))
+		if known.Revision() != int64(len(log)) || len(buffer.changes) != 0 {
+			t.Fatalf("revision %d of %d, %d buffered", known.Revision(), len(log), len(buffer.changes))
 		}
 	})
 }
@@ -69,18 +69,18 @@
 func TestEarlyChangesAreBounded(t *testing.T) {
 	is := is.New(t)
 	known := catalog.New(nil)
-	var early reorderBuffer
+	var buffer reorderBuffer
 	large := make([]byte, reorderBytes/4)
 	for i := range int64(10) {
-		early.apply(known, []catalog.Change{{Entry: catalog.Entry{Key: "x", Value: large, Revision: 10 + i}, Previous: 9 + i}})
+		buffer.apply(known, []catalog.Change{{Entry: catalog.Entry{Key: "x", Value: large, Revision: 10 + i}, Previous: 9 + i}})
 	}
-	is.Equal(len(early.changes), 4)
-	is.Equal(early.changes[0].Entry.Revision, int64(10)) // the earliest are buffered: they are applied first
-	early = reorderBuffer{}
+	is.Equal(len(buffer.changes), 4)
+	is.Equal(buffer.changes[0].Entry.Revision, int64(10)) // the earliest are buffered: they are applied first
+	buffer = reorderBuffer{}
 	var many []catalog.Change
 	for i := range int64(mostReordered + 100) {
 		many = append(many, catalog.Change{Entry: catalog.Entry{Key: "x", Revision: 10 + i}, Previous: 9 + i})
 	}
-	early.apply(known, many)
-	is.Equal(len(early.changes), mostReordered)
+	buffer.apply(known, many)
+	is.Equal(len(buffer.changes), mostReordered)
 }
--- a/internal/config/configsync/snapshots_test.go
+++ b/internal/config/configsync/snapshots_test.go
@@ -26,9 +26,9 @@
 		known.Apply(change(known, "x"))
 		var states snapshotServer
 		for i := range mostServed {
-			given, err := states.serve(known, fmt.Sprintf("n%d", i))
+			served, err := states.serve(known, fmt.Sprintf("n%d", i))
 			is.NoErr(err)
-			is.True(len(given.Snapshot) > 0)
+			is.True(len(served.Snapshot) > 0)
 		}
 		refused, err := states.serve(known, "n0")
 		is.NoErr(err)
@@ -38,9 +38,9 @@
 			is.True(named != "n0")
 		}
 		time.Sleep(serveInterval)
-		given, err := states.serve(known, "n0")
+		served, err := states.serve(known, "n0")
 		is.NoErr(err)
-		is.True(len(given.Snapshot) > 0)
+		is.True(len(served.Snapshot) > 0)
 	})
 }
 
--- a/internal/config/configsync/suspended_test.go
+++ b/internal/config/configsync/suspended_test.go
@@ -16,14 +16,14 @@
 func TestDatagramsFromBeforeASuspensionAreOld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		slept := time.Duration(0)
+		suspendedFor := time.Duration(0)
 		known := catalog.New(nil)
-		known.SetClock(func() time.Time { return time.Now().Add(slept) })
+		known.SetClock(func() time.Time { return time.Now().Add(suspendedFor) })
 		s := New(Deps{Config: DefaultConfig(), Catalog: known})
 		is.Equal(s.queueDelay(), time.Duration(0))
 		time.Sleep(time.Second)
 		is.Equal(s.queueDelay(), time.Duration(0))
-		slept = 10 * time.Second
+		suspendedFor = 10 * time.Second
 		is.Equal(s.queueDelay(), 10*time.Second)
 		time.Sleep(time.Millisecond)
 		is.Equal(s.queueDelay(), 10*time.Second) // the next in the queue
--- a/internal/config/configwriter/configwriter_test.go
+++ b/internal/config/configwriter/configwriter_test.go
@@ -104,22 +104,22 @@
 			})
 		}
 		running.Wait()
-		for _, told := range outcomes {
-			for id, err := range told {
-				checkTold(t, id, err, target.applied[id])
+		for _, reported := range outcomes {
+			for id, err := range reported {
+				checkOutcome(t, id, err, target.applied[id])
 			}
 		}
 	})
 }
 
-func checkTold(t *rapid.T, id string, err error, applied int) {
+func checkOutcome(t *rapid.T, id string, err error, applied int) {
 	switch {
 	case err == nil && applied != 1:
-		t.Fatalf("%s was told accepted and took effect %d times", id, applied)
+		t.Fatalf("%s was reported as accepted and took effect %d times", id, applied)
 	case failure.Is(err, failure.RevisionConflict) && applied != 0:
-		t.Fatalf("%s was told conflict and took effect", id)
+		t.Fatalf("%s was reported as conflict and took effect", id)
 	case failure.Is(err, failure.StoreUnavailable) && applied != 0:
-		t.Fatalf("%s was told unavailable and took effect", id)
+		t.Fatalf("%s was reported as unavailable and took effect", id)
 	case applied > 1:
 		t.Fatalf("%s took effect %d times", id, applied)
 	}
--- a/internal/config/configwriter/guarded_test.go
+++ b/internal/config/configwriter/guarded_test.go
@@ -172,7 +172,7 @@
 					arrive()
 				}
 			}
-			checkTold(rt, "a", err, target.applied["a"])
+			checkOutcome(rt, "a", err, target.applied["a"])
 		})
 	})
 }
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -134,19 +134,19 @@
 func TestLossKillsHardlyAnybody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		const size, looks = 25, 30
+		const size, checks = 25, 30
 		z := newZone(t, size)
 		defer z.stop()
 		time.Sleep(20 * time.Second)
 		z.network.SetLoss(0.2)
-		deadBeliefs := 0
-		for range looks {
+		deadOpinions := 0
+		for range checks {
 			time.Sleep(10 * time.Second)
 			for _, member := range z.members {
-				deadBeliefs += member.Counts()[peer.Dead]
+				deadOpinions += member.Counts()[peer.Dead]
 			}
 		}
-		is.True(deadBeliefs < looks*size*(size-1)/200) // under half a percent of all opinions
+		is.True(deadOpinions < checks*size*(size-1)/200) // under half a percent of all opinions
 		z.network.SetLoss(0)
 		for _, member := range z.members[1:] {
 			_, _, err := member.Join(t.Context(), "n0")
--- a/internal/fleet/ownplatform/guarded_test.go
+++ b/internal/fleet/ownplatform/guarded_test.go
@@ -48,16 +48,16 @@
 	client := start(t)
 	order, err := client.CompareAndSwap(t.Context(), "order", 0, []byte(`1`), false)
 	is.NoErr(err)
-	holds := []store.Condition{{Key: "order", Revision: order.Entry.Revision}, {Key: "absent"}}
-	written, err := client.CompareAndSwapIf(t.Context(), holds, "state", 0, []byte(`a`))
+	conditions := []store.Condition{{Key: "order", Revision: order.Entry.Revision}, {Key: "absent"}}
+	written, err := client.CompareAndSwapIf(t.Context(), conditions, "state", 0, []byte(`a`))
 	is.NoErr(err)
 	is.True(written.Swapped)
-	again, err := client.CompareAndSwapIf(t.Context(), holds, "state", 0, []byte(`b`))
+	again, err := client.CompareAndSwapIf(t.Context(), conditions, "state", 0, []byte(`b`))
 	is.NoErr(err)
 	is.True(!again.Swapped) // the key's own revision is compared too
 	_, err = client.CompareAndSwap(t.Context(), "order", order.Entry.Revision, nil, true)
 	is.NoErr(err)
-	refused, err := client.CompareAndSwapIf(t.Context(), holds, "state", written.Entry.Revision, []byte(`c`))
+	refused, err := client.CompareAndSwapIf(t.Context(), conditions, "state", written.Entry.Revision, []byte(`c`))
 	is.NoErr(err)
 	is.True(!refused.Swapped)
 	is.Equal(string(refused.Entry.Value), `a`)
--- a/internal/fleet/reachability/reachability_test.go
+++ b/internal/fleet/reachability/reachability_test.go
@@ -253,12 +253,12 @@
 // The machine is suspended in the middle of a check, after other zones answered and before the checked one did.
 func TestSuspendedNodeLosesNothing(t *testing.T) {
 	within(t, func(is *is.I, w *world, tracker *Tracker) {
-		var slept atomic.Int64
-		tracker.deps.Clock = func() time.Time { return time.Now().Add(time.Duration(slept.Load())) }
+		var suspendedFor atomic.Int64
+		tracker.deps.Clock = func() time.Time { return time.Now().Add(time.Duration(suspendedFor.Load())) }
 		w.set(true, far)
 		tracker.Suspect(far)
 		time.Sleep(DefaultConfig().FirstWait + DefaultConfig().Wait/2)
-		slept.Store(int64(10 * time.Second))
+		suspendedFor.Store(int64(10 * time.Second))
 		w.set(false, far)
 		time.Sleep(time.Second)
 		is.True(tracker.Reaches(far))
