--- a/internal/rollout/verdict/baseline.go
+++ b/internal/rollout/verdict/baseline.go
@@ -26,16 +26,18 @@
 	// order.
 	recentWeight = 20.0
 	// Of at least outlierLeafs serving leafs one is left out of the baseline if it has at least outlierBad bad answers
-	// and more than outlierFactor times the share of the others: one broken leaf must not excuse a bad version.
+	// and more than outlierFactor times the share of the others: one broken leaf must not excuse a bad version. The
+	// rule needs a row for each serving leaf; evidence.Collector counts all of them in one, to which it never applies.
 	outlierFactor = 3.0
 	outlierBad    = 3.0
 	outlierLeafs  = 3
 )
 
-// baseline is the share of bad answers of the serving version on one route, by signal.
+// baseline is the share of bad answers of the serving version on one route, by signal. leafs and zones have one entry
+// with an empty name for rows without leaf and zone.
 type baseline struct {
 	leafs map[string][]ratio
-	// all is the sum of all leafs, trimmed the same without outliers.
+	// all is the sum over all leafs, trimmed the sum without outliers.
 	all, trimmed []ratio
 	// current covers the answers since the last update, recent the recent ones with exponential decay, and zones the
 	// recent ones in each zone.
@@ -52,11 +54,11 @@
 }
 
 // decay halves the weight of recent answers for each half-life that passed, and starts a new update.
-func (u *baseline) decay(passed, halfLife time.Duration) {
+func (b *baseline) decay(passed, halfLife time.Duration) {
 	factor := math.Exp2(-float64(passed) / float64(halfLife))
-	clear(u.current)
-	scale(u.recent, factor)
-	for _, zone := range u.zones {
+	clear(b.current)
+	scale(b.recent, factor)
+	for _, zone := range b.zones {
 		scale(zone, factor)
 	}
 }
@@ -68,21 +70,21 @@
 }
 
 // observe counts the answers of a serving leaf. Call observeRecent after all answers of an update are counted.
-func (u *baseline) observe(f increment) {
-	leaf := sumsOf(u.leafs, f.key.Leaf, len(f.signals))
-	for i, signal := range f.signals {
+func (b *baseline) observe(added increment) {
+	leaf := sumsOf(b.leafs, added.key.Leaf, len(added.signals))
+	for i, signal := range added.signals {
 		leaf[i].add(signal)
-		u.all[i].add(signal)
+		b.all[i].add(signal)
 	}
 }
 
 // observeRecent counts the answers of a serving leaf as recent ones unless the leaf is an outlier.
-func (u *baseline) observeRecent(f increment) {
-	zone := sumsOf(u.zones, f.key.Zone, len(f.signals))
-	for i, signal := range f.signals {
-		if !u.isOutlier(f.key.Leaf, i) {
-			u.current[i].add(signal)
-			u.recent[i].add(signal)
+func (b *baseline) observeRecent(added increment) {
+	zone := sumsOf(b.zones, added.key.Zone, len(added.signals))
+	for i, signal := range added.signals {
+		if !b.isOutlier(added.key.Leaf, i) {
+			b.current[i].add(signal)
+			b.recent[i].add(signal)
 			zone[i].add(signal)
 		}
 	}
@@ -96,9 +98,9 @@
 }
 
 // isOutlier reports whether a leaf is far worse than the others together.
-func (u *baseline) isOutlier(leaf string, signal int) bool {
-	own, all := u.leafs[leaf][signal], u.all[signal]
-	if len(u.leafs) < outlierLeafs || own.bad < outlierBad {
+func (b *baseline) isOutlier(leaf string, signal int) bool {
+	own, all := b.leafs[leaf][signal], b.all[signal]
+	if len(b.leafs) < outlierLeafs || own.bad < outlierBad {
 		return false
 	}
 	others := ratio{all.bad - own.bad, all.all - own.all}
@@ -106,23 +108,24 @@
 }
 
 // trim recomputes trimmed after the answers of an update were counted.
-func (u *baseline) trim() {
-	clear(u.trimmed)
-	for leaf, signals := range u.leafs {
+func (b *baseline) trim() {
+	clear(b.trimmed)
+	for leaf, signals := range b.leafs {
 		for i, signal := range signals {
-			if !u.isOutlier(leaf, i) {
-				u.trimmed[i].add(signal)
+			if !b.isOutlier(leaf, i) {
+				b.trimmed[i].add(signal)
 			}
 		}
 	}
 }
 
 // share returns the expected share of bad answers in a zone: the highest of the recent share, that of this update and
-// that of the zone, because what hits both versions at once is not the fault of the new one.
-func (u *baseline) share(signal int, zone string) float64 {
-	lately := shrink(u.recent[signal], shrink(u.trimmed[signal], assumed(signal), assumedWeight), recentWeight)
-	share := max(lately, shrink(u.current[signal], lately, recentWeight))
-	if signals := u.zones[zone]; signals != nil {
+// that of the zone, if any serving leaf of it was counted. What affects both versions at once is not the fault of the
+// new one.
+func (b *baseline) share(signal int, zone string) float64 {
+	lately := shrink(b.recent[signal], shrink(b.trimmed[signal], assumed(signal), assumedWeight), recentWeight)
+	share := max(lately, shrink(b.current[signal], lately, recentWeight))
+	if signals := b.zones[zone]; signals != nil {
 		share = max(share, shrink(signals[signal], lately, recentWeight))
 	}
 	return max(share, minBaselineShare)
@@ -140,6 +143,6 @@
 }
 
 // shrink returns the counted share, drawn towards a prior share that weighs as much as the given number of answers.
-func shrink(counted ratio, other, weight float64) float64 {
-	return (counted.bad + other*weight) / (counted.all + weight)
+func shrink(counted ratio, prior, weight float64) float64 {
+	return (counted.bad + prior*weight) / (counted.all + weight)
 }
