--- a/internal/rollout/canary/splitter.go
+++ b/internal/rollout/canary/splitter.go
@@ -30,8 +30,8 @@
 	Service string
 	// Once says that the request must run at most once.
 	Once bool
-	// Unserved says that no healthy leaf of the serving version can take the request. Such requests may only be
-	// counted because they are drawn, so they do not increase the share of the version on trial.
+	// Unserved says that no healthy leaf of the serving version can take the request. It reaches the service only if it
+	// is drawn for the version on trial, so it does not increase that version's share.
 	Unserved bool
 }
 
@@ -108,7 +108,7 @@
 
 // Draw decides which version the first attempt of a request goes to, and counts the request.
 //
-// Before a version is found good, it gets the request if it has a usable leaf and the budget has room. During the
+// Before a version is found good, it gets the request if it has a leaf and the budget has room. During the
 // ramp it gets the request with a probability that rises from Share to 1; after it, always. A drawn request counts as
 // sent.
 func (s *Splitter) Draw(request Request) Draw {
--- a/internal/rollout/evidence/evidence.go
+++ b/internal/rollout/evidence/evidence.go
@@ -62,8 +62,8 @@
 	t.GivenUp.add(other.GivenUp)
 }
 
-// Slow returns how many attempts took longer than a limit, and for how many it is known: it is not for those that
-// were given up earlier.
+// Slow returns the number of attempts that took longer than a limit, and the number for which that is known. It is
+// unknown for attempts that were given up before the limit.
 func (t *Tally) Slow(limit time.Duration) (slow, known int64) {
 	slow = t.Answered.Above(limit) + t.GivenUp.Above(limit)
 	return slow, t.Answered.Total() + t.GivenUp.Above(limit)
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -101,7 +101,7 @@
 	// Serving is the version that served before the order, and continues to unless the order succeeds.
 	Serving string `json:"serving"`
 	Target  string `json:"target"`
-	// StartedUnixMillis is when the first state of the order was written, by its writer's wall clock.
+	// StartedUnixMillis is when the writer of the order's first state learned of the order, by its wall clock.
 	StartedUnixMillis int64 `json:"started_unix_millis"`
 	// Reason explains the phase in one sentence, with figures.
 	Reason string `json:"reason,omitempty"`
@@ -185,9 +185,9 @@
 // RuleOf derives the rule of a service from its order and state, each nil if there is none, and the stored serving
 // version, empty if there is none. It is the only place that does.
 //
-// A final state decides which version serves. An order that is not answered by a final state puts its target on
-// trial, in phase canary until a state says otherwise. If only leafs without a version served, the rule bars the
-// target that was rolled back, or excludes them once a version has replaced them.
+// A final state decides which version serves. An order without a final state of its own puts its target on trial, in
+// phase canary until a state says otherwise. If only leafs without a version served, the rule bars the target that was
+// rolled back, or excludes those leafs once a version has replaced them.
 func RuleOf(order *Order, state *State, written string) Rule {
 	rule := Rule{Serving: written}
 	if state != nil {
@@ -202,12 +202,12 @@
 	if order == nil || order.Target == rule.Serving {
 		return rule
 	}
-	answered := state != nil && state.BelongsTo(order)
-	if answered && state.Phase.IsFinal() {
+	isStateOfOrder := state != nil && state.BelongsTo(order)
+	if isStateOfOrder && state.Phase.IsFinal() {
 		return rule
 	}
 	rule.Trial, rule.Order, rule.Phase = order.Target, order.ID(), Canary
-	if answered {
+	if isStateOfOrder {
 		rule.Phase = state.Phase
 	}
 	if rule.Barred == rule.Trial {
--- a/internal/rollout/rolloutcontrol/controller.go
+++ b/internal/rollout/rolloutcontrol/controller.go
@@ -208,7 +208,7 @@
 		if isUnderWay(known) && known.Order.ID() == active.order.ID() {
 			continue
 		}
-		if isAnswered(known) && (active.state == nil || active.state.Revision != known.State.Revision) {
+		if hasStateOfOrder(known) && (active.state == nil || active.state.Revision != known.State.Revision) {
 			c.deps.Events.PhaseLearned(*known.State)
 		}
 		delete(c.orders, service)
@@ -239,14 +239,14 @@
 	}
 }
 
-// isAnswered reports whether the state belongs to the order.
-func isAnswered(known catalog.Rollout) bool {
+// hasStateOfOrder reports whether there is a state that belongs to the order.
+func hasStateOfOrder(known catalog.Rollout) bool {
 	return known.State != nil && known.State.BelongsTo(known.Order)
 }
 
 // isUnderWay reports whether there is an order without a final state.
 func isUnderWay(known catalog.Rollout) bool {
-	return known.Order != nil && !(isAnswered(known) && known.State.Phase.IsFinal())
+	return known.Order != nil && !(hasStateOfOrder(known) && known.State.Phase.IsFinal())
 }
 
 // isWanted reports whether counts and holds of an order still matter: it is under way, or this node has not learned
--- a/internal/rollout/rolloutcontrol/controller_test.go
+++ b/internal/rollout/rolloutcontrol/controller_test.go
@@ -26,7 +26,7 @@
 	})
 }
 
-const usual = 12 * time.Second
+const orderDuration = 12 * time.Second
 
 var (
 	succeeds  = []rollout.Phase{rollout.Canary, rollout.Switching, rollout.Succeeded}
@@ -35,8 +35,8 @@
 
 func TestGoodVersionServesInTimeByOneWriteAPhase(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
-		f.order("s", "b", usual)
-		f.serve(usual, never)
+		f.order("s", "b", orderDuration)
+		f.serve(orderDuration, never)
 		is.Equal(f.store.phases("s"), succeeds)
 		is.Equal(f.store.allCalls(), len(succeeds))
 		last := f.store.written()[len(succeeds)-1]
@@ -47,7 +47,7 @@
 
 func TestBadVersionIsHeldByAllNodesAndRolledBack(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
-		revision := f.order("s", "b", usual)
+		revision := f.order("s", "b", orderDuration)
 		f.serve(3*time.Second, 0)
 		is.Equal(f.store.phases("s"), rollsBack)
 		for _, node := range f.all() {
@@ -62,8 +62,8 @@
 		for _, node := range f.all() {
 			node.setUnsettled()
 		}
-		f.order("s", "b", usual)
-		f.serve(usual, 8*time.Second)
+		f.order("s", "b", orderDuration)
+		f.serve(orderDuration, 8*time.Second)
 		is.Equal(f.store.phases("s"), []rollout.Phase{rollout.Canary, rollout.Switching, rollout.RolledBack})
 	})
 }
@@ -71,29 +71,29 @@
 func TestFirstJudgeDead(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		f.kill(f.judge("s", 0))
-		f.order("s", "b", usual)
-		f.serve(usual+time.Second, never)
+		f.order("s", "b", orderDuration)
+		f.serve(orderDuration+time.Second, never)
 		is.Equal(f.store.phases("s"), succeeds)
 	})
 }
 
 func TestJudgePausedWhileAnotherWrites(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
-		f.order("s", "b", usual)
-		f.serve(usual/2, never)
+		f.order("s", "b", orderDuration)
+		f.serve(orderDuration/2, never)
 		f.pause(f.judge("s", 0), 3*time.Second)
-		f.serve(usual, never)
+		f.serve(orderDuration, never)
 		is.Equal(f.store.phases("s"), succeeds)
 	})
 }
 
 func TestJudgeCutOffNeverWritesLate(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
-		f.order("s", "b", usual)
+		f.order("s", "b", orderDuration)
 		f.serve(time.Second, never)
 		cut := f.judge("s", 0)
 		f.setCut(cut, true)
-		f.serve(usual+4*time.Second, never)
+		f.serve(orderDuration+4*time.Second, never)
 		is.Equal(f.store.phases("s"), succeeds)
 		f.setCut(cut, false)
 		f.serve(5*time.Second, never)
@@ -103,7 +103,7 @@
 
 func TestStoreDownAtABadVerdict(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
-		revision := f.order("s", "b", usual)
+		revision := f.order("s", "b", orderDuration)
 		f.serve(2*time.Second, never)
 		f.store.setDown(true)
 		f.serve(3*time.Second, 0)
@@ -119,13 +119,13 @@
 
 func TestStoreDownAtAGoodVerdict(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
-		f.order("s", "b", usual)
+		f.order("s", "b", orderDuration)
 		f.serve(time.Second, never)
 		f.store.setDown(true)
 		f.serve(8*time.Second, never)
 		is.Equal(f.node("n0").catalog.View().Leafs.Rule("s").Phase, rollout.Canary)
 		f.store.setDown(false)
-		f.serve(usual, never)
+		f.serve(orderDuration, never)
 		is.Equal(f.store.phases("s"), succeeds)
 	})
 }
@@ -133,8 +133,8 @@
 func TestAnswerLostAfterTheWriteWasDone(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		f.store.fail(func(m *memoryStore) { m.loseDone = 1 })
-		f.order("s", "b", usual)
-		f.serve(usual, never)
+		f.order("s", "b", orderDuration)
+		f.serve(orderDuration, never)
 		is.Equal(f.store.phases("s"), succeeds)
 		is.Equal(f.store.allCalls(), len(succeeds)+1) // it is read back once
 	})
@@ -143,8 +143,8 @@
 func TestAnswerLostBeforeTheWriteWasDone(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		f.store.fail(func(m *memoryStore) { m.loseUndone = 1 })
-		f.order("s", "b", usual)
-		f.serve(usual, never)
+		f.order("s", "b", orderDuration)
+		f.serve(orderDuration, never)
 		is.Equal(f.store.phases("s"), succeeds)
 		is.Equal(f.store.allCalls(), len(succeeds)+2) // it is read back and written once more
 	})
@@ -154,8 +154,8 @@
 	scene(t, func(is *is.I, f *fleet) {
 		first := f.judge("s", 0)
 		f.store.fail(func(m *memoryStore) { m.refused[first] = true })
-		f.order("s", "b", usual)
-		f.serve(usual, never)
+		f.order("s", "b", orderDuration)
+		f.serve(orderDuration, never)
 		is.Equal(f.store.phases("s"), succeeds)
 	})
 }
@@ -163,10 +163,10 @@
 func TestOrderReplaced(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		f.addLeafs("s", "c", 3)
-		first := f.order("s", "b", usual)
+		first := f.order("s", "b", orderDuration)
 		f.serve(3*time.Second, never)
-		second := f.order("s", "c", usual)
-		f.serve(usual, never)
+		second := f.order("s", "c", orderDuration)
+		f.serve(orderDuration, never)
 		is.Equal(f.store.phases("s"), append([]rollout.Phase{rollout.Canary}, succeeds...))
 		is.Equal(f.store.written()[0].OrderRevision, first)
 		for _, state := range f.store.written()[1:] {
@@ -179,7 +179,7 @@
 
 func TestOrderTakenBack(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
-		order := f.order("s", "b", usual)
+		order := f.order("s", "b", orderDuration)
 		f.serve(3*time.Second, never)
 		f.store.set(catalog.RolloutKey("s"), nil)
 		f.serve(3*time.Second, never)
@@ -191,10 +191,10 @@
 
 func TestSameVersionAgainAfterARollBack(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
-		f.order("s", "b", usual)
+		f.order("s", "b", orderDuration)
 		f.serve(3*time.Second, 0)
-		f.order("s", "b", usual)
-		f.serve(usual, never)
+		f.order("s", "b", orderDuration)
+		f.serve(orderDuration, never)
 		is.Equal(f.store.phases("s"), append(rollsBack[:len(rollsBack):len(rollsBack)], succeeds...))
 	})
 }
@@ -204,9 +204,9 @@
 		f.addLeafs("u", "b", 3)
 		f.store.set(catalog.VersionsKey, rollout.Versions{ByVersion: map[string][]string{"a": {"s", "u"}}})
 		time.Sleep(time.Second)
-		f.order("s", "b", usual)
-		f.order("u", "b", 2*usual)
-		f.serve(3*usual, never)
+		f.order("s", "b", orderDuration)
+		f.order("u", "b", 2*orderDuration)
+		f.serve(3*orderDuration, never)
 		is.Equal(f.store.phases("s"), succeeds)
 		is.Equal(f.store.phases("u"), succeeds)
 	})
@@ -214,7 +214,7 @@
 
 func TestTargetServesAlready(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
-		f.order("s", "a", usual)
+		f.order("s", "a", orderDuration)
 		f.serve(time.Second, never)
 		is.Equal(f.store.phases("s"), []rollout.Phase{rollout.Succeeded})
 	})
@@ -236,7 +236,7 @@
 }
 
 func TestVersionWithoutLeafsIsRolledBackBeforeTheDeadline(t *testing.T) {
-	for _, duration := range []time.Duration{time.Second, usual} {
+	for _, duration := range []time.Duration{time.Second, orderDuration} {
 		t.Run(duration.String(), func(t *testing.T) {
 			scene(t, func(is *is.I, f *fleet) {
 				f.order("s", "missing", duration)
@@ -253,8 +253,8 @@
 func TestSlowNodesDontUndoAGoodVersion(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		f.node("n1").setUnsettled()
-		f.order("s", "b", usual)
-		f.serve(usual, never)
+		f.order("s", "b", orderDuration)
+		f.serve(orderDuration, never)
 		is.Equal(f.store.phases("s"), succeeds[:2])
 		f.serve(f.cfg.SettleWait+time.Second, never)
 		is.Equal(f.store.phases("s"), succeeds)
@@ -274,9 +274,9 @@
 		time.Sleep(time.Second)
 		began := time.Now()
 		for _, service := range services {
-			f.order(service, "b", usual)
+			f.order(service, "b", orderDuration)
 		}
-		f.serve(usual+2*time.Second, never)
+		f.serve(orderDuration+2*time.Second, never)
 		for _, service := range services {
 			is.Equal(f.store.phases(service), succeeds)
 		}
--- a/internal/rollout/rolloutcontrol/handlers_test.go
+++ b/internal/rollout/rolloutcontrol/handlers_test.go
@@ -31,7 +31,7 @@
 func TestHoldThatWasLostIsToldAgain(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		missed := f.nonJudge("s")
-		revision := f.order("s", "b", usual)
+		revision := f.order("s", "b", orderDuration)
 		f.serve(2*time.Second, never)
 		f.store.setDown(true)
 		f.network.Cut(func(_, to string) bool { return to == missed })
@@ -47,7 +47,7 @@
 func TestHoldBeforeItsOrder(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		node := f.node("n0")
-		revision := f.order("s", "b", usual)
+		revision := f.order("s", "b", orderDuration)
 		node.controller.HandleHold("n1", peer.RolloutHold{Service: "s", Order: revision})
 		node.forgetHolds() // what draws knows of no order yet, and keeps no hold of it
 		time.Sleep(2 * syncDelay)
@@ -59,8 +59,8 @@
 func TestSilentNodeDoesNotHoldTheSwitchUp(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		f.node(f.judge("s", 0)).hangs.Store(1)
-		f.order("s", "b", usual)
-		f.serve(usual/2+3*f.cfg.SettleInterval+f.cfg.finalWatch(usual), never)
+		f.order("s", "b", orderDuration)
+		f.serve(orderDuration/2+3*f.cfg.SettleInterval+f.cfg.finalWatch(orderDuration), never)
 		is.Equal(f.store.phases("s"), succeeds)
 	})
 }
@@ -71,7 +71,7 @@
 		silent := f.nonJudge("s")
 		f.start("unregistered")
 		f.setCut(silent, true)
-		f.order("s", "b", usual)
+		f.order("s", "b", orderDuration)
 		for len(f.store.phases("s")) < 2 {
 			f.serve(100*time.Millisecond, never)
 		}
@@ -87,7 +87,7 @@
 func TestJudgesBelieveAHold(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		first, second, third := f.judge("s", 0), f.judge("s", 1), f.judge("s", 2)
-		f.order("s", "b", usual)
+		f.order("s", "b", orderDuration)
 		f.serve(time.Second, never)
 		f.store.fail(func(m *memoryStore) { m.refused[first] = true })
 		f.network.Cut(func(from, to string) bool { return from != first && (to == second || to == third) })
@@ -106,7 +106,7 @@
 		f.node(third).stopCounting()
 		f.store.fail(func(m *memoryStore) { m.refused[first] = true })
 		f.network.Cut(func(_, to string) bool { return to == second || to == third })
-		f.order("s", "b", usual)
+		f.order("s", "b", orderDuration)
 		f.serve(4*time.Second, time.Second)
 		f.network.Cut(func(from, to string) bool { return from != first && (to == second || to == third) })
 		f.serve(2*time.Second, 0)
@@ -185,11 +185,11 @@
 // An order's time continues while machines are suspended.
 func TestSuspendedJudgesKeepTheDeadline(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
-		f.order("s", "missing", usual)
-		f.serve(usual/2, never)
+		f.order("s", "missing", orderDuration)
+		f.serve(orderDuration/2, never)
 		is.Equal(f.store.phases("s"), []rollout.Phase{rollout.Canary})
 		for _, node := range f.all() {
-			node.suspended.Store(int64(usual / 2))
+			node.suspended.Store(int64(orderDuration / 2))
 		}
 		f.serve(2*time.Second, never) // they first read what arrived meanwhile
 		is.Equal(f.store.phases("s"), rollsBack)
@@ -200,12 +200,12 @@
 // turned bad meanwhile.
 func TestJudgeThatWakesHearsFirst(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
-		f.order("s", "b", usual)
-		f.serve(usual/4, never)
+		f.order("s", "b", orderDuration)
+		f.serve(orderDuration/4, never)
 		first := f.judge("s", 0)
 		f.pause(first, 500*time.Millisecond)
 		f.serve(300*time.Millisecond, 0)
-		f.node(first).suspended.Store(int64(usual / 2))
+		f.node(first).suspended.Store(int64(orderDuration / 2))
 		f.serve(time.Second, 0)
 		is.Equal(f.store.phases("s"), rollsBack)
 	})
@@ -213,15 +213,15 @@
 
 func TestJudgeThatStartsLateKeepsTheDeadline(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
-		f.order("s", "missing", usual)
-		f.serve(usual/2, never)
+		f.order("s", "missing", orderDuration)
+		f.serve(orderDuration/2, never)
 		for _, id := range []string{"n0", "n1", "n2", "n3", "n4"} {
 			f.kill(id)
 		}
 		for _, id := range []string{"n0", "n1", "n2", "n3", "n4"} {
 			f.start(id)
 		}
-		f.serve(usual/2, never)
+		f.serve(orderDuration/2, never)
 		is.Equal(f.store.phases("s"), rollsBack)
 	})
 }
--- a/internal/rollout/rolloutcontrol/judgeset.go
+++ b/internal/rollout/rolloutcontrol/judgeset.go
@@ -15,7 +15,7 @@
 
 // judgesOf returns the nodes that judge the roll-out of a service: the first by rendezvous hash in distinct zones,
 // then, if there are too few zones, the first of the others.
-func judgesOf(nodes map[string]catalog.NodeRecord, service string, most int) []catalog.NodeRecord {
+func judgesOf(nodes map[string]catalog.NodeRecord, service string, limit int) []catalog.NodeRecord {
 	var judges, others []catalog.NodeRecord
 	zones := map[string]bool{}
 	for _, node := range registry.Ranked(nodes, service) {
@@ -27,7 +27,7 @@
 		judges = append(judges, node)
 	}
 	judges = append(judges, others...)
-	return judges[:min(most, len(judges))]
+	return judges[:min(limit, len(judges))]
 }
 
 // judgeSet caches the judges of services while the registered nodes stay the same. The zero value is empty; it is not
--- a/internal/rollout/rolloutcontrol/order.go
+++ b/internal/rollout/rolloutcontrol/order.go
@@ -97,7 +97,8 @@
 	return o.state.Phase
 }
 
-// elapsed returns the time since the order was accepted; it may exceed the order's duration.
+// elapsed returns the time since this node learned of the order or, if it started later, since the time that the
+// order's state names. It may exceed the order's duration.
 func (o *activeOrder) elapsed(now time.Time) time.Duration {
 	return o.elapsedBefore + now.Sub(o.learnedAt)
 }
--- a/internal/rollout/rolloutcontrol/property_test.go
+++ b/internal/rollout/rolloutcontrol/property_test.go
@@ -136,7 +136,7 @@
 	}
 	state := m.states[len(m.states)-1]
 	if !state.Phase.IsFinal() || standing != 0 && state.OrderRevision != standing {
-		return fmt.Sprintf("order %d stands, and the last state is %s of order %d", standing, state.Phase, state.OrderRevision)
+		return fmt.Sprintf("order %d is in force, and the last state is %s of order %d", standing, state.Phase, state.OrderRevision)
 	}
 	return ""
 }
--- a/internal/rollout/rolloutcontrol/reports_test.go
+++ b/internal/rollout/rolloutcontrol/reports_test.go
@@ -106,11 +106,11 @@
 			want += int64(steps)
 		}
 		all = append(all, all...)
-		var heard tallies
+		var reported tallies
 		for _, one := range rapid.Permutation(all).Draw(t, "reports") {
-			heard.add(one.from, "address", []evidence.Row{one.row}, time.Now())
+			reported.add(one.from, "address", []evidence.Row{one.row}, time.Now())
 		}
-		rows, _ := heard.sum(order)
+		rows, _ := reported.sum(order)
 		if len(rows) != 1 || rows[0].Attempts() != want {
 			t.Fatalf("%v, not %d attempts", rows, want)
 		}
@@ -121,7 +121,7 @@
 // order is over.
 func TestTalliesAreBounded(t *testing.T) {
 	is := is.New(t)
-	var heard tallies
+	var reported tallies
 	rowOf := func(leaf, attempts int) evidence.Row {
 		return evidence.Row{
 			Key:   evidence.Key{Service: "s", Order: 1, Leaf: fmt.Sprint(leaf)},
@@ -129,16 +129,16 @@
 		}
 	}
 	for leaf := range maxRows {
-		is.Equal(heard.add(process{"n", 1}, "a", []evidence.Row{rowOf(leaf, 1)}, time.Now()), 0)
+		is.Equal(reported.add(process{"n", 1}, "a", []evidence.Row{rowOf(leaf, 1)}, time.Now()), 0)
 	}
-	is.Equal(heard.add(process{"n", 1}, "a", []evidence.Row{rowOf(maxRows, 1), rowOf(0, 2)}, time.Now()), 1)
-	is.Equal(heard.add(process{"other", 1}, "b", []evidence.Row{rowOf(0, 1)}, time.Now()), 1)
-	is.Equal(heard.addresses(orderKey{"s", 1}), []string{"a"})
-	rows, _ := heard.sum(orderKey{"s", 1})
+	is.Equal(reported.add(process{"n", 1}, "a", []evidence.Row{rowOf(maxRows, 1), rowOf(0, 2)}, time.Now()), 1)
+	is.Equal(reported.add(process{"other", 1}, "b", []evidence.Row{rowOf(0, 1)}, time.Now()), 1)
+	is.Equal(reported.addresses(orderKey{"s", 1}), []string{"a"})
+	rows, _ := reported.sum(orderKey{"s", 1})
 	is.Equal(attemptsOf(rows), int64(maxRows+1))
-	heard.retain(func(orderKey) bool { return false })
-	is.Equal(heard.size, 0)
-	is.Equal(len(heard.orders), 0)
+	reported.retain(func(orderKey) bool { return false })
+	is.Equal(reported.size, 0)
+	is.Equal(len(reported.orders), 0)
 }
 
 // The judges are in distinct zones where possible, the same for all nodes, and a node that leaves changes no other
--- a/internal/rollout/rolloutcontrol/schedule.go
+++ b/internal/rollout/rolloutcontrol/schedule.go
@@ -26,37 +26,37 @@
 	isDone    bool
 }
 
-// isDue reports whether a write is to be sent now: it has been planned for the given wait, which leaves the judges
-// before this one their time, and no pause after a failure is running.
-func (p *writeSchedule) isDue(now time.Time, wants plannedWrite, wait time.Duration) bool {
-	if p.isBusy {
+// isDue reports whether a write is to be sent now: it has been planned for the given delay, which leaves the
+// judges before this one their time, and no pause after a failure is running.
+func (s *writeSchedule) isDue(now time.Time, planned plannedWrite, delay time.Duration) bool {
+	if s.isBusy {
 		return false
 	}
-	if wants != p.planned {
-		*p = writeSchedule{planned: wants, since: now}
+	if planned != s.planned {
+		*s = writeSchedule{planned: planned, since: now}
 	}
-	return !p.isDone && now.Sub(p.since) >= wait && !now.Before(p.notBefore)
+	return !s.isDone && now.Sub(s.since) >= delay && !now.Before(s.notBefore)
 }
 
 // dueIn returns the time until a planned write is due, 0 if that does not depend on time.
-func (p *writeSchedule) dueIn(now time.Time, wait time.Duration) time.Duration {
-	if p.isBusy || p.isDone {
+func (s *writeSchedule) dueIn(now time.Time, delay time.Duration) time.Duration {
+	if s.isBusy || s.isDone {
 		return 0
 	}
-	return max(p.since.Add(wait).Sub(now), p.notBefore.Sub(now), 0)
+	return max(s.since.Add(delay).Sub(now), s.notBefore.Sub(now), 0)
 }
 
 // done records the outcome of a write. After a conflict the state in force is older than the store's; the newer one
 // arrives by itself, and the write is only tried again after the longest pause.
-func (p *writeSchedule) done(now time.Time, err error, cfg Config) {
-	p.isBusy = false
+func (s *writeSchedule) done(now time.Time, err error, cfg Config) {
+	s.isBusy = false
 	switch {
 	case err == nil:
-		p.isDone = true
+		s.isDone = true
 	case failure.Is(err, failure.RevisionConflict):
-		p.notBefore = now.Add(cfg.MaximumRetryPause)
+		s.notBefore = now.Add(cfg.MaximumRetryPause)
 	default:
-		p.pause = min(max(2*p.pause, cfg.RetryPause), cfg.MaximumRetryPause)
-		p.notBefore = now.Add(wait.Jittered(p.pause))
+		s.pause = min(max(2*s.pause, cfg.RetryPause), cfg.MaximumRetryPause)
+		s.notBefore = now.Add(wait.Jittered(s.pause))
 	}
 }
--- a/internal/rollout/rolloutcontrol/settling_test.go
+++ b/internal/rollout/rolloutcontrol/settling_test.go
@@ -15,13 +15,13 @@
 		t.Run(ramp.String(), func(t *testing.T) {
 			scene(t, func(is *is.I, f *fleet) {
 				f.ramp = ramp
-				f.order("s", "b", usual)
+				f.order("s", "b", orderDuration)
 				for len(f.store.phases("s")) < 2 {
 					f.serve(100*time.Millisecond, never)
 				}
 				f.serve(syncDelay+ramp+f.cfg.SettleInterval, never)
 				is.Equal(f.store.phases("s"), succeeds[:2]) // it is looked at with all requests first
-				f.serve(f.cfg.finalWatch(usual)+f.cfg.ReportInterval, never)
+				f.serve(f.cfg.finalWatch(orderDuration)+f.cfg.ReportInterval, never)
 				is.Equal(f.store.phases("s"), succeeds)
 				calls := int32(0)
 				for _, node := range f.all() {
@@ -37,12 +37,12 @@
 // then.
 func TestVersionThatFailsWithAllRequestsIsFound(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
-		f.order("s", "b", usual)
+		f.order("s", "b", orderDuration)
 		for len(f.store.phases("s")) < 2 {
 			f.serve(100*time.Millisecond, never)
 		}
 		f.serve(syncDelay+f.ramp+f.cfg.SettleInterval, never)
-		f.serve(usual, 0) // it fails every request from here on
+		f.serve(orderDuration, 0) // it fails every request from here on
 		is.Equal(f.store.phases("s"), []rollout.Phase{rollout.Canary, rollout.Switching, rollout.RolledBack})
 	})
 }
--- a/internal/rollout/rolloutcontrol/statewriter_test.go
+++ b/internal/rollout/rolloutcontrol/statewriter_test.go
@@ -20,7 +20,7 @@
 		defer f.stopAll()
 		f.node("n0").stop() // the test writes in its place
 		time.Sleep(time.Second)
-		order := f.order("s", "b", usual)
+		order := f.order("s", "b", orderDuration)
 		view := storeView{f.store, f.node("n0")}
 		states := GuardedStateWriter{Store: view, Guarded: view, RetryPause: f.cfg.RetryPause}
 		run(t.Context(), is.New(t), f, states, rollout.State{Service: "s", OrderRevision: order, Phase: rollout.Canary, Target: "b", DecidedBy: "n0"})
@@ -29,7 +29,7 @@
 
 func TestStateIsNotWrittenForAnOrderThatWasReplaced(t *testing.T) {
 	writing(t, func(ctx context.Context, is *is.I, f *fleet, states GuardedStateWriter, first rollout.State) {
-		f.order("s", "c", usual)
+		f.order("s", "c", orderDuration)
 		_, err := states.Write(ctx, first, 0, first.OrderRevision)
 		is.True(failure.Is(err, failure.RevisionConflict))
 		is.Equal(len(f.store.written()), 0)
--- a/internal/rollout/rolloutcontrol/store_test.go
+++ b/internal/rollout/rolloutcontrol/store_test.go
@@ -30,7 +30,7 @@
 	loseDone, loseUndone int
 	calls                map[string]int // by node
 	states               []rollout.State
-	// standing are the revisions of the orders that stood when the states were written, 0 for none.
+	// standing are the revisions of the orders in force when the states were written, 0 for none.
 	standing []int64
 }
 
--- a/internal/rollout/verdict/cusum.go
+++ b/internal/rollout/verdict/cusum.go
@@ -16,8 +16,8 @@
 	seen     ratio
 }
 
-func newCusum(shares []float64, least float64) *cusum {
-	s := &cusum{shares: shares, minShare: least, whole: map[string]float64{}}
+func newCusum(shares []float64, minShare float64) *cusum {
+	s := &cusum{shares: shares, minShare: minShare, whole: map[string]float64{}}
 	for range shares {
 		s.weights = append(s.weights, map[string]float64{})
 	}
--- a/internal/rollout/verdict/increment.go
+++ b/internal/rollout/verdict/increment.go
@@ -14,8 +14,8 @@
 type lastCounts struct {
 	// counted is the tally of the last update, from which failures are counted on. timed is the one from which late
 	// answers are counted on; it stays empty until the route's median is known.
-	counted, timed     evidence.Tally
-	countedAt, timedAt time.Duration
+	counted, timed evidence.Tally
+	timedAt        time.Duration // since the order
 }
 
 // ratio is the number of bad answers among all. Answers that are discounted count as fractions.
@@ -82,22 +82,22 @@
 
 // advance returns what a row gained and remembers its counts. limits are empty while the median is unknown. Attempts
 // without an answer say nothing about failures.
-func (f *lastCounts) advance(row evidence.Row, limits []time.Duration, elapsed time.Duration, cfg Config) increment {
+func (l *lastCounts) advance(row evidence.Row, limits []time.Duration, elapsed time.Duration, cfg Config) increment {
 	signals := make([]ratio, 1+len(cfg.SlowFactors))
 	signals[0] = ratio{
-		bad: float64(max(0, row.Failures-f.counted.Failures)),
-		all: float64(max(0, row.Answered.Total()-f.counted.Answered.Total())),
+		bad: float64(max(0, row.Failures-l.counted.Failures)),
+		all: float64(max(0, row.Answered.Total()-l.counted.Answered.Total())),
 	}
-	f.counted, f.countedAt = clone(row.Tally), elapsed
+	l.counted = clone(row.Tally)
 	if len(limits) == 0 {
 		return increment{row.Key, signals, 1}
 	}
-	moments := max(1, float64(elapsed-f.timedAt)/float64(cfg.Moment))
+	moments := max(1, float64(elapsed-l.timedAt)/float64(cfg.Moment))
 	for i, limit := range limits {
-		late := lateSince(row.Tally, f.timed, limit)
+		late := lateSince(row.Tally, l.timed, limit)
 		signals[i+1] = late.times(cfg.discount(late.all / moments))
 	}
-	f.timed, f.timedAt = f.counted, elapsed
+	l.timed, l.timedAt = l.counted, elapsed
 	return increment{row.Key, signals, moments}
 }
 
--- a/internal/rollout/verdict/verdict.go
+++ b/internal/rollout/verdict/verdict.go
@@ -151,9 +151,9 @@
 // weigh counts the serving version's answers first, so that the version on trial is compared with the same moment.
 func (e *Evaluator) weigh(added []increment, elapsed time.Duration) {
 	e.observeServing(added)
-	for _, f := range added {
-		if f.key.Version == e.trial {
-			e.weighTrial(f)
+	for _, one := range added {
+		if one.key.Version == e.trial {
+			e.weighTrial(one)
 		}
 	}
 	for _, s := range e.allCusums() {
@@ -162,14 +162,14 @@
 }
 
 func (e *Evaluator) observeServing(added []increment) {
-	for _, f := range added {
-		if f.key.Version == e.serving {
-			e.routes[f.key.Route].baseline.observe(f)
+	for _, one := range added {
+		if one.key.Version == e.serving {
+			e.routes[one.key.Route].baseline.observe(one)
 		}
 	}
-	for _, f := range added {
-		if f.key.Version == e.serving {
-			e.routes[f.key.Route].baseline.observeRecent(f)
+	for _, one := range added {
+		if one.key.Version == e.serving {
+			e.routes[one.key.Route].baseline.observeRecent(one)
 		}
 	}
 	for _, route := range e.routes {
@@ -177,19 +177,19 @@
 	}
 }
 
-func (e *Evaluator) weighTrial(f increment) {
-	route := e.routes[f.key.Route]
-	for i, signal := range f.signals {
-		share := route.baseline.share(i, f.key.Zone)
+func (e *Evaluator) weighTrial(added increment) {
+	route := e.routes[added.key.Route]
+	for i, signal := range added.signals {
+		share := route.baseline.share(i, added.key.Zone)
 		if share > maxBaselineShare {
 			continue
 		}
 		limit := math.Inf(1)
 		if i > 0 {
-			limit = maxWeightPerMoment * f.moments
+			limit = maxWeightPerMoment * added.moments
 		}
-		route.cusums[i].observe(f.key.Leaf, signal, share, limit)
-		e.pooled[i].observe(f.key.Leaf, signal, share, limit)
+		route.cusums[i].observe(added.key.Leaf, signal, share, limit)
+		e.pooled[i].observe(added.key.Leaf, signal, share, limit)
 	}
 }
 
