--- a/cmd/portgauge/rollout_test.go
+++ b/cmd/portgauge/rollout_test.go
@@ -28,8 +28,8 @@
 	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
-// patience bounds how long the tests wait for an expected state.
-const patience = 60 * time.Second
+// stateTimeout bounds how long the tests wait for an expected state.
+const stateTimeout = 60 * time.Second
 
 // callsPerSecond exceeds the store calls that the nodes of a test make.
 const callsPerSecond = 1000
@@ -76,7 +76,7 @@
 	for number, machine := range machines {
 		built.startNode(machine.GetId(), addresses[0], of(number))
 	}
-	built.operators = operatorFlags{Address: addresses[2], Timeout: patience, Output: cli.Table}
+	built.operators = operatorFlags{Address: addresses[2], Timeout: stateTimeout, Output: cli.Table}
 	built.route()
 	return built
 }
@@ -97,7 +97,7 @@
 		s.t.Fatal(err)
 	}
 	s.t.Cleanup(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), stateTimeout)
 		defer cancel()
 		_ = app.Stop(ctx)
 	})
@@ -140,9 +140,9 @@
 
 func (s *ownSite) eventually(try func() error) {
 	s.t.Helper()
-	ctx, cancel := context.WithTimeout(s.t.Context(), patience)
+	ctx, cancel := context.WithTimeout(s.t.Context(), stateTimeout)
 	defer cancel()
-	if err := retry.Eventually(ctx, patience, try); err != nil {
+	if err := retry.Eventually(ctx, stateTimeout, try); err != nil {
 		s.t.Fatal(err)
 	}
 }
@@ -192,7 +192,7 @@
 	s.t.Helper()
 	var found *adminv1.Rollout
 	began := time.Now()
-	for deadline := began.Add(patience); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
+	for deadline := began.Add(stateTimeout); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		response, err := cli.AdminClient(s.operators.Address).GetRollout(s.t.Context(), connect.NewRequest(&adminv1.GetRolloutRequest{Service: "s"}))
 		if connect.CodeOf(err) == connect.CodeNotFound && time.Since(began) < inForceBound {
 			continue // the order is accepted, and not in force at this node yet
--- a/internal/operator/api/server.go
+++ b/internal/operator/api/server.go
@@ -1,8 +1,8 @@
 // Package api serves callers and operators over HTTP: gRPC, gRPC-Web and JSON on one port each, by connect on
 // net/http under gin.
 //
-// It translates between the RPC messages and packages search and admin, which do the work, and between failures and
-// RPC codes. It owns no state but the servers that Serve runs.
+// It translates between the RPC messages and packages search and admin, which carry out the calls, and between
+// failures and RPC codes. It owns no state but the servers that Serve runs.
 package api
 
 import (
--- a/internal/quarantine/bad_days_test.go
+++ b/internal/quarantine/bad_days_test.go
@@ -43,7 +43,7 @@
 
 // ask returns the outcome of an attempt at a leaf: when it is over, and whether the leaf crashed under it or was gone
 // before.
-func (h herd) ask(random *rand.Rand, leaf string, at time.Time) (over time.Time, ended, wasGone bool) {
+func (h herd) ask(random *rand.Rand, leaf string, at time.Time) (over time.Time, didCrash, wasGone bool) {
 	over = at.Add(minWork + time.Duration(random.Int64N(int64(workRange))))
 	crashed, crashes := h[leaf]
 	switch {
@@ -57,11 +57,11 @@
 
 // attempt is an attempt at a leaf.
 type attempt struct {
-	over    time.Time
-	leaf    string
-	ended   bool
-	wasGone bool
-	probe   int // 0 for those that were sent together
+	over     time.Time
+	leaf     string
+	didCrash bool
+	wasGone  bool
+	probe    int // 0 for those that were sent together
 }
 
 // play is one execution of a request, as the nodes carry it out: an attempt at a leaf of each shard, and, if leafs
@@ -76,8 +76,8 @@
 }
 
 func (p *play) send(leaf string, at time.Time, probe int) {
-	over, ended, wasGone := p.crashing.ask(p.random, leaf, at)
-	p.pending = append(p.pending, attempt{over: over, leaf: leaf, ended: ended, wasGone: wasGone, probe: probe})
+	over, didCrash, wasGone := p.crashing.ask(p.random, leaf, at)
+	p.pending = append(p.pending, attempt{over: over, leaf: leaf, didCrash: didCrash, wasGone: wasGone, probe: probe})
 }
 
 // next returns the attempt that is over first.
@@ -109,15 +109,15 @@
 	p.send(leaf, at, p.probes)
 }
 
-// playTry plays one execution and reports whether a leaf crashed under it.
-func playTry(f *fleet, random *rand.Rand, crashing herd, at time.Time, shards int) (hit bool) {
+// playExecution plays one execution and reports whether a leaf crashed under it.
+func playExecution(f *fleet, random *rand.Rand, crashing herd, at time.Time, shards int) (hit bool) {
 	f.at = at
-	try := f.Begin(subject("busy"), func() {})
-	defer try.End()
+	execution := f.Begin(subject("busy"), func() {})
+	defer execution.End()
 	p := play{random: random, crashing: crashing}
 	for shard := range shards {
 		replica := random.IntN(2)
-		switch try.State() {
+		switch execution.State() {
 		case Clear:
 			p.send(leafName(shard, replica), at, 0)
 		case Suspect:
@@ -131,16 +131,16 @@
 		over := p.next()
 		f.at = over.over
 		switch {
-		case over.ended:
+		case over.didCrash:
 			hit = true
-			try.LeafCrashed(over.leaf, over.probe)
-			if try.IsStopped() || over.probe > 0 {
+			execution.LeafCrashed(over.leaf, over.probe)
+			if execution.IsStopped() || over.probe > 0 {
 				return hit
 			}
 		case over.wasGone:
-			try.LeafGone(over.leaf)
+			execution.LeafGone(over.leaf)
 		default:
-			try.Answered()
+			execution.Answered()
 			return hit // nothing counts after an answer
 		}
 		if over.probe == 0 {
@@ -174,7 +174,7 @@
 					crashing := drawHerd(random, began, shards)
 					for at := began.Add(-workRange); at.Before(began.Add(herdSpread)); at = at.Add(askedEvery) {
 						tries++
-						if playTry(f, random, crashing, at.Add(time.Duration(random.Int64N(int64(askedEvery)))), shards) {
+						if playExecution(f, random, crashing, at.Add(time.Duration(random.Int64N(int64(askedEvery)))), shards) {
 							hits++
 						}
 					}
@@ -183,7 +183,7 @@
 					condemned++
 				}
 			}
-			t.Logf("%d tries while leafs crashed, %d with a leaf that ended, %d of %d days condemned the path", tries, hits, condemned, badDays)
+			t.Logf("%d executions while leafs crashed, %d with a crash under them, %d of %d days condemned the path", tries, hits, condemned, badDays)
 			is.True(hits > badDays)
 			is.True(condemned <= one.condemned)
 		})
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -136,9 +136,9 @@
 		r.mu.Unlock()
 	case known.isEnough(r.cfg):
 		record := Record{Subject: known.subject, Leafs: known.leafs(), By: r.self}
-		stops := r.addUnsaved(record)
+		toHalt := r.addUnsaved(record)
 		r.mu.Unlock()
-		haltAll(stops)
+		haltAll(toHalt)
 		r.listener.Quarantined(record)
 	default:
 		r.mu.Unlock()
@@ -148,8 +148,9 @@
 	}
 }
 
-// noteLeafGone notes that a leaf was gone that a request was not at, and reports whether that is a sign of a herd of
-// crashes: not if the leaf's crash is attributed or already known.
+// noteLeafGone notes that an execution of a request found a leaf gone, and reports whether that is a sign that leafs
+// crash together for another reason: it is not if the leaf's crash is attributed to a request, or was one under this
+// request.
 func (r *Register) noteLeafGone(content fingerprint.Fingerprint, leaf string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/quarantine/fingerprint/fingerprint.go
+++ b/internal/quarantine/fingerprint/fingerprint.go
@@ -12,9 +12,9 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// size is the length of a fingerprint in bytes. To give another caller's request a fingerprint of its own choice a
-// caller must compute about 2^128 hashes, and 2^64 for two of its own that share one; with 64 bits it would be 2^32,
-// about an hour.
+// size is the length of a fingerprint in bytes. To find a request with the fingerprint of another caller's request
+// takes about 2^128 hashes; to find two requests with the same fingerprint takes 2^64. With 64 bits the latter would
+// take 2^32, about an hour.
 const size = 16
 
 // Fingerprint identifies a request; the zero value identifies none.
--- a/internal/quarantine/quarantinesync/config.go
+++ b/internal/quarantine/quarantinesync/config.go
@@ -25,13 +25,14 @@
 	// SaveInterval is how often a record that the store does not have is written and, in small fleets, announced
 	// again.
 	SaveInterval time.Duration `yaml:"save_interval"`
-	// TakeoverPause is how much later than the node before it each other node writes a record.
+	// TakeoverPause is how much longer each node waits than the one before it to write a record that the store does not
+	// have.
 	TakeoverPause time.Duration `yaml:"takeover_pause"`
 	// CallTimeout bounds a call of the store.
 	CallTimeout time.Duration `yaml:"call_timeout"`
 }
 
-// DefaultConfig has a request refused everywhere within two datagrams' time, and stored within a second.
+// DefaultConfig has a request refused everywhere within two one-way delays, and stored within a second.
 func DefaultConfig() Config {
 	return Config{
 		ReportDelay: 20 * time.Millisecond, RepeatDelay: 300 * time.Millisecond, SaveInterval: 500 * time.Millisecond,
--- a/internal/quarantine/quarantinesync/restored_test.go
+++ b/internal/quarantine/quarantinesync/restored_test.go
@@ -20,7 +20,7 @@
 		f := newFleet(t, "a")
 		key := catalog.QuarantineKey(subject.Content.String())
 		f.set(func() { f.node("a").isCut = true })
-		f.node("a").endLeafs()
+		f.node("a").crashLeafs()
 		time.Sleep(contact)
 		f.set(func() { is.Equal(f.writes, 1) })
 		f.set(func() {
--- a/internal/quarantine/quarantinesync/save.go
+++ b/internal/quarantine/quarantinesync/save.go
@@ -63,8 +63,9 @@
 	return true
 }
 
-// isWriter decides whether this node writes a record now: it found it, or the nodes before it have not had it written
-// for their share of TakeoverPause. The node that found it comes first, then the aggregators in their order.
+// isWriter decides whether this node writes a record that the store does not have. The node that found it does so at
+// once. The aggregators do so by rank, each one TakeoverPause later than the one before: the first one pause after it
+// received the record.
 func (s *Sync) isWriter(record quarantine.Record) bool {
 	if record.By == s.deps.Self.ID {
 		return true
--- a/internal/quarantine/quarantinesync/sync.go
+++ b/internal/quarantine/quarantinesync/sync.go
@@ -13,8 +13,8 @@
 	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 )
 
-// aggregatorCount is the number of nodes that add up the evidence against a request and that, besides the node that
-// found it, write its record: any two of them may be gone.
+// aggregatorCount is the number of nodes that add up the evidence against a request. They also write its record to the
+// store if the node that found it does not. Any two of these nodes may be down.
 const aggregatorCount = 3
 
 // Lengths of the queues of findings and of configuration changes.
--- a/internal/quarantine/quarantinesync/sync_test.go
+++ b/internal/quarantine/quarantinesync/sync_test.go
@@ -24,7 +24,7 @@
 // fleet is a set of nodes over one store, whose changes reach each node's catalog at once unless it is cut off.
 type fleet struct {
 	t *testing.T
-	// writing makes a look at a revision and the write that follows one step.
+	// writing makes reading a revision and the write that follows atomic.
 	writing sync.Mutex
 
 	mu       sync.Mutex
@@ -201,8 +201,8 @@
 
 var subject = quarantine.NewSubject(fingerprint.Of(fingerprint.Content{Path: "/a"}), "/a", "192.0.2.1")
 
-// endLeafs makes a request crash three leafs at a node, in two episodes.
-func (n *node) endLeafs() {
+// crashLeafs makes a request crash three leafs at a node, in two episodes.
+func (n *node) crashLeafs() {
 	try := n.register.Begin(subject, func() {})
 	try.LeafCrashed("leaf-1", 0)
 	try.LeafCrashed("leaf-2", 0)
@@ -236,7 +236,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, "a", "b", "c", "d", "e")
-		f.node("a").endLeafs()
+		f.node("a").crashLeafs()
 		time.Sleep(2 * time.Millisecond)
 		synctest.Wait()
 		is.True(f.allHold(quarantine.Quarantined))
@@ -254,7 +254,7 @@
 		is := is.New(t)
 		f := newFleet(t, "a", "b", "c")
 		f.set(func() { f.node("b").isCut = true })
-		f.node("a").endLeafs()
+		f.node("a").crashLeafs()
 		time.Sleep(time.Second)
 		is.Equal(f.node("b").register.State(subject.Content), quarantine.Clear)
 		f.set(func() { f.node("b").isCut = false })
@@ -272,7 +272,7 @@
 				is := is.New(t)
 				f := newFleet(t, "a", "b", "c", "d", "e")
 				f.set(func() { f.isDown, f.node("c").isCut = true, true })
-				f.node("a").endLeafs()
+				f.node("a").crashLeafs()
 				time.Sleep(2 * time.Second)
 				is.Equal(f.node("c").register.State(subject.Content), quarantine.Clear)
 				f.set(func() { f.node("c").isCut = false })
@@ -302,7 +302,7 @@
 			f.putRecord(catalog.NodeRecord{ID: id, Address: id})
 		}
 		f.set(func() { f.isDown = true })
-		f.node("a").endLeafs()
+		f.node("a").crashLeafs()
 		time.Sleep(time.Second)
 		const span = 20
 		before := f.node("a").countSent()
@@ -319,7 +319,7 @@
 		is := is.New(t)
 		f := newFleet(t, "a", "b", "c")
 		f.set(func() { f.loses = true })
-		f.node("a").endLeafs()
+		f.node("a").crashLeafs()
 		time.Sleep(contact)
 		is.True(f.allHold(quarantine.Quarantined))
 		is.True(f.writes <= 2)
@@ -372,7 +372,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, "a", "b", "c")
-		f.node("a").endLeafs()
+		f.node("a").crashLeafs()
 		time.Sleep(time.Second)
 		trials := func() []*quarantine.Execution {
 			var permitted []*quarantine.Execution
--- a/internal/quarantine/register.go
+++ b/internal/quarantine/register.go
@@ -27,7 +27,7 @@
 const (
 	// Clear requests are served normally.
 	Clear State = iota
-	// Suspect requests go to one leaf first, and to the others once that has answered.
+	// Suspect requests go to one leaf first, and to the others once that leaf has answered.
 	Suspect
 	// Quarantined requests go to no leaf.
 	Quarantined
--- a/internal/quarantine/register_test.go
+++ b/internal/quarantine/register_test.go
@@ -57,10 +57,10 @@
 	return names
 }
 
-// endAll makes leafs crash under attempts of an execution that were sent together.
-func endAll(try *Execution, number int, names ...string) {
+// crashAll makes leafs crash under attempts of an execution that were sent together.
+func crashAll(execution *Execution, number int, names ...string) {
 	for _, name := range names {
-		try.LeafCrashed(name, number)
+		execution.LeafCrashed(name, number)
 	}
 }
 
@@ -69,16 +69,16 @@
 	is := is.New(t)
 	f := newFleet()
 	stopped := 0
-	try := f.Begin(subject("a"), func() { stopped++ })
-	is.Equal(try.State(), Clear)
-	endAll(try, 0, leafs("leaf-", 20)...)
+	execution := f.Begin(subject("a"), func() { stopped++ })
+	is.Equal(execution.State(), Clear)
+	crashAll(execution, 0, leafs("leaf-", 20)...)
 	is.Equal(len(f.quarantined), 0)
 	is.Equal(f.State(subject("a").Content), Suspect)
-	try.LeafCrashed("probed", 1)
+	execution.LeafCrashed("probed", 1)
 	is.Equal(len(f.quarantined), 1)
 	is.Equal(f.quarantined[0].By, "n1")
 	is.Equal(stopped, 1)
-	is.True(try.IsStopped())
+	is.True(execution.IsStopped())
 	is.Equal(f.Begin(subject("a"), func() {}).State(), Quarantined)
 	is.Equal(f.Begin(subject("b"), func() {}).State(), Clear)
 	is.True(f.RetryAfter(subject("a").Content) > 0)
@@ -89,49 +89,49 @@
 func TestAHerdOfCrashesIsOneEpisode(t *testing.T) {
 	is := is.New(t)
 	f := newFleet()
-	try := f.Begin(subject("a"), func() { t.Error("stopped") })
-	endAll(try, 0, leafs("leaf-", 40)...)
+	execution := f.Begin(subject("a"), func() { t.Error("stopped") })
+	crashAll(execution, 0, leafs("leaf-", 40)...)
 	is.Equal(len(f.quarantined), 0)
-	try.Answered()
+	execution.Answered()
 	is.Equal(f.State(subject("a").Content), Clear)
-	endAll(try, 1, leafs("later-", 40)...) // after an answer of any leaf nothing counts
+	crashAll(execution, 1, leafs("later-", 40)...) // after an answer of any leaf nothing counts
 	is.Equal(f.State(subject("a").Content), Clear)
 }
 
 // Requests that must run at most once are never sent again by a node: executions at three nodes make up the evidence.
 func TestEvidenceOfManyNodes(t *testing.T) {
 	is := is.New(t)
-	home := newFleet()
+	aggregator := newFleet()
 	for index, name := range leafs("leaf-", 3) {
 		other := newFleet()
 		other.Begin(subject("a"), func() {}).LeafCrashed(name, 0)
 		is.Equal(len(other.suspected), 1)
 		reported, found := other.Evidence(subject("a").Content)
 		is.True(found)
-		home.AddEvidence(reported)
-		home.AddEvidence(reported) // a repeated report changes nothing
-		is.Equal(len(home.quarantined), index/2)
+		aggregator.AddEvidence(reported)
+		aggregator.AddEvidence(reported) // a repeated report changes nothing
+		is.Equal(len(aggregator.quarantined), index/2)
 	}
-	is.Equal(len(home.suspected), 0) // evidence of others is not reported again
+	is.Equal(len(aggregator.suspected), 0) // evidence of others is not reported again
 }
 
 // If leafs are gone that the request was not at, leafs may be crashing for another reason: more episodes are needed.
 func TestMoreEpisodesAreWantedInAHerd(t *testing.T) {
 	is := is.New(t)
 	f := newFleet()
-	try := f.Begin(subject("a"), func() {})
-	endAll(try, 0, leafs("leaf-", 20)...)
-	try.LeafGone("leaf-3") // ended under it
+	execution := f.Begin(subject("a"), func() {})
+	crashAll(execution, 0, leafs("leaf-", 20)...)
+	execution.LeafGone("leaf-3") // it crashed under the request
 	is.Equal(f.State(subject("a").Content), Suspect)
-	try.LeafGone("another")
+	execution.LeafGone("another")
 	for probe := range DefaultConfig().HerdEpisodes - 1 {
 		is.Equal(len(f.quarantined), 0)
-		try.LeafCrashed(fmt.Sprint("probed-", probe), 1+probe)
+		execution.LeafCrashed(fmt.Sprint("probed-", probe), 1+probe)
 	}
 	is.Equal(len(f.quarantined), 1)
 	next := f.Begin(subject("b"), func() {})
 	next.LeafGone("leaf-0") // by the other one's doing
-	endAll(next, 0, "x", "y")
+	crashAll(next, 0, "x", "y")
 	next.LeafCrashed("z", 1)
 	is.Equal(len(f.quarantined), 2)
 }
@@ -167,15 +167,15 @@
 // A suspect that is answered at this node is acquitted here and at the nodes it was reported to.
 func TestAnAnswerAcquitsEverywhere(t *testing.T) {
 	is := is.New(t)
-	f, home := newFleet(), newFleet()
+	f, aggregator := newFleet(), newFleet()
 	f.Begin(subject("a"), func() {}).LeafCrashed("leaf-0", 0)
 	reported, _ := f.Evidence(subject("a").Content)
-	home.AddEvidence(reported)
-	is.Equal(home.State(subject("a").Content), Suspect)
+	aggregator.AddEvidence(reported)
+	is.Equal(aggregator.State(subject("a").Content), Suspect)
 	f.Begin(subject("a"), func() {}).Answered()
 	is.Equal(len(f.acquitted), 1)
-	home.Acquit(f.acquitted[0].Content)
-	is.Equal(home.State(subject("a").Content), Clear)
+	aggregator.Acquit(f.acquitted[0].Content)
+	is.Equal(aggregator.State(subject("a").Content), Clear)
 }
 
 // condemn puts a request under quarantine by a record in the store.
@@ -200,7 +200,7 @@
 	f.condemn("a", 8, 1)
 	trial := come()
 	is.Equal(trial.State(), Suspect)
-	is.Equal(come().State(), Quarantined) // one try only
+	is.Equal(come().State(), Quarantined) // one execution only
 	trial.LeafCrashed("leaf-0", 0)
 	is.True(trial.IsStopped())
 	is.Equal(come().State(), Quarantined)
--- a/internal/quarantine/unsaved.go
+++ b/internal/quarantine/unsaved.go
@@ -36,9 +36,9 @@
 		r.mu.Unlock()
 		return false
 	}
-	stops := r.addUnsaved(record)
+	toHalt := r.addUnsaved(record)
 	r.mu.Unlock()
-	haltAll(stops)
+	haltAll(toHalt)
 	return true
 }
 
@@ -46,9 +46,9 @@
 func (r *Register) ConfirmStored(record Record) {
 	r.mu.Lock()
 	delete(r.unsaved, record.Content)
-	stops := r.apply(record)
+	toHalt := r.apply(record)
 	r.mu.Unlock()
-	haltAll(stops)
+	haltAll(toHalt)
 }
 
 // Lift notes that the store has no record of a request any more.
@@ -114,13 +114,13 @@
 			}
 		}
 	}
-	stops := make([]*Execution, 0, len(r.executions[record.Content]))
+	toHalt := make([]*Execution, 0, len(r.executions[record.Content]))
 	for execution := range r.executions[record.Content] {
 		if !execution.isTrial {
-			stops = append(stops, execution)
+			toHalt = append(toHalt, execution)
 		}
 	}
-	return stops
+	return toHalt
 }
 
 func haltAll(executions []*Execution) {
