--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -96,3 +96,7 @@
 		fx.StopTimeout(config.Stop.AnnounceDelay+config.Stop.DrainTimeout+closeReserve),
 	)
 }
+
+func newLevel(config settings.Settings) (zap.AtomicLevel, error) {
+	return zap.ParseAtomicLevel(config.LogLevel)
+}
--- /dev/null
+++ b/internal/node/provide_config.go
@@ -0,0 +1,67 @@
+package node
+
+import (
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/config/configsync"
+	"github.com/portgauge/portgauge/internal/config/configwriter"
+	"github.com/portgauge/portgauge/internal/config/rewriter"
+	"github.com/portgauge/portgauge/internal/config/store"
+	"github.com/portgauge/portgauge/internal/fleet/machines"
+	"github.com/portgauge/portgauge/internal/fleet/peer"
+	"github.com/portgauge/portgauge/internal/leaf/balancer"
+	"github.com/portgauge/portgauge/internal/node/boottime"
+	"github.com/portgauge/portgauge/internal/node/settings"
+	"github.com/portgauge/portgauge/internal/node/telemetry"
+	"github.com/portgauge/portgauge/internal/operator/admin"
+	"github.com/portgauge/portgauge/internal/rollout/canary"
+	"go.uber.org/fx"
+	"go.uber.org/zap"
+)
+
+func newCatalog(config settings.Settings, clock boottime.Clock, metrics *telemetry.Metrics, logger *zap.Logger) *catalog.Catalog {
+	rejected := &rejectedValues{metrics: metrics, logger: logger}
+	known := catalog.New(rejected.reject)
+	known.SetClock(clock)
+	if config.Rollouts.Enabled {
+		known.EnableRollouts()
+	}
+	return known
+}
+
+type syncerDeps struct {
+	fx.In
+
+	Config    settings.Settings
+	Catalog   *catalog.Catalog
+	Store     store.Store
+	Machines  machines.Lister
+	Transport *peer.SocketTransport
+	Balancer  *balancer.Balancer
+	Canary    *canary.Splitter // nil without roll-outs
+	Metrics   *telemetry.Metrics
+	Logger    *zap.Logger
+}
+
+func newSyncer(deps syncerDeps) *configsync.Syncer {
+	var settled func() int64 // nil without roll-outs: the syncer then reports the revision in force
+	if deps.Canary != nil {
+		settled = deps.Canary.SettledRevision
+	}
+	syncer := configsync.New(configsync.Deps{
+		Config: deps.Config.ConfigSync, Catalog: deps.Catalog, Store: deps.Store, Machines: deps.Machines, Transport: deps.Transport,
+		Leafs: deps.Balancer, Logger: deps.Logger, Seeds: deps.Config.Seeds,
+		Relayed:      func(kind string) { deps.Metrics.ConfigRelayed.WithLabelValues(kind).Inc() },
+		StateDropped: deps.Metrics.StatesDropped.Inc,
+		Settled:      settled,
+	})
+	deps.Balancer.OnDraining(syncer.LeafDraining)
+	return syncer
+}
+
+func newRewriter(known *catalog.Catalog, kept store.Store, self catalog.NodeRecord, events *storeEvents) *rewriter.Writer {
+	return rewriter.New(known, kept, self.ID, events)
+}
+
+func newAdmin(config settings.Settings, known *catalog.Catalog, kept store.Store) *admin.Admin {
+	return admin.New(known, kept, configwriter.New(config.ConfigWriter, kept))
+}
--- /dev/null
+++ b/internal/node/provide_fleet.go
@@ -0,0 +1,86 @@
+package node
+
+import (
+	"fmt"
+	"github.com/cespare/xxhash/v2"
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/config/configsync"
+	"github.com/portgauge/portgauge/internal/fleet/machines"
+	"github.com/portgauge/portgauge/internal/fleet/membership"
+	"github.com/portgauge/portgauge/internal/fleet/peer"
+	"github.com/portgauge/portgauge/internal/fleet/reachability"
+	"github.com/portgauge/portgauge/internal/fleet/registry"
+	"github.com/portgauge/portgauge/internal/node/boottime"
+	"github.com/portgauge/portgauge/internal/node/settings"
+	"github.com/portgauge/portgauge/internal/node/telemetry"
+	"go.uber.org/fx"
+	"maps"
+	"slices"
+	"time"
+)
+
+type listerDeps struct {
+	fx.In
+
+	Platform machines.Lister `name:"platform" optional:"true"`
+	Catalog  *catalog.Catalog
+}
+
+// newLister returns the platform's list of machines, or one made from the nodes' records where the platform has none.
+func newLister(deps listerDeps) machines.Lister {
+	if deps.Platform != nil {
+		return deps.Platform
+	}
+	return machines.NewCatalogLister(deps.Catalog)
+}
+
+func newTransport(config settings.Settings, metrics *telemetry.Metrics) (*peer.SocketTransport, error) {
+	return peer.Listen(config.Listen.Peers, config.Listen.AdvertisePeers, func(transport string, sent, _ int) {
+		metrics.ControlBytes.WithLabelValues(transport).Add(float64(sent))
+	})
+}
+
+// newSelf returns the node's own record. Without a configured id, zone and peer address make one.
+func newSelf(config settings.Settings, transport *peer.SocketTransport) catalog.NodeRecord {
+	self := catalog.NodeRecord{
+		ID: config.Node.ID, Zone: config.Node.Zone, Address: transport.Address(), Tree: config.Listen.Tree,
+		Processors: config.Node.Processors * config.Node.ProcessorShare,
+	}
+	if config.Listen.AdvertiseTree != "" {
+		self.Tree = config.Listen.AdvertiseTree
+	}
+	if self.ID == "" {
+		self.ID = fmt.Sprintf("%s/%s", self.Zone, self.Address)
+	}
+	return self
+}
+
+func newCensus(config settings.Settings, known *catalog.Catalog, self catalog.NodeRecord, clock boottime.Clock) *registry.Census {
+	census := registry.NewCensus(known, self.ID, config.Registry.Memory)
+	census.SetClock(clock)
+	return census
+}
+
+func newMembership(config settings.Settings, record catalog.NodeRecord, transport *peer.SocketTransport, syncer *configsync.Syncer) *membership.Membership {
+	self := peer.Member{
+		ID: record.ID, Address: record.Address, Zone: record.Zone,
+		// A new process under a known id must supersede what the zone knows of its predecessor.
+		Incarnation: time.Now().UnixMilli(),
+	}
+	members := membership.New(config.Membership, self, transport, syncer, xxhash.Sum64String(self.ID))
+	syncer.SetMembership(members)
+	return members
+}
+
+func newReachDatagrams(transport *peer.SocketTransport) *reachability.Datagrams {
+	return reachability.NewDatagrams(transport)
+}
+
+func newZones(config settings.Settings, known *catalog.Catalog, self catalog.NodeRecord, prober *reachability.Datagrams, events *stateEvents, clock boottime.Clock) *reachability.Tracker {
+	zones := reachability.New(reachability.Deps{
+		Config: config.Reachability, Self: self, Prober: prober, Changed: events.zoneChanged, Clock: clock,
+		Nodes: func() []catalog.NodeRecord { return slices.Collect(maps.Values(known.View().Nodes)) },
+	})
+	prober.OnZoneLost(zones.SuspectAndRecheck)
+	return zones
+}
--- /dev/null
+++ b/internal/node/provide_request.go
@@ -0,0 +1,101 @@
+package node
+
+import (
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/fleet/reachability"
+	"github.com/portgauge/portgauge/internal/fleet/registry"
+	"github.com/portgauge/portgauge/internal/leaf/balancer"
+	"github.com/portgauge/portgauge/internal/leaf/connshare"
+	"github.com/portgauge/portgauge/internal/leaf/leafclient"
+	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
+	"github.com/portgauge/portgauge/internal/leaf/leafmemory"
+	"github.com/portgauge/portgauge/internal/leaf/warmup"
+	"github.com/portgauge/portgauge/internal/node/boottime"
+	"github.com/portgauge/portgauge/internal/node/settings"
+	"github.com/portgauge/portgauge/internal/node/telemetry"
+	"github.com/portgauge/portgauge/internal/quarantine"
+	"github.com/portgauge/portgauge/internal/request/front"
+	"github.com/portgauge/portgauge/internal/request/gateway"
+	"github.com/portgauge/portgauge/internal/request/httpnames"
+	"github.com/portgauge/portgauge/internal/request/retrybudget"
+	"github.com/portgauge/portgauge/internal/request/search"
+	"github.com/portgauge/portgauge/internal/request/servingtree"
+	"github.com/portgauge/portgauge/internal/rollout/canary"
+	"github.com/portgauge/portgauge/internal/rollout/evidence"
+	"go.uber.org/fx"
+	"go.uber.org/zap"
+)
+
+func newBudgets(config settings.Settings, known *catalog.Catalog, census *registry.Census, clock boottime.Clock) *retrybudget.Budgets {
+	budgets := retrybudget.New(config.RetryBudget, func(service string) float64 {
+		routes := known.View().Routes
+		return census.Part(routes != nil && routes.IsGathered(service))
+	})
+	budgets.SetClock(clock)
+	return budgets
+}
+
+type gatewayDeps struct {
+	fx.In
+
+	Config        settings.Settings
+	Dialect       httpnames.Names
+	Catalog       *catalog.Catalog
+	Memory        *leafmemory.Memory
+	Allocator     *connshare.Allocator
+	Balancer      *balancer.Balancer
+	Budgets       *retrybudget.Budgets
+	Leafs         *leafhttp.Pool
+	Warmup        *warmup.Limiter
+	Canary        *canary.Splitter
+	Evidence      *evidence.Collector
+	Events        gateway.EventLog
+	Self          catalog.NodeRecord
+	Fleet         *registry.Census
+	Intermediates *servingtree.Client
+	Zones         *reachability.Tracker
+	Quarantine    *quarantine.Register
+}
+
+func newGateway(deps gatewayDeps) *gateway.Gateway {
+	return gateway.New(gateway.Deps{
+		Config: deps.Config.Gateway, Dialect: deps.Dialect, Catalog: deps.Catalog, Memory: deps.Memory, Allocator: deps.Allocator,
+		Balancer: deps.Balancer, Budgets: deps.Budgets, Leafs: deps.Leafs, Warmup: deps.Warmup,
+		Canary: deps.Canary, Evidence: deps.Evidence, Events: deps.Events,
+		Self: deps.Self, Regions: deps.Config.Regions, Fleet: deps.Fleet, Intermediates: deps.Intermediates, Zones: deps.Zones,
+		Quarantine: deps.Quarantine,
+	})
+}
+
+func newIntermediates(config settings.Settings, lifecycle fx.Lifecycle) *servingtree.Client {
+	client := servingtree.NewClient(config.ServingTree)
+	lifecycle.Append(fx.StopHook(client.Close))
+	return client
+}
+
+func newTree(config settings.Settings, handler *gateway.Gateway) *servingtree.Server {
+	return servingtree.NewServer(config.ServingTree, handler)
+}
+
+func newFront(backend *gateway.Gateway, dialect httpnames.Names, logger *zap.Logger) *front.Server {
+	return front.NewServer(backend, dialect, logger)
+}
+
+type engineDeps struct {
+	fx.In
+
+	Config     settings.Settings
+	Catalog    *catalog.Catalog
+	Balancer   *balancer.Balancer
+	Leafs      *leafclient.Pool
+	Quarantine *quarantine.Register
+	Metrics    *telemetry.Metrics
+	Logger     *zap.Logger
+}
+
+func newEngine(deps engineDeps) *search.Engine {
+	return search.New(search.Deps{
+		Config: deps.Config.Search, Hedging: deps.Config.Hedging, Catalog: deps.Catalog, Balancer: deps.Balancer, Leafs: deps.Leafs,
+		Metrics: deps.Metrics, Logger: deps.Logger, Quarantine: deps.Quarantine,
+	})
+}
--- a/internal/node/request_events.go
+++ b/internal/node/request_events.go
@@ -8,6 +8,7 @@
 
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/node/decisionlog"
+	"github.com/portgauge/portgauge/internal/node/settings"
 	"github.com/portgauge/portgauge/internal/node/telemetry"
 	"github.com/portgauge/portgauge/internal/quarantine"
 	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
@@ -234,3 +235,7 @@
 func millis(duration time.Duration) float64 {
 	return float64(duration.Microseconds()) / float64(time.Millisecond/time.Microsecond)
 }
+
+func newGatewayEvents(config settings.Settings, log *decisionlog.Log, metrics *telemetry.Metrics) gateway.EventLog {
+	return newRequestEvents(log, metrics, config.DecisionLog.EveryAttempt)
+}
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"io"
 	"net"
 	"net/http"
 	"sync"
@@ -25,6 +26,7 @@
 	"github.com/portgauge/portgauge/internal/node/boottime"
 	"github.com/portgauge/portgauge/internal/node/decisionlog"
 	"github.com/portgauge/portgauge/internal/node/settings"
+	"github.com/portgauge/portgauge/internal/node/telemetry"
 	"github.com/portgauge/portgauge/internal/operator/api"
 	"github.com/portgauge/portgauge/internal/quarantine/quarantinesync"
 	"github.com/portgauge/portgauge/internal/request/front"
@@ -262,3 +264,7 @@
 		},
 	})
 }
+
+func newDecisionLog(config settings.Settings, output io.Writer, metrics *telemetry.Metrics) *decisionlog.Log {
+	return decisionlog.New(config.DecisionLog, output, metrics.LogLinesLeftOut.Inc)
+}
