--- a/internal/node/provide.go
+++ b/internal/node/provide.go
@@ -198,7 +198,7 @@
 
 func newGateway(deps gatewayDeps) *gateway.Gateway {
 	return gateway.New(gateway.Deps{
-		Config: deps.Config.Gateway, Dialect: deps.Dialect, Catalog: deps.Catalog, Memory: deps.Memory, Allocator: deps.Allocator,
+		Config: deps.Config.Gateway, Names: deps.Dialect, Catalog: deps.Catalog, Memory: deps.Memory, Allocator: deps.Allocator,
 		Balancer: deps.Balancer, Budgets: deps.Budgets, Leafs: deps.Leafs, Warmup: deps.Warmup,
 		Canary: deps.Canary, Evidence: deps.Evidence, Events: deps.Events,
 		Self: deps.Self, Regions: deps.Config.Regions, Fleet: deps.Fleet, Intermediates: deps.Intermediates, Zones: deps.Zones,
--- a/internal/request/front/answer.go
+++ b/internal/request/front/answer.go
@@ -25,9 +25,9 @@
 		header[name] = values
 	}
 	if answer.Stamps != nil {
-		header.Set(s.dialect.PartStamps, strings.Join(answer.Stamps, ", "))
+		header.Set(s.names.PartStamps, strings.Join(answer.Stamps, ", "))
 		if answer.Missing > 0 {
-			header.Set(s.dialect.MissingParts, strconv.Itoa(answer.Missing))
+			header.Set(s.names.MissingParts, strconv.Itoa(answer.Missing))
 		}
 	}
 	if _, isTyped := header["Content-Type"]; !isTyped {
--- a/internal/request/front/front.go
+++ b/internal/request/front/front.go
@@ -39,7 +39,7 @@
 // Server serves callers; create it with NewServer.
 type Server struct {
 	backend  Backend
-	dialect  httpnames.Names
+	names    httpnames.Names
 	logger   *zap.Logger
 	timeouts *connectionTimeouts
 	http     *http.Server
@@ -50,8 +50,8 @@
 }
 
 // NewServer returns a server that does not listen yet.
-func NewServer(backend Backend, dialect httpnames.Names, logger *zap.Logger) *Server {
-	server := &Server{backend: backend, dialect: dialect, logger: logger, timeouts: newConnectionTimeouts(backend.Limits)}
+func NewServer(backend Backend, names httpnames.Names, logger *zap.Logger) *Server {
+	server := &Server{backend: backend, names: names, logger: logger, timeouts: newConnectionTimeouts(backend.Limits)}
 	router := newRouter()
 	router.RedirectTrailingSlash = false
 	router.NoRoute(func(c *gin.Context) { server.serve(c.Writer, c.Request) })
@@ -78,7 +78,7 @@
 // ReadinessHandler returns a handler that answers 200 while callers should connect to this node, and 503 otherwise.
 func (s *Server) ReadinessHandler() http.Handler {
 	router := newRouter()
-	router.GET(s.dialect.ReadinessPath, func(c *gin.Context) {
+	router.GET(s.names.ReadinessPath, func(c *gin.Context) {
 		if s.Ready() {
 			c.Status(http.StatusOK)
 			return
--- a/internal/request/front/front_test.go
+++ b/internal/request/front/front_test.go
@@ -23,7 +23,7 @@
 	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
-var dialect = httpnames.Default()
+var names = httpnames.Default()
 
 // scriptedBackend is a Backend whose answers a function makes.
 type scriptedBackend struct {
@@ -44,7 +44,7 @@
 	backend := &scriptedBackend{serve: serve}
 	backend.ready.Store(true)
 	backend.limits.Store(&routing.Limits{MaximumHeaderBytes: 4096, MaximumBodyBytes: 1000})
-	server := NewServer(backend, dialect, zap.NewNop())
+	server := NewServer(backend, names, zap.NewNop())
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -108,8 +108,8 @@
 		return &gateway.Answer{Status: 200, Stamps: []string{"s1", "s2"}, Missing: 1, Body: []byte("records")}, nil
 	})
 	response, body := exchange(t, address, get())
-	is.Equal(response.Header.Get(dialect.PartStamps), "s1, s2")
-	is.Equal(response.Header.Get(dialect.MissingParts), "1")
+	is.Equal(response.Header.Get(names.PartStamps), "s1, s2")
+	is.Equal(response.Header.Get(names.MissingParts), "1")
 	is.Equal(body, "records")
 }
 
@@ -146,8 +146,8 @@
 		status  int
 		field   string
 	}{
-		"deadline":   {get("Portgauge-Deadline-Millis: soon"), 400, dialect.DeadlineMillis},
-		"negative":   {get("Portgauge-Deadline-Millis: -5"), 400, dialect.DeadlineMillis},
+		"deadline":   {get("Portgauge-Deadline-Millis: soon"), 400, names.DeadlineMillis},
+		"negative":   {get("Portgauge-Deadline-Millis: -5"), 400, names.DeadlineMillis},
 		"no time":    {get("Portgauge-Deadline-Millis: 0"), 503, ""},
 		"header":     {get("X-Long: " + strings.Repeat("x", 5000)), 431, "header"},
 		"body":       {"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 1001\r\n\r\n" + strings.Repeat("x", 1001), 413, "body"},
@@ -200,7 +200,7 @@
 	})
 	ready := func() int {
 		recorder := httptest.NewRecorder()
-		server.ReadinessHandler().ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, dialect.ReadinessPath, nil))
+		server.ReadinessHandler().ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, names.ReadinessPath, nil))
 		return recorder.Code
 	}
 	is.Equal(ready(), 200)
--- a/internal/request/front/handler.go
+++ b/internal/request/front/handler.go
@@ -70,14 +70,14 @@
 		target = r.URL.RequestURI()
 	}
 	path, _, _ := strings.Cut(target, "?")
-	id := r.Header.Get(s.dialect.RequestID)
+	id := r.Header.Get(s.names.RequestID)
 	if id == "" {
 		id = uuid.NewString()
 	}
 	return &gateway.Request{
 		Leaf: leafhttp.Request{
 			ID: id, Method: r.Method, Target: target, Host: r.Host, Body: body,
-			Header:  leafhttp.ForwardedHeaders(r.Header, s.dialect.RequestID, s.dialect.DeadlineMillis, s.dialect.ExpectedIncarnation),
+			Header:  leafhttp.ForwardedHeaders(r.Header, s.names.RequestID, s.names.DeadlineMillis, s.names.ExpectedIncarnation),
 			HasBody: len(body) > 0 || r.ContentLength >= 0 && r.Header.Get("Content-Length") != "" || len(r.TransferEncoding) > 0,
 		},
 		Path: path, Caller: callerAddress(r), Arrived: arrived, CallerTimeout: timeout,
@@ -98,13 +98,13 @@
 
 // callerTimeout returns how long the caller will wait by its deadline header; 0 if it has none.
 func (s *Server) callerTimeout(r *http.Request) (time.Duration, error) {
-	text := r.Header.Get(s.dialect.DeadlineMillis)
+	text := r.Header.Get(s.names.DeadlineMillis)
 	if text == "" {
 		return 0, nil
 	}
 	millis, err := strconv.ParseInt(strings.TrimSpace(text), 10, 64)
 	if err != nil || millis < 0 {
-		return 0, failure.Invalid(s.dialect.DeadlineMillis, "%q is not a number of milliseconds", text)
+		return 0, failure.Invalid(s.names.DeadlineMillis, "%q is not a number of milliseconds", text)
 	}
 	if millis == 0 {
 		return 0, failure.New(failure.DeadlineTooShort, failure.NotRun, "the caller has no time left")
--- a/internal/request/gateway/answer.go
+++ b/internal/request/gateway/answer.go
@@ -17,7 +17,7 @@
 			answer.Missing++
 			continue
 		}
-		answer.Stamps = append(answer.Stamps, outcome.Reply.Header.Get(e.gateway.dialect.ResponseStamp))
+		answer.Stamps = append(answer.Stamps, outcome.Reply.Header.Get(e.gateway.names.ResponseStamp))
 		bodies = append(bodies, outcome.Reply.Body)
 	}
 	if len(answer.Stamps) < max(1, e.request.requiredParts) {
--- a/internal/request/gateway/attempt.go
+++ b/internal/request/gateway/attempt.go
@@ -85,7 +85,7 @@
 	if response.NotExecuted {
 		return judgeRefusal(response)
 	}
-	signed := response.Header.Get(e.gateway.dialect.ResponseStamp) != ""
+	signed := response.Header.Get(e.gateway.names.ResponseStamp) != ""
 	isSuccess := response.Status >= http.StatusOK && response.Status < http.StatusMultipleChoices
 	switch {
 	case isSuccess && signed:
--- a/internal/request/gateway/bench_test.go
+++ b/internal/request/gateway/bench_test.go
@@ -31,8 +31,8 @@
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { _ = listener.Close() })
-	answer := []byte("HTTP/1.1 200 OK\r\n" + dialect.ResponseStamp + ": 3e1b.07.5a2.600.0.c9f2a4d1\r\n" +
-		dialect.ServerLoad + ": 1,0,2\r\nKeep-Alive: timeout=20\r\nContent-Length: 960\r\n\r\n" + string(bytes.Repeat([]byte("0123456789abcdef"), 60)))
+	answer := []byte("HTTP/1.1 200 OK\r\n" + names.ResponseStamp + ": 3e1b.07.5a2.600.0.c9f2a4d1\r\n" +
+		names.ServerLoad + ": 1,0,2\r\nKeep-Alive: timeout=20\r\nContent-Length: 960\r\n\r\n" + string(bytes.Repeat([]byte("0123456789abcdef"), 60)))
 	go func() {
 		for {
 			connection, err := listener.Accept()
@@ -90,10 +90,10 @@
 		Name: "pages", Host: "h", Prefix: "/pages/", Gathered: gathered, TopRecords: 50, MinimumCoverage: 0.9,
 		Repeatability: routing.Repeatable, TimeoutMillis: 5000, ObjectiveMillis: 5000, MaximumAttempts: 2,
 	}}})
-	pool := leafhttp.New(leafhttp.DefaultConfig(), dialect, nil)
+	pool := leafhttp.New(leafhttp.DefaultConfig(), names, nil)
 	defer pool.Close()
 	g := New(Deps{
-		Config: DefaultConfig(), Dialect: dialect, Catalog: known, Memory: leafmemory.New(leafmemory.DefaultConfig(), known),
+		Config: DefaultConfig(), Names: names, Catalog: known, Memory: leafmemory.New(leafmemory.DefaultConfig(), known),
 		Allocator: connshare.New(connshare.DefaultConfig(), singleNodeFleet{}, catalog.NodeRecord{ID: "n"}), Balancer: balancer.New(balancer.DefaultConfig(), "z"),
 		Budgets: retrybudget.New(retrybudget.DefaultConfig(), func(string) float64 { return 1 }), Leafs: pool, Events: &discardingEvents{}, Quarantine: newRegister(),
 	})
--- a/internal/request/gateway/canary.go
+++ b/internal/request/gateway/canary.go
@@ -140,7 +140,7 @@
 	switch {
 	case result.Reply != nil:
 		counted.Observe(route, leaf, false, took)
-	case result.Reason == reasonLeafError && response.Header.Get(e.gateway.dialect.ResponseStamp) != "":
+	case result.Reason == reasonLeafError && response.Header.Get(e.gateway.names.ResponseStamp) != "":
 		counted.Observe(route, leaf, true, took)
 	case result.Reason == reasonBroken && result.Outcome == balancer.Abandoned:
 		counted.ObserveGivenUp(route, leaf, took)
--- a/internal/request/gateway/fixture_test.go
+++ b/internal/request/gateway/fixture_test.go
@@ -23,7 +23,7 @@
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
-var dialect = httpnames.Default()
+var names = httpnames.Default()
 
 // recordedEvents keeps the records of requests and groups.
 type recordedEvents struct {
@@ -98,7 +98,7 @@
 }
 
 func answered(status int, body string) *leafhttp.Response {
-	return &leafhttp.Response{Status: status, Header: http.Header{dialect.ResponseStamp: {"stamp-" + body}}, Body: []byte(body)}
+	return &leafhttp.Response{Status: status, Header: http.Header{names.ResponseStamp: {"stamp-" + body}}, Body: []byte(body)}
 }
 
 func refused(status int) *leafhttp.Response {
@@ -157,7 +157,7 @@
 	events := &recordedEvents{}
 	budget := retrybudget.Config{Ratio: 1, Window: 10 * time.Second, Share: 1}
 	return New(Deps{
-		Config: DefaultConfig(), Dialect: dialect, Catalog: known, Memory: leafmemory.New(leafmemory.DefaultConfig(), known),
+		Config: DefaultConfig(), Names: names, Catalog: known, Memory: leafmemory.New(leafmemory.DefaultConfig(), known),
 		Allocator: connshare.New(connshare.DefaultConfig(), singleNodeFleet{}, catalog.NodeRecord{ID: "n"}),
 		Balancer:  balancer.New(balancer.DefaultConfig(), "z"), Budgets: retrybudget.New(budget, func(string) float64 { return 1 }),
 		Leafs: leafs, Events: events,
--- a/internal/request/gateway/gateway.go
+++ b/internal/request/gateway/gateway.go
@@ -63,7 +63,7 @@
 // Deps are the dependencies of a Gateway.
 type Deps struct {
 	Config    Config
-	Dialect   httpnames.Names
+	Names     httpnames.Names
 	Catalog   *catalog.Catalog
 	Memory    *leafmemory.Memory
 	Allocator *connshare.Allocator
@@ -94,7 +94,7 @@
 // Gateway serves requests by the routing table; it is safe for concurrent use.
 type Gateway struct {
 	config     Config
-	dialect    httpnames.Names
+	names      httpnames.Names
 	catalog    *catalog.Catalog
 	memory     *leafmemory.Memory
 	allocator  *connshare.Allocator
@@ -122,7 +122,7 @@
 // New returns a gateway.
 func New(deps Deps) *Gateway {
 	g := &Gateway{
-		config: deps.Config, dialect: deps.Dialect, catalog: deps.Catalog, memory: deps.Memory, allocator: deps.Allocator, balancer: deps.Balancer,
+		config: deps.Config, names: deps.Names, catalog: deps.Catalog, memory: deps.Memory, allocator: deps.Allocator, balancer: deps.Balancer,
 		budgets: deps.Budgets, leafs: deps.Leafs, warmup: deps.Warmup, canary: deps.Canary, evidence: deps.Evidence,
 		events: deps.Events, regions: deps.Regions, zones: deps.Zones, quarantine: deps.Quarantine,
 		latencies: newLatencyTable(deps.Config.LatencyWindow), timeouts: newCallerTimeouts(), shares: routing.NewShares(),
--- a/internal/request/gateway/group_reply.go
+++ b/internal/request/gateway/group_reply.go
@@ -188,7 +188,7 @@
 			continue
 		}
 		header := http.Header{}
-		header.Set(p.execution.gateway.dialect.ResponseStamp, stamp)
+		header.Set(p.execution.gateway.names.ResponseStamp, stamp)
 		replies[index] = &leafhttp.Response{Status: http.StatusOK, Header: header, Body: records}
 		records = nil
 	}
--- a/internal/request/gateway/intermediate.go
+++ b/internal/request/gateway/intermediate.go
@@ -107,7 +107,7 @@
 	bodies := make([][]byte, 0, len(parts))
 	for index, part := range parts {
 		if part != nil {
-			answer.Stamps[index] = part.Header.Get(e.gateway.dialect.ResponseStamp)
+			answer.Stamps[index] = part.Header.Get(e.gateway.names.ResponseStamp)
 			bodies = append(bodies, part.Body)
 		}
 	}
--- a/internal/request/gateway/tree_fixture_test.go
+++ b/internal/request/gateway/tree_fixture_test.go
@@ -167,7 +167,7 @@
 	client := servingtree.NewClient(servingtree.DefaultConfig())
 	b.t.Cleanup(client.Close)
 	node.gateway = New(Deps{
-		Config: DefaultConfig(), Dialect: dialect, Catalog: node.catalog, Memory: leafmemory.New(leafmemory.DefaultConfig(), node.catalog),
+		Config: DefaultConfig(), Names: names, Catalog: node.catalog, Memory: leafmemory.New(leafmemory.DefaultConfig(), node.catalog),
 		Allocator: connshare.New(connshare.DefaultConfig(), census, node.record),
 		Balancer:  balancer.New(balancer.DefaultConfig(), node.record.Zone),
 		Budgets:   treeBudgets(),
