--- a/internal/request/front/connection.go
+++ b/internal/request/front/connection.go
@@ -9,15 +9,15 @@
 	"github.com/portgauge/portgauge/internal/request/roundtrip"
 )
 
-// roundTrip returns a high estimate of the round-trip time of a connection, since an answer that is a little late has lost
-// most of its worth; 0 if it is not known.
+// roundTrip returns a high estimate of the round-trip time of a connection, since a low one would make answers late; 0 if
+// it is not known.
 func roundTrip(connection net.Conn) time.Duration { return roundtrip.Of(connection).High() }
 
 // callerConnection is a connection that a caller opened.
 type callerConnection struct {
 	conn     net.Conn
 	openedAt time.Time
-	// used says that a request has arrived on it.
+	// used reports whether a request has arrived on it.
 	used atomic.Bool
 }
 
--- a/internal/request/front/front.go
+++ b/internal/request/front/front.go
@@ -32,9 +32,9 @@
 	Limits() routing.Limits
 }
 
-// headerReserve is the size in bytes from which net/http refuses a header by itself. Below, the operators' limit is
-// enforced here, with a typed failure.
-const headerReserve = 1 << 20
+// hardHeaderLimit is the size in bytes beyond which net/http refuses a header by itself. Below it, Server.read enforces
+// the operators' limit, with a typed failure.
+const hardHeaderLimit = 1 << 20
 
 // Server serves callers; create it with NewServer.
 type Server struct {
@@ -60,7 +60,7 @@
 	server.http = &http.Server{
 		BaseContext:                  func(net.Listener) context.Context { return requests },
 		Handler:                      router,
-		MaxHeaderBytes:               headerReserve,
+		MaxHeaderBytes:               hardHeaderLimit,
 		ConnState:                    server.timeouts.stateChanged,
 		ConnContext:                  withConnection,
 		DisableGeneralOptionsHandler: true,
--- a/internal/request/routing/configuration.go
+++ b/internal/request/routing/configuration.go
@@ -53,11 +53,11 @@
 	// MinimumCoverage is the least share of the gathered services that an answer must have, 0 to 1.
 	MinimumCoverage float64       `json:"minimum_coverage,omitempty"`
 	Repeatability   Repeatability `json:"repeatability"`
-	// MaximumAttempts is how many leafs of one service may run one request.
+	// MaximumAttempts is how many leafs of one service may run one request; 0 means the default.
 	MaximumAttempts int `json:"maximum_attempts"`
-	// TimeoutMillis is when a request is given up.
+	// TimeoutMillis is how long after its arrival a request is given up; 0 means the default.
 	TimeoutMillis int64 `json:"timeout_millis"`
-	// ObjectiveMillis is the time within which an answer has its full worth.
+	// ObjectiveMillis is the time within which an answer has its full worth; 0 means the default.
 	ObjectiveMillis int64 `json:"objective_millis"`
 	// Regions are those whose leafs may run the requests, and whose nodes may gather them for others; empty means
 	// all.
@@ -85,7 +85,7 @@
 	ColdRequestsPerSecond float64 `json:"cold_requests_per_second,omitempty"`
 }
 
-// Limits bound what callers may send and how long they may take; 0 means the default.
+// Limits bound what callers may send, in bytes, and how long they may take, in milliseconds; 0 means the default.
 type Limits struct {
 	MaximumHeaderBytes  int   `json:"maximum_header_bytes,omitempty"`
 	MaximumBodyBytes    int64 `json:"maximum_body_bytes,omitempty"`
@@ -101,7 +101,7 @@
 	DefaultIdleTimeout   = 2 * time.Minute
 )
 
-// HeaderBytes returns the maximum size of a request's header.
+// HeaderBytes returns the maximum size of a request's header in bytes.
 func (l Limits) HeaderBytes() int {
 	if l.MaximumHeaderBytes <= 0 {
 		return DefaultHeaderBytes
@@ -109,7 +109,7 @@
 	return l.MaximumHeaderBytes
 }
 
-// BodyBytes returns the maximum size of a request's body.
+// BodyBytes returns the maximum size of a request's body in bytes.
 func (l Limits) BodyBytes() int64 {
 	if l.MaximumBodyBytes <= 0 {
 		return DefaultBodyBytes
@@ -127,6 +127,7 @@
 	return millisOr(l.IdleTimeoutMillis, DefaultIdleTimeout)
 }
 
+// millisOr returns a number of milliseconds as a duration, or otherwise if it is not positive.
 func millisOr(millis int64, otherwise time.Duration) time.Duration {
 	if millis <= 0 {
 		return otherwise
@@ -184,6 +185,7 @@
 	return checks.Err()
 }
 
+// targets counts the kinds of targets that a route sets.
 func (r Route) targets() int {
 	count := 0
 	for _, isSet := range []bool{r.Service != "", len(r.Weighted) > 0, len(r.Gathered) > 0} {
--- a/internal/request/routing/routing.go
+++ b/internal/request/routing/routing.go
@@ -49,8 +49,8 @@
 	// WeightKey is equal for two versions of a route with the same weights, so that Shares keeps its state across
 	// versions.
 	WeightKey string
-	// GatherKey is equal for two versions of a route that gather in the same way: the same services, records,
-	// attempts, repeatability and regions.
+	// GatherKey is equal for two versions of a route that gather alike: with the same services, records, attempts,
+	// repeatability and regions.
 	GatherKey uint64
 }
 
@@ -90,6 +90,7 @@
 	return gathered
 }
 
+// newEntry derives the values of a route.
 func newEntry(route Route) *Entry {
 	entry := &Entry{
 		Route:     route,
@@ -110,6 +111,7 @@
 	return entry
 }
 
+// gatherKey hashes what decides how a route is gathered; roots and intermediates compare the result.
 func gatherKey(entry *Entry) uint64 {
 	return xxhash.Sum64String(fmt.Sprintf("%q %d %d %s %q", entry.Gathered, entry.TopRecords, entry.Attempts, entry.Repeatability, entry.Regions))
 }
--- a/internal/request/servingtree/call.go
+++ b/internal/request/servingtree/call.go
@@ -42,7 +42,7 @@
 	return &Call{request: &request, began: time.Now(), acks: make(chan struct{}, 1), partial: make(chan Answer, 1), done: make(chan Result, 1)}
 }
 
-// Acks receives a value when the intermediate has shown that it works on the request.
+// Acks receives a value when the intermediate has acknowledged the request or a probe.
 func (c *Call) Acks() <-chan struct{} { return c.acks }
 
 // Partial receives the parts that the intermediate sends before its reply is complete, at most once.
@@ -54,7 +54,7 @@
 // Waited returns how long the request waited for its connection; 0 until it was sent.
 func (c *Call) Waited() time.Duration { return time.Duration(c.waited.Load()) }
 
-// Probe asks the intermediate to show that it works on the request. It blocks for the write timeout at most.
+// Probe asks the intermediate to acknowledge that it is still gathering the group. It blocks for the write timeout at most.
 func (c *Call) Probe() {
 	if c.session != nil {
 		c.session.send(line{Number: c.number, Probe: true})
--- a/internal/request/servingtree/never_sent_test.go
+++ b/internal/request/servingtree/never_sent_test.go
@@ -71,7 +71,7 @@
 // moment is mostly enough for other goroutines to proceed; no check depends on it.
 const moment = 100 * time.Microsecond
 
-// neverSentCase is a session over a slowSocket, with what its callers were told.
+// neverSentCase is a session over a slowSocket, with the results that its callers received.
 type neverSentCase struct {
 	session *session
 	socket  *slowSocket
--- a/internal/request/servingtree/servingtree.go
+++ b/internal/request/servingtree/servingtree.go
@@ -102,8 +102,8 @@
 	Leaving Decline = "LEAVING"
 	// Busy means that the node has as many requests in flight as it may.
 	Busy Decline = "BUSY"
-	// OtherRoute means that the node would gather the route in another way than the root, since it has another routing
-	// table in force.
+	// OtherRoute means that the node would gather the route differently from the root, since it has another routing table
+	// in force.
 	OtherRoute Decline = "OTHER_ROUTE"
 )
 
@@ -112,9 +112,9 @@
 	Answer  *Answer  `json:"answer,omitempty"`
 	Failure *Failure `json:"failure,omitempty"`
 	Decline Decline  `json:"decline,omitempty"`
-	// Partial says that the answer has the parts that have arrived so far, and that another reply with the rest follows.
+	// Partial means that the answer has the parts that have arrived so far, and that another reply with the rest follows.
 	Partial bool `json:"partial,omitempty"`
-	// TookMicros is how long the intermediate worked on the request, in microseconds.
+	// TookMicros is how long the intermediate took to answer the request, in microseconds.
 	TookMicros int64 `json:"took_micros,omitempty"`
 }
 
@@ -131,7 +131,7 @@
 	Probe   bool     `json:"probe,omitempty"`
 	Cancel  bool     `json:"cancel,omitempty"`
 
-	// Accepted says that the node works on the request.
+	// Accepted acknowledges a Request or a Probe: the node is gathering the group.
 	Accepted bool   `json:"accepted,omitempty"`
 	Reply    *Reply `json:"reply,omitempty"`
 }
--- a/internal/request/servingtree/session.go
+++ b/internal/request/servingtree/session.go
@@ -106,7 +106,7 @@
 }
 
 // sendRequest writes the request of a call, unless the call has ended. Checking that and marking the call as being
-// written is one step, so that a call that was given up as never sent is not sent when its connection opens. The times
+// written are one step, so that a call that was given up as never sent is not sent when its connection opens. The times
 // in the request are reduced by the wait for the connection and by an unexpectedly long round trip. A request that
 // can't be written completely may have arrived.
 func (s *session) sendRequest(open *wire, call *Call) {
