--- a/internal/request/gateway/attempt.go
+++ b/internal/request/gateway/attempt.go
@@ -106,7 +106,7 @@
 
 // promisesNotRun reports whether callers take a status as the promise that the request has not run and never will. A
 // leaf that answers with one but without the "not executed" mark may have run the request: if the status were passed
-// on, the caller would send the request again and have the work done twice.
+// on, the caller would send the request again and it would run twice.
 func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
--- a/internal/request/gateway/caller_timeouts.go
+++ b/internal/request/gateway/caller_timeouts.go
@@ -7,8 +7,8 @@
 	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
-// callerTimeouts learns the timeout that callers of each route start with. A caller that says less has spent the
-// difference already, on a connection or on sending the request before. It is safe for concurrent use.
+// callerTimeouts learns the timeout that callers of each route start with. A caller that sends a shorter one has spent
+// the difference already, on a connection or on sending the request before. It is safe for concurrent use.
 type callerTimeouts struct {
 	mu     sync.Mutex
 	routes map[string]*commonTimeout // by host and prefix
@@ -16,9 +16,9 @@
 
 // commonTimeout is the longest recent timeout of a route's callers, and how often it was seen.
 type commonTimeout struct {
-	longest time.Duration
-	seen    int
-	since   time.Time
+	longest  time.Duration
+	seen     int
+	lastSeen time.Time
 }
 
 const (
@@ -35,25 +35,25 @@
 }
 
 // spent estimates how much of its timeout a caller has spent before the request arrived.
-func (b *callerTimeouts) spent(route *routing.Entry, timeout time.Duration) time.Duration {
+func (t *callerTimeouts) spent(route *routing.Entry, timeout time.Duration) time.Duration {
 	key := route.Host + route.Prefix
 	now := time.Now()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	common, found := b.routes[key]
-	if !found || now.Sub(common.since) > timeoutMemory {
-		if len(b.routes) >= maximumTimeoutRoutes {
-			clear(b.routes)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	common, found := t.routes[key]
+	if !found || now.Sub(common.lastSeen) > timeoutMemory {
+		if len(t.routes) >= maximumTimeoutRoutes {
+			clear(t.routes)
 		}
 		common = &commonTimeout{}
-		b.routes[key] = common
+		t.routes[key] = common
 	}
 	switch {
 	case timeout > common.longest:
-		*common = commonTimeout{longest: timeout, seen: 1, since: now}
+		*common = commonTimeout{longest: timeout, seen: 1, lastSeen: now}
 	case timeout == common.longest:
 		common.seen++
-		common.since = now
+		common.lastSeen = now
 	}
 	if common.seen < minimumSightings {
 		return 0
--- a/internal/request/gateway/canary.go
+++ b/internal/request/gateway/canary.go
@@ -7,7 +7,6 @@
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
 	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
-	"github.com/portgauge/portgauge/internal/request/routing"
 	"github.com/portgauge/portgauge/internal/request/scatter"
 	"github.com/portgauge/portgauge/internal/rollout/canary"
 )
@@ -30,7 +29,7 @@
 	return g.canary.RetryVersions(service)
 }
 
-// draw returns the draw of a shard, which is made once. unserved says that no leaf of the serving version can be asked,
+// draw returns the draw of a shard, which is made once. unserved means that no leaf of the serving version can be asked,
 // or only leafs in trouble. Nothing is drawn if another node may have asked the shard before and counted its draw.
 func (e *execution) draw(shard int, unserved bool) canary.Draw {
 	if e.gateway.canary == nil || e.spentAttempts > 0 {
@@ -47,22 +46,20 @@
 	return made.Draw
 }
 
-// returnDraw returns the draw of a shard for which nothing was sent.
-func (e *execution) returnDraw(shard int) {
+// refundDraw refunds the draw of a shard for which nothing was sent.
+func (e *execution) refundDraw(shard int) {
 	if made := e.canaryDraws[shard]; made.IsBounded {
 		e.gateway.canary.Refund(made.request, made.Draw)
 	}
 }
 
-// returnDraws returns all draws of a request that is refused.
-func (e *execution) returnDraws() {
+// refundDraws refunds all draws of a request that is refused.
+func (e *execution) refundDraws() {
 	for shard := range e.canaryDraws {
-		e.returnDraw(shard)
+		e.refundDraw(shard)
 	}
 }
 
-func (e *execution) isAtMostOnce() bool { return e.request.route.Repeatability == routing.AtMostOnce }
-
 // drawFirst draws the versions of the first attempts that this node makes, for services with a version on trial, and
 // sets the shards' candidates to the leafs of those versions.
 func (e *execution) drawFirst(plan *scatter.Plan) {
@@ -78,7 +75,7 @@
 }
 
 // firstCandidates returns the leafs that a shard's first attempt may go to by its draw. If none of them can be asked,
-// it returns the draw and the candidates that were planned without one.
+// it refunds the draw and returns the candidates that were planned without one.
 func (e *execution) firstCandidates(shard int, planned []balancer.Candidate) []balancer.Candidate {
 	choice := e.gateway.balancer.Choose(planned, nil)
 	draw := e.draw(shard, choice.Leaf == nil || choice.Unhealthy)
@@ -94,7 +91,7 @@
 		return drawn
 	}
 	e.targets[shard] = targets
-	e.returnDraw(shard)
+	e.refundDraw(shard)
 	return planned
 }
 
@@ -129,8 +126,8 @@
 }
 
 // countEvidence counts the end of an attempt as evidence of its leaf's version: a success, a signed failure, or an
-// attempt that was given up without an answer. Refusals, broken connections and attempts that were never sent say
-// nothing of the version.
+// attempt that was given up without an answer. Refusals, broken connections and attempts that were never sent are no
+// evidence.
 func (e *execution) countEvidence(leaf *leafset.Leaf, response *leafhttp.Response, result attemptResult, took time.Duration) {
 	counted := e.gateway.evidence
 	if counted == nil || leaf == nil || !counted.IsCounted(leaf) {
--- a/internal/request/gateway/canary_test.go
+++ b/internal/request/gateway/canary_test.go
@@ -326,7 +326,7 @@
 	})
 }
 
-// The end of an attempt counts as evidence of its leaf's version if it says something of the version.
+// The end of an attempt counts as evidence of its leaf's version if it shows anything about the version.
 func TestEndsOfAttemptsAreCounted(t *testing.T) {
 	cases := map[string]struct {
 		answer   func(leaf string) (time.Duration, *leafhttp.Response, error)
--- a/internal/request/gateway/candidates.go
+++ b/internal/request/gateway/candidates.go
@@ -56,7 +56,7 @@
 }
 
 // askableLeafs returns the leafs of a service that this node may ask, by version, connections and warm-up, and sets
-// targets to how.
+// targets to how to connect to them.
 func (g *Gateway) askableLeafs(service askedService, versions canary.Versions, targets *[]leafTarget) []balancer.Candidate {
 	*targets = nil
 	var candidates []balancer.Candidate
@@ -69,7 +69,7 @@
 	return candidates
 }
 
-// appendAskable appends those leafs of one version that this node may ask to the candidates, and to targets how.
+// appendAskable appends the leafs of one version that this node may ask to candidates, and how to connect to them to targets.
 func (g *Gateway) appendAskable(candidates []balancer.Candidate, service askedService, leafs []*leafset.Leaf, targets *[]leafTarget) []balancer.Candidate {
 	allotted := g.allocator.Allot(service.name, service.isGathered, leafs, service.maximumConnections)
 	candidates = slices.Grow(candidates, len(allotted))
--- a/internal/request/gateway/config.go
+++ b/internal/request/gateway/config.go
@@ -8,11 +8,12 @@
 
 // Config configures how requests are served.
 type Config struct {
-	// HedgeFactor times the median latency is when a second leaf is asked while the retry
-	// budget is full; with less of it left the wait grows.
+	// HedgeFactor is how many median latencies a hedge waits while the retry budget is full; with
+	// less of it left the wait grows.
 	HedgeFactor float64 `yaml:"hedge_factor"`
-	// HedgeShare is the part of the time left for the objective that the first leaf has in any
-	// case: an answer is worth the same at any time before, so that an early hedge only costs load.
+	// HedgeShare is the part of the time left for the objective that a hedge waits at least, unless it
+	// would then be too late to answer in time: an answer is worth the same at any time before the
+	// objective, so that an early hedge only costs load.
 	HedgeShare float64 `yaml:"hedge_share"`
 	// LatencyWindow is how long a latency counts.
 	LatencyWindow time.Duration `yaml:"latency_window"`
@@ -25,13 +26,13 @@
 	// ObjectiveReserve is kept back from the objective, besides the round trip to the caller,
 	// for making and sending the answer.
 	ObjectiveReserve time.Duration `yaml:"objective_reserve"`
-	// MaximumRefusals is how many attempts of a shard may be refused unrun beyond those that
-	// its route allows to run.
+	// MaximumRefusals is how many attempts of a shard may be refused by leafs that did not run them,
+	// beyond the attempts that its route allows.
 	MaximumRefusals int `yaml:"maximum_refusals"`
 	// RetryAfter is the Retry-After of requests that every leaf refused or that no leaf received.
 	RetryAfter time.Duration `yaml:"retry_after"`
 	// OverloadRetryAfter is the mean Retry-After of requests that are refused since most shards
-	// have too much work queued.
+	// have too many requests queued.
 	OverloadRetryAfter time.Duration `yaml:"overload_retry_after"`
 	// ServingTree lets another node gather for this one, if it is in a zone with the leafs
 	// or has far more processors.
--- a/internal/request/gateway/deadlines.go
+++ b/internal/request/gateway/deadlines.go
@@ -21,7 +21,7 @@
 //
 // The deadline is the route's timeout after the arrival, or the caller's timeout less AnswerReserve and the round trip
 // if that is sooner. The objective is the route's, less what the caller has spent and will spend on the network; a
-// partial answer is planned earlier by the lag that this node has shown, so that it is made by the objective.
+// partial answer is sent earlier by this node's lag, so that it is made by the objective.
 func (g *Gateway) setTimes(r *routedRequest) {
 	r.deadline = r.Arrived.Add(r.route.Timeout)
 	r.objective = r.Arrived.Add(r.route.Objective - g.timeElsewhere(r.Request, r.route))
@@ -36,7 +36,7 @@
 	}
 }
 
-// setGroupTimes sets the times of a group of shards that another node asks for: what that node says is left.
+// setGroupTimes sets the times of a group of shards that another node asks for: the time that is left by that node's message.
 func (g *Gateway) setGroupTimes(r *routedRequest, asked servingtree.Request) {
 	r.deadline = r.Arrived.Add(time.Duration(asked.DeadlineMicros) * time.Microsecond)
 	r.objective = r.Arrived.Add(time.Duration(asked.ObjectiveMicros) * time.Microsecond)
@@ -44,7 +44,7 @@
 	r.lateAfter = r.objective
 }
 
-// timeElsewhere estimates the part of the objective that this node can't use: the time that the caller spent before
+// timeElsewhere estimates the part of the objective that this node cannot use: the time that the caller spent before
 // the request arrived, and the round trip.
 func (g *Gateway) timeElsewhere(request *Request, route *routing.Entry) time.Duration {
 	roundTrip := min(request.RoundTrip+g.config.ObjectiveReserve, route.Objective/roundTripObjectiveDivisor)
--- a/internal/request/gateway/events.go
+++ b/internal/request/gateway/events.go
@@ -44,7 +44,7 @@
 	RequestID string
 	// Content is the fingerprint of the request.
 	Content fingerprint.Fingerprint
-	// Path and Caller are what an operator knows a request by.
+	// Path and Caller are by what an operator recognises a request.
 	Path   string
 	Caller string
 	Route  string
--- a/internal/request/gateway/execution.go
+++ b/internal/request/gateway/execution.go
@@ -9,6 +9,7 @@
 	"github.com/portgauge/portgauge/internal/failure"
 	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
 	"github.com/portgauge/portgauge/internal/quarantine"
+	"github.com/portgauge/portgauge/internal/request/routing"
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
@@ -20,7 +21,7 @@
 	services []string
 	// groups are the sets of shards that other nodes are asked to gather.
 	groups []group
-	// inGroup tells by shard whether it is in a group; nil if there are no groups.
+	// inGroup reports whether a shard is in a group, by shard; nil if there are no groups.
 	inGroup []bool
 	// targets are the leafs that may be asked, by shard.
 	targets [][]leafTarget
@@ -126,6 +127,8 @@
 
 func (e *execution) isGathered() bool { return len(e.request.route.Gathered) > 0 }
 
+func (e *execution) isAtMostOnce() bool { return e.request.route.Repeatability == routing.AtMostOnce }
+
 // executionState returns what is known of whether any leaf ran the request.
 func (e *execution) executionState() failure.ExecutionState {
 	switch e.summary.Execution() {
--- a/internal/request/gateway/gateway.go
+++ b/internal/request/gateway/gateway.go
@@ -22,8 +22,8 @@
 // for a group of shards; it never passes them on to a third node.
 //
 // A Gateway owns the executions in flight and what it learns from them: latencies, callers' timeouts, its own lag,
-// and the state of the nodes that it asks. It starts one goroutine for each group call and has no background work
-// but that of KeepWarm. It relies on the catalog for routes and leafs, on package balancer to choose among leafs, on
+// and the state of the nodes that it asks. It starts one goroutine for each group call and runs nothing else in the
+// background but KeepWarm. It relies on the catalog for routes and leafs, on package balancer to choose among leafs, on
 // package scatter for the order of attempts, and on LeafCaller and Intermediates to send them. Its errors are
 // *failure.Failure. It is the counterpart of package search for back ends whose records are opaque.
 package gateway
@@ -56,7 +56,7 @@
 	MayOpenExtra(leafID string) bool
 	// Warm opens a connection to the first of the targets, unless there is one to any of them.
 	Warm(targets []leafhttp.Target)
-	// Check reports whether a leaf's process has ended, after an answer of it broke off; see leafhttp.Pool.
+	// Check reports whether a leaf's process has ended, after an answer from it broke off; see leafhttp.Pool.
 	Check(target leafhttp.Target, refused bool, done leafhttp.OnChecked)
 }
 
--- a/internal/request/gateway/group_call_test.go
+++ b/internal/request/gateway/group_call_test.go
@@ -83,7 +83,7 @@
 	is.Equal(p.withSpent(refused.result).Execution.String(), "unknown")
 }
 
-// An intermediate with another version of the routing table gathers a group if its route gathers in the same way, and
+// An intermediate with another version of the routing table gathers a group if its route gathers alike, and
 // declines it otherwise.
 func TestOtherTablesThatGatherAlike(t *testing.T) {
 	cases := map[string]struct {
@@ -117,7 +117,7 @@
 	g := b.nodes["root"].gateway
 	planned := time.Now().Add(time.Second)
 	entry := &routing.Entry{Objective: time.Second}
-	work := &execution{gateway: g, services: make([]string, 2), request: &routedRequest{Request: newRequest("/pages/1"), route: entry, answerBy: planned}}
-	asked := work.groupRequest(group{shards: []int{0, 1}}, 0)
+	e := &execution{gateway: g, services: make([]string, 2), request: &routedRequest{Request: newRequest("/pages/1"), route: entry, answerBy: planned}}
+	asked := e.groupRequest(group{shards: []int{0, 1}}, 0)
 	is.True(asked.ObjectiveMicros <= (time.Second - initialHop).Microseconds())
 }
--- a/internal/request/gateway/group_reply.go
+++ b/internal/request/gateway/group_reply.go
@@ -17,13 +17,13 @@
 var errSilent = errors.New("the intermediate is silent")
 
 const (
-	// The wait for an intermediate's first sign of work is the largest of a quarter of the objective, three round
-	// trips to it, and minimumAckWait.
+	// The wait for the first acknowledgement of an intermediate is the largest of a quarter of the objective, three
+	// round trips to it, and minimumAckWait.
 	ackObjectiveDivisor = 4
 	ackHopFactor        = 3
 	minimumAckWait      = 10 * time.Millisecond
 	// maximumProbes is how many probes an intermediate may leave unanswered. One is needed: on a busy root the timer
-	// may fire before a sign of work that has arrived is read.
+	// may fire before an acknowledgement that has arrived is read.
 	maximumProbes = 1
 	// probeWaitDivisor shortens the wait for the answer to a probe: half of the wait before it.
 	probeWaitDivisor = 2
@@ -45,15 +45,15 @@
 	return groupEnd{result: groupResult{Execution: scatter.NotRun}, outcome: outcome, reason: reason}
 }
 
-// ackWait returns how long an intermediate may take to show that it works on the group.
+// ackWait returns how long an intermediate may take to acknowledge the group.
 func (p *groupCall) ackWait() time.Duration {
 	objective := p.execution.request.route.Objective
 	return max(minimumAckWait, objective/ackObjectiveDivisor, ackHopFactor*p.root.hop.expected(objective))
 }
 
 // await waits for the reply of an intermediate, and gives up on one that is silent. An intermediate must acknowledge
-// the group within ackWait; after the objective it is probed, once an objective long, and must acknowledge each probe.
-// One that leaves more than maximumProbes unanswered is silent.
+// the group within ackWait; after the objective it is probed once in each further objective, and must acknowledge each
+// probe. One that leaves more than maximumProbes unanswered is silent.
 func (p *groupCall) await(ctx context.Context, call *servingtree.Call, done groupDone) groupEnd {
 	began := time.Now()
 	wait := p.ackWait()
--- a/internal/request/gateway/intermediate.go
+++ b/internal/request/gateway/intermediate.go
@@ -14,8 +14,8 @@
 var _ servingtree.Handler = (*Gateway)(nil)
 
 // Gather implements servingtree.Handler: it asks the leafs of a group of shards for another node, the root of the
-// request. It declines the group if this node is busy, or gathers the route in another way than the root: no answer may
-// mix two versions of a route, and no caller may see an older one after a newer one.
+// request. It declines the group if this node is busy, or gathers the route differently from the root: no answer may mix
+// two versions of a route, and no caller may see an older one after a newer one.
 //
 // The parts that have arrived by the objective are sent then, and the rest when it has arrived. Only the root, which
 // knows of the other shards, can tell whether they are enough.
--- a/internal/request/gateway/lag.go
+++ b/internal/request/gateway/lag.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// lagTracker estimates a delay from samples: how much later than planned this node makes its answers, since timers,
-// merging and queueing take time on a small or busy machine, or how long the round trip to an intermediate takes. What
-// is planned is planned earlier by the estimate. The zero value estimates no lag; it is safe for concurrent use.
+// lagTracker estimates a delay from samples. A node has one for how much later than planned it makes its answers, since
+// timers, merging and queueing take time on a small or busy machine, and a root has one for the round trip to
+// intermediates. Both plan earlier by the estimate. The zero value estimates no delay; it is safe for concurrent use.
 type lagTracker struct {
 	mu  sync.Mutex
 	lag time.Duration
 }
 
-// Shares of the difference by which a sample moves the estimate. It rises faster than it falls: a late answer loses
-// most of its worth, one that is sent early only a few parts.
+// Shares of the difference by which a sample moves the estimate. It rises faster than it falls: an answer
+// that is a little late costs more than one that is sent early with a few parts fewer.
 const (
 	lagRise = 0.5
 	lagFall = 0.1
 )
 
-// lagObjectiveDivisor bounds the lag that is planned for: a quarter of the objective.
+// lagObjectiveDivisor bounds the delay that is planned for: a quarter of the objective.
 const lagObjectiveDivisor = 4
 
-// observe records by how much something was late.
+// observe records a sample; a negative one counts as zero.
 func (l *lagTracker) observe(late time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -35,7 +35,7 @@
 	l.lag += time.Duration(lagFall * difference)
 }
 
-// expected returns the lag to plan for within an objective.
+// expected returns the delay to plan for within an objective.
 func (l *lagTracker) expected(objective time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/request/gateway/latency.go
+++ b/internal/request/gateway/latency.go
@@ -17,7 +17,7 @@
 	// initialMedianDivisor guesses the median until it is known: a sixth of the objective.
 	initialMedianDivisor = 6
 	// maximumMedianRise is the factor by which the lowest median rises with each sample at most, so that it follows
-	// work that became slower for good, but not a queue that builds up.
+	// requests that became slower for good, but not a queue that builds up.
 	maximumMedianRise = 1.003
 )
 
@@ -47,23 +47,23 @@
 }
 
 // of returns the latency of a kind, whose median is the guess until it is known.
-func (b *latencyTable) of(kind string, guess time.Duration) *kindLatency {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	known, found := b.kinds[kind]
+func (t *latencyTable) of(kind string, guess time.Duration) *kindLatency {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	known, found := t.kinds[kind]
 	if !found {
-		known = &kindLatency{latencies: hedging.NewLatencies(b.window, minimumSamples), median: guess}
-		b.kinds[kind] = known
+		known = &kindLatency{latencies: hedging.NewLatencies(t.window, minimumSamples), median: guess}
+		t.kinds[kind] = known
 	}
 	return known
 }
 
 // longestUnloaded returns the longest latency without queueing among the kinds of gathered requests.
-func (b *latencyTable) longestUnloaded() time.Duration {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (t *latencyTable) longestUnloaded() time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	longest := time.Duration(0)
-	for kind, latency := range b.kinds {
+	for kind, latency := range t.kinds {
 		if strings.HasPrefix(kind, gatheredKind) {
 			longest = max(longest, latency.unloaded())
 		}
--- a/internal/request/gateway/node_tracker.go
+++ b/internal/request/gateway/node_tracker.go
@@ -45,13 +45,13 @@
 )
 
 // choose returns the less busy of two random nodes among those that fit and are not paused; false if there is none.
-func (s *nodeTracker) choose(nodes []catalog.NodeRecord, fits func(catalog.NodeRecord) bool) (catalog.NodeRecord, bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	now := s.now()
+func (t *nodeTracker) choose(nodes []catalog.NodeRecord, fits func(catalog.NodeRecord) bool) (catalog.NodeRecord, bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.now()
 	usable := make([]catalog.NodeRecord, 0, len(nodes))
 	for _, node := range nodes {
-		if known := s.nodes[node.Tree]; fits(node) && (known == nil || !now.Before(known.pausedUntil)) {
+		if known := t.nodes[node.Tree]; fits(node) && (known == nil || !now.Before(known.pausedUntil)) {
 			usable = append(usable, node)
 		}
 	}
@@ -60,26 +60,26 @@
 	}
 	chosen := usable[rand.IntN(len(usable))]
 	other := usable[rand.IntN(len(usable))]
-	if s.node(other.Tree).inFlight < s.node(chosen.Tree).inFlight {
+	if t.node(other.Tree).inFlight < t.node(chosen.Tree).inFlight {
 		chosen = other
 	}
 	return chosen, true
 }
 
 // begin counts a group as in flight at a node.
-func (s *nodeTracker) begin(node catalog.NodeRecord) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.node(node.Tree).inFlight++
+func (t *nodeTracker) begin(node catalog.NodeRecord) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.node(node.Tree).inFlight++
 }
 
 // end ends the count of begin, and pauses the node by the outcome of the group.
-func (s *nodeTracker) end(node catalog.NodeRecord, outcome GroupOutcome) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	known := s.node(node.Tree)
+func (t *nodeTracker) end(node catalog.NodeRecord, outcome GroupOutcome) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	known := t.node(node.Tree)
 	known.inFlight = max(0, known.inFlight-1)
-	now := s.now()
+	now := t.now()
 	switch outcome {
 	case GroupAnswered, GroupFailed:
 		known.failures = 0
@@ -98,14 +98,14 @@
 }
 
 // node returns the state of the node at an address. The mutex must be held.
-func (s *nodeTracker) node(address string) *nodeState {
-	known, found := s.nodes[address]
+func (t *nodeTracker) node(address string) *nodeState {
+	known, found := t.nodes[address]
 	if !found {
-		if len(s.nodes) >= maximumNodeStates {
-			clear(s.nodes)
+		if len(t.nodes) >= maximumNodeStates {
+			clear(t.nodes)
 		}
 		known = &nodeState{}
-		s.nodes[address] = known
+		t.nodes[address] = known
 	}
 	return known
 }
--- a/internal/request/gateway/part_buffer.go
+++ b/internal/request/gateway/part_buffer.go
@@ -11,7 +11,7 @@
 type partBuffer struct {
 	mu    sync.Mutex
 	parts []*leafhttp.Response // by shard
-	had   bool                 // a part has arrived
+	had   bool                 // reports whether a part has arrived
 	ended bool
 }
 
@@ -20,36 +20,36 @@
 }
 
 // add adds a part.
-func (c *partBuffer) add(shard int, part *leafhttp.Response) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.parts[shard], c.had = part, true
+func (b *partBuffer) add(shard int, part *leafhttp.Response) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.parts[shard], b.had = part, true
 }
 
 // any reports whether a part has arrived.
-func (c *partBuffer) any() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.had
+func (b *partBuffer) any() bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.had
 }
 
 // send sends the parts that have arrived and reports whether it did; it does nothing after end. The lock is held while
-// it sends, so that these parts are on their way before those that end returns.
-func (c *partBuffer) send(merge func([]*leafhttp.Response) servingtree.Answer, send func(servingtree.Answer)) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.ended || !c.had {
+// it sends, so that these parts are written before those that end returns.
+func (b *partBuffer) send(merge func([]*leafhttp.Response) servingtree.Answer, send func(servingtree.Answer)) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.ended || !b.had {
 		return false
 	}
-	send(merge(c.parts))
-	clear(c.parts)
+	send(merge(b.parts))
+	clear(b.parts)
 	return true
 }
 
 // end returns the parts that were not sent.
-func (c *partBuffer) end(merge func([]*leafhttp.Response) servingtree.Answer) servingtree.Answer {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.ended = true
-	return merge(c.parts)
+func (b *partBuffer) end(merge func([]*leafhttp.Response) servingtree.Answer) servingtree.Answer {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.ended = true
+	return merge(b.parts)
 }
--- a/internal/request/gateway/placement.go
+++ b/internal/request/gateway/placement.go
@@ -55,6 +55,7 @@
 	return groups
 }
 
+// find makes the groups of a route.
 func (p *placement) find(route *routing.Entry, leafs *leafset.Set) []zoneGroup {
 	zones := make([]map[string]bool, len(route.Gathered))
 	own := zoneGroup{zones: map[string]bool{p.zone: true}}
@@ -99,7 +100,7 @@
 	return leafs.Ready(service)
 }
 
-// largestGroup returns the most shards of the rest that a single zone has leafs of, with all zones that have leafs of
+// largestGroup returns the largest set of shards of the rest that a single zone has leafs of, with all zones that have leafs of
 // each of them. Ties go to the first zone by name.
 func largestGroup(rest []int, zones []map[string]bool) zoneGroup {
 	counts := map[string]int{}
--- a/internal/request/gateway/plan.go
+++ b/internal/request/gateway/plan.go
@@ -1,9 +1,6 @@
 package gateway
 
-import (
-	"github.com/portgauge/portgauge/internal/request/routing"
-	"github.com/portgauge/portgauge/internal/request/scatter"
-)
+import "github.com/portgauge/portgauge/internal/request/scatter"
 
 // plan describes the attempts of the request to package scatter, which makes them. What may be asked is decided in
 // candidates.go, hedges and retries in policy.go, and the times in deadlines.go.
@@ -12,14 +9,14 @@
 // are enough. A group for another node has no soft deadline: its parts are sent then, and the root decides.
 func (e *execution) plan() scatter.Plan {
 	route := e.request.route
-	e.request.Leaf.AtMostOnce = route.Repeatability == routing.AtMostOnce
+	e.request.Leaf.AtMostOnce = e.isAtMostOnce()
 	plan := scatter.Plan{
 		Shards:          make([]scatter.Shard, len(e.services)),
 		Refresh:         e.candidates,
 		Deadline:        e.request.deadline,
 		Groups:          scatterGroups(e.groups),
 		Sufficient:      max(1, e.request.requiredParts),
-		AtMostOnce:      route.Repeatability == routing.AtMostOnce,
+		AtMostOnce:      e.isAtMostOnce(),
 		MaximumAttempts: route.Attempts,
 		MaximumRefusals: e.gateway.config.MaximumRefusals,
 		ReplicaWait:     e.gateway.config.ReplicaWait,
--- a/internal/request/gateway/quarantine.go
+++ b/internal/request/gateway/quarantine.go
@@ -28,8 +28,8 @@
 // saves the leafs that have not begun to run them.
 var errQuarantined = errors.New("the request crashes the leafs that run it")
 
-// Bounds of the head start that the first attempt of a gathered request has during an alert, which is a while after
-// any request was quarantined: crashing requests rarely come alone.
+// Bounds of the head start that the first attempt of a gathered request has during an alert. An alert lasts for a while
+// after any request was quarantined: crashing requests rarely come alone.
 const (
 	// headStartFactor is how many typical latencies the head start is.
 	headStartFactor = 3
@@ -82,8 +82,8 @@
 
 // probeSuspects sets how a plan limits the leafs that a request may crash: the attempts of a suspect are probes, sent
 // one at a time; the request is given up after FatalProbes leafs crashed during probes; and a gathered request has one
-// attempt ahead of the others during an alert. A group for another node is given up instead of
-// probed: probes of each group would crash more leafs than those of the root alone.
+// attempt ahead of the others during an alert. A group for another node is given up instead of probed: probes of each
+// group would crash more leafs than those of the root alone.
 func (e *execution) probeSuspects(plan *scatter.Plan) {
 	if e.tracked == nil {
 		return
--- a/internal/request/gateway/refuse.go
+++ b/internal/request/gateway/refuse.go
@@ -58,7 +58,7 @@
 	}
 	plan := e.plan()
 	if err := e.refuseOverloaded(plan); err != nil {
-		e.returnDraws()
+		e.refundDraws()
 		return scatter.Plan{}, err
 	}
 	return plan, nil
@@ -107,8 +107,8 @@
 	return without, onlyTrial
 }
 
-// drawForTrial draws shards for the version on trial until as many as wanted are drawn, and returns how many are. If
-// they can't be enough it draws none or returns what it drew, so that a refused request takes nothing from the trial.
+// drawForTrial draws shards until as many as wanted are drawn for the version on trial, and returns their number. If
+// there can't be enough it draws none or refunds the draws, so that a refused request takes nothing from the trial.
 func (e *execution) drawForTrial(shards []int, wanted int) int {
 	if wanted <= 0 || wanted > len(shards) {
 		return 0
@@ -121,7 +121,7 @@
 			}
 		}
 	}
-	e.returnDraws()
+	e.refundDraws()
 	return count
 }
 
@@ -170,10 +170,10 @@
 }
 
 const (
-	// overloadTailFactor is how much longer than the expected part the slowest part of an answer takes.
+	// overloadTailFactor is how many times the expected latency of a shard the slowest shard of an answer takes.
 	overloadTailFactor = 1.3
-	// minimumOverload is by how much an attempt must be delayed at most shards, in times of an attempt without
-	// queueing, before requests are refused for it. After a start latencies are known too badly to refuse for less.
+	// minimumOverload is the least median delay of the shards, as a multiple of an attempt without queueing, for which
+	// requests are refused. After a start the latencies are not known well enough to refuse for less.
 	minimumOverload = 2.5
 	// minimumJitter and maximumJitter spread the Retry-After of callers that are refused together, as parts of
 	// OverloadRetryAfter.
@@ -182,11 +182,11 @@
 )
 
 // refuseOverloaded refuses a gathered request that can't be answered within its objective, since most of its shards
-// have too much work queued: the leafs are left to requests that can be, and the caller can come back in time. Routes
+// have too many requests queued: the leafs are left to requests that can be, and the caller can come back in time. Routes
 // with a short objective are refused first. A few slow shards don't count: an answer can go out without them.
 //
-// The input is the delay of each shard by the balancer, in times of an attempt without queueing. The request is
-// refused if their median is at least minimumOverload and the time that it predicts for the answer is more than is
+// The input is the balancer's delay of each shard, as a multiple of an attempt without queueing. The request is refused
+// if their median is at least minimumOverload and the time that it predicts for the answer is more than is
 // left of the objective. Shards that another node is asked for don't count: this node's data on their leafs is old.
 // A node that gathers a part of the shards refuses nothing, since its root has begun with the others; one that gathers
 // all of them refuses, and the root passes the failure on.
@@ -213,7 +213,7 @@
 		"most shards have %.1f times the usual delay; an answer is expected after %s", median, predicted).WithRetryAfter(after)
 }
 
-// shardDelays returns the known delays of the shards that this node asks, in times of an attempt without queueing.
+// shardDelays returns the known delays of the shards that this node asks, as multiples of an attempt without queueing.
 func (e *execution) shardDelays(plan scatter.Plan) []float64 {
 	delays := make([]float64, 0, len(plan.Shards))
 	for index, shard := range plan.Shards {
--- a/internal/request/gateway/refuse_overloaded_test.go
+++ b/internal/request/gateway/refuse_overloaded_test.go
@@ -13,7 +13,7 @@
 	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
 )
 
-// If most shards have too much work queued, a request is refused at once as not run, with Retry-After; if only a few have,
+// If most shards have too many requests queued, a request is refused at once as not run, with Retry-After; if only a few have,
 // it is served.
 func TestOverloadOfMostShardsIsRefusedAtOnce(t *testing.T) {
 	for name, one := range map[string]struct {
--- a/internal/request/gateway/request.go
+++ b/internal/request/gateway/request.go
@@ -20,7 +20,7 @@
 	Caller string
 	// Arrived is when the request was read.
 	Arrived time.Time
-	// CallerTimeout is how long the caller says that it waits; 0 if it says nothing.
+	// CallerTimeout is how long the caller waits by its deadline header; 0 if it sent none.
 	CallerTimeout time.Duration
 	// RoundTrip estimates the round-trip time to the caller; 0 if it is not known.
 	RoundTrip time.Duration
@@ -47,7 +47,7 @@
 	fingerprint fingerprint.Fingerprint
 	route       *routing.Entry
 	table       *routing.Table
-	// deadline is when the answer must be on its way.
+	// deadline is when the answer must be sent.
 	deadline time.Time
 	// objective is when the answer must be made to have its full worth.
 	objective time.Time
--- a/internal/request/gateway/suspension.go
+++ b/internal/request/gateway/suspension.go
@@ -16,19 +16,19 @@
 	executions map[*execution]struct{}
 }
 
-func (u *inFlight) add(e *execution) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.executions == nil {
-		u.executions = map[*execution]struct{}{}
+func (f *inFlight) add(e *execution) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.executions == nil {
+		f.executions = map[*execution]struct{}{}
 	}
-	u.executions[e] = struct{}{}
+	f.executions[e] = struct{}{}
 }
 
-func (u *inFlight) remove(e *execution) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	delete(u.executions, e)
+func (f *inFlight) remove(e *execution) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	delete(f.executions, e)
 }
 
 // Resumed notifies the gateway that the machine was suspended for some time. Requests that arrived before have that
@@ -44,8 +44,7 @@
 	}
 }
 
-// deadline returns when the answer must be on its way by the monotonic clock, which stops while the machine is
-// suspended.
+// deadline returns when the answer must be sent, by the monotonic clock, which stops while the machine is suspended.
 func (e *execution) deadline() time.Time {
 	return e.request.deadline.Add(-time.Duration(e.slept.Load()))
 }
--- a/internal/request/gateway/tree_test.go
+++ b/internal/request/gateway/tree_test.go
@@ -137,8 +137,8 @@
 			is := is.New(t)
 			b := newTree(t, near("root"), far("there"))
 			entry := &routing.Entry{Objective: 40 * time.Millisecond}
-			work := &execution{gateway: b.nodes["root"].gateway, request: &routedRequest{route: entry, objective: time.Now().Add(entry.Objective)}}
-			p := &groupCall{root: b.nodes["root"].gateway.root, execution: work, group: group{node: b.nodes["there"].record, shards: []int{5, 6}}}
+			e := &execution{gateway: b.nodes["root"].gateway, request: &routedRequest{route: entry, objective: time.Now().Add(entry.Objective)}}
+			p := &groupCall{root: b.nodes["root"].gateway.root, execution: e, group: group{node: b.nodes["there"].record, shards: []int{5, 6}}}
 			client := servingtree.NewClient(servingtree.DefaultConfig())
 			t.Cleanup(client.Close)
 			ended := p.await(t.Context(), client.Start(scriptedIntermediate(t, c.says), servingtree.Request{}), nil)
@@ -236,8 +236,8 @@
 func TestAnswerOfOtherShardsIsNone(t *testing.T) {
 	is := is.New(t)
 	b := newTree(t, near("root"), far("there"))
-	work := &execution{gateway: b.nodes["root"].gateway, request: &routedRequest{route: &routing.Entry{Objective: time.Second}}}
-	p := &groupCall{root: b.nodes["root"].gateway.root, execution: work, group: group{shards: []int{5, 6}}}
+	e := &execution{gateway: b.nodes["root"].gateway, request: &routedRequest{route: &routing.Entry{Objective: time.Second}}}
+	p := &groupCall{root: b.nodes["root"].gateway.root, execution: e, group: group{shards: []int{5, 6}}}
 	ended := p.judge(servingtree.Result{Reply: servingtree.Reply{Answer: &servingtree.Answer{Stamps: []string{"x"}}}}, 0)
 	is.Equal(ended.outcome, GroupBroken)
 }
--- a/internal/request/gateway/warm.go
+++ b/internal/request/gateway/warm.go
@@ -102,7 +102,7 @@
 	return true
 }
 
-// changeBacklog is how many changes of the catalog may wait for KeepWarm; one is enough to have it look at the newest.
+// changeBacklog is how many changes of the catalog may wait for KeepWarm; one is enough, since it reads the newest view.
 const changeBacklog = 16
 
 // KeepWarm opens connections for the services that the configuration in force gathers, again for each new
