--- a/internal/request/gateway/answer.go
+++ b/internal/request/gateway/answer.go
@@ -20,7 +20,7 @@
 		answer.Stamps = append(answer.Stamps, outcome.Reply.Header.Get(e.gateway.names.ResponseStamp))
 		bodies = append(bodies, outcome.Reply.Body)
 	}
-	if len(answer.Stamps) < max(1, e.request.requiredParts) {
+	if len(answer.Stamps) < e.request.leastParts() {
 		return nil, e.failed()
 	}
 	answer.Body = topRecords(bodies, e.request.route.TopRecords)
--- a/internal/request/gateway/gateway.go
+++ b/internal/request/gateway/gateway.go
@@ -63,7 +63,7 @@
 // Deps are the dependencies of a Gateway.
 type Deps struct {
 	Config    Config
-	Names     httpnames.Names
+	Names     httpnames.Names // of the headers of leafs' answers
 	Catalog   *catalog.Catalog
 	Memory    *leafmemory.Memory
 	Allocator *connshare.Allocator
--- a/internal/request/gateway/plan.go
+++ b/internal/request/gateway/plan.go
@@ -15,7 +15,7 @@
 		Refresh:         e.candidates,
 		Deadline:        e.request.deadline,
 		Groups:          scatterGroups(e.groups),
-		Sufficient:      max(1, e.request.requiredParts),
+		Sufficient:      e.request.leastParts(),
 		AtMostOnce:      e.isAtMostOnce(),
 		MaximumAttempts: route.Attempts,
 		MaximumRefusals: e.gateway.config.MaximumRefusals,
--- a/internal/request/gateway/refuse.go
+++ b/internal/request/gateway/refuse.go
@@ -79,7 +79,7 @@
 	if e.partial != nil {
 		return nil
 	}
-	required := max(1, e.request.requiredParts)
+	required := e.request.leastParts()
 	without, onlyTrial := e.shardsWithoutLeafs()
 	without += len(onlyTrial) - e.drawForTrial(onlyTrial, required-(len(e.services)-without-len(onlyTrial)))
 	if len(e.services)-without >= required {
--- a/internal/request/gateway/request.go
+++ b/internal/request/gateway/request.go
@@ -55,7 +55,7 @@
 	answerBy time.Time
 	// lateAfter is from when an answer that is sent counts as late.
 	lateAfter time.Time
-	// requiredParts is the least number of parts that an answer must have.
+	// requiredParts is the least number of parts that a gathered answer must have; 0 for single requests.
 	requiredParts int
 	// rootID is the node that the request is gathered for; empty if it is this one.
 	rootID string
@@ -87,6 +87,9 @@
 	return fingerprint.Of(content)
 }
 
+// leastParts returns how many parts an answer must have, at least one.
+func (r *routedRequest) leastParts() int { return max(1, r.requiredParts) }
+
 // service returns the configuration of a service; only the name is set if there is none.
 func (r *routedRequest) service(name string) routing.Service {
 	service, found := r.table.Service(name)
