--- a/internal/request/gateway/candidates.go
+++ b/internal/request/gateway/candidates.go
@@ -82,9 +82,14 @@
 		if g.warmup != nil && !g.warmup.HasToken(leaf) {
 			continue
 		}
-		target := leafhttp.Target{LeafID: leaf.ID, Name: leaf.Name, Address: leaf.Address, Connections: share.Connections, ExtraConnections: share.ExtraConnections}
+		target := leafhttp.Target{
+			LeafID: leaf.ID, Name: leaf.Name, Address: leaf.Address,
+			Connections: share.Connections, ExtraConnections: share.ExtraConnections,
+		}
 		*targets = append(*targets, leafTarget{target, leaf})
-		candidates = append(candidates, balancer.Candidate{LeafID: leaf.ID, Zone: leaf.Zone, Unallotted: share.Connections == 0, LastResort: share.LastResort})
+		candidates = append(candidates, balancer.Candidate{
+			LeafID: leaf.ID, Zone: leaf.Zone, Unallotted: share.Connections == 0, LastResort: share.LastResort,
+		})
 	}
 	return candidates
 }
--- a/internal/request/gateway/events.go
+++ b/internal/request/gateway/events.go
@@ -81,7 +81,8 @@
 func (e *execution) record(answer *Answer, err error) RequestRecord {
 	r := e.request
 	record := RequestRecord{
-		RequestID: r.Leaf.ID, Content: r.fingerprint, Path: r.Path, Caller: r.Caller, Route: r.route.Name, Version: r.table.Version, Revision: r.table.Revision,
+		RequestID: r.Leaf.ID, Content: r.fingerprint, Path: r.Path, Caller: r.Caller, Route: r.route.Name,
+		Version: r.table.Version, Revision: r.table.Revision,
 		Root: r.rootID, Groups: e.groupRecords(), ConfigAge: e.gateway.catalog.Age(), Took: time.Since(r.Arrived),
 		InTime: time.Now().Before(r.lateAfter), Parts: len(e.outcomes), Summary: e.summary,
 	}
