--- a/internal/node/provide_request.go
+++ b/internal/node/provide_request.go
@@ -39,7 +39,7 @@
 	fx.In
 
 	Config        settings.Settings
-	Dialect       httpnames.Names
+	Names         httpnames.Names
 	Catalog       *catalog.Catalog
 	Memory        *leafmemory.Memory
 	Allocator     *connshare.Allocator
@@ -59,7 +59,7 @@
 
 func newGateway(deps gatewayDeps) *gateway.Gateway {
 	return gateway.New(gateway.Deps{
-		Config: deps.Config.Gateway, Dialect: deps.Dialect, Catalog: deps.Catalog, Memory: deps.Memory, Allocator: deps.Allocator,
+		Config: deps.Config.Gateway, Names: deps.Names, Catalog: deps.Catalog, Memory: deps.Memory, Allocator: deps.Allocator,
 		Balancer: deps.Balancer, Budgets: deps.Budgets, Leafs: deps.Leafs, Warmup: deps.Warmup,
 		Canary: deps.Canary, Evidence: deps.Evidence, Events: deps.Events,
 		Self: deps.Self, Regions: deps.Config.Regions, Fleet: deps.Fleet, Intermediates: deps.Intermediates, Zones: deps.Zones,
@@ -77,8 +77,8 @@
 	return servingtree.NewServer(config.ServingTree, handler)
 }
 
-func newFront(backend *gateway.Gateway, dialect httpnames.Names, logger *zap.Logger) *front.Server {
-	return front.NewServer(backend, dialect, logger)
+func newFront(backend *gateway.Gateway, names httpnames.Names, logger *zap.Logger) *front.Server {
+	return front.NewServer(backend, names, logger)
 }
 
 type engineDeps struct {
--- a/internal/request/gateway/candidates.go
+++ b/internal/request/gateway/candidates.go
@@ -56,7 +56,7 @@
 }
 
 // askableLeafs returns the leafs of a service that this node may ask, by version, connections and warm-up, and sets
-// targets to how.
+// targets to how to connect to them.
 func (g *Gateway) askableLeafs(service askedService, versions canary.Versions, targets *[]leafTarget) []balancer.Candidate {
 	*targets = nil
 	var candidates []balancer.Candidate
@@ -69,7 +69,7 @@
 	return candidates
 }
 
-// appendAskable appends those leafs of one version that this node may ask to the candidates, and to targets how.
+// appendAskable appends the leafs of one version that this node may ask to candidates, and how to connect to them to targets.
 func (g *Gateway) appendAskable(candidates []balancer.Candidate, service askedService, leafs []*leafset.Leaf, targets *[]leafTarget) []balancer.Candidate {
 	allotted := g.allocator.Allot(service.name, service.isGathered, leafs, service.maximumConnections)
 	candidates = slices.Grow(candidates, len(allotted))
@@ -82,9 +82,14 @@
 		if g.warmup != nil && !g.warmup.HasToken(leaf) {
 			continue
 		}
-		target := leafhttp.Target{LeafID: leaf.ID, Name: leaf.Name, Address: leaf.Address, Connections: share.Connections, ExtraConnections: share.ExtraConnections}
+		target := leafhttp.Target{
+			LeafID: leaf.ID, Name: leaf.Name, Address: leaf.Address,
+			Connections: share.Connections, ExtraConnections: share.ExtraConnections,
+		}
 		*targets = append(*targets, leafTarget{target, leaf})
-		candidates = append(candidates, balancer.Candidate{LeafID: leaf.ID, Zone: leaf.Zone, Unallotted: share.Connections == 0, LastResort: share.LastResort})
+		candidates = append(candidates, balancer.Candidate{
+			LeafID: leaf.ID, Zone: leaf.Zone, Unallotted: share.Connections == 0, LastResort: share.LastResort,
+		})
 	}
 	return candidates
 }
--- a/internal/request/gateway/gateway.go
+++ b/internal/request/gateway/gateway.go
@@ -22,8 +22,8 @@
 // for a group of shards; it never passes them on to a third node.
 //
 // A Gateway owns the executions in flight and what it learns from them: latencies, callers' timeouts, its own lag,
-// and the state of the nodes that it asks. It starts one goroutine for each group call and has no background work
-// but that of KeepWarm. It relies on the catalog for routes and leafs, on package balancer to choose among leafs, on
+// and the state of the nodes that it asks. It starts one goroutine for each group call and runs nothing else in the
+// background but KeepWarm. It relies on the catalog for routes and leafs, on package balancer to choose among leafs, on
 // package scatter for the order of attempts, and on LeafCaller and Intermediates to send them. Its errors are
 // *failure.Failure. It is the counterpart of package search for back ends whose records are opaque.
 package gateway
@@ -56,14 +56,14 @@
 	MayOpenExtra(leafID string) bool
 	// Warm opens a connection to the first of the targets, unless there is one to any of them.
 	Warm(targets []leafhttp.Target)
-	// Check reports whether a leaf's process has ended, after an answer of it broke off; see leafhttp.Pool.
+	// Check reports whether a leaf's process has ended, after an answer from it broke off; see leafhttp.Pool.
 	Check(target leafhttp.Target, refused bool, done leafhttp.OnChecked)
 }
 
 // Deps are the dependencies of a Gateway.
 type Deps struct {
 	Config    Config
-	Dialect   httpnames.Names
+	Names     httpnames.Names // of the headers of leafs' answers
 	Catalog   *catalog.Catalog
 	Memory    *leafmemory.Memory
 	Allocator *connshare.Allocator
@@ -94,7 +94,7 @@
 // Gateway serves requests by the routing table; it is safe for concurrent use.
 type Gateway struct {
 	config     Config
-	dialect    httpnames.Names
+	names      httpnames.Names
 	catalog    *catalog.Catalog
 	memory     *leafmemory.Memory
 	allocator  *connshare.Allocator
@@ -122,7 +122,7 @@
 // New returns a gateway.
 func New(deps Deps) *Gateway {
 	g := &Gateway{
-		config: deps.Config, dialect: deps.Dialect, catalog: deps.Catalog, memory: deps.Memory, allocator: deps.Allocator, balancer: deps.Balancer,
+		config: deps.Config, names: deps.Names, catalog: deps.Catalog, memory: deps.Memory, allocator: deps.Allocator, balancer: deps.Balancer,
 		budgets: deps.Budgets, leafs: deps.Leafs, warmup: deps.Warmup, canary: deps.Canary, evidence: deps.Evidence,
 		events: deps.Events, regions: deps.Regions, zones: deps.Zones, quarantine: deps.Quarantine,
 		latencies: newLatencyTable(deps.Config.LatencyWindow), timeouts: newCallerTimeouts(), shares: routing.NewShares(),
--- a/internal/request/gateway/request.go
+++ b/internal/request/gateway/request.go
@@ -20,7 +20,7 @@
 	Caller string
 	// Arrived is when the request was read.
 	Arrived time.Time
-	// CallerTimeout is how long the caller says that it waits; 0 if it says nothing.
+	// CallerTimeout is how long the caller waits by its deadline header; 0 if it sent none.
 	CallerTimeout time.Duration
 	// RoundTrip estimates the round-trip time to the caller; 0 if it is not known.
 	RoundTrip time.Duration
@@ -47,7 +47,7 @@
 	fingerprint fingerprint.Fingerprint
 	route       *routing.Entry
 	table       *routing.Table
-	// deadline is when the answer must be on its way.
+	// deadline is when the answer must be sent.
 	deadline time.Time
 	// objective is when the answer must be made to have its full worth.
 	objective time.Time
@@ -55,7 +55,7 @@
 	answerBy time.Time
 	// lateAfter is from when an answer that is sent counts as late.
 	lateAfter time.Time
-	// requiredParts is the least number of parts that an answer must have.
+	// requiredParts is the least number of parts that a gathered answer must have; 0 for single requests.
 	requiredParts int
 	// rootID is the node that the request is gathered for; empty if it is this one.
 	rootID string
@@ -87,6 +87,9 @@
 	return fingerprint.Of(content)
 }
 
+// leastParts returns how many parts an answer must have, at least one.
+func (r *routedRequest) leastParts() int { return max(1, r.requiredParts) }
+
 // service returns the configuration of a service; only the name is set if there is none.
 func (r *routedRequest) service(name string) routing.Service {
 	service, found := r.table.Service(name)
