--- a/internal/node/reload/reload_test.go
+++ b/internal/node/reload/reload_test.go
@@ -31,23 +31,26 @@
 			applied = append(applied, changed.LogLevel)
 			return nil
 		}
-		told := make(chan os.Signal, 1)
+		signals := make(chan os.Signal, 1)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		go New(path, load, apply, zap.NewNop()).Run(ctx, told)
+		go New(path, load, apply, zap.NewNop()).Run(ctx, signals)
 		time.Sleep(time.Minute)
+		synctest.Wait()
 		is.Equal(len(applied), 0) // nothing changed
-		told <- syscall.SIGHUP
+		signals <- syscall.SIGHUP
 		synctest.Wait()
 		is.Equal(applied, []string{"info"})
 		write("node: {zone: a}\nlog_level: warn\n")
 		time.Sleep(2 * checkInterval)
+		synctest.Wait()
 		is.Equal(applied, []string{"info", "warn"})
 		write("node: {zone: a}\nlog_level: debug\nunknown: 1\n")
 		time.Sleep(2 * checkInterval)
+		synctest.Wait()
 		is.Equal(applied, []string{"info", "warn"}) // refused as a whole
 		is.NoErr(os.Remove(path))
-		told <- syscall.SIGHUP
+		signals <- syscall.SIGHUP
 		synctest.Wait()
 		is.Equal(len(applied), 2)
 	})
