--- a/internal/leaf/leafgossip/leafgossip.go
+++ b/internal/leaf/leafgossip/leafgossip.go
@@ -125,8 +125,8 @@
 // base64Bytes is the length of n bytes in base64.
 func base64Bytes(n int) int { return (n + 2) / 3 * 4 }
 
-// Receive handles the observations of another node.
-func (g *Gossip) Receive(reports peer.LeafReports) {
+// Handle handles the observations of another node.
+func (g *Gossip) Handle(reports peer.LeafReports) {
 	for _, o := range unpack(reports) {
 		g.handle(o)
 	}
--- a/internal/leaf/leafgossip/leafgossip_test.go
+++ b/internal/leaf/leafgossip/leafgossip_test.go
@@ -83,7 +83,7 @@
 		is.Equal(sent.count(), 3)
 		heard := map[balancer.LeafKey]balancer.Observation{}
 		other := New(DefaultConfig(), fleet(0), sent, func(o balancer.Observation) { heard[o.Leaf] = o })
-		other.Receive(sent.sent[0].LeafReports)
+		other.Handle(sent.sent[0].LeafReports)
 		is.Equal(heard, map[balancer.LeafKey]balancer.Observation{7: {Leaf: 7, Slowness: 4}, 8: {Leaf: 8, Silence: time.Second}})
 		cancel()
 		synctest.Wait()
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -70,8 +70,8 @@
 	}, nil
 }
 
-// hearer gives what takes other nodes' word on roll-outs; nil where they are off.
-func (r *rollouts) hearer() configsync.RolloutHandler {
+// handler returns the handler of messages about roll-outs, or nil without roll-outs.
+func (r *rollouts) handler() configsync.RolloutHandler {
 	if r.controller == nil {
 		return nil
 	}
--- a/internal/node/rollouts_test.go
+++ b/internal/node/rollouts_test.go
@@ -14,7 +14,7 @@
 	is := is.New(t)
 	off, err := newRollouts(rolloutDeps{Config: settings.Default()})
 	is.NoErr(err)
-	is.True(off.hearer() == nil)
+	is.True(off.handler() == nil)
 	off.run(t.Context()) // ends at once
 }
 
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -90,7 +90,7 @@
 	lifecycle.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			deps.Transport.Serve(configsync.NewPeerHandler(deps.Syncer, configsync.Handlers{
-				Leafs: deps.Gossip.Receive, Reach: deps.Reach.Handle, Rollouts: deps.Rollouts.hearer(),
+				Leafs: deps.Gossip.Handle, Reach: deps.Reach.Handle, Rollouts: deps.Rollouts.handler(),
 				Quarantine: deps.Quarantine.Handle,
 			}))
 			go deps.Zones.Run(ctx)
@@ -103,17 +103,17 @@
 			running.Go(func() { deps.Rollouts.run(ctx) })
 			running.Go(func() { deps.Quarantine.Run(ctx) })
 			running.Go(func() { deps.Rewriter.Run(ctx) })
-			wakers := []func(time.Duration){deps.Gateway.Resumed, deps.Leafs.Resumed, func(time.Duration) { deps.Syncer.Resumed() }}
+			onResume := []func(time.Duration){deps.Gateway.Resumed, deps.Leafs.Resumed, func(time.Duration) { deps.Syncer.Resumed() }}
 			if deps.Lessor != nil {
 				record := registry.New(deps.Config.Registry, deps.Lessor, deps.Self, deps.Logger)
 				record.ResumeFrom(deps.Catalog, deps.Syncer.Ready())
 				running.Go(func() { record.Run(ctx) })
-				wakers = append(wakers, func(time.Duration) { record.Resumed() })
+				onResume = append(onResume, func(time.Duration) { record.Resumed() })
 			}
-			go boottime.Watch(ctx, deps.Clock, func(slept time.Duration) {
-				deps.Logger.Warn("the machine was suspended", zap.Duration("slept", slept))
-				for _, wake := range wakers {
-					wake(slept)
+			go boottime.Watch(ctx, deps.Clock, func(suspended time.Duration) {
+				deps.Logger.Warn("the machine was suspended", zap.Duration("slept", suspended))
+				for _, resumed := range onResume {
+					resumed(suspended)
 				}
 			})
 			go func() {
--- a/internal/node/telemetry/rollouts.go
+++ b/internal/node/telemetry/rollouts.go
@@ -9,22 +9,22 @@
 // rolloutCollector collects the roll-outs under way at each scrape, so that finished ones leave no series behind. Their
 // number is bounded by the roll-outs under way, and by versions and routes of those that this node judges.
 type rolloutCollector struct {
-	standings func() []rolloutcontrol.Status
-	phase     *prometheus.Desc
-	attempts  *prometheus.Desc
-	failures  *prometheus.Desc
+	statuses func() []rolloutcontrol.Status
+	phase    *prometheus.Desc
+	attempts *prometheus.Desc
+	failures *prometheus.Desc
 }
 
 var _ prometheus.Collector = (*rolloutCollector)(nil)
 
 // RegisterRollouts adds the roll-outs under way to the metrics.
-func (m *Metrics) RegisterRollouts(standings func() []rolloutcontrol.Status) error {
+func (m *Metrics) RegisterRollouts(statuses func() []rolloutcontrol.Status) error {
 	counted := []string{"service", "version", "route"}
 	return m.Registry.Register(&rolloutCollector{
-		standings: standings,
-		phase:     prometheus.NewDesc(namespace+"_rollout_phase", "1 for the phase of each roll-out under way.", []string{"service", "phase", "target"}, nil),
-		attempts:  prometheus.NewDesc(namespace+"_rollout_attempts", "Attempts of all nodes for a roll-out under way, at its judges.", counted, nil),
-		failures:  prometheus.NewDesc(namespace+"_rollout_failures", "Those of the attempts that the leaf itself failed.", counted, nil),
+		statuses: statuses,
+		phase:    prometheus.NewDesc(namespace+"_rollout_phase", "1 for the phase of each roll-out under way.", []string{"service", "phase", "target"}, nil),
+		attempts: prometheus.NewDesc(namespace+"_rollout_attempts", "Attempts of all nodes for a roll-out under way, at its judges.", counted, nil),
+		failures: prometheus.NewDesc(namespace+"_rollout_failures", "Those of the attempts that the leaf itself failed.", counted, nil),
 	})
 }
 
@@ -37,10 +37,10 @@
 
 // Collect implements prometheus.Collector.
 func (c *rolloutCollector) Collect(metrics chan<- prometheus.Metric) {
-	for _, standing := range c.standings() {
-		metrics <- prometheus.MustNewConstMetric(c.phase, prometheus.GaugeValue, 1, standing.Service, string(standing.Phase), standing.Target)
-		for _, counts := range standing.Counts {
-			labels := []string{standing.Service, counts.Version, counts.Route}
+	for _, status := range c.statuses() {
+		metrics <- prometheus.MustNewConstMetric(c.phase, prometheus.GaugeValue, 1, status.Service, string(status.Phase), status.Target)
+		for _, counts := range status.Counts {
+			labels := []string{status.Service, counts.Version, counts.Route}
 			metrics <- prometheus.MustNewConstMetric(c.attempts, prometheus.GaugeValue, float64(counts.Attempts), labels...)
 			metrics <- prometheus.MustNewConstMetric(c.failures, prometheus.GaugeValue, float64(counts.Failures), labels...)
 		}
--- a/internal/node/telemetry/rollouts_test.go
+++ b/internal/node/telemetry/rollouts_test.go
@@ -12,12 +12,12 @@
 // Roll-outs under way have series, and none once they are over.
 func TestRolloutsLeaveNoSeriesBehind(t *testing.T) {
 	is := is.New(t)
-	standings := []rolloutcontrol.Status{{
+	statuses := []rolloutcontrol.Status{{
 		Service: "s", Phase: rollout.Canary, Target: "b",
 		Counts: []rolloutcontrol.RouteCounts{{Version: "b", Route: "r", Attempts: 3, Failures: 1}},
 	}}
 	metrics := NewMetrics()
-	is.NoErr(metrics.RegisterRollouts(func() []rolloutcontrol.Status { return standings }))
+	is.NoErr(metrics.RegisterRollouts(func() []rolloutcontrol.Status { return statuses }))
 	values := func() map[string]float64 {
 		families, err := metrics.Registry.Gather()
 		is.NoErr(err)
@@ -31,6 +31,6 @@
 		return found
 	}
 	is.Equal(values(), map[string]float64{"portgauge_rollout_phase": 1, "portgauge_rollout_attempts": 3, "portgauge_rollout_failures": 1})
-	standings = nil
+	statuses = nil
 	is.Equal(len(values()), 0)
 }
