--- a/internal/request/search/search_test.go
+++ b/internal/request/search/search_test.go
@@ -214,6 +214,7 @@
 		}}
 		engine, known := newTestEngine(t, leafs)
 		go func() {
+			time.Sleep(1500 * time.Microsecond) // between the first leaf's answer and the second one's refusal
 			publish(t, known, "v2")
 			deleted := catalog.Entry{Key: catalog.ServiceKey("s"), Revision: known.Revision() + 1, Deleted: true}
 			known.Apply(catalog.Change{Entry: deleted, Previous: known.Revision()})
