--- /dev/null
+++ b/internal/quarantine/quarantinesync/fixture_test.go
@@ -0,0 +1,228 @@
+package quarantinesync
+
+import (
+	"context"
+	"errors"
+	"sync"
+	"testing"
+	"time"
+
+	json "github.com/goccy/go-json"
+
+	"github.com/portgauge/portgauge/internal/config/catalog"
+	"github.com/portgauge/portgauge/internal/config/store"
+	"github.com/portgauge/portgauge/internal/fleet/peer"
+	"github.com/portgauge/portgauge/internal/quarantine"
+	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
+)
+
+var errDown = errors.New("the store is down")
+
+// fleet is a set of nodes over one store, whose changes reach each node's catalog at once unless it is cut off.
+type fleet struct {
+	t *testing.T
+	// writing makes reading a revision and the write that follows atomic.
+	writing sync.Mutex
+
+	mu       sync.Mutex
+	isDown   bool
+	loses    bool // answers of writes that were made
+	writes   int
+	entries  map[string]catalog.Entry
+	revision int64
+	nodes    map[string]*node // by address
+}
+
+// node is one node of a fleet.
+type node struct {
+	fleet    *fleet
+	record   catalog.NodeRecord
+	catalog  *catalog.Catalog
+	register *quarantine.Register
+	sync     *Sync
+	isCut    bool
+	sent     int
+}
+
+// newFleet starts nodes with the given ids.
+func newFleet(t *testing.T, ids ...string) *fleet {
+	t.Helper()
+	f := &fleet{t: t, entries: map[string]catalog.Entry{}, nodes: map[string]*node{}}
+	for _, id := range ids {
+		f.start(id)
+	}
+	return f
+}
+
+func (f *fleet) start(id string) *node {
+	record := catalog.NodeRecord{ID: id, Address: "address-of-" + id}
+	n := &node{fleet: f, record: record, catalog: catalog.New(func(key string, err error) { f.t.Errorf("%s: %v", key, err) })}
+	n.register = quarantine.NewRegister(quarantine.Deps{Config: quarantine.DefaultConfig(), StoredRecord: n.catalog.Quarantine, Self: id})
+	n.sync = New(Deps{
+		Config: DefaultConfig(), Limits: quarantine.DefaultConfig(), Register: n.register, Catalog: n.catalog, Store: f,
+		Self: record, Sender: n, Events: silentEvents{},
+	})
+	f.mu.Lock()
+	f.nodes[record.Address] = n
+	f.mu.Unlock()
+	f.putRecord(record)
+	ctx, cancel := context.WithCancel(context.Background())
+	f.t.Cleanup(cancel)
+	go n.sync.Run(ctx)
+	return n
+}
+
+// putRecord registers a node.
+func (f *fleet) putRecord(record catalog.NodeRecord) {
+	value, err := json.Marshal(record)
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	wrapped, err := catalog.NewDocument("", value, nil)
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	f.put(catalog.NodeKey(record.ID), wrapped, false)
+}
+
+func (f *fleet) node(id string) *node { return f.nodes["address-of-"+id] }
+
+// Send implements Sender.
+func (n *node) Send(address string, message peer.Message) {
+	n.fleet.mu.Lock()
+	n.sent++
+	to := n.fleet.nodes[address]
+	isLost := n.isCut || to == nil || to.isCut
+	n.fleet.mu.Unlock()
+	if isLost {
+		return
+	}
+	content, err := json.Marshal(message)
+	if err != nil || len(content) > peer.MaximumDatagram {
+		n.fleet.t.Errorf("%d bytes: %v", len(content), err)
+	}
+	var read peer.Message
+	if err := json.Unmarshal(content, &read); err != nil {
+		n.fleet.t.Error(err)
+	}
+	time.AfterFunc(time.Millisecond, func() { to.sync.Handle("somewhere", *read.Quarantine) })
+}
+
+// countSent returns the number of datagrams that the node sent.
+func (n *node) countSent() int {
+	n.fleet.mu.Lock()
+	defer n.fleet.mu.Unlock()
+	return n.sent
+}
+
+// put writes a key and brings it into force at the nodes that are not cut off.
+func (f *fleet) put(key string, value []byte, remove bool) catalog.Entry {
+	f.mu.Lock()
+	f.revision++
+	entry := catalog.Entry{Key: key, Value: value, Revision: f.revision, Deleted: remove}
+	f.entries[key] = entry
+	f.mu.Unlock()
+	for _, n := range f.nodes {
+		n.follow()
+	}
+	return entry
+}
+
+// follow brings a node up to date with the store.
+func (n *node) follow() {
+	n.fleet.mu.Lock()
+	snapshot := catalog.Snapshot{Revision: n.fleet.revision}
+	for _, entry := range n.fleet.entries {
+		if !entry.Deleted {
+			snapshot.Entries = append(snapshot.Entries, entry)
+		}
+	}
+	isCut := n.isCut
+	n.fleet.mu.Unlock()
+	if !isCut {
+		n.catalog.Replace(snapshot)
+	}
+}
+
+func (f *fleet) set(change func()) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	change()
+}
+
+// Get implements store.Store.
+func (f *fleet) Get(context.Context, string) (*catalog.Entry, error) { return nil, errDown }
+
+// List implements store.Store.
+func (f *fleet) List(context.Context, store.Consistency) (catalog.Snapshot, error) {
+	return catalog.Snapshot{}, errDown
+}
+
+// Watch implements store.Store.
+func (f *fleet) Watch(context.Context, int64, store.WatchRole, func(store.Event) error) error {
+	return errDown
+}
+
+// CompareAndSwap implements store.Store.
+func (f *fleet) CompareAndSwap(_ context.Context, key string, expected int64, value []byte, remove bool) (store.SwapResult, error) {
+	f.writing.Lock()
+	defer f.writing.Unlock()
+	f.mu.Lock()
+	f.writes++
+	known, found := f.entries[key]
+	isDown, loses := f.isDown, f.loses
+	f.mu.Unlock()
+	switch {
+	case isDown:
+		return store.SwapResult{}, errDown
+	case known.LiveRevision() != expected && found:
+		return store.SwapResult{Entry: &known}, nil
+	case !found && expected != 0:
+		return store.SwapResult{}, nil
+	}
+	entry := f.put(key, value, remove)
+	if loses {
+		return store.SwapResult{}, errDown
+	}
+	return store.SwapResult{Swapped: true, Entry: &entry}, nil
+}
+
+// silentEvents discards all events.
+type silentEvents struct{}
+
+func (silentEvents) Quarantined(quarantine.Record, string) {}
+func (silentEvents) Saved(quarantine.Record, error)        {}
+func (silentEvents) Trial(quarantine.Record, error)        {}
+func (silentEvents) Lifted(fingerprint.Fingerprint)        {}
+func (silentEvents) Dropped(int)                           {}
+
+var subject = quarantine.NewSubject(fingerprint.Of(fingerprint.Content{Path: "/a"}), "/a", "192.0.2.1")
+
+// crashLeafs makes a request crash three leafs at a node, in two episodes.
+func (n *node) crashLeafs() {
+	try := n.register.Begin(subject, func() {})
+	try.LeafCrashed("leaf-1", 0)
+	try.LeafCrashed("leaf-2", 0)
+	try.LeafCrashed("leaf-3", 1)
+	try.End()
+}
+
+func (f *fleet) states() map[string]quarantine.State {
+	states := map[string]quarantine.State{}
+	for _, n := range f.nodes {
+		states[n.record.ID] = n.register.State(subject.Content)
+	}
+	return states
+}
+
+func (f *fleet) allHold(state quarantine.State) bool {
+	for _, held := range f.states() {
+		if held != state {
+			return false
+		}
+	}
+	return true
+}
+
+// contact is the time within which all nodes must know of the third crash.
+const contact = 4 * time.Second
