--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -21,6 +21,8 @@
 	sourceFile = regexp.MustCompile(`^[\w./-]+\.go$`)
 	// identifier is a Go identifier, perhaps with that of its type or package before it.
 	identifier = regexp.MustCompile(`^(\w+\.)?[A-Za-z]\w*$`)
+	// folder is the path of a folder or file of the product from the root.
+	folder = regexp.MustCompile(`^(internal|platform|deploy|cmd|traces)(/[\w./-]+)?$`)
 	// link is the target of a link in Markdown.
 	link = regexp.MustCompile(`\]\(([^)\s]+)\)`)
 )
@@ -123,16 +125,41 @@
 	return sources.String()
 }
 
-// Links between pages, and from the pages at the root, lead to files that exist.
-func TestLinksLeadSomewhere(t *testing.T) {
+// Paths of the product that pages name exist. Incidents and the changelog tell of earlier code.
+func TestNamedPathsExist(t *testing.T) {
 	is := is.New(t)
+	for _, page := range pages(t, "../README.md", "../CONTRIBUTING.md", "../DEVELOPERS.md", "*.md", "design/*.md") {
+		content, err := os.ReadFile(page)
+		is.NoErr(err)
+		for _, found := range code.FindAllStringSubmatch(string(content), -1) {
+			if !folder.MatchString(found[1]) {
+				continue
+			}
+			if _, err := os.Stat(filepath.Join(repository, found[1])); err != nil {
+				t.Errorf("%s names %s: %v", page, found[1], err)
+			}
+		}
+	}
+}
+
+// pages returns the pages that match some patterns.
+func pages(t *testing.T, patterns ...string) []string {
+	t.Helper()
 	var pages []string
-	for _, pattern := range []string{"../*.md", "*.md", "design/*.md", "incidents/*.md", "../deploy/days/*.md"} {
+	for _, pattern := range patterns {
 		found, err := filepath.Glob(pattern)
-		is.NoErr(err)
+		if err != nil {
+			t.Fatal(err)
+		}
 		pages = append(pages, found...)
 	}
-	for _, page := range pages {
+	return pages
+}
+
+// Links between pages, and from the pages at the root, lead to files that exist.
+func TestLinksLeadSomewhere(t *testing.T) {
+	is := is.New(t)
+	for _, page := range pages(t, "../*.md", "*.md", "design/*.md", "incidents/*.md", "../deploy/days/*.md") {
 		content, err := os.ReadFile(page)
 		is.NoErr(err)
 		for _, found := range link.FindAllStringSubmatch(string(content), -1) {
