--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -88,10 +88,7 @@
 func (e quarantineEvents) write(name string, record quarantine.Record, from string, err error) {
 	event := quarantineEvent{
 		Time: time.Now(), Event: name, Content: record.Content, Path: record.Path, Caller: record.Caller,
-		Leafs: record.Leafs, Trials: record.Trials, By: record.By, From: from,
-	}
-	if err != nil {
-		event.Error = err.Error()
+		Leafs: record.Leafs, Trials: record.Trials, By: record.By, From: from, Error: textOf(err),
 	}
 	e.log.Write(decisionlog.Failed, event)
 }
--- a/internal/node/store_events.go
+++ b/internal/node/store_events.go
@@ -80,11 +80,7 @@
 
 // Rewritten implements rewriter.EventLog.
 func (e *storeEvents) Rewritten(key string, err error) {
-	event := rewrittenEvent{Time: time.Now(), Event: eventEntryRewritten, Key: key}
-	if err != nil {
-		event.Error = err.Error()
-	}
-	e.log.Write(decisionlog.Failed, event)
+	e.log.Write(decisionlog.Failed, rewrittenEvent{Time: time.Now(), Event: eventEntryRewritten, Key: key, Error: textOf(err)})
 }
 
 // logEpoch logs an answer of another epoch than the one before. The lock must be held.
