--- a/internal/config/catalog/restored_test.go
+++ b/internal/config/catalog/restored_test.go
@@ -216,16 +216,16 @@
 			written := node.View().Rollouts["s"].Order
 			state := rollout.State{Service: "s", OrderRevision: revision.Count(written.Revision), Phase: rollout.RolledBack, Serving: "v1", Target: "v2"}
 			node.Apply(d.put(RolloutStateKey("s"), state))
-			is.Equal(node.View().Leafs.Rule("s").Trial, "")
+			is.Equal(node.View().Leafs.Rule("s").Canary, "")
 			d.restore()
 			d.put(EvacuationKey("other"), struct{}{}) // uses the count of the order, or of its state
 			is.True(node.Replace(d.state()))
-			is.Equal(node.View().Leafs.Rule("s").Trial, "")
+			is.Equal(node.View().Leafs.Rule("s").Canary, "")
 			if isOrderLost {
 				node.Apply(d.put(RolloutKey("s"), order))
 				is.Equal(node.View().Rollouts["s"].Order.ID(), written.ID())
 			}
-			is.Equal(node.View().Leafs.Rule("s").Trial, "")
+			is.Equal(node.View().Leafs.Rule("s").Canary, "")
 			is.Equal(node.View().Leafs.Rule("s").Serving, "v1")
 
 			// A node that never saw the lost entry understands the rewritten one.
@@ -234,12 +234,12 @@
 			node.Apply(d.putValue(RolloutStateKey("s"), renewed, false))
 			is.Equal(len(node.Retained()), 0)
 			fresh := follower(d)
-			is.Equal(fresh.View().Leafs.Rule("s").Trial, "")
+			is.Equal(fresh.View().Leafs.Rule("s").Canary, "")
 
 			order.Target = "v3"
 			node.Apply(d.put(RolloutStateKey("s"), nil))
 			node.Apply(d.put(RolloutKey("s"), order))
-			is.Equal(node.View().Leafs.Rule("s").Trial, "v3")
+			is.Equal(node.View().Leafs.Rule("s").Canary, "v3")
 		})
 	}
 }
--- a/internal/fleet/peer/message.go
+++ b/internal/fleet/peer/message.go
@@ -182,7 +182,7 @@
 	Record *quarantine.Record `json:"record,omitempty"`
 }
 
-// RolloutHold says that no further requests may be sent to the version on trial by an order.
+// RolloutHold says that no further requests may be sent to the canary version by an order.
 type RolloutHold struct {
 	Service string `json:"service"`
 	// Order is the revision of the order.
--- a/internal/leaf/leafmemory/versions_test.go
+++ b/internal/leaf/leafmemory/versions_test.go
@@ -47,7 +47,7 @@
 	return ids
 }
 
-func TestLeafOnTrialMayBeAskedAndIsNoCandidate(t *testing.T) {
+func TestCanaryMayBeQueriedAndIsNoCandidate(t *testing.T) {
 	is := is.New(t)
 	known := newVersioned(t, true)
 	put(t, known, catalog.LeafKey("new"), versioned("new", "v2"))
@@ -104,7 +104,7 @@
 }
 
 // Lost canaries are remembered like leafs that serve, and by the current rule.
-func TestLostLeafsOnTrialAreHeld(t *testing.T) {
+func TestLostCanariesAreRetained(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		known := newVersioned(t, true)
--- a/internal/leaf/leafset/versions.go
+++ b/internal/leaf/leafset/versions.go
@@ -18,7 +18,7 @@
 // IsBarred reports whether a leaf's version neither serves nor is the canary version.
 func (s *Set) IsBarred(leaf *Leaf) bool {
 	rule := s.Rule(leaf.Service)
-	return !rule.IsServing(leaf.Version) && !rule.IsTrial(leaf.Version)
+	return !rule.IsServing(leaf.Version) && !rule.IsCanary(leaf.Version)
 }
 
 // IsAllowed reports whether a leaf may get requests if it is ready: its zone is not evacuated, and its
@@ -34,7 +34,7 @@
 // MayServeCanary reports whether a leaf may get requests for canaries if it is ready: its zone is not evacuated, and its
 // version is the canary version.
 func (s *Set) MayServeCanary(leaf *Leaf) bool {
-	return !s.evacuated[leaf.Zone] && s.Rule(leaf.Service).IsTrial(leaf.Version)
+	return !s.evacuated[leaf.Zone] && s.Rule(leaf.Service).IsCanary(leaf.Version)
 }
 
 // isServing reports whether a leaf is ready and MayServe.
@@ -92,7 +92,7 @@
 func countVersions(leafs []*Leaf, rule rollout.Rule) map[string]int {
 	counts := map[string]int{}
 	for _, leaf := range leafs {
-		if leaf.Version != "" && leaf.Version != rule.Barred && !rule.IsTrial(leaf.Version) {
+		if leaf.Version != "" && leaf.Version != rule.Barred && !rule.IsCanary(leaf.Version) {
 			counts[leaf.Version]++
 		}
 	}
--- a/internal/leaf/leafset/versions_test.go
+++ b/internal/leaf/leafset/versions_test.go
@@ -49,16 +49,16 @@
 func TestRuleParts(t *testing.T) {
 	older, newer := oldAndNew()
 	cases := []struct {
-		name           string
-		rule           rollout.Rule
-		ready, onTrial []string
-		allowed        []string
+		name            string
+		rule            rollout.Rule
+		ready, canaries []string
+		allowed         []string
 	}{
 		{"none", rollout.Rule{}, []string{"1", "2", "3"}, nil, []string{"1", "2", "3", "4"}},
 		{"one serves", rollout.Rule{Serving: "v1"}, []string{"1"}, nil, []string{"1"}},
-		{"one is a canary", rollout.Rule{Serving: "v1", Trial: "v2"}, []string{"1"}, []string{"2", "3"}, []string{"1", "2", "3", "4"}},
-		{"only a canary is known", rollout.Rule{Trial: "v2"}, []string{"1"}, []string{"2", "3"}, []string{"1", "2", "3", "4"}},
-		{"neither has leafs", rollout.Rule{Serving: "v8", Trial: "v9"}, nil, nil, nil},
+		{"one is a canary", rollout.Rule{Serving: "v1", Canary: "v2"}, []string{"1"}, []string{"2", "3"}, []string{"1", "2", "3", "4"}},
+		{"only a canary is known", rollout.Rule{Canary: "v2"}, []string{"1"}, []string{"2", "3"}, []string{"1", "2", "3", "4"}},
+		{"neither has leafs", rollout.Rule{Serving: "v8", Canary: "v9"}, nil, nil, nil},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -70,7 +70,7 @@
 			editor.SetRule("s", c.rule)
 			set := editor.Done()
 			is.Equal(ids(set.Ready("s")), c.ready)
-			is.Equal(ids(set.Canaries("s")), c.onTrial)
+			is.Equal(ids(set.Canaries("s")), c.canaries)
 			var allowed []string
 			for _, leaf := range set.ByService("s") {
 				if set.IsAllowed(leaf) {
@@ -83,10 +83,10 @@
 }
 
 // An evacuation applies to canaries as to leafs that serve.
-func TestEvacuatedLeafsAreNotOnTrial(t *testing.T) {
+func TestEvacuatedLeafsAreNoCanaries(t *testing.T) {
 	is := is.New(t)
 	_, newer := oldAndNew()
-	set := ruled(edited(Empty().Edit(), newer), rollout.Rule{Serving: "v1", Trial: "v2"})
+	set := ruled(edited(Empty().Edit(), newer), rollout.Rule{Serving: "v1", Canary: "v2"})
 	editor := set.Edit()
 	editor.SetEvacuated("", true)
 	during := editor.Done()
@@ -101,17 +101,17 @@
 	older, newer := oldAndNew()
 	first := edited(Empty().Edit(), older)
 	both := edited(first.Edit(), newer)
-	ordered := ruled(both, rollout.Rule{Trial: "v2", Phase: rollout.Canary, Order: 7})
+	ordered := ruled(both, rollout.Rule{Canary: "v2", Phase: rollout.Canary, Order: 7})
 	cases := map[string]*Set{
 		"the other came":                  both,
 		"a third came":                    edited(both.Edit(), []*Leaf{leafOf("5", "v3", Ready), leafOf("6", "v3", Ready)}),
 		"a whole state":                   edited(Replace(both), append(older, newer...)),
 		"the other was ordered":           ordered,
-		"ordered after nothing else came": edited(ruled(first, rollout.Rule{Trial: "v2"}).Edit(), newer),
+		"ordered after nothing else came": edited(ruled(first, rollout.Rule{Canary: "v2"}).Edit(), newer),
 		"the order was taken back":        ruled(ordered, rollout.Rule{}),
 		"a whole state without the order": edited(Replace(ordered), append(older, newer...)),
-		"another order":                   ruled(both, rollout.Rule{Trial: "v3", Order: 7}),
-		"an order of what serves":         ruled(both, rollout.Rule{Trial: "v1", Order: 7}),
+		"another order":                   ruled(both, rollout.Rule{Canary: "v3", Order: 7}),
+		"an order of what serves":         ruled(both, rollout.Rule{Canary: "v1", Order: 7}),
 	}
 	for name, set := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -153,7 +153,7 @@
 	is := is.New(t)
 	_, newer := oldAndNew()
 	unknown := leafOf("1", "", Ready)
-	set := ruled(edited(Empty().Edit(), []*Leaf{unknown}), rollout.Rule{Trial: "v2"})
+	set := ruled(edited(Empty().Edit(), []*Leaf{unknown}), rollout.Rule{Canary: "v2"})
 	set = ruled(edited(set.Edit(), newer), rollout.Rule{Barred: "v2"})
 	is.Equal(ids(set.Ready("s")), []string{"1"})
 	is.True(set.IsBarred(newer[0]))
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -127,7 +127,7 @@
 
 // judging makes what finds out whether the version of an order is good.
 func judging(cfg verdict.Config) rolloutcontrol.EvaluatorFactory {
-	return func(serving, trial string, duration time.Duration) rolloutcontrol.Evaluator {
-		return verdict.New(cfg, serving, trial, duration)
+	return func(serving, canaryVersion string, duration time.Duration) rolloutcontrol.Evaluator {
+		return verdict.New(cfg, serving, canaryVersion, duration)
 	}
 }
--- a/internal/node/settings/settings.go
+++ b/internal/node/settings/settings.go
@@ -139,9 +139,9 @@
 	QuarantineSync quarantinesync.Config `yaml:"quarantine_sync"`
 
 	Rollouts rolloutcontrol.Config `yaml:"rollouts"`
-	// Canary is the share of requests of a version on trial.
+	// Canary is the share of requests of a canary version.
 	Canary canary.Config `yaml:"canary"`
-	// RolloutVerdict decides whether a version on trial is good.
+	// RolloutVerdict decides whether a canary version is good.
 	RolloutVerdict verdict.Config `yaml:"rollout_verdict"`
 }
 
--- a/internal/operator/admin/rollouts_test.go
+++ b/internal/operator/admin/rollouts_test.go
@@ -32,7 +32,7 @@
 	again, err := admin.StartRollout(t.Context(), startRequest("c1", 0))
 	is.NoErr(err)
 	is.Equal(again.GetRevision(), started.GetRevision())
-	is.Equal(known.View().Leafs.Rule("maps").Trial, "v2")
+	is.Equal(known.View().Leafs.Rule("maps").Canary, "v2")
 
 	shown, err := admin.GetRollout(&adminv1.GetRolloutRequest{Service: "maps"})
 	is.NoErr(err)
--- a/internal/request/gateway/canary.go
+++ b/internal/request/gateway/canary.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// drawFirst draws the versions of the first attempts that this node makes, for services with a version on trial, and
+// drawFirst draws the versions of the first attempts that this node makes, for services with a canary version, and
 // sets the shards' candidates to the leafs of those versions.
 func (e *execution) drawFirst(plan *scatter.Plan) {
 	if e.gateway.canary == nil || e.spentAttempts > 0 {
@@ -68,7 +68,7 @@
 	}
 	leafs := e.gateway.catalog.View().Leafs
 	for index, service := range e.services {
-		if leafs.Rule(service).Trial != "" && !e.isInGroup(index) {
+		if leafs.Rule(service).Canary != "" && !e.isInGroup(index) {
 			plan.Shards[index].Candidates = e.firstCandidates(index, plan.Shards[index].Candidates)
 		}
 	}
--- a/internal/request/gateway/canary_fixture_test.go
+++ b/internal/request/gateway/canary_fixture_test.go
@@ -15,10 +15,10 @@
 	"github.com/portgauge/portgauge/internal/rollout/evidence"
 )
 
-// trialFleet is a fleet of one node, which has the whole share of draws.
-type trialFleet struct{ coldFleet }
+// canaryFleet is a fleet of one node, which has the whole share of draws.
+type canaryFleet struct{ coldFleet }
 
-func (trialFleet) Part(bool) float64 { return 1 }
+func (canaryFleet) Part(bool) float64 { return 1 }
 
 // drawAll returns a configuration that draws every request that may be drawn.
 func drawAll() canary.Config {
@@ -34,58 +34,58 @@
 	return cfg
 }
 
-// trialGateway is a gateway whose service s0 is rolled out from v1 (s0a, s0b) to v2 (s0c, s0d).
-type trialGateway struct {
+// canaryGateway is a gateway whose service s0 is rolled out from v1 (s0a, s0b) to v2 (s0c, s0d).
+type canaryGateway struct {
 	*Gateway
 	t     *testing.T
 	order int64
 	leafs *scriptedLeafs
-	// trialAnswer is how the leafs on trial answer; nil means as the others.
-	trialAnswer func(leaf string) (time.Duration, *leafhttp.Response, error)
+	// canaryAnswer is how the canaries answer; nil means as the others.
+	canaryAnswer func(leaf string) (time.Duration, *leafhttp.Response, error)
 }
 
-func newTrialGateway(t *testing.T, cfg canary.Config) *trialGateway {
+func newCanaryGateway(t *testing.T, cfg canary.Config) *canaryGateway {
 	t.Helper()
-	built := &trialGateway{t: t, leafs: &scriptedLeafs{}}
+	built := &canaryGateway{t: t, leafs: &scriptedLeafs{}}
 	built.leafs.answer = func(leaf string) (time.Duration, *leafhttp.Response, error) {
-		if built.trialAnswer != nil && isOnTrial(leaf) {
-			return built.trialAnswer(leaf)
+		if built.canaryAnswer != nil && isCanary(leaf) {
+			return built.canaryAnswer(leaf)
 		}
 		return time.Millisecond, answered(200, records(leaf)), nil
 	}
 	built.Gateway, _ = newGateway(t, built.leafs)
-	built.canary = canary.New(cfg, built.catalog, trialFleet{})
+	built.canary = canary.New(cfg, built.catalog, canaryFleet{})
 	built.evidence = evidence.NewCollector(built.catalog)
-	orderTrial(t, built.catalog, "")
+	startRollout(t, built.catalog, "")
 	built.order = built.catalog.Revision()
 	built.learn()
 	return built
 }
 
-// orderTrial puts leafs of two versions of s0 into the catalog, and the order to roll out from one to the other.
-func orderTrial(t *testing.T, known *catalog.Catalog, zone string) {
+// startRollout puts leafs of two versions of s0 into the catalog, and the order to roll out from one to the other.
+func startRollout(t *testing.T, known *catalog.Catalog, zone string) {
 	t.Helper()
 	put(t, known, catalog.VersionsKey, rollout.Versions{ByVersion: map[string][]string{"v1": {"s0"}}})
 	for id, version := range map[string]string{"s0a": "v1", "s0b": "v1", "s0c": "v2", "s0d": "v2"} {
-		put(t, known, catalog.LeafKey(id), trialLeaf(id, version, zone))
+		put(t, known, catalog.LeafKey(id), versionedLeaf(id, version, zone))
 	}
 	put(t, known, catalog.RolloutKey("s0"), rollout.Order{Service: "s0", Target: "v2", DurationMillis: time.Minute.Milliseconds()})
 }
 
-func trialLeaf(id, version, zone string) leafset.Record {
+func versionedLeaf(id, version, zone string) leafset.Record {
 	return leafset.Record{Name: id, Service: "s0", Address: "127.0.0.1:1", Zone: zone, Version: version, State: leafset.Ready}
 }
 
-func isOnTrial(leaf string) bool { return leaf == "s0c" || leaf == "s0d" }
+func isCanary(leaf string) bool { return leaf == "s0c" || leaf == "s0d" }
 
 // learn confirms the configuration as the newest and has the splitter read it.
-func (b *trialGateway) learn() {
+func (b *canaryGateway) learn() {
 	b.catalog.Confirm(time.Now())
 	b.canary.Refresh()
 }
 
 // enter puts the rollout into a phase.
-func (b *trialGateway) enter(phase rollout.Phase) {
+func (b *canaryGateway) enter(phase rollout.Phase) {
 	b.t.Helper()
 	state := rollout.State{Service: "s0", OrderRevision: b.order, Phase: phase, Serving: "v1", Target: "v2"}
 	put(b.t, b.catalog, catalog.RolloutStateKey("s0"), state)
@@ -93,7 +93,7 @@
 }
 
 // finishSwitch ends the ramp to v2.
-func (b *trialGateway) finishSwitch() {
+func (b *canaryGateway) finishSwitch() {
 	b.t.Helper()
 	b.enter(rollout.Switching)
 	time.Sleep(canary.DefaultConfig().Ramp)
@@ -101,7 +101,7 @@
 }
 
 // lose removes leafs from discovery for good.
-func (b *trialGateway) lose(ids ...string) {
+func (b *canaryGateway) lose(ids ...string) {
 	b.t.Helper()
 	for _, id := range ids {
 		put(b.t, b.catalog, catalog.LeafKey(id), nil)
@@ -111,7 +111,7 @@
 }
 
 // asked returns the leafs of s0 that were asked since its last call.
-func (b *trialGateway) asked() []string {
+func (b *canaryGateway) asked() []string {
 	b.leafs.mu.Lock()
 	defer b.leafs.mu.Unlock()
 	var asked []string
@@ -124,14 +124,14 @@
 	return asked
 }
 
-// inTrial runs a test of a trialGateway in virtual time.
-func inTrial(t *testing.T, cfg canary.Config, test func(is *is.I, b *trialGateway)) {
+// withCanary runs a test of a canaryGateway in virtual time.
+func withCanary(t *testing.T, cfg canary.Config, test func(is *is.I, b *canaryGateway)) {
 	t.Helper()
-	synctest.Test(t, func(t *testing.T) { test(is.New(t), newTrialGateway(t, cfg)) })
+	synctest.Test(t, func(t *testing.T) { test(is.New(t), newCanaryGateway(t, cfg)) })
 }
 
-// trialTally returns what was counted for the version on trial.
-func (b *trialGateway) trialTally(is *is.I) evidence.Tally {
+// canaryTally returns what was counted for the canary version.
+func (b *canaryGateway) canaryTally(is *is.I) evidence.Tally {
 	var tally evidence.Tally
 	for _, row := range b.evidence.Rows() {
 		is.Equal(row.Order, b.order)
--- a/internal/request/gateway/canary_refused_test.go
+++ b/internal/request/gateway/canary_refused_test.go
@@ -13,21 +13,21 @@
 	"github.com/portgauge/portgauge/internal/rollout/canary"
 )
 
-// If no leaf of the serving version can be asked, the version on trial is asked within the slack, but gets no share of the
+// If no leaf of the serving version can be asked, the canary version is asked within the slack, but gets no share of the
 // requests that are refused, also if that is known only when the attempts are planned.
-func TestTrialIsNoLastResort(t *testing.T) {
-	lost := func(b *trialGateway) { b.lose("s0a", "s0b") }
-	leaving := func(b *trialGateway) {
+func TestCanaryIsNoLastResort(t *testing.T) {
+	lost := func(b *canaryGateway) { b.lose("s0a", "s0b") }
+	leaving := func(b *canaryGateway) {
 		for _, id := range []string{"s0a", "s0b"} {
 			b.balancer.SetLeaving(id, time.Now().Add(time.Hour))
 		}
 	}
-	for name, vanish := range map[string]func(*trialGateway){"lost": lost, "leaving": leaving} {
+	for name, vanish := range map[string]func(*canaryGateway){"lost": lost, "leaving": leaving} {
 		for _, slack := range []float64{0, 20} {
 			t.Run(fmt.Sprint(name, slack), func(t *testing.T) {
 				cfg := canary.DefaultConfig()
 				cfg.Slack = slack
-				inTrial(t, cfg, func(is *is.I, b *trialGateway) {
+				withCanary(t, cfg, func(is *is.I, b *canaryGateway) {
 					time.Sleep(30 * time.Second)
 					vanish(b)
 					answers := 0
@@ -45,9 +45,9 @@
 	}
 }
 
-// Requests whose only serving leafs are in trouble don't count for the share of the version on trial.
+// Requests whose only serving leafs are in trouble don't count for the share of the canary version.
 func TestCrashedLeafsEarnNoShare(t *testing.T) {
-	inTrial(t, canary.DefaultConfig(), func(is *is.I, b *trialGateway) {
+	withCanary(t, canary.DefaultConfig(), func(is *is.I, b *canaryGateway) {
 		works := b.leafs.answer
 		b.leafs.answer = func(leaf string) (time.Duration, *leafhttp.Response, error) {
 			if leaf == "s0a" || leaf == "s0b" {
@@ -58,13 +58,13 @@
 		for range 500 {
 			_, _ = b.Serve(b.t.Context(), newRequest("/single/1"))
 		}
-		onTrial := 0
+		canaryRequests := 0
 		for _, leaf := range b.asked() {
-			if isOnTrial(leaf) {
-				onTrial++
+			if isCanary(leaf) {
+				canaryRequests++
 			}
 		}
-		is.True(onTrial <= 4) // a tenth of the requests before the leafs were known to be in trouble
+		is.True(canaryRequests <= 4) // a tenth of the requests before the leafs were known to be in trouble
 	})
 }
 
@@ -72,7 +72,7 @@
 func TestRefusedRequestsAreNotDrawn(t *testing.T) {
 	cfg := canary.DefaultConfig()
 	cfg.Slack = 20
-	inTrial(t, cfg, func(is *is.I, b *trialGateway) {
+	withCanary(t, cfg, func(is *is.I, b *canaryGateway) {
 		time.Sleep(30 * time.Second)
 		b.lose("s0a", "s0b", "s1a", "s1b", "s2a", "s2b", "s3a", "s3b")
 		for range 50 {
@@ -91,7 +91,7 @@
 func TestRefusedRequestsAreNotCounted(t *testing.T) {
 	half := drawAll()
 	half.Share = 0.5
-	inTrial(t, half, func(is *is.I, b *trialGateway) {
+	withCanary(t, half, func(is *is.I, b *canaryGateway) {
 		for _, service := range []string{"s1", "s2", "s3"} {
 			b.lose(service+"a", service+"b")
 		}
@@ -101,6 +101,6 @@
 		}
 		_, err := b.Serve(b.t.Context(), newRequest("/single/1"))
 		is.NoErr(err)
-		is.True(!slices.ContainsFunc(b.asked(), isOnTrial))
+		is.True(!slices.ContainsFunc(b.asked(), isCanary))
 	})
 }
--- a/internal/request/gateway/canary_test.go
+++ b/internal/request/gateway/canary_test.go
@@ -21,10 +21,10 @@
 	"github.com/portgauge/portgauge/internal/rollout/canary"
 )
 
-// A drawn first attempt goes to the version on trial, to one leaf at a time.
-func TestDrawnAttemptsGoToOneLeafOnTrial(t *testing.T) {
+// A drawn first attempt goes to the canary version, to one leaf at a time.
+func TestDrawnAttemptsGoToOneCanary(t *testing.T) {
 	for _, path := range []string{"/single/1", "/pages/1"} {
-		inTrial(t, drawAll(), func(is *is.I, b *trialGateway) {
+		withCanary(t, drawAll(), func(is *is.I, b *canaryGateway) {
 			for range 10 {
 				_, err := b.Serve(b.t.Context(), newRequest(path))
 				is.NoErr(err)
@@ -38,8 +38,8 @@
 	}
 }
 
-// After a failure of the version on trial, and for hedges, the serving version is asked; its answer is returned.
-func TestFailedTrialIsAskedOfTheServingVersion(t *testing.T) {
+// After a failure of the canary version, and for hedges, the serving version is asked; its answer is returned.
+func TestFailedCanaryAttemptIsRetriedAtServingVersion(t *testing.T) {
 	cases := map[string]func(leaf string) (time.Duration, *leafhttp.Response, error){
 		"failure": func(leaf string) (time.Duration, *leafhttp.Response, error) { return 0, answered(500, leaf), nil },
 		"refusal": func(string) (time.Duration, *leafhttp.Response, error) { return 0, refused(503), nil },
@@ -51,32 +51,32 @@
 	for name, c := range cases {
 		for _, path := range []string{"/single/1", "/pages/1"} {
 			t.Run(name+path, func(t *testing.T) {
-				inTrial(t, drawAll(), func(is *is.I, b *trialGateway) {
+				withCanary(t, drawAll(), func(is *is.I, b *canaryGateway) {
 					for range 5 { // pay for a hedge
 						_, err := b.Serve(b.t.Context(), newRequest(path))
 						is.NoErr(err)
 					}
 					b.asked()
-					b.trialAnswer = c
+					b.canaryAnswer = c
 					answer, err := b.Serve(b.t.Context(), newRequest(path))
 					is.NoErr(err)
 					is.Equal(answer.Missing, 0)
 					is.Equal(answer.Status, 200)
 					asked := b.asked()
 					is.Equal(len(asked), 2)
-					is.True(isOnTrial(asked[0]) && !isOnTrial(asked[1]))
+					is.True(isCanary(asked[0]) && !isCanary(asked[1]))
 				})
 			})
 		}
 	}
 }
 
-// If no leaf on trial can be asked, the attempt goes to the serving version at once, and a later request is drawn.
+// If no canary can be asked, the attempt goes to the serving version at once, and a later request is drawn.
 func TestDrawWithoutUsableLeafFallsBack(t *testing.T) {
-	inTrial(t, canary.DefaultConfig(), func(is *is.I, b *trialGateway) {
+	withCanary(t, canary.DefaultConfig(), func(is *is.I, b *canaryGateway) {
 		b.warmup = warmup.New(warmup.DefaultConfig(), b.catalog, coldFleet{}, catalog.NodeRecord{ID: "n"})
 		for _, id := range []string{"s0c", "s0d"} {
-			cold := trialLeaf(id, "v2", "")
+			cold := versionedLeaf(id, "v2", "")
 			cold.WarmupMillis = 1000
 			put(b.t, b.catalog, catalog.LeafKey(id), cold)
 		}
@@ -89,24 +89,24 @@
 			is.NoErr(err)
 		}
 		is.Equal(time.Since(began), 50*time.Millisecond)
-		is.True(!slices.ContainsFunc(b.asked(), isOnTrial))
+		is.True(!slices.ContainsFunc(b.asked(), isCanary))
 		time.Sleep(time.Second)
 		for range 4 {
 			_, err := b.Serve(b.t.Context(), newRequest("/single/1"))
 			is.NoErr(err)
 		}
-		is.True(!slices.ContainsFunc(b.asked(), func(leaf string) bool { return !isOnTrial(leaf) }))
+		is.True(!slices.ContainsFunc(b.asked(), func(leaf string) bool { return !isCanary(leaf) }))
 	})
 }
 
-// A request that runs at most once is not drawn for the share of the version on trial.
+// A request that runs at most once is not drawn for the share of the canary version.
 func TestOnceOnlyRequestsStayWithTheServingVersion(t *testing.T) {
-	inTrial(t, drawAll(), func(is *is.I, b *trialGateway) {
+	withCanary(t, drawAll(), func(is *is.I, b *canaryGateway) {
 		for range 20 {
 			_, err := b.Serve(b.t.Context(), newRequest("/once/1"))
 			is.NoErr(err)
 		}
-		is.True(!slices.ContainsFunc(b.asked(), isOnTrial))
+		is.True(!slices.ContainsFunc(b.asked(), isCanary))
 	})
 }
 
@@ -133,18 +133,18 @@
 func TestWhatWasPlannedIsCheckedWhenItIsSent(t *testing.T) {
 	cases := map[string]struct {
 		cfg    canary.Config
-		change func(b *trialGateway)
-		want   bool // the version on trial answers
+		change func(b *canaryGateway)
+		want   bool // the canary version answers
 	}{
-		"taken back":  {drawAll(), func(b *trialGateway) { put(b.t, b.catalog, catalog.RolloutKey("s0"), nil) }, false},
-		"rolled back": {drawAll(), func(b *trialGateway) { b.enter(rollout.RolledBack) }, false},
-		"held":        {drawAll(), func(b *trialGateway) { b.canary.Hold("s0", b.order) }, false},
-		"over":        {drawAll(), func(*trialGateway) {}, false},
-		"succeeded":   {drawNone(), func(b *trialGateway) { b.enter(rollout.Succeeded) }, true},
+		"taken back":  {drawAll(), func(b *canaryGateway) { put(b.t, b.catalog, catalog.RolloutKey("s0"), nil) }, false},
+		"rolled back": {drawAll(), func(b *canaryGateway) { b.enter(rollout.RolledBack) }, false},
+		"held":        {drawAll(), func(b *canaryGateway) { b.canary.Hold("s0", b.order) }, false},
+		"over":        {drawAll(), func(*canaryGateway) {}, false},
+		"succeeded":   {drawNone(), func(b *canaryGateway) { b.enter(rollout.Succeeded) }, true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			inTrial(t, c.cfg, func(is *is.I, b *trialGateway) {
+			withCanary(t, c.cfg, func(is *is.I, b *canaryGateway) {
 				b.Gateway.leafs = &slowToSend{b.leafs, 20 * time.Millisecond, b.canary.MayAsk}
 				if name == "over" {
 					time.Sleep(time.Minute - 10*time.Millisecond)
@@ -157,7 +157,7 @@
 				is.NoErr(err)
 				asked := b.asked()
 				is.Equal(len(asked), 1)
-				is.Equal(isOnTrial(asked[0]), c.want)
+				is.Equal(isCanary(asked[0]), c.want)
 				is.Equal(answer.Status, 200)
 			})
 		})
@@ -167,10 +167,10 @@
 // A leaf of a version that must not be asked is no candidate and is not warmed, whether it is ready, remembered or was lost
 // a moment ago, even if no other leaf is left.
 func TestBarredLeafsGetNothing(t *testing.T) {
-	inTrial(t, drawAll(), func(is *is.I, b *trialGateway) {
+	withCanary(t, drawAll(), func(is *is.I, b *canaryGateway) {
 		var remembered leafset.List
 		for _, id := range []string{"s0c", "s0d", "s0e"} {
-			remembered.Leafs = append(remembered.Leafs, trialLeaf(id, "v2", ""))
+			remembered.Leafs = append(remembered.Leafs, versionedLeaf(id, "v2", ""))
 		}
 		put(b.t, b.catalog, catalog.RememberedKey, remembered)
 		b.enter(rollout.RolledBack)
@@ -196,10 +196,10 @@
 
 // After the ramp only the leafs of the new version are asked and warmed.
 func TestAfterTheRampTheNewLeafsServe(t *testing.T) {
-	inTrial(t, drawNone(), func(is *is.I, b *trialGateway) {
+	withCanary(t, drawNone(), func(is *is.I, b *canaryGateway) {
 		b.finishSwitch()
 		b.Warm()
-		is.True(slices.ContainsFunc(b.leafs.warmed, isOnTrial))
+		is.True(slices.ContainsFunc(b.leafs.warmed, isCanary))
 		is.True(!slices.Contains(b.leafs.warmed, "s0a") && !slices.Contains(b.leafs.warmed, "s0b"))
 		for _, path := range []string{"/single/1", "/once/1", "/pages/1"} {
 			var serving sync.WaitGroup
@@ -212,12 +212,12 @@
 			serving.Wait()
 		}
 		asked := b.asked()
-		is.True(!slices.ContainsFunc(asked, func(leaf string) bool { return !isOnTrial(leaf) }))
+		is.True(!slices.ContainsFunc(asked, func(leaf string) bool { return !isCanary(leaf) }))
 		is.True(slices.Contains(asked, "s0c") && slices.Contains(asked, "s0d"))
 		b.lose("s0a", "s0b")
 		_, err := b.Serve(b.t.Context(), newRequest("/single/1"))
 		is.NoErr(err)
-		put(b.t, b.catalog, catalog.LeafKey("s0a"), trialLeaf("s0a", "v1", ""))
+		put(b.t, b.catalog, catalog.LeafKey("s0a"), versionedLeaf("s0a", "v1", ""))
 		b.lose("s0c", "s0d")
 		began := time.Now()
 		_, err = b.Serve(b.t.Context(), newRequest("/single/1"))
@@ -228,7 +228,7 @@
 
 // Once all requests go to the new version, its leafs are still asked a moment after discovery lost them all.
 func TestMovedLeafsAreAskedAMomentAfterTheirLoss(t *testing.T) {
-	inTrial(t, drawNone(), func(is *is.I, b *trialGateway) {
+	withCanary(t, drawNone(), func(is *is.I, b *canaryGateway) {
 		b.finishSwitch()
 		for _, id := range []string{"s0c", "s0d"} {
 			put(b.t, b.catalog, catalog.LeafKey(id), nil)
@@ -238,40 +238,40 @@
 			is.NoErr(err)
 			is.Equal(answer.Missing, 0)
 			asked := b.asked()
-			is.True(len(asked) == 1 && isOnTrial(asked[0]))
+			is.True(len(asked) == 1 && isCanary(asked[0]))
 		}
 	})
 }
 
 // During the ramp a failure of either version is retried at the other.
 func TestDuringTheRampBothMayBeRetried(t *testing.T) {
-	inTrial(t, drawNone(), func(is *is.I, b *trialGateway) {
+	withCanary(t, drawNone(), func(is *is.I, b *canaryGateway) {
 		b.leafs.answer = func(leaf string) (time.Duration, *leafhttp.Response, error) {
 			return 0, answered(500, leaf), nil
 		}
 		b.enter(rollout.Switching) // first attempts are not drawn yet
 		_, err := b.Serve(b.t.Context(), newRequest("/single/1"))
 		is.NoErr(err)
-		is.True(!isOnTrial(b.asked()[0]))
+		is.True(!isCanary(b.asked()[0]))
 		retried := false
 		for range 40 {
 			_, err := b.Serve(b.t.Context(), newRequest("/single/1"))
 			is.NoErr(err)
 			asked := b.asked()
-			retried = retried || !isOnTrial(asked[0]) && len(asked) > 1 && isOnTrial(asked[1])
+			retried = retried || !isCanary(asked[0]) && len(asked) > 1 && isCanary(asked[1])
 		}
 		is.True(retried)
 	})
-	inTrial(t, drawAll(), func(is *is.I, b *trialGateway) {
+	withCanary(t, drawAll(), func(is *is.I, b *canaryGateway) {
 		b.enter(rollout.Switching)
-		b.trialAnswer = func(leaf string) (time.Duration, *leafhttp.Response, error) { return 0, answered(500, leaf), nil }
+		b.canaryAnswer = func(leaf string) (time.Duration, *leafhttp.Response, error) { return 0, answered(500, leaf), nil }
 		retried := false
 		for range 40 {
 			_, err := b.Serve(b.t.Context(), newRequest("/single/1"))
 			is.NoErr(err)
 			asked := b.asked()
-			is.True(isOnTrial(asked[0]))
-			retried = retried || len(asked) > 1 && !isOnTrial(asked[1])
+			is.True(isCanary(asked[0]))
+			retried = retried || len(asked) > 1 && !isCanary(asked[1])
 		}
 		is.True(retried)
 	})
@@ -279,13 +279,13 @@
 
 // The node is settled only when the last attempt at the old version has ended, also one that began before the switch.
 func TestAttemptUnderWayIsNotSettled(t *testing.T) {
-	inTrial(t, drawNone(), func(is *is.I, b *trialGateway) {
+	withCanary(t, drawNone(), func(is *is.I, b *canaryGateway) {
 		b.leafs.answer = func(leaf string) (time.Duration, *leafhttp.Response, error) {
 			return 700 * time.Millisecond, answered(200, leaf), nil
 		}
 		cfg := drawNone()
 		cfg.Ramp = 100 * time.Millisecond
-		b.canary = canary.New(cfg, b.catalog, trialFleet{})
+		b.canary = canary.New(cfg, b.catalog, canaryFleet{})
 		served := make(chan error)
 		go func() {
 			_, err := b.Serve(b.t.Context(), newRequest("/once/1"))
@@ -300,27 +300,27 @@
 	})
 }
 
-// A node opens a connection to a leaf on trial when it knows the rollout and the leaf, once for each rollout order.
-func TestLeafOnTrialIsWarmed(t *testing.T) {
-	inTrial(t, drawNone(), func(is *is.I, b *trialGateway) {
+// A node opens a connection to a canary when it knows the rollout and the leaf, once for each rollout order.
+func TestCanaryIsWarmed(t *testing.T) {
+	withCanary(t, drawNone(), func(is *is.I, b *canaryGateway) {
 		for _, id := range []string{"s0c", "s0d"} {
 			put(b.t, b.catalog, catalog.LeafKey(id), nil)
 		}
 		ctx, cancel := context.WithCancel(b.t.Context())
 		go b.KeepWarm(ctx)
 		synctest.Wait()
-		is.True(!slices.ContainsFunc(b.leafs.warmed, isOnTrial))
+		is.True(!slices.ContainsFunc(b.leafs.warmed, isCanary))
 		for index := range 3 {
-			put(b.t, b.catalog, catalog.LeafKey("s0d"), trialLeaf("s0d", "v2", ""))
+			put(b.t, b.catalog, catalog.LeafKey("s0d"), versionedLeaf("s0d", "v2", ""))
 			put(b.t, b.catalog, catalog.EvacuationKey(fmt.Sprint(index)), struct{}{})
 		}
 		synctest.Wait()
 		b.leafs.mu.Lock()
-		is.Equal(slices.DeleteFunc(slices.Clone(b.leafs.warmed), func(leaf string) bool { return !isOnTrial(leaf) }), []string{"s0d"})
+		is.Equal(slices.DeleteFunc(slices.Clone(b.leafs.warmed), func(leaf string) bool { return !isCanary(leaf) }), []string{"s0d"})
 		b.leafs.mu.Unlock()
 		put(b.t, b.catalog, catalog.RolloutKey("s0"), rollout.Order{Service: "s0", Target: "v2", DurationMillis: 1000})
 		synctest.Wait()
-		is.Equal(len(slices.DeleteFunc(slices.Clone(b.leafs.warmed), func(leaf string) bool { return !isOnTrial(leaf) })), 2)
+		is.Equal(len(slices.DeleteFunc(slices.Clone(b.leafs.warmed), func(leaf string) bool { return !isCanary(leaf) })), 2)
 		cancel()
 		synctest.Wait()
 	})
@@ -357,18 +357,18 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			inTrial(t, drawAll(), func(is *is.I, b *trialGateway) {
+			withCanary(t, drawAll(), func(is *is.I, b *canaryGateway) {
 				for range 5 { // pay for a hedge
 					_, err := b.Serve(b.t.Context(), newRequest("/single/1"))
 					is.NoErr(err)
 				}
 				synctest.Wait()
-				before := b.trialTally(is)
-				b.trialAnswer = c.answer
+				before := b.canaryTally(is)
+				b.canaryAnswer = c.answer
 				_, err := b.Serve(b.t.Context(), newRequest("/single/1"))
 				is.NoErr(err)
 				synctest.Wait()
-				after := b.trialTally(is)
+				after := b.canaryTally(is)
 				is.Equal(after.Answered.Total()-before.Answered.Total(), c.answered)
 				is.Equal(after.Failures-before.Failures, c.failed)
 				is.Equal(after.GivenUp.Total()-before.GivenUp.Total(), c.givenUp)
--- a/internal/request/gateway/canary_tree_test.go
+++ b/internal/request/gateway/canary_tree_test.go
@@ -13,17 +13,17 @@
 	"github.com/portgauge/portgauge/internal/rollout/canary"
 )
 
-// newTrialTree starts a root whose services are all gathered by another node; some of the nodes know of the rollout of s0.
-func newTrialTree(t *testing.T, knowing ...string) *tree {
+// newCanaryTree starts a root whose services are all gathered by another node; some of the nodes know of the rollout of s0.
+func newCanaryTree(t *testing.T, knowing ...string) *tree {
 	t.Helper()
 	small, large := near("root"), near("there")
 	small.Processors, large.Processors = 0.2, 0.8
 	b := newTree(t, small, large, far("far"))
 	for id, node := range b.nodes {
-		node.gateway.canary = canary.New(drawAll(), node.catalog, trialFleet{})
+		node.gateway.canary = canary.New(drawAll(), node.catalog, canaryFleet{})
 		put(t, node.catalog, catalog.LeafKey("s0"+zoneNear), nil)
 		put(t, node.catalog, catalog.LeafKey("s0"+zoneFar), nil)
-		orderTrial(t, node.catalog, zoneNear)
+		startRollout(t, node.catalog, zoneNear)
 		if !slices.Contains(knowing, id) {
 			put(t, node.catalog, catalog.RolloutKey("s0"), nil)
 		}
@@ -45,14 +45,14 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := newTrialTree(t, c.knowing...)
+			b := newCanaryTree(t, c.knowing...)
 			for range 5 {
 				b.requireWhole(b.ask("root"))
 			}
 			is.Equal(len(b.seen.by("root")), 0)
 			drawn := 0
 			for _, leaf := range b.seen.by("there") {
-				if isOnTrial(leaf) {
+				if isCanary(leaf) {
 					drawn++
 				}
 			}
@@ -64,29 +64,29 @@
 // Groups don't count for the share of the root.
 func TestPassedOnRequestsAreNotCounted(t *testing.T) {
 	is := is.New(t)
-	b := newTrialTree(t, "root", "there")
+	b := newCanaryTree(t, "root", "there")
 	root := b.nodes["root"].gateway
 	half := drawAll()
 	half.Share = 0.5
-	root.canary = canary.New(half, root.catalog, trialFleet{})
+	root.canary = canary.New(half, root.catalog, canaryFleet{})
 	for range 5 {
 		b.requireWhole(b.ask("root"))
 	}
 	is.Equal(len(b.seen.by("root")), 0)
 	is.Equal(root.canary.Draw(canary.Request{Service: "s0"}), canary.Draw{})
-	is.Equal(root.canary.Draw(canary.Request{Service: "s0"}).First, canary.Trial)
+	is.Equal(root.canary.Draw(canary.Request{Service: "s0"}).First, canary.Target)
 }
 
 // Once requests are switched to a version, placement follows its leafs.
 func TestPlacementFollowsTheVersionFoundGood(t *testing.T) {
 	is := is.New(t)
-	b := newTrialTree(t, "far")
+	b := newCanaryTree(t, "far")
 	node := b.nodes["far"]
 	placed := newPlacement(node.catalog, zoneFar, nil)
 	entry := node.catalog.View().Routes.Match("h", "/pages/1")
 	is.True(!slices.Contains(placed.of(entry)[0].shards, 0))
 	for _, id := range []string{"s0c", "s0d"} {
-		put(t, node.catalog, catalog.LeafKey(id), trialLeaf(id, "v2", zoneFar))
+		put(t, node.catalog, catalog.LeafKey(id), versionedLeaf(id, "v2", zoneFar))
 	}
 	is.True(!slices.Contains(placed.of(entry)[0].shards, 0))
 	order := node.catalog.View().Rollouts["s0"].Order.Revision
@@ -96,14 +96,14 @@
 
 // Draws go only to regions that the route allows and to zones that are not evacuated.
 func TestDrawsKeepToRegionsAndEvacuations(t *testing.T) {
-	inTrial(t, drawAll(), func(is *is.I, b *trialGateway) {
+	withCanary(t, drawAll(), func(is *is.I, b *canaryGateway) {
 		b.regions = map[string]string{zoneNear: regionWest, zoneFar: regionWest, zoneFarther: regionSouth}
 		for id, zone := range map[string]string{"s0a": zoneNear, "s0c": zoneFarther, "s0d": zoneFar} {
 			version := "v2"
 			if id == "s0a" {
 				version = "v1"
 			}
-			put(b.t, b.catalog, catalog.LeafKey(id), trialLeaf(id, version, zone))
+			put(b.t, b.catalog, catalog.LeafKey(id), versionedLeaf(id, version, zone))
 		}
 		put(b.t, b.catalog, catalog.RoutesKey, routing.Configuration{Version: 2, Routes: []routing.Route{{
 			Host: "h", Prefix: "/single/", Service: "s0", Repeatability: routing.Repeatable, Regions: []string{regionWest},
--- a/internal/request/gateway/candidates.go
+++ b/internal/request/gateway/candidates.go
@@ -60,11 +60,11 @@
 func (g *Gateway) askableLeafs(service askedService, versions canary.Versions, targets *[]leafTarget) []balancer.Candidate {
 	*targets = nil
 	var candidates []balancer.Candidate
-	if versions != canary.Trial {
+	if versions != canary.Target {
 		candidates = g.appendAskable(candidates, service, g.servingLeafs(service.name), targets)
 	}
 	if versions != canary.Serving {
-		candidates = g.appendAskable(candidates, service, g.trialLeafs(service.name, versions), targets)
+		candidates = g.appendAskable(candidates, service, g.canaryLeafs(service.name, versions), targets)
 	}
 	return candidates
 }
@@ -100,10 +100,10 @@
 	return leafs
 }
 
-// trialLeafs returns the leafs of a service's version on trial. Once all requests go to that version, recently lost
+// canaryLeafs returns the leafs of a service's canary version. Once all requests go to that version, recently lost
 // ones are included if there are no others.
-func (g *Gateway) trialLeafs(service string, versions canary.Versions) []*leafset.Leaf {
-	if versions == canary.Trial {
+func (g *Gateway) canaryLeafs(service string, versions canary.Versions) []*leafset.Leaf {
+	if versions == canary.Target {
 		return g.memory.Canaries(service)
 	}
 	return g.catalog.View().Leafs.Canaries(service)
--- a/internal/request/gateway/gateway.go
+++ b/internal/request/gateway/gateway.go
@@ -72,9 +72,9 @@
 	Leafs     LeafCaller
 	// Warmup limits the requests to cold leafs; nil means no limit.
 	Warmup *warmup.Limiter
-	// Canary decides which requests go to versions on trial; nil means none.
+	// Canary decides which requests go to canary versions; nil means none.
 	Canary *canary.Splitter
-	// Evidence counts the answers of versions on trial; nil means that nothing is counted.
+	// Evidence counts the answers of canary versions; nil means that nothing is counted.
 	Evidence *evidence.Collector
 	Events   EventLog
 	// Self is this node's own record.
--- a/internal/request/gateway/placement.go
+++ b/internal/request/gateway/placement.go
@@ -91,7 +91,7 @@
 	return zones
 }
 
-// placedLeafs returns the leafs by which a service is placed: the serving ones, or those on trial once requests are
+// placedLeafs returns the leafs by which a service is placed: the serving ones, or the canaries once requests are
 // being switched to their version.
 func placedLeafs(leafs *leafset.Set, service string) []*leafset.Leaf {
 	if leafs.Rule(service).Phase == rollout.Switching {
--- a/internal/request/gateway/refuse.go
+++ b/internal/request/gateway/refuse.go
@@ -80,8 +80,8 @@
 		return nil
 	}
 	required := e.request.leastParts()
-	without, onlyTrial := e.shardsWithoutLeafs()
-	without += len(onlyTrial) - e.drawForTrial(onlyTrial, required-(len(e.services)-without-len(onlyTrial)))
+	without, canaryOnly := e.shardsWithoutLeafs()
+	without += len(canaryOnly) - e.drawForCanary(canaryOnly, required-(len(e.services)-without-len(canaryOnly)))
 	if len(e.services)-without >= required {
 		return nil
 	}
@@ -93,29 +93,29 @@
 }
 
 // shardsWithoutLeafs counts the shards without a leaf that may run the request, and returns the shards whose only such
-// leafs are on trial, so that a canary draw decides whether they may run it.
-func (e *execution) shardsWithoutLeafs() (without int, onlyTrial []int) {
+// leafs are canaries, so that a canary draw decides whether they may run it.
+func (e *execution) shardsWithoutLeafs() (without int, canaryOnly []int) {
 	for index := range e.services {
 		switch {
 		case e.hasLeaf(index):
 		case e.mayBeDrawn(index):
-			onlyTrial = append(onlyTrial, index)
+			canaryOnly = append(canaryOnly, index)
 		default:
 			without++
 		}
 	}
-	return without, onlyTrial
+	return without, canaryOnly
 }
 
-// drawForTrial draws shards until as many as wanted are drawn for the version on trial, and returns their number. If
-// there can't be enough it draws none or refunds the draws, so that a refused request takes nothing from the trial.
-func (e *execution) drawForTrial(shards []int, wanted int) int {
+// drawForCanary draws shards until as many as wanted are drawn for the canary version, and returns their number. If
+// there can't be enough it draws none or refunds the draws, so that a refused request takes nothing from the canary.
+func (e *execution) drawForCanary(shards []int, wanted int) int {
 	if wanted <= 0 || wanted > len(shards) {
 		return 0
 	}
 	count := 0
 	for _, shard := range shards {
-		if e.draw(shard, true).First == canary.Trial {
+		if e.draw(shard, true).First == canary.Target {
 			if count++; count == wanted {
 				return count
 			}
@@ -130,13 +130,13 @@
 func (e *execution) hasLeaf(index int) bool {
 	service := e.services[index]
 	versions := e.gateway.undrawnVersions(service)
-	if versions != canary.Trial && e.anyMayRun(e.gateway.servingLeafs(service)) {
+	if versions != canary.Target && e.anyMayRun(e.gateway.servingLeafs(service)) {
 		return true
 	}
-	return versions != canary.Serving && e.anyMayRun(e.gateway.trialLeafs(service, versions))
+	return versions != canary.Serving && e.anyMayRun(e.gateway.canaryLeafs(service, versions))
 }
 
-// mayBeDrawn reports whether a canary draw of this node could send a shard to a leaf on trial.
+// mayBeDrawn reports whether a canary draw of this node could send a shard to a canary.
 func (e *execution) mayBeDrawn(index int) bool {
 	return !e.isInGroup(index) && e.anyMayRun(e.gateway.catalog.View().Leafs.Canaries(e.services[index]))
 }
--- a/internal/request/gateway/warm.go
+++ b/internal/request/gateway/warm.go
@@ -62,29 +62,29 @@
 	g.leafs.Warm(ordered)
 }
 
-// warmTrials opens a connection to a leaf of each version on trial that this node's canary draws would go to, once for
+// warmCanaries opens a connection to a leaf of each canary version that this node's canary draws would go to, once for
 // each rollout order. warmed has the orders that are done, by service.
-func (g *Gateway) warmTrials(warmed map[string]int64) {
+func (g *Gateway) warmCanaries(warmed map[string]int64) {
 	view := g.catalog.View()
 	for service := range warmed {
-		if view.Leafs.Rule(service).Trial == "" {
+		if view.Leafs.Rule(service).Canary == "" {
 			delete(warmed, service)
 		}
 	}
 	for service := range view.Rollouts {
 		order := view.Leafs.Rule(service).Order
-		if order == 0 || warmed[service] == order || len(warmed) >= maximumWarmed || !g.canary.IsTrialOpen(service) {
+		if order == 0 || warmed[service] == order || len(warmed) >= maximumWarmed || !g.canary.IsCanaryOpen(service) {
 			continue
 		}
-		if g.warmTrial(view, service) {
+		if g.warmCanary(view, service) {
 			warmed[service] = order
 		}
 	}
 }
 
-// warmTrial opens a connection to the leaf on trial that draws go to first, and reports whether there is any leaf on
+// warmCanary opens a connection to the canary that draws go to first, and reports whether there is any leaf on
 // trial.
-func (g *Gateway) warmTrial(view *catalog.View, service string) bool {
+func (g *Gateway) warmCanary(view *catalog.View, service string) bool {
 	leafs := g.canary.FocusOrder(service, view.Leafs.Canaries(service))
 	if len(leafs) == 0 || view.Routes == nil {
 		return false
@@ -92,7 +92,7 @@
 	known, _ := view.Routes.Service(service)
 	asked := askedService{name: service, isGathered: view.Routes.IsGathered(service), maximumConnections: known.MaximumConnections}
 	var targets []leafTarget
-	g.askableLeafs(asked, canary.Trial, &targets)
+	g.askableLeafs(asked, canary.Target, &targets)
 	for _, leaf := range leafs {
 		if slices.ContainsFunc(targets, func(target leafTarget) bool { return target.LeafID == leaf.ID && target.Connections > 0 }) {
 			g.warmLeaf(leaf.ID, targets)
@@ -106,18 +106,18 @@
 const changeBacklog = 16
 
 // KeepWarm opens connections for the services that the configuration in force gathers, again for each new
-// configuration, and for each version that goes on trial, until the context ends.
+// configuration, and for each version that becomes a canary, until the context ends.
 func (g *Gateway) KeepWarm(ctx context.Context) {
 	changes, stop := g.catalog.Subscribe(changeBacklog)
 	defer stop()
 	warmed := g.catalog.View().Routes
-	trials := map[string]int64{}
+	warmedOrders := map[string]int64{}
 	g.Warm()
-	g.followTrials(trials)
+	g.followRollouts(warmedOrders)
 	for {
 		select {
 		case <-changes:
-			g.followTrials(trials)
+			g.followRollouts(warmedOrders)
 			if routes := g.catalog.View().Routes; routes != warmed {
 				warmed = routes
 				g.Warm()
@@ -128,11 +128,11 @@
 	}
 }
 
-// followTrials reads new rollout orders, and warms the versions on trial.
-func (g *Gateway) followTrials(warmed map[string]int64) {
+// followRollouts reads new rollout orders, and warms the canary versions.
+func (g *Gateway) followRollouts(warmed map[string]int64) {
 	if g.canary == nil {
 		return
 	}
 	g.canary.Refresh()
-	g.warmTrials(warmed)
+	g.warmCanaries(warmed)
 }
--- a/internal/rollout/canary/bound_test.go
+++ b/internal/rollout/canary/bound_test.go
@@ -180,7 +180,7 @@
 	is.Equal(draw(splitter, 12, false), 0)
 	request := Request{Service: "s"}
 	drawn := splitter.Draw(request)
-	is.True(drawn.First == Trial && drawn.IsBounded)
+	is.True(drawn.First == Target && drawn.IsBounded)
 	is.Equal(draw(splitter, 1, false), 0)
 	splitter.Refund(request, drawn)
 	is.Equal(draw(splitter, 1, false), 1)
@@ -206,7 +206,7 @@
 	unserved := func(s *Splitter, n int) int {
 		drawn := 0
 		for range n {
-			if s.Draw(Request{Service: "s", Unserved: true}).First == Trial {
+			if s.Draw(Request{Service: "s", Unserved: true}).First == Target {
 				drawn++
 			}
 		}
--- a/internal/rollout/canary/budget.go
+++ b/internal/rollout/canary/budget.go
@@ -25,7 +25,7 @@
 // focusTurns is the number of leafs that bounded draws go to, one after the other, during an order.
 const focusTurns = 12
 
-// budget is how many requests this node may send to the version on trial of one order. The lock of the splitter
+// budget is how many requests this node may send to the canary version of one order. The lock of the splitter
 // guards it.
 type budget struct {
 	order int64
--- a/internal/rollout/canary/config.go
+++ b/internal/rollout/canary/config.go
@@ -1,4 +1,4 @@
-// Package canary decides, for one node, which requests of a service go to the leafs of a version on trial.
+// Package canary decides, for one node, which requests of a service go to the leafs of a canary version.
 //
 // A version that is not yet found good gets a bounded share of the requests. Each node keeps the bound by counting
 // its own requests, without messages. Once the version was found good, each node moves all of its requests to it
@@ -15,7 +15,7 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// Config sets the share of requests for a version on trial.
+// Config sets the share of requests for a canary version.
 type Config struct {
 	// Share is the part of a service's requests, 0 to 1, that a version not yet found good may get.
 	Share float64 `yaml:"share"`
@@ -31,7 +31,7 @@
 	ConfirmedWithin time.Duration `yaml:"confirmed_within"`
 }
 
-// DefaultConfig gives a version on trial a tenth of the requests. ConfirmedWithin lies above the age of the
+// DefaultConfig gives a canary version a tenth of the requests. ConfirmedWithin lies above the age of the
 // configuration at a healthy node, so that the move of the requests does not lapse there.
 func DefaultConfig() Config {
 	return Config{Share: 0.1, Used: 0.8, Ramp: 2 * time.Second, ConfirmedWithin: 6 * time.Second}
--- a/internal/rollout/canary/fixture_test.go
+++ b/internal/rollout/canary/fixture_test.go
@@ -90,11 +90,11 @@
 	return made
 }
 
-// draw draws n times and returns how many requests went to the version on trial.
+// draw draws n times and returns how many requests went to the canary version.
 func draw(s *Splitter, n int, once bool) int {
 	drawn := 0
 	for range n {
-		if s.Draw(Request{Service: "s", Once: once}).First == Trial {
+		if s.Draw(Request{Service: "s", Once: once}).First == Target {
 			drawn++
 		}
 	}
--- a/internal/rollout/canary/inflight.go
+++ b/internal/rollout/canary/inflight.go
@@ -68,5 +68,5 @@
 // isSettled reports whether nothing of a service goes to, or is in flight at, the version that served. Attempts are
 // counted before their last check, so that none can begin after the ramp has ended. The lock must be held.
 func (s *Splitter) isSettled(service string, rule rollout.Rule, budget *budget) bool {
-	return s.stage(service, rule, budget, s.now()) == moved && !s.inFlight.anyBeside(service, rule.Trial)
+	return s.stage(service, rule, budget, s.now()) == moved && !s.inFlight.anyBeside(service, rule.Canary)
 }
--- a/internal/rollout/canary/splitter.go
+++ b/internal/rollout/canary/splitter.go
@@ -19,9 +19,9 @@
 const (
 	// Serving is the version that serves.
 	Serving Versions = iota
-	// Trial is the version on trial.
-	Trial
-	// Both are the version that serves and the one on trial.
+	// Target is the canary version.
+	Target
+	// Both are the version that serves and the canary.
 	Both
 )
 
@@ -31,13 +31,13 @@
 	// Once says that the request must run at most once.
 	Once bool
 	// Unserved says that no healthy leaf of the serving version can take the request. It reaches the service only if it
-	// is drawn for the version on trial, so it does not increase that version's share.
+	// is drawn for the canary version, so it does not increase that version's share.
 	Unserved bool
 }
 
 // Draw is the decision where the first attempt of a request goes.
 type Draw struct {
-	// First is Serving or Trial.
+	// First is Serving or Target.
 	First Versions
 	// IsBounded says that the attempt uses the bounded share: it goes to the first usable leaf by FocusOrder.
 	IsBounded bool
@@ -100,7 +100,7 @@
 		}
 	}
 	for service := range view.Rollouts {
-		if rule := view.Leafs.Rule(service); rule.Trial != "" {
+		if rule := view.Leafs.Rule(service); rule.Canary != "" {
 			s.budget(view, service, rule)
 		}
 	}
@@ -113,14 +113,14 @@
 // sent.
 func (s *Splitter) Draw(request Request) Draw {
 	service := request.Service
-	if s.catalog.View().Leafs.Rule(service).Trial == "" {
+	if s.catalog.View().Leafs.Rule(service).Canary == "" {
 		return Draw{}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	view := s.view()
 	rule := view.Leafs.Rule(service)
-	if rule.Trial == "" {
+	if rule.Canary == "" {
 		return Draw{}
 	}
 	budget, now := s.budget(view, service, rule), s.now()
@@ -129,18 +129,18 @@
 		budget.requests++
 	}
 	stage := s.stage(service, rule, budget, now)
-	if !s.isForTrial(view, request, stage, budget, now) {
+	if !s.isForCanary(view, request, stage, budget, now) {
 		return Draw{}
 	}
 	budget.count(request.Once, 1)
 	if stage == bounded {
-		return Draw{First: Trial, IsBounded: true, order: rule.Order}
+		return Draw{First: Target, IsBounded: true, order: rule.Order}
 	}
-	return Draw{First: Trial}
+	return Draw{First: Target}
 }
 
-// isForTrial decides whether the first attempt of a request goes to the version on trial. The lock must be held.
-func (s *Splitter) isForTrial(view *catalog.View, request Request, stage stage, budget *budget, now time.Time) bool {
+// isForCanary decides whether the first attempt of a request goes to the canary version. The lock must be held.
+func (s *Splitter) isForCanary(view *catalog.View, request Request, stage stage, budget *budget, now time.Time) bool {
 	switch stage {
 	case moved:
 		return true
@@ -163,7 +163,7 @@
 	}
 }
 
-// FocusOrder returns leafs of the version on trial, sorted by id, in the order in which bounded draws try them. At
+// FocusOrder returns leafs of the canary version, sorted by id, in the order in which bounded draws try them. At
 // any time all nodes try the same leaf first, so that single leafs get the load of full service.
 func (s *Splitter) FocusOrder(service string, leafs []*leafset.Leaf) []*leafset.Leaf {
 	s.mu.Lock()
@@ -182,14 +182,14 @@
 	case ramping:
 		return Both
 	case moved:
-		return Trial
+		return Target
 	case stopped, bounded:
 	}
 	return Serving
 }
 
-// IsTrialOpen reports whether the version on trial may get any request now.
-func (s *Splitter) IsTrialOpen(service string) bool { return s.stageNow(service) != stopped }
+// IsCanaryOpen reports whether the canary version may get any request now.
+func (s *Splitter) IsCanaryOpen(service string) bool { return s.stageNow(service) != stopped }
 
 // MayAsk reports whether a leaf may be sent a request now, by its version. Attempts planned earlier are checked by it
 // again just before they are sent. An unknown leaf may not.
@@ -200,11 +200,11 @@
 		return false
 	}
 	rule := view.Leafs.Rule(leaf.Service)
-	if rule.Trial == "" {
+	if rule.Canary == "" {
 		return rule.IsServing(leaf.Version)
 	}
-	if rule.IsTrial(leaf.Version) {
-		return s.IsTrialOpen(leaf.Service)
+	if rule.IsCanary(leaf.Version) {
+		return s.IsCanaryOpen(leaf.Service)
 	}
 	return rule.IsServing(leaf.Version) && s.stageNow(leaf.Service) != moved
 }
--- a/internal/rollout/canary/stage.go
+++ b/internal/rollout/canary/stage.go
@@ -12,7 +12,7 @@
 
 // The stages.
 const (
-	// stopped means that the version on trial gets nothing: there is none, its order is held, or its time is over.
+	// stopped means that the canary version gets nothing: there is none, its order is held, or its time is over.
 	stopped stage = iota
 	// bounded means that it gets the bounded share, of first attempts only.
 	bounded
@@ -24,14 +24,14 @@
 
 // stageNow returns the stage of the order of a service.
 func (s *Splitter) stageNow(service string) stage {
-	if s.catalog.View().Leafs.Rule(service).Trial == "" {
+	if s.catalog.View().Leafs.Rule(service).Canary == "" {
 		return stopped
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	view := s.view()
 	rule := view.Leafs.Rule(service)
-	if rule.Trial == "" {
+	if rule.Canary == "" {
 		return stopped
 	}
 	return s.stage(service, rule, s.budget(view, service, rule), s.now())
@@ -71,7 +71,7 @@
 // maxHolds bounds the services whose holds are kept, well above those that a fleet moves at once.
 const maxHolds = 4096
 
-// Hold stops the version on trial of an order for good, whatever the configuration says about it.
+// Hold stops the canary version of an order for good, whatever the configuration says about it.
 func (s *Splitter) Hold(service string, order int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/rollout/canary/stage_test.go
+++ b/internal/rollout/canary/stage_test.go
@@ -26,7 +26,7 @@
 	is.Equal(draw(splitter, 100, false), 0)
 	is.Equal(splitter.RetryVersions("s"), Serving)
 	is.Equal(may(splitter), "true false")
-	is.True(!splitter.IsTrialOpen("s") && !splitter.MayAsk("unknown"))
+	is.True(!splitter.IsCanaryOpen("s") && !splitter.MayAsk("unknown"))
 	is.Equal(len(splitter.budgets), 0)
 }
 
@@ -116,14 +116,14 @@
 	}{{0, 0.1}, {0.5, 0.55}, {0.9, 0.91}} {
 		built.clock = splitter.budgets["s"].switchedAt.Add(time.Duration(step.part * float64(2*time.Second)))
 		chance = step.share - 0.001
-		is.Equal(splitter.Draw(Request{Service: "s"}), Draw{First: Trial})
+		is.Equal(splitter.Draw(Request{Service: "s"}), Draw{First: Target})
 		chance = step.share + 0.001
 		is.Equal(splitter.Draw(Request{Service: "s"}), Draw{})
 		is.Equal(may(splitter), "true true")
 	}
 	built.pass(2 * time.Second)
-	is.Equal(splitter.Draw(Request{Service: "s", Once: true}), Draw{First: Trial})
-	is.Equal(splitter.RetryVersions("s"), Trial)
+	is.Equal(splitter.Draw(Request{Service: "s", Once: true}), Draw{First: Target})
+	is.Equal(splitter.RetryVersions("s"), Target)
 	is.Equal(may(splitter), "false true")
 	built.pass(lasts)
 	is.Equal(may(splitter), "false true") // its time only ends what is not found good
@@ -140,7 +140,7 @@
 	built.pass(1199 * time.Millisecond)
 	is.Equal(splitter.RetryVersions("s"), Both)
 	built.pass(time.Millisecond)
-	is.Equal(splitter.RetryVersions("s"), Trial)
+	is.Equal(splitter.RetryVersions("s"), Target)
 }
 
 // While the configuration was not confirmed recently nothing goes beyond the share.
@@ -217,7 +217,7 @@
 	is.Equal(splitter.FocusOrder("other", nil), nil)
 }
 
-// Without a leaf on trial nothing is drawn.
+// Without a canary nothing is drawn.
 func TestNothingIsDrawnWithoutLeafs(t *testing.T) {
 	is := is.New(t)
 	built, splitter, _ := started(t, 0)
--- a/internal/rollout/evidence/collector.go
+++ b/internal/rollout/evidence/collector.go
@@ -11,10 +11,10 @@
 )
 
 // maxRows bounds the rows that a node keeps. A service has one for each route of the serving version, and one for
-// each route and leaf on trial.
+// each route and canary.
 const maxRows = 4096
 
-// Collector counts how one node's attempts end at leafs of services with a version on trial. The leafs of the serving
+// Collector counts how one node's attempts end at leafs of services with a canary version. The leafs of the serving
 // version share a row for each route, without leaf and zone. It is safe for concurrent use.
 type Collector struct {
 	catalog *catalog.Catalog
@@ -61,7 +61,7 @@
 
 // isCounted reports whether a leaf's attempts are counted under a rule.
 func isCounted(rule rollout.Rule, leaf *leafset.Leaf) bool {
-	return rule.Trial != "" && (rule.IsTrial(leaf.Version) || rule.IsServing(leaf.Version))
+	return rule.Canary != "" && (rule.IsCanary(leaf.Version) || rule.IsServing(leaf.Version))
 }
 
 // Rows returns copies of all rows, in no particular order.
@@ -100,7 +100,7 @@
 		return // the rule has changed since IsCounted
 	}
 	key := Key{Service: leaf.Service, Order: rule.Order, Route: route, Version: leaf.Version}
-	if rule.IsTrial(leaf.Version) {
+	if rule.IsCanary(leaf.Version) {
 		key.Leaf, key.Zone = leaf.ID, leaf.Zone
 	}
 	kept, found := c.rows[key]
--- a/internal/rollout/evidence/collector_test.go
+++ b/internal/rollout/evidence/collector_test.go
@@ -49,7 +49,7 @@
 }
 
 // Leafs on trial have a row each, those that serve share one for each route; other leafs have none.
-func TestRowsTellLeafsOnTrialApart(t *testing.T) {
+func TestEachCanaryHasItsOwnRow(t *testing.T) {
 	is := is.New(t)
 	c, _, order := ordered(t)
 	for _, one := range []*leafset.Leaf{
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -165,16 +165,16 @@
 
 // Rule decides which versions of a service may get requests; the zero rule allows all.
 type Rule struct {
-	// Serving is the version that serves; empty means any but Trial and Barred.
+	// Serving is the version that serves; empty means any but Canary and Barred.
 	Serving string
 	// Barred is the version that was rolled back or withdrawn, if Serving is empty; otherwise all versions but
-	// Serving and Trial are barred.
+	// Serving and Canary are barred.
 	Barred string
 	// ExcludesUnversioned says that leafs without a version are those that served before Serving, and get nothing.
 	ExcludesUnversioned bool
-	// Trial is the version on trial, the target of the order under way; empty if there is none.
-	Trial string
-	// Phase is Canary or Switching while there is a Trial, else empty.
+	// Canary is the version that is rolled out, the target of the order under way; empty if there is none.
+	Canary string
+	// Phase is Canary or Switching while there is a Canary, else empty.
 	Phase Phase
 	// Order is the id of the order under way, 0 if there is none.
 	Order int64
@@ -185,7 +185,7 @@
 // RuleOf derives the rule of a service from its order and state, each nil if there is none, and the stored serving
 // version, empty if there is none. It is the only place that does.
 //
-// A final state decides which version serves. An order without a final state of its own puts its target on trial, in
+// A final state decides which version serves. An order without a final state of its own makes its target the canary, in
 // phase canary until a state says otherwise. If only leafs without a version served, the rule bars the target that was
 // rolled back, or excludes those leafs once a version has replaced them.
 func RuleOf(order *Order, state *State, written string) Rule {
@@ -206,11 +206,11 @@
 	if isStateOfOrder && state.Phase.IsFinal() {
 		return rule
 	}
-	rule.Trial, rule.Order, rule.Phase = order.Target, order.ID(), Canary
+	rule.Canary, rule.Order, rule.Phase = order.Target, order.ID(), Canary
 	if isStateOfOrder {
 		rule.Phase = state.Phase
 	}
-	if rule.Barred == rule.Trial {
+	if rule.Barred == rule.Canary {
 		rule.Barred = ""
 	}
 	return rule
@@ -222,7 +222,7 @@
 	if r.Serving != "" || first == "" || r.Barred == first {
 		return r
 	}
-	if r.Trial == first {
+	if r.Canary == first {
 		return Rule{Serving: first, Revision: r.Revision}
 	}
 	r.Serving, r.Barred = first, ""
@@ -235,8 +235,8 @@
 	if version == "" {
 		return !r.ExcludesUnversioned
 	}
-	return version == r.Serving || r.Serving == "" && version != r.Trial && version != r.Barred
+	return version == r.Serving || r.Serving == "" && version != r.Canary && version != r.Barred
 }
 
-// IsTrial reports whether a version is on trial by the rule.
-func (r Rule) IsTrial(version string) bool { return version != "" && version == r.Trial }
+// IsCanary reports whether a version is the canary by the rule.
+func (r Rule) IsCanary(version string) bool { return version != "" && version == r.Canary }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -26,7 +26,7 @@
 }
 
 func TestRuleFollowsFromOrderAndState(t *testing.T) {
-	canary := Rule{Serving: "v1", Trial: "v2", Phase: Canary, Order: orderRevision}
+	canary := Rule{Serving: "v1", Canary: "v2", Phase: Canary, Order: orderRevision}
 	withState := func(rule Rule, phase Phase) Rule {
 		rule.Revision, rule.Phase = 9, phase
 		return rule
@@ -46,16 +46,16 @@
 		{"succeeded", order("v2"), state(Succeeded, orderRevision), "v1", Rule{Serving: "v2", Revision: 9}},
 		{"rolled back", order("v2"), state(RolledBack, orderRevision), "v1", Rule{Serving: "v1", Revision: 9}},
 		{"the same order again after a roll-back", order("v2"), state(RolledBack, 5), "v1", withState(canary, Canary)},
-		{"another order replaced one found good", order("v3"), state(Switching, 5), "v1", Rule{Serving: "v1", Trial: "v3", Phase: Canary, Order: orderRevision, Revision: 9}},
-		{"another order after a success", order("v3"), state(Succeeded, 5), "v1", Rule{Serving: "v2", Trial: "v3", Phase: Canary, Order: orderRevision, Revision: 9}},
+		{"another order replaced one found good", order("v3"), state(Switching, 5), "v1", Rule{Serving: "v1", Canary: "v3", Phase: Canary, Order: orderRevision, Revision: 9}},
+		{"another order after a success", order("v3"), state(Succeeded, 5), "v1", Rule{Serving: "v2", Canary: "v3", Phase: Canary, Order: orderRevision, Revision: 9}},
 		{"the order was taken back", nil, state(Switching, orderRevision), "v1", Rule{Serving: "v1", Revision: 9}},
 		{"taken back after a success", nil, state(Succeeded, orderRevision), "v1", Rule{Serving: "v2", Revision: 9}},
 		{"rolled back where leafs had no version", order("v2"), unnamed(RolledBack, orderRevision), "", Rule{Barred: "v2", Revision: 9}},
 		{"taken back where leafs had no version", nil, unnamed(Switching, orderRevision), "", Rule{Barred: "v2", Revision: 9}},
-		{"on trial again where leafs had no version", order("v2"), unnamed(RolledBack, 5), "", Rule{Trial: "v2", Phase: Canary, Order: orderRevision, Revision: 9}},
-		{"another on trial where leafs had no version", order("v3"), unnamed(RolledBack, 5), "", Rule{Barred: "v2", Trial: "v3", Phase: Canary, Order: orderRevision, Revision: 9}},
+		{"on trial again where leafs had no version", order("v2"), unnamed(RolledBack, 5), "", Rule{Canary: "v2", Phase: Canary, Order: orderRevision, Revision: 9}},
+		{"another on trial where leafs had no version", order("v3"), unnamed(RolledBack, 5), "", Rule{Barred: "v2", Canary: "v3", Phase: Canary, Order: orderRevision, Revision: 9}},
 		{"succeeded where leafs had no version", order("v2"), unnamed(Succeeded, orderRevision), "", Rule{Serving: "v2", ExcludesUnversioned: true, Revision: 9}},
-		{"another on trial after that", order("v3"), unnamed(Succeeded, 5), "", Rule{Serving: "v2", ExcludesUnversioned: true, Trial: "v3", Phase: Canary, Order: orderRevision, Revision: 9}},
+		{"another on trial after that", order("v3"), unnamed(Succeeded, 5), "", Rule{Serving: "v2", ExcludesUnversioned: true, Canary: "v3", Phase: Canary, Order: orderRevision, Revision: 9}},
 		{"the target serves already", order("v1"), nil, "v1", Rule{Serving: "v1"}},
 	}
 	for _, c := range cases {
@@ -67,19 +67,19 @@
 
 func TestRuleTellsVersionsApart(t *testing.T) {
 	is := is.New(t)
-	rule := Rule{Serving: "v1", Trial: "v2"}
+	rule := Rule{Serving: "v1", Canary: "v2"}
 	is.True(rule.IsServing("v1") && rule.IsServing(""))
 	is.True(!rule.IsServing("v2") && !rule.IsServing("v3"))
-	is.True(rule.IsTrial("v2") && !rule.IsTrial("") && !rule.IsTrial("v1"))
-	unknown := Rule{Trial: "v2"}
+	is.True(rule.IsCanary("v2") && !rule.IsCanary("") && !rule.IsCanary("v1"))
+	unknown := Rule{Canary: "v2"}
 	is.True(unknown.IsServing("v1") && !unknown.IsServing("v2"))
 	rolledBack := Rule{Barred: "v2"}
-	is.True(rolledBack.IsServing("v1") && rolledBack.IsServing("") && !rolledBack.IsServing("v2") && !rolledBack.IsTrial("v2"))
+	is.True(rolledBack.IsServing("v1") && rolledBack.IsServing("") && !rolledBack.IsServing("v2") && !rolledBack.IsCanary("v2"))
 	is.Equal(rolledBack.WithDefaultServing("v2"), rolledBack)
 	is.Equal(rolledBack.WithDefaultServing("v1"), Rule{Serving: "v1"})
 	named := Rule{Serving: "v2", ExcludesUnversioned: true}
 	is.True(named.IsServing("v2") && !named.IsServing("") && !named.IsServing("v1"))
-	is.True(Rule{}.IsServing("v9") && !Rule{}.IsTrial(""))
+	is.True(Rule{}.IsServing("v9") && !Rule{}.IsCanary(""))
 }
 
 func TestFaultsNameTheField(t *testing.T) {
--- a/internal/rollout/rolloutcontrol/controller.go
+++ b/internal/rollout/rolloutcontrol/controller.go
@@ -1,5 +1,5 @@
 // Package rolloutcontrol carries out the orders that move services to other versions: it reports what each node
-// counted to the judges of a service, evaluates versions on trial, and writes the phase of each roll-out to the
+// counted to the judges of a service, evaluates canary versions, and writes the phase of each roll-out to the
 // store.
 //
 // Every node runs a Controller. The judges of a service are the first registered nodes by rendezvous hash.
@@ -25,9 +25,9 @@
 	"github.com/portgauge/portgauge/internal/node/boottime"
 )
 
-// Splitter is what draws this node's requests for versions on trial; canary.Splitter is the real one.
+// Splitter is what draws this node's requests for canary versions; canary.Splitter is the real one.
 type Splitter interface {
-	// Hold stops the trial of an order at this node for good.
+	// Hold stops the canary of an order at this node for good.
 	Hold(service string, order int64)
 	// SettledRevision returns the revision at which the node is settled: it sends nothing by an older rule any more.
 	SettledRevision() int64
--- a/internal/rollout/rolloutcontrol/controller_test.go
+++ b/internal/rollout/rolloutcontrol/controller_test.go
@@ -53,7 +53,7 @@
 		for _, node := range f.all() {
 			is.True(node.isHeld(orderKey{"s", revision}))
 		}
-		is.Equal(f.node("n0").catalog.View().Leafs.Rule("s").Trial, "")
+		is.Equal(f.node("n0").catalog.View().Leafs.Rule("s").Canary, "")
 	})
 }
 
--- a/internal/rollout/rolloutcontrol/fleet_test.go
+++ b/internal/rollout/rolloutcontrol/fleet_test.go
@@ -184,7 +184,7 @@
 	return f.store.set(catalog.RolloutKey(service), rollout.Order{Service: service, Target: target, DurationMillis: duration.Milliseconds()})
 }
 
-// serve makes each node send a request to the version on trial of each service every 100 ms, unless it is held; the
+// serve makes each node send a request to the canary version of each service every 100 ms, unless it is held; the
 // version fails from failsFrom on.
 func (f *fleet) serve(span, failsFrom time.Duration) {
 	const pause = 100 * time.Millisecond
--- a/internal/rollout/rolloutcontrol/node_test.go
+++ b/internal/rollout/rolloutcontrol/node_test.go
@@ -229,7 +229,7 @@
 	view := n.catalog.View()
 	for service := range view.Rollouts {
 		rule := view.Leafs.Rule(service)
-		if rule.Trial == "" || n.isHeld(orderKey{service, rule.Order}) {
+		if rule.Canary == "" || n.isHeld(orderKey{service, rule.Order}) {
 			continue
 		}
 		for _, leaf := range view.Leafs.Canaries(service) {
@@ -242,18 +242,18 @@
 
 // thresholdEvaluator finds a version bad by 10 failures, and good after half of the time without any.
 type thresholdEvaluator struct {
-	trial    string
+	canary   string
 	duration time.Duration
 }
 
-func newPlainJudging(_, trial string, duration time.Duration) Evaluator {
-	return thresholdEvaluator{trial, duration}
+func newPlainJudging(_, canary string, duration time.Duration) Evaluator {
+	return thresholdEvaluator{canary, duration}
 }
 
 func (j thresholdEvaluator) Update(elapsed time.Duration, rows []evidence.Row) verdict.Judgement {
 	for _, one := range countVersions(rows) {
 		switch {
-		case one.Version != j.trial:
+		case one.Version != j.canary:
 		case one.Failures >= 10:
 			return verdict.Judgement{Finding: verdict.Bad, Reason: "10 answers failed"}
 		case elapsed >= j.duration/2 && one.Attempts >= 5:
--- a/internal/rollout/rolloutcontrol/property_test.go
+++ b/internal/rollout/rolloutcontrol/property_test.go
@@ -39,7 +39,7 @@
 	}), 1, 14).Draw(t, "happenings")
 }
 
-// inject injects a fault and reports whether versions on trial fail from then on.
+// inject injects a fault and reports whether canary versions fail from then on.
 func (f *fleet) inject(h fault, fails bool) bool {
 	switch h.what {
 	case "order":
--- a/internal/rollout/verdict/config.go
+++ b/internal/rollout/verdict/config.go
@@ -36,7 +36,7 @@
 	// ColdFor is how long a new leaf may be slow, and ColdFactor the multiple of its limits until then.
 	ColdFor    time.Duration `yaml:"cold_for"`
 	ColdFactor float64       `yaml:"cold_factor"`
-	// Recent is the half-life of the serving version's recent answers, with which the version on trial is compared.
+	// Recent is the half-life of the serving version's recent answers, with which the canary version is compared.
 	Recent time.Duration `yaml:"recent"`
 	// Settle is how long a judge must have complete counts before it finds a version good.
 	Settle time.Duration `yaml:"settle"`
--- a/internal/rollout/verdict/finding.go
+++ b/internal/rollout/verdict/finding.go
@@ -32,7 +32,7 @@
 	// rareRouteShare is the share of a version's answers below which a route is rare.
 	rareRouteShare = 0.1
 	// minTrafficAnswers is the number of answers of the serving version below which a route has no traffic to speak
-	// of: of so few requests the version on trial gets hardly any by its share.
+	// of: of so few requests the canary version gets hardly any by its share.
 	minTrafficAnswers = 20
 )
 
@@ -127,7 +127,7 @@
 // alarms, plus a term that grows with the answers, since a sum that restarts has more chances to exceed a fixed level
 // by accident. The answers of the current update don't raise it, so that bad answers never excuse themselves.
 func (e *Evaluator) threshold() float64 {
-	return e.firstThreshold() + math.Log1p(float64(e.weighedTrialAttempts)/falseAlarmAnswers)
+	return e.firstThreshold() + math.Log1p(float64(e.weighedCanaryAttempts)/falseAlarmAnswers)
 }
 
 // firstThreshold returns the threshold for the first answers. It is lower once the version was found good, because
@@ -168,7 +168,7 @@
 	return answers >= minTrafficAnswers && answers >= rareRouteShare*whole
 }
 
-// hasAnswersOnAllRoutes reports whether the version on trial has enough answers on each route with traffic.
+// hasAnswersOnAllRoutes reports whether the canary version has enough answers on each route with traffic.
 func (e *Evaluator) hasAnswersOnAllRoutes() bool {
 	for _, route := range e.routes {
 		if route.cusums[0].seen.all < float64(e.cfg.LeastAnswers) && e.hasTraffic(route) {
@@ -205,7 +205,7 @@
 		signal = Late
 	}
 	j := Judgement{
-		Finding: e.finding, Serving: e.totals[0], Trial: e.totals[1], Route: worst.route, Signal: signal,
+		Finding: e.finding, Serving: e.totals[0], Canary: e.totals[1], Route: worst.route, Signal: signal,
 		Confidence: 1 / (1 + math.Exp(-worst.level)),
 	}
 	j.Reason = e.reason(j, worst)
@@ -219,6 +219,6 @@
 		route = "route " + worst.route
 	}
 	return fmt.Sprintf("Version %s is %s: on %s %.0f of %.0f answers %s, weight %.1f of %.1f; of all attempts %d of %d failed and %d were slow, of %s %d of %d and %d.",
-		e.trial, j.Finding, route, worst.seen.bad, worst.seen.all, j.Signal, worst.level, e.threshold(),
-		j.Trial.Failures, j.Trial.Attempts, j.Trial.Slow, e.serving, j.Serving.Failures, j.Serving.Attempts, j.Serving.Slow)
+		e.canary, j.Finding, route, worst.seen.bad, worst.seen.all, j.Signal, worst.level, e.threshold(),
+		j.Canary.Failures, j.Canary.Attempts, j.Canary.Slow, e.serving, j.Serving.Failures, j.Serving.Attempts, j.Serving.Slow)
 }
--- a/internal/rollout/verdict/helpers_test.go
+++ b/internal/rollout/verdict/helpers_test.go
@@ -40,7 +40,7 @@
 	return c[key]
 }
 
-// both counts clean answers of all leafs: ten of the serving version's for each of the version on trial.
+// both counts clean answers of all leafs: ten of the serving version's for each of the canary version.
 func (c counts) both(n int) {
 	for leaf := range leafs {
 		c.answers("v1", leaf, 10*n, 0, normalLatency)
--- a/internal/rollout/verdict/increment.go
+++ b/internal/rollout/verdict/increment.go
@@ -43,7 +43,7 @@
 	for _, row := range rows {
 		route := e.route(row.Route)
 		before := e.lastSeen[row.Key]
-		isKnown := row.Version == e.serving || row.Version == e.trial
+		isKnown := row.Version == e.serving || row.Version == e.canary
 		if route == nil || !isKnown || before == nil && len(e.lastSeen) >= maxRows {
 			continue
 		}
@@ -54,8 +54,8 @@
 		if row.Attempts() < before.counted.Attempts() {
 			continue
 		}
-		if row.Version == e.trial && len(e.leafs) == 0 {
-			e.trialSeenAt = elapsed
+		if row.Version == e.canary && len(e.leafs) == 0 {
+			e.canarySeenAt = elapsed
 		}
 		e.count(row, before, route)
 		added = append(added, before.advance(row, e.limitsOf(row.Key, route, elapsed), elapsed, e.cfg))
@@ -66,7 +66,7 @@
 // count adds the growth of a row to the totals of its version.
 func (e *Evaluator) count(row evidence.Row, before *lastCounts, route *route) {
 	total := &e.totals[0]
-	if row.Version == e.trial {
+	if row.Version == e.canary {
 		total = &e.totals[1]
 		e.leafs[row.Leaf] = true
 	}
--- a/internal/rollout/verdict/limits.go
+++ b/internal/rollout/verdict/limits.go
@@ -34,15 +34,15 @@
 	return limits
 }
 
-// limitsOf returns the limits that apply to a row. They are wider for the version on trial while its leafs may be
+// limitsOf returns the limits that apply to a row. They are wider for the canary version while its leafs may be
 // cold, and while the serving version has too few recent answers to compare with. A single leaf that starts later
 // than the others gets no allowance.
 func (e *Evaluator) limitsOf(key evidence.Key, route *route, elapsed time.Duration) []time.Duration {
-	if key.Version != e.trial || len(route.limits) == 0 {
+	if key.Version != e.canary || len(route.limits) == 0 {
 		return route.limits
 	}
 	factor := 1.0
-	if elapsed-e.trialSeenAt < e.cfg.ColdFor {
+	if elapsed-e.canarySeenAt < e.cfg.ColdFor {
 		factor = e.cfg.ColdFactor
 	}
 	if route.baseline.recent[0].all < minAnswersToCompare {
--- a/internal/rollout/verdict/verdict.go
+++ b/internal/rollout/verdict/verdict.go
@@ -16,7 +16,7 @@
 	"github.com/portgauge/portgauge/internal/rollout/evidence"
 )
 
-// Finding is the decision about a version on trial.
+// Finding is the decision about a canary version.
 type Finding string
 
 // The findings. Bad is final; Good may turn into Bad.
@@ -49,7 +49,7 @@
 	// Reason explains the finding in one sentence, with the figures.
 	Reason  string
 	Serving Totals
-	Trial   Totals
+	Canary  Totals
 	// Route is the route with the strongest evidence against the version; empty for all routes together.
 	Route string
 	// Signal is the kind of bad answer with the strongest evidence there.
@@ -58,27 +58,27 @@
 	Confidence float64
 }
 
-// Evaluator evaluates the version on trial of one order. It is not safe for concurrent use.
+// Evaluator evaluates the canary version of one order. It is not safe for concurrent use.
 type Evaluator struct {
-	cfg            Config
-	serving, trial string
-	duration       time.Duration
+	cfg             Config
+	serving, canary string
+	duration        time.Duration
 
 	lastSeen map[evidence.Key]*lastCounts
 	routes   map[string]*route
 	pooled   []*cusum
 	leafs    map[string]bool
 	finding  Finding
-	// lastUpdate is the time of the last update, trialSeenAt the time of the first counts of the version on trial;
+	// lastUpdate is the time of the last update, canarySeenAt the time of the first counts of the canary version;
 	// both are since the order.
-	lastUpdate, trialSeenAt time.Duration
+	lastUpdate, canarySeenAt time.Duration
 	// completeSince is the time from which the counts are complete, maxAttempts the highest number of attempts seen.
 	completeSince time.Duration
 	maxAttempts   int64
 	hasStarted    bool
 	totals        [2]Totals
-	// weighedTrialAttempts is the attempts at the version on trial up to the previous update.
-	weighedTrialAttempts int64
+	// weighedCanaryAttempts is the attempts at the canary version up to the previous update.
+	weighedCanaryAttempts int64
 }
 
 // route is the state of one route.
@@ -90,10 +90,10 @@
 	limits []time.Duration
 }
 
-// New returns an evaluator for the version on trial beside the serving one, for an order of the given duration.
-func New(cfg Config, serving, trial string, duration time.Duration) *Evaluator {
+// New returns an evaluator for the canary version beside the serving one, for an order of the given duration.
+func New(cfg Config, serving, canary string, duration time.Duration) *Evaluator {
 	return &Evaluator{
-		cfg: cfg, serving: serving, trial: trial, duration: duration, finding: Undecided,
+		cfg: cfg, serving: serving, canary: canary, duration: duration, finding: Undecided,
 		lastSeen: map[evidence.Key]*lastCounts{}, routes: map[string]*route{}, pooled: cfg.cusums(), leafs: map[string]bool{},
 	}
 }
@@ -121,7 +121,7 @@
 
 // Update judges by the cumulative counts of the whole fleet, one row a key, at a time since the order.
 func (e *Evaluator) Update(elapsed time.Duration, rows []evidence.Row) Judgement {
-	e.weighedTrialAttempts = e.totals[1].Attempts
+	e.weighedCanaryAttempts = e.totals[1].Attempts
 	e.trackCompleteness(elapsed, rows)
 	e.setLimits(rows)
 	added := e.increments(elapsed, rows)
@@ -148,12 +148,12 @@
 	e.maxAttempts = max(e.maxAttempts, attempts)
 }
 
-// weigh counts the serving version's answers first, so that the version on trial is compared with the same moment.
+// weigh counts the serving version's answers first, so that the canary version is compared with the same moment.
 func (e *Evaluator) weigh(added []increment, elapsed time.Duration) {
 	e.observeServing(added)
 	for _, one := range added {
-		if one.key.Version == e.trial {
-			e.weighTrial(one)
+		if one.key.Version == e.canary {
+			e.weighCanary(one)
 		}
 	}
 	for _, s := range e.allCusums() {
@@ -177,7 +177,7 @@
 	}
 }
 
-func (e *Evaluator) weighTrial(added increment) {
+func (e *Evaluator) weighCanary(added increment) {
 	route := e.routes[added.key.Route]
 	for i, signal := range added.signals {
 		share := route.baseline.share(i, added.key.Zone)
--- a/internal/rollout/verdict/verdict_test.go
+++ b/internal/rollout/verdict/verdict_test.go
@@ -17,44 +17,44 @@
 
 func TestCleanVersionIsGoodButNotBeforeHalf(t *testing.T) {
 	is := is.New(t)
-	trial, c := newEvaluator(), counts{}
-	is.Equal(play(trial, c, 0, order/2, func() { c.both(3) }).Finding, verdict.Undecided)
-	j := play(trial, c, order/2, order*65/100, func() { c.both(3) })
+	evaluator, c := newEvaluator(), counts{}
+	is.Equal(play(evaluator, c, 0, order/2, func() { c.both(3) }).Finding, verdict.Undecided)
+	j := play(evaluator, c, order/2, order*65/100, func() { c.both(3) })
 	is.Equal(j.Finding, verdict.Good)
-	is.Equal(j.Trial.Failures, int64(0))
-	is.True(j.Trial.Attempts > 0 && j.Serving.Attempts == 10*j.Trial.Attempts)
+	is.Equal(j.Canary.Failures, int64(0))
+	is.True(j.Canary.Attempts > 0 && j.Serving.Attempts == 10*j.Canary.Attempts)
 }
 
 func TestBadIsFoundByFailuresAndTold(t *testing.T) {
 	is := is.New(t)
-	trial, c := newEvaluator(), counts{}
-	play(trial, c, 0, time.Second, func() { c.both(3) })
+	evaluator, c := newEvaluator(), counts{}
+	play(evaluator, c, 0, time.Second, func() { c.both(3) })
 	for leaf := range leafs {
 		c.answers("v2", leaf, 3, 3, normalLatency)
 	}
-	j := trial.Update(2*time.Second, c.rows())
+	j := evaluator.Update(2*time.Second, c.rows())
 	is.Equal(j.Finding, verdict.Bad)
 	is.Equal(j.Signal, verdict.Failed)
-	is.Equal(j.Trial.Failures, int64(9))
+	is.Equal(j.Canary.Failures, int64(9))
 	is.True(j.Confidence > 0.999)
 	is.True(strings.Contains(j.Reason, "9 of 36 failed"))
 }
 
 func TestBadStays(t *testing.T) {
 	is := is.New(t)
-	trial, c := newEvaluator(), counts{}
-	play(trial, c, 0, time.Second, func() { c.both(1) })
+	evaluator, c := newEvaluator(), counts{}
+	play(evaluator, c, 0, time.Second, func() { c.both(1) })
 	for leaf := range leafs {
 		c.answers("v2", leaf, 5, 5, normalLatency)
 	}
-	is.Equal(trial.Update(2*time.Second, c.rows()).Finding, verdict.Bad)
-	is.Equal(play(trial, c, 3*time.Second, order, func() { c.both(100) }).Finding, verdict.Bad)
+	is.Equal(evaluator.Update(2*time.Second, c.rows()).Finding, verdict.Bad)
+	is.Equal(play(evaluator, c, 3*time.Second, order, func() { c.both(100) }).Finding, verdict.Bad)
 }
 
 func TestOneLeafDoesNotCondemn(t *testing.T) {
 	is := is.New(t)
-	trial, c := newEvaluator(), counts{}
-	j := play(trial, c, 0, order*65/100, func() {
+	evaluator, c := newEvaluator(), counts{}
+	j := play(evaluator, c, 0, order*65/100, func() {
 		c.both(3)
 		c.answers("v2", 0, 20, 20, 8*normalLatency)
 	})
@@ -65,13 +65,13 @@
 func TestPauseBesideAnIllLeafDoesNotCondemn(t *testing.T) {
 	is := is.New(t)
 	for pause := 5 * time.Second; pause < order; pause += time.Second / 2 {
-		trial, c := newEvaluator(), counts{}
-		play(trial, c, 0, pause, func() {
+		evaluator, c := newEvaluator(), counts{}
+		play(evaluator, c, 0, pause, func() {
 			c.both(1)
 			c.answers("v2", 0, 5, 0, 8*normalLatency)
 		})
 		c.answers("v2", 1, 10, 0, 10*normalLatency)
-		is.True(trial.Update(pause+time.Second/2, c.rows()).Finding != verdict.Bad)
+		is.True(evaluator.Update(pause+time.Second/2, c.rows()).Finding != verdict.Bad)
 	}
 }
 
@@ -86,52 +86,52 @@
 // A version of which only one leaf answers is judged by that leaf.
 func TestOnlyLeafCondemnsAfterHalf(t *testing.T) {
 	is := is.New(t)
-	trial, c := newEvaluator(), counts{}
+	evaluator, c := newEvaluator(), counts{}
 	grow := func() {
 		c.answers("v1", 0, 20, 0, normalLatency)
 		c.answers("v2", 0, 2, 2, normalLatency)
 	}
-	is.Equal(play(trial, c, 0, order/2, grow).Finding, verdict.Undecided)
-	is.Equal(play(trial, c, order/2, order, grow).Finding, verdict.Bad)
+	is.Equal(play(evaluator, c, 0, order/2, grow).Finding, verdict.Undecided)
+	is.Equal(play(evaluator, c, order/2, order, grow).Finding, verdict.Bad)
 }
 
 func TestGoodTurnsBadWhileSwitching(t *testing.T) {
 	is := is.New(t)
-	trial, c := newEvaluator(), counts{}
-	is.Equal(play(trial, c, 0, order*65/100, func() { c.both(3) }).Finding, verdict.Good)
+	evaluator, c := newEvaluator(), counts{}
+	is.Equal(play(evaluator, c, 0, order*65/100, func() { c.both(3) }).Finding, verdict.Good)
 	for leaf := range leafs {
 		c.answers("v2", leaf, 40, 8, normalLatency)
 	}
-	is.Equal(trial.Update(order*7/10, c.rows()).Finding, verdict.Bad)
+	is.Equal(evaluator.Update(order*7/10, c.rows()).Finding, verdict.Bad)
 }
 
 // A route with hardly any requests does not delay the finding that another route supports.
 func TestRareRouteIsJudgedByWhatThereIs(t *testing.T) {
 	is := is.New(t)
-	trial, c := newEvaluator(), counts{}
+	evaluator, c := newEvaluator(), counts{}
 	rare := evidence.Row{Key: evidence.Key{Service: "s", Order: 1, Route: "/rare", Version: "v2", Leaf: "v2-1"}}
 	rare.Observe(false, normalLatency)
 	var j verdict.Judgement
 	for at := time.Duration(0); at <= order*65/100; at += 500 * time.Millisecond {
 		c.both(3)
-		j = trial.Update(at, append(c.rows(), rare))
+		j = evaluator.Update(at, append(c.rows(), rare))
 	}
 	is.Equal(j.Finding, verdict.Good)
 }
 
-// A route with half of the serving version's answers is not rare because the version on trial got hardly any there:
+// A route with half of the serving version's answers is not rare because the canary version got hardly any there:
 // the version is not good until it has answered there, and then not before the time for little evidence.
-func TestRouteWithTrafficIsNotRareByWhatTheTrialGot(t *testing.T) {
+func TestRouteWithTrafficIsNotRareByCanaryTraffic(t *testing.T) {
 	is := is.New(t)
 	for _, seen := range []struct {
 		answers int
 		from    float64
 	}{{0, 2}, {2, 2}, {10, 0.75}, {200, 0.6}} {
-		trial, c := newEvaluator(), counts{}
+		evaluator, c := newEvaluator(), counts{}
 		var found float64
 		for at := time.Duration(0); at <= order && found == 0; at += 500 * time.Millisecond {
 			c.both(3)
-			if trial.Update(at, append(c.rows(), beside(c, seen.answers)...)).Finding == verdict.Good {
+			if evaluator.Update(at, append(c.rows(), beside(c, seen.answers)...)).Finding == verdict.Good {
 				found = float64(at) / float64(order)
 			}
 		}
@@ -143,7 +143,7 @@
 }
 
 // beside returns rows of another route, with as many answers of the serving version as on the first, and the given
-// number of answers of each leaf on trial.
+// number of answers of each canary.
 func beside(c counts, answers int) []evidence.Row {
 	rows := c.rows()
 	of := rows[:0]
@@ -165,17 +165,17 @@
 
 func TestNothingIsUndecided(t *testing.T) {
 	is := is.New(t)
-	trial := newEvaluator()
+	evaluator := newEvaluator()
 	for at := time.Duration(0); at <= order; at += time.Second {
-		is.Equal(trial.Update(at, nil).Finding, verdict.Undecided)
+		is.Equal(evaluator.Update(at, nil).Finding, verdict.Undecided)
 	}
 }
 
 // A version that never answers is not found good.
 func TestAttemptsWithoutAnswersAreNotGood(t *testing.T) {
 	is := is.New(t)
-	trial, c := newEvaluator(), counts{}
-	j := play(trial, c, 0, order, func() {
+	evaluator, c := newEvaluator(), counts{}
+	j := play(evaluator, c, 0, order, func() {
 		for leaf := range leafs {
 			c.answers("v1", leaf, 10, 0, normalLatency)
 			c.answers("v2", leaf, 0, 0, normalLatency)
@@ -188,13 +188,13 @@
 // Attempts given up before a limit do not make the share of failures smaller.
 func TestAttemptsWithoutAnswersDoNotExcuse(t *testing.T) {
 	is := is.New(t)
-	trial, c := newEvaluator(), counts{}
-	play(trial, c, 0, time.Second, func() { c.both(3) })
+	evaluator, c := newEvaluator(), counts{}
+	play(evaluator, c, 0, time.Second, func() { c.both(3) })
 	for leaf := range leafs {
 		c.answers("v2", leaf, 3, 3, normalLatency)
 		c.giveUp("v2", leaf, 1000, time.Millisecond)
 	}
-	is.Equal(trial.Update(2*time.Second, c.rows()).Finding, verdict.Bad)
+	is.Equal(evaluator.Update(2*time.Second, c.rows()).Finding, verdict.Bad)
 }
 
 // A judge that has just started receives the reports of the nodes one after the other.
@@ -202,20 +202,20 @@
 	is := is.New(t)
 	whole := counts{}
 	whole.both(40)
-	trial := newEvaluator()
-	is.Equal(trial.Update(order*7/10, whole.rows()).Finding, verdict.Undecided)
+	evaluator := newEvaluator()
+	is.Equal(evaluator.Update(order*7/10, whole.rows()).Finding, verdict.Undecided)
 	for leaf := range leafs {
 		whole.answers("v2", leaf, 30, 10, normalLatency)
 	}
-	is.Equal(trial.Update(order*7/10+time.Second/2, whole.rows()).Finding, verdict.Bad)
+	is.Equal(evaluator.Update(order*7/10+time.Second/2, whole.rows()).Finding, verdict.Bad)
 }
 
 func TestShrinkingRowsAreNotGood(t *testing.T) {
 	is := is.New(t)
-	trial, c, part := newEvaluator(), counts{}, counts{}
-	play(trial, c, 0, order/2, func() { c.both(3) })
+	evaluator, c, part := newEvaluator(), counts{}, counts{}
+	play(evaluator, c, 0, order/2, func() { c.both(3) })
 	part.both(5)
-	is.Equal(play(trial, part, order/2, order, func() {}).Finding, verdict.Undecided)
+	is.Equal(play(evaluator, part, order/2, order, func() {}).Finding, verdict.Undecided)
 }
 
 func TestConfigNamesFaults(t *testing.T) {
@@ -263,12 +263,12 @@
 // Arbitrary rows in any order cause no panic, and bad stays bad.
 func TestAnyRowsAreBorne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		trial, found := newEvaluator(), verdict.Undecided
+		evaluator, found := newEvaluator(), verdict.Undecided
 		for range rapid.IntRange(1, 8).Draw(t, "updates") {
 			c := counts{}
 			drawCounts(t, c)
 			at := time.Duration(rapid.IntRange(0, 20).Draw(t, "at")) * time.Second
-			j := trial.Update(at, c.rows())
+			j := evaluator.Update(at, c.rows())
 			if found == verdict.Bad && j.Finding != verdict.Bad || found == verdict.Good && j.Finding == verdict.Undecided {
 				t.Fatalf("%s after %s", j.Finding, found)
 			}
@@ -284,9 +284,9 @@
 // found bad before it gets all of them.
 func TestVersionThatFailsOnceItsRequestsMoveIsNotGood(t *testing.T) {
 	is := is.New(t)
-	trial, c := newEvaluator(), counts{}
+	evaluator, c := newEvaluator(), counts{}
 	number := 0
-	found := play(trial, c, 0, order*9/10, func() {
+	found := play(evaluator, c, 0, order*9/10, func() {
 		c.answers("v1", number%2, 8, 0, normalLatency)
 		if number%2 == 0 {
 			c.answers("v2", number/2%leafs, 1, 0, normalLatency)
@@ -298,5 +298,5 @@
 	for leaf, answers := range []int{6, 6, 5} {
 		c.answers("v2", leaf, answers, 1, normalLatency)
 	}
-	is.True(trial.Update(order, c.rows()).Finding != verdict.Good)
+	is.True(evaluator.Update(order, c.rows()).Finding != verdict.Good)
 }
--- a/internal/rollout/verdict/verdicttest/answers.go
+++ b/internal/rollout/verdict/verdicttest/answers.go
@@ -36,19 +36,19 @@
 
 // leaf is one leaf of a version.
 type leaf struct {
-	id      string
-	zone    int
-	number  int
-	onTrial bool
-	pause   time.Duration
-	phase   time.Duration
+	id       string
+	zone     int
+	number   int
+	isCanary bool
+	pause    time.Duration
+	phase    time.Duration
 }
 
-func newLeaf(id string, number int, onTrial bool, random *rand.Rand) leaf {
+func newLeaf(id string, number int, isCanary bool, random *rand.Rand) leaf {
 	pause := shortestPause + time.Duration(random.Int64N(int64(longestPause-shortestPause)))
 	period := time.Duration(float64(pause) / pauseShare)
 	return leaf{
-		id: id, zone: number % zones, number: number, onTrial: onTrial, pause: pause,
+		id: id, zone: number % zones, number: number, isCanary: isCanary, pause: pause,
 		phase: time.Duration(random.Int64N(int64(period))),
 	}
 }
@@ -79,10 +79,10 @@
 	}
 	factor := math.Exp(spread * p.random.NormFloat64())
 	a := answer{route: route, leaf: l}
-	if l.onTrial && at < coldFor {
+	if l.isCanary && at < coldFor {
 		factor *= coldFactor
 	}
-	if l.onTrial && p.isFaultActive(at, route, loaded) {
+	if l.isCanary && p.isFaultActive(at, route, loaded) {
 		factor = p.applyFault(&a, factor)
 	}
 	a.took = time.Duration(factor * float64(work))
@@ -118,7 +118,7 @@
 func (p *play) applyIncident(a *answer, at time.Duration, l *leaf) {
 	part := float64(at) / float64(p.of.Duration)
 	passing := part >= incidentFrom && part < incidentTo
-	chosen := l.onTrial && l.number == 0
+	chosen := l.isCanary && l.number == 0
 	switch p.of.Incident {
 	case DeadLeaf:
 		a.dropAnswer(chosen, time.Millisecond)
@@ -139,7 +139,7 @@
 	case BothFail:
 		a.failed = a.failed || passing && p.random.Float64() < bothFailShare
 	case OldGrey:
-		a.failed = a.failed || !l.onTrial && l.number == 0 && p.random.Float64() < greyShare
+		a.failed = a.failed || !l.isCanary && l.number == 0 && p.random.Float64() < greyShare
 	}
 }
 
--- a/internal/rollout/verdict/verdicttest/case.go
+++ b/internal/rollout/verdict/verdicttest/case.go
@@ -9,7 +9,7 @@
 // Incident is a disturbance that is not the new version's fault. Cold leafs and pauses occur in all cases.
 type Incident string
 
-// The incidents. Those of one leaf affect a leaf of the version on trial, except OldGrey.
+// The incidents. Those of one leaf affect a leaf of the canary version, except OldGrey.
 const (
 	None      Incident = "none"
 	DeadLeaf  Incident = "dead leaf"
--- a/internal/rollout/verdict/verdicttest/measure.go
+++ b/internal/rollout/verdict/verdicttest/measure.go
@@ -36,7 +36,7 @@
 type findingOnly struct{ *verdict.Evaluator }
 
 func newEvaluator(of Case) Evaluator {
-	return findingOnly{verdict.New(verdict.DefaultConfig(), Serving, OnTrial, of.withDefaults().Duration)}
+	return findingOnly{verdict.New(verdict.DefaultConfig(), Serving, Canary, of.withDefaults().Duration)}
 }
 
 // Update implements Evaluator.
--- a/internal/rollout/verdict/verdicttest/verdicttest.go
+++ b/internal/rollout/verdict/verdicttest/verdicttest.go
@@ -13,7 +13,7 @@
 // Names of the two versions.
 const (
 	Serving = "v1"
-	OnTrial = "v2"
+	Canary  = "v2"
 )
 
 // The share of the requests that a version not yet found good gets, as the nodes keep it.
@@ -42,7 +42,7 @@
 	Last verdict.Finding
 	// GoodAt and BadAt are when it was found good and bad, 0 for never.
 	GoodAt, BadAt time.Duration
-	// Answers and BadAnswers are those of the version on trial until it was found bad or the order ended.
+	// Answers and BadAnswers are those of the canary version until it was found bad or the order ended.
 	Answers    int
 	BadAnswers int
 	// SpentInSwitch says that it was found good before it was found bad.
@@ -158,8 +158,8 @@
 
 func (p *play) count(a answer) {
 	key := evidence.Key{Service: "s", Order: 1, Route: fmt.Sprint("/", a.route), Version: Serving, Leaf: a.leaf.id, Zone: fmt.Sprint("z", a.leaf.zone)}
-	if a.leaf.onTrial {
-		key.Version = OnTrial
+	if a.leaf.isCanary {
+		key.Version = Canary
 		p.outcome.Answers++
 		if a.isBad {
 			p.outcome.BadAnswers++
