--- a/internal/leaf/balancer/balancer.go
+++ b/internal/leaf/balancer/balancer.go
@@ -4,7 +4,7 @@
 // failures in a row, and how much slower than typical the leaf is by this node's attempts and by the observations of
 // other nodes. What replies show outweighs what a leaf reports: a leaf that claims to be idle but answers slowly is
 // passed over. Failing leafs are ejected, but the last replica of a shard is always asked, and ejected leafs come back
-// through one trial attempt at a time.
+// through one probe at a time.
 //
 // It starts no goroutines, does no input or output and returns no errors. Callers report the start and the end of each
 // attempt. Latencies are measured by the monotonic clock. Observations for other nodes are handed to a callback, see
--- a/internal/leaf/balancer/balancer_test.go
+++ b/internal/leaf/balancer/balancer_test.go
@@ -63,9 +63,9 @@
 		}
 		is.Equal(b.Choose(three()[:1], nil).Leaf.ID, "a") // the last replica is asked all the same
 		time.Sleep(DefaultConfig().EjectFor + time.Millisecond)
-		b.Start(bad) // the trial
+		b.Start(bad) // the probe
 		for range 200 {
-			is.True(b.Choose(three(), nil).Leaf.ID != "a") // one trial at a time
+			is.True(b.Choose(three(), nil).Leaf.ID != "a") // one probe at a time
 		}
 		b.Finish(bad, Succeeded, time.Millisecond, 0)
 		seen := false
--- a/internal/leaf/balancer/config.go
+++ b/internal/leaf/balancer/config.go
@@ -23,7 +23,7 @@
 	Method Method `yaml:"method"`
 	// EjectAfter is how many attempts in a row must fail before a leaf is ejected.
 	EjectAfter int `yaml:"eject_after"`
-	// EjectFor is how long an ejected leaf waits before its next trial.
+	// EjectFor is how long an ejected leaf waits before its next probe.
 	EjectFor time.Duration `yaml:"eject_for"`
 	// SlowFactor is how many times the latency of the fastest replica a replica may have and still be chosen.
 	SlowFactor float64 `yaml:"slow_factor"`
--- a/internal/leaf/balancer/ejection.go
+++ b/internal/leaf/balancer/ejection.go
@@ -7,7 +7,7 @@
 // Inputs: the failures in a row of this node's attempts at the leaf.
 //
 // Rule: a leaf is ejected for Config.EjectFor after Config.EjectAfter failures in a row, and again after each failed
-// trial. One success ends it, see readmit. An ejected leaf would otherwise cost each request a timeout or a retry.
+// probe. One success ends it, see readmit. An ejected leaf would otherwise cost each request a timeout or a retry.
 func (l *Leaf) countFailure(config Config, now time.Time) {
 	l.failures++
 	if l.failures >= config.EjectAfter || !l.ejectedUntil.IsZero() {
@@ -24,7 +24,7 @@
 	}
 }
 
-// isEjected reports whether the leaf is ejected now. Once the time is over, one attempt at a time is its trial.
+// isEjected reports whether the leaf is ejected now. Once the time is over, one attempt at a time probes it.
 func (l *Leaf) isEjected(now time.Time) bool {
-	return !l.ejectedUntil.IsZero() && (l.trial || now.Before(l.ejectedUntil))
+	return !l.ejectedUntil.IsZero() && (l.probing || now.Before(l.ejectedUntil))
 }
--- a/internal/leaf/balancer/leaf.go
+++ b/internal/leaf/balancer/leaf.go
@@ -51,7 +51,7 @@
 
 	failures      int // in a row
 	ejectedUntil  time.Time
-	trial         bool // one attempt is in flight to find out whether an ejected leaf is back
+	probing       bool // one attempt is in flight to find out whether an ejected leaf is back
 	drainingUntil time.Time
 	warmSince     time.Time
 
@@ -84,7 +84,7 @@
 	return &Leaf{ID: id, Zone: zone, key: KeyOf(id), limit: float64(config.InFlightLimit), warmSince: now}
 }
 
-// start counts an attempt as in flight; it marks the attempt as the trial of an ejected leaf.
+// start counts an attempt as in flight; it marks the attempt as the probe of an ejected leaf.
 func (l *Leaf) start(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -93,7 +93,7 @@
 		l.silentSince = now
 	}
 	if !l.ejectedUntil.IsZero() && now.After(l.ejectedUntil) {
-		l.trial = true
+		l.probing = true
 	}
 }
 
@@ -114,7 +114,7 @@
 	defer l.mu.Unlock()
 	wasEjected := !l.ejectedUntil.IsZero()
 	l.inFlight--
-	l.trial = false
+	l.probing = false
 	wasSilent := l.silence(now) > 0
 	l.updateSilence(outcome, now)
 	observation := l.compare(config, outcome, took, typical, now)
