--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -64,7 +64,7 @@
 const (
 	eventQuarantined       = "request_quarantined"
 	eventQuarantineSaved   = "quarantine_saved"
-	eventQuarantineTrial   = "quarantine_trial"
+	eventQuarantineRetest  = "quarantine_trial"
 	eventQuarantineLifted  = "quarantine_lifted"
 	eventQuarantineDropped = "quarantine_findings_dropped"
 )
@@ -76,8 +76,8 @@
 	Path    string                  `json:"path,omitempty"`
 	Caller  string                  `json:"caller,omitempty"`
 	// Leafs crashed under the request.
-	Leafs  []string `json:"leafs,omitempty"`
-	Trials int      `json:"trials,omitempty"`
+	Leafs   []string `json:"leafs,omitempty"`
+	Retests int      `json:"trials,omitempty"`
 	// By is the node that found it, From the node that this one learned it from.
 	By       string `json:"by,omitempty"`
 	From     string `json:"from,omitempty"`
@@ -88,7 +88,7 @@
 func (e quarantineEvents) write(name string, record quarantine.Record, from string, err error) {
 	event := quarantineEvent{
 		Time: time.Now(), Event: name, Content: record.Content, Path: record.Path, Caller: record.Caller,
-		Leafs: record.Leafs, Trials: record.Trials, By: record.By, From: from, Error: textOf(err),
+		Leafs: record.Leafs, Retests: record.Retests, By: record.By, From: from, Error: textOf(err),
 	}
 	e.log.Write(decisionlog.Failed, event)
 }
@@ -104,9 +104,9 @@
 	e.write(eventQuarantineSaved, record, "", err)
 }
 
-// Trial implements quarantinesync.EventLog.
-func (e quarantineEvents) Trial(record quarantine.Record, err error) {
-	e.write(eventQuarantineTrial, record, "", err)
+// Retest implements quarantinesync.EventLog.
+func (e quarantineEvents) Retest(record quarantine.Record, err error) {
+	e.write(eventQuarantineRetest, record, "", err)
 }
 
 // Lifted implements quarantinesync.EventLog.
--- a/internal/quarantine/config.go
+++ b/internal/quarantine/config.go
@@ -19,11 +19,12 @@
 	HerdEpisodes int `yaml:"herd_episodes"`
 	// SuspectMemory is how long evidence counts that is not enough yet.
 	SuspectMemory time.Duration `yaml:"suspect_memory"`
-	// Term is how long a request is refused until it is tried again at one leaf, Lengthening the factor by which each
-	// next term is longer, and Trials the largest number of trials; after that only an operator lifts the quarantine.
-	Term        time.Duration `yaml:"term"`
-	Lengthening int           `yaml:"lengthening"`
-	Trials      int           `yaml:"trials"`
+	// RetestAfter is how long a request is refused until it is tried again at one leaf. RetestBackoffFactor is the
+	// factor by which each next delay is longer. MaximumRetests is the largest number of retests; after that only an
+	// operator lifts the quarantine.
+	RetestAfter         time.Duration `yaml:"term"`
+	RetestBackoffFactor int           `yaml:"lengthening"`
+	MaximumRetests      int           `yaml:"trials"`
 	// Alert is how long after a request was put under quarantine further ones are expected: gathered requests go to
 	// one leaf first then.
 	Alert time.Duration `yaml:"alert"`
@@ -35,7 +36,8 @@
 // DefaultConfig lets a request crash three leafs, and tries it again after 10 minutes, an hour and six hours.
 func DefaultConfig() Config {
 	return Config{
-		Ends: 3, Episodes: 2, HerdEpisodes: 4, SuspectMemory: time.Minute, Term: 10 * time.Minute, Lengthening: 6, Trials: 3,
+		Ends: 3, Episodes: 2, HerdEpisodes: 4, SuspectMemory: time.Minute,
+		RetestAfter: 10 * time.Minute, RetestBackoffFactor: 6, MaximumRetests: 3,
 		Alert: time.Minute, MaximumSuspects: 1024, MaximumRecords: 256,
 	}
 }
@@ -47,9 +49,9 @@
 	checks.Refuse(c.Episodes < 1, "episodes", "must be at least 1")
 	checks.Refuse(c.HerdEpisodes < c.Episodes, "herd_episodes", "must be at least episodes")
 	checks.Refuse(c.SuspectMemory <= 0, "suspect_memory", "must be positive")
-	checks.Refuse(c.Term <= 0, "term", "must be positive")
-	checks.Refuse(c.Lengthening < 1, "lengthening", "must be at least 1")
-	checks.Refuse(c.Trials < 0, "trials", "must not be negative")
+	checks.Refuse(c.RetestAfter <= 0, "term", "must be positive")
+	checks.Refuse(c.RetestBackoffFactor < 1, "lengthening", "must be at least 1")
+	checks.Refuse(c.MaximumRetests < 0, "trials", "must not be negative")
 	checks.Refuse(c.Alert < 0, "alert", "must not be negative")
 	checks.Refuse(c.MaximumSuspects < 1, "maximum_suspects", "must be at least 1")
 	checks.Refuse(c.MaximumRecords < 1, "maximum_records", "must be at least 1")
--- a/internal/quarantine/execution.go
+++ b/internal/quarantine/execution.go
@@ -10,12 +10,12 @@
 	register *Register
 	subject  Subject
 	state    State
-	// record is the record of an execution that is refused or a trial.
+	// record is the record of an execution that is refused or a retest.
 	record *Record
 	// isAlert says that crashing requests were expected when the execution began.
 	isAlert bool
-	// isTrial says that the request is under quarantine, but may go to one leaf.
-	isTrial bool
+	// isRetest says that the request is under quarantine, but may go to one leaf.
+	isRetest bool
 	// episode is the number of the execution's first episode.
 	episode uint64
 
@@ -38,17 +38,17 @@
 	case record == nil:
 		execution.state = r.state(subject.Content)
 	case r.takePermit(record):
-		execution.state, execution.isTrial, execution.record = Suspect, true, record
+		execution.state, execution.isRetest, execution.record = Suspect, true, record
 	default:
 		execution.state, execution.record = Quarantined, record
-		isDue = r.isTrialDue(record)
+		isDue = r.isRetestDue(record)
 	}
 	if execution.state != Quarantined {
 		r.addExecution(execution)
 	}
 	r.mu.Unlock()
 	if isDue {
-		r.listener.TrialDue(*record)
+		r.listener.RetestDue(*record)
 	}
 	return execution
 }
@@ -75,12 +75,12 @@
 
 // LeafCrashed reports that a leaf crashed under the execution. number is the episode within the execution: 0 for
 // attempts sent without knowledge of a crash, another one for each attempt that was sent knowing of earlier crashes.
-// A crash during a trial ends the trial; after an answer it is ignored.
+// A crash during a retest ends the retest; after an answer it is ignored.
 func (e *Execution) LeafCrashed(leaf string, number int) {
 	if e.isAnswered.Load() {
 		return
 	}
-	if e.isTrial {
+	if e.isRetest {
 		e.halt()
 		return
 	}
@@ -98,7 +98,7 @@
 // Answered reports that a leaf answered the request. That acquits it, because a request that crashes leafs never gets
 // an answer.
 func (e *Execution) Answered() {
-	if e.isAnswered.Swap(true) || e.register.suspectCount.Load() == 0 && !e.isTrial {
+	if e.isAnswered.Swap(true) || e.register.suspectCount.Load() == 0 && !e.isRetest {
 		return
 	}
 	r := e.register
@@ -109,7 +109,7 @@
 	if known != nil && known.isReported {
 		r.listener.Acquitted(e.subject)
 	}
-	if e.isTrial {
+	if e.isRetest {
 		r.listener.Survived(*e.record)
 	}
 }
--- a/internal/quarantine/quarantinesync/fixture_test.go
+++ b/internal/quarantine/quarantinesync/fixture_test.go
@@ -192,7 +192,7 @@
 
 func (silentEvents) Quarantined(quarantine.Record, string) {}
 func (silentEvents) Saved(quarantine.Record, error)        {}
-func (silentEvents) Trial(quarantine.Record, error)        {}
+func (silentEvents) Retest(quarantine.Record, error)       {}
 func (silentEvents) Lifted(fingerprint.Fingerprint)        {}
 func (silentEvents) Dropped(int)                           {}
 
--- a/internal/quarantine/quarantinesync/save.go
+++ b/internal/quarantine/quarantinesync/save.go
@@ -166,18 +166,18 @@
 	}
 }
 
-// TrialDue implements quarantine.Listener. Of all nodes that the request arrives at, the one whose write the store
+// RetestDue implements quarantine.Listener. Of all nodes that the request arrives at, the one whose write the store
 // accepts may try it.
-func (s *Sync) TrialDue(record quarantine.Record) {
+func (s *Sync) RetestDue(record quarantine.Record) {
 	s.enqueue(func(ctx context.Context) {
 		s.running.Go(func() {
 			next := record
-			next.Trials++
+			next.Retests++
 			_, err := s.write(ctx, next, record.Revision)
 			if err == nil {
-				s.deps.Register.PermitTrial(record.Content)
+				s.deps.Register.PermitRetest(record.Content)
 			}
-			s.deps.Events.Trial(next, err)
+			s.deps.Events.Retest(next, err)
 		})
 	})
 }
--- a/internal/quarantine/quarantinesync/sync.go
+++ b/internal/quarantine/quarantinesync/sync.go
@@ -35,8 +35,8 @@
 	Quarantined(record quarantine.Record, from string)
 	// Saved records that the store accepted a record, or the error.
 	Saved(record quarantine.Record, err error)
-	// Trial records that a request under quarantine may be tried once more, or the error.
-	Trial(record quarantine.Record, err error)
+	// Retest records that a request under quarantine may be tried once more, or the error.
+	Retest(record quarantine.Record, err error)
 	// Lifted records that a request is no longer under quarantine.
 	Lifted(content fingerprint.Fingerprint)
 	// Dropped records that a number of findings were dropped because the queue was full.
--- a/internal/quarantine/quarantinesync/sync_test.go
+++ b/internal/quarantine/quarantinesync/sync_test.go
@@ -149,7 +149,7 @@
 	})
 }
 
-// Of all nodes that a request arrives at after its term, one tries it, and again only after a longer term; if it is
+// Of all nodes that a request arrives at after RetestAfter, one tries it, and again only after a longer delay; if it is
 // answered, all nodes serve it.
 func TestOneNodeTriesItAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -157,7 +157,7 @@
 		f := newFleet(t, "a", "b", "c")
 		f.node("a").crashLeafs()
 		time.Sleep(time.Second)
-		trials := func() []*quarantine.Execution {
+		retests := func() []*quarantine.Execution {
 			var permitted []*quarantine.Execution
 			for _, n := range f.nodes {
 				if try := n.register.Begin(subject, func() {}); try.State() == quarantine.Suspect {
@@ -167,16 +167,16 @@
 			time.Sleep(100 * time.Millisecond)
 			return permitted
 		}
-		is.Equal(len(trials()), 0)
-		time.Sleep(quarantine.DefaultConfig().Term)
-		is.Equal(len(trials()), 0) // asked for
-		first := trials()
+		is.Equal(len(retests()), 0)
+		time.Sleep(quarantine.DefaultConfig().RetestAfter)
+		is.Equal(len(retests()), 0) // asked for
+		first := retests()
 		is.Equal(len(first), 1)
 		first[0].LeafCrashed("leaf-4", 1)
-		is.Equal(len(trials())+len(trials()), 0)
-		time.Sleep(quarantine.DefaultConfig().Term * time.Duration(quarantine.DefaultConfig().Lengthening))
-		is.Equal(len(trials()), 0)
-		second := trials()
+		is.Equal(len(retests())+len(retests()), 0)
+		time.Sleep(quarantine.DefaultConfig().RetestAfter * time.Duration(quarantine.DefaultConfig().RetestBackoffFactor))
+		is.Equal(len(retests()), 0)
+		second := retests()
 		is.Equal(len(second), 1)
 		second[0].Answered()
 		time.Sleep(100 * time.Millisecond)
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -35,8 +35,8 @@
 	Subject
 	// Leafs crashed under it; at most maxLeafBytes of ids.
 	Leafs []string `json:"leafs"`
-	// Trials is the number of trials since.
-	Trials int `json:"trials,omitempty"`
+	// MaximumRetests is the number of retests since.
+	Retests int `json:"trials,omitempty"`
 	// By is the id of the node that found it.
 	By string `json:"by"`
 	// Revision is the store's revision, 0 while the store does not have the record.
@@ -57,7 +57,7 @@
 func (r Record) Validate() error {
 	var checks failure.Checks
 	checks.Refuse(r.Content.IsZero(), "content", "must not be empty")
-	checks.Refuse(r.Trials < 0, "trials", "must not be negative")
+	checks.Refuse(r.Retests < 0, "trials", "must not be negative")
 	checks.Refuse(len(r.Leafs) > maxLeafs, "leafs", "%d; at most %d", len(r.Leafs), maxLeafs)
 	return checks.Err()
 }
--- a/internal/quarantine/register.go
+++ b/internal/quarantine/register.go
@@ -5,7 +5,7 @@
 // address refuses connections afterwards. A lost connection, silence, or a leaf that had announced its shutdown is no
 // evidence. Crashes are counted in episodes: the crashes seen by one attempt, or by several sent together, are one
 // episode; those of an attempt sent knowing of them are another. An answer from any leaf acquits a request. isEnough
-// holds the rule for when the evidence suffices, isTrialDue the one for when a request is tried again.
+// holds the rule for when the evidence suffices, isRetestDue the one for when a request is tried again.
 //
 // A Register keeps its state in memory, measures time by the clock that it is given, and starts no goroutine. Package
 // quarantinesync carries its findings to other nodes and to the store.
@@ -42,8 +42,8 @@
 	Acquitted(subject Subject)
 	// Quarantined reports that this node put a request under quarantine.
 	Quarantined(record Record)
-	// TrialDue reports that a request under quarantine arrived again after its term.
-	TrialDue(record Record)
+	// RetestDue reports that a request under quarantine arrived again after RetestAfter.
+	RetestDue(record Record)
 	// Survived reports that a request under quarantine was answered by a leaf.
 	Survived(record Record)
 }
@@ -64,8 +64,8 @@
 	suspects map[fingerprint.Fingerprint]*suspect
 	// unsaved are the records that the store does not have yet.
 	unsaved map[fingerprint.Fingerprint]*unsavedRecord
-	// terms are the terms of stored records whose requests arrived here.
-	terms map[fingerprint.Fingerprint]*term
+	// retestStates are the retest states of stored records whose requests arrived here.
+	retestStates map[fingerprint.Fingerprint]*retestState
 	// executions are those in progress.
 	executions map[fingerprint.Fingerprint]map[*Execution]bool
 	// attributed is the quarantined request that each crashed leaf is attributed to.
@@ -90,7 +90,7 @@
 	return &Register{
 		cfg: deps.Config, clock: deps.Clock, stored: deps.StoredRecord, self: deps.Self,
 		suspects: map[fingerprint.Fingerprint]*suspect{}, unsaved: map[fingerprint.Fingerprint]*unsavedRecord{},
-		terms: map[fingerprint.Fingerprint]*term{}, executions: map[fingerprint.Fingerprint]map[*Execution]bool{},
+		retestStates: map[fingerprint.Fingerprint]*retestState{}, executions: map[fingerprint.Fingerprint]map[*Execution]bool{},
 		attributed: map[string]fingerprint.Fingerprint{},
 	}
 }
--- a/internal/quarantine/register_test.go
+++ b/internal/quarantine/register_test.go
@@ -35,7 +35,7 @@
 func (f *fleet) Suspected(subject Subject) { f.suspected = append(f.suspected, subject) }
 func (f *fleet) Acquitted(subject Subject) { f.acquitted = append(f.acquitted, subject) }
 func (f *fleet) Quarantined(record Record) { f.quarantined = append(f.quarantined, record) }
-func (f *fleet) TrialDue(record Record)    { f.due = append(f.due, record) }
+func (f *fleet) RetestDue(record Record)   { f.due = append(f.due, record) }
 func (f *fleet) Survived(record Record)    { f.survived = append(f.survived, record) }
 
 // save puts a record into the store.
@@ -178,39 +178,39 @@
 	is.Equal(aggregator.State(subject("a").Content), Clear)
 }
 
-// condemn puts a request under quarantine by a record in the store.
-func (f *fleet) condemn(name string, revision int64, trials int) {
-	f.save(Record{Subject: subject(name), Leafs: []string{"x", "y", "z"}, Trials: trials, By: "n1"}, revision)
+// quarantine puts a request under quarantine by a record in the store.
+func (f *fleet) quarantine(name string, revision int64, retests int) {
+	f.save(Record{Subject: subject(name), Leafs: []string{"x", "y", "z"}, Retests: retests, By: "n1"}, revision)
 }
 
-// A request that arrives again after its term is still refused, and a trial is requested. With a permit of the store
-// one execution may go to one leaf. If that crashes, the next term is longer; after the last trial only an operator
+// A request that arrives again after RetestAfter is still refused, and a retest is requested. With a permit of the store
+// one execution may go to one leaf. If that crashes, the next delay is longer; after the last retest only an operator
 // lifts the quarantine.
-func TestTrialsAreFewAndPermitted(t *testing.T) {
+func TestRetestsAreFewAndPermitted(t *testing.T) {
 	is := is.New(t)
 	f := newFleet()
-	f.condemn("a", 7, 0)
+	f.quarantine("a", 7, 0)
 	come := func() *Execution { return f.Begin(subject("a"), func() {}) }
 	is.Equal(come().State(), Quarantined)
-	f.at = f.at.Add(DefaultConfig().Term)
+	f.at = f.at.Add(DefaultConfig().RetestAfter)
 	is.Equal(come().State(), Quarantined)
 	is.Equal(come().State(), Quarantined)
 	is.Equal(len(f.due), 1) // once, however often it comes
-	f.PermitTrial(subject("a").Content)
-	f.condemn("a", 8, 1)
-	trial := come()
-	is.Equal(trial.State(), Suspect)
+	f.PermitRetest(subject("a").Content)
+	f.quarantine("a", 8, 1)
+	retest := come()
+	is.Equal(retest.State(), Suspect)
 	is.Equal(come().State(), Quarantined) // one execution only
-	trial.LeafCrashed("leaf-0", 0)
-	is.True(trial.IsStopped())
+	retest.LeafCrashed("leaf-0", 0)
+	is.True(retest.IsStopped())
 	is.Equal(come().State(), Quarantined)
-	f.at = f.at.Add(DefaultConfig().Term)
+	f.at = f.at.Add(DefaultConfig().RetestAfter)
 	come()
-	is.Equal(len(f.due), 1) // the next term is longer
-	f.at = f.at.Add(5 * DefaultConfig().Term)
+	is.Equal(len(f.due), 1) // the next delay is longer
+	f.at = f.at.Add(5 * DefaultConfig().RetestAfter)
 	come()
 	is.Equal(len(f.due), 2)
-	f.condemn("a", 9, DefaultConfig().Trials)
+	f.quarantine("a", 9, DefaultConfig().MaximumRetests)
 	come()
 	f.at = f.at.Add(1000 * time.Hour)
 	come()
@@ -218,12 +218,12 @@
 	is.Equal(f.RetryAfter(subject("a").Content), time.Duration(0))
 }
 
-func TestATrialThatIsAnsweredSurvives(t *testing.T) {
+func TestAnsweredRetestEndsQuarantine(t *testing.T) {
 	is := is.New(t)
 	f := newFleet()
-	f.condemn("a", 7, 0)
+	f.quarantine("a", 7, 0)
 	f.Begin(subject("a"), func() {})
-	f.PermitTrial(subject("a").Content)
+	f.PermitRetest(subject("a").Content)
 	f.Begin(subject("a"), func() {}).Answered()
 	is.Equal(len(f.survived), 1)
 	is.Equal(f.survived[0].Revision, int64(7))
@@ -236,7 +236,7 @@
 	is.True(f.AddRecord(Record{Subject: subject("a"), Leafs: []string{"x"}, By: "n2"}))
 	is.True(!f.AddRecord(Record{Subject: subject("a"), Leafs: []string{"x"}, By: "n2"}))
 	is.Equal(len(f.Unsaved()), 1)
-	f.condemn("a", 7, 0)
+	f.quarantine("a", 7, 0)
 	is.Equal(len(f.Unsaved()), 0)
 	delete(f.store, subject("a").Content)
 	f.Lift(subject("a").Content)
--- a/internal/quarantine/unsaved.go
+++ b/internal/quarantine/unsaved.go
@@ -13,7 +13,7 @@
 }
 
 // recordOf returns the record of a request, nil if it is not under quarantine. A record that the store has not
-// accepted within Config.Term lapses. The lock must be held.
+// accepted within Config.RetestAfter lapses. The lock must be held.
 func (r *Register) recordOf(content fingerprint.Fingerprint) *Record {
 	if record := r.stored(content); record != nil {
 		return record
@@ -22,7 +22,7 @@
 	if !isFound {
 		return nil
 	}
-	if r.clock.Since(known.since) >= r.cfg.Term {
+	if r.clock.Since(known.since) >= r.cfg.RetestAfter {
 		delete(r.unsaved, content) // the store has not accepted it
 		return nil
 	}
@@ -56,7 +56,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.unsaved, content)
-	delete(r.terms, content)
+	delete(r.retestStates, content)
 	for leaf, by := range r.attributed {
 		if by == content {
 			delete(r.attributed, leaf)
@@ -116,7 +116,7 @@
 	}
 	toHalt := make([]*Execution, 0, len(r.executions[record.Content]))
 	for execution := range r.executions[record.Content] {
-		if !execution.isTrial {
+		if !execution.isRetest {
 			toHalt = append(toHalt, execution)
 		}
 	}
--- a/internal/request/gateway/crash_test.go
+++ b/internal/request/gateway/crash_test.go
@@ -34,7 +34,7 @@
 func (noListener) Suspected(quarantine.Subject)  {}
 func (noListener) Acquitted(quarantine.Subject)  {}
 func (noListener) Quarantined(quarantine.Record) {}
-func (noListener) TrialDue(quarantine.Record)    {}
+func (noListener) RetestDue(quarantine.Record)   {}
 func (noListener) Survived(quarantine.Record)    {}
 
 func newRegister() *quarantine.Register {
--- a/internal/request/search/quarantine_test.go
+++ b/internal/request/search/quarantine_test.go
@@ -23,7 +23,7 @@
 func (noListener) Suspected(quarantine.Subject)  {}
 func (noListener) Acquitted(quarantine.Subject)  {}
 func (noListener) Quarantined(quarantine.Record) {}
-func (noListener) TrialDue(quarantine.Record)    {}
+func (noListener) RetestDue(quarantine.Record)   {}
 func (noListener) Survived(quarantine.Record)    {}
 
 // A search that crashes the leafs that run it is sent to no more of them, whatever id it is repeated under; if only the calls
