--- a/internal/config/configsync/handler.go
+++ b/internal/config/configsync/handler.go
@@ -13,7 +13,7 @@
 	Leafs func(peer.LeafReports)
 	// Reach receives messages on the reachability of zones, with the peer address of the sender.
 	Reach func(from string, reach peer.Reach)
-	// Rollouts receives the messages to and from the nodes that judge roll-outs.
+	// Rollouts receives the messages to and from the nodes that evaluate roll-outs.
 	Rollouts RolloutHandler
 	// Quarantine receives messages on requests that may crash leafs.
 	Quarantine func(from string, message peer.Quarantine)
--- a/internal/fleet/peer/message.go
+++ b/internal/fleet/peer/message.go
@@ -162,7 +162,7 @@
 	Elsewhere []string `json:"elsewhere,omitempty"`
 }
 
-// RolloutReports are counts of attempts at the versions of services, sent to the nodes that judge roll-outs.
+// RolloutReports are counts of attempts at the versions of services, sent to the nodes that evaluate roll-outs.
 type RolloutReports struct {
 	// Node is the id of the node that counted.
 	Node string `json:"node"`
--- a/internal/lab/replay/judges.go
+++ b/internal/lab/replay/checks.go
@@ -18,30 +18,30 @@
 	figure string
 }
 
-// judge checks an outcome on the recording of a run.
-type judge func(*recording, Outcome) result
+// checkFunc checks an outcome on the recording of a run.
+type checkFunc func(*recording, Outcome) result
 
-// judges are all checks by name. docs/TRACES.md describes them.
-var judges = map[CheckName]judge{
-	"one_snapshot":     judgeOneSnapshot,
-	"true_coverage":    judgeTrueCoverage,
-	"own_answers":      judgeOwnAnswers,
-	"not_run_is_true":  judgeNotRun,
-	"at_most_once":     judgeAtMostOnce,
-	"no_new_work":      judgeNoNewWork,
-	"no_failures":      judgeNoFailures,
-	"clean_stops":      judgeCleanStops,
-	"in_force":         judgeInForce,
-	"never_reverts":    judgeNeverReverts,
-	"writes_settled":   judgeWritesSettled,
-	"snapshot_current": judgeSnapshotCurrent,
-	"complete_share":   judgeCompleteShare,
-	"answers":          judgeAnswers,
-	"failures":         judgeFailures,
-	"attempts":         judgeAttempts,
-	"accepted_changes": judgeAcceptedChanges,
-	"prompt_refusals":  judgePromptRefusals,
-	"store_calls":      judgeStoreCalls,
+// checkFuncs are all checks by name. docs/TRACES.md describes them.
+var checkFuncs = map[CheckName]checkFunc{
+	"one_snapshot":     checkOneSnapshot,
+	"true_coverage":    checkTrueCoverage,
+	"own_answers":      checkOwnAnswers,
+	"not_run_is_true":  checkNotRun,
+	"at_most_once":     checkAtMostOnce,
+	"no_new_work":      checkNoNewWork,
+	"no_failures":      checkNoFailures,
+	"clean_stops":      checkCleanStops,
+	"in_force":         checkInForce,
+	"never_reverts":    checkNeverReverts,
+	"writes_settled":   checkWritesSettled,
+	"snapshot_current": checkSnapshotCurrent,
+	"complete_share":   checkCompleteShare,
+	"answers":          checkAnswers,
+	"failures":         checkFailures,
+	"attempts":         checkAttempts,
+	"accepted_changes": checkAcceptedChanges,
+	"prompt_refusals":  checkPromptRefusals,
+	"store_calls":      checkStoreCalls,
 }
 
 func (e *recording) answered(service string) []call {
@@ -64,11 +64,11 @@
 	return result{total == 0, fmt.Sprintf("%d %s in %d answers", total, unit, len(answers))}
 }
 
-func judgeOneSnapshot(e *recording, outcome Outcome) result {
+func checkOneSnapshot(e *recording, outcome Outcome) result {
 	return countAnswers(e, outcome, "rows of another snapshot", func(v answerFaults) int { return v.Mixed })
 }
 
-func judgeTrueCoverage(e *recording, outcome Outcome) result {
+func checkTrueCoverage(e *recording, outcome Outcome) result {
 	return countAnswers(e, outcome, "rows missing but not reported, or present in a range reported as missing", func(v answerFaults) int {
 		wrong := v.Missing + v.Surplus
 		if v.WrongFraction {
@@ -78,12 +78,12 @@
 	})
 }
 
-func judgeOwnAnswers(e *recording, outcome Outcome) result {
+func checkOwnAnswers(e *recording, outcome Outcome) result {
 	return countAnswers(e, outcome, "foreign rows", func(v answerFaults) int { return v.Foreign })
 }
 
-// judgeNotRun finds requests that were always refused as not run, and that a leaf ran.
-func judgeNotRun(e *recording, outcome Outcome) result {
+// checkNotRun finds requests that were always refused as not run, and that a leaf ran.
+func checkNotRun(e *recording, outcome Outcome) result {
 	ran := map[string]bool{}
 	for _, execution := range e.executions {
 		ran[execution.RequestID] = true
@@ -109,8 +109,8 @@
 	return result{wrong == 0 && enough, fmt.Sprintf("%d of %d requests refused as not run had run (at least %g refusals wanted)", wrong, len(claimed), outcome.AtLeast)}
 }
 
-// judgeAtMostOnce finds execution ids that ran more than once, over all leafs.
-func judgeAtMostOnce(e *recording, outcome Outcome) result {
+// checkAtMostOnce finds execution ids that ran more than once, over all leafs.
+func checkAtMostOnce(e *recording, outcome Outcome) result {
 	counts := map[string]int{}
 	for _, execution := range e.executions {
 		if execution.ExecutionID != "" {
@@ -137,8 +137,8 @@
 	return executions
 }
 
-// judgeNoNewWork measures when a leaf that is leaving ran its last attempt.
-func judgeNoNewWork(e *recording, outcome Outcome) result {
+// checkNoNewWork measures when a leaf that is leaving ran its last attempt.
+func checkNoNewWork(e *recording, outcome Outcome) result {
 	leftAt := e.began.Add(time.Duration(outcome.AfterMS) * time.Millisecond)
 	last := time.Duration(0)
 	before := 0
@@ -153,8 +153,8 @@
 	return result{last <= bound && before > 0, fmt.Sprintf("last new attempt %d ms after the leaf began to leave, bound %d ms, %d attempts before", last.Milliseconds(), outcome.WithinMS, before)}
 }
 
-// judgeNoFailures passes if every search was answered after its repetitions.
-func judgeNoFailures(e *recording, outcome Outcome) result {
+// checkNoFailures passes if every search was answered after its repetitions.
+func checkNoFailures(e *recording, outcome Outcome) result {
 	failed, total, first := 0, 0, ""
 	for _, made := range e.calls {
 		if !made.Last || (outcome.Service != "" && made.Service != outcome.Service) {
@@ -171,12 +171,12 @@
 	return result{failed == 0 && total > 0, fmt.Sprintf("%d of %d searches failed%s", failed, total, first)}
 }
 
-func judgeCleanStops(e *recording, _ Outcome) result {
+func checkCleanStops(e *recording, _ Outcome) result {
 	return result{len(e.stopFailures) == 0, fmt.Sprintf("%d stops were not clean %s", len(e.stopFailures), strings.Join(e.stopFailures, "; "))}
 }
 
-// judgeInForce measures the time from the store's acceptance of each change of a service until each node serves it.
-func judgeInForce(e *recording, outcome Outcome) result {
+// checkInForce measures the time from the store's acceptance of each change of a service until each node serves it.
+func checkInForce(e *recording, outcome Outcome) result {
 	nodes := outcome.Nodes
 	if len(nodes) == 0 {
 		nodes = e.nodes
@@ -202,14 +202,14 @@
 	return result{late == 0 && total > 0, fmt.Sprintf("%d changes on %d nodes, %d late or never, slowest %d ms, bound %d ms", total, len(nodes), late, slowest.Milliseconds(), outcome.WithinMS)}
 }
 
-// judgeNeverReverts counts how often a node served a lower revision than before.
-func judgeNeverReverts(e *recording, _ Outcome) result {
+// checkNeverReverts counts how often a node served a lower revision than before.
+func checkNeverReverts(e *recording, _ Outcome) result {
 	return result{e.observed.reversals == 0, fmt.Sprintf("%d times a node showed a lower revision than before", e.observed.reversals)}
 }
 
-// judgeWritesSettled compares the outcomes that operators got with the writes of the store: each accepted change was made
+// checkWritesSettled compares the outcomes that operators got with the writes of the store: each accepted change was made
 // once, at its revision, and each refused one never.
-func judgeWritesSettled(e *recording, outcome Outcome) result {
+func checkWritesSettled(e *recording, outcome Outcome) result {
 	taken := map[string][]int64{}
 	for _, write := range e.writes {
 		if id := changeIDIn(write.Value); id != "" {
@@ -242,8 +242,8 @@
 	return result{wrong == 0 && unsettled == 0 && enough, fmt.Sprintf("%d accepted, %d refused, %d never settled, %d reported wrongly, %d sent more than once", accepted, refused, unsettled, wrong, again)}
 }
 
-// judgeSnapshotCurrent finds attempts at a snapshot that had been replaced long before.
-func judgeSnapshotCurrent(e *recording, outcome Outcome) result {
+// checkSnapshotCurrent finds attempts at a snapshot that had been replaced long before.
+func checkSnapshotCurrent(e *recording, outcome Outcome) result {
 	bound := time.Duration(outcome.WithinMS) * time.Millisecond
 	current := currentSnapshots(e, outcome.Service)
 	stale := 0
@@ -261,7 +261,7 @@
 	return result{stale == 0 && len(current.published) > 0, fmt.Sprintf("%d of %d attempts at a snapshot replaced over %d ms before, longest %d ms", stale, len(e.executions), outcome.WithinMS, slowest.Milliseconds())}
 }
 
-func judgeCompleteShare(e *recording, outcome Outcome) result {
+func checkCompleteShare(e *recording, outcome Outcome) result {
 	complete, total := 0, 0
 	for _, made := range e.calls {
 		if !made.Last || (outcome.Service != "" && made.Service != outcome.Service) {
@@ -276,12 +276,12 @@
 	return result{share >= outcome.AtLeast && total > 0, fmt.Sprintf("%.4f of %d searches answered completely, at least %g", share, total, outcome.AtLeast)}
 }
 
-func judgeAnswers(e *recording, outcome Outcome) result {
+func checkAnswers(e *recording, outcome Outcome) result {
 	count := len(e.answered(outcome.Service))
 	return result{float64(count) >= outcome.AtLeast, fmt.Sprintf("%d answers, at least %g", count, outcome.AtLeast)}
 }
 
-func judgeFailures(e *recording, outcome Outcome) result {
+func checkFailures(e *recording, outcome Outcome) result {
 	codes := map[failure.Code]int{}
 	count := 0
 	for _, made := range e.calls {
@@ -294,12 +294,12 @@
 	return result{inBounds, fmt.Sprintf("%d failed requests %v, at least %g", count, codes, outcome.AtLeast)}
 }
 
-func judgeAttempts(e *recording, outcome Outcome) result {
+func checkAttempts(e *recording, outcome Outcome) result {
 	count := len(e.executionsOf(outcome.Leaf))
 	return result{float64(count) >= outcome.AtLeast, fmt.Sprintf("%d attempts ran, at least %g", count, outcome.AtLeast)}
 }
 
-func judgeAcceptedChanges(e *recording, outcome Outcome) result {
+func checkAcceptedChanges(e *recording, outcome Outcome) result {
 	count := 0
 	for _, operation := range e.operations {
 		if operation.Failure == nil {
@@ -309,8 +309,8 @@
 	return result{float64(count) >= outcome.AtLeast, fmt.Sprintf("%d changes accepted of %d sent, at least %g", count, len(e.operations), outcome.AtLeast)}
 }
 
-// judgePromptRefusals passes if refusals as overloaded came soon, with a time to retry after.
-func judgePromptRefusals(e *recording, outcome Outcome) result {
+// checkPromptRefusals passes if refusals as overloaded came soon, with a time to retry after.
+func checkPromptRefusals(e *recording, outcome Outcome) result {
 	bound := time.Duration(outcome.WithinMS) * time.Millisecond
 	refused, late, silent := 0, 0, 0
 	slowest := time.Duration(0)
@@ -331,7 +331,7 @@
 	return result{late == 0 && silent == 0 && enough, fmt.Sprintf("%d refusals, slowest %d ms, %d over %d ms, %d without a time to retry after", refused, slowest.Milliseconds(), late, outcome.WithinMS, silent)}
 }
 
-func judgeStoreCalls(e *recording, outcome Outcome) result {
+func checkStoreCalls(e *recording, outcome Outcome) result {
 	reads := e.counts.Lists + e.counts.Watches
 	return result{e.counts.Limited == 0 && float64(reads) <= outcome.AtMost, fmt.Sprintf("%d lists and watches, at most %g; %d calls over the store's limit", reads, outcome.AtMost, e.counts.Limited)}
 }
--- a/internal/lab/replay/replay.go
+++ b/internal/lab/replay/replay.go
@@ -1,7 +1,7 @@
 // Package replay replays traces over real processes and checks their outcomes on the records of leafs, store and callers.
 //
 // A cluster owns the processes and the forwarders between them; all have ended when Run returns. Callers, operators and observers
-// record what they see while the events are played in real time. Judges check the outcomes afterwards.
+// record what they see while the events are played in real time. Checks evaluate the outcomes afterwards.
 package replay
 
 import (
@@ -58,7 +58,7 @@
 		return 0, len(trace.Outcomes), err
 	}
 	for _, outcome := range trace.Outcomes {
-		result := judges[outcome.Check](recorded, outcome)
+		result := checkFuncs[outcome.Check](recorded, outcome)
 		status := "PASS"
 		if result.passed {
 			passed++
--- a/internal/lab/replay/validate.go
+++ b/internal/lab/replay/validate.go
@@ -137,7 +137,7 @@
 // checkOutcome returns a failure with every invalid field of an outcome.
 func (t *Trace) checkOutcome(where string, outcome *Outcome) error {
 	var checks failure.Checks
-	_, known := judges[outcome.Check]
+	_, known := checkFuncs[outcome.Check]
 	checks.Refuse(!known, where+" check", "%q is not a check", outcome.Check)
 	checks.Refuse(outcome.Service != "" && !t.isService(outcome.Service), where+" service", "no service %q", outcome.Service)
 	checks.Refuse(outcome.Leaf != "" && !t.isLeaf(outcome.Leaf), where+" leaf", "no leaf %q", outcome.Leaf)
--- a/internal/lab/soak/judge.go
+++ b/internal/lab/soak/checks.go
@@ -22,18 +22,18 @@
 	slices.SortFunc(records, func(a, b []byte) int { return bytes.Compare(b, a) })
 }
 
-// judge checks every promise on the records of callers and leafs. From calm on there were no more faults, and nodes had had
+// checkAll checks every promise on the records of callers and leafs. From calm on there were no more faults, and nodes had had
 // time to recover.
-func judge(w *world, seen []outcome, calm time.Time) []Result {
+func checkAll(w *world, seen []outcome, calm time.Time) []Result {
 	ran := w.runs()
 	return []Result{
-		judgeOnce(seen, ran), judgeRefusals(seen, ran), judgeAsked(seen, ran), judgeSingles(w, seen), judgeGathered(w, seen),
-		judgeConfiguration(w, seen), judgeDraining(w), judgeEvacuations(w), judgeStops(seen), judgeRecovery(seen, calm),
-		judgeCrashing(w), judgeOtherRequests(seen),
+		checkOnce(seen, ran), checkRefusals(seen, ran), checkAsked(seen, ran), checkSingles(w, seen), checkGathered(w, seen),
+		checkConfiguration(w, seen), checkDraining(w), checkEvacuations(w), checkStops(seen), checkRecovery(seen, calm),
+		checkCrashing(w), checkOtherRequests(seen),
 	}
 }
 
-func judgeOnce(seen []outcome, ran map[string][]string) Result {
+func checkOnce(seen []outcome, ran map[string][]string) Result {
 	v := Result{Promise: "a request marked not repeatable runs at most once"}
 	for _, o := range seen {
 		if o.kind == Once {
@@ -43,7 +43,7 @@
 	return v
 }
 
-func judgeRefusals(seen []outcome, ran map[string][]string) Result {
+func checkRefusals(seen []outcome, ran map[string][]string) Result {
 	v := Result{Promise: "a refusal that says not run is true"}
 	for _, o := range seen {
 		switch o.status {
@@ -56,7 +56,7 @@
 	return v
 }
 
-func judgeAsked(seen []outcome, ran map[string][]string) Result {
+func checkAsked(seen []outcome, ran map[string][]string) Result {
 	v := Result{Promise: "leafs run only what callers sent"}
 	known := map[string]bool{}
 	for _, o := range seen {
@@ -68,7 +68,7 @@
 	return v
 }
 
-func judgeSingles(w *world, seen []outcome) Result {
+func checkSingles(w *world, seen []outcome) Result {
 	v := Result{Promise: "an answer of one leaf is whole and the caller's own"}
 	for _, o := range seen {
 		if o.status != http.StatusOK || o.kind == Gathered {
@@ -81,7 +81,7 @@
 	return v
 }
 
-func judgeGathered(w *world, seen []outcome) Result {
+func checkGathered(w *world, seen []outcome) Result {
 	v := Result{Promise: "a gathered answer holds the greatest records of the parts that it names, and says how many are missing"}
 	for _, o := range seen {
 		if o.status == http.StatusOK && o.kind == Gathered {
@@ -122,9 +122,9 @@
 	return ""
 }
 
-// judgeConfiguration checks that nodes without a fault serve by the newest configuration after its bound, and that no
+// checkConfiguration checks that nodes without a fault serve by the newest configuration after its bound, and that no
 // process goes back to an older one.
-func judgeConfiguration(w *world, seen []outcome) Result {
+func checkConfiguration(w *world, seen []outcome) Result {
 	v := Result{Promise: "an accepted configuration is in force within its bound and never reverts"}
 	bySent := slices.Clone(seen)
 	slices.SortFunc(bySent, func(a, b outcome) int { return a.sent.Compare(b.sent) })
@@ -174,7 +174,7 @@
 	return least
 }
 
-func judgeDraining(w *world) Result {
+func checkDraining(w *world) Result {
 	v := Result{Promise: "a leaving leaf gets no new work after its bound"}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -201,7 +201,7 @@
 	return late
 }
 
-func judgeEvacuations(w *world) Result {
+func checkEvacuations(w *world) Result {
 	v := Result{Promise: "the leafs of an evacuated zone get nothing after its bound"}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -221,7 +221,7 @@
 // stopWindow is how long before a planned stop a request must have been sent, at most, to be checked.
 const stopWindow = time.Second
 
-func judgeStops(seen []outcome) Result {
+func checkStops(seen []outcome) Result {
 	v := Result{Promise: "a planned stop cuts no request in flight"}
 	for _, o := range seen {
 		for _, stop := range o.node.stopTimes() {
@@ -234,7 +234,7 @@
 	return v
 }
 
-func judgeRecovery(seen []outcome, calm time.Time) Result {
+func checkRecovery(seen []outcome, calm time.Time) Result {
 	v := Result{Promise: "requests are served once the faults are over"}
 	served, asked := 0, 0
 	for _, o := range seen {
--- a/internal/lab/soak/judge_rollouts.go
+++ b/internal/lab/soak/checks_rollouts.go
@@ -6,16 +6,16 @@
 	"github.com/portgauge/portgauge/internal/lab/rollouts"
 )
 
-// judgeRollouts checks every promise about roll-outs. Promises that bound a time hold for the visits for which clear returns
+// checkRollouts checks every promise about roll-outs. Promises that bound a time hold for the visits for which clear returns
 // true.
-func judgeRollouts(played []rollouts.Release, clear rollouts.Clear) []Result {
+func checkRollouts(played []rollouts.Release, clear rollouts.Clear) []Result {
 	return []Result{
-		judgeExposure(played, clear), judgeLateRequests(played, clear), judgeUnordered(played, clear),
-		judgeOutcomes(played), judgeOldLeafs(played, clear),
+		checkExposure(played, clear), checkLateRequests(played, clear), checkUnordered(played, clear),
+		checkOutcomes(played), checkOldLeafs(played, clear),
 	}
 }
 
-func judgeExposure(played []rollouts.Release, clear rollouts.Clear) Result {
+func checkExposure(played []rollouts.Release, clear rollouts.Clear) Result {
 	v := Result{Promise: "a bad version gets its share and the slack at most"}
 	for _, r := range played {
 		if !r.Target.Fault().IsBad() {
@@ -27,7 +27,7 @@
 	return v
 }
 
-func judgeLateRequests(played []rollouts.Release, clear rollouts.Clear) Result {
+func checkLateRequests(played []rollouts.Release, clear rollouts.Clear) Result {
 	v := Result{Promise: "a bad version gets nothing some seconds after its 50th bad answer"}
 	for _, r := range played {
 		if _, isCondemned := r.FiftiethBadAnswer(); isCondemned && !r.HadNoBadAnswer() {
@@ -38,7 +38,7 @@
 	return v
 }
 
-func judgeUnordered(played []rollouts.Release, clear rollouts.Clear) Result {
+func checkUnordered(played []rollouts.Release, clear rollouts.Clear) Result {
 	v := Result{Promise: "a version that no order lets serve gets nothing"}
 	for _, r := range played {
 		if r.Old != r.Target {
@@ -49,7 +49,7 @@
 	return v
 }
 
-func judgeOutcomes(played []rollouts.Release) Result {
+func checkOutcomes(played []rollouts.Release) Result {
 	v := Result{Promise: "an order has one outcome: none once it was replaced, no success once it was cancelled"}
 	for _, r := range played {
 		misled := r.WrongStatuses()
@@ -58,7 +58,7 @@
 	return v
 }
 
-func judgeOldLeafs(played []rollouts.Release, clear rollouts.Clear) Result {
+func checkOldLeafs(played []rollouts.Release, clear rollouts.Clear) Result {
 	v := Result{Promise: "old leafs have nothing once an order has succeeded"}
 	for _, r := range played {
 		if status, _ := r.Outcome(); status != rollouts.Succeeded || r.Old == r.Target {
--- a/internal/lab/soak/judge_rollouts_test.go
+++ b/internal/lab/soak/checks_rollouts_test.go
@@ -26,7 +26,7 @@
 }
 
 // Each promise about roll-outs is kept in a good case and broken in a bad one.
-func TestJudgeOfRolloutsTellsGoodFromBad(t *testing.T) {
+func TestRolloutChecksTellGoodRunsFromBad(t *testing.T) {
 	began := time.Now()
 	bad := rollouts.Fault{Failing: 1}
 	after := func(span time.Duration, count int) []time.Time {
@@ -51,24 +51,24 @@
 	const late = rollouts.Lateness + 2*time.Second
 	cases := map[string]struct{ good, bad Result }{
 		"exposure": {
-			judgeExposure(release(serve, after(0, rollouts.Slack)), rollouts.Always),
-			judgeExposure(release(serve, after(0, rollouts.Slack+20)), rollouts.Always),
+			checkExposure(release(serve, after(0, rollouts.Slack)), rollouts.Always),
+			checkExposure(release(serve, after(0, rollouts.Slack+20)), rollouts.Always),
 		},
 		"condemned": {
-			judgeLateRequests(release(serve, append(condemned, after(time.Second, 1)...)), rollouts.Always),
-			judgeLateRequests(release(serve, append(condemned, after(late, 1)...)), rollouts.Always),
+			checkLateRequests(release(serve, append(condemned, after(time.Second, 1)...)), rollouts.Always),
+			checkLateRequests(release(serve, append(condemned, after(late, 1)...)), rollouts.Always),
 		},
 		"barred": {
-			judgeUnordered(release(serve, after(2*time.Second, 1), rollouts.RolledBack), rollouts.Always),
-			judgeUnordered(release(serve, after(late, 1), rollouts.RolledBack), rollouts.Always),
+			checkUnordered(release(serve, after(2*time.Second, 1), rollouts.RolledBack), rollouts.Always),
+			checkUnordered(release(serve, after(late, 1), rollouts.RolledBack), rollouts.Always),
 		},
 		"outcomes": {
-			judgeOutcomes(release(nil, nil, rollouts.Running, rollouts.RolledBack)),
-			judgeOutcomes(release(nil, nil, rollouts.RolledBack, rollouts.Succeeded)),
+			checkOutcomes(release(nil, nil, rollouts.Running, rollouts.RolledBack)),
+			checkOutcomes(release(nil, nil, rollouts.RolledBack, rollouts.Succeeded)),
 		},
 		"leftover": {
-			judgeOldLeafs(release(serve, nil, rollouts.Succeeded), rollouts.Always),
-			judgeOldLeafs(release(after(2*time.Second, 1), nil, rollouts.Succeeded), rollouts.Always),
+			checkOldLeafs(release(serve, nil, rollouts.Succeeded), rollouts.Always),
+			checkOldLeafs(release(after(2*time.Second, 1), nil, rollouts.Succeeded), rollouts.Always),
 		},
 	}
 	for name, one := range cases {
--- a/internal/lab/soak/judge_test.go
+++ b/internal/lab/soak/checks_test.go
@@ -48,7 +48,7 @@
 }
 
 // Each promise is kept in a good case and broken in a bad one.
-func TestJudgeTellsGoodFromBad(t *testing.T) {
+func TestChecksTellGoodRunsFromBad(t *testing.T) {
 	w := still(t)
 	whole := greatest([][]byte{partBody("part0", "r"), partBody("part1", "r")}, topRecords)
 	half := greatest([][]byte{partBody("part0", "r")}, topRecords)
@@ -59,28 +59,28 @@
 	cases := map[string]struct {
 		good, bad Result
 	}{
-		"once":     {judgeOnce([]outcome{once}, map[string][]string{"r": {"leaf-1"}}), judgeOnce([]outcome{once}, map[string][]string{"r": {"leaf-1", "leaf-2"}})},
-		"refusals": {judgeRefusals([]outcome{once}, nil), judgeRefusals([]outcome{once}, map[string][]string{"r": {"leaf-1"}})},
-		"asked":    {judgeAsked([]outcome{once}, map[string][]string{"r": {"leaf-1"}}), judgeAsked([]outcome{once}, map[string][]string{"x": {"leaf-1"}})},
+		"once":     {checkOnce([]outcome{once}, map[string][]string{"r": {"leaf-1"}}), checkOnce([]outcome{once}, map[string][]string{"r": {"leaf-1", "leaf-2"}})},
+		"refusals": {checkRefusals([]outcome{once}, nil), checkRefusals([]outcome{once}, map[string][]string{"r": {"leaf-1"}})},
+		"asked":    {checkAsked([]outcome{once}, map[string][]string{"r": {"leaf-1"}}), checkAsked([]outcome{once}, map[string][]string{"x": {"leaf-1"}})},
 		"single": {
-			judgeSingles(w, []outcome{w.answered("r", Single, "leaf-3.r", "", partBody(singleName, "r"))}),
-			judgeSingles(w, []outcome{w.answered("r", Single, "leaf-3.q", "", partBody(singleName, "q"))}),
+			checkSingles(w, []outcome{w.answered("r", Single, "leaf-3.r", "", partBody(singleName, "r"))}),
+			checkSingles(w, []outcome{w.answered("r", Single, "leaf-3.q", "", partBody(singleName, "q"))}),
 		},
 		"gathered": {
-			judgeGathered(w, []outcome{w.answered("r", Gathered, "leaf-1.r, leaf-2.r", "0", whole)}),
-			judgeGathered(w, []outcome{w.answered("r", Gathered, "leaf-1.r, leaf-2.r", "0", half)}),
+			checkGathered(w, []outcome{w.answered("r", Gathered, "leaf-1.r, leaf-2.r", "0", whole)}),
+			checkGathered(w, []outcome{w.answered("r", Gathered, "leaf-1.r, leaf-2.r", "0", half)}),
 		},
 		"missing parts": {
-			judgeGathered(w, []outcome{w.answered("r", Gathered, "leaf-1.r,leaf-2.r", "", whole)}),
-			judgeGathered(w, []outcome{w.answered("r", Gathered, "leaf-1.r", "0", half)}),
+			checkGathered(w, []outcome{w.answered("r", Gathered, "leaf-1.r,leaf-2.r", "", whole)}),
+			checkGathered(w, []outcome{w.answered("r", Gathered, "leaf-1.r", "0", half)}),
 		},
 		"stops": {
-			judgeStops([]outcome{{node: stopped, status: http.StatusOK, sent: now.Add(-time.Millisecond), ended: now.Add(time.Millisecond)}}),
-			judgeStops([]outcome{{node: stopped, sent: now.Add(-time.Millisecond), ended: now.Add(time.Millisecond)}}),
+			checkStops([]outcome{{node: stopped, status: http.StatusOK, sent: now.Add(-time.Millisecond), ended: now.Add(time.Millisecond)}}),
+			checkStops([]outcome{{node: stopped, sent: now.Add(-time.Millisecond), ended: now.Add(time.Millisecond)}}),
 		},
 		"recovery": {
-			judgeRecovery([]outcome{{status: http.StatusOK, sent: now}}, now),
-			judgeRecovery([]outcome{{status: http.StatusBadGateway, sent: now}}, now),
+			checkRecovery([]outcome{{status: http.StatusOK, sent: now}}, now),
+			checkRecovery([]outcome{{status: http.StatusBadGateway, sent: now}}, now),
 		},
 	}
 	for name, one := range cases {
@@ -95,7 +95,7 @@
 
 // A node that serves by an old configuration after the bound, or goes back to one, breaks the promise; one that had a fault
 // gets more time.
-func TestJudgeConfiguration(t *testing.T) {
+func TestCheckConfiguration(t *testing.T) {
 	is := is.New(t)
 	w := still(t)
 	began := time.Now()
@@ -106,11 +106,11 @@
 		return o
 	}
 	const old, current = "leaf-3", "leaf-4"
-	is.Equal(len(judgeConfiguration(w, []outcome{served(old, time.Second), served(old, 12*time.Second), served(current, 14*time.Second)}).Broken), 0)
-	is.Equal(len(judgeConfiguration(w, []outcome{served(old, 14*time.Second)}).Broken), 1)                                  // late
-	is.Equal(len(judgeConfiguration(w, []outcome{served(current, 11*time.Second), served(old, 12*time.Second)}).Broken), 1) // back
+	is.Equal(len(checkConfiguration(w, []outcome{served(old, time.Second), served(old, 12*time.Second), served(current, 14*time.Second)}).Broken), 0)
+	is.Equal(len(checkConfiguration(w, []outcome{served(old, 14*time.Second)}).Broken), 1)                                  // late
+	is.Equal(len(checkConfiguration(w, []outcome{served(current, 11*time.Second), served(old, 12*time.Second)}).Broken), 1) // back
 	w.nodes[0].faultSpans = []faultSpan{{from: began.Add(12 * time.Second), until: began.Add(20 * time.Second)}}
-	is.Equal(len(judgeConfiguration(w, []outcome{served(old, 14*time.Second)}).Broken), 0)
+	is.Equal(len(checkConfiguration(w, []outcome{served(old, 14*time.Second)}).Broken), 0)
 }
 
 // A node was frozen while the second configuration was accepted. When it went on, the requests that waited there were served
@@ -130,26 +130,26 @@
 		return o
 	}
 	frozen := []outcome{served(first, 6900, 9322), served(second, 7000, 9324), served(first, 7700, 9323)}
-	is.Equal(judgeConfiguration(w, append(frozen, served(second, 9400, 9430), served(first, 13500, 13530))).Broken, nil)
-	is.Equal(len(judgeConfiguration(w, append(frozen, served(first, 9400, 9430))).Broken), 1) // back to the first, after all had ended
+	is.Equal(checkConfiguration(w, append(frozen, served(second, 9400, 9430), served(first, 13500, 13530))).Broken, nil)
+	is.Equal(len(checkConfiguration(w, append(frozen, served(first, 9400, 9430))).Broken), 1) // back to the first, after all had ended
 	// Answers of an earlier version count also for requests that were sent before the answer of a later one ended.
 	later := []outcome{served(second, 8200, 8230), served(second, 8300, 8330), served(first, 13100, 13200), served(first, 8900, 8930)}
-	is.Equal(len(judgeConfiguration(w, later).Broken), 1)
+	is.Equal(len(checkConfiguration(w, later).Broken), 1)
 }
 
 // A leaving leaf that receives a request after the bound breaks the promise, if no node had a fault.
-func TestJudgeDraining(t *testing.T) {
+func TestCheckDraining(t *testing.T) {
 	is := is.New(t)
 	w := still(t)
 	state := w.leafs["leaf-3"]
 	ask(t, state.leaf)
 	state.leavingAt = time.Now()
-	is.Equal(len(judgeDraining(w).Broken), 0)
+	is.Equal(len(checkDraining(w).Broken), 0)
 	state.leavingAt = time.Now().Add(-drainBound - time.Second)
-	is.Equal(len(judgeDraining(w).Broken), 1)
+	is.Equal(len(checkDraining(w).Broken), 1)
 	w.nodes[0].noteFault(time.Second, false)
 	ask(t, state.leaf)
-	is.Equal(len(judgeDraining(w).Broken), 1) // the first leaf still
+	is.Equal(len(checkDraining(w).Broken), 1) // the first leaf still
 }
 
 // ask sends a leaf a request.
@@ -194,7 +194,7 @@
 }
 
 // A request to an evacuated leaf is late after the bound, until the zone is restored.
-func TestJudgeFindsRequestsToEvacuatedLeafs(t *testing.T) {
+func TestCheckFindsRequestsToEvacuatedLeafs(t *testing.T) {
 	is := is.New(t)
 	w := still(t)
 	id := "leaf-1"
@@ -219,7 +219,7 @@
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
 			w.evacuations = []evacuation{one.span}
-			is.New(t).Equal(len(judgeEvacuations(w).Broken) > 0, one.broken)
+			is.New(t).Equal(len(checkEvacuations(w).Broken) > 0, one.broken)
 		})
 	}
 }
--- a/internal/lab/soak/crashing.go
+++ b/internal/lab/soak/crashing.go
@@ -169,8 +169,8 @@
 	}
 }
 
-// judgeCrashing checks that a request that crashed three leafs reaches few more of them once all nodes must know it.
-func judgeCrashing(w *world) Result {
+// checkCrashing checks that a request that crashed three leafs reaches few more of them once all nodes must know it.
+func checkCrashing(w *world) Result {
 	v := Result{Promise: "a request that crashed three leafs reaches few more of them after its bound"}
 	w.crashLog.mu.Lock()
 	defer w.crashLog.mu.Unlock()
@@ -191,8 +191,8 @@
 	return v
 }
 
-// judgeOtherRequests checks that no other request is refused as a crashing one.
-func judgeOtherRequests(seen []outcome) Result {
+// checkOtherRequests checks that no other request is refused as a crashing one.
+func checkOtherRequests(seen []outcome) Result {
 	v := Result{Promise: "no other request is refused as one that crashes leafs"}
 	for _, o := range seen {
 		if o.isCrashing || o.status == 0 || o.status == http.StatusOK {
--- a/internal/lab/soak/rollouts.go
+++ b/internal/lab/soak/rollouts.go
@@ -178,7 +178,7 @@
 	if status != "" && took > s.release.Duration {
 		broken = append(broken, fmt.Sprintf("outcome %v after the order, which was to take %v", took, s.release.Duration))
 	}
-	for _, v := range judgeRollouts([]rollouts.Release{s.release}, rollouts.Always) {
+	for _, v := range checkRollouts([]rollouts.Release{s.release}, rollouts.Always) {
 		broken = append(broken, v.Broken...)
 	}
 	return broken
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -104,7 +104,7 @@
 	if err := w.failed(); err != nil {
 		return nil, err
 	}
-	results, err := s.judge(calm)
+	results, err := s.checkAll(calm)
 	if err != nil {
 		return nil, err
 	}
@@ -172,10 +172,10 @@
 	<-released
 }
 
-// judge checks all promises, and writes the records of the soak to its folder if a promise was broken.
-func (s *session) judge(calm time.Time) ([]Result, error) {
+// checkAll checks all promises, and writes the records of the soak to its folder if a promise was broken.
+func (s *session) checkAll(calm time.Time) ([]Result, error) {
 	seen := s.callers.all()
-	results := append(judge(s.world, seen, calm), judgeRollouts(s.operators.played(), s.world.clearOf(seen))...)
+	results := append(checkAll(s.world, seen, calm), checkRollouts(s.operators.played(), s.world.clearOf(seen))...)
 	if s.cfg.Logs == "" || !s.cfg.KeepAll && !hasBroken(results) {
 		return results, nil
 	}
--- a/internal/node/provide_leaf.go
+++ b/internal/node/provide_leaf.go
@@ -34,7 +34,7 @@
 func newBalancer(config settings.Settings, events *stateEvents) *balancer.Balancer {
 	choice := balancer.New(config.Balancer, config.Node.Zone)
 	choice.OnEjected(events.leafEjected)
-	choice.OnAssessment(events.leafJudged)
+	choice.OnAssessment(events.leafAssessed)
 	return choice
 }
 
--- a/internal/node/rollout_events.go
+++ b/internal/node/rollout_events.go
@@ -32,7 +32,7 @@
 	Order          int64     `json:"order"`
 	Target         string    `json:"target"`
 	DurationMillis int64     `json:"duration_millis"`
-	// Rank is the node's place among the judges, from 0; -1 if it is not a judge.
+	// Rank is the node's place among the evaluator nodes, from 0; -1 if it is not an evaluator node.
 	Rank int `json:"rank"`
 }
 
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -57,7 +57,7 @@
 	events := rolloutEvents{log: deps.StateEvents.log}
 	controller := rolloutcontrol.New(rolloutcontrol.Deps{
 		Config: cfg, Catalog: deps.Catalog, Self: deps.Self, Counts: deps.Counts, Splitter: deps.Splitter,
-		NewEvaluator: judging(deps.Config.RolloutVerdict),
+		NewEvaluator: newEvaluator(deps.Config.RolloutVerdict),
 		States:       rolloutcontrol.GuardedStateWriter{Store: deps.Store, Guarded: deps.Guarded, RetryPause: cfg.RetryPause},
 		Fleet:        fleetStatus{deps.Syncer}, Sender: deps.Transport, Events: events, Clock: deps.Clock,
 	})
@@ -125,8 +125,8 @@
 	return evidence.NewCollector(known)
 }
 
-// judging makes what finds out whether the version of an order is good.
-func judging(cfg verdict.Config) rolloutcontrol.EvaluatorFactory {
+// newEvaluator makes what finds out whether the version of an order is good.
+func newEvaluator(cfg verdict.Config) rolloutcontrol.EvaluatorFactory {
 	return func(serving, canaryVersion string, duration time.Duration) rolloutcontrol.Evaluator {
 		return verdict.New(cfg, serving, canaryVersion, duration)
 	}
--- a/internal/node/rollouts_test.go
+++ b/internal/node/rollouts_test.go
@@ -18,7 +18,7 @@
 	off.run(t.Context()) // ends at once
 }
 
-// Without guarded writes two judges could overwrite each other's decisions.
+// Without guarded writes two evaluator nodes could overwrite each other's decisions.
 func TestRolloutsNeedGuardedWrites(t *testing.T) {
 	is := is.New(t)
 	config := settings.Default()
--- a/internal/node/state_events.go
+++ b/internal/node/state_events.go
@@ -25,7 +25,7 @@
 	eventNodesChanged = "nodes_changed"
 	eventLeafEjected  = "leaf_ejected"
 	eventLeafReturned = "leaf_returned"
-	eventLeafJudged   = "leaf_judged"
+	eventLeafAssessed = "leaf_judged"
 	eventZoneLost     = "zone_lost"
 	eventZoneFound    = "zone_found"
 )
@@ -47,8 +47,8 @@
 	Revision int64     `json:"revision"`
 }
 
-// judgedEvent is a new assessment of a leaf. Told says that it follows from other nodes' reports, not from own attempts.
-type judgedEvent struct {
+// leafAssessedEvent is a new assessment of a leaf. Told says that it follows from other nodes' reports, not from own attempts.
+type leafAssessedEvent struct {
 	Time          time.Time          `json:"time"`
 	Event         string             `json:"event"`
 	Leaf          string             `json:"leaf"`
@@ -216,10 +216,10 @@
 	e.log.Write(decisionlog.Ordinary, event)
 }
 
-// leafJudged logs that a leaf is assessed as slow, silent or well again.
-func (e *stateEvents) leafJudged(assessment balancer.Assessment) {
-	e.log.Write(decisionlog.Ordinary, judgedEvent{
-		Time: time.Now(), Event: eventLeafJudged, Leaf: assessment.LeafID, Condition: assessment.Condition,
+// leafAssessed logs that a leaf is assessed as slow, silent or well again.
+func (e *stateEvents) leafAssessed(assessment balancer.Assessment) {
+	e.log.Write(decisionlog.Ordinary, leafAssessedEvent{
+		Time: time.Now(), Event: eventLeafAssessed, Leaf: assessment.LeafID, Condition: assessment.Condition,
 		Slowness: assessment.Slowness, SilenceMillis: assessment.Silence.Milliseconds(), Told: assessment.FromPeer,
 	})
 }
--- a/internal/node/telemetry/rollouts.go
+++ b/internal/node/telemetry/rollouts.go
@@ -7,7 +7,7 @@
 )
 
 // rolloutCollector collects the roll-outs under way at each scrape, so that finished ones leave no series behind. Their
-// number is bounded by the roll-outs under way, and by versions and routes of those that this node judges.
+// number is bounded by the roll-outs under way, and by versions and routes of those that this node evaluates.
 type rolloutCollector struct {
 	statuses func() []rolloutcontrol.Status
 	phase    *prometheus.Desc
--- a/internal/operator/admin/rollouts_test.go
+++ b/internal/operator/admin/rollouts_test.go
@@ -95,7 +95,7 @@
 	is.Equal(shown.GetRollout().GetReason(), "")
 }
 
-// writeState brings the state of a roll-out into force, as a judge does through the store.
+// writeState brings the state of a roll-out into force, as an evaluator node does through the store.
 func writeState(t *testing.T, known *catalog.Catalog, state rollout.State) {
 	t.Helper()
 	document, err := json.Marshal(state)
--- a/internal/request/gateway/attempt.go
+++ b/internal/request/gateway/attempt.go
@@ -45,7 +45,7 @@
 	e.gateway.attemptBegan(leaf)
 	cancel := e.gateway.leafs.Start(asked.Target, &e.request.Leaf, e.deadline(), func(response *leafhttp.Response, err error) {
 		e.gateway.attemptEnded(leaf)
-		result := e.judgeEnd(attempt, response, err, isAbandoned.Load())
+		result := e.classifyEnd(attempt, response, err, isAbandoned.Load())
 		e.countEvidence(leaf, response, result, time.Since(attempt.Started))
 		e.finishAttempt(attempt, asked, probe, attemptEnd{response, result, err}, done)
 	})
@@ -55,35 +55,35 @@
 	}
 }
 
-// judgeEnd judges the end of an attempt, which is an answer or an error.
-func (e *execution) judgeEnd(attempt scatter.Attempt, response *leafhttp.Response, err error, isAbandoned bool) attemptResult {
+// classifyEnd classifies the end of an attempt, which is an answer or an error.
+func (e *execution) classifyEnd(attempt scatter.Attempt, response *leafhttp.Response, err error, isAbandoned bool) attemptResult {
 	if err != nil {
-		return judgeError(isAbandoned, err)
+		return classifyError(isAbandoned, err)
 	}
-	return e.judgeResponse(attempt, response)
+	return e.classifyResponse(attempt, response)
 }
 
-// judgeResponse reports the leaf's load to the balancer and judges the answer.
-func (e *execution) judgeResponse(attempt scatter.Attempt, response *leafhttp.Response) attemptResult {
+// classifyResponse reports the leaf's load to the balancer and classifies the answer.
+func (e *execution) classifyResponse(attempt scatter.Attempt, response *leafhttp.Response) attemptResult {
 	if response.Load != nil {
 		e.gateway.balancer.ReportLoad(attempt.Leaf, balancer.Load{
 			InFlight: uint32(response.Load.Running + response.Load.Waiting), Slots: uint32(response.Load.Slots),
 		})
 	}
-	return e.judge(response)
+	return e.classify(response)
 }
 
-// judge decides whether an answer may be used, whether the leaf ran the request, and whether another leaf is asked:
+// classify decides whether an answer may be used, whether the leaf ran the request, and whether another leaf is asked:
 //
-//	not executed, see judgeRefusal     another leaf is asked
+//	not executed, see classifyRefusal     another leaf is asked
 //	signed success                     used
 //	unsigned success                   not used; the leaf may have run the request
 //	status that promises "not run"     not used; it is not true without the "not executed" mark
 //	other status below 500             passed on; other leafs would answer the same, so that none is asked
 //	other status from 500              another leaf is asked; passed on if none succeeds
-func (e *execution) judge(response *leafhttp.Response) attemptResult {
+func (e *execution) classify(response *leafhttp.Response) attemptResult {
 	if response.NotExecuted {
-		return judgeRefusal(response)
+		return classifyRefusal(response)
 	}
 	signed := response.Header.Get(e.gateway.names.ResponseStamp) != ""
 	isSuccess := response.Status >= http.StatusOK && response.Status < http.StatusMultipleChoices
@@ -122,9 +122,9 @@
 	e.lastFailure = response
 }
 
-// judgeRefusal judges an answer that is marked as "not executed". 421 means that the leaf is gone or draining, 400 that
+// classifyRefusal classifies an answer that is marked as "not executed". 421 means that the leaf is gone or draining, 400 that
 // any leaf would refuse the request, and any other status that the leaf sheds load.
-func judgeRefusal(response *leafhttp.Response) attemptResult {
+func classifyRefusal(response *leafhttp.Response) attemptResult {
 	result := attemptResult{Reason: scatter.Shed, Execution: scatter.NotRun, Outcome: balancer.Shed}
 	switch response.Status {
 	case http.StatusMisdirectedRequest:
@@ -135,8 +135,8 @@
 	return result
 }
 
-// judgeError judges an attempt without an answer.
-func judgeError(isAbandoned bool, err error) attemptResult {
+// classifyError classifies an attempt without an answer.
+func classifyError(isAbandoned bool, err error) attemptResult {
 	outcome := balancer.Failed
 	if isAbandoned {
 		outcome = balancer.Abandoned
--- a/internal/request/gateway/gateway.go
+++ b/internal/request/gateway/gateway.go
@@ -13,8 +13,8 @@
 //	plan.go        describe the attempts to package scatter, which makes them
 //	candidates.go  list the leafs of a shard that may be asked (canary.go: which version, zones.go: which zones)
 //	policy.go      allow hedges and retries (latency.go: the latencies they depend on)
-//	attempt.go     ask one leaf and judge its answer (crash.go: find out whether the leaf crashed)
-//	group_call.go  ask another node for a group of shards (group_reply.go: wait for its reply and judge it)
+//	attempt.go     ask one leaf and classify its answer (crash.go: find out whether the leaf crashed)
+//	group_call.go  ask another node for a group of shards (group_reply.go: wait for its reply and classify it)
 //	answer.go      merge the parts (merge.go), pass a leaf's answer on, or say why there is none
 //	events.go      report the decisions
 //
--- a/internal/request/gateway/group_call_test.go
+++ b/internal/request/gateway/group_call_test.go
@@ -79,7 +79,7 @@
 	silent := p.withSpent(groupEnd{outcome: GroupSilent}.result)
 	is.Equal(silent.Spent, 1)
 	is.True(!silent.Final)
-	refused := p.judgeReply(servingtree.Reply{Failure: &servingtree.Failure{Code: failure.Overloaded, Execution: failure.NotRun}})
+	refused := p.classifyReply(servingtree.Reply{Failure: &servingtree.Failure{Code: failure.Overloaded, Execution: failure.NotRun}})
 	is.Equal(p.withSpent(refused.result).Execution.String(), "unknown")
 }
 
--- a/internal/request/gateway/group_reply.go
+++ b/internal/request/gateway/group_reply.go
@@ -64,7 +64,7 @@
 		select {
 		case ended := <-call.Done():
 			p.deliverPending(call, done)
-			return p.judge(ended, time.Since(began)-call.Waited())
+			return p.classify(ended, time.Since(began)-call.Waited())
 		case answer := <-call.Partial():
 			p.deliverPartial(answer, done)
 		case <-call.Acks():
@@ -118,8 +118,8 @@
 	return groupEnd{result: result, outcome: GroupSilent, reason: errSilent.Error()}
 }
 
-// judge decides what the end of a call means for the group.
-func (p *groupCall) judge(ended servingtree.Result, took time.Duration) groupEnd {
+// classify decides what the end of a call means for the group.
+func (p *groupCall) classify(ended servingtree.Result, took time.Duration) groupEnd {
 	var neverSent *servingtree.NeverSentError
 	switch {
 	case errors.As(ended.Err, &neverSent):
@@ -128,19 +128,19 @@
 		return groupEnd{outcome: GroupBroken, reason: ended.Err.Error()}
 	}
 	p.root.hop.observe(took - time.Duration(ended.Reply.TookMicros)*time.Microsecond)
-	return p.judgeReply(ended.Reply)
+	return p.classifyReply(ended.Reply)
 }
 
-// judgeReply decides what a reply means for the group: an answer is used; a failure is final, unless leafs crashed, in
+// classifyReply decides what a reply means for the group: an answer is used; a failure is final, unless leafs crashed, in
 // which case the shards are probed from here; after a decline another node, or the leafs from here, can be asked.
-func (p *groupCall) judgeReply(reply servingtree.Reply) groupEnd {
+func (p *groupCall) classifyReply(reply servingtree.Reply) groupEnd {
 	switch {
 	case reply.Answer != nil && len(reply.Answer.Stamps) == len(p.group.shards):
 		return groupEnd{result: groupResult{Replies: p.replies(reply.Answer)}, outcome: GroupAnswered}
 	case reply.Answer != nil:
 		return groupEnd{outcome: GroupBroken, reason: "the answer has parts of other services"}
 	case reply.Failure != nil:
-		return p.judgeFailure(reply.Failure)
+		return p.classifyFailure(reply.Failure)
 	case reply.Decline == servingtree.Leaving:
 		return groupNotRun(GroupLeaving, string(reply.Decline))
 	default:
@@ -148,8 +148,8 @@
 	}
 }
 
-// judgeFailure decides what the failure of an intermediate means for the group.
-func (p *groupCall) judgeFailure(failed *servingtree.Failure) groupEnd {
+// classifyFailure decides what the failure of an intermediate means for the group.
+func (p *groupCall) classifyFailure(failed *servingtree.Failure) groupEnd {
 	result := groupResult{Execution: executionOf(failed.Execution)}
 	switch failed.Code {
 	case failure.Quarantined:
--- a/internal/request/gateway/quarantine.go
+++ b/internal/request/gateway/quarantine.go
@@ -14,7 +14,7 @@
 
 // A crashing request crashes each leaf that runs it. Its caller sends it again, with another id and to any node, so
 // that it must be recognised by its fingerprint at the next attempt, the next time it is sent and the next node:
-// otherwise it takes one leaf after the other away from all other requests. Package quarantine judges the evidence and
+// otherwise it takes one leaf after the other away from all other requests. Package quarantine evaluates the evidence and
 // keeps the state of each request; this file says what a request in each state may do, and crash.go finds the evidence.
 //
 //	Clear        no limits, but a head start for the first attempt of a gathered request during an alert
--- a/internal/request/gateway/tree_test.go
+++ b/internal/request/gateway/tree_test.go
@@ -238,7 +238,7 @@
 	b := newTree(t, near("root"), far("there"))
 	e := &execution{gateway: b.nodes["root"].gateway, request: &routedRequest{route: &routing.Entry{Objective: time.Second}}}
 	p := &groupCall{root: b.nodes["root"].gateway.root, execution: e, group: group{shards: []int{5, 6}}}
-	ended := p.judge(servingtree.Result{Reply: servingtree.Reply{Answer: &servingtree.Answer{Stamps: []string{"x"}}}}, 0)
+	ended := p.classify(servingtree.Result{Reply: servingtree.Reply{Answer: &servingtree.Answer{Stamps: []string{"x"}}}}, 0)
 	is.Equal(ended.outcome, GroupBroken)
 }
 
@@ -266,8 +266,8 @@
 	}
 }
 
-// A root judges overload by the shards that it asks itself: its data on the others is old.
-func TestOverloadIsJudgedByTheShardsAskedFromHere(t *testing.T) {
+// A root classifies overload by the shards that it asks itself: its data on the others is old.
+func TestOverloadIsClassifiedByTheShardsQueriedFromHere(t *testing.T) {
 	is := is.New(t)
 	b := newTree(t, near("root"), far("there"), catalog.NodeRecord{ID: "farther", Zone: zoneFarther})
 	g := b.nodes["root"].gateway
--- a/internal/request/search/attempt.go
+++ b/internal/request/search/attempt.go
@@ -25,15 +25,15 @@
 	request := s.leafRequest(attempt)
 	address := s.service.Leafs[attempt.Leaf.ID].GetAddress()
 	response, err := s.engine.leafs.SearchShard(ctx, address, request)
-	result := s.engine.judge(ctx, request, attempt.Leaf, response, err)
+	result := s.engine.classify(ctx, request, attempt.Leaf, response, err)
 	return s.learn(ctx, attempt, address, err, result)
 }
 
-// judge decides what an attempt's end means: whether the reply is used, whether the leaf ran the attempt, and what that
+// classify decides what an attempt's end means: whether the reply is used, whether the leaf ran the attempt, and what that
 // says about the leaf. A reply that fails verification leaves the execution unknown.
-func (e *Engine) judge(ctx context.Context, request *leafv1.SearchShardRequest, leaf *balancer.Leaf, response *leafv1.SearchShardResponse, err error) scatter.Result[shardReply] {
+func (e *Engine) classify(ctx context.Context, request *leafv1.SearchShardRequest, leaf *balancer.Leaf, response *leafv1.SearchShardResponse, err error) scatter.Result[shardReply] {
 	if err != nil {
-		return e.judgeError(ctx, request, leaf, err)
+		return e.classifyError(ctx, request, leaf, err)
 	}
 	reply, reason := verify(request, response)
 	if reason != replyAccepted {
@@ -45,11 +45,11 @@
 	return scatter.Result[shardReply]{Reply: &reply, Execution: scatter.Ran, Outcome: balancer.Succeeded, Queued: load.GetInFlight() > load.GetSlots()}
 }
 
-// judgeError judges an attempt without a reply. It did not run only if it was never sent or the leaf refused it.
-func (e *Engine) judgeError(ctx context.Context, request *leafv1.SearchShardRequest, leaf *balancer.Leaf, err error) scatter.Result[shardReply] {
+// classifyError classifies an attempt without a reply. It did not run only if it was never sent or the leaf refused it.
+func (e *Engine) classifyError(ctx context.Context, request *leafv1.SearchShardRequest, leaf *balancer.Leaf, err error) scatter.Result[shardReply] {
 	var refusal *leafclient.Refusal
 	if errors.As(err, &refusal) {
-		return e.judgeRefusal(request, leaf, refusal.Detail)
+		return e.classifyRefusal(request, leaf, refusal.Detail)
 	}
 	var neverSent *leafclient.NeverSentError
 	if errors.As(err, &neverSent) {
@@ -68,9 +68,9 @@
 	return scatter.Result[shardReply]{Reason: scatter.Reason(missingLeafFailed), Execution: scatter.Unknown, Outcome: balancer.Failed}
 }
 
-// judgeRefusal judges an attempt that the leaf refused: it did not run, unless the refusal is
+// classifyRefusal classifies an attempt that the leaf refused: it did not run, unless the refusal is
 // for another attempt or says that the request ran before.
-func (e *Engine) judgeRefusal(request *leafv1.SearchShardRequest, leaf *balancer.Leaf, refusal *leafv1.LeafRefusal) scatter.Result[shardReply] {
+func (e *Engine) classifyRefusal(request *leafv1.SearchShardRequest, leaf *balancer.Leaf, refusal *leafv1.LeafRefusal) scatter.Result[shardReply] {
 	if !sameIdentity(request.GetIdentity(), refusal.GetIdentity()) {
 		e.metrics.DroppedReplies.WithLabelValues(request.GetService(), string(dropWrongIdentity)).Inc()
 		return scatter.Result[shardReply]{Reason: scatter.Reason(missingLeafFailed), Execution: scatter.Unknown, Outcome: balancer.Failed}
--- a/internal/rollout/rolloutcontrol/config.go
+++ b/internal/rollout/rolloutcontrol/config.go
@@ -11,9 +11,9 @@
 type Config struct {
 	// Enabled makes nodes follow orders, and send the requests of a service to leafs of one version only.
 	Enabled bool `yaml:"enabled"`
-	// Judges is the number of nodes that judge the roll-out of a service.
-	Judges int `yaml:"judges"`
-	// ReportInterval is how often a node reports changed counts to the judges, and a judge evaluates them.
+	// EvaluatorNodes is the number of nodes that evaluate the roll-out of a service.
+	EvaluatorNodes int `yaml:"judges"`
+	// ReportInterval is how often a node reports changed counts to the evaluator nodes, and an evaluator node evaluates them.
 	ReportInterval time.Duration `yaml:"report_interval"`
 	// ResendInterval is how often a node reports all its counts, in case reports were lost.
 	ResendInterval time.Duration `yaml:"resend_interval"`
@@ -22,13 +22,13 @@
 	BytesPerSecond int `yaml:"bytes_per_second"`
 	// BurstBytes is what may be sent at once after a quiet time.
 	BurstBytes int `yaml:"burst_bytes"`
-	// TakeoverPause is how much longer each judge waits than the one before it by rank to write a state that the
+	// TakeoverPause is how much longer each evaluator node waits than the one before it by rank to write a state that the
 	// others should have written; shorter for short orders.
 	TakeoverPause time.Duration `yaml:"takeover_pause"`
 	// RollbackMargin is how long before an order's end a version that was not found good is rolled back; shorter for
 	// short orders.
 	RollbackMargin time.Duration `yaml:"rollback_margin"`
-	// SettleInterval is how often a judge asks whether all nodes send to the new version only, once they can.
+	// SettleInterval is how often an evaluator node asks whether all nodes send to the new version only, once they can.
 	SettleInterval time.Duration `yaml:"settle_interval"`
 	// SettleWait is how long nodes that don't answer are waited for and, after the order's end, nodes that still send
 	// to the old version.
@@ -47,7 +47,7 @@
 // DefaultConfig suits orders of some seconds to an hour, and some ninety orders at once within the bound of bytes.
 func DefaultConfig() Config {
 	return Config{
-		Judges: 3, ReportInterval: 400 * time.Millisecond, ResendInterval: 4 * time.Second,
+		EvaluatorNodes: 3, ReportInterval: 400 * time.Millisecond, ResendInterval: 4 * time.Second,
 		BytesPerSecond: 3000, BurstBytes: 48000,
 		TakeoverPause: 700 * time.Millisecond, RollbackMargin: time.Second,
 		SettleInterval: 400 * time.Millisecond, SettleWait: 3 * time.Second,
@@ -59,7 +59,7 @@
 // Validate returns an error that names every invalid field.
 func (c Config) Validate() error {
 	var checks failure.Checks
-	checks.Refuse(c.Judges < 1, "judges", "must be at least 1")
+	checks.Refuse(c.EvaluatorNodes < 1, "judges", "must be at least 1")
 	checks.Refuse(c.BytesPerSecond < 1, "bytes_per_second", "must be positive")
 	checks.Refuse(c.BurstBytes < peer.MaximumDatagram, "burst_bytes", "must be at least %d, a whole datagram", peer.MaximumDatagram)
 	durations := []struct {
--- a/internal/rollout/rolloutcontrol/controller.go
+++ b/internal/rollout/rolloutcontrol/controller.go
@@ -1,14 +1,14 @@
 // Package rolloutcontrol carries out the orders that move services to other versions: it reports what each node
-// counted to the judges of a service, evaluates canary versions, and writes the phase of each roll-out to the
+// counted to the evaluator nodes of a service, evaluates canary versions, and writes the phase of each roll-out to the
 // store.
 //
-// Every node runs a Controller. The judges of a service are the first registered nodes by rendezvous hash.
-// Correctness does not depend on nodes agreeing about who they are: each judge may write, and the store accepts a
-// write only in place of the state that the judge knew and while the order is unchanged. If judges disagree the first
+// Every node runs a Controller. The evaluator nodes of a service are the first registered nodes by rendezvous hash.
+// Correctness does not depend on nodes agreeing about who they are: each evaluator node may write, and the store accepts a
+// write only in place of the state that the evaluator node knew and while the order is unchanged. If evaluator nodes disagree the first
 // write wins, and a late one has no effect. A version found bad is stopped at once by messages between nodes (a
 // hold), whether or not the store accepts the write.
 //
-// The package owns the counts of all nodes at a judge, the holds, and the goroutines of Run with its writes and fleet
+// The package owns the counts of all nodes at an evaluator node, the holds, and the goroutines of Run with its writes and fleet
 // calls. It relies on the catalog for orders, states and registered nodes, on datagrams for reports and holds, on
 // conditional writes of the store, and on a clock that counts suspended time.
 package rolloutcontrol
@@ -67,20 +67,20 @@
 	reporter *reporter
 
 	// The fields up to running belong to the goroutine of Run.
-	judges     judgeSet
-	orders     map[string]*activeOrder
-	schedules  map[string]*writeSchedule
-	hasStarted bool // a first configuration was handled
-	steppedAt  boottime.Mark
-	judgeAfter time.Time // after a suspension: earlier, reports may be unread
-	reportedAt time.Time
-	askedAt    time.Time
-	answeredAt time.Time // when the call of the newest answer was made
-	fleetCalls int       // in flight
-	writes     int       // in flight
-	written    chan writeResult
-	answers    chan fleetAnswer
-	running    sync.WaitGroup
+	evaluatorNodes evaluatorNodeSet
+	orders         map[string]*activeOrder
+	schedules      map[string]*writeSchedule
+	hasStarted     bool // a first configuration was handled
+	steppedAt      boottime.Mark
+	evaluateAfter  time.Time // after a suspension: earlier, reports may be unread
+	reportedAt     time.Time
+	askedAt        time.Time
+	answeredAt     time.Time // when the call of the newest answer was made
+	fleetCalls     int       // in flight
+	writes         int       // in flight
+	written        chan writeResult
+	answers        chan fleetAnswer
+	running        sync.WaitGroup
 
 	statuses statusSnapshot
 }
@@ -101,7 +101,7 @@
 // New returns a controller.
 func New(deps Deps) *Controller {
 	c := &Controller{
-		deps: deps, cfg: deps.Config, judges: judgeSet{max: deps.Config.Judges},
+		deps: deps, cfg: deps.Config, evaluatorNodes: evaluatorNodeSet{max: deps.Config.EvaluatorNodes},
 		orders: map[string]*activeOrder{}, schedules: map[string]*writeSchedule{},
 		written: make(chan writeResult), answers: make(chan fleetAnswer),
 	}
@@ -157,18 +157,18 @@
 	return false
 }
 
-// resumeIntervals is for how many report intervals a judge collects reports after its machine resumed: all nodes
+// resumeIntervals is for how many report intervals an evaluator node collects reports after its machine resumed: all nodes
 // report their counts within one; the second covers delivery and late ticks.
 const resumeIntervals = 2
 
 // mustWaitForReports reports whether the machine resumed so recently that reports and holds sent meanwhile may still
-// be unread. Otherwise a judge could find a version good by counts from before it turned bad.
+// be unread. Otherwise an evaluator node could find a version good by counts from before it turned bad.
 func (c *Controller) mustWaitForReports(now time.Time) bool {
 	if c.steppedAt.Suspended() > 0 {
-		c.judgeAfter = now.Add(resumeIntervals * c.cfg.ReportInterval)
+		c.evaluateAfter = now.Add(resumeIntervals * c.cfg.ReportInterval)
 	}
 	c.steppedAt = c.deps.Clock.Mark()
-	return now.Before(c.judgeAfter)
+	return now.Before(c.evaluateAfter)
 }
 
 // step follows the orders in force and returns the longest time until the next step.
@@ -182,7 +182,7 @@
 	c.report(now, view)
 	next := c.cfg.ReportInterval
 	if mustWaitForReports {
-		return min(next, c.judgeAfter.Sub(now))
+		return min(next, c.evaluateAfter.Sub(now))
 	}
 	for service, known := range view.Rollouts {
 		if pause := c.follow(ctx, now, view, service, known); pause > 0 {
@@ -260,18 +260,18 @@
 }
 
 func (c *Controller) rank(view *catalog.View, service string) int {
-	return rankOf(c.judges.of(view, service), c.deps.Self.ID)
+	return rankOf(c.evaluatorNodes.of(view, service), c.deps.Self.ID)
 }
 
-// report sends this node's counts to the judges once each report interval.
+// report sends this node's counts to the evaluator nodes once each report interval.
 func (c *Controller) report(now time.Time, view *catalog.View) {
 	if now.Sub(c.reportedAt) < c.cfg.ReportInterval {
 		return
 	}
 	c.reportedAt = now
-	judges := func(service string) []catalog.NodeRecord { return c.judges.of(view, service) }
-	c.reporter.step(now, judges, func(order orderKey) bool { return c.isWanted(view, order) })
+	evaluatorNodes := func(service string) []catalog.NodeRecord { return c.evaluatorNodes.of(view, service) }
+	c.reporter.step(now, evaluatorNodes, func(order orderKey) bool { return c.isWanted(view, order) })
 }
 
-// Statuses returns the roll-outs under way as this node sees them, with the counts of those that it judges.
+// Statuses returns the roll-outs under way as this node sees them, with the counts of those that it evaluates.
 func (c *Controller) Statuses() []Status { return c.statuses.get() }
--- a/internal/rollout/rolloutcontrol/controller_test.go
+++ b/internal/rollout/rolloutcontrol/controller_test.go
@@ -68,30 +68,30 @@
 	})
 }
 
-func TestFirstJudgeDead(t *testing.T) {
+func TestFirstEvaluatorNodeDead(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
-		f.kill(f.judge("s", 0))
+		f.kill(f.evaluatorNode("s", 0))
 		f.order("s", "b", orderDuration)
 		f.serve(orderDuration+time.Second, never)
 		is.Equal(f.store.phases("s"), succeeds)
 	})
 }
 
-func TestJudgePausedWhileAnotherWrites(t *testing.T) {
+func TestEvaluatorNodePausedWhileAnotherWrites(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		f.order("s", "b", orderDuration)
 		f.serve(orderDuration/2, never)
-		f.pause(f.judge("s", 0), 3*time.Second)
+		f.pause(f.evaluatorNode("s", 0), 3*time.Second)
 		f.serve(orderDuration, never)
 		is.Equal(f.store.phases("s"), succeeds)
 	})
 }
 
-func TestJudgeCutOffNeverWritesLate(t *testing.T) {
+func TestIsolatedEvaluatorNodeNeverWritesLate(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		f.order("s", "b", orderDuration)
 		f.serve(time.Second, never)
-		cut := f.judge("s", 0)
+		cut := f.evaluatorNode("s", 0)
 		f.setCut(cut, true)
 		f.serve(orderDuration+4*time.Second, never)
 		is.Equal(f.store.phases("s"), succeeds)
@@ -150,9 +150,9 @@
 	})
 }
 
-func TestStoreRefusesTheFirstJudgeOnly(t *testing.T) {
+func TestStoreRefusesTheFirstEvaluatorNodeOnly(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
-		first := f.judge("s", 0)
+		first := f.evaluatorNode("s", 0)
 		f.store.fail(func(m *memoryStore) { m.refused[first] = true })
 		f.order("s", "b", orderDuration)
 		f.serve(orderDuration, never)
@@ -227,8 +227,8 @@
 				f.order("s", "b", duration)
 				f.serve(duration+4*time.Second, never)
 				is.Equal(f.store.phases("s"), succeeds)
-				// Judges of a second's order can't wait until they learn of what another wrote.
-				is.True(f.store.allCalls() <= f.cfg.Judges*len(succeeds))
+				// Evaluator nodes of a second's order can't wait until they learn of what another wrote.
+				is.True(f.store.allCalls() <= f.cfg.EvaluatorNodes*len(succeeds))
 				is.True(duration == time.Second || f.store.allCalls() == len(succeeds))
 			})
 		})
@@ -240,7 +240,7 @@
 		t.Run(duration.String(), func(t *testing.T) {
 			scene(t, func(is *is.I, f *fleet) {
 				f.order("s", "missing", duration)
-				f.serve(duration+syncDelay, never) // the judges learn of the order that late
+				f.serve(duration+syncDelay, never) // the evaluator nodes learn of the order that late
 				is.Equal(f.store.phases("s"), rollsBack)
 				is.Equal(f.store.written()[1].Reason, "not found good in time: no attempt was counted")
 			})
--- a/internal/rollout/rolloutcontrol/judge.go
+++ b/internal/rollout/rolloutcontrol/evaluate.go
@@ -18,7 +18,7 @@
 	case rank < 0:
 		return 0
 	case active != nil:
-		return c.judge(ctx, now, view, active, rank)
+		return c.evaluate(ctx, now, view, active, rank)
 	case known.Order == nil && known.State != nil && !known.State.Phase.IsFinal():
 		return c.endWithoutOrder(ctx, now, *known.State, rank)
 	default:
@@ -27,21 +27,21 @@
 	}
 }
 
-// judge evaluates the counts of an order, stops a version found bad, and writes the phase that follows. It returns the
+// evaluate evaluates the counts of an order, stops a version found bad, and writes the phase that follows. It returns the
 // time until the next check, 0 for the report interval.
-func (c *Controller) judge(ctx context.Context, now time.Time, view *catalog.View, active *activeOrder, rank int) time.Duration {
+func (c *Controller) evaluate(ctx context.Context, now time.Time, view *catalog.View, active *activeOrder, rank int) time.Duration {
 	order := orderKey{active.order.Service, active.order.ID()}
 	rows, newest := c.tallies.sum(order)
 	if reason, isHeld := c.holds.reason(order); isHeld {
-		active.judgement = verdict.Judgement{Finding: verdict.Bad, Reason: reason}
+		active.evaluation = verdict.Evaluation{Finding: verdict.Bad, Reason: reason}
 	}
-	active.judge(now, c.deps.NewEvaluator, rows, newest)
-	if active.judgement.Finding == verdict.Bad {
-		c.hold(order, active.judgement.Reason)
-		c.warnJudges(now, view, active, order)
+	active.evaluate(now, c.deps.NewEvaluator, rows, newest)
+	if active.evaluation.Finding == verdict.Bad {
+		c.hold(order, active.evaluation.Reason)
+		c.warnEvaluatorNodes(now, view, active, order)
 	}
 	untilMargin := active.order.Duration() - c.cfg.rollbackMargin(active.order.Duration()) - active.elapsed(now)
-	phase, reason := active.nextPhase(now, c.cfg, c.judges.fingerprint(view))
+	phase, reason := active.nextPhase(now, c.cfg, c.evaluatorNodes.fingerprint(view))
 	if phase == "" {
 		return untilMargin
 	}
@@ -53,14 +53,14 @@
 	return max(untilMargin, dueIn)
 }
 
-// phaseWrite is a write of a state that a judge wants done.
+// phaseWrite is a write of a state that an evaluator node wants done.
 type phaseWrite struct {
 	event PhaseWriteEvent
 	// replaced is the revision of the state that the write replaces, 0 for none.
 	replaced int64
 	// order is the revision at which the order must still be, 0 for no order.
 	order int64
-	// delay is how long the write must have been due before this judge sends it: the judges before it go first.
+	// delay is how long the write must have been due before this evaluator node sends it: the evaluator nodes before it go first.
 	delay time.Duration
 }
 
--- a/internal/rollout/rolloutcontrol/evaluator.go
+++ b/internal/rollout/rolloutcontrol/evaluator.go
@@ -10,7 +10,7 @@
 // Evaluator decides whether the canary version of one order is good; verdict.Evaluator is the real one.
 type Evaluator interface {
 	// Update evaluates the cumulative counts of all nodes, summed by key, at a time since the order.
-	Update(elapsed time.Duration, rows []evidence.Row) verdict.Judgement
+	Update(elapsed time.Duration, rows []evidence.Row) verdict.Evaluation
 }
 
 // EvaluatorFactory returns the evaluator of an order.
--- a/internal/rollout/rolloutcontrol/judgeset.go
+++ b/internal/rollout/rolloutcontrol/evaluatornodes.go
@@ -13,10 +13,10 @@
 	return slices.IndexFunc(nodes, func(node catalog.NodeRecord) bool { return node.ID == id })
 }
 
-// judgesOf returns the nodes that judge the roll-out of a service: the first by rendezvous hash in distinct zones,
+// evaluatorNodesOf returns the nodes that evaluate the roll-out of a service: the first by rendezvous hash in distinct zones,
 // then, if there are too few zones, the first of the others.
-func judgesOf(nodes map[string]catalog.NodeRecord, service string, limit int) []catalog.NodeRecord {
-	var judges, others []catalog.NodeRecord
+func evaluatorNodesOf(nodes map[string]catalog.NodeRecord, service string, limit int) []catalog.NodeRecord {
+	var evaluatorNodes, others []catalog.NodeRecord
 	zones := map[string]bool{}
 	for _, node := range registry.Ranked(nodes, service) {
 		if zones[node.Zone] {
@@ -24,15 +24,15 @@
 			continue
 		}
 		zones[node.Zone] = true
-		judges = append(judges, node)
+		evaluatorNodes = append(evaluatorNodes, node)
 	}
-	judges = append(judges, others...)
-	return judges[:min(limit, len(judges))]
+	evaluatorNodes = append(evaluatorNodes, others...)
+	return evaluatorNodes[:min(limit, len(evaluatorNodes))]
 }
 
-// judgeSet caches the judges of services while the registered nodes stay the same. The zero value is empty; it is not
+// evaluatorNodeSet caches the evaluator nodes of services while the registered nodes stay the same. The zero value is empty; it is not
 // safe for concurrent use.
-type judgeSet struct {
+type evaluatorNodeSet struct {
 	max              int
 	view             *catalog.View
 	nodes            map[string]catalog.NodeRecord
@@ -40,25 +40,25 @@
 	nodesFingerprint uint64 // the fingerprint of nodes
 }
 
-// of returns the judges of a service. The slice is shared, and stays the same while the nodes do.
-func (s *judgeSet) of(view *catalog.View, service string) []catalog.NodeRecord {
+// of returns the evaluator nodes of a service. The slice is shared, and stays the same while the nodes do.
+func (s *evaluatorNodeSet) of(view *catalog.View, service string) []catalog.NodeRecord {
 	s.refresh(view)
-	judges, found := s.byService[service]
+	evaluatorNodes, found := s.byService[service]
 	if !found {
-		judges = judgesOf(view.Nodes, service, s.max)
-		s.byService[service] = judges
+		evaluatorNodes = evaluatorNodesOf(view.Nodes, service, s.max)
+		s.byService[service] = evaluatorNodes
 	}
-	return judges
+	return evaluatorNodes
 }
 
 // fingerprint returns the fingerprint of the registered nodes.
-func (s *judgeSet) fingerprint(view *catalog.View) uint64 {
+func (s *evaluatorNodeSet) fingerprint(view *catalog.View) uint64 {
 	s.refresh(view)
 	return s.nodesFingerprint
 }
 
 // refresh empties the cache if the nodes of the view differ.
-func (s *judgeSet) refresh(view *catalog.View) {
+func (s *evaluatorNodeSet) refresh(view *catalog.View) {
 	if view == s.view {
 		return
 	}
--- a/internal/rollout/rolloutcontrol/events.go
+++ b/internal/rollout/rolloutcontrol/events.go
@@ -26,7 +26,7 @@
 // OrderEvent is an order as a node learned of it.
 type OrderEvent struct {
 	Order rollout.Order
-	// Rank is the node's rank among the judges of the service, -1 if it is not one of them.
+	// Rank is the node's rank among the evaluator nodes of the service, -1 if it is not one of them.
 	Rank int
 }
 
--- a/internal/rollout/rolloutcontrol/fleet_test.go
+++ b/internal/rollout/rolloutcontrol/fleet_test.go
@@ -18,14 +18,14 @@
 
 // fleet is a set of nodes over one store and a memory network, in virtual time.
 type fleet struct {
-	t       *testing.T
-	cfg     Config
-	store   *memoryStore
-	network *peertest.Network
-	judging EvaluatorFactory
-	ramp    time.Duration // how long nodes take to move their requests
-	mu      sync.Mutex
-	nodes   map[string]*testNode
+	t            *testing.T
+	cfg          Config
+	store        *memoryStore
+	network      *peertest.Network
+	newEvaluator EvaluatorFactory
+	ramp         time.Duration // how long nodes take to move their requests
+	mu           sync.Mutex
+	nodes        map[string]*testNode
 }
 
 // all returns the running nodes.
@@ -45,7 +45,7 @@
 const syncDelay = 100 * time.Millisecond
 
 func newFleet(t *testing.T, size int) *fleet {
-	f := &fleet{t: t, cfg: DefaultConfig(), network: peertest.NewNetwork(1, time.Millisecond), nodes: map[string]*testNode{}, judging: newPlainJudging}
+	f := &fleet{t: t, cfg: DefaultConfig(), network: peertest.NewNetwork(1, time.Millisecond), nodes: map[string]*testNode{}, newEvaluator: newThresholdEvaluator}
 	f.store = &memoryStore{entries: map[string]catalog.Entry{}, refused: map[string]bool{}, calls: map[string]int{}}
 	f.store.changed = func() { time.AfterFunc(syncDelay, f.syncAll) }
 	for number := range size {
@@ -65,7 +65,7 @@
 	n.catalog.EnableRollouts()
 	view := storeView{f.store, n}
 	n.controller = New(Deps{
-		Config: f.cfg, Catalog: n.catalog, Self: catalog.NodeRecord{ID: id, Address: id}, Counts: n, Splitter: n, NewEvaluator: f.judging,
+		Config: f.cfg, Catalog: n.catalog, Self: catalog.NodeRecord{ID: id, Address: id}, Counts: n, Splitter: n, NewEvaluator: f.newEvaluator,
 		States: GuardedStateWriter{Store: view, Guarded: view, RetryPause: f.cfg.RetryPause}, Fleet: n, Sender: n, Events: n, Clock: n.clock,
 	})
 	n.transport.Serve(n)
@@ -129,23 +129,23 @@
 	time.Sleep(10 * time.Second)
 }
 
-// judge returns the id of a judge of a service by rank.
-func (f *fleet) judge(service string, rank int) string {
-	return f.judges(service)[rank].ID
+// evaluate returns the id of an evaluator node of a service by rank.
+func (f *fleet) evaluatorNode(service string, rank int) string {
+	return f.evaluatorNodes(service)[rank].ID
 }
 
-func (f *fleet) judges(service string) []catalog.NodeRecord {
-	return judgesOf(f.all()[0].catalog.View().Nodes, service, f.cfg.Judges)
+func (f *fleet) evaluatorNodes(service string) []catalog.NodeRecord {
+	return evaluatorNodesOf(f.all()[0].catalog.View().Nodes, service, f.cfg.EvaluatorNodes)
 }
 
-// nonJudge returns the id of a node that does not judge a service.
-func (f *fleet) nonJudge(service string) string {
+// otherNode returns the id of a node that does not evaluate a service.
+func (f *fleet) otherNode(service string) string {
 	for _, node := range f.all() {
-		if rankOf(f.judges(service), node.id) < 0 {
+		if rankOf(f.evaluatorNodes(service), node.id) < 0 {
 			return node.id
 		}
 	}
-	panic("all nodes are judges")
+	panic("all nodes are evaluator nodes")
 }
 
 // attemptsSeenBy returns the attempts that were reported to a node for an order of "s".
--- a/internal/rollout/rolloutcontrol/handlers.go
+++ b/internal/rollout/rolloutcontrol/handlers.go
@@ -5,7 +5,7 @@
 	"github.com/portgauge/portgauge/internal/rollout/evidence"
 )
 
-// keepOwn adds this node's own counts where it is a judge.
+// keepOwn adds this node's own counts where it is an evaluator node.
 func (c *Controller) keepOwn(rows []evidence.Row) {
 	from := process{node: c.deps.Self.ID, start: c.reporter.start}
 	if dropped := c.tallies.add(from, c.deps.Self.Address, rows, c.deps.Clock.Now()); dropped > 0 {
@@ -42,7 +42,7 @@
 	}
 }
 
-// HandleHold handles a judge's message that an order's version is bad.
+// HandleHold handles an evaluator node's message that an order's version is bad.
 func (c *Controller) HandleHold(from string, hold peer.RolloutHold) {
 	order := orderKey{hold.Service, hold.Order}
 	if !c.isWanted(c.deps.Catalog.View(), order) || !c.holds.add(order, "held by a message from "+from) {
--- a/internal/rollout/rolloutcontrol/handlers_test.go
+++ b/internal/rollout/rolloutcontrol/handlers_test.go
@@ -13,7 +13,7 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// Judges that received no reports at first get all counts later.
+// Evaluator nodes that received no reports at first get all counts later.
 func TestReportsThatWereLostAreMadeUpFor(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		revision := f.order("s", "b", time.Hour)
@@ -23,14 +23,14 @@
 		f.network.SetLoss(0)
 		time.Sleep(2 * f.cfg.ResendInterval)
 		is.True(f.attemptsReported() > 0)
-		is.Equal(f.attemptsSeenBy(f.judge("s", 0), revision), f.attemptsReported())
+		is.Equal(f.attemptsSeenBy(f.evaluatorNode("s", 0), revision), f.attemptsReported())
 	})
 }
 
 // A node that did not receive a hold is sent it again while it reports counts.
 func TestHoldThatWasLostIsToldAgain(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
-		missed := f.nonJudge("s")
+		missed := f.otherNode("s")
 		revision := f.order("s", "b", orderDuration)
 		f.serve(2*time.Second, never)
 		f.store.setDown(true)
@@ -58,7 +58,7 @@
 // A fleet call that hangs does not delay the next one.
 func TestSilentNodeDoesNotHoldTheSwitchUp(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
-		f.node(f.judge("s", 0)).hangs.Store(1)
+		f.node(f.evaluatorNode("s", 0)).hangs.Store(1)
 		f.order("s", "b", orderDuration)
 		f.serve(orderDuration/2+3*f.cfg.SettleInterval+f.cfg.finalWatch(orderDuration), never)
 		is.Equal(f.store.phases("s"), succeeds)
@@ -68,7 +68,7 @@
 // A node that answers without being registered does not count for a registered one that is silent.
 func TestUnregisteredNodeDoesNotStandIn(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
-		silent := f.nonJudge("s")
+		silent := f.otherNode("s")
 		f.start("unregistered")
 		f.setCut(silent, true)
 		f.order("s", "b", orderDuration)
@@ -83,10 +83,10 @@
 	})
 }
 
-// A judge without counts of its own applies the hold of another.
-func TestJudgesBelieveAHold(t *testing.T) {
+// An evaluator node without counts of its own applies the hold of another.
+func TestEvaluatorNodesAdoptAnAbort(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
-		first, second, third := f.judge("s", 0), f.judge("s", 1), f.judge("s", 2)
+		first, second, third := f.evaluatorNode("s", 0), f.evaluatorNode("s", 1), f.evaluatorNode("s", 2)
 		f.order("s", "b", orderDuration)
 		f.serve(time.Second, never)
 		f.store.fail(func(m *memoryStore) { m.refused[first] = true })
@@ -98,10 +98,10 @@
 	})
 }
 
-// A judge that reported no counts receives the hold too, even if the first message is lost.
-func TestJudgesWithoutCountsHearOfAHold(t *testing.T) {
+// An evaluator node that reported no counts receives the hold too, even if the first message is lost.
+func TestEvaluatorNodesWithoutCountsLearnOfAnAbort(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
-		first, second, third := f.judge("s", 0), f.judge("s", 1), f.judge("s", 2)
+		first, second, third := f.evaluatorNode("s", 0), f.evaluatorNode("s", 1), f.evaluatorNode("s", 2)
 		f.node(second).stopCounting()
 		f.node(third).stopCounting()
 		f.store.fail(func(m *memoryStore) { m.refused[first] = true })
@@ -146,16 +146,16 @@
 	})
 }
 
-// New judges of a service get the counts from before they were judges.
-func TestNewJudgesHearAllCounts(t *testing.T) {
+// New evaluator nodes of a service get the counts from before they were evaluator nodes.
+func TestNewEvaluatorNodesReceiveAllCounts(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		revision := f.order("s", "b", time.Hour)
 		f.serve(2*time.Second, never)
 		time.Sleep(f.cfg.ResendInterval / 2) // so that no resend is due soon
-		f.store.set(catalog.NodeKey(f.judge("s", 0)), nil)
+		f.store.set(catalog.NodeKey(f.evaluatorNode("s", 0)), nil)
 		time.Sleep(syncDelay + 2*f.cfg.ReportInterval)
-		for _, judge := range f.judges("s") {
-			is.Equal(f.attemptsSeenBy(judge.ID, revision), f.attemptsReported())
+		for _, evaluatorNode := range f.evaluatorNodes("s") {
+			is.Equal(f.attemptsSeenBy(evaluatorNode.ID, revision), f.attemptsReported())
 		}
 	})
 }
@@ -164,10 +164,10 @@
 func TestReporterThatRestarts(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		revision := f.order("s", "b", time.Hour)
-		reports := f.judge("s", 0)
+		reports := f.evaluatorNode("s", 0)
 		f.serve(2*time.Second, never)
 		time.Sleep(time.Second)
-		restarted := f.nonJudge("s")
+		restarted := f.otherNode("s")
 		count := func() int64 { return f.attemptsSeenBy(reports, revision) }
 		before := count()
 		f.kill(restarted)
@@ -183,7 +183,7 @@
 }
 
 // An order's time continues while machines are suspended.
-func TestSuspendedJudgesKeepTheDeadline(t *testing.T) {
+func TestSuspendedEvaluatorNodesKeepTheDeadline(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		f.order("s", "missing", orderDuration)
 		f.serve(orderDuration/2, never)
@@ -196,13 +196,13 @@
 	})
 }
 
-// A judge that was suspended past the time from which a version may be found good reads the reports first, by which it
+// An evaluator node that was suspended past the time from which a version may be found good reads the reports first, by which it
 // turned bad meanwhile.
-func TestJudgeThatWakesHearsFirst(t *testing.T) {
+func TestResumedEvaluatorNodeReadsReportsFirst(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		f.order("s", "b", orderDuration)
 		f.serve(orderDuration/4, never)
-		first := f.judge("s", 0)
+		first := f.evaluatorNode("s", 0)
 		f.pause(first, 500*time.Millisecond)
 		f.serve(300*time.Millisecond, 0)
 		f.node(first).suspended.Store(int64(orderDuration / 2))
@@ -211,7 +211,7 @@
 	})
 }
 
-func TestJudgeThatStartsLateKeepsTheDeadline(t *testing.T) {
+func TestEvaluatorNodeThatStartsLateKeepsTheDeadline(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		f.order("s", "missing", orderDuration)
 		f.serve(orderDuration/2, never)
--- a/internal/rollout/rolloutcontrol/holds.go
+++ b/internal/rollout/rolloutcontrol/holds.go
@@ -77,16 +77,16 @@
 	c.deps.Sender.Send(address, peer.Message{RolloutHold: &peer.RolloutHold{Service: order.service, Order: order.id}})
 }
 
-// warnJudges sends a hold to the other judges once each report interval until the state is written, because the store
+// warnEvaluatorNodes sends a hold to the other evaluator nodes once each report interval until the state is written, because the store
 // may accept the write of any of them.
-func (c *Controller) warnJudges(now time.Time, view *catalog.View, active *activeOrder, order orderKey) {
+func (c *Controller) warnEvaluatorNodes(now time.Time, view *catalog.View, active *activeOrder, order orderKey) {
 	if now.Sub(active.warnedAt) < c.cfg.ReportInterval {
 		return
 	}
 	active.warnedAt = now
-	for _, judge := range c.judges.of(view, order.service) {
-		if judge.ID != c.deps.Self.ID {
-			c.sendHold(judge.Address, order)
+	for _, evaluatorNode := range c.evaluatorNodes.of(view, order.service) {
+		if evaluatorNode.ID != c.deps.Self.ID {
+			c.sendHold(evaluatorNode.Address, order)
 		}
 	}
 }
--- a/internal/rollout/rolloutcontrol/node_test.go
+++ b/internal/rollout/rolloutcontrol/node_test.go
@@ -246,19 +246,19 @@
 	duration time.Duration
 }
 
-func newPlainJudging(_, canary string, duration time.Duration) Evaluator {
+func newThresholdEvaluator(_, canary string, duration time.Duration) Evaluator {
 	return thresholdEvaluator{canary, duration}
 }
 
-func (j thresholdEvaluator) Update(elapsed time.Duration, rows []evidence.Row) verdict.Judgement {
+func (j thresholdEvaluator) Update(elapsed time.Duration, rows []evidence.Row) verdict.Evaluation {
 	for _, one := range countVersions(rows) {
 		switch {
 		case one.Version != j.canary:
 		case one.Failures >= 10:
-			return verdict.Judgement{Finding: verdict.Bad, Reason: "10 answers failed"}
+			return verdict.Evaluation{Finding: verdict.Bad, Reason: "10 answers failed"}
 		case elapsed >= j.duration/2 && one.Attempts >= 5:
-			return verdict.Judgement{Finding: verdict.Good, Reason: "none failed"}
+			return verdict.Evaluation{Finding: verdict.Good, Reason: "none failed"}
 		}
 	}
-	return verdict.Judgement{Finding: verdict.Undecided}
+	return verdict.Evaluation{Finding: verdict.Undecided}
 }
--- a/internal/rollout/rolloutcontrol/order.go
+++ b/internal/rollout/rolloutcontrol/order.go
@@ -25,12 +25,12 @@
 	serving        string
 	isServingKnown bool
 
-	evaluator Evaluator
-	judgement verdict.Judgement
-	rows      []evidence.Row
-	newestAt  time.Time // when the newest of the rows arrived
+	evaluator  Evaluator
+	evaluation verdict.Evaluation
+	rows       []evidence.Row
+	newestAt   time.Time // when the newest of the rows arrived
 
-	warnedAt time.Time // when the hold was last sent to the other judges
+	warnedAt time.Time // when the hold was last sent to the other evaluator nodes
 
 	state          *rollout.State // the one in force for the order; nil before the first
 	switchingSince time.Time
@@ -103,18 +103,18 @@
 	return o.elapsedBefore + now.Sub(o.learnedAt)
 }
 
-// judge evaluates the counts. A bad finding is final, and a good one only changes to bad.
-func (o *activeOrder) judge(now time.Time, factory EvaluatorFactory, rows []evidence.Row, newest time.Time) {
+// evaluate evaluates the counts. A bad finding is final, and a good one only changes to bad.
+func (o *activeOrder) evaluate(now time.Time, factory EvaluatorFactory, rows []evidence.Row, newest time.Time) {
 	o.rows, o.newestAt = rows, newest
-	if o.judgement.Finding == verdict.Bad || !o.isServingKnown {
+	if o.evaluation.Finding == verdict.Bad || !o.isServingKnown {
 		return
 	}
 	if o.evaluator == nil {
 		o.evaluator = factory(o.serving, o.order.Target, o.order.Duration())
 	}
 	found := o.evaluator.Update(o.elapsed(now), rows)
-	if found.Finding == verdict.Bad || o.judgement.Finding != verdict.Good {
-		o.judgement = found
+	if found.Finding == verdict.Bad || o.evaluation.Finding != verdict.Good {
+		o.evaluation = found
 	}
 }
 
--- a/internal/rollout/rolloutcontrol/phase.go
+++ b/internal/rollout/rolloutcontrol/phase.go
@@ -10,7 +10,7 @@
 )
 
 // For short orders the rollback margin and the takeover pause are at most these fractions of the order's duration, so that
-// an order of a second is not over before its judges have acted. The first state may take longer: nothing waits for it.
+// an order of a second is not over before its evaluator nodes have acted. The first state may take longer: nothing waits for it.
 const (
 	marginDivisor     = 10
 	takeoverDivisor   = 20
@@ -36,12 +36,12 @@
 	switch {
 	case o.state == nil && o.isServingKnown && o.serving == o.order.Target:
 		return rollout.Succeeded, "the version serves already"
-	case o.judgement.Finding == verdict.Bad:
-		return rollout.RolledBack, o.judgement.Reason
+	case o.evaluation.Finding == verdict.Bad:
+		return rollout.RolledBack, o.evaluation.Reason
 	case o.phase() == rollout.Switching:
 		return o.nextWhileSwitching(now, cfg, registered)
-	case o.judgement.Finding == verdict.Good:
-		return rollout.Switching, o.judgement.Reason
+	case o.evaluation.Finding == verdict.Good:
+		return rollout.Switching, o.evaluation.Reason
 	case o.elapsed(now) >= o.order.Duration()-cfg.rollbackMargin(o.order.Duration()):
 		return rollout.RolledBack, undecidedReason(o.order.Target, o.rows)
 	case o.state == nil && o.isServingKnown:
@@ -103,7 +103,7 @@
 	return min(c.RollbackMargin, duration/marginDivisor)
 }
 
-// takeoverPause returns how much longer each judge of an order waits than the one before it by rank to write a phase.
+// takeoverPause returns how much longer each evaluator node of an order waits than the one before it by rank to write a phase.
 func (c Config) takeoverPause(phase rollout.Phase, duration time.Duration) time.Duration {
 	if phase == rollout.Canary {
 		return min(c.TakeoverPause, duration/firstStateDivisor)
--- a/internal/rollout/rolloutcontrol/reporter.go
+++ b/internal/rollout/rolloutcontrol/reporter.go
@@ -30,29 +30,29 @@
 // maxRowsTaken bounds the rows taken at once, to a few milliseconds of packing.
 const maxRowsTaken = 1024
 
-// outbox holds the rows that wait to be sent to one judge, the newest of each key.
+// outbox holds the rows that wait to be sent to one evaluator node, the newest of each key.
 type outbox struct {
 	address string
 	since   time.Time // when the first of them was added
 	rows    map[evidence.Key]evidence.Row
 }
 
-// reporter sends this node's counts to the judges of each service, within a bound of bytes a second. Rows beyond the
-// bound wait in an outbox for each judge, where newer counts replace them. It is not safe for concurrent use.
+// reporter sends this node's counts to the evaluator nodes of each service, within a bound of bytes a second. Rows beyond the
+// bound wait in an outbox for each evaluator node, where newer counts replace them. It is not safe for concurrent use.
 type reporter struct {
 	self   catalog.NodeRecord
 	start  int64 // Unix nanoseconds; identifies this process
 	counts Counts
 	sender Sender
-	// keep stores the node's own counts where it is a judge itself.
+	// keep stores the node's own counts where it is an evaluator node itself.
 	keep func([]evidence.Row)
 	// dropped is called with the number of rows that fit into no datagram.
 	dropped func(rows int)
 	budget  *rate.Limiter
 	resend  time.Duration
 
-	outboxes   map[string]*outbox              // by id of the judge
-	reportedTo map[string][]catalog.NodeRecord // the judges of the latest report, by service
+	outboxes   map[string]*outbox              // by id of the evaluator node
+	reportedTo map[string][]catalog.NodeRecord // the evaluator nodes of the latest report, by service
 	resentAt   time.Time
 }
 
@@ -65,35 +65,35 @@
 	}
 }
 
-// step moves changed rows into the outboxes and sends as much of them as the budget allows. judges returns the judges
+// step moves changed rows into the outboxes and sends as much of them as the budget allows. evaluatorNodes returns the evaluator nodes
 // of a service; isUnderWay reports whether an order still needs counts.
-func (s *reporter) step(now time.Time, judges func(service string) []catalog.NodeRecord, isUnderWay func(orderKey) bool) {
-	moved := s.movedServices(judges)
-	s.enqueue(now, s.counts.TakeChanged(maxRowsTaken), judges)
-	s.dropObsolete(judges, isUnderWay)
+func (s *reporter) step(now time.Time, evaluatorNodes func(service string) []catalog.NodeRecord, isUnderWay func(orderKey) bool) {
+	moved := s.movedServices(evaluatorNodes)
+	s.enqueue(now, s.counts.TakeChanged(maxRowsTaken), evaluatorNodes)
+	s.dropObsolete(evaluatorNodes, isUnderWay)
 	switch {
 	case s.isResendDue(now):
 		s.resentAt = now
 		clear(s.reportedTo)
-		s.enqueue(now, s.counts.Rows(), judges)
+		s.enqueue(now, s.counts.Rows(), evaluatorNodes)
 	case len(moved) > 0:
 		isReported := func(row evidence.Row) bool { return !moved[row.Service] }
-		s.enqueue(now, slices.DeleteFunc(slices.Clone(s.counts.Rows()), isReported), judges)
+		s.enqueue(now, slices.DeleteFunc(slices.Clone(s.counts.Rows()), isReported), evaluatorNodes)
 	}
 	s.sendBoxes(now)
 }
 
-// enqueue puts rows into the outboxes of their judges.
-func (s *reporter) enqueue(now time.Time, rows []evidence.Row, judges func(string) []catalog.NodeRecord) {
+// enqueue puts rows into the outboxes of their evaluator nodes.
+func (s *reporter) enqueue(now time.Time, rows []evidence.Row, evaluatorNodes func(string) []catalog.NodeRecord) {
 	var own []evidence.Row
 	for _, row := range rows {
-		s.reportedTo[row.Service] = judges(row.Service)
-		for _, judge := range s.reportedTo[row.Service] {
-			if judge.ID == s.self.ID {
+		s.reportedTo[row.Service] = evaluatorNodes(row.Service)
+		for _, evaluatorNode := range s.reportedTo[row.Service] {
+			if evaluatorNode.ID == s.self.ID {
 				own = append(own, row)
 				continue
 			}
-			s.outboxOf(now, judge).rows[row.Key] = row
+			s.outboxOf(now, evaluatorNode).rows[row.Key] = row
 		}
 	}
 	if len(own) > 0 {
@@ -101,21 +101,21 @@
 	}
 }
 
-func (s *reporter) outboxOf(now time.Time, judge catalog.NodeRecord) *outbox {
-	known := s.outboxes[judge.ID]
+func (s *reporter) outboxOf(now time.Time, evaluatorNode catalog.NodeRecord) *outbox {
+	known := s.outboxes[evaluatorNode.ID]
 	if known == nil {
 		known = &outbox{since: now, rows: map[evidence.Key]evidence.Row{}}
-		s.outboxes[judge.ID] = known
+		s.outboxes[evaluatorNode.ID] = known
 	}
-	known.address = judge.Address
+	known.address = evaluatorNode.Address
 	return known
 }
 
-// dropObsolete drops rows of orders that are over, and rows for nodes that are no judges any more.
-func (s *reporter) dropObsolete(judges func(string) []catalog.NodeRecord, isUnderWay func(orderKey) bool) {
+// dropObsolete drops rows of orders that are over, and rows for nodes that are no evaluator nodes any more.
+func (s *reporter) dropObsolete(evaluatorNodes func(string) []catalog.NodeRecord, isUnderWay func(orderKey) bool) {
 	for id, waiting := range s.outboxes {
 		maps.DeleteFunc(waiting.rows, func(key evidence.Key, _ evidence.Row) bool {
-			return !isUnderWay(orderKey{key.Service, key.Order}) || rankOf(judges(key.Service), id) < 0
+			return !isUnderWay(orderKey{key.Service, key.Order}) || rankOf(evaluatorNodes(key.Service), id) < 0
 		})
 		if len(waiting.rows) == 0 {
 			delete(s.outboxes, id)
@@ -123,11 +123,11 @@
 	}
 }
 
-// movedServices returns the services whose judges have changed since the last report.
-func (s *reporter) movedServices(judges func(string) []catalog.NodeRecord) map[string]bool {
+// movedServices returns the services whose evaluator nodes have changed since the last report.
+func (s *reporter) movedServices(evaluatorNodes func(string) []catalog.NodeRecord) map[string]bool {
 	moved := map[string]bool{}
 	for service, before := range s.reportedTo {
-		if !slices.Equal(before, judges(service)) {
+		if !slices.Equal(before, evaluatorNodes(service)) {
 			moved[service] = true
 		}
 	}
--- a/internal/rollout/rolloutcontrol/reports_test.go
+++ b/internal/rollout/rolloutcontrol/reports_test.go
@@ -117,7 +117,7 @@
 	})
 }
 
-// A judge keeps a bounded number of rows, accepts newer counts of those that it keeps, and has room again once an
+// An evaluator node keeps a bounded number of rows, accepts newer counts of those that it keeps, and has room again once an
 // order is over.
 func TestTalliesAreBounded(t *testing.T) {
 	is := is.New(t)
@@ -141,9 +141,9 @@
 	is.Equal(len(reported.orders), 0)
 }
 
-// The judges are in distinct zones where possible, the same for all nodes, and a node that leaves changes no other
-// judge.
-func TestJudgesAreOfDistinctZonesAndStay(t *testing.T) {
+// The evaluator nodes are in distinct zones where possible, the same for all nodes, and a node that leaves changes no other
+// evaluator node.
+func TestEvaluatorNodesAreOfDistinctZonesAndStay(t *testing.T) {
 	is := is.New(t)
 	nodes := map[string]catalog.NodeRecord{}
 	for number := range 20 {
@@ -153,17 +153,17 @@
 	first := map[string]bool{}
 	for number := range 100 {
 		service := fmt.Sprint("s", number)
-		judges := judgesOf(nodes, service, 3)
-		is.Equal(len(judges), 3)
-		is.True(judges[0].Zone != judges[1].Zone)
-		first[judges[0].ID] = true
-		gone := nodes[judges[1].ID]
+		evaluatorNodes := evaluatorNodesOf(nodes, service, 3)
+		is.Equal(len(evaluatorNodes), 3)
+		is.True(evaluatorNodes[0].Zone != evaluatorNodes[1].Zone)
+		first[evaluatorNodes[0].ID] = true
+		gone := nodes[evaluatorNodes[1].ID]
 		delete(nodes, gone.ID)
-		is.Equal(judgesOf(nodes, service, 3)[0], judges[0])
+		is.Equal(evaluatorNodesOf(nodes, service, 3)[0], evaluatorNodes[0])
 		nodes[gone.ID] = gone
 	}
 	is.True(len(first) > 10) // the duty is dealt
-	is.Equal(len(judgesOf(map[string]catalog.NodeRecord{"n0": {ID: "n0"}}, "s", 3)), 1)
+	is.Equal(len(evaluatorNodesOf(map[string]catalog.NodeRecord{"n0": {ID: "n0"}}, "s", 3)), 1)
 }
 
 func TestConfigNamesEveryFault(t *testing.T) {
@@ -192,8 +192,8 @@
 	sent.observe(evidence.Key{Service: "s", Order: 1}, false)
 	dropped, datagrams := 0, countingSender{}
 	r := newReporter(Deps{Config: DefaultConfig(), Self: catalog.NodeRecord{ID: "n"}, Counts: sent, Sender: &datagrams}, nil, func(rows int) { dropped += rows })
-	judges := func(string) []catalog.NodeRecord { return []catalog.NodeRecord{{ID: "judge", Address: "judge"}} }
-	r.step(time.Now(), judges, func(orderKey) bool { return true })
+	evaluatorNodes := func(string) []catalog.NodeRecord { return []catalog.NodeRecord{{ID: "judge", Address: "judge"}} }
+	r.step(time.Now(), evaluatorNodes, func(orderKey) bool { return true })
 	is.Equal(dropped, 1)
 	is.Equal(datagrams.rows, 1)
 	is.Equal(len(r.outboxes), 0)
--- a/internal/rollout/rolloutcontrol/schedule.go
+++ b/internal/rollout/rolloutcontrol/schedule.go
@@ -8,7 +8,7 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// plannedWrite identifies a write that a judge wants done: a phase of an order in place of the state at a revision.
+// plannedWrite identifies a write that an evaluator node wants done: a phase of an order in place of the state at a revision.
 type plannedWrite struct {
 	phase    rollout.Phase
 	order    int64
@@ -27,7 +27,7 @@
 }
 
 // isDue reports whether a write is to be sent now: it has been planned for the given delay, which leaves the
-// judges before this one their time, and no pause after a failure is running.
+// evaluator nodes before this one their time, and no pause after a failure is running.
 func (s *writeSchedule) isDue(now time.Time, planned plannedWrite, delay time.Duration) bool {
 	if s.isBusy {
 		return false
--- a/internal/rollout/rolloutcontrol/settling.go
+++ b/internal/rollout/rolloutcontrol/settling.go
@@ -8,8 +8,8 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// firstAskPart is the part of the settle interval, after the ramp, that a judge leaves the nodes before it asks
-// first: they learn of the verdict later than the judge, and finish what is in flight.
+// firstAskPart is the part of the settle interval, after the ramp, that an evaluator node leaves the nodes before it asks
+// first: they learn of the verdict later than the evaluator node, and finish what is in flight.
 const firstAskPart = 0.5
 
 // maxFleetCalls bounds the fleet calls in flight. A silent node delays a call up to SettleWait, and the next call,
@@ -33,7 +33,7 @@
 	status FleetStatus
 }
 
-// askFleet asks all nodes whether they are settled if an order that this node judges waits for that, and returns the
+// askFleet asks all nodes whether they are settled if an order that this node evaluates waits for that, and returns the
 // time until the next check, 0 for the report interval. One answer serves all orders.
 func (c *Controller) askFleet(ctx context.Context, now time.Time, view *catalog.View) time.Duration {
 	revision, next := int64(0), time.Duration(0)
@@ -56,7 +56,7 @@
 	return c.cfg.SettleInterval
 }
 
-// untilFirstAsk returns how long after the switch of an order a judge asks first: the first judge once the nodes can
+// untilFirstAsk returns how long after the switch of an order an evaluator node asks first: the first evaluator node once the nodes can
 // be settled, the others when the one before should have written the outcome of its final watch.
 func (c *Controller) untilFirstAsk(order rollout.Order, rank int) time.Duration {
 	first := c.deps.Splitter.Ramp(order.Duration()) + time.Duration(firstAskPart*float64(c.cfg.SettleInterval))
--- a/internal/rollout/rolloutcontrol/status.go
+++ b/internal/rollout/rolloutcontrol/status.go
@@ -16,7 +16,7 @@
 	Phase   rollout.Phase
 	Serving string
 	Target  string
-	// Counts are those reported to this node; empty if it does not judge the service.
+	// Counts are those reported to this node; empty if it does not evaluate the service.
 	Counts []RouteCounts
 }
 
--- a/internal/rollout/rolloutcontrol/tallies.go
+++ b/internal/rollout/rolloutcontrol/tallies.go
@@ -9,7 +9,7 @@
 	"github.com/portgauge/portgauge/internal/rollout/evidence"
 )
 
-// maxRows bounds the rows that a judge keeps, of all orders together: about 13 MB at 396 bytes a row.
+// maxRows bounds the rows that an evaluator node keeps, of all orders together: about 13 MB at 396 bytes a row.
 const maxRows = 1 << 15
 
 // process is one run of a node's program; its counts start at zero.
@@ -30,7 +30,7 @@
 	rows    map[evidence.Key]evidence.Tally
 }
 
-// tallies are the counts reported to a judge, by order and process. The counts of a restarted node are kept beside
+// tallies are the counts reported to an evaluator node, by order and process. The counts of a restarted node are kept beside
 // those of its earlier process. The zero value is empty; it is safe for concurrent use.
 type tallies struct {
 	mu     sync.Mutex
--- a/internal/rollout/verdict/config.go
+++ b/internal/rollout/verdict/config.go
@@ -38,7 +38,7 @@
 	ColdFactor float64       `yaml:"cold_factor"`
 	// Recent is the half-life of the serving version's recent answers, with which the canary version is compared.
 	Recent time.Duration `yaml:"recent"`
-	// Settle is how long a judge must have complete counts before it finds a version good.
+	// Settle is how long an evaluator node must have complete counts before it finds a version good.
 	Settle time.Duration `yaml:"settle"`
 	// GoodFrom is the part of the order's duration from which full evidence makes a version good, GoodByLittle the part
 	// from which little evidence does.
--- a/internal/rollout/verdict/finding.go
+++ b/internal/rollout/verdict/finding.go
@@ -64,7 +64,7 @@
 }
 
 // minimumWatch returns how long the counts must have been complete before a version is found good: Config.Settle, but
-// at most a tenth of the order's duration, since a judge must decide within it.
+// at most a tenth of the order's duration, since an evaluator node must decide within it.
 func (e *Evaluator) minimumWatch() time.Duration { return min(e.cfg.Settle, e.duration/10) }
 
 // isGoodOnFullEvidence reports whether the smallest share of bad answers that must be found is ruled out on all
@@ -199,12 +199,12 @@
 	return true
 }
 
-func (e *Evaluator) judgement(worst strongestSignal) Judgement {
+func (e *Evaluator) evaluation(worst strongestSignal) Evaluation {
 	signal := Failed
 	if worst.signal > 0 {
 		signal = Late
 	}
-	j := Judgement{
+	j := Evaluation{
 		Finding: e.finding, Serving: e.totals[0], Canary: e.totals[1], Route: worst.route, Signal: signal,
 		Confidence: 1 / (1 + math.Exp(-worst.level)),
 	}
@@ -212,8 +212,8 @@
 	return j
 }
 
-// reason explains a judgement in one sentence.
-func (e *Evaluator) reason(j Judgement, worst strongestSignal) string {
+// reason explains an evaluation in one sentence.
+func (e *Evaluator) reason(j Evaluation, worst strongestSignal) string {
 	route := "all routes"
 	if worst.route != "" {
 		route = "route " + worst.route
--- a/internal/rollout/verdict/helpers_test.go
+++ b/internal/rollout/verdict/helpers_test.go
@@ -63,8 +63,8 @@
 }
 
 // play updates an evaluator every half second from one time to another, after grow has added to the counts.
-func play(t *verdict.Evaluator, c counts, from, to time.Duration, grow func()) verdict.Judgement {
-	var j verdict.Judgement
+func play(t *verdict.Evaluator, c counts, from, to time.Duration, grow func()) verdict.Evaluation {
+	var j verdict.Evaluation
 	for at := from; at <= to; at += 500 * time.Millisecond {
 		grow()
 		j = t.Update(at, c.rows())
--- a/internal/rollout/verdict/verdict.go
+++ b/internal/rollout/verdict/verdict.go
@@ -43,8 +43,8 @@
 	Slow int64
 }
 
-// Judgement is a finding and what it is based on.
-type Judgement struct {
+// Evaluation is a finding and what it is based on.
+type Evaluation struct {
 	Finding Finding
 	// Reason explains the finding in one sentence, with the figures.
 	Reason  string
@@ -119,8 +119,8 @@
 	return append(shares, c.LeastSlowShare)
 }
 
-// Update judges by the cumulative counts of the whole fleet, one row a key, at a time since the order.
-func (e *Evaluator) Update(elapsed time.Duration, rows []evidence.Row) Judgement {
+// Update evaluates the cumulative counts of the whole fleet, one row a key, at a time since the order.
+func (e *Evaluator) Update(elapsed time.Duration, rows []evidence.Row) Evaluation {
 	e.weighedCanaryAttempts = e.totals[1].Attempts
 	e.trackCompleteness(elapsed, rows)
 	e.setLimits(rows)
@@ -132,10 +132,10 @@
 	e.weigh(added, elapsed)
 	worst := e.worst()
 	e.find(elapsed, worst)
-	return e.judgement(worst)
+	return e.evaluation(worst)
 }
 
-// trackCompleteness notes since when the rows are complete. Fewer attempts than before mean that this judge has only
+// trackCompleteness notes since when the rows are complete. Fewer attempts than before mean that this evaluator node has only
 // begun to receive reports.
 func (e *Evaluator) trackCompleteness(elapsed time.Duration, rows []evidence.Row) {
 	attempts := int64(0)
--- a/internal/rollout/verdict/verdict_test.go
+++ b/internal/rollout/verdict/verdict_test.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// A version of which only one leaf answers is judged by that leaf.
+// A version of which only one leaf answers is evaluated by that leaf.
 func TestOnlyLeafCondemnsAfterHalf(t *testing.T) {
 	is := is.New(t)
 	evaluator, c := newEvaluator(), counts{}
@@ -106,12 +106,12 @@
 }
 
 // A route with hardly any requests does not delay the finding that another route supports.
-func TestRareRouteIsJudgedByWhatThereIs(t *testing.T) {
+func TestRareRouteIsEvaluatedByAvailableAnswers(t *testing.T) {
 	is := is.New(t)
 	evaluator, c := newEvaluator(), counts{}
 	rare := evidence.Row{Key: evidence.Key{Service: "s", Order: 1, Route: "/rare", Version: "v2", Leaf: "v2-1"}}
 	rare.Observe(false, normalLatency)
-	var j verdict.Judgement
+	var j verdict.Evaluation
 	for at := time.Duration(0); at <= order*65/100; at += 500 * time.Millisecond {
 		c.both(3)
 		j = evaluator.Update(at, append(c.rows(), rare))
@@ -197,7 +197,7 @@
 	is.Equal(evaluator.Update(2*time.Second, c.rows()).Finding, verdict.Bad)
 }
 
-// A judge that has just started receives the reports of the nodes one after the other.
+// An evaluator node that has just started receives the reports of the nodes one after the other.
 func TestPartialPictureIsNotGoodAtOnce(t *testing.T) {
 	is := is.New(t)
 	whole := counts{}
