--- a/internal/config/catalog/draft.go
+++ b/internal/config/catalog/draft.go
@@ -68,7 +68,7 @@
 	case entry.Key == VersionsKey:
 		err = target.compileVersions(entry)
 	case strings.HasPrefix(entry.Key, rolloutPrefix):
-		err = target.compileOrder(strings.TrimPrefix(entry.Key, rolloutPrefix), entry)
+		err = target.compileSpec(strings.TrimPrefix(entry.Key, rolloutPrefix), entry)
 	case strings.HasPrefix(entry.Key, rolloutStatePrefix):
 		err = target.compileRolloutState(strings.TrimPrefix(entry.Key, rolloutStatePrefix), entry)
 	case strings.HasPrefix(entry.Key, quarantinePrefix):
--- a/internal/config/catalog/keys.go
+++ b/internal/config/catalog/keys.go
@@ -14,7 +14,7 @@
 	nodePrefix     = "node/"
 	// evacuationPrefix begins the keys of evacuated zones, whose leafs get no requests while the key exists.
 	evacuationPrefix = "evacuation/"
-	// rolloutPrefix begins the keys of operators' orders to move a service to another version, and
+	// rolloutPrefix begins the keys of operators' specs to move a service to another version, and
 	// rolloutStatePrefix those of the fleet's progress with them.
 	rolloutPrefix      = "rollout/"
 	rolloutStatePrefix = "rollout-state/"
@@ -45,17 +45,17 @@
 // EvacuationKey is the store key that exists while a zone is evacuated.
 func EvacuationKey(zone string) string { return evacuationPrefix + zone }
 
-// RolloutKey is the store key of the order to move a service to another version.
+// RolloutKey is the store key of the spec to move a service to another version.
 func RolloutKey(service string) string { return rolloutPrefix + service }
 
-// RolloutStateKey is the store key of the progress of a service's order.
+// RolloutStateKey is the store key of the progress of a service's spec.
 func RolloutStateKey(service string) string { return rolloutStatePrefix + service }
 
 // QuarantineKey is the store key that exists while the request of a fingerprint is under quarantine.
 func QuarantineKey(content string) string { return quarantinePrefix + content }
 
 // isTransient reports whether a key may be removed without a tombstone that must be kept: it exists only as long
-// as a process, an evacuation, a quarantine or an order, or holds versions, so that its absence from a whole
+// as a process, an evacuation, a quarantine or a spec, or holds versions, so that its absence from a whole
 // state means that it was removed.
 func isTransient(key string) bool {
 	return strings.HasPrefix(key, leafPrefix) || strings.HasPrefix(key, nodePrefix) || strings.HasPrefix(key, evacuationPrefix) ||
--- a/internal/config/catalog/restored_test.go
+++ b/internal/config/catalog/restored_test.go
@@ -198,32 +198,32 @@
 	is.Equal(second.Retained()[0].Entry.Key, RoutesKey)
 }
 
-// A verdict on a version outlives the restore, even if its order was lost as well and is rewritten.
+// A verdict on a version outlives the restore, even if its spec was lost as well and is rewritten.
 func TestVerdictsThroughARestore(t *testing.T) {
-	for _, isOrderLost := range []bool{false, true} {
-		t.Run(fmt.Sprint("order lost: ", isOrderLost), func(t *testing.T) {
+	for _, isSpecLost := range []bool{false, true} {
+		t.Run(fmt.Sprint("order lost: ", isSpecLost), func(t *testing.T) {
 			is := is.New(t)
 			d := newRestorableStore(t)
-			order := rollout.Order{Service: "s", Target: "v2", DurationMillis: 60000}
-			if isOrderLost {
+			spec := rollout.Spec{Service: "s", Target: "v2", DurationMillis: 60000}
+			if isSpecLost {
 				d.save()
 			}
 			node := follower(d)
-			node.Apply(d.put(RolloutKey("s"), order))
-			if !isOrderLost {
+			node.Apply(d.put(RolloutKey("s"), spec))
+			if !isSpecLost {
 				d.save()
 			}
-			written := node.View().Rollouts["s"].Order
-			state := rollout.State{Service: "s", OrderRevision: revision.Count(written.Revision), Phase: rollout.RolledBack, Serving: "v1", Target: "v2"}
+			written := node.View().Rollouts["s"].Spec
+			state := rollout.State{Service: "s", SpecRevision: revision.Count(written.Revision), Phase: rollout.RolledBack, Serving: "v1", Target: "v2"}
 			node.Apply(d.put(RolloutStateKey("s"), state))
 			is.Equal(node.View().Leafs.Rule("s").Canary, "")
 			d.restore()
-			d.put(EvacuationKey("other"), struct{}{}) // uses the count of the order, or of its state
+			d.put(EvacuationKey("other"), struct{}{}) // uses the count of the spec, or of its state
 			is.True(node.Replace(d.state()))
 			is.Equal(node.View().Leafs.Rule("s").Canary, "")
-			if isOrderLost {
-				node.Apply(d.put(RolloutKey("s"), order))
-				is.Equal(node.View().Rollouts["s"].Order.ID(), written.ID())
+			if isSpecLost {
+				node.Apply(d.put(RolloutKey("s"), spec))
+				is.Equal(node.View().Rollouts["s"].Spec.ID(), written.ID())
 			}
 			is.Equal(node.View().Leafs.Rule("s").Canary, "")
 			is.Equal(node.View().Leafs.Rule("s").Serving, "v1")
@@ -236,9 +236,9 @@
 			fresh := follower(d)
 			is.Equal(fresh.View().Leafs.Rule("s").Canary, "")
 
-			order.Target = "v3"
+			spec.Target = "v3"
 			node.Apply(d.put(RolloutStateKey("s"), nil))
-			node.Apply(d.put(RolloutKey("s"), order))
+			node.Apply(d.put(RolloutKey("s"), spec))
 			is.Equal(node.View().Leafs.Rule("s").Canary, "v3")
 		})
 	}
--- a/internal/config/catalog/retained.go
+++ b/internal/config/catalog/retained.go
@@ -194,14 +194,14 @@
 	}
 	view := c.View()
 	known := view.Rollouts[service]
-	if known.Order == nil || known.State == nil || !known.State.BelongsTo(known.Order) {
+	if known.Spec == nil || known.State == nil || !known.State.BelongsTo(known.Spec) {
 		return entry.Value, true
 	}
-	if revision.IsLater(view.Revision, known.Order.Revision) {
+	if revision.IsLater(view.Revision, known.Spec.Revision) {
 		return nil, false
 	}
 	state := *known.State
-	state.OrderRevision = revision.Count(known.Order.Revision)
+	state.SpecRevision = revision.Count(known.Spec.Revision)
 	document, err := json.Marshal(state)
 	if err != nil {
 		return nil, false
--- a/internal/config/catalog/rollout.go
+++ b/internal/config/catalog/rollout.go
@@ -26,23 +26,23 @@
 	return nil
 }
 
-// compileOrder puts an order, or its end, into force.
-func (d *draft) compileOrder(service string, entry Entry) error {
+// compileSpec puts a spec, or its end, into force.
+func (d *draft) compileSpec(service string, entry Entry) error {
 	known := d.editableRollout(service)
-	known.Order = nil
+	known.Spec = nil
 	if !entry.Deleted {
-		order, err := parsedAt(entry, rollout.ParseOrder)
+		spec, err := parsedAt(entry, rollout.ParseSpec)
 		if err != nil {
 			return err
 		}
-		order.InheritID(d.rolloutBefore(service).Order)
-		known.Order = order
+		spec.InheritID(d.rolloutBefore(service).Spec)
+		known.Spec = spec
 	}
 	d.setRollout(service, known)
 	return nil
 }
 
-// compileRolloutState puts the progress of an order, or its end, into force.
+// compileRolloutState puts the progress of a spec, or its end, into force.
 func (d *draft) compileRolloutState(service string, entry Entry) error {
 	known := d.editableRollout(service)
 	known.State = nil
@@ -85,9 +85,9 @@
 	d.updateRule(service)
 }
 
-// updateRule sets the rule by which the leafs of a service are chosen, from its order, its progress and its
+// updateRule sets the rule by which the leafs of a service are chosen, from its spec, its progress and its
 // version.
 func (d *draft) updateRule(service string) {
 	known := d.view.Rollouts[service]
-	d.leafEditor().SetRule(service, rollout.RuleOf(known.Order, known.State, d.view.Versions[service]))
+	d.leafEditor().SetRule(service, rollout.RuleOf(known.Spec, known.State, d.view.Versions[service]))
 }
--- a/internal/config/catalog/rollout_test.go
+++ b/internal/config/catalog/rollout_test.go
@@ -40,7 +40,7 @@
 	someVersions = []string{"v1", "v2", "v3"}
 )
 
-// drawRolloutChange draws a write of an order, a state or the versions, or the removal of one.
+// drawRolloutChange draws a write of a spec, a state or the versions, or the removal of one.
 func drawRolloutChange(t *rapid.T, revision int64) Change {
 	service := rapid.SampledFrom(someServices).Draw(t, "service")
 	target := rapid.SampledFrom(someVersions).Draw(t, "target")
@@ -49,12 +49,12 @@
 	key, document := "", any(nil)
 	switch rapid.IntRange(0, 2).Draw(t, "kind") {
 	case 0:
-		key, document = RolloutKey(service), rollout.Order{Service: service, Target: target, DurationMillis: 1}
+		key, document = RolloutKey(service), rollout.Spec{Service: service, Target: target, DurationMillis: 1}
 	case 1:
 		phase := rapid.SampledFrom([]rollout.Phase{rollout.Canary, rollout.Switching, rollout.Succeeded, rollout.RolledBack}).Draw(t, "phase")
 		answered := rapid.Int64Range(1, revision).Draw(t, "answered")
 		key = RolloutStateKey(service)
-		document = rollout.State{Service: service, OrderRevision: answered, Phase: phase, Serving: serving, Target: target}
+		document = rollout.State{Service: service, SpecRevision: answered, Phase: phase, Serving: serving, Target: target}
 	default:
 		key, document = VersionsKey, rollout.Versions{ByVersion: map[string][]string{serving: someServices}}
 	}
@@ -97,7 +97,7 @@
 func checkRules(t *rapid.T, node *Catalog, log []Change) {
 	state := withoutTombstones(stateAt(log, node.Revision()))
 	for _, service := range someServices {
-		var order *rollout.Order
+		var spec *rollout.Spec
 		var known *rollout.State
 		written := ""
 		for _, entry := range state.Entries {
@@ -107,7 +107,7 @@
 			}
 			switch entry.Key {
 			case RolloutKey(service):
-				order, err = rollout.ParseOrder(document, entry.Revision)
+				spec, err = rollout.ParseSpec(document, entry.Revision)
 			case RolloutStateKey(service):
 				known, err = rollout.ParseState(document, entry.Revision)
 			case VersionsKey:
@@ -119,14 +119,14 @@
 				t.Fatal(err)
 			}
 		}
-		wanted := rollout.RuleOf(order, known, written)
+		wanted := rollout.RuleOf(spec, known, written)
 		if rule := node.View().Leafs.Rule(service); rule != wanted {
 			t.Fatalf("service %s at revision %d: rule %+v, not %+v", service, node.Revision(), rule, wanted)
 		}
 	}
 }
 
-// orderedCatalog returns a catalog whose service has a leaf of each of two versions, and an order of the second.
+// orderedCatalog returns a catalog whose service has a leaf of each of two versions, and a spec of the second.
 func orderedCatalog(t *testing.T) *Catalog {
 	t.Helper()
 	known := newRolloutCatalog(func(key string, err error) { t.Errorf("%s: %v", key, err) })
@@ -134,7 +134,7 @@
 		documentChange(t, 1, VersionsKey, rollout.Versions{ByVersion: map[string][]string{"v1": {"s"}}}),
 		documentChange(t, 2, LeafKey("old"), versionLeaf("old", "s", "v1")),
 		documentChange(t, 3, LeafKey("new"), versionLeaf("new", "s", "v2")),
-		documentChange(t, 4, RolloutKey("s"), rollout.Order{Service: "s", Target: "v2", DurationMillis: 1000}),
+		documentChange(t, 4, RolloutKey("s"), rollout.Spec{Service: "s", Target: "v2", DurationMillis: 1000}),
 	})
 	return known
 }
@@ -143,8 +143,8 @@
 	is := is.New(t)
 	known := orderedCatalog(t)
 	is.Equal(len(known.View().Leafs.Canaries("s")), 1)
-	is.Equal(known.View().Rollouts["s"].Order.Revision, int64(4))
-	known.Apply(documentChange(t, 5, RolloutStateKey("s"), rollout.State{Service: "s", OrderRevision: 4, Phase: rollout.Switching, Serving: "v1", Target: "v2"}))
+	is.Equal(known.View().Rollouts["s"].Spec.Revision, int64(4))
+	known.Apply(documentChange(t, 5, RolloutStateKey("s"), rollout.State{Service: "s", SpecRevision: 4, Phase: rollout.Switching, Serving: "v1", Target: "v2"}))
 	is.Equal(known.View().Leafs.Rule("s").Phase, rollout.Switching)
 	known.Apply(documentChange(t, 6, RolloutKey("s"), nil))
 	leafs := known.View().Leafs
@@ -154,11 +154,11 @@
 	is.Equal(len(leafs.Ready("s")), 1)
 }
 
-// A node that receives only the difference between two whole states learns that orders, states and versions were removed.
+// A node that receives only the difference between two whole states learns that specs, states and versions were removed.
 func TestDifferenceTellsOfWhatIsNoLongerKnownOfVersions(t *testing.T) {
 	is := is.New(t)
 	first, second := orderedCatalog(t), orderedCatalog(t)
-	state := documentChange(t, 5, RolloutStateKey("s"), rollout.State{Service: "s", OrderRevision: 4, Phase: rollout.Succeeded, Serving: "v1", Target: "v2"})
+	state := documentChange(t, 5, RolloutStateKey("s"), rollout.State{Service: "s", SpecRevision: 4, Phase: rollout.Succeeded, Serving: "v1", Target: "v2"})
 	first.Apply(state)
 	second.Apply(state)
 	is.Equal(second.View().Leafs.Rule("s").Serving, "v2")
@@ -171,16 +171,16 @@
 	is.Equal(second.View().Leafs.Rule("s"), rollout.Rule{})
 }
 
-// A value that can't be decoded leaves the order that is in force.
+// A value that can't be decoded leaves the spec that is in force.
 func TestUnreadableOrderLeavesTheOneInForce(t *testing.T) {
 	is := is.New(t)
 	known := orderedCatalog(t)
 	refused := 0
 	known.rejected = func(string, error) { refused++ }
-	known.Apply(documentChange(t, 5, RolloutKey("s"), rollout.Order{Service: "s", Target: "v3"}))
+	known.Apply(documentChange(t, 5, RolloutKey("s"), rollout.Spec{Service: "s", Target: "v3"}))
 	is.Equal(refused, 1)
-	is.Equal(known.View().Rollouts["s"].Order.Target, "v2")
-	is.Equal(known.View().Leafs.Rule("s").Order, int64(4))
+	is.Equal(known.View().Rollouts["s"].Spec.Target, "v2")
+	is.Equal(known.View().Leafs.Rule("s").SpecID, int64(4))
 }
 
 func TestVersionThatCameFirstServesUntilOneIsWrittenDown(t *testing.T) {
@@ -198,7 +198,7 @@
 	is.Equal(len(known.View().Leafs.Ready("s")), 3)
 }
 
-// Without EnableRollouts, neither orders nor states nor versions of leafs change anything.
+// Without EnableRollouts, neither specs nor states nor versions of leafs change anything.
 func TestRolloutsAreIgnoredUnlessEnabled(t *testing.T) {
 	is := is.New(t)
 	known := New(func(key string, err error) { t.Errorf("%s: %v", key, err) })
--- a/internal/config/catalog/view.go
+++ b/internal/config/catalog/view.go
@@ -32,7 +32,7 @@
 	Remembered *leafset.Set
 	// Nodes are the registered nodes of the fleet by id.
 	Nodes map[string]NodeRecord
-	// Rollouts are the orders to move services to other versions, by service, and their progress.
+	// Rollouts are the specs to move services to other versions, by service, and their progress.
 	Rollouts map[string]Rollout
 	// Quarantine are the requests that are sent to no leaf.
 	Quarantine map[fingerprint.Fingerprint]*quarantine.Record
@@ -58,8 +58,8 @@
 
 // Rollout is the state of moving a service to another version.
 type Rollout struct {
-	// Order is the operators' order; nil if there is none.
-	Order *rollout.Order
-	// State is the progress of an order, this one or an earlier one; nil before the first.
+	// Spec is the operators' spec; nil if there is none.
+	Spec *rollout.Spec
+	// State is the progress of a spec, this one or an earlier one; nil before the first.
 	State *rollout.State
 }
--- a/internal/config/configwriter/guarded_test.go
+++ b/internal/config/configwriter/guarded_test.go
@@ -26,7 +26,7 @@
 }
 
 func newGuardedStore(script ...fault) *guardedStore {
-	return &guardedStore{memoryStore: memoryStore{applied: map[string]int{}, script: script}, guard: orderRevision}
+	return &guardedStore{memoryStore: memoryStore{applied: map[string]int{}, script: script}, guard: specRevision}
 }
 
 func (s *guardedStore) CompareAndSwapIf(ctx context.Context, conditions []store.Condition, key string, expected int64, value []byte) (store.SwapResult, error) {
@@ -54,12 +54,12 @@
 	}
 }
 
-const orderRevision = 7
+const specRevision = 7
 
 func guardedWrite(id string) GuardedWrite {
 	return GuardedWrite{
 		Key: "state", ChangeID: id, Document: []byte(`{}`),
-		Conditions: []store.Condition{{Key: "order", Revision: orderRevision}},
+		Conditions: []store.Condition{{Key: "order", Revision: specRevision}},
 	}
 }
 
@@ -168,7 +168,7 @@
 			_, err := New(DefaultConfig(), target).ApplyGuarded(context.Background(), guardedWrite("a"))
 			target.script = nil
 			for _, arrive := range target.late {
-				if target.guard == orderRevision {
+				if target.guard == specRevision {
 					arrive()
 				}
 			}
--- a/internal/fleet/peer/message.go
+++ b/internal/fleet/peer/message.go
@@ -185,8 +185,8 @@
 // RolloutHold says that no further requests may be sent to the canary version by an order.
 type RolloutHold struct {
 	Service string `json:"service"`
-	// Order is the revision of the order.
-	Order int64 `json:"order"`
+	// SpecID is the revision of the spec.
+	SpecID int64 `json:"order"`
 }
 
 // StatusQuery asks how many nodes have a revision in force, and how many are settled at it.
--- a/internal/lab/soak/operator.go
+++ b/internal/lab/soak/operator.go
@@ -133,7 +133,7 @@
 	defer o.mu.Unlock()
 	now := time.Now()
 	target.Order(now)
-	revision := o.world.store.Put(platform.OrderKey(p.service), platform.EncodeOrder(rollout.Order{
+	revision := o.world.store.Put(platform.SpecKey(p.service), platform.EncodeSpec(rollout.Spec{
 		Service: p.service, Target: target.Name(), DurationMillis: p.duration.Milliseconds(),
 	}))
 	for _, release := range o.releases {
@@ -191,7 +191,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	release := o.releases[number]
-	release.EndRevision = o.world.store.Remove(platform.OrderKey(release.Target.Service()))
+	release.EndRevision = o.world.store.Remove(platform.SpecKey(release.Target.Service()))
 	release.Ended = time.Now()
 }
 
--- a/internal/leaf/leafmemory/versions_test.go
+++ b/internal/leaf/leafmemory/versions_test.go
@@ -20,7 +20,7 @@
 	known.EnableRollouts()
 	put(t, known, catalog.VersionsKey, rollout.Versions{ByVersion: map[string][]string{"v1": {"s"}}})
 	if ordered {
-		put(t, known, catalog.RolloutKey("s"), rollout.Order{Service: "s", Target: "v2", DurationMillis: 1000})
+		put(t, known, catalog.RolloutKey("s"), rollout.Spec{Service: "s", Target: "v2", DurationMillis: 1000})
 	}
 	return known
 }
@@ -34,8 +34,8 @@
 // rollBack stores that the current order was found bad.
 func rollBack(t *testing.T, known *catalog.Catalog) {
 	t.Helper()
-	order := known.View().Rollouts["s"].Order.Revision
-	put(t, known, catalog.RolloutStateKey("s"), rollout.State{Service: "s", OrderRevision: order, Phase: rollout.RolledBack, Serving: "v1", Target: "v2"})
+	specID := known.View().Rollouts["s"].Spec.Revision
+	put(t, known, catalog.RolloutStateKey("s"), rollout.State{Service: "s", SpecRevision: specID, Phase: rollout.RolledBack, Serving: "v1", Target: "v2"})
 }
 
 func candidateIDs(memory *Memory) []string {
--- a/internal/leaf/leafset/versions.go
+++ b/internal/leaf/leafset/versions.go
@@ -65,7 +65,7 @@
 //
 // Rule: the version whose leafs were there first, or, if leafs of several come at once, the one with the most leafs. It
 // remains the first until a rule names a serving version or bars it. A new version must not get requests just because
-// its leafs appear: a roll-out order decides that.
+// its leafs appear: a rollout spec decides that.
 func (e *Editor) updateFirst(service string, leafs []*Leaf) {
 	if !e.defaultToFirst {
 		return
--- a/internal/leaf/leafset/versions_test.go
+++ b/internal/leaf/leafset/versions_test.go
@@ -101,7 +101,7 @@
 	older, newer := oldAndNew()
 	first := edited(Empty().Edit(), older)
 	both := edited(first.Edit(), newer)
-	ordered := ruled(both, rollout.Rule{Canary: "v2", Phase: rollout.Canary, Order: 7})
+	ordered := ruled(both, rollout.Rule{Canary: "v2", Phase: rollout.Canary, SpecID: 7})
 	cases := map[string]*Set{
 		"the other came":                  both,
 		"a third came":                    edited(both.Edit(), []*Leaf{leafOf("5", "v3", Ready), leafOf("6", "v3", Ready)}),
@@ -110,8 +110,8 @@
 		"ordered after nothing else came": edited(ruled(first, rollout.Rule{Canary: "v2"}).Edit(), newer),
 		"the order was taken back":        ruled(ordered, rollout.Rule{}),
 		"a whole state without the order": edited(Replace(ordered), append(older, newer...)),
-		"another order":                   ruled(both, rollout.Rule{Canary: "v3", Order: 7}),
-		"an order of what serves":         ruled(both, rollout.Rule{Canary: "v1", Order: 7}),
+		"another order":                   ruled(both, rollout.Rule{Canary: "v3", SpecID: 7}),
+		"an order of what serves":         ruled(both, rollout.Rule{Canary: "v1", SpecID: 7}),
 	}
 	for name, set := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -124,7 +124,7 @@
 	is.Equal(ids(ordered.Canaries("s")), []string{"2", "3"})
 	is.Equal(cases["an order of what serves"].Rule("s"), rollout.Rule{Serving: "v1"})
 	gone := edited(both.Edit(), nil, "1")
-	is.Equal(len(gone.Ready("s")), 0) // no order makes the other version serve
+	is.Equal(len(gone.Ready("s")), 0) // no spec makes the other version serve
 	again := edited(gone.Edit(), older)
 	is.Equal(ids(again.Ready("s")), []string{"1"})
 }
--- a/internal/node/rollout_events.go
+++ b/internal/node/rollout_events.go
@@ -15,7 +15,7 @@
 
 // Names of events of roll-outs.
 const (
-	eventOrderSeen       = "rollout_order_seen"
+	eventSpecSeen        = "rollout_order_seen"
 	eventPhaseLearned    = "rollout_phase_learned"
 	eventPhaseWritten    = "rollout_phase_written"
 	eventPhaseNotWritten = "rollout_phase_not_written"
@@ -25,11 +25,11 @@
 	eventVersionsWritten = "service_versions_written"
 )
 
-type orderEvent struct {
+type specEvent struct {
 	Time           time.Time `json:"time"`
 	Event          string    `json:"event"`
 	Service        string    `json:"service"`
-	Order          int64     `json:"order"`
+	SpecID         int64     `json:"order"`
 	Target         string    `json:"target"`
 	DurationMillis int64     `json:"duration_millis"`
 	// Rank is the node's place among the evaluator nodes, from 0; -1 if it is not an evaluator node.
@@ -40,7 +40,7 @@
 	Time     time.Time     `json:"time"`
 	Event    string        `json:"event"`
 	Service  string        `json:"service"`
-	Order    int64         `json:"order"`
+	SpecID   int64         `json:"order"`
 	Phase    rollout.Phase `json:"phase"`
 	Serving  string        `json:"serving"`
 	Target   string        `json:"target"`
@@ -57,7 +57,7 @@
 	Time    time.Time `json:"time"`
 	Event   string    `json:"event"`
 	Service string    `json:"service"`
-	Order   int64     `json:"order"`
+	SpecID  int64     `json:"order"`
 	Reason  string    `json:"reason,omitempty"`
 	Nodes   int       `json:"nodes,omitempty"`
 	From    string    `json:"from,omitempty"`
@@ -78,11 +78,11 @@
 	Error    string    `json:"error,omitempty"`
 }
 
-// OrderSeen implements rolloutcontrol.EventLog.
-func (e rolloutEvents) OrderSeen(record rolloutcontrol.OrderEvent) {
-	e.log.Write(decisionlog.Failed, orderEvent{
-		Time: time.Now(), Event: eventOrderSeen, Service: record.Order.Service, Order: record.Order.ID(),
-		Target: record.Order.Target, DurationMillis: record.Order.DurationMillis, Rank: record.Rank,
+// SpecSeen implements rolloutcontrol.EventLog.
+func (e rolloutEvents) SpecSeen(record rolloutcontrol.SpecEvent) {
+	e.log.Write(decisionlog.Failed, specEvent{
+		Time: time.Now(), Event: eventSpecSeen, Service: record.Spec.Service, SpecID: record.Spec.ID(),
+		Target: record.Spec.Target, DurationMillis: record.Spec.DurationMillis, Rank: record.Rank,
 	})
 }
 
@@ -103,7 +103,7 @@
 
 func newPhaseEvent(name string, state rollout.State) phaseEvent {
 	return phaseEvent{
-		Time: time.Now(), Event: name, Service: state.Service, Order: state.OrderRevision, Phase: state.Phase, Serving: state.Serving,
+		Time: time.Now(), Event: name, Service: state.Service, SpecID: state.SpecRevision, Phase: state.Phase, Serving: state.Serving,
 		Target: state.Target, Revision: state.Revision, Reason: state.Reason, By: state.DecidedBy,
 	}
 }
@@ -111,7 +111,7 @@
 // Held implements rolloutcontrol.EventLog.
 func (e rolloutEvents) Held(record rolloutcontrol.HoldEvent) {
 	event := holdEvent{
-		Time: time.Now(), Event: eventHoldSent, Service: record.Service, Order: record.Order, Reason: record.Reason,
+		Time: time.Now(), Event: eventHoldSent, Service: record.Service, SpecID: record.SpecID, Reason: record.Reason,
 		Nodes: record.Nodes, From: record.From,
 	}
 	if record.From != "" {
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -125,7 +125,7 @@
 	return evidence.NewCollector(known)
 }
 
-// newEvaluator makes what finds out whether the version of an order is good.
+// newEvaluator makes what finds out whether the version of a spec is good.
 func newEvaluator(cfg verdict.Config) rolloutcontrol.EvaluatorFactory {
 	return func(serving, canaryVersion string, duration time.Duration) rolloutcontrol.Evaluator {
 		return verdict.New(cfg, serving, canaryVersion, duration)
--- a/internal/operator/admin/rollouts.go
+++ b/internal/operator/admin/rollouts.go
@@ -15,15 +15,15 @@
 // StartRollout orders that the requests of a service move to the leafs of a version. If two operators order at once,
 // one gets a conflict.
 func (a *Admin) StartRollout(ctx context.Context, request *adminv1.StartRolloutRequest) (*adminv1.StartRolloutResponse, error) {
-	order := rollout.Order{Service: request.GetService(), Target: request.GetTarget(), DurationMillis: request.GetDurationMillis()}
-	if err := order.Validate(); err != nil {
+	spec := rollout.Spec{Service: request.GetService(), Target: request.GetTarget(), DurationMillis: request.GetDurationMillis()}
+	if err := spec.Validate(); err != nil {
 		return nil, joinFaults(err)
 	}
-	document, err := json.Marshal(order)
+	document, err := json.Marshal(spec)
 	if err != nil {
 		return nil, failure.Wrap(err, failure.Internal, failure.NotRun, "encode roll-out order")
 	}
-	key := catalog.RolloutKey(order.Service)
+	key := catalog.RolloutKey(spec.Service)
 	revision, changeID, err := a.writeDocument(ctx, key, document, request.GetExpectedRevision(), request.GetChangeId())
 	if err != nil {
 		return nil, err
@@ -31,7 +31,7 @@
 	return &adminv1.StartRolloutResponse{Revision: revision, ChangeId: changeID}, nil
 }
 
-// CancelRollout withdraws the order of a service that the operator saw at a revision.
+// CancelRollout withdraws the spec of a service that the operator saw at a revision.
 func (a *Admin) CancelRollout(ctx context.Context, request *adminv1.CancelRolloutRequest) (*adminv1.CancelRolloutResponse, error) {
 	if request.GetService() == "" {
 		return nil, failure.Invalid("service", "must not be empty")
@@ -47,7 +47,7 @@
 	return &adminv1.CancelRolloutResponse{Revision: revision}, nil
 }
 
-// GetRollout returns the order of a service and its progress, as in force on this node.
+// GetRollout returns the spec of a service and its progress, as in force on this node.
 func (a *Admin) GetRollout(request *adminv1.GetRolloutRequest) (*adminv1.GetRolloutResponse, error) {
 	if request.GetService() == "" {
 		return nil, failure.Invalid("service", "must not be empty")
@@ -62,7 +62,7 @@
 	}, nil
 }
 
-// ListRollouts returns the orders of all services that ever had one and their progress, sorted by service, as in
+// ListRollouts returns the specs of all services that ever had one and their progress, sorted by service, as in
 // force on this node.
 func (a *Admin) ListRollouts() *adminv1.ListRolloutsResponse {
 	view := a.catalog.View()
@@ -81,19 +81,19 @@
 	rollout.RolledBack: adminv1.RolloutPhase_ROLLOUT_PHASE_ROLLED_BACK,
 }
 
-// rolloutMessage returns a roll-out in the form of the operators' interface. Of a state that belongs to an order
+// rolloutMessage returns a roll-out in the form of the operators' interface. Of a state that belongs to a spec
 // which was replaced, only the serving version is used.
 func rolloutMessage(view *catalog.View, service string, known catalog.Rollout) *adminv1.Rollout {
 	message := &adminv1.Rollout{Service: service, Serving: view.Leafs.Rule(service).Serving}
-	if order := known.Order; order != nil {
-		message.Target, message.DurationMillis, message.OrderRevision = order.Target, order.DurationMillis, order.Revision
+	if spec := known.Spec; spec != nil {
+		message.Target, message.DurationMillis, message.OrderRevision = spec.Target, spec.DurationMillis, spec.Revision
 	}
 	state := known.State
 	if state == nil {
 		return message
 	}
 	message.StateRevision = state.Revision
-	if known.Order != nil && !state.BelongsTo(known.Order) {
+	if known.Spec != nil && !state.BelongsTo(known.Spec) {
 		return message
 	}
 	message.Target, message.Phase = state.Target, phases[state.Phase]
--- a/internal/operator/admin/rollouts_test.go
+++ b/internal/operator/admin/rollouts_test.go
@@ -47,7 +47,7 @@
 	is.True(failure.Is(err, failure.UnknownService))
 }
 
-// If several operators order at once one of them succeeds, and cancelling an order that was replaced is a conflict.
+// If several operators order at once one of them succeeds, and cancelling a spec that was replaced is a conflict.
 func TestRacingOrdersConflict(t *testing.T) {
 	is := is.New(t)
 	admin, _ := newRolloutAdmin()
@@ -74,13 +74,13 @@
 	is.True(failure.Is(err, failure.RevisionConflict))
 }
 
-// What is shown of an order never comes from the state of an order before it.
+// What is shown of a spec never comes from the state of a spec before it.
 func TestStateOfAnotherOrderIsNotShown(t *testing.T) {
 	is := is.New(t)
 	admin, known := newRolloutAdmin()
 	started, err := admin.StartRollout(t.Context(), startRequest("", 0))
 	is.NoErr(err)
-	writeState(t, known, rollout.State{Service: "maps", OrderRevision: started.GetRevision(), Phase: rollout.RolledBack, Serving: "v1", Target: "v2", Reason: "9 of 12 failed", DecidedBy: "n1"})
+	writeState(t, known, rollout.State{Service: "maps", SpecRevision: started.GetRevision(), Phase: rollout.RolledBack, Serving: "v1", Target: "v2", Reason: "9 of 12 failed", DecidedBy: "n1"})
 	shown, err := admin.GetRollout(&adminv1.GetRolloutRequest{Service: "maps"})
 	is.NoErr(err)
 	is.Equal(shown.GetRollout().GetPhase(), adminv1.RolloutPhase_ROLLOUT_PHASE_ROLLED_BACK)
--- a/internal/request/gateway/canary_fixture_test.go
+++ b/internal/request/gateway/canary_fixture_test.go
@@ -37,9 +37,9 @@
 // canaryGateway is a gateway whose service s0 is rolled out from v1 (s0a, s0b) to v2 (s0c, s0d).
 type canaryGateway struct {
 	*Gateway
-	t     *testing.T
-	order int64
-	leafs *scriptedLeafs
+	t      *testing.T
+	specID int64
+	leafs  *scriptedLeafs
 	// canaryAnswer is how the canaries answer; nil means as the others.
 	canaryAnswer func(leaf string) (time.Duration, *leafhttp.Response, error)
 }
@@ -57,19 +57,19 @@
 	built.canary = canary.New(cfg, built.catalog, canaryFleet{})
 	built.evidence = evidence.NewCollector(built.catalog)
 	startRollout(t, built.catalog, "")
-	built.order = built.catalog.Revision()
+	built.specID = built.catalog.Revision()
 	built.learn()
 	return built
 }
 
-// startRollout puts leafs of two versions of s0 into the catalog, and the order to roll out from one to the other.
+// startRollout puts leafs of two versions of s0 into the catalog, and the spec to roll out from one to the other.
 func startRollout(t *testing.T, known *catalog.Catalog, zone string) {
 	t.Helper()
 	put(t, known, catalog.VersionsKey, rollout.Versions{ByVersion: map[string][]string{"v1": {"s0"}}})
 	for id, version := range map[string]string{"s0a": "v1", "s0b": "v1", "s0c": "v2", "s0d": "v2"} {
 		put(t, known, catalog.LeafKey(id), versionedLeaf(id, version, zone))
 	}
-	put(t, known, catalog.RolloutKey("s0"), rollout.Order{Service: "s0", Target: "v2", DurationMillis: time.Minute.Milliseconds()})
+	put(t, known, catalog.RolloutKey("s0"), rollout.Spec{Service: "s0", Target: "v2", DurationMillis: time.Minute.Milliseconds()})
 }
 
 func versionedLeaf(id, version, zone string) leafset.Record {
@@ -87,7 +87,7 @@
 // enter puts the rollout into a phase.
 func (b *canaryGateway) enter(phase rollout.Phase) {
 	b.t.Helper()
-	state := rollout.State{Service: "s0", OrderRevision: b.order, Phase: phase, Serving: "v1", Target: "v2"}
+	state := rollout.State{Service: "s0", SpecRevision: b.specID, Phase: phase, Serving: "v1", Target: "v2"}
 	put(b.t, b.catalog, catalog.RolloutStateKey("s0"), state)
 	b.learn()
 }
@@ -134,7 +134,7 @@
 func (b *canaryGateway) canaryTally(is *is.I) evidence.Tally {
 	var tally evidence.Tally
 	for _, row := range b.evidence.Rows() {
-		is.Equal(row.Order, b.order)
+		is.Equal(row.SpecID, b.specID)
 		if row.Version == "v2" {
 			is.Equal(row.Leaf, "s0c")
 			tally.Add(row.Tally)
--- a/internal/request/gateway/canary_test.go
+++ b/internal/request/gateway/canary_test.go
@@ -138,7 +138,7 @@
 	}{
 		"taken back":  {drawAll(), func(b *canaryGateway) { put(b.t, b.catalog, catalog.RolloutKey("s0"), nil) }, false},
 		"rolled back": {drawAll(), func(b *canaryGateway) { b.enter(rollout.RolledBack) }, false},
-		"held":        {drawAll(), func(b *canaryGateway) { b.canary.Hold("s0", b.order) }, false},
+		"held":        {drawAll(), func(b *canaryGateway) { b.canary.Hold("s0", b.specID) }, false},
 		"over":        {drawAll(), func(*canaryGateway) {}, false},
 		"succeeded":   {drawNone(), func(b *canaryGateway) { b.enter(rollout.Succeeded) }, true},
 	}
@@ -300,7 +300,7 @@
 	})
 }
 
-// A node opens a connection to a canary when it knows the rollout and the leaf, once for each rollout order.
+// A node opens a connection to a canary when it knows the rollout and the leaf, once for each rollout spec.
 func TestCanaryIsWarmed(t *testing.T) {
 	withCanary(t, drawNone(), func(is *is.I, b *canaryGateway) {
 		for _, id := range []string{"s0c", "s0d"} {
@@ -318,7 +318,7 @@
 		b.leafs.mu.Lock()
 		is.Equal(slices.DeleteFunc(slices.Clone(b.leafs.warmed), func(leaf string) bool { return !isCanary(leaf) }), []string{"s0d"})
 		b.leafs.mu.Unlock()
-		put(b.t, b.catalog, catalog.RolloutKey("s0"), rollout.Order{Service: "s0", Target: "v2", DurationMillis: 1000})
+		put(b.t, b.catalog, catalog.RolloutKey("s0"), rollout.Spec{Service: "s0", Target: "v2", DurationMillis: 1000})
 		synctest.Wait()
 		is.Equal(len(slices.DeleteFunc(slices.Clone(b.leafs.warmed), func(leaf string) bool { return !isCanary(leaf) })), 2)
 		cancel()
--- a/internal/request/gateway/canary_tree_test.go
+++ b/internal/request/gateway/canary_tree_test.go
@@ -89,8 +89,8 @@
 		put(t, node.catalog, catalog.LeafKey(id), versionedLeaf(id, "v2", zoneFar))
 	}
 	is.True(!slices.Contains(placed.of(entry)[0].shards, 0))
-	order := node.catalog.View().Rollouts["s0"].Order.Revision
-	put(t, node.catalog, catalog.RolloutStateKey("s0"), rollout.State{Service: "s0", OrderRevision: order, Phase: rollout.Switching, Serving: "v1", Target: "v2"})
+	specID := node.catalog.View().Rollouts["s0"].Spec.Revision
+	put(t, node.catalog, catalog.RolloutStateKey("s0"), rollout.State{Service: "s0", SpecRevision: specID, Phase: rollout.Switching, Serving: "v1", Target: "v2"})
 	is.True(slices.Contains(placed.of(entry)[0].shards, 0))
 }
 
--- a/internal/request/gateway/warm.go
+++ b/internal/request/gateway/warm.go
@@ -63,7 +63,7 @@
 }
 
 // warmCanaries opens a connection to a leaf of each canary version that this node's canary draws would go to, once for
-// each rollout order. warmed has the orders that are done, by service.
+// each rollout spec. warmed has the orders that are done, by service.
 func (g *Gateway) warmCanaries(warmed map[string]int64) {
 	view := g.catalog.View()
 	for service := range warmed {
@@ -72,12 +72,12 @@
 		}
 	}
 	for service := range view.Rollouts {
-		order := view.Leafs.Rule(service).Order
-		if order == 0 || warmed[service] == order || len(warmed) >= maximumWarmed || !g.canary.IsCanaryOpen(service) {
+		specID := view.Leafs.Rule(service).SpecID
+		if specID == 0 || warmed[service] == specID || len(warmed) >= maximumWarmed || !g.canary.IsCanaryOpen(service) {
 			continue
 		}
 		if g.warmCanary(view, service) {
-			warmed[service] = order
+			warmed[service] = specID
 		}
 	}
 }
@@ -111,13 +111,13 @@
 	changes, stop := g.catalog.Subscribe(changeBacklog)
 	defer stop()
 	warmed := g.catalog.View().Routes
-	warmedOrders := map[string]int64{}
+	warmedSpecs := map[string]int64{}
 	g.Warm()
-	g.followRollouts(warmedOrders)
+	g.followRollouts(warmedSpecs)
 	for {
 		select {
 		case <-changes:
-			g.followRollouts(warmedOrders)
+			g.followRollouts(warmedSpecs)
 			if routes := g.catalog.View().Routes; routes != warmed {
 				warmed = routes
 				g.Warm()
@@ -128,7 +128,7 @@
 	}
 }
 
-// followRollouts reads new rollout orders, and warms the canary versions.
+// followRollouts reads new rollout specs, and warms the canary versions.
 func (g *Gateway) followRollouts(warmed map[string]int64) {
 	if g.canary == nil {
 		return
--- a/internal/rollout/canary/bound_test.go
+++ b/internal/rollout/canary/bound_test.go
@@ -10,19 +10,19 @@
 	"pgregory.net/rapid"
 )
 
-// member is one node of a fleet during an order.
+// member is one node of a fleet during a spec.
 type member struct {
 	fleet    *one
 	splitter *Splitter
 }
 
-// arrival is a request to a node at a time of the order.
+// arrival is a request to a node at a time of the spec.
 type arrival struct {
 	at   time.Duration
 	node int
 }
 
-// arrivals spreads the requests of a fleet over the order, with a mean number for each node.
+// arrivals spreads the requests of a fleet over the spec, with a mean number for each node.
 func arrivals(source *rand.Rand, nodes int, each float64) []arrival {
 	count := int(float64(nodes)*each + 0.5)
 	made := make([]arrival, 0, count)
@@ -33,7 +33,7 @@
 	return made
 }
 
-// The version gets no more than its share and the slack, whatever the fleet: its nodes learn of the order at
+// The version gets no more than its share and the slack, whatever the fleet: its nodes learn of the spec at
 // different times, see different numbers of nodes, join and restart.
 func TestBoundHoldsOverTheFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -54,7 +54,7 @@
 		for index := range fleet {
 			fleet[index] = begin(seen())
 		}
-		built.order()
+		built.startRollout()
 		start, requests, drawn := built.clock, 0.0, 0.0
 		for _, one := range arrivals(source, nodes, each) {
 			built.clock = start.Add(one.at)
@@ -85,7 +85,7 @@
 			fleet[index] = built.splitter(config(50), &one{1 / float64(nodes)})
 			fleet[index].random = source.Float64
 		}
-		built.order()
+		built.startRollout()
 		for _, splitter := range fleet {
 			splitter.Refresh()
 		}
@@ -109,7 +109,7 @@
 		fleet[index] = built.splitter(config(50), &one{1.0 / 400})
 		fleet[index].random = source.Float64
 	}
-	built.order()
+	built.startRollout()
 	drawn := 0
 	for _, splitter := range fleet {
 		drawn += draw(splitter, 1, false)
@@ -117,7 +117,7 @@
 	is.True(drawn > 10 && drawn < 60)
 }
 
-// The slack is released in the second quarter of the order. A node that found the order when it started has none, and
+// The slack is released in the second quarter of the spec. A node that found the spec when it started has none, and
 // one whose fleet has grown has less.
 func TestSlackIsReleasedOnce(t *testing.T) {
 	is := is.New(t)
@@ -186,7 +186,7 @@
 	is.Equal(draw(splitter, 1, false), 1)
 }
 
-// A draw of an order that was replaced meanwhile does not add to the budget of the next one.
+// A draw of a spec that was replaced meanwhile does not add to the budget of the next one.
 func TestDrawOfAnotherOrderIsNotReturned(t *testing.T) {
 	is := is.New(t)
 	built, splitter, _ := started(t, 0)
@@ -194,7 +194,7 @@
 	request := Request{Service: "s"}
 	drawn := splitter.Draw(request)
 	is.True(drawn.IsBounded)
-	built.order()
+	built.startRollout()
 	is.Equal(draw(splitter, 13, false), 1)
 	splitter.Refund(request, drawn)
 	is.Equal(draw(splitter, 11, false), 0)
--- a/internal/rollout/canary/budget.go
+++ b/internal/rollout/canary/budget.go
@@ -6,7 +6,7 @@
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
 )
 
-// The slack is released between these parts of an order's duration: a version gets the load of its share before it gets
+// The slack is released between these parts of a spec's duration: a version gets the load of its share before it gets
 // more, and what the slack shows is known before the time is over.
 const (
 	slackFrom  = 0.25
@@ -18,18 +18,18 @@
 // the other routes.
 const oncePart = 0.25
 
-// rampPart is the largest part of an order's duration that the ramp takes: a version found good on little evidence
+// rampPart is the largest part of a spec's duration that the ramp takes: a version found good on little evidence
 // has only a quarter left, in which the verdict is written and the nodes are asked, too.
 const rampPart = 0.1
 
-// focusTurns is the number of leafs that bounded draws go to, one after the other, during an order.
+// focusTurns is the number of leafs that bounded draws go to, one after the other, during a spec.
 const focusTurns = 12
 
-// budget is how many requests this node may send to the canary version of one order. The lock of the splitter
+// budget is how many requests this node may send to the canary version of one spec. The lock of the splitter
 // guards it.
 type budget struct {
-	order int64
-	// learnedAt is when this node learned of the order, switchedAt when it learned that the version was found good;
+	specID int64
+	// learnedAt is when this node learned of the spec, switchedAt when it learned that the version was found good;
 	// zero before.
 	learnedAt, switchedAt time.Time
 	duration              time.Duration
@@ -38,25 +38,25 @@
 	// start is a random fraction of a request that the budget starts with, so that of many nodes with one request
 	// each some send it to the version, not all or none.
 	start float64
-	// requests counts the requests since the order was learned of; repeatable and once of them went to the version.
+	// requests counts the requests since the spec was learned of; repeatable and once of them went to the version.
 	requests, repeatable, once int64
 	// hasOnce says that this node got a request that must run at most once.
 	hasOnce bool
 }
 
-// elapsed returns the part of the order's duration that is over, 1 or more after its end.
+// elapsed returns the part of the spec's duration that is over, 1 or more after its end.
 func (b *budget) elapsed(now time.Time) float64 {
 	return float64(now.Sub(b.learnedAt)) / float64(b.duration)
 }
 
-// isOver reports whether the order's duration has ended.
+// isOver reports whether the spec's duration has ended.
 func (b *budget) isOver(now time.Time) bool { return b.elapsed(now) >= 1 }
 
 // hasRoom decides whether one more request may go to a version that is not yet found good.
 //
 // A repeatable request may if all requests sent there stay within Used times Share of this node's requests, plus the
 // slack released so far, less what is reserved for requests that must run at most once. A request that must run at
-// most once may from the middle of the order on, within the slack that the others left.
+// most once may from the middle of the spec on, within the slack that the others left.
 func (b *budget) hasRoom(cfg Config, once bool, now time.Time) bool {
 	share := cfg.Used * cfg.Share * float64(b.requests)
 	slack := cfg.Used * cfg.Slack * b.fleetPart
--- a/internal/rollout/canary/config.go
+++ b/internal/rollout/canary/config.go
@@ -4,8 +4,8 @@
 // its own requests, without messages. Once the version was found good, each node moves all of its requests to it
 // within a short ramp, and reports when it has nothing in flight at the version that served before.
 //
-// A Splitter owns the counts of the orders in force and the attempts in flight; it starts no goroutine. It relies on
-// the catalog for rules and orders, on the census of the fleet for its part of the slack, and on a clock that counts
+// A Splitter owns the counts of the specs in force and the attempts in flight; it starts no goroutine. It relies on
+// the catalog for rules and specs, on the census of the fleet for its part of the slack, and on a clock that counts
 // suspended time.
 package canary
 
@@ -19,12 +19,12 @@
 type Config struct {
 	// Share is the part of a service's requests, 0 to 1, that a version not yet found good may get.
 	Share float64 `yaml:"share"`
-	// Slack is the number of requests of a service that it may get beyond the share during one order, over the whole
+	// Slack is the number of requests of a service that it may get beyond the share during one spec, over the whole
 	// fleet.
 	Slack float64 `yaml:"slack"`
 	// Used is the part of both bounds that is used, 0 to 1; the rest covers what nodes cannot see.
 	Used float64 `yaml:"used"`
-	// Ramp is how long a node takes to move its requests to a version that was found good; shorter for short orders.
+	// Ramp is how long a node takes to move its requests to a version that was found good; shorter for short specs.
 	Ramp time.Duration `yaml:"ramp"`
 	// ConfirmedWithin is the longest time since the configuration was last confirmed as the newest for which a node
 	// goes beyond the share.
--- a/internal/rollout/canary/fixture_test.go
+++ b/internal/rollout/canary/fixture_test.go
@@ -68,14 +68,14 @@
 	return revision
 }
 
-func (s *site) order() int64 { return s.orderFor(lasts) }
+func (s *site) startRollout() int64 { return s.startRolloutFor(lasts) }
 
-func (s *site) orderFor(duration time.Duration) int64 {
-	return s.put(catalog.RolloutKey("s"), rollout.Order{Service: "s", Target: target, DurationMillis: duration.Milliseconds()})
+func (s *site) startRolloutFor(duration time.Duration) int64 {
+	return s.put(catalog.RolloutKey("s"), rollout.Spec{Service: "s", Target: target, DurationMillis: duration.Milliseconds()})
 }
 
-func (s *site) phase(order int64, phase rollout.Phase) int64 {
-	return s.put(catalog.RolloutStateKey("s"), rollout.State{Service: "s", OrderRevision: order, Phase: phase, Serving: before, Target: target})
+func (s *site) phase(specID int64, phase rollout.Phase) int64 {
+	return s.put(catalog.RolloutStateKey("s"), rollout.State{Service: "s", SpecRevision: specID, Phase: phase, Serving: before, Target: target})
 }
 
 // pass advances the clock, with the configuration confirmed.
@@ -113,22 +113,22 @@
 	return cfg
 }
 
-// started returns a site whose node was there before the order.
+// started returns a site whose node was there before the spec.
 func started(t *testing.T, slack float64) (*site, *Splitter, int64) {
 	t.Helper()
 	built := newSite(t)
 	splitter := built.splitter(config(slack), &one{1})
 	splitter.random = func() float64 { return 0 }
-	order := built.order()
+	specID := built.startRollout()
 	splitter.Refresh()
-	return built, splitter, order
+	return built, splitter, specID
 }
 
-// startedFor is like started, without slack, for an order of a duration.
+// startedFor is like started, without slack, for a spec of a duration.
 func startedFor(t *testing.T, duration time.Duration) (*site, *Splitter, int64) {
 	t.Helper()
 	built, splitter, _ := started(t, 0)
-	order := built.orderFor(duration)
+	specID := built.startRolloutFor(duration)
 	splitter.Refresh()
-	return built, splitter, order
+	return built, splitter, specID
 }
--- a/internal/rollout/canary/splitter.go
+++ b/internal/rollout/canary/splitter.go
@@ -41,8 +41,8 @@
 	First Versions
 	// IsBounded says that the attempt uses the bounded share: it goes to the first usable leaf by FocusOrder.
 	IsBounded bool
-	// order is the order of a bounded draw.
-	order int64
+	// spec is the spec of a bounded draw.
+	specID int64
 }
 
 // Fleet is what a node must know of the others; registry.Census is the real one.
@@ -66,7 +66,7 @@
 	// startRevision is the revision of the first configuration seen; 0 before it.
 	startRevision int64
 	budgets       map[string]*budget // by service
-	// holds are the highest orders that were stopped, by service; an order below it was replaced.
+	// holds are the highest orders that were stopped, by service; a spec below it was replaced.
 	holds map[string]int64
 	// holdsRevision is the revision at which old holds were last dropped; 0 before the first configuration.
 	holdsRevision int64
@@ -82,12 +82,12 @@
 	return s
 }
 
-// SetClock sets the clock by which orders, ramps and the age of the configuration are measured. It must be the
+// SetClock sets the clock by which specs, ramps and the age of the configuration are measured. It must be the
 // catalog's: by another a machine that was suspended would trust an old rule. It must be called before the catalog
 // has any state.
 func (s *Splitter) SetClock(clock boottime.Clock) { s.now = clock.Now }
 
-// Refresh picks up the orders in force, whose durations begin for this node when it learns of them. It is to be
+// Refresh picks up the specs in force, whose durations begin for this node when it learns of them. It is to be
 // called whenever the configuration has changed.
 func (s *Splitter) Refresh() {
 	s.mu.Lock()
@@ -95,7 +95,7 @@
 	view := s.view()
 	s.dropOldHolds()
 	for service := range s.budgets {
-		if view.Leafs.Rule(service).Order != s.budgets[service].order {
+		if view.Leafs.Rule(service).SpecID != s.budgets[service].specID {
 			delete(s.budgets, service)
 		}
 	}
@@ -134,7 +134,7 @@
 	}
 	budget.count(request.Once, 1)
 	if stage == bounded {
-		return Draw{First: Target, IsBounded: true, order: rule.Order}
+		return Draw{First: Target, IsBounded: true, specID: rule.SpecID}
 	}
 	return Draw{First: Target}
 }
@@ -158,7 +158,7 @@
 func (s *Splitter) Refund(request Request, draw Draw) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if budget, found := s.budgets[request.Service]; found && draw.IsBounded && budget.order == draw.order {
+	if budget, found := s.budgets[request.Service]; found && draw.IsBounded && budget.specID == draw.specID {
 		budget.count(request.Once, -1)
 	}
 }
@@ -229,10 +229,10 @@
 	return view
 }
 
-// budget returns the budget of the order in force for a service. The lock must be held.
+// budget returns the budget of the spec in force for a service. The lock must be held.
 func (s *Splitter) budget(view *catalog.View, service string, rule rollout.Rule) *budget {
 	budget, found := s.budgets[service]
-	if !found || budget.order != rule.Order {
+	if !found || budget.specID != rule.SpecID {
 		budget = s.newBudget(view, service, rule)
 		s.budgets[service] = budget
 	}
@@ -242,15 +242,15 @@
 	return budget
 }
 
-// newBudget returns the budget of an order that this node learns of. A node that found the order in force when it
+// newBudget returns the budget of a spec that this node learns of. A node that found the spec in force when it
 // started does not know what its earlier process spent of the slack, and gets none. Without slack there is no random
 // start either.
 func (s *Splitter) newBudget(view *catalog.View, service string, rule rollout.Rule) *budget {
-	begun := &budget{order: rule.Order, learnedAt: s.now(), duration: time.Nanosecond}
-	if order := view.Rollouts[service].Order; order != nil {
-		begun.duration = order.Duration()
+	begun := &budget{specID: rule.SpecID, learnedAt: s.now(), duration: time.Nanosecond}
+	if spec := view.Rollouts[service].Spec; spec != nil {
+		begun.duration = spec.Duration()
 	}
-	if s.cfg.Slack > 0 && rule.Order > revision.Count(s.startRevision) && s.fleet.IsRegistered() {
+	if s.cfg.Slack > 0 && rule.SpecID > revision.Count(s.startRevision) && s.fleet.IsRegistered() {
 		begun.fleetPart, begun.start = s.fleetPart(view, service), s.random()
 	}
 	return begun
--- a/internal/rollout/canary/stage.go
+++ b/internal/rollout/canary/stage.go
@@ -7,12 +7,12 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// stage is how far this node is with an order.
+// stage is how far this node is with a spec.
 type stage int
 
 // The stages.
 const (
-	// stopped means that the canary version gets nothing: there is none, its order is held, or its time is over.
+	// stopped means that the canary version gets nothing: there is none, its spec is held, or its time is over.
 	stopped stage = iota
 	// bounded means that it gets the bounded share, of first attempts only.
 	bounded
@@ -22,7 +22,7 @@
 	moved
 )
 
-// stageNow returns the stage of the order of a service.
+// stageNow returns the stage of the spec of a service.
 func (s *Splitter) stageNow(service string) stage {
 	if s.catalog.View().Leafs.Rule(service).Canary == "" {
 		return stopped
@@ -37,14 +37,14 @@
 	return s.stage(service, rule, s.budget(view, service, rule), s.now())
 }
 
-// stage decides how far this node is with an order, by the order's phase, the time since this node learned of it, and
-// the time since the configuration was confirmed as the newest. A held order is stopped. A version found good ramps
+// stage decides how far this node is with a spec, by the spec's phase, the time since this node learned of it, and
+// the time since the configuration was confirmed as the newest. A held spec is stopped. A version found good ramps
 // up and then gets everything, but only while the configuration was confirmed within ConfirmedWithin: otherwise the
-// verdict may have been revoked, and the bound applies again. After the order's duration an undecided version gets
+// verdict may have been revoked, and the bound applies again. After the spec's duration an undecided version gets
 // nothing. The lock must be held.
 func (s *Splitter) stage(service string, rule rollout.Rule, budget *budget, now time.Time) stage {
 	switch {
-	case rule.Order <= s.holds[service]:
+	case rule.SpecID <= s.holds[service]:
 		return stopped
 	case rule.Phase == rollout.Switching && now.Sub(s.catalog.ConfirmedAt()) <= s.cfg.ConfirmedWithin:
 		if now.Sub(budget.switchedAt) < s.Ramp(budget.duration) {
@@ -57,7 +57,7 @@
 	return bounded
 }
 
-// Ramp returns how long the nodes take to move the requests of an order of a duration to a version found good.
+// Ramp returns how long the nodes take to move the requests of a spec of a duration to a version found good.
 func (s *Splitter) Ramp(duration time.Duration) time.Duration {
 	return min(s.cfg.Ramp, time.Duration(rampPart*float64(duration)))
 }
@@ -71,24 +71,24 @@
 // maxHolds bounds the services whose holds are kept, well above those that a fleet moves at once.
 const maxHolds = 4096
 
-// Hold stops the canary version of an order for good, whatever the configuration says about it.
-func (s *Splitter) Hold(service string, order int64) {
+// Hold stops the canary version of a spec for good, whatever the configuration says about it.
+func (s *Splitter) Hold(service string, specID int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.dropOldHolds()
 	if len(s.holds) < maxHolds || s.holds[service] > 0 {
-		s.holds[service] = max(s.holds[service], order)
+		s.holds[service] = max(s.holds[service], specID)
 	}
 }
 
 // dropOldHolds drops holds of orders that were replaced or withdrawn. Holds of orders that this node has not learned
-// of yet stay, except after a restore of the store, when lost orders' ids are given to others. The lock must be held.
+// of yet stay, except after a restore of the store, when lost specs' ids are given to others. The lock must be held.
 func (s *Splitter) dropOldHolds() {
 	view := s.view()
 	isRestored := s.holdsRevision != 0 && revision.IsLater(view.Revision, s.holdsRevision)
 	s.holdsRevision = view.Revision
-	for service, order := range s.holds {
-		if (isRestored || order <= revision.Count(view.Revision)) && view.Leafs.Rule(service).Order != order {
+	for service, specID := range s.holds {
+		if (isRestored || specID <= revision.Count(view.Revision)) && view.Leafs.Rule(service).SpecID != specID {
 			delete(s.holds, service)
 		}
 	}
--- a/internal/rollout/canary/stage_test.go
+++ b/internal/rollout/canary/stage_test.go
@@ -18,7 +18,7 @@
 	return fmt.Sprintf("%v %v", s.MayAsk(leafID(before, 0)), s.MayAsk(leafID(target, 0)))
 }
 
-// Without an order only the serving version gets requests.
+// Without a spec only the serving version gets requests.
 func TestWithoutAnOrderOneVersionServes(t *testing.T) {
 	is := is.New(t)
 	built := newSite(t)
@@ -30,7 +30,7 @@
 	is.Equal(len(splitter.budgets), 0)
 }
 
-// After the order's duration by this node's clock the version gets nothing more, not even attempts planned before.
+// After the spec's duration by this node's clock the version gets nothing more, not even attempts planned before.
 func TestNothingIsDrawnAfterTheOrdersTime(t *testing.T) {
 	is := is.New(t)
 	built, splitter, _ := started(t, 0)
@@ -42,7 +42,7 @@
 	is.Equal(may(splitter), "true false")
 }
 
-// The duration of an order begins when a node learns of it, not with its first request.
+// The duration of a spec begins when a node learns of it, not with its first request.
 func TestTimeBeginsWhenTheOrderIsLearnedOf(t *testing.T) {
 	is := is.New(t)
 	built, splitter, _ := started(t, 0)
@@ -50,38 +50,38 @@
 	is.Equal(draw(splitter, 100, false), 0)
 }
 
-// A held order is stopped in each phase, also before it is known; another order for the same version is not.
+// A held spec is stopped in each phase, also before it is known; another spec for the same version is not.
 func TestHoldIsOfOneOrderAndStays(t *testing.T) {
 	is := is.New(t)
-	built, splitter, order := started(t, 50)
-	splitter.Hold("s", order)
+	built, splitter, specID := started(t, 50)
+	splitter.Hold("s", specID)
 	is.Equal(draw(splitter, 100, false), 0)
 	is.Equal(may(splitter), "true false")
-	built.phase(order, rollout.Switching)
+	built.phase(specID, rollout.Switching)
 	built.pass(time.Hour)
 	is.Equal(draw(splitter, 100, false), 0)
 	is.Equal(splitter.RetryVersions("s"), Serving)
 	is.Equal(may(splitter), "true false")
-	splitter.Hold("s", order-1)
+	splitter.Hold("s", specID-1)
 	is.Equal(may(splitter), "true false")
 
-	next := built.order()
+	next := built.startRollout()
 	splitter.Refresh()
 	is.Equal(len(splitter.holds), 0)
 	is.Equal(may(splitter), "true true")
 	splitter.Hold("s", next+1)
 	splitter.Refresh()
 	is.Equal(may(splitter), "true false") // the one before it is replaced
-	built.order()
+	built.startRollout()
 	is.Equal(draw(splitter, 100, false), 0)
 }
 
-// Holds of services without an order are dropped, and more than the bound are not kept.
+// Holds of services without a spec are dropped, and more than the bound are not kept.
 func TestHoldsAreBounded(t *testing.T) {
 	is := is.New(t)
-	built, splitter, order := started(t, 50)
+	built, splitter, specID := started(t, 50)
 	for index := range 2 * maxHolds {
-		splitter.Hold(fmt.Sprint(index), order+1)
+		splitter.Hold(fmt.Sprint(index), specID+1)
 	}
 	is.Equal(len(splitter.holds), maxHolds)
 	built.put(catalog.EvacuationKey("z"), struct{}{})
@@ -89,7 +89,7 @@
 	is.Equal(len(splitter.holds), 0)
 }
 
-// An order that is withdrawn leaves the version no requests and no budget.
+// A spec that is withdrawn leaves the version no requests and no budget.
 func TestOrderTakenBack(t *testing.T) {
 	is := is.New(t)
 	built, splitter, _ := started(t, 50)
@@ -104,10 +104,10 @@
 // A version found good gets everything within the ramp, and the one before it nothing after that.
 func TestRampMovesEverything(t *testing.T) {
 	is := is.New(t)
-	built, splitter, order := started(t, 0)
+	built, splitter, specID := started(t, 0)
 	chance := 0.0
 	splitter.random = func() float64 { return chance }
-	built.phase(order, rollout.Switching)
+	built.phase(specID, rollout.Switching)
 	splitter.Refresh()
 	is.Equal(splitter.RetryVersions("s"), Both)
 	for _, step := range []struct {
@@ -129,13 +129,13 @@
 	is.Equal(may(splitter), "false true") // its time only ends what is not found good
 }
 
-// In a short order the requests move within a part of its duration.
+// In a short spec the requests move within a part of its duration.
 func TestRampOfAShortOrder(t *testing.T) {
 	is := is.New(t)
-	built, splitter, order := startedFor(t, 12*time.Second)
+	built, splitter, specID := startedFor(t, 12*time.Second)
 	is.Equal(splitter.Ramp(12*time.Second), 1200*time.Millisecond)
 	is.Equal(splitter.Ramp(time.Hour), 2*time.Second)
-	built.phase(order, rollout.Switching)
+	built.phase(specID, rollout.Switching)
 	splitter.Refresh()
 	built.pass(1199 * time.Millisecond)
 	is.Equal(splitter.RetryVersions("s"), Both)
@@ -146,8 +146,8 @@
 // While the configuration was not confirmed recently nothing goes beyond the share.
 func TestSwitchLapsesWithoutConfirmation(t *testing.T) {
 	is := is.New(t)
-	built, splitter, order := started(t, 0)
-	built.phase(order, rollout.Switching)
+	built, splitter, specID := started(t, 0)
+	built.phase(specID, rollout.Switching)
 	splitter.Refresh()
 	built.clock = built.clock.Add(3 * time.Second)
 	is.Equal(draw(splitter, 10, false), 10)
@@ -163,11 +163,11 @@
 // A node is settled once its ramp has ended and nothing is in flight at other versions, whenever that began.
 func TestSettledOnceNothingIsUnderWay(t *testing.T) {
 	is := is.New(t)
-	built, splitter, order := started(t, 0)
+	built, splitter, specID := started(t, 0)
 	splitter.AttemptStarted("s", before)
 	splitter.AttemptStarted("s", target)
 	is.Equal(splitter.SettledRevision(), built.known.Revision())
-	switched := built.phase(order, rollout.Switching)
+	switched := built.phase(specID, rollout.Switching)
 	built.put(catalog.EvacuationKey("z"), struct{}{})
 	is.Equal(splitter.SettledRevision(), switched-1)
 	built.pass(2 * time.Second)
@@ -177,7 +177,7 @@
 	built.clock = built.clock.Add(time.Minute) // lapsed: the version that served may be asked again
 	is.Equal(splitter.SettledRevision(), switched-1)
 	built.pass(0)
-	splitter.Hold("s", order)
+	splitter.Hold("s", specID)
 	is.Equal(splitter.SettledRevision(), switched-1)
 	splitter.AttemptEnded("s", target)
 	is.Equal(len(splitter.inFlight.counts), 0)
@@ -186,12 +186,12 @@
 // A leaf of a version that no rule lets serve gets nothing, be it ready, lost or only remembered.
 func TestBarredLeafsMayNotBeAsked(t *testing.T) {
 	is := is.New(t)
-	built, splitter, order := started(t, 0)
+	built, splitter, specID := started(t, 0)
 	built.put(catalog.RememberedKey, leafset.List{Leafs: []leafset.Record{
 		{Name: "old", Service: "s", Address: "127.0.0.1:1", Version: target, State: leafset.Ready},
 		{Name: "other", Service: "s", Address: "127.0.0.1:1", Version: before, State: leafset.Ready},
 	}})
-	built.phase(order, rollout.RolledBack)
+	built.phase(specID, rollout.RolledBack)
 	built.put(catalog.LeafKey(leafID(target, 1)), nil)
 	built.putLeaf(target, 2, leafset.Draining)
 	for _, barred := range []string{leafID(target, 0), leafID(target, 1), leafID(target, 2), "old"} {
@@ -248,9 +248,9 @@
 	built.pass(0)
 	splitter := New(config(0), built.known, &one{1})
 	splitter.SetClock(clock)
-	order := built.order()
+	specID := built.startRollout()
 	splitter.Refresh()
-	built.phase(order, rollout.Switching)
+	built.phase(specID, rollout.Switching)
 	splitter.Refresh()
 	built.pass(splitter.Ramp(lasts) + time.Second)
 	is.Equal(splitter.stageNow("s"), moved)
--- a/internal/rollout/evidence/collector.go
+++ b/internal/rollout/evidence/collector.go
@@ -99,7 +99,7 @@
 	if !isCounted(rule, leaf) {
 		return // the rule has changed since IsCounted
 	}
-	key := Key{Service: leaf.Service, Order: rule.Order, Route: route, Version: leaf.Version}
+	key := Key{Service: leaf.Service, SpecID: rule.SpecID, Route: route, Version: leaf.Version}
 	if rule.IsCanary(leaf.Version) {
 		key.Leaf, key.Zone = leaf.ID, leaf.Zone
 	}
@@ -125,7 +125,7 @@
 		return
 	}
 	c.leafs = leafs
-	isOld := func(kept *collected) bool { return leafs.Rule(kept.Service).Order != kept.Order }
+	isOld := func(kept *collected) bool { return leafs.Rule(kept.Service).SpecID != kept.SpecID }
 	for key, kept := range c.rows {
 		if isOld(kept) {
 			delete(c.rows, key)
--- a/internal/rollout/evidence/collector_test.go
+++ b/internal/rollout/evidence/collector_test.go
@@ -34,14 +34,14 @@
 	return revision
 }
 
-// ordered returns a collector of a node that knows an order to move service s from v1 to v2.
+// ordered returns a collector of a node that knows a spec to move service s from v1 to v2.
 func ordered(t *testing.T) (*Collector, *catalog.Catalog, int64) {
 	t.Helper()
 	known := catalog.New(func(key string, err error) { t.Fatal(key, err) })
 	known.EnableRollouts()
 	put(t, known, catalog.VersionsKey, rollout.Versions{ByVersion: map[string][]string{"v1": {"s", "other"}}})
-	order := put(t, known, catalog.RolloutKey("s"), rollout.Order{Service: "s", Target: "v2", DurationMillis: 1000})
-	return NewCollector(known), known, order
+	specID := put(t, known, catalog.RolloutKey("s"), rollout.Spec{Service: "s", Target: "v2", DurationMillis: 1000})
+	return NewCollector(known), known, specID
 }
 
 func leaf(id, service, version string) *leafset.Leaf {
@@ -51,7 +51,7 @@
 // Leafs on trial have a row each, those that serve share one for each route; other leafs have none.
 func TestEachCanaryHasItsOwnRow(t *testing.T) {
 	is := is.New(t)
-	c, _, order := ordered(t)
+	c, _, specID := ordered(t)
 	for _, one := range []*leafset.Leaf{
 		leaf("a", "s", "v1"), leaf("b", "s", "v1"), leaf("c", "s", "v2"), leaf("d", "s", "v2"), leaf("e", "s", "v3"), leaf("f", "other", "v1"),
 	} {
@@ -65,18 +65,18 @@
 		is.Equal(row.Failures > 0, row.Leaf == "c")
 	}
 	is.Equal(attempts, map[Key]int64{
-		{Service: "s", Order: order, Route: "r", Version: "v1"}:                         4,
-		{Service: "s", Order: order, Route: "q", Version: "v1"}:                         1,
-		{Service: "s", Order: order, Route: "r", Version: "v2", Leaf: "c", Zone: "z-c"}: 2,
-		{Service: "s", Order: order, Route: "r", Version: "v2", Leaf: "d", Zone: "z-d"}: 2,
+		{Service: "s", SpecID: specID, Route: "r", Version: "v1"}:                         4,
+		{Service: "s", SpecID: specID, Route: "q", Version: "v1"}:                         1,
+		{Service: "s", SpecID: specID, Route: "r", Version: "v2", Leaf: "c", Zone: "z-c"}: 2,
+		{Service: "s", SpecID: specID, Route: "r", Version: "v2", Leaf: "d", Zone: "z-d"}: 2,
 	})
 }
 
-// An attempt that ends while its order is replaced is not counted for the next one.
+// An attempt that ends while its spec is replaced is not counted for the next one.
 func TestAttemptOfAnotherOrderIsNotCounted(t *testing.T) {
 	is := is.New(t)
 	c, known, _ := ordered(t)
-	put(t, known, catalog.RolloutKey("s"), rollout.Order{Service: "s", Target: "v3", DurationMillis: 1000})
+	put(t, known, catalog.RolloutKey("s"), rollout.Spec{Service: "s", Target: "v3", DurationMillis: 1000})
 	c.count("r", leaf("c", "s", "v2"), func(tally *Tally) { tally.Observe(true, time.Millisecond) })
 	is.Equal(len(c.Rows()), 0)
 }
@@ -108,18 +108,18 @@
 	}
 }
 
-// Rows of an order are dropped when it is no longer in force; the next one starts at zero.
+// Rows of a spec are dropped when it is no longer in force; the next one starts at zero.
 func TestRowsGoWithTheirOrder(t *testing.T) {
 	is := is.New(t)
 	c, known, _ := ordered(t)
 	observe := func() { c.Observe("r", leaf("a", "s", "v2"), false, time.Millisecond) }
 	observe()
-	next := put(t, known, catalog.RolloutKey("s"), rollout.Order{Service: "s", Target: "v2", DurationMillis: 1000})
+	next := put(t, known, catalog.RolloutKey("s"), rollout.Spec{Service: "s", Target: "v2", DurationMillis: 1000})
 	is.Equal(len(c.TakeChanged(9))+len(c.Rows()), 0)
 	observe()
-	is.Equal(c.Rows()[0].Order, next)
+	is.Equal(c.Rows()[0].SpecID, next)
 	is.Equal(c.Rows()[0].Attempts(), int64(1))
-	put(t, known, catalog.RolloutStateKey("s"), rollout.State{Service: "s", OrderRevision: next, Phase: rollout.Succeeded, Serving: "v1", Target: "v2"})
+	put(t, known, catalog.RolloutStateKey("s"), rollout.State{Service: "s", SpecRevision: next, Phase: rollout.Succeeded, Serving: "v1", Target: "v2"})
 	is.Equal(len(c.TakeChanged(9))+len(c.Rows()), 0)
 	observe()
 	is.Equal(len(c.Rows()), 0)
--- a/internal/rollout/evidence/evidence.go
+++ b/internal/rollout/evidence/evidence.go
@@ -1,9 +1,9 @@
 // Package evidence counts how the leafs of each version of a service answer, so that a new version can be compared
 // with the serving one: by route, at the same time, by failures and latency.
 //
-// Counts only grow during one order, so that a report that arrives twice, late or not at all does no harm: of two
+// Counts only grow during one spec, so that a report that arrives twice, late or not at all does no harm: of two
 // reports of one row the one with more attempts is kept. A Collector owns the rows of one node; the package starts no
-// goroutine, and relies on the catalog for the orders in force.
+// goroutine, and relies on the catalog for the specs in force.
 package evidence
 
 import (
@@ -14,8 +14,8 @@
 // Key identifies a row of counts.
 type Key struct {
 	Service string `json:"service"`
-	// Order is the id of the order that the counts are for.
-	Order   int64  `json:"order"`
+	// SpecID is the id of the spec that the counts are for.
+	SpecID  int64  `json:"order"`
 	Route   string `json:"route"`
 	Version string `json:"version"`
 	// Leaf is the id of the leaf, so that one bad leaf is not taken for a bad version; empty for the serving version.
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -1,7 +1,7 @@
 // Package rollout defines how the requests of a service move from the leafs of one version to those of another: the
-// operators' order, the fleet's state of carrying it out, and the rule for each node that follows from both.
+// operators' spec, the fleet's state of carrying it out, and the rule for each node that follows from both.
 //
-// The package keeps no state and does no I/O. Orders and states are keys of the store, each with the revision that
+// The package keeps no state and does no I/O. Specs and states are keys of the store, each with the revision that
 // wrote it. A node derives its rule from both as of the revision that it has in force.
 package rollout
 
@@ -15,22 +15,22 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// Order asks that the requests of a service move to the leafs of a version.
-type Order struct {
+// Spec asks that the requests of a service move to the leafs of a version.
+type Spec struct {
 	Service string `json:"service"`
 	// Target is the version to move to.
 	Target string `json:"target"`
-	// DurationMillis is how long the roll-out may take after the order was accepted.
+	// DurationMillis is how long the roll-out may take after the spec was accepted.
 	DurationMillis int64 `json:"duration_millis"`
-	// Revision is the store's revision that wrote the order.
+	// Revision is the store's revision that wrote the spec.
 	Revision int64 `json:"-"`
-	// id is that of the earlier order that this one repeats, 0 if there is none.
+	// id is that of the earlier spec that this one repeats, 0 if there is none.
 	id int64
 }
 
-// ID identifies the order among those of its service: the store's count at its first write. It stays the same when
-// the store is restored and operators write the same order again.
-func (o *Order) ID() int64 {
+// ID identifies the spec among those of its service: the store's count at its first write. It stays the same when
+// the store is restored and operators write the same spec again.
+func (o *Spec) ID() int64 {
 	if o.id != 0 {
 		return o.id
 	}
@@ -38,13 +38,13 @@
 }
 
 // Duration returns how long the roll-out may take.
-func (o *Order) Duration() time.Duration { return time.Duration(o.DurationMillis) * time.Millisecond }
+func (o *Spec) Duration() time.Duration { return time.Duration(o.DurationMillis) * time.Millisecond }
 
-// maxDurationMillis is the longest duration of an order in milliseconds, limited by time.Duration.
+// maxDurationMillis is the longest duration of a spec in milliseconds, limited by time.Duration.
 const maxDurationMillis = math.MaxInt64 / int64(time.Millisecond)
 
 // Validate returns an error that names every invalid field.
-func (o *Order) Validate() error {
+func (o *Spec) Validate() error {
 	var checks failure.Checks
 	checks.Refuse(o.Service == "", "service", "must not be empty")
 	checks.Refuse(o.Target == "", "target", "must not be empty")
@@ -53,18 +53,18 @@
 	return checks.Err()
 }
 
-// ParseOrder reads and validates an order in JSON that was written at a revision.
-func ParseOrder(content []byte, at int64) (*Order, error) {
-	order := &Order{Revision: at}
-	if err := json.Unmarshal(content, order); err != nil {
+// ParseSpec reads and validates a spec in JSON that was written at a revision.
+func ParseSpec(content []byte, at int64) (*Spec, error) {
+	spec := &Spec{Revision: at}
+	if err := json.Unmarshal(content, spec); err != nil {
 		return nil, failure.Invalid("rollout", "not a roll-out order: %v", err)
 	}
-	return order, order.Validate()
+	return spec, spec.Validate()
 }
 
-// InheritID gives the order the id of the one in force before it if it is the same order, written again after a
+// InheritID gives the spec the id of the one in force before it if it is the same spec, written again after a
 // restore of the store.
-func (o *Order) InheritID(before *Order) {
+func (o *Spec) InheritID(before *Spec) {
 	if before == nil || !revision.IsLater(o.Revision, before.Revision) {
 		return
 	}
@@ -76,7 +76,7 @@
 // Phase is how far a roll-out is.
 type Phase string
 
-// The phases. The last two are final: only another order follows on them.
+// The phases. The last two are final: only another spec follows on them.
 const (
 	// Canary sends the target a bounded share of the requests, to evaluate it.
 	Canary Phase = "canary"
@@ -91,17 +91,17 @@
 // IsFinal reports whether no phase follows.
 func (p Phase) IsFinal() bool { return p == Succeeded || p == RolledBack }
 
-// State is how far the fleet is with an order. It is replaced by compare-and-swap only, on condition that the order
+// State is how far the fleet is with a spec. It is replaced by compare-and-swap only, on condition that the spec
 // is unchanged.
 type State struct {
 	Service string `json:"service"`
-	// OrderRevision is the store's count at which the order was written.
-	OrderRevision int64 `json:"order_revision"`
-	Phase         Phase `json:"phase"`
-	// Serving is the version that served before the order, and continues to unless the order succeeds.
+	// SpecRevision is the store's count at which the spec was written.
+	SpecRevision int64 `json:"order_revision"`
+	Phase        Phase `json:"phase"`
+	// Serving is the version that served before the spec, and continues to unless the spec succeeds.
 	Serving string `json:"serving"`
 	Target  string `json:"target"`
-	// StartedUnixMillis is when the writer of the order's first state learned of the order, by its wall clock.
+	// StartedUnixMillis is when the writer of the spec's first state learned of the spec, by its wall clock.
 	StartedUnixMillis int64 `json:"started_unix_millis"`
 	// Reason explains the phase in one sentence, with figures.
 	Reason string `json:"reason,omitempty"`
@@ -123,14 +123,14 @@
 	return state, checks.Err()
 }
 
-// BelongsTo reports whether the state is of an order. A state from before a restore of the store belongs to the order
+// BelongsTo reports whether the state is of a spec. A state from before a restore of the store belongs to the spec
 // for the same version that operators wrote again after it.
-func (s *State) BelongsTo(order *Order) bool {
-	if order == nil || s.Target != order.Target {
+func (s *State) BelongsTo(spec *Spec) bool {
+	if spec == nil || s.Target != spec.Target {
 		return false
 	}
-	count := revision.Count(s.OrderRevision)
-	return count == order.ID() || count == revision.Count(order.Revision) || revision.IsLater(order.Revision, s.Revision)
+	count := revision.Count(s.SpecRevision)
+	return count == spec.ID() || count == revision.Count(spec.Revision) || revision.IsLater(spec.Revision, s.Revision)
 }
 
 // ServingVersion returns the version that serves by the state.
@@ -142,7 +142,7 @@
 }
 
 // Versions are the versions that serve the services without a roll-out, as the fleet stored them when it first saw
-// their leafs. Another version that appears beside the stored one gets nothing without an order.
+// their leafs. Another version that appears beside the stored one gets nothing without a spec.
 type Versions struct {
 	// ByVersion lists the services that each version serves; each service occurs once.
 	ByVersion map[string][]string `json:"by_version"`
@@ -172,23 +172,23 @@
 	Barred string
 	// ExcludesUnversioned says that leafs without a version are those that served before Serving, and get nothing.
 	ExcludesUnversioned bool
-	// Canary is the version that is rolled out, the target of the order under way; empty if there is none.
+	// Canary is the version that is rolled out, the target of the spec under way; empty if there is none.
 	Canary string
 	// Phase is Canary or Switching while there is a Canary, else empty.
 	Phase Phase
-	// Order is the id of the order under way, 0 if there is none.
-	Order int64
+	// SpecID is the id of the spec under way, 0 if there is none.
+	SpecID int64
 	// Revision is that of the state that the rule follows from, 0 where there is none yet.
 	Revision int64
 }
 
-// RuleOf derives the rule of a service from its order and state, each nil if there is none, and the stored serving
+// RuleOf derives the rule of a service from its spec and state, each nil if there is none, and the stored serving
 // version, empty if there is none. It is the only place that does.
 //
-// A final state decides which version serves. An order without a final state of its own makes its target the canary, in
+// A final state decides which version serves. A spec without a final state of its own makes its target the canary, in
 // phase canary until a state says otherwise. If only leafs without a version served, the rule bars the target that was
 // rolled back, or excludes those leafs once a version has replaced them.
-func RuleOf(order *Order, state *State, written string) Rule {
+func RuleOf(spec *Spec, state *State, written string) Rule {
 	rule := Rule{Serving: written}
 	if state != nil {
 		rule.Serving, rule.Revision = state.ServingVersion(), state.Revision
@@ -199,15 +199,15 @@
 			rule.Barred = state.Target
 		}
 	}
-	if order == nil || order.Target == rule.Serving {
+	if spec == nil || spec.Target == rule.Serving {
 		return rule
 	}
-	isStateOfOrder := state != nil && state.BelongsTo(order)
-	if isStateOfOrder && state.Phase.IsFinal() {
+	isStateOfSpec := state != nil && state.BelongsTo(spec)
+	if isStateOfSpec && state.Phase.IsFinal() {
 		return rule
 	}
-	rule.Canary, rule.Order, rule.Phase = order.Target, order.ID(), Canary
-	if isStateOfOrder {
+	rule.Canary, rule.SpecID, rule.Phase = spec.Target, spec.ID(), Canary
+	if isStateOfSpec {
 		rule.Phase = state.Phase
 	}
 	if rule.Barred == rule.Canary {
@@ -217,7 +217,7 @@
 }
 
 // WithDefaultServing returns the rule with the version that was there first as the serving one, unless the rule names
-// one. An order for that version has nothing left to do.
+// one. A spec for that version has nothing left to do.
 func (r Rule) WithDefaultServing(first string) Rule {
 	if r.Serving != "" || first == "" || r.Barred == first {
 		return r
--- a/internal/rollout/rolloutcontrol/config.go
+++ b/internal/rollout/rolloutcontrol/config.go
@@ -9,7 +9,7 @@
 
 // Config sets how the fleet carries out roll-outs.
 type Config struct {
-	// Enabled makes nodes follow orders, and send the requests of a service to leafs of one version only.
+	// Enabled makes nodes follow specs, and send the requests of a service to leafs of one version only.
 	Enabled bool `yaml:"enabled"`
 	// EvaluatorNodes is the number of nodes that evaluate the roll-out of a service.
 	EvaluatorNodes int `yaml:"judges"`
@@ -23,14 +23,14 @@
 	// BurstBytes is what may be sent at once after a quiet time.
 	BurstBytes int `yaml:"burst_bytes"`
 	// TakeoverPause is how much longer each evaluator node waits than the one before it by rank to write a state that the
-	// others should have written; shorter for short orders.
+	// others should have written; shorter for short specs.
 	TakeoverPause time.Duration `yaml:"takeover_pause"`
-	// RollbackMargin is how long before an order's end a version that was not found good is rolled back; shorter for
-	// short orders.
+	// RollbackMargin is how long before a spec's end a version that was not found good is rolled back; shorter for
+	// short specs.
 	RollbackMargin time.Duration `yaml:"rollback_margin"`
 	// SettleInterval is how often an evaluator node asks whether all nodes send to the new version only, once they can.
 	SettleInterval time.Duration `yaml:"settle_interval"`
-	// SettleWait is how long nodes that don't answer are waited for and, after the order's end, nodes that still send
+	// SettleWait is how long nodes that don't answer are waited for and, after the spec's end, nodes that still send
 	// to the old version.
 	SettleWait time.Duration `yaml:"settle_wait"`
 	// WriteTimeout bounds one write of a state including reading it back.
@@ -44,7 +44,7 @@
 	VersionsDelay time.Duration `yaml:"versions_delay"`
 }
 
-// DefaultConfig suits orders of some seconds to an hour, and some ninety orders at once within the bound of bytes.
+// DefaultConfig suits specs of some seconds to an hour, and some ninety specs at once within the bound of bytes.
 func DefaultConfig() Config {
 	return Config{
 		EvaluatorNodes: 3, ReportInterval: 400 * time.Millisecond, ResendInterval: 4 * time.Second,
--- a/internal/rollout/rolloutcontrol/controller.go
+++ b/internal/rollout/rolloutcontrol/controller.go
@@ -4,12 +4,12 @@
 //
 // Every node runs a Controller. The evaluator nodes of a service are the first registered nodes by rendezvous hash.
 // Correctness does not depend on nodes agreeing about who they are: each evaluator node may write, and the store accepts a
-// write only in place of the state that the evaluator node knew and while the order is unchanged. If evaluator nodes disagree the first
+// write only in place of the state that the evaluator node knew and while the spec is unchanged. If evaluator nodes disagree the first
 // write wins, and a late one has no effect. A version found bad is stopped at once by messages between nodes (a
 // hold), whether or not the store accepts the write.
 //
 // The package owns the counts of all nodes at an evaluator node, the holds, and the goroutines of Run with its writes and fleet
-// calls. It relies on the catalog for orders, states and registered nodes, on datagrams for reports and holds, on
+// calls. It relies on the catalog for specs, states and registered nodes, on datagrams for reports and holds, on
 // conditional writes of the store, and on a clock that counts suspended time.
 package rolloutcontrol
 
@@ -27,12 +27,12 @@
 
 // Splitter is what draws this node's requests for canary versions; canary.Splitter is the real one.
 type Splitter interface {
-	// Hold stops the canary of an order at this node for good.
-	Hold(service string, order int64)
+	// Hold stops the canary of a spec at this node for good.
+	Hold(service string, specID int64)
 	// SettledRevision returns the revision at which the node is settled: it sends nothing by an older rule any more.
 	SettledRevision() int64
-	// Ramp returns how long the nodes take to move the requests of an order with the given duration.
-	Ramp(order time.Duration) time.Duration
+	// Ramp returns how long the nodes take to move the requests of a spec with the given duration.
+	Ramp(duration time.Duration) time.Duration
 }
 
 // Fleet queries the other nodes.
@@ -54,7 +54,7 @@
 	Fleet        Fleet
 	Sender       Sender
 	Events       EventLog
-	// Clock counts the time for which the machine was suspended, because an order's duration continues meanwhile.
+	// Clock counts the time for which the machine was suspended, because a spec's duration continues meanwhile.
 	Clock boottime.Clock
 }
 
@@ -68,7 +68,7 @@
 
 	// The fields up to running belong to the goroutine of Run.
 	evaluatorNodes evaluatorNodeSet
-	orders         map[string]*activeOrder
+	rollouts       map[string]*activeRollout
 	schedules      map[string]*writeSchedule
 	hasStarted     bool // a first configuration was handled
 	steppedAt      boottime.Mark
@@ -91,7 +91,7 @@
 	event    PhaseWriteEvent
 }
 
-// maxWrites bounds the writes of one node in flight, so that many orders at once do not flood the store.
+// maxWrites bounds the writes of one node in flight, so that many specs at once do not flood the store.
 const maxWrites = 8
 
 // changeBacklog is how many configuration changes may wait. Changes beyond it are picked up by the next periodic
@@ -102,14 +102,14 @@
 func New(deps Deps) *Controller {
 	c := &Controller{
 		deps: deps, cfg: deps.Config, evaluatorNodes: evaluatorNodeSet{max: deps.Config.EvaluatorNodes},
-		orders: map[string]*activeOrder{}, schedules: map[string]*writeSchedule{},
+		rollouts: map[string]*activeRollout{}, schedules: map[string]*writeSchedule{},
 		written: make(chan writeResult), answers: make(chan fleetAnswer),
 	}
 	c.reporter = newReporter(deps, c.keepOwn, c.dropOwn)
 	return c
 }
 
-// Run follows orders until the context ends, and returns after its goroutines have ended.
+// Run follows specs until the context ends, and returns after its goroutines have ended.
 func (c *Controller) Run(ctx context.Context) {
 	changes, stop := c.deps.Catalog.Subscribe(changeBacklog)
 	defer stop()
@@ -147,7 +147,7 @@
 	}
 }
 
-// concernsRollouts reports whether a change is of an order or of a state.
+// concernsRollouts reports whether a change is of a spec or of a state.
 func concernsRollouts(change catalog.Change) bool {
 	for _, entry := range change.Entries() {
 		if strings.HasPrefix(entry.Key, catalog.RolloutKey("")) || strings.HasPrefix(entry.Key, catalog.RolloutStateKey("")) {
@@ -171,14 +171,14 @@
 	return now.Before(c.evaluateAfter)
 }
 
-// step follows the orders in force and returns the longest time until the next step.
+// step follows the specs in force and returns the longest time until the next step.
 func (c *Controller) step(ctx context.Context, now time.Time) time.Duration {
 	mustWaitForReports := c.mustWaitForReports(now)
 	view := c.deps.Catalog.View()
 	if view.Revision == 0 {
 		return c.cfg.ReportInterval
 	}
-	c.refreshOrders(now, view)
+	c.refreshRollouts(now, view)
 	c.report(now, view)
 	next := c.cfg.ReportInterval
 	if mustWaitForReports {
@@ -192,46 +192,46 @@
 	if pause := c.askFleet(ctx, now, view); pause > 0 {
 		next = min(next, pause)
 	}
-	c.statuses.set(c.orders)
+	c.statuses.set(c.rollouts)
 	return next
 }
 
-// refreshOrders starts to follow the orders in force and forgets those that are over.
-func (c *Controller) refreshOrders(now time.Time, view *catalog.View) {
+// refreshRollouts starts to follow the specs in force and forgets those that are over.
+func (c *Controller) refreshRollouts(now time.Time, view *catalog.View) {
 	for service, known := range view.Rollouts {
 		if isUnderWay(known) {
-			c.refreshOrder(now, view, service, known)
+			c.refreshRollout(now, view, service, known)
 		}
 	}
-	for service, active := range c.orders {
+	for service, active := range c.rollouts {
 		known := view.Rollouts[service]
-		if isUnderWay(known) && known.Order.ID() == active.order.ID() {
+		if isUnderWay(known) && known.Spec.ID() == active.spec.ID() {
 			continue
 		}
-		if hasStateOfOrder(known) && (active.state == nil || active.state.Revision != known.State.Revision) {
+		if hasStateOfSpec(known) && (active.state == nil || active.state.Revision != known.State.Revision) {
 			c.deps.Events.PhaseLearned(*known.State)
 		}
-		delete(c.orders, service)
+		delete(c.rollouts, service)
 	}
 	maps.DeleteFunc(c.schedules, func(service string, _ *writeSchedule) bool { return view.Rollouts[service] == (catalog.Rollout{}) })
-	isWanted := func(order orderKey) bool { return c.isWanted(view, order) }
+	isWanted := func(id rolloutID) bool { return c.isWanted(view, id) }
 	c.tallies.retain(isWanted)
 	c.holds.retain(isWanted)
 	c.hasStarted = true
 }
 
-// refreshOrder follows an order that is under way.
-func (c *Controller) refreshOrder(now time.Time, view *catalog.View, service string, known catalog.Rollout) {
-	active := c.orders[service]
-	if active == nil || active.order.ID() != known.Order.ID() {
-		active = &activeOrder{order: *known.Order, learnedAt: now, knownAtStart: !c.hasStarted}
-		c.orders[service] = active
-		if c.holds.has(orderKey{service, known.Order.ID()}) {
-			c.deps.Splitter.Hold(service, known.Order.ID()) // the hold came before the order
+// refreshRollout follows a spec that is under way.
+func (c *Controller) refreshRollout(now time.Time, view *catalog.View, service string, known catalog.Rollout) {
+	active := c.rollouts[service]
+	if active == nil || active.spec.ID() != known.Spec.ID() {
+		active = &activeRollout{spec: *known.Spec, learnedAt: now, knownAtStart: !c.hasStarted}
+		c.rollouts[service] = active
+		if c.holds.has(rolloutID{service, known.Spec.ID()}) {
+			c.deps.Splitter.Hold(service, known.Spec.ID()) // the hold came before the spec
 		}
-		c.deps.Events.OrderSeen(OrderEvent{Order: *known.Order, Rank: c.rank(view, service)})
+		c.deps.Events.SpecSeen(SpecEvent{Spec: *known.Spec, Rank: c.rank(view, service)})
 	}
-	active.order = *known.Order // a restored store has it at another revision
+	active.spec = *known.Spec // a restored store has it at another revision
 	before := active.state
 	active.refresh(now, view)
 	if state := active.state; state != nil && (before == nil || before.Revision != state.Revision) {
@@ -239,24 +239,24 @@
 	}
 }
 
-// hasStateOfOrder reports whether there is a state that belongs to the order.
-func hasStateOfOrder(known catalog.Rollout) bool {
-	return known.State != nil && known.State.BelongsTo(known.Order)
+// hasStateOfSpec reports whether there is a state that belongs to the spec.
+func hasStateOfSpec(known catalog.Rollout) bool {
+	return known.State != nil && known.State.BelongsTo(known.Spec)
 }
 
-// isUnderWay reports whether there is an order without a final state.
+// isUnderWay reports whether there is a spec without a final state.
 func isUnderWay(known catalog.Rollout) bool {
-	return known.Order != nil && !(hasStateOfOrder(known) && known.State.Phase.IsFinal())
+	return known.Spec != nil && !(hasStateOfSpec(known) && known.State.Phase.IsFinal())
 }
 
-// isWanted reports whether counts and holds of an order still matter: it is under way, or this node has not learned
+// isWanted reports whether counts and holds of a spec still matter: it is under way, or this node has not learned
 // of it yet.
-func (c *Controller) isWanted(view *catalog.View, order orderKey) bool {
-	if order.id > revision.Count(view.Revision) {
+func (c *Controller) isWanted(view *catalog.View, id rolloutID) bool {
+	if id.specID > revision.Count(view.Revision) {
 		return true
 	}
-	known := view.Rollouts[order.service]
-	return isUnderWay(known) && known.Order.ID() == order.id
+	known := view.Rollouts[id.service]
+	return isUnderWay(known) && known.Spec.ID() == id.specID
 }
 
 func (c *Controller) rank(view *catalog.View, service string) int {
@@ -270,7 +270,7 @@
 	}
 	c.reportedAt = now
 	evaluatorNodes := func(service string) []catalog.NodeRecord { return c.evaluatorNodes.of(view, service) }
-	c.reporter.step(now, evaluatorNodes, func(order orderKey) bool { return c.isWanted(view, order) })
+	c.reporter.step(now, evaluatorNodes, func(id rolloutID) bool { return c.isWanted(view, id) })
 }
 
 // Statuses returns the roll-outs under way as this node sees them, with the counts of those that it evaluates.
--- a/internal/rollout/rolloutcontrol/controller_test.go
+++ b/internal/rollout/rolloutcontrol/controller_test.go
@@ -26,7 +26,7 @@
 	})
 }
 
-const orderDuration = 12 * time.Second
+const specDuration = 12 * time.Second
 
 var (
 	succeeds  = []rollout.Phase{rollout.Canary, rollout.Switching, rollout.Succeeded}
@@ -35,8 +35,8 @@
 
 func TestGoodVersionServesInTimeByOneWriteAPhase(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
-		f.order("s", "b", orderDuration)
-		f.serve(orderDuration, never)
+		f.startRollout("s", "b", specDuration)
+		f.serve(specDuration, never)
 		is.Equal(f.store.phases("s"), succeeds)
 		is.Equal(f.store.allCalls(), len(succeeds))
 		last := f.store.written()[len(succeeds)-1]
@@ -47,11 +47,11 @@
 
 func TestBadVersionIsHeldByAllNodesAndRolledBack(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
-		revision := f.order("s", "b", orderDuration)
+		revision := f.startRollout("s", "b", specDuration)
 		f.serve(3*time.Second, 0)
 		is.Equal(f.store.phases("s"), rollsBack)
 		for _, node := range f.all() {
-			is.True(node.isHeld(orderKey{"s", revision}))
+			is.True(node.isHeld(rolloutID{"s", revision}))
 		}
 		is.Equal(f.node("n0").catalog.View().Leafs.Rule("s").Canary, "")
 	})
@@ -62,8 +62,8 @@
 		for _, node := range f.all() {
 			node.setUnsettled()
 		}
-		f.order("s", "b", orderDuration)
-		f.serve(orderDuration, 8*time.Second)
+		f.startRollout("s", "b", specDuration)
+		f.serve(specDuration, 8*time.Second)
 		is.Equal(f.store.phases("s"), []rollout.Phase{rollout.Canary, rollout.Switching, rollout.RolledBack})
 	})
 }
@@ -71,29 +71,29 @@
 func TestFirstEvaluatorNodeDead(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		f.kill(f.evaluatorNode("s", 0))
-		f.order("s", "b", orderDuration)
-		f.serve(orderDuration+time.Second, never)
+		f.startRollout("s", "b", specDuration)
+		f.serve(specDuration+time.Second, never)
 		is.Equal(f.store.phases("s"), succeeds)
 	})
 }
 
 func TestEvaluatorNodePausedWhileAnotherWrites(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
-		f.order("s", "b", orderDuration)
-		f.serve(orderDuration/2, never)
+		f.startRollout("s", "b", specDuration)
+		f.serve(specDuration/2, never)
 		f.pause(f.evaluatorNode("s", 0), 3*time.Second)
-		f.serve(orderDuration, never)
+		f.serve(specDuration, never)
 		is.Equal(f.store.phases("s"), succeeds)
 	})
 }
 
 func TestIsolatedEvaluatorNodeNeverWritesLate(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
-		f.order("s", "b", orderDuration)
+		f.startRollout("s", "b", specDuration)
 		f.serve(time.Second, never)
 		cut := f.evaluatorNode("s", 0)
 		f.setCut(cut, true)
-		f.serve(orderDuration+4*time.Second, never)
+		f.serve(specDuration+4*time.Second, never)
 		is.Equal(f.store.phases("s"), succeeds)
 		f.setCut(cut, false)
 		f.serve(5*time.Second, never)
@@ -103,12 +103,12 @@
 
 func TestStoreDownAtABadVerdict(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
-		revision := f.order("s", "b", orderDuration)
+		revision := f.startRollout("s", "b", specDuration)
 		f.serve(2*time.Second, never)
 		f.store.setDown(true)
 		f.serve(3*time.Second, 0)
 		for _, node := range f.all() {
-			is.True(node.isHeld(orderKey{"s", revision}))
+			is.True(node.isHeld(rolloutID{"s", revision}))
 		}
 		is.Equal(f.store.phases("s"), succeeds[:1])
 		f.store.setDown(false)
@@ -119,13 +119,13 @@
 
 func TestStoreDownAtAGoodVerdict(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
-		f.order("s", "b", orderDuration)
+		f.startRollout("s", "b", specDuration)
 		f.serve(time.Second, never)
 		f.store.setDown(true)
 		f.serve(8*time.Second, never)
 		is.Equal(f.node("n0").catalog.View().Leafs.Rule("s").Phase, rollout.Canary)
 		f.store.setDown(false)
-		f.serve(orderDuration, never)
+		f.serve(specDuration, never)
 		is.Equal(f.store.phases("s"), succeeds)
 	})
 }
@@ -133,8 +133,8 @@
 func TestAnswerLostAfterTheWriteWasDone(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		f.store.fail(func(m *memoryStore) { m.loseDone = 1 })
-		f.order("s", "b", orderDuration)
-		f.serve(orderDuration, never)
+		f.startRollout("s", "b", specDuration)
+		f.serve(specDuration, never)
 		is.Equal(f.store.phases("s"), succeeds)
 		is.Equal(f.store.allCalls(), len(succeeds)+1) // it is read back once
 	})
@@ -143,8 +143,8 @@
 func TestAnswerLostBeforeTheWriteWasDone(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		f.store.fail(func(m *memoryStore) { m.loseUndone = 1 })
-		f.order("s", "b", orderDuration)
-		f.serve(orderDuration, never)
+		f.startRollout("s", "b", specDuration)
+		f.serve(specDuration, never)
 		is.Equal(f.store.phases("s"), succeeds)
 		is.Equal(f.store.allCalls(), len(succeeds)+2) // it is read back and written once more
 	})
@@ -154,8 +154,8 @@
 	scene(t, func(is *is.I, f *fleet) {
 		first := f.evaluatorNode("s", 0)
 		f.store.fail(func(m *memoryStore) { m.refused[first] = true })
-		f.order("s", "b", orderDuration)
-		f.serve(orderDuration, never)
+		f.startRollout("s", "b", specDuration)
+		f.serve(specDuration, never)
 		is.Equal(f.store.phases("s"), succeeds)
 	})
 }
@@ -163,14 +163,14 @@
 func TestOrderReplaced(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		f.addLeafs("s", "c", 3)
-		first := f.order("s", "b", orderDuration)
+		first := f.startRollout("s", "b", specDuration)
 		f.serve(3*time.Second, never)
-		second := f.order("s", "c", orderDuration)
-		f.serve(orderDuration, never)
+		second := f.startRollout("s", "c", specDuration)
+		f.serve(specDuration, never)
 		is.Equal(f.store.phases("s"), append([]rollout.Phase{rollout.Canary}, succeeds...))
-		is.Equal(f.store.written()[0].OrderRevision, first)
+		is.Equal(f.store.written()[0].SpecRevision, first)
 		for _, state := range f.store.written()[1:] {
-			is.Equal(state.OrderRevision, second)
+			is.Equal(state.SpecRevision, second)
 			is.Equal(state.Serving, "a")
 			is.Equal(state.Target, "c")
 		}
@@ -179,22 +179,22 @@
 
 func TestOrderTakenBack(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
-		order := f.order("s", "b", orderDuration)
+		specID := f.startRollout("s", "b", specDuration)
 		f.serve(3*time.Second, never)
 		f.store.set(catalog.RolloutKey("s"), nil)
 		f.serve(3*time.Second, never)
 		is.Equal(f.store.phases("s"), rollsBack)
-		is.Equal(f.store.written()[1].OrderRevision, order)
+		is.Equal(f.store.written()[1].SpecRevision, specID)
 		is.Equal(f.node("n0").catalog.View().Leafs.Rule("s").Serving, "a")
 	})
 }
 
 func TestSameVersionAgainAfterARollBack(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
-		f.order("s", "b", orderDuration)
+		f.startRollout("s", "b", specDuration)
 		f.serve(3*time.Second, 0)
-		f.order("s", "b", orderDuration)
-		f.serve(orderDuration, never)
+		f.startRollout("s", "b", specDuration)
+		f.serve(specDuration, never)
 		is.Equal(f.store.phases("s"), append(rollsBack[:len(rollsBack):len(rollsBack)], succeeds...))
 	})
 }
@@ -204,9 +204,9 @@
 		f.addLeafs("u", "b", 3)
 		f.store.set(catalog.VersionsKey, rollout.Versions{ByVersion: map[string][]string{"a": {"s", "u"}}})
 		time.Sleep(time.Second)
-		f.order("s", "b", orderDuration)
-		f.order("u", "b", 2*orderDuration)
-		f.serve(3*orderDuration, never)
+		f.startRollout("s", "b", specDuration)
+		f.startRollout("u", "b", 2*specDuration)
+		f.serve(3*specDuration, never)
 		is.Equal(f.store.phases("s"), succeeds)
 		is.Equal(f.store.phases("u"), succeeds)
 	})
@@ -214,7 +214,7 @@
 
 func TestTargetServesAlready(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
-		f.order("s", "a", orderDuration)
+		f.startRollout("s", "a", specDuration)
 		f.serve(time.Second, never)
 		is.Equal(f.store.phases("s"), []rollout.Phase{rollout.Succeeded})
 	})
@@ -224,10 +224,10 @@
 	for _, duration := range []time.Duration{time.Second, time.Hour} {
 		t.Run(duration.String(), func(t *testing.T) {
 			scene(t, func(is *is.I, f *fleet) {
-				f.order("s", "b", duration)
+				f.startRollout("s", "b", duration)
 				f.serve(duration+4*time.Second, never)
 				is.Equal(f.store.phases("s"), succeeds)
-				// Evaluator nodes of a second's order can't wait until they learn of what another wrote.
+				// Evaluator nodes of a second's spec can't wait until they learn of what another wrote.
 				is.True(f.store.allCalls() <= f.cfg.EvaluatorNodes*len(succeeds))
 				is.True(duration == time.Second || f.store.allCalls() == len(succeeds))
 			})
@@ -236,11 +236,11 @@
 }
 
 func TestVersionWithoutLeafsIsRolledBackBeforeTheDeadline(t *testing.T) {
-	for _, duration := range []time.Duration{time.Second, orderDuration} {
+	for _, duration := range []time.Duration{time.Second, specDuration} {
 		t.Run(duration.String(), func(t *testing.T) {
 			scene(t, func(is *is.I, f *fleet) {
-				f.order("s", "missing", duration)
-				f.serve(duration+syncDelay, never) // the evaluator nodes learn of the order that late
+				f.startRollout("s", "missing", duration)
+				f.serve(duration+syncDelay, never) // the evaluator nodes learn of the spec that late
 				is.Equal(f.store.phases("s"), rollsBack)
 				is.Equal(f.store.written()[1].Reason, "not found good in time: no attempt was counted")
 			})
@@ -248,24 +248,24 @@
 	}
 }
 
-// Nodes that still send to the old version are waited for until some time after the order's end; the version is not
+// Nodes that still send to the old version are waited for until some time after the spec's end; the version is not
 // rolled back because of them.
 func TestSlowNodesDontUndoAGoodVersion(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		f.node("n1").setUnsettled()
-		f.order("s", "b", orderDuration)
-		f.serve(orderDuration, never)
+		f.startRollout("s", "b", specDuration)
+		f.serve(specDuration, never)
 		is.Equal(f.store.phases("s"), succeeds[:2])
 		f.serve(f.cfg.SettleWait+time.Second, never)
 		is.Equal(f.store.phases("s"), succeeds)
 	})
 }
 
-// Ninety orders at once stay within the bound of bytes and take few calls of the store.
+// Ninety specs at once stay within the bound of bytes and take few calls of the store.
 func TestManyOrdersAtOnce(t *testing.T) {
-	const orders = 90
+	const rollouts = 90
 	scene(t, func(is *is.I, f *fleet) {
-		services := make([]string, orders)
+		services := make([]string, rollouts)
 		for number := range services {
 			services[number] = fmt.Sprintf("m%d", number)
 			f.addLeafs(services[number], "b", 1)
@@ -274,13 +274,13 @@
 		time.Sleep(time.Second)
 		began := time.Now()
 		for _, service := range services {
-			f.order(service, "b", orderDuration)
+			f.startRollout(service, "b", specDuration)
 		}
-		f.serve(orderDuration+2*time.Second, never)
+		f.serve(specDuration+2*time.Second, never)
 		for _, service := range services {
 			is.Equal(f.store.phases(service), succeeds)
 		}
-		is.True(f.store.allCalls() <= 2*orders*len(succeeds))
+		is.True(f.store.allCalls() <= 2*rollouts*len(succeeds))
 		bound := f.cfg.BurstBytes + f.cfg.BytesPerSecond*int(time.Since(began)/time.Second+1)
 		for _, node := range f.all() {
 			is.True(node.sentBytes <= bound)
--- a/internal/rollout/rolloutcontrol/evaluate.go
+++ b/internal/rollout/rolloutcontrol/evaluate.go
@@ -13,34 +13,34 @@
 // for the report interval.
 func (c *Controller) follow(ctx context.Context, now time.Time, view *catalog.View, service string, known catalog.Rollout) time.Duration {
 	rank := c.rank(view, service)
-	active := c.orders[service]
+	active := c.rollouts[service]
 	switch {
 	case rank < 0:
 		return 0
 	case active != nil:
 		return c.evaluate(ctx, now, view, active, rank)
-	case known.Order == nil && known.State != nil && !known.State.Phase.IsFinal():
-		return c.endWithoutOrder(ctx, now, *known.State, rank)
+	case known.Spec == nil && known.State != nil && !known.State.Phase.IsFinal():
+		return c.endWithoutSpec(ctx, now, *known.State, rank)
 	default:
 		delete(c.schedules, service)
 		return 0
 	}
 }
 
-// evaluate evaluates the counts of an order, stops a version found bad, and writes the phase that follows. It returns the
+// evaluate evaluates the counts of a spec, stops a version found bad, and writes the phase that follows. It returns the
 // time until the next check, 0 for the report interval.
-func (c *Controller) evaluate(ctx context.Context, now time.Time, view *catalog.View, active *activeOrder, rank int) time.Duration {
-	order := orderKey{active.order.Service, active.order.ID()}
-	rows, newest := c.tallies.sum(order)
-	if reason, isHeld := c.holds.reason(order); isHeld {
+func (c *Controller) evaluate(ctx context.Context, now time.Time, view *catalog.View, active *activeRollout, rank int) time.Duration {
+	id := rolloutID{active.spec.Service, active.spec.ID()}
+	rows, newest := c.tallies.sum(id)
+	if reason, isHeld := c.holds.reason(id); isHeld {
 		active.evaluation = verdict.Evaluation{Finding: verdict.Bad, Reason: reason}
 	}
 	active.evaluate(now, c.deps.NewEvaluator, rows, newest)
 	if active.evaluation.Finding == verdict.Bad {
-		c.hold(order, active.evaluation.Reason)
-		c.warnEvaluatorNodes(now, view, active, order)
+		c.hold(id, active.evaluation.Reason)
+		c.warnEvaluatorNodes(now, view, active, id)
 	}
-	untilMargin := active.order.Duration() - c.cfg.rollbackMargin(active.order.Duration()) - active.elapsed(now)
+	untilMargin := active.spec.Duration() - c.cfg.rollbackMargin(active.spec.Duration()) - active.elapsed(now)
 	phase, reason := active.nextPhase(now, c.cfg, c.evaluatorNodes.fingerprint(view))
 	if phase == "" {
 		return untilMargin
@@ -58,28 +58,28 @@
 	event PhaseWriteEvent
 	// replaced is the revision of the state that the write replaces, 0 for none.
 	replaced int64
-	// order is the revision at which the order must still be, 0 for no order.
-	order int64
+	// active is the revision at which the spec must still be, 0 for no spec.
+	specID int64
 	// delay is how long the write must have been due before this evaluator node sends it: the evaluator nodes before it go first.
 	delay time.Duration
 }
 
-// phaseWriteOf returns the write of a new state of an order.
-func (c *Controller) phaseWriteOf(now time.Time, view *catalog.View, active *activeOrder, state rollout.State, rank int) phaseWrite {
+// phaseWriteOf returns the write of a new state of a spec.
+func (c *Controller) phaseWriteOf(now time.Time, view *catalog.View, active *activeRollout, state rollout.State, rank int) phaseWrite {
 	event := PhaseWriteEvent{State: state, Counts: countVersions(active.rows)}
 	if !active.newestAt.IsZero() {
 		event.Age = now.Sub(active.newestAt)
 	}
 	replaced := int64(0)
-	if before := view.Rollouts[active.order.Service].State; before != nil {
+	if before := view.Rollouts[active.spec.Service].State; before != nil {
 		replaced = before.Revision
 	}
-	delay := time.Duration(rank) * c.cfg.takeoverPause(state.Phase, active.order.Duration())
-	return phaseWrite{event: event, replaced: replaced, order: active.order.Revision, delay: delay}
+	delay := time.Duration(rank) * c.cfg.takeoverPause(state.Phase, active.spec.Duration())
+	return phaseWrite{event: event, replaced: replaced, specID: active.spec.Revision, delay: delay}
 }
 
-// endWithoutOrder ends a roll-out whose order was withdrawn: the version that served continues to serve.
-func (c *Controller) endWithoutOrder(ctx context.Context, now time.Time, state rollout.State, rank int) time.Duration {
+// endWithoutSpec ends a roll-out whose spec was withdrawn: the version that served continues to serve.
+func (c *Controller) endWithoutSpec(ctx context.Context, now time.Time, state rollout.State, rank int) time.Duration {
 	replaced := state.Revision
 	state.Phase, state.Reason, state.DecidedBy = rollout.RolledBack, "the order was taken back", c.deps.Self.ID
 	delay := time.Duration(rank) * c.cfg.TakeoverPause
@@ -94,7 +94,7 @@
 		c.schedules[state.Service] = &writeSchedule{}
 	}
 	schedule := c.schedules[state.Service]
-	if !schedule.isDue(now, plannedWrite{state.Phase, state.OrderRevision, w.replaced}, w.delay) {
+	if !schedule.isDue(now, plannedWrite{state.Phase, state.SpecRevision, w.replaced}, w.delay) {
 		return schedule.dueIn(now, w.delay)
 	}
 	if c.writes >= maxWrites {
@@ -105,7 +105,7 @@
 	c.running.Go(func() {
 		writeCtx, cancel := context.WithTimeout(ctx, c.cfg.WriteTimeout)
 		defer cancel()
-		w.event.Revision, w.event.Err = c.deps.States.Write(writeCtx, state, w.replaced, w.order)
+		w.event.Revision, w.event.Err = c.deps.States.Write(writeCtx, state, w.replaced, w.specID)
 		select {
 		case c.written <- writeResult{schedule, w.event}:
 		case <-ctx.Done():
--- a/internal/rollout/rolloutcontrol/events.go
+++ b/internal/rollout/rolloutcontrol/events.go
@@ -9,8 +9,8 @@
 // EventLog records what a node learns and does about roll-outs. Its methods are called from several goroutines and
 // must not block.
 type EventLog interface {
-	// OrderSeen records an order that this node learned of.
-	OrderSeen(OrderEvent)
+	// SpecSeen records a spec that this node learned of.
+	SpecSeen(SpecEvent)
 	// PhaseLearned records a state that came into force.
 	PhaseLearned(rollout.State)
 	// PhaseWritten records a write by this node, successful or not.
@@ -23,9 +23,9 @@
 	VersionsWritten(VersionsWriteEvent)
 }
 
-// OrderEvent is an order as a node learned of it.
-type OrderEvent struct {
-	Order rollout.Order
+// SpecEvent is a spec as a node learned of it.
+type SpecEvent struct {
+	Spec rollout.Spec
 	// Rank is the node's rank among the evaluator nodes of the service, -1 if it is not one of them.
 	Rank int
 }
@@ -41,10 +41,10 @@
 	Age time.Duration
 }
 
-// HoldEvent is a hold of an order.
+// HoldEvent is a hold of a spec.
 type HoldEvent struct {
 	Service string
-	Order   int64
+	SpecID  int64
 	Reason  string
 	// Nodes is the number of nodes that it was sent to.
 	Nodes int
--- a/internal/rollout/rolloutcontrol/fleet_test.go
+++ b/internal/rollout/rolloutcontrol/fleet_test.go
@@ -61,7 +61,7 @@
 // start starts a node, or restarts one that was killed under the same id.
 func (f *fleet) start(id string) *testNode {
 	n := &testNode{id: id, fleet: f, catalog: catalog.New(nil), transport: f.network.Attach(id)}
-	n.rows, n.changed, n.held = map[evidence.Key]evidence.Tally{}, map[evidence.Key]bool{}, map[orderKey]bool{}
+	n.rows, n.changed, n.held = map[evidence.Key]evidence.Tally{}, map[evidence.Key]bool{}, map[rolloutID]bool{}
 	n.catalog.EnableRollouts()
 	view := storeView{f.store, n}
 	n.controller = New(Deps{
@@ -148,9 +148,9 @@
 	panic("all nodes are evaluator nodes")
 }
 
-// attemptsSeenBy returns the attempts that were reported to a node for an order of "s".
+// attemptsSeenBy returns the attempts that were reported to a node for a spec of "s".
 func (f *fleet) attemptsSeenBy(id string, revision int64) int64 {
-	rows, _ := f.node(id).controller.tallies.sum(orderKey{"s", revision})
+	rows, _ := f.node(id).controller.tallies.sum(rolloutID{"s", revision})
 	return attemptsOf(rows)
 }
 
@@ -179,9 +179,9 @@
 	}
 }
 
-// order writes an order of the operators and returns its revision.
-func (f *fleet) order(service, target string, duration time.Duration) int64 {
-	return f.store.set(catalog.RolloutKey(service), rollout.Order{Service: service, Target: target, DurationMillis: duration.Milliseconds()})
+// startRollout writes a spec of the operators and returns its revision.
+func (f *fleet) startRollout(service, target string, duration time.Duration) int64 {
+	return f.store.set(catalog.RolloutKey(service), rollout.Spec{Service: service, Target: target, DurationMillis: duration.Milliseconds()})
 }
 
 // serve makes each node send a request to the canary version of each service every 100 ms, unless it is held; the
--- a/internal/rollout/rolloutcontrol/handlers.go
+++ b/internal/rollout/rolloutcontrol/handlers.go
@@ -15,7 +15,7 @@
 
 func (c *Controller) dropOwn(rows int) { c.deps.Events.RowsDropped(RowsDroppedEvent{Rows: rows}) }
 
-// HandleReports adds the counts of another node. If it counts for an order that is held, it is sent the hold.
+// HandleReports adds the counts of another node. If it counts for a spec that is held, it is sent the hold.
 func (c *Controller) HandleReports(from string, reports peer.RolloutReports) {
 	rows, err := unpack(reports.Rows)
 	if err != nil {
@@ -24,30 +24,30 @@
 	}
 	view := c.deps.Catalog.View()
 	wanted := rows[:0]
-	held := map[orderKey]bool{}
+	held := map[rolloutID]bool{}
 	for _, row := range rows {
-		order := orderKey{row.Service, row.Order}
-		if c.isWanted(view, order) {
+		id := rolloutID{row.Service, row.SpecID}
+		if c.isWanted(view, id) {
 			wanted = append(wanted, row)
-			held[order] = c.holds.has(order)
+			held[id] = c.holds.has(id)
 		}
 	}
 	if dropped := c.tallies.add(process{reports.Node, reports.StartUnixNano}, from, wanted, c.deps.Clock.Now()); dropped > 0 {
 		c.deps.Events.RowsDropped(RowsDroppedEvent{From: from, Rows: dropped})
 	}
-	for order, isHeld := range held {
+	for id, isHeld := range held {
 		if isHeld {
-			c.sendHold(from, order)
+			c.sendHold(from, id)
 		}
 	}
 }
 
-// HandleHold handles an evaluator node's message that an order's version is bad.
+// HandleHold handles an evaluator node's message that a spec's version is bad.
 func (c *Controller) HandleHold(from string, hold peer.RolloutHold) {
-	order := orderKey{hold.Service, hold.Order}
-	if !c.isWanted(c.deps.Catalog.View(), order) || !c.holds.add(order, "held by a message from "+from) {
+	id := rolloutID{hold.Service, hold.SpecID}
+	if !c.isWanted(c.deps.Catalog.View(), id) || !c.holds.add(id, "held by a message from "+from) {
 		return
 	}
-	c.deps.Splitter.Hold(order.service, order.id)
-	c.deps.Events.Held(HoldEvent{Service: order.service, Order: order.id, From: from})
+	c.deps.Splitter.Hold(id.service, id.specID)
+	c.deps.Events.Held(HoldEvent{Service: id.service, SpecID: id.specID, From: from})
 }
--- a/internal/rollout/rolloutcontrol/handlers_test.go
+++ b/internal/rollout/rolloutcontrol/handlers_test.go
@@ -16,7 +16,7 @@
 // Evaluator nodes that received no reports at first get all counts later.
 func TestReportsThatWereLostAreMadeUpFor(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
-		revision := f.order("s", "b", time.Hour)
+		revision := f.startRollout("s", "b", time.Hour)
 		f.network.SetLoss(1)
 		f.serve(2*time.Second, never)
 		time.Sleep(2 * f.cfg.ReportInterval) // all changes were reported, and the reports lost
@@ -31,27 +31,27 @@
 func TestHoldThatWasLostIsToldAgain(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		missed := f.otherNode("s")
-		revision := f.order("s", "b", orderDuration)
+		revision := f.startRollout("s", "b", specDuration)
 		f.serve(2*time.Second, never)
 		f.store.setDown(true)
 		f.network.Cut(func(_, to string) bool { return to == missed })
 		f.serve(2*time.Second, 0)
-		is.True(!f.node(missed).isHeld(orderKey{"s", revision}))
+		is.True(!f.node(missed).isHeld(rolloutID{"s", revision}))
 		f.network.Cut(nil)
 		f.serve(2*f.cfg.ReportInterval, 0)
-		is.True(f.node(missed).isHeld(orderKey{"s", revision}))
+		is.True(f.node(missed).isHeld(rolloutID{"s", revision}))
 	})
 }
 
-// A hold that arrives before its order applies once the order does.
+// A hold that arrives before its spec applies once the spec does.
 func TestHoldBeforeItsOrder(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		node := f.node("n0")
-		revision := f.order("s", "b", orderDuration)
-		node.controller.HandleHold("n1", peer.RolloutHold{Service: "s", Order: revision})
-		node.forgetHolds() // what draws knows of no order yet, and keeps no hold of it
+		revision := f.startRollout("s", "b", specDuration)
+		node.controller.HandleHold("n1", peer.RolloutHold{Service: "s", SpecID: revision})
+		node.forgetHolds() // what draws knows of no spec yet, and keeps no hold of it
 		time.Sleep(2 * syncDelay)
-		is.True(node.isHeld(orderKey{"s", revision}))
+		is.True(node.isHeld(rolloutID{"s", revision}))
 	})
 }
 
@@ -59,8 +59,8 @@
 func TestSilentNodeDoesNotHoldTheSwitchUp(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		f.node(f.evaluatorNode("s", 0)).hangs.Store(1)
-		f.order("s", "b", orderDuration)
-		f.serve(orderDuration/2+3*f.cfg.SettleInterval+f.cfg.finalWatch(orderDuration), never)
+		f.startRollout("s", "b", specDuration)
+		f.serve(specDuration/2+3*f.cfg.SettleInterval+f.cfg.finalWatch(specDuration), never)
 		is.Equal(f.store.phases("s"), succeeds)
 	})
 }
@@ -71,7 +71,7 @@
 		silent := f.otherNode("s")
 		f.start("unregistered")
 		f.setCut(silent, true)
-		f.order("s", "b", orderDuration)
+		f.startRollout("s", "b", specDuration)
 		for len(f.store.phases("s")) < 2 {
 			f.serve(100*time.Millisecond, never)
 		}
@@ -87,7 +87,7 @@
 func TestEvaluatorNodesAdoptAnAbort(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		first, second, third := f.evaluatorNode("s", 0), f.evaluatorNode("s", 1), f.evaluatorNode("s", 2)
-		f.order("s", "b", orderDuration)
+		f.startRollout("s", "b", specDuration)
 		f.serve(time.Second, never)
 		f.store.fail(func(m *memoryStore) { m.refused[first] = true })
 		f.network.Cut(func(from, to string) bool { return from != first && (to == second || to == third) })
@@ -106,7 +106,7 @@
 		f.node(third).stopCounting()
 		f.store.fail(func(m *memoryStore) { m.refused[first] = true })
 		f.network.Cut(func(_, to string) bool { return to == second || to == third })
-		f.order("s", "b", orderDuration)
+		f.startRollout("s", "b", specDuration)
 		f.serve(4*time.Second, time.Second)
 		f.network.Cut(func(from, to string) bool { return from != first && (to == second || to == third) })
 		f.serve(2*time.Second, 0)
@@ -114,22 +114,22 @@
 	})
 }
 
-// gates delay the write for each order until its channel is closed.
+// gates delay the write for each spec until its channel is closed.
 type gates map[int64]chan struct{}
 
-func (g gates) Write(_ context.Context, _ rollout.State, _, order int64) (int64, error) {
-	<-g[order]
+func (g gates) Write(_ context.Context, _ rollout.State, _, specID int64) (int64, error) {
+	<-g[specID]
 	return 1, nil
 }
 
-// A write that ends after its order was replaced does not change the schedule of the next one.
+// A write that ends after its spec was replaced does not change the schedule of the next one.
 func TestLateWriteSettlesItsOwnPenOnly(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		writes := gates{1: make(chan struct{}), 2: make(chan struct{})}
 		c := New(Deps{Config: f.cfg, States: writes, Events: f.node("n0"), Catalog: f.node("n0").catalog})
-		begin := func(order int64) *writeSchedule {
-			state := rollout.State{Service: "s", OrderRevision: order, Phase: rollout.Canary}
-			c.write(context.Background(), time.Now(), phaseWrite{event: PhaseWriteEvent{State: state}, order: order})
+		begin := func(specID int64) *writeSchedule {
+			state := rollout.State{Service: "s", SpecRevision: specID, Phase: rollout.Canary}
+			c.write(context.Background(), time.Now(), phaseWrite{event: PhaseWriteEvent{State: state}, specID: specID})
 			synctest.Wait()
 			return c.schedules["s"]
 		}
@@ -149,7 +149,7 @@
 // New evaluator nodes of a service get the counts from before they were evaluator nodes.
 func TestNewEvaluatorNodesReceiveAllCounts(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
-		revision := f.order("s", "b", time.Hour)
+		revision := f.startRollout("s", "b", time.Hour)
 		f.serve(2*time.Second, never)
 		time.Sleep(f.cfg.ResendInterval / 2) // so that no resend is due soon
 		f.store.set(catalog.NodeKey(f.evaluatorNode("s", 0)), nil)
@@ -163,7 +163,7 @@
 // A restarted process counts from zero; the counts of the one before it are neither lost nor counted twice.
 func TestReporterThatRestarts(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
-		revision := f.order("s", "b", time.Hour)
+		revision := f.startRollout("s", "b", time.Hour)
 		reports := f.evaluatorNode("s", 0)
 		f.serve(2*time.Second, never)
 		time.Sleep(time.Second)
@@ -182,14 +182,14 @@
 	})
 }
 
-// An order's time continues while machines are suspended.
+// A spec's time continues while machines are suspended.
 func TestSuspendedEvaluatorNodesKeepTheDeadline(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
-		f.order("s", "missing", orderDuration)
-		f.serve(orderDuration/2, never)
+		f.startRollout("s", "missing", specDuration)
+		f.serve(specDuration/2, never)
 		is.Equal(f.store.phases("s"), []rollout.Phase{rollout.Canary})
 		for _, node := range f.all() {
-			node.suspended.Store(int64(orderDuration / 2))
+			node.suspended.Store(int64(specDuration / 2))
 		}
 		f.serve(2*time.Second, never) // they first read what arrived meanwhile
 		is.Equal(f.store.phases("s"), rollsBack)
@@ -200,12 +200,12 @@
 // turned bad meanwhile.
 func TestResumedEvaluatorNodeReadsReportsFirst(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
-		f.order("s", "b", orderDuration)
-		f.serve(orderDuration/4, never)
+		f.startRollout("s", "b", specDuration)
+		f.serve(specDuration/4, never)
 		first := f.evaluatorNode("s", 0)
 		f.pause(first, 500*time.Millisecond)
 		f.serve(300*time.Millisecond, 0)
-		f.node(first).suspended.Store(int64(orderDuration / 2))
+		f.node(first).suspended.Store(int64(specDuration / 2))
 		f.serve(time.Second, 0)
 		is.Equal(f.store.phases("s"), rollsBack)
 	})
@@ -213,15 +213,15 @@
 
 func TestEvaluatorNodeThatStartsLateKeepsTheDeadline(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
-		f.order("s", "missing", orderDuration)
-		f.serve(orderDuration/2, never)
+		f.startRollout("s", "missing", specDuration)
+		f.serve(specDuration/2, never)
 		for _, id := range []string{"n0", "n1", "n2", "n3", "n4"} {
 			f.kill(id)
 		}
 		for _, id := range []string{"n0", "n1", "n2", "n3", "n4"} {
 			f.start(id)
 		}
-		f.serve(orderDuration/2, never)
+		f.serve(specDuration/2, never)
 		is.Equal(f.store.phases("s"), rollsBack)
 	})
 }
--- a/internal/rollout/rolloutcontrol/holds.go
+++ b/internal/rollout/rolloutcontrol/holds.go
@@ -11,82 +11,82 @@
 // maxHolds bounds the orders that are held, well above the services with a roll-out at once.
 const maxHolds = 4096
 
-// holds are the orders whose versions were found bad, with the reasons. The zero value is empty; it is safe for
+// holds are the specs whose versions were found bad, with the reasons. The zero value is empty; it is safe for
 // concurrent use.
 type holds struct {
 	mu      sync.Mutex
-	reasons map[orderKey]string
+	reasons map[rolloutID]string
 }
 
 // add adds a hold and reports whether it is new.
-func (h *holds) add(order orderKey, reason string) bool {
+func (h *holds) add(id rolloutID, reason string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if _, found := h.reasons[order]; found || len(h.reasons) >= maxHolds {
+	if _, found := h.reasons[id]; found || len(h.reasons) >= maxHolds {
 		return false
 	}
 	if h.reasons == nil {
-		h.reasons = map[orderKey]string{}
+		h.reasons = map[rolloutID]string{}
 	}
-	h.reasons[order] = reason
+	h.reasons[id] = reason
 	return true
 }
 
-// reason returns why an order is held, and whether it is.
-func (h *holds) reason(order orderKey) (string, bool) {
+// reason returns why a spec is held, and whether it is.
+func (h *holds) reason(id rolloutID) (string, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	reason, found := h.reasons[order]
+	reason, found := h.reasons[id]
 	return reason, found
 }
 
-func (h *holds) has(order orderKey) bool {
-	_, found := h.reason(order)
+func (h *holds) has(id rolloutID) bool {
+	_, found := h.reason(id)
 	return found
 }
 
 // retain drops the holds of orders that are not wanted any more.
-func (h *holds) retain(isWanted func(orderKey) bool) {
+func (h *holds) retain(isWanted func(rolloutID) bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for order := range h.reasons {
-		if !isWanted(order) {
-			delete(h.reasons, order)
+	for id := range h.reasons {
+		if !isWanted(id) {
+			delete(h.reasons, id)
 		}
 	}
 }
 
-// hold makes this node and all nodes that reported counts for an order stop sending requests to its version, whether
+// hold makes this node and all nodes that reported counts for a spec stop sending requests to its version, whether
 // or not the store accepts the verdict.
-func (c *Controller) hold(order orderKey, reason string) {
-	if !c.holds.add(order, reason) {
+func (c *Controller) hold(id rolloutID, reason string) {
+	if !c.holds.add(id, reason) {
 		return
 	}
-	c.deps.Splitter.Hold(order.service, order.id)
+	c.deps.Splitter.Hold(id.service, id.specID)
 	nodes := 0
-	for _, address := range c.tallies.addresses(order) {
+	for _, address := range c.tallies.addresses(id) {
 		if address != c.deps.Self.Address {
-			c.sendHold(address, order)
+			c.sendHold(address, id)
 			nodes++
 		}
 	}
-	c.deps.Events.Held(HoldEvent{Service: order.service, Order: order.id, Reason: reason, Nodes: nodes})
+	c.deps.Events.Held(HoldEvent{Service: id.service, SpecID: id.specID, Reason: reason, Nodes: nodes})
 }
 
-func (c *Controller) sendHold(address string, order orderKey) {
-	c.deps.Sender.Send(address, peer.Message{RolloutHold: &peer.RolloutHold{Service: order.service, Order: order.id}})
+func (c *Controller) sendHold(address string, id rolloutID) {
+	c.deps.Sender.Send(address, peer.Message{RolloutHold: &peer.RolloutHold{Service: id.service, SpecID: id.specID}})
 }
 
 // warnEvaluatorNodes sends a hold to the other evaluator nodes once each report interval until the state is written, because the store
 // may accept the write of any of them.
-func (c *Controller) warnEvaluatorNodes(now time.Time, view *catalog.View, active *activeOrder, order orderKey) {
+func (c *Controller) warnEvaluatorNodes(now time.Time, view *catalog.View, active *activeRollout, id rolloutID) {
 	if now.Sub(active.warnedAt) < c.cfg.ReportInterval {
 		return
 	}
 	active.warnedAt = now
-	for _, evaluatorNode := range c.evaluatorNodes.of(view, order.service) {
+	for _, evaluatorNode := range c.evaluatorNodes.of(view, id.service) {
 		if evaluatorNode.ID != c.deps.Self.ID {
-			c.sendHold(evaluatorNode.Address, order)
+			c.sendHold(evaluatorNode.Address, id)
 		}
 	}
 }
--- a/internal/rollout/rolloutcontrol/node_test.go
+++ b/internal/rollout/rolloutcontrol/node_test.go
@@ -29,7 +29,7 @@
 	mu        sync.Mutex
 	rows      map[evidence.Key]evidence.Tally
 	changed   map[evidence.Key]bool
-	held      map[orderKey]bool
+	held      map[rolloutID]bool
 	paused    chan struct{} // closed when the pause ends; nil while there is none
 	cut       bool
 	silent    bool // it asks nothing
@@ -86,16 +86,16 @@
 	n.changed[key] = true
 }
 
-func (n *testNode) Hold(service string, order int64) {
+func (n *testNode) Hold(service string, specID int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.held[orderKey{service, order}] = true
+	n.held[rolloutID{service, specID}] = true
 }
 
-func (n *testNode) isHeld(order orderKey) bool {
+func (n *testNode) isHeld(id rolloutID) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.held[order]
+	return n.held[id]
 }
 
 func (n *testNode) forgetHolds() {
@@ -158,7 +158,7 @@
 	return status
 }
 
-func (n *testNode) OrderSeen(OrderEvent) {}
+func (n *testNode) SpecSeen(SpecEvent) {}
 func (n *testNode) PhaseLearned(state rollout.State) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -229,14 +229,14 @@
 	view := n.catalog.View()
 	for service := range view.Rollouts {
 		rule := view.Leafs.Rule(service)
-		if rule.Canary == "" || n.isHeld(orderKey{service, rule.Order}) {
+		if rule.Canary == "" || n.isHeld(rolloutID{service, rule.SpecID}) {
 			continue
 		}
 		for _, leaf := range view.Leafs.Canaries(service) {
-			n.observe(evidence.Key{Service: service, Order: rule.Order, Route: "r", Version: leaf.Version, Leaf: leaf.ID}, fails)
+			n.observe(evidence.Key{Service: service, SpecID: rule.SpecID, Route: "r", Version: leaf.Version, Leaf: leaf.ID}, fails)
 			break
 		}
-		n.observe(evidence.Key{Service: service, Order: rule.Order, Route: "r", Version: rule.Serving}, false)
+		n.observe(evidence.Key{Service: service, SpecID: rule.SpecID, Route: "r", Version: rule.Serving}, false)
 	}
 }
 
--- a/internal/rollout/rolloutcontrol/packing.go
+++ b/internal/rollout/rolloutcontrol/packing.go
@@ -55,7 +55,7 @@
 	for _, name := range names {
 		p.name(name)
 	}
-	p.number(row.Order)
+	p.number(row.SpecID)
 	p.number(row.Failures)
 	p.histogram(row.Answered)
 	p.histogram(row.GivenUp)
@@ -123,7 +123,7 @@
 	for _, name := range []*string{&row.Service, &row.Route, &row.Version, &row.Leaf, &row.Zone} {
 		*name = u.name()
 	}
-	row.Order = u.number()
+	row.SpecID = u.number()
 	row.Failures = u.count()
 	row.Answered = u.histogram()
 	row.GivenUp = u.histogram()
--- a/internal/rollout/rolloutcontrol/property_test.go
+++ b/internal/rollout/rolloutcontrol/property_test.go
@@ -16,7 +16,7 @@
 type fault struct {
 	what string
 	node string
-	// target and seconds are of an order.
+	// target and seconds are of a spec.
 	target  string
 	seconds int
 	after   time.Duration
@@ -43,7 +43,7 @@
 func (f *fleet) inject(h fault, fails bool) bool {
 	switch h.what {
 	case "order":
-		f.order("s", h.target, time.Duration(h.seconds)*time.Second)
+		f.startRollout("s", h.target, time.Duration(h.seconds)*time.Second)
 	case "take back":
 		f.store.set(catalog.RolloutKey("s"), nil)
 	case "store down", "store up":
@@ -109,21 +109,21 @@
 	defer m.mu.Unlock()
 	last := map[int64]rollout.Phase{}
 	for index, state := range m.states {
-		before, found := last[state.OrderRevision]
+		before, found := last[state.SpecRevision]
 		if found && rankOfPhase(state.Phase) <= rankOfPhase(before) {
-			return fmt.Sprintf("%s follows on %s of order %d", state.Phase, before, state.OrderRevision)
+			return fmt.Sprintf("%s follows on %s of order %d", state.Phase, before, state.SpecRevision)
 		}
-		last[state.OrderRevision] = state.Phase
+		last[state.SpecRevision] = state.Phase
 		standing := m.standing[index]
-		isOfNoOrder := standing == 0 && state.Phase == rollout.RolledBack
-		if standing != state.OrderRevision && !isOfNoOrder {
-			return fmt.Sprintf("%s was written for order %d while order %d stood", state.Phase, state.OrderRevision, standing)
+		isWithoutSpec := standing == 0 && state.Phase == rollout.RolledBack
+		if standing != state.SpecRevision && !isWithoutSpec {
+			return fmt.Sprintf("%s was written for order %d while order %d stood", state.Phase, state.SpecRevision, standing)
 		}
 	}
 	return ""
 }
 
-// unfinished describes a last order, or a state of a withdrawn order, without a final phase; empty for none.
+// unfinished describes a last spec, or a state of a withdrawn spec, without a final phase; empty for none.
 func (m *memoryStore) unfinished() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -135,14 +135,14 @@
 		return ""
 	}
 	state := m.states[len(m.states)-1]
-	if !state.Phase.IsFinal() || standing != 0 && state.OrderRevision != standing {
-		return fmt.Sprintf("order %d is in force, and the last state is %s of order %d", standing, state.Phase, state.OrderRevision)
+	if !state.Phase.IsFinal() || standing != 0 && state.SpecRevision != standing {
+		return fmt.Sprintf("order %d is in force, and the last state is %s of order %d", standing, state.Phase, state.SpecRevision)
 	}
 	return ""
 }
 
-// Under any faults at most one final phase is written for an order, none for one that was replaced, phases never go
-// back, and without faults each order comes to its end.
+// Under any faults at most one final phase is written for a spec, none for one that was replaced, phases never go
+// back, and without faults each spec comes to its end.
 func TestOneEndForEachOrderWhateverFails(t *testing.T) {
 	rapid.Check(t, func(check *rapid.T) {
 		happenings := drawFaults(check)
--- a/internal/rollout/rolloutcontrol/reporter.go
+++ b/internal/rollout/rolloutcontrol/reporter.go
@@ -13,7 +13,7 @@
 	"github.com/portgauge/portgauge/internal/rollout/evidence"
 )
 
-// Counts are this node's own counts for the orders under way; evidence.Collector is the real one. Returned rows
+// Counts are this node's own counts for the specs under way; evidence.Collector is the real one. Returned rows
 // belong to the caller.
 type Counts interface {
 	// TakeChanged returns up to limit rows that changed since they were last taken.
@@ -66,8 +66,8 @@
 }
 
 // step moves changed rows into the outboxes and sends as much of them as the budget allows. evaluatorNodes returns the evaluator nodes
-// of a service; isUnderWay reports whether an order still needs counts.
-func (s *reporter) step(now time.Time, evaluatorNodes func(service string) []catalog.NodeRecord, isUnderWay func(orderKey) bool) {
+// of a service; isUnderWay reports whether a spec still needs counts.
+func (s *reporter) step(now time.Time, evaluatorNodes func(service string) []catalog.NodeRecord, isUnderWay func(rolloutID) bool) {
 	moved := s.movedServices(evaluatorNodes)
 	s.enqueue(now, s.counts.TakeChanged(maxRowsTaken), evaluatorNodes)
 	s.dropObsolete(evaluatorNodes, isUnderWay)
@@ -112,10 +112,10 @@
 }
 
 // dropObsolete drops rows of orders that are over, and rows for nodes that are no evaluator nodes any more.
-func (s *reporter) dropObsolete(evaluatorNodes func(string) []catalog.NodeRecord, isUnderWay func(orderKey) bool) {
+func (s *reporter) dropObsolete(evaluatorNodes func(string) []catalog.NodeRecord, isUnderWay func(rolloutID) bool) {
 	for id, waiting := range s.outboxes {
 		maps.DeleteFunc(waiting.rows, func(key evidence.Key, _ evidence.Row) bool {
-			return !isUnderWay(orderKey{key.Service, key.Order}) || rankOf(evaluatorNodes(key.Service), id) < 0
+			return !isUnderWay(rolloutID{key.Service, key.SpecID}) || rankOf(evaluatorNodes(key.Service), id) < 0
 		})
 		if len(waiting.rows) == 0 {
 			delete(s.outboxes, id)
--- a/internal/rollout/rolloutcontrol/reports_test.go
+++ b/internal/rollout/rolloutcontrol/reports_test.go
@@ -21,7 +21,7 @@
 	counts := rapid.SliceOfN(rapid.Int64Range(0, 1000), 0, 48)
 	return evidence.Row{
 		Key: evidence.Key{
-			Service: name.Draw(t, "service"), Order: rapid.Int64Range(0, 1<<50).Draw(t, "order"), Route: name.Draw(t, "route"),
+			Service: name.Draw(t, "service"), SpecID: rapid.Int64Range(0, 1<<50).Draw(t, "order"), Route: name.Draw(t, "route"),
 			Version: name.Draw(t, "version"), Leaf: name.Draw(t, "leaf"), Zone: name.Draw(t, "zone"),
 		},
 		Tally: evidence.Tally{
@@ -86,7 +86,7 @@
 // The sums are those of the newest row of each process, whatever the order and number of reports.
 func TestSumsDontDependOnTheOrderOfReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		order := orderKey{"s", 1}
+		id := rolloutID{"s", 1}
 		type report struct {
 			from process
 			row  evidence.Row
@@ -101,7 +101,7 @@
 				counts.Observe(false, time.Millisecond)
 				var sum evidence.Tally
 				sum.Add(counts)
-				all = append(all, report{from, evidence.Row{Key: evidence.Key{Service: "s", Order: 1, Version: "b"}, Tally: sum}})
+				all = append(all, report{from, evidence.Row{Key: evidence.Key{Service: "s", SpecID: 1, Version: "b"}, Tally: sum}})
 			}
 			want += int64(steps)
 		}
@@ -110,7 +110,7 @@
 		for _, one := range rapid.Permutation(all).Draw(t, "reports") {
 			reported.add(one.from, "address", []evidence.Row{one.row}, time.Now())
 		}
-		rows, _ := reported.sum(order)
+		rows, _ := reported.sum(id)
 		if len(rows) != 1 || rows[0].Attempts() != want {
 			t.Fatalf("%v, not %d attempts", rows, want)
 		}
@@ -118,13 +118,13 @@
 }
 
 // An evaluator node keeps a bounded number of rows, accepts newer counts of those that it keeps, and has room again once an
-// order is over.
+// spec is over.
 func TestTalliesAreBounded(t *testing.T) {
 	is := is.New(t)
 	var reported tallies
 	rowOf := func(leaf, attempts int) evidence.Row {
 		return evidence.Row{
-			Key:   evidence.Key{Service: "s", Order: 1, Leaf: fmt.Sprint(leaf)},
+			Key:   evidence.Key{Service: "s", SpecID: 1, Leaf: fmt.Sprint(leaf)},
 			Tally: evidence.Tally{Answered: evidence.Histogram{int64(attempts)}},
 		}
 	}
@@ -133,12 +133,12 @@
 	}
 	is.Equal(reported.add(process{"n", 1}, "a", []evidence.Row{rowOf(maxRows, 1), rowOf(0, 2)}, time.Now()), 1)
 	is.Equal(reported.add(process{"other", 1}, "b", []evidence.Row{rowOf(0, 1)}, time.Now()), 1)
-	is.Equal(reported.addresses(orderKey{"s", 1}), []string{"a"})
-	rows, _ := reported.sum(orderKey{"s", 1})
+	is.Equal(reported.addresses(rolloutID{"s", 1}), []string{"a"})
+	rows, _ := reported.sum(rolloutID{"s", 1})
 	is.Equal(attemptsOf(rows), int64(maxRows+1))
-	reported.retain(func(orderKey) bool { return false })
+	reported.retain(func(rolloutID) bool { return false })
 	is.Equal(reported.size, 0)
-	is.Equal(len(reported.orders), 0)
+	is.Equal(len(reported.rollouts), 0)
 }
 
 // The evaluator nodes are in distinct zones where possible, the same for all nodes, and a node that leaves changes no other
@@ -187,13 +187,13 @@
 func TestRowThatFitsNowhereIsDropped(t *testing.T) {
 	is := is.New(t)
 	sent := &testNode{id: "n", rows: map[evidence.Key]evidence.Tally{}, changed: map[evidence.Key]bool{}}
-	long := evidence.Key{Service: strings.Repeat("x", maxNameBytes+1), Order: 1}
+	long := evidence.Key{Service: strings.Repeat("x", maxNameBytes+1), SpecID: 1}
 	sent.observe(long, false)
-	sent.observe(evidence.Key{Service: "s", Order: 1}, false)
+	sent.observe(evidence.Key{Service: "s", SpecID: 1}, false)
 	dropped, datagrams := 0, countingSender{}
 	r := newReporter(Deps{Config: DefaultConfig(), Self: catalog.NodeRecord{ID: "n"}, Counts: sent, Sender: &datagrams}, nil, func(rows int) { dropped += rows })
 	evaluatorNodes := func(string) []catalog.NodeRecord { return []catalog.NodeRecord{{ID: "judge", Address: "judge"}} }
-	r.step(time.Now(), evaluatorNodes, func(orderKey) bool { return true })
+	r.step(time.Now(), evaluatorNodes, func(rolloutID) bool { return true })
 	is.Equal(dropped, 1)
 	is.Equal(datagrams.rows, 1)
 	is.Equal(len(r.outboxes), 0)
--- a/internal/rollout/rolloutcontrol/schedule.go
+++ b/internal/rollout/rolloutcontrol/schedule.go
@@ -8,10 +8,10 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// plannedWrite identifies a write that an evaluator node wants done: a phase of an order in place of the state at a revision.
+// plannedWrite identifies a write that an evaluator node wants done: a phase of a spec in place of the state at a revision.
 type plannedWrite struct {
 	phase    rollout.Phase
-	order    int64
+	specID   int64
 	replaces int64
 }
 
--- a/internal/rollout/rolloutcontrol/settling.go
+++ b/internal/rollout/rolloutcontrol/settling.go
@@ -33,18 +33,18 @@
 	status FleetStatus
 }
 
-// askFleet asks all nodes whether they are settled if an order that this node evaluates waits for that, and returns the
-// time until the next check, 0 for the report interval. One answer serves all orders.
+// askFleet asks all nodes whether they are settled if a spec that this node evaluates waits for that, and returns the
+// time until the next check, 0 for the report interval. One answer serves all specs.
 func (c *Controller) askFleet(ctx context.Context, now time.Time, view *catalog.View) time.Duration {
 	revision, next := int64(0), time.Duration(0)
-	for service, order := range c.orders {
+	for service, active := range c.rollouts {
 		rank := c.rank(view, service)
-		if rank < 0 || order.phase() != rollout.Switching || !order.settledSince.IsZero() {
+		if rank < 0 || active.phase() != rollout.Switching || !active.settledSince.IsZero() {
 			continue
 		}
-		dueIn := order.switchingSince.Add(c.untilFirstAsk(order.order, rank)).Sub(now)
+		dueIn := active.switchingSince.Add(c.untilFirstAsk(active.spec, rank)).Sub(now)
 		if dueIn <= 0 {
-			revision = max(revision, order.state.Revision)
+			revision = max(revision, active.state.Revision)
 			dueIn = c.askedAt.Add(c.cfg.SettleInterval).Sub(now)
 		}
 		next = earlier(next, dueIn)
@@ -56,14 +56,14 @@
 	return c.cfg.SettleInterval
 }
 
-// untilFirstAsk returns how long after the switch of an order an evaluator node asks first: the first evaluator node once the nodes can
+// untilFirstAsk returns how long after the switch of a spec an evaluator node asks first: the first evaluator node once the nodes can
 // be settled, the others when the one before should have written the outcome of its final watch.
-func (c *Controller) untilFirstAsk(order rollout.Order, rank int) time.Duration {
-	first := c.deps.Splitter.Ramp(order.Duration()) + time.Duration(firstAskPart*float64(c.cfg.SettleInterval))
+func (c *Controller) untilFirstAsk(spec rollout.Spec, rank int) time.Duration {
+	first := c.deps.Splitter.Ramp(spec.Duration()) + time.Duration(firstAskPart*float64(c.cfg.SettleInterval))
 	if rank == 0 {
 		return first
 	}
-	return first + c.cfg.finalWatch(order.Duration()) + time.Duration(rank)*c.cfg.takeoverPause(rollout.Succeeded, order.Duration())
+	return first + c.cfg.finalWatch(spec.Duration()) + time.Duration(rank)*c.cfg.takeoverPause(rollout.Succeeded, spec.Duration())
 }
 
 // earlier returns the shorter of two pauses, where 0 or less means none.
@@ -96,9 +96,9 @@
 		return
 	}
 	c.answeredAt = answer.asked
-	for _, order := range c.orders {
-		if order.phase() == rollout.Switching {
-			order.status = answer.status
+	for _, active := range c.rollouts {
+		if active.phase() == rollout.Switching {
+			active.status = answer.status
 		}
 	}
 }
--- a/internal/rollout/rolloutcontrol/settling_test.go
+++ b/internal/rollout/rolloutcontrol/settling_test.go
@@ -15,13 +15,13 @@
 		t.Run(ramp.String(), func(t *testing.T) {
 			scene(t, func(is *is.I, f *fleet) {
 				f.ramp = ramp
-				f.order("s", "b", orderDuration)
+				f.startRollout("s", "b", specDuration)
 				for len(f.store.phases("s")) < 2 {
 					f.serve(100*time.Millisecond, never)
 				}
 				f.serve(syncDelay+ramp+f.cfg.SettleInterval, never)
 				is.Equal(f.store.phases("s"), succeeds[:2]) // it is looked at with all requests first
-				f.serve(f.cfg.finalWatch(orderDuration)+f.cfg.ReportInterval, never)
+				f.serve(f.cfg.finalWatch(specDuration)+f.cfg.ReportInterval, never)
 				is.Equal(f.store.phases("s"), succeeds)
 				calls := int32(0)
 				for _, node := range f.all() {
@@ -33,30 +33,30 @@
 	}
 }
 
-// A version that fails once it has all requests is found bad before its order succeeds, since the old leafs may stop
+// A version that fails once it has all requests is found bad before its spec succeeds, since the old leafs may stop
 // then.
 func TestVersionThatFailsWithAllRequestsIsFound(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
-		f.order("s", "b", orderDuration)
+		f.startRollout("s", "b", specDuration)
 		for len(f.store.phases("s")) < 2 {
 			f.serve(100*time.Millisecond, never)
 		}
 		f.serve(syncDelay+f.ramp+f.cfg.SettleInterval, never)
-		f.serve(orderDuration, 0) // it fails every request from here on
+		f.serve(specDuration, 0) // it fails every request from here on
 		is.Equal(f.store.phases("s"), []rollout.Phase{rollout.Canary, rollout.Switching, rollout.RolledBack})
 	})
 }
 
-// A version that was found good late is watched with all requests until its order's time is over, not only until the
+// A version that was found good late is watched with all requests until its spec's time is over, not only until the
 // rollback margin.
 func TestLastLookLastsUntilTheEndOfTheOrder(t *testing.T) {
 	is := is.New(t)
 	cfg, duration := DefaultConfig(), 9564*time.Millisecond
 	began := time.Now()
-	order := &activeOrder{order: rollout.Order{DurationMillis: duration.Milliseconds()}, learnedAt: began}
+	active := &activeRollout{spec: rollout.Spec{DurationMillis: duration.Milliseconds()}, learnedAt: began}
 	margin := duration - cfg.rollbackMargin(duration)
-	is.True(!order.isFinalWatchOver(began.Add(margin-100*time.Millisecond), cfg))
-	is.True(!order.isFinalWatchOver(began.Add(margin), cfg))
-	is.True(!order.isFinalWatchOver(began.Add(duration-time.Millisecond), cfg))
-	is.True(order.isFinalWatchOver(began.Add(duration), cfg))
+	is.True(!active.isFinalWatchOver(began.Add(margin-100*time.Millisecond), cfg))
+	is.True(!active.isFinalWatchOver(began.Add(margin), cfg))
+	is.True(!active.isFinalWatchOver(began.Add(duration-time.Millisecond), cfg))
+	is.True(active.isFinalWatchOver(began.Add(duration), cfg))
 }
--- a/internal/rollout/rolloutcontrol/statewriter.go
+++ b/internal/rollout/rolloutcontrol/statewriter.go
@@ -15,10 +15,10 @@
 )
 
 // StateWriter writes the state of a roll-out, only if the state is still at the expected revision (0 for none) and
-// the order of its service at the given one (0 for none). Its errors are RevisionConflict (not written),
+// the spec of its service at the given one (0 for none). Its errors are RevisionConflict (not written),
 // StoreUnavailable (nothing was sent) and OutcomeUnknown (sent, but neither answered nor read back).
 type StateWriter interface {
-	Write(ctx context.Context, state rollout.State, expected, order int64) (revision int64, err error)
+	Write(ctx context.Context, state rollout.State, expected, specID int64) (revision int64, err error)
 }
 
 // GuardedStateWriter writes states to a store. After a lost answer it reads the state back: if the state contains the
@@ -47,18 +47,18 @@
 // changeIDOf returns the id of a write. The same state, written in place of the same one by the same node, is the
 // same write.
 func changeIDOf(state rollout.State, expected int64) string {
-	return fmt.Sprintf("%s/%d/%s/%d/%s", state.Service, state.OrderRevision, state.Phase, expected, state.DecidedBy)
+	return fmt.Sprintf("%s/%d/%s/%d/%s", state.Service, state.SpecRevision, state.Phase, expected, state.DecidedBy)
 }
 
 // Write implements StateWriter.
-func (g GuardedStateWriter) Write(ctx context.Context, state rollout.State, expected, order int64) (int64, error) {
+func (g GuardedStateWriter) Write(ctx context.Context, state rollout.State, expected, specID int64) (int64, error) {
 	document, err := json.Marshal(state)
 	if err != nil {
 		return 0, failure.Wrap(err, failure.Internal, failure.NotRun, "encode the state of a roll-out")
 	}
 	write := stateWrite{
 		key: catalog.RolloutStateKey(state.Service), changeID: changeIDOf(state, expected), document: document,
-		expected: expected, conditions: []store.Condition{{Key: catalog.RolloutKey(state.Service), Revision: order}},
+		expected: expected, conditions: []store.Condition{{Key: catalog.RolloutKey(state.Service), Revision: specID}},
 	}
 	return g.apply(ctx, write)
 }
@@ -109,7 +109,7 @@
 	return catalog.FindChange(entry, write.changeID)
 }
 
-// conflictOf returns the error for a state or order that has moved on.
+// conflictOf returns the error for a state or spec that has moved on.
 func conflictOf(write stateWrite, current *catalog.Entry) error {
 	revision := current.LiveRevision()
 	conflict := failure.New(failure.RevisionConflict, failure.NotRun, "%s is at revision %d, not %d, or its order moved on", write.key, revision, write.expected)
--- a/internal/rollout/rolloutcontrol/statewriter_test.go
+++ b/internal/rollout/rolloutcontrol/statewriter_test.go
@@ -13,24 +13,24 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// writing runs a test of one node's writes to a store that has an order.
+// writing runs a test of one node's writes to a store that has a spec.
 func writing(t *testing.T, run func(ctx context.Context, is *is.I, f *fleet, states GuardedStateWriter, first rollout.State)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1)
 		defer f.stopAll()
 		f.node("n0").stop() // the test writes in its place
 		time.Sleep(time.Second)
-		order := f.order("s", "b", orderDuration)
+		specID := f.startRollout("s", "b", specDuration)
 		view := storeView{f.store, f.node("n0")}
 		states := GuardedStateWriter{Store: view, Guarded: view, RetryPause: f.cfg.RetryPause}
-		run(t.Context(), is.New(t), f, states, rollout.State{Service: "s", OrderRevision: order, Phase: rollout.Canary, Target: "b", DecidedBy: "n0"})
+		run(t.Context(), is.New(t), f, states, rollout.State{Service: "s", SpecRevision: specID, Phase: rollout.Canary, Target: "b", DecidedBy: "n0"})
 	})
 }
 
 func TestStateIsNotWrittenForAnOrderThatWasReplaced(t *testing.T) {
 	writing(t, func(ctx context.Context, is *is.I, f *fleet, states GuardedStateWriter, first rollout.State) {
-		f.order("s", "c", orderDuration)
-		_, err := states.Write(ctx, first, 0, first.OrderRevision)
+		f.startRollout("s", "c", specDuration)
+		_, err := states.Write(ctx, first, 0, first.SpecRevision)
 		is.True(failure.Is(err, failure.RevisionConflict))
 		is.Equal(len(f.store.written()), 0)
 	})
@@ -38,12 +38,12 @@
 
 func TestStateThatMovedOnIsNotReplaced(t *testing.T) {
 	writing(t, func(ctx context.Context, is *is.I, f *fleet, states GuardedStateWriter, first rollout.State) {
-		revision, err := states.Write(ctx, first, 0, first.OrderRevision)
+		revision, err := states.Write(ctx, first, 0, first.SpecRevision)
 		is.NoErr(err)
-		is.True(revision > first.OrderRevision)
+		is.True(revision > first.SpecRevision)
 		other := first
 		other.DecidedBy = "n1"
-		_, err = states.Write(ctx, other, 0, first.OrderRevision)
+		_, err = states.Write(ctx, other, 0, first.SpecRevision)
 		is.True(failure.Is(err, failure.RevisionConflict))
 		is.Equal(len(f.store.written()), 1)
 	})
@@ -61,9 +61,9 @@
 				m.put(entry.Key, value)
 			})
 		})
-		revision, err := states.Write(ctx, first, 0, first.OrderRevision)
+		revision, err := states.Write(ctx, first, 0, first.SpecRevision)
 		is.NoErr(err)
-		is.Equal(revision, first.OrderRevision+1)
+		is.Equal(revision, first.SpecRevision+1)
 	})
 }
 
@@ -73,10 +73,10 @@
 		f.store.setDown(true)
 		short, cancel := context.WithTimeout(ctx, f.cfg.WriteTimeout)
 		defer cancel()
-		_, err := states.Write(short, first, 0, first.OrderRevision)
+		_, err := states.Write(short, first, 0, first.SpecRevision)
 		is.True(failure.Is(err, failure.OutcomeUnknown))
 		f.store.setDown(false)
-		_, err = states.Write(ctx, first, 0, first.OrderRevision)
+		_, err = states.Write(ctx, first, 0, first.SpecRevision)
 		is.NoErr(err)
 		is.Equal(len(f.store.written()), 1)
 	})
--- a/internal/rollout/rolloutcontrol/status.go
+++ b/internal/rollout/rolloutcontrol/status.go
@@ -23,11 +23,11 @@
 // statusSnapshot holds the latest statuses; the zero value has none. It is safe for concurrent use.
 type statusSnapshot struct{ last atomic.Pointer[[]Status] }
 
-func (s *statusSnapshot) set(orders map[string]*activeOrder) {
-	found := make([]Status, 0, len(orders))
-	for service, active := range orders {
+func (s *statusSnapshot) set(rollouts map[string]*activeRollout) {
+	found := make([]Status, 0, len(rollouts))
+	for service, active := range rollouts {
 		phase := cmp.Or(active.phase(), rollout.Canary)
-		found = append(found, Status{Service: service, Phase: phase, Serving: active.serving, Target: active.order.Target, Counts: countRoutes(active.rows)})
+		found = append(found, Status{Service: service, Phase: phase, Serving: active.serving, Target: active.spec.Target, Counts: countRoutes(active.rows)})
 	}
 	slices.SortFunc(found, func(a, b Status) int { return strings.Compare(a.Service, b.Service) })
 	s.last.Store(&found)
--- a/internal/rollout/rolloutcontrol/store_test.go
+++ b/internal/rollout/rolloutcontrol/store_test.go
@@ -30,7 +30,7 @@
 	loseDone, loseUndone int
 	calls                map[string]int // by node
 	states               []rollout.State
-	// standing are the revisions of the orders in force when the states were written, 0 for none.
+	// standing are the revisions of the specs in force when the states were written, 0 for none.
 	standing []int64
 }
 
@@ -108,7 +108,7 @@
 	entry := catalog.Entry{Key: key, Value: value, Revision: m.revision, Deleted: value == nil}
 	m.entries[key] = entry
 	if document, err := catalog.DecodeDocument(entry); err == nil && value != nil {
-		if state, err := rollout.ParseState(document, m.revision); err == nil && state.OrderRevision > 0 {
+		if state, err := rollout.ParseState(document, m.revision); err == nil && state.SpecRevision > 0 {
 			m.states = append(m.states, *state)
 			m.standing = append(m.standing, m.find(catalog.RolloutKey(state.Service)).LiveRevision())
 		}
@@ -156,7 +156,7 @@
 	return catalog.Snapshot{Revision: m.revision, Entries: slices.Collect(maps.Values(m.entries))}
 }
 
-// phases returns the phases that were written for the orders of a service, in order.
+// phases returns the phases that were written for the specs of a service, in spec.
 func (m *memoryStore) phases(service string) []rollout.Phase {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/rollout/rolloutcontrol/tallies.go
+++ b/internal/rollout/rolloutcontrol/tallies.go
@@ -9,7 +9,7 @@
 	"github.com/portgauge/portgauge/internal/rollout/evidence"
 )
 
-// maxRows bounds the rows that an evaluator node keeps, of all orders together: about 13 MB at 396 bytes a row.
+// maxRows bounds the rows that an evaluator node keeps, of all specs together: about 13 MB at 396 bytes a row.
 const maxRows = 1 << 15
 
 // process is one run of a node's program; its counts start at zero.
@@ -18,28 +18,28 @@
 	start int64
 }
 
-// orderKey identifies an order of a service.
-type orderKey struct {
+// rolloutID identifies a spec of a service.
+type rolloutID struct {
 	service string
-	id      int64
+	specID  int64
 }
 
-// processCounts are the counts of one process for one order.
+// processCounts are the counts of one process for one spec.
 type processCounts struct {
 	address string
 	rows    map[evidence.Key]evidence.Tally
 }
 
-// tallies are the counts reported to an evaluator node, by order and process. The counts of a restarted node are kept beside
+// tallies are the counts reported to an evaluator node, by spec and process. The counts of a restarted node are kept beside
 // those of its earlier process. The zero value is empty; it is safe for concurrent use.
 type tallies struct {
-	mu     sync.Mutex
-	orders map[orderKey]*orderCounts
-	size   int // rows of all orders
+	mu       sync.Mutex
+	rollouts map[rolloutID]*rolloutCounts
+	size     int // rows of all specs
 }
 
-// orderCounts are the counts reported for one order.
-type orderCounts struct {
+// rolloutCounts are the counts reported for one spec.
+type rolloutCounts struct {
 	processes map[process]*processCounts
 	newest    time.Time
 }
@@ -59,8 +59,8 @@
 
 // addRow adds one row and reports whether there was room. The lock must be held.
 func (t *tallies) addRow(from process, address string, row evidence.Row, now time.Time) bool {
-	order := orderKey{row.Service, row.Order}
-	known, found := t.lookup(order, from, row.Key)
+	id := rolloutID{row.Service, row.SpecID}
+	known, found := t.lookup(id, from, row.Key)
 	if !found && t.size >= maxRows {
 		return false
 	}
@@ -70,13 +70,13 @@
 	if !found {
 		t.size++
 	}
-	t.store(order, from, address, row, now)
+	t.store(id, from, address, row, now)
 	return true
 }
 
 // lookup returns what a process reported under a key. The lock must be held.
-func (t *tallies) lookup(order orderKey, from process, key evidence.Key) (evidence.Tally, bool) {
-	all := t.orders[order]
+func (t *tallies) lookup(id rolloutID, from process, key evidence.Key) (evidence.Tally, bool) {
+	all := t.rollouts[id]
 	if all == nil || all.processes[from] == nil {
 		return evidence.Tally{}, false
 	}
@@ -85,14 +85,14 @@
 }
 
 // store stores a row that is newer than the known one. The lock must be held.
-func (t *tallies) store(order orderKey, from process, address string, row evidence.Row, now time.Time) {
-	if t.orders == nil {
-		t.orders = map[orderKey]*orderCounts{}
+func (t *tallies) store(id rolloutID, from process, address string, row evidence.Row, now time.Time) {
+	if t.rollouts == nil {
+		t.rollouts = map[rolloutID]*rolloutCounts{}
 	}
-	if t.orders[order] == nil {
-		t.orders[order] = &orderCounts{processes: map[process]*processCounts{}}
+	if t.rollouts[id] == nil {
+		t.rollouts[id] = &rolloutCounts{processes: map[process]*processCounts{}}
 	}
-	all := t.orders[order]
+	all := t.rollouts[id]
 	if all.processes[from] == nil {
 		all.processes[from] = &processCounts{rows: map[evidence.Key]evidence.Tally{}}
 	}
@@ -102,11 +102,11 @@
 	all.newest = now
 }
 
-// sum returns the counts for an order over all processes, summed and sorted by key, and when the newest arrived.
-func (t *tallies) sum(order orderKey) (rows []evidence.Row, newest time.Time) {
+// sum returns the counts for a spec over all processes, summed and sorted by key, and when the newest arrived.
+func (t *tallies) sum(id rolloutID) (rows []evidence.Row, newest time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	all := t.orders[order]
+	all := t.rollouts[id]
 	if all == nil {
 		return nil, time.Time{}
 	}
@@ -130,11 +130,11 @@
 	return slices.Compare([]string{a.Route, a.Version, a.Leaf, a.Zone}, []string{b.Route, b.Version, b.Leaf, b.Zone})
 }
 
-// addresses returns the peer addresses of the nodes that reported counts for an order, sorted.
-func (t *tallies) addresses(order orderKey) []string {
+// addresses returns the peer addresses of the nodes that reported counts for a spec, sorted.
+func (t *tallies) addresses(id rolloutID) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	all := t.orders[order]
+	all := t.rollouts[id]
 	if all == nil {
 		return nil
 	}
@@ -147,16 +147,16 @@
 }
 
 // retain drops the counts of orders that are not wanted any more.
-func (t *tallies) retain(isWanted func(orderKey) bool) {
+func (t *tallies) retain(isWanted func(rolloutID) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for order, all := range t.orders {
-		if isWanted(order) {
+	for id, all := range t.rollouts {
+		if isWanted(id) {
 			continue
 		}
 		for _, counted := range all.processes {
 			t.size -= len(counted.rows)
 		}
-		delete(t.orders, order)
+		delete(t.rollouts, id)
 	}
 }
--- a/internal/rollout/rolloutcontrol/versionswriter.go
+++ b/internal/rollout/rolloutcontrol/versionswriter.go
@@ -22,7 +22,7 @@
 const versionsInterval = time.Second
 
 // VersionsWriter writes to the store which version serves each service that never had a roll-out, so that another
-// version beside it gets nothing without an order. Every node runs one; the first by rendezvous hash writes, and the
+// version beside it gets nothing without a spec. Every node runs one; the first by rendezvous hash writes, and the
 // others take over after growing delays. A write applies only in place of the revision that it was computed from.
 type VersionsWriter struct {
 	cfg     Config
@@ -80,7 +80,7 @@
 }
 
 // wantedVersions returns what the store should have: the stored versions, without services that are gone, and the
-// services whose leafs are all of one version and that no order concerns.
+// services whose leafs are all of one version and that no spec concerns.
 func wantedVersions(view *catalog.View) map[string]string {
 	wanted := map[string]string{}
 	isNamed := namedServices(view)
@@ -103,7 +103,7 @@
 	return wanted
 }
 
-// namedServices returns a function that reports whether a route, an order or a state names a service. While there are
+// namedServices returns a function that reports whether a route, a spec or a state names a service. While there are
 // no routes at all it returns true for every service.
 func namedServices(view *catalog.View) func(service string) bool {
 	if view.Routes == nil {
--- a/internal/rollout/rolloutcontrol/versionswriter_test.go
+++ b/internal/rollout/rolloutcontrol/versionswriter_test.go
@@ -64,10 +64,10 @@
 	})
 }
 
-// A service that an order concerns has a state and no stored version.
+// A service that a spec concerns has a state and no stored version.
 func TestNoVersionIsWrittenOfServicesUnderAnOrder(t *testing.T) {
 	versionsScene(t, func(is *is.I, f *fleet) {
-		f.order("s", "b", time.Hour)
+		f.startRollout("s", "b", time.Hour)
 		f.addLeafs("s", "b", 1)
 		is.Equal(len(f.versions()), 0)
 	})
--- a/internal/rollout/verdict/baseline.go
+++ b/internal/rollout/verdict/baseline.go
@@ -23,7 +23,7 @@
 	// are bad by it.
 	maxBaselineShare = 0.7
 	// recentWeight is the number of recent answers (or answers in the same zone) that weigh as much as the whole
-	// order.
+	// spec.
 	recentWeight = 20.0
 	// Of at least outlierLeafs serving leafs one is left out of the baseline if it has at least outlierBad bad answers
 	// and more than outlierFactor times the share of the others: one broken leaf must not excuse a bad version. The
--- a/internal/rollout/verdict/config.go
+++ b/internal/rollout/verdict/config.go
@@ -40,7 +40,7 @@
 	Recent time.Duration `yaml:"recent"`
 	// Settle is how long an evaluator node must have complete counts before it finds a version good.
 	Settle time.Duration `yaml:"settle"`
-	// GoodFrom is the part of the order's duration from which full evidence makes a version good, GoodByLittle the part
+	// GoodFrom is the part of the spec's duration from which full evidence makes a version good, GoodByLittle the part
 	// from which little evidence does.
 	GoodFrom     float64 `yaml:"good_from"`
 	GoodByLittle float64 `yaml:"good_by_little"`
@@ -48,7 +48,7 @@
 	LeastAnswers int `yaml:"least_answers"`
 }
 
-// DefaultConfig suits versions with 3 to 30 leafs that get a tenth of 1 to 500 requests a second, for orders of some
+// DefaultConfig suits versions with 3 to 30 leafs that get a tenth of 1 to 500 requests a second, for specs of some
 // seconds to some minutes.
 func DefaultConfig() Config {
 	return Config{
@@ -66,7 +66,7 @@
 		Recent: time.Second,
 		// The reports of all nodes come in within about a second.
 		Settle: 3 * time.Second,
-		// The rest of the order's duration is needed to move the requests.
+		// The rest of the spec's duration is needed to move the requests.
 		GoodFrom: 0.6, GoodByLittle: 0.75,
 		LeastAnswers: 3,
 	}
--- a/internal/rollout/verdict/cusum.go
+++ b/internal/rollout/verdict/cusum.go
@@ -10,7 +10,7 @@
 	shares []float64
 	// weights are the contributions of each leaf since the sum restarted, by share tested.
 	weights []map[string]float64
-	// whole is each leaf's contribution over the whole order for minShare, the smallest share that must be ruled out.
+	// whole is each leaf's contribution over the whole spec for minShare, the smallest share that must be ruled out.
 	minShare float64
 	whole    map[string]float64
 	seen     ratio
@@ -59,7 +59,7 @@
 	return math.Log(mean)
 }
 
-// wholeLevel returns the log-likelihood ratio for the smallest share over the whole order.
+// wholeLevel returns the log-likelihood ratio for the smallest share over the whole spec.
 func (s *cusum) wholeLevel(leafCap float64) float64 { return cappedSum(s.whole, leafCap) }
 
 // wholeLevelWithoutWorstLeaf is wholeLevel without the leaf that speaks most against the version. A single leaf is
--- a/internal/rollout/verdict/finding.go
+++ b/internal/rollout/verdict/finding.go
@@ -37,11 +37,11 @@
 )
 
 // find decides whether the version is good, bad or undecided, by the strongest evidence against it and the time since
-// the order.
+// the spec.
 //
 // Bad: the level of a signal, on a route or on all routes together, reaches the threshold. Bad is final. Good: isGood
 // says so; a good version can still be found bad. Otherwise it stays undecided, and the caller rolls it back when the
-// order's time is over: letting a bad version serve costs all users, refusing a good one costs another order.
+// spec's time is over: letting a bad version serve costs all users, refusing a good one costs another spec.
 func (e *Evaluator) find(elapsed time.Duration, worst strongestSignal) {
 	switch {
 	case e.finding == Bad:
@@ -52,7 +52,7 @@
 	}
 }
 
-// isGood decides whether a version is found good. It needs the part GoodFrom of the order's duration, complete counts
+// isGood decides whether a version is found good. It needs the part GoodFrom of the spec's duration, complete counts
 // for minimumWatch, and LeastAnswers answers; then either full evidence or, from the part GoodByLittle on, little
 // evidence that speaks for it throughout.
 func (e *Evaluator) isGood(elapsed time.Duration, worst strongestSignal) bool {
@@ -64,7 +64,7 @@
 }
 
 // minimumWatch returns how long the counts must have been complete before a version is found good: Config.Settle, but
-// at most a tenth of the order's duration, since an evaluator node must decide within it.
+// at most a tenth of the spec's duration, since an evaluator node must decide within it.
 func (e *Evaluator) minimumWatch() time.Duration { return min(e.cfg.Settle, e.duration/10) }
 
 // isGoodOnFullEvidence reports whether the smallest share of bad answers that must be found is ruled out on all
@@ -140,7 +140,7 @@
 }
 
 // leafCap returns the most that one leaf may contribute to a level, so that one bad leaf doesn't condemn a version. A
-// leaf that is still the only one in the second half of the order is taken for the version. Of two leafs each may
+// leaf that is still the only one in the second half of the spec is taken for the version. Of two leafs each may
 // contribute LeafPart of the threshold. Of more, the cap grows more slowly than the threshold, down to
 // minLeafPartOfMany of it.
 func (e *Evaluator) leafCap(elapsed time.Duration) float64 {
@@ -189,7 +189,7 @@
 	return true
 }
 
-// haveNoneAgainst reports whether none of the sums, over the whole order, speaks against the version.
+// haveNoneAgainst reports whether none of the sums, over the whole spec, speaks against the version.
 func (e *Evaluator) haveNoneAgainst(cusums []*cusum) bool {
 	for _, s := range cusums {
 		if s.wholeLevel(e.leafCap(e.lastUpdate)) > 0 {
--- a/internal/rollout/verdict/helpers_test.go
+++ b/internal/rollout/verdict/helpers_test.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	order         = 12 * time.Second
+	specDuration  = 12 * time.Second
 	normalLatency = 20 * time.Millisecond
 	leafs         = 3
 )
@@ -33,7 +33,7 @@
 }
 
 func (c counts) of(version string, leaf int) *evidence.Tally {
-	key := evidence.Key{Service: "s", Order: 1, Route: "/", Version: version, Leaf: fmt.Sprint(version, "-", leaf)}
+	key := evidence.Key{Service: "s", SpecID: 1, Route: "/", Version: version, Leaf: fmt.Sprint(version, "-", leaf)}
 	if c[key] == nil {
 		c[key] = &evidence.Tally{}
 	}
@@ -59,7 +59,7 @@
 }
 
 func newEvaluator() *verdict.Evaluator {
-	return verdict.New(verdict.DefaultConfig(), "v1", "v2", order)
+	return verdict.New(verdict.DefaultConfig(), "v1", "v2", specDuration)
 }
 
 // play updates an evaluator every half second from one time to another, after grow has added to the counts.
--- a/internal/rollout/verdict/increment.go
+++ b/internal/rollout/verdict/increment.go
@@ -15,7 +15,7 @@
 	// counted is the tally of the last update, from which failures are counted on. timed is the one from which late
 	// answers are counted on; it stays empty until the route's median is known.
 	counted, timed evidence.Tally
-	timedAt        time.Duration // since the order
+	timedAt        time.Duration // since the spec
 }
 
 // ratio is the number of bad answers among all. Answers that are discounted count as fractions.
--- a/internal/rollout/verdict/verdict.go
+++ b/internal/rollout/verdict/verdict.go
@@ -6,7 +6,7 @@
 // shares of bad answers against the baseline, the share that the serving version has.
 //
 // The package is pure computation: it owns only sums, starts no goroutine, reads no clock (callers pass the time
-// since the order) and does no I/O. Its input is the counts of package evidence.
+// since the spec) and does no I/O. Its input is the counts of package evidence.
 package verdict
 
 import (
@@ -58,7 +58,7 @@
 	Confidence float64
 }
 
-// Evaluator evaluates the canary version of one order. It is not safe for concurrent use.
+// Evaluator evaluates the canary version of one spec. It is not safe for concurrent use.
 type Evaluator struct {
 	cfg             Config
 	serving, canary string
@@ -70,7 +70,7 @@
 	leafs    map[string]bool
 	finding  Finding
 	// lastUpdate is the time of the last update, canarySeenAt the time of the first counts of the canary version;
-	// both are since the order.
+	// both are since the spec.
 	lastUpdate, canarySeenAt time.Duration
 	// completeSince is the time from which the counts are complete, maxAttempts the highest number of attempts seen.
 	completeSince time.Duration
@@ -90,7 +90,7 @@
 	limits []time.Duration
 }
 
-// New returns an evaluator for the canary version beside the serving one, for an order of the given duration.
+// New returns an evaluator for the canary version beside the serving one, for a spec of the given duration.
 func New(cfg Config, serving, canary string, duration time.Duration) *Evaluator {
 	return &Evaluator{
 		cfg: cfg, serving: serving, canary: canary, duration: duration, finding: Undecided,
@@ -119,7 +119,7 @@
 	return append(shares, c.LeastSlowShare)
 }
 
-// Update evaluates the cumulative counts of the whole fleet, one row a key, at a time since the order.
+// Update evaluates the cumulative counts of the whole fleet, one row a key, at a time since the spec.
 func (e *Evaluator) Update(elapsed time.Duration, rows []evidence.Row) Evaluation {
 	e.weighedCanaryAttempts = e.totals[1].Attempts
 	e.trackCompleteness(elapsed, rows)
--- a/internal/rollout/verdict/verdict_test.go
+++ b/internal/rollout/verdict/verdict_test.go
@@ -18,8 +18,8 @@
 func TestCleanVersionIsGoodButNotBeforeHalf(t *testing.T) {
 	is := is.New(t)
 	evaluator, c := newEvaluator(), counts{}
-	is.Equal(play(evaluator, c, 0, order/2, func() { c.both(3) }).Finding, verdict.Undecided)
-	j := play(evaluator, c, order/2, order*65/100, func() { c.both(3) })
+	is.Equal(play(evaluator, c, 0, specDuration/2, func() { c.both(3) }).Finding, verdict.Undecided)
+	j := play(evaluator, c, specDuration/2, specDuration*65/100, func() { c.both(3) })
 	is.Equal(j.Finding, verdict.Good)
 	is.Equal(j.Canary.Failures, int64(0))
 	is.True(j.Canary.Attempts > 0 && j.Serving.Attempts == 10*j.Canary.Attempts)
@@ -48,13 +48,13 @@
 		c.answers("v2", leaf, 5, 5, normalLatency)
 	}
 	is.Equal(evaluator.Update(2*time.Second, c.rows()).Finding, verdict.Bad)
-	is.Equal(play(evaluator, c, 3*time.Second, order, func() { c.both(100) }).Finding, verdict.Bad)
+	is.Equal(play(evaluator, c, 3*time.Second, specDuration, func() { c.both(100) }).Finding, verdict.Bad)
 }
 
 func TestOneLeafDoesNotCondemn(t *testing.T) {
 	is := is.New(t)
 	evaluator, c := newEvaluator(), counts{}
-	j := play(evaluator, c, 0, order*65/100, func() {
+	j := play(evaluator, c, 0, specDuration*65/100, func() {
 		c.both(3)
 		c.answers("v2", 0, 20, 20, 8*normalLatency)
 	})
@@ -64,7 +64,7 @@
 // A leaf that fails throughout and a pause of another together do not condemn a version, whenever the pause happens.
 func TestPauseBesideAnIllLeafDoesNotCondemn(t *testing.T) {
 	is := is.New(t)
-	for pause := 5 * time.Second; pause < order; pause += time.Second / 2 {
+	for pause := 5 * time.Second; pause < specDuration; pause += time.Second / 2 {
 		evaluator, c := newEvaluator(), counts{}
 		play(evaluator, c, 0, pause, func() {
 			c.both(1)
@@ -91,28 +91,28 @@
 		c.answers("v1", 0, 20, 0, normalLatency)
 		c.answers("v2", 0, 2, 2, normalLatency)
 	}
-	is.Equal(play(evaluator, c, 0, order/2, grow).Finding, verdict.Undecided)
-	is.Equal(play(evaluator, c, order/2, order, grow).Finding, verdict.Bad)
+	is.Equal(play(evaluator, c, 0, specDuration/2, grow).Finding, verdict.Undecided)
+	is.Equal(play(evaluator, c, specDuration/2, specDuration, grow).Finding, verdict.Bad)
 }
 
 func TestGoodTurnsBadWhileSwitching(t *testing.T) {
 	is := is.New(t)
 	evaluator, c := newEvaluator(), counts{}
-	is.Equal(play(evaluator, c, 0, order*65/100, func() { c.both(3) }).Finding, verdict.Good)
+	is.Equal(play(evaluator, c, 0, specDuration*65/100, func() { c.both(3) }).Finding, verdict.Good)
 	for leaf := range leafs {
 		c.answers("v2", leaf, 40, 8, normalLatency)
 	}
-	is.Equal(evaluator.Update(order*7/10, c.rows()).Finding, verdict.Bad)
+	is.Equal(evaluator.Update(specDuration*7/10, c.rows()).Finding, verdict.Bad)
 }
 
 // A route with hardly any requests does not delay the finding that another route supports.
 func TestRareRouteIsEvaluatedByAvailableAnswers(t *testing.T) {
 	is := is.New(t)
 	evaluator, c := newEvaluator(), counts{}
-	rare := evidence.Row{Key: evidence.Key{Service: "s", Order: 1, Route: "/rare", Version: "v2", Leaf: "v2-1"}}
+	rare := evidence.Row{Key: evidence.Key{Service: "s", SpecID: 1, Route: "/rare", Version: "v2", Leaf: "v2-1"}}
 	rare.Observe(false, normalLatency)
 	var j verdict.Evaluation
-	for at := time.Duration(0); at <= order*65/100; at += 500 * time.Millisecond {
+	for at := time.Duration(0); at <= specDuration*65/100; at += 500 * time.Millisecond {
 		c.both(3)
 		j = evaluator.Update(at, append(c.rows(), rare))
 	}
@@ -129,10 +129,10 @@
 	}{{0, 2}, {2, 2}, {10, 0.75}, {200, 0.6}} {
 		evaluator, c := newEvaluator(), counts{}
 		var found float64
-		for at := time.Duration(0); at <= order && found == 0; at += 500 * time.Millisecond {
+		for at := time.Duration(0); at <= specDuration && found == 0; at += 500 * time.Millisecond {
 			c.both(3)
 			if evaluator.Update(at, append(c.rows(), beside(c, seen.answers)...)).Finding == verdict.Good {
-				found = float64(at) / float64(order)
+				found = float64(at) / float64(specDuration)
 			}
 		}
 		is.Equal(found > 0, seen.from <= 1)
@@ -154,7 +154,7 @@
 		}
 	}
 	for leaf := range leafs {
-		row := evidence.Row{Key: evidence.Key{Service: "s", Order: 1, Route: "/other", Version: "v2", Leaf: fmt.Sprint("v2-", leaf)}}
+		row := evidence.Row{Key: evidence.Key{Service: "s", SpecID: 1, Route: "/other", Version: "v2", Leaf: fmt.Sprint("v2-", leaf)}}
 		for range (answers + leaf) / leafs {
 			row.Observe(false, normalLatency)
 		}
@@ -166,7 +166,7 @@
 func TestNothingIsUndecided(t *testing.T) {
 	is := is.New(t)
 	evaluator := newEvaluator()
-	for at := time.Duration(0); at <= order; at += time.Second {
+	for at := time.Duration(0); at <= specDuration; at += time.Second {
 		is.Equal(evaluator.Update(at, nil).Finding, verdict.Undecided)
 	}
 }
@@ -175,7 +175,7 @@
 func TestAttemptsWithoutAnswersAreNotGood(t *testing.T) {
 	is := is.New(t)
 	evaluator, c := newEvaluator(), counts{}
-	j := play(evaluator, c, 0, order, func() {
+	j := play(evaluator, c, 0, specDuration, func() {
 		for leaf := range leafs {
 			c.answers("v1", leaf, 10, 0, normalLatency)
 			c.answers("v2", leaf, 0, 0, normalLatency)
@@ -203,19 +203,19 @@
 	whole := counts{}
 	whole.both(40)
 	evaluator := newEvaluator()
-	is.Equal(evaluator.Update(order*7/10, whole.rows()).Finding, verdict.Undecided)
+	is.Equal(evaluator.Update(specDuration*7/10, whole.rows()).Finding, verdict.Undecided)
 	for leaf := range leafs {
 		whole.answers("v2", leaf, 30, 10, normalLatency)
 	}
-	is.Equal(evaluator.Update(order*7/10+time.Second/2, whole.rows()).Finding, verdict.Bad)
+	is.Equal(evaluator.Update(specDuration*7/10+time.Second/2, whole.rows()).Finding, verdict.Bad)
 }
 
 func TestShrinkingRowsAreNotGood(t *testing.T) {
 	is := is.New(t)
 	evaluator, c, part := newEvaluator(), counts{}, counts{}
-	play(evaluator, c, 0, order/2, func() { c.both(3) })
+	play(evaluator, c, 0, specDuration/2, func() { c.both(3) })
 	part.both(5)
-	is.Equal(play(evaluator, part, order/2, order, func() {}).Finding, verdict.Undecided)
+	is.Equal(play(evaluator, part, specDuration/2, specDuration, func() {}).Finding, verdict.Undecided)
 }
 
 func TestConfigNamesFaults(t *testing.T) {
@@ -286,7 +286,7 @@
 	is := is.New(t)
 	evaluator, c := newEvaluator(), counts{}
 	number := 0
-	found := play(evaluator, c, 0, order*9/10, func() {
+	found := play(evaluator, c, 0, specDuration*9/10, func() {
 		c.answers("v1", number%2, 8, 0, normalLatency)
 		if number%2 == 0 {
 			c.answers("v2", number/2%leafs, 1, 0, normalLatency)
@@ -298,5 +298,5 @@
 	for leaf, answers := range []int{6, 6, 5} {
 		c.answers("v2", leaf, answers, 1, normalLatency)
 	}
-	is.True(evaluator.Update(order, c.rows()).Finding != verdict.Good)
+	is.True(evaluator.Update(specDuration, c.rows()).Finding != verdict.Good)
 }
--- a/internal/rollout/verdict/verdicttest/answers.go
+++ b/internal/rollout/verdict/verdicttest/answers.go
@@ -22,7 +22,7 @@
 	flapPeriod     = 1500 * time.Millisecond
 	bothFailShare  = 0.15
 	burstFactor    = 3
-	// Passing incidents last for the middle third of the order.
+	// Passing incidents last for the middle third of the spec.
 	incidentFrom = 1.0 / 3
 	incidentTo   = 2.0 / 3
 )
--- a/internal/rollout/verdict/verdicttest/case.go
+++ b/internal/rollout/verdict/verdicttest/case.go
@@ -1,4 +1,4 @@
-// Package verdicttest plays an order that moves a service to a new version in virtual time, for tests of package
+// Package verdicttest plays a spec that moves a service to a new version in virtual time, for tests of package
 // verdict: it draws arrivals and latencies from a seed, divides the requests between the two versions as nodes do,
 // injects faults of the version and incidents that are not its fault, and passes the counts to an Evaluator. It
 // starts no goroutine, reads no clock and sends nothing.
@@ -35,7 +35,7 @@
 	// Slow multiplies the latency of a SlowShare of the answers.
 	Slow      float64
 	SlowShare float64
-	// From is the part of the order's duration after which the fault shows.
+	// From is the part of the spec's duration after which the fault shows.
 	From float64
 	// LastRoute limits the fault to the last route.
 	LastRoute bool
@@ -46,7 +46,7 @@
 // IsBad reports whether there is a fault.
 func (f Fault) IsBad() bool { return f.Failing > 0 || f.Slow > 1 }
 
-// Case is a service with an order.
+// Case is a service with a spec.
 type Case struct {
 	Name string
 	// PerSecond is the rate of requests to the service.
--- a/internal/rollout/verdict/verdicttest/measure.go
+++ b/internal/rollout/verdict/verdicttest/measure.go
@@ -13,10 +13,10 @@
 type Measure struct {
 	Case  Case
 	Seeds int
-	// Good, Bad and Undecided count the findings at the end of the order; Switched those that were good before bad.
+	// Good, Bad and Undecided count the findings at the end of the spec; Switched those that were good before bad.
 	Good, Bad, Undecided, Switched int
 	// BadAnswers are the bad answers until a version was found bad, BadAfter when that was, and GoodParts when a
-	// version was found good as parts of the order's duration; each sorted.
+	// version was found good as parts of the spec's duration; each sorted.
 	BadAnswers []int
 	BadAfter   []time.Duration
 	GoodParts  []float64
--- a/internal/rollout/verdict/verdicttest/verdicttest.go
+++ b/internal/rollout/verdict/verdicttest/verdicttest.go
@@ -21,7 +21,7 @@
 	share = 0.1
 	slack = 50
 	used  = 0.8
-	// The slack is spent in the second quarter of the order, in this many moments, each at one leaf.
+	// The slack is spent in the second quarter of the spec, in this many moments, each at one leaf.
 	slackFrom = 0.25
 	slackTo   = 0.5
 	moments   = 6
@@ -42,7 +42,7 @@
 	Last verdict.Finding
 	// GoodAt and BadAt are when it was found good and bad, 0 for never.
 	GoodAt, BadAt time.Duration
-	// Answers and BadAnswers are those of the canary version until it was found bad or the order ended.
+	// Answers and BadAnswers are those of the canary version until it was found bad or the spec ended.
 	Answers    int
 	BadAnswers int
 	// SpentInSwitch says that it was found good before it was found bad.
@@ -157,7 +157,7 @@
 }
 
 func (p *play) count(a answer) {
-	key := evidence.Key{Service: "s", Order: 1, Route: fmt.Sprint("/", a.route), Version: Serving, Leaf: a.leaf.id, Zone: fmt.Sprint("z", a.leaf.zone)}
+	key := evidence.Key{Service: "s", SpecID: 1, Route: fmt.Sprint("/", a.route), Version: Serving, Leaf: a.leaf.id, Zone: fmt.Sprint("z", a.leaf.zone)}
 	if a.leaf.isCanary {
 		key.Version = Canary
 		p.outcome.Answers++
