--- a/internal/config/keyspace/keyspace.go
+++ b/internal/config/keyspace/keyspace.go
@@ -44,8 +44,8 @@
 	sort.Slice(ordered, func(i, j int) bool { return ordered[i].From < ordered[j].From })
 	var missing []Range
 	position := r.From
-	for _, part := range ordered {
-		common, overlaps := part.Intersect(Range{From: position, To: r.To})
+	for _, covering := range ordered {
+		common, overlaps := covering.Intersect(Range{From: position, To: r.To})
 		if !overlaps {
 			continue
 		}
--- a/internal/config/keyspace/keyspace_test.go
+++ b/internal/config/keyspace/keyspace_test.go
@@ -23,15 +23,15 @@
 		missing := asked.Subtract(covered)
 		key := rapid.StringMatching("[a-d]{0,4}").Draw(t, "key")
 		isCovered := false
-		for _, part := range covered {
-			isCovered = isCovered || part.Contains(key)
+		for _, covering := range covered {
+			isCovered = isCovered || covering.Contains(key)
 		}
 		times := 0
-		for _, part := range missing {
-			if part.Empty() {
-				t.Fatalf("empty missing range %v", part)
+		for _, covering := range missing {
+			if covering.Empty() {
+				t.Fatalf("empty missing range %v", covering)
 			}
-			if part.Contains(key) {
+			if covering.Contains(key) {
 				times++
 			}
 		}
--- a/internal/config/manifest/manifest.go
+++ b/internal/config/manifest/manifest.go
@@ -32,8 +32,8 @@
 	Shards     []Shard
 }
 
-// Part is the piece of one shard that a query covers.
-type Part struct {
+// ShardRange is the key range of one shard that a query covers.
+type ShardRange struct {
 	Shard *Shard
 	Range keyspace.Range
 }
@@ -134,19 +134,19 @@
 	return nil
 }
 
-// Plan returns, in key order, the part of each shard that overlaps a range.
-func (m *Manifest) Plan(asked keyspace.Range) []Part {
+// Plan returns, in key order, the range of each shard that overlaps a range.
+func (m *Manifest) Plan(asked keyspace.Range) []ShardRange {
 	first := sort.Search(len(m.Shards), func(i int) bool {
 		end := m.Shards[i].Range.To
 		return end == "" || end > asked.From
 	})
-	var parts []Part
+	var shardRanges []ShardRange
 	for index := first; index < len(m.Shards); index++ {
 		common, overlaps := m.Shards[index].Range.Intersect(asked)
 		if !overlaps {
 			break
 		}
-		parts = append(parts, Part{Shard: &m.Shards[index], Range: common})
+		shardRanges = append(shardRanges, ShardRange{Shard: &m.Shards[index], Range: common})
 	}
-	return parts
+	return shardRanges
 }
--- a/internal/config/manifest/manifest_test.go
+++ b/internal/config/manifest/manifest_test.go
@@ -31,7 +31,7 @@
 	return boundaries
 }
 
-// Every key of a queried range lies in exactly one part of the plan, whatever the tiling.
+// Every key of a queried range lies in exactly one shard range of the plan, whatever the tiling.
 func TestPlanTilesTheAskedRange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		compiled, err := New(manifestOf(drawBoundaries(t)))
@@ -41,8 +41,8 @@
 		asked := keyspace.Range{From: rapid.StringMatching("[a-z]{0,4}").Draw(t, "from"), To: rapid.StringMatching("[a-z]{0,4}").Draw(t, "to")}
 		key := rapid.StringMatching("[a-z]{0,5}").Draw(t, "key")
 		times := 0
-		for _, part := range compiled.Plan(asked) {
-			if part.Range.Contains(key) {
+		for _, shardRange := range compiled.Plan(asked) {
+			if shardRange.Range.Contains(key) {
 				times++
 			}
 		}
--- a/internal/fleet/registry/census.go
+++ b/internal/fleet/registry/census.go
@@ -139,9 +139,9 @@
 	return addresses
 }
 
-// Part returns this node's share, between 0 and 1, of a bound that all nodes share; 0 unless it is registered.
+// Share returns this node's share, between 0 and 1, of a bound that all nodes share; 0 unless it is registered.
 // Of bounds on gathered services, the gatherers have most.
-func (c *Census) Part(gathered bool) float64 {
+func (c *Census) Share(gathered bool) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.refresh()
--- a/internal/fleet/registry/registry_test.go
+++ b/internal/fleet/registry/registry_test.go
@@ -144,13 +144,13 @@
 		register(known, "n2", false)
 		register(known, "n3", false)
 		is.Equal(ids(census), []string{"n2", "n3"})
-		is.Equal(census.Part(false), 0.0)
+		is.Equal(census.Share(false), 0.0)
 		register(known, "n1", false)
-		is.Equal(census.Part(false), 1.0/3)
+		is.Equal(census.Share(false), 1.0/3)
 		register(known, "n3", true)
 		is.Equal(ids(census), []string{"n1", "n2", "n3"})
 		time.Sleep(900 * time.Millisecond)
-		is.Equal(census.Part(false), 1.0/3)
+		is.Equal(census.Share(false), 1.0/3)
 		time.Sleep(200 * time.Millisecond)
 		is.Equal(ids(census), []string{"n1", "n2"})
 	})
@@ -187,13 +187,13 @@
 		for _, gathered := range []bool{false, true} {
 			sum := 0.0
 			for index := range 5 {
-				sum += NewCensus(known, fmt.Sprintf("n%d", index), time.Second).Part(gathered)
+				sum += NewCensus(known, fmt.Sprintf("n%d", index), time.Second).Share(gathered)
 			}
 			is.True(math.Abs(sum-1) < 1e-9)
 		}
 		isUneven := large > 0 && large < 5
-		is.Equal(NewCensus(known, "n0", time.Second).Part(true) > 0.2, isUneven)
-		is.Equal(NewCensus(known, "unknown", time.Second).Part(true), 0.0)
+		is.Equal(NewCensus(known, "n0", time.Second).Share(true) > 0.2, isUneven)
+		is.Equal(NewCensus(known, "unknown", time.Second).Share(true), 0.0)
 	}
 }
 
--- a/internal/leaf/connshare/connshare.go
+++ b/internal/leaf/connshare/connshare.go
@@ -1,7 +1,7 @@
 // Package connshare allots the connections that leafs accept among the nodes of a fleet.
 //
 // A leaf accepts a limited number of connections from all nodes together and resets any beyond. Each node takes an
-// equal part. If that is less than one connection per leaf, each node keeps to some of a service's leafs, those of its
+// equal share. If that is less than one connection per leaf, each node keeps to some of a service's leafs, those of its
 // own zone first. Allotments are made for the worst case: most of the time other nodes leave part of theirs unused, so
 // that a node may open extra connections, and stops for a while when a leaf refuses one (see package leafhttp).
 //
@@ -34,7 +34,7 @@
 	Gatherers() []catalog.NodeRecord
 }
 
-// Allotment is a leaf with this node's part of its connections.
+// Allotment is a leaf with this node's share of its connections.
 type Allotment struct {
 	Leaf *leafset.Leaf
 	// Connections is the number of connections allotted to the node, 0 for leafs that are allotted to other nodes.
@@ -115,7 +115,7 @@
 // Inputs: the nodes that share the leafs, the leafs with their zones, the limit of each leaf in connections, and whether
 // this node is new, that is, started less than Config.StartSpan ago.
 //
-// Rule: without a limit, Config.Unlimited each. With one, an equal part of the share of the limit that is in use (see
+// Rule: without a limit, Config.Unlimited each. With one, an equal share of the part of the limit that is in use (see
 // connectionsPerNode). If that is less than one connection, the node gets one connection to each of its own leafs (see
 // ownLeafs), and only extra connections to the others. A new node uses leafs that are not its own only as a last
 // resort; the same goes for one that is not among those that share the leafs.
@@ -176,7 +176,7 @@
 	return a.config.Share
 }
 
-// connectionsPerNode returns a node's equal part of a leaf's limit, which may be less than one connection. It is at
+// connectionsPerNode returns a node's equal share of a leaf's limit, which may be less than one connection. It is at
 // least one if the limit has room for a connection of each node and the node is not new, even beyond the share in use.
 func (a *Allocator) connectionsPerNode(nodes, limit int, isNew bool) float64 {
 	nodes = max(1, nodes)
--- a/internal/leaf/connshare/connshare_test.go
+++ b/internal/leaf/connshare/connshare_test.go
@@ -156,20 +156,20 @@
 	now := allocator.started
 	allocator.now = func() time.Time { return now }
 	shards := leafs(3, 3)
-	parts := func(leafs []*leafset.Leaf, limit int) int {
+	shares := func(leafs []*leafset.Leaf, limit int) int {
 		sum := 0
 		for _, allotted := range allocator.Allot("s", true, leafs, limit) {
 			sum += allotted.Connections
 		}
 		return sum
 	}
-	is.Equal(parts(shards, 52), 1)
+	is.Equal(shares(shards, 52), 1)
 	now = now.Add(DefaultConfig().StartSpan)
-	is.Equal(parts(shards, 52), 2)
-	is.Equal(parts(shards, 200), 9)
-	is.Equal(parts(leafs(1, 1), 52), 1)
+	is.Equal(shares(shards, 52), 2)
+	is.Equal(shares(shards, 200), 9)
+	is.Equal(shares(leafs(1, 1), 52), 1)
 	allocator.fleet = fleetOf(6, 3)
-	is.Equal(parts(shards, 52), 21)
+	is.Equal(shares(shards, 52), 21)
 }
 
 // The leafs of two versions of a service are allotted separately: the allotments of both are kept.
--- a/internal/leaf/connshare/quota.go
+++ b/internal/leaf/connshare/quota.go
@@ -10,19 +10,19 @@
 // quota is how many nodes of one zone have a connection to each leaf, by the leaf's index.
 type quota []int
 
-// leafsOf returns the leafs of the node of a rank among the nodes of its zone. Laid side by side, the parts of
-// a quota make a row of places, one per connection; every nodes-th place from the rank on is the node's. No part
+// leafsOf returns the leafs of the node of a rank among the nodes of its zone. Laid side by side, the shares of
+// a quota make a row of places, one per connection; every nodes-th place from the rank on is the node's. No share
 // is longer than the number of nodes, so that a node has no leaf twice.
 func (q quota) leafsOf(rank, nodes int) []int {
 	var own []int
 	place := 0
-	for leaf, part := range q {
-		// The first place of the node at or after the start of this part.
+	for leaf, share := range q {
+		// The first place of the node at or after the start of this share.
 		first := place + ((rank-place)%nodes+nodes)%nodes
-		if first < place+part {
+		if first < place+share {
 			own = append(own, leaf)
 		}
-		place += part
+		place += share
 	}
 	return own
 }
@@ -85,8 +85,8 @@
 
 func sum(quota quota) int {
 	total := 0
-	for _, part := range quota {
-		total += part
+	for _, share := range quota {
+		total += share
 	}
 	return total
 }
--- a/internal/node/provide_request.go
+++ b/internal/node/provide_request.go
@@ -29,7 +29,7 @@
 func newBudgets(config settings.Settings, known *catalog.Catalog, census *registry.Census, clock boottime.Clock) *retrybudget.Budgets {
 	budgets := retrybudget.New(config.RetryBudget, func(service string) float64 {
 		routes := known.View().Routes
-		return census.Part(routes != nil && routes.IsGathered(service))
+		return census.Share(routes != nil && routes.IsGathered(service))
 	})
 	budgets.SetClock(clock)
 	return budgets
--- a/internal/quarantine/bad_days_test.go
+++ b/internal/quarantine/bad_days_test.go
@@ -28,10 +28,10 @@
 // drawHerd makes a random part of the leafs crash, up to all.
 func drawHerd(random *rand.Rand, began time.Time, shards int) herd {
 	drawn := herd{}
-	part := random.Float64()
+	crashShare := random.Float64()
 	for shard := range shards {
 		for replica := range 2 {
-			if random.Float64() < part {
+			if random.Float64() < crashShare {
 				drawn[leafName(shard, replica)] = began.Add(time.Duration(random.Int64N(int64(herdSpread))))
 			}
 		}
--- a/internal/request/gateway/canary_fixture_test.go
+++ b/internal/request/gateway/canary_fixture_test.go
@@ -18,7 +18,7 @@
 // canaryFleet is a fleet of one node, which has the whole share of draws.
 type canaryFleet struct{ coldFleet }
 
-func (canaryFleet) Part(bool) float64 { return 1 }
+func (canaryFleet) Share(bool) float64 { return 1 }
 
 // drawAll returns a configuration that draws every request that may be drawn.
 func drawAll() canary.Config {
--- a/internal/request/gateway/warm.go
+++ b/internal/request/gateway/warm.go
@@ -63,7 +63,7 @@
 }
 
 // warmCanaries opens a connection to a leaf of each canary version that this node's canary draws would go to, once for
-// each rollout spec. warmed has the orders that are done, by service.
+// each rollout spec. warmed has the specs that are done, by service.
 func (g *Gateway) warmCanaries(warmed map[string]int64) {
 	view := g.catalog.View()
 	for service := range warmed {
--- a/internal/request/retrybudget/retrybudget.go
+++ b/internal/request/retrybudget/retrybudget.go
@@ -3,7 +3,7 @@
 //
 // Over any window of time, the repeats that reach a service must stay below a share of the
 // requests for it plus a fixed allowance. Each node stays below the same share of its own
-// requests plus its part of the allowance, so that the limit holds for the sum without messages between nodes.
+// requests plus its share of the allowance, so that the limit holds for the sum without messages between nodes.
 //
 // Budgets owns the counts of one node in memory; they are lost when the node restarts. It relies on a clock that counts
 // the time for which the machine is suspended (package boottime). It starts no goroutines and returns errors only for
@@ -23,7 +23,7 @@
 // Budgets has the budget of each service on one node; safe for concurrent use.
 type Budgets struct {
 	config Config
-	part   func(service string) float64 // of the allowance, 0 to 1
+	share  func(service string) float64 // of the allowance, 0 to 1
 	now    func() time.Time
 	start  time.Time
 
@@ -31,10 +31,10 @@
 	services map[string]*window
 }
 
-// New returns the budgets of a node. The part function returns the node's part of the allowance for a
+// New returns the budgets of a node. The share function returns the node's share of the allowance for a
 // service, 0 while that is unknown; the sum over all nodes must not exceed 1.
-func New(config Config, part func(service string) float64) *Budgets {
-	return &Budgets{config: config, part: part, now: time.Now, start: time.Now(), services: map[string]*window{}}
+func New(config Config, share func(service string) float64) *Budgets {
+	return &Budgets{config: config, share: share, now: time.Now, start: time.Now(), services: map[string]*window{}}
 }
 
 // SetClock sets the clock of the windows, which should count the time for which the machine is suspended: otherwise the
@@ -62,7 +62,7 @@
 
 // Take decides whether a service may be asked again, and counts the repeat if so.
 //
-// Inputs: the requests and repeats that this node counted within the last Config.Window, the node's part of the
+// Inputs: the requests and repeats that this node counted within the last Config.Window, the node's share of the
 // allowance, and the reserve, the share of the limit, 0 to 1, that must remain free.
 //
 // Rule: the repeats, including this one, must not exceed the limit (see limit) less the reserve. Retries and hedges beyond
@@ -92,7 +92,7 @@
 }
 
 // limit returns the maximum number of repeats in the window that ends now: Config.Share of the ratio's and, once the node
-// has run for a window, of its part of the allowance. Before that, its predecessor may have used that part up.
+// has run for a window, of its share of the allowance. Before that, its predecessor may have used that share up.
 func (b *Budgets) limit(service string, kept *window) float64 {
 	requests := 0
 	for index := range kept.requests {
@@ -100,7 +100,7 @@
 	}
 	limit := b.config.Ratio * float64(requests)
 	if b.now().Sub(b.start) >= b.config.Window {
-		limit += b.config.Allowance * b.part(service)
+		limit += b.config.Allowance * b.share(service)
 	}
 	return limit * b.config.Share
 }
--- a/internal/request/retrybudget/retrybudget_test.go
+++ b/internal/request/retrybudget/retrybudget_test.go
@@ -107,12 +107,12 @@
 func TestReserveAndUnknownFleet(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	part := 0.0
-	budgets := New(Config{Ratio: 0, Window: time.Second, Allowance: 8, Share: 1}, func(string) float64 { return part })
+	share := 0.0
+	budgets := New(Config{Ratio: 0, Window: time.Second, Allowance: 8, Share: 1}, func(string) float64 { return share })
 	budgets.now = func() time.Time { return now }
 	budgets.start = now.Add(-time.Minute)
-	is.True(!budgets.Take("s", 0)) // its part is unknown
-	part = 0.5
+	is.True(!budgets.Take("s", 0)) // its share is unknown
+	share = 0.5
 	is.True(budgets.Take("s", 0.5))
 	is.True(budgets.Take("s", 0.5))
 	is.True(!budgets.Take("s", 0.5)) // the other half is reserved
--- a/internal/request/routing/configuration.go
+++ b/internal/request/routing/configuration.go
@@ -177,9 +177,9 @@
 	checks.Refuse(r.MinimumCoverage < 0 || r.MinimumCoverage > 1, "minimum_coverage", "must be between 0 and 1")
 	checks.Refuse(r.TopRecords < 0, "top_records", "must not be negative")
 	total := 0.0
-	for index, part := range r.Weighted {
-		checks.Refuse(part.Weight < 0, indexed("weighted", index)+".weight", "must not be negative")
-		total += part.Weight
+	for index, weighted := range r.Weighted {
+		checks.Refuse(weighted.Weight < 0, indexed("weighted", index)+".weight", "must not be negative")
+		total += weighted.Weight
 	}
 	checks.Refuse(len(r.Weighted) > 0 && total <= 0, "weighted", "at least one weight must be positive")
 	return checks.Err()
--- a/internal/request/routing/routing.go
+++ b/internal/request/routing/routing.go
@@ -170,8 +170,8 @@
 		if route.Service != "" {
 			names[route.Service] = true
 		}
-		for _, part := range route.Weighted {
-			names[part.Service] = true
+		for _, weighted := range route.Weighted {
+			names[weighted.Service] = true
 		}
 		for _, name := range route.Gathered {
 			names[name] = true
--- a/internal/request/routing/routing_test.go
+++ b/internal/request/routing/routing_test.go
@@ -108,8 +108,8 @@
 		counts := make([]float64, len(weighted))
 		for number := 1; number <= 200; number++ {
 			counts[shares.Next(entry)]++
-			for index, part := range weighted {
-				wanted := float64(number) * part.Weight / total
+			for index, service := range weighted {
+				wanted := float64(number) * service.Weight / total
 				if math.Abs(counts[index]-wanted) > 2 {
 					t.Fatalf("after %d requests service %d has %v, wanted %v", number, index, counts[index], wanted)
 				}
--- a/internal/request/routing/shares.go
+++ b/internal/request/routing/shares.go
@@ -37,12 +37,12 @@
 		s.routes[entry.WeightKey] = credits
 	}
 	best, total := -1, 0.0
-	for index, part := range entry.Weighted {
-		if part.Weight <= 0 {
+	for index, weighted := range entry.Weighted {
+		if weighted.Weight <= 0 {
 			continue
 		}
-		credits[index] += part.Weight
-		total += part.Weight
+		credits[index] += weighted.Weight
+		total += weighted.Weight
 		if best < 0 || credits[index] > credits[best] {
 			best = index
 		}
@@ -55,15 +55,15 @@
 }
 
 // firstCredits returns random credits that sum to zero, each less than the total weight.
-func firstCredits(parts []WeightedService) []float64 {
-	credits := make([]float64, len(parts))
+func firstCredits(services []WeightedService) []float64 {
+	credits := make([]float64, len(services))
 	total := 0.0
-	for _, part := range parts {
-		total += part.Weight
+	for _, weighted := range services {
+		total += weighted.Weight
 	}
 	sum := 0.0
-	for index, part := range parts {
-		credits[index] = part.Weight * (rand.Float64() - 0.5)
+	for index, weighted := range services {
+		credits[index] = weighted.Weight * (rand.Float64() - 0.5)
 		sum += credits[index]
 	}
 	for index := range credits {
--- a/internal/request/search/failures.go
+++ b/internal/request/search/failures.go
@@ -38,10 +38,10 @@
 		return failure.IncompleteCoverage
 	}
 	allShed, allLate := true, true
-	for _, part := range merged.missing {
-		allShed = allShed && (part.reason == missingShed || part.reason == missingReason(balancer.ReplicasFull))
-		allLate = allLate && part.reason == missingDeadline
-		if part.reason == missingNotRepeated {
+	for _, missed := range merged.missing {
+		allShed = allShed && (missed.reason == missingShed || missed.reason == missingReason(balancer.ReplicasFull))
+		allLate = allLate && missed.reason == missingDeadline
+		if missed.reason == missingNotRepeated {
 			return failure.NotRepeatable
 		}
 	}
@@ -59,8 +59,8 @@
 
 // retryAfter returns the delay after which a query may be repeated; 0 if that can't help because it has run already.
 func (e *Engine) retryAfter(merged *page) time.Duration {
-	for _, part := range merged.missing {
-		if part.reason == missingNotRepeated {
+	for _, missed := range merged.missing {
+		if missed.reason == missingNotRepeated {
 			return 0
 		}
 	}
--- a/internal/request/search/key_scatter.go
+++ b/internal/request/search/key_scatter.go
@@ -19,34 +19,34 @@
 // errSuperseded is the cancellation cause of attempts whose replies are no longer needed.
 var errSuperseded = errors.New("superseded")
 
-// keyScatter asks leafs for every part of a plan of key ranges.
+// keyScatter asks leafs for every shard range of a plan of key ranges.
 type keyScatter struct {
-	engine  *Engine
-	query   *query
-	service *catalog.Service
-	policy  *hedging.Policy
-	parts   []manifest.Part
+	engine      *Engine
+	query       *query
+	service     *catalog.Service
+	policy      *hedging.Policy
+	shardRanges []manifest.ShardRange
 
 	summary  scatter.Summary
 	outcomes []shardOutcome
 }
 
-func newKeyScatter(engine *Engine, query *query, service *catalog.Service, policy *hedging.Policy, parts []manifest.Part) *keyScatter {
-	return &keyScatter{engine: engine, query: query, service: service, policy: policy, parts: parts}
+func newKeyScatter(engine *Engine, query *query, service *catalog.Service, policy *hedging.Policy, shardRanges []manifest.ShardRange) *keyScatter {
+	return &keyScatter{engine: engine, query: query, service: service, policy: policy, shardRanges: shardRanges}
 }
 
-// run returns one outcome for each part, once all are known or time is up.
+// run returns one outcome for each shard range, once all are known or time is up.
 func (s *keyScatter) run(ctx context.Context) []shardOutcome {
 	plan := scatter.Plan{
-		Shards:          make([]scatter.Shard, len(s.parts)),
+		Shards:          make([]scatter.Shard, len(s.shardRanges)),
 		Deadline:        s.query.deadline.Add(-s.engine.config.MergeReserve),
 		AtMostOnce:      s.query.atMostOnce,
 		NoHedges:        s.service.Spec.GetHedge().GetDisabled(),
 		MaximumAttempts: s.engine.config.MaximumAttempts,
 	}
-	plan.Refresh = func(shard int) []balancer.Candidate { return s.candidatesFor(s.parts[shard]) }
-	for index, part := range s.parts {
-		plan.Shards[index] = scatter.Shard{Candidates: s.candidatesFor(part), Policy: s.policy}
+	plan.Refresh = func(shard int) []balancer.Candidate { return s.candidatesFor(s.shardRanges[shard]) }
+	for index, shardRange := range s.shardRanges {
+		plan.Shards[index] = scatter.Shard{Candidates: s.candidatesFor(shardRange), Policy: s.policy}
 	}
 	s.caution(&plan)
 	work := scatter.New(plan, scatter.Deps[shardReply]{
@@ -56,7 +56,7 @@
 	s.summary = summary
 	s.outcomes = make([]shardOutcome, len(outcomes))
 	for index, outcome := range outcomes {
-		s.outcomes[index] = shardOutcome{part: s.parts[index], reply: outcome.Reply, reason: missingReason(outcome.Reason)}
+		s.outcomes[index] = shardOutcome{shardRange: s.shardRanges[index], reply: outcome.Reply, reason: missingReason(outcome.Reason)}
 	}
 	s.engine.metrics.CancelledAttempts.WithLabelValues(s.query.service).Add(float64(summary.Cancelled))
 	return s.outcomes
@@ -65,8 +65,8 @@
 // candidatesFor returns the replicas that may be asked. A request that may run at most once,
 // and that its caller may repeat at another node under the same id, goes to the one replica
 // that every node chooses for that id; its leaf refuses a second copy.
-func (s *keyScatter) candidatesFor(part manifest.Part) []balancer.Candidate {
-	leafIDs := part.Shard.LeafIDs
+func (s *keyScatter) candidatesFor(shardRange manifest.ShardRange) []balancer.Candidate {
+	leafIDs := shardRange.Shard.LeafIDs
 	if s.query.atMostOnce && s.query.callerNamed {
 		leafIDs = []string{designatedLeaf(s.query.id, leafIDs)}
 	}
@@ -85,24 +85,24 @@
 
 // leafRequest returns the request of an attempt.
 func (s *keyScatter) leafRequest(attempt scatter.Attempt) *leafv1.SearchShardRequest {
-	part := s.parts[attempt.Shard]
+	shardRange := s.shardRanges[attempt.Shard]
 	request := &leafv1.SearchShardRequest{
 		Identity: &leafv1.AttemptIdentity{
 			RequestId:  s.query.id,
 			SnapshotId: s.service.Manifest.SnapshotID,
-			ShardId:    part.Shard.ID,
+			ShardId:    shardRange.Shard.ID,
 			Attempt:    uint32(attempt.Number),
 			Nonce:      rand.Uint64(),
 		},
 		Service:             s.query.service,
-		KeyFrom:             part.Range.From,
-		KeyTo:               part.Range.To,
+		KeyFrom:             shardRange.Range.From,
+		KeyTo:               shardRange.Range.To,
 		Filter:              s.query.filter,
 		Limit:               uint32(s.query.limit),
 		TimeRemainingMicros: attempt.Deadline.Sub(attempt.Started).Microseconds(),
 	}
 	if s.query.atMostOnce {
-		request.ExecutionId = s.query.service + "/" + s.query.id + "/" + part.Range.From
+		request.ExecutionId = s.query.service + "/" + s.query.id + "/" + shardRange.Range.From
 		request.NotAfterUnixMillis = s.query.deadline.UnixMilli()
 	}
 	return request
@@ -132,7 +132,7 @@
 		return true
 	}
 	isBulk := s.service.Spec.GetUrgency() == adminv1.Urgency_URGENCY_BULK
-	return isBulk && 2*s.summary.Queued > len(s.parts)
+	return isBulk && 2*s.summary.Queued > len(s.shardRanges)
 }
 
 // snapshotGone reports whether a part failed because its leafs no longer have the snapshot.
--- a/internal/request/search/merge.go
+++ b/internal/request/search/merge.go
@@ -25,10 +25,10 @@
 	missingRetryBudget    missingReason = "RETRY_BUDGET"
 )
 
-// shardOutcome is the result of the scatter step for one part of the plan.
+// shardOutcome is the result of the scatter step for one shard range of the plan.
 type shardOutcome struct {
-	part  manifest.Part
-	reply *shardReply
+	shardRange manifest.ShardRange
+	reply      *shardReply
 	// reason is set if there is no reply.
 	reason missingReason
 }
@@ -40,13 +40,13 @@
 	asked   keyspace.Range
 	nextKey string
 	covered []keyspace.Range
-	missing []missingPart
+	missing []missingRange
 	// askedWeight and coveredWeight are in the units of the manifest's weights.
 	askedWeight   float64
 	coveredWeight float64
 }
 
-type missingPart struct {
+type missingRange struct {
 	keys   keyspace.Range
 	reason missingReason
 }
@@ -59,55 +59,55 @@
 	size := 0
 	for _, outcome := range outcomes {
 		if outcome.reply == nil {
-			merged.miss(outcome.part, outcome.part.Range, outcome.reason)
+			merged.miss(outcome.shardRange, outcome.shardRange.Range, outcome.reason)
 			continue
 		}
 		covered := outcome.reply.covered
 		for _, row := range outcome.reply.rows {
 			size += len(row.GetKey()) + len(row.GetValue())
 			if size > maximumBytes && len(merged.rows) > 0 {
-				merged.end(outcome.part, keyspace.Range{From: covered.From, To: row.GetKey()}, row.GetKey())
+				merged.end(outcome.shardRange, keyspace.Range{From: covered.From, To: row.GetKey()}, row.GetKey())
 				return merged
 			}
 			merged.rows = append(merged.rows, &searchv1.Row{Key: row.GetKey(), Value: row.GetValue()})
 			if len(merged.rows) == limit {
 				next := keyspace.After(row.GetKey())
-				merged.end(outcome.part, keyspace.Range{From: covered.From, To: next}, next)
+				merged.end(outcome.shardRange, keyspace.Range{From: covered.From, To: next}, next)
 				return merged
 			}
 		}
-		merged.cover(outcome.part, covered)
+		merged.cover(outcome.shardRange, covered)
 	}
 	return merged
 }
 
 // cover adds a part's covered range to the page, and what the leaf left out as missing.
-func (p *page) cover(part manifest.Part, covered keyspace.Range) {
-	p.askedWeight += float64(part.Shard.Weight)
-	missing := part.Range.Subtract([]keyspace.Range{covered})
+func (p *page) cover(shardRange manifest.ShardRange, covered keyspace.Range) {
+	p.askedWeight += float64(shardRange.Shard.Weight)
+	missing := shardRange.Range.Subtract([]keyspace.Range{covered})
 	p.covered = append(p.covered, covered)
 	if len(missing) == 0 {
-		p.coveredWeight += float64(part.Shard.Weight)
+		p.coveredWeight += float64(shardRange.Shard.Weight)
 	}
 	for _, rest := range missing {
-		p.missing = append(p.missing, missingPart{keys: rest, reason: missingTruncated})
+		p.missing = append(p.missing, missingRange{keys: rest, reason: missingTruncated})
 	}
 }
 
 // miss adds a missing range to the page.
-func (p *page) miss(part manifest.Part, keys keyspace.Range, reason missingReason) {
-	p.askedWeight += float64(part.Shard.Weight)
-	p.missing = append(p.missing, missingPart{keys: keys, reason: reason})
+func (p *page) miss(shardRange manifest.ShardRange, keys keyspace.Range, reason missingReason) {
+	p.askedWeight += float64(shardRange.Shard.Weight)
+	p.missing = append(p.missing, missingRange{keys: keys, reason: reason})
 }
 
 // end ends the page inside a part, and shrinks the asked range accordingly.
-func (p *page) end(part manifest.Part, covered keyspace.Range, next string) {
+func (p *page) end(shardRange manifest.ShardRange, covered keyspace.Range, next string) {
 	if p.asked.To != "" && next >= p.asked.To {
-		p.cover(part, keyspace.Range{From: covered.From, To: part.Range.To})
+		p.cover(shardRange, keyspace.Range{From: covered.From, To: shardRange.Range.To})
 		return
 	}
-	p.askedWeight += float64(part.Shard.Weight)
-	p.coveredWeight += float64(part.Shard.Weight)
+	p.askedWeight += float64(shardRange.Shard.Weight)
+	p.coveredWeight += float64(shardRange.Shard.Weight)
 	p.asked.To = next
 	p.nextKey = next
 	if !covered.Empty() {
@@ -123,10 +123,10 @@
 	if p.askedWeight > 0 {
 		coverage.Fraction = p.coveredWeight / p.askedWeight
 	}
-	for _, part := range p.missing {
+	for _, missed := range p.missing {
 		coverage.Missing = append(coverage.Missing, &searchv1.MissingRange{
-			Range:  &searchv1.KeyRange{From: part.keys.From, To: part.keys.To},
-			Reason: string(part.reason),
+			Range:  &searchv1.KeyRange{From: missed.keys.From, To: missed.keys.To},
+			Reason: string(missed.reason),
 		})
 	}
 	return coverage
--- a/internal/request/search/merge_test.go
+++ b/internal/request/search/merge_test.go
@@ -34,8 +34,8 @@
 				continue
 			}
 			missing := 0
-			for _, part := range merged.missing {
-				if part.keys.Contains(key) {
+			for _, missed := range merged.missing {
+				if missed.keys.Contains(key) {
 					missing++
 				}
 			}
@@ -58,14 +58,14 @@
 	var outcomes []shardOutcome
 	from := ""
 	for number, to := range append(boundaries, "") {
-		part := manifest.Part{
+		shardRange := manifest.ShardRange{
 			Shard: &manifest.Shard{ID: fmt.Sprint(number), Weight: uint64(rapid.IntRange(1, 9).Draw(t, "weight"))},
 			Range: keyspace.Range{From: from, To: to},
 		}
 		from = to
-		outcome := shardOutcome{part: part, reason: missingDeadline}
+		outcome := shardOutcome{shardRange: shardRange, reason: missingDeadline}
 		if rapid.Bool().Draw(t, "answered") {
-			outcome.reply = drawReply(t, part.Range, keys, limit)
+			outcome.reply = drawReply(t, shardRange.Range, keys, limit)
 		}
 		outcomes = append(outcomes, outcome)
 	}
@@ -91,9 +91,9 @@
 
 func TestMergeStopsAtAnswerSize(t *testing.T) {
 	is := is.New(t)
-	part := manifest.Part{Shard: &manifest.Shard{ID: "s", Weight: 1}}
+	shardRange := manifest.ShardRange{Shard: &manifest.Shard{ID: "s", Weight: 1}}
 	reply := &shardReply{rows: []*leafv1.Row{{Key: "a", Value: make([]byte, 60)}, {Key: "b", Value: make([]byte, 60)}}}
-	merged := merge(keyspace.Range{}, []shardOutcome{{part: part, reply: reply}}, 10, 100)
+	merged := merge(keyspace.Range{}, []shardOutcome{{shardRange: shardRange, reply: reply}}, 10, 100)
 	is.Equal(len(merged.rows), 1)
 	is.Equal(merged.nextKey, "b")
 	is.True(merged.complete())
--- a/internal/rollout/canary/bound_test.go
+++ b/internal/rollout/canary/bound_test.go
@@ -43,8 +43,8 @@
 		restarts := rapid.Float64Range(0, 0.2).Draw(t, "restarts")
 		source := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		built := newSite(t)
-		begin := func(part float64) member {
-			fleet := &one{part}
+		begin := func(share float64) member {
+			fleet := &one{share}
 			made := member{fleet, built.splitter(config(slack), fleet)}
 			made.splitter.random = source.Float64
 			return made
@@ -63,7 +63,7 @@
 				*node = begin(seen())
 			}
 			if source.Float64() < 0.1 {
-				node.fleet.part = seen()
+				node.fleet.share = seen()
 			}
 			requests++
 			drawn += float64(draw(node.splitter, 1, source.IntN(4) == 0))
@@ -135,9 +135,9 @@
 
 	built, splitter, _ = started(t, 50)
 	built.pass(lasts / 2)
-	splitter.fleet.(*one).part = 0.25
+	splitter.fleet.(*one).share = 0.25
 	is.Equal(draw(splitter, 1, false), 1)
-	splitter.fleet.(*one).part = 1
+	splitter.fleet.(*one).share = 1
 	is.Equal(draw(splitter, 99, false), 17)
 }
 
@@ -154,8 +154,8 @@
 	is.Equal(draw(splitter, 100, false), 40+40-31-40)
 }
 
-// Repeatable requests leave a part of the slack to requests that must run at most once, however many they are.
-func TestPartOfTheSlackIsForOnceOnlyRequests(t *testing.T) {
+// Repeatable requests leave a share of the slack to requests that must run at most once, however many they are.
+func TestShareOfTheSlackIsForOnceOnlyRequests(t *testing.T) {
 	is := is.New(t)
 	built, splitter, _ := started(t, 50)
 	is.Equal(draw(splitter, 10, true), 0)
--- a/internal/rollout/canary/budget.go
+++ b/internal/rollout/canary/budget.go
@@ -13,14 +13,14 @@
 	slackUntil = 0.5
 )
 
-// oncePart is the part of the slack that repeatable requests leave to requests that must run at most once, if there
-// are any: a version must show itself on their routes before it is found good. A larger part would take evidence from
+// onceShare is the share of the slack that repeatable requests leave to requests that must run at most once, if there
+// are any: a version must show itself on their routes before it is found good. A larger share would take evidence from
 // the other routes.
-const oncePart = 0.25
+const onceShare = 0.25
 
-// rampPart is the largest part of a spec's duration that the ramp takes: a version found good on little evidence
+// rampFraction is the largest fraction of a spec's duration that the ramp takes: a version found good on little evidence
 // has only a quarter left, in which the verdict is written and the nodes are asked, too.
-const rampPart = 0.1
+const rampFraction = 0.1
 
 // focusTurns is the number of leafs that bounded draws go to, one after the other, during a spec.
 const focusTurns = 12
@@ -33,8 +33,8 @@
 	// zero before.
 	learnedAt, switchedAt time.Time
 	duration              time.Duration
-	// fleetPart is this node's part of the fleet's slack, 0 to 1; it only decreases.
-	fleetPart float64
+	// fleetShare is this node's share of the fleet's slack, 0 to 1; it only decreases.
+	fleetShare float64
 	// start is a random fraction of a request that the budget starts with, so that of many nodes with one request
 	// each some send it to the version, not all or none.
 	start float64
@@ -44,7 +44,7 @@
 	hasOnce bool
 }
 
-// elapsed returns the part of the spec's duration that is over, 1 or more after its end.
+// elapsed returns the fraction of the spec's duration that is over, 1 or more after its end.
 func (b *budget) elapsed(now time.Time) float64 {
 	return float64(now.Sub(b.learnedAt)) / float64(b.duration)
 }
@@ -59,7 +59,7 @@
 // most once may from the middle of the spec on, within the slack that the others left.
 func (b *budget) hasRoom(cfg Config, once bool, now time.Time) bool {
 	share := cfg.Used * cfg.Share * float64(b.requests)
-	slack := cfg.Used * cfg.Slack * b.fleetPart
+	slack := cfg.Used * cfg.Slack * b.fleetShare
 	if !once {
 		return float64(b.repeatable+b.once+1) <= share+slack*b.releasedSlack(now)-b.reservedForOnce(slack, now)+b.start
 	}
@@ -70,13 +70,13 @@
 	return float64(b.once+1) <= left+b.start
 }
 
-// reservedForOnce returns the part of the released slack that repeatable requests leave to requests that must run at
+// reservedForOnce returns the share of the released slack that repeatable requests leave to requests that must run at
 // most once.
 func (b *budget) reservedForOnce(slack float64, now time.Time) float64 {
 	if !b.hasOnce {
 		return 0
 	}
-	return max(0, oncePart*slack*b.releasedSlack(now)-float64(b.once))
+	return max(0, onceShare*slack*b.releasedSlack(now)-float64(b.once))
 }
 
 // releasedSlack returns the part of the slack, 0 to 1, that may be used by now.
--- a/internal/rollout/canary/fixture_test.go
+++ b/internal/rollout/canary/fixture_test.go
@@ -101,11 +101,11 @@
 	return drawn
 }
 
-// one is a fleet of a single node with a settable part.
-type one struct{ part float64 }
+// one is a fleet of a single node with a settable share.
+type one struct{ share float64 }
 
-func (o *one) Part(bool) float64  { return o.part }
-func (o *one) IsRegistered() bool { return o.part > 0 }
+func (o *one) Share(bool) float64 { return o.share }
+func (o *one) IsRegistered() bool { return o.share > 0 }
 
 func config(slack float64) Config {
 	cfg := DefaultConfig()
--- a/internal/rollout/canary/splitter.go
+++ b/internal/rollout/canary/splitter.go
@@ -47,8 +47,8 @@
 
 // Fleet is what a node must know of the others; registry.Census is the real one.
 type Fleet interface {
-	// Part returns this node's part, 0 to 1, of a bound that all nodes share, for requests that are gathered or not.
-	Part(gathered bool) float64
+	// Share returns this node's share, 0 to 1, of a bound that all nodes share, for requests that are gathered or not.
+	Share(gathered bool) float64
 	// IsRegistered reports whether the other nodes know this one.
 	IsRegistered() bool
 }
@@ -66,7 +66,7 @@
 	// startRevision is the revision of the first configuration seen; 0 before it.
 	startRevision int64
 	budgets       map[string]*budget // by service
-	// holds are the highest orders that were stopped, by service; a spec below it was replaced.
+	// holds are the highest specs that were stopped, by service; a spec below it was replaced.
 	holds map[string]int64
 	// holdsRevision is the revision at which old holds were last dropped; 0 before the first configuration.
 	holdsRevision int64
@@ -147,7 +147,7 @@
 	case ramping:
 		return len(view.Leafs.Canaries(request.Service)) > 0 && s.random() < s.ramp(budget, now)
 	case bounded:
-		s.lowerFleetPart(view, request.Service, budget)
+		s.lowerFleetShare(view, request.Service, budget)
 		return len(view.Leafs.Canaries(request.Service)) > 0 && budget.hasRoom(s.cfg, request.Once, now)
 	case stopped:
 	}
@@ -251,20 +251,20 @@
 		begun.duration = spec.Duration()
 	}
 	if s.cfg.Slack > 0 && rule.SpecID > revision.Count(s.startRevision) && s.fleet.IsRegistered() {
-		begun.fleetPart, begun.start = s.fleetPart(view, service), s.random()
+		begun.fleetShare, begun.start = s.fleetShare(view, service), s.random()
 	}
 	return begun
 }
 
-// lowerFleetPart lowers the node's part of the slack when the fleet grows. While the others don't know this node it
-// has no part to compare with.
-func (s *Splitter) lowerFleetPart(view *catalog.View, service string, budget *budget) {
-	if budget.fleetPart > 0 && s.fleet.IsRegistered() {
-		budget.fleetPart = min(budget.fleetPart, s.fleetPart(view, service))
+// lowerFleetShare lowers the node's share of the slack when the fleet grows. While the others don't know this node it
+// has no share to compare with.
+func (s *Splitter) lowerFleetShare(view *catalog.View, service string, budget *budget) {
+	if budget.fleetShare > 0 && s.fleet.IsRegistered() {
+		budget.fleetShare = min(budget.fleetShare, s.fleetShare(view, service))
 	}
 }
 
-// fleetPart returns this node's part of the slack of a service, which depends on whether any route gathers it.
-func (s *Splitter) fleetPart(view *catalog.View, service string) float64 {
-	return s.fleet.Part(view.Routes != nil && view.Routes.IsGathered(service))
+// fleetShare returns this node's share of the slack of a service, which depends on whether any route gathers it.
+func (s *Splitter) fleetShare(view *catalog.View, service string) float64 {
+	return s.fleet.Share(view.Routes != nil && view.Routes.IsGathered(service))
 }
--- a/internal/rollout/canary/stage.go
+++ b/internal/rollout/canary/stage.go
@@ -59,7 +59,7 @@
 
 // Ramp returns how long the nodes take to move the requests of a spec of a duration to a version found good.
 func (s *Splitter) Ramp(duration time.Duration) time.Duration {
-	return min(s.cfg.Ramp, time.Duration(rampPart*float64(duration)))
+	return min(s.cfg.Ramp, time.Duration(rampFraction*float64(duration)))
 }
 
 // ramp returns the part of the requests, rising from Share to 1, that goes to a version found good.
@@ -81,7 +81,7 @@
 	}
 }
 
-// dropOldHolds drops holds of orders that were replaced or withdrawn. Holds of orders that this node has not learned
+// dropOldHolds drops holds of specs that were replaced or withdrawn. Holds of specs that this node has not learned
 // of yet stay, except after a restore of the store, when lost specs' ids are given to others. The lock must be held.
 func (s *Splitter) dropOldHolds() {
 	view := s.view()
--- a/internal/rollout/canary/stage_test.go
+++ b/internal/rollout/canary/stage_test.go
@@ -111,10 +111,10 @@
 	splitter.Refresh()
 	is.Equal(splitter.RetryVersions("s"), Both)
 	for _, step := range []struct {
-		part  float64
-		share float64
+		fraction float64
+		share    float64
 	}{{0, 0.1}, {0.5, 0.55}, {0.9, 0.91}} {
-		built.clock = splitter.budgets["s"].switchedAt.Add(time.Duration(step.part * float64(2*time.Second)))
+		built.clock = splitter.budgets["s"].switchedAt.Add(time.Duration(step.fraction * float64(2*time.Second)))
 		chance = step.share - 0.001
 		is.Equal(splitter.Draw(Request{Service: "s"}), Draw{First: Target})
 		chance = step.share + 0.001
--- a/internal/rollout/evidence/collector.go
+++ b/internal/rollout/evidence/collector.go
@@ -118,7 +118,7 @@
 	}
 }
 
-// dropOld drops the rows of orders that are no longer in force. The lock must be held.
+// dropOld drops the rows of specs that are no longer in force. The lock must be held.
 func (c *Collector) dropOld() {
 	leafs := c.catalog.View().Leafs
 	if leafs == c.leafs {
--- a/internal/rollout/evidence/evidence.go
+++ b/internal/rollout/evidence/evidence.go
@@ -132,14 +132,14 @@
 	return above
 }
 
-// Quantile returns the upper bound of the bucket at which the given part of the attempts, 0 to 1, is reached; 0 if
+// Quantile returns the upper bound of the bucket at which the given fraction of the attempts, 0 to 1, is reached; 0 if
 // there are none.
-func (h Histogram) Quantile(part float64) time.Duration {
+func (h Histogram) Quantile(fraction float64) time.Duration {
 	total := h.Total()
 	if total == 0 {
 		return 0
 	}
-	wanted := int64(math.Ceil(part * float64(total)))
+	wanted := int64(math.Ceil(fraction * float64(total)))
 	counted := int64(0)
 	for index, count := range h {
 		counted += count
--- a/internal/rollout/rolloutcontrol/controller.go
+++ b/internal/rollout/rolloutcontrol/controller.go
@@ -1,4 +1,4 @@
-// Package rolloutcontrol carries out the orders that move services to other versions: it reports what each node
+// Package rolloutcontrol carries out the specs that move services to other versions: it reports what each node
 // counted to the evaluator nodes of a service, evaluates canary versions, and writes the phase of each roll-out to the
 // store.
 //
--- a/internal/rollout/rolloutcontrol/holds.go
+++ b/internal/rollout/rolloutcontrol/holds.go
@@ -8,7 +8,7 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
-// maxHolds bounds the orders that are held, well above the services with a roll-out at once.
+// maxHolds bounds the specs that are held, well above the services with a roll-out at once.
 const maxHolds = 4096
 
 // holds are the specs whose versions were found bad, with the reasons. The zero value is empty; it is safe for
@@ -45,7 +45,7 @@
 	return found
 }
 
-// retain drops the holds of orders that are not wanted any more.
+// retain drops the holds of specs that are not wanted any more.
 func (h *holds) retain(isWanted func(rolloutID) bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/rollout/rolloutcontrol/reporter.go
+++ b/internal/rollout/rolloutcontrol/reporter.go
@@ -111,7 +111,7 @@
 	return known
 }
 
-// dropObsolete drops rows of orders that are over, and rows for nodes that are no evaluator nodes any more.
+// dropObsolete drops rows of specs that are over, and rows for nodes that are no evaluator nodes any more.
 func (s *reporter) dropObsolete(evaluatorNodes func(string) []catalog.NodeRecord, isUnderWay func(rolloutID) bool) {
 	for id, waiting := range s.outboxes {
 		maps.DeleteFunc(waiting.rows, func(key evidence.Key, _ evidence.Row) bool {
--- a/internal/rollout/rolloutcontrol/settling.go
+++ b/internal/rollout/rolloutcontrol/settling.go
@@ -8,9 +8,9 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// firstAskPart is the part of the settle interval, after the ramp, that an evaluator node leaves the nodes before it asks
+// firstCheckFraction is the part of the settle interval, after the ramp, that an evaluator node leaves the nodes before it asks
 // first: they learn of the verdict later than the evaluator node, and finish what is in flight.
-const firstAskPart = 0.5
+const firstCheckFraction = 0.5
 
 // maxFleetCalls bounds the fleet calls in flight. A silent node delays a call up to SettleWait, and the next call,
 // which finds more nodes settled, must not wait for it.
@@ -42,7 +42,7 @@
 		if rank < 0 || active.phase() != rollout.Switching || !active.settledSince.IsZero() {
 			continue
 		}
-		dueIn := active.switchingSince.Add(c.untilFirstAsk(active.spec, rank)).Sub(now)
+		dueIn := active.switchingSince.Add(c.untilFirstCheck(active.spec, rank)).Sub(now)
 		if dueIn <= 0 {
 			revision = max(revision, active.state.Revision)
 			dueIn = c.askedAt.Add(c.cfg.SettleInterval).Sub(now)
@@ -56,10 +56,10 @@
 	return c.cfg.SettleInterval
 }
 
-// untilFirstAsk returns how long after the switch of a spec an evaluator node asks first: the first evaluator node once the nodes can
+// untilFirstCheck returns how long after the switch of a spec an evaluator node asks first: the first evaluator node once the nodes can
 // be settled, the others when the one before should have written the outcome of its final watch.
-func (c *Controller) untilFirstAsk(spec rollout.Spec, rank int) time.Duration {
-	first := c.deps.Splitter.Ramp(spec.Duration()) + time.Duration(firstAskPart*float64(c.cfg.SettleInterval))
+func (c *Controller) untilFirstCheck(spec rollout.Spec, rank int) time.Duration {
+	first := c.deps.Splitter.Ramp(spec.Duration()) + time.Duration(firstCheckFraction*float64(c.cfg.SettleInterval))
 	if rank == 0 {
 		return first
 	}
@@ -89,7 +89,7 @@
 	})
 }
 
-// handleAnswer hands an answer of the fleet to the orders that wait for it, unless a newer one was handled.
+// handleAnswer hands an answer of the fleet to the specs that wait for it, unless a newer one was handled.
 func (c *Controller) handleAnswer(answer fleetAnswer) {
 	c.fleetCalls--
 	if answer.asked.Before(c.answeredAt) {
--- a/internal/rollout/rolloutcontrol/tallies.go
+++ b/internal/rollout/rolloutcontrol/tallies.go
@@ -146,7 +146,7 @@
 	return slices.Compact(addresses)
 }
 
-// retain drops the counts of orders that are not wanted any more.
+// retain drops the counts of specs that are not wanted any more.
 func (t *tallies) retain(isWanted func(rolloutID) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/rollout/verdict/cases_test.go
+++ b/internal/rollout/verdict/cases_test.go
@@ -20,7 +20,7 @@
 				if m.Wrong() > 0.1 {
 					t.Fatal(m.String())
 				}
-				if m.GoodParts[len(m.GoodParts)/2] > 0.65 || m.GoodParts[0] < 0.5 {
+				if m.GoodFractions[len(m.GoodFractions)/2] > 0.65 || m.GoodFractions[0] < 0.5 {
 					t.Fatal(m.String())
 				}
 			})
--- a/internal/rollout/verdict/config.go
+++ b/internal/rollout/verdict/config.go
@@ -27,8 +27,8 @@
 	SlowFactors []float64 `yaml:"slow_factors"`
 	// Way is added to each of these limits: the round trip between zones.
 	Way time.Duration `yaml:"way"`
-	// LeafPart is the largest part of the threshold that one of two leafs may contribute; above 0.5 two bad leafs suffice.
-	LeafPart float64 `yaml:"leaf_part"`
+	// LeafFraction is the largest fraction of the threshold that one of two leafs may contribute; above 0.5 two bad leafs suffice.
+	LeafFraction float64 `yaml:"leaf_part"`
 	// Alike is the correlation of late answers of one leaf within Moment, 0 to 1.
 	Alike float64 `yaml:"alike"`
 	// Moment is the longest pause of a leaf that is normal.
@@ -40,7 +40,7 @@
 	Recent time.Duration `yaml:"recent"`
 	// Settle is how long an evaluator node must have complete counts before it finds a version good.
 	Settle time.Duration `yaml:"settle"`
-	// GoodFrom is the part of the spec's duration from which full evidence makes a version good, GoodByLittle the part
+	// GoodFrom is the fraction of the spec's duration from which full evidence makes a version good, GoodByLittle the part
 	// from which little evidence does.
 	GoodFrom     float64 `yaml:"good_from"`
 	GoodByLittle float64 `yaml:"good_by_little"`
@@ -60,8 +60,8 @@
 		// Round trip between zones of one region.
 		Way: 2 * time.Millisecond,
 		// Just above half, so that two bad leafs suffice and one never does.
-		LeafPart: 0.6,
-		Alike:    0.3, Moment: 250 * time.Millisecond,
+		LeafFraction: 0.6,
+		Alike:        0.3, Moment: 250 * time.Millisecond,
 		ColdFor: 4 * time.Second, ColdFactor: 2,
 		Recent: time.Second,
 		// The reports of all nodes come in within about a second.
@@ -75,32 +75,32 @@
 // Validate returns an error that names every invalid field.
 func (c Config) Validate() error {
 	var checks failure.Checks
-	checks.Refuse(!isPart(c.FalseAlarm), "false_alarm", "must be between 0 and 1")
-	checks.Refuse(!isPart(c.FalseAlarmMoving) || c.FalseAlarmMoving < c.FalseAlarm, "false_alarm_moving", "must be between false_alarm and 1")
-	checks.Refuse(!isPart(c.Miss), "miss", "must be between 0 and 1")
-	checks.Refuse(len(c.BadShares) == 0 || !areParts(c.BadShares), "bad_shares", "must be between 0 and 1, at least one")
-	checks.Refuse(!isPart(c.LeastBadShare), "least_bad_share", "must be between 0 and 1")
-	checks.Refuse(!isPart(c.LeastSlowShare), "least_slow_share", "must be between 0 and 1")
+	checks.Refuse(!isFraction(c.FalseAlarm), "false_alarm", "must be between 0 and 1")
+	checks.Refuse(!isFraction(c.FalseAlarmMoving) || c.FalseAlarmMoving < c.FalseAlarm, "false_alarm_moving", "must be between false_alarm and 1")
+	checks.Refuse(!isFraction(c.Miss), "miss", "must be between 0 and 1")
+	checks.Refuse(len(c.BadShares) == 0 || !areFractions(c.BadShares), "bad_shares", "must be between 0 and 1, at least one")
+	checks.Refuse(!isFraction(c.LeastBadShare), "least_bad_share", "must be between 0 and 1")
+	checks.Refuse(!isFraction(c.LeastSlowShare), "least_slow_share", "must be between 0 and 1")
 	checks.Refuse(!areAtLeastOne(c.SlowFactors), "slow_factors", "must be at least 1")
 	checks.Refuse(c.Way < 0, "way", "must not be negative")
-	checks.Refuse(!isPart(c.LeafPart), "leaf_part", "must be between 0 and 1")
+	checks.Refuse(!isFraction(c.LeafFraction), "leaf_part", "must be between 0 and 1")
 	checks.Refuse(c.Alike < 0 || c.Alike > 1, "alike", "must be between 0 and 1")
 	checks.Refuse(c.Moment <= 0, "moment", "must be positive")
 	checks.Refuse(c.ColdFor < 0, "cold_for", "must not be negative")
 	checks.Refuse(c.ColdFactor < 1, "cold_factor", "must be at least 1")
 	checks.Refuse(c.Recent <= 0, "recent", "must be positive")
 	checks.Refuse(c.Settle < 0, "settle", "must not be negative")
-	checks.Refuse(!isPart(c.GoodFrom), "good_from", "must be between 0 and 1")
-	checks.Refuse(!isPart(c.GoodByLittle) || c.GoodByLittle < c.GoodFrom, "good_by_little", "must be between good_from and 1")
+	checks.Refuse(!isFraction(c.GoodFrom), "good_from", "must be between 0 and 1")
+	checks.Refuse(!isFraction(c.GoodByLittle) || c.GoodByLittle < c.GoodFrom, "good_by_little", "must be between good_from and 1")
 	checks.Refuse(c.LeastAnswers < 1, "least_answers", "must be at least 1")
 	return checks.Err()
 }
 
-func isPart(part float64) bool { return part > 0 && part < 1 }
+func isFraction(fraction float64) bool { return fraction > 0 && fraction < 1 }
 
-func areParts(parts []float64) bool {
-	for _, part := range parts {
-		if !isPart(part) {
+func areFractions(fractions []float64) bool {
+	for _, fraction := range fractions {
+		if !isFraction(fraction) {
 			return false
 		}
 	}
--- a/internal/rollout/verdict/finding.go
+++ b/internal/rollout/verdict/finding.go
@@ -18,9 +18,9 @@
 	aloneFactor         = 2
 	// falseAlarmAnswers is the number of answers that Config.FalseAlarm applies to.
 	falseAlarmAnswers = 100
-	// minLeafPartOfMany is the smallest part of the threshold that one of three leafs or more may contribute: any
+	// minLeafFractionOfMany is the smallest part of the threshold that one of three leafs or more may contribute: any
 	// three bad leafs reach the threshold, however high it is.
-	minLeafPartOfMany = 0.45
+	minLeafFractionOfMany = 0.45
 	// maxWeightPerMoment bounds the weight, a natural logarithm, of one leaf's late answers within one moment. A leaf
 	// pauses in about a tenth of all moments, so that one late moment is at most ten times likelier for a bad
 	// version.
@@ -52,15 +52,15 @@
 	}
 }
 
-// isGood decides whether a version is found good. It needs the part GoodFrom of the spec's duration, complete counts
+// isGood decides whether a version is found good. It needs the fraction GoodFrom of the spec's duration, complete counts
 // for minimumWatch, and LeastAnswers answers; then either full evidence or, from the part GoodByLittle on, little
 // evidence that speaks for it throughout.
 func (e *Evaluator) isGood(elapsed time.Duration, worst strongestSignal) bool {
-	part := float64(elapsed) / float64(e.duration)
-	if part < e.cfg.GoodFrom || elapsed-e.completeSince < e.minimumWatch() || e.pooled[0].seen.all < float64(e.cfg.LeastAnswers) {
+	fraction := float64(elapsed) / float64(e.duration)
+	if fraction < e.cfg.GoodFrom || elapsed-e.completeSince < e.minimumWatch() || e.pooled[0].seen.all < float64(e.cfg.LeastAnswers) {
 		return false
 	}
-	return e.isGoodOnFullEvidence() || part >= e.cfg.GoodByLittle && e.isGoodOnLittleEvidence(worst)
+	return e.isGoodOnFullEvidence() || fraction >= e.cfg.GoodByLittle && e.isGoodOnLittleEvidence(worst)
 }
 
 // minimumWatch returns how long the counts must have been complete before a version is found good: Config.Settle, but
@@ -141,16 +141,16 @@
 
 // leafCap returns the most that one leaf may contribute to a level, so that one bad leaf doesn't condemn a version. A
 // leaf that is still the only one in the second half of the spec is taken for the version. Of two leafs each may
-// contribute LeafPart of the threshold. Of more, the cap grows more slowly than the threshold, down to
-// minLeafPartOfMany of it.
+// contribute LeafFraction of the threshold. Of more, the cap grows more slowly than the threshold, down to
+// minLeafFractionOfMany of it.
 func (e *Evaluator) leafCap(elapsed time.Duration) float64 {
 	switch {
 	case len(e.leafs) == 1 && elapsed > e.duration/2:
 		return math.MaxFloat64
 	case len(e.leafs) <= 2:
-		return e.cfg.LeafPart * e.threshold()
+		return e.cfg.LeafFraction * e.threshold()
 	}
-	return max(e.cfg.LeafPart*e.firstThreshold(), minLeafPartOfMany*e.threshold())
+	return max(e.cfg.LeafFraction*e.firstThreshold(), minLeafFractionOfMany*e.threshold())
 }
 
 // isRare reports whether a route has hardly any of the answers of either version.
--- a/internal/rollout/verdict/verdicttest/answers.go
+++ b/internal/rollout/verdict/verdicttest/answers.go
@@ -116,8 +116,8 @@
 
 // applyIncident applies the incident to an attempt.
 func (p *play) applyIncident(a *answer, at time.Duration, l *leaf) {
-	part := float64(at) / float64(p.of.Duration)
-	passing := part >= incidentFrom && part < incidentTo
+	fraction := float64(at) / float64(p.of.Duration)
+	passing := fraction >= incidentFrom && fraction < incidentTo
 	chosen := l.isCanary && l.number == 0
 	switch p.of.Incident {
 	case DeadLeaf:
--- a/internal/rollout/verdict/verdicttest/case.go
+++ b/internal/rollout/verdict/verdicttest/case.go
@@ -35,7 +35,7 @@
 	// Slow multiplies the latency of a SlowShare of the answers.
 	Slow      float64
 	SlowShare float64
-	// From is the part of the spec's duration after which the fault shows.
+	// From is the fraction of the spec's duration after which the fault shows.
 	From float64
 	// LastRoute limits the fault to the last route.
 	LastRoute bool
--- a/internal/rollout/verdict/verdicttest/measure.go
+++ b/internal/rollout/verdict/verdicttest/measure.go
@@ -15,11 +15,11 @@
 	Seeds int
 	// Good, Bad and Undecided count the findings at the end of the spec; Switched those that were good before bad.
 	Good, Bad, Undecided, Switched int
-	// BadAnswers are the bad answers until a version was found bad, BadAfter when that was, and GoodParts when a
-	// version was found good as parts of the spec's duration; each sorted.
-	BadAnswers []int
-	BadAfter   []time.Duration
-	GoodParts  []float64
+	// BadAnswers are the bad answers until a version was found bad, BadAfter when that was, and GoodFractions when a
+	// version was found good as fractions of the spec's duration; each sorted.
+	BadAnswers    []int
+	BadAfter      []time.Duration
+	GoodFractions []float64
 }
 
 // Repeat plays a case with the given number of seeds and the default configuration.
@@ -47,13 +47,13 @@
 func (m *Measure) sort() {
 	slices.Sort(m.BadAnswers)
 	slices.Sort(m.BadAfter)
-	slices.Sort(m.GoodParts)
+	slices.Sort(m.GoodFractions)
 }
 
 func (m *Measure) count(outcome Outcome) {
 	duration := m.Case.withDefaults().Duration
 	if outcome.GoodAt > 0 {
-		m.GoodParts = append(m.GoodParts, float64(outcome.GoodAt)/float64(duration))
+		m.GoodFractions = append(m.GoodFractions, float64(outcome.GoodAt)/float64(duration))
 	}
 	switch outcome.Last {
 	case verdict.Good:
@@ -85,15 +85,15 @@
 		m.Case.Name, m.percent(m.Good), m.percent(m.Bad), m.percent(m.Undecided), m.percent(m.Switched),
 		quantile(m.BadAnswers, 0.5), quantile(m.BadAnswers, 0.95),
 		quantile(m.BadAfter, 0.5).Seconds(), quantile(m.BadAfter, 0.95).Seconds(),
-		quantile(m.GoodParts, 0.5), quantile(m.GoodParts, 0.95))
+		quantile(m.GoodFractions, 0.5), quantile(m.GoodFractions, 0.95))
 }
 
 func (m *Measure) percent(n int) float64 { return 100 * float64(n) / float64(max(m.Seeds, 1)) }
 
-func quantile[T any](sorted []T, part float64) T {
+func quantile[T any](sorted []T, fraction float64) T {
 	var zero T
 	if len(sorted) == 0 {
 		return zero
 	}
-	return sorted[int(part*float64(len(sorted)-1))]
+	return sorted[int(fraction*float64(len(sorted)-1))]
 }
--- a/internal/rollout/verdict/verdicttest/verdicttest.go
+++ b/internal/rollout/verdict/verdicttest/verdicttest.go
@@ -92,8 +92,8 @@
 // next returns when the next request arrives.
 func (p *play) next(at time.Duration) time.Duration {
 	perSecond := p.of.PerSecond
-	part := float64(at) / float64(p.of.Duration)
-	if p.of.Incident == Burst && part >= incidentFrom && part < incidentTo {
+	fraction := float64(at) / float64(p.of.Duration)
+	if p.of.Incident == Burst && fraction >= incidentFrom && fraction < incidentTo {
 		perSecond *= burstFactor
 	}
 	return at + time.Duration(p.random.ExpFloat64()/perSecond*float64(time.Second))
@@ -132,11 +132,11 @@
 
 // inMoment returns the leaf that gets all requests now from the slack, or nil.
 func (p *play) inMoment(at time.Duration) *leaf {
-	part := (float64(at)/float64(p.of.Duration) - slackFrom) / (slackTo - slackFrom)
-	if part < 0 || part >= 1 {
+	fraction := (float64(at)/float64(p.of.Duration) - slackFrom) / (slackTo - slackFrom)
+	if fraction < 0 || fraction >= 1 {
 		return nil
 	}
-	moment := math.Floor(part * moments)
+	moment := math.Floor(fraction * moments)
 	if p.spent >= slack*used*(moment+1)/moments {
 		return nil
 	}
