--- a/internal/config/catalog/rollout_test.go
+++ b/internal/config/catalog/rollout_test.go
@@ -139,7 +139,7 @@
 	return known
 }
 
-func TestOrderThatIsTakenBackLeavesWhatServed(t *testing.T) {
+func TestWithdrawnSpecLeavesWhatServed(t *testing.T) {
 	is := is.New(t)
 	known := orderedCatalog(t)
 	is.Equal(len(known.View().Leafs.Canaries("s")), 1)
@@ -172,7 +172,7 @@
 }
 
 // A value that can't be decoded leaves the spec that is in force.
-func TestUnreadableOrderLeavesTheOneInForce(t *testing.T) {
+func TestUnreadableSpecLeavesTheOneInForce(t *testing.T) {
 	is := is.New(t)
 	known := orderedCatalog(t)
 	refused := 0
--- a/internal/config/configsync/config.go
+++ b/internal/config/configsync/config.go
@@ -40,8 +40,8 @@
 	LookAfter time.Duration `yaml:"look_after"`
 	// MachineListInterval is how often watchers read the machine list.
 	MachineListInterval time.Duration `yaml:"machine_list_interval"`
-	// LeavingHold is how long a notice that a leaf is leaving is valid unless repeated.
-	LeavingHold time.Duration `yaml:"leaving_hold"`
+	// LeavingTTL is how long a notice that a leaf is leaving is valid unless repeated.
+	LeavingTTL time.Duration `yaml:"leaving_hold"`
 }
 
 // DefaultConfig brings a change into force in a large zone within a second.
@@ -61,7 +61,7 @@
 		WatchSilence:        3 * time.Second,
 		LookAfter:           1750 * time.Millisecond,
 		MachineListInterval: time.Second,
-		LeavingHold:         30 * time.Second,
+		LeavingTTL:          30 * time.Second,
 	}
 }
 
@@ -85,7 +85,7 @@
 		{"watch_silence", c.WatchSilence},
 		{"look_after", c.LookAfter},
 		{"machine_list_interval", c.MachineListInterval},
-		{"leaving_hold", c.LeavingHold},
+		{"leaving_hold", c.LeavingTTL},
 	}
 	for _, duration := range durations {
 		checks.Refuse(duration.value <= 0, duration.field, "must be positive")
--- a/internal/config/configsync/configsync_test.go
+++ b/internal/config/configsync/configsync_test.go
@@ -131,7 +131,7 @@
 	testLeavingLeafIsTold(t, func(f *fleet) {
 		for id, node := range f.nodes {
 			if id[:2] == "z0" {
-				node.syncer.handleNotices([]peer.LeafNotice{{LeafID: "leaf-1", Millis: DefaultConfig().LeavingHold.Milliseconds()}})
+				node.syncer.handleNotices([]peer.LeafNotice{{LeafID: "leaf-1", Millis: DefaultConfig().LeavingTTL.Milliseconds()}})
 			}
 		}
 	})
--- a/internal/config/configsync/handler.go
+++ b/internal/config/configsync/handler.go
@@ -22,7 +22,7 @@
 // RolloutHandler receives messages on roll-outs, with the peer address of the sender.
 type RolloutHandler interface {
 	HandleReports(from string, reports peer.RolloutReports)
-	HandleHold(from string, hold peer.RolloutHold)
+	HandleAbort(from string, abort peer.RolloutAbort)
 }
 
 // PeerHandler is the peer.Handler of a node: it dispatches each message to membership, configuration or one of
@@ -54,9 +54,9 @@
 		if h.handlers.Rollouts != nil {
 			h.handlers.Rollouts.HandleReports(message.From, *message.RolloutReports)
 		}
-	case message.RolloutHold != nil:
+	case message.RolloutAbort != nil:
 		if h.handlers.Rollouts != nil {
-			h.handlers.Rollouts.HandleHold(message.From, *message.RolloutHold)
+			h.handlers.Rollouts.HandleAbort(message.From, *message.RolloutAbort)
 		}
 	case message.Quarantine != nil:
 		if h.handlers.Quarantine != nil {
--- a/internal/config/configsync/leaving.go
+++ b/internal/config/configsync/leaving.go
@@ -50,8 +50,8 @@
 func (s *Syncer) handleNotices(notices []peer.LeafNotice) {
 	now := time.Now()
 	for _, received := range notices {
-		hold := min(time.Duration(received.Millis)*time.Millisecond, s.config.LeavingHold)
-		s.recordNotice(received.LeafID, now.Add(hold))
+		ttl := min(time.Duration(received.Millis)*time.Millisecond, s.config.LeavingTTL)
+		s.recordNotice(received.LeafID, now.Add(ttl))
 	}
 }
 
@@ -72,7 +72,7 @@
 
 // isRenewal reports whether a notice expires so much later than the known one that it must be passed on again.
 func (s *Syncer) isRenewal(until, known time.Time) bool {
-	return until.Sub(known) >= s.config.LeavingHold/renewalShare
+	return until.Sub(known) >= s.config.LeavingTTL/renewalShare
 }
 
 // claimNoticePush reports whether this watcher must push a notice, and marks it as pushed.
@@ -89,7 +89,7 @@
 
 // LeafDraining records that a leaf announced that it is leaving; gossip passes the notice on in the zone.
 func (s *Syncer) LeafDraining(leafID string) {
-	s.recordNotice(leafID, time.Now().Add(s.config.LeavingHold))
+	s.recordNotice(leafID, time.Now().Add(s.config.LeavingTTL))
 }
 
 // machineLoop lets watchers read the zone's leafs on the machine list and spread the notice of those that are
@@ -142,13 +142,13 @@
 // pushLeaving pushes the notices that this watcher has not pushed yet, or that need renewal, to its own zone and
 // to one node of each other zone, which passes them on there.
 func (s *Syncer) pushLeaving(ctx context.Context, leaving []string) {
-	until := time.Now().Add(s.config.LeavingHold)
+	until := time.Now().Add(s.config.LeavingTTL)
 	isFirst := s.rank() == 0
 	var news []peer.LeafNotice
 	for _, leafID := range leaving {
 		s.recordNotice(leafID, until)
 		if isFirst && s.claimNoticePush(leafID, until) {
-			news = append(news, peer.LeafNotice{LeafID: leafID, Millis: s.config.LeavingHold.Milliseconds()})
+			news = append(news, peer.LeafNotice{LeafID: leafID, Millis: s.config.LeavingTTL.Milliseconds()})
 		}
 	}
 	if len(news) == 0 {
--- a/internal/config/configwriter/guarded_test.go
+++ b/internal/config/configwriter/guarded_test.go
@@ -85,7 +85,7 @@
 }
 
 // A write made before the order was replaced is accepted although its reply was lost; a later one is a conflict.
-func TestReplacedOrderSettlesALostAnswer(t *testing.T) {
+func TestReplacedSpecSettlesALostAnswer(t *testing.T) {
 	for name, lost := range map[string]fault{"done": loseReply, "not done": loseRequest} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/fleet/peer/message.go
+++ b/internal/fleet/peer/message.go
@@ -74,7 +74,7 @@
 	Reach        *Reach        `json:"reach,omitempty"`
 
 	RolloutReports *RolloutReports `json:"rollout_reports,omitempty"`
-	RolloutHold    *RolloutHold    `json:"rollout_hold,omitempty"`
+	RolloutAbort   *RolloutAbort   `json:"rollout_hold,omitempty"`
 
 	Quarantine *Quarantine `json:"quarantine,omitempty"`
 }
@@ -182,8 +182,8 @@
 	Record *quarantine.Record `json:"record,omitempty"`
 }
 
-// RolloutHold says that no further requests may be sent to the canary version by an order.
-type RolloutHold struct {
+// RolloutAbort says that no further requests may be sent to the canary version by an order.
+type RolloutAbort struct {
 	Service string `json:"service"`
 	// SpecID is the revision of the spec.
 	SpecID int64 `json:"order"`
--- a/internal/lab/soak/link.go
+++ b/internal/lab/soak/link.go
@@ -132,7 +132,7 @@
 	buffer := make([]byte, linkBufferBytes)
 	for {
 		n, err := from.Read(buffer)
-		if !l.hold(isBack) {
+		if !l.await(isBack) {
 			return
 		}
 		if n > 0 {
@@ -149,8 +149,8 @@
 	}
 }
 
-// hold waits until the condition lets bytes pass. It returns false if they are lost.
-func (l *Link) hold(isBack bool) bool {
+// await waits until the condition lets bytes pass. It returns false if they are lost.
+func (l *Link) await(isBack bool) bool {
 	if l.now() == Delayed {
 		time.Sleep(linkDelay)
 	}
--- a/internal/leaf/leafhttp/early_test.go
+++ b/internal/leaf/leafhttp/early_test.go
@@ -46,8 +46,8 @@
 const (
 	// readOn reads the rest of the body at once.
 	readOn afterAnswer = iota
-	// hold reads the rest when goOn is closed.
-	hold
+	// readLater reads the rest when goOn is closed.
+	readLater
 	// reset ends the connection with the rest unread.
 	reset
 )
@@ -101,7 +101,7 @@
 	}
 	_, _ = fmt.Fprintf(connection, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n%s: %s\r\n\r\nok", names.RequestID, id)
 	switch l.after {
-	case hold:
+	case readLater:
 		<-l.goOn
 	case reset:
 		_ = connection.SetLinger(0)
@@ -179,7 +179,7 @@
 // While a leaf that has answered has not read the rest of a body, the next request goes on another connection.
 func TestHeldBodyKeepsItsConnectionFromOthers(t *testing.T) {
 	is := is.New(t)
-	leaf := newEarlyLeaf(t, 0, hold)
+	leaf := newEarlyLeaf(t, 0, readLater)
 	pool := New(testConfig(), names, nil)
 	defer pool.Close()
 	b := &bench{t: t, pool: pool}
--- a/internal/leaf/leafmemory/leafmemory.go
+++ b/internal/leaf/leafmemory/leafmemory.go
@@ -66,7 +66,7 @@
 // Inputs: when each leaf was lost, how long ago this node started, the stored list, and which leafs may be asked by zone
 // and version.
 //
-// Rule: the leafs that were lost within Config.Hold; if there are none, and the node started within
+// Rule: the leafs that were lost within Config.Retention; if there are none, and the node started within
 // Config.TrustAfterStart, those of the stored list. Discovery that lost every leaf of a service is more likely at fault
 // than the leafs.
 func (m *Memory) fallback(view *catalog.View, service string, maySend func(*leafset.Leaf) bool) []*leafset.Leaf {
@@ -126,7 +126,7 @@
 }
 
 // oldestLoss returns the time since which a leaf must have been lost to be asked.
-func (m *Memory) oldestLoss() time.Time { return m.now().Add(-m.config.Hold) }
+func (m *Memory) oldestLoss() time.Time { return m.now().Add(-m.config.Retention) }
 
 // isNew reports whether the node started so recently that it uses the stored list.
 func (m *Memory) isNew() bool { return m.now().Sub(m.started) < m.config.TrustAfterStart }
--- a/internal/leaf/leafmemory/leafmemory_test.go
+++ b/internal/leaf/leafmemory/leafmemory_test.go
@@ -57,7 +57,7 @@
 	is.True(lastResort)
 	is.Equal(len(memory.IDs()), 2+len([]string{"a"}))
 
-	now = now.Add(DefaultConfig().Hold + time.Millisecond)
+	now = now.Add(DefaultConfig().Retention + time.Millisecond)
 	leafs, _ = memory.Candidates("s")
 	is.Equal(len(leafs), 0)
 }
@@ -114,7 +114,7 @@
 func TestConfigNamesEveryFault(t *testing.T) {
 	is := is.New(t)
 	is.NoErr(DefaultConfig().Validate())
-	is.Equal(len(failure.Faults(Config{Hold: -1, TrustAfterStart: -1, MaximumLeafs: -1}.Validate())), 4)
+	is.Equal(len(failure.Faults(Config{Retention: -1, TrustAfterStart: -1, MaximumLeafs: -1}.Validate())), 4)
 }
 
 // An evacuated zone's leafs are no last resort, whether lost a moment ago or on the stored list.
@@ -155,7 +155,7 @@
 		is.True(!memory.MaySend("other"))
 		put(t, known, catalog.LeafKey("a"), record("a", leafset.Draining))
 		is.True(memory.MaySend("a"))
-		time.Sleep(DefaultConfig().Hold + time.Millisecond)
+		time.Sleep(DefaultConfig().Retention + time.Millisecond)
 		is.True(!memory.MaySend("a"))
 		put(t, known, catalog.LeafKey("a"), record("a", leafset.Ready))
 		is.True(memory.MaySend("a"))
@@ -179,11 +179,11 @@
 				memory, other := New(DefaultConfig(), known), New(DefaultConfig(), known)
 				time.Sleep(time.Minute)
 				lose(known)
-				time.Sleep(DefaultConfig().Hold / 2)
+				time.Sleep(DefaultConfig().Retention / 2)
 				leafs, _ := memory.Candidates("s")
 				is.Equal(len(leafs), 1)
 				is.True(memory.MaySend("a"))
-				time.Sleep(DefaultConfig().Hold)
+				time.Sleep(DefaultConfig().Retention)
 				leafs, _ = other.Candidates("s") // its first call since the loss
 				is.Equal(len(leafs), 0)
 				is.True(!other.MaySend("a"))
--- a/internal/leaf/leafmemory/suspended_test.go
+++ b/internal/leaf/leafmemory/suspended_test.go
@@ -24,7 +24,7 @@
 	now = now.Add(time.Minute)
 	put(t, known, catalog.LeafKey("a"), record("a", leafset.Draining))
 	is.True(memory.MaySend("a"))
-	now = now.Add(DefaultConfig().Hold + time.Second) // suspended
+	now = now.Add(DefaultConfig().Retention + time.Second) // suspended
 	is.True(!memory.MaySend("a"))
 	leafs, _ := memory.Candidates("s")
 	is.Equal(len(leafs), 0)
--- a/internal/leaf/leafmemory/versions_test.go
+++ b/internal/leaf/leafmemory/versions_test.go
@@ -119,7 +119,7 @@
 		put(t, known, catalog.LeafKey("2"), nil)
 		is.Equal(len(memory.Canaries("s")), 2)
 		is.True(memory.MaySend("1") && memory.MaySend("2"))
-		time.Sleep(DefaultConfig().Hold + time.Millisecond)
+		time.Sleep(DefaultConfig().Retention + time.Millisecond)
 		is.Equal(len(memory.Canaries("s")), 0)
 		put(t, known, catalog.LeafKey("2"), versioned("2", "v2"))
 		put(t, known, catalog.LeafKey("2"), nil)
--- a/internal/node/rollout_events.go
+++ b/internal/node/rollout_events.go
@@ -19,8 +19,8 @@
 	eventPhaseLearned    = "rollout_phase_learned"
 	eventPhaseWritten    = "rollout_phase_written"
 	eventPhaseNotWritten = "rollout_phase_not_written"
-	eventHoldSent        = "rollout_hold_sent"
-	eventHoldHeard       = "rollout_hold_heard"
+	eventAbortSent       = "rollout_hold_sent"
+	eventAbortReceived   = "rollout_hold_heard"
 	eventRowsDropped     = "rollout_rows_dropped"
 	eventVersionsWritten = "service_versions_written"
 )
@@ -53,7 +53,7 @@
 	Error     string                         `json:"error,omitempty"`
 }
 
-type holdEvent struct {
+type abortEvent struct {
 	Time    time.Time `json:"time"`
 	Event   string    `json:"event"`
 	Service string    `json:"service"`
@@ -108,14 +108,14 @@
 	}
 }
 
-// Held implements rolloutcontrol.EventLog.
-func (e rolloutEvents) Held(record rolloutcontrol.HoldEvent) {
-	event := holdEvent{
-		Time: time.Now(), Event: eventHoldSent, Service: record.Service, SpecID: record.SpecID, Reason: record.Reason,
+// Aborted implements rolloutcontrol.EventLog.
+func (e rolloutEvents) Aborted(record rolloutcontrol.AbortEvent) {
+	event := abortEvent{
+		Time: time.Now(), Event: eventAbortSent, Service: record.Service, SpecID: record.SpecID, Reason: record.Reason,
 		Nodes: record.Nodes, From: record.From,
 	}
 	if record.From != "" {
-		event.Event = eventHoldHeard
+		event.Event = eventAbortReceived
 	}
 	e.log.Write(decisionlog.Failed, event)
 }
--- a/internal/operator/admin/rollouts_test.go
+++ b/internal/operator/admin/rollouts_test.go
@@ -75,7 +75,7 @@
 }
 
 // What is shown of a spec never comes from the state of a spec before it.
-func TestStateOfAnotherOrderIsNotShown(t *testing.T) {
+func TestStateOfAnotherSpecIsNotShown(t *testing.T) {
 	is := is.New(t)
 	admin, known := newRolloutAdmin()
 	started, err := admin.StartRollout(t.Context(), startRequest("", 0))
--- a/internal/operator/api/search_handler.go
+++ b/internal/operator/api/search_handler.go
@@ -22,7 +22,7 @@
 
 // Search implements SearchServiceHandler.
 func (h *searchHandler) Search(ctx context.Context, request *connect.Request[searchv1.SearchRequest]) (*connect.Response[searchv1.SearchResponse], error) {
-	release, err := h.engine.Hold()
+	release, err := h.engine.Acquire()
 	if err != nil {
 		return nil, toRPC(err)
 	}
@@ -36,7 +36,7 @@
 
 // StreamSearch implements SearchServiceHandler.
 func (h *searchHandler) StreamSearch(ctx context.Context, request *connect.Request[searchv1.SearchRequest], stream *connect.ServerStream[searchv1.StreamSearchResponse]) error {
-	release, err := h.engine.Hold()
+	release, err := h.engine.Acquire()
 	if err != nil {
 		return toRPC(err)
 	}
--- a/internal/quarantine/quarantinesync/fixture_test.go
+++ b/internal/quarantine/quarantinesync/fixture_test.go
@@ -215,9 +215,9 @@
 	return states
 }
 
-func (f *fleet) allHold(state quarantine.State) bool {
-	for _, held := range f.states() {
-		if held != state {
+func (f *fleet) allInState(state quarantine.State) bool {
+	for _, actual := range f.states() {
+		if actual != state {
 			return false
 		}
 	}
--- a/internal/quarantine/quarantinesync/restored_test.go
+++ b/internal/quarantine/quarantinesync/restored_test.go
@@ -35,6 +35,6 @@
 			is.Equal(f.writes, 2)
 			is.True(isKept)
 		})
-		is.True(f.allHold(quarantine.Quarantined))
+		is.True(f.allInState(quarantine.Quarantined))
 	})
 }
--- a/internal/quarantine/quarantinesync/sync_test.go
+++ b/internal/quarantine/quarantinesync/sync_test.go
@@ -22,7 +22,7 @@
 		f.node("a").crashLeafs()
 		time.Sleep(2 * time.Millisecond)
 		synctest.Wait()
-		is.True(f.allHold(quarantine.Quarantined))
+		is.True(f.allInState(quarantine.Quarantined))
 		is.Equal(f.writes, 1)
 		time.Sleep(contact)
 		is.Equal(f.writes, 1)
@@ -60,7 +60,7 @@
 				is.Equal(f.node("c").register.State(subject.Content), quarantine.Clear)
 				f.set(func() { f.node("c").isCut = false })
 				time.Sleep(2 * time.Second)
-				is.True(f.allHold(quarantine.Quarantined)) // announced again
+				is.True(f.allInState(quarantine.Quarantined)) // announced again
 				if finderGoes {
 					f.set(func() { f.node("a").isCut = true })
 				}
@@ -104,7 +104,7 @@
 		f.set(func() { f.loses = true })
 		f.node("a").crashLeafs()
 		time.Sleep(contact)
-		is.True(f.allHold(quarantine.Quarantined))
+		is.True(f.allInState(quarantine.Quarantined))
 		is.True(f.writes <= 2)
 		unsaved := f.node("a").register.Unsaved()
 		is.Equal(len(unsaved), 0)
@@ -122,7 +122,7 @@
 			try.LeafCrashed("leaf-"+id, 0)
 			try.End()
 			time.Sleep(100 * time.Millisecond)
-			is.Equal(f.allHold(quarantine.Quarantined), index == 2)
+			is.Equal(f.allInState(quarantine.Quarantined), index == 2)
 		}
 	})
 }
@@ -135,10 +135,10 @@
 		try := f.node("a").register.Begin(subject, func() {})
 		try.LeafCrashed("leaf-1", 0)
 		time.Sleep(100 * time.Millisecond)
-		is.True(!f.allHold(quarantine.Clear))
+		is.True(!f.allInState(quarantine.Clear))
 		try.Answered()
 		time.Sleep(100 * time.Millisecond)
-		is.True(f.allHold(quarantine.Clear))
+		is.True(f.allInState(quarantine.Clear))
 		sent := f.node("a").countSent()
 		try = f.node("a").register.Begin(subject, func() {})
 		try.LeafCrashed("leaf-2", 0)
@@ -180,6 +180,6 @@
 		is.Equal(len(second), 1)
 		second[0].Answered()
 		time.Sleep(100 * time.Millisecond)
-		is.True(f.allHold(quarantine.Clear))
+		is.True(f.allInState(quarantine.Clear))
 	})
 }
--- a/internal/request/gateway/canary_test.go
+++ b/internal/request/gateway/canary_test.go
@@ -138,7 +138,7 @@
 	}{
 		"taken back":  {drawAll(), func(b *canaryGateway) { put(b.t, b.catalog, catalog.RolloutKey("s0"), nil) }, false},
 		"rolled back": {drawAll(), func(b *canaryGateway) { b.enter(rollout.RolledBack) }, false},
-		"held":        {drawAll(), func(b *canaryGateway) { b.canary.Hold("s0", b.specID) }, false},
+		"held":        {drawAll(), func(b *canaryGateway) { b.canary.Abort("s0", b.specID) }, false},
 		"over":        {drawAll(), func(*canaryGateway) {}, false},
 		"succeeded":   {drawNone(), func(b *canaryGateway) { b.enter(rollout.Succeeded) }, true},
 	}
--- a/internal/request/scatter/caution.go
+++ b/internal/request/scatter/caution.go
@@ -21,8 +21,8 @@
 	probedAt time.Time
 	// unresolved counts all attempts in flight, those of settled shards included.
 	unresolved int
-	// hasHeld says that shards or groups wait for a probe.
-	hasHeld bool
+	// hasDelayed says that shards or groups wait for a probe.
+	hasDelayed bool
 }
 
 // addProbe counts a probe that starts now.
@@ -49,15 +49,15 @@
 const (
 	probeTimeoutFactor  = 3 // times the typical latency of an attempt
 	minimumProbeTimeout = 20 * time.Millisecond
-	// heldRetryPause is the pause after which a held shard is tried again if the plan has no ReplicaWait.
-	heldRetryPause = 5 * time.Millisecond
+	// delayedRetryPause is the pause after which a delayed shard is tried again if the plan has no ReplicaWait.
+	delayedRetryPause = 5 * time.Millisecond
 )
 
-// mustHold reports whether an attempt for a shard must wait.
+// mustDelay reports whether an attempt for a shard must wait.
 //
 // Rule: only while the scatter is cautious. A plan without probes then sends no attempt at all. Any other sends one probe
 // at a time; if that has not ended after the probe timeout, and the head start is over, the next one is sent.
-func (s *Scatter[Reply]) mustHold(index int) bool {
+func (s *Scatter[Reply]) mustDelay(index int) bool {
 	if !s.isCautious() {
 		return false
 	}
@@ -68,33 +68,33 @@
 	return time.Since(s.caution.probedAt) < timeout || s.inHeadStart()
 }
 
-// hold makes a shard wait for the probe, unless it has an attempt in flight.
-func (s *Scatter[Reply]) hold(shard *shardState[Reply]) {
+// delay makes a shard wait for the probe, unless it has an attempt in flight.
+func (s *Scatter[Reply]) delay(shard *shardState[Reply]) {
 	if len(shard.inFlight) > 0 {
 		return
 	}
-	shard.isHeld, s.caution.hasHeld = true, true
+	shard.isDelayed, s.caution.hasDelayed = true, true
 	if s.inHeadStart() {
 		shard.retryAt = s.began.Add(s.plan.HeadStart)
 		return
 	}
 	pause := s.plan.ReplicaWait
 	if pause == 0 {
-		pause = heldRetryPause
+		pause = delayedRetryPause
 	}
 	shard.retryAt = time.Now().Add(pause)
 }
 
-// releaseHeld lets held shards and groups go on once a leaf has answered.
-func (s *Scatter[Reply]) releaseHeld() {
-	if !s.summary.Ran || !s.caution.hasHeld {
+// releaseDelayed lets delayed shards and groups go on once a leaf has answered.
+func (s *Scatter[Reply]) releaseDelayed() {
+	if !s.summary.Ran || !s.caution.hasDelayed {
 		return
 	}
-	s.caution.hasHeld = false
+	s.caution.hasDelayed = false
 	s.startDelayedGroups()
 	for index := range s.shards {
-		if shard := &s.shards[index]; shard.isHeld {
-			shard.isHeld = false
+		if shard := &s.shards[index]; shard.isDelayed {
+			shard.isDelayed = false
 			shard.retryAt = time.Now()
 		}
 	}
--- a/internal/request/scatter/group.go
+++ b/internal/request/scatter/group.go
@@ -82,7 +82,7 @@
 func (s *Scatter[Reply]) delayGroups() {
 	s.markGroups()
 	s.groups.startBy = s.began.Add(s.plan.HeadStart)
-	s.caution.hasHeld = true
+	s.caution.hasDelayed = true
 }
 
 // startDelayedGroups starts delayed groups once a leaf has answered or the head start is over. If a leaf broke off its
@@ -120,7 +120,7 @@
 	result := ended.result
 	s.recordGroup(result)
 	s.caution.brokeOff = s.caution.brokeOff || result.BrokeOff
-	s.releaseHeld()
+	s.releaseDelayed()
 	for place, index := range s.plan.Groups[ended.group].Shards {
 		shard := &s.shards[index]
 		hasReply := result.Replies != nil && result.Replies[place] != nil
--- a/internal/request/scatter/launch.go
+++ b/internal/request/scatter/launch.go
@@ -7,14 +7,14 @@
 )
 
 // launch starts an attempt for a shard and reports whether it did. Without a usable replica or room in the budget, the
-// shard waits or is settled, see waitOrSettle; while a probe is awaited it is held, see mustHold.
+// shard waits or is settled, see waitOrSettle; while a probe is awaited it is held, see mustDelay.
 //
 // A hedge is not sent to an unhealthy replica, nor if Policy.WorthHedging reports that its reply would come too late: it
 // would add load without helping the request.
 func (s *Scatter[Reply]) launch(index int, kind Kind, takeBudget func() bool) bool {
 	shard := &s.shards[index]
-	if s.mustHold(index) {
-		s.hold(shard)
+	if s.mustDelay(index) {
+		s.delay(shard)
 		return false
 	}
 	choice := s.choose(index)
--- a/internal/request/scatter/scatter.go
+++ b/internal/request/scatter/scatter.go
@@ -149,7 +149,7 @@
 	shard.removeInFlight(ended.attempt.Leaf.ID)
 	s.record(ended)
 	s.recordCrashEvidence(ended)
-	s.releaseHeld()
+	s.releaseDelayed()
 	if shard.done || s.caution.stopped {
 		return
 	}
--- a/internal/request/scatter/shard.go
+++ b/internal/request/scatter/shard.go
@@ -25,8 +25,8 @@
 	hedgeStage int
 	hedgeAt    time.Time // zero if no hedge is scheduled
 	retryAt    time.Time // zero if the shard does not wait for a replica or a probe
-	// isHeld says that the shard waits for a probe to end.
-	isHeld bool
+	// isDelayed says that the shard waits for a probe to end.
+	isDelayed bool
 
 	// isGrouped says that the shard is asked in a group.
 	isGrouped bool
@@ -58,7 +58,7 @@
 	}
 	s.inFlight = append(s.inFlight, inFlightAttempt{leafID, now})
 	s.attempts++
-	s.retryAt, s.isHeld = time.Time{}, false
+	s.retryAt, s.isDelayed = time.Time{}, false
 }
 
 // removeInFlight removes the attempt at a leaf from those in flight.
--- a/internal/request/search/lifecycle.go
+++ b/internal/request/search/lifecycle.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// Hold counts a search as in flight, so that Drain waits, until release is called.
-func (e *Engine) Hold() (release func(), err error) {
+// Acquire counts a search as in flight, so that Drain waits, until release is called.
+func (e *Engine) Acquire() (release func(), err error) {
 	if err := e.enter(); err != nil {
 		return nil, err
 	}
--- a/internal/request/search/search_test.go
+++ b/internal/request/search/search_test.go
@@ -277,13 +277,13 @@
 		engine, _ := newTestEngine(t, &scriptedLeafs{answer: func(string, *leafv1.SearchShardRequest) (time.Duration, error) {
 			return 400 * time.Millisecond, nil
 		}})
-		release, err := engine.Hold()
+		release, err := engine.Acquire()
 		is.NoErr(err)
 		drained := make(chan error, 1)
 		began := time.Now()
 		go func() { drained <- engine.Drain(t.Context()) }()
 		synctest.Wait()
-		_, err = engine.Hold()
+		_, err = engine.Acquire()
 		is.True(failure.Is(err, failure.Draining))
 		is.Equal(failure.From(err).Execution, failure.NotRun)
 		is.True(failure.From(err).RetryAfter > 0)
--- a/internal/rollout/canary/splitter.go
+++ b/internal/rollout/canary/splitter.go
@@ -66,17 +66,17 @@
 	// startRevision is the revision of the first configuration seen; 0 before it.
 	startRevision int64
 	budgets       map[string]*budget // by service
-	// holds are the highest specs that were stopped, by service; a spec below it was replaced.
-	holds map[string]int64
-	// holdsRevision is the revision at which old holds were last dropped; 0 before the first configuration.
-	holdsRevision int64
+	// aborts are the highest specs that were stopped, by service; a spec below it was replaced.
+	aborts map[string]int64
+	// abortsRevision is the revision at which old aborts were last dropped; 0 before the first configuration.
+	abortsRevision int64
 }
 
 // New returns the splitter of a node.
 func New(cfg Config, known *catalog.Catalog, fleet Fleet) *Splitter {
 	s := &Splitter{
 		cfg: cfg, catalog: known, fleet: fleet, now: time.Now, random: rand.Float64,
-		budgets: map[string]*budget{}, holds: map[string]int64{},
+		budgets: map[string]*budget{}, aborts: map[string]int64{},
 	}
 	s.Refresh()
 	return s
@@ -93,7 +93,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	view := s.view()
-	s.dropOldHolds()
+	s.dropOldAborts()
 	for service := range s.budgets {
 		if view.Leafs.Rule(service).SpecID != s.budgets[service].specID {
 			delete(s.budgets, service)
--- a/internal/rollout/canary/stage.go
+++ b/internal/rollout/canary/stage.go
@@ -12,7 +12,7 @@
 
 // The stages.
 const (
-	// stopped means that the canary version gets nothing: there is none, its spec is held, or its time is over.
+	// stopped means that the canary version gets nothing: there is none, its spec is aborted, or its time is over.
 	stopped stage = iota
 	// bounded means that it gets the bounded share, of first attempts only.
 	bounded
@@ -38,13 +38,13 @@
 }
 
 // stage decides how far this node is with a spec, by the spec's phase, the time since this node learned of it, and
-// the time since the configuration was confirmed as the newest. A held spec is stopped. A version found good ramps
+// the time since the configuration was confirmed as the newest. An aborted spec is stopped. A version found good ramps
 // up and then gets everything, but only while the configuration was confirmed within ConfirmedWithin: otherwise the
 // verdict may have been revoked, and the bound applies again. After the spec's duration an undecided version gets
 // nothing. The lock must be held.
 func (s *Splitter) stage(service string, rule rollout.Rule, budget *budget, now time.Time) stage {
 	switch {
-	case rule.SpecID <= s.holds[service]:
+	case rule.SpecID <= s.aborts[service]:
 		return stopped
 	case rule.Phase == rollout.Switching && now.Sub(s.catalog.ConfirmedAt()) <= s.cfg.ConfirmedWithin:
 		if now.Sub(budget.switchedAt) < s.Ramp(budget.duration) {
@@ -68,28 +68,28 @@
 	return s.cfg.Share + (1-s.cfg.Share)*over
 }
 
-// maxHolds bounds the services whose holds are kept, well above those that a fleet moves at once.
-const maxHolds = 4096
+// maxAborts bounds the services whose aborts are kept, well above those that a fleet moves at once.
+const maxAborts = 4096
 
-// Hold stops the canary version of a spec for good, whatever the configuration says about it.
-func (s *Splitter) Hold(service string, specID int64) {
+// Abort stops the canary version of a spec for good, whatever the configuration says about it.
+func (s *Splitter) Abort(service string, specID int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.dropOldHolds()
-	if len(s.holds) < maxHolds || s.holds[service] > 0 {
-		s.holds[service] = max(s.holds[service], specID)
+	s.dropOldAborts()
+	if len(s.aborts) < maxAborts || s.aborts[service] > 0 {
+		s.aborts[service] = max(s.aborts[service], specID)
 	}
 }
 
-// dropOldHolds drops holds of specs that were replaced or withdrawn. Holds of specs that this node has not learned
+// dropOldAborts drops aborts of specs that were replaced or withdrawn. Aborts of specs that this node has not learned
 // of yet stay, except after a restore of the store, when lost specs' ids are given to others. The lock must be held.
-func (s *Splitter) dropOldHolds() {
+func (s *Splitter) dropOldAborts() {
 	view := s.view()
-	isRestored := s.holdsRevision != 0 && revision.IsLater(view.Revision, s.holdsRevision)
-	s.holdsRevision = view.Revision
-	for service, specID := range s.holds {
+	isRestored := s.abortsRevision != 0 && revision.IsLater(view.Revision, s.abortsRevision)
+	s.abortsRevision = view.Revision
+	for service, specID := range s.aborts {
 		if (isRestored || specID <= revision.Count(view.Revision)) && view.Leafs.Rule(service).SpecID != specID {
-			delete(s.holds, service)
+			delete(s.aborts, service)
 		}
 	}
 }
--- a/internal/rollout/canary/stage_test.go
+++ b/internal/rollout/canary/stage_test.go
@@ -50,11 +50,11 @@
 	is.Equal(draw(splitter, 100, false), 0)
 }
 
-// A held spec is stopped in each phase, also before it is known; another spec for the same version is not.
-func TestHoldIsOfOneOrderAndStays(t *testing.T) {
+// An aborted spec is stopped in each phase, also before it is known; another spec for the same version is not.
+func TestAbortIsOfOneSpecAndStays(t *testing.T) {
 	is := is.New(t)
 	built, splitter, specID := started(t, 50)
-	splitter.Hold("s", specID)
+	splitter.Abort("s", specID)
 	is.Equal(draw(splitter, 100, false), 0)
 	is.Equal(may(splitter), "true false")
 	built.phase(specID, rollout.Switching)
@@ -62,31 +62,31 @@
 	is.Equal(draw(splitter, 100, false), 0)
 	is.Equal(splitter.RetryVersions("s"), Serving)
 	is.Equal(may(splitter), "true false")
-	splitter.Hold("s", specID-1)
+	splitter.Abort("s", specID-1)
 	is.Equal(may(splitter), "true false")
 
 	next := built.startRollout()
 	splitter.Refresh()
-	is.Equal(len(splitter.holds), 0)
+	is.Equal(len(splitter.aborts), 0)
 	is.Equal(may(splitter), "true true")
-	splitter.Hold("s", next+1)
+	splitter.Abort("s", next+1)
 	splitter.Refresh()
 	is.Equal(may(splitter), "true false") // the one before it is replaced
 	built.startRollout()
 	is.Equal(draw(splitter, 100, false), 0)
 }
 
-// Holds of services without a spec are dropped, and more than the bound are not kept.
-func TestHoldsAreBounded(t *testing.T) {
+// Aborts of services without a spec are dropped, and more than the bound are not kept.
+func TestAbortsAreBounded(t *testing.T) {
 	is := is.New(t)
 	built, splitter, specID := started(t, 50)
-	for index := range 2 * maxHolds {
-		splitter.Hold(fmt.Sprint(index), specID+1)
+	for index := range 2 * maxAborts {
+		splitter.Abort(fmt.Sprint(index), specID+1)
 	}
-	is.Equal(len(splitter.holds), maxHolds)
+	is.Equal(len(splitter.aborts), maxAborts)
 	built.put(catalog.EvacuationKey("z"), struct{}{})
 	splitter.Refresh()
-	is.Equal(len(splitter.holds), 0)
+	is.Equal(len(splitter.aborts), 0)
 }
 
 // A spec that is withdrawn leaves the version no requests and no budget.
@@ -130,7 +130,7 @@
 }
 
 // In a short spec the requests move within a part of its duration.
-func TestRampOfAShortOrder(t *testing.T) {
+func TestRampOfAShortSpec(t *testing.T) {
 	is := is.New(t)
 	built, splitter, specID := startedFor(t, 12*time.Second)
 	is.Equal(splitter.Ramp(12*time.Second), 1200*time.Millisecond)
@@ -177,7 +177,7 @@
 	built.clock = built.clock.Add(time.Minute) // lapsed: the version that served may be asked again
 	is.Equal(splitter.SettledRevision(), switched-1)
 	built.pass(0)
-	splitter.Hold("s", specID)
+	splitter.Abort("s", specID)
 	is.Equal(splitter.SettledRevision(), switched-1)
 	splitter.AttemptEnded("s", target)
 	is.Equal(len(splitter.inFlight.counts), 0)
--- a/internal/rollout/evidence/collector_test.go
+++ b/internal/rollout/evidence/collector_test.go
@@ -109,7 +109,7 @@
 }
 
 // Rows of a spec are dropped when it is no longer in force; the next one starts at zero.
-func TestRowsGoWithTheirOrder(t *testing.T) {
+func TestRowsAreDroppedWithTheirSpec(t *testing.T) {
 	is := is.New(t)
 	c, known, _ := ordered(t)
 	observe := func() { c.Observe("r", leaf("a", "s", "v2"), false, time.Millisecond) }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -25,7 +25,7 @@
 	return made
 }
 
-func TestRuleFollowsFromOrderAndState(t *testing.T) {
+func TestRuleFollowsFromSpecAndState(t *testing.T) {
 	canary := Rule{Serving: "v1", Canary: "v2", Phase: Canary, SpecID: specRevision}
 	withState := func(rule Rule, phase Phase) Rule {
 		rule.Revision, rule.Phase = 9, phase
--- a/internal/rollout/rolloutcontrol/activerollout.go
+++ b/internal/rollout/rolloutcontrol/activerollout.go
@@ -30,7 +30,7 @@
 	rows       []evidence.Row
 	newestAt   time.Time // when the newest of the rows arrived
 
-	warnedAt time.Time // when the hold was last sent to the other evaluator nodes
+	warnedAt time.Time // when the abort was last sent to the other evaluator nodes
 
 	state          *rollout.State // the one in force for the spec; nil before the first
 	switchingSince time.Time
--- a/internal/rollout/rolloutcontrol/controller.go
+++ b/internal/rollout/rolloutcontrol/controller.go
@@ -6,10 +6,10 @@
 // Correctness does not depend on nodes agreeing about who they are: each evaluator node may write, and the store accepts a
 // write only in place of the state that the evaluator node knew and while the spec is unchanged. If evaluator nodes disagree the first
 // write wins, and a late one has no effect. A version found bad is stopped at once by messages between nodes (a
-// hold), whether or not the store accepts the write.
+// abort), whether or not the store accepts the write.
 //
-// The package owns the counts of all nodes at an evaluator node, the holds, and the goroutines of Run with its writes and fleet
-// calls. It relies on the catalog for specs, states and registered nodes, on datagrams for reports and holds, on
+// The package owns the counts of all nodes at an evaluator node, the aborts, and the goroutines of Run with its writes and fleet
+// calls. It relies on the catalog for specs, states and registered nodes, on datagrams for reports and aborts, on
 // conditional writes of the store, and on a clock that counts suspended time.
 package rolloutcontrol
 
@@ -27,8 +27,8 @@
 
 // Splitter is what draws this node's requests for canary versions; canary.Splitter is the real one.
 type Splitter interface {
-	// Hold stops the canary of a spec at this node for good.
-	Hold(service string, specID int64)
+	// Abort stops the canary of a spec at this node for good.
+	Abort(service string, specID int64)
 	// SettledRevision returns the revision at which the node is settled: it sends nothing by an older rule any more.
 	SettledRevision() int64
 	// Ramp returns how long the nodes take to move the requests of a spec with the given duration.
@@ -63,7 +63,7 @@
 	deps     Deps
 	cfg      Config
 	tallies  tallies
-	holds    holds
+	aborts   aborts
 	reporter *reporter
 
 	// The fields up to running belong to the goroutine of Run.
@@ -161,7 +161,7 @@
 // report their counts within one; the second covers delivery and late ticks.
 const resumeIntervals = 2
 
-// mustWaitForReports reports whether the machine resumed so recently that reports and holds sent meanwhile may still
+// mustWaitForReports reports whether the machine resumed so recently that reports and aborts sent meanwhile may still
 // be unread. Otherwise an evaluator node could find a version good by counts from before it turned bad.
 func (c *Controller) mustWaitForReports(now time.Time) bool {
 	if c.steppedAt.Suspended() > 0 {
@@ -216,7 +216,7 @@
 	maps.DeleteFunc(c.schedules, func(service string, _ *writeSchedule) bool { return view.Rollouts[service] == (catalog.Rollout{}) })
 	isWanted := func(id rolloutID) bool { return c.isWanted(view, id) }
 	c.tallies.retain(isWanted)
-	c.holds.retain(isWanted)
+	c.aborts.retain(isWanted)
 	c.hasStarted = true
 }
 
@@ -226,8 +226,8 @@
 	if active == nil || active.spec.ID() != known.Spec.ID() {
 		active = &activeRollout{spec: *known.Spec, learnedAt: now, knownAtStart: !c.hasStarted}
 		c.rollouts[service] = active
-		if c.holds.has(rolloutID{service, known.Spec.ID()}) {
-			c.deps.Splitter.Hold(service, known.Spec.ID()) // the hold came before the spec
+		if c.aborts.has(rolloutID{service, known.Spec.ID()}) {
+			c.deps.Splitter.Abort(service, known.Spec.ID()) // the abort came before the spec
 		}
 		c.deps.Events.SpecSeen(SpecEvent{Spec: *known.Spec, Rank: c.rank(view, service)})
 	}
@@ -249,7 +249,7 @@
 	return known.Spec != nil && !(hasStateOfSpec(known) && known.State.Phase.IsFinal())
 }
 
-// isWanted reports whether counts and holds of a spec still matter: it is under way, or this node has not learned
+// isWanted reports whether counts and aborts of a spec still matter: it is under way, or this node has not learned
 // of it yet.
 func (c *Controller) isWanted(view *catalog.View, id rolloutID) bool {
 	if id.specID > revision.Count(view.Revision) {
--- a/internal/rollout/rolloutcontrol/controller_test.go
+++ b/internal/rollout/rolloutcontrol/controller_test.go
@@ -51,7 +51,7 @@
 		f.serve(3*time.Second, 0)
 		is.Equal(f.store.phases("s"), rollsBack)
 		for _, node := range f.all() {
-			is.True(node.isHeld(rolloutID{"s", revision}))
+			is.True(node.isAborted(rolloutID{"s", revision}))
 		}
 		is.Equal(f.node("n0").catalog.View().Leafs.Rule("s").Canary, "")
 	})
@@ -108,7 +108,7 @@
 		f.store.setDown(true)
 		f.serve(3*time.Second, 0)
 		for _, node := range f.all() {
-			is.True(node.isHeld(rolloutID{"s", revision}))
+			is.True(node.isAborted(rolloutID{"s", revision}))
 		}
 		is.Equal(f.store.phases("s"), succeeds[:1])
 		f.store.setDown(false)
@@ -160,7 +160,7 @@
 	})
 }
 
-func TestOrderReplaced(t *testing.T) {
+func TestSpecReplaced(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		f.addLeafs("s", "c", 3)
 		first := f.startRollout("s", "b", specDuration)
@@ -177,7 +177,7 @@
 	})
 }
 
-func TestOrderTakenBack(t *testing.T) {
+func TestSpecWithdrawn(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		specID := f.startRollout("s", "b", specDuration)
 		f.serve(3*time.Second, never)
--- a/internal/rollout/rolloutcontrol/evaluate.go
+++ b/internal/rollout/rolloutcontrol/evaluate.go
@@ -32,12 +32,12 @@
 func (c *Controller) evaluate(ctx context.Context, now time.Time, view *catalog.View, active *activeRollout, rank int) time.Duration {
 	id := rolloutID{active.spec.Service, active.spec.ID()}
 	rows, newest := c.tallies.sum(id)
-	if reason, isHeld := c.holds.reason(id); isHeld {
+	if reason, isAborted := c.aborts.reason(id); isAborted {
 		active.evaluation = verdict.Evaluation{Finding: verdict.Bad, Reason: reason}
 	}
 	active.evaluate(now, c.deps.NewEvaluator, rows, newest)
 	if active.evaluation.Finding == verdict.Bad {
-		c.hold(id, active.evaluation.Reason)
+		c.abort(id, active.evaluation.Reason)
 		c.warnEvaluatorNodes(now, view, active, id)
 	}
 	untilMargin := active.spec.Duration() - c.cfg.rollbackMargin(active.spec.Duration()) - active.elapsed(now)
--- a/internal/rollout/rolloutcontrol/events.go
+++ b/internal/rollout/rolloutcontrol/events.go
@@ -15,8 +15,8 @@
 	PhaseLearned(rollout.State)
 	// PhaseWritten records a write by this node, successful or not.
 	PhaseWritten(PhaseWriteEvent)
-	// Held records a hold that this node sent or received.
-	Held(HoldEvent)
+	// Aborted records an abort that this node sent or received.
+	Aborted(AbortEvent)
 	// RowsDropped records rows of counts that were not kept or not sent.
 	RowsDropped(RowsDroppedEvent)
 	// VersionsWritten records a write of the serving versions, successful or not.
@@ -41,8 +41,8 @@
 	Age time.Duration
 }
 
-// HoldEvent is a hold of a spec.
-type HoldEvent struct {
+// AbortEvent is an abort of a spec.
+type AbortEvent struct {
 	Service string
 	SpecID  int64
 	Reason  string
--- a/internal/rollout/rolloutcontrol/fleet_test.go
+++ b/internal/rollout/rolloutcontrol/fleet_test.go
@@ -61,7 +61,7 @@
 // start starts a node, or restarts one that was killed under the same id.
 func (f *fleet) start(id string) *testNode {
 	n := &testNode{id: id, fleet: f, catalog: catalog.New(nil), transport: f.network.Attach(id)}
-	n.rows, n.changed, n.held = map[evidence.Key]evidence.Tally{}, map[evidence.Key]bool{}, map[rolloutID]bool{}
+	n.rows, n.changed, n.aborted = map[evidence.Key]evidence.Tally{}, map[evidence.Key]bool{}, map[rolloutID]bool{}
 	n.catalog.EnableRollouts()
 	view := storeView{f.store, n}
 	n.controller = New(Deps{
@@ -184,7 +184,7 @@
 	return f.store.set(catalog.RolloutKey(service), rollout.Spec{Service: service, Target: target, DurationMillis: duration.Milliseconds()})
 }
 
-// serve makes each node send a request to the canary version of each service every 100 ms, unless it is held; the
+// serve makes each node send a request to the canary version of each service every 100 ms, unless it is aborted; the
 // version fails from failsFrom on.
 func (f *fleet) serve(span, failsFrom time.Duration) {
 	const pause = 100 * time.Millisecond
--- a/internal/rollout/rolloutcontrol/handlers.go
+++ b/internal/rollout/rolloutcontrol/handlers.go
@@ -15,7 +15,7 @@
 
 func (c *Controller) dropOwn(rows int) { c.deps.Events.RowsDropped(RowsDroppedEvent{Rows: rows}) }
 
-// HandleReports adds the counts of another node. If it counts for a spec that is held, it is sent the hold.
+// HandleReports adds the counts of another node. If it counts for a spec that is aborted, it is sent the abort.
 func (c *Controller) HandleReports(from string, reports peer.RolloutReports) {
 	rows, err := unpack(reports.Rows)
 	if err != nil {
@@ -24,30 +24,30 @@
 	}
 	view := c.deps.Catalog.View()
 	wanted := rows[:0]
-	held := map[rolloutID]bool{}
+	aborted := map[rolloutID]bool{}
 	for _, row := range rows {
 		id := rolloutID{row.Service, row.SpecID}
 		if c.isWanted(view, id) {
 			wanted = append(wanted, row)
-			held[id] = c.holds.has(id)
+			aborted[id] = c.aborts.has(id)
 		}
 	}
 	if dropped := c.tallies.add(process{reports.Node, reports.StartUnixNano}, from, wanted, c.deps.Clock.Now()); dropped > 0 {
 		c.deps.Events.RowsDropped(RowsDroppedEvent{From: from, Rows: dropped})
 	}
-	for id, isHeld := range held {
-		if isHeld {
-			c.sendHold(from, id)
+	for id, isAborted := range aborted {
+		if isAborted {
+			c.sendAbort(from, id)
 		}
 	}
 }
 
-// HandleHold handles an evaluator node's message that a spec's version is bad.
-func (c *Controller) HandleHold(from string, hold peer.RolloutHold) {
-	id := rolloutID{hold.Service, hold.SpecID}
-	if !c.isWanted(c.deps.Catalog.View(), id) || !c.holds.add(id, "held by a message from "+from) {
+// HandleAbort handles an evaluator node's message that a spec's version is bad.
+func (c *Controller) HandleAbort(from string, abort peer.RolloutAbort) {
+	id := rolloutID{abort.Service, abort.SpecID}
+	if !c.isWanted(c.deps.Catalog.View(), id) || !c.aborts.add(id, "held by a message from "+from) {
 		return
 	}
-	c.deps.Splitter.Hold(id.service, id.specID)
-	c.deps.Events.Held(HoldEvent{Service: id.service, SpecID: id.specID, From: from})
+	c.deps.Splitter.Abort(id.service, id.specID)
+	c.deps.Events.Aborted(AbortEvent{Service: id.service, SpecID: id.specID, From: from})
 }
--- a/internal/rollout/rolloutcontrol/handlers_test.go
+++ b/internal/rollout/rolloutcontrol/handlers_test.go
@@ -27,8 +27,8 @@
 	})
 }
 
-// A node that did not receive a hold is sent it again while it reports counts.
-func TestHoldThatWasLostIsToldAgain(t *testing.T) {
+// A node that did not receive an abort is sent it again while it reports counts.
+func TestLostAbortIsSentAgain(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		missed := f.otherNode("s")
 		revision := f.startRollout("s", "b", specDuration)
@@ -36,22 +36,22 @@
 		f.store.setDown(true)
 		f.network.Cut(func(_, to string) bool { return to == missed })
 		f.serve(2*time.Second, 0)
-		is.True(!f.node(missed).isHeld(rolloutID{"s", revision}))
+		is.True(!f.node(missed).isAborted(rolloutID{"s", revision}))
 		f.network.Cut(nil)
 		f.serve(2*f.cfg.ReportInterval, 0)
-		is.True(f.node(missed).isHeld(rolloutID{"s", revision}))
+		is.True(f.node(missed).isAborted(rolloutID{"s", revision}))
 	})
 }
 
-// A hold that arrives before its spec applies once the spec does.
-func TestHoldBeforeItsOrder(t *testing.T) {
+// An abort that arrives before its spec applies once the spec does.
+func TestAbortBeforeItsSpec(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		node := f.node("n0")
 		revision := f.startRollout("s", "b", specDuration)
-		node.controller.HandleHold("n1", peer.RolloutHold{Service: "s", SpecID: revision})
-		node.forgetHolds() // what draws knows of no spec yet, and keeps no hold of it
+		node.controller.HandleAbort("n1", peer.RolloutAbort{Service: "s", SpecID: revision})
+		node.forgetAborts() // what draws knows of no spec yet, and keeps no abort of it
 		time.Sleep(2 * syncDelay)
-		is.True(node.isHeld(rolloutID{"s", revision}))
+		is.True(node.isAborted(rolloutID{"s", revision}))
 	})
 }
 
@@ -83,7 +83,7 @@
 	})
 }
 
-// An evaluator node without counts of its own applies the hold of another.
+// An evaluator node without counts of its own applies the abort of another.
 func TestEvaluatorNodesAdoptAnAbort(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		first, second, third := f.evaluatorNode("s", 0), f.evaluatorNode("s", 1), f.evaluatorNode("s", 2)
@@ -98,7 +98,7 @@
 	})
 }
 
-// An evaluator node that reported no counts receives the hold too, even if the first message is lost.
+// An evaluator node that reported no counts receives the abort too, even if the first message is lost.
 func TestEvaluatorNodesWithoutCountsLearnOfAnAbort(t *testing.T) {
 	scene(t, func(is *is.I, f *fleet) {
 		first, second, third := f.evaluatorNode("s", 0), f.evaluatorNode("s", 1), f.evaluatorNode("s", 2)
--- a/internal/rollout/rolloutcontrol/node_test.go
+++ b/internal/rollout/rolloutcontrol/node_test.go
@@ -29,7 +29,7 @@
 	mu        sync.Mutex
 	rows      map[evidence.Key]evidence.Tally
 	changed   map[evidence.Key]bool
-	held      map[rolloutID]bool
+	aborted   map[rolloutID]bool
 	paused    chan struct{} // closed when the pause ends; nil while there is none
 	cut       bool
 	silent    bool // it asks nothing
@@ -86,22 +86,22 @@
 	n.changed[key] = true
 }
 
-func (n *testNode) Hold(service string, specID int64) {
+func (n *testNode) Abort(service string, specID int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.held[rolloutID{service, specID}] = true
+	n.aborted[rolloutID{service, specID}] = true
 }
 
-func (n *testNode) isHeld(id rolloutID) bool {
+func (n *testNode) isAborted(id rolloutID) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.held[id]
+	return n.aborted[id]
 }
 
-func (n *testNode) forgetHolds() {
+func (n *testNode) forgetAborts() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	clear(n.held)
+	clear(n.aborted)
 }
 
 func (n *testNode) SettledRevision() int64 { return n.catalog.Revision() }
@@ -125,8 +125,8 @@
 	switch {
 	case message.RolloutReports != nil:
 		n.controller.HandleReports(message.From, *message.RolloutReports)
-	case message.RolloutHold != nil:
-		n.controller.HandleHold(message.From, *message.RolloutHold)
+	case message.RolloutAbort != nil:
+		n.controller.HandleAbort(message.From, *message.RolloutAbort)
 	}
 }
 
@@ -168,7 +168,7 @@
 }
 
 func (n *testNode) PhaseWritten(PhaseWriteEvent)       {}
-func (n *testNode) Held(HoldEvent)                     {}
+func (n *testNode) Aborted(AbortEvent)                 {}
 func (n *testNode) RowsDropped(RowsDroppedEvent)       {}
 func (n *testNode) VersionsWritten(VersionsWriteEvent) {}
 
@@ -229,7 +229,7 @@
 	view := n.catalog.View()
 	for service := range view.Rollouts {
 		rule := view.Leafs.Rule(service)
-		if rule.Canary == "" || n.isHeld(rolloutID{service, rule.SpecID}) {
+		if rule.Canary == "" || n.isAborted(rolloutID{service, rule.SpecID}) {
 			continue
 		}
 		for _, leaf := range view.Leafs.Canaries(service) {
--- a/internal/rollout/rolloutcontrol/property_test.go
+++ b/internal/rollout/rolloutcontrol/property_test.go
@@ -143,7 +143,7 @@
 
 // Under any faults at most one final phase is written for a spec, none for one that was replaced, phases never go
 // back, and without faults each spec comes to its end.
-func TestOneEndForEachOrderWhateverFails(t *testing.T) {
+func TestOneEndForEachSpecWhateverFails(t *testing.T) {
 	rapid.Check(t, func(check *rapid.T) {
 		happenings := drawFaults(check)
 		var violated, unfinished string
--- a/internal/rollout/rolloutcontrol/settling_test.go
+++ b/internal/rollout/rolloutcontrol/settling_test.go
@@ -49,7 +49,7 @@
 
 // A version that was found good late is watched with all requests until its spec's time is over, not only until the
 // rollback margin.
-func TestLastLookLastsUntilTheEndOfTheOrder(t *testing.T) {
+func TestFinalWatchLastsUntilTheEndOfTheSpec(t *testing.T) {
 	is := is.New(t)
 	cfg, duration := DefaultConfig(), 9564*time.Millisecond
 	began := time.Now()
--- a/internal/rollout/rolloutcontrol/statewriter_test.go
+++ b/internal/rollout/rolloutcontrol/statewriter_test.go
@@ -27,7 +27,7 @@
 	})
 }
 
-func TestStateIsNotWrittenForAnOrderThatWasReplaced(t *testing.T) {
+func TestStateIsNotWrittenForAReplacedSpec(t *testing.T) {
 	writing(t, func(ctx context.Context, is *is.I, f *fleet, states GuardedStateWriter, first rollout.State) {
 		f.startRollout("s", "c", specDuration)
 		_, err := states.Write(ctx, first, 0, first.SpecRevision)
--- a/internal/rollout/rolloutcontrol/versionswriter_test.go
+++ b/internal/rollout/rolloutcontrol/versionswriter_test.go
@@ -65,7 +65,7 @@
 }
 
 // A service that a spec concerns has a state and no stored version.
-func TestNoVersionIsWrittenOfServicesUnderAnOrder(t *testing.T) {
+func TestNoVersionIsWrittenOfServicesUnderRollout(t *testing.T) {
 	versionsScene(t, func(is *is.I, f *fleet) {
 		f.startRollout("s", "b", time.Hour)
 		f.addLeafs("s", "b", 1)
