--- a/cmd/portgauge/rollout_test.go
+++ b/cmd/portgauge/rollout_test.go
@@ -88,7 +88,7 @@
 	config.Node = settings.Node{ID: id, Zone: "z"}
 	config.Platform.Address = platformAddress
 	config.Listen = settings.Listen{Callers: own[0], Operators: own[1], Peers: own[2], Front: own[3], Ready: own[4]}
-	config.Stop.AnnounceDelay = 0
+	config.Stop.PrepareStopDelay = 0
 	config.Rollouts.Enabled = true
 	config.RolloutVerdict.Settle = 200 * time.Millisecond
 	config.Canary.Ramp = 200 * time.Millisecond
--- a/internal/config/catalog/confirm_test.go
+++ b/internal/config/catalog/confirm_test.go
@@ -28,11 +28,11 @@
 	known := New(nil)
 	known.SetClock(func() time.Time { return time.Now().Add(suspendedFor) })
 	known.Confirm(known.Now())
-	asked := known.Mark()
+	requestedAt := known.Instant()
 	suspendedFor = 10 * time.Second
 	is.True(known.Age() >= 10*time.Second)
-	known.ConfirmSince(asked, time.Second) // may have come before the suspension
+	known.ConfirmSince(requestedAt, time.Second) // may have come before the suspension
 	is.True(known.Age() >= 10*time.Second)
-	known.ConfirmSince(known.Mark(), time.Second)
+	known.ConfirmSince(known.Instant(), time.Second)
 	is.True(known.Age() < 5*time.Second)
 }
--- a/internal/config/catalog/follow_restored_test.go
+++ b/internal/config/catalog/follow_restored_test.go
@@ -106,5 +106,5 @@
 	if node.Revision() != peer.Revision() {
 		return
 	}
-	node.Retain(peer.RetainedEntries())
+	node.Retain(peer.RetainedInForce())
 }
--- a/internal/config/catalog/freshness.go
+++ b/internal/config/catalog/freshness.go
@@ -12,8 +12,8 @@
 // Now returns the present instant by the catalog's clock.
 func (c *Catalog) Now() time.Time { return c.clock.Now() }
 
-// Mark returns a mark for ConfirmSince, which finds from it whether the machine was suspended since.
-func (c *Catalog) Mark() boottime.Mark { return c.clock.Mark() }
+// Instant returns a mark for ConfirmSince, which finds from it whether the machine was suspended since.
+func (c *Catalog) Instant() boottime.Instant { return c.clock.Instant() }
 
 // Confirm records that the revision in force was the newest at the given time by the catalog's clock, see Now.
 func (c *Catalog) Confirm(at time.Time) {
@@ -29,8 +29,8 @@
 
 // ConfirmSince records that the revision in force was the newest for some time, age, before a response that was
 // requested at a mark. If the machine was suspended since the mark, the response may be from before that.
-func (c *Catalog) ConfirmSince(asked boottime.Mark, age time.Duration) {
-	c.Confirm(c.Now().Add(-age - asked.Suspended()))
+func (c *Catalog) ConfirmSince(requestedAt boottime.Instant, age time.Duration) {
+	c.Confirm(c.Now().Add(-age - requestedAt.Suspended()))
 }
 
 // ConfirmedAt returns when the revision in force was last known to be the newest, by the catalog's clock.
--- a/internal/config/catalog/restored.go
+++ b/internal/config/catalog/restored.go
@@ -25,7 +25,7 @@
 	// at is when the node entered the epoch in force.
 	at time.Time
 	// retained are the retained entries, by key.
-	retained map[string]Retained
+	retained map[string]RetainedEntry
 	// overwritten are writes that others replaced.
 	overwritten overwrittenWrites
 	// changedAt is when the value of a key changed last, except for process records.
@@ -84,7 +84,7 @@
 func (c *Catalog) mergeNewEpoch(snapshot Snapshot) []Entry {
 	now := c.clock.Now()
 	c.restored.at = now
-	c.restored.retained = map[string]Retained{}
+	c.restored.retained = map[string]RetainedEntry{}
 	entries := make([]Entry, 0, len(snapshot.Entries))
 	isRead := make(map[string]bool, len(snapshot.Entries))
 	for _, read := range snapshot.Entries {
@@ -98,10 +98,10 @@
 			continue
 		}
 		if c.outlivesRestore(known, now) {
-			c.restored.retained[key] = Retained{Entry: known}
+			c.restored.retained[key] = RetainedEntry{Entry: known}
 			entries = append(entries, known)
 		} else if strings.HasPrefix(key, leafPrefix) {
-			c.restored.retained[key] = Retained{Entry: known, IsLost: true}
+			c.restored.retained[key] = RetainedEntry{Entry: known, IsLost: true}
 		}
 	}
 	return entries
@@ -116,7 +116,7 @@
 	}
 	// A node's record is bound to a lease, which the restore lost as well: the store is right about it.
 	if isKnown && !strings.HasPrefix(read.Key, nodePrefix) && c.isNewer(known, read, position) {
-		c.restored.retained[read.Key] = Retained{Entry: known}
+		c.restored.retained[read.Key] = RetainedEntry{Entry: known}
 		return known, true
 	}
 	c.noteRetained(read, position)
--- a/internal/config/catalog/restored_test.go
+++ b/internal/config/catalog/restored_test.go
@@ -27,14 +27,14 @@
 	is.True(node.Replace(d.state()))
 	is.Equal(node.View().Routes.Version, int64(27))
 	is.Equal(revision.Epoch(node.Revision()), int64(1))
-	is.Equal(len(node.Retained()), 1)
+	is.Equal(len(node.RetainedEntries()), 1)
 
 	node.Apply(d.put(RoutesKey, routesOf(25))) // an intermediate state is rewritten first
 	is.Equal(node.View().Routes.Version, int64(27))
 	node.Apply(d.put(RoutesKey, routesOf(27)))
 	is.Equal(node.View().Routes.Version, int64(27))
 	is.Equal(node.View().Routes.Revision, revision.At(1, 3))
-	is.Equal(len(node.Retained()), 0)
+	is.Equal(len(node.RetainedEntries()), 0)
 	node.Apply(d.put(RoutesKey, routesOf(30)))
 	is.Equal(node.View().Routes.Version, int64(30))
 	node.Apply(d.put(RoutesKey, routesOf(29))) // operators may return to an older version
@@ -62,7 +62,7 @@
 	is.True(revision.Count(changed.Entry.Revision) < revision.Count(before))
 	is.True(node.Replace(d.state()))
 	is.Equal(node.View().Routes.Version, int64(10))
-	is.Equal(len(node.Retained()), 0)
+	is.Equal(len(node.RetainedEntries()), 0)
 	is.True(node.ApplyAll(late))
 	is.Equal(node.View().Routes.Version, int64(10))
 	_, found := node.Since(before)
@@ -148,14 +148,14 @@
 		is.True(node.Replace(d.state()))
 		is.Equal(node.View().Leafs.EvacuatedZones(), []string{"again", "back", "new"})
 		node.Apply(d.put(EvacuationKey("again"), struct{}{}))
-		is.Equal(len(node.Retained()), 1)
+		is.Equal(len(node.RetainedEntries()), 1)
 		time.Sleep(RetainFor - time.Second)
 		node.DropExpired()
 		is.Equal(node.View().Leafs.EvacuatedZones(), []string{"again", "back", "new"})
 		time.Sleep(time.Second)
 		node.DropExpired()
 		is.Equal(node.View().Leafs.EvacuatedZones(), []string{"again", "back"})
-		is.Equal(len(node.Retained()), 0)
+		is.Equal(len(node.RetainedEntries()), 0)
 	})
 }
 
@@ -174,7 +174,7 @@
 		node.DropExpired()
 		is.Equal(node.View().Leafs.EvacuatedZones(), []string{"fleets"})
 		node.Apply(d.put(EvacuationKey("fleets"), struct{}{}))
-		is.Equal(len(node.Retained()), 0)
+		is.Equal(len(node.RetainedEntries()), 0)
 	})
 }
 
@@ -194,8 +194,8 @@
 	is.Equal(second.View().Routes.Version, int64(2))
 	d.restore()
 	is.True(second.Replace(d.state()))
-	is.Equal(len(second.Retained()), 1)
-	is.Equal(second.Retained()[0].Entry.Key, RoutesKey)
+	is.Equal(len(second.RetainedEntries()), 1)
+	is.Equal(second.RetainedEntries()[0].Entry.Key, RoutesKey)
 }
 
 // A verdict on a version outlives the restore, even if its spec was lost as well and is rewritten.
@@ -229,10 +229,10 @@
 			is.Equal(node.View().Leafs.Rule("s").Serving, "v1")
 
 			// A node that never saw the lost entry understands the rewritten one.
-			renewed, isDue := node.RewriteValue(node.Retained()[0].Entry)
+			renewed, isDue := node.RewriteValue(node.RetainedEntries()[0].Entry)
 			is.True(isDue)
 			node.Apply(d.putValue(RolloutStateKey("s"), renewed, false))
-			is.Equal(len(node.Retained()), 0)
+			is.Equal(len(node.RetainedEntries()), 0)
 			fresh := follower(d)
 			is.Equal(fresh.View().Leafs.Rule("s").Canary, "")
 
@@ -260,7 +260,7 @@
 		fresh := follower(d)
 		is.Equal(fresh.View().Routes.Version, int64(1))
 		is.True(fresh.RetainedFingerprint() != node.RetainedFingerprint())
-		kept := node.RetainedEntries()
+		kept := node.RetainedInForce()
 		fresh.Retain(kept)
 		is.Equal(fresh.View().Routes.Version, int64(2))
 		is.Equal(fresh.View().Leafs.EvacuatedZones(), []string{"z"})
@@ -295,7 +295,7 @@
 	is.Equal(revision.Epoch(node.Revision()), int64(3))
 	is.Equal(node.View().Routes.Version, int64(2))
 	node.Apply(d.put(RoutesKey, routesOf(2)))
-	is.Equal(len(node.Retained()), 0)
+	is.Equal(len(node.RetainedEntries()), 0)
 }
 
 // A node that starts may read a stale state, with a revision that is not of the epoch.
--- a/internal/config/catalog/retained.go
+++ b/internal/config/catalog/retained.go
@@ -17,8 +17,8 @@
 // this long. Routes stay without a limit, and what nodes write stays until a node has rewritten it.
 const RetainFor = 10 * time.Second
 
-// Retained is an entry of an earlier epoch that is newer than what the restored store has of its key.
-type Retained struct {
+// RetainedEntry is an entry of an earlier epoch that is newer than what the restored store has of its key.
+type RetainedEntry struct {
 	Entry Entry
 	// IsLost says that the entry is not in force: it is the record of a leaf that the store lost. Such a leaf is
 	// the last choice for requests.
@@ -35,7 +35,7 @@
 // isExpired decides whether a retained entry is dropped. Routes and entries that nodes may write never are. Any
 // other entry is once RetainFor has passed since the node entered the epoch, or immediately if it isn't in force:
 // such an entry is retained only for nodes to rewrite it.
-func (c *Catalog) isExpired(retained Retained) bool {
+func (c *Catalog) isExpired(retained RetainedEntry) bool {
 	key := retained.Entry.Key
 	if key == RoutesKey || c.restored.mayWrite == nil || c.restored.mayWrite(key) {
 		return false
@@ -50,27 +50,27 @@
 		return
 	}
 	if c.restored.retained == nil {
-		c.restored.retained = map[string]Retained{}
+		c.restored.retained = map[string]RetainedEntry{}
 	}
 	if c.restored.at.IsZero() {
 		c.restored.at = c.clock.Now()
 	}
-	c.restored.retained[entry.Key] = Retained{Entry: entry}
+	c.restored.retained[entry.Key] = RetainedEntry{Entry: entry}
 }
 
-// Retained returns the retained entries, those not in force included.
-func (c *Catalog) Retained() []Retained {
+// RetainedEntries returns the retained entries, those not in force included.
+func (c *Catalog) RetainedEntries() []RetainedEntry {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	all := make([]Retained, 0, len(c.restored.retained))
+	all := make([]RetainedEntry, 0, len(c.restored.retained))
 	for _, retained := range c.restored.retained {
 		all = append(all, retained)
 	}
 	return all
 }
 
-// RetainedEntries returns the retained entries that are in force.
-func (c *Catalog) RetainedEntries() []Entry {
+// RetainedInForce returns the retained entries that are in force.
+func (c *Catalog) RetainedInForce() []Entry {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var entries []Entry
@@ -96,7 +96,7 @@
 		return 0
 	}
 	sum := uint64(0)
-	for _, entry := range c.RetainedEntries() {
+	for _, entry := range c.RetainedInForce() {
 		sum += xxhash.Sum64String(entry.Key + "\x00" + string(entry.Value))
 	}
 	return sum
@@ -137,7 +137,7 @@
 	switch {
 	case !revision.IsLater(position, entry.Revision), isProcessRecord(entry.Key):
 		return false
-	case c.isExpired(Retained{Entry: entry}):
+	case c.isExpired(RetainedEntry{Entry: entry}):
 		return false
 	case !isKnown:
 		return true
--- a/internal/config/configsync/configsync.go
+++ b/internal/config/configsync/configsync.go
@@ -114,7 +114,7 @@
 	contacts     map[string][]string // peer addresses of other zones
 	notices      map[string]*notice  // by leaf id
 	newestPushed int64               // newest revision received or sent by push
-	lastRead     boottime.Mark       // when a datagram was last read
+	lastRead     boottime.Instant    // when a datagram was last read
 	// suspendedFor is how long the last suspension of the machine took. Until suspendedUntil, datagrams from before it
 	// may still be read.
 	suspendedFor   time.Duration
--- a/internal/config/configsync/digest.go
+++ b/internal/config/configsync/digest.go
@@ -44,7 +44,7 @@
 	if suspendedFor := s.lastRead.Suspended(); suspendedFor > 0 {
 		s.suspendedFor, s.suspendedUntil = suspendedFor, time.Now().Add(boottime.CheckInterval)
 	}
-	s.lastRead = s.catalog.Mark()
+	s.lastRead = s.catalog.Instant()
 	if time.Now().Before(s.suspendedUntil) {
 		return s.suspendedFor
 	}
--- a/internal/config/configsync/pull.go
+++ b/internal/config/configsync/pull.go
@@ -56,7 +56,7 @@
 // pullOnce pulls from one peer. elsewhere are the nodes to ask instead, if the peer names any.
 func (s *Syncer) pullOnce(ctx context.Context, address string) (loaded bool, elsewhere []string) {
 	s.relayed("pull")
-	after, asked := s.catalog.Revision(), s.catalog.Mark()
+	after, requestedAt := s.catalog.Revision(), s.catalog.Instant()
 	answer, err := s.transport.Call(ctx, address, peer.Message{Digest: s.Digest(), Pull: &peer.Pull{After: after}})
 	if err != nil || answer.State == nil || !answer.State.Initialised || s.isLegacy(answer.Digest) {
 		return false, nil
@@ -69,7 +69,7 @@
 		return false, nil
 	}
 	if s.catalog.Revision() >= answer.Digest.Revision {
-		s.catalog.ConfirmSince(asked, time.Duration(answer.Digest.AgeMillis)*time.Millisecond)
+		s.catalog.ConfirmSince(requestedAt, time.Duration(answer.Digest.AgeMillis)*time.Millisecond)
 	}
 	s.markInitialised()
 	return true, nil
@@ -97,7 +97,7 @@
 func (s *Syncer) HandlePull(from string, pull peer.Pull) peer.State {
 	state := peer.State{Initialised: s.initialised.Load(), Revision: s.catalog.Revision()}
 	if pull.Retained {
-		state.Retained = s.catalog.RetainedEntries()
+		state.Retained = s.catalog.RetainedInForce()
 	}
 	changes, found := s.catalog.Since(pull.After)
 	if found || !state.Initialised {
--- a/internal/config/configsync/restored.go
+++ b/internal/config/configsync/restored.go
@@ -13,7 +13,7 @@
 
 // A node that reads a restored store enters a new epoch. Pushes and digests announce that like any later revision, since
 // every revision of an epoch is above all revisions of the epochs before. No change leads from one epoch to the next, so
-// each node loads the whole state and merges it with what it knows, see catalog.Retained.
+// each node loads the whole state and merges it with what it knows, see catalog.RetainedEntries.
 
 // epochChange returns the change that announces a new epoch. It is empty: a receiver can't apply it and pulls
 // the whole state.
@@ -27,7 +27,7 @@
 	if before == 0 || !revision.IsLater(now, before) {
 		return false
 	}
-	inForce, all := len(s.catalog.RetainedEntries()), len(s.catalog.Retained())
+	inForce, all := len(s.catalog.RetainedInForce()), len(s.catalog.RetainedEntries())
 	s.logger.Warn("the store was restored", zap.Int64("revision", now), zap.Int64("before", before),
 		zap.Int("kept", inForce), zap.Int("leafs_lost", all-inForce))
 	return true
--- a/internal/config/configsync/storestate.go
+++ b/internal/config/configsync/storestate.go
@@ -22,7 +22,7 @@
 func (s *Syncer) readStore(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, s.config.WatchSilence)
 	defer cancel()
-	asked, before := s.catalog.Mark(), s.catalog.Revision()
+	requestedAt, before := s.catalog.Instant(), s.catalog.Revision()
 	snapshot, err := s.store.List(ctx, store.Linearizable)
 	if err != nil {
 		return err
@@ -30,7 +30,7 @@
 	replaced := s.catalog.Replace(snapshot)
 	switch {
 	case replaced || snapshot.Revision >= before:
-		s.catalog.ConfirmSince(asked, 0)
+		s.catalog.ConfirmSince(requestedAt, 0)
 	default:
 		// The store lacks what is in force here, so it doesn't confirm that as the newest.
 		s.reportDropped(snapshot.Revision, before)
--- a/internal/config/configsync/watch.go
+++ b/internal/config/configsync/watch.go
@@ -130,17 +130,17 @@
 // eventHandler returns the function that handles the events of a watch that begins now. Each event counts as
 // requested when the one before it was handled, which bounds the age of what it confirms.
 func (s *Syncer) eventHandler(ctx context.Context) func(store.Event) error {
-	asked := s.catalog.Mark()
+	requestedAt := s.catalog.Instant()
 	return func(event store.Event) error {
-		since := asked
-		asked = s.catalog.Mark()
+		since := requestedAt
+		requestedAt = s.catalog.Instant()
 		return s.handleEvent(ctx, event, since)
 	}
 }
 
 // handleEvent applies a change and queues its push, or records that the revision in force is the newest. asked
 // is when the event was requested.
-func (s *Syncer) handleEvent(ctx context.Context, event store.Event, asked boottime.Mark) error {
+func (s *Syncer) handleEvent(ctx context.Context, event store.Event, requestedAt boottime.Instant) error {
 	s.markStoreUp()
 	if event.Change != nil {
 		if !s.catalog.Apply(*event.Change) {
@@ -155,7 +155,7 @@
 		return s.readStore(ctx)
 	}
 	if event.Current == s.catalog.Revision() {
-		s.catalog.ConfirmSince(asked, 0)
+		s.catalog.ConfirmSince(requestedAt, 0)
 	}
 	return nil
 }
--- a/internal/config/rewriter/rewriter.go
+++ b/internal/config/rewriter/rewriter.go
@@ -1,6 +1,6 @@
 // Package rewriter writes entries of the fleet to the platform's store again that a restore of the store lost.
 //
-// Every node retains such entries in force, see catalog.Retained. One node writes each of them: the first in the
+// Every node retains such entries in force, see catalog.RetainedEntry. One node writes each of them: the first in the
 // ranking of the entry's key, and the next ones take over in turn if it does not. Operators and leafs rewrite
 // their own entries.
 //
@@ -71,12 +71,12 @@
 
 // writeDue rewrites the entries that are this node's turn now, in order of their keys.
 func (w *Writer) writeDue(ctx context.Context) {
-	retained := w.catalog.Retained()
+	retained := w.catalog.RetainedEntries()
 	if len(retained) == 0 {
 		clear(w.lastWrite)
 		return
 	}
-	slices.SortFunc(retained, func(a, b catalog.Retained) int { return strings.Compare(a.Entry.Key, b.Entry.Key) })
+	slices.SortFunc(retained, func(a, b catalog.RetainedEntry) int { return strings.Compare(a.Entry.Key, b.Entry.Key) })
 	writes := 0
 	for _, lost := range retained {
 		if writes >= maxWrites || ctx.Err() != nil {
@@ -99,7 +99,7 @@
 // node in the ranking of the key, takeover later for each next one, and at most once each takeover.
 func (w *Writer) isDue(key string, now time.Time) bool {
 	view := w.catalog.View()
-	rank := registry.Rank(view.Nodes, key, w.self)
+	rank := registry.RendezvousRank(view.Nodes, key, w.self)
 	turn := w.catalog.RestoredAt().Add(checkInterval + time.Duration(rank)*takeover)
 	return !now.Before(turn) && now.Sub(w.lastWrite[key]) >= takeover
 }
--- a/internal/config/rewriter/rewriter_test.go
+++ b/internal/config/rewriter/rewriter_test.go
@@ -137,12 +137,12 @@
 		}
 		kept := &memoryStore{entries: map[string]catalog.Entry{}, count: 50, foreign: catalog.LeafKey("")}
 		known := restored(t, lost, nil, 3)
-		is.Equal(len(known.Retained()), 3)
+		is.Equal(len(known.RetainedEntries()), 3)
 		run(t, kept, known, []string{"n0", "n1", "n2"}, 2500*time.Millisecond)
 		written := kept.written()
 		slices.Sort(written)
 		is.Equal(written, []string{catalog.EvacuationKey("a"), catalog.EvacuationKey("b")})
-		is.Equal(len(known.Retained()), 2) // no node may write the leaf's record
+		is.Equal(len(known.RetainedEntries()), 2) // no node may write the leaf's record
 	})
 }
 
@@ -175,7 +175,7 @@
 		is.NoErr(err)
 		kept := &memoryStore{entries: map[string]catalog.Entry{key: {Key: key, Value: other, Revision: revision.At(1, 51)}}, count: 51, foreign: "none"}
 		known := restored(t, []catalog.Entry{lost}, nil, 1)
-		is.Equal(len(known.Retained()), 1)
+		is.Equal(len(known.RetainedEntries()), 1)
 		run(t, kept, known, []string{"n0"}, 5*time.Second)
 		is.Equal(len(kept.written()), 0)
 	})
--- a/internal/fleet/membership/config.go
+++ b/internal/fleet/membership/config.go
@@ -17,11 +17,11 @@
 	// SuspicionIntervals is how many probe intervals a suspect has to refute, times the
 	// decimal logarithm of the zone's size.
 	SuspicionIntervals float64 `yaml:"suspicion_intervals"`
-	// RumoursPerMessage bounds the member changes on one datagram.
-	RumoursPerMessage int `yaml:"rumours_per_message"`
-	// RumourFactor times the decimal logarithm of the zone's size is how many times a node passes a change on.
-	RumourFactor int `yaml:"rumour_factor"`
-	// KeepDead is how long dead members are remembered, so that old rumours don't revive them.
+	// UpdatesPerMessage bounds the member changes on one datagram.
+	UpdatesPerMessage int `yaml:"rumours_per_message"`
+	// RetransmitFactor times the decimal logarithm of the zone's size is how many times a node passes a change on.
+	RetransmitFactor int `yaml:"rumour_factor"`
+	// KeepDead is how long dead members are remembered, so that old updates don't revive them.
 	KeepDead time.Duration `yaml:"keep_dead"`
 }
 
@@ -32,8 +32,8 @@
 		ProbeTimeout:       300 * time.Millisecond,
 		IndirectProbes:     3,
 		SuspicionIntervals: 5,
-		RumoursPerMessage:  5,
-		RumourFactor:       4,
+		UpdatesPerMessage:  5,
+		RetransmitFactor:   4,
 		KeepDead:           2 * time.Minute,
 	}
 }
@@ -45,8 +45,8 @@
 	checks.Refuse(c.ProbeTimeout <= 0 || 2*c.ProbeTimeout > c.ProbeInterval, "probe_timeout", "must be positive and at most half of probe_interval")
 	checks.Refuse(c.IndirectProbes < 0, "indirect_probes", "must not be negative")
 	checks.Refuse(c.SuspicionIntervals <= 0, "suspicion_intervals", "must be positive")
-	checks.Refuse(c.RumoursPerMessage < 1 || c.RumoursPerMessage > 6, "rumours_per_message", "must be between 1 and 6")
-	checks.Refuse(c.RumourFactor < 1, "rumour_factor", "must be at least 1")
+	checks.Refuse(c.UpdatesPerMessage < 1 || c.UpdatesPerMessage > 6, "rumours_per_message", "must be between 1 and 6")
+	checks.Refuse(c.RetransmitFactor < 1, "rumour_factor", "must be at least 1")
 	checks.Refuse(c.KeepDead <= 0, "keep_dead", "must be positive")
 	return checks.Err()
 }
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -2,7 +2,7 @@
 //
 // Each interval a node probes one member, in shuffled rounds that probe every member once. A member that does
 // not answer is probed through others, then suspected, and declared dead only after it had time to refute that
-// (probe.go). Changes are gossiped on the probes (rumours.go), so that the bytes per second are bounded whatever
+// (probe.go). Changes are gossiped on the probes (updates.go), so that the bytes per second are bounded whatever
 // the zone's size. Zones don't probe each other: a cut between zones makes no node dead.
 //
 // A Membership owns the list and one goroutine per probe, which end with the context of Run. It relies on the
@@ -47,7 +47,7 @@
 	mu         sync.Mutex
 	self       peer.Member
 	members    map[string]*knownMember // by id, self left out
-	rumours    *rumours
+	updates    *updateQueue
 	probeRound []string     // ids still to probe in this round
 	probes     peer.Pending // those without an answer yet
 	version    uint64       // raised whenever the set of usable members changes
@@ -72,7 +72,7 @@
 		random:    rand.New(rand.NewPCG(seed, 1)),
 		self:      self,
 		members:   map[string]*knownMember{},
-		rumours:   newRumours(),
+		updates:   newUpdateQueue(),
 		version:   1,
 	}
 }
@@ -191,7 +191,7 @@
 	m.mu.Lock()
 	m.self.State = peer.Left
 	m.version++
-	m.rumours.add(m.self)
+	m.updates.add(m.self)
 	targets := m.sample(leaveFanOut, "")
 	m.mu.Unlock()
 	for _, target := range targets {
@@ -213,19 +213,19 @@
 	}
 }
 
-// send adds the digest, notices and rumours that every datagram carries.
+// send adds the digest, notices and updates that every datagram carries.
 func (m *Membership) send(address string, message peer.Message) {
 	message.Digest = m.listener.Digest()
 	message.Notices = m.listener.Notices()
 	m.mu.Lock()
-	message.Members = m.rumours.next(m.config.RumoursPerMessage, m.rumourPasses())
+	message.Members = m.updates.next(m.config.UpdatesPerMessage, m.maximumTransmissions())
 	m.mu.Unlock()
 	m.transport.Send(address, message)
 }
 
-// rumourPasses grows with the logarithm of the zone's size.
-func (m *Membership) rumourPasses() int {
-	return m.config.RumourFactor * int(math.Ceil(math.Log10(float64(len(m.members)+2))))
+// maximumTransmissions grows with the logarithm of the zone's size.
+func (m *Membership) maximumTransmissions() int {
+	return m.config.RetransmitFactor * int(math.Ceil(math.Log10(float64(len(m.members)+2))))
 }
 
 // sample returns random usable members other than self and the excluded one.
@@ -257,7 +257,7 @@
 	defer m.mu.Unlock()
 	for _, member := range members {
 		if m.update(member) {
-			m.rumours.add(member)
+			m.updates.add(member)
 		}
 	}
 }
@@ -284,7 +284,7 @@
 	}
 	m.self.Incarnation = member.Incarnation + 1
 	m.version++
-	m.rumours.add(m.self)
+	m.updates.add(m.self)
 }
 
 // update merges a report of a member, and reports whether that changed the usable members or their states.
--- a/internal/fleet/membership/probe.go
+++ b/internal/fleet/membership/probe.go
@@ -26,7 +26,7 @@
 	m.mu.Lock()
 	for _, known := range m.members {
 		if known.member.Address == prober && known.member.State != peer.Alive {
-			m.rumours.add(known.member)
+			m.updates.add(known.member)
 		}
 	}
 	m.mu.Unlock()
@@ -176,7 +176,7 @@
 	}
 	suspect.State = peer.Dead
 	if m.update(suspect) {
-		m.rumours.add(suspect)
+		m.updates.add(suspect)
 	}
 }
 
--- a/internal/fleet/membership/rumours.go
+++ b/internal/fleet/membership/updates.go
@@ -6,30 +6,30 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
-// rumours are the member changes to gossip, each a bounded number of times, the least gossiped first. The
+// updateQueue are the member changes to gossip, each a bounded number of times, the least gossiped first. The
 // owner's lock guards it.
-type rumours struct {
-	items map[string]*rumour // by member id
+type updateQueue struct {
+	items map[string]*memberUpdate // by member id
 }
 
-type rumour struct {
+type memberUpdate struct {
 	member peer.Member
 	passes int
 }
 
-func newRumours() *rumours { return &rumours{items: map[string]*rumour{}} }
+func newUpdateQueue() *updateQueue { return &updateQueue{items: map[string]*memberUpdate{}} }
 
-// add makes a change the newest rumour of its member.
-func (r *rumours) add(member peer.Member) {
-	r.items[member.ID] = &rumour{member: member}
+// add makes a change the newest update of its member.
+func (r *updateQueue) add(member peer.Member) {
+	r.items[member.ID] = &memberUpdate{member: member}
 }
 
 // next returns up to count changes for one message and forgets those that were passed on often enough.
-func (r *rumours) next(count, maximumPasses int) []peer.Member {
+func (r *updateQueue) next(count, maximumPasses int) []peer.Member {
 	if len(r.items) == 0 {
 		return nil
 	}
-	ordered := make([]*rumour, 0, len(r.items))
+	ordered := make([]*memberUpdate, 0, len(r.items))
 	for _, item := range r.items {
 		ordered = append(ordered, item)
 	}
--- a/internal/fleet/reachability/datagrams.go
+++ b/internal/fleet/reachability/datagrams.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// AnnounceLost implements Prober.
-func (d *Datagrams) AnnounceLost(node catalog.NodeRecord, zone string) {
+// SendZoneLost implements Prober.
+func (d *Datagrams) SendZoneLost(node catalog.NodeRecord, zone string) {
 	d.sender.Send(node.Address, peer.Message{Reach: &peer.Reach{Lost: zone}})
 }
 
--- a/internal/fleet/reachability/datagrams_test.go
+++ b/internal/fleet/reachability/datagrams_test.go
@@ -49,7 +49,7 @@
 }
 
 // newLink starts a tracker at the first node of each zone.
-func newLink(t *testing.T, w *world) (*link, map[string]*Tracker) {
+func newLink(t *testing.T, w *testNetwork) (*link, map[string]*Tracker) {
 	t.Helper()
 	l := &link{nodes: map[string]*Datagrams{}, lost: func(string, string) bool { return false }}
 	trackers := map[string]*Tracker{}
@@ -74,7 +74,7 @@
 func TestOneWayCutIsFoundAtBothSides(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(5, near, far, mid)
+		w := newTestNetwork(5, near, far, mid)
 		l, trackers := newLink(t, w)
 		l.drop(func(from, to string) bool { return from[:3] == far && to[:3] != far })
 		trackers["near-0"].Suspect(far)
@@ -94,7 +94,7 @@
 func TestOneSuspicionIsEnoughForAZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(5, near, far, mid)
+		w := newTestNetwork(5, near, far, mid)
 		l, trackers := newLink(t, w)
 		l.drop(func(from, to string) bool { return (from[:3] == far) != (to[:3] == far) })
 		trackers["near-0"].Suspect(far)
@@ -109,7 +109,7 @@
 func TestFalseWordLosesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(5, near, far)
+		w := newTestNetwork(5, near, far)
 		l, trackers := newLink(t, w)
 		l.nodes["near-0"].Handle("near-1", peer.Reach{Lost: far})
 		time.Sleep(time.Second)
--- a/internal/fleet/reachability/reachability.go
+++ b/internal/fleet/reachability/reachability.go
@@ -36,8 +36,8 @@
 type Prober interface {
 	// Ping reports whether a node answers before the context ends.
 	Ping(ctx context.Context, node catalog.NodeRecord) bool
-	// AnnounceLost notifies a node, without waiting, that this one has lost a zone.
-	AnnounceLost(node catalog.NodeRecord, zone string)
+	// SendZoneLost notifies a node, without waiting, that this one has lost a zone.
+	SendZoneLost(node catalog.NodeRecord, zone string)
 }
 
 // Change is a zone that was lost, or that is reachable again.
@@ -221,7 +221,7 @@
 	t.suspectOtherZones(known.name)
 	own := t.nodesOf(func(node catalog.NodeRecord) bool { return node.Zone == t.deps.Self.Zone })
 	for _, node := range own[:min(t.deps.Config.Fanout, len(own))] {
-		t.deps.Prober.AnnounceLost(node, known.name)
+		t.deps.Prober.SendZoneLost(node, known.name)
 	}
 	t.awaitReturn(ctx, known)
 }
--- a/internal/fleet/reachability/reachability_test.go
+++ b/internal/fleet/reachability/reachability_test.go
@@ -22,8 +22,8 @@
 	mid  = "mid"
 )
 
-// world is the Prober of a tracker: the nodes that it pings, and how they answer.
-type world struct {
+// testNetwork is the Prober of a tracker: the nodes that it pings, and how they answer.
+type testNetwork struct {
 	mu    sync.Mutex
 	nodes []catalog.NodeRecord
 	// silent are the zones and nodes that don't answer.
@@ -31,11 +31,11 @@
 	// delay is the round trip of a ping.
 	delay     time.Duration
 	asked     map[string]int // by zone
-	announced []string       // "zone of the receiver of lost zone"
+	zonesLost []string       // "zone of the receiver of lost zone"
 }
 
-func newWorld(nodes int, zones ...string) *world {
-	w := &world{silent: map[string]bool{}, delay: time.Millisecond, asked: map[string]int{}}
+func newTestNetwork(nodes int, zones ...string) *testNetwork {
+	w := &testNetwork{silent: map[string]bool{}, delay: time.Millisecond, asked: map[string]int{}}
 	for _, zone := range zones {
 		for index := range nodes {
 			id := fmt.Sprintf("%s-%d", zone, index)
@@ -45,7 +45,7 @@
 	return w
 }
 
-func (w *world) Ping(ctx context.Context, node catalog.NodeRecord) bool {
+func (w *testNetwork) Ping(ctx context.Context, node catalog.NodeRecord) bool {
 	w.mu.Lock()
 	w.asked[node.Zone]++
 	isSilent, delay := w.silent[node.Zone] || w.silent[node.ID], w.delay
@@ -62,14 +62,14 @@
 	}
 }
 
-func (w *world) AnnounceLost(node catalog.NodeRecord, zone string) {
+func (w *testNetwork) SendZoneLost(node catalog.NodeRecord, zone string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.announced = append(w.announced, node.Zone+" of "+zone)
+	w.zonesLost = append(w.zonesLost, node.Zone+" of "+zone)
 }
 
 // set makes zones or nodes silent, or lets them answer.
-func (w *world) set(isSilent bool, names ...string) {
+func (w *testNetwork) set(isSilent bool, names ...string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, name := range names {
@@ -77,14 +77,14 @@
 	}
 }
 
-func (w *world) count(zone string) int {
+func (w *testNetwork) count(zone string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.asked[zone]
 }
 
 // tracker starts the tracker of a node in the near zone.
-func (w *world) tracker(t *testing.T) *Tracker {
+func (w *testNetwork) tracker(t *testing.T) *Tracker {
 	t.Helper()
 	tracker := New(Deps{
 		Config: DefaultConfig(), Self: w.nodes[0], Prober: w,
@@ -101,10 +101,10 @@
 }
 
 // within runs a test in virtual time with three zones of five nodes.
-func within(t *testing.T, test func(is *is.I, w *world, tracker *Tracker)) {
+func within(t *testing.T, test func(is *is.I, w *testNetwork, tracker *Tracker)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(5, near, mid, far)
+		w := newTestNetwork(5, near, mid, far)
 		test(is.New(t), w, w.tracker(t))
 	})
 }
@@ -117,7 +117,7 @@
 
 // A zone that is cut off is lost after one check, and that is announced to some nodes of the own zone.
 func TestCutZoneIsLost(t *testing.T) {
-	within(t, func(is *is.I, w *world, tracker *Tracker) {
+	within(t, func(is *is.I, w *testNetwork, tracker *Tracker) {
 		w.set(true, far)
 		tracker.Suspect(far)
 		time.Sleep(checkTime())
@@ -126,13 +126,13 @@
 		is.True(tracker.Reaches(near))
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		is.Equal(w.announced, []string{"near of far", "near of far", "near of far", "near of far"})
+		is.Equal(w.zonesLost, []string{"near of far", "near of far", "near of far", "near of far"})
 	})
 }
 
 // A zone that is connected again is reachable within a second, without any request.
 func TestHealedZoneIsBack(t *testing.T) {
-	within(t, func(is *is.I, w *world, tracker *Tracker) {
+	within(t, func(is *is.I, w *testNetwork, tracker *Tracker) {
 		w.set(true, far)
 		tracker.Suspect(far)
 		time.Sleep(5 * time.Second)
@@ -146,7 +146,7 @@
 
 // A node that lost one zone checks the others by itself, and notices a second lost zone without an announcement.
 func TestLossOfOneZoneHasTheOthersLookedAt(t *testing.T) {
-	within(t, func(is *is.I, w *world, tracker *Tracker) {
+	within(t, func(is *is.I, w *testNetwork, tracker *Tracker) {
 		w.set(true, far, mid)
 		tracker.Suspect(far)
 		time.Sleep(2 * checkTime())
@@ -157,7 +157,7 @@
 
 // A node that checked right before a cut, and receives an announcement in the pause that follows, checks again by itself.
 func TestWordInThePauseIsLookedIntoAfterIt(t *testing.T) {
-	within(t, func(is *is.I, w *world, tracker *Tracker) {
+	within(t, func(is *is.I, w *testNetwork, tracker *Tracker) {
 		tracker.Suspect(far)
 		time.Sleep(checkTime())
 		is.True(tracker.Reaches(far))
@@ -170,7 +170,7 @@
 
 // A lost zone is pinged by one datagram at a time.
 func TestLostZoneIsAskedSparsely(t *testing.T) {
-	within(t, func(is *is.I, w *world, tracker *Tracker) {
+	within(t, func(is *is.I, w *testNetwork, tracker *Tracker) {
 		w.set(true, far)
 		tracker.Suspect(far)
 		time.Sleep(checkTime())
@@ -182,7 +182,7 @@
 
 // A single silent leaf causes no check.
 func TestOneDeadLeafIsNotLookedInto(t *testing.T) {
-	within(t, func(is *is.I, w *world, tracker *Tracker) {
+	within(t, func(is *is.I, w *testNetwork, tracker *Tracker) {
 		for range 10 {
 			tracker.NoResponse(far, "leaf")
 			time.Sleep(100 * time.Millisecond)
@@ -193,7 +193,7 @@
 
 // Silent leafs among others that respond cause no check either.
 func TestSilentLeafsAmongOthersAreNotLookedInto(t *testing.T) {
-	within(t, func(is *is.I, w *world, tracker *Tracker) {
+	within(t, func(is *is.I, w *testNetwork, tracker *Tracker) {
 		for index := range 10 {
 			tracker.NoResponse(far, fmt.Sprint("leaf", index))
 			tracker.Responded(far)
@@ -205,7 +205,7 @@
 
 // Leafs that are slow or paused together don't make a zone lost whose nodes answer.
 func TestSlowLeafsDontLoseAZone(t *testing.T) {
-	within(t, func(is *is.I, w *world, tracker *Tracker) {
+	within(t, func(is *is.I, w *testNetwork, tracker *Tracker) {
 		for range 20 {
 			tracker.NoResponse(far, "leaf 1")
 			tracker.NoResponse(far, "leaf 2")
@@ -218,7 +218,7 @@
 
 // Two silent leafs of a zone that is cut off make it lost.
 func TestTwoSilentLeafsOfACutZone(t *testing.T) {
-	within(t, func(is *is.I, w *world, tracker *Tracker) {
+	within(t, func(is *is.I, w *testNetwork, tracker *Tracker) {
 		w.set(true, far)
 		tracker.NoResponse(far, "leaf 1")
 		tracker.NoResponse(far, "leaf 2")
@@ -229,7 +229,7 @@
 
 // If no other zone answers either, this node itself is late or cut off: no zone is lost.
 func TestIsolatedNodeLosesNothing(t *testing.T) {
-	within(t, func(is *is.I, w *world, tracker *Tracker) {
+	within(t, func(is *is.I, w *testNetwork, tracker *Tracker) {
 		w.set(true, near, mid, far)
 		tracker.Suspect(far)
 		tracker.Suspect(mid)
@@ -240,7 +240,7 @@
 
 // If all answers are late, as on a node that was frozen, no zone is lost.
 func TestFrozenNodeLosesNothing(t *testing.T) {
-	within(t, func(is *is.I, w *world, tracker *Tracker) {
+	within(t, func(is *is.I, w *testNetwork, tracker *Tracker) {
 		w.delay = 300 * time.Millisecond
 		tracker.Suspect(far)
 		for range 100 {
@@ -252,7 +252,7 @@
 
 // The machine is suspended in the middle of a check, after other zones answered and before the checked one did.
 func TestSuspendedNodeLosesNothing(t *testing.T) {
-	within(t, func(is *is.I, w *world, tracker *Tracker) {
+	within(t, func(is *is.I, w *testNetwork, tracker *Tracker) {
 		var suspendedFor atomic.Int64
 		tracker.deps.Clock = func() time.Time { return time.Now().Add(time.Duration(suspendedFor.Load())) }
 		w.set(true, far)
@@ -262,13 +262,13 @@
 		w.set(false, far)
 		time.Sleep(time.Second)
 		is.True(tracker.Reaches(far))
-		is.Equal(w.announced, nil) // nor was it lost meanwhile
+		is.Equal(w.zonesLost, nil) // nor was it lost meanwhile
 	})
 }
 
 // The response of a leaf during a check outweighs the silence of nodes.
 func TestAnswerOfALeafOutweighsSilentNodes(t *testing.T) {
-	within(t, func(is *is.I, w *world, tracker *Tracker) {
+	within(t, func(is *is.I, w *testNetwork, tracker *Tracker) {
 		w.set(true, far)
 		tracker.Suspect(far)
 		time.Sleep(DefaultConfig().FirstWait + DefaultConfig().Wait/2)
@@ -280,7 +280,7 @@
 
 // The response of a leaf ends the loss of a zone.
 func TestAnswerOfALeafBringsAZoneBack(t *testing.T) {
-	within(t, func(is *is.I, w *world, tracker *Tracker) {
+	within(t, func(is *is.I, w *testNetwork, tracker *Tracker) {
 		w.set(true, far)
 		tracker.Suspect(far)
 		time.Sleep(checkTime())
@@ -294,7 +294,7 @@
 func TestZoneOfFewNodesIsNotLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(DefaultConfig().LeastNodes-1, near, far)
+		w := newTestNetwork(DefaultConfig().LeastNodes-1, near, far)
 		tracker := w.tracker(t)
 		w.set(true, far)
 		tracker.Suspect(far)
@@ -305,7 +305,7 @@
 
 // A zone with longer round trips than a check waits is lost once at most: its round trip is learnt.
 func TestLongWayIsLearnt(t *testing.T) {
-	within(t, func(is *is.I, w *world, tracker *Tracker) {
+	within(t, func(is *is.I, w *testNetwork, tracker *Tracker) {
 		w.delay = 30 * time.Millisecond // the answers of the controls still count
 		for range 5 {
 			tracker.Suspect(far)
@@ -321,7 +321,7 @@
 
 // A node that lost most of the fleet is cut off; a node that lost a small part isn't.
 func TestIsCutOff(t *testing.T) {
-	within(t, func(is *is.I, w *world, tracker *Tracker) {
+	within(t, func(is *is.I, w *testNetwork, tracker *Tracker) {
 		w.set(true, far, mid)
 		tracker.Suspect(far)
 		time.Sleep(checkTime())
@@ -338,7 +338,7 @@
 		nodes := rapid.IntRange(DefaultConfig().LeastNodes, 12).Draw(rt, "nodes")
 		living := rapid.IntRange(0, nodes-1).Draw(rt, "living")
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(nodes, near, far)
+			w := newTestNetwork(nodes, near, far)
 			for index := range nodes {
 				w.set(index != living, fmt.Sprintf("%s-%d", far, index))
 			}
@@ -361,7 +361,7 @@
 		none.NoResponse(far, "leaf")
 		none.Responded(far)
 		is.True(none.Reaches(far) && !none.IsCutOff())
-		w := newWorld(5, near, far)
+		w := newTestNetwork(5, near, far)
 		tracker := w.tracker(t)
 		tracker.deps.Config.Enabled = false
 		w.set(true, far)
--- a/internal/fleet/registry/census.go
+++ b/internal/fleet/registry/fleet.go
@@ -15,9 +15,9 @@
 // other nodes have the rest, for when the gatherers fail them.
 const gatherersShare = 0.8
 
-// Census knows the nodes of the fleet. A node that is gone still counts for a while, since its share of common
+// Fleet knows the nodes of the fleet. A node that is gone still counts for a while, since its share of common
 // bounds is not free at once. It is safe for concurrent use.
-type Census struct {
+type Fleet struct {
 	catalog *catalog.Catalog
 	memory  time.Duration
 	self    string
@@ -35,17 +35,17 @@
 	until time.Time
 }
 
-// NewCensus returns a census for the node of an id; nodes that are gone still count for the time of memory.
-func NewCensus(known *catalog.Catalog, self string, memory time.Duration) *Census {
-	return &Census{catalog: known, memory: memory, self: self, now: time.Now, gone: map[string]time.Time{}}
+// NewFleet returns a Fleet for the node of an id; nodes that are gone still count for the time of memory.
+func NewFleet(known *catalog.Catalog, self string, memory time.Duration) *Fleet {
+	return &Fleet{catalog: known, memory: memory, self: self, now: time.Now, gone: map[string]time.Time{}}
 }
 
-// SetClock sets the clock by which nodes that are gone still count. It must be called before the census is used.
-func (c *Census) SetClock(clock boottime.Clock) { c.now = clock.Now }
+// SetClock sets the clock by which nodes that are gone still count. It must be called before the Fleet is used.
+func (c *Fleet) SetClock(clock boottime.Clock) { c.now = clock.Now }
 
 // Nodes returns the nodes that are registered or were a moment ago, sorted by id. The slice is shared and never
 // changed: callers must not change it either.
-func (c *Census) Nodes() []catalog.NodeRecord {
+func (c *Fleet) Nodes() []catalog.NodeRecord {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.refresh()
@@ -54,7 +54,7 @@
 
 // Gatherers returns the nodes that gather for the others of their zones, see the function Gatherers. The slice
 // is shared and never changed.
-func (c *Census) Gatherers() []catalog.NodeRecord {
+func (c *Fleet) Gatherers() []catalog.NodeRecord {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.refresh()
@@ -62,7 +62,7 @@
 }
 
 // IsGatherer reports whether this node gathers for others.
-func (c *Census) IsGatherer() bool {
+func (c *Fleet) IsGatherer() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.refresh()
@@ -70,13 +70,13 @@
 }
 
 // IsRegistered reports whether this node is registered, as far as it knows itself.
-func (c *Census) IsRegistered() bool {
+func (c *Fleet) IsRegistered() bool {
 	_, registered := c.catalog.View().Nodes[c.self]
 	return registered
 }
 
 // refresh updates the nodes from the configuration in force. The lock must be held.
-func (c *Census) refresh() {
+func (c *Fleet) refresh() {
 	view := c.catalog.View()
 	now := c.now()
 	if view == c.view && (c.until.IsZero() || now.Before(c.until)) {
@@ -95,7 +95,7 @@
 }
 
 // current returns the nodes that count, and sets until when that is valid. The lock must be held.
-func (c *Census) current(view *catalog.View, now time.Time) []catalog.NodeRecord {
+func (c *Fleet) current(view *catalog.View, now time.Time) []catalog.NodeRecord {
 	nodes := make([]catalog.NodeRecord, 0, len(view.Nodes))
 	c.until = time.Time{}
 	for _, node := range c.nodes {
@@ -124,7 +124,7 @@
 }
 
 // Others returns the peer addresses of up to n random registered nodes other than this one.
-func (c *Census) Others(n int) []string {
+func (c *Fleet) Others(n int) []string {
 	nodes := c.Nodes()
 	view := c.catalog.View()
 	addresses := make([]string, 0, n)
@@ -141,7 +141,7 @@
 
 // Share returns this node's share, between 0 and 1, of a bound that all nodes share; 0 unless it is registered.
 // Of bounds on gathered services, the gatherers have most.
-func (c *Census) Share(gathered bool) float64 {
+func (c *Fleet) Share(gathered bool) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.refresh()
--- a/internal/fleet/registry/ranking.go
+++ b/internal/fleet/registry/ranking.go
@@ -23,9 +23,9 @@
 	return cmp.Or(cmp.Compare(other.weight, p.weight), cmp.Compare(p.id, other.id))
 }
 
-// Ranked returns nodes in order of rendezvous hash for a topic: the same on all nodes, different for each topic,
+// RendezvousOrder returns nodes in order of rendezvous hash for a topic: the same on all nodes, different for each topic,
 // and stable for the remaining nodes when one goes.
-func Ranked(nodes map[string]catalog.NodeRecord, topic string) []catalog.NodeRecord {
+func RendezvousOrder(nodes map[string]catalog.NodeRecord, topic string) []catalog.NodeRecord {
 	positions := make([]position, 0, len(nodes))
 	for id := range nodes {
 		positions = append(positions, positionOf(topic, id))
@@ -38,8 +38,8 @@
 	return ranked
 }
 
-// Rank returns how many nodes come before that of an id in the order of Ranked; the id need not be among them.
-func Rank(nodes map[string]catalog.NodeRecord, topic, id string) int {
+// RendezvousRank returns how many nodes come before that of an id in the order of Ranked; the id need not be among them.
+func RendezvousRank(nodes map[string]catalog.NodeRecord, topic, id string) int {
 	own := positionOf(topic, id)
 	ahead := 0
 	for other := range nodes {
--- a/internal/fleet/registry/ranking_test.go
+++ b/internal/fleet/registry/ranking_test.go
@@ -22,13 +22,13 @@
 func TestRankIsThePlaceInTheOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := drawNodes(t)
-		for rank, node := range Ranked(nodes, "topic") {
-			if got := Rank(nodes, "topic", node.ID); got != rank {
+		for rank, node := range RendezvousOrder(nodes, "topic") {
+			if got := RendezvousRank(nodes, "topic", node.ID); got != rank {
 				t.Fatalf("%s has rank %d at place %d", node.ID, got, rank)
 			}
 			others := maps.Clone(nodes)
 			delete(others, node.ID)
-			if got := Rank(others, "topic", node.ID); got != rank {
+			if got := RendezvousRank(others, "topic", node.ID); got != rank {
 				t.Fatalf("%s has rank %d of the others at place %d", node.ID, got, rank)
 			}
 		}
--- a/internal/fleet/registry/registry.go
+++ b/internal/fleet/registry/registry.go
@@ -1,13 +1,13 @@
 // Package registry registers a node with the fleet, and counts the fleet's nodes.
 //
 // A Registry writes a record of its node into the store, under a lease that it renews; the records reach every
-// node with the configuration. A Census reads them: which nodes there are, which of them gather for others, and
+// node with the configuration. A Fleet reads them: which nodes there are, which of them gather for others, and
 // what share of a common bound a node has. Ranking orders nodes by rendezvous hash. No permission depends on a
 // record.
 //
 // A Registry owns the lease of its node; Run is its only goroutine. It relies on a store.Lessor, and on the
 // catalog to find the record that an earlier process of the node left and to notice restores of the store. A
-// Census owns the list of nodes and ages it by a clock that counts the time of a suspension.
+// Fleet owns the list of nodes and ages it by a clock that counts the time of a suspension.
 package registry
 
 import (
--- a/internal/fleet/registry/registry_test.go
+++ b/internal/fleet/registry/registry_test.go
@@ -139,20 +139,20 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		known := catalog.New(nil)
-		census := NewCensus(known, "n1", time.Second)
-		is.Equal(len(ids(census)), 0)
+		fleet := NewFleet(known, "n1", time.Second)
+		is.Equal(len(ids(fleet)), 0)
 		register(known, "n2", false)
 		register(known, "n3", false)
-		is.Equal(ids(census), []string{"n2", "n3"})
-		is.Equal(census.Share(false), 0.0)
+		is.Equal(ids(fleet), []string{"n2", "n3"})
+		is.Equal(fleet.Share(false), 0.0)
 		register(known, "n1", false)
-		is.Equal(census.Share(false), 1.0/3)
+		is.Equal(fleet.Share(false), 1.0/3)
 		register(known, "n3", true)
-		is.Equal(ids(census), []string{"n1", "n2", "n3"})
+		is.Equal(ids(fleet), []string{"n1", "n2", "n3"})
 		time.Sleep(900 * time.Millisecond)
-		is.Equal(census.Share(false), 1.0/3)
+		is.Equal(fleet.Share(false), 1.0/3)
 		time.Sleep(200 * time.Millisecond)
-		is.Equal(ids(census), []string{"n1", "n2"})
+		is.Equal(ids(fleet), []string{"n1", "n2"})
 	})
 }
 
@@ -162,10 +162,10 @@
 	is.Equal(len(failure.Faults(Config{}.Validate())), 4)
 }
 
-// ids returns the ids of the nodes that a census counts.
-func ids(census *Census) []string {
+// ids returns the ids of the nodes that a Fleet counts.
+func ids(fleet *Fleet) []string {
 	var ids []string
-	for _, node := range census.Nodes() {
+	for _, node := range fleet.Nodes() {
 		ids = append(ids, node.ID)
 	}
 	return ids
@@ -187,13 +187,13 @@
 		for _, gathered := range []bool{false, true} {
 			sum := 0.0
 			for index := range 5 {
-				sum += NewCensus(known, fmt.Sprintf("n%d", index), time.Second).Share(gathered)
+				sum += NewFleet(known, fmt.Sprintf("n%d", index), time.Second).Share(gathered)
 			}
 			is.True(math.Abs(sum-1) < 1e-9)
 		}
 		isUneven := large > 0 && large < 5
-		is.Equal(NewCensus(known, "n0", time.Second).Share(true) > 0.2, isUneven)
-		is.Equal(NewCensus(known, "unknown", time.Second).Share(true), 0.0)
+		is.Equal(NewFleet(known, "n0", time.Second).Share(true) > 0.2, isUneven)
+		is.Equal(NewFleet(known, "unknown", time.Second).Share(true), 0.0)
 	}
 }
 
@@ -239,15 +239,15 @@
 		known.Apply(catalog.Change{Entry: catalog.Entry{Key: catalog.NodeKey(node.ID), Value: value, Revision: revision + 1}, Previous: revision})
 	}
 	put(catalog.NodeRecord{ID: "large", Zone: "z", Tree: "127.0.0.1:1", Processors: 1})
-	census := NewCensus(known, "large", time.Minute)
-	before := census.Gatherers()
-	is.True(census.IsGatherer())
+	fleet := NewFleet(known, "large", time.Minute)
+	before := fleet.Gatherers()
+	is.True(fleet.IsGatherer())
 	put(catalog.NodeRecord{ID: "small", Zone: "z", Tree: "127.0.0.1:2", Processors: 0.1})
-	is.Equal(len(census.Nodes()), 2)
-	is.True(unsafe.SliceData(before) == unsafe.SliceData(census.Gatherers()))
+	is.Equal(len(fleet.Nodes()), 2)
+	is.True(unsafe.SliceData(before) == unsafe.SliceData(fleet.Gatherers()))
 	put(catalog.NodeRecord{ID: "larger", Zone: "z", Tree: "127.0.0.1:3", Processors: 4})
-	is.Equal(len(census.Gatherers()), 1)
-	is.True(!census.IsGatherer())
+	is.Equal(len(fleet.Gatherers()), 1)
+	is.True(!fleet.IsGatherer())
 }
 
 // A lease that expired while the machine was suspended is noticed when the machine resumes, not at its next renewal.
--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -108,7 +108,7 @@
 	config.Node.Zone = zone
 	config.Platform.Address = platformAddress
 	config.LogLevel = "error"
-	config.Stop.AnnounceDelay = 0
+	config.Stop.PrepareStopDelay = 0
 	config.Listen.Callers, config.Listen.Operators, config.Listen.Peers = addresses[0], addresses[1], addresses[2]
 	c.callers, c.operators = config.Listen.Callers, config.Listen.Operators
 	app := node.New(node.Start{Settings: config, Logs: c.output})
--- a/internal/lab/kvstore/calls.go
+++ b/internal/lab/kvstore/calls.go
@@ -98,9 +98,9 @@
 			c.Status(http.StatusGone)
 			return
 		}
-		events, at, changed, hushed := s.eventsAfter(after, c.Query("PathPrefix")), s.revision, s.changed, s.faults.SilentWatches
+		events, at, changed, isSilent := s.eventsAfter(after, c.Query("PathPrefix")), s.revision, s.changed, s.faults.SilentWatches
 		s.mutex.Unlock()
-		if len(events) > 0 && !hushed {
+		if len(events) > 0 && !isSilent {
 			c.JSON(http.StatusOK, gin.H{"events": events, "at": at})
 			return
 		}
--- a/internal/lab/soak/checks_rollouts.go
+++ b/internal/lab/soak/checks_rollouts.go
@@ -42,8 +42,8 @@
 	v := Result{Promise: "a version that no order lets serve gets nothing"}
 	for _, r := range played {
 		if r.Old != r.Target {
-			barred := r.Unordered(clear)
-			v.check(len(barred) == 0, "%s got %d requests that it must not get%s", nameOf(r), len(barred), firstOf(barred))
+			disallowed := r.Unordered(clear)
+			v.check(len(disallowed) == 0, "%s got %d requests that it must not get%s", nameOf(r), len(disallowed), firstOf(disallowed))
 		}
 	}
 	return v
--- a/internal/leaf/leafgossip/leafgossip.go
+++ b/internal/leaf/leafgossip/leafgossip.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// Announce queues an observation; a newer one of the same leaf replaces it. It never blocks.
-func (g *Gossip) Announce(o balancer.Observation) {
+// Enqueue queues an observation; a newer one of the same leaf replaces it. It never blocks.
+func (g *Gossip) Enqueue(o balancer.Observation) {
 	if g.cfg.Fanout == 0 {
 		return
 	}
--- a/internal/leaf/leafgossip/leafgossip_test.go
+++ b/internal/leaf/leafgossip/leafgossip_test.go
@@ -76,9 +76,9 @@
 		sent := &recorder{}
 		g := New(DefaultConfig(), fleet(3), sent, nil)
 		go g.Run(ctx)
-		g.Announce(balancer.Observation{Leaf: 7, Slowness: 3})
-		g.Announce(balancer.Observation{Leaf: 7, Slowness: 4})
-		g.Announce(balancer.Observation{Leaf: 8, Silence: time.Second})
+		g.Enqueue(balancer.Observation{Leaf: 7, Slowness: 3})
+		g.Enqueue(balancer.Observation{Leaf: 7, Slowness: 4})
+		g.Enqueue(balancer.Observation{Leaf: 8, Silence: time.Second})
 		time.Sleep(time.Second)
 		is.Equal(sent.count(), 3)
 		heard := map[balancer.LeafKey]balancer.Observation{}
@@ -102,7 +102,7 @@
 		const span = 20 * time.Second
 		for began := time.Now(); time.Since(began) < span; time.Sleep(time.Millisecond) {
 			for leaf := range 40 {
-				g.Announce(balancer.Observation{Leaf: balancer.LeafKey(time.Now().UnixNano()) + balancer.LeafKey(leaf), Slowness: 5})
+				g.Enqueue(balancer.Observation{Leaf: balancer.LeafKey(time.Now().UnixNano()) + balancer.LeafKey(leaf), Slowness: 5})
 			}
 		}
 		total := 0
--- a/internal/leaf/leafhttp/connection.go
+++ b/internal/leaf/leafhttp/connection.go
@@ -83,8 +83,8 @@
 	case remaining <= 0:
 		c.decline(e, errDeadlinePassed)
 		return
-	case c.pool.isBarred(e.target.LeafID):
-		c.decline(e, errBarred)
+	case c.pool.isDisallowed(e.target.LeafID):
+		c.decline(e, errNotAllowed)
 		return
 	}
 	if e.request.AtMostOnce && !c.hasNoInput() {
--- a/internal/leaf/leafhttp/connections_test.go
+++ b/internal/leaf/leafhttp/connections_test.go
@@ -209,13 +209,13 @@
 // A request that waits for a connection is not sent once its leaf must get none any more.
 func TestWaitingRequestIsNotSentToABarredLeaf(t *testing.T) {
 	is := is.New(t)
-	var barred atomic.Bool
+	var isDisallowed atomic.Bool
 	answer := make(chan struct{})
 	b := newBench(t, testConfig(), func(httpleaf.Request) httpleaf.Answer {
 		<-answer
 		return httpleaf.Answer{Body: []byte("x")}
 	})
-	b.pool.SetMaySend(func(string) bool { return !barred.Load() })
+	b.pool.SetMaySend(func(string) bool { return !isDisallowed.Load() })
 	target := b.target()
 	target.Connections = 1
 	ended := make(chan error, 2)
@@ -227,7 +227,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	start() // waits for the connection of the first
-	barred.Store(true)
+	isDisallowed.Store(true)
 	close(answer)
 	var neverSent *NeverSentError
 	first, second := <-ended, <-ended
@@ -237,7 +237,7 @@
 	is.NoErr(first)
 	is.True(errors.As(second, &neverSent))
 	is.Equal(len(b.leaf.Asked()), 1)
-	barred.Store(false)
+	isDisallowed.Store(false)
 	_, err := b.ask(t.Context(), target, b.request(), time.Now().Add(time.Minute))
 	is.NoErr(err) // the connection remained usable
 	opened, _ := b.leaf.Connections()
--- a/internal/leaf/leafhttp/errors.go
+++ b/internal/leaf/leafhttp/errors.go
@@ -86,8 +86,8 @@
 // errDeadlinePassed means that a request was not sent because its time is over.
 var errDeadlinePassed = errors.New("the deadline passed before the request was sent")
 
-// errBarred means that a request was not sent because the leaf must get none now.
-var errBarred = errors.New("the leaf left, drains, is too cold, or its zone is evacuated")
+// errNotAllowed means that a request was not sent because the leaf must get none now.
+var errNotAllowed = errors.New("the leaf left, drains, is too cold, or its zone is evacuated")
 
 // errUnexpectedBytes means that bytes came on an idle connection.
 var errUnexpectedBytes = errors.New("bytes that belong to no request")
--- a/internal/leaf/leafhttp/pool.go
+++ b/internal/leaf/leafhttp/pool.go
@@ -34,8 +34,8 @@
 // not sent to a leaf that must get none any more. It must be set before the pool is used.
 func (p *Pool) SetMaySend(maySend func(leafID string) bool) { p.maySend = maySend }
 
-// isBarred reports whether a leaf must get no request.
-func (p *Pool) isBarred(leafID string) bool { return p.maySend != nil && !p.maySend(leafID) }
+// isDisallowed reports whether a leaf must get no request.
+func (p *Pool) isDisallowed(leafID string) bool { return p.maySend != nil && !p.maySend(leafID) }
 
 // MayOpenExtra reports whether an extra connection to a leaf, beyond the node's allotment, may be opened now: not for
 // Config.SparePause after the leaf refused a connection.
--- a/internal/leaf/leafmemory/leafmemory.go
+++ b/internal/leaf/leafmemory/leafmemory.go
@@ -80,7 +80,7 @@
 
 // MaySend reports whether a leaf, serving or canary, may be sent a request now. A request that was planned
 // a while ago may not be sent any more: meanwhile the leaf may have started to drain or gone, its zone may have been
-// evacuated, or its version barred.
+// evacuated, or its version disallowed.
 func (m *Memory) MaySend(id string) bool {
 	view := m.catalog.View()
 	leaf, found := view.Leafs.ByID(id)
@@ -94,32 +94,32 @@
 }
 
 // IDs returns the id of every leaf that may be asked, including lost leafs and those that may be asked again once the
-// evacuation of their zone ends, but not those of a barred version.
+// evacuation of their zone ends, but not those of a disallowed version.
 func (m *Memory) IDs() []string {
 	view := m.catalog.View()
 	var ids []string
 	for _, id := range view.Leafs.IDs() {
 		leaf, _ := view.Leafs.ByID(id)
-		ids = appendUnbarred(ids, view.Leafs, leaf)
+		ids = appendAllowed(ids, view.Leafs, leaf)
 	}
 	since := m.oldestLoss()
 	for _, id := range view.Leafs.LostIDs(since) {
 		leaf, _ := view.Leafs.LostByID(id, since)
-		ids = appendUnbarred(ids, view.Leafs, leaf)
+		ids = appendAllowed(ids, view.Leafs, leaf)
 	}
 	if !m.isNew() {
 		return ids
 	}
 	for _, id := range view.Remembered.IDs() {
 		leaf, _ := view.Remembered.ByID(id)
-		ids = appendUnbarred(ids, view.Leafs, leaf)
+		ids = appendAllowed(ids, view.Leafs, leaf)
 	}
 	return ids
 }
 
-// appendUnbarred appends the id of a leaf unless a set bars its version.
-func appendUnbarred(ids []string, set *leafset.Set, leaf *leafset.Leaf) []string {
-	if set.IsBarred(leaf) {
+// appendAllowed appends the id of a leaf unless a set bars its version.
+func appendAllowed(ids []string, set *leafset.Set, leaf *leafset.Leaf) []string {
+	if set.IsVersionDisallowed(leaf) {
 		return ids
 	}
 	return append(ids, leaf.ID)
--- a/internal/leaf/leafmemory/writer.go
+++ b/internal/leaf/leafmemory/writer.go
@@ -68,7 +68,7 @@
 	if len(w.wanted) == 0 || len(w.wanted) > w.config.MaximumLeafs || w.isWritten {
 		return false
 	}
-	rank := registry.Rank(view.Nodes, catalog.RememberedKey, w.self)
+	rank := registry.RendezvousRank(view.Nodes, catalog.RememberedKey, w.self)
 	return now.Sub(w.since) >= w.config.WriteDelay*time.Duration(1+rank)
 }
 
--- a/internal/leaf/leafset/editor.go
+++ b/internal/leaf/leafset/editor.go
@@ -11,9 +11,9 @@
 // Editor makes a changed copy of a set; the original remains unchanged. What the copy does not change, it shares with the
 // original.
 type Editor struct {
-	set   *Set
-	owned map[string]bool // services whose slice is not shared
-	ruled map[string]bool // services whose rule changed
+	set          *Set
+	owned        map[string]bool // services whose slice is not shared
+	changedRules map[string]bool // services whose rule changed
 	// ownsRules, ownsFirst, ownsCanaries and ownsLost say which of these maps are not shared.
 	ownsRules, ownsFirst, ownsCanaries, ownsLost bool
 	// defaultToFirst says that services for which no rule names a serving version get one.
@@ -44,7 +44,7 @@
 		byService: maps.Clone(s.byService), ready: maps.Clone(s.ready), byName: maps.Clone(s.byName), evacuated: s.evacuated,
 		rules: s.rules, first: s.first, canaries: s.canaries, lost: s.lost,
 	}
-	return &Editor{set: copied, owned: map[string]bool{}, ruled: map[string]bool{}}
+	return &Editor{set: copied, owned: map[string]bool{}, changedRules: map[string]bool{}}
 }
 
 // Put adds a leaf or replaces the one of its name. If that was another incarnation, its process is gone, so that it is not
@@ -154,7 +154,7 @@
 	for service := range e.owned {
 		e.updateReady(service)
 	}
-	for service := range e.ruled {
+	for service := range e.changedRules {
 		e.updateReady(service)
 	}
 	return e.set
--- a/internal/leaf/leafset/versions.go
+++ b/internal/leaf/leafset/versions.go
@@ -15,15 +15,17 @@
 	return s.rules[service].WithDefaultServing(s.first[service])
 }
 
-// IsBarred reports whether a leaf's version neither serves nor is the canary version.
-func (s *Set) IsBarred(leaf *Leaf) bool {
+// IsVersionDisallowed reports whether a leaf's version neither serves nor is the canary version.
+func (s *Set) IsVersionDisallowed(leaf *Leaf) bool {
 	rule := s.Rule(leaf.Service)
 	return !rule.IsServing(leaf.Version) && !rule.IsCanary(leaf.Version)
 }
 
 // IsAllowed reports whether a leaf may get requests if it is ready: its zone is not evacuated, and its
 // version serves or is the canary version.
-func (s *Set) IsAllowed(leaf *Leaf) bool { return !s.evacuated[leaf.Zone] && !s.IsBarred(leaf) }
+func (s *Set) IsAllowed(leaf *Leaf) bool {
+	return !s.evacuated[leaf.Zone] && !s.IsVersionDisallowed(leaf)
+}
 
 // MayServe reports whether a leaf may get requests other than those for canaries if it is ready: its zone is not
 // evacuated, and its version serves.
@@ -48,7 +50,7 @@
 	if e.set.rules[service] == rule {
 		return
 	}
-	e.ruled[service] = true
+	e.changedRules[service] = true
 	e.ownRules()
 	if rule == (rollout.Rule{}) {
 		delete(e.set.rules, service)
@@ -73,7 +75,7 @@
 	first := ""
 	if rule := e.set.rules[service]; rule.Serving == "" {
 		first = e.set.first[service]
-		if first == "" || first == rule.Barred {
+		if first == "" || first == rule.Disallowed {
 			first = mostCounted(countVersions(leafs, rule))
 		}
 	}
@@ -88,11 +90,11 @@
 	e.set.first[service] = first
 }
 
-// countVersions counts the leafs of each version except the canary version and the barred one.
+// countVersions counts the leafs of each version except the canary version and the disallowed one.
 func countVersions(leafs []*Leaf, rule rollout.Rule) map[string]int {
 	counts := map[string]int{}
 	for _, leaf := range leafs {
-		if leaf.Version != "" && leaf.Version != rule.Barred && !rule.IsCanary(leaf.Version) {
+		if leaf.Version != "" && leaf.Version != rule.Disallowed && !rule.IsCanary(leaf.Version) {
 			counts[leaf.Version]++
 		}
 	}
--- a/internal/leaf/leafset/versions_test.go
+++ b/internal/leaf/leafset/versions_test.go
@@ -25,7 +25,7 @@
 	return editor.Done()
 }
 
-func ruled(set *Set, rule rollout.Rule) *Set {
+func withRule(set *Set, rule rollout.Rule) *Set {
 	editor := set.Edit()
 	editor.DefaultToFirstVersion()
 	editor.SetRule("s", rule)
@@ -86,7 +86,7 @@
 func TestEvacuatedLeafsAreNoCanaries(t *testing.T) {
 	is := is.New(t)
 	_, newer := oldAndNew()
-	set := ruled(edited(Empty().Edit(), newer), rollout.Rule{Serving: "v1", Canary: "v2"})
+	set := withRule(edited(Empty().Edit(), newer), rollout.Rule{Serving: "v1", Canary: "v2"})
 	editor := set.Edit()
 	editor.SetEvacuated("", true)
 	during := editor.Done()
@@ -101,17 +101,17 @@
 	older, newer := oldAndNew()
 	first := edited(Empty().Edit(), older)
 	both := edited(first.Edit(), newer)
-	ordered := ruled(both, rollout.Rule{Canary: "v2", Phase: rollout.Canary, SpecID: 7})
+	ordered := withRule(both, rollout.Rule{Canary: "v2", Phase: rollout.Canary, SpecID: 7})
 	cases := map[string]*Set{
 		"the other came":                  both,
 		"a third came":                    edited(both.Edit(), []*Leaf{leafOf("5", "v3", Ready), leafOf("6", "v3", Ready)}),
 		"a whole state":                   edited(Replace(both), append(older, newer...)),
 		"the other was ordered":           ordered,
-		"ordered after nothing else came": edited(ruled(first, rollout.Rule{Canary: "v2"}).Edit(), newer),
-		"the order was taken back":        ruled(ordered, rollout.Rule{}),
+		"ordered after nothing else came": edited(withRule(first, rollout.Rule{Canary: "v2"}).Edit(), newer),
+		"the order was taken back":        withRule(ordered, rollout.Rule{}),
 		"a whole state without the order": edited(Replace(ordered), append(older, newer...)),
-		"another order":                   ruled(both, rollout.Rule{Canary: "v3", SpecID: 7}),
-		"an order of what serves":         ruled(both, rollout.Rule{Canary: "v1", SpecID: 7}),
+		"another order":                   withRule(both, rollout.Rule{Canary: "v3", SpecID: 7}),
+		"an order of what serves":         withRule(both, rollout.Rule{Canary: "v1", SpecID: 7}),
 	}
 	for name, set := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -133,7 +133,7 @@
 	is := is.New(t)
 	older, newer := oldAndNew()
 	both := edited(edited(Empty().Edit(), older).Edit(), newer)
-	written := ruled(both, rollout.Rule{Serving: "v2"})
+	written := withRule(both, rollout.Rule{Serving: "v2"})
 	is.Equal(ids(written.Ready("s")), []string{"2", "3"})
 	is.Equal(len(written.first), 0)
 }
@@ -153,10 +153,10 @@
 	is := is.New(t)
 	_, newer := oldAndNew()
 	unknown := leafOf("1", "", Ready)
-	set := ruled(edited(Empty().Edit(), []*Leaf{unknown}), rollout.Rule{Canary: "v2"})
-	set = ruled(edited(set.Edit(), newer), rollout.Rule{Barred: "v2"})
+	set := withRule(edited(Empty().Edit(), []*Leaf{unknown}), rollout.Rule{Canary: "v2"})
+	set = withRule(edited(set.Edit(), newer), rollout.Rule{Disallowed: "v2"})
 	is.Equal(ids(set.Ready("s")), []string{"1"})
-	is.True(set.IsBarred(newer[0]))
+	is.True(set.IsVersionDisallowed(newer[0]))
 	set = edited(set.Edit(), nil, "1")
 	is.Equal(len(set.Ready("s")), 0)
 	set = edited(set.Edit(), []*Leaf{leafOf("5", "v1", Ready), leafOf("6", "v1", Ready), leafOf("7", "v3", Ready)})
--- a/internal/leaf/warmup/warmup.go
+++ b/internal/leaf/warmup/warmup.go
@@ -20,7 +20,7 @@
 	"github.com/portgauge/portgauge/internal/node/boottime"
 )
 
-// Fleet returns the nodes that may ask leafs; registry.Census implements it.
+// Fleet returns the nodes that may ask leafs; registry.Fleet implements it.
 type Fleet interface {
 	// Nodes are all nodes of the fleet, Gatherers those that ask the leafs of gathered services. A slice is
 	// never modified once it was returned.
--- a/internal/node/boottime/suspension.go
+++ b/internal/node/boottime/suspension.go
@@ -11,22 +11,22 @@
 // microseconds, and the kernel slews them alike.
 const minSuspension = 20 * time.Millisecond
 
-// Mark is an instant on both clocks, the one that includes suspensions and the monotonic one.
-type Mark struct {
+// Instant is an instant on both clocks, the one that includes suspensions and the monotonic one.
+type Instant struct {
 	clock   Clock
 	counted time.Time
 	steady  time.Time
 }
 
-// Mark returns the current instant. The monotonic clock is read first here and last in Suspended, so that a process that is
+// Instant returns the current instant. The monotonic clock is read first here and last in Suspended, so that a process that is
 // descheduled between the two readings does not take that for a suspension.
-func (c Clock) Mark() Mark {
+func (c Clock) Instant() Instant {
 	steady := time.Now()
-	return Mark{clock: c, counted: c.Now(), steady: steady}
+	return Instant{clock: c, counted: c.Now(), steady: steady}
 }
 
 // Suspended returns for how long the machine was suspended since the mark; 0 if it was not.
-func (m Mark) Suspended() time.Duration {
+func (m Instant) Suspended() time.Duration {
 	counted := m.clock.Since(m.counted)
 	suspended := counted - time.Since(m.steady)
 	if suspended < minSuspension {
@@ -40,11 +40,11 @@
 
 // Watch calls resumed after each suspension with its length, until the context ends.
 func Watch(ctx context.Context, clock Clock, resumed func(suspended time.Duration)) {
-	mark := clock.Mark()
+	instant := clock.Instant()
 	for wait.For(ctx, CheckInterval) {
-		if suspended := mark.Suspended(); suspended > 0 {
+		if suspended := instant.Suspended(); suspended > 0 {
 			resumed(suspended)
-			mark = clock.Mark()
+			instant = clock.Instant()
 		}
 	}
 }
--- a/internal/node/boottime/suspension_test.go
+++ b/internal/node/boottime/suspension_test.go
@@ -41,11 +41,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		machine := &suspendable{}
-		mark := Clock(machine.now).Mark()
+		instant := Clock(machine.now).Instant()
 		time.Sleep(time.Second)
-		is.Equal(mark.Suspended(), time.Duration(0))
+		is.Equal(instant.Suspended(), time.Duration(0))
 		machine.suspend(3 * time.Second)
 		time.Sleep(time.Second)
-		is.Equal(mark.Suspended(), 3*time.Second)
+		is.Equal(instant.Suspended(), 3*time.Second)
 	})
 }
--- a/internal/node/housekeeping.go
+++ b/internal/node/maintenance.go
@@ -15,12 +15,12 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// housekeepingInterval is how often gauges are set and state of vanished leafs is dropped.
-const housekeepingInterval = 5 * time.Second
+// maintenanceInterval is how often gauges are set and state of vanished leafs is dropped.
+const maintenanceInterval = 5 * time.Second
 
-// housekeeper drops the state kept for leafs and services that no longer exist, and sets the gauges of configuration
+// maintainer drops the state kept for leafs and services that no longer exist, and sets the gauges of configuration
 // and membership.
-type housekeeper struct {
+type maintainer struct {
 	catalog  *catalog.Catalog
 	balancer *balancer.Balancer
 	budgets  *retrybudget.Budgets
@@ -30,17 +30,17 @@
 	metrics  *telemetry.Metrics
 }
 
-func newHousekeeper(known *catalog.Catalog, choice *balancer.Balancer, budgets *retrybudget.Budgets, pool *leafhttp.Pool, memory *leafmemory.Memory, members *membership.Membership, metrics *telemetry.Metrics) *housekeeper {
-	return &housekeeper{catalog: known, balancer: choice, budgets: budgets, pool: pool, memory: memory, members: members, metrics: metrics}
+func newMaintainer(known *catalog.Catalog, choice *balancer.Balancer, budgets *retrybudget.Budgets, pool *leafhttp.Pool, memory *leafmemory.Memory, members *membership.Membership, metrics *telemetry.Metrics) *maintainer {
+	return &maintainer{catalog: known, balancer: choice, budgets: budgets, pool: pool, memory: memory, members: members, metrics: metrics}
 }
 
-func (h *housekeeper) run(ctx context.Context) {
-	for wait.For(ctx, housekeepingInterval) {
+func (h *maintainer) run(ctx context.Context) {
+	for wait.For(ctx, maintenanceInterval) {
 		h.sweep()
 	}
 }
 
-func (h *housekeeper) sweep() {
+func (h *maintainer) sweep() {
 	view := h.catalog.View()
 	known := map[string]bool{}
 	for _, service := range view.Services {
@@ -58,7 +58,7 @@
 }
 
 // isRouted returns a function that reports whether the routes name a service.
-func (h *housekeeper) isRouted(view *catalog.View) func(service string) bool {
+func (h *maintainer) isRouted(view *catalog.View) func(service string) bool {
 	routed := map[string]bool{}
 	if view.Routes != nil {
 		for _, name := range view.Routes.ServiceNames() {
@@ -68,9 +68,9 @@
 	return func(service string) bool { return routed[service] }
 }
 
-func (h *housekeeper) setGauges(view *catalog.View) {
+func (h *maintainer) setGauges(view *catalog.View) {
 	h.metrics.ConfigRevision.Set(float64(view.Revision))
-	h.metrics.Kept.Set(float64(len(h.catalog.RetainedEntries())))
+	h.metrics.Kept.Set(float64(len(h.catalog.RetainedInForce())))
 	h.metrics.ConfigAge.Set(h.catalog.Age().Seconds())
 	counts := h.members.Counts()
 	for _, state := range []peer.MemberState{peer.Alive, peer.Suspect, peer.Left, peer.Dead} {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -55,7 +55,7 @@
 			newTransport,
 			newSelf,
 			newCatalog,
-			newCensus,
+			newFleet,
 			newMemory,
 			newLeafWriter,
 			newBalancer,
@@ -75,7 +75,7 @@
 			newSyncer,
 			newMembership,
 			newAdmin,
-			newHousekeeper,
+			newMaintainer,
 			newLeafGossip,
 			newReachDatagrams,
 			newZones,
@@ -93,7 +93,7 @@
 			return events
 		}),
 		fx.Invoke(runLog, logLifetime, runControl, runOperators, runServing, runReload),
-		fx.StopTimeout(config.Stop.AnnounceDelay+config.Stop.DrainTimeout+closeReserve),
+		fx.StopTimeout(config.Stop.PrepareStopDelay+config.Stop.DrainTimeout+closeReserve),
 	)
 }
 
--- a/internal/node/provide_fleet.go
+++ b/internal/node/provide_fleet.go
@@ -55,10 +55,10 @@
 	return self
 }
 
-func newCensus(config settings.Settings, known *catalog.Catalog, self catalog.NodeRecord, clock boottime.Clock) *registry.Census {
-	census := registry.NewCensus(known, self.ID, config.Registry.Memory)
-	census.SetClock(clock)
-	return census
+func newFleet(config settings.Settings, known *catalog.Catalog, self catalog.NodeRecord, clock boottime.Clock) *registry.Fleet {
+	fleet := registry.NewFleet(known, self.ID, config.Registry.Memory)
+	fleet.SetClock(clock)
+	return fleet
 }
 
 func newMembership(config settings.Settings, record catalog.NodeRecord, transport *peer.SocketTransport, syncer *configsync.Syncer) *membership.Membership {
--- a/internal/node/provide_leaf.go
+++ b/internal/node/provide_leaf.go
@@ -38,9 +38,9 @@
 	return choice
 }
 
-func newLeafGossip(config settings.Settings, census *registry.Census, transport *peer.SocketTransport, choice *balancer.Balancer) *leafgossip.Gossip {
-	gossip := leafgossip.New(config.LeafGossip, census, transport, choice.HandleObservation)
-	choice.OnObserved(gossip.Announce)
+func newLeafGossip(config settings.Settings, fleet *registry.Fleet, transport *peer.SocketTransport, choice *balancer.Balancer) *leafgossip.Gossip {
+	gossip := leafgossip.New(config.LeafGossip, fleet, transport, choice.HandleObservation)
+	choice.OnObserved(gossip.Enqueue)
 	return gossip
 }
 
@@ -50,8 +50,8 @@
 	return pool
 }
 
-func newAllocator(config settings.Settings, census *registry.Census, self catalog.NodeRecord) *connshare.Allocator {
-	return connshare.New(config.ConnectionShare, census, self)
+func newAllocator(config settings.Settings, fleet *registry.Fleet, self catalog.NodeRecord) *connshare.Allocator {
+	return connshare.New(config.ConnectionShare, fleet, self)
 }
 
 type httpPoolDeps struct {
@@ -76,8 +76,8 @@
 	return pool
 }
 
-func newWarmup(config settings.Settings, known *catalog.Catalog, census *registry.Census, self catalog.NodeRecord, clock boottime.Clock) *warmup.Limiter {
-	limiter := warmup.New(config.Warmup, known, census, self)
+func newWarmup(config settings.Settings, known *catalog.Catalog, fleet *registry.Fleet, self catalog.NodeRecord, clock boottime.Clock) *warmup.Limiter {
+	limiter := warmup.New(config.Warmup, known, fleet, self)
 	limiter.SetClock(clock)
 	return limiter
 }
--- a/internal/node/provide_request.go
+++ b/internal/node/provide_request.go
@@ -26,10 +26,10 @@
 	"go.uber.org/zap"
 )
 
-func newBudgets(config settings.Settings, known *catalog.Catalog, census *registry.Census, clock boottime.Clock) *retrybudget.Budgets {
+func newBudgets(config settings.Settings, known *catalog.Catalog, fleet *registry.Fleet, clock boottime.Clock) *retrybudget.Budgets {
 	budgets := retrybudget.New(config.RetryBudget, func(service string) float64 {
 		routes := known.View().Routes
-		return census.Share(routes != nil && routes.IsGathered(service))
+		return fleet.Share(routes != nil && routes.IsGathered(service))
 	})
 	budgets.SetClock(clock)
 	return budgets
@@ -51,7 +51,7 @@
 	Evidence      *evidence.Collector
 	Events        gateway.EventLog
 	Self          catalog.NodeRecord
-	Fleet         *registry.Census
+	Fleet         *registry.Fleet
 	Intermediates *servingtree.Client
 	Zones         *reachability.Tracker
 	Quarantine    *quarantine.Register
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -108,11 +108,11 @@
 }
 
 // newSplitter returns nil if roll-outs are off.
-func newSplitter(config settings.Settings, known *catalog.Catalog, census *registry.Census, clock boottime.Clock) *canary.Splitter {
+func newSplitter(config settings.Settings, known *catalog.Catalog, fleet *registry.Fleet, clock boottime.Clock) *canary.Splitter {
 	if !config.Rollouts.Enabled {
 		return nil
 	}
-	splitter := canary.New(config.Canary, known, census)
+	splitter := canary.New(config.Canary, known, fleet)
 	splitter.SetClock(clock)
 	return splitter
 }
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -65,7 +65,7 @@
 	Syncer      *configsync.Syncer
 	Members     *membership.Membership
 	Engine      *search.Engine
-	Housekeeper *housekeeper
+	Maintainer  *maintainer
 	Writer      *leafmemory.Writer
 	Gossip      *leafgossip.Gossip
 	StateEvents *stateEvents
@@ -96,7 +96,7 @@
 			go deps.Zones.Run(ctx)
 			go deps.Syncer.Run(ctx)
 			go deps.Members.Run(ctx)
-			go deps.Housekeeper.run(ctx)
+			go deps.Maintainer.run(ctx)
 			go deps.Writer.Run(ctx)
 			go deps.Gossip.Run(ctx)
 			go deps.StateEvents.run(ctx)
@@ -190,11 +190,11 @@
 		OnStop: func(ctx context.Context) error {
 			stopWarming()
 			deps.Members.Leave()
-			deps.Tree.Announce()
-			deps.Engine.Announce()
-			deps.Front.Announce()
+			deps.Tree.PrepareStop()
+			deps.Engine.PrepareStop()
+			deps.Front.PrepareStop()
 			logger.Info("stopping: announced")
-			if !wait.For(ctx, config.Stop.AnnounceDelay) {
+			if !wait.For(ctx, config.Stop.PrepareStopDelay) {
 				return ctx.Err()
 			}
 			drain(ctx, deps)
--- a/internal/quarantine/quarantinesync/sync.go
+++ b/internal/quarantine/quarantinesync/sync.go
@@ -159,7 +159,7 @@
 
 // aggregatorsOf returns the nodes that add up the evidence against a request.
 func (s *Sync) aggregatorsOf(content fingerprint.Fingerprint) []catalog.NodeRecord {
-	ranked := registry.Ranked(s.deps.Catalog.View().Nodes, content.String())
+	ranked := registry.RendezvousOrder(s.deps.Catalog.View().Nodes, content.String())
 	return ranked[:min(len(ranked), aggregatorCount)]
 }
 
--- a/internal/request/front/front.go
+++ b/internal/request/front/front.go
@@ -99,9 +99,9 @@
 	}
 }
 
-// Announce begins a planned stop: the node is no longer ready, and its answers ask callers to close their connections,
+// PrepareStop begins a planned stop: the node is no longer ready, and its answers ask callers to close their connections,
 // but requests are still served.
-func (s *Server) Announce() { s.leaving.Store(true) }
+func (s *Server) PrepareStop() { s.leaving.Store(true) }
 
 // answerReserve is how long before the end of a planned stop the requests in flight are given up, so that their callers
 // get an answer instead of a closed connection.
--- a/internal/request/front/front_test.go
+++ b/internal/request/front/front_test.go
@@ -210,7 +210,7 @@
 		bodies <- fmt.Sprintf("%t %s", response.Close, body)
 	}()
 	time.Sleep(50 * time.Millisecond)
-	server.Announce()
+	server.PrepareStop()
 	is.Equal(ready(), 503)
 	stopped := make(chan error, 1)
 	go func() { stopped <- server.Shutdown(t.Context()) }()
--- a/internal/request/gateway/root.go
+++ b/internal/request/gateway/root.go
@@ -10,7 +10,7 @@
 	"github.com/portgauge/portgauge/internal/request/servingtree"
 )
 
-// Fleet lists the nodes that may gather groups; registry.Census implements it.
+// Fleet lists the nodes that may gather groups; registry.Fleet implements it.
 type Fleet interface {
 	Gatherers() []catalog.NodeRecord
 	// IsGatherer reports whether this node is one of them.
--- a/internal/request/gateway/tree_fixture_test.go
+++ b/internal/request/gateway/tree_fixture_test.go
@@ -163,15 +163,15 @@
 		put(b.t, node.catalog, catalog.NodeKey(known.ID), known)
 	}
 	b.putRoutes(node, 1, gathered)
-	census := registry.NewCensus(node.catalog, node.record.ID, time.Minute)
+	fleet := registry.NewFleet(node.catalog, node.record.ID, time.Minute)
 	client := servingtree.NewClient(servingtree.DefaultConfig())
 	b.t.Cleanup(client.Close)
 	node.gateway = New(Deps{
 		Config: DefaultConfig(), Names: names, Catalog: node.catalog, Memory: leafmemory.New(leafmemory.DefaultConfig(), node.catalog),
-		Allocator: connshare.New(connshare.DefaultConfig(), census, node.record),
+		Allocator: connshare.New(connshare.DefaultConfig(), fleet, node.record),
 		Balancer:  balancer.New(balancer.DefaultConfig(), node.record.Zone),
 		Budgets:   treeBudgets(),
-		Leafs:     node.leafs, Events: node.events, Self: node.record, Fleet: census, Intermediates: client,
+		Leafs:     node.leafs, Events: node.events, Self: node.record, Fleet: fleet, Intermediates: client,
 		Regions: map[string]string{zoneNear: regionWest, zoneFar: regionWest, zoneFarther: regionSouth},
 	})
 	node.server = servingtree.NewServer(servingtree.DefaultConfig(), node.gateway)
--- a/internal/request/gateway/tree_test.go
+++ b/internal/request/gateway/tree_test.go
@@ -74,7 +74,7 @@
 		"dead":   {func(node *treeNode) { _ = node.listener.Close() }, GroupNeverSent},
 		"frozen": {freeze, GroupSilent},
 		"leaving": {func(node *treeNode) {
-			node.server.Announce()
+			node.server.PrepareStop()
 		}, GroupLeaving},
 		"another table": {func(node *treeNode) {
 			put(node.t, node.catalog, catalog.LeafKey("other"), leafset.Record{Name: "other", Service: "other", Address: "127.0.0.1:1", State: leafset.Ready})
--- a/internal/request/gateway/zones_test.go
+++ b/internal/request/gateway/zones_test.go
@@ -23,7 +23,7 @@
 func (a partitionedProber) Ping(_ context.Context, node catalog.NodeRecord) bool {
 	return !a[node.Zone]
 }
-func (a partitionedProber) AnnounceLost(catalog.NodeRecord, string) {}
+func (a partitionedProber) SendZoneLost(catalog.NodeRecord, string) {}
 
 // trackerWithout returns the reachability tracker of a node in the near zone to which some zones, of 5 nodes each, are
 // unreachable. It stops at the end of the test.
@@ -231,4 +231,4 @@
 	}
 	return false
 }
-func (a recordingProber) AnnounceLost(catalog.NodeRecord, string) {}
+func (a recordingProber) SendZoneLost(catalog.NodeRecord, string) {}
--- a/internal/request/search/lifecycle.go
+++ b/internal/request/search/lifecycle.go
@@ -19,12 +19,12 @@
 
 // Ready reports whether callers should send searches here.
 func (e *Engine) Ready() bool {
-	return e.ready.Load() && !e.announced.Load() && !e.draining.Load()
+	return e.ready.Load() && !e.isStopping.Load() && !e.draining.Load()
 }
 
-// Announce makes the node report not ready while it still accepts searches, so that callers and
+// PrepareStop makes the node report not ready while it still accepts searches, so that callers and
 // load balancers use other nodes before any search is refused.
-func (e *Engine) Announce() { e.announced.Store(true) }
+func (e *Engine) PrepareStop() { e.isStopping.Store(true) }
 
 // Draining reports whether the node refuses new searches for a planned stop.
 func (e *Engine) Draining() bool { return e.draining.Load() }
--- a/internal/request/search/search.go
+++ b/internal/request/search/search.go
@@ -39,9 +39,9 @@
 	// quarantine tracks crashing requests; nil tracks none.
 	quarantine *quarantine.Register
 
-	ready     atomic.Bool
-	announced atomic.Bool // a planned stop is announced, but searches are still accepted
-	draining  atomic.Bool
+	ready      atomic.Bool
+	isStopping atomic.Bool // a planned stop is announced, but searches are still accepted
+	draining   atomic.Bool
 
 	// mu guards the maps and running, but not the values of the maps.
 	mu       sync.Mutex
@@ -110,17 +110,17 @@
 	}
 	defer release()
 	answer, congested, err := e.answer(ctx, query)
-	if congested && e.yieldTo(service.Spec) {
+	if congested && e.reduceLessUrgentLimits(service.Spec) {
 		congested = false
 	}
 	ticket.Done(congested)
 	return answer, err
 }
 
-// yieldTo decides whose limit is reduced after a congested search of a service: it reduces the limits of less urgent
+// reduceLessUrgentLimits decides whose limit is reduced after a congested search of a service: it reduces the limits of less urgent
 // services with searches in flight, and reports whether there was one; then the more urgent service keeps its own.
-func (e *Engine) yieldTo(spec *adminv1.ServiceSpec) bool {
-	yielded := false
+func (e *Engine) reduceLessUrgentLimits(spec *adminv1.ServiceSpec) bool {
+	isReduced := false
 	for name, other := range e.catalog.View().Services {
 		if other.Spec == nil || other.Spec.GetUrgency() <= spec.GetUrgency() {
 			continue
@@ -130,10 +130,10 @@
 		e.mu.Unlock()
 		if found && gate.Usage().Running > 0 {
 			gate.Congested()
-			yielded = true
+			isReduced = true
 		}
 	}
-	return yielded
+	return isReduced
 }
 
 // gate returns the service's gate, with the current limits.
--- a/internal/request/servingtree/server.go
+++ b/internal/request/servingtree/server.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// Announce begins a planned stop: from now on requests are declined.
-func (s *Server) Announce() {
+// PrepareStop begins a planned stop: from now on requests are declined.
+func (s *Server) PrepareStop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = true
@@ -58,7 +58,7 @@
 
 // Shutdown waits for the requests in flight until the context ends, and then closes all connections.
 func (s *Server) Shutdown(ctx context.Context) error {
-	s.Announce()
+	s.PrepareStop()
 	ended := make(chan struct{})
 	go func() {
 		s.running.Wait()
--- a/internal/request/servingtree/servingtree_test.go
+++ b/internal/request/servingtree/servingtree_test.go
@@ -167,7 +167,7 @@
 	client := newClient(t, testConfig())
 	before := client.Start(address, Request{ID: "before"})
 	<-before.Acks()
-	server.Announce()
+	server.PrepareStop()
 	is.Equal(result(t, client.Start(address, Request{ID: "after"})).Reply.Decline, Leaving)
 	stopped := make(chan error, 1)
 	go func() { stopped <- server.Shutdown(t.Context()) }()
--- a/internal/rollout/canary/config.go
+++ b/internal/rollout/canary/config.go
@@ -5,7 +5,7 @@
 // within a short ramp, and reports when it has nothing in flight at the version that served before.
 //
 // A Splitter owns the counts of the specs in force and the attempts in flight; it starts no goroutine. It relies on
-// the catalog for rules and specs, on the census of the fleet for its share of the slack, and on a clock that counts
+// the catalog for rules and specs, on the list of the fleet's nodes for its share of the slack, and on a clock that counts
 // suspended time.
 package canary
 
--- a/internal/rollout/canary/splitter.go
+++ b/internal/rollout/canary/splitter.go
@@ -45,7 +45,7 @@
 	specID int64
 }
 
-// Fleet is what a node must know of the others; registry.Census is the real one.
+// Fleet is what a node must know of the others; registry.Fleet is the real one.
 type Fleet interface {
 	// Share returns this node's share, 0 to 1, of a bound that all nodes share, for requests that are gathered or not.
 	Share(gathered bool) float64
--- a/internal/rollout/canary/stage_test.go
+++ b/internal/rollout/canary/stage_test.go
@@ -194,8 +194,8 @@
 	built.phase(specID, rollout.RolledBack)
 	built.put(catalog.LeafKey(leafID(target, 1)), nil)
 	built.putLeaf(target, 2, leafset.Draining)
-	for _, barred := range []string{leafID(target, 0), leafID(target, 1), leafID(target, 2), "old"} {
-		is.True(!splitter.MayAsk(barred))
+	for _, disallowed := range []string{leafID(target, 0), leafID(target, 1), leafID(target, 2), "old"} {
+		is.True(!splitter.MayAsk(disallowed))
 	}
 	is.True(splitter.MayAsk(leafID(before, 0)) && splitter.MayAsk("other"))
 }
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -165,11 +165,11 @@
 
 // Rule decides which versions of a service may get requests; the zero rule allows all.
 type Rule struct {
-	// Serving is the version that serves; empty means any but Canary and Barred.
+	// Serving is the version that serves; empty means any but Canary and Disallowed.
 	Serving string
-	// Barred is the version that was rolled back or withdrawn, if Serving is empty; otherwise all versions but
-	// Serving and Canary are barred.
-	Barred string
+	// Disallowed is the version that was rolled back or withdrawn, if Serving is empty; otherwise all versions but
+	// Serving and Canary are disallowed.
+	Disallowed string
 	// ExcludesUnversioned says that leafs without a version are those that served before Serving, and get nothing.
 	ExcludesUnversioned bool
 	// Canary is the version that is rolled out, the target of the spec under way; empty if there is none.
@@ -196,7 +196,7 @@
 	if state != nil && state.Serving == "" {
 		rule.ExcludesUnversioned = rule.Serving != ""
 		if !rule.ExcludesUnversioned {
-			rule.Barred = state.Target
+			rule.Disallowed = state.Target
 		}
 	}
 	if spec == nil || spec.Target == rule.Serving {
@@ -210,8 +210,8 @@
 	if isStateOfSpec {
 		rule.Phase = state.Phase
 	}
-	if rule.Barred == rule.Canary {
-		rule.Barred = ""
+	if rule.Disallowed == rule.Canary {
+		rule.Disallowed = ""
 	}
 	return rule
 }
@@ -219,13 +219,13 @@
 // WithDefaultServing returns the rule with the version that was there first as the serving one, unless the rule names
 // one. A spec for that version has nothing left to do.
 func (r Rule) WithDefaultServing(first string) Rule {
-	if r.Serving != "" || first == "" || r.Barred == first {
+	if r.Serving != "" || first == "" || r.Disallowed == first {
 		return r
 	}
 	if r.Canary == first {
 		return Rule{Serving: first, Revision: r.Revision}
 	}
-	r.Serving, r.Barred = first, ""
+	r.Serving, r.Disallowed = first, ""
 	return r
 }
 
@@ -235,7 +235,7 @@
 	if version == "" {
 		return !r.ExcludesUnversioned
 	}
-	return version == r.Serving || r.Serving == "" && version != r.Canary && version != r.Barred
+	return version == r.Serving || r.Serving == "" && version != r.Canary && version != r.Disallowed
 }
 
 // IsCanary reports whether a version is the canary by the rule.
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -50,10 +50,10 @@
 		{"another order after a success", spec("v3"), state(Succeeded, 5), "v1", Rule{Serving: "v2", Canary: "v3", Phase: Canary, SpecID: specRevision, Revision: 9}},
 		{"the order was taken back", nil, state(Switching, specRevision), "v1", Rule{Serving: "v1", Revision: 9}},
 		{"taken back after a success", nil, state(Succeeded, specRevision), "v1", Rule{Serving: "v2", Revision: 9}},
-		{"rolled back where leafs had no version", spec("v2"), unnamed(RolledBack, specRevision), "", Rule{Barred: "v2", Revision: 9}},
-		{"taken back where leafs had no version", nil, unnamed(Switching, specRevision), "", Rule{Barred: "v2", Revision: 9}},
+		{"rolled back where leafs had no version", spec("v2"), unnamed(RolledBack, specRevision), "", Rule{Disallowed: "v2", Revision: 9}},
+		{"taken back where leafs had no version", nil, unnamed(Switching, specRevision), "", Rule{Disallowed: "v2", Revision: 9}},
 		{"on trial again where leafs had no version", spec("v2"), unnamed(RolledBack, 5), "", Rule{Canary: "v2", Phase: Canary, SpecID: specRevision, Revision: 9}},
-		{"another on trial where leafs had no version", spec("v3"), unnamed(RolledBack, 5), "", Rule{Barred: "v2", Canary: "v3", Phase: Canary, SpecID: specRevision, Revision: 9}},
+		{"another on trial where leafs had no version", spec("v3"), unnamed(RolledBack, 5), "", Rule{Disallowed: "v2", Canary: "v3", Phase: Canary, SpecID: specRevision, Revision: 9}},
 		{"succeeded where leafs had no version", spec("v2"), unnamed(Succeeded, specRevision), "", Rule{Serving: "v2", ExcludesUnversioned: true, Revision: 9}},
 		{"another on trial after that", spec("v3"), unnamed(Succeeded, 5), "", Rule{Serving: "v2", ExcludesUnversioned: true, Canary: "v3", Phase: Canary, SpecID: specRevision, Revision: 9}},
 		{"the target serves already", spec("v1"), nil, "v1", Rule{Serving: "v1"}},
@@ -73,7 +73,7 @@
 	is.True(rule.IsCanary("v2") && !rule.IsCanary("") && !rule.IsCanary("v1"))
 	unknown := Rule{Canary: "v2"}
 	is.True(unknown.IsServing("v1") && !unknown.IsServing("v2"))
-	rolledBack := Rule{Barred: "v2"}
+	rolledBack := Rule{Disallowed: "v2"}
 	is.True(rolledBack.IsServing("v1") && rolledBack.IsServing("") && !rolledBack.IsServing("v2") && !rolledBack.IsCanary("v2"))
 	is.Equal(rolledBack.WithDefaultServing("v2"), rolledBack)
 	is.Equal(rolledBack.WithDefaultServing("v1"), Rule{Serving: "v1"})
--- a/internal/rollout/rolloutcontrol/controller.go
+++ b/internal/rollout/rolloutcontrol/controller.go
@@ -71,7 +71,7 @@
 	rollouts       map[string]*activeRollout
 	schedules      map[string]*writeSchedule
 	hasStarted     bool // a first configuration was handled
-	steppedAt      boottime.Mark
+	steppedAt      boottime.Instant
 	evaluateAfter  time.Time // after a suspension: earlier, reports may be unread
 	reportedAt     time.Time
 	askedAt        time.Time
@@ -114,7 +114,7 @@
 	changes, stop := c.deps.Catalog.Subscribe(changeBacklog)
 	defer stop()
 	defer c.running.Wait()
-	c.steppedAt = c.deps.Clock.Mark()
+	c.steppedAt = c.deps.Clock.Instant()
 	for {
 		timer := time.NewTimer(c.step(ctx, c.deps.Clock.Now()))
 		isOver := c.await(ctx, timer, changes)
@@ -167,7 +167,7 @@
 	if c.steppedAt.Suspended() > 0 {
 		c.evaluateAfter = now.Add(resumeIntervals * c.cfg.ReportInterval)
 	}
-	c.steppedAt = c.deps.Clock.Mark()
+	c.steppedAt = c.deps.Clock.Instant()
 	return now.Before(c.evaluateAfter)
 }
 
--- a/internal/rollout/rolloutcontrol/evaluatornodes.go
+++ b/internal/rollout/rolloutcontrol/evaluatornodes.go
@@ -18,7 +18,7 @@
 func evaluatorNodesOf(nodes map[string]catalog.NodeRecord, service string, limit int) []catalog.NodeRecord {
 	var evaluatorNodes, others []catalog.NodeRecord
 	zones := map[string]bool{}
-	for _, node := range registry.Ranked(nodes, service) {
+	for _, node := range registry.RendezvousOrder(nodes, service) {
 		if zones[node.Zone] {
 			others = append(others, node)
 			continue
--- a/internal/rollout/rolloutcontrol/versionswriter.go
+++ b/internal/rollout/rolloutcontrol/versionswriter.go
@@ -75,7 +75,7 @@
 	if maps.Equal(w.wanted, view.Versions) {
 		return false
 	}
-	rank := registry.Rank(view.Nodes, catalog.VersionsKey, w.self)
+	rank := registry.RendezvousRank(view.Nodes, catalog.VersionsKey, w.self)
 	return now.Sub(w.since) >= w.cfg.VersionsDelay*time.Duration(1+rank)
 }
 
--- a/internal/rollout/rolloutcontrol/versionswriter_test.go
+++ b/internal/rollout/rolloutcontrol/versionswriter_test.go
@@ -92,7 +92,7 @@
 
 func TestAnotherNodeWritesVersionsIfTheFirstIsCutOff(t *testing.T) {
 	versionsScene(t, func(is *is.I, f *fleet) {
-		first := registry.Ranked(f.all()[0].catalog.View().Nodes, catalog.VersionsKey)[0].ID
+		first := registry.RendezvousOrder(f.all()[0].catalog.View().Nodes, catalog.VersionsKey)[0].ID
 		f.store.fail(func(m *memoryStore) { m.refused[first] = true })
 		f.addLeafs("s", "a", 1)
 		is.Equal(f.versions(), map[string]string{"s": "a"})
--- a/internal/rollout/verdict/cases_test.go
+++ b/internal/rollout/verdict/cases_test.go
@@ -62,7 +62,7 @@
 	{verdicttest.Case{Name: "fails while switching", PerSecond: 40, Fault: verdicttest.Fault{Failing: 0.4, From: 0.8}}, 15, 30},
 	{verdicttest.Case{Name: "fails on one route", PerSecond: 40, Routes: 2, Fault: verdicttest.Fault{Failing: 0.4, LastRoute: true}}, 8, 15},
 	{verdicttest.Case{Name: "fails under load", PerSecond: 40, Fault: verdicttest.Fault{Failing: 0.4, UnderLoad: true}}, 10, 15},
-	{verdicttest.Case{Name: "fails beside a grey serving leaf", PerSecond: 40, Incident: verdicttest.OldGrey, Fault: verdicttest.Fault{Failing: 0.2}}, 12, 20},
+	{verdicttest.Case{Name: "fails beside a grey serving leaf", PerSecond: 40, Incident: verdicttest.OldGrayLeaf, Fault: verdicttest.Fault{Failing: 0.2}}, 12, 20},
 	{verdicttest.Case{Name: "all 3 times slower", PerSecond: 40, Fault: verdicttest.Fault{Slow: 3, SlowShare: 1}}, 50, 70},
 	{verdicttest.Case{Name: "all 8 times slower", PerSecond: 5, Fault: verdicttest.Fault{Slow: 8, SlowShare: 1}}, 20, 35},
 	{verdicttest.Case{Name: "some 5 times slower", PerSecond: 500, Fault: verdicttest.Fault{Slow: 5, SlowShare: 0.3}}, 40, 80},
--- a/internal/rollout/verdict/verdicttest/answers.go
+++ b/internal/rollout/verdict/verdicttest/answers.go
@@ -18,7 +18,7 @@
 	coldFor    = 3 * time.Second
 
 	slowLeafFactor = 5
-	greyShare      = 0.4
+	grayShare      = 0.4
 	flapPeriod     = 1500 * time.Millisecond
 	bothFailShare  = 0.15
 	burstFactor    = 3
@@ -126,8 +126,8 @@
 		if chosen {
 			a.took *= slowLeafFactor
 		}
-	case GreyLeaf:
-		a.failed = a.failed || chosen && p.random.Float64() < greyShare
+	case GrayLeaf:
+		a.failed = a.failed || chosen && p.random.Float64() < grayShare
 	case Flapping:
 		a.dropAnswer(chosen && at/flapPeriod%2 == 0, deadline)
 	case ZoneCut:
@@ -138,8 +138,8 @@
 		}
 	case BothFail:
 		a.failed = a.failed || passing && p.random.Float64() < bothFailShare
-	case OldGrey:
-		a.failed = a.failed || !l.isCanary && l.number == 0 && p.random.Float64() < greyShare
+	case OldGrayLeaf:
+		a.failed = a.failed || !l.isCanary && l.number == 0 && p.random.Float64() < grayShare
 	}
 }
 
--- a/internal/rollout/verdict/verdicttest/case.go
+++ b/internal/rollout/verdict/verdicttest/case.go
@@ -9,23 +9,23 @@
 // Incident is a disturbance that is not the new version's fault. Cold leafs and pauses occur in all cases.
 type Incident string
 
-// The incidents. Those of one leaf affect a leaf of the canary version, except OldGrey.
+// The incidents. Those of one leaf affect a leaf of the canary version, except OldGrayLeaf.
 const (
-	None      Incident = "none"
-	DeadLeaf  Incident = "dead leaf"
-	SlowLeaf  Incident = "slow leaf"
-	GreyLeaf  Incident = "grey leaf"
-	Flapping  Incident = "flapping leaf"
-	ZoneCut   Incident = "zone cut"
-	Burst     Incident = "burst"
-	BothFail  Incident = "both fail"
-	OldGrey   Incident = "old leaf grey"
-	NoReports Incident = "no reports"
+	None        Incident = "none"
+	DeadLeaf    Incident = "dead leaf"
+	SlowLeaf    Incident = "slow leaf"
+	GrayLeaf    Incident = "grey leaf"
+	Flapping    Incident = "flapping leaf"
+	ZoneCut     Incident = "zone cut"
+	Burst       Incident = "burst"
+	BothFail    Incident = "both fail"
+	OldGrayLeaf Incident = "old leaf grey"
+	NoReports   Incident = "no reports"
 )
 
 // Incidents returns all incidents.
 func Incidents() []Incident {
-	return []Incident{None, DeadLeaf, SlowLeaf, GreyLeaf, Flapping, ZoneCut, Burst, BothFail, OldGrey, NoReports}
+	return []Incident{None, DeadLeaf, SlowLeaf, GrayLeaf, Flapping, ZoneCut, Burst, BothFail, OldGrayLeaf, NoReports}
 }
 
 // Fault is what is wrong with a version; a good version has the zero value.
