--- a/cmd/portgauge/rollout_test.go
+++ b/cmd/portgauge/rollout_test.go
@@ -213,7 +213,7 @@
 func (s *ownSite) asked(ids ...string) int {
 	asked := 0
 	for _, id := range ids {
-		asked += len(s.leafs[id].Asked())
+		asked += len(s.leafs[id].Requests())
 	}
 	return asked
 }
--- a/internal/config/configsync/push_check.go
+++ b/internal/config/configsync/push_check.go
@@ -30,15 +30,15 @@
 // checkPush asks every member of the zone for its revision, Config.FanOut at a time, and sends those behind what
 // they miss.
 func (s *Syncer) checkPush(ctx context.Context) {
-	var asked sync.WaitGroup
+	var pending sync.WaitGroup
 	for _, branch := range split(s.otherAddresses(), s.config.FanOut) {
-		asked.Go(func() {
+		pending.Go(func() {
 			for _, address := range branch {
 				s.repairMember(ctx, address)
 			}
 		})
 	}
-	asked.Wait()
+	pending.Wait()
 }
 
 // repairMember sends a member the changes that it misses.
--- a/internal/config/configsync/status.go
+++ b/internal/config/configsync/status.go
@@ -20,10 +20,10 @@
 	own := ZoneStatus{Zone: s.members.Self().Zone, StatusReply: s.HandleStatus(ctx, peer.StatusQuery{Revision: revision, WholeZone: true})}
 	statuses := []ZoneStatus{own}
 	var mu sync.Mutex
-	var asked sync.WaitGroup
+	var pending sync.WaitGroup
 	for zone, addresses := range s.contactsByZone() {
-		asked.Go(func() {
-			reply, found := s.askZone(ctx, addresses, revision)
+		pending.Go(func() {
+			reply, found := s.queryZone(ctx, addresses, revision)
 			if !found {
 				return
 			}
@@ -32,7 +32,7 @@
 			statuses = append(statuses, ZoneStatus{Zone: zone, StatusReply: reply})
 		})
 	}
-	asked.Wait()
+	pending.Wait()
 	return statuses
 }
 
@@ -44,9 +44,9 @@
 	return byZone
 }
 
-func (s *Syncer) askZone(ctx context.Context, addresses []string, revision int64) (peer.StatusReply, bool) {
+func (s *Syncer) queryZone(ctx context.Context, addresses []string, revision int64) (peer.StatusReply, bool) {
 	for _, address := range addresses {
-		reply, found := s.askStatus(ctx, address, peer.StatusQuery{Revision: revision, WholeZone: true})
+		reply, found := s.queryStatus(ctx, address, peer.StatusQuery{Revision: revision, WholeZone: true})
 		if found {
 			return reply, true
 		}
@@ -54,7 +54,7 @@
 	return peer.StatusReply{}, false
 }
 
-func (s *Syncer) askStatus(ctx context.Context, address string, query peer.StatusQuery) (peer.StatusReply, bool) {
+func (s *Syncer) queryStatus(ctx context.Context, address string, query peer.StatusQuery) (peer.StatusReply, bool) {
 	ctx, cancel := context.WithTimeout(ctx, pullTimeoutFactor*s.config.CallTimeout)
 	defer cancel()
 	answer, err := s.transport.Call(ctx, address, peer.Message{Digest: s.Digest(), StatusQuery: &query})
@@ -72,10 +72,10 @@
 		subtree = s.otherAddresses()
 	}
 	var mu sync.Mutex
-	var asked sync.WaitGroup
+	var pending sync.WaitGroup
 	for _, branch := range split(subtree, s.config.FanOut) {
-		asked.Go(func() {
-			reply, found := s.askBranch(ctx, branch, query.Revision)
+		pending.Go(func() {
+			reply, found := s.queryBranch(ctx, branch, query.Revision)
 			if !found {
 				return
 			}
@@ -89,7 +89,7 @@
 			total.Registered += reply.Registered
 		})
 	}
-	asked.Wait()
+	pending.Wait()
 	return total
 }
 
@@ -112,10 +112,10 @@
 	return own
 }
 
-// askBranch asks the first node of a branch that answers; those before it are not counted.
-func (s *Syncer) askBranch(ctx context.Context, branch []string, revision int64) (peer.StatusReply, bool) {
+// queryBranch asks the first node of a branch that answers; those before it are not counted.
+func (s *Syncer) queryBranch(ctx context.Context, branch []string, revision int64) (peer.StatusReply, bool) {
 	for index, address := range branch {
-		reply, found := s.askStatus(ctx, address, peer.StatusQuery{Revision: revision, Subtree: branch[index+1:]})
+		reply, found := s.queryStatus(ctx, address, peer.StatusQuery{Revision: revision, Subtree: branch[index+1:]})
 		if found {
 			return reply, true
 		}
--- a/internal/config/keyspace/keyspace_test.go
+++ b/internal/config/keyspace/keyspace_test.go
@@ -15,12 +15,12 @@
 // A key of a range lies either in one of the covered ranges or in exactly one missing one.
 func TestSubtractSplitsEveryKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		asked := drawRange(t, "asked")
+		queried := drawRange(t, "asked")
 		var covered []Range
 		for range rapid.IntRange(0, 4).Draw(t, "count") {
 			covered = append(covered, drawRange(t, "covered"))
 		}
-		missing := asked.Subtract(covered)
+		missing := queried.Subtract(covered)
 		key := rapid.StringMatching("[a-d]{0,4}").Draw(t, "key")
 		isCovered := false
 		for _, covering := range covered {
@@ -36,7 +36,7 @@
 			}
 		}
 		expected := 0
-		if asked.Contains(key) && !isCovered {
+		if queried.Contains(key) && !isCovered {
 			expected = 1
 		}
 		if times != expected {
--- a/internal/config/manifest/manifest.go
+++ b/internal/config/manifest/manifest.go
@@ -135,14 +135,14 @@
 }
 
 // Plan returns, in key order, the range of each shard that overlaps a range.
-func (m *Manifest) Plan(asked keyspace.Range) []ShardRange {
+func (m *Manifest) Plan(queried keyspace.Range) []ShardRange {
 	first := sort.Search(len(m.Shards), func(i int) bool {
 		end := m.Shards[i].Range.To
-		return end == "" || end > asked.From
+		return end == "" || end > queried.From
 	})
 	var shardRanges []ShardRange
 	for index := first; index < len(m.Shards); index++ {
-		common, overlaps := m.Shards[index].Range.Intersect(asked)
+		common, overlaps := m.Shards[index].Range.Intersect(queried)
 		if !overlaps {
 			break
 		}
--- a/internal/config/manifest/manifest_test.go
+++ b/internal/config/manifest/manifest_test.go
@@ -38,16 +38,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		asked := keyspace.Range{From: rapid.StringMatching("[a-z]{0,4}").Draw(t, "from"), To: rapid.StringMatching("[a-z]{0,4}").Draw(t, "to")}
+		queried := keyspace.Range{From: rapid.StringMatching("[a-z]{0,4}").Draw(t, "from"), To: rapid.StringMatching("[a-z]{0,4}").Draw(t, "to")}
 		key := rapid.StringMatching("[a-z]{0,5}").Draw(t, "key")
 		times := 0
-		for _, shardRange := range compiled.Plan(asked) {
+		for _, shardRange := range compiled.Plan(queried) {
 			if shardRange.Range.Contains(key) {
 				times++
 			}
 		}
 		expected := 0
-		if asked.Contains(key) {
+		if queried.Contains(key) {
 			expected = 1
 		}
 		if times != expected {
--- a/internal/fleet/reachability/reachability_test.go
+++ b/internal/fleet/reachability/reachability_test.go
@@ -30,12 +30,12 @@
 	silent map[string]bool
 	// delay is the round trip of a ping.
 	delay     time.Duration
-	asked     map[string]int // by zone
+	probed    map[string]int // by zone
 	zonesLost []string       // "zone of the receiver of lost zone"
 }
 
 func newTestNetwork(nodes int, zones ...string) *testNetwork {
-	w := &testNetwork{silent: map[string]bool{}, delay: time.Millisecond, asked: map[string]int{}}
+	w := &testNetwork{silent: map[string]bool{}, delay: time.Millisecond, probed: map[string]int{}}
 	for _, zone := range zones {
 		for index := range nodes {
 			id := fmt.Sprintf("%s-%d", zone, index)
@@ -47,7 +47,7 @@
 
 func (w *testNetwork) Ping(ctx context.Context, node catalog.NodeRecord) bool {
 	w.mu.Lock()
-	w.asked[node.Zone]++
+	w.probed[node.Zone]++
 	isSilent, delay := w.silent[node.Zone] || w.silent[node.ID], w.delay
 	w.mu.Unlock()
 	if isSilent {
@@ -80,7 +80,7 @@
 func (w *testNetwork) count(zone string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.asked[zone]
+	return w.probed[zone]
 }
 
 // tracker starts the tracker of a node in the near zone.
@@ -313,9 +313,9 @@
 			is.True(tracker.Reaches(far))
 		}
 		w.mu.Lock()
-		asked := w.asked[far]
+		probed := w.probed[far]
 		w.mu.Unlock()
-		is.Equal(asked, firstProbed+DefaultConfig().LeastNodes+4*firstProbed) // later checks wait long enough
+		is.Equal(probed, firstProbed+DefaultConfig().LeastNodes+4*firstProbed) // later checks wait long enough
 	})
 }
 
--- a/internal/fleet/registry/ranking.go
+++ b/internal/fleet/registry/ranking.go
@@ -38,7 +38,7 @@
 	return ranked
 }
 
-// RendezvousRank returns how many nodes come before that of an id in the order of Ranked; the id need not be among them.
+// RendezvousRank returns how many nodes come before that of an id in the order of RendezvousOrder; the id need not be among them.
 func RendezvousRank(nodes map[string]catalog.NodeRecord, topic, id string) int {
 	own := positionOf(topic, id)
 	ahead := 0
--- a/internal/lab/httpleaf/httpleaf.go
+++ b/internal/lab/httpleaf/httpleaf.go
@@ -72,7 +72,7 @@
 
 	listener net.Listener
 	mutex    sync.Mutex
-	asked    []Request
+	requests []Request
 	open     map[net.Conn]bool
 }
 
@@ -110,11 +110,11 @@
 	}
 }
 
-// Asked returns the requests so far, in order of their arrival.
-func (l *Leaf) Asked() []Request {
+// Requests returns the requests so far, in order of their arrival.
+func (l *Leaf) Requests() []Request {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return append([]Request(nil), l.asked...)
+	return append([]Request(nil), l.requests...)
 }
 
 func (l *Leaf) accept() {
@@ -163,7 +163,7 @@
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.asked = append(l.asked, request)
+	l.requests = append(l.requests, request)
 	return request, nil
 }
 
--- a/internal/lab/replay/answer_faults.go
+++ b/internal/lab/replay/answer_faults.go
@@ -63,9 +63,9 @@
 func (c *indexCache) check(request *searchv1.SearchRequest, response *searchv1.SearchResponse) answerFaults {
 	report := response.GetReport()
 	index := c.index(report.GetSnapshotId())
-	asked := keyspace.Range{From: request.GetRange().GetFrom(), To: request.GetRange().GetTo()}
+	queried := keyspace.Range{From: request.GetRange().GetFrom(), To: request.GetRange().GetTo()}
 	if next := report.GetNextKey(); next != "" {
-		asked.To = next
+		queried.To = next
 	}
 	var missing []keyspace.Range
 	for _, part := range report.GetCoverage().GetMissing() {
@@ -73,7 +73,7 @@
 	}
 	result := answerFaults{WrongFraction: report.GetCoverage().GetComplete() != (len(missing) == 0) ||
 		(report.GetCoverage().GetFraction() == 1) != (len(missing) == 0)}
-	expected := expectedRows(index, asked, request.GetFilter())
+	expected := expectedRows(index, queried, request.GetFilter())
 	for _, row := range response.GetRows() {
 		value, found := expected[row.GetKey()]
 		switch {
@@ -96,9 +96,9 @@
 
 // expectedRows returns the rows that match a request, by key. The check removes each that it finds, so that a row that comes
 // twice is foreign the second time.
-func expectedRows(index *sample.Index, asked keyspace.Range, filter string) map[string][]byte {
+func expectedRows(index *sample.Index, queried keyspace.Range, filter string) map[string][]byte {
 	expected := map[string][]byte{}
-	for _, record := range index.In(asked) {
+	for _, record := range index.In(queried) {
 		if search.Matches(filter, record.Key, record.Value) {
 			expected[record.Key] = record.Value
 		}
--- a/internal/lab/rollouts/version.go
+++ b/internal/lab/rollouts/version.go
@@ -70,39 +70,39 @@
 
 // Answer records a request at a leaf and returns the leaf's answer, with the given body unless it fails. A request that
 // names no incarnation is a health check.
-func (v *Version) Answer(leaf string, asked httpleaf.Request, body []byte) httpleaf.Answer {
+func (v *Version) Answer(leaf string, request httpleaf.Request, body []byte) httpleaf.Answer {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.isOver {
-		v.note(leaf, asked, 0, false)
+		v.note(leaf, request, 0, false)
 		return httpleaf.Answer{Dropped: true}
 	}
 	answer := httpleaf.Answer{Delay: v.work, Body: body, Load: "0,0,4", KeepAliveSeconds: 20}
 	isBad := false
-	if v.showsFault(leaf, asked) {
+	if v.showsFault(leaf, request) {
 		answer.Delay = time.Duration(float64(v.work) * max(1, v.fault.Slower))
 		if rand.Float64() < v.fault.Failing {
 			answer.Status, answer.Body = http.StatusInternalServerError, nil
 		}
 		isBad = answer.Status != 0 || v.fault.Slower > 1
 	}
-	v.note(leaf, asked, answer.Delay, isBad)
+	v.note(leaf, request, answer.Delay, isBad)
 	return answer
 }
 
-func (v *Version) note(leaf string, asked httpleaf.Request, delay time.Duration, isBad bool) {
-	if asked.Incarnation != "" {
-		v.visits = append(v.visits, Visit{Leaf: leaf, ID: asked.ID, At: asked.At, Done: asked.At.Add(delay), Bad: isBad})
+func (v *Version) note(leaf string, request httpleaf.Request, delay time.Duration, isBad bool) {
+	if request.Incarnation != "" {
+		v.visits = append(v.visits, Visit{Leaf: leaf, ID: request.ID, At: request.At, Done: request.At.Add(delay), Bad: isBad})
 	}
 }
 
 // showsFault reports whether the fault shows in a request. The caller must hold the lock.
-func (v *Version) showsFault(leaf string, asked httpleaf.Request) bool {
-	isIn := v.fault.IsBad() && asked.Incarnation != "" && strings.HasPrefix(asked.Target, v.fault.Prefix)
-	if !isIn || v.ordered.IsZero() || asked.At.Sub(v.ordered) < v.fault.After {
+func (v *Version) showsFault(leaf string, request httpleaf.Request) bool {
+	isIn := v.fault.IsBad() && request.Incarnation != "" && strings.HasPrefix(request.Target, v.fault.Prefix)
+	if !isIn || v.ordered.IsZero() || request.At.Sub(v.ordered) < v.fault.After {
 		return false
 	}
-	atOnce, lately := v.load(leaf, asked.At)
+	atOnce, lately := v.load(leaf, request.At)
 	return atOnce+1 > v.fault.AtOnce && lately+1 > v.fault.PerSecond
 }
 
--- a/internal/lab/rollouts/version_test.go
+++ b/internal/lab/rollouts/version_test.go
@@ -22,10 +22,10 @@
 		return fault
 	}
 	cases := map[string]struct {
-		fault  Fault
-		before int
-		asked  httpleaf.Request
-		isBad  bool
+		fault   Fault
+		before  int
+		request httpleaf.Request
+		isBad   bool
 	}{
 		"good":             {Fault{}, 0, at(0), false},
 		"at once":          {failing(Fault{}), 0, at(0), true},
@@ -48,7 +48,7 @@
 			for range one.before {
 				version.Answer("leaf", at(0), nil)
 			}
-			answer := version.Answer("leaf", one.asked, []byte("x"))
+			answer := version.Answer("leaf", one.request, []byte("x"))
 			is.Equal(answer.Status == http.StatusInternalServerError || answer.Delay > work, one.isBad)
 		})
 	}
--- a/internal/lab/soak/checks.go
+++ b/internal/lab/soak/checks.go
@@ -27,7 +27,7 @@
 func checkAll(w *world, seen []outcome, calm time.Time) []Result {
 	ran := w.runs()
 	return []Result{
-		checkOnce(seen, ran), checkRefusals(seen, ran), checkAsked(seen, ran), checkSingles(w, seen), checkGathered(w, seen),
+		checkOnce(seen, ran), checkRefusals(seen, ran), checkSent(seen, ran), checkSingles(w, seen), checkGathered(w, seen),
 		checkConfiguration(w, seen), checkDraining(w), checkEvacuations(w), checkStops(seen), checkRecovery(seen, calm),
 		checkCrashing(w), checkOtherRequests(seen),
 	}
@@ -56,7 +56,7 @@
 	return v
 }
 
-func checkAsked(seen []outcome, ran map[string][]string) Result {
+func checkSent(seen []outcome, ran map[string][]string) Result {
 	v := Result{Promise: "leafs run only what callers sent"}
 	known := map[string]bool{}
 	for _, o := range seen {
@@ -192,9 +192,9 @@
 // never.
 func (w *world) lateRequests(state *leafState, after, before time.Time) int {
 	late := 0
-	for _, asked := range state.asked() {
-		isLate := asked.At.After(after) && (before.IsZero() || asked.At.Before(before))
-		if isLate && w.isCalmAt(asked.At) {
+	for _, request := range state.asked() {
+		isLate := request.At.After(after) && (before.IsZero() || request.At.Before(before))
+		if isLate && w.isCalmAt(request.At) {
 			late++
 		}
 	}
--- a/internal/lab/soak/checks_test.go
+++ b/internal/lab/soak/checks_test.go
@@ -61,7 +61,7 @@
 	}{
 		"once":     {checkOnce([]outcome{once}, map[string][]string{"r": {"leaf-1"}}), checkOnce([]outcome{once}, map[string][]string{"r": {"leaf-1", "leaf-2"}})},
 		"refusals": {checkRefusals([]outcome{once}, nil), checkRefusals([]outcome{once}, map[string][]string{"r": {"leaf-1"}})},
-		"asked":    {checkAsked([]outcome{once}, map[string][]string{"r": {"leaf-1"}}), checkAsked([]outcome{once}, map[string][]string{"x": {"leaf-1"}})},
+		"asked":    {checkSent([]outcome{once}, map[string][]string{"r": {"leaf-1"}}), checkSent([]outcome{once}, map[string][]string{"x": {"leaf-1"}})},
 		"single": {
 			checkSingles(w, []outcome{w.answered("r", Single, "leaf-3.r", "", partBody(singleName, "r"))}),
 			checkSingles(w, []outcome{w.answered("r", Single, "leaf-3.q", "", partBody(singleName, "q"))}),
--- a/internal/lab/soak/crashing.go
+++ b/internal/lab/soak/crashing.go
@@ -73,9 +73,9 @@
 func isCrashing(target string) bool { return strings.Contains(target, crashingMark) }
 
 // answerByCrashing crashes a leaf soon, instead of answering the request. A leaf of another id replaces it.
-func (w *world) answerByCrashing(id string, asked httpleaf.Request) httpleaf.Answer {
-	path, _, _ := strings.Cut(asked.Target, "?")
-	w.crashLog.asked(path, asked.At)
+func (w *world) answerByCrashing(id string, request httpleaf.Request) httpleaf.Answer {
+	path, _, _ := strings.Cut(request.Target, "?")
+	w.crashLog.asked(path, request.At)
 	work := time.Duration(rand.Int64N(int64(longestCrashDelay)))
 	time.AfterFunc(work, func() { w.crashLeaf(id, path) })
 	return httpleaf.Answer{Silent: true} // until it crashes
--- a/internal/lab/soak/leafs.go
+++ b/internal/lab/soak/leafs.go
@@ -33,13 +33,13 @@
 	earlier []*httpleaf.Leaf
 }
 
-// asked returns all requests that the leaf received, also those of earlier processes.
+// request returns all requests that the leaf received, also those of earlier processes.
 func (s *leafState) asked() []httpleaf.Request {
-	var asked []httpleaf.Request
+	var requests []httpleaf.Request
 	for _, life := range append(slices.Clone(s.earlier), s.leaf) {
-		asked = append(asked, life.Asked()...)
+		requests = append(requests, life.Requests()...)
 	}
-	return asked
+	return requests
 }
 
 // runs returns the ids of the leafs that ran each request, by the request's id.
@@ -48,9 +48,9 @@
 	defer w.mu.Unlock()
 	ran := map[string][]string{}
 	for id, state := range w.leafs {
-		for _, asked := range state.asked() {
-			if asked.Incarnation == id {
-				ran[asked.ID] = append(ran[asked.ID], id)
+		for _, request := range state.asked() {
+			if request.Incarnation == id {
+				ran[request.ID] = append(ran[request.ID], id)
 			}
 		}
 	}
@@ -87,11 +87,11 @@
 
 // startLeaf starts a process of a leaf.
 func (w *world) startLeaf(id string, version *rollouts.Version) (*httpleaf.Leaf, error) {
-	return httpleaf.Start(id, w.names, func(asked httpleaf.Request) httpleaf.Answer {
-		if isCrashing(asked.Target) && asked.Incarnation == id {
-			return w.answerByCrashing(id, asked)
+	return httpleaf.Start(id, w.names, func(request httpleaf.Request) httpleaf.Answer {
+		if isCrashing(request.Target) && request.Incarnation == id {
+			return w.answerByCrashing(id, request)
 		}
-		return version.Answer(id, asked, partBody(version.Service(), asked.ID))
+		return version.Answer(id, request, partBody(version.Service(), request.ID))
 	})
 }
 
--- a/internal/lab/soak/result.go
+++ b/internal/lab/soak/result.go
@@ -19,7 +19,7 @@
 	Broken []string
 }
 
-// checkAll counts a case, and describes it if the promise wasn't kept.
+// check counts a case, and describes it if the promise wasn't kept.
 func (v *Result) check(kept bool, format string, arguments ...any) {
 	v.Checked++
 	if !kept {
--- a/internal/leaf/leafhttp/connections_test.go
+++ b/internal/leaf/leafhttp/connections_test.go
@@ -118,7 +118,7 @@
 	second(context.Canceled)
 	var failed *NeverSentError
 	is.True(errors.As(<-ended, &failed))
-	for len(b.leaf.Asked()) == 0 {
+	for len(b.leaf.Requests()) == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	first(context.Canceled)
@@ -154,8 +154,8 @@
 		b.pool.Prune(func(string) bool { return false })
 	}
 	time.Sleep(50 * time.Millisecond) // until what was sent has arrived
-	for _, asked := range b.leaf.Asked() {
-		is.True(!neverSent[asked.ID])
+	for _, request := range b.leaf.Requests() {
+		is.True(!neverSent[request.ID])
 	}
 }
 
@@ -223,7 +223,7 @@
 		b.pool.Start(target, b.request(), time.Now().Add(time.Minute), func(_ *Response, err error) { ended <- err })
 	}
 	start()
-	for len(b.leaf.Asked()) == 0 {
+	for len(b.leaf.Requests()) == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	start() // waits for the connection of the first
@@ -236,7 +236,7 @@
 	}
 	is.NoErr(first)
 	is.True(errors.As(second, &neverSent))
-	is.Equal(len(b.leaf.Asked()), 1)
+	is.Equal(len(b.leaf.Requests()), 1)
 	isDisallowed.Store(false)
 	_, err := b.ask(t.Context(), target, b.request(), time.Now().Add(time.Minute))
 	is.NoErr(err) // the connection remained usable
--- a/internal/leaf/leafhttp/leafhttp_test.go
+++ b/internal/leaf/leafhttp/leafhttp_test.go
@@ -87,12 +87,12 @@
 	}
 	opened, _ := b.leaf.Connections()
 	is.Equal(opened, 1)
-	asked := b.leaf.Asked()[0]
-	is.Equal(asked.Target, "/x/1?q=a%20b")
-	is.Equal(asked.Host, "h.example")
-	is.Equal(asked.Incarnation, "leaf-1")
-	is.Equal(asked.Header.Get("X-Other"), "1")
-	is.True(asked.Deadline > 4*time.Second && asked.Deadline <= 5*time.Second)
+	request := b.leaf.Requests()[0]
+	is.Equal(request.Target, "/x/1?q=a%20b")
+	is.Equal(request.Host, "h.example")
+	is.Equal(request.Incarnation, "leaf-1")
+	is.Equal(request.Header.Get("X-Other"), "1")
+	is.True(request.Deadline > 4*time.Second && request.Deadline <= 5*time.Second)
 }
 
 // Answers after which the answer or the connection can't be used, and the expected results.
@@ -226,7 +226,7 @@
 	response, err := b.do(t.Context(), request)
 	is.NoErr(err)
 	is.Equal(string(response.Body), "hello")
-	is.Equal(len(b.leaf.Asked()[0].Body), 100_000)
+	is.Equal(len(b.leaf.Requests()[0].Body), 100_000)
 }
 
 func TestOversizedAnswerIsRefused(t *testing.T) {
--- a/internal/node/provide_leaf.go
+++ b/internal/node/provide_leaf.go
@@ -69,7 +69,7 @@
 func newHTTPPool(deps httpPoolDeps) *leafhttp.Pool {
 	pool := leafhttp.New(deps.Config.LeafHTTP, deps.Names, deps.Metrics.LeafConnections.Inc)
 	pool.SetMaySend(func(incarnation string) bool {
-		isAllowed := deps.Memory.MaySend(incarnation) && (deps.Canary == nil || deps.Canary.MayAsk(incarnation))
+		isAllowed := deps.Memory.MaySend(incarnation) && (deps.Canary == nil || deps.Canary.MaySend(incarnation))
 		return isAllowed && deps.Warmup.Take(incarnation) // last, so that a leaf that may not be asked uses up none of this node's share
 	})
 	deps.Lifecycle.Append(fx.StopHook(pool.Close))
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -35,7 +35,7 @@
 	Subject
 	// Leafs crashed under it; at most maxLeafBytes of ids.
 	Leafs []string `json:"leafs"`
-	// MaximumRetests is the number of retests since.
+	// Retests is the number of retests since.
 	Retests int `json:"trials,omitempty"`
 	// By is the id of the node that found it.
 	By string `json:"by"`
--- a/internal/request/gateway/attempt.go
+++ b/internal/request/gateway/attempt.go
@@ -40,14 +40,14 @@
 		return func(error) {}
 	}
 	var isAbandoned atomic.Bool
-	asked := e.target(attempt)
-	leaf, probe := asked.leaf, e.probeNumber(attempt)
+	target := e.target(attempt)
+	leaf, probe := target.leaf, e.probeNumber(attempt)
 	e.gateway.attemptBegan(leaf)
-	cancel := e.gateway.leafs.Start(asked.Target, &e.request.Leaf, e.deadline(), func(response *leafhttp.Response, err error) {
+	cancel := e.gateway.leafs.Start(target.Target, &e.request.Leaf, e.deadline(), func(response *leafhttp.Response, err error) {
 		e.gateway.attemptEnded(leaf)
 		result := e.classifyEnd(attempt, response, err, isAbandoned.Load())
 		e.countEvidence(leaf, response, result, time.Since(attempt.Started))
-		e.finishAttempt(attempt, asked, probe, attemptEnd{response, result, err}, done)
+		e.finishAttempt(attempt, target, probe, attemptEnd{response, result, err}, done)
 	})
 	return func(cause error) {
 		isAbandoned.Store(true)
--- a/internal/request/gateway/canary.go
+++ b/internal/request/gateway/canary.go
@@ -11,58 +11,58 @@
 	"github.com/portgauge/portgauge/internal/rollout/canary"
 )
 
-// While a service is rolled out to another version, a canary draw decides for the first attempt of each shard which
-// version it goes to (package canary). Hedges and retries are not drawn: they go to undrawnVersions.
+// While a service is rolled out to another version, a canary decision decides for the first attempt of each shard which
+// version it goes to (package canary). Hedges and retries are not part of the decision: they go to retryVersions.
 
-// canaryDraw is the draw of one shard.
-type canaryDraw struct {
+// canaryDecision is the decision of one shard.
+type canaryDecision struct {
 	isMade bool
-	canary.Draw
+	canary.Decision
 	request canary.Request
 }
 
-// undrawnVersions returns the versions of a service that attempts without a draw may go to now.
-func (g *Gateway) undrawnVersions(service string) canary.Versions {
+// retryVersions returns the versions of a service that attempts without a decision may go to now.
+func (g *Gateway) retryVersions(service string) canary.Versions {
 	if g.canary == nil {
 		return canary.Serving
 	}
 	return g.canary.RetryVersions(service)
 }
 
-// draw returns the draw of a shard, which is made once. unserved means that no leaf of the serving version can be asked,
-// or only leafs in trouble. Nothing is drawn if another node may have asked the shard before and counted its draw.
-func (e *execution) draw(shard int, unserved bool) canary.Draw {
+// decide returns the decision of a shard, which is made once. unserved means that no leaf of the serving version can be asked,
+// or only leafs in trouble. Nothing is drawn if another node may have asked the shard before and counted its decision.
+func (e *execution) decide(shard int, unserved bool) canary.Decision {
 	if e.gateway.canary == nil || e.spentAttempts > 0 {
-		return canary.Draw{}
+		return canary.Decision{}
 	}
-	if e.canaryDraws == nil {
-		e.canaryDraws = make([]canaryDraw, len(e.services))
+	if e.canaryDecisions == nil {
+		e.canaryDecisions = make([]canaryDecision, len(e.services))
 	}
-	made := &e.canaryDraws[shard]
+	made := &e.canaryDecisions[shard]
 	if !made.isMade {
 		request := canary.Request{Service: e.services[shard], Once: e.isAtMostOnce(), Unserved: unserved}
-		*made = canaryDraw{true, e.gateway.canary.Draw(request), request}
+		*made = canaryDecision{true, e.gateway.canary.Decide(request), request}
 	}
-	return made.Draw
+	return made.Decision
 }
 
-// refundDraw refunds the draw of a shard for which nothing was sent.
-func (e *execution) refundDraw(shard int) {
-	if made := e.canaryDraws[shard]; made.IsBounded {
-		e.gateway.canary.Refund(made.request, made.Draw)
+// refundDecision refunds the decision of a shard for which nothing was sent.
+func (e *execution) refundDecision(shard int) {
+	if made := e.canaryDecisions[shard]; made.IsBounded {
+		e.gateway.canary.Refund(made.request, made.Decision)
 	}
 }
 
-// refundDraws refunds all draws of a request that is refused.
-func (e *execution) refundDraws() {
-	for shard := range e.canaryDraws {
-		e.refundDraw(shard)
+// refundDecisions refunds all decisions of a request that is refused.
+func (e *execution) refundDecisions() {
+	for shard := range e.canaryDecisions {
+		e.refundDecision(shard)
 	}
 }
 
-// drawFirst draws the versions of the first attempts that this node makes, for services with a canary version, and
+// decideFirst decides the versions of the first attempts that this node makes, for services with a canary version, and
 // sets the shards' candidates to the leafs of those versions.
-func (e *execution) drawFirst(plan *scatter.Plan) {
+func (e *execution) decideFirst(plan *scatter.Plan) {
 	if e.gateway.canary == nil || e.spentAttempts > 0 {
 		return
 	}
@@ -74,24 +74,24 @@
 	}
 }
 
-// firstCandidates returns the leafs that a shard's first attempt may go to by its draw. If none of them can be asked,
-// it refunds the draw and returns the candidates that were planned without one.
+// firstCandidates returns the leafs that a shard's first attempt may go to by its decision. If none of them can be asked,
+// it refunds the decision and returns the candidates that were planned without one.
 func (e *execution) firstCandidates(shard int, planned []balancer.Candidate) []balancer.Candidate {
 	choice := e.gateway.balancer.Choose(planned, nil)
-	draw := e.draw(shard, choice.Leaf == nil || choice.Unhealthy)
-	if draw.First == e.gateway.undrawnVersions(e.services[shard]) {
+	decision := e.decide(shard, choice.Leaf == nil || choice.Unhealthy)
+	if decision.First == e.gateway.retryVersions(e.services[shard]) {
 		return planned
 	}
 	targets := e.targets[shard]
-	drawn := e.candidatesOf(shard, draw.First)
-	if draw.IsBounded {
-		drawn = e.focusedLeaf(e.services[shard], drawn)
+	chosen := e.candidatesOf(shard, decision.First)
+	if decision.IsBounded {
+		chosen = e.focusedLeaf(e.services[shard], chosen)
 	}
-	if e.gateway.balancer.Choose(drawn, nil).Leaf != nil {
-		return drawn
+	if e.gateway.balancer.Choose(chosen, nil).Leaf != nil {
+		return chosen
 	}
 	e.targets[shard] = targets
-	e.refundDraw(shard)
+	e.refundDecision(shard)
 	return planned
 }
 
--- a/internal/request/gateway/canary_fixture_test.go
+++ b/internal/request/gateway/canary_fixture_test.go
@@ -20,15 +20,15 @@
 
 func (canaryFleet) Share(bool) float64 { return 1 }
 
-// drawAll returns a configuration that draws every request that may be drawn.
-func drawAll() canary.Config {
+// allToCanary returns a configuration that draws every request that may be drawn.
+func allToCanary() canary.Config {
 	cfg := canary.DefaultConfig()
 	cfg.Share, cfg.Used = 1, 1
 	return cfg
 }
 
-// drawNone returns a configuration that draws no request.
-func drawNone() canary.Config {
+// noneToCanary returns a configuration that draws no request.
+func noneToCanary() canary.Config {
 	cfg := canary.DefaultConfig()
 	cfg.Share = 0
 	return cfg
@@ -110,18 +110,18 @@
 	b.learn()
 }
 
-// asked returns the leafs of s0 that were asked since its last call.
-func (b *canaryGateway) asked() []string {
+// queried returns the leafs of s0 that were asked since its last call.
+func (b *canaryGateway) queried() []string {
 	b.leafs.mu.Lock()
 	defer b.leafs.mu.Unlock()
-	var asked []string
-	for _, leaf := range b.leafs.asked {
+	var queried []string
+	for _, leaf := range b.leafs.queried {
 		if leaf[:2] == "s0" {
-			asked = append(asked, leaf)
+			queried = append(queried, leaf)
 		}
 	}
-	b.leafs.asked = nil
-	return asked
+	b.leafs.queried = nil
+	return queried
 }
 
 // withCanary runs a test of a canaryGateway in virtual time.
--- a/internal/request/gateway/canary_refused_test.go
+++ b/internal/request/gateway/canary_refused_test.go
@@ -36,7 +36,7 @@
 							answers++
 						}
 					}
-					is.Equal(len(b.asked()), answers)
+					is.Equal(len(b.queried()), answers)
 					used := cfg.Used * slack
 					is.True(float64(answers) >= used && float64(answers) <= slack)
 				})
@@ -59,7 +59,7 @@
 			_, _ = b.Serve(b.t.Context(), newRequest("/single/1"))
 		}
 		canaryRequests := 0
-		for _, leaf := range b.asked() {
+		for _, leaf := range b.queried() {
 			if isCanary(leaf) {
 				canaryRequests++
 			}
@@ -69,7 +69,7 @@
 }
 
 // A request that is refused for its other shards takes nothing from the slack.
-func TestRefusedRequestsAreNotDrawn(t *testing.T) {
+func TestRefusedRequestsTakeNoCanaryShare(t *testing.T) {
 	cfg := canary.DefaultConfig()
 	cfg.Slack = 20
 	withCanary(t, cfg, func(is *is.I, b *canaryGateway) {
@@ -79,7 +79,7 @@
 			_, err := b.Serve(b.t.Context(), newRequest("/pages/1"))
 			is.Equal(failure.From(err).Code, failure.Overloaded)
 		}
-		is.Equal(len(b.asked()), 0)
+		is.Equal(len(b.queried()), 0)
 		for range 16 { // all of the slack is left
 			_, err := b.Serve(b.t.Context(), newRequest("/single/1"))
 			is.NoErr(err)
@@ -89,7 +89,7 @@
 
 // Requests that are refused before an attempt don't count for the share.
 func TestRefusedRequestsAreNotCounted(t *testing.T) {
-	half := drawAll()
+	half := allToCanary()
 	half.Share = 0.5
 	withCanary(t, half, func(is *is.I, b *canaryGateway) {
 		for _, service := range []string{"s1", "s2", "s3"} {
@@ -101,6 +101,6 @@
 		}
 		_, err := b.Serve(b.t.Context(), newRequest("/single/1"))
 		is.NoErr(err)
-		is.True(!slices.ContainsFunc(b.asked(), isCanary))
+		is.True(!slices.ContainsFunc(b.queried(), isCanary))
 	})
 }
--- a/internal/request/gateway/canary_test.go
+++ b/internal/request/gateway/canary_test.go
@@ -22,18 +22,18 @@
 )
 
 // A drawn first attempt goes to the canary version, to one leaf at a time.
-func TestDrawnAttemptsGoToOneCanary(t *testing.T) {
+func TestCanaryAttemptsGoToOneLeaf(t *testing.T) {
 	for _, path := range []string{"/single/1", "/pages/1"} {
-		withCanary(t, drawAll(), func(is *is.I, b *canaryGateway) {
+		withCanary(t, allToCanary(), func(is *is.I, b *canaryGateway) {
 			for range 10 {
 				_, err := b.Serve(b.t.Context(), newRequest(path))
 				is.NoErr(err)
-				is.Equal(b.asked(), []string{"s0c"})
+				is.Equal(b.queried(), []string{"s0c"})
 			}
 			time.Sleep(time.Minute / 12)
 			_, err := b.Serve(b.t.Context(), newRequest(path))
 			is.NoErr(err)
-			is.Equal(b.asked(), []string{"s0d"})
+			is.Equal(b.queried(), []string{"s0d"})
 		})
 	}
 }
@@ -51,20 +51,20 @@
 	for name, c := range cases {
 		for _, path := range []string{"/single/1", "/pages/1"} {
 			t.Run(name+path, func(t *testing.T) {
-				withCanary(t, drawAll(), func(is *is.I, b *canaryGateway) {
+				withCanary(t, allToCanary(), func(is *is.I, b *canaryGateway) {
 					for range 5 { // pay for a hedge
 						_, err := b.Serve(b.t.Context(), newRequest(path))
 						is.NoErr(err)
 					}
-					b.asked()
+					b.queried()
 					b.canaryAnswer = c
 					answer, err := b.Serve(b.t.Context(), newRequest(path))
 					is.NoErr(err)
 					is.Equal(answer.Missing, 0)
 					is.Equal(answer.Status, 200)
-					asked := b.asked()
-					is.Equal(len(asked), 2)
-					is.True(isCanary(asked[0]) && !isCanary(asked[1]))
+					queried := b.queried()
+					is.Equal(len(queried), 2)
+					is.True(isCanary(queried[0]) && !isCanary(queried[1]))
 				})
 			})
 		}
@@ -89,37 +89,37 @@
 			is.NoErr(err)
 		}
 		is.Equal(time.Since(began), 50*time.Millisecond)
-		is.True(!slices.ContainsFunc(b.asked(), isCanary))
+		is.True(!slices.ContainsFunc(b.queried(), isCanary))
 		time.Sleep(time.Second)
 		for range 4 {
 			_, err := b.Serve(b.t.Context(), newRequest("/single/1"))
 			is.NoErr(err)
 		}
-		is.True(!slices.ContainsFunc(b.asked(), func(leaf string) bool { return !isCanary(leaf) }))
+		is.True(!slices.ContainsFunc(b.queried(), func(leaf string) bool { return !isCanary(leaf) }))
 	})
 }
 
 // A request that runs at most once is not drawn for the share of the canary version.
 func TestOnceOnlyRequestsStayWithTheServingVersion(t *testing.T) {
-	withCanary(t, drawAll(), func(is *is.I, b *canaryGateway) {
+	withCanary(t, allToCanary(), func(is *is.I, b *canaryGateway) {
 		for range 20 {
 			_, err := b.Serve(b.t.Context(), newRequest("/once/1"))
 			is.NoErr(err)
 		}
-		is.True(!slices.ContainsFunc(b.asked(), isCanary))
+		is.True(!slices.ContainsFunc(b.queried(), isCanary))
 	})
 }
 
 // slowToSend checks whether a leaf may be asked only when it sends, as a pool does after a wait for a connection.
 type slowToSend struct {
 	*scriptedLeafs
-	wait   time.Duration
-	mayAsk func(leaf string) bool
+	wait    time.Duration
+	maySend func(leaf string) bool
 }
 
 func (s *slowToSend) Start(target leafhttp.Target, request *leafhttp.Request, deadline time.Time, done leafhttp.Done) context.CancelCauseFunc {
 	time.AfterFunc(s.wait, func() {
-		if !s.mayAsk(target.LeafID) {
+		if !s.maySend(target.LeafID) {
 			done(nil, &leafhttp.NeverSentError{Cause: errSilent})
 			return
 		}
@@ -136,16 +136,16 @@
 		change func(b *canaryGateway)
 		want   bool // the canary version answers
 	}{
-		"taken back":  {drawAll(), func(b *canaryGateway) { put(b.t, b.catalog, catalog.RolloutKey("s0"), nil) }, false},
-		"rolled back": {drawAll(), func(b *canaryGateway) { b.enter(rollout.RolledBack) }, false},
-		"held":        {drawAll(), func(b *canaryGateway) { b.canary.Abort("s0", b.specID) }, false},
-		"over":        {drawAll(), func(*canaryGateway) {}, false},
-		"succeeded":   {drawNone(), func(b *canaryGateway) { b.enter(rollout.Succeeded) }, true},
+		"taken back":  {allToCanary(), func(b *canaryGateway) { put(b.t, b.catalog, catalog.RolloutKey("s0"), nil) }, false},
+		"rolled back": {allToCanary(), func(b *canaryGateway) { b.enter(rollout.RolledBack) }, false},
+		"held":        {allToCanary(), func(b *canaryGateway) { b.canary.Abort("s0", b.specID) }, false},
+		"over":        {allToCanary(), func(*canaryGateway) {}, false},
+		"succeeded":   {noneToCanary(), func(b *canaryGateway) { b.enter(rollout.Succeeded) }, true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			withCanary(t, c.cfg, func(is *is.I, b *canaryGateway) {
-				b.Gateway.leafs = &slowToSend{b.leafs, 20 * time.Millisecond, b.canary.MayAsk}
+				b.Gateway.leafs = &slowToSend{b.leafs, 20 * time.Millisecond, b.canary.MaySend}
 				if name == "over" {
 					time.Sleep(time.Minute - 10*time.Millisecond)
 				}
@@ -155,9 +155,9 @@
 				}()
 				answer, err := b.Serve(b.t.Context(), newRequest("/single/1"))
 				is.NoErr(err)
-				asked := b.asked()
-				is.Equal(len(asked), 1)
-				is.Equal(isCanary(asked[0]), c.want)
+				queried := b.queried()
+				is.Equal(len(queried), 1)
+				is.Equal(isCanary(queried[0]), c.want)
 				is.Equal(answer.Status, 200)
 			})
 		})
@@ -167,7 +167,7 @@
 // A leaf of a version that must not be asked is no candidate and is not warmed, whether it is ready, remembered or was lost
 // a moment ago, even if no other leaf is left.
 func TestBarredLeafsGetNothing(t *testing.T) {
-	withCanary(t, drawAll(), func(is *is.I, b *canaryGateway) {
+	withCanary(t, allToCanary(), func(is *is.I, b *canaryGateway) {
 		var remembered leafset.List
 		for _, id := range []string{"s0c", "s0d", "s0e"} {
 			remembered.Leafs = append(remembered.Leafs, versionedLeaf(id, "v2", ""))
@@ -185,7 +185,7 @@
 			}
 			time.Sleep(200 * time.Millisecond) // the lost leafs are kept as candidates at first
 		}
-		is.True(!slices.ContainsFunc(b.asked(), func(leaf string) bool { return leaf != "s0a" && leaf != "s0b" }))
+		is.True(!slices.ContainsFunc(b.queried(), func(leaf string) bool { return leaf != "s0a" && leaf != "s0b" }))
 		is.True(!slices.ContainsFunc(b.leafs.warmed, func(leaf string) bool { return leaf == "s0c" || leaf == "s0d" || leaf == "s0e" }))
 		began := time.Now()
 		_, err := b.Serve(b.t.Context(), newRequest("/single/1"))
@@ -196,7 +196,7 @@
 
 // After the ramp only the leafs of the new version are asked and warmed.
 func TestAfterTheRampTheNewLeafsServe(t *testing.T) {
-	withCanary(t, drawNone(), func(is *is.I, b *canaryGateway) {
+	withCanary(t, noneToCanary(), func(is *is.I, b *canaryGateway) {
 		b.finishSwitch()
 		b.Warm()
 		is.True(slices.ContainsFunc(b.leafs.warmed, isCanary))
@@ -211,9 +211,9 @@
 			}
 			serving.Wait()
 		}
-		asked := b.asked()
-		is.True(!slices.ContainsFunc(asked, func(leaf string) bool { return !isCanary(leaf) }))
-		is.True(slices.Contains(asked, "s0c") && slices.Contains(asked, "s0d"))
+		queried := b.queried()
+		is.True(!slices.ContainsFunc(queried, func(leaf string) bool { return !isCanary(leaf) }))
+		is.True(slices.Contains(queried, "s0c") && slices.Contains(queried, "s0d"))
 		b.lose("s0a", "s0b")
 		_, err := b.Serve(b.t.Context(), newRequest("/single/1"))
 		is.NoErr(err)
@@ -228,7 +228,7 @@
 
 // Once all requests go to the new version, its leafs are still asked a moment after discovery lost them all.
 func TestMovedLeafsAreAskedAMomentAfterTheirLoss(t *testing.T) {
-	withCanary(t, drawNone(), func(is *is.I, b *canaryGateway) {
+	withCanary(t, noneToCanary(), func(is *is.I, b *canaryGateway) {
 		b.finishSwitch()
 		for _, id := range []string{"s0c", "s0d"} {
 			put(b.t, b.catalog, catalog.LeafKey(id), nil)
@@ -237,41 +237,41 @@
 			answer, err := b.Serve(b.t.Context(), newRequest(path))
 			is.NoErr(err)
 			is.Equal(answer.Missing, 0)
-			asked := b.asked()
-			is.True(len(asked) == 1 && isCanary(asked[0]))
+			queried := b.queried()
+			is.True(len(queried) == 1 && isCanary(queried[0]))
 		}
 	})
 }
 
 // During the ramp a failure of either version is retried at the other.
 func TestDuringTheRampBothMayBeRetried(t *testing.T) {
-	withCanary(t, drawNone(), func(is *is.I, b *canaryGateway) {
+	withCanary(t, noneToCanary(), func(is *is.I, b *canaryGateway) {
 		b.leafs.answer = func(leaf string) (time.Duration, *leafhttp.Response, error) {
 			return 0, answered(500, leaf), nil
 		}
 		b.enter(rollout.Switching) // first attempts are not drawn yet
 		_, err := b.Serve(b.t.Context(), newRequest("/single/1"))
 		is.NoErr(err)
-		is.True(!isCanary(b.asked()[0]))
+		is.True(!isCanary(b.queried()[0]))
 		retried := false
 		for range 40 {
 			_, err := b.Serve(b.t.Context(), newRequest("/single/1"))
 			is.NoErr(err)
-			asked := b.asked()
-			retried = retried || !isCanary(asked[0]) && len(asked) > 1 && isCanary(asked[1])
+			queried := b.queried()
+			retried = retried || !isCanary(queried[0]) && len(queried) > 1 && isCanary(queried[1])
 		}
 		is.True(retried)
 	})
-	withCanary(t, drawAll(), func(is *is.I, b *canaryGateway) {
+	withCanary(t, allToCanary(), func(is *is.I, b *canaryGateway) {
 		b.enter(rollout.Switching)
 		b.canaryAnswer = func(leaf string) (time.Duration, *leafhttp.Response, error) { return 0, answered(500, leaf), nil }
 		retried := false
 		for range 40 {
 			_, err := b.Serve(b.t.Context(), newRequest("/single/1"))
 			is.NoErr(err)
-			asked := b.asked()
-			is.True(isCanary(asked[0]))
-			retried = retried || len(asked) > 1 && !isCanary(asked[1])
+			queried := b.queried()
+			is.True(isCanary(queried[0]))
+			retried = retried || len(queried) > 1 && !isCanary(queried[1])
 		}
 		is.True(retried)
 	})
@@ -279,11 +279,11 @@
 
 // The node is settled only when the last attempt at the old version has ended, also one that began before the switch.
 func TestAttemptUnderWayIsNotSettled(t *testing.T) {
-	withCanary(t, drawNone(), func(is *is.I, b *canaryGateway) {
+	withCanary(t, noneToCanary(), func(is *is.I, b *canaryGateway) {
 		b.leafs.answer = func(leaf string) (time.Duration, *leafhttp.Response, error) {
 			return 700 * time.Millisecond, answered(200, leaf), nil
 		}
-		cfg := drawNone()
+		cfg := noneToCanary()
 		cfg.Ramp = 100 * time.Millisecond
 		b.canary = canary.New(cfg, b.catalog, canaryFleet{})
 		served := make(chan error)
@@ -302,7 +302,7 @@
 
 // A node opens a connection to a canary when it knows the rollout and the leaf, once for each rollout spec.
 func TestCanaryIsWarmed(t *testing.T) {
-	withCanary(t, drawNone(), func(is *is.I, b *canaryGateway) {
+	withCanary(t, noneToCanary(), func(is *is.I, b *canaryGateway) {
 		for _, id := range []string{"s0c", "s0d"} {
 			put(b.t, b.catalog, catalog.LeafKey(id), nil)
 		}
@@ -357,7 +357,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			withCanary(t, drawAll(), func(is *is.I, b *canaryGateway) {
+			withCanary(t, allToCanary(), func(is *is.I, b *canaryGateway) {
 				for range 5 { // pay for a hedge
 					_, err := b.Serve(b.t.Context(), newRequest("/single/1"))
 					is.NoErr(err)
--- a/internal/request/gateway/canary_tree_test.go
+++ b/internal/request/gateway/canary_tree_test.go
@@ -20,7 +20,7 @@
 	small.Processors, large.Processors = 0.2, 0.8
 	b := newTree(t, small, large, far("far"))
 	for id, node := range b.nodes {
-		node.gateway.canary = canary.New(drawAll(), node.catalog, canaryFleet{})
+		node.gateway.canary = canary.New(allToCanary(), node.catalog, canaryFleet{})
 		put(t, node.catalog, catalog.LeafKey("s0"+zoneNear), nil)
 		put(t, node.catalog, catalog.LeafKey("s0"+zoneFar), nil)
 		startRollout(t, node.catalog, zoneNear)
@@ -35,8 +35,8 @@
 // An intermediate draws by its own configuration; its root draws nothing for a group.
 func TestIntermediateDrawsByItsOwnRule(t *testing.T) {
 	cases := map[string]struct {
-		knowing []string
-		drawn   int
+		knowing  []string
+		toCanary int
 	}{
 		"only the root knows the order":         {[]string{"root"}, 0},
 		"only the intermediate knows the order": {[]string{"there"}, 5},
@@ -50,13 +50,13 @@
 				b.requireWhole(b.ask("root"))
 			}
 			is.Equal(len(b.seen.by("root")), 0)
-			drawn := 0
+			toCanary := 0
 			for _, leaf := range b.seen.by("there") {
 				if isCanary(leaf) {
-					drawn++
+					toCanary++
 				}
 			}
-			is.Equal(drawn, c.drawn)
+			is.Equal(toCanary, c.toCanary)
 		})
 	}
 }
@@ -66,15 +66,15 @@
 	is := is.New(t)
 	b := newCanaryTree(t, "root", "there")
 	root := b.nodes["root"].gateway
-	half := drawAll()
+	half := allToCanary()
 	half.Share = 0.5
 	root.canary = canary.New(half, root.catalog, canaryFleet{})
 	for range 5 {
 		b.requireWhole(b.ask("root"))
 	}
 	is.Equal(len(b.seen.by("root")), 0)
-	is.Equal(root.canary.Draw(canary.Request{Service: "s0"}), canary.Draw{})
-	is.Equal(root.canary.Draw(canary.Request{Service: "s0"}).First, canary.Target)
+	is.Equal(root.canary.Decide(canary.Request{Service: "s0"}), canary.Decision{})
+	is.Equal(root.canary.Decide(canary.Request{Service: "s0"}).First, canary.Target)
 }
 
 // Once requests are switched to a version, placement follows its leafs.
@@ -96,7 +96,7 @@
 
 // Draws go only to regions that the route allows and to zones that are not evacuated.
 func TestDrawsKeepToRegionsAndEvacuations(t *testing.T) {
-	withCanary(t, drawAll(), func(is *is.I, b *canaryGateway) {
+	withCanary(t, allToCanary(), func(is *is.I, b *canaryGateway) {
 		b.regions = map[string]string{zoneNear: regionWest, zoneFar: regionWest, zoneFarther: regionSouth}
 		for id, zone := range map[string]string{"s0a": zoneNear, "s0c": zoneFarther, "s0d": zoneFar} {
 			version := "v2"
@@ -111,11 +111,11 @@
 		for range 10 {
 			_, err := b.Serve(b.t.Context(), newRequest("/single/1"))
 			is.NoErr(err)
-			is.Equal(b.asked(), []string{"s0d"})
+			is.Equal(b.queried(), []string{"s0d"})
 		}
 		put(b.t, b.catalog, catalog.EvacuationKey(zoneFar), struct{}{})
 		_, err := b.Serve(b.t.Context(), newRequest("/single/1"))
 		is.NoErr(err)
-		is.Equal(b.asked(), []string{"s0a"})
+		is.Equal(b.queried(), []string{"s0a"})
 	})
 }
--- a/internal/request/gateway/candidates.go
+++ b/internal/request/gateway/candidates.go
@@ -16,10 +16,10 @@
 	leaf *leafset.Leaf
 }
 
-// candidates returns the leafs of a shard that may be asked now without a canary draw, and sets the shard's targets.
+// candidates returns the leafs of a shard that may be asked now without a canary decision, and sets the shard's targets.
 // Package balancer chooses among them.
 func (e *execution) candidates(shard int) []balancer.Candidate {
-	return e.candidatesOf(shard, e.gateway.undrawnVersions(e.services[shard]))
+	return e.candidatesOf(shard, e.gateway.retryVersions(e.services[shard]))
 }
 
 // candidatesOf returns the leafs of a shard that may be asked now, and sets the shard's targets. A leaf may be asked
@@ -33,8 +33,8 @@
 //   - its region is one that the route allows.
 func (e *execution) candidatesOf(shard int, versions canary.Versions) []balancer.Candidate {
 	service := e.services[shard]
-	asked := askedService{name: service, isGathered: e.isGathered(), maximumConnections: e.request.service(service).MaximumConnections}
-	candidates := e.gateway.inReachableZones(e.gateway.askableLeafs(asked, versions, &e.targets[shard]))
+	queried := queriedService{name: service, isGathered: e.isGathered(), maximumConnections: e.request.service(service).MaximumConnections}
+	candidates := e.gateway.inReachableZones(e.gateway.usableLeafs(queried, versions, &e.targets[shard]))
 	if len(e.request.route.Regions) == 0 {
 		return candidates
 	}
@@ -46,8 +46,8 @@
 	return len(e.request.route.Regions) == 0 || e.request.route.AllowsRegion(e.gateway.regions[zone])
 }
 
-// askedService is a service whose leafs are asked.
-type askedService struct {
+// queriedService is a service whose leafs are asked.
+type queriedService struct {
 	name string
 	// isGathered selects the share of connections for gathered requests.
 	isGathered bool
@@ -55,22 +55,22 @@
 	maximumConnections int
 }
 
-// askableLeafs returns the leafs of a service that this node may ask, by version, connections and warm-up, and sets
+// usableLeafs returns the leafs of a service that this node may ask, by version, connections and warm-up, and sets
 // targets to how to connect to them.
-func (g *Gateway) askableLeafs(service askedService, versions canary.Versions, targets *[]leafTarget) []balancer.Candidate {
+func (g *Gateway) usableLeafs(service queriedService, versions canary.Versions, targets *[]leafTarget) []balancer.Candidate {
 	*targets = nil
 	var candidates []balancer.Candidate
 	if versions != canary.Target {
-		candidates = g.appendAskable(candidates, service, g.servingLeafs(service.name), targets)
+		candidates = g.appendUsable(candidates, service, g.servingLeafs(service.name), targets)
 	}
 	if versions != canary.Serving {
-		candidates = g.appendAskable(candidates, service, g.canaryLeafs(service.name, versions), targets)
+		candidates = g.appendUsable(candidates, service, g.canaryLeafs(service.name, versions), targets)
 	}
 	return candidates
 }
 
-// appendAskable appends the leafs of one version that this node may ask to candidates, and how to connect to them to targets.
-func (g *Gateway) appendAskable(candidates []balancer.Candidate, service askedService, leafs []*leafset.Leaf, targets *[]leafTarget) []balancer.Candidate {
+// appendUsable appends the leafs of one version that this node may ask to candidates, and how to connect to them to targets.
+func (g *Gateway) appendUsable(candidates []balancer.Candidate, service queriedService, leafs []*leafset.Leaf, targets *[]leafTarget) []balancer.Candidate {
 	allotted := g.allocator.Allot(service.name, service.isGathered, leafs, service.maximumConnections)
 	candidates = slices.Grow(candidates, len(allotted))
 	*targets = slices.Grow(*targets, len(allotted))
--- a/internal/request/gateway/candidates_test.go
+++ b/internal/request/gateway/candidates_test.go
@@ -51,8 +51,8 @@
 				answer, err := g.Serve(t.Context(), newRequest("/single/1"))
 				is.NoErr(err)
 				is.Equal(string(answer.Body), "s0c")
-				asked := leafs.asked[slices.IndexFunc(leafs.asked, func(id string) bool { return strings.HasSuffix(id, "c") }):]
-				is.Equal(asked, []string{"s0c"})
+				queried := leafs.queried[slices.IndexFunc(leafs.queried, func(id string) bool { return strings.HasSuffix(id, "c") }):]
+				is.Equal(queried, []string{"s0c"})
 			})
 		})
 	}
--- a/internal/request/gateway/crash.go
+++ b/internal/request/gateway/crash.go
@@ -64,7 +64,7 @@
 // the leaf may have crashed, its process is checked. Done waits for the check, a round trip or two, if the next attempt
 // depends on it: after a probe, and after a connection broke before its first answer, which looks the same if the leaf
 // crashed and if it refused one connection too many.
-func (e *execution) finishAttempt(attempt scatter.Attempt, asked leafTarget, probe int, end attemptEnd, done func(attemptResult)) {
+func (e *execution) finishAttempt(attempt scatter.Attempt, target leafTarget, probe int, end attemptEnd, done func(attemptResult)) {
 	e.observePresence(attempt.Leaf.ID, end)
 	if !end.mayBeLoss() {
 		done(end.result)
@@ -80,7 +80,7 @@
 		RequestID: e.request.Leaf.ID, Content: e.request.fingerprint, Service: e.services[attempt.Shard], Leaf: attempt.Leaf.ID,
 		Probe: probe, Announced: !e.gateway.isListed(attempt.Leaf.ID),
 	}
-	e.checkProcess(asked.Target, end.isRefused(), func(ended bool) {
+	e.checkProcess(target.Target, end.isRefused(), func(ended bool) {
 		lost.Ended = ended
 		e.recordLoss(lost)
 		if mustWait {
--- a/internal/request/gateway/deadlines.go
+++ b/internal/request/gateway/deadlines.go
@@ -37,9 +37,9 @@
 }
 
 // setGroupTimes sets the times of a group of shards that another node asks for: the time that is left by that node's message.
-func (g *Gateway) setGroupTimes(r *routedRequest, asked servingtree.Request) {
-	r.deadline = r.Arrived.Add(time.Duration(asked.DeadlineMicros) * time.Microsecond)
-	r.objective = r.Arrived.Add(time.Duration(asked.ObjectiveMicros) * time.Microsecond)
+func (g *Gateway) setGroupTimes(r *routedRequest, request servingtree.Request) {
+	r.deadline = r.Arrived.Add(time.Duration(request.DeadlineMicros) * time.Microsecond)
+	r.objective = r.Arrived.Add(time.Duration(request.ObjectiveMicros) * time.Microsecond)
 	r.answerBy = r.objective.Add(-g.lag.expected(r.route.Objective))
 	r.lateAfter = r.objective
 }
--- a/internal/request/gateway/execution.go
+++ b/internal/request/gateway/execution.go
@@ -25,8 +25,8 @@
 	inGroup []bool
 	// targets are the leafs that may be asked, by shard.
 	targets [][]leafTarget
-	// canaryDraws are the versions drawn for first attempts, by shard; nil until the first is drawn.
-	canaryDraws []canaryDraw
+	// canaryDecisions are the decisions for first attempts, by shard; nil until the first is made.
+	canaryDecisions []canaryDecision
 	// gatheredLatency is the latency of all shards of a gathered request; nil until it is looked up.
 	gatheredLatency *kindLatency
 	// spentAttempts is how many attempts another node may have made at each shard before this one was asked.
@@ -66,7 +66,7 @@
 	if err != nil {
 		return nil, err
 	}
-	e.drawFirst(&plan)
+	e.decideFirst(&plan)
 	attempts := scatter.New(plan, scatter.Deps[leafhttp.Response]{
 		Balancer: e.gateway.balancer, Start: e.startAttempt, Observer: e, Superseded: leafhttp.ErrSuperseded,
 		StartGroup: e.startGroup, OnReply: e.onPart(),
--- a/internal/request/gateway/fixture_test.go
+++ b/internal/request/gateway/fixture_test.go
@@ -57,15 +57,15 @@
 
 // scriptedLeafs is a LeafCaller whose leafs answer by a function, after a delay in virtual time.
 type scriptedLeafs struct {
-	answer func(leaf string) (time.Duration, *leafhttp.Response, error)
-	mu     sync.Mutex
-	asked  []string
-	warmed []string
+	answer  func(leaf string) (time.Duration, *leafhttp.Response, error)
+	mu      sync.Mutex
+	queried []string
+	warmed  []string
 }
 
 func (s *scriptedLeafs) Start(target leafhttp.Target, _ *leafhttp.Request, _ time.Time, done leafhttp.Done) context.CancelCauseFunc {
 	s.mu.Lock()
-	s.asked = append(s.asked, target.LeafID)
+	s.queried = append(s.queried, target.LeafID)
 	s.mu.Unlock()
 	ctx, cancel := context.WithCancelCause(context.Background())
 	go func() {
--- a/internal/request/gateway/gateway_test.go
+++ b/internal/request/gateway/gateway_test.go
@@ -104,7 +104,7 @@
 		status  int     // of the answer; 0 means a failure
 		code    failure.Code
 		state   failure.ExecutionState
-		asked   int
+		queried int
 	}{
 		"success":                       {"/single/1", []reply{{answered(200, "x"), nil}}, 200, "", 0, 1},
 		"own failure, then success":     {"/single/1", []reply{{answered(500, "x"), nil}, {answered(200, "y"), nil}}, 200, "", 0, 2},
@@ -146,8 +146,8 @@
 					is.Equal(failure.From(err).Execution, one.state)
 					is.Equal(failure.From(err).RetryAfter > 0, one.state == failure.NotRun)
 				}
-				if one.asked > 0 {
-					is.Equal(len(leafs.asked), one.asked)
+				if one.queried > 0 {
+					is.Equal(len(leafs.queried), one.queried)
 				}
 			})
 		})
--- a/internal/request/gateway/group_call.go
+++ b/internal/request/gateway/group_call.go
@@ -137,7 +137,7 @@
 
 // groupRequest returns the message that asks another node for a group. The group may lack as many parts as the whole
 // answer may. The node must reply earlier than the answer is planned by the round trip to it.
-func (e *execution) groupRequest(asked group, spent int) servingtree.Request {
+func (e *execution) groupRequest(g group, spent int) servingtree.Request {
 	r, root := e.request, e.gateway.root
 	mayMiss := len(e.services) - r.requiredParts
 	roundTrip := root.hop.expected(r.route.Objective)
@@ -145,7 +145,7 @@
 	return servingtree.Request{
 		ID: r.Leaf.ID, Method: r.Leaf.Method, Target: r.Leaf.Target, Host: r.Leaf.Host, Header: r.Leaf.Header,
 		Body: r.Leaf.Body, HasBody: r.Leaf.HasBody, Caller: r.Caller, Root: root.self.ID, GatherKey: r.route.GatherKey,
-		Shards: asked.shards, Required: max(1, len(asked.shards)-mayMiss), Spent: spent,
+		Shards: g.shards, Required: max(1, len(g.shards)-mayMiss), Spent: spent,
 		ObjectiveMicros: untilAnswer.Microseconds(), DeadlineMicros: time.Until(e.deadline()).Microseconds(),
 		RoundTrip: roundTrip,
 	}
--- a/internal/request/gateway/group_call_test.go
+++ b/internal/request/gateway/group_call_test.go
@@ -118,6 +118,6 @@
 	planned := time.Now().Add(time.Second)
 	entry := &routing.Entry{Objective: time.Second}
 	e := &execution{gateway: g, services: make([]string, 2), request: &routedRequest{Request: newRequest("/pages/1"), route: entry, answerBy: planned}}
-	asked := e.groupRequest(group{shards: []int{0, 1}}, 0)
-	is.True(asked.ObjectiveMicros <= (time.Second - initialHop).Microseconds())
+	queried := e.groupRequest(group{shards: []int{0, 1}}, 0)
+	is.True(queried.ObjectiveMicros <= (time.Second - initialHop).Microseconds())
 }
--- a/internal/request/gateway/incarnation_test.go
+++ b/internal/request/gateway/incarnation_test.go
@@ -20,7 +20,7 @@
 		t.Fatal("the leaf is not in force")
 	}
 	var targets []leafTarget
-	candidates := g.appendAskable(nil, askedService{name: "s0", maximumConnections: 1}, []*leafset.Leaf{leaf}, &targets)
+	candidates := g.appendUsable(nil, queriedService{name: "s0", maximumConnections: 1}, []*leafset.Leaf{leaf}, &targets)
 	return leaf, targets[0], candidates[0]
 }
 
--- a/internal/request/gateway/intermediate.go
+++ b/internal/request/gateway/intermediate.go
@@ -19,13 +19,13 @@
 //
 // The parts that have arrived by the objective are sent then, and the rest when it has arrived. Only the root, which
 // knows of the other shards, can tell whether they are enough.
-func (g *Gateway) Gather(ctx context.Context, asked servingtree.Request, send func(servingtree.Answer)) servingtree.Reply {
+func (g *Gateway) Gather(ctx context.Context, message servingtree.Request, send func(servingtree.Answer)) servingtree.Reply {
 	if g.gathered.Add(1) > g.config.MaximumGathered {
 		g.gathered.Add(-1)
 		return servingtree.Reply{Decline: servingtree.Busy}
 	}
 	defer g.gathered.Add(-1)
-	e := g.groupExecution(asked)
+	e := g.groupExecution(message)
 	if e == nil {
 		return servingtree.Reply{Decline: servingtree.OtherRoute}
 	}
@@ -62,31 +62,31 @@
 }
 
 // groupExecution returns the execution of a group; nil if the group does not fit the routing table in force here.
-func (g *Gateway) groupExecution(asked servingtree.Request) *execution {
+func (g *Gateway) groupExecution(message servingtree.Request) *execution {
 	table := g.catalog.View().Routes
 	if table == nil {
 		return nil
 	}
-	path, _, _ := strings.Cut(asked.Target, "?")
-	route := table.Match(asked.Host, path)
-	if route == nil || route.GatherKey != asked.GatherKey || asked.Spent < 0 || asked.Spent >= route.Attempts {
+	path, _, _ := strings.Cut(message.Target, "?")
+	route := table.Match(message.Host, path)
+	if route == nil || route.GatherKey != message.GatherKey || message.Spent < 0 || message.Spent >= route.Attempts {
 		return nil
 	}
-	services := servicesOf(route, asked.Shards)
+	services := servicesOf(route, message.Shards)
 	if len(services) == 0 {
 		return nil
 	}
 	request := &Request{
 		Leaf: leafhttp.Request{
-			ID: asked.ID, Method: asked.Method, Target: asked.Target, Host: asked.Host, Header: asked.Header, Body: asked.Body, HasBody: asked.HasBody,
+			ID: message.ID, Method: message.Method, Target: message.Target, Host: message.Host, Header: message.Header, Body: message.Body, HasBody: message.HasBody,
 		},
-		Path: path, Caller: asked.Caller, Arrived: time.Now(),
+		Path: path, Caller: message.Caller, Arrived: time.Now(),
 	}
 	routed := &routedRequest{
-		Request: request, fingerprint: g.config.fingerprintOf(request), route: route, table: table, rootID: asked.Root, requiredParts: asked.Required,
+		Request: request, fingerprint: g.config.fingerprintOf(request), route: route, table: table, rootID: message.Root, requiredParts: message.Required,
 	}
-	g.setGroupTimes(routed, asked)
-	return &execution{gateway: g, request: routed, services: services, spentAttempts: asked.Spent}
+	g.setGroupTimes(routed, message)
+	return &execution{gateway: g, request: routed, services: services, spentAttempts: message.Spent}
 }
 
 // servicesOf returns the services of some shards of a gathered route; nil if a shard is none of the route's.
--- a/internal/request/gateway/refuse.go
+++ b/internal/request/gateway/refuse.go
@@ -58,7 +58,7 @@
 	}
 	plan := e.plan()
 	if err := e.refuseOverloaded(plan); err != nil {
-		e.refundDraws()
+		e.refundDecisions()
 		return scatter.Plan{}, err
 	}
 	return plan, nil
@@ -81,7 +81,7 @@
 	}
 	required := e.request.leastParts()
 	without, canaryOnly := e.shardsWithoutLeafs()
-	without += len(canaryOnly) - e.drawForCanary(canaryOnly, required-(len(e.services)-without-len(canaryOnly)))
+	without += len(canaryOnly) - e.decideForCanary(canaryOnly, required-(len(e.services)-without-len(canaryOnly)))
 	if len(e.services)-without >= required {
 		return nil
 	}
@@ -93,12 +93,12 @@
 }
 
 // shardsWithoutLeafs counts the shards without a leaf that may run the request, and returns the shards whose only such
-// leafs are canaries, so that a canary draw decides whether they may run it.
+// leafs are canaries, so that a canary decision decides whether they may run it.
 func (e *execution) shardsWithoutLeafs() (without int, canaryOnly []int) {
 	for index := range e.services {
 		switch {
 		case e.hasLeaf(index):
-		case e.mayBeDrawn(index):
+		case e.mayGoToCanary(index):
 			canaryOnly = append(canaryOnly, index)
 		default:
 			without++
@@ -107,37 +107,37 @@
 	return without, canaryOnly
 }
 
-// drawForCanary draws shards until as many as wanted are drawn for the canary version, and returns their number. If
-// there can't be enough it draws none or refunds the draws, so that a refused request takes nothing from the canary.
-func (e *execution) drawForCanary(shards []int, wanted int) int {
+// decideForCanary decides for shards until as many as wanted go to the canary version, and returns their number. If
+// there can't be enough it decisions none or refunds the decisions, so that a refused request takes nothing from the canary.
+func (e *execution) decideForCanary(shards []int, wanted int) int {
 	if wanted <= 0 || wanted > len(shards) {
 		return 0
 	}
 	count := 0
 	for _, shard := range shards {
-		if e.draw(shard, true).First == canary.Target {
+		if e.decide(shard, true).First == canary.Target {
 			if count++; count == wanted {
 				return count
 			}
 		}
 	}
-	e.refundDraws()
+	e.refundDecisions()
 	return count
 }
 
-// hasLeaf reports whether a service has a leaf that may run the request without a canary draw. Leafs on trial count
+// hasLeaf reports whether a service has a leaf that may run the request without a canary decision. Leafs on trial count
 // once all requests go to their version.
 func (e *execution) hasLeaf(index int) bool {
 	service := e.services[index]
-	versions := e.gateway.undrawnVersions(service)
+	versions := e.gateway.retryVersions(service)
 	if versions != canary.Target && e.anyMayRun(e.gateway.servingLeafs(service)) {
 		return true
 	}
 	return versions != canary.Serving && e.anyMayRun(e.gateway.canaryLeafs(service, versions))
 }
 
-// mayBeDrawn reports whether a canary draw of this node could send a shard to a canary.
-func (e *execution) mayBeDrawn(index int) bool {
+// mayGoToCanary reports whether a canary decision of this node could send a shard to a canary.
+func (e *execution) mayGoToCanary(index int) bool {
 	return !e.isInGroup(index) && e.anyMayRun(e.gateway.catalog.View().Leafs.Canaries(e.services[index]))
 }
 
--- a/internal/request/gateway/refuse_overloaded_test.go
+++ b/internal/request/gateway/refuse_overloaded_test.go
@@ -46,7 +46,7 @@
 				is.Equal(failure.From(err).Execution, failure.NotRun)
 				is.True(failure.From(err).RetryAfter > 0)
 				is.Equal(time.Since(started), time.Duration(0))
-				is.Equal(len(leafs.asked), 0)
+				is.Equal(len(leafs.queried), 0)
 				time.Sleep(2 * time.Second) // the reports of the queues are old
 				_, err = g.Serve(t.Context(), newRequest("/pages/1"))
 				is.NoErr(err)
--- a/internal/request/gateway/refuse_test.go
+++ b/internal/request/gateway/refuse_test.go
@@ -40,7 +40,7 @@
 		is.Equal(answer.Missing, 2)
 		lose(2)
 		for _, path := range []string{"/pages/1", "/single/1", "/once/1"} {
-			before := len(leafs.asked)
+			before := len(leafs.queried)
 			started := time.Now()
 			request := newRequest(path)
 			_, err = g.Serve(t.Context(), request)
@@ -49,7 +49,7 @@
 			is.Equal(failed.Code, failure.Overloaded)
 			is.True(failed.RetryAfter > request.CallerTimeout/6 && failed.RetryAfter <= request.CallerTimeout/3)
 			is.Equal(time.Since(started), time.Duration(0))
-			is.Equal(len(leafs.asked), before)
+			is.Equal(len(leafs.queried), before)
 		}
 	})
 }
--- a/internal/request/gateway/tree_fixture_test.go
+++ b/internal/request/gateway/tree_fixture_test.go
@@ -35,14 +35,14 @@
 // attemptLog records the attempts of all nodes.
 type attemptLog struct {
 	mu        sync.Mutex
-	asked     map[string][]string // leafs by node
+	queried   map[string][]string // leafs by node
 	cancelled int
 }
 
 func (s *attemptLog) by(node string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.asked[node])
+	return slices.Clone(s.queried[node])
 }
 
 func (s *attemptLog) cancels() int {
@@ -53,7 +53,7 @@
 
 func (l *treeLeafs) Start(target leafhttp.Target, _ *leafhttp.Request, _ time.Time, done leafhttp.Done) context.CancelCauseFunc {
 	l.seen.mu.Lock()
-	l.seen.asked[l.node] = append(l.seen.asked[l.node], target.LeafID)
+	l.seen.queried[l.node] = append(l.seen.queried[l.node], target.LeafID)
 	answer := l.answer
 	l.seen.mu.Unlock()
 	ctx, cancel := context.WithCancelCause(context.Background())
@@ -126,7 +126,7 @@
 // newTree starts a node for each record, and sets the address in the record.
 func newTree(t *testing.T, nodes ...catalog.NodeRecord) *tree {
 	t.Helper()
-	built := &tree{t: t, seen: &attemptLog{asked: map[string][]string{}}, nodes: map[string]*treeNode{}}
+	built := &tree{t: t, seen: &attemptLog{queried: map[string][]string{}}, nodes: map[string]*treeNode{}}
 	for index := range nodes {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
--- a/internal/request/gateway/tree_test.go
+++ b/internal/request/gateway/tree_test.go
@@ -258,9 +258,9 @@
 		"negative":       func(a *servingtree.Request) { a.Shards = []int{-1} },
 	}
 	for name, change := range bad {
-		asked := good
-		change(&asked)
-		if reply := there.Gather(t.Context(), asked, nil); reply.Decline != servingtree.OtherRoute {
+		queried := good
+		change(&queried)
+		if reply := there.Gather(t.Context(), queried, nil); reply.Decline != servingtree.OtherRoute {
 			t.Errorf("%s: %+v", name, reply)
 		}
 	}
--- a/internal/request/gateway/warm.go
+++ b/internal/request/gateway/warm.go
@@ -39,9 +39,9 @@
 
 // warmService opens a connection to the leaf that a first request would ask.
 func (g *Gateway) warmService(service string, limit int) {
-	asked := askedService{name: service, isGathered: true, maximumConnections: limit}
+	queried := queriedService{name: service, isGathered: true, maximumConnections: limit}
 	var targets []leafTarget
-	choice := g.balancer.Choose(g.askableLeafs(asked, g.undrawnVersions(service), &targets), nil)
+	choice := g.balancer.Choose(g.usableLeafs(queried, g.retryVersions(service), &targets), nil)
 	if choice.Leaf != nil {
 		g.warmLeaf(choice.Leaf.ID, targets)
 	}
@@ -62,7 +62,7 @@
 	g.leafs.Warm(ordered)
 }
 
-// warmCanaries opens a connection to a leaf of each canary version that this node's canary draws would go to, once for
+// warmCanaries opens a connection to a leaf of each canary version that this node's canary decisions would go to, once for
 // each rollout spec. warmed has the specs that are done, by service.
 func (g *Gateway) warmCanaries(warmed map[string]int64) {
 	view := g.catalog.View()
@@ -82,7 +82,7 @@
 	}
 }
 
-// warmCanary opens a connection to the canary that draws go to first, and reports whether there is any leaf on
+// warmCanary opens a connection to the canary that decisions go to first, and reports whether there is any leaf on
 // trial.
 func (g *Gateway) warmCanary(view *catalog.View, service string) bool {
 	leafs := g.canary.FocusOrder(service, view.Leafs.Canaries(service))
@@ -90,9 +90,9 @@
 		return false
 	}
 	known, _ := view.Routes.Service(service)
-	asked := askedService{name: service, isGathered: view.Routes.IsGathered(service), maximumConnections: known.MaximumConnections}
+	queried := queriedService{name: service, isGathered: view.Routes.IsGathered(service), maximumConnections: known.MaximumConnections}
 	var targets []leafTarget
-	g.askableLeafs(asked, canary.Target, &targets)
+	g.usableLeafs(queried, canary.Target, &targets)
 	for _, leaf := range leafs {
 		if slices.ContainsFunc(targets, func(target leafTarget) bool { return target.LeafID == leaf.ID && target.Connections > 0 }) {
 			g.warmLeaf(leaf.ID, targets)
--- a/internal/request/gateway/zones_test.go
+++ b/internal/request/gateway/zones_test.go
@@ -111,7 +111,7 @@
 		is.Equal(failed.Code, failure.Overloaded)
 		is.True(failed.RetryAfter > 0)
 		is.Equal(time.Since(started), time.Duration(0))
-		is.Equal(len(leafs.asked), 0)
+		is.Equal(len(leafs.queried), 0)
 	})
 }
 
@@ -121,8 +121,8 @@
 		answer, err := g.Serve(context.Background(), newRequest("/pages/1"))
 		is.NoErr(err)
 		is.Equal(answer.Missing, 2)
-		is.Equal(len(leafs.asked), 8)
-		for _, leaf := range leafs.asked {
+		is.Equal(len(leafs.queried), 8)
+		for _, leaf := range leafs.queried {
 			is.True(strings.HasSuffix(leaf, "a")) // in the near zone
 		}
 	})
@@ -137,7 +137,7 @@
 			is.NoErr(err)
 			is.Equal(time.Since(started), time.Millisecond)
 		}
-		for _, leaf := range leafs.asked {
+		for _, leaf := range leafs.queried {
 			is.Equal(leaf, "s0a")
 		}
 	})
@@ -148,7 +148,7 @@
 	inPartition(t, 0, func(is *is.I, g *Gateway, leafs *scriptedLeafs) {
 		_, err := g.Serve(context.Background(), newRequest("/once/1"))
 		is.Equal(failure.From(err).Execution, failure.NotRun)
-		is.Equal(len(leafs.asked), 0)
+		is.Equal(len(leafs.queried), 0)
 	})
 }
 
--- a/internal/request/scatter/group.go
+++ b/internal/request/scatter/group.go
@@ -134,7 +134,7 @@
 		case hasReply:
 			s.accept(shard, result.Replies[place])
 		case result.Replies == nil && !result.Final:
-			s.askByItself(index, result)
+			s.queryDirectly(index, result)
 		default:
 			shard.reason = MissingInGroup
 			s.settle(shard)
@@ -142,8 +142,8 @@
 	}
 }
 
-// askByItself asks a shard whose group gave no answer. Attempts that the group may have made count.
-func (s *Scatter[Reply]) askByItself(index int, result GroupResult[Reply]) {
+// queryDirectly asks a shard whose group gave no answer. Attempts that the group may have made count.
+func (s *Scatter[Reply]) queryDirectly(index int, result GroupResult[Reply]) {
 	if result.Execution != NotRun {
 		s.shards[index].setSpent(max(1, result.Spent), s.plan.MaximumAttempts)
 	}
--- a/internal/request/scatter/group_test.go
+++ b/internal/request/scatter/group_test.go
@@ -81,8 +81,8 @@
 	return replies
 }
 
-// asked counts the attempts at leafs by shard and kind.
-func asked(watched *watcher, kind Kind) map[int]int {
+// queried counts the attempts at leafs by shard and kind.
+func queried(watched *watcher, kind Kind) map[int]int {
 	counts := map[int]int{}
 	for _, attempt := range watched.began {
 		if attempt.Kind == kind {
@@ -176,8 +176,8 @@
 					is.Equal(got, want)
 				}
 				is.Equal(summary.Replies, replies)
-				is.Equal(len(asked(watched, First)), c.first)
-				is.Equal(len(asked(watched, Retry)), c.repeats)
+				is.Equal(len(queried(watched, First)), c.first)
+				is.Equal(len(queried(watched, Retry)), c.repeats)
 				is.True(summary.Ran)
 				synctest.Wait()
 			})
@@ -211,7 +211,7 @@
 		}
 		groups := &groupScript{steps: [][]groupStep{{{20 * ms, GroupResult[string]{Execution: Unknown}}}}}
 		_, summary, watched := playGroups(t.Context(), plan, groups, ownAnswer)
-		is.Equal(len(asked(watched, Retry)), 1)
+		is.Equal(len(queried(watched, Retry)), 1)
 		is.Equal(summary.Replies, 2)
 	})
 }
@@ -255,7 +255,7 @@
 			for group, steps := range draw.steps {
 				mayHaveRun := steps[len(steps)-1].result.Execution != NotRun
 				for _, shard := range plan.Groups[group].Shards {
-					count := asked(watched, First)[shard] + asked(watched, Retry)[shard] + asked(watched, Hedge)[shard]
+					count := queried(watched, First)[shard] + queried(watched, Retry)[shard] + queried(watched, Hedge)[shard]
 					if mayHaveRun && count > 1 || count > 2 {
 						t.Fatalf("shard %d was asked %d times", shard, count)
 					}
@@ -333,8 +333,8 @@
 				_, _, watched := playGroups(t.Context(), plan, &groupScript{}, func(string, Attempt) (time.Duration, Result[string]) {
 					return ms, replied("own")
 				})
-				is.Equal(len(asked(watched, First)), one.firsts)
-				is.Equal(len(asked(watched, Retry)), one.repeats)
+				is.Equal(len(queried(watched, First)), one.firsts)
+				is.Equal(len(queried(watched, Retry)), one.repeats)
 				for _, attempt := range watched.began {
 					is.Equal(attempt.Number, one.spent+1)
 				}
--- a/internal/request/scatter/stop.go
+++ b/internal/request/scatter/stop.go
@@ -48,11 +48,11 @@
 		if shard.done {
 			continue
 		}
-		isAsked := len(shard.inFlight) > 0 || shard.isGrouped
-		if isAsked {
+		isQueried := len(shard.inFlight) > 0 || shard.isGrouped
+		if isQueried {
 			s.summary.MaybeRan = true
 		}
-		if shard.reason == "" || isAsked {
+		if shard.reason == "" || isQueried {
 			shard.reason = reason
 		}
 		s.settle(shard)
--- a/internal/request/search/answer.go
+++ b/internal/request/search/answer.go
@@ -31,7 +31,7 @@
 		if err != nil {
 			return nil, congested, withExecution(err, executionOf(ran, maybeRan))
 		}
-		work := newKeyScatter(e, query, service, e.policy(service.Spec), service.Manifest.Plan(query.asked))
+		work := newKeyScatter(e, query, service, e.policy(service.Spec), service.Manifest.Plan(query.queried))
 		outcomes := work.run(ctx)
 		addExtraLoad(&extra, work.extraLoad())
 		ran, maybeRan = ran || work.summary.Ran, maybeRan || work.summary.MaybeRan
@@ -39,7 +39,7 @@
 		if work.snapshotGone() && e.mayReplan(query, service, replans, ran || maybeRan) {
 			continue
 		}
-		merged := merge(query.asked, outcomes, query.limit, e.config.MaximumAnswerBytes)
+		merged := merge(query.queried, outcomes, query.limit, e.config.MaximumAnswerBytes)
 		response := e.report(query, service, &merged, &extra)
 		return response, congested, e.failureOf(ctx, query, &merged, response, executionOf(ran, maybeRan))
 	}
--- a/internal/request/search/merge.go
+++ b/internal/request/search/merge.go
@@ -36,13 +36,13 @@
 // page is a merged answer.
 type page struct {
 	rows []*searchv1.Row
-	// asked is the part of the query's range that this page covers or misses.
-	asked   keyspace.Range
+	// queried is the part of the query's range that this page covers or misses.
+	queried keyspace.Range
 	nextKey string
 	covered []keyspace.Range
 	missing []missingRange
-	// askedWeight and coveredWeight are in the units of the manifest's weights.
-	askedWeight   float64
+	// queriedWeight and coveredWeight are in the units of the manifest's weights.
+	queriedWeight float64
 	coveredWeight float64
 }
 
@@ -54,8 +54,8 @@
 // merge joins the parts' rows in key order into one page. Parts are in key order and don't
 // overlap, so that rows need not be compared and no row can appear twice. The page ends at the
 // limit of rows or bytes; what lies beyond is neither covered nor missing.
-func merge(asked keyspace.Range, outcomes []shardOutcome, limit, maximumBytes int) page {
-	merged := page{asked: asked}
+func merge(queried keyspace.Range, outcomes []shardOutcome, limit, maximumBytes int) page {
+	merged := page{queried: queried}
 	size := 0
 	for _, outcome := range outcomes {
 		if outcome.reply == nil {
@@ -83,7 +83,7 @@
 
 // cover adds a part's covered range to the page, and what the leaf left out as missing.
 func (p *page) cover(shardRange manifest.ShardRange, covered keyspace.Range) {
-	p.askedWeight += float64(shardRange.Shard.Weight)
+	p.queriedWeight += float64(shardRange.Shard.Weight)
 	missing := shardRange.Range.Subtract([]keyspace.Range{covered})
 	p.covered = append(p.covered, covered)
 	if len(missing) == 0 {
@@ -96,19 +96,19 @@
 
 // miss adds a missing range to the page.
 func (p *page) miss(shardRange manifest.ShardRange, keys keyspace.Range, reason missingReason) {
-	p.askedWeight += float64(shardRange.Shard.Weight)
+	p.queriedWeight += float64(shardRange.Shard.Weight)
 	p.missing = append(p.missing, missingRange{keys: keys, reason: reason})
 }
 
 // end ends the page inside a part, and shrinks the asked range accordingly.
 func (p *page) end(shardRange manifest.ShardRange, covered keyspace.Range, next string) {
-	if p.asked.To != "" && next >= p.asked.To {
+	if p.queried.To != "" && next >= p.queried.To {
 		p.cover(shardRange, keyspace.Range{From: covered.From, To: shardRange.Range.To})
 		return
 	}
-	p.askedWeight += float64(shardRange.Shard.Weight)
+	p.queriedWeight += float64(shardRange.Shard.Weight)
 	p.coveredWeight += float64(shardRange.Shard.Weight)
-	p.asked.To = next
+	p.queried.To = next
 	p.nextKey = next
 	if !covered.Empty() {
 		p.covered = append(p.covered, covered)
@@ -120,8 +120,8 @@
 // coverage returns the page's coverage, computed only from what was merged.
 func (p *page) coverage() *searchv1.Coverage {
 	coverage := &searchv1.Coverage{Complete: p.complete(), Fraction: 1}
-	if p.askedWeight > 0 {
-		coverage.Fraction = p.coveredWeight / p.askedWeight
+	if p.queriedWeight > 0 {
+		coverage.Fraction = p.coveredWeight / p.queriedWeight
 	}
 	for _, missed := range p.missing {
 		coverage.Missing = append(coverage.Missing, &searchv1.MissingRange{
--- a/internal/request/search/merge_test.go
+++ b/internal/request/search/merge_test.go
@@ -30,7 +30,7 @@
 			counts[row.GetKey()]++
 		}
 		for _, key := range keys {
-			if !merged.asked.Contains(key) {
+			if !merged.queried.Contains(key) {
 				continue
 			}
 			missing := 0
--- a/internal/request/search/quarantine.go
+++ b/internal/request/search/quarantine.go
@@ -21,7 +21,7 @@
 // content returns the fingerprint of a search, which is the same for all of its repeats.
 func (q *query) content() fingerprint.Fingerprint {
 	return fingerprint.Of(fingerprint.Content{
-		Method: "SEARCH", Host: q.service, Path: q.asked.From, Query: q.asked.To, Body: []byte(strconv.Itoa(q.limit) + " " + q.filter),
+		Method: "SEARCH", Host: q.service, Path: q.queried.From, Query: q.queried.To, Body: []byte(strconv.Itoa(q.limit) + " " + q.filter),
 	})
 }
 
@@ -32,7 +32,7 @@
 		return ctx, func() {}, nil
 	}
 	guarded, cancel := context.WithCancelCause(ctx)
-	subject := quarantine.NewSubject(query.content(), query.service+"/"+query.asked.From, "")
+	subject := quarantine.NewSubject(query.content(), query.service+"/"+query.queried.From, "")
 	query.tracked = e.quarantine.Begin(subject, func() { cancel(errQuarantined) })
 	release = func() {
 		query.tracked.End()
--- a/internal/request/search/quarantine_test.go
+++ b/internal/request/search/quarantine_test.go
@@ -50,10 +50,10 @@
 					is.True(search(fmt.Sprint("try-", number)) != nil)
 					time.Sleep(2 * time.Second)
 				}
-				asked := len(leafs.asked)
+				queried := len(leafs.queried)
 				err := search("four")
 				is.Equal(failure.Is(err, failure.Quarantined), ended)
-				is.Equal(len(leafs.asked) == asked, ended)
+				is.Equal(len(leafs.queried) == queried, ended)
 				if ended {
 					is.Equal(failure.From(err).Execution, failure.NotRun)
 					is.True(failure.From(err).RetryAfter > 0)
--- a/internal/request/search/query.go
+++ b/internal/request/search/query.go
@@ -26,7 +26,7 @@
 	// callerNamed says that the caller chose the id and may repeat it at another node.
 	callerNamed bool
 	service     string
-	asked       keyspace.Range
+	queried     keyspace.Range
 	filter      string
 	limit       int
 	atMostOnce  bool
@@ -43,8 +43,8 @@
 	if err := checkText(request); err != nil {
 		return nil, err
 	}
-	asked := keyspace.Range{From: request.GetRange().GetFrom(), To: request.GetRange().GetTo()}
-	if asked.Empty() {
+	queried := keyspace.Range{From: request.GetRange().GetFrom(), To: request.GetRange().GetTo()}
+	if queried.Empty() {
 		return nil, failure.Invalid("range.to", "must be greater than range.from")
 	}
 	limit := request.GetLimit()
@@ -66,7 +66,7 @@
 		id:          id,
 		callerNamed: request.GetRequestId() != "",
 		service:     spec.GetName(),
-		asked:       asked,
+		queried:     queried,
 		filter:      request.GetFilter(),
 		limit:       int(limit),
 		atMostOnce:  request.GetRepeatability() == searchv1.Repeatability_REPEATABILITY_AT_MOST_ONCE,
@@ -77,16 +77,16 @@
 }
 
 // allowedTime returns how long a search may take, by the deadline asked for and the service's settings.
-func allowedTime(config Config, askedMillis uint32, spec *adminv1.ServiceSpec) (time.Duration, error) {
-	if askedMillis == 0 {
-		askedMillis = spec.GetDefaultDeadlineMillis()
+func allowedTime(config Config, requestedMillis uint32, spec *adminv1.ServiceSpec) (time.Duration, error) {
+	if requestedMillis == 0 {
+		requestedMillis = spec.GetDefaultDeadlineMillis()
 	}
-	if askedMillis > spec.GetMaxDeadlineMillis() {
-		return 0, failure.Invalid("deadline_millis", "%d is more than the service's maximum %d", askedMillis, spec.GetMaxDeadlineMillis())
+	if requestedMillis > spec.GetMaxDeadlineMillis() {
+		return 0, failure.Invalid("deadline_millis", "%d is more than the service's maximum %d", requestedMillis, spec.GetMaxDeadlineMillis())
 	}
-	allowed := time.Duration(askedMillis) * time.Millisecond
+	allowed := time.Duration(requestedMillis) * time.Millisecond
 	if allowed < config.MinimumDeadline {
-		return 0, failure.Invalid("deadline_millis", "%d is less than the minimum %d", askedMillis, config.MinimumDeadline.Milliseconds())
+		return 0, failure.Invalid("deadline_millis", "%d is less than the minimum %d", requestedMillis, config.MinimumDeadline.Milliseconds())
 	}
 	return allowed, nil
 }
--- a/internal/request/search/search_test.go
+++ b/internal/request/search/search_test.go
@@ -26,9 +26,9 @@
 
 // scriptedLeafs answers attempts by a function of address and attempt, in virtual time.
 type scriptedLeafs struct {
-	mu     sync.Mutex
-	asked  []string
-	answer func(address string, request *leafv1.SearchShardRequest) (time.Duration, error)
+	mu      sync.Mutex
+	queried []string
+	answer  func(address string, request *leafv1.SearchShardRequest) (time.Duration, error)
 	// ended says that HasExited reports leafs as exited.
 	ended bool
 }
@@ -37,7 +37,7 @@
 
 func (s *scriptedLeafs) SearchShard(ctx context.Context, address string, request *leafv1.SearchShardRequest) (*leafv1.SearchShardResponse, error) {
 	s.mu.Lock()
-	s.asked = append(s.asked, address)
+	s.queried = append(s.queried, address)
 	s.mu.Unlock()
 	wait, err := s.answer(address, request)
 	select {
@@ -145,9 +145,9 @@
 			_, err := engine.Search(t.Context(), atMostOnce("same"))
 			is.True(err != nil)
 		}
-		is.Equal(len(leafs.asked), 6) // two shards, three searches
+		is.Equal(len(leafs.queried), 6) // two shards, three searches
 		distinct := map[string]bool{}
-		for _, address := range leafs.asked {
+		for _, address := range leafs.queried {
 			distinct[address] = true
 		}
 		is.True(len(distinct) <= 2)
@@ -176,7 +176,7 @@
 		engine, _ = newTestEngine(t, lossy)
 		_, err = engine.Search(t.Context(), atMostOnce(""))
 		is.True(err != nil)
-		is.Equal(len(lossy.asked), 2)
+		is.Equal(len(lossy.queried), 2)
 	})
 }
 
@@ -319,7 +319,7 @@
 			is.True(failure.Is(err, failure.InvalidField))
 			is.Equal(failure.From(err).Field, test.field)
 			is.Equal(failure.From(err).Execution, failure.NotRun)
-			is.Equal(len(leafs.asked), 0)
+			is.Equal(len(leafs.queried), 0)
 		})
 	}
 }
--- a/internal/request/search/verify.go
+++ b/internal/request/search/verify.go
@@ -34,9 +34,9 @@
 	if !sameIdentity(request.GetIdentity(), response.GetIdentity()) {
 		return shardReply{}, dropWrongIdentity
 	}
-	asked := keyspace.Range{From: request.GetKeyFrom(), To: request.GetKeyTo()}
+	queried := keyspace.Range{From: request.GetKeyFrom(), To: request.GetKeyTo()}
 	covered := keyspace.Range{From: response.GetCoveredFrom(), To: response.GetCoveredTo()}
-	if covered.From != asked.From || covered.Empty() || !asked.Covers(covered) {
+	if covered.From != queried.From || covered.Empty() || !queried.Covers(covered) {
 		return shardReply{}, dropWrongCoverage
 	}
 	if len(response.GetRows()) > int(request.GetLimit()) {
@@ -70,11 +70,11 @@
 	return filter == "" || strings.Contains(key, filter) || bytes.Contains(value, []byte(filter))
 }
 
-func sameIdentity(asked, echoed *leafv1.AttemptIdentity) bool {
+func sameIdentity(queried, echoed *leafv1.AttemptIdentity) bool {
 	return echoed != nil &&
-		asked.GetNonce() == echoed.GetNonce() &&
-		asked.GetAttempt() == echoed.GetAttempt() &&
-		asked.GetRequestId() == echoed.GetRequestId() &&
-		asked.GetShardId() == echoed.GetShardId() &&
-		asked.GetSnapshotId() == echoed.GetSnapshotId()
+		queried.GetNonce() == echoed.GetNonce() &&
+		queried.GetAttempt() == echoed.GetAttempt() &&
+		queried.GetRequestId() == echoed.GetRequestId() &&
+		queried.GetShardId() == echoed.GetShardId() &&
+		queried.GetSnapshotId() == echoed.GetSnapshotId()
 }
--- a/internal/rollout/canary/bound_test.go
+++ b/internal/rollout/canary/bound_test.go
@@ -55,7 +55,7 @@
 			fleet[index] = begin(seen())
 		}
 		built.startRollout()
-		start, requests, drawn := built.clock, 0.0, 0.0
+		start, requests, forCanary := built.clock, 0.0, 0.0
 		for _, one := range arrivals(source, nodes, each) {
 			built.clock = start.Add(one.at)
 			node := &fleet[one.node]
@@ -66,9 +66,9 @@
 				node.fleet.share = seen()
 			}
 			requests++
-			drawn += float64(draw(node.splitter, 1, source.IntN(4) == 0))
-			if allowed := 0.1*requests + slack; drawn > allowed {
-				t.Fatalf("%v of %v requests of %d nodes were drawn, %v are allowed", drawn, requests, nodes, allowed)
+			forCanary += float64(decide(node.splitter, 1, source.IntN(4) == 0))
+			if allowed := 0.1*requests + slack; forCanary > allowed {
+				t.Fatalf("%v of %v requests of %d nodes were drawn, %v are allowed", forCanary, requests, nodes, allowed)
 			}
 		}
 	})
@@ -89,13 +89,13 @@
 		for _, splitter := range fleet {
 			splitter.Refresh()
 		}
-		start, drawn := built.clock, 0
+		start, forCanary := built.clock, 0
 		made := arrivals(source, nodes, 2000/float64(nodes))
 		for _, one := range made {
 			built.clock = start.Add(one.at)
-			drawn += draw(fleet[one.node], 1, false)
+			forCanary += decide(fleet[one.node], 1, false)
 		}
-		is.True(float64(drawn) >= 0.5*(0.1*float64(len(made))+50))
+		is.True(float64(forCanary) >= 0.5*(0.1*float64(len(made))+50))
 	}
 }
 
@@ -110,11 +110,11 @@
 		fleet[index].random = source.Float64
 	}
 	built.startRollout()
-	drawn := 0
+	forCanary := 0
 	for _, splitter := range fleet {
-		drawn += draw(splitter, 1, false)
+		forCanary += decide(splitter, 1, false)
 	}
-	is.True(drawn > 10 && drawn < 60)
+	is.True(forCanary > 10 && forCanary < 60)
 }
 
 // The slack is released in the second quarter of the spec. A node that found the spec when it started has none, and
@@ -122,47 +122,47 @@
 func TestSlackIsReleasedOnce(t *testing.T) {
 	is := is.New(t)
 	built, splitter, _ := started(t, 50)
-	is.Equal(draw(splitter, 100, false), 8)
+	is.Equal(decide(splitter, 100, false), 8)
 	built.pass(lasts / 4)
-	is.Equal(draw(splitter, 1, false), 0)
+	is.Equal(decide(splitter, 1, false), 0)
 	built.pass(lasts / 8)
-	is.Equal(draw(splitter, 99, false), 28)
+	is.Equal(decide(splitter, 99, false), 28)
 	built.pass(lasts / 8)
-	is.Equal(draw(splitter, 100, false), 28)
+	is.Equal(decide(splitter, 100, false), 28)
 
 	late := built.splitter(config(50), &one{1})
-	is.Equal(draw(late, 100, false), 8)
+	is.Equal(decide(late, 100, false), 8)
 
 	built, splitter, _ = started(t, 50)
 	built.pass(lasts / 2)
 	splitter.fleet.(*one).share = 0.25
-	is.Equal(draw(splitter, 1, false), 1)
+	is.Equal(decide(splitter, 1, false), 1)
 	splitter.fleet.(*one).share = 1
-	is.Equal(draw(splitter, 99, false), 17)
+	is.Equal(decide(splitter, 99, false), 17)
 }
 
 // Requests that must run at most once get what repeatable ones left of the slack after its release.
 func TestOnceOnlyRequestsGetWhatIsLeft(t *testing.T) {
 	is := is.New(t)
 	built, splitter, _ := started(t, 50)
-	is.Equal(draw(splitter, 100, true), 0)
+	is.Equal(decide(splitter, 100, true), 0)
 	built.pass(3 * lasts / 8)
-	is.Equal(draw(splitter, 100, false), 16+20-5)
-	is.Equal(draw(splitter, 100, true), 0)
+	is.Equal(decide(splitter, 100, false), 16+20-5)
+	is.Equal(decide(splitter, 100, true), 0)
 	built.pass(lasts / 8)
-	is.Equal(draw(splitter, 100, true), 40)
-	is.Equal(draw(splitter, 100, false), 40+40-31-40)
+	is.Equal(decide(splitter, 100, true), 40)
+	is.Equal(decide(splitter, 100, false), 40+40-31-40)
 }
 
 // Repeatable requests leave a share of the slack to requests that must run at most once, however many they are.
 func TestShareOfTheSlackIsForOnceOnlyRequests(t *testing.T) {
 	is := is.New(t)
 	built, splitter, _ := started(t, 50)
-	is.Equal(draw(splitter, 10, true), 0)
+	is.Equal(decide(splitter, 10, true), 0)
 	built.pass(lasts / 2)
-	is.Equal(draw(splitter, 990, false), 80+30)
-	is.Equal(draw(splitter, 100, true), 10+8) // the requests themselves add to the share
-	is.Equal(draw(splitter, 900, false), 72-8+8)
+	is.Equal(decide(splitter, 990, false), 80+30)
+	is.Equal(decide(splitter, 100, true), 10+8) // the requests themselves add to the share
+	is.Equal(decide(splitter, 900, false), 72-8+8)
 }
 
 // Without requests that must run at most once no slack is reserved.
@@ -170,54 +170,54 @@
 	is := is.New(t)
 	built, splitter, _ := started(t, 50)
 	built.pass(lasts / 2)
-	is.Equal(draw(splitter, 1000, false), 80+40)
+	is.Equal(decide(splitter, 1000, false), 80+40)
 }
 
-// A draw by which nothing could be sent is available to another request.
+// A decision by which nothing could be sent is available to another request.
 func TestReturnedDrawIsMadeAgain(t *testing.T) {
 	is := is.New(t)
 	_, splitter, _ := started(t, 0)
-	is.Equal(draw(splitter, 12, false), 0)
+	is.Equal(decide(splitter, 12, false), 0)
 	request := Request{Service: "s"}
-	drawn := splitter.Draw(request)
-	is.True(drawn.First == Target && drawn.IsBounded)
-	is.Equal(draw(splitter, 1, false), 0)
-	splitter.Refund(request, drawn)
-	is.Equal(draw(splitter, 1, false), 1)
+	decision := splitter.Decide(request)
+	is.True(decision.First == Target && decision.IsBounded)
+	is.Equal(decide(splitter, 1, false), 0)
+	splitter.Refund(request, decision)
+	is.Equal(decide(splitter, 1, false), 1)
 }
 
-// A draw of a spec that was replaced meanwhile does not add to the budget of the next one.
+// A decision of a spec that was replaced meanwhile does not add to the budget of the next one.
 func TestDrawOfAnotherOrderIsNotReturned(t *testing.T) {
 	is := is.New(t)
 	built, splitter, _ := started(t, 0)
-	is.Equal(draw(splitter, 12, false), 0)
+	is.Equal(decide(splitter, 12, false), 0)
 	request := Request{Service: "s"}
-	drawn := splitter.Draw(request)
-	is.True(drawn.IsBounded)
+	decision := splitter.Decide(request)
+	is.True(decision.IsBounded)
 	built.startRollout()
-	is.Equal(draw(splitter, 13, false), 1)
-	splitter.Refund(request, drawn)
-	is.Equal(draw(splitter, 11, false), 0)
+	is.Equal(decide(splitter, 13, false), 1)
+	splitter.Refund(request, decision)
+	is.Equal(decide(splitter, 11, false), 0)
 }
 
 // Requests that no leaf of the serving version can take earn no share; they get what there is of the slack.
 func TestUnservedRequestsGetTheSlackOnly(t *testing.T) {
 	is := is.New(t)
 	unserved := func(s *Splitter, n int) int {
-		drawn := 0
+		forCanary := 0
 		for range n {
-			if s.Draw(Request{Service: "s", Unserved: true}).First == Target {
-				drawn++
+			if s.Decide(Request{Service: "s", Unserved: true}).First == Target {
+				forCanary++
 			}
 		}
-		return drawn
+		return forCanary
 	}
 	_, splitter, _ := started(t, 0)
 	is.Equal(unserved(splitter, 1000), 0)
-	is.Equal(draw(splitter, 100, false), 8)
+	is.Equal(decide(splitter, 100, false), 8)
 	is.Equal(unserved(splitter, 1000), 0)
 	built, splitter, _ := started(t, 50)
 	built.pass(lasts / 2)
 	is.Equal(unserved(splitter, 1000), 40)
-	is.Equal(draw(splitter, 100, false), 8)
+	is.Equal(decide(splitter, 100, false), 8)
 }
--- a/internal/rollout/canary/budget.go
+++ b/internal/rollout/canary/budget.go
@@ -22,7 +22,7 @@
 // has only a quarter left, in which the verdict is written and the nodes are asked, too.
 const rampFraction = 0.1
 
-// focusTurns is the number of leafs that bounded draws go to, one after the other, during a spec.
+// focusTurns is the number of leafs that bounded decisions go to, one after the other, during a spec.
 const focusTurns = 12
 
 // budget is how many requests this node may send to the canary version of one spec. The lock of the splitter
--- a/internal/rollout/canary/fixture_test.go
+++ b/internal/rollout/canary/fixture_test.go
@@ -90,15 +90,15 @@
 	return made
 }
 
-// draw draws n times and returns how many requests went to the canary version.
-func draw(s *Splitter, n int, once bool) int {
-	drawn := 0
+// decide decides n times and returns how many requests went to the canary version.
+func decide(s *Splitter, n int, once bool) int {
+	forCanary := 0
 	for range n {
-		if s.Draw(Request{Service: "s", Once: once}).First == Target {
-			drawn++
+		if s.Decide(Request{Service: "s", Once: once}).First == Target {
+			forCanary++
 		}
 	}
-	return drawn
+	return forCanary
 }
 
 // one is a fleet of a single node with a settable share.
--- a/internal/rollout/canary/inflight.go
+++ b/internal/rollout/canary/inflight.go
@@ -15,7 +15,7 @@
 	counts map[versionKey]int
 }
 
-// AttemptStarted counts an attempt that is about to be made. It must be called before MayAsk is checked for it.
+// AttemptStarted counts an attempt that is about to be made. It must be called before MaySend is checked for it.
 func (s *Splitter) AttemptStarted(service, version string) {
 	s.inFlight.add(versionKey{service, version}, 1)
 }
--- a/internal/rollout/canary/splitter.go
+++ b/internal/rollout/canary/splitter.go
@@ -35,13 +35,13 @@
 	Unserved bool
 }
 
-// Draw is the decision where the first attempt of a request goes.
-type Draw struct {
+// Decision is the decision where the first attempt of a request goes.
+type Decision struct {
 	// First is Serving or Target.
 	First Versions
 	// IsBounded says that the attempt uses the bounded share: it goes to the first usable leaf by FocusOrder.
 	IsBounded bool
-	// spec is the spec of a bounded draw.
+	// spec is the spec of a bounded decision.
 	specID int64
 }
 
@@ -106,22 +106,22 @@
 	}
 }
 
-// Draw decides which version the first attempt of a request goes to, and counts the request.
+// Decide decides which version the first attempt of a request goes to, and counts the request.
 //
 // Before a version is found good, it gets the request if it has a leaf and the budget has room. During the
 // ramp it gets the request with a probability that rises from Share to 1; after it, always. A drawn request counts as
 // sent.
-func (s *Splitter) Draw(request Request) Draw {
+func (s *Splitter) Decide(request Request) Decision {
 	service := request.Service
 	if s.catalog.View().Leafs.Rule(service).Canary == "" {
-		return Draw{}
+		return Decision{}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	view := s.view()
 	rule := view.Leafs.Rule(service)
 	if rule.Canary == "" {
-		return Draw{}
+		return Decision{}
 	}
 	budget, now := s.budget(view, service, rule), s.now()
 	budget.hasOnce = budget.hasOnce || request.Once
@@ -130,13 +130,13 @@
 	}
 	stage := s.stage(service, rule, budget, now)
 	if !s.isForCanary(view, request, stage, budget, now) {
-		return Draw{}
+		return Decision{}
 	}
 	budget.count(request.Once, 1)
 	if stage == bounded {
-		return Draw{First: Target, IsBounded: true, specID: rule.SpecID}
+		return Decision{First: Target, IsBounded: true, specID: rule.SpecID}
 	}
-	return Draw{First: Target}
+	return Decision{First: Target}
 }
 
 // isForCanary decides whether the first attempt of a request goes to the canary version. The lock must be held.
@@ -154,16 +154,16 @@
 	return false
 }
 
-// Refund takes back a bounded draw by which nothing was sent. The request itself stays counted.
-func (s *Splitter) Refund(request Request, draw Draw) {
+// Refund takes back a bounded decision by which nothing was sent. The request itself stays counted.
+func (s *Splitter) Refund(request Request, decision Decision) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if budget, found := s.budgets[request.Service]; found && draw.IsBounded && budget.specID == draw.specID {
+	if budget, found := s.budgets[request.Service]; found && decision.IsBounded && budget.specID == decision.specID {
 		budget.count(request.Once, -1)
 	}
 }
 
-// FocusOrder returns leafs of the canary version, sorted by id, in the order in which bounded draws try them. At
+// FocusOrder returns leafs of the canary version, sorted by id, in the order in which bounded decisions try them. At
 // any time all nodes try the same leaf first, so that single leafs get the load of full service.
 func (s *Splitter) FocusOrder(service string, leafs []*leafset.Leaf) []*leafset.Leaf {
 	s.mu.Lock()
@@ -175,7 +175,7 @@
 	return budget.focusOrder(leafs, s.now())
 }
 
-// RetryVersions returns the versions that attempts after the first, or without a draw, may go to now. Before the ramp
+// RetryVersions returns the versions that attempts after the first, or without a decision, may go to now. Before the ramp
 // that is the serving version only.
 func (s *Splitter) RetryVersions(service string) Versions {
 	switch s.stageNow(service) {
@@ -191,9 +191,9 @@
 // IsCanaryOpen reports whether the canary version may get any request now.
 func (s *Splitter) IsCanaryOpen(service string) bool { return s.stageNow(service) != stopped }
 
-// MayAsk reports whether a leaf may be sent a request now, by its version. Attempts planned earlier are checked by it
+// MaySend reports whether a leaf may be sent a request now, by its version. Attempts planned earlier are checked by it
 // again just before they are sent. An unknown leaf may not.
-func (s *Splitter) MayAsk(leafID string) bool {
+func (s *Splitter) MaySend(leafID string) bool {
 	view := s.catalog.View()
 	leaf, found := find(view, leafID)
 	if !found {
--- a/internal/rollout/canary/stage_test.go
+++ b/internal/rollout/canary/stage_test.go
@@ -15,7 +15,7 @@
 
 // may returns for each of the versions whether a leaf of it may be sent a request now.
 func may(s *Splitter) string {
-	return fmt.Sprintf("%v %v", s.MayAsk(leafID(before, 0)), s.MayAsk(leafID(target, 0)))
+	return fmt.Sprintf("%v %v", s.MaySend(leafID(before, 0)), s.MaySend(leafID(target, 0)))
 }
 
 // Without a spec only the serving version gets requests.
@@ -23,22 +23,22 @@
 	is := is.New(t)
 	built := newSite(t)
 	splitter := built.splitter(config(50), &one{1})
-	is.Equal(draw(splitter, 100, false), 0)
+	is.Equal(decide(splitter, 100, false), 0)
 	is.Equal(splitter.RetryVersions("s"), Serving)
 	is.Equal(may(splitter), "true false")
-	is.True(!splitter.IsCanaryOpen("s") && !splitter.MayAsk("unknown"))
+	is.True(!splitter.IsCanaryOpen("s") && !splitter.MaySend("unknown"))
 	is.Equal(len(splitter.budgets), 0)
 }
 
 // After the spec's duration by this node's clock the version gets nothing more, not even attempts planned before.
-func TestNothingIsDrawnAfterTheOrdersTime(t *testing.T) {
+func TestNothingGoesToCanaryAfterTheSpecsTime(t *testing.T) {
 	is := is.New(t)
 	built, splitter, _ := started(t, 0)
 	built.pass(lasts - 1)
-	is.Equal(draw(splitter, 100, false), 8)
+	is.Equal(decide(splitter, 100, false), 8)
 	is.Equal(may(splitter), "true true")
 	built.pass(1)
-	is.Equal(draw(splitter, 100, false), 0)
+	is.Equal(decide(splitter, 100, false), 0)
 	is.Equal(may(splitter), "true false")
 }
 
@@ -47,7 +47,7 @@
 	is := is.New(t)
 	built, splitter, _ := started(t, 0)
 	built.pass(lasts)
-	is.Equal(draw(splitter, 100, false), 0)
+	is.Equal(decide(splitter, 100, false), 0)
 }
 
 // An aborted spec is stopped in each phase, also before it is known; another spec for the same version is not.
@@ -55,11 +55,11 @@
 	is := is.New(t)
 	built, splitter, specID := started(t, 50)
 	splitter.Abort("s", specID)
-	is.Equal(draw(splitter, 100, false), 0)
+	is.Equal(decide(splitter, 100, false), 0)
 	is.Equal(may(splitter), "true false")
 	built.phase(specID, rollout.Switching)
 	built.pass(time.Hour)
-	is.Equal(draw(splitter, 100, false), 0)
+	is.Equal(decide(splitter, 100, false), 0)
 	is.Equal(splitter.RetryVersions("s"), Serving)
 	is.Equal(may(splitter), "true false")
 	splitter.Abort("s", specID-1)
@@ -73,7 +73,7 @@
 	splitter.Refresh()
 	is.Equal(may(splitter), "true false") // the one before it is replaced
 	built.startRollout()
-	is.Equal(draw(splitter, 100, false), 0)
+	is.Equal(decide(splitter, 100, false), 0)
 }
 
 // Aborts of services without a spec are dropped, and more than the bound are not kept.
@@ -96,7 +96,7 @@
 	is.Equal(may(splitter), "true true")
 	built.put(catalog.RolloutKey("s"), nil)
 	is.Equal(may(splitter), "true false")
-	is.Equal(draw(splitter, 100, false), 0)
+	is.Equal(decide(splitter, 100, false), 0)
 	splitter.Refresh()
 	is.Equal(len(splitter.budgets), 0)
 }
@@ -116,13 +116,13 @@
 	}{{0, 0.1}, {0.5, 0.55}, {0.9, 0.91}} {
 		built.clock = splitter.budgets["s"].switchedAt.Add(time.Duration(step.fraction * float64(2*time.Second)))
 		chance = step.share - 0.001
-		is.Equal(splitter.Draw(Request{Service: "s"}), Draw{First: Target})
+		is.Equal(splitter.Decide(Request{Service: "s"}), Decision{First: Target})
 		chance = step.share + 0.001
-		is.Equal(splitter.Draw(Request{Service: "s"}), Draw{})
+		is.Equal(splitter.Decide(Request{Service: "s"}), Decision{})
 		is.Equal(may(splitter), "true true")
 	}
 	built.pass(2 * time.Second)
-	is.Equal(splitter.Draw(Request{Service: "s", Once: true}), Draw{First: Target})
+	is.Equal(splitter.Decide(Request{Service: "s", Once: true}), Decision{First: Target})
 	is.Equal(splitter.RetryVersions("s"), Target)
 	is.Equal(may(splitter), "false true")
 	built.pass(lasts)
@@ -150,11 +150,11 @@
 	built.phase(specID, rollout.Switching)
 	splitter.Refresh()
 	built.clock = built.clock.Add(3 * time.Second)
-	is.Equal(draw(splitter, 10, false), 10)
+	is.Equal(decide(splitter, 10, false), 10)
 	built.clock = built.clock.Add(config(0).ConfirmedWithin - 2500*time.Millisecond)
 	is.Equal(splitter.RetryVersions("s"), Serving)
-	is.Equal(draw(splitter, 50, false), 0) // of its share it had more already
-	is.Equal(draw(splitter, 200, false), 260*8/100-10)
+	is.Equal(decide(splitter, 50, false), 0) // of its share it had more already
+	is.Equal(decide(splitter, 200, false), 260*8/100-10)
 	is.Equal(may(splitter), "true true")
 	built.pass(0)
 	is.Equal(may(splitter), "false true")
@@ -195,9 +195,9 @@
 	built.put(catalog.LeafKey(leafID(target, 1)), nil)
 	built.putLeaf(target, 2, leafset.Draining)
 	for _, disallowed := range []string{leafID(target, 0), leafID(target, 1), leafID(target, 2), "old"} {
-		is.True(!splitter.MayAsk(disallowed))
+		is.True(!splitter.MaySend(disallowed))
 	}
-	is.True(splitter.MayAsk(leafID(before, 0)) && splitter.MayAsk("other"))
+	is.True(splitter.MaySend(leafID(before, 0)) && splitter.MaySend("other"))
 }
 
 // Draws go to one leaf at a time, the same on all nodes, and to each in turn.
@@ -218,15 +218,15 @@
 }
 
 // Without a canary nothing is drawn.
-func TestNothingIsDrawnWithoutLeafs(t *testing.T) {
+func TestNothingGoesToCanaryWithoutLeafs(t *testing.T) {
 	is := is.New(t)
 	built, splitter, _ := started(t, 0)
 	for index := range 3 {
 		built.put(catalog.LeafKey(leafID(target, index)), nil)
 	}
-	is.Equal(draw(splitter, 100, false), 0)
+	is.Equal(decide(splitter, 100, false), 0)
 	built.putLeaf(target, 0, leafset.Ready)
-	is.Equal(draw(splitter, 1, false), 1)
+	is.Equal(decide(splitter, 1, false), 1)
 }
 
 func TestConfigNamesEveryFault(t *testing.T) {
--- a/internal/rollout/rolloutcontrol/controller.go
+++ b/internal/rollout/rolloutcontrol/controller.go
@@ -74,7 +74,7 @@
 	steppedAt      boottime.Instant
 	evaluateAfter  time.Time // after a suspension: earlier, reports may be unread
 	reportedAt     time.Time
-	askedAt        time.Time
+	queriedAt      time.Time
 	answeredAt     time.Time // when the call of the newest answer was made
 	fleetCalls     int       // in flight
 	writes         int       // in flight
@@ -189,7 +189,7 @@
 			next = min(next, pause)
 		}
 	}
-	if pause := c.askFleet(ctx, now, view); pause > 0 {
+	if pause := c.queryFleet(ctx, now, view); pause > 0 {
 		next = min(next, pause)
 	}
 	c.statuses.set(c.rollouts)
--- a/internal/rollout/rolloutcontrol/settling.go
+++ b/internal/rollout/rolloutcontrol/settling.go
@@ -29,13 +29,13 @@
 
 // fleetAnswer is the answer to a fleet call and when the call was made.
 type fleetAnswer struct {
-	asked  time.Time
-	status FleetStatus
+	queriedAt time.Time
+	status    FleetStatus
 }
 
-// askFleet asks all nodes whether they are settled if a spec that this node evaluates waits for that, and returns the
+// queryFleet asks all nodes whether they are settled if a spec that this node evaluates waits for that, and returns the
 // time until the next check, 0 for the report interval. One answer serves all specs.
-func (c *Controller) askFleet(ctx context.Context, now time.Time, view *catalog.View) time.Duration {
+func (c *Controller) queryFleet(ctx context.Context, now time.Time, view *catalog.View) time.Duration {
 	revision, next := int64(0), time.Duration(0)
 	for service, active := range c.rollouts {
 		rank := c.rank(view, service)
@@ -45,14 +45,14 @@
 		dueIn := active.switchingSince.Add(c.untilFirstCheck(active.spec, rank)).Sub(now)
 		if dueIn <= 0 {
 			revision = max(revision, active.state.Revision)
-			dueIn = c.askedAt.Add(c.cfg.SettleInterval).Sub(now)
+			dueIn = c.queriedAt.Add(c.cfg.SettleInterval).Sub(now)
 		}
 		next = earlier(next, dueIn)
 	}
-	if revision == 0 || c.fleetCalls >= maxFleetCalls || now.Sub(c.askedAt) < c.cfg.SettleInterval {
+	if revision == 0 || c.fleetCalls >= maxFleetCalls || now.Sub(c.queriedAt) < c.cfg.SettleInterval {
 		return next
 	}
-	c.ask(ctx, now, revision)
+	c.startQuery(ctx, now, revision)
 	return c.cfg.SettleInterval
 }
 
@@ -74,14 +74,14 @@
 	return min(one, other)
 }
 
-// ask asks the nodes whether they are settled at a revision.
-func (c *Controller) ask(ctx context.Context, now time.Time, revision int64) {
+// startQuery asks the nodes whether they are settled at a revision.
+func (c *Controller) startQuery(ctx context.Context, now time.Time, revision int64) {
 	c.fleetCalls++
-	c.askedAt = now
+	c.queriedAt = now
 	c.running.Go(func() {
-		askCtx, cancel := context.WithTimeout(ctx, c.cfg.SettleWait)
+		queryCtx, cancel := context.WithTimeout(ctx, c.cfg.SettleWait)
 		defer cancel()
-		answer := fleetAnswer{asked: now, status: c.deps.Fleet.Settled(askCtx, revision)}
+		answer := fleetAnswer{queriedAt: now, status: c.deps.Fleet.Settled(queryCtx, revision)}
 		select {
 		case c.answers <- answer:
 		case <-ctx.Done():
@@ -92,10 +92,10 @@
 // handleAnswer hands an answer of the fleet to the specs that wait for it, unless a newer one was handled.
 func (c *Controller) handleAnswer(answer fleetAnswer) {
 	c.fleetCalls--
-	if answer.asked.Before(c.answeredAt) {
+	if answer.queriedAt.Before(c.answeredAt) {
 		return
 	}
-	c.answeredAt = answer.asked
+	c.answeredAt = answer.queriedAt
 	for _, active := range c.rollouts {
 		if active.phase() == rollout.Switching {
 			active.status = answer.status
