--- a/cmd/portgauge-lab/rollout.go
+++ b/cmd/portgauge-lab/rollout.go
@@ -30,7 +30,7 @@
 	return withPrograms(func(ctx context.Context, programs process.Programs) error {
 		fmt.Printf("seed %d\n", seed)
 		cfg := soak.RolloutsConfig{Seed: seed, Duration: c.Duration, PerSecond: c.PerSecond, Cases: c.Cases, Logs: c.Logs}
-		passed, failed, err := soak.PlayRollouts(ctx, programs.Portgauge, cfg, os.Stdout)
+		passed, failed, err := soak.RunRollouts(ctx, programs.Portgauge, cfg, os.Stdout)
 		if err != nil {
 			return err
 		}
--- a/internal/config/catalog/draft.go
+++ b/internal/config/catalog/draft.go
@@ -54,7 +54,7 @@
 	switch {
 	case entry.Key == RoutesKey:
 		err = target.compileRoutes(entry)
-	case entry.Key == RememberedKey:
+	case entry.Key == SavedLeafsKey:
 		err = target.compileRemembered(entry)
 	case strings.HasPrefix(entry.Key, servicePrefix):
 		err = target.compileService(strings.TrimPrefix(entry.Key, servicePrefix), entry)
--- a/internal/config/catalog/keys.go
+++ b/internal/config/catalog/keys.go
@@ -22,8 +22,8 @@
 	quarantinePrefix = "quarantine/"
 	// RoutesKey is the store key of the routing configuration.
 	RoutesKey = "routes"
-	// RememberedKey is the store key of the list of leafs that the fleet saves.
-	RememberedKey = "remembered-leafs"
+	// SavedLeafsKey is the store key of the list of leafs that the fleet saves.
+	SavedLeafsKey = "remembered-leafs"
 	// VersionsKey is the store key of the versions that services without a roll-out are served by.
 	VersionsKey = "service-versions"
 	// MarkerKey has no value: a change of it only advances the revision.
--- a/internal/config/configsync/contacts.go
+++ b/internal/config/configsync/contacts.go
@@ -37,15 +37,15 @@
 // the list lags.
 func (s *Syncer) replaceContacts(list machines.List) {
 	own := s.members.Self().Zone
-	drawn := map[string][]string{}
+	byZone := map[string][]string{}
 	for _, machine := range list.Machines {
 		if machine.Zone != own && machine.State == machines.Live {
-			drawn[machine.Zone] = append(drawn[machine.Zone], machine.Address)
+			byZone[machine.Zone] = append(byZone[machine.Zone], machine.Address)
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for zone, addresses := range drawn {
+	for zone, addresses := range byZone {
 		s.contacts[zone] = addresses
 	}
 }
--- a/internal/config/configsync/handler.go
+++ b/internal/config/configsync/handler.go
@@ -11,8 +11,8 @@
 type Handlers struct {
 	// Leafs receives reports on leafs.
 	Leafs func(peer.LeafReports)
-	// Reach receives messages on the reachability of zones, with the peer address of the sender.
-	Reach func(from string, reach peer.Reach)
+	// Reachability receives messages on the reachability of zones, with the peer address of the sender.
+	Reach func(from string, reach peer.Reachability)
 	// Rollouts receives the messages to and from the nodes that evaluate roll-outs.
 	Rollouts RolloutHandler
 	// Quarantine receives messages on requests that may crash leafs.
@@ -46,9 +46,9 @@
 		if h.handlers.Leafs != nil {
 			h.handlers.Leafs(message.LeafReports)
 		}
-	case message.Reach != nil:
+	case message.Reachability != nil:
 		if h.handlers.Reach != nil {
-			h.handlers.Reach(message.From, *message.Reach)
+			h.handlers.Reach(message.From, *message.Reachability)
 		}
 	case message.RolloutReports != nil:
 		if h.handlers.Rollouts != nil {
--- a/internal/config/configsync/restored.go
+++ b/internal/config/configsync/restored.go
@@ -57,8 +57,8 @@
 	ctx, cancel := context.WithTimeout(ctx, s.config.CallTimeout)
 	defer cancel()
 	s.relayed("pull")
-	asked := peer.Pull{After: s.catalog.Revision(), Retained: true}
-	answer, err := s.transport.Call(ctx, address, peer.Message{Digest: s.Digest(), Pull: &asked})
+	pull := peer.Pull{After: s.catalog.Revision(), Retained: true}
+	answer, err := s.transport.Call(ctx, address, peer.Message{Digest: s.Digest(), Pull: &pull})
 	if err == nil && answer.State != nil && answer.State.Revision == s.catalog.Revision() {
 		s.catalog.Retain(answer.State.Retained)
 	}
--- a/internal/config/revision/revision.go
+++ b/internal/config/revision/revision.go
@@ -14,8 +14,8 @@
 // MostCount is the highest count that a revision can contain.
 const MostCount = unit - 1
 
-// MostEpoch is the highest epoch that a revision can contain.
-const MostEpoch = (1<<63-1)/unit - 1
+// MaximumEpoch is the highest epoch that a revision can contain.
+const MaximumEpoch = (1<<63-1)/unit - 1
 
 // At returns the revision of a count of an epoch; both must be within their bounds.
 func At(epoch, count int64) int64 { return epoch*unit + count }
--- a/internal/fleet/peer/message.go
+++ b/internal/fleet/peer/message.go
@@ -71,7 +71,7 @@
 	StatusQuery  *StatusQuery  `json:"status_query,omitempty"`
 	StatusReply  *StatusReply  `json:"status_reply,omitempty"`
 	LeafReports  LeafReports   `json:"leaf_reports,omitempty"`
-	Reach        *Reach        `json:"reach,omitempty"`
+	Reachability *Reachability `json:"reach,omitempty"`
 
 	RolloutReports *RolloutReports `json:"rollout_reports,omitempty"`
 	RolloutAbort   *RolloutAbort   `json:"rollout_hold,omitempty"`
@@ -99,8 +99,8 @@
 	TargetAddress string `json:"target_address"`
 }
 
-// Reach pings a node of any zone, answers a ping, or announces a zone that the sender has lost.
-type Reach struct {
+// Reachability pings a node of any zone, answers a ping, or announces a zone that the sender has lost.
+type Reachability struct {
 	// Number is the number of the ping, which the answer repeats; 0 in an announcement.
 	Number uint64 `json:"number,omitempty"`
 	Answer bool   `json:"answer,omitempty"`
--- a/internal/fleet/reachability/datagrams.go
+++ b/internal/fleet/reachability/datagrams.go
@@ -44,7 +44,7 @@
 		return false
 	}
 	defer d.close(number)
-	d.sender.Send(node.Address, peer.Message{Reach: &peer.Reach{Number: number}})
+	d.sender.Send(node.Address, peer.Message{Reachability: &peer.Reachability{Number: number}})
 	select {
 	case <-answered:
 		return true
@@ -55,18 +55,18 @@
 
 // SendZoneLost implements Prober.
 func (d *Datagrams) SendZoneLost(node catalog.NodeRecord, zone string) {
-	d.sender.Send(node.Address, peer.Message{Reach: &peer.Reach{Lost: zone}})
+	d.sender.Send(node.Address, peer.Message{Reachability: &peer.Reachability{Lost: zone}})
 }
 
 // Handle handles a datagram: it answers a ping, and passes on an answer or the announcement of a lost zone.
-func (d *Datagrams) Handle(from string, reach peer.Reach) {
+func (d *Datagrams) Handle(from string, reach peer.Reachability) {
 	switch {
 	case reach.Lost != "":
 		d.zoneLost(reach.Lost)
 	case reach.Answer:
 		d.answered(reach.Number)
 	default:
-		d.sender.Send(from, peer.Message{Reach: &peer.Reach{Number: reach.Number, Answer: true}})
+		d.sender.Send(from, peer.Message{Reachability: &peer.Reachability{Number: reach.Number, Answer: true}})
 	}
 }
 
--- a/internal/fleet/reachability/datagrams_test.go
+++ b/internal/fleet/reachability/datagrams_test.go
@@ -45,7 +45,7 @@
 	if e.link.drops(e.from, to) {
 		return
 	}
-	time.AfterFunc(time.Millisecond, func() { e.link.nodes[to].Handle(e.from, *message.Reach) })
+	time.AfterFunc(time.Millisecond, func() { e.link.nodes[to].Handle(e.from, *message.Reachability) })
 }
 
 // newLink starts a tracker at the first node of each zone.
@@ -111,7 +111,7 @@
 		is := is.New(t)
 		w := newTestNetwork(5, near, far)
 		l, trackers := newLink(t, w)
-		l.nodes["near-0"].Handle("near-1", peer.Reach{Lost: far})
+		l.nodes["near-0"].Handle("near-1", peer.Reachability{Lost: far})
 		time.Sleep(time.Second)
 		is.True(trackers["near-0"].Reaches(far))
 	})
--- a/internal/lab/soak/checks.go
+++ b/internal/lab/soak/checks.go
@@ -24,7 +24,7 @@
 
 // checkAll checks every promise on the records of callers and leafs. From calm on there were no more faults, and nodes had had
 // time to recover.
-func checkAll(w *world, seen []outcome, calm time.Time) []Result {
+func checkAll(w *environment, seen []outcome, calm time.Time) []Result {
 	ran := w.runs()
 	return []Result{
 		checkOnce(seen, ran), checkRefusals(seen, ran), checkSent(seen, ran), checkSingles(w, seen), checkGathered(w, seen),
@@ -68,7 +68,7 @@
 	return v
 }
 
-func checkSingles(w *world, seen []outcome) Result {
+func checkSingles(w *environment, seen []outcome) Result {
 	v := Result{Promise: "an answer of one leaf is whole and the caller's own"}
 	for _, o := range seen {
 		if o.status != http.StatusOK || o.kind == Gathered {
@@ -81,7 +81,7 @@
 	return v
 }
 
-func checkGathered(w *world, seen []outcome) Result {
+func checkGathered(w *environment, seen []outcome) Result {
 	v := Result{Promise: "a gathered answer holds the greatest records of the parts that it names, and says how many are missing"}
 	for _, o := range seen {
 		if o.status == http.StatusOK && o.kind == Gathered {
@@ -93,7 +93,7 @@
 }
 
 // gatheredFault returns what is wrong with a gathered answer, or "".
-func gatheredFault(w *world, o outcome) string {
+func gatheredFault(w *environment, o outcome) string {
 	services := map[string]bool{}
 	var bodies [][]byte
 	for _, stamp := range o.parts(w.names) {
@@ -124,7 +124,7 @@
 
 // checkConfiguration checks that nodes without a fault serve by the newest configuration after its bound, and that no
 // process goes back to an older one.
-func checkConfiguration(w *world, seen []outcome) Result {
+func checkConfiguration(w *environment, seen []outcome) Result {
 	v := Result{Promise: "an accepted configuration is in force within its bound and never reverts"}
 	bySent := slices.Clone(seen)
 	slices.SortFunc(bySent, func(a, b outcome) int { return a.sent.Compare(b.sent) })
@@ -174,7 +174,7 @@
 	return least
 }
 
-func checkDraining(w *world) Result {
+func checkDraining(w *environment) Result {
 	v := Result{Promise: "a leaving leaf gets no new work after its bound"}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -190,9 +190,9 @@
 
 // lateRequests counts the requests that a leaf received between two times while no node had a fault. A zero before means
 // never.
-func (w *world) lateRequests(state *leafState, after, before time.Time) int {
+func (w *environment) lateRequests(state *leafState, after, before time.Time) int {
 	late := 0
-	for _, request := range state.asked() {
+	for _, request := range state.receivedRequests() {
 		isLate := request.At.After(after) && (before.IsZero() || request.At.Before(before))
 		if isLate && w.isCalmAt(request.At) {
 			late++
@@ -201,7 +201,7 @@
 	return late
 }
 
-func checkEvacuations(w *world) Result {
+func checkEvacuations(w *environment) Result {
 	v := Result{Promise: "the leafs of an evacuated zone get nothing after its bound"}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -236,16 +236,16 @@
 
 func checkRecovery(seen []outcome, calm time.Time) Result {
 	v := Result{Promise: "requests are served once the faults are over"}
-	served, asked := 0, 0
+	served, sent := 0, 0
 	for _, o := range seen {
 		if o.sent.Before(calm) || o.isCrashing {
 			continue
 		}
-		asked++
+		sent++
 		if o.status == http.StatusOK {
 			served++
 		}
 	}
-	v.check(asked > 0 && float64(served) >= servedShare*float64(asked), "%d of %d requests served in calm", served, asked)
+	v.check(sent > 0 && float64(served) >= servedShare*float64(sent), "%d of %d requests served in calm", served, sent)
 	return v
 }
--- a/internal/lab/soak/checks_rollouts.go
+++ b/internal/lab/soak/checks_rollouts.go
@@ -8,16 +8,16 @@
 
 // checkRollouts checks every promise about roll-outs. Promises that bound a time hold for the visits for which clear returns
 // true.
-func checkRollouts(played []rollouts.Release, clear rollouts.Clear) []Result {
+func checkRollouts(releases []rollouts.Release, clear rollouts.Clear) []Result {
 	return []Result{
-		checkExposure(played, clear), checkLateRequests(played, clear), checkUnordered(played, clear),
-		checkOutcomes(played), checkOldLeafs(played, clear),
+		checkExposure(releases, clear), checkLateRequests(releases, clear), checkUnordered(releases, clear),
+		checkOutcomes(releases), checkOldLeafs(releases, clear),
 	}
 }
 
-func checkExposure(played []rollouts.Release, clear rollouts.Clear) Result {
+func checkExposure(releases []rollouts.Release, clear rollouts.Clear) Result {
 	v := Result{Promise: "a bad version gets its share and the slack at most"}
-	for _, r := range played {
+	for _, r := range releases {
 		if !r.Target.Fault().IsBad() {
 			continue
 		}
@@ -27,9 +27,9 @@
 	return v
 }
 
-func checkLateRequests(played []rollouts.Release, clear rollouts.Clear) Result {
+func checkLateRequests(releases []rollouts.Release, clear rollouts.Clear) Result {
 	v := Result{Promise: "a bad version gets nothing some seconds after its 50th bad answer"}
-	for _, r := range played {
+	for _, r := range releases {
 		if _, isCondemned := r.FiftiethBadAnswer(); isCondemned && !r.HadNoBadAnswer() {
 			late := r.Late(clear)
 			v.check(len(late) == 0, "%s got %d requests too late%s", nameOf(r), len(late), firstOf(late))
@@ -38,9 +38,9 @@
 	return v
 }
 
-func checkUnordered(played []rollouts.Release, clear rollouts.Clear) Result {
+func checkUnordered(releases []rollouts.Release, clear rollouts.Clear) Result {
 	v := Result{Promise: "a version that no order lets serve gets nothing"}
-	for _, r := range played {
+	for _, r := range releases {
 		if r.Old != r.Target {
 			disallowed := r.Unordered(clear)
 			v.check(len(disallowed) == 0, "%s got %d requests that it must not get%s", nameOf(r), len(disallowed), firstOf(disallowed))
@@ -49,18 +49,18 @@
 	return v
 }
 
-func checkOutcomes(played []rollouts.Release) Result {
+func checkOutcomes(releases []rollouts.Release) Result {
 	v := Result{Promise: "an order has one outcome: none once it was replaced, no success once it was cancelled"}
-	for _, r := range played {
+	for _, r := range releases {
 		misled := r.WrongStatuses()
 		v.check(len(misled) == 0, "%s: operators read %v", nameOf(r), misled)
 	}
 	return v
 }
 
-func checkOldLeafs(played []rollouts.Release, clear rollouts.Clear) Result {
+func checkOldLeafs(releases []rollouts.Release, clear rollouts.Clear) Result {
 	v := Result{Promise: "old leafs have nothing once an order has succeeded"}
-	for _, r := range played {
+	for _, r := range releases {
 		if status, _ := r.Outcome(); status != rollouts.Succeeded || r.Old == r.Target {
 			continue
 		}
@@ -82,7 +82,7 @@
 
 // clearOf returns a function that reports whether a visit came from nodes and over links without a fault. A gathered request
 // may come from any node.
-func (w *world) clearOf(seen []outcome) rollouts.Clear {
+func (w *environment) clearOf(seen []outcome) rollouts.Clear {
 	byID := map[string]outcome{}
 	for _, o := range seen {
 		byID[o.id] = o
@@ -103,7 +103,7 @@
 }
 
 // leafHadFault reports whether a leaf's link had a fault between two times.
-func (w *world) leafHadFault(id string, from, until time.Time) bool {
+func (w *environment) leafHadFault(id string, from, until time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, t := range w.leafs[id].faultSpans {
--- a/internal/lab/soak/checks_rollouts_test.go
+++ b/internal/lab/soak/checks_rollouts_test.go
@@ -123,7 +123,7 @@
 	o.readStatus(singleName)
 	status, _ := o.outcome(number)
 	is.Equal(status, rollouts.Succeeded)
-	is.Equal(len(o.played()[number].Statuses), 1)
+	is.Equal(len(o.allReleases()[number].Statuses), 1)
 	second, err := o.order(t.Context(), plan{service: singleName, isServing: true, duration: time.Second})
 	is.NoErr(err)
 	status, _ = o.outcome(second)
--- a/internal/lab/soak/checks_test.go
+++ b/internal/lab/soak/checks_test.go
@@ -14,13 +14,13 @@
 	"github.com/portgauge/portgauge/platform"
 )
 
-// still returns a world without processes: two gathered services with a leaf each, and a single one.
-func still(t *testing.T) *world {
+// still returns an environment without processes: two gathered services with a leaf each, and a single one.
+func still(t *testing.T) *environment {
 	t.Helper()
 	store := kvstore.New(0)
 	server := httptest.NewServer(store.Handler())
 	t.Cleanup(server.Close)
-	w := &world{names: platform.HTTPNames(), store: store, leafs: map[string]*leafState{}, gathered: []string{"part0", "part1"}}
+	w := &environment{names: platform.HTTPNames(), store: store, leafs: map[string]*leafState{}, gathered: []string{"part0", "part1"}}
 	for _, service := range []string{"part0", "part1", singleName, anotherName} {
 		if _, err := w.addLeaf(service); err != nil {
 			t.Fatal(err)
@@ -36,7 +36,7 @@
 	return w
 }
 
-func (w *world) answered(id string, kind Kind, stamps string, missing string, body []byte) outcome {
+func (w *environment) answered(id string, kind Kind, stamps string, missing string, body []byte) outcome {
 	header := http.Header{}
 	if kind == Gathered {
 		header.Set(w.names.PartStamps, stamps)
--- a/internal/lab/soak/configurations.go
+++ b/internal/lab/soak/configurations.go
@@ -11,7 +11,7 @@
 }
 
 // configure writes a configuration whose switched route has a service.
-func (w *world) configure(switched string) {
+func (w *environment) configure(switched string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.version++
@@ -20,14 +20,14 @@
 }
 
 // switched returns the service of the switched route in the newest configuration.
-func (w *world) switched() string {
+func (w *environment) switched() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.changes[len(w.changes)-1].switched
 }
 
 // dueAt returns the newest configuration that the store had accepted at a time, or 0.
-func (w *world) dueAt(at time.Time) int {
+func (w *environment) dueAt(at time.Time) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	due := 0
@@ -40,7 +40,7 @@
 }
 
 // newestWith returns the newest configuration accepted until a time in which the switched route has a service, or 0.
-func (w *world) newestWith(service string, until time.Time) int {
+func (w *environment) newestWith(service string, until time.Time) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	newest := 0
@@ -54,7 +54,7 @@
 
 // oldestWith returns the oldest configuration, from a version on, in which the switched route has a service, or that version
 // if there is none.
-func (w *world) oldestWith(service string, least int) int {
+func (w *environment) oldestWith(service string, least int) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, c := range w.changes {
--- a/internal/lab/soak/crashing.go
+++ b/internal/lab/soak/crashing.go
@@ -34,8 +34,8 @@
 
 // crashRecord has the times at which leafs received a crashing request and crashed.
 type crashRecord struct {
-	asked []time.Time
-	ends  []time.Time
+	requestTimes []time.Time
+	ends         []time.Time
 }
 
 // crashLog has the crashing requests that leafs received; safe for concurrent use. The zero value is empty.
@@ -55,11 +55,11 @@
 	return f.seen[path]
 }
 
-func (f *crashLog) asked(path string, at time.Time) {
+func (f *crashLog) recordRequest(path string, at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	known := f.of(path)
-	known.asked = append(known.asked, at)
+	known.requestTimes = append(known.requestTimes, at)
 }
 
 func (f *crashLog) ended(path string, at time.Time) {
@@ -73,9 +73,9 @@
 func isCrashing(target string) bool { return strings.Contains(target, crashingMark) }
 
 // answerByCrashing crashes a leaf soon, instead of answering the request. A leaf of another id replaces it.
-func (w *world) answerByCrashing(id string, request httpleaf.Request) httpleaf.Answer {
+func (w *environment) answerByCrashing(id string, request httpleaf.Request) httpleaf.Answer {
 	path, _, _ := strings.Cut(request.Target, "?")
-	w.crashLog.asked(path, request.At)
+	w.crashLog.recordRequest(path, request.At)
 	work := time.Duration(rand.Int64N(int64(longestCrashDelay)))
 	time.AfterFunc(work, func() { w.crashLeaf(id, path) })
 	return httpleaf.Answer{Silent: true} // until it crashes
@@ -83,7 +83,7 @@
 
 // crashLeaf ends a leaf with all of its connections at once, as if its process had crashed; nothing listens at its address
 // any more.
-func (w *world) crashLeaf(id, path string) {
+func (w *environment) crashLeaf(id, path string) {
 	w.mu.Lock()
 	state := w.leafs[id]
 	wasEnded := state.hasCrashed
@@ -103,7 +103,7 @@
 }
 
 // replaceCrashed starts a leaf in place of one that crashed, unless its version was removed meanwhile.
-func (w *world) replaceCrashed(ended *leafState) {
+func (w *environment) replaceCrashed(ended *leafState) {
 	w.operating.Lock()
 	defer w.operating.Unlock()
 	w.mu.Lock()
@@ -120,7 +120,7 @@
 }
 
 // failed returns the errors of leafs that could not be replaced.
-func (w *world) failed() error {
+func (w *environment) failed() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return errors.Join(w.failures...)
@@ -153,7 +153,7 @@
 func (f *crasher) repeat(ctx context.Context, kind Kind, name string, span time.Duration, random *rand.Rand) {
 	var trying sync.WaitGroup
 	defer trying.Wait()
-	nodes := f.load.world.nodes
+	nodes := f.load.environment.nodes
 	for end, number := time.Now().Add(span), 0; time.Now().Before(end) && ctx.Err() == nil; number++ {
 		for range 1 + random.IntN(2) {
 			node := nodes[random.IntN(len(nodes))]
@@ -170,7 +170,7 @@
 }
 
 // checkCrashing checks that a request that crashed three leafs reaches few more of them once all nodes must know it.
-func checkCrashing(w *world) Result {
+func checkCrashing(w *environment) Result {
 	v := Result{Promise: "a request that crashed three leafs reaches few more of them after its bound"}
 	w.crashLog.mu.Lock()
 	defer w.crashLog.mu.Unlock()
@@ -181,7 +181,7 @@
 		}
 		due := ends[crashesBeforeBound-1].Add(crashingBound)
 		late := 0
-		for _, at := range seen.asked {
+		for _, at := range seen.requestTimes {
 			if at.After(due) && w.isCalmAt(at) {
 				late++
 			}
--- a/internal/lab/soak/world.go
+++ b/internal/lab/soak/environment.go
@@ -34,9 +34,9 @@
 	anotherName = "another"
 )
 
-// world is everything that a soak runs: a stand-in store and leafs in this process, nodes as processes of their own, and the
+// environment is everything that a soak runs: a stand-in store and leafs in this process, nodes as processes of their own, and the
 // links between them.
-type world struct {
+type environment struct {
 	names    httpnames.Names
 	program  string
 	folder   string
@@ -75,8 +75,8 @@
 	until time.Time
 }
 
-func newWorld(program, folder string, nodes int) (*world, error) {
-	w := &world{names: platform.HTTPNames(), program: program, folder: folder, store: kvstore.New(0), leafs: map[string]*leafState{}}
+func newEnvironment(program, folder string, nodes int) (*environment, error) {
+	w := &environment{names: platform.HTTPNames(), program: program, folder: folder, store: kvstore.New(0), leafs: map[string]*leafState{}}
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -110,7 +110,7 @@
 
 // checkStarted returns a failure if the process of a node has ended, as when another program took a port that had been free
 // a moment before: the soak would run on with fewer nodes.
-func (w *world) checkStarted() error {
+func (w *environment) checkStarted() error {
 	for _, node := range w.nodes {
 		if !node.process.Running() {
 			return failure.New(failure.Internal, failure.NotRun, "%s did not start: %s", node.name, node.output())
@@ -120,7 +120,7 @@
 }
 
 // close ends everything that the soak started.
-func (w *world) close() {
+func (w *environment) close() {
 	w.mu.Lock()
 	w.isClosed = true
 	w.mu.Unlock()
@@ -141,7 +141,7 @@
 func zoneName(index int) string { return fmt.Sprintf("zone-%d", index) }
 
 // isCalmAt reports whether no node was affected by a fault shortly before a time.
-func (w *world) isCalmAt(at time.Time) bool {
+func (w *environment) isCalmAt(at time.Time) bool {
 	for _, node := range w.nodes {
 		if node.hadFault(at.Add(-drainBound), at, true) {
 			return false
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -21,10 +21,10 @@
 
 // injector draws faults from a seed and injects them from outside of the processes.
 type injector struct {
-	world  *world
-	kinds  []fault
-	random *rand.Rand
-	log    func(string)
+	environment *environment
+	kinds       []fault
+	random      *rand.Rand
+	log         func(string)
 }
 
 // faults returns all kinds of faults that are drawn one by one.
@@ -86,25 +86,25 @@
 }
 
 func (i *injector) node(span time.Duration) *nodeState {
-	node := i.world.nodes[i.random.IntN(len(i.world.nodes))]
+	node := i.environment.nodes[i.random.IntN(len(i.environment.nodes))]
 	node.noteFault(span+recoverySlack, false)
 	return node
 }
 
 // everyNode notes a fault that affects all nodes.
 func (i *injector) everyNode(span time.Duration) {
-	for _, node := range i.world.nodes {
+	for _, node := range i.environment.nodes {
 		node.noteFault(span+recoverySlack, false)
 	}
 }
 
 // leaf draws a leaf that is neither leaving nor crashed, and notes a fault of it.
 func (i *injector) leaf(span time.Duration) (string, *leafState) {
-	i.world.mu.Lock()
-	defer i.world.mu.Unlock()
+	i.environment.mu.Lock()
+	defer i.environment.mu.Unlock()
 	for {
-		id := fmt.Sprintf("leaf-%d", 1+i.random.IntN(i.world.nextID))
-		if state, found := i.world.leafs[id]; found && state.leavingAt.IsZero() && !state.hasCrashed {
+		id := fmt.Sprintf("leaf-%d", 1+i.random.IntN(i.environment.nextID))
+		if state, found := i.environment.leafs[id]; found && state.leavingAt.IsZero() && !state.hasCrashed {
 			now := time.Now()
 			state.faultSpans = append(state.faultSpans, faultSpan{from: now, until: now.Add(span + recoverySlack)})
 			return id, state
@@ -138,7 +138,7 @@
 }
 
 func (i *injector) stopNode(span time.Duration) func() {
-	node := i.world.nodes[i.random.IntN(len(i.world.nodes))]
+	node := i.environment.nodes[i.random.IntN(len(i.environment.nodes))]
 	if !node.claim() {
 		return nothing
 	}
@@ -158,7 +158,7 @@
 
 func (i *injector) restart(node *nodeState) {
 	node.noteFault(recoverySlack, false)
-	if err := i.world.startNode(node); err != nil {
+	if err := i.environment.startNode(node); err != nil {
 		i.log("FAILED START " + err.Error())
 	}
 	node.unclaim()
@@ -190,11 +190,11 @@
 // slowStore delays the bytes between all nodes and the store.
 func (i *injector) slowStore(span time.Duration) func() {
 	i.everyNode(span)
-	for _, node := range i.world.nodes {
+	for _, node := range i.environment.nodes {
 		node.storeLink.Set(Delayed)
 	}
 	return func() {
-		for _, node := range i.world.nodes {
+		for _, node := range i.environment.nodes {
 			node.storeLink.Set(Sound)
 		}
 		i.everyNode(0)
@@ -211,7 +211,7 @@
 // setTreeLink changes the link by which other nodes reach a node as an intermediate. That affects their requests, too.
 func (i *injector) setTreeLink(span time.Duration, condition Condition) func() {
 	i.everyNode(span)
-	node := i.world.nodes[i.random.IntN(len(i.world.nodes))]
+	node := i.environment.nodes[i.random.IntN(len(i.environment.nodes))]
 	node.treeLink.Set(condition)
 	return func() {
 		node.treeLink.Set(Sound)
@@ -226,9 +226,9 @@
 
 func (i *injector) setStore(span time.Duration, wrong kvstore.Faults) func() {
 	i.everyNode(span)
-	i.world.store.SetFaults(wrong)
+	i.environment.store.SetFaults(wrong)
 	return func() {
-		i.world.store.SetFaults(kvstore.Faults{})
+		i.environment.store.SetFaults(kvstore.Faults{})
 		i.everyNode(0)
 	}
 }
@@ -251,10 +251,10 @@
 
 func (i *injector) compactStore(span time.Duration) func() {
 	i.everyNode(span)
-	i.world.store.SetFaults(kvstore.Faults{SilentWatches: true})
+	i.environment.store.SetFaults(kvstore.Faults{SilentWatches: true})
 	return func() {
-		i.world.store.Compact()
-		i.world.store.SetFaults(kvstore.Faults{})
+		i.environment.store.Compact()
+		i.environment.store.SetFaults(kvstore.Faults{})
 	}
 }
 
@@ -271,33 +271,33 @@
 
 // replaceLeaf starts a successor of a leaf, which then drains.
 func (i *injector) replaceLeaf(span time.Duration) func() {
-	i.world.operating.Lock()
-	defer i.world.operating.Unlock()
+	i.environment.operating.Lock()
+	defer i.environment.operating.Unlock()
 	id, state := i.leaf(span)
-	if _, err := i.world.addLeafOf(state.version); err != nil {
+	if _, err := i.environment.addLeafOf(state.version); err != nil {
 		i.log("FAILED LEAF " + err.Error())
 		return func() {}
 	}
-	i.world.register(id, stateDraining)
-	i.world.mu.Lock()
+	i.environment.register(id, stateDraining)
+	i.environment.mu.Lock()
 	state.leavingAt = time.Now()
-	i.world.mu.Unlock()
-	return func() { i.world.unregister(id) }
+	i.environment.mu.Unlock()
+	return func() { i.environment.unregister(id) }
 }
 
 // evacuateZone evacuates a zone.
 func (i *injector) evacuateZone(time.Duration) func() {
 	zone := zoneName(i.random.IntN(zoneCount))
-	i.world.operate(evacuationKey(zone), struct{}{})
-	i.world.mu.Lock()
-	defer i.world.mu.Unlock()
-	number := len(i.world.evacuations)
-	i.world.evacuations = append(i.world.evacuations, evacuation{zone: zone, from: time.Now()})
-	return func() { i.world.restoreZone(number) }
+	i.environment.operate(evacuationKey(zone), struct{}{})
+	i.environment.mu.Lock()
+	defer i.environment.mu.Unlock()
+	number := len(i.environment.evacuations)
+	i.environment.evacuations = append(i.environment.evacuations, evacuation{zone: zone, from: time.Now()})
+	return func() { i.environment.restoreZone(number) }
 }
 
 // restoreZone ends an evacuation. The zone stays evacuated while another evacuation of it lasts.
-func (w *world) restoreZone(number int) {
+func (w *environment) restoreZone(number int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	ended := &w.evacuations[number]
@@ -312,10 +312,10 @@
 
 func (i *injector) changeConfiguration(time.Duration) func() {
 	next := singleName
-	if i.world.switched() == singleName {
+	if i.environment.switched() == singleName {
 		next = anotherName
 	}
-	i.world.configure(next)
+	i.environment.configure(next)
 	return func() {}
 }
 
--- a/internal/lab/soak/leafs.go
+++ b/internal/lab/soak/leafs.go
@@ -34,7 +34,7 @@
 }
 
 // request returns all requests that the leaf received, also those of earlier processes.
-func (s *leafState) asked() []httpleaf.Request {
+func (s *leafState) receivedRequests() []httpleaf.Request {
 	var requests []httpleaf.Request
 	for _, life := range append(slices.Clone(s.earlier), s.leaf) {
 		requests = append(requests, life.Requests()...)
@@ -43,12 +43,12 @@
 }
 
 // runs returns the ids of the leafs that ran each request, by the request's id.
-func (w *world) runs() map[string][]string {
+func (w *environment) runs() map[string][]string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	ran := map[string][]string{}
 	for id, state := range w.leafs {
-		for _, request := range state.asked() {
+		for _, request := range state.receivedRequests() {
 			if request.Incarnation == id {
 				ran[request.ID] = append(ran[request.ID], id)
 			}
@@ -58,12 +58,12 @@
 }
 
 // addLeaf starts and registers a leaf of the version that serves a service, and returns its id.
-func (w *world) addLeaf(service string) (string, error) {
+func (w *environment) addLeaf(service string) (string, error) {
 	return w.addLeafOf(w.servingOf(service))
 }
 
 // addLeafOf starts and registers a leaf of a version, and returns its id.
-func (w *world) addLeafOf(version *rollouts.Version) (string, error) {
+func (w *environment) addLeafOf(version *rollouts.Version) (string, error) {
 	service := version.Service()
 	w.mu.Lock()
 	w.nextID++
@@ -86,7 +86,7 @@
 }
 
 // startLeaf starts a process of a leaf.
-func (w *world) startLeaf(id string, version *rollouts.Version) (*httpleaf.Leaf, error) {
+func (w *environment) startLeaf(id string, version *rollouts.Version) (*httpleaf.Leaf, error) {
 	return httpleaf.Start(id, w.names, func(request httpleaf.Request) httpleaf.Answer {
 		if isCrashing(request.Target) && request.Incarnation == id {
 			return w.answerByCrashing(id, request)
@@ -106,7 +106,7 @@
 }
 
 // serviceOf returns the service of a leaf, or "" if there is no such leaf.
-func (w *world) serviceOf(leafID string) string {
+func (w *environment) serviceOf(leafID string) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if state, found := w.leafs[leafID]; found {
@@ -116,7 +116,7 @@
 }
 
 // register writes a leaf's record.
-func (w *world) register(id, state string) {
+func (w *environment) register(id, state string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	known := w.leafs[id]
@@ -129,7 +129,7 @@
 }
 
 // unregister removes a leaf's record.
-func (w *world) unregister(id string) {
+func (w *environment) unregister(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.leafs[id].record = ""
--- a/internal/lab/soak/load.go
+++ b/internal/lab/soak/load.go
@@ -50,16 +50,16 @@
 
 // load sends requests and records their outcomes; safe for concurrent use.
 type load struct {
-	world  *world
-	client *http.Client
+	environment *environment
+	client      *http.Client
 
 	mu       sync.Mutex
 	outcomes []outcome
 }
 
-func newLoad(w *world) *load {
+func newLoad(w *environment) *load {
 	dialer := net.Dialer{Timeout: time.Second}
-	return &load{world: w, client: &http.Client{
+	return &load{environment: w, client: &http.Client{
 		Timeout: requestDeadline + time.Second,
 		Transport: &http.Transport{
 			DialContext: dialer.DialContext, MaxIdleConnsPerHost: 16, IdleConnTimeout: 5 * time.Second, DisableCompression: true,
@@ -82,7 +82,7 @@
 			return
 		}
 		kind := kinds[random.IntN(len(kinds))]
-		node := l.world.nodes[random.IntN(len(l.world.nodes))]
+		node := l.environment.nodes[random.IntN(len(l.environment.nodes))]
 		id := fmt.Sprintf("request-%d", number)
 		running.Go(func() { l.add(l.send(id, kind, node)) })
 	}
@@ -118,7 +118,7 @@
 	if err != nil {
 		panic(err) // the address is the soak's own
 	}
-	names := l.world.names
+	names := l.environment.names
 	asked.Host = host
 	asked.Header.Set(names.RequestID, id)
 	asked.Header.Set(names.DeadlineMillis, strconv.FormatInt(requestDeadline.Milliseconds(), 10))
--- a/internal/lab/soak/logs.go
+++ b/internal/lab/soak/logs.go
@@ -10,7 +10,7 @@
 
 // keepRun writes the events, each request as its caller saw it, with times since the soak began, and the newest output of
 // each node to a folder.
-func (w *world) keepRun(folder, story string, began time.Time, seen []outcome) error {
+func (w *environment) keepRun(folder, story string, began time.Time, seen []outcome) error {
 	if err := w.keepLogs(folder); err != nil {
 		return err
 	}
@@ -32,7 +32,7 @@
 }
 
 // keepLogs writes the newest output of each node to a folder, which it creates. It does nothing if folder is empty.
-func (w *world) keepLogs(folder string) error {
+func (w *environment) keepLogs(folder string) error {
 	if folder == "" {
 		return nil
 	}
--- a/internal/lab/soak/node.go
+++ b/internal/lab/soak/node.go
@@ -49,7 +49,7 @@
 const nodeAddresses = 7
 
 // addNodes starts nodes. Their addresses are drawn together, since an address stays free until its node listens.
-func (w *world) addNodes(count int) error {
+func (w *environment) addNodes(count int) error {
 	addresses, err := process.FreeAddresses(nodeAddresses * count)
 	if err != nil {
 		return err
@@ -63,7 +63,7 @@
 }
 
 // addNode starts a node with links of its own to the store and from other nodes.
-func (w *world) addNode(index int, addresses []string) error {
+func (w *environment) addNode(index int, addresses []string) error {
 	var err error
 	node := &nodeState{name: fmt.Sprintf("node-%d", index), zone: zoneName(index % zoneCount), front: addresses[3], peers: addresses[5]}
 	if node.storeLink, err = NewLink(w.address); err != nil {
@@ -88,7 +88,7 @@
 }
 
 // seed returns the peer address that a node joins through: that of the first node.
-func (w *world) seed(node *nodeState) string {
+func (w *environment) seed(node *nodeState) string {
 	if len(w.nodes) == 0 {
 		return node.peers
 	}
@@ -118,7 +118,7 @@
 `
 
 // startNode starts the process of a node.
-func (w *world) startNode(node *nodeState) error {
+func (w *environment) startNode(node *nodeState) error {
 	started, err := process.Start(node.name, w.program, "node", "--settings", node.settings)
 	if err != nil {
 		return err
--- a/internal/lab/soak/operator.go
+++ b/internal/lab/soak/operator.go
@@ -36,8 +36,8 @@
 
 // operator gives roll-out orders and reads their status; safe for concurrent use.
 type operator struct {
-	world *world
-	log   func(string)
+	environment *environment
+	log         func(string)
 
 	mu       sync.Mutex
 	number   int
@@ -45,21 +45,21 @@
 	releases []*rollouts.Release
 }
 
-func newOperator(w *world, log func(string)) *operator {
-	return &operator{world: w, log: log, status: map[string][]rollouts.StatusReading{}}
+func newOperator(w *environment, log func(string)) *operator {
+	return &operator{environment: w, log: log, status: map[string][]rollouts.StatusReading{}}
 }
 
 // read records every status of all services until the context ends.
 func (o *operator) read(ctx context.Context) {
 	for wait.For(ctx, statusInterval) {
-		for _, service := range o.world.services() {
+		for _, service := range o.environment.services() {
 			o.readStatus(service)
 		}
 	}
 }
 
 func (o *operator) readStatus(service string) {
-	item, found := o.world.store.Item(platform.StatusKey(service))
+	item, found := o.environment.store.Item(platform.StatusKey(service))
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	known := o.status[service]
@@ -75,21 +75,21 @@
 	})
 }
 
-// played returns copies of all orders so far, with the status readings of their services.
-func (o *operator) played() []rollouts.Release {
+// release returns copies of all orders so far, with the status readings of their services.
+func (o *operator) allReleases() []rollouts.Release {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	var played []rollouts.Release
+	var releases []rollouts.Release
 	for _, release := range o.releases {
 		copied := *release
 		copied.Statuses = append([]rollouts.StatusReading(nil), o.status[release.Target.Service()]...)
-		played = append(played, copied)
+		releases = append(releases, copied)
 	}
-	return played
+	return releases
 }
 
-// play gives an order and does what its outcome requires. It returns the number of the order.
-func (o *operator) play(ctx context.Context, p plan) (number int, err error) {
+// run gives an order and does what its outcome requires. It returns the number of the order.
+func (o *operator) rollOut(ctx context.Context, p plan) (number int, err error) {
 	if number, err = o.order(ctx, p); err != nil {
 		return number, err
 	}
@@ -112,7 +112,7 @@
 
 // order starts the leafs of a version and orders it, which replaces an order in progress for the service.
 func (o *operator) order(ctx context.Context, p plan) (number int, err error) {
-	old := o.world.servingOf(p.service)
+	old := o.environment.servingOf(p.service)
 	target := old
 	if !p.isServing {
 		o.mu.Lock()
@@ -123,7 +123,7 @@
 	}
 	if !p.isServing && !p.isEmpty {
 		for range leafsEach {
-			if _, err := o.world.addLeafOf(target); err != nil {
+			if _, err := o.environment.addLeafOf(target); err != nil {
 				return 0, err
 			}
 		}
@@ -133,7 +133,7 @@
 	defer o.mu.Unlock()
 	now := time.Now()
 	target.Order(now)
-	revision := o.world.store.Put(platform.SpecKey(p.service), platform.EncodeSpec(rollout.Spec{
+	revision := o.environment.store.Put(platform.SpecKey(p.service), platform.EncodeSpec(rollout.Spec{
 		Service: p.service, Target: target.Name(), DurationMillis: p.duration.Milliseconds(),
 	}))
 	for _, release := range o.releases {
@@ -149,7 +149,7 @@
 
 // endReplaced ends an order that was replaced by another one, unless it succeeded before.
 func (o *operator) endReplaced(ctx context.Context, number, second int) {
-	o.readStatus(o.played()[number].Target.Service())
+	o.readStatus(o.allReleases()[number].Target.Service())
 	if status, _ := o.outcome(number); status == rollouts.Succeeded {
 		o.conclude(ctx, number)
 		o.mu.Lock()
@@ -183,26 +183,26 @@
 
 // outcome returns the status of an order and when it was read.
 func (o *operator) outcome(number int) (status rollouts.Outcome, at time.Time) {
-	played := o.played()[number]
-	return played.Outcome()
+	release := o.allReleases()[number]
+	return release.Outcome()
 }
 
 func (o *operator) cancel(number int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	release := o.releases[number]
-	release.EndRevision = o.world.store.Remove(platform.SpecKey(release.Target.Service()))
+	release.EndRevision = o.environment.store.Remove(platform.SpecKey(release.Target.Service()))
 	release.Ended = time.Now()
 }
 
 // conclude does what operators do after an order: they stop the old leafs at once if it succeeded, or else drain the new
 // ones after a while.
 func (o *operator) conclude(ctx context.Context, number int) {
-	release := o.played()[number]
+	release := o.allReleases()[number]
 	o.readStatus(release.Target.Service())
 	if status, _ := o.outcome(number); status == rollouts.Succeeded && release.Old != release.Target {
 		release.Old.Stop()
-		o.world.succeed(release.Old, release.Target)
+		o.environment.succeed(release.Old, release.Target)
 		return
 	}
 	if release.Old == release.Target {
@@ -218,7 +218,7 @@
 
 // drainLater drains the new leafs of an order after drainDelay, and removes them after drainTime more.
 func (o *operator) drainLater(number int) {
-	target := o.played()[number].Target
-	time.AfterFunc(drainDelay, func() { o.world.drain(target) })
-	time.AfterFunc(drainDelay+drainTime, func() { o.world.remove(target) })
+	target := o.allReleases()[number].Target
+	time.AfterFunc(drainDelay, func() { o.environment.drain(target) })
+	time.AfterFunc(drainDelay+drainTime, func() { o.environment.remove(target) })
 }
--- a/internal/lab/soak/random_orders.go
+++ b/internal/lab/soak/random_orders.go
@@ -24,13 +24,13 @@
 // run gives one order after the other while faults are injected, and waits for the outcome of the last one.
 func (o *operator) run(ctx, faulty context.Context, random *rand.Rand) {
 	for faulty.Err() == nil && ctx.Err() == nil {
-		p := draw(random, o.world.services())
-		number, err := o.play(ctx, p)
+		p := draw(random, o.environment.services())
+		number, err := o.rollOut(ctx, p)
 		if err != nil {
 			o.log("FAILED ROLLOUT " + err.Error())
 			return
 		}
-		release := o.played()[number]
+		release := o.allReleases()[number]
 		status, at := release.Outcome()
 		o.log(fmt.Sprintf("%s (%s, %v): %q after %v, %d bad answers", nameOf(release), describe(p), p.duration, status,
 			at.Sub(release.At).Round(time.Millisecond), release.BadAnswers()))
--- a/internal/lab/soak/restore.go
+++ b/internal/lab/soak/restore.go
@@ -24,7 +24,7 @@
 }
 
 // operate writes a key as operators do.
-func (w *world) operate(key string, value any) {
+func (w *environment) operate(key string, value any) {
 	w.operatorEntries.mu.Lock()
 	defer w.operatorEntries.mu.Unlock()
 	if w.operatorEntries.values == nil {
@@ -35,7 +35,7 @@
 }
 
 // retract removes a key as operators do.
-func (w *world) retract(key string) {
+func (w *environment) retract(key string) {
 	w.operatorEntries.mu.Lock()
 	defer w.operatorEntries.mu.Unlock()
 	delete(w.operatorEntries.values, key)
@@ -67,21 +67,21 @@
 
 // restoreAfter backs the store up, lets it fail some time later, and restores it from the backup in the end.
 func (i *injector) restoreAfter(span time.Duration, away kvstore.Faults) func() {
-	i.world.store.Backup()
+	i.environment.store.Backup()
 	time.Sleep(time.Duration(i.random.Int64N(int64(backupAge))))
 	i.everyNode(span + operatorsAgain)
-	i.world.store.SetFaults(away)
+	i.environment.store.SetFaults(away)
 	return func() {
 		i.everyNode(operatorsAgain)
-		i.world.store.Restore()
-		i.world.store.SetFaults(kvstore.Faults{})
+		i.environment.store.Restore()
+		i.environment.store.SetFaults(kvstore.Faults{})
 		i.writeAgain()
 	}
 }
 
 // writeAgain repeats the writes of leafs and operators, each some time after the restore.
 func (i *injector) writeAgain() {
-	w := i.world
+	w := i.environment
 	w.mu.Lock()
 	ids := make([]string, 0, len(w.leafs))
 	for id := range w.leafs {
@@ -95,7 +95,7 @@
 }
 
 // writeLeafAgain repeats a leaf's write. The record of a leaf that has left is removed instead.
-func (w *world) writeLeafAgain(id string) {
+func (w *environment) writeLeafAgain(id string) {
 	w.mu.Lock()
 	record := w.leafs[id].record
 	isClosed := w.isClosed
@@ -110,7 +110,7 @@
 }
 
 // operateAgain repeats the operators' writes, and their removals of evacuations.
-func (w *world) operateAgain() {
+func (w *environment) operateAgain() {
 	w.operatorEntries.mu.Lock()
 	defer w.operatorEntries.mu.Unlock()
 	for key, value := range w.operatorEntries.values {
--- a/internal/lab/soak/rollouts.go
+++ b/internal/lab/soak/rollouts.go
@@ -74,9 +74,9 @@
 	restTime     = 2 * time.Second // between two orders
 )
 
-// PlayRollouts plays roll-outs over the program at a path, and writes a line for each. It returns how many had the right
+// RunRollouts plays roll-outs over the program at a path, and writes a line for each. It returns how many had the right
 // outcome and kept all promises, and how many did not.
-func PlayRollouts(ctx context.Context, program string, cfg RolloutsConfig, out io.Writer) (passed, failed int, err error) {
+func RunRollouts(ctx context.Context, program string, cfg RolloutsConfig, out io.Writer) (passed, failed int, err error) {
 	cases := slices.DeleteFunc(rolloutCases(cfg.Duration), func(one rolloutCase) bool {
 		return len(cfg.Cases) > 0 && !slices.Contains(cfg.Cases, one.name)
 	})
@@ -88,7 +88,7 @@
 		return 0, 0, err
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
-	w, err := newWorld(program, folder, leastNodes)
+	w, err := newEnvironment(program, folder, leastNodes)
 	if err != nil {
 		return 0, 0, err
 	}
@@ -97,7 +97,7 @@
 	if err := w.checkStarted(); err != nil {
 		return 0, 0, err
 	}
-	if passed, failed, err = playCases(ctx, w, cfg, cases, out); err != nil {
+	if passed, failed, err = runCases(ctx, w, cfg, cases, out); err != nil {
 		return passed, failed, err
 	}
 	if err := w.keepLogs(cfg.Logs); err != nil {
@@ -106,8 +106,8 @@
 	return passed, failed, ctx.Err()
 }
 
-// playCases sends requests to a world and plays cases there, one after the other.
-func playCases(ctx context.Context, w *world, cfg RolloutsConfig, cases []rolloutCase, out io.Writer) (passed, failed int, err error) {
+// runCases sends requests to an environment and runs cases there, one after the other.
+func runCases(ctx context.Context, w *environment, cfg RolloutsConfig, cases []rolloutCase, out io.Writer) (passed, failed int, err error) {
 	callers := newLoad(w)
 	calling, stopCalling := context.WithCancel(ctx)
 	defer stopCalling()
@@ -118,12 +118,12 @@
 	wait.For(ctx, baselineTime)
 	quietUntil := time.Now()
 	for _, one := range cases {
-		number, err := o.play(ctx, one.plan)
+		number, err := o.rollOut(ctx, one.plan)
 		if err != nil {
 			return passed, failed, err
 		}
 		wait.For(ctx, restTime+requestDeadline)
-		s := playedRollout{release: o.played()[number], seen: callers.all(), quietFrom: quietFrom, quietUntil: quietUntil}
+		s := rolloutRun{release: o.allReleases()[number], seen: callers.all(), quietFrom: quietFrom, quietUntil: quietUntil}
 		if s.report(out, one, w) {
 			passed++
 		} else {
@@ -133,15 +133,15 @@
 	return passed, failed, nil
 }
 
-// playedRollout is a roll-out with the outcomes of all requests, and the time before the first one.
-type playedRollout struct {
+// rolloutRun is a roll-out with the outcomes of all requests, and the time before the first one.
+type rolloutRun struct {
 	release               rollouts.Release
 	seen                  []outcome
 	quietFrom, quietUntil time.Time
 }
 
 // report writes a line for a case, and lines for what is wrong with it. It returns whether nothing is.
-func (s playedRollout) report(out io.Writer, one rolloutCase, w *world) bool {
+func (s rolloutRun) report(out io.Writer, one rolloutCase, w *environment) bool {
 	r := s.release
 	status, at := r.Outcome()
 	end := r.At.Add(r.Duration)
@@ -167,7 +167,7 @@
 }
 
 // broken returns what is wrong with the roll-out.
-func (s playedRollout) broken(one rolloutCase, status rollouts.Outcome, took time.Duration) []string {
+func (s rolloutRun) broken(one rolloutCase, status rollouts.Outcome, took time.Duration) []string {
 	var broken []string
 	if status == rollouts.Running {
 		status = ""
@@ -185,7 +185,7 @@
 }
 
 // lastAfterBad describes how long after its 50th bad answer the version got its last request.
-func (s playedRollout) lastAfterBad() string {
+func (s rolloutRun) lastAfterBad() string {
 	bad := s.release.BadAnswers()
 	fiftieth, isCondemned := s.release.FiftiethBadAnswer()
 	if !isCondemned {
@@ -206,7 +206,7 @@
 }
 
 // callers sums up the requests for the service of an order that were sent between two times.
-func (s playedRollout) callers(r rollouts.Release, from, until time.Time) callersSeen {
+func (s rolloutRun) callers(r rollouts.Release, from, until time.Time) callersSeen {
 	kinds := []Kind{Gathered}
 	if r.Target.Service() == singleName {
 		kinds = []Kind{Single, Once, Switched}
--- a/internal/lab/soak/series.go
+++ b/internal/lab/soak/series.go
@@ -36,7 +36,7 @@
 
 // rollNodes stops and starts one node after the other.
 func (i *injector) rollNodes(time.Duration) func() {
-	for _, node := range i.world.nodes {
+	for _, node := range i.environment.nodes {
 		if !node.claim() {
 			continue
 		}
@@ -74,7 +74,7 @@
 	id, state := i.leaf(span)
 	state.link.Set(Resetting)
 	time.Sleep(restartGap)
-	if err := i.world.startAgain(id, state); err != nil {
+	if err := i.environment.startAgain(id, state); err != nil {
 		i.log("FAILED LEAF " + err.Error())
 	}
 	state.link.Set(Sound)
@@ -87,7 +87,7 @@
 }
 
 // startAgain starts another process of a leaf under its id. It has no memory of the previous one.
-func (w *world) startAgain(id string, state *leafState) error {
+func (w *environment) startAgain(id string, state *leafState) error {
 	started, err := w.startLeaf(id, state.version)
 	if err != nil {
 		return err
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -1,7 +1,7 @@
 // Package soak runs real nodes as processes of their own over a stand-in store and stand-in leafs, injects faults drawn from
 // a seed, and checks the promises of the product on the records of callers, store and leafs.
 //
-// A world owns the processes, the links between them and the store; everything it starts ends with Run. Package process starts
+// An environment owns the processes, the links between them and the store; everything it starts ends with Run. Package process starts
 // the nodes, package kvstore is the store, package httpleaf the leafs, package rollouts their versions. Seeds that once broke a
 // promise are kept as tests, so that the order of the random draws must stay as it is.
 package soak
@@ -73,13 +73,13 @@
 
 // session is a soak in progress.
 type session struct {
-	cfg       Config
-	world     *world
-	callers   *load
-	operators *operator
-	began     time.Time
-	out       io.Writer
-	events    eventLog
+	cfg         Config
+	environment *environment
+	callers     *load
+	operators   *operator
+	began       time.Time
+	out         io.Writer
+	events      eventLog
 }
 
 // Run plays a soak over the program at a path and returns a result for each promise. It writes what happens to out.
@@ -89,18 +89,18 @@
 		return nil, err
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
-	w, err := newWorld(program, folder, cfg.Nodes)
+	w, err := newEnvironment(program, folder, cfg.Nodes)
 	if err != nil {
 		return nil, err
 	}
 	defer w.close()
-	s := &session{cfg: cfg, world: w, callers: newLoad(w), began: time.Now(), out: out}
+	s := &session{cfg: cfg, environment: w, callers: newLoad(w), began: time.Now(), out: out}
 	s.operators = newOperator(w, s.log)
 	wait.For(ctx, startTime)
 	if err := w.checkStarted(); err != nil {
 		return nil, err
 	}
-	calm := s.play(ctx)
+	calm := s.run(ctx)
 	if err := w.failed(); err != nil {
 		return nil, err
 	}
@@ -119,9 +119,9 @@
 // random returns a source of one of the random streams.
 func (s *session) random(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(s.cfg.Seed, stream)) }
 
-// play sends requests while faults are injected and for some time afterwards. It returns when the system had had the time to
+// run sends requests while faults are injected and for some time afterwards. It returns when the system had had the time to
 // recover.
-func (s *session) play(ctx context.Context) (calm time.Time) {
+func (s *session) run(ctx context.Context) (calm time.Time) {
 	calling, stopCalling := context.WithCancel(ctx)
 	ended := make(chan struct{})
 	go func() {
@@ -155,7 +155,7 @@
 		(&crasher{load: s.callers, random: s.random(crashingStream), log: s.log}).run(faulty)
 	})
 	inject := func(kinds []fault, stream uint64) {
-		drawn := &injector{world: s.world, kinds: kinds, random: s.random(stream), log: s.log}
+		drawn := &injector{environment: s.environment, kinds: kinds, random: s.random(stream), log: s.log}
 		injecting.Go(func() { drawn.run(faulty) })
 	}
 	for stream := range s.cfg.Streams {
@@ -175,13 +175,13 @@
 // checkAll checks all promises, and writes the records of the soak to its folder if a promise was broken.
 func (s *session) checkAll(calm time.Time) ([]Result, error) {
 	seen := s.callers.all()
-	results := append(checkAll(s.world, seen, calm), checkRollouts(s.operators.played(), s.world.clearOf(seen))...)
+	results := append(checkAll(s.environment, seen, calm), checkRollouts(s.operators.allReleases(), s.environment.clearOf(seen))...)
 	if s.cfg.Logs == "" || !s.cfg.KeepAll && !hasBroken(results) {
 		return results, nil
 	}
 	folder := filepath.Join(s.cfg.Logs, fmt.Sprintf("seed-%d-%s", s.cfg.Seed, s.began.UTC().Format("150405")))
 	_, _ = fmt.Fprintf(s.out, "logs: %s\n", folder)
-	return results, s.world.keepRun(folder, s.events.String(), s.began, seen)
+	return results, s.environment.keepRun(folder, s.events.String(), s.began, seen)
 }
 
 // eventLog keeps what a soak logs; safe for concurrent use. The zero value is empty.
--- a/internal/lab/soak/versions.go
+++ b/internal/lab/soak/versions.go
@@ -7,7 +7,7 @@
 )
 
 // servingOf returns the version that serves a service.
-func (w *world) servingOf(service string) *rollouts.Version {
+func (w *environment) servingOf(service string) *rollouts.Version {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.serving == nil {
@@ -33,12 +33,12 @@
 }
 
 // services returns the names of all services.
-func (w *world) services() []string {
+func (w *environment) services() []string {
 	return append([]string{singleName, anotherName}, w.gathered...)
 }
 
 // leafsOf returns the ids of a version's leafs.
-func (w *world) leafsOf(version *rollouts.Version) []string {
+func (w *environment) leafsOf(version *rollouts.Version) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var ids []string
@@ -51,7 +51,7 @@
 }
 
 // succeed removes the leafs of the old version and makes the target the version that serves.
-func (w *world) succeed(old, target *rollouts.Version) {
+func (w *environment) succeed(old, target *rollouts.Version) {
 	w.operating.Lock()
 	defer w.operating.Unlock()
 	w.mu.Lock()
@@ -62,7 +62,7 @@
 }
 
 // drain registers the leafs of a version as draining.
-func (w *world) drain(version *rollouts.Version) {
+func (w *environment) drain(version *rollouts.Version) {
 	w.operating.Lock()
 	defer w.operating.Unlock()
 	for _, id := range w.leave(version) {
@@ -71,7 +71,7 @@
 }
 
 // leave notes that the leafs of a version are leaving, and returns those that weren't before.
-func (w *world) leave(version *rollouts.Version) []string {
+func (w *environment) leave(version *rollouts.Version) []string {
 	ids := w.leafsOf(version)
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -86,7 +86,7 @@
 }
 
 // remove removes the records of a version's leafs.
-func (w *world) remove(version *rollouts.Version) {
+func (w *environment) remove(version *rollouts.Version) {
 	for _, id := range w.leafsOf(version) {
 		w.unregister(id)
 	}
--- a/internal/lab/soak/world_test.go
+++ b/internal/lab/soak/world_test.go
@@ -23,7 +23,7 @@
 
 func TestNodeThatDidNotStartIsNamed(t *testing.T) {
 	is := is.New(t)
-	w := &world{}
+	w := &environment{}
 	is.NoErr(w.checkStarted())
 	w.nodes = append(w.nodes, endedNode(t))
 	is.True(w.checkStarted() != nil)
@@ -32,7 +32,7 @@
 func TestLogsAreKeptInAFolderThatIsMade(t *testing.T) {
 	is := is.New(t)
 	folder := filepath.Join(t.TempDir(), "new")
-	w := &world{nodes: []*nodeState{endedNode(t)}}
+	w := &environment{nodes: []*nodeState{endedNode(t)}}
 	is.NoErr(w.keepLogs(folder))
 	_, err := os.Stat(filepath.Join(folder, "node-9.log"))
 	is.NoErr(err)
--- a/internal/leaf/leafmemory/leafmemory_test.go
+++ b/internal/leaf/leafmemory/leafmemory_test.go
@@ -65,7 +65,7 @@
 func TestWrittenListIsBelievedOnlyAfterAStart(t *testing.T) {
 	is := is.New(t)
 	known := catalog.New(nil)
-	put(t, known, catalog.RememberedKey, leafset.List{Leafs: []leafset.Record{record("a", leafset.Ready)}})
+	put(t, known, catalog.SavedLeafsKey, leafset.List{Leafs: []leafset.Record{record("a", leafset.Ready)}})
 	now := time.Now()
 	memory := New(DefaultConfig(), known)
 	memory.now = func() time.Time { return now }
@@ -105,7 +105,7 @@
 	is.Equal(due(delay), 1)
 	is.Equal(due(2*delay), 2)
 	is.Equal(due(3*delay), 3)
-	put(t, known, catalog.RememberedKey, leafset.List{Leafs: []leafset.Record{record("a", leafset.Ready)}})
+	put(t, known, catalog.SavedLeafsKey, leafset.List{Leafs: []leafset.Record{record("a", leafset.Ready)}})
 	is.Equal(due(3*delay), 0)
 	put(t, known, catalog.LeafKey("a"), record("a", leafset.Draining))
 	is.Equal(due(3*delay), 0) // no ready leaf at all means an outage of discovery
@@ -127,7 +127,7 @@
 		return made
 	}
 	put(t, known, catalog.LeafKey("a"), inZone("a", "east"))
-	put(t, known, catalog.RememberedKey, leafset.List{Leafs: []leafset.Record{inZone("a", "east"), inZone("b", "west")}})
+	put(t, known, catalog.SavedLeafsKey, leafset.List{Leafs: []leafset.Record{inZone("a", "east"), inZone("b", "west")}})
 	memory := New(DefaultConfig(), known)
 	is.True(memory.MaySend("a"))
 	put(t, known, catalog.EvacuationKey("east"), struct{}{})
--- a/internal/leaf/leafmemory/versions_test.go
+++ b/internal/leaf/leafmemory/versions_test.go
@@ -96,7 +96,7 @@
 func TestLostLeafsDontHideWrittenOnes(t *testing.T) {
 	is := is.New(t)
 	known := newVersioned(t, true)
-	put(t, known, catalog.RememberedKey, leafset.List{Leafs: []leafset.Record{versioned("old", "v1")}})
+	put(t, known, catalog.SavedLeafsKey, leafset.List{Leafs: []leafset.Record{versioned("old", "v1")}})
 	put(t, known, catalog.LeafKey("new"), versioned("new", "v2"))
 	put(t, known, catalog.LeafKey("new"), nil)
 	memory := New(DefaultConfig(), known)
@@ -134,7 +134,7 @@
 	is := is.New(t)
 	known := newVersioned(t, true)
 	list := leafset.List{Leafs: []leafset.Record{versioned("bad", "v3"), versioned("new", "v2"), versioned("old", "v1")}}
-	put(t, known, catalog.RememberedKey, list)
+	put(t, known, catalog.SavedLeafsKey, list)
 	memory := New(DefaultConfig(), known)
 	is.Equal(candidateIDs(memory), []string{"old"})
 	is.True(memory.MaySend("old"))
--- a/internal/leaf/leafmemory/writer.go
+++ b/internal/leaf/leafmemory/writer.go
@@ -68,7 +68,7 @@
 	if len(w.wanted) == 0 || len(w.wanted) > w.config.MaximumLeafs || w.isWritten {
 		return false
 	}
-	rank := registry.RendezvousRank(view.Nodes, catalog.RememberedKey, w.self)
+	rank := registry.RendezvousRank(view.Nodes, catalog.SavedLeafsKey, w.self)
 	return now.Sub(w.since) >= w.config.WriteDelay*time.Duration(1+rank)
 }
 
@@ -106,14 +106,14 @@
 	if err != nil {
 		return failure.Wrap(err, failure.Internal, failure.NotRun, "encode list of leafs")
 	}
-	replaced, _ := w.catalog.Entry(catalog.RememberedKey)
+	replaced, _ := w.catalog.Entry(catalog.SavedLeafsKey)
 	value, err := catalog.NewDocument("", document, nil)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	_, err = w.store.CompareAndSwap(ctx, catalog.RememberedKey, replaced.LiveRevision(), value, false)
+	_, err = w.store.CompareAndSwap(ctx, catalog.SavedLeafsKey, replaced.LiveRevision(), value, false)
 	w.since = time.Now() // a retry waits as long again
 	return err
 }
--- a/internal/quarantine/bad_days_test.go
+++ b/internal/quarantine/bad_days_test.go
@@ -12,38 +12,38 @@
 
 // A bad day is an hour in which a group of leafs crashes for its own reasons each minute, within a short time.
 const (
-	badDays    = 1000
-	herds      = 60
-	herdGap    = time.Minute
-	leafBack   = 3 * time.Second
-	herdSpread = 400 * time.Millisecond
-	askedEvery = 50 * time.Millisecond // by one caller, for the same path
-	minWork    = 5 * time.Millisecond
-	workRange  = 10 * time.Millisecond
+	badDays         = 1000
+	herds           = 60
+	herdGap         = time.Minute
+	leafBack        = 3 * time.Second
+	herdSpread      = 400 * time.Millisecond
+	requestInterval = 50 * time.Millisecond // by one caller, for the same path
+	minWork         = 5 * time.Millisecond
+	workRange       = 10 * time.Millisecond
 )
 
-// herd is when each replica of each shard crashes; those that don't have no time.
-type herd map[string]time.Time
+// crashes is when each replica of each shard crashes; those that don't have no time.
+type crashes map[string]time.Time
 
-// drawHerd makes a random part of the leafs crash, up to all.
-func drawHerd(random *rand.Rand, began time.Time, shards int) herd {
-	drawn := herd{}
+// randomCrashes makes a random part of the leafs crash, up to all.
+func randomCrashes(random *rand.Rand, began time.Time, shards int) crashes {
+	times := crashes{}
 	crashShare := random.Float64()
 	for shard := range shards {
 		for replica := range 2 {
 			if random.Float64() < crashShare {
-				drawn[leafName(shard, replica)] = began.Add(time.Duration(random.Int64N(int64(herdSpread))))
+				times[leafName(shard, replica)] = began.Add(time.Duration(random.Int64N(int64(herdSpread))))
 			}
 		}
 	}
-	return drawn
+	return times
 }
 
 func leafName(shard, replica int) string { return strconv.Itoa(shard) + "-" + strconv.Itoa(replica) }
 
-// ask returns the outcome of an attempt at a leaf: when it is over, and whether the leaf crashed under it or was gone
+// outcomeAt returns the outcome of an attempt at a leaf: when it is over, and whether the leaf crashed under it or was gone
 // before.
-func (h herd) ask(random *rand.Rand, leaf string, at time.Time) (over time.Time, didCrash, wasGone bool) {
+func (h crashes) outcomeAt(random *rand.Rand, leaf string, at time.Time) (over time.Time, didCrash, wasGone bool) {
 	over = at.Add(minWork + time.Duration(random.Int64N(int64(workRange))))
 	crashed, crashes := h[leaf]
 	switch {
@@ -64,24 +64,24 @@
 	probe    int // 0 for those that were sent together
 }
 
-// play is one execution of a request, as the nodes carry it out: an attempt at a leaf of each shard, and, if leafs
+// simulatedExecution is one execution of a request, as the nodes carry it out: an attempt at a leaf of each shard, and, if leafs
 // crashed and none has answered, one probe after the other at the other leafs until one of those crashes. A suspect
 // begins with a probe.
-type play struct {
+type simulatedExecution struct {
 	random   *rand.Rand
-	crashing herd
+	crashing crashes
 	pending  []attempt
 	lost     []string // the other leafs of shards that were asked in vain
 	probes   int
 }
 
-func (p *play) send(leaf string, at time.Time, probe int) {
-	over, didCrash, wasGone := p.crashing.ask(p.random, leaf, at)
+func (p *simulatedExecution) send(leaf string, at time.Time, probe int) {
+	over, didCrash, wasGone := p.crashing.outcomeAt(p.random, leaf, at)
 	p.pending = append(p.pending, attempt{over: over, leaf: leaf, didCrash: didCrash, wasGone: wasGone, probe: probe})
 }
 
 // next returns the attempt that is over first.
-func (p *play) next() attempt {
+func (p *simulatedExecution) next() attempt {
 	first := 0
 	for index := range p.pending {
 		if p.pending[index].over.Before(p.pending[first].over) {
@@ -94,12 +94,12 @@
 }
 
 // isProbing reports whether a probe is in flight.
-func (p *play) isProbing() bool {
+func (p *simulatedExecution) isProbing() bool {
 	return slices.ContainsFunc(p.pending, func(one attempt) bool { return one.probe > 0 })
 }
 
 // probe sends a probe to the first remaining leaf.
-func (p *play) probe(at time.Time) {
+func (p *simulatedExecution) probe(at time.Time) {
 	if p.isProbing() || len(p.lost) == 0 {
 		return
 	}
@@ -109,12 +109,12 @@
 	p.send(leaf, at, p.probes)
 }
 
-// playExecution plays one execution and reports whether a leaf crashed under it.
-func playExecution(f *fleet, random *rand.Rand, crashing herd, at time.Time, shards int) (hit bool) {
+// simulateExecution plays one execution and reports whether a leaf crashed under it.
+func simulateExecution(f *fleet, random *rand.Rand, crashing crashes, at time.Time, shards int) (hit bool) {
 	f.at = at
 	execution := f.Begin(subject("busy"), func() {})
 	defer execution.End()
-	p := play{random: random, crashing: crashing}
+	p := simulatedExecution{random: random, crashing: crashing}
 	for shard := range shards {
 		replica := random.IntN(2)
 		switch execution.State() {
@@ -171,10 +171,10 @@
 				f := newFleet()
 				for number := range herds {
 					began := time.Unix(1000, 0).Add(time.Duration(number) * herdGap)
-					crashing := drawHerd(random, began, shards)
-					for at := began.Add(-workRange); at.Before(began.Add(herdSpread)); at = at.Add(askedEvery) {
+					crashing := randomCrashes(random, began, shards)
+					for at := began.Add(-workRange); at.Before(began.Add(herdSpread)); at = at.Add(requestInterval) {
 						tries++
-						if playExecution(f, random, crashing, at.Add(time.Duration(random.Int64N(int64(askedEvery)))), shards) {
+						if simulateExecution(f, random, crashing, at.Add(time.Duration(random.Int64N(int64(requestInterval)))), shards) {
 							hits++
 						}
 					}
--- a/internal/quarantine/config.go
+++ b/internal/quarantine/config.go
@@ -6,17 +6,17 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// FatalProbes is the number of leafs that may crash under probes of one execution before it is given up. The evidence
+// CrashedProbesLimit is the number of leafs that may crash under probes of one execution before it is given up. The evidence
 // decides about the next execution.
-const FatalProbes = 1
+const CrashedProbesLimit = 1
 
 // Config sets what puts a request under quarantine, and for how long.
 type Config struct {
-	// Ends is the number of leafs that must have crashed under a request, Episodes the number of episodes of these
-	// crashes, and HerdEpisodes the same if other leafs are gone without a known cause.
-	Ends         int `yaml:"ends"`
-	Episodes     int `yaml:"episodes"`
-	HerdEpisodes int `yaml:"herd_episodes"`
+	// CrashedLeafs is the number of leafs that must have crashed under a request, Episodes the number of episodes of these
+	// crashes, and EpisodesIfOthersGone the same if other leafs are gone without a known cause.
+	CrashedLeafs         int `yaml:"ends"`
+	Episodes             int `yaml:"episodes"`
+	EpisodesIfOthersGone int `yaml:"herd_episodes"`
 	// SuspectMemory is how long evidence counts that is not enough yet.
 	SuspectMemory time.Duration `yaml:"suspect_memory"`
 	// RetestAfter is how long a request is refused until it is tried again at one leaf. RetestBackoffFactor is the
@@ -36,7 +36,7 @@
 // DefaultConfig lets a request crash three leafs, and tries it again after 10 minutes, an hour and six hours.
 func DefaultConfig() Config {
 	return Config{
-		Ends: 3, Episodes: 2, HerdEpisodes: 4, SuspectMemory: time.Minute,
+		CrashedLeafs: 3, Episodes: 2, EpisodesIfOthersGone: 4, SuspectMemory: time.Minute,
 		RetestAfter: 10 * time.Minute, RetestBackoffFactor: 6, MaximumRetests: 3,
 		Alert: time.Minute, MaximumSuspects: 1024, MaximumRecords: 256,
 	}
@@ -45,9 +45,9 @@
 // Validate returns an error that names every invalid field.
 func (c Config) Validate() error {
 	var checks failure.Checks
-	checks.Refuse(c.Ends < 1, "ends", "must be at least 1")
+	checks.Refuse(c.CrashedLeafs < 1, "ends", "must be at least 1")
 	checks.Refuse(c.Episodes < 1, "episodes", "must be at least 1")
-	checks.Refuse(c.HerdEpisodes < c.Episodes, "herd_episodes", "must be at least episodes")
+	checks.Refuse(c.EpisodesIfOthersGone < c.Episodes, "herd_episodes", "must be at least episodes")
 	checks.Refuse(c.SuspectMemory <= 0, "suspect_memory", "must be positive")
 	checks.Refuse(c.RetestAfter <= 0, "term", "must be positive")
 	checks.Refuse(c.RetestBackoffFactor < 1, "lengthening", "must be at least 1")
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -19,8 +19,8 @@
 type Evidence struct {
 	Subject
 	Crashes []Crash `json:"ends,omitempty"`
-	// InHerd says that other leafs, which the request was not at, were found gone.
-	InHerd bool `json:"in_herd,omitempty"`
+	// OthersGone says that other leafs, which the request was not at, were found gone.
+	OthersGone bool `json:"in_herd,omitempty"`
 }
 
 // suspect is a request under which leafs crashed, too few so far.
@@ -29,8 +29,8 @@
 	// episodes are the episodes of the crashes.
 	episodes map[string]uint64 // by leaf
 	lastAt   time.Time
-	// inHerd says that other leafs, which the request was not at, were found gone.
-	inHerd bool
+	// othersGone says that other leafs, which the request was not at, were found gone.
+	othersGone bool
 	// isOwn says that this node saw some of the crashes itself, isReported that it reported them to other nodes.
 	isOwn      bool
 	isReported bool
@@ -47,22 +47,22 @@
 // removeCrash removes the crash of a leaf that is attributed to another request.
 func (s *suspect) removeCrash(leaf string) { delete(s.episodes, leaf) }
 
-// isEnough decides whether the evidence puts the request under quarantine: Ends leafs crashed under it, in at least
-// Episodes episodes, or HerdEpisodes if other leafs are gone, too.
+// isEnough decides whether the evidence puts the request under quarantine: CrashedLeafs leafs crashed under it, in at least
+// Episodes episodes, or EpisodesIfOthersGone if other leafs are gone, too.
 //
 // Leafs that crash together for another reason make one episode for every request that was at them, so one episode
 // proves nothing. A second one means that the request was sent again, knowing of the first, and the leaf crashed
 // again. While other leafs go down as well, that may still be a coincidence.
 func (s *suspect) isEnough(cfg Config) bool {
-	if len(s.episodes) < cfg.Ends {
+	if len(s.episodes) < cfg.CrashedLeafs {
 		return false
 	}
 	seen := map[uint64]bool{}
 	for _, episode := range s.episodes {
 		seen[episode] = true
 	}
-	if s.inHerd {
-		return len(seen) >= cfg.HerdEpisodes
+	if s.othersGone {
+		return len(seen) >= cfg.EpisodesIfOthersGone
 	}
 	return len(seen) >= cfg.Episodes
 }
@@ -111,7 +111,7 @@
 		return Evidence{}, false
 	}
 	known.isReported = true
-	return Evidence{Subject: known.subject, Crashes: known.reportedCrashes(), InHerd: known.inHerd}, true
+	return Evidence{Subject: known.subject, Crashes: known.reportedCrashes(), OthersGone: known.othersGone}, true
 }
 
 // addEvidence adds evidence against a request, and puts it under quarantine if that is enough. Crashes attributed to
@@ -129,7 +129,7 @@
 		}
 	}
 	known.isOwn = known.isOwn || isOwn
-	known.inHerd = known.inHerd || evidence.InHerd
+	known.othersGone = known.othersGone || evidence.OthersGone
 	switch {
 	case len(known.episodes) == 0:
 		r.dropSuspect(evidence.Content)
@@ -164,12 +164,12 @@
 	if _, found := known.episodes[leaf]; found {
 		return false
 	}
-	known.inHerd = true
+	known.othersGone = true
 	return true
 }
 
-// Acquit drops the evidence against a request that was answered at another node.
-func (r *Register) Acquit(content fingerprint.Fingerprint) {
+// DropEvidence drops the evidence against a request that was answered at another node.
+func (r *Register) DropEvidence(content fingerprint.Fingerprint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.dropSuspect(content)
--- a/internal/quarantine/execution.go
+++ b/internal/quarantine/execution.go
@@ -21,9 +21,9 @@
 
 	isAnswered atomic.Bool
 	isStopped  atomic.Bool
-	// inHerd says that leafs were found gone that the request was not at.
-	inHerd atomic.Bool
-	stop   func()
+	// othersGone says that leafs were found gone that the request was not at.
+	othersGone atomic.Bool
+	stop       func()
 }
 
 // Begin begins an execution of a request. If its State is Quarantined, it must not go on. stop is called if it must
@@ -85,17 +85,17 @@
 		return
 	}
 	crash := Crash{Leaf: leaf, Episode: e.episode + uint64(number)}
-	e.register.addEvidence(Evidence{Subject: e.subject, Crashes: []Crash{crash}, InHerd: e.inHerd.Load()}, true)
+	e.register.addEvidence(Evidence{Subject: e.subject, Crashes: []Crash{crash}, OthersGone: e.othersGone.Load()}, true)
 }
 
 // LeafGone reports that a leaf was gone when the execution came to it.
 func (e *Execution) LeafGone(leaf string) {
-	if !e.inHerd.Load() && e.register.noteLeafGone(e.subject.Content, leaf) {
-		e.inHerd.Store(true)
+	if !e.othersGone.Load() && e.register.noteLeafGone(e.subject.Content, leaf) {
+		e.othersGone.Store(true)
 	}
 }
 
-// Answered reports that a leaf answered the request. That acquits it, because a request that crashes leafs never gets
+// Answered reports that a leaf answered the request. That clears it, because a request that crashes leafs never gets
 // an answer.
 func (e *Execution) Answered() {
 	if e.isAnswered.Swap(true) || e.register.suspectCount.Load() == 0 && !e.isRetest {
@@ -107,10 +107,10 @@
 	r.dropSuspect(e.subject.Content)
 	r.mu.Unlock()
 	if known != nil && known.isReported {
-		r.listener.Acquitted(e.subject)
+		r.listener.EvidenceDropped(e.subject)
 	}
 	if e.isRetest {
-		r.listener.Survived(*e.record)
+		r.listener.RetestAnswered(*e.record)
 	}
 }
 
--- a/internal/quarantine/quarantinesync/save.go
+++ b/internal/quarantine/quarantinesync/save.go
@@ -182,8 +182,8 @@
 	})
 }
 
-// Survived implements quarantine.Listener: the record is removed, so that the request goes to all leafs again.
-func (s *Sync) Survived(record quarantine.Record) {
+// RetestAnswered implements quarantine.Listener: the record is removed, so that the request goes to all leafs again.
+func (s *Sync) RetestAnswered(record quarantine.Record) {
 	s.enqueue(func(ctx context.Context) {
 		s.running.Go(func() {
 			current := s.deps.Catalog.Quarantine(record.Content)
--- a/internal/quarantine/quarantinesync/sync.go
+++ b/internal/quarantine/quarantinesync/sync.go
@@ -144,8 +144,8 @@
 	s.sendToAggregators(content, peer.Quarantine{Evidence: &evidence})
 }
 
-// Acquitted implements quarantine.Listener.
-func (s *Sync) Acquitted(subject quarantine.Subject) {
+// EvidenceDropped implements quarantine.Listener.
+func (s *Sync) EvidenceDropped(subject quarantine.Subject) {
 	s.sendToAggregators(subject.Content, peer.Quarantine{Answered: subject.Content})
 }
 
@@ -187,7 +187,7 @@
 	case message.Record != nil:
 		s.handleRecord(from, *message.Record)
 	case !message.Answered.IsZero():
-		s.deps.Register.Acquit(message.Answered)
+		s.deps.Register.DropEvidence(message.Answered)
 	}
 }
 
--- a/internal/quarantine/register.go
+++ b/internal/quarantine/register.go
@@ -4,7 +4,7 @@
 // Evidence against a request is the crash of a leaf that was working on it: the connection breaks off, and the leaf's
 // address refuses connections afterwards. A lost connection, silence, or a leaf that had announced its shutdown is no
 // evidence. Crashes are counted in episodes: the crashes seen by one attempt, or by several sent together, are one
-// episode; those of an attempt sent knowing of them are another. An answer from any leaf acquits a request. isEnough
+// episode; those of an attempt sent knowing of them are another. An answer from any leaf clears a request. isEnough
 // holds the rule for when the evidence suffices, isRetestDue the one for when a request is tried again.
 //
 // A Register keeps its state in memory, measures time by the clock that it is given, and starts no goroutine. Package
@@ -38,14 +38,14 @@
 type Listener interface {
 	// Suspected reports that this node saw a leaf crash under a request.
 	Suspected(subject Subject)
-	// Acquitted reports that a request which this node had reported to others was answered.
-	Acquitted(subject Subject)
+	// EvidenceDropped reports that a request which this node had reported to others was answered.
+	EvidenceDropped(subject Subject)
 	// Quarantined reports that this node put a request under quarantine.
 	Quarantined(record Record)
 	// RetestDue reports that a request under quarantine arrived again after RetestAfter.
 	RetestDue(record Record)
-	// Survived reports that a request under quarantine was answered by a leaf.
-	Survived(record Record)
+	// RetestAnswered reports that a request under quarantine was answered by a leaf.
+	RetestAnswered(record Record)
 }
 
 // Register decides which requests are suspects or under quarantine, by the leaf crashes under them. It is safe for
--- a/internal/quarantine/register_test.go
+++ b/internal/quarantine/register_test.go
@@ -32,11 +32,11 @@
 	return f
 }
 
-func (f *fleet) Suspected(subject Subject) { f.suspected = append(f.suspected, subject) }
-func (f *fleet) Acquitted(subject Subject) { f.acquitted = append(f.acquitted, subject) }
-func (f *fleet) Quarantined(record Record) { f.quarantined = append(f.quarantined, record) }
-func (f *fleet) RetestDue(record Record)   { f.due = append(f.due, record) }
-func (f *fleet) Survived(record Record)    { f.survived = append(f.survived, record) }
+func (f *fleet) Suspected(subject Subject)       { f.suspected = append(f.suspected, subject) }
+func (f *fleet) EvidenceDropped(subject Subject) { f.acquitted = append(f.acquitted, subject) }
+func (f *fleet) Quarantined(record Record)       { f.quarantined = append(f.quarantined, record) }
+func (f *fleet) RetestDue(record Record)         { f.due = append(f.due, record) }
+func (f *fleet) RetestAnswered(record Record)    { f.survived = append(f.survived, record) }
 
 // save puts a record into the store.
 func (f *fleet) save(record Record, revision int64) {
@@ -124,7 +124,7 @@
 	execution.LeafGone("leaf-3") // it crashed under the request
 	is.Equal(f.State(subject("a").Content), Suspect)
 	execution.LeafGone("another")
-	for probe := range DefaultConfig().HerdEpisodes - 1 {
+	for probe := range DefaultConfig().EpisodesIfOthersGone - 1 {
 		is.Equal(len(f.quarantined), 0)
 		execution.LeafCrashed(fmt.Sprint("probed-", probe), 1+probe)
 	}
@@ -164,7 +164,7 @@
 	is.Equal(len(f.quarantined), 0)
 }
 
-// A suspect that is answered at this node is acquitted here and at the nodes it was reported to.
+// A suspect that is answered at this node is cleared here and at the nodes it was reported to.
 func TestAnAnswerAcquitsEverywhere(t *testing.T) {
 	is := is.New(t)
 	f, aggregator := newFleet(), newFleet()
@@ -174,7 +174,7 @@
 	is.Equal(aggregator.State(subject("a").Content), Suspect)
 	f.Begin(subject("a"), func() {}).Answered()
 	is.Equal(len(f.acquitted), 1)
-	aggregator.Acquit(f.acquitted[0].Content)
+	aggregator.DropEvidence(f.acquitted[0].Content)
 	is.Equal(aggregator.State(subject("a").Content), Clear)
 }
 
--- a/internal/request/gateway/canary.go
+++ b/internal/request/gateway/canary.go
@@ -140,6 +140,6 @@
 	case result.Reason == reasonLeafError && response.Header.Get(e.gateway.names.ResponseStamp) != "":
 		counted.Observe(route, leaf, true, took)
 	case result.Reason == reasonBroken && result.Outcome == balancer.Abandoned:
-		counted.ObserveGivenUp(route, leaf, took)
+		counted.ObserveAbandoned(route, leaf, took)
 	}
 }
--- a/internal/request/gateway/canary_test.go
+++ b/internal/request/gateway/canary_test.go
@@ -172,7 +172,7 @@
 		for _, id := range []string{"s0c", "s0d", "s0e"} {
 			remembered.Leafs = append(remembered.Leafs, versionedLeaf(id, "v2", ""))
 		}
-		put(b.t, b.catalog, catalog.RememberedKey, remembered)
+		put(b.t, b.catalog, catalog.SavedLeafsKey, remembered)
 		b.enter(rollout.RolledBack)
 		put(b.t, b.catalog, catalog.LeafKey("s0d"), nil)
 		for _, id := range []string{"s0a", "s0b"} {
@@ -329,10 +329,10 @@
 // The end of an attempt counts as evidence of its leaf's version if it shows anything about the version.
 func TestEndsOfAttemptsAreCounted(t *testing.T) {
 	cases := map[string]struct {
-		answer   func(leaf string) (time.Duration, *leafhttp.Response, error)
-		answered int64
-		failed   int64
-		givenUp  int64
+		answer    func(leaf string) (time.Duration, *leafhttp.Response, error)
+		answered  int64
+		failed    int64
+		abandoned int64
 	}{
 		"success": {func(leaf string) (time.Duration, *leafhttp.Response, error) {
 			return time.Millisecond, answered(200, leaf), nil
@@ -371,7 +371,7 @@
 				after := b.canaryTally(is)
 				is.Equal(after.Answered.Total()-before.Answered.Total(), c.answered)
 				is.Equal(after.Failures-before.Failures, c.failed)
-				is.Equal(after.GivenUp.Total()-before.GivenUp.Total(), c.givenUp)
+				is.Equal(after.Abandoned.Total()-before.Abandoned.Total(), c.abandoned)
 			})
 		})
 	}
--- a/internal/request/gateway/crash_test.go
+++ b/internal/request/gateway/crash_test.go
@@ -31,11 +31,11 @@
 // noListener ignores what the register finds.
 type noListener struct{}
 
-func (noListener) Suspected(quarantine.Subject)  {}
-func (noListener) Acquitted(quarantine.Subject)  {}
-func (noListener) Quarantined(quarantine.Record) {}
-func (noListener) RetestDue(quarantine.Record)   {}
-func (noListener) Survived(quarantine.Record)    {}
+func (noListener) Suspected(quarantine.Subject)       {}
+func (noListener) EvidenceDropped(quarantine.Subject) {}
+func (noListener) Quarantined(quarantine.Record)      {}
+func (noListener) RetestDue(quarantine.Record)        {}
+func (noListener) RetestAnswered(quarantine.Record)   {}
 
 func newRegister() *quarantine.Register {
 	register := quarantine.NewRegister(quarantine.Deps{
@@ -137,7 +137,7 @@
 					synctest.Wait()
 					time.Sleep(2 * time.Millisecond) // until the leaf was checked
 				}
-				is.Equal(leafs.count(), quarantine.DefaultConfig().Ends)
+				is.Equal(leafs.count(), quarantine.DefaultConfig().CrashedLeafs)
 			})
 		})
 	}
@@ -181,14 +181,14 @@
 		register := newRegister()
 		register.AddRecord(quarantine.Record{Subject: quarantine.Subject{Content: DefaultConfig().fingerprintOf(newRequest("/pages/0"))}})
 		g := newGuardedGateway(t, leafs, register)
-		for count := 1; count <= quarantine.DefaultConfig().Ends; count++ {
+		for count := 1; count <= quarantine.DefaultConfig().CrashedLeafs; count++ {
 			_, err := g.Serve(t.Context(), newRequest("/pages/1"))
 			is.True(err != nil)
 			is.Equal(leafs.count(), count)
 		}
 		_, err := g.Serve(t.Context(), newRequest("/pages/1"))
 		is.True(failure.Is(err, failure.Quarantined))
-		is.Equal(leafs.count(), quarantine.DefaultConfig().Ends)
+		is.Equal(leafs.count(), quarantine.DefaultConfig().CrashedLeafs)
 
 		leafs.survives = func(string) bool { return true }
 		began := time.Now()
--- a/internal/request/gateway/group_call.go
+++ b/internal/request/gateway/group_call.go
@@ -79,12 +79,12 @@
 // run waits for the group. If its node returned nothing, and may not have spent all attempts, another node is asked;
 // otherwise package scatter asks the leafs from here, as far as the result allows.
 func (p *groupCall) run(ctx context.Context, call *servingtree.Call, done groupDone) groupResult {
-	for asked := 1; ; asked++ {
+	for queried := 1; ; queried++ {
 		began := time.Now()
 		ended := p.await(ctx, call, done)
 		p.recordEnd(ended, time.Since(began))
 		result := p.withSpent(ended.result)
-		if asked == maximumIntermediates || result.Replies != nil || result.Final || result.BrokeOff || p.gotPartial || ended.outcome == GroupCancelled {
+		if queried == maximumIntermediates || result.Replies != nil || result.Final || result.BrokeOff || p.gotPartial || ended.outcome == GroupCancelled {
 			return result
 		}
 		node, found := p.root.choose(p.group.zones)
--- a/internal/request/gateway/group_reply.go
+++ b/internal/request/gateway/group_reply.go
@@ -166,8 +166,8 @@
 }
 
 // keepGroupFailure keeps the failure of a group that has all shards of the request.
-func (e *execution) keepGroupFailure(asked group, failed *servingtree.Failure) {
-	if len(asked.shards) < len(e.services) {
+func (e *execution) keepGroupFailure(g group, failed *servingtree.Failure) {
+	if len(g.shards) < len(e.services) {
 		return
 	}
 	e.mu.Lock()
--- a/internal/request/gateway/quarantine.go
+++ b/internal/request/gateway/quarantine.go
@@ -81,7 +81,7 @@
 }
 
 // probeSuspects sets how a plan limits the leafs that a request may crash: the attempts of a suspect are probes, sent
-// one at a time; the request is given up after FatalProbes leafs crashed during probes; and a gathered request has one
+// one at a time; the request is given up after CrashedProbesLimit leafs crashed during probes; and a gathered request has one
 // attempt ahead of the others during an alert. A group for another node is given up instead of probed: probes of each
 // group would crash more leafs than those of the root alone.
 func (e *execution) probeSuspects(plan *scatter.Plan) {
@@ -90,7 +90,7 @@
 	}
 	plan.NoProbes = e.partial != nil
 	plan.Cautious = e.quarantineState() == quarantine.Suspect
-	plan.CrashedProbesLimit = quarantine.FatalProbes
+	plan.CrashedProbesLimit = quarantine.CrashedProbesLimit
 	if e.tracked.IsAlert() && e.isGathered() && e.partial == nil {
 		plan.HeadStart = max(minimumHeadStart, headStartFactor*e.gatheredLatency.typical())
 	}
--- a/internal/request/scatter/caution_test.go
+++ b/internal/request/scatter/caution_test.go
@@ -44,7 +44,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		started := time.Now()
-		_, summary, watched := play(t.Context(), cautionPlan(&testPolicy{budget: 100}), func(string, Attempt) (time.Duration, Result[string]) {
+		_, summary, watched := run(t.Context(), cautionPlan(&testPolicy{budget: 100}), func(string, Attempt) (time.Duration, Result[string]) {
 			return workTime, broke(true)
 		})
 		is.Equal(summary.Attempts, manyShards+1)
@@ -60,14 +60,14 @@
 		is := is.New(t)
 		plan := cautionPlan(&testPolicy{budget: 100})
 		plan.Cautious = true
-		outcomes, summary, _ := play(t.Context(), plan, func(string, Attempt) (time.Duration, Result[string]) { return workTime, broke(true) })
+		outcomes, summary, _ := run(t.Context(), plan, func(string, Attempt) (time.Duration, Result[string]) { return workTime, broke(true) })
 		is.Equal(summary.Attempts, 1)
 		is.Equal(outcomes[manyShards-1].Reason, LeafsCrashed)
 
 		plan = cautionPlan(&testPolicy{budget: 100})
 		plan.Cautious = true
 		started := time.Now()
-		_, summary, _ = play(t.Context(), plan, func(string, Attempt) (time.Duration, Result[string]) { return workTime, replied("well") })
+		_, summary, _ = run(t.Context(), plan, func(string, Attempt) (time.Duration, Result[string]) { return workTime, replied("well") })
 		is.Equal(summary.Replies, manyShards)
 		is.Equal(summary.Attempts, manyShards)
 		is.Equal(time.Since(started), 2*workTime) // the others were sent with the first answer
@@ -79,7 +79,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		started := time.Now()
-		_, summary, _ := play(t.Context(), cautionPlan(&testPolicy{budget: 100}), func(leaf string, _ Attempt) (time.Duration, Result[string]) {
+		_, summary, _ := run(t.Context(), cautionPlan(&testPolicy{budget: 100}), func(leaf string, _ Attempt) (time.Duration, Result[string]) {
 			if leaf == "A1" {
 				return time.Millisecond, broke(true)
 			}
@@ -95,7 +95,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		started := time.Now()
-		_, summary, _ := play(t.Context(), cautionPlan(&testPolicy{budget: 100}), func(_ string, attempt Attempt) (time.Duration, Result[string]) {
+		_, summary, _ := run(t.Context(), cautionPlan(&testPolicy{budget: 100}), func(_ string, attempt Attempt) (time.Duration, Result[string]) {
 			if attempt.Kind == First {
 				return time.Millisecond, broke(false)
 			}
@@ -113,7 +113,7 @@
 		plan := cautionPlan(&testPolicy{budget: 100})
 		plan.Cautious = true
 		started := time.Now()
-		_, summary, _ := play(t.Context(), plan, func(_ string, attempt Attempt) (time.Duration, Result[string]) {
+		_, summary, _ := run(t.Context(), plan, func(_ string, attempt Attempt) (time.Duration, Result[string]) {
 			if attempt.Shard == 0 {
 				return time.Hour, replied("never")
 			}
@@ -131,13 +131,13 @@
 		started := time.Now()
 		plan := cautionPlan(&testPolicy{budget: 100})
 		plan.NoProbes = true
-		_, summary, _ := play(t.Context(), plan, func(string, Attempt) (time.Duration, Result[string]) { return workTime, broke(true) })
+		_, summary, _ := run(t.Context(), plan, func(string, Attempt) (time.Duration, Result[string]) { return workTime, broke(true) })
 		is.Equal(summary.Attempts, manyShards)
 		is.True(summary.StoppedByCrashes)
 		is.Equal(time.Since(started), workTime)
 
 		plan.Cautious = true
-		_, summary, _ = play(t.Context(), plan, func(string, Attempt) (time.Duration, Result[string]) { return workTime, broke(true) })
+		_, summary, _ = run(t.Context(), plan, func(string, Attempt) (time.Duration, Result[string]) { return workTime, broke(true) })
 		is.Equal(summary.Attempts, 0)
 		is.True(summary.StoppedByCrashes)
 	})
--- a/internal/request/scatter/group_test.go
+++ b/internal/request/scatter/group_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-func playGroups(ctx context.Context, plan Plan, groups *groupScript, script script) ([]Outcome[string], Summary, *watcher) {
+func runGroups(ctx context.Context, plan Plan, groups *groupScript, script script) ([]Outcome[string], Summary, *watcher) {
 	watched := &watcher{script: script}
 	work := New(plan, Deps[string]{
 		Balancer: balancer.New(balancer.DefaultConfig(), ""), Start: InBackground(watched.run), StartGroup: groups.start(plan),
@@ -165,7 +165,7 @@
 				if c.soft > 0 {
 					plan.SoftDeadline = time.Now().Add(c.soft)
 				}
-				outcomes, summary, watched := playGroups(t.Context(), plan, &groupScript{steps: [][]groupStep{c.steps}}, ownAnswer)
+				outcomes, summary, watched := runGroups(t.Context(), plan, &groupScript{steps: [][]groupStep{c.steps}}, ownAnswer)
 				replies := 0
 				for shard, want := range c.want {
 					got := ""
@@ -194,7 +194,7 @@
 			Shards: shards(2, &testPolicy{}), Groups: []Group{{Shards: []int{1}}}, Sufficient: 1,
 			Deadline: time.Now().Add(time.Minute), SoftDeadline: time.Now().Add(50 * ms), MaximumAttempts: 1,
 		}
-		_, summary, _ := playGroups(t.Context(), plan, groups, ownAnswer)
+		_, summary, _ := runGroups(t.Context(), plan, groups, ownAnswer)
 		synctest.Wait()
 		is.True(summary.EndedAtSoftDeadline)
 		is.Equal(groups.causes, []error{errSuperseded})
@@ -210,7 +210,7 @@
 			Deadline: time.Now().Add(time.Second), MaximumAttempts: 2,
 		}
 		groups := &groupScript{steps: [][]groupStep{{{20 * ms, GroupResult[string]{Execution: Unknown}}}}}
-		_, summary, watched := playGroups(t.Context(), plan, groups, ownAnswer)
+		_, summary, watched := runGroups(t.Context(), plan, groups, ownAnswer)
 		is.Equal(len(queried(watched, Retry)), 1)
 		is.Equal(summary.Replies, 2)
 	})
@@ -229,7 +229,7 @@
 			}
 			groups := &groupScript{steps: draw.steps}
 			violated := false
-			outcomes, summary, watched := playGroups(t.Context(), plan, groups, func(_ string, attempt Attempt) (time.Duration, Result[string]) {
+			outcomes, summary, watched := runGroups(t.Context(), plan, groups, func(_ string, attempt Attempt) (time.Duration, Result[string]) {
 				groups.mu.Lock()
 				violated = violated || groups.inFlight[attempt.Shard]
 				groups.mu.Unlock()
@@ -330,7 +330,7 @@
 				for shard := range plan.Shards {
 					plan.Shards[shard].Spent = one.spent
 				}
-				_, _, watched := playGroups(t.Context(), plan, &groupScript{}, func(string, Attempt) (time.Duration, Result[string]) {
+				_, _, watched := runGroups(t.Context(), plan, &groupScript{}, func(string, Attempt) (time.Duration, Result[string]) {
 					return ms, replied("own")
 				})
 				is.Equal(len(queried(watched, First)), one.firsts)
--- a/internal/request/scatter/not_run_test.go
+++ b/internal/request/scatter/not_run_test.go
@@ -129,8 +129,8 @@
 	return cancel
 }
 
-// play plays a case and returns the reported execution.
-func (c *notRunCase) play(t *testing.T) (reported Execution) {
+// execute runs a case and returns the reported execution.
+func (c *notRunCase) execute(t *testing.T) (reported Execution) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), c.givesUp)
 		defer cancel()
@@ -152,7 +152,7 @@
 func TestNotRunIsTold(t *testing.T) {
 	rapid.Check(t, func(drawn *rapid.T) {
 		c := drawCase(drawn)
-		if reported := c.play(t); reported == NotRun && c.hasBegun.Load() {
+		if reported := c.execute(t); reported == NotRun && c.hasBegun.Load() {
 			drawn.Fatal("reported as not run, although a leaf had started to run it")
 		}
 	})
--- a/internal/request/scatter/scatter_test.go
+++ b/internal/request/scatter/scatter_test.go
@@ -92,7 +92,7 @@
 	return list
 }
 
-func play(ctx context.Context, plan Plan, script script) ([]Outcome[string], Summary, *watcher) {
+func run(ctx context.Context, plan Plan, script script) ([]Outcome[string], Summary, *watcher) {
 	watched := &watcher{script: script}
 	work := New(plan, Deps[string]{
 		Balancer: balancer.New(balancer.DefaultConfig(), ""), Start: InBackground(watched.run), Observer: watched, Superseded: errSuperseded,
@@ -106,7 +106,7 @@
 		is := is.New(t)
 		started := time.Now()
 		plan := Plan{Shards: shards(1, &testPolicy{hedgeAfter: 20 * time.Millisecond, budget: 1}), Deadline: started.Add(time.Second), MaximumAttempts: 2}
-		outcomes, summary, _ := play(t.Context(), plan, func(_ string, attempt Attempt) (time.Duration, Result[string]) {
+		outcomes, summary, _ := run(t.Context(), plan, func(_ string, attempt Attempt) (time.Duration, Result[string]) {
 			if attempt.Kind == First {
 				return 500 * time.Millisecond, replied("slow")
 			}
@@ -127,7 +127,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				plan := Plan{Shards: shards(1, policy), Deadline: time.Now().Add(time.Second), MaximumAttempts: 2}
-				outcomes, summary, _ := play(t.Context(), plan, func(string, Attempt) (time.Duration, Result[string]) {
+				outcomes, summary, _ := run(t.Context(), plan, func(string, Attempt) (time.Duration, Result[string]) {
 					return 100 * time.Millisecond, replied("first")
 				})
 				is.Equal(*outcomes[0].Reply, "first")
@@ -153,7 +153,7 @@
 					Shards: shards(4, &testPolicy{}), Deadline: started.Add(time.Second),
 					SoftDeadline: started.Add(100 * time.Millisecond), Sufficient: one.sufficient, MaximumAttempts: 1,
 				}
-				outcomes, summary, _ := play(t.Context(), plan, func(_ string, attempt Attempt) (time.Duration, Result[string]) {
+				outcomes, summary, _ := run(t.Context(), plan, func(_ string, attempt Attempt) (time.Duration, Result[string]) {
 					if attempt.Shard == 0 {
 						return 300 * time.Millisecond, replied("late")
 					}
@@ -175,7 +175,7 @@
 		is := is.New(t)
 		started := time.Now()
 		plan := Plan{Shards: shards(4, &testPolicy{}), Deadline: started.Add(time.Second), Sufficient: 4, MaximumAttempts: 1}
-		_, summary, _ := play(t.Context(), plan, func(_ string, attempt Attempt) (time.Duration, Result[string]) {
+		_, summary, _ := run(t.Context(), plan, func(_ string, attempt Attempt) (time.Duration, Result[string]) {
 			if attempt.Shard == 0 {
 				return 5 * time.Millisecond, failedRun(Ran)
 			}
@@ -195,7 +195,7 @@
 			Shards: shards(1, policy), Deadline: time.Now().Add(200 * time.Millisecond), Sufficient: 1,
 			MaximumAttempts: 2, MaximumRefusals: 5, ReplicaWait: 10 * time.Millisecond,
 		}
-		_, summary, watched := play(t.Context(), plan, func(string, Attempt) (time.Duration, Result[string]) {
+		_, summary, watched := run(t.Context(), plan, func(string, Attempt) (time.Duration, Result[string]) {
 			return time.Millisecond, Result[string]{Reason: Shed, Execution: NotRun, Outcome: balancer.Shed}
 		})
 		is.Equal(len(watched.began), 2) // the first, and the one retry that the budget allows
@@ -210,7 +210,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		time.AfterFunc(30*time.Millisecond, cancel)
 		plan := Plan{Shards: shards(3, &testPolicy{}), Deadline: started.Add(time.Second), MaximumAttempts: 1}
-		_, _, watched := play(ctx, plan, func(string, Attempt) (time.Duration, Result[string]) { return time.Minute, replied("") })
+		_, _, watched := run(ctx, plan, func(string, Attempt) (time.Duration, Result[string]) { return time.Minute, replied("") })
 		is.Equal(time.Since(started), 30*time.Millisecond)
 		synctest.Wait()
 		is.Equal(watched.ended, 3)
@@ -231,7 +231,7 @@
 				Shards: shards(1, &testPolicy{hedgeAfter: 5 * time.Millisecond, budget: 100}), Deadline: time.Now().Add(time.Second), Sufficient: 1,
 				AtMostOnce: atMostOnce, MaximumAttempts: maximum, MaximumRefusals: 3, ReplicaWait: 10 * time.Millisecond,
 			}
-			play(t.Context(), plan, func(string, Attempt) (time.Duration, Result[string]) {
+			run(t.Context(), plan, func(string, Attempt) (time.Duration, Result[string]) {
 				mutex.Lock()
 				defer mutex.Unlock()
 				ending := endings[index%len(endings)]
--- a/internal/request/search/quarantine.go
+++ b/internal/request/search/quarantine.go
@@ -56,7 +56,7 @@
 		return
 	}
 	plan.Cautious = s.query.tracked.State() == quarantine.Suspect
-	plan.CrashedProbesLimit = quarantine.FatalProbes
+	plan.CrashedProbesLimit = quarantine.CrashedProbesLimit
 }
 
 // learn records what the end of an attempt says about the search. After a call broke off, it checks whether the leaf has
--- a/internal/request/search/quarantine_test.go
+++ b/internal/request/search/quarantine_test.go
@@ -20,11 +20,11 @@
 // noListener ignores all findings.
 type noListener struct{}
 
-func (noListener) Suspected(quarantine.Subject)  {}
-func (noListener) Acquitted(quarantine.Subject)  {}
-func (noListener) Quarantined(quarantine.Record) {}
-func (noListener) RetestDue(quarantine.Record)   {}
-func (noListener) Survived(quarantine.Record)    {}
+func (noListener) Suspected(quarantine.Subject)       {}
+func (noListener) EvidenceDropped(quarantine.Subject) {}
+func (noListener) Quarantined(quarantine.Record)      {}
+func (noListener) RetestDue(quarantine.Record)        {}
+func (noListener) RetestAnswered(quarantine.Record)   {}
 
 // A search that crashes the leafs that run it is sent to no more of them, whatever id it is repeated under; if only the calls
 // broke off, it is.
--- a/internal/rollout/canary/stage_test.go
+++ b/internal/rollout/canary/stage_test.go
@@ -187,7 +187,7 @@
 func TestBarredLeafsMayNotBeAsked(t *testing.T) {
 	is := is.New(t)
 	built, splitter, specID := started(t, 0)
-	built.put(catalog.RememberedKey, leafset.List{Leafs: []leafset.Record{
+	built.put(catalog.SavedLeafsKey, leafset.List{Leafs: []leafset.Record{
 		{Name: "old", Service: "s", Address: "127.0.0.1:1", Version: target, State: leafset.Ready},
 		{Name: "other", Service: "s", Address: "127.0.0.1:1", Version: before, State: leafset.Ready},
 	}})
--- a/internal/rollout/evidence/collector.go
+++ b/internal/rollout/evidence/collector.go
@@ -46,12 +46,12 @@
 	c.count(route, leaf, func(tally *Tally) { tally.Observe(failed, took) })
 }
 
-// ObserveGivenUp counts an attempt that was given up without an answer.
-func (c *Collector) ObserveGivenUp(route string, leaf *leafset.Leaf, took time.Duration) {
+// ObserveAbandoned counts an attempt that was given up without an answer.
+func (c *Collector) ObserveAbandoned(route string, leaf *leafset.Leaf, took time.Duration) {
 	if !c.IsCounted(leaf) {
 		return
 	}
-	c.count(route, leaf, func(tally *Tally) { tally.ObserveGivenUp(took) })
+	c.count(route, leaf, func(tally *Tally) { tally.ObserveAbandoned(took) })
 }
 
 // IsCounted reports whether a leaf's attempts are counted now.
@@ -137,6 +137,6 @@
 // copy returns a copy of the row.
 func (c *collected) copy() Row {
 	row := c.Row
-	row.Answered, row.GivenUp = slices.Clone(row.Answered), slices.Clone(row.GivenUp)
+	row.Answered, row.Abandoned = slices.Clone(row.Answered), slices.Clone(row.Abandoned)
 	return row
 }
--- a/internal/rollout/evidence/collector_test.go
+++ b/internal/rollout/evidence/collector_test.go
@@ -56,7 +56,7 @@
 		leaf("a", "s", "v1"), leaf("b", "s", "v1"), leaf("c", "s", "v2"), leaf("d", "s", "v2"), leaf("e", "s", "v3"), leaf("f", "other", "v1"),
 	} {
 		c.Observe("r", one, one.ID == "c", time.Millisecond)
-		c.ObserveGivenUp("r", one, time.Second)
+		c.ObserveAbandoned("r", one, time.Second)
 	}
 	c.Observe("q", leaf("a", "s", "v1"), false, time.Millisecond)
 	attempts := map[Key]int64{}
--- a/internal/rollout/evidence/evidence.go
+++ b/internal/rollout/evidence/evidence.go
@@ -36,9 +36,9 @@
 	Failures int64 `json:"failures,omitempty"`
 	// Answered counts all answers by latency.
 	Answered Histogram `json:"answered,omitempty"`
-	// GivenUp counts the attempts that were given up without an answer, by their time until then; the answer would
+	// Abandoned counts the attempts that were given up without an answer, by their time until then; the answer would
 	// have taken longer.
-	GivenUp Histogram `json:"given_up,omitempty"`
+	Abandoned Histogram `json:"given_up,omitempty"`
 }
 
 // Observe counts an answer.
@@ -49,24 +49,24 @@
 	t.Answered.observe(took)
 }
 
-// ObserveGivenUp counts an attempt without an answer.
-func (t *Tally) ObserveGivenUp(took time.Duration) { t.GivenUp.observe(took) }
+// ObserveAbandoned counts an attempt without an answer.
+func (t *Tally) ObserveAbandoned(took time.Duration) { t.Abandoned.observe(took) }
 
 // Attempts returns the number of attempts.
-func (t *Tally) Attempts() int64 { return t.Answered.Total() + t.GivenUp.Total() }
+func (t *Tally) Attempts() int64 { return t.Answered.Total() + t.Abandoned.Total() }
 
 // Add adds the counts of another tally.
 func (t *Tally) Add(other Tally) {
 	t.Failures += other.Failures
 	t.Answered.add(other.Answered)
-	t.GivenUp.add(other.GivenUp)
+	t.Abandoned.add(other.Abandoned)
 }
 
 // Slow returns the number of attempts that took longer than a limit, and the number for which that is known. It is
 // unknown for attempts that were given up before the limit.
 func (t *Tally) Slow(limit time.Duration) (slow, known int64) {
-	slow = t.Answered.Above(limit) + t.GivenUp.Above(limit)
-	return slow, t.Answered.Total() + t.GivenUp.Above(limit)
+	slow = t.Answered.Above(limit) + t.Abandoned.Above(limit)
+	return slow, t.Answered.Total() + t.Abandoned.Above(limit)
 }
 
 // The first bucket of a histogram ends at minLatency, each other at 2^(1/stepsPerDoubling) times the one before it. So 48
--- a/internal/rollout/evidence/evidence_test.go
+++ b/internal/rollout/evidence/evidence_test.go
@@ -30,8 +30,8 @@
 		first.Observe(i%10 == 0, took)
 		both.Observe(i%10 == 0, took)
 	}
-	second.ObserveGivenUp(5 * time.Second)
-	both.ObserveGivenUp(5 * time.Second)
+	second.ObserveAbandoned(5 * time.Second)
+	both.ObserveAbandoned(5 * time.Second)
 	first.Add(second)
 	is.Equal(first, both)
 	is.Equal(first.Attempts(), int64(101))
@@ -46,8 +46,8 @@
 	var tally Tally
 	tally.Observe(false, 5*time.Millisecond)
 	tally.Observe(false, 500*time.Millisecond)
-	tally.ObserveGivenUp(5 * time.Millisecond)
-	tally.ObserveGivenUp(500 * time.Millisecond)
+	tally.ObserveAbandoned(5 * time.Millisecond)
+	tally.ObserveAbandoned(500 * time.Millisecond)
 	slow, known := tally.Slow(50 * time.Millisecond)
 	is.Equal(slow, int64(2))
 	is.Equal(known, int64(3))
--- a/internal/rollout/rolloutcontrol/reports_test.go
+++ b/internal/rollout/rolloutcontrol/reports_test.go
@@ -26,7 +26,7 @@
 		},
 		Tally: evidence.Tally{
 			Failures: rapid.Int64Range(0, 1000).Draw(t, "failures"),
-			Answered: counts.Draw(t, "answered"), GivenUp: counts.Draw(t, "given up"),
+			Answered: counts.Draw(t, "answered"), Abandoned: counts.Draw(t, "given up"),
 		},
 	}
 }
@@ -51,7 +51,7 @@
 			t.Fatalf("%d of %d rows: %v", len(got), len(sent), err)
 		}
 		for index, row := range got {
-			if row.Key != sent[index].Key || row.Failures != sent[index].Failures || !sameCounts(row.Answered, sent[index].Answered) || !sameCounts(row.GivenUp, sent[index].GivenUp) {
+			if row.Key != sent[index].Key || row.Failures != sent[index].Failures || !sameCounts(row.Answered, sent[index].Answered) || !sameCounts(row.Abandoned, sent[index].Abandoned) {
 				t.Fatalf("got %v of %v", row, sent[index])
 			}
 		}
--- a/internal/rollout/verdict/config.go
+++ b/internal/rollout/verdict/config.go
@@ -25,14 +25,14 @@
 	// SlowFactors are the multiples of the serving version's median from which an answer is late. A low one detects a
 	// version that is slower throughout, a high one a version of which some answers are much slower.
 	SlowFactors []float64 `yaml:"slow_factors"`
-	// Way is added to each of these limits: the round trip between zones.
-	Way time.Duration `yaml:"way"`
+	// RoundTrip is added to each of these limits: the round trip between zones.
+	RoundTrip time.Duration `yaml:"way"`
 	// LeafFraction is the largest fraction of the threshold that one of two leafs may contribute; above 0.5 two bad leafs suffice.
 	LeafFraction float64 `yaml:"leaf_part"`
-	// Alike is the correlation of late answers of one leaf within Moment, 0 to 1.
-	Alike float64 `yaml:"alike"`
-	// Moment is the longest pause of a leaf that is normal.
-	Moment time.Duration `yaml:"moment"`
+	// Correlation is the correlation of late answers of one leaf within Moment, 0 to 1.
+	Correlation float64 `yaml:"alike"`
+	// LongestPause is the longest pause of a leaf that is normal.
+	LongestPause time.Duration `yaml:"moment"`
 	// ColdFor is how long a new leaf may be slow, and ColdFactor the multiple of its limits until then.
 	ColdFor    time.Duration `yaml:"cold_for"`
 	ColdFactor float64       `yaml:"cold_factor"`
@@ -58,10 +58,10 @@
 		// Twofold steps: from a version that is slower throughout to one of which some answers are much slower.
 		SlowFactors: []float64{1, 2, 4},
 		// Round trip between zones of one region.
-		Way: 2 * time.Millisecond,
+		RoundTrip: 2 * time.Millisecond,
 		// Just above half, so that two bad leafs suffice and one never does.
 		LeafFraction: 0.6,
-		Alike:        0.3, Moment: 250 * time.Millisecond,
+		Correlation:  0.3, LongestPause: 250 * time.Millisecond,
 		ColdFor: 4 * time.Second, ColdFactor: 2,
 		Recent: time.Second,
 		// The reports of all nodes come in within about a second.
@@ -82,10 +82,10 @@
 	checks.Refuse(!isFraction(c.LeastBadShare), "least_bad_share", "must be between 0 and 1")
 	checks.Refuse(!isFraction(c.LeastSlowShare), "least_slow_share", "must be between 0 and 1")
 	checks.Refuse(!areAtLeastOne(c.SlowFactors), "slow_factors", "must be at least 1")
-	checks.Refuse(c.Way < 0, "way", "must not be negative")
+	checks.Refuse(c.RoundTrip < 0, "way", "must not be negative")
 	checks.Refuse(!isFraction(c.LeafFraction), "leaf_part", "must be between 0 and 1")
-	checks.Refuse(c.Alike < 0 || c.Alike > 1, "alike", "must be between 0 and 1")
-	checks.Refuse(c.Moment <= 0, "moment", "must be positive")
+	checks.Refuse(c.Correlation < 0 || c.Correlation > 1, "alike", "must be between 0 and 1")
+	checks.Refuse(c.LongestPause <= 0, "moment", "must be positive")
 	checks.Refuse(c.ColdFor < 0, "cold_for", "must not be negative")
 	checks.Refuse(c.ColdFactor < 1, "cold_factor", "must be at least 1")
 	checks.Refuse(c.Recent <= 0, "recent", "must be positive")
--- a/internal/rollout/verdict/helpers_test.go
+++ b/internal/rollout/verdict/helpers_test.go
@@ -25,10 +25,10 @@
 	}
 }
 
-// giveUp counts attempts at a leaf that were given up without an answer.
-func (c counts) giveUp(version string, leaf, n int, after time.Duration) {
+// abandon counts attempts at a leaf that were given up without an answer.
+func (c counts) abandon(version string, leaf, n int, after time.Duration) {
 	for range n {
-		c.of(version, leaf).ObserveGivenUp(after)
+		c.of(version, leaf).ObserveAbandoned(after)
 	}
 }
 
@@ -62,8 +62,8 @@
 	return verdict.New(verdict.DefaultConfig(), "v1", "v2", specDuration)
 }
 
-// play updates an evaluator every half second from one time to another, after grow has added to the counts.
-func play(t *verdict.Evaluator, c counts, from, to time.Duration, grow func()) verdict.Evaluation {
+// feed updates an evaluator every half second from one time to another, after grow has added to the counts.
+func feed(t *verdict.Evaluator, c counts, from, to time.Duration, grow func()) verdict.Evaluation {
 	var j verdict.Evaluation
 	for at := from; at <= to; at += 500 * time.Millisecond {
 		grow()
--- a/internal/rollout/verdict/increment.go
+++ b/internal/rollout/verdict/increment.go
@@ -33,7 +33,7 @@
 type increment struct {
 	key     evidence.Key
 	signals []ratio
-	// moments is the number of moments (Config.Moment), at least one, over which the late and timely answers came in.
+	// moments is the number of moments (Config.LongestPause), at least one, over which the late and timely answers came in.
 	moments float64
 }
 
@@ -92,7 +92,7 @@
 	if len(limits) == 0 {
 		return increment{row.Key, signals, 1}
 	}
-	moments := max(1, float64(elapsed-l.timedAt)/float64(cfg.Moment))
+	moments := max(1, float64(elapsed-l.timedAt)/float64(cfg.LongestPause))
 	for i, limit := range limits {
 		late := lateSince(row.Tally, l.timed, limit)
 		signals[i+1] = late.times(cfg.discount(late.all / moments))
@@ -113,9 +113,9 @@
 
 // discount returns the weight of each of n answers of a leaf within a moment: a pause of the leaf delays all of them
 // together.
-func (c *Config) discount(n float64) float64 { return 1 / (1 + max(0, n-1)*c.Alike) }
+func (c *Config) discount(n float64) float64 { return 1 / (1 + max(0, n-1)*c.Correlation) }
 
 func clone(tally evidence.Tally) evidence.Tally {
-	tally.Answered, tally.GivenUp = slices.Clone(tally.Answered), slices.Clone(tally.GivenUp)
+	tally.Answered, tally.Abandoned = slices.Clone(tally.Answered), slices.Clone(tally.Abandoned)
 	return tally
 }
--- a/internal/rollout/verdict/limits.go
+++ b/internal/rollout/verdict/limits.go
@@ -29,7 +29,7 @@
 func (c *Config) limits(median time.Duration) []time.Duration {
 	var limits []time.Duration
 	for _, factor := range c.SlowFactors {
-		limits = append(limits, time.Duration(factor*float64(median))+c.Way)
+		limits = append(limits, time.Duration(factor*float64(median))+c.RoundTrip)
 	}
 	return limits
 }
--- a/internal/rollout/verdict/verdict_test.go
+++ b/internal/rollout/verdict/verdict_test.go
@@ -18,8 +18,8 @@
 func TestCleanVersionIsGoodButNotBeforeHalf(t *testing.T) {
 	is := is.New(t)
 	evaluator, c := newEvaluator(), counts{}
-	is.Equal(play(evaluator, c, 0, specDuration/2, func() { c.both(3) }).Finding, verdict.Undecided)
-	j := play(evaluator, c, specDuration/2, specDuration*65/100, func() { c.both(3) })
+	is.Equal(feed(evaluator, c, 0, specDuration/2, func() { c.both(3) }).Finding, verdict.Undecided)
+	j := feed(evaluator, c, specDuration/2, specDuration*65/100, func() { c.both(3) })
 	is.Equal(j.Finding, verdict.Good)
 	is.Equal(j.Canary.Failures, int64(0))
 	is.True(j.Canary.Attempts > 0 && j.Serving.Attempts == 10*j.Canary.Attempts)
@@ -28,7 +28,7 @@
 func TestBadIsFoundByFailuresAndTold(t *testing.T) {
 	is := is.New(t)
 	evaluator, c := newEvaluator(), counts{}
-	play(evaluator, c, 0, time.Second, func() { c.both(3) })
+	feed(evaluator, c, 0, time.Second, func() { c.both(3) })
 	for leaf := range leafs {
 		c.answers("v2", leaf, 3, 3, normalLatency)
 	}
@@ -43,18 +43,18 @@
 func TestBadStays(t *testing.T) {
 	is := is.New(t)
 	evaluator, c := newEvaluator(), counts{}
-	play(evaluator, c, 0, time.Second, func() { c.both(1) })
+	feed(evaluator, c, 0, time.Second, func() { c.both(1) })
 	for leaf := range leafs {
 		c.answers("v2", leaf, 5, 5, normalLatency)
 	}
 	is.Equal(evaluator.Update(2*time.Second, c.rows()).Finding, verdict.Bad)
-	is.Equal(play(evaluator, c, 3*time.Second, specDuration, func() { c.both(100) }).Finding, verdict.Bad)
+	is.Equal(feed(evaluator, c, 3*time.Second, specDuration, func() { c.both(100) }).Finding, verdict.Bad)
 }
 
 func TestOneLeafDoesNotCondemn(t *testing.T) {
 	is := is.New(t)
 	evaluator, c := newEvaluator(), counts{}
-	j := play(evaluator, c, 0, specDuration*65/100, func() {
+	j := feed(evaluator, c, 0, specDuration*65/100, func() {
 		c.both(3)
 		c.answers("v2", 0, 20, 20, 8*normalLatency)
 	})
@@ -66,7 +66,7 @@
 	is := is.New(t)
 	for pause := 5 * time.Second; pause < specDuration; pause += time.Second / 2 {
 		evaluator, c := newEvaluator(), counts{}
-		play(evaluator, c, 0, pause, func() {
+		feed(evaluator, c, 0, pause, func() {
 			c.both(1)
 			c.answers("v2", 0, 5, 0, 8*normalLatency)
 		})
@@ -91,14 +91,14 @@
 		c.answers("v1", 0, 20, 0, normalLatency)
 		c.answers("v2", 0, 2, 2, normalLatency)
 	}
-	is.Equal(play(evaluator, c, 0, specDuration/2, grow).Finding, verdict.Undecided)
-	is.Equal(play(evaluator, c, specDuration/2, specDuration, grow).Finding, verdict.Bad)
+	is.Equal(feed(evaluator, c, 0, specDuration/2, grow).Finding, verdict.Undecided)
+	is.Equal(feed(evaluator, c, specDuration/2, specDuration, grow).Finding, verdict.Bad)
 }
 
 func TestGoodTurnsBadWhileSwitching(t *testing.T) {
 	is := is.New(t)
 	evaluator, c := newEvaluator(), counts{}
-	is.Equal(play(evaluator, c, 0, specDuration*65/100, func() { c.both(3) }).Finding, verdict.Good)
+	is.Equal(feed(evaluator, c, 0, specDuration*65/100, func() { c.both(3) }).Finding, verdict.Good)
 	for leaf := range leafs {
 		c.answers("v2", leaf, 40, 8, normalLatency)
 	}
@@ -175,11 +175,11 @@
 func TestAttemptsWithoutAnswersAreNotGood(t *testing.T) {
 	is := is.New(t)
 	evaluator, c := newEvaluator(), counts{}
-	j := play(evaluator, c, 0, specDuration, func() {
+	j := feed(evaluator, c, 0, specDuration, func() {
 		for leaf := range leafs {
 			c.answers("v1", leaf, 10, 0, normalLatency)
 			c.answers("v2", leaf, 0, 0, normalLatency)
-			c.giveUp("v2", leaf, 3, time.Millisecond)
+			c.abandon("v2", leaf, 3, time.Millisecond)
 		}
 	})
 	is.Equal(j.Finding, verdict.Undecided)
@@ -189,10 +189,10 @@
 func TestAttemptsWithoutAnswersDoNotExcuse(t *testing.T) {
 	is := is.New(t)
 	evaluator, c := newEvaluator(), counts{}
-	play(evaluator, c, 0, time.Second, func() { c.both(3) })
+	feed(evaluator, c, 0, time.Second, func() { c.both(3) })
 	for leaf := range leafs {
 		c.answers("v2", leaf, 3, 3, normalLatency)
-		c.giveUp("v2", leaf, 1000, time.Millisecond)
+		c.abandon("v2", leaf, 1000, time.Millisecond)
 	}
 	is.Equal(evaluator.Update(2*time.Second, c.rows()).Finding, verdict.Bad)
 }
@@ -213,16 +213,16 @@
 func TestShrinkingRowsAreNotGood(t *testing.T) {
 	is := is.New(t)
 	evaluator, c, part := newEvaluator(), counts{}, counts{}
-	play(evaluator, c, 0, specDuration/2, func() { c.both(3) })
+	feed(evaluator, c, 0, specDuration/2, func() { c.both(3) })
 	part.both(5)
-	is.Equal(play(evaluator, part, specDuration/2, specDuration, func() {}).Finding, verdict.Undecided)
+	is.Equal(feed(evaluator, part, specDuration/2, specDuration, func() {}).Finding, verdict.Undecided)
 }
 
 func TestConfigNamesFaults(t *testing.T) {
 	is := is.New(t)
 	is.NoErr(verdict.DefaultConfig().Validate())
 	named := map[string]bool{}
-	for _, fault := range failure.Faults(verdict.Config{Way: -1, ColdFor: -1, Settle: -1, Alike: 2, SlowFactors: []float64{0.5}}.Validate()) {
+	for _, fault := range failure.Faults(verdict.Config{RoundTrip: -1, ColdFor: -1, Settle: -1, Correlation: 2, SlowFactors: []float64{0.5}}.Validate()) {
 		named[fault.Field] = true
 	}
 	is.Equal(len(named), 18)
@@ -286,7 +286,7 @@
 	is := is.New(t)
 	evaluator, c := newEvaluator(), counts{}
 	number := 0
-	found := play(evaluator, c, 0, specDuration*9/10, func() {
+	found := feed(evaluator, c, 0, specDuration*9/10, func() {
 		c.answers("v1", number%2, 8, 0, normalLatency)
 		if number%2 == 0 {
 			c.answers("v2", number/2%leafs, 1, 0, normalLatency)
--- a/internal/rollout/verdict/verdicttest/answers.go
+++ b/internal/rollout/verdict/verdicttest/answers.go
@@ -61,10 +61,10 @@
 
 // answer is the outcome of an attempt.
 type answer struct {
-	at      time.Duration
-	took    time.Duration
-	failed  bool
-	givenUp bool
+	at          time.Duration
+	took        time.Duration
+	failed      bool
+	isAbandoned bool
 	// isBad says that the version's fault made it bad.
 	isBad bool
 	route int
@@ -72,7 +72,7 @@
 }
 
 // attempt plays a request at a leaf; loaded says that the leaf gets as many requests as in full service.
-func (p *play) attempt(at time.Duration, l *leaf, route int, loaded bool) answer {
+func (p *simulation) attempt(at time.Duration, l *leaf, route int, loaded bool) answer {
 	work := firstMedian
 	if route > 0 {
 		work = nextMedian
@@ -89,20 +89,20 @@
 	p.applyIncident(&a, at, l)
 	a.took += l.paused(at)
 	if a.took > deadline {
-		a.took, a.givenUp, a.failed = deadline, true, false
+		a.took, a.isAbandoned, a.failed = deadline, true, false
 	}
 	a.at = at + a.took
 	return a
 }
 
 // isFaultActive reports whether the version's fault affects a request.
-func (p *play) isFaultActive(at time.Duration, route int, loaded bool) bool {
+func (p *simulation) isFaultActive(at time.Duration, route int, loaded bool) bool {
 	fault := p.of.Fault
 	return float64(at) >= fault.From*float64(p.of.Duration) &&
 		(!fault.LastRoute || route == p.of.Routes-1) && (!fault.UnderLoad || loaded)
 }
 
-func (p *play) applyFault(a *answer, factor float64) float64 {
+func (p *simulation) applyFault(a *answer, factor float64) float64 {
 	fault := p.of.Fault
 	if p.random.Float64() < fault.Failing {
 		a.failed, a.isBad = true, true
@@ -115,7 +115,7 @@
 }
 
 // applyIncident applies the incident to an attempt.
-func (p *play) applyIncident(a *answer, at time.Duration, l *leaf) {
+func (p *simulation) applyIncident(a *answer, at time.Duration, l *leaf) {
 	fraction := float64(at) / float64(p.of.Duration)
 	passing := fraction >= incidentFrom && fraction < incidentTo
 	chosen := l.isCanary && l.number == 0
@@ -146,6 +146,6 @@
 // dropAnswer makes an attempt end without an answer if it is lost.
 func (a *answer) dropAnswer(lost bool, after time.Duration) {
 	if lost {
-		a.took, a.failed, a.givenUp = after, false, true
+		a.took, a.failed, a.isAbandoned = after, false, true
 	}
 }
--- a/internal/rollout/verdict/verdicttest/measure.go
+++ b/internal/rollout/verdict/verdicttest/measure.go
@@ -26,7 +26,7 @@
 func Repeat(of Case, seeds int) Measure {
 	measured := Measure{Case: of, Seeds: seeds}
 	for seed := range seeds {
-		measured.count(Play(of, uint64(seed)+1, newEvaluator(of)))
+		measured.count(Simulate(of, uint64(seed)+1, newEvaluator(of)))
 	}
 	measured.sort()
 	return measured
--- a/internal/rollout/verdict/verdicttest/verdicttest.go
+++ b/internal/rollout/verdict/verdicttest/verdicttest.go
@@ -49,8 +49,8 @@
 	SpentInSwitch bool
 }
 
-// play is one run of a case.
-type play struct {
+// simulation is one run of a case.
+type simulation struct {
 	of      Case
 	random  *rand.Rand
 	leafs   [2][]leaf
@@ -62,9 +62,9 @@
 	spent, sent, requests float64
 }
 
-// Play plays a case and returns the outcome.
-func Play(of Case, seed uint64, evaluator Evaluator) Outcome {
-	p := newPlay(of.withDefaults(), seed)
+// Simulate plays a case and returns the outcome.
+func Simulate(of Case, seed uint64, evaluator Evaluator) Outcome {
+	p := newSimulation(of.withDefaults(), seed)
 	at, evaluated := p.next(0), every
 	for ; evaluated <= p.of.Duration && p.outcome.Last != verdict.Bad; evaluated += every {
 		for at < evaluated {
@@ -79,8 +79,8 @@
 	return p.outcome
 }
 
-func newPlay(of Case, seed uint64) *play {
-	p := &play{of: of, random: rand.New(rand.NewPCG(seed, 1)), tallies: map[evidence.Key]*evidence.Tally{}}
+func newSimulation(of Case, seed uint64) *simulation {
+	p := &simulation{of: of, random: rand.New(rand.NewPCG(seed, 1)), tallies: map[evidence.Key]*evidence.Tally{}}
 	p.outcome.Last = verdict.Undecided
 	for number := range of.Leafs {
 		p.leafs[0] = append(p.leafs[0], newLeaf(fmt.Sprint("old-", number), number, false, p.random))
@@ -90,7 +90,7 @@
 }
 
 // next returns when the next request arrives.
-func (p *play) next(at time.Duration) time.Duration {
+func (p *simulation) next(at time.Duration) time.Duration {
 	perSecond := p.of.PerSecond
 	fraction := float64(at) / float64(p.of.Duration)
 	if p.of.Incident == Burst && fraction >= incidentFrom && fraction < incidentTo {
@@ -100,13 +100,13 @@
 }
 
 // request sends a request to one of the versions.
-func (p *play) request(at time.Duration) {
+func (p *simulation) request(at time.Duration) {
 	p.requests++
 	route := p.random.IntN(p.of.Routes)
 	p.pending = append(p.pending, p.choose(at, route))
 }
 
-func (p *play) choose(at time.Duration, route int) answer {
+func (p *simulation) choose(at time.Duration, route int) answer {
 	if p.outcome.Last == verdict.Good {
 		moved := float64(at-p.outcome.GoodAt) / (ramp * float64(p.of.Duration))
 		version := 0
@@ -126,12 +126,12 @@
 	return p.attempt(at, p.anyOf(0), route, false)
 }
 
-func (p *play) anyOf(version int) *leaf {
+func (p *simulation) anyOf(version int) *leaf {
 	return &p.leafs[version][p.random.IntN(p.of.Leafs)]
 }
 
 // inMoment returns the leaf that gets all requests now from the slack, or nil.
-func (p *play) inMoment(at time.Duration) *leaf {
+func (p *simulation) inMoment(at time.Duration) *leaf {
 	fraction := (float64(at)/float64(p.of.Duration) - slackFrom) / (slackTo - slackFrom)
 	if fraction < 0 || fraction >= 1 {
 		return nil
@@ -144,7 +144,7 @@
 }
 
 // deliver counts the answers up to a time.
-func (p *play) deliver(until time.Duration) {
+func (p *simulation) deliver(until time.Duration) {
 	left := p.pending[:0]
 	for _, a := range p.pending {
 		if a.at > until {
@@ -156,7 +156,7 @@
 	p.pending = left
 }
 
-func (p *play) count(a answer) {
+func (p *simulation) count(a answer) {
 	key := evidence.Key{Service: "s", SpecID: 1, Route: fmt.Sprint("/", a.route), Version: Serving, Leaf: a.leaf.id, Zone: fmt.Sprint("z", a.leaf.zone)}
 	if a.leaf.isCanary {
 		key.Version = Canary
@@ -169,14 +169,14 @@
 		p.tallies[key] = &evidence.Tally{}
 		p.order = append(p.order, key)
 	}
-	if a.givenUp {
-		p.tallies[key].ObserveGivenUp(a.took)
+	if a.isAbandoned {
+		p.tallies[key].ObserveAbandoned(a.took)
 		return
 	}
 	p.tallies[key].Observe(a.failed, a.took)
 }
 
-func (p *play) evaluate(at time.Duration, evaluator Evaluator) {
+func (p *simulation) evaluate(at time.Duration, evaluator Evaluator) {
 	rows := make([]evidence.Row, 0, len(p.order))
 	for _, key := range p.order {
 		rows = append(rows, evidence.Row{Key: key, Tally: *p.tallies[key]})
--- a/internal/rollout/verdict/verdicttest/verdicttest_test.go
+++ b/internal/rollout/verdict/verdicttest/verdicttest_test.go
@@ -20,7 +20,7 @@
 func TestUnprovenVersionGetsItsShareOnly(t *testing.T) {
 	is := is.New(t)
 	for _, rate := range []float64{1, 5, 40, 500} {
-		outcome := Play(Case{PerSecond: rate}, 1, nobody{})
+		outcome := Simulate(Case{PerSecond: rate}, 1, nobody{})
 		most := share*rate*12 + slack
 		is.True(float64(outcome.Answers) <= most)
 		is.True(float64(outcome.Answers) >= 0.2*math.Min(most, rate*12))
@@ -30,10 +30,10 @@
 func TestFaultsShowAsTold(t *testing.T) {
 	is := is.New(t)
 	of := Case{PerSecond: 500, Fault: Fault{Failing: 0.2, From: 0.5}}
-	outcome := Play(of, 1, nobody{})
+	outcome := Simulate(of, 1, nobody{})
 	is.True(outcome.BadAnswers > 0 && outcome.BadAnswers < outcome.Answers/5)
 	of.Fault = Fault{}
-	is.Equal(Play(of, 1, nobody{}).BadAnswers, 0)
+	is.Equal(Simulate(of, 1, nobody{}).BadAnswers, 0)
 }
 
 // The default configuration distinguishes the plainest cases.
