--- a/internal/leaf/leafhttp/early_test.go
+++ b/internal/leaf/leafhttp/early_test.go
@@ -29,7 +29,7 @@
 	answerAt int
 	// after is what it does with the connection once it has answered.
 	after afterAnswer
-	// goOn is closed to let a leaf with hold read on.
+	// goOn is closed to let a leaf with readLater read on.
 	goOn chan struct{}
 	// heads receives the first line of each request, with the number of its connection.
 	heads chan earlyHead
--- a/internal/request/gateway/canary_test.go
+++ b/internal/request/gateway/canary_test.go
@@ -128,7 +128,7 @@
 	return func(error) {}
 }
 
-// A planned attempt is not sent if the rollout has been cancelled, held or ended meanwhile; the caller gets the answer of
+// A planned attempt is not sent if the rollout has been cancelled, aborted or ended meanwhile; the caller gets the answer of
 // the version that may be asked by then.
 func TestWhatWasPlannedIsCheckedWhenItIsSent(t *testing.T) {
 	cases := map[string]struct {
--- a/internal/request/gateway/refuse.go
+++ b/internal/request/gateway/refuse.go
@@ -125,7 +125,7 @@
 	return count
 }
 
-// hasLeaf reports whether a service has a leaf that may run the request without a canary decision. Leafs on trial count
+// hasLeaf reports whether a service has a leaf that may run the request without a canary decision. Canaries count
 // once all requests go to their version.
 func (e *execution) hasLeaf(index int) bool {
 	service := e.services[index]
--- a/internal/request/gateway/warm.go
+++ b/internal/request/gateway/warm.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// warmCanary opens a connection to the canary that decisions go to first, and reports whether there is any leaf on
-// trial.
+// warmCanary opens a connection to the canary that decisions go to first, and reports whether there is any
+// canary.
 func (g *Gateway) warmCanary(view *catalog.View, service string) bool {
 	leafs := g.canary.FocusOrder(service, view.Leafs.Canaries(service))
 	if len(leafs) == 0 || view.Routes == nil {
--- a/internal/request/scatter/launch.go
+++ b/internal/request/scatter/launch.go
@@ -7,7 +7,7 @@
 )
 
 // launch starts an attempt for a shard and reports whether it did. Without a usable replica or room in the budget, the
-// shard waits or is settled, see waitOrSettle; while a probe is awaited it is held, see mustDelay.
+// shard waits or is settled, see waitOrSettle; while a probe is awaited it is delayed, see mustDelay.
 //
 // A hedge is not sent to an unhealthy replica, nor if Policy.WorthHedging reports that its reply would come too late: it
 // would add load without helping the request.
--- a/internal/rollout/evidence/collector_test.go
+++ b/internal/rollout/evidence/collector_test.go
@@ -48,7 +48,7 @@
 	return leafset.NewLeaf(leafset.Record{Name: id, Service: service, Version: version, Zone: "z-" + id}, 0, time.Time{})
 }
 
-// Leafs on trial have a row each, those that serve share one for each route; other leafs have none.
+// Canaries have a row each, those that serve share one for each route; other leafs have none.
 func TestEachCanaryHasItsOwnRow(t *testing.T) {
 	is := is.New(t)
 	c, _, specID := ordered(t)
