--- a/internal/fleet/registry/registry_test.go
+++ b/internal/fleet/registry/registry_test.go
@@ -135,7 +135,7 @@
 }
 
 // Nodes that are gone still count for a while, and a node that isn't registered has no share.
-func TestCensusRemembersNodesForAWhile(t *testing.T) {
+func TestFleetRemembersNodesForAWhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		known := catalog.New(nil)
--- a/internal/lab/rollouts/release_test.go
+++ b/internal/lab/rollouts/release_test.go
@@ -63,7 +63,7 @@
 	is.True(!r.HadNoBadAnswer())
 }
 
-func TestBarredVisits(t *testing.T) {
+func TestDisallowedVisits(t *testing.T) {
 	is := is.New(t)
 	r := sample(Fault{}, nil, []time.Duration{-time.Second, time.Second, 3*time.Second + Lateness})
 	is.Equal(len(r.Unordered(never)), 1) // before the order, by whatever sender
--- a/internal/lab/soak/load.go
+++ b/internal/lab/soak/load.go
@@ -114,15 +114,15 @@
 	if kind == Once {
 		method, body = http.MethodPost, io.NopCloser(strings.NewReader("once"))
 	}
-	asked, err := http.NewRequest(method, "http://"+node.front+string(kind)+path, body)
+	request, err := http.NewRequest(method, "http://"+node.front+string(kind)+path, body)
 	if err != nil {
 		panic(err) // the address is the soak's own
 	}
 	names := l.environment.names
-	asked.Host = host
-	asked.Header.Set(names.RequestID, id)
-	asked.Header.Set(names.DeadlineMillis, strconv.FormatInt(requestDeadline.Milliseconds(), 10))
-	answer, err := l.client.Do(asked)
+	request.Host = host
+	request.Header.Set(names.RequestID, id)
+	request.Header.Set(names.DeadlineMillis, strconv.FormatInt(requestDeadline.Milliseconds(), 10))
+	answer, err := l.client.Do(request)
 	if err != nil {
 		seen.ended = time.Now()
 		seen.refused = strings.Contains(err.Error(), "connection refused")
--- a/internal/lab/soak/operator.go
+++ b/internal/lab/soak/operator.go
@@ -90,14 +90,14 @@
 
 // run gives an order and does what its outcome requires. It returns the number of the order.
 func (o *operator) rollOut(ctx context.Context, p plan) (number int, err error) {
-	if number, err = o.order(ctx, p); err != nil {
+	if number, err = o.startRollout(ctx, p); err != nil {
 		return number, err
 	}
 	o.follow(ctx, number, p)
 	if status, _ := o.outcome(number); p.replacedAfter > 0 && (status == rollouts.Running || status == "") && ctx.Err() == nil {
 		next := p
 		next.replacedAfter, next.fault = 0, rollouts.Fault{}
-		second, err := o.order(ctx, next)
+		second, err := o.startRollout(ctx, next)
 		if err != nil {
 			return number, err
 		}
@@ -110,8 +110,8 @@
 	return number, nil
 }
 
-// order starts the leafs of a version and orders it, which replaces an order in progress for the service.
-func (o *operator) order(ctx context.Context, p plan) (number int, err error) {
+// startRollout starts the leafs of a version and orders it, which replaces an order in progress for the service.
+func (o *operator) startRollout(ctx context.Context, p plan) (number int, err error) {
 	old := o.environment.servingOf(p.service)
 	target := old
 	if !p.isServing {
--- a/internal/lab/soak/rollouts.go
+++ b/internal/lab/soak/rollouts.go
@@ -197,12 +197,12 @@
 
 // callersSeen sums up the requests of callers.
 type callersSeen struct {
-	asked, failed int
-	median, high  time.Duration
+	requested, failed int
+	median, high      time.Duration
 }
 
 func (c callersSeen) String() string {
-	return fmt.Sprintf("%d of %d failed, p50 %v p99 %v", c.failed, c.asked, c.median, c.high)
+	return fmt.Sprintf("%d of %d failed, p50 %v p99 %v", c.failed, c.requested, c.median, c.high)
 }
 
 // callers sums up the requests for the service of an order that were sent between two times.
@@ -217,7 +217,7 @@
 		if !slices.Contains(kinds, o.kind) || o.sent.Before(from) || o.sent.After(until) {
 			continue
 		}
-		c.asked++
+		c.requested++
 		if o.status != http.StatusOK {
 			c.failed++
 		}
--- a/internal/leaf/leafhttp/connections_test.go
+++ b/internal/leaf/leafhttp/connections_test.go
@@ -207,7 +207,7 @@
 }
 
 // A request that waits for a connection is not sent once its leaf must get none any more.
-func TestWaitingRequestIsNotSentToABarredLeaf(t *testing.T) {
+func TestWaitingRequestIsNotSentToADisallowedLeaf(t *testing.T) {
 	is := is.New(t)
 	var isDisallowed atomic.Bool
 	answer := make(chan struct{})
--- a/internal/leaf/leafmemory/versions_test.go
+++ b/internal/leaf/leafmemory/versions_test.go
@@ -60,7 +60,7 @@
 	is.Equal(memory.IDs(), nil) // nor are connections to it kept
 }
 
-func TestBarredLeafMayNotBeAsked(t *testing.T) {
+func TestDisallowedLeafMayNotBeQueried(t *testing.T) {
 	is := is.New(t)
 	known := newVersioned(t, false)
 	put(t, known, catalog.LeafKey("other"), versioned("other", "v2"))
--- a/internal/request/gateway/canary_test.go
+++ b/internal/request/gateway/canary_test.go
@@ -166,7 +166,7 @@
 
 // A leaf of a version that must not be asked is no candidate and is not warmed, whether it is ready, remembered or was lost
 // a moment ago, even if no other leaf is left.
-func TestBarredLeafsGetNothing(t *testing.T) {
+func TestDisallowedLeafsGetNothing(t *testing.T) {
 	withCanary(t, allToCanary(), func(is *is.I, b *canaryGateway) {
 		var remembered leafset.List
 		for _, id := range []string{"s0c", "s0d", "s0e"} {
--- a/internal/request/servingtree/never_sent_test.go
+++ b/internal/request/servingtree/never_sent_test.go
@@ -153,13 +153,13 @@
 	}()
 	c.running.Wait()
 	close(done)
-	asked, cancelled := map[uint64]bool{}, map[uint64]bool{}
+	queried, cancelled := map[uint64]bool{}, map[uint64]bool{}
 	for _, l := range c.socket.lines {
-		asked[l.Number] = asked[l.Number] || l.Request != nil
-		cancelled[l.Number] = l.Cancel && asked[l.Number] || cancelled[l.Number]
+		queried[l.Number] = queried[l.Number] || l.Request != nil
+		cancelled[l.Number] = l.Cancel && queried[l.Number] || cancelled[l.Number]
 	}
 	for number, call := range c.calls {
-		if err := c.fault(number, asked[call.number], cancelled[call.number]); err != nil {
+		if err := c.fault(number, queried[call.number], cancelled[call.number]); err != nil {
 			return err
 		}
 	}
@@ -167,11 +167,11 @@
 }
 
 // fault returns what was reported wrongly of a call.
-func (c *neverSentCase) fault(number int, isAsked, isCancelled bool) error {
+func (c *neverSentCase) fault(number int, isQueried, isCancelled bool) error {
 	var neverSent *NeverSentError
 	select {
 	case ended := <-c.calls[number].done:
-		if errors.As(ended.Err, &neverSent) && isAsked {
+		if errors.As(ended.Err, &neverSent) && isQueried {
 			return fmt.Errorf("call %d was reported as never sent, and was sent", number)
 		}
 		return nil
@@ -179,7 +179,7 @@
 	}
 	mayBeSent, isGiven := c.given[number]
 	switch {
-	case !isGiven || !isAsked:
+	case !isGiven || !isQueried:
 	case !mayBeSent:
 		return fmt.Errorf("call %d was given up as never sent, and was sent", number)
 	case !c.ended && !isCancelled:
--- a/internal/rollout/canary/stage_test.go
+++ b/internal/rollout/canary/stage_test.go
@@ -184,7 +184,7 @@
 }
 
 // A leaf of a version that no rule lets serve gets nothing, be it ready, lost or only remembered.
-func TestBarredLeafsMayNotBeAsked(t *testing.T) {
+func TestDisallowedLeafsGetNoRequests(t *testing.T) {
 	is := is.New(t)
 	built, splitter, specID := started(t, 0)
 	built.put(catalog.SavedLeafsKey, leafset.List{Leafs: []leafset.Record{
