--- a/cmd/portgauge/rollout_test.go
+++ b/cmd/portgauge/rollout_test.go
@@ -88,7 +88,7 @@
 	config.Node = settings.Node{ID: id, Zone: "z"}
 	config.Platform.Address = platformAddress
 	config.Listen = settings.Listen{Callers: own[0], Operators: own[1], Peers: own[2], Front: own[3], Ready: own[4]}
-	config.Stop.AnnounceDelay = 0
+	config.Stop.PrepareStopDelay = 0
 	config.Rollouts.Enabled = true
 	config.RolloutVerdict.Settle = 200 * time.Millisecond
 	config.Canary.Ramp = 200 * time.Millisecond
@@ -213,7 +213,7 @@
 func (s *ownSite) asked(ids ...string) int {
 	asked := 0
 	for _, id := range ids {
-		asked += len(s.leafs[id].Asked())
+		asked += len(s.leafs[id].Requests())
 	}
 	return asked
 }
--- a/internal/config/catalog/draft.go
+++ b/internal/config/catalog/draft.go
@@ -54,7 +54,7 @@
 	switch {
 	case entry.Key == RoutesKey:
 		err = target.compileRoutes(entry)
-	case entry.Key == RememberedKey:
+	case entry.Key == SavedLeafsKey:
 		err = target.compileRemembered(entry)
 	case strings.HasPrefix(entry.Key, servicePrefix):
 		err = target.compileService(strings.TrimPrefix(entry.Key, servicePrefix), entry)
@@ -68,7 +68,7 @@
 	case entry.Key == VersionsKey:
 		err = target.compileVersions(entry)
 	case strings.HasPrefix(entry.Key, rolloutPrefix):
-		err = target.compileOrder(strings.TrimPrefix(entry.Key, rolloutPrefix), entry)
+		err = target.compileSpec(strings.TrimPrefix(entry.Key, rolloutPrefix), entry)
 	case strings.HasPrefix(entry.Key, rolloutStatePrefix):
 		err = target.compileRolloutState(strings.TrimPrefix(entry.Key, rolloutStatePrefix), entry)
 	case strings.HasPrefix(entry.Key, quarantinePrefix):
--- a/internal/config/configsync/handler.go
+++ b/internal/config/configsync/handler.go
@@ -11,9 +11,9 @@
 type Handlers struct {
 	// Leafs receives reports on leafs.
 	Leafs func(peer.LeafReports)
-	// Reach receives messages on the reachability of zones, with the peer address of the sender.
-	Reach func(from string, reach peer.Reach)
-	// Rollouts receives the messages to and from the nodes that judge roll-outs.
+	// Reachability receives messages on the reachability of zones, with the peer address of the sender.
+	Reach func(from string, reach peer.Reachability)
+	// Rollouts receives the messages to and from the nodes that evaluate roll-outs.
 	Rollouts RolloutHandler
 	// Quarantine receives messages on requests that may crash leafs.
 	Quarantine func(from string, message peer.Quarantine)
@@ -22,7 +22,7 @@
 // RolloutHandler receives messages on roll-outs, with the peer address of the sender.
 type RolloutHandler interface {
 	HandleReports(from string, reports peer.RolloutReports)
-	HandleHold(from string, hold peer.RolloutHold)
+	HandleAbort(from string, abort peer.RolloutAbort)
 }
 
 // PeerHandler is the peer.Handler of a node: it dispatches each message to membership, configuration or one of
@@ -46,17 +46,17 @@
 		if h.handlers.Leafs != nil {
 			h.handlers.Leafs(message.LeafReports)
 		}
-	case message.Reach != nil:
+	case message.Reachability != nil:
 		if h.handlers.Reach != nil {
-			h.handlers.Reach(message.From, *message.Reach)
+			h.handlers.Reach(message.From, *message.Reachability)
 		}
 	case message.RolloutReports != nil:
 		if h.handlers.Rollouts != nil {
 			h.handlers.Rollouts.HandleReports(message.From, *message.RolloutReports)
 		}
-	case message.RolloutHold != nil:
+	case message.RolloutAbort != nil:
 		if h.handlers.Rollouts != nil {
-			h.handlers.Rollouts.HandleHold(message.From, *message.RolloutHold)
+			h.handlers.Rollouts.HandleAbort(message.From, *message.RolloutAbort)
 		}
 	case message.Quarantine != nil:
 		if h.handlers.Quarantine != nil {
--- a/internal/fleet/peer/message.go
+++ b/internal/fleet/peer/message.go
@@ -71,10 +71,10 @@
 	StatusQuery  *StatusQuery  `json:"status_query,omitempty"`
 	StatusReply  *StatusReply  `json:"status_reply,omitempty"`
 	LeafReports  LeafReports   `json:"leaf_reports,omitempty"`
-	Reach        *Reach        `json:"reach,omitempty"`
+	Reachability *Reachability `json:"reach,omitempty"`
 
 	RolloutReports *RolloutReports `json:"rollout_reports,omitempty"`
-	RolloutHold    *RolloutHold    `json:"rollout_hold,omitempty"`
+	RolloutAbort   *RolloutAbort   `json:"rollout_hold,omitempty"`
 
 	Quarantine *Quarantine `json:"quarantine,omitempty"`
 }
@@ -99,8 +99,8 @@
 	TargetAddress string `json:"target_address"`
 }
 
-// Reach pings a node of any zone, answers a ping, or announces a zone that the sender has lost.
-type Reach struct {
+// Reachability pings a node of any zone, answers a ping, or announces a zone that the sender has lost.
+type Reachability struct {
 	// Number is the number of the ping, which the answer repeats; 0 in an announcement.
 	Number uint64 `json:"number,omitempty"`
 	Answer bool   `json:"answer,omitempty"`
@@ -162,7 +162,7 @@
 	Elsewhere []string `json:"elsewhere,omitempty"`
 }
 
-// RolloutReports are counts of attempts at the versions of services, sent to the nodes that judge roll-outs.
+// RolloutReports are counts of attempts at the versions of services, sent to the nodes that evaluate roll-outs.
 type RolloutReports struct {
 	// Node is the id of the node that counted.
 	Node string `json:"node"`
@@ -182,11 +182,11 @@
 	Record *quarantine.Record `json:"record,omitempty"`
 }
 
-// RolloutHold says that no further requests may be sent to the version on trial by an order.
-type RolloutHold struct {
+// RolloutAbort says that no further requests may be sent to the canary version by an order.
+type RolloutAbort struct {
 	Service string `json:"service"`
-	// Order is the revision of the order.
-	Order int64 `json:"order"`
+	// SpecID is the revision of the spec.
+	SpecID int64 `json:"order"`
 }
 
 // StatusQuery asks how many nodes have a revision in force, and how many are settled at it.
--- a/internal/lab/soak/judge.go
+++ b/internal/lab/soak/checks.go
@@ -22,18 +22,18 @@
 	slices.SortFunc(records, func(a, b []byte) int { return bytes.Compare(b, a) })
 }
 
-// judge checks every promise on the records of callers and leafs. From calm on there were no more faults, and nodes had had
+// checkAll checks every promise on the records of callers and leafs. From calm on there were no more faults, and nodes had had
 // time to recover.
-func judge(w *world, seen []outcome, calm time.Time) []Result {
+func checkAll(w *environment, seen []outcome, calm time.Time) []Result {
 	ran := w.runs()
 	return []Result{
-		judgeOnce(seen, ran), judgeRefusals(seen, ran), judgeAsked(seen, ran), judgeSingles(w, seen), judgeGathered(w, seen),
-		judgeConfiguration(w, seen), judgeDraining(w), judgeEvacuations(w), judgeStops(seen), judgeRecovery(seen, calm),
-		judgeCrashing(w), judgeOtherRequests(seen),
+		checkOnce(seen, ran), checkRefusals(seen, ran), checkSent(seen, ran), checkSingles(w, seen), checkGathered(w, seen),
+		checkConfiguration(w, seen), checkDraining(w), checkEvacuations(w), checkStops(seen), checkRecovery(seen, calm),
+		checkCrashing(w), checkOtherRequests(seen),
 	}
 }
 
-func judgeOnce(seen []outcome, ran map[string][]string) Result {
+func checkOnce(seen []outcome, ran map[string][]string) Result {
 	v := Result{Promise: "a request marked not repeatable runs at most once"}
 	for _, o := range seen {
 		if o.kind == Once {
@@ -43,7 +43,7 @@
 	return v
 }
 
-func judgeRefusals(seen []outcome, ran map[string][]string) Result {
+func checkRefusals(seen []outcome, ran map[string][]string) Result {
 	v := Result{Promise: "a refusal that says not run is true"}
 	for _, o := range seen {
 		switch o.status {
@@ -56,7 +56,7 @@
 	return v
 }
 
-func judgeAsked(seen []outcome, ran map[string][]string) Result {
+func checkSent(seen []outcome, ran map[string][]string) Result {
 	v := Result{Promise: "leafs run only what callers sent"}
 	known := map[string]bool{}
 	for _, o := range seen {
@@ -68,7 +68,7 @@
 	return v
 }
 
-func judgeSingles(w *world, seen []outcome) Result {
+func checkSingles(w *environment, seen []outcome) Result {
 	v := Result{Promise: "an answer of one leaf is whole and the caller's own"}
 	for _, o := range seen {
 		if o.status != http.StatusOK || o.kind == Gathered {
@@ -81,7 +81,7 @@
 	return v
 }
 
-func judgeGathered(w *world, seen []outcome) Result {
+func checkGathered(w *environment, seen []outcome) Result {
 	v := Result{Promise: "a gathered answer holds the greatest records of the parts that it names, and says how many are missing"}
 	for _, o := range seen {
 		if o.status == http.StatusOK && o.kind == Gathered {
@@ -93,7 +93,7 @@
 }
 
 // gatheredFault returns what is wrong with a gathered answer, or "".
-func gatheredFault(w *world, o outcome) string {
+func gatheredFault(w *environment, o outcome) string {
 	services := map[string]bool{}
 	var bodies [][]byte
 	for _, stamp := range o.parts(w.names) {
@@ -122,9 +122,9 @@
 	return ""
 }
 
-// judgeConfiguration checks that nodes without a fault serve by the newest configuration after its bound, and that no
+// checkConfiguration checks that nodes without a fault serve by the newest configuration after its bound, and that no
 // process goes back to an older one.
-func judgeConfiguration(w *world, seen []outcome) Result {
+func checkConfiguration(w *environment, seen []outcome) Result {
 	v := Result{Promise: "an accepted configuration is in force within its bound and never reverts"}
 	bySent := slices.Clone(seen)
 	slices.SortFunc(bySent, func(a, b outcome) int { return a.sent.Compare(b.sent) })
@@ -174,7 +174,7 @@
 	return least
 }
 
-func judgeDraining(w *world) Result {
+func checkDraining(w *environment) Result {
 	v := Result{Promise: "a leaving leaf gets no new work after its bound"}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -190,18 +190,18 @@
 
 // lateRequests counts the requests that a leaf received between two times while no node had a fault. A zero before means
 // never.
-func (w *world) lateRequests(state *leafState, after, before time.Time) int {
+func (w *environment) lateRequests(state *leafState, after, before time.Time) int {
 	late := 0
-	for _, asked := range state.asked() {
-		isLate := asked.At.After(after) && (before.IsZero() || asked.At.Before(before))
-		if isLate && w.isCalmAt(asked.At) {
+	for _, request := range state.receivedRequests() {
+		isLate := request.At.After(after) && (before.IsZero() || request.At.Before(before))
+		if isLate && w.isCalmAt(request.At) {
 			late++
 		}
 	}
 	return late
 }
 
-func judgeEvacuations(w *world) Result {
+func checkEvacuations(w *environment) Result {
 	v := Result{Promise: "the leafs of an evacuated zone get nothing after its bound"}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -221,7 +221,7 @@
 // stopWindow is how long before a planned stop a request must have been sent, at most, to be checked.
 const stopWindow = time.Second
 
-func judgeStops(seen []outcome) Result {
+func checkStops(seen []outcome) Result {
 	v := Result{Promise: "a planned stop cuts no request in flight"}
 	for _, o := range seen {
 		for _, stop := range o.node.stopTimes() {
@@ -234,18 +234,18 @@
 	return v
 }
 
-func judgeRecovery(seen []outcome, calm time.Time) Result {
+func checkRecovery(seen []outcome, calm time.Time) Result {
 	v := Result{Promise: "requests are served once the faults are over"}
-	served, asked := 0, 0
+	served, sent := 0, 0
 	for _, o := range seen {
 		if o.sent.Before(calm) || o.isCrashing {
 			continue
 		}
-		asked++
+		sent++
 		if o.status == http.StatusOK {
 			served++
 		}
 	}
-	v.check(asked > 0 && float64(served) >= servedShare*float64(asked), "%d of %d requests served in calm", served, asked)
+	v.check(sent > 0 && float64(served) >= servedShare*float64(sent), "%d of %d requests served in calm", served, sent)
 	return v
 }
--- a/internal/lab/soak/load.go
+++ b/internal/lab/soak/load.go
@@ -50,16 +50,16 @@
 
 // load sends requests and records their outcomes; safe for concurrent use.
 type load struct {
-	world  *world
-	client *http.Client
+	environment *environment
+	client      *http.Client
 
 	mu       sync.Mutex
 	outcomes []outcome
 }
 
-func newLoad(w *world) *load {
+func newLoad(w *environment) *load {
 	dialer := net.Dialer{Timeout: time.Second}
-	return &load{world: w, client: &http.Client{
+	return &load{environment: w, client: &http.Client{
 		Timeout: requestDeadline + time.Second,
 		Transport: &http.Transport{
 			DialContext: dialer.DialContext, MaxIdleConnsPerHost: 16, IdleConnTimeout: 5 * time.Second, DisableCompression: true,
@@ -82,7 +82,7 @@
 			return
 		}
 		kind := kinds[random.IntN(len(kinds))]
-		node := l.world.nodes[random.IntN(len(l.world.nodes))]
+		node := l.environment.nodes[random.IntN(len(l.environment.nodes))]
 		id := fmt.Sprintf("request-%d", number)
 		running.Go(func() { l.add(l.send(id, kind, node)) })
 	}
@@ -114,15 +114,15 @@
 	if kind == Once {
 		method, body = http.MethodPost, io.NopCloser(strings.NewReader("once"))
 	}
-	asked, err := http.NewRequest(method, "http://"+node.front+string(kind)+path, body)
+	request, err := http.NewRequest(method, "http://"+node.front+string(kind)+path, body)
 	if err != nil {
 		panic(err) // the address is the soak's own
 	}
-	names := l.world.names
-	asked.Host = host
-	asked.Header.Set(names.RequestID, id)
-	asked.Header.Set(names.DeadlineMillis, strconv.FormatInt(requestDeadline.Milliseconds(), 10))
-	answer, err := l.client.Do(asked)
+	names := l.environment.names
+	request.Host = host
+	request.Header.Set(names.RequestID, id)
+	request.Header.Set(names.DeadlineMillis, strconv.FormatInt(requestDeadline.Milliseconds(), 10))
+	answer, err := l.client.Do(request)
 	if err != nil {
 		seen.ended = time.Now()
 		seen.refused = strings.Contains(err.Error(), "connection refused")
--- a/internal/leaf/leafhttp/connections_test.go
+++ b/internal/leaf/leafhttp/connections_test.go
@@ -118,7 +118,7 @@
 	second(context.Canceled)
 	var failed *NeverSentError
 	is.True(errors.As(<-ended, &failed))
-	for len(b.leaf.Asked()) == 0 {
+	for len(b.leaf.Requests()) == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	first(context.Canceled)
@@ -154,8 +154,8 @@
 		b.pool.Prune(func(string) bool { return false })
 	}
 	time.Sleep(50 * time.Millisecond) // until what was sent has arrived
-	for _, asked := range b.leaf.Asked() {
-		is.True(!neverSent[asked.ID])
+	for _, request := range b.leaf.Requests() {
+		is.True(!neverSent[request.ID])
 	}
 }
 
@@ -207,15 +207,15 @@
 }
 
 // A request that waits for a connection is not sent once its leaf must get none any more.
-func TestWaitingRequestIsNotSentToABarredLeaf(t *testing.T) {
+func TestWaitingRequestIsNotSentToADisallowedLeaf(t *testing.T) {
 	is := is.New(t)
-	var barred atomic.Bool
+	var isDisallowed atomic.Bool
 	answer := make(chan struct{})
 	b := newBench(t, testConfig(), func(httpleaf.Request) httpleaf.Answer {
 		<-answer
 		return httpleaf.Answer{Body: []byte("x")}
 	})
-	b.pool.SetMaySend(func(string) bool { return !barred.Load() })
+	b.pool.SetMaySend(func(string) bool { return !isDisallowed.Load() })
 	target := b.target()
 	target.Connections = 1
 	ended := make(chan error, 2)
@@ -223,11 +223,11 @@
 		b.pool.Start(target, b.request(), time.Now().Add(time.Minute), func(_ *Response, err error) { ended <- err })
 	}
 	start()
-	for len(b.leaf.Asked()) == 0 {
+	for len(b.leaf.Requests()) == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	start() // waits for the connection of the first
-	barred.Store(true)
+	isDisallowed.Store(true)
 	close(answer)
 	var neverSent *NeverSentError
 	first, second := <-ended, <-ended
@@ -236,8 +236,8 @@
 	}
 	is.NoErr(first)
 	is.True(errors.As(second, &neverSent))
-	is.Equal(len(b.leaf.Asked()), 1)
-	barred.Store(false)
+	is.Equal(len(b.leaf.Requests()), 1)
+	isDisallowed.Store(false)
 	_, err := b.ask(t.Context(), target, b.request(), time.Now().Add(time.Minute))
 	is.NoErr(err) // the connection remained usable
 	opened, _ := b.leaf.Connections()
--- a/internal/leaf/leafmemory/versions_test.go
+++ b/internal/leaf/leafmemory/versions_test.go
@@ -20,7 +20,7 @@
 	known.EnableRollouts()
 	put(t, known, catalog.VersionsKey, rollout.Versions{ByVersion: map[string][]string{"v1": {"s"}}})
 	if ordered {
-		put(t, known, catalog.RolloutKey("s"), rollout.Order{Service: "s", Target: "v2", DurationMillis: 1000})
+		put(t, known, catalog.RolloutKey("s"), rollout.Spec{Service: "s", Target: "v2", DurationMillis: 1000})
 	}
 	return known
 }
@@ -34,8 +34,8 @@
 // rollBack stores that the current order was found bad.
 func rollBack(t *testing.T, known *catalog.Catalog) {
 	t.Helper()
-	order := known.View().Rollouts["s"].Order.Revision
-	put(t, known, catalog.RolloutStateKey("s"), rollout.State{Service: "s", OrderRevision: order, Phase: rollout.RolledBack, Serving: "v1", Target: "v2"})
+	specID := known.View().Rollouts["s"].Spec.Revision
+	put(t, known, catalog.RolloutStateKey("s"), rollout.State{Service: "s", SpecRevision: specID, Phase: rollout.RolledBack, Serving: "v1", Target: "v2"})
 }
 
 func candidateIDs(memory *Memory) []string {
@@ -47,7 +47,7 @@
 	return ids
 }
 
-func TestLeafOnTrialMayBeAskedAndIsNoCandidate(t *testing.T) {
+func TestCanaryMayBeQueriedAndIsNoCandidate(t *testing.T) {
 	is := is.New(t)
 	known := newVersioned(t, true)
 	put(t, known, catalog.LeafKey("new"), versioned("new", "v2"))
@@ -60,7 +60,7 @@
 	is.Equal(memory.IDs(), nil) // nor are connections to it kept
 }
 
-func TestBarredLeafMayNotBeAsked(t *testing.T) {
+func TestDisallowedLeafMayNotBeQueried(t *testing.T) {
 	is := is.New(t)
 	known := newVersioned(t, false)
 	put(t, known, catalog.LeafKey("other"), versioned("other", "v2"))
@@ -96,7 +96,7 @@
 func TestLostLeafsDontHideWrittenOnes(t *testing.T) {
 	is := is.New(t)
 	known := newVersioned(t, true)
-	put(t, known, catalog.RememberedKey, leafset.List{Leafs: []leafset.Record{versioned("old", "v1")}})
+	put(t, known, catalog.SavedLeafsKey, leafset.List{Leafs: []leafset.Record{versioned("old", "v1")}})
 	put(t, known, catalog.LeafKey("new"), versioned("new", "v2"))
 	put(t, known, catalog.LeafKey("new"), nil)
 	memory := New(DefaultConfig(), known)
@@ -104,7 +104,7 @@
 }
 
 // Lost canaries are remembered like leafs that serve, and by the current rule.
-func TestLostLeafsOnTrialAreHeld(t *testing.T) {
+func TestLostCanariesAreRetained(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		known := newVersioned(t, true)
@@ -119,7 +119,7 @@
 		put(t, known, catalog.LeafKey("2"), nil)
 		is.Equal(len(memory.Canaries("s")), 2)
 		is.True(memory.MaySend("1") && memory.MaySend("2"))
-		time.Sleep(DefaultConfig().Hold + time.Millisecond)
+		time.Sleep(DefaultConfig().Retention + time.Millisecond)
 		is.Equal(len(memory.Canaries("s")), 0)
 		put(t, known, catalog.LeafKey("2"), versioned("2", "v2"))
 		put(t, known, catalog.LeafKey("2"), nil)
@@ -134,7 +134,7 @@
 	is := is.New(t)
 	known := newVersioned(t, true)
 	list := leafset.List{Leafs: []leafset.Record{versioned("bad", "v3"), versioned("new", "v2"), versioned("old", "v1")}}
-	put(t, known, catalog.RememberedKey, list)
+	put(t, known, catalog.SavedLeafsKey, list)
 	memory := New(DefaultConfig(), known)
 	is.Equal(candidateIDs(memory), []string{"old"})
 	is.True(memory.MaySend("old"))
--- a/internal/leaf/leafset/versions.go
+++ b/internal/leaf/leafset/versions.go
@@ -15,15 +15,17 @@
 	return s.rules[service].WithDefaultServing(s.first[service])
 }
 
-// IsBarred reports whether a leaf's version neither serves nor is the canary version.
-func (s *Set) IsBarred(leaf *Leaf) bool {
+// IsVersionDisallowed reports whether a leaf's version neither serves nor is the canary version.
+func (s *Set) IsVersionDisallowed(leaf *Leaf) bool {
 	rule := s.Rule(leaf.Service)
-	return !rule.IsServing(leaf.Version) && !rule.IsTrial(leaf.Version)
+	return !rule.IsServing(leaf.Version) && !rule.IsCanary(leaf.Version)
 }
 
 // IsAllowed reports whether a leaf may get requests if it is ready: its zone is not evacuated, and its
 // version serves or is the canary version.
-func (s *Set) IsAllowed(leaf *Leaf) bool { return !s.evacuated[leaf.Zone] && !s.IsBarred(leaf) }
+func (s *Set) IsAllowed(leaf *Leaf) bool {
+	return !s.evacuated[leaf.Zone] && !s.IsVersionDisallowed(leaf)
+}
 
 // MayServe reports whether a leaf may get requests other than those for canaries if it is ready: its zone is not
 // evacuated, and its version serves.
@@ -34,7 +36,7 @@
 // MayServeCanary reports whether a leaf may get requests for canaries if it is ready: its zone is not evacuated, and its
 // version is the canary version.
 func (s *Set) MayServeCanary(leaf *Leaf) bool {
-	return !s.evacuated[leaf.Zone] && s.Rule(leaf.Service).IsTrial(leaf.Version)
+	return !s.evacuated[leaf.Zone] && s.Rule(leaf.Service).IsCanary(leaf.Version)
 }
 
 // isServing reports whether a leaf is ready and MayServe.
@@ -48,7 +50,7 @@
 	if e.set.rules[service] == rule {
 		return
 	}
-	e.ruled[service] = true
+	e.changedRules[service] = true
 	e.ownRules()
 	if rule == (rollout.Rule{}) {
 		delete(e.set.rules, service)
@@ -65,7 +67,7 @@
 //
 // Rule: the version whose leafs were there first, or, if leafs of several come at once, the one with the most leafs. It
 // remains the first until a rule names a serving version or bars it. A new version must not get requests just because
-// its leafs appear: a roll-out order decides that.
+// its leafs appear: a rollout spec decides that.
 func (e *Editor) updateFirst(service string, leafs []*Leaf) {
 	if !e.defaultToFirst {
 		return
@@ -73,7 +75,7 @@
 	first := ""
 	if rule := e.set.rules[service]; rule.Serving == "" {
 		first = e.set.first[service]
-		if first == "" || first == rule.Barred {
+		if first == "" || first == rule.Disallowed {
 			first = mostCounted(countVersions(leafs, rule))
 		}
 	}
@@ -88,11 +90,11 @@
 	e.set.first[service] = first
 }
 
-// countVersions counts the leafs of each version except the canary version and the barred one.
+// countVersions counts the leafs of each version except the canary version and the disallowed one.
 func countVersions(leafs []*Leaf, rule rollout.Rule) map[string]int {
 	counts := map[string]int{}
 	for _, leaf := range leafs {
-		if leaf.Version != "" && leaf.Version != rule.Barred && !rule.IsTrial(leaf.Version) {
+		if leaf.Version != "" && leaf.Version != rule.Disallowed && !rule.IsCanary(leaf.Version) {
 			counts[leaf.Version]++
 		}
 	}
--- a/internal/leaf/leafset/versions_test.go
+++ b/internal/leaf/leafset/versions_test.go
@@ -25,7 +25,7 @@
 	return editor.Done()
 }
 
-func ruled(set *Set, rule rollout.Rule) *Set {
+func withRule(set *Set, rule rollout.Rule) *Set {
 	editor := set.Edit()
 	editor.DefaultToFirstVersion()
 	editor.SetRule("s", rule)
@@ -49,16 +49,16 @@
 func TestRuleParts(t *testing.T) {
 	older, newer := oldAndNew()
 	cases := []struct {
-		name           string
-		rule           rollout.Rule
-		ready, onTrial []string
-		allowed        []string
+		name            string
+		rule            rollout.Rule
+		ready, canaries []string
+		allowed         []string
 	}{
 		{"none", rollout.Rule{}, []string{"1", "2", "3"}, nil, []string{"1", "2", "3", "4"}},
 		{"one serves", rollout.Rule{Serving: "v1"}, []string{"1"}, nil, []string{"1"}},
-		{"one is a canary", rollout.Rule{Serving: "v1", Trial: "v2"}, []string{"1"}, []string{"2", "3"}, []string{"1", "2", "3", "4"}},
-		{"only a canary is known", rollout.Rule{Trial: "v2"}, []string{"1"}, []string{"2", "3"}, []string{"1", "2", "3", "4"}},
-		{"neither has leafs", rollout.Rule{Serving: "v8", Trial: "v9"}, nil, nil, nil},
+		{"one is a canary", rollout.Rule{Serving: "v1", Canary: "v2"}, []string{"1"}, []string{"2", "3"}, []string{"1", "2", "3", "4"}},
+		{"only a canary is known", rollout.Rule{Canary: "v2"}, []string{"1"}, []string{"2", "3"}, []string{"1", "2", "3", "4"}},
+		{"neither has leafs", rollout.Rule{Serving: "v8", Canary: "v9"}, nil, nil, nil},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -70,7 +70,7 @@
 			editor.SetRule("s", c.rule)
 			set := editor.Done()
 			is.Equal(ids(set.Ready("s")), c.ready)
-			is.Equal(ids(set.Canaries("s")), c.onTrial)
+			is.Equal(ids(set.Canaries("s")), c.canaries)
 			var allowed []string
 			for _, leaf := range set.ByService("s") {
 				if set.IsAllowed(leaf) {
@@ -83,10 +83,10 @@
 }
 
 // An evacuation applies to canaries as to leafs that serve.
-func TestEvacuatedLeafsAreNotOnTrial(t *testing.T) {
+func TestEvacuatedLeafsAreNoCanaries(t *testing.T) {
 	is := is.New(t)
 	_, newer := oldAndNew()
-	set := ruled(edited(Empty().Edit(), newer), rollout.Rule{Serving: "v1", Trial: "v2"})
+	set := withRule(edited(Empty().Edit(), newer), rollout.Rule{Serving: "v1", Canary: "v2"})
 	editor := set.Edit()
 	editor.SetEvacuated("", true)
 	during := editor.Done()
@@ -101,17 +101,17 @@
 	older, newer := oldAndNew()
 	first := edited(Empty().Edit(), older)
 	both := edited(first.Edit(), newer)
-	ordered := ruled(both, rollout.Rule{Trial: "v2", Phase: rollout.Canary, Order: 7})
+	ordered := withRule(both, rollout.Rule{Canary: "v2", Phase: rollout.Canary, SpecID: 7})
 	cases := map[string]*Set{
 		"the other came":                  both,
 		"a third came":                    edited(both.Edit(), []*Leaf{leafOf("5", "v3", Ready), leafOf("6", "v3", Ready)}),
 		"a whole state":                   edited(Replace(both), append(older, newer...)),
 		"the other was ordered":           ordered,
-		"ordered after nothing else came": edited(ruled(first, rollout.Rule{Trial: "v2"}).Edit(), newer),
-		"the order was taken back":        ruled(ordered, rollout.Rule{}),
+		"ordered after nothing else came": edited(withRule(first, rollout.Rule{Canary: "v2"}).Edit(), newer),
+		"the order was taken back":        withRule(ordered, rollout.Rule{}),
 		"a whole state without the order": edited(Replace(ordered), append(older, newer...)),
-		"another order":                   ruled(both, rollout.Rule{Trial: "v3", Order: 7}),
-		"an order of what serves":         ruled(both, rollout.Rule{Trial: "v1", Order: 7}),
+		"another order":                   withRule(both, rollout.Rule{Canary: "v3", SpecID: 7}),
+		"an order of what serves":         withRule(both, rollout.Rule{Canary: "v1", SpecID: 7}),
 	}
 	for name, set := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -124,7 +124,7 @@
 	is.Equal(ids(ordered.Canaries("s")), []string{"2", "3"})
 	is.Equal(cases["an order of what serves"].Rule("s"), rollout.Rule{Serving: "v1"})
 	gone := edited(both.Edit(), nil, "1")
-	is.Equal(len(gone.Ready("s")), 0) // no order makes the other version serve
+	is.Equal(len(gone.Ready("s")), 0) // no spec makes the other version serve
 	again := edited(gone.Edit(), older)
 	is.Equal(ids(again.Ready("s")), []string{"1"})
 }
@@ -133,7 +133,7 @@
 	is := is.New(t)
 	older, newer := oldAndNew()
 	both := edited(edited(Empty().Edit(), older).Edit(), newer)
-	written := ruled(both, rollout.Rule{Serving: "v2"})
+	written := withRule(both, rollout.Rule{Serving: "v2"})
 	is.Equal(ids(written.Ready("s")), []string{"2", "3"})
 	is.Equal(len(written.first), 0)
 }
@@ -153,10 +153,10 @@
 	is := is.New(t)
 	_, newer := oldAndNew()
 	unknown := leafOf("1", "", Ready)
-	set := ruled(edited(Empty().Edit(), []*Leaf{unknown}), rollout.Rule{Trial: "v2"})
-	set = ruled(edited(set.Edit(), newer), rollout.Rule{Barred: "v2"})
+	set := withRule(edited(Empty().Edit(), []*Leaf{unknown}), rollout.Rule{Canary: "v2"})
+	set = withRule(edited(set.Edit(), newer), rollout.Rule{Disallowed: "v2"})
 	is.Equal(ids(set.Ready("s")), []string{"1"})
-	is.True(set.IsBarred(newer[0]))
+	is.True(set.IsVersionDisallowed(newer[0]))
 	set = edited(set.Edit(), nil, "1")
 	is.Equal(len(set.Ready("s")), 0)
 	set = edited(set.Edit(), []*Leaf{leafOf("5", "v1", Ready), leafOf("6", "v1", Ready), leafOf("7", "v3", Ready)})
--- a/internal/node/provide_leaf.go
+++ b/internal/node/provide_leaf.go
@@ -34,13 +34,13 @@
 func newBalancer(config settings.Settings, events *stateEvents) *balancer.Balancer {
 	choice := balancer.New(config.Balancer, config.Node.Zone)
 	choice.OnEjected(events.leafEjected)
-	choice.OnAssessment(events.leafJudged)
+	choice.OnAssessment(events.leafAssessed)
 	return choice
 }
 
-func newLeafGossip(config settings.Settings, census *registry.Census, transport *peer.SocketTransport, choice *balancer.Balancer) *leafgossip.Gossip {
-	gossip := leafgossip.New(config.LeafGossip, census, transport, choice.HandleObservation)
-	choice.OnObserved(gossip.Announce)
+func newLeafGossip(config settings.Settings, fleet *registry.Fleet, transport *peer.SocketTransport, choice *balancer.Balancer) *leafgossip.Gossip {
+	gossip := leafgossip.New(config.LeafGossip, fleet, transport, choice.HandleObservation)
+	choice.OnObserved(gossip.Enqueue)
 	return gossip
 }
 
@@ -50,8 +50,8 @@
 	return pool
 }
 
-func newAllocator(config settings.Settings, census *registry.Census, self catalog.NodeRecord) *connshare.Allocator {
-	return connshare.New(config.ConnectionShare, census, self)
+func newAllocator(config settings.Settings, fleet *registry.Fleet, self catalog.NodeRecord) *connshare.Allocator {
+	return connshare.New(config.ConnectionShare, fleet, self)
 }
 
 type httpPoolDeps struct {
@@ -69,15 +69,15 @@
 func newHTTPPool(deps httpPoolDeps) *leafhttp.Pool {
 	pool := leafhttp.New(deps.Config.LeafHTTP, deps.Names, deps.Metrics.LeafConnections.Inc)
 	pool.SetMaySend(func(incarnation string) bool {
-		isAllowed := deps.Memory.MaySend(incarnation) && (deps.Canary == nil || deps.Canary.MayAsk(incarnation))
+		isAllowed := deps.Memory.MaySend(incarnation) && (deps.Canary == nil || deps.Canary.MaySend(incarnation))
 		return isAllowed && deps.Warmup.Take(incarnation) // last, so that a leaf that may not be asked uses up none of this node's share
 	})
 	deps.Lifecycle.Append(fx.StopHook(pool.Close))
 	return pool
 }
 
-func newWarmup(config settings.Settings, known *catalog.Catalog, census *registry.Census, self catalog.NodeRecord, clock boottime.Clock) *warmup.Limiter {
-	limiter := warmup.New(config.Warmup, known, census, self)
+func newWarmup(config settings.Settings, known *catalog.Catalog, fleet *registry.Fleet, self catalog.NodeRecord, clock boottime.Clock) *warmup.Limiter {
+	limiter := warmup.New(config.Warmup, known, fleet, self)
 	limiter.SetClock(clock)
 	return limiter
 }
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -57,7 +57,7 @@
 	events := rolloutEvents{log: deps.StateEvents.log}
 	controller := rolloutcontrol.New(rolloutcontrol.Deps{
 		Config: cfg, Catalog: deps.Catalog, Self: deps.Self, Counts: deps.Counts, Splitter: deps.Splitter,
-		NewEvaluator: judging(deps.Config.RolloutVerdict),
+		NewEvaluator: newEvaluator(deps.Config.RolloutVerdict),
 		States:       rolloutcontrol.GuardedStateWriter{Store: deps.Store, Guarded: deps.Guarded, RetryPause: cfg.RetryPause},
 		Fleet:        fleetStatus{deps.Syncer}, Sender: deps.Transport, Events: events, Clock: deps.Clock,
 	})
@@ -108,11 +108,11 @@
 }
 
 // newSplitter returns nil if roll-outs are off.
-func newSplitter(config settings.Settings, known *catalog.Catalog, census *registry.Census, clock boottime.Clock) *canary.Splitter {
+func newSplitter(config settings.Settings, known *catalog.Catalog, fleet *registry.Fleet, clock boottime.Clock) *canary.Splitter {
 	if !config.Rollouts.Enabled {
 		return nil
 	}
-	splitter := canary.New(config.Canary, known, census)
+	splitter := canary.New(config.Canary, known, fleet)
 	splitter.SetClock(clock)
 	return splitter
 }
@@ -125,9 +125,9 @@
 	return evidence.NewCollector(known)
 }
 
-// judging makes what finds out whether the version of an order is good.
-func judging(cfg verdict.Config) rolloutcontrol.EvaluatorFactory {
-	return func(serving, trial string, duration time.Duration) rolloutcontrol.Evaluator {
-		return verdict.New(cfg, serving, trial, duration)
+// newEvaluator makes what finds out whether the version of a spec is good.
+func newEvaluator(cfg verdict.Config) rolloutcontrol.EvaluatorFactory {
+	return func(serving, canaryVersion string, duration time.Duration) rolloutcontrol.Evaluator {
+		return verdict.New(cfg, serving, canaryVersion, duration)
 	}
 }
--- a/internal/quarantine/quarantinesync/fixture_test.go
+++ b/internal/quarantine/quarantinesync/fixture_test.go
@@ -192,7 +192,7 @@
 
 func (silentEvents) Quarantined(quarantine.Record, string) {}
 func (silentEvents) Saved(quarantine.Record, error)        {}
-func (silentEvents) Trial(quarantine.Record, error)        {}
+func (silentEvents) Retest(quarantine.Record, error)       {}
 func (silentEvents) Lifted(fingerprint.Fingerprint)        {}
 func (silentEvents) Dropped(int)                           {}
 
@@ -215,9 +215,9 @@
 	return states
 }
 
-func (f *fleet) allHold(state quarantine.State) bool {
-	for _, held := range f.states() {
-		if held != state {
+func (f *fleet) allInState(state quarantine.State) bool {
+	for _, actual := range f.states() {
+		if actual != state {
 			return false
 		}
 	}
--- a/internal/quarantine/quarantinesync/sync.go
+++ b/internal/quarantine/quarantinesync/sync.go
@@ -35,8 +35,8 @@
 	Quarantined(record quarantine.Record, from string)
 	// Saved records that the store accepted a record, or the error.
 	Saved(record quarantine.Record, err error)
-	// Trial records that a request under quarantine may be tried once more, or the error.
-	Trial(record quarantine.Record, err error)
+	// Retest records that a request under quarantine may be tried once more, or the error.
+	Retest(record quarantine.Record, err error)
 	// Lifted records that a request is no longer under quarantine.
 	Lifted(content fingerprint.Fingerprint)
 	// Dropped records that a number of findings were dropped because the queue was full.
@@ -144,8 +144,8 @@
 	s.sendToAggregators(content, peer.Quarantine{Evidence: &evidence})
 }
 
-// Acquitted implements quarantine.Listener.
-func (s *Sync) Acquitted(subject quarantine.Subject) {
+// EvidenceDropped implements quarantine.Listener.
+func (s *Sync) EvidenceDropped(subject quarantine.Subject) {
 	s.sendToAggregators(subject.Content, peer.Quarantine{Answered: subject.Content})
 }
 
@@ -159,7 +159,7 @@
 
 // aggregatorsOf returns the nodes that add up the evidence against a request.
 func (s *Sync) aggregatorsOf(content fingerprint.Fingerprint) []catalog.NodeRecord {
-	ranked := registry.Ranked(s.deps.Catalog.View().Nodes, content.String())
+	ranked := registry.RendezvousOrder(s.deps.Catalog.View().Nodes, content.String())
 	return ranked[:min(len(ranked), aggregatorCount)]
 }
 
@@ -187,7 +187,7 @@
 	case message.Record != nil:
 		s.handleRecord(from, *message.Record)
 	case !message.Answered.IsZero():
-		s.deps.Register.Acquit(message.Answered)
+		s.deps.Register.DropEvidence(message.Answered)
 	}
 }
 
--- a/internal/request/gateway/gateway.go
+++ b/internal/request/gateway/gateway.go
@@ -13,8 +13,8 @@
 //	plan.go        describe the attempts to package scatter, which makes them
 //	candidates.go  list the leafs of a shard that may be asked (canary.go: which version, zones.go: which zones)
 //	policy.go      allow hedges and retries (latency.go: the latencies they depend on)
-//	attempt.go     ask one leaf and judge its answer (crash.go: find out whether the leaf crashed)
-//	group_call.go  ask another node for a group of shards (group_reply.go: wait for its reply and judge it)
+//	attempt.go     ask one leaf and classify its answer (crash.go: find out whether the leaf crashed)
+//	group_call.go  ask another node for a group of shards (group_reply.go: wait for its reply and classify it)
 //	answer.go      merge the parts (merge.go), pass a leaf's answer on, or say why there is none
 //	events.go      report the decisions
 //
@@ -72,9 +72,9 @@
 	Leafs     LeafCaller
 	// Warmup limits the requests to cold leafs; nil means no limit.
 	Warmup *warmup.Limiter
-	// Canary decides which requests go to versions on trial; nil means none.
+	// Canary decides which requests go to canary versions; nil means none.
 	Canary *canary.Splitter
-	// Evidence counts the answers of versions on trial; nil means that nothing is counted.
+	// Evidence counts the answers of canary versions; nil means that nothing is counted.
 	Evidence *evidence.Collector
 	Events   EventLog
 	// Self is this node's own record.
--- a/internal/request/gateway/group_call.go
+++ b/internal/request/gateway/group_call.go
@@ -79,12 +79,12 @@
 // run waits for the group. If its node returned nothing, and may not have spent all attempts, another node is asked;
 // otherwise package scatter asks the leafs from here, as far as the result allows.
 func (p *groupCall) run(ctx context.Context, call *servingtree.Call, done groupDone) groupResult {
-	for asked := 1; ; asked++ {
+	for queried := 1; ; queried++ {
 		began := time.Now()
 		ended := p.await(ctx, call, done)
 		p.recordEnd(ended, time.Since(began))
 		result := p.withSpent(ended.result)
-		if asked == maximumIntermediates || result.Replies != nil || result.Final || result.BrokeOff || p.gotPartial || ended.outcome == GroupCancelled {
+		if queried == maximumIntermediates || result.Replies != nil || result.Final || result.BrokeOff || p.gotPartial || ended.outcome == GroupCancelled {
 			return result
 		}
 		node, found := p.root.choose(p.group.zones)
@@ -137,7 +137,7 @@
 
 // groupRequest returns the message that asks another node for a group. The group may lack as many parts as the whole
 // answer may. The node must reply earlier than the answer is planned by the round trip to it.
-func (e *execution) groupRequest(asked group, spent int) servingtree.Request {
+func (e *execution) groupRequest(g group, spent int) servingtree.Request {
 	r, root := e.request, e.gateway.root
 	mayMiss := len(e.services) - r.requiredParts
 	roundTrip := root.hop.expected(r.route.Objective)
@@ -145,7 +145,7 @@
 	return servingtree.Request{
 		ID: r.Leaf.ID, Method: r.Leaf.Method, Target: r.Leaf.Target, Host: r.Leaf.Host, Header: r.Leaf.Header,
 		Body: r.Leaf.Body, HasBody: r.Leaf.HasBody, Caller: r.Caller, Root: root.self.ID, GatherKey: r.route.GatherKey,
-		Shards: asked.shards, Required: max(1, len(asked.shards)-mayMiss), Spent: spent,
+		Shards: g.shards, Required: max(1, len(g.shards)-mayMiss), Spent: spent,
 		ObjectiveMicros: untilAnswer.Microseconds(), DeadlineMicros: time.Until(e.deadline()).Microseconds(),
 		RoundTrip: roundTrip,
 	}
--- a/internal/request/gateway/group_call_test.go
+++ b/internal/request/gateway/group_call_test.go
@@ -79,7 +79,7 @@
 	silent := p.withSpent(groupEnd{outcome: GroupSilent}.result)
 	is.Equal(silent.Spent, 1)
 	is.True(!silent.Final)
-	refused := p.judgeReply(servingtree.Reply{Failure: &servingtree.Failure{Code: failure.Overloaded, Execution: failure.NotRun}})
+	refused := p.classifyReply(servingtree.Reply{Failure: &servingtree.Failure{Code: failure.Overloaded, Execution: failure.NotRun}})
 	is.Equal(p.withSpent(refused.result).Execution.String(), "unknown")
 }
 
@@ -118,6 +118,6 @@
 	planned := time.Now().Add(time.Second)
 	entry := &routing.Entry{Objective: time.Second}
 	e := &execution{gateway: g, services: make([]string, 2), request: &routedRequest{Request: newRequest("/pages/1"), route: entry, answerBy: planned}}
-	asked := e.groupRequest(group{shards: []int{0, 1}}, 0)
-	is.True(asked.ObjectiveMicros <= (time.Second - initialHop).Microseconds())
+	queried := e.groupRequest(group{shards: []int{0, 1}}, 0)
+	is.True(queried.ObjectiveMicros <= (time.Second - initialHop).Microseconds())
 }
--- a/internal/request/gateway/tree_fixture_test.go
+++ b/internal/request/gateway/tree_fixture_test.go
@@ -35,14 +35,14 @@
 // attemptLog records the attempts of all nodes.
 type attemptLog struct {
 	mu        sync.Mutex
-	asked     map[string][]string // leafs by node
+	queried   map[string][]string // leafs by node
 	cancelled int
 }
 
 func (s *attemptLog) by(node string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.asked[node])
+	return slices.Clone(s.queried[node])
 }
 
 func (s *attemptLog) cancels() int {
@@ -53,7 +53,7 @@
 
 func (l *treeLeafs) Start(target leafhttp.Target, _ *leafhttp.Request, _ time.Time, done leafhttp.Done) context.CancelCauseFunc {
 	l.seen.mu.Lock()
-	l.seen.asked[l.node] = append(l.seen.asked[l.node], target.LeafID)
+	l.seen.queried[l.node] = append(l.seen.queried[l.node], target.LeafID)
 	answer := l.answer
 	l.seen.mu.Unlock()
 	ctx, cancel := context.WithCancelCause(context.Background())
@@ -126,7 +126,7 @@
 // newTree starts a node for each record, and sets the address in the record.
 func newTree(t *testing.T, nodes ...catalog.NodeRecord) *tree {
 	t.Helper()
-	built := &tree{t: t, seen: &attemptLog{asked: map[string][]string{}}, nodes: map[string]*treeNode{}}
+	built := &tree{t: t, seen: &attemptLog{queried: map[string][]string{}}, nodes: map[string]*treeNode{}}
 	for index := range nodes {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -163,15 +163,15 @@
 		put(b.t, node.catalog, catalog.NodeKey(known.ID), known)
 	}
 	b.putRoutes(node, 1, gathered)
-	census := registry.NewCensus(node.catalog, node.record.ID, time.Minute)
+	fleet := registry.NewFleet(node.catalog, node.record.ID, time.Minute)
 	client := servingtree.NewClient(servingtree.DefaultConfig())
 	b.t.Cleanup(client.Close)
 	node.gateway = New(Deps{
 		Config: DefaultConfig(), Names: names, Catalog: node.catalog, Memory: leafmemory.New(leafmemory.DefaultConfig(), node.catalog),
-		Allocator: connshare.New(connshare.DefaultConfig(), census, node.record),
+		Allocator: connshare.New(connshare.DefaultConfig(), fleet, node.record),
 		Balancer:  balancer.New(balancer.DefaultConfig(), node.record.Zone),
 		Budgets:   treeBudgets(),
-		Leafs:     node.leafs, Events: node.events, Self: node.record, Fleet: census, Intermediates: client,
+		Leafs:     node.leafs, Events: node.events, Self: node.record, Fleet: fleet, Intermediates: client,
 		Regions: map[string]string{zoneNear: regionWest, zoneFar: regionWest, zoneFarther: regionSouth},
 	})
 	node.server = servingtree.NewServer(servingtree.DefaultConfig(), node.gateway)
--- a/internal/request/gateway/tree_test.go
+++ b/internal/request/gateway/tree_test.go
@@ -74,7 +74,7 @@
 		"dead":   {func(node *treeNode) { _ = node.listener.Close() }, GroupNeverSent},
 		"frozen": {freeze, GroupSilent},
 		"leaving": {func(node *treeNode) {
-			node.server.Announce()
+			node.server.PrepareStop()
 		}, GroupLeaving},
 		"another table": {func(node *treeNode) {
 			put(node.t, node.catalog, catalog.LeafKey("other"), leafset.Record{Name: "other", Service: "other", Address: "127.0.0.1:1", State: leafset.Ready})
@@ -238,7 +238,7 @@
 	b := newTree(t, near("root"), far("there"))
 	e := &execution{gateway: b.nodes["root"].gateway, request: &routedRequest{route: &routing.Entry{Objective: time.Second}}}
 	p := &groupCall{root: b.nodes["root"].gateway.root, execution: e, group: group{shards: []int{5, 6}}}
-	ended := p.judge(servingtree.Result{Reply: servingtree.Reply{Answer: &servingtree.Answer{Stamps: []string{"x"}}}}, 0)
+	ended := p.classify(servingtree.Result{Reply: servingtree.Reply{Answer: &servingtree.Answer{Stamps: []string{"x"}}}}, 0)
 	is.Equal(ended.outcome, GroupBroken)
 }
 
@@ -258,16 +258,16 @@
 		"negative":       func(a *servingtree.Request) { a.Shards = []int{-1} },
 	}
 	for name, change := range bad {
-		asked := good
-		change(&asked)
-		if reply := there.Gather(t.Context(), asked, nil); reply.Decline != servingtree.OtherRoute {
+		queried := good
+		change(&queried)
+		if reply := there.Gather(t.Context(), queried, nil); reply.Decline != servingtree.OtherRoute {
 			t.Errorf("%s: %+v", name, reply)
 		}
 	}
 }
 
-// A root judges overload by the shards that it asks itself: its data on the others is old.
-func TestOverloadIsJudgedByTheShardsAskedFromHere(t *testing.T) {
+// A root classifies overload by the shards that it asks itself: its data on the others is old.
+func TestOverloadIsClassifiedByTheShardsQueriedFromHere(t *testing.T) {
 	is := is.New(t)
 	b := newTree(t, near("root"), far("there"), catalog.NodeRecord{ID: "farther", Zone: zoneFarther})
 	g := b.nodes["root"].gateway
--- a/internal/request/search/lifecycle.go
+++ b/internal/request/search/lifecycle.go
@@ -19,12 +19,12 @@
 
 // Ready reports whether callers should send searches here.
 func (e *Engine) Ready() bool {
-	return e.ready.Load() && !e.announced.Load() && !e.draining.Load()
+	return e.ready.Load() && !e.isStopping.Load() && !e.draining.Load()
 }
 
-// Announce makes the node report not ready while it still accepts searches, so that callers and
+// PrepareStop makes the node report not ready while it still accepts searches, so that callers and
 // load balancers use other nodes before any search is refused.
-func (e *Engine) Announce() { e.announced.Store(true) }
+func (e *Engine) PrepareStop() { e.isStopping.Store(true) }
 
 // Draining reports whether the node refuses new searches for a planned stop.
 func (e *Engine) Draining() bool { return e.draining.Load() }
@@ -44,8 +44,8 @@
 	}
 }
 
-// Hold counts a search as in flight, so that Drain waits, until release is called.
-func (e *Engine) Hold() (release func(), err error) {
+// Acquire counts a search as in flight, so that Drain waits, until release is called.
+func (e *Engine) Acquire() (release func(), err error) {
 	if err := e.enter(); err != nil {
 		return nil, err
 	}
--- a/internal/request/search/quarantine_test.go
+++ b/internal/request/search/quarantine_test.go
@@ -20,11 +20,11 @@
 // noListener ignores all findings.
 type noListener struct{}
 
-func (noListener) Suspected(quarantine.Subject)  {}
-func (noListener) Acquitted(quarantine.Subject)  {}
-func (noListener) Quarantined(quarantine.Record) {}
-func (noListener) TrialDue(quarantine.Record)    {}
-func (noListener) Survived(quarantine.Record)    {}
+func (noListener) Suspected(quarantine.Subject)       {}
+func (noListener) EvidenceDropped(quarantine.Subject) {}
+func (noListener) Quarantined(quarantine.Record)      {}
+func (noListener) RetestDue(quarantine.Record)        {}
+func (noListener) RetestAnswered(quarantine.Record)   {}
 
 // A search that crashes the leafs that run it is sent to no more of them, whatever id it is repeated under; if only the calls
 // broke off, it is.
@@ -50,10 +50,10 @@
 					is.True(search(fmt.Sprint("try-", number)) != nil)
 					time.Sleep(2 * time.Second)
 				}
-				asked := len(leafs.asked)
+				queried := len(leafs.queried)
 				err := search("four")
 				is.Equal(failure.Is(err, failure.Quarantined), ended)
-				is.Equal(len(leafs.asked) == asked, ended)
+				is.Equal(len(leafs.queried) == queried, ended)
 				if ended {
 					is.Equal(failure.From(err).Execution, failure.NotRun)
 					is.True(failure.From(err).RetryAfter > 0)
--- a/internal/rollout/canary/bound_test.go
+++ b/internal/rollout/canary/bound_test.go
@@ -10,19 +10,19 @@
 	"pgregory.net/rapid"
 )
 
-// member is one node of a fleet during an order.
+// member is one node of a fleet during a spec.
 type member struct {
 	fleet    *one
 	splitter *Splitter
 }
 
-// arrival is a request to a node at a time of the order.
+// arrival is a request to a node at a time of the spec.
 type arrival struct {
 	at   time.Duration
 	node int
 }
 
-// arrivals spreads the requests of a fleet over the order, with a mean number for each node.
+// arrivals spreads the requests of a fleet over the spec, with a mean number for each node.
 func arrivals(source *rand.Rand, nodes int, each float64) []arrival {
 	count := int(float64(nodes)*each + 0.5)
 	made := make([]arrival, 0, count)
@@ -33,7 +33,7 @@
 	return made
 }
 
-// The version gets no more than its share and the slack, whatever the fleet: its nodes learn of the order at
+// The version gets no more than its share and the slack, whatever the fleet: its nodes learn of the spec at
 // different times, see different numbers of nodes, join and restart.
 func TestBoundHoldsOverTheFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -43,8 +43,8 @@
 		restarts := rapid.Float64Range(0, 0.2).Draw(t, "restarts")
 		source := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		built := newSite(t)
-		begin := func(part float64) member {
-			fleet := &one{part}
+		begin := func(share float64) member {
+			fleet := &one{share}
 			made := member{fleet, built.splitter(config(slack), fleet)}
 			made.splitter.random = source.Float64
 			return made
@@ -54,8 +54,8 @@
 		for index := range fleet {
 			fleet[index] = begin(seen())
 		}
-		built.order()
-		start, requests, drawn := built.clock, 0.0, 0.0
+		built.startRollout()
+		start, requests, forCanary := built.clock, 0.0, 0.0
 		for _, one := range arrivals(source, nodes, each) {
 			built.clock = start.Add(one.at)
 			node := &fleet[one.node]
@@ -63,12 +63,12 @@
 				*node = begin(seen())
 			}
 			if source.Float64() < 0.1 {
-				node.fleet.part = seen()
+				node.fleet.share = seen()
 			}
 			requests++
-			drawn += float64(draw(node.splitter, 1, source.IntN(4) == 0))
-			if allowed := 0.1*requests + slack; drawn > allowed {
-				t.Fatalf("%v of %v requests of %d nodes were drawn, %v are allowed", drawn, requests, nodes, allowed)
+			forCanary += float64(decide(node.splitter, 1, source.IntN(4) == 0))
+			if allowed := 0.1*requests + slack; forCanary > allowed {
+				t.Fatalf("%v of %v requests of %d nodes were drawn, %v are allowed", forCanary, requests, nodes, allowed)
 			}
 		}
 	})
@@ -85,17 +85,17 @@
 			fleet[index] = built.splitter(config(50), &one{1 / float64(nodes)})
 			fleet[index].random = source.Float64
 		}
-		built.order()
+		built.startRollout()
 		for _, splitter := range fleet {
 			splitter.Refresh()
 		}
-		start, drawn := built.clock, 0
+		start, forCanary := built.clock, 0
 		made := arrivals(source, nodes, 2000/float64(nodes))
 		for _, one := range made {
 			built.clock = start.Add(one.at)
-			drawn += draw(fleet[one.node], 1, false)
+			forCanary += decide(fleet[one.node], 1, false)
 		}
-		is.True(float64(drawn) >= 0.5*(0.1*float64(len(made))+50))
+		is.True(float64(forCanary) >= 0.5*(0.1*float64(len(made))+50))
 	}
 }
 
@@ -109,60 +109,60 @@
 		fleet[index] = built.splitter(config(50), &one{1.0 / 400})
 		fleet[index].random = source.Float64
 	}
-	built.order()
-	drawn := 0
+	built.startRollout()
+	forCanary := 0
 	for _, splitter := range fleet {
-		drawn += draw(splitter, 1, false)
+		forCanary += decide(splitter, 1, false)
 	}
-	is.True(drawn > 10 && drawn < 60)
+	is.True(forCanary > 10 && forCanary < 60)
 }
 
-// The slack is released in the second quarter of the order. A node that found the order when it started has none, and
+// The slack is released in the second quarter of the spec. A node that found the spec when it started has none, and
 // one whose fleet has grown has less.
 func TestSlackIsReleasedOnce(t *testing.T) {
 	is := is.New(t)
 	built, splitter, _ := started(t, 50)
-	is.Equal(draw(splitter, 100, false), 8)
+	is.Equal(decide(splitter, 100, false), 8)
 	built.pass(lasts / 4)
-	is.Equal(draw(splitter, 1, false), 0)
+	is.Equal(decide(splitter, 1, false), 0)
 	built.pass(lasts / 8)
-	is.Equal(draw(splitter, 99, false), 28)
+	is.Equal(decide(splitter, 99, false), 28)
 	built.pass(lasts / 8)
-	is.Equal(draw(splitter, 100, false), 28)
+	is.Equal(decide(splitter, 100, false), 28)
 
 	late := built.splitter(config(50), &one{1})
-	is.Equal(draw(late, 100, false), 8)
+	is.Equal(decide(late, 100, false), 8)
 
 	built, splitter, _ = started(t, 50)
 	built.pass(lasts / 2)
-	splitter.fleet.(*one).part = 0.25
-	is.Equal(draw(splitter, 1, false), 1)
-	splitter.fleet.(*one).part = 1
-	is.Equal(draw(splitter, 99, false), 17)
+	splitter.fleet.(*one).share = 0.25
+	is.Equal(decide(splitter, 1, false), 1)
+	splitter.fleet.(*one).share = 1
+	is.Equal(decide(splitter, 99, false), 17)
 }
 
 // Requests that must run at most once get what repeatable ones left of the slack after its release.
 func TestOnceOnlyRequestsGetWhatIsLeft(t *testing.T) {
 	is := is.New(t)
 	built, splitter, _ := started(t, 50)
-	is.Equal(draw(splitter, 100, true), 0)
+	is.Equal(decide(splitter, 100, true), 0)
 	built.pass(3 * lasts / 8)
-	is.Equal(draw(splitter, 100, false), 16+20-5)
-	is.Equal(draw(splitter, 100, true), 0)
+	is.Equal(decide(splitter, 100, false), 16+20-5)
+	is.Equal(decide(splitter, 100, true), 0)
 	built.pass(lasts / 8)
-	is.Equal(draw(splitter, 100, true), 40)
-	is.Equal(draw(splitter, 100, false), 40+40-31-40)
+	is.Equal(decide(splitter, 100, true), 40)
+	is.Equal(decide(splitter, 100, false), 40+40-31-40)
 }
 
-// Repeatable requests leave a part of the slack to requests that must run at most once, however many they are.
-func TestPartOfTheSlackIsForOnceOnlyRequests(t *testing.T) {
+// Repeatable requests leave a share of the slack to requests that must run at most once, however many they are.
+func TestShareOfTheSlackIsForOnceOnlyRequests(t *testing.T) {
 	is := is.New(t)
 	built, splitter, _ := started(t, 50)
-	is.Equal(draw(splitter, 10, true), 0)
+	is.Equal(decide(splitter, 10, true), 0)
 	built.pass(lasts / 2)
-	is.Equal(draw(splitter, 990, false), 80+30)
-	is.Equal(draw(splitter, 100, true), 10+8) // the requests themselves add to the share
-	is.Equal(draw(splitter, 900, false), 72-8+8)
+	is.Equal(decide(splitter, 990, false), 80+30)
+	is.Equal(decide(splitter, 100, true), 10+8) // the requests themselves add to the share
+	is.Equal(decide(splitter, 900, false), 72-8+8)
 }
 
 // Without requests that must run at most once no slack is reserved.
@@ -170,54 +170,54 @@
 	is := is.New(t)
 	built, splitter, _ := started(t, 50)
 	built.pass(lasts / 2)
-	is.Equal(draw(splitter, 1000, false), 80+40)
+	is.Equal(decide(splitter, 1000, false), 80+40)
 }
 
-// A draw by which nothing could be sent is available to another request.
+// A decision by which nothing could be sent is available to another request.
 func TestReturnedDrawIsMadeAgain(t *testing.T) {
 	is := is.New(t)
 	_, splitter, _ := started(t, 0)
-	is.Equal(draw(splitter, 12, false), 0)
+	is.Equal(decide(splitter, 12, false), 0)
 	request := Request{Service: "s"}
-	drawn := splitter.Draw(request)
-	is.True(drawn.First == Trial && drawn.IsBounded)
-	is.Equal(draw(splitter, 1, false), 0)
-	splitter.Refund(request, drawn)
-	is.Equal(draw(splitter, 1, false), 1)
+	decision := splitter.Decide(request)
+	is.True(decision.First == Target && decision.IsBounded)
+	is.Equal(decide(splitter, 1, false), 0)
+	splitter.Refund(request, decision)
+	is.Equal(decide(splitter, 1, false), 1)
 }
 
-// A draw of an order that was replaced meanwhile does not add to the budget of the next one.
+// A decision of a spec that was replaced meanwhile does not add to the budget of the next one.
 func TestDrawOfAnotherOrderIsNotReturned(t *testing.T) {
 	is := is.New(t)
 	built, splitter, _ := started(t, 0)
-	is.Equal(draw(splitter, 12, false), 0)
+	is.Equal(decide(splitter, 12, false), 0)
 	request := Request{Service: "s"}
-	drawn := splitter.Draw(request)
-	is.True(drawn.IsBounded)
-	built.order()
-	is.Equal(draw(splitter, 13, false), 1)
-	splitter.Refund(request, drawn)
-	is.Equal(draw(splitter, 11, false), 0)
+	decision := splitter.Decide(request)
+	is.True(decision.IsBounded)
+	built.startRollout()
+	is.Equal(decide(splitter, 13, false), 1)
+	splitter.Refund(request, decision)
+	is.Equal(decide(splitter, 11, false), 0)
 }
 
 // Requests that no leaf of the serving version can take earn no share; they get what there is of the slack.
 func TestUnservedRequestsGetTheSlackOnly(t *testing.T) {
 	is := is.New(t)
 	unserved := func(s *Splitter, n int) int {
-		drawn := 0
+		forCanary := 0
 		for range n {
-			if s.Draw(Request{Service: "s", Unserved: true}).First == Trial {
-				drawn++
+			if s.Decide(Request{Service: "s", Unserved: true}).First == Target {
+				forCanary++
 			}
 		}
-		return drawn
+		return forCanary
 	}
 	_, splitter, _ := started(t, 0)
 	is.Equal(unserved(splitter, 1000), 0)
-	is.Equal(draw(splitter, 100, false), 8)
+	is.Equal(decide(splitter, 100, false), 8)
 	is.Equal(unserved(splitter, 1000), 0)
 	built, splitter, _ := started(t, 50)
 	built.pass(lasts / 2)
 	is.Equal(unserved(splitter, 1000), 40)
-	is.Equal(draw(splitter, 100, false), 8)
+	is.Equal(decide(splitter, 100, false), 8)
 }
--- a/internal/rollout/canary/stage_test.go
+++ b/internal/rollout/canary/stage_test.go
@@ -15,88 +15,88 @@
 
 // may returns for each of the versions whether a leaf of it may be sent a request now.
 func may(s *Splitter) string {
-	return fmt.Sprintf("%v %v", s.MayAsk(leafID(before, 0)), s.MayAsk(leafID(target, 0)))
+	return fmt.Sprintf("%v %v", s.MaySend(leafID(before, 0)), s.MaySend(leafID(target, 0)))
 }
 
-// Without an order only the serving version gets requests.
+// Without a spec only the serving version gets requests.
 func TestWithoutAnOrderOneVersionServes(t *testing.T) {
 	is := is.New(t)
 	built := newSite(t)
 	splitter := built.splitter(config(50), &one{1})
-	is.Equal(draw(splitter, 100, false), 0)
+	is.Equal(decide(splitter, 100, false), 0)
 	is.Equal(splitter.RetryVersions("s"), Serving)
 	is.Equal(may(splitter), "true false")
-	is.True(!splitter.IsTrialOpen("s") && !splitter.MayAsk("unknown"))
+	is.True(!splitter.IsCanaryOpen("s") && !splitter.MaySend("unknown"))
 	is.Equal(len(splitter.budgets), 0)
 }
 
-// After the order's duration by this node's clock the version gets nothing more, not even attempts planned before.
-func TestNothingIsDrawnAfterTheOrdersTime(t *testing.T) {
+// After the spec's duration by this node's clock the version gets nothing more, not even attempts planned before.
+func TestNothingGoesToCanaryAfterTheSpecsTime(t *testing.T) {
 	is := is.New(t)
 	built, splitter, _ := started(t, 0)
 	built.pass(lasts - 1)
-	is.Equal(draw(splitter, 100, false), 8)
+	is.Equal(decide(splitter, 100, false), 8)
 	is.Equal(may(splitter), "true true")
 	built.pass(1)
-	is.Equal(draw(splitter, 100, false), 0)
+	is.Equal(decide(splitter, 100, false), 0)
 	is.Equal(may(splitter), "true false")
 }
 
-// The duration of an order begins when a node learns of it, not with its first request.
+// The duration of a spec begins when a node learns of it, not with its first request.
 func TestTimeBeginsWhenTheOrderIsLearnedOf(t *testing.T) {
 	is := is.New(t)
 	built, splitter, _ := started(t, 0)
 	built.pass(lasts)
-	is.Equal(draw(splitter, 100, false), 0)
+	is.Equal(decide(splitter, 100, false), 0)
 }
 
-// A held order is stopped in each phase, also before it is known; another order for the same version is not.
-func TestHoldIsOfOneOrderAndStays(t *testing.T) {
+// An aborted spec is stopped in each phase, also before it is known; another spec for the same version is not.
+func TestAbortIsOfOneSpecAndStays(t *testing.T) {
 	is := is.New(t)
-	built, splitter, order := started(t, 50)
-	splitter.Hold("s", order)
-	is.Equal(draw(splitter, 100, false), 0)
+	built, splitter, specID := started(t, 50)
+	splitter.Abort("s", specID)
+	is.Equal(decide(splitter, 100, false), 0)
 	is.Equal(may(splitter), "true false")
-	built.phase(order, rollout.Switching)
+	built.phase(specID, rollout.Switching)
 	built.pass(time.Hour)
-	is.Equal(draw(splitter, 100, false), 0)
+	is.Equal(decide(splitter, 100, false), 0)
 	is.Equal(splitter.RetryVersions("s"), Serving)
 	is.Equal(may(splitter), "true false")
-	splitter.Hold("s", order-1)
+	splitter.Abort("s", specID-1)
 	is.Equal(may(splitter), "true false")
 
-	next := built.order()
+	next := built.startRollout()
 	splitter.Refresh()
-	is.Equal(len(splitter.holds), 0)
+	is.Equal(len(splitter.aborts), 0)
 	is.Equal(may(splitter), "true true")
-	splitter.Hold("s", next+1)
+	splitter.Abort("s", next+1)
 	splitter.Refresh()
 	is.Equal(may(splitter), "true false") // the one before it is replaced
-	built.order()
-	is.Equal(draw(splitter, 100, false), 0)
+	built.startRollout()
+	is.Equal(decide(splitter, 100, false), 0)
 }
 
-// Holds of services without an order are dropped, and more than the bound are not kept.
-func TestHoldsAreBounded(t *testing.T) {
+// Aborts of services without a spec are dropped, and more than the bound are not kept.
+func TestAbortsAreBounded(t *testing.T) {
 	is := is.New(t)
-	built, splitter, order := started(t, 50)
-	for index := range 2 * maxHolds {
-		splitter.Hold(fmt.Sprint(index), order+1)
+	built, splitter, specID := started(t, 50)
+	for index := range 2 * maxAborts {
+		splitter.Abort(fmt.Sprint(index), specID+1)
 	}
-	is.Equal(len(splitter.holds), maxHolds)
+	is.Equal(len(splitter.aborts), maxAborts)
 	built.put(catalog.EvacuationKey("z"), struct{}{})
 	splitter.Refresh()
-	is.Equal(len(splitter.holds), 0)
+	is.Equal(len(splitter.aborts), 0)
 }
 
-// An order that is withdrawn leaves the version no requests and no budget.
+// A spec that is withdrawn leaves the version no requests and no budget.
 func TestOrderTakenBack(t *testing.T) {
 	is := is.New(t)
 	built, splitter, _ := started(t, 50)
 	is.Equal(may(splitter), "true true")
 	built.put(catalog.RolloutKey("s"), nil)
 	is.Equal(may(splitter), "true false")
-	is.Equal(draw(splitter, 100, false), 0)
+	is.Equal(decide(splitter, 100, false), 0)
 	splitter.Refresh()
 	is.Equal(len(splitter.budgets), 0)
 }
@@ -104,57 +104,57 @@
 // A version found good gets everything within the ramp, and the one before it nothing after that.
 func TestRampMovesEverything(t *testing.T) {
 	is := is.New(t)
-	built, splitter, order := started(t, 0)
+	built, splitter, specID := started(t, 0)
 	chance := 0.0
 	splitter.random = func() float64 { return chance }
-	built.phase(order, rollout.Switching)
+	built.phase(specID, rollout.Switching)
 	splitter.Refresh()
 	is.Equal(splitter.RetryVersions("s"), Both)
 	for _, step := range []struct {
-		part  float64
-		share float64
+		fraction float64
+		share    float64
 	}{{0, 0.1}, {0.5, 0.55}, {0.9, 0.91}} {
-		built.clock = splitter.budgets["s"].switchedAt.Add(time.Duration(step.part * float64(2*time.Second)))
+		built.clock = splitter.budgets["s"].switchedAt.Add(time.Duration(step.fraction * float64(2*time.Second)))
 		chance = step.share - 0.001
-		is.Equal(splitter.Draw(Request{Service: "s"}), Draw{First: Trial})
+		is.Equal(splitter.Decide(Request{Service: "s"}), Decision{First: Target})
 		chance = step.share + 0.001
-		is.Equal(splitter.Draw(Request{Service: "s"}), Draw{})
+		is.Equal(splitter.Decide(Request{Service: "s"}), Decision{})
 		is.Equal(may(splitter), "true true")
 	}
 	built.pass(2 * time.Second)
-	is.Equal(splitter.Draw(Request{Service: "s", Once: true}), Draw{First: Trial})
-	is.Equal(splitter.RetryVersions("s"), Trial)
+	is.Equal(splitter.Decide(Request{Service: "s", Once: true}), Decision{First: Target})
+	is.Equal(splitter.RetryVersions("s"), Target)
 	is.Equal(may(splitter), "false true")
 	built.pass(lasts)
 	is.Equal(may(splitter), "false true") // its time only ends what is not found good
 }
 
-// In a short order the requests move within a part of its duration.
-func TestRampOfAShortOrder(t *testing.T) {
+// In a short spec the requests move within a part of its duration.
+func TestRampOfAShortSpec(t *testing.T) {
 	is := is.New(t)
-	built, splitter, order := startedFor(t, 12*time.Second)
+	built, splitter, specID := startedFor(t, 12*time.Second)
 	is.Equal(splitter.Ramp(12*time.Second), 1200*time.Millisecond)
 	is.Equal(splitter.Ramp(time.Hour), 2*time.Second)
-	built.phase(order, rollout.Switching)
+	built.phase(specID, rollout.Switching)
 	splitter.Refresh()
 	built.pass(1199 * time.Millisecond)
 	is.Equal(splitter.RetryVersions("s"), Both)
 	built.pass(time.Millisecond)
-	is.Equal(splitter.RetryVersions("s"), Trial)
+	is.Equal(splitter.RetryVersions("s"), Target)
 }
 
 // While the configuration was not confirmed recently nothing goes beyond the share.
 func TestSwitchLapsesWithoutConfirmation(t *testing.T) {
 	is := is.New(t)
-	built, splitter, order := started(t, 0)
-	built.phase(order, rollout.Switching)
+	built, splitter, specID := started(t, 0)
+	built.phase(specID, rollout.Switching)
 	splitter.Refresh()
 	built.clock = built.clock.Add(3 * time.Second)
-	is.Equal(draw(splitter, 10, false), 10)
+	is.Equal(decide(splitter, 10, false), 10)
 	built.clock = built.clock.Add(config(0).ConfirmedWithin - 2500*time.Millisecond)
 	is.Equal(splitter.RetryVersions("s"), Serving)
-	is.Equal(draw(splitter, 50, false), 0) // of its share it had more already
-	is.Equal(draw(splitter, 200, false), 260*8/100-10)
+	is.Equal(decide(splitter, 50, false), 0) // of its share it had more already
+	is.Equal(decide(splitter, 200, false), 260*8/100-10)
 	is.Equal(may(splitter), "true true")
 	built.pass(0)
 	is.Equal(may(splitter), "false true")
@@ -163,11 +163,11 @@
 // A node is settled once its ramp has ended and nothing is in flight at other versions, whenever that began.
 func TestSettledOnceNothingIsUnderWay(t *testing.T) {
 	is := is.New(t)
-	built, splitter, order := started(t, 0)
+	built, splitter, specID := started(t, 0)
 	splitter.AttemptStarted("s", before)
 	splitter.AttemptStarted("s", target)
 	is.Equal(splitter.SettledRevision(), built.known.Revision())
-	switched := built.phase(order, rollout.Switching)
+	switched := built.phase(specID, rollout.Switching)
 	built.put(catalog.EvacuationKey("z"), struct{}{})
 	is.Equal(splitter.SettledRevision(), switched-1)
 	built.pass(2 * time.Second)
@@ -177,27 +177,27 @@
 	built.clock = built.clock.Add(time.Minute) // lapsed: the version that served may be asked again
 	is.Equal(splitter.SettledRevision(), switched-1)
 	built.pass(0)
-	splitter.Hold("s", order)
+	splitter.Abort("s", specID)
 	is.Equal(splitter.SettledRevision(), switched-1)
 	splitter.AttemptEnded("s", target)
 	is.Equal(len(splitter.inFlight.counts), 0)
 }
 
 // A leaf of a version that no rule lets serve gets nothing, be it ready, lost or only remembered.
-func TestBarredLeafsMayNotBeAsked(t *testing.T) {
+func TestDisallowedLeafsGetNoRequests(t *testing.T) {
 	is := is.New(t)
-	built, splitter, order := started(t, 0)
-	built.put(catalog.RememberedKey, leafset.List{Leafs: []leafset.Record{
+	built, splitter, specID := started(t, 0)
+	built.put(catalog.SavedLeafsKey, leafset.List{Leafs: []leafset.Record{
 		{Name: "old", Service: "s", Address: "127.0.0.1:1", Version: target, State: leafset.Ready},
 		{Name: "other", Service: "s", Address: "127.0.0.1:1", Version: before, State: leafset.Ready},
 	}})
-	built.phase(order, rollout.RolledBack)
+	built.phase(specID, rollout.RolledBack)
 	built.put(catalog.LeafKey(leafID(target, 1)), nil)
 	built.putLeaf(target, 2, leafset.Draining)
-	for _, barred := range []string{leafID(target, 0), leafID(target, 1), leafID(target, 2), "old"} {
-		is.True(!splitter.MayAsk(barred))
+	for _, disallowed := range []string{leafID(target, 0), leafID(target, 1), leafID(target, 2), "old"} {
+		is.True(!splitter.MaySend(disallowed))
 	}
-	is.True(splitter.MayAsk(leafID(before, 0)) && splitter.MayAsk("other"))
+	is.True(splitter.MaySend(leafID(before, 0)) && splitter.MaySend("other"))
 }
 
 // Draws go to one leaf at a time, the same on all nodes, and to each in turn.
@@ -217,16 +217,16 @@
 	is.Equal(splitter.FocusOrder("other", nil), nil)
 }
 
-// Without a leaf on trial nothing is drawn.
-func TestNothingIsDrawnWithoutLeafs(t *testing.T) {
+// Without a canary nothing is drawn.
+func TestNothingGoesToCanaryWithoutLeafs(t *testing.T) {
 	is := is.New(t)
 	built, splitter, _ := started(t, 0)
 	for index := range 3 {
 		built.put(catalog.LeafKey(leafID(target, index)), nil)
 	}
-	is.Equal(draw(splitter, 100, false), 0)
+	is.Equal(decide(splitter, 100, false), 0)
 	built.putLeaf(target, 0, leafset.Ready)
-	is.Equal(draw(splitter, 1, false), 1)
+	is.Equal(decide(splitter, 1, false), 1)
 }
 
 func TestConfigNamesEveryFault(t *testing.T) {
@@ -248,9 +248,9 @@
 	built.pass(0)
 	splitter := New(config(0), built.known, &one{1})
 	splitter.SetClock(clock)
-	order := built.order()
+	specID := built.startRollout()
 	splitter.Refresh()
-	built.phase(order, rollout.Switching)
+	built.phase(specID, rollout.Switching)
 	splitter.Refresh()
 	built.pass(splitter.Ramp(lasts) + time.Second)
 	is.Equal(splitter.stageNow("s"), moved)
--- a/internal/rollout/evidence/collector.go
+++ b/internal/rollout/evidence/collector.go
@@ -11,10 +11,10 @@
 )
 
 // maxRows bounds the rows that a node keeps. A service has one for each route of the serving version, and one for
-// each route and leaf on trial.
+// each route and canary.
 const maxRows = 4096
 
-// Collector counts how one node's attempts end at leafs of services with a version on trial. The leafs of the serving
+// Collector counts how one node's attempts end at leafs of services with a canary version. The leafs of the serving
 // version share a row for each route, without leaf and zone. It is safe for concurrent use.
 type Collector struct {
 	catalog *catalog.Catalog
@@ -46,12 +46,12 @@
 	c.count(route, leaf, func(tally *Tally) { tally.Observe(failed, took) })
 }
 
-// ObserveGivenUp counts an attempt that was given up without an answer.
-func (c *Collector) ObserveGivenUp(route string, leaf *leafset.Leaf, took time.Duration) {
+// ObserveAbandoned counts an attempt that was given up without an answer.
+func (c *Collector) ObserveAbandoned(route string, leaf *leafset.Leaf, took time.Duration) {
 	if !c.IsCounted(leaf) {
 		return
 	}
-	c.count(route, leaf, func(tally *Tally) { tally.ObserveGivenUp(took) })
+	c.count(route, leaf, func(tally *Tally) { tally.ObserveAbandoned(took) })
 }
 
 // IsCounted reports whether a leaf's attempts are counted now.
@@ -61,7 +61,7 @@
 
 // isCounted reports whether a leaf's attempts are counted under a rule.
 func isCounted(rule rollout.Rule, leaf *leafset.Leaf) bool {
-	return rule.Trial != "" && (rule.IsTrial(leaf.Version) || rule.IsServing(leaf.Version))
+	return rule.Canary != "" && (rule.IsCanary(leaf.Version) || rule.IsServing(leaf.Version))
 }
 
 // Rows returns copies of all rows, in no particular order.
@@ -99,8 +99,8 @@
 	if !isCounted(rule, leaf) {
 		return // the rule has changed since IsCounted
 	}
-	key := Key{Service: leaf.Service, Order: rule.Order, Route: route, Version: leaf.Version}
-	if rule.IsTrial(leaf.Version) {
+	key := Key{Service: leaf.Service, SpecID: rule.SpecID, Route: route, Version: leaf.Version}
+	if rule.IsCanary(leaf.Version) {
 		key.Leaf, key.Zone = leaf.ID, leaf.Zone
 	}
 	kept, found := c.rows[key]
@@ -118,14 +118,14 @@
 	}
 }
 
-// dropOld drops the rows of orders that are no longer in force. The lock must be held.
+// dropOld drops the rows of specs that are no longer in force. The lock must be held.
 func (c *Collector) dropOld() {
 	leafs := c.catalog.View().Leafs
 	if leafs == c.leafs {
 		return
 	}
 	c.leafs = leafs
-	isOld := func(kept *collected) bool { return leafs.Rule(kept.Service).Order != kept.Order }
+	isOld := func(kept *collected) bool { return leafs.Rule(kept.Service).SpecID != kept.SpecID }
 	for key, kept := range c.rows {
 		if isOld(kept) {
 			delete(c.rows, key)
@@ -137,6 +137,6 @@
 // copy returns a copy of the row.
 func (c *collected) copy() Row {
 	row := c.Row
-	row.Answered, row.GivenUp = slices.Clone(row.Answered), slices.Clone(row.GivenUp)
+	row.Answered, row.Abandoned = slices.Clone(row.Answered), slices.Clone(row.Abandoned)
 	return row
 }
--- a/internal/rollout/evidence/evidence.go
+++ b/internal/rollout/evidence/evidence.go
@@ -1,9 +1,9 @@
 // Package evidence counts how the leafs of each version of a service answer, so that a new version can be compared
 // with the serving one: by route, at the same time, by failures and latency.
 //
-// Counts only grow during one order, so that a report that arrives twice, late or not at all does no harm: of two
+// Counts only grow during one spec, so that a report that arrives twice, late or not at all does no harm: of two
 // reports of one row the one with more attempts is kept. A Collector owns the rows of one node; the package starts no
-// goroutine, and relies on the catalog for the orders in force.
+// goroutine, and relies on the catalog for the specs in force.
 package evidence
 
 import (
@@ -14,8 +14,8 @@
 // Key identifies a row of counts.
 type Key struct {
 	Service string `json:"service"`
-	// Order is the id of the order that the counts are for.
-	Order   int64  `json:"order"`
+	// SpecID is the id of the spec that the counts are for.
+	SpecID  int64  `json:"order"`
 	Route   string `json:"route"`
 	Version string `json:"version"`
 	// Leaf is the id of the leaf, so that one bad leaf is not taken for a bad version; empty for the serving version.
@@ -36,9 +36,9 @@
 	Failures int64 `json:"failures,omitempty"`
 	// Answered counts all answers by latency.
 	Answered Histogram `json:"answered,omitempty"`
-	// GivenUp counts the attempts that were given up without an answer, by their time until then; the answer would
+	// Abandoned counts the attempts that were given up without an answer, by their time until then; the answer would
 	// have taken longer.
-	GivenUp Histogram `json:"given_up,omitempty"`
+	Abandoned Histogram `json:"given_up,omitempty"`
 }
 
 // Observe counts an answer.
@@ -49,24 +49,24 @@
 	t.Answered.observe(took)
 }
 
-// ObserveGivenUp counts an attempt without an answer.
-func (t *Tally) ObserveGivenUp(took time.Duration) { t.GivenUp.observe(took) }
+// ObserveAbandoned counts an attempt without an answer.
+func (t *Tally) ObserveAbandoned(took time.Duration) { t.Abandoned.observe(took) }
 
 // Attempts returns the number of attempts.
-func (t *Tally) Attempts() int64 { return t.Answered.Total() + t.GivenUp.Total() }
+func (t *Tally) Attempts() int64 { return t.Answered.Total() + t.Abandoned.Total() }
 
 // Add adds the counts of another tally.
 func (t *Tally) Add(other Tally) {
 	t.Failures += other.Failures
 	t.Answered.add(other.Answered)
-	t.GivenUp.add(other.GivenUp)
+	t.Abandoned.add(other.Abandoned)
 }
 
 // Slow returns the number of attempts that took longer than a limit, and the number for which that is known. It is
 // unknown for attempts that were given up before the limit.
 func (t *Tally) Slow(limit time.Duration) (slow, known int64) {
-	slow = t.Answered.Above(limit) + t.GivenUp.Above(limit)
-	return slow, t.Answered.Total() + t.GivenUp.Above(limit)
+	slow = t.Answered.Above(limit) + t.Abandoned.Above(limit)
+	return slow, t.Answered.Total() + t.Abandoned.Above(limit)
 }
 
 // The first bucket of a histogram ends at minLatency, each other at 2^(1/stepsPerDoubling) times the one before it. So 48
@@ -132,14 +132,14 @@
 	return above
 }
 
-// Quantile returns the upper bound of the bucket at which the given part of the attempts, 0 to 1, is reached; 0 if
+// Quantile returns the upper bound of the bucket at which the given fraction of the attempts, 0 to 1, is reached; 0 if
 // there are none.
-func (h Histogram) Quantile(part float64) time.Duration {
+func (h Histogram) Quantile(fraction float64) time.Duration {
 	total := h.Total()
 	if total == 0 {
 		return 0
 	}
-	wanted := int64(math.Ceil(part * float64(total)))
+	wanted := int64(math.Ceil(fraction * float64(total)))
 	counted := int64(0)
 	for index, count := range h {
 		counted += count
--- a/internal/rollout/rolloutcontrol/controller.go
+++ b/internal/rollout/rolloutcontrol/controller.go
@@ -1,15 +1,15 @@
-// Package rolloutcontrol carries out the orders that move services to other versions: it reports what each node
-// counted to the judges of a service, evaluates versions on trial, and writes the phase of each roll-out to the
+// Package rolloutcontrol carries out the specs that move services to other versions: it reports what each node
+// counted to the evaluator nodes of a service, evaluates canary versions, and writes the phase of each roll-out to the
 // store.
 //
-// Every node runs a Controller. The judges of a service are the first registered nodes by rendezvous hash.
-// Correctness does not depend on nodes agreeing about who they are: each judge may write, and the store accepts a
-// write only in place of the state that the judge knew and while the order is unchanged. If judges disagree the first
+// Every node runs a Controller. The evaluator nodes of a service are the first registered nodes by rendezvous hash.
+// Correctness does not depend on nodes agreeing about who they are: each evaluator node may write, and the store accepts a
+// write only in place of the state that the evaluator node knew and while the spec is unchanged. If evaluator nodes disagree the first
 // write wins, and a late one has no effect. A version found bad is stopped at once by messages between nodes (a
-// hold), whether or not the store accepts the write.
+// abort), whether or not the store accepts the write.
 //
-// The package owns the counts of all nodes at a judge, the holds, and the goroutines of Run with its writes and fleet
-// calls. It relies on the catalog for orders, states and registered nodes, on datagrams for reports and holds, on
+// The package owns the counts of all nodes at an evaluator node, the aborts, and the goroutines of Run with its writes and fleet
+// calls. It relies on the catalog for specs, states and registered nodes, on datagrams for reports and aborts, on
 // conditional writes of the store, and on a clock that counts suspended time.
 package rolloutcontrol
 
@@ -25,14 +25,14 @@
 	"github.com/portgauge/portgauge/internal/node/boottime"
 )
 
-// Splitter is what draws this node's requests for versions on trial; canary.Splitter is the real one.
+// Splitter is what draws this node's requests for canary versions; canary.Splitter is the real one.
 type Splitter interface {
-	// Hold stops the trial of an order at this node for good.
-	Hold(service string, order int64)
+	// Abort stops the canary of a spec at this node for good.
+	Abort(service string, specID int64)
 	// SettledRevision returns the revision at which the node is settled: it sends nothing by an older rule any more.
 	SettledRevision() int64
-	// Ramp returns how long the nodes take to move the requests of an order with the given duration.
-	Ramp(order time.Duration) time.Duration
+	// Ramp returns how long the nodes take to move the requests of a spec with the given duration.
+	Ramp(duration time.Duration) time.Duration
 }
 
 // Fleet queries the other nodes.
@@ -54,7 +54,7 @@
 	Fleet        Fleet
 	Sender       Sender
 	Events       EventLog
-	// Clock counts the time for which the machine was suspended, because an order's duration continues meanwhile.
+	// Clock counts the time for which the machine was suspended, because a spec's duration continues meanwhile.
 	Clock boottime.Clock
 }
 
@@ -63,24 +63,24 @@
 	deps     Deps
 	cfg      Config
 	tallies  tallies
-	holds    holds
+	aborts   aborts
 	reporter *reporter
 
 	// The fields up to running belong to the goroutine of Run.
-	judges     judgeSet
-	orders     map[string]*activeOrder
-	schedules  map[string]*writeSchedule
-	hasStarted bool // a first configuration was handled
-	steppedAt  boottime.Mark
-	judgeAfter time.Time // after a suspension: earlier, reports may be unread
-	reportedAt time.Time
-	askedAt    time.Time
-	answeredAt time.Time // when the call of the newest answer was made
-	fleetCalls int       // in flight
-	writes     int       // in flight
-	written    chan writeResult
-	answers    chan fleetAnswer
-	running    sync.WaitGroup
+	evaluatorNodes evaluatorNodeSet
+	rollouts       map[string]*activeRollout
+	schedules      map[string]*writeSchedule
+	hasStarted     bool // a first configuration was handled
+	steppedAt      boottime.Instant
+	evaluateAfter  time.Time // after a suspension: earlier, reports may be unread
+	reportedAt     time.Time
+	queriedAt      time.Time
+	answeredAt     time.Time // when the call of the newest answer was made
+	fleetCalls     int       // in flight
+	writes         int       // in flight
+	written        chan writeResult
+	answers        chan fleetAnswer
+	running        sync.WaitGroup
 
 	statuses statusSnapshot
 }
@@ -91,7 +91,7 @@
 	event    PhaseWriteEvent
 }
 
-// maxWrites bounds the writes of one node in flight, so that many orders at once do not flood the store.
+// maxWrites bounds the writes of one node in flight, so that many specs at once do not flood the store.
 const maxWrites = 8
 
 // changeBacklog is how many configuration changes may wait. Changes beyond it are picked up by the next periodic
@@ -101,20 +101,20 @@
 // New returns a controller.
 func New(deps Deps) *Controller {
 	c := &Controller{
-		deps: deps, cfg: deps.Config, judges: judgeSet{max: deps.Config.Judges},
-		orders: map[string]*activeOrder{}, schedules: map[string]*writeSchedule{},
+		deps: deps, cfg: deps.Config, evaluatorNodes: evaluatorNodeSet{max: deps.Config.EvaluatorNodes},
+		rollouts: map[string]*activeRollout{}, schedules: map[string]*writeSchedule{},
 		written: make(chan writeResult), answers: make(chan fleetAnswer),
 	}
 	c.reporter = newReporter(deps, c.keepOwn, c.dropOwn)
 	return c
 }
 
-// Run follows orders until the context ends, and returns after its goroutines have ended.
+// Run follows specs until the context ends, and returns after its goroutines have ended.
 func (c *Controller) Run(ctx context.Context) {
 	changes, stop := c.deps.Catalog.Subscribe(changeBacklog)
 	defer stop()
 	defer c.running.Wait()
-	c.steppedAt = c.deps.Clock.Mark()
+	c.steppedAt = c.deps.Clock.Instant()
 	for {
 		timer := time.NewTimer(c.step(ctx, c.deps.Clock.Now()))
 		isOver := c.await(ctx, timer, changes)
@@ -147,7 +147,7 @@
 	}
 }
 
-// concernsRollouts reports whether a change is of an order or of a state.
+// concernsRollouts reports whether a change is of a spec or of a state.
 func concernsRollouts(change catalog.Change) bool {
 	for _, entry := range change.Entries() {
 		if strings.HasPrefix(entry.Key, catalog.RolloutKey("")) || strings.HasPrefix(entry.Key, catalog.RolloutStateKey("")) {
@@ -157,81 +157,81 @@
 	return false
 }
 
-// resumeIntervals is for how many report intervals a judge collects reports after its machine resumed: all nodes
+// resumeIntervals is for how many report intervals an evaluator node collects reports after its machine resumed: all nodes
 // report their counts within one; the second covers delivery and late ticks.
 const resumeIntervals = 2
 
-// mustWaitForReports reports whether the machine resumed so recently that reports and holds sent meanwhile may still
-// be unread. Otherwise a judge could find a version good by counts from before it turned bad.
+// mustWaitForReports reports whether the machine resumed so recently that reports and aborts sent meanwhile may still
+// be unread. Otherwise an evaluator node could find a version good by counts from before it turned bad.
 func (c *Controller) mustWaitForReports(now time.Time) bool {
 	if c.steppedAt.Suspended() > 0 {
-		c.judgeAfter = now.Add(resumeIntervals * c.cfg.ReportInterval)
+		c.evaluateAfter = now.Add(resumeIntervals * c.cfg.ReportInterval)
 	}
-	c.steppedAt = c.deps.Clock.Mark()
-	return now.Before(c.judgeAfter)
+	c.steppedAt = c.deps.Clock.Instant()
+	return now.Before(c.evaluateAfter)
 }
 
-// step follows the orders in force and returns the longest time until the next step.
+// step follows the specs in force and returns the longest time until the next step.
 func (c *Controller) step(ctx context.Context, now time.Time) time.Duration {
 	mustWaitForReports := c.mustWaitForReports(now)
 	view := c.deps.Catalog.View()
 	if view.Revision == 0 {
 		return c.cfg.ReportInterval
 	}
-	c.refreshOrders(now, view)
+	c.refreshRollouts(now, view)
 	c.report(now, view)
 	next := c.cfg.ReportInterval
 	if mustWaitForReports {
-		return min(next, c.judgeAfter.Sub(now))
+		return min(next, c.evaluateAfter.Sub(now))
 	}
 	for service, known := range view.Rollouts {
 		if pause := c.follow(ctx, now, view, service, known); pause > 0 {
 			next = min(next, pause)
 		}
 	}
-	if pause := c.askFleet(ctx, now, view); pause > 0 {
+	if pause := c.queryFleet(ctx, now, view); pause > 0 {
 		next = min(next, pause)
 	}
-	c.statuses.set(c.orders)
+	c.statuses.set(c.rollouts)
 	return next
 }
 
-// refreshOrders starts to follow the orders in force and forgets those that are over.
-func (c *Controller) refreshOrders(now time.Time, view *catalog.View) {
+// refreshRollouts starts to follow the specs in force and forgets those that are over.
+func (c *Controller) refreshRollouts(now time.Time, view *catalog.View) {
 	for service, known := range view.Rollouts {
 		if isUnderWay(known) {
-			c.refreshOrder(now, view, service, known)
+			c.refreshRollout(now, view, service, known)
 		}
 	}
-	for service, active := range c.orders {
+	for service, active := range c.rollouts {
 		known := view.Rollouts[service]
-		if isUnderWay(known) && known.Order.ID() == active.order.ID() {
+		if isUnderWay(known) && known.Spec.ID() == active.spec.ID() {
 			continue
 		}
-		if hasStateOfOrder(known) && (active.state == nil || active.state.Revision != known.State.Revision) {
+		if hasStateOfSpec(known) && (active.state == nil || active.state.Revision != known.State.Revision) {
 			c.deps.Events.PhaseLearned(*known.State)
 		}
-		delete(c.orders, service)
+		delete(c.rollouts, service)
 	}
 	maps.DeleteFunc(c.schedules, func(service string, _ *writeSchedule) bool { return view.Rollouts[service] == (catalog.Rollout{}) })
-	isWanted := func(order orderKey) bool { return c.isWanted(view, order) }
+	isWanted := func(id rolloutID) bool { return c.isWanted(view, id) }
 	c.tallies.retain(isWanted)
-	c.holds.retain(isWanted)
+	c.aborts.retain(isWanted)
 	c.hasStarted = true
 }
 
-// refreshOrder follows an order that is under way.
-func (c *Controller) refreshOrder(now time.Time, view *catalog.View, service string, known catalog.Rollout) {
-	active := c.orders[service]
-	if active == nil || active.order.ID() != known.Order.ID() {
-		active = &activeOrder{order: *known.Order, learnedAt: now, knownAtStart: !c.hasStarted}
-		c.orders[service] = active
-		if c.holds.has(orderKey{service, known.Order.ID()}) {
-			c.deps.Splitter.Hold(service, known.Order.ID()) // the hold came before the order
+// refreshRollout follows a spec that is under way.
+func (c *Controller) refreshRollout(now time.Time, view *catalog.View, service string, known catalog.Rollout) {
+	active := c.rollouts[service]
+	if active == nil || active.spec.ID() != known.Spec.ID() {
+		active = &activeRollout{spec: *known.Spec, learnedAt: now, knownAtStart: !c.hasStarted}
+		c.rollouts[service] = active
+		if c.aborts.has(rolloutID{service, known.Spec.ID()}) {
+			c.deps.Splitter.Abort(service, known.Spec.ID()) // the abort came before the spec
 		}
-		c.deps.Events.OrderSeen(OrderEvent{Order: *known.Order, Rank: c.rank(view, service)})
+		c.deps.Events.SpecSeen(SpecEvent{Spec: *known.Spec, Rank: c.rank(view, service)})
 	}
-	active.order = *known.Order // a restored store has it at another revision
+	active.spec = *known.Spec // a restored store has it at another revision
 	before := active.state
 	active.refresh(now, view)
 	if state := active.state; state != nil && (before == nil || before.Revision != state.Revision) {
@@ -239,39 +239,39 @@
 	}
 }
 
-// hasStateOfOrder reports whether there is a state that belongs to the order.
-func hasStateOfOrder(known catalog.Rollout) bool {
-	return known.State != nil && known.State.BelongsTo(known.Order)
+// hasStateOfSpec reports whether there is a state that belongs to the spec.
+func hasStateOfSpec(known catalog.Rollout) bool {
+	return known.State != nil && known.State.BelongsTo(known.Spec)
 }
 
-// isUnderWay reports whether there is an order without a final state.
+// isUnderWay reports whether there is a spec without a final state.
 func isUnderWay(known catalog.Rollout) bool {
-	return known.Order != nil && !(hasStateOfOrder(known) && known.State.Phase.IsFinal())
+	return known.Spec != nil && !(hasStateOfSpec(known) && known.State.Phase.IsFinal())
 }
 
-// isWanted reports whether counts and holds of an order still matter: it is under way, or this node has not learned
+// isWanted reports whether counts and aborts of a spec still matter: it is under way, or this node has not learned
 // of it yet.
-func (c *Controller) isWanted(view *catalog.View, order orderKey) bool {
-	if order.id > revision.Count(view.Revision) {
+func (c *Controller) isWanted(view *catalog.View, id rolloutID) bool {
+	if id.specID > revision.Count(view.Revision) {
 		return true
 	}
-	known := view.Rollouts[order.service]
-	return isUnderWay(known) && known.Order.ID() == order.id
+	known := view.Rollouts[id.service]
+	return isUnderWay(known) && known.Spec.ID() == id.specID
 }
 
 func (c *Controller) rank(view *catalog.View, service string) int {
-	return rankOf(c.judges.of(view, service), c.deps.Self.ID)
+	return rankOf(c.evaluatorNodes.of(view, service), c.deps.Self.ID)
 }
 
-// report sends this node's counts to the judges once each report interval.
+// report sends this node's counts to the evaluator nodes once each report interval.
 func (c *Controller) report(now time.Time, view *catalog.View) {
 	if now.Sub(c.reportedAt) < c.cfg.ReportInterval {
 		return
 	}
 	c.reportedAt = now
-	judges := func(service string) []catalog.NodeRecord { return c.judges.of(view, service) }
-	c.reporter.step(now, judges, func(order orderKey) bool { return c.isWanted(view, order) })
+	evaluatorNodes := func(service string) []catalog.NodeRecord { return c.evaluatorNodes.of(view, service) }
+	c.reporter.step(now, evaluatorNodes, func(id rolloutID) bool { return c.isWanted(view, id) })
 }
 
-// Statuses returns the roll-outs under way as this node sees them, with the counts of those that it judges.
+// Statuses returns the roll-outs under way as this node sees them, with the counts of those that it evaluates.
 func (c *Controller) Statuses() []Status { return c.statuses.get() }
--- a/internal/rollout/rolloutcontrol/events.go
+++ b/internal/rollout/rolloutcontrol/events.go
@@ -9,24 +9,24 @@
 // EventLog records what a node learns and does about roll-outs. Its methods are called from several goroutines and
 // must not block.
 type EventLog interface {
-	// OrderSeen records an order that this node learned of.
-	OrderSeen(OrderEvent)
+	// SpecSeen records a spec that this node learned of.
+	SpecSeen(SpecEvent)
 	// PhaseLearned records a state that came into force.
 	PhaseLearned(rollout.State)
 	// PhaseWritten records a write by this node, successful or not.
 	PhaseWritten(PhaseWriteEvent)
-	// Held records a hold that this node sent or received.
-	Held(HoldEvent)
+	// Aborted records an abort that this node sent or received.
+	Aborted(AbortEvent)
 	// RowsDropped records rows of counts that were not kept or not sent.
 	RowsDropped(RowsDroppedEvent)
 	// VersionsWritten records a write of the serving versions, successful or not.
 	VersionsWritten(VersionsWriteEvent)
 }
 
-// OrderEvent is an order as a node learned of it.
-type OrderEvent struct {
-	Order rollout.Order
-	// Rank is the node's rank among the judges of the service, -1 if it is not one of them.
+// SpecEvent is a spec as a node learned of it.
+type SpecEvent struct {
+	Spec rollout.Spec
+	// Rank is the node's rank among the evaluator nodes of the service, -1 if it is not one of them.
 	Rank int
 }
 
@@ -41,10 +41,10 @@
 	Age time.Duration
 }
 
-// HoldEvent is a hold of an order.
-type HoldEvent struct {
+// AbortEvent is an abort of a spec.
+type AbortEvent struct {
 	Service string
-	Order   int64
+	SpecID  int64
 	Reason  string
 	// Nodes is the number of nodes that it was sent to.
 	Nodes int
--- a/internal/rollout/rolloutcontrol/fleet_test.go
+++ b/internal/rollout/rolloutcontrol/fleet_test.go
@@ -18,14 +18,14 @@
 
 // fleet is a set of nodes over one store and a memory network, in virtual time.
 type fleet struct {
-	t       *testing.T
-	cfg     Config
-	store   *memoryStore
-	network *peertest.Network
-	judging EvaluatorFactory
-	ramp    time.Duration // how long nodes take to move their requests
-	mu      sync.Mutex
-	nodes   map[string]*testNode
+	t            *testing.T
+	cfg          Config
+	store        *memoryStore
+	network      *peertest.Network
+	newEvaluator EvaluatorFactory
+	ramp         time.Duration // how long nodes take to move their requests
+	mu           sync.Mutex
+	nodes        map[string]*testNode
 }
 
 // all returns the running nodes.
@@ -45,7 +45,7 @@
 const syncDelay = 100 * time.Millisecond
 
 func newFleet(t *testing.T, size int) *fleet {
-	f := &fleet{t: t, cfg: DefaultConfig(), network: peertest.NewNetwork(1, time.Millisecond), nodes: map[string]*testNode{}, judging: newPlainJudging}
+	f := &fleet{t: t, cfg: DefaultConfig(), network: peertest.NewNetwork(1, time.Millisecond), nodes: map[string]*testNode{}, newEvaluator: newThresholdEvaluator}
 	f.store = &memoryStore{entries: map[string]catalog.Entry{}, refused: map[string]bool{}, calls: map[string]int{}}
 	f.store.changed = func() { time.AfterFunc(syncDelay, f.syncAll) }
 	for number := range size {
@@ -61,11 +61,11 @@
 // start starts a node, or restarts one that was killed under the same id.
 func (f *fleet) start(id string) *testNode {
 	n := &testNode{id: id, fleet: f, catalog: catalog.New(nil), transport: f.network.Attach(id)}
-	n.rows, n.changed, n.held = map[evidence.Key]evidence.Tally{}, map[evidence.Key]bool{}, map[orderKey]bool{}
+	n.rows, n.changed, n.aborted = map[evidence.Key]evidence.Tally{}, map[evidence.Key]bool{}, map[rolloutID]bool{}
 	n.catalog.EnableRollouts()
 	view := storeView{f.store, n}
 	n.controller = New(Deps{
-		Config: f.cfg, Catalog: n.catalog, Self: catalog.NodeRecord{ID: id, Address: id}, Counts: n, Splitter: n, NewEvaluator: f.judging,
+		Config: f.cfg, Catalog: n.catalog, Self: catalog.NodeRecord{ID: id, Address: id}, Counts: n, Splitter: n, NewEvaluator: f.newEvaluator,
 		States: GuardedStateWriter{Store: view, Guarded: view, RetryPause: f.cfg.RetryPause}, Fleet: n, Sender: n, Events: n, Clock: n.clock,
 	})
 	n.transport.Serve(n)
@@ -129,28 +129,28 @@
 	time.Sleep(10 * time.Second)
 }
 
-// judge returns the id of a judge of a service by rank.
-func (f *fleet) judge(service string, rank int) string {
-	return f.judges(service)[rank].ID
+// evaluate returns the id of an evaluator node of a service by rank.
+func (f *fleet) evaluatorNode(service string, rank int) string {
+	return f.evaluatorNodes(service)[rank].ID
 }
 
-func (f *fleet) judges(service string) []catalog.NodeRecord {
-	return judgesOf(f.all()[0].catalog.View().Nodes, service, f.cfg.Judges)
+func (f *fleet) evaluatorNodes(service string) []catalog.NodeRecord {
+	return evaluatorNodesOf(f.all()[0].catalog.View().Nodes, service, f.cfg.EvaluatorNodes)
 }
 
-// nonJudge returns the id of a node that does not judge a service.
-func (f *fleet) nonJudge(service string) string {
+// otherNode returns the id of a node that does not evaluate a service.
+func (f *fleet) otherNode(service string) string {
 	for _, node := range f.all() {
-		if rankOf(f.judges(service), node.id) < 0 {
+		if rankOf(f.evaluatorNodes(service), node.id) < 0 {
 			return node.id
 		}
 	}
-	panic("all nodes are judges")
+	panic("all nodes are evaluator nodes")
 }
 
-// attemptsSeenBy returns the attempts that were reported to a node for an order of "s".
+// attemptsSeenBy returns the attempts that were reported to a node for a spec of "s".
 func (f *fleet) attemptsSeenBy(id string, revision int64) int64 {
-	rows, _ := f.node(id).controller.tallies.sum(orderKey{"s", revision})
+	rows, _ := f.node(id).controller.tallies.sum(rolloutID{"s", revision})
 	return attemptsOf(rows)
 }
 
@@ -179,12 +179,12 @@
 	}
 }
 
-// order writes an order of the operators and returns its revision.
-func (f *fleet) order(service, target string, duration time.Duration) int64 {
-	return f.store.set(catalog.RolloutKey(service), rollout.Order{Service: service, Target: target, DurationMillis: duration.Milliseconds()})
+// startRollout writes a spec of the operators and returns its revision.
+func (f *fleet) startRollout(service, target string, duration time.Duration) int64 {
+	return f.store.set(catalog.RolloutKey(service), rollout.Spec{Service: service, Target: target, DurationMillis: duration.Milliseconds()})
 }
 
-// serve makes each node send a request to the version on trial of each service every 100 ms, unless it is held; the
+// serve makes each node send a request to the canary version of each service every 100 ms, unless it is aborted; the
 // version fails from failsFrom on.
 func (f *fleet) serve(span, failsFrom time.Duration) {
 	const pause = 100 * time.Millisecond
--- a/internal/rollout/rolloutcontrol/handlers.go
+++ b/internal/rollout/rolloutcontrol/handlers.go
@@ -5,7 +5,7 @@
 	"github.com/portgauge/portgauge/internal/rollout/evidence"
 )
 
-// keepOwn adds this node's own counts where it is a judge.
+// keepOwn adds this node's own counts where it is an evaluator node.
 func (c *Controller) keepOwn(rows []evidence.Row) {
 	from := process{node: c.deps.Self.ID, start: c.reporter.start}
 	if dropped := c.tallies.add(from, c.deps.Self.Address, rows, c.deps.Clock.Now()); dropped > 0 {
@@ -15,7 +15,7 @@
 
 func (c *Controller) dropOwn(rows int) { c.deps.Events.RowsDropped(RowsDroppedEvent{Rows: rows}) }
 
-// HandleReports adds the counts of another node. If it counts for an order that is held, it is sent the hold.
+// HandleReports adds the counts of another node. If it counts for a spec that is aborted, it is sent the abort.
 func (c *Controller) HandleReports(from string, reports peer.RolloutReports) {
 	rows, err := unpack(reports.Rows)
 	if err != nil {
@@ -24,30 +24,30 @@
 	}
 	view := c.deps.Catalog.View()
 	wanted := rows[:0]
-	held := map[orderKey]bool{}
+	aborted := map[rolloutID]bool{}
 	for _, row := range rows {
-		order := orderKey{row.Service, row.Order}
-		if c.isWanted(view, order) {
+		id := rolloutID{row.Service, row.SpecID}
+		if c.isWanted(view, id) {
 			wanted = append(wanted, row)
-			held[order] = c.holds.has(order)
+			aborted[id] = c.aborts.has(id)
 		}
 	}
 	if dropped := c.tallies.add(process{reports.Node, reports.StartUnixNano}, from, wanted, c.deps.Clock.Now()); dropped > 0 {
 		c.deps.Events.RowsDropped(RowsDroppedEvent{From: from, Rows: dropped})
 	}
-	for order, isHeld := range held {
-		if isHeld {
-			c.sendHold(from, order)
+	for id, isAborted := range aborted {
+		if isAborted {
+			c.sendAbort(from, id)
 		}
 	}
 }
 
-// HandleHold handles a judge's message that an order's version is bad.
-func (c *Controller) HandleHold(from string, hold peer.RolloutHold) {
-	order := orderKey{hold.Service, hold.Order}
-	if !c.isWanted(c.deps.Catalog.View(), order) || !c.holds.add(order, "held by a message from "+from) {
+// HandleAbort handles an evaluator node's message that a spec's version is bad.
+func (c *Controller) HandleAbort(from string, abort peer.RolloutAbort) {
+	id := rolloutID{abort.Service, abort.SpecID}
+	if !c.isWanted(c.deps.Catalog.View(), id) || !c.aborts.add(id, "held by a message from "+from) {
 		return
 	}
-	c.deps.Splitter.Hold(order.service, order.id)
-	c.deps.Events.Held(HoldEvent{Service: order.service, Order: order.id, From: from})
+	c.deps.Splitter.Abort(id.service, id.specID)
+	c.deps.Events.Aborted(AbortEvent{Service: id.service, SpecID: id.specID, From: from})
 }
--- a/internal/rollout/rolloutcontrol/node_test.go
+++ b/internal/rollout/rolloutcontrol/node_test.go
@@ -29,7 +29,7 @@
 	mu        sync.Mutex
 	rows      map[evidence.Key]evidence.Tally
 	changed   map[evidence.Key]bool
-	held      map[orderKey]bool
+	aborted   map[rolloutID]bool
 	paused    chan struct{} // closed when the pause ends; nil while there is none
 	cut       bool
 	silent    bool // it asks nothing
@@ -86,22 +86,22 @@
 	n.changed[key] = true
 }
 
-func (n *testNode) Hold(service string, order int64) {
+func (n *testNode) Abort(service string, specID int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.held[orderKey{service, order}] = true
+	n.aborted[rolloutID{service, specID}] = true
 }
 
-func (n *testNode) isHeld(order orderKey) bool {
+func (n *testNode) isAborted(id rolloutID) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.held[order]
+	return n.aborted[id]
 }
 
-func (n *testNode) forgetHolds() {
+func (n *testNode) forgetAborts() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	clear(n.held)
+	clear(n.aborted)
 }
 
 func (n *testNode) SettledRevision() int64 { return n.catalog.Revision() }
@@ -125,8 +125,8 @@
 	switch {
 	case message.RolloutReports != nil:
 		n.controller.HandleReports(message.From, *message.RolloutReports)
-	case message.RolloutHold != nil:
-		n.controller.HandleHold(message.From, *message.RolloutHold)
+	case message.RolloutAbort != nil:
+		n.controller.HandleAbort(message.From, *message.RolloutAbort)
 	}
 }
 
@@ -158,7 +158,7 @@
 	return status
 }
 
-func (n *testNode) OrderSeen(OrderEvent) {}
+func (n *testNode) SpecSeen(SpecEvent) {}
 func (n *testNode) PhaseLearned(state rollout.State) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -168,7 +168,7 @@
 }
 
 func (n *testNode) PhaseWritten(PhaseWriteEvent)       {}
-func (n *testNode) Held(HoldEvent)                     {}
+func (n *testNode) Aborted(AbortEvent)                 {}
 func (n *testNode) RowsDropped(RowsDroppedEvent)       {}
 func (n *testNode) VersionsWritten(VersionsWriteEvent) {}
 
@@ -229,36 +229,36 @@
 	view := n.catalog.View()
 	for service := range view.Rollouts {
 		rule := view.Leafs.Rule(service)
-		if rule.Trial == "" || n.isHeld(orderKey{service, rule.Order}) {
+		if rule.Canary == "" || n.isAborted(rolloutID{service, rule.SpecID}) {
 			continue
 		}
 		for _, leaf := range view.Leafs.Canaries(service) {
-			n.observe(evidence.Key{Service: service, Order: rule.Order, Route: "r", Version: leaf.Version, Leaf: leaf.ID}, fails)
+			n.observe(evidence.Key{Service: service, SpecID: rule.SpecID, Route: "r", Version: leaf.Version, Leaf: leaf.ID}, fails)
 			break
 		}
-		n.observe(evidence.Key{Service: service, Order: rule.Order, Route: "r", Version: rule.Serving}, false)
+		n.observe(evidence.Key{Service: service, SpecID: rule.SpecID, Route: "r", Version: rule.Serving}, false)
 	}
 }
 
 // thresholdEvaluator finds a version bad by 10 failures, and good after half of the time without any.
 type thresholdEvaluator struct {
-	trial    string
+	canary   string
 	duration time.Duration
 }
 
-func newPlainJudging(_, trial string, duration time.Duration) Evaluator {
-	return thresholdEvaluator{trial, duration}
+func newThresholdEvaluator(_, canary string, duration time.Duration) Evaluator {
+	return thresholdEvaluator{canary, duration}
 }
 
-func (j thresholdEvaluator) Update(elapsed time.Duration, rows []evidence.Row) verdict.Judgement {
+func (j thresholdEvaluator) Update(elapsed time.Duration, rows []evidence.Row) verdict.Evaluation {
 	for _, one := range countVersions(rows) {
 		switch {
-		case one.Version != j.trial:
+		case one.Version != j.canary:
 		case one.Failures >= 10:
-			return verdict.Judgement{Finding: verdict.Bad, Reason: "10 answers failed"}
+			return verdict.Evaluation{Finding: verdict.Bad, Reason: "10 answers failed"}
 		case elapsed >= j.duration/2 && one.Attempts >= 5:
-			return verdict.Judgement{Finding: verdict.Good, Reason: "none failed"}
+			return verdict.Evaluation{Finding: verdict.Good, Reason: "none failed"}
 		}
 	}
-	return verdict.Judgement{Finding: verdict.Undecided}
+	return verdict.Evaluation{Finding: verdict.Undecided}
 }
--- a/internal/rollout/rolloutcontrol/settling.go
+++ b/internal/rollout/rolloutcontrol/settling.go
@@ -8,9 +8,9 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// firstAskPart is the part of the settle interval, after the ramp, that a judge leaves the nodes before it asks
-// first: they learn of the verdict later than the judge, and finish what is in flight.
-const firstAskPart = 0.5
+// firstCheckFraction is the part of the settle interval, after the ramp, that an evaluator node leaves the nodes before it asks
+// first: they learn of the verdict later than the evaluator node, and finish what is in flight.
+const firstCheckFraction = 0.5
 
 // maxFleetCalls bounds the fleet calls in flight. A silent node delays a call up to SettleWait, and the next call,
 // which finds more nodes settled, must not wait for it.
@@ -29,41 +29,41 @@
 
 // fleetAnswer is the answer to a fleet call and when the call was made.
 type fleetAnswer struct {
-	asked  time.Time
-	status FleetStatus
+	queriedAt time.Time
+	status    FleetStatus
 }
 
-// askFleet asks all nodes whether they are settled if an order that this node judges waits for that, and returns the
-// time until the next check, 0 for the report interval. One answer serves all orders.
-func (c *Controller) askFleet(ctx context.Context, now time.Time, view *catalog.View) time.Duration {
+// queryFleet asks all nodes whether they are settled if a spec that this node evaluates waits for that, and returns the
+// time until the next check, 0 for the report interval. One answer serves all specs.
+func (c *Controller) queryFleet(ctx context.Context, now time.Time, view *catalog.View) time.Duration {
 	revision, next := int64(0), time.Duration(0)
-	for service, order := range c.orders {
+	for service, active := range c.rollouts {
 		rank := c.rank(view, service)
-		if rank < 0 || order.phase() != rollout.Switching || !order.settledSince.IsZero() {
+		if rank < 0 || active.phase() != rollout.Switching || !active.settledSince.IsZero() {
 			continue
 		}
-		dueIn := order.switchingSince.Add(c.untilFirstAsk(order.order, rank)).Sub(now)
+		dueIn := active.switchingSince.Add(c.untilFirstCheck(active.spec, rank)).Sub(now)
 		if dueIn <= 0 {
-			revision = max(revision, order.state.Revision)
-			dueIn = c.askedAt.Add(c.cfg.SettleInterval).Sub(now)
+			revision = max(revision, active.state.Revision)
+			dueIn = c.queriedAt.Add(c.cfg.SettleInterval).Sub(now)
 		}
 		next = earlier(next, dueIn)
 	}
-	if revision == 0 || c.fleetCalls >= maxFleetCalls || now.Sub(c.askedAt) < c.cfg.SettleInterval {
+	if revision == 0 || c.fleetCalls >= maxFleetCalls || now.Sub(c.queriedAt) < c.cfg.SettleInterval {
 		return next
 	}
-	c.ask(ctx, now, revision)
+	c.startQuery(ctx, now, revision)
 	return c.cfg.SettleInterval
 }
 
-// untilFirstAsk returns how long after the switch of an order a judge asks first: the first judge once the nodes can
+// untilFirstCheck returns how long after the switch of a spec an evaluator node asks first: the first evaluator node once the nodes can
 // be settled, the others when the one before should have written the outcome of its final watch.
-func (c *Controller) untilFirstAsk(order rollout.Order, rank int) time.Duration {
-	first := c.deps.Splitter.Ramp(order.Duration()) + time.Duration(firstAskPart*float64(c.cfg.SettleInterval))
+func (c *Controller) untilFirstCheck(spec rollout.Spec, rank int) time.Duration {
+	first := c.deps.Splitter.Ramp(spec.Duration()) + time.Duration(firstCheckFraction*float64(c.cfg.SettleInterval))
 	if rank == 0 {
 		return first
 	}
-	return first + c.cfg.finalWatch(order.Duration()) + time.Duration(rank)*c.cfg.takeoverPause(rollout.Succeeded, order.Duration())
+	return first + c.cfg.finalWatch(spec.Duration()) + time.Duration(rank)*c.cfg.takeoverPause(rollout.Succeeded, spec.Duration())
 }
 
 // earlier returns the shorter of two pauses, where 0 or less means none.
@@ -74,14 +74,14 @@
 	return min(one, other)
 }
 
-// ask asks the nodes whether they are settled at a revision.
-func (c *Controller) ask(ctx context.Context, now time.Time, revision int64) {
+// startQuery asks the nodes whether they are settled at a revision.
+func (c *Controller) startQuery(ctx context.Context, now time.Time, revision int64) {
 	c.fleetCalls++
-	c.askedAt = now
+	c.queriedAt = now
 	c.running.Go(func() {
-		askCtx, cancel := context.WithTimeout(ctx, c.cfg.SettleWait)
+		queryCtx, cancel := context.WithTimeout(ctx, c.cfg.SettleWait)
 		defer cancel()
-		answer := fleetAnswer{asked: now, status: c.deps.Fleet.Settled(askCtx, revision)}
+		answer := fleetAnswer{queriedAt: now, status: c.deps.Fleet.Settled(queryCtx, revision)}
 		select {
 		case c.answers <- answer:
 		case <-ctx.Done():
@@ -89,16 +89,16 @@
 	})
 }
 
-// handleAnswer hands an answer of the fleet to the orders that wait for it, unless a newer one was handled.
+// handleAnswer hands an answer of the fleet to the specs that wait for it, unless a newer one was handled.
 func (c *Controller) handleAnswer(answer fleetAnswer) {
 	c.fleetCalls--
-	if answer.asked.Before(c.answeredAt) {
+	if answer.queriedAt.Before(c.answeredAt) {
 		return
 	}
-	c.answeredAt = answer.asked
-	for _, order := range c.orders {
-		if order.phase() == rollout.Switching {
-			order.status = answer.status
+	c.answeredAt = answer.queriedAt
+	for _, active := range c.rollouts {
+		if active.phase() == rollout.Switching {
+			active.status = answer.status
 		}
 	}
 }
--- a/internal/rollout/verdict/config.go
+++ b/internal/rollout/verdict/config.go
@@ -25,22 +25,22 @@
 	// SlowFactors are the multiples of the serving version's median from which an answer is late. A low one detects a
 	// version that is slower throughout, a high one a version of which some answers are much slower.
 	SlowFactors []float64 `yaml:"slow_factors"`
-	// Way is added to each of these limits: the round trip between zones.
-	Way time.Duration `yaml:"way"`
-	// LeafPart is the largest part of the threshold that one of two leafs may contribute; above 0.5 two bad leafs suffice.
-	LeafPart float64 `yaml:"leaf_part"`
-	// Alike is the correlation of late answers of one leaf within Moment, 0 to 1.
-	Alike float64 `yaml:"alike"`
-	// Moment is the longest pause of a leaf that is normal.
-	Moment time.Duration `yaml:"moment"`
+	// RoundTrip is added to each of these limits: the round trip between zones.
+	RoundTrip time.Duration `yaml:"way"`
+	// LeafFraction is the largest fraction of the threshold that one of two leafs may contribute; above 0.5 two bad leafs suffice.
+	LeafFraction float64 `yaml:"leaf_part"`
+	// Correlation is the correlation of late answers of one leaf within Moment, 0 to 1.
+	Correlation float64 `yaml:"alike"`
+	// LongestPause is the longest pause of a leaf that is normal.
+	LongestPause time.Duration `yaml:"moment"`
 	// ColdFor is how long a new leaf may be slow, and ColdFactor the multiple of its limits until then.
 	ColdFor    time.Duration `yaml:"cold_for"`
 	ColdFactor float64       `yaml:"cold_factor"`
-	// Recent is the half-life of the serving version's recent answers, with which the version on trial is compared.
+	// Recent is the half-life of the serving version's recent answers, with which the canary version is compared.
 	Recent time.Duration `yaml:"recent"`
-	// Settle is how long a judge must have complete counts before it finds a version good.
+	// Settle is how long an evaluator node must have complete counts before it finds a version good.
 	Settle time.Duration `yaml:"settle"`
-	// GoodFrom is the part of the order's duration from which full evidence makes a version good, GoodByLittle the part
+	// GoodFrom is the fraction of the spec's duration from which full evidence makes a version good, GoodByLittle the part
 	// from which little evidence does.
 	GoodFrom     float64 `yaml:"good_from"`
 	GoodByLittle float64 `yaml:"good_by_little"`
@@ -48,7 +48,7 @@
 	LeastAnswers int `yaml:"least_answers"`
 }
 
-// DefaultConfig suits versions with 3 to 30 leafs that get a tenth of 1 to 500 requests a second, for orders of some
+// DefaultConfig suits versions with 3 to 30 leafs that get a tenth of 1 to 500 requests a second, for specs of some
 // seconds to some minutes.
 func DefaultConfig() Config {
 	return Config{
@@ -58,15 +58,15 @@
 		// Twofold steps: from a version that is slower throughout to one of which some answers are much slower.
 		SlowFactors: []float64{1, 2, 4},
 		// Round trip between zones of one region.
-		Way: 2 * time.Millisecond,
+		RoundTrip: 2 * time.Millisecond,
 		// Just above half, so that two bad leafs suffice and one never does.
-		LeafPart: 0.6,
-		Alike:    0.3, Moment: 250 * time.Millisecond,
+		LeafFraction: 0.6,
+		Correlation:  0.3, LongestPause: 250 * time.Millisecond,
 		ColdFor: 4 * time.Second, ColdFactor: 2,
 		Recent: time.Second,
 		// The reports of all nodes come in within about a second.
 		Settle: 3 * time.Second,
-		// The rest of the order's duration is needed to move the requests.
+		// The rest of the spec's duration is needed to move the requests.
 		GoodFrom: 0.6, GoodByLittle: 0.75,
 		LeastAnswers: 3,
 	}
@@ -75,32 +75,32 @@
 // Validate returns an error that names every invalid field.
 func (c Config) Validate() error {
 	var checks failure.Checks
-	checks.Refuse(!isPart(c.FalseAlarm), "false_alarm", "must be between 0 and 1")
-	checks.Refuse(!isPart(c.FalseAlarmMoving) || c.FalseAlarmMoving < c.FalseAlarm, "false_alarm_moving", "must be between false_alarm and 1")
-	checks.Refuse(!isPart(c.Miss), "miss", "must be between 0 and 1")
-	checks.Refuse(len(c.BadShares) == 0 || !areParts(c.BadShares), "bad_shares", "must be between 0 and 1, at least one")
-	checks.Refuse(!isPart(c.LeastBadShare), "least_bad_share", "must be between 0 and 1")
-	checks.Refuse(!isPart(c.LeastSlowShare), "least_slow_share", "must be between 0 and 1")
+	checks.Refuse(!isFraction(c.FalseAlarm), "false_alarm", "must be between 0 and 1")
+	checks.Refuse(!isFraction(c.FalseAlarmMoving) || c.FalseAlarmMoving < c.FalseAlarm, "false_alarm_moving", "must be between false_alarm and 1")
+	checks.Refuse(!isFraction(c.Miss), "miss", "must be between 0 and 1")
+	checks.Refuse(len(c.BadShares) == 0 || !areFractions(c.BadShares), "bad_shares", "must be between 0 and 1, at least one")
+	checks.Refuse(!isFraction(c.LeastBadShare), "least_bad_share", "must be between 0 and 1")
+	checks.Refuse(!isFraction(c.LeastSlowShare), "least_slow_share", "must be between 0 and 1")
 	checks.Refuse(!areAtLeastOne(c.SlowFactors), "slow_factors", "must be at least 1")
-	checks.Refuse(c.Way < 0, "way", "must not be negative")
-	checks.Refuse(!isPart(c.LeafPart), "leaf_part", "must be between 0 and 1")
-	checks.Refuse(c.Alike < 0 || c.Alike > 1, "alike", "must be between 0 and 1")
-	checks.Refuse(c.Moment <= 0, "moment", "must be positive")
+	checks.Refuse(c.RoundTrip < 0, "way", "must not be negative")
+	checks.Refuse(!isFraction(c.LeafFraction), "leaf_part", "must be between 0 and 1")
+	checks.Refuse(c.Correlation < 0 || c.Correlation > 1, "alike", "must be between 0 and 1")
+	checks.Refuse(c.LongestPause <= 0, "moment", "must be positive")
 	checks.Refuse(c.ColdFor < 0, "cold_for", "must not be negative")
 	checks.Refuse(c.ColdFactor < 1, "cold_factor", "must be at least 1")
 	checks.Refuse(c.Recent <= 0, "recent", "must be positive")
 	checks.Refuse(c.Settle < 0, "settle", "must not be negative")
-	checks.Refuse(!isPart(c.GoodFrom), "good_from", "must be between 0 and 1")
-	checks.Refuse(!isPart(c.GoodByLittle) || c.GoodByLittle < c.GoodFrom, "good_by_little", "must be between good_from and 1")
+	checks.Refuse(!isFraction(c.GoodFrom), "good_from", "must be between 0 and 1")
+	checks.Refuse(!isFraction(c.GoodByLittle) || c.GoodByLittle < c.GoodFrom, "good_by_little", "must be between good_from and 1")
 	checks.Refuse(c.LeastAnswers < 1, "least_answers", "must be at least 1")
 	return checks.Err()
 }
 
-func isPart(part float64) bool { return part > 0 && part < 1 }
+func isFraction(fraction float64) bool { return fraction > 0 && fraction < 1 }
 
-func areParts(parts []float64) bool {
-	for _, part := range parts {
-		if !isPart(part) {
+func areFractions(fractions []float64) bool {
+	for _, fraction := range fractions {
+		if !isFraction(fraction) {
 			return false
 		}
 	}
--- a/internal/rollout/verdict/finding.go
+++ b/internal/rollout/verdict/finding.go
@@ -18,9 +18,9 @@
 	aloneFactor         = 2
 	// falseAlarmAnswers is the number of answers that Config.FalseAlarm applies to.
 	falseAlarmAnswers = 100
-	// minLeafPartOfMany is the smallest part of the threshold that one of three leafs or more may contribute: any
+	// minLeafFractionOfMany is the smallest part of the threshold that one of three leafs or more may contribute: any
 	// three bad leafs reach the threshold, however high it is.
-	minLeafPartOfMany = 0.45
+	minLeafFractionOfMany = 0.45
 	// maxWeightPerMoment bounds the weight, a natural logarithm, of one leaf's late answers within one moment. A leaf
 	// pauses in about a tenth of all moments, so that one late moment is at most ten times likelier for a bad
 	// version.
@@ -32,16 +32,16 @@
 	// rareRouteShare is the share of a version's answers below which a route is rare.
 	rareRouteShare = 0.1
 	// minTrafficAnswers is the number of answers of the serving version below which a route has no traffic to speak
-	// of: of so few requests the version on trial gets hardly any by its share.
+	// of: of so few requests the canary version gets hardly any by its share.
 	minTrafficAnswers = 20
 )
 
 // find decides whether the version is good, bad or undecided, by the strongest evidence against it and the time since
-// the order.
+// the spec.
 //
 // Bad: the level of a signal, on a route or on all routes together, reaches the threshold. Bad is final. Good: isGood
 // says so; a good version can still be found bad. Otherwise it stays undecided, and the caller rolls it back when the
-// order's time is over: letting a bad version serve costs all users, refusing a good one costs another order.
+// spec's time is over: letting a bad version serve costs all users, refusing a good one costs another spec.
 func (e *Evaluator) find(elapsed time.Duration, worst strongestSignal) {
 	switch {
 	case e.finding == Bad:
@@ -52,19 +52,19 @@
 	}
 }
 
-// isGood decides whether a version is found good. It needs the part GoodFrom of the order's duration, complete counts
+// isGood decides whether a version is found good. It needs the fraction GoodFrom of the spec's duration, complete counts
 // for minimumWatch, and LeastAnswers answers; then either full evidence or, from the part GoodByLittle on, little
 // evidence that speaks for it throughout.
 func (e *Evaluator) isGood(elapsed time.Duration, worst strongestSignal) bool {
-	part := float64(elapsed) / float64(e.duration)
-	if part < e.cfg.GoodFrom || elapsed-e.completeSince < e.minimumWatch() || e.pooled[0].seen.all < float64(e.cfg.LeastAnswers) {
+	fraction := float64(elapsed) / float64(e.duration)
+	if fraction < e.cfg.GoodFrom || elapsed-e.completeSince < e.minimumWatch() || e.pooled[0].seen.all < float64(e.cfg.LeastAnswers) {
 		return false
 	}
-	return e.isGoodOnFullEvidence() || part >= e.cfg.GoodByLittle && e.isGoodOnLittleEvidence(worst)
+	return e.isGoodOnFullEvidence() || fraction >= e.cfg.GoodByLittle && e.isGoodOnLittleEvidence(worst)
 }
 
 // minimumWatch returns how long the counts must have been complete before a version is found good: Config.Settle, but
-// at most a tenth of the order's duration, since a judge must decide within it.
+// at most a tenth of the spec's duration, since an evaluator node must decide within it.
 func (e *Evaluator) minimumWatch() time.Duration { return min(e.cfg.Settle, e.duration/10) }
 
 // isGoodOnFullEvidence reports whether the smallest share of bad answers that must be found is ruled out on all
@@ -127,7 +127,7 @@
 // alarms, plus a term that grows with the answers, since a sum that restarts has more chances to exceed a fixed level
 // by accident. The answers of the current update don't raise it, so that bad answers never excuse themselves.
 func (e *Evaluator) threshold() float64 {
-	return e.firstThreshold() + math.Log1p(float64(e.weighedTrialAttempts)/falseAlarmAnswers)
+	return e.firstThreshold() + math.Log1p(float64(e.weighedCanaryAttempts)/falseAlarmAnswers)
 }
 
 // firstThreshold returns the threshold for the first answers. It is lower once the version was found good, because
@@ -140,17 +140,17 @@
 }
 
 // leafCap returns the most that one leaf may contribute to a level, so that one bad leaf doesn't condemn a version. A
-// leaf that is still the only one in the second half of the order is taken for the version. Of two leafs each may
-// contribute LeafPart of the threshold. Of more, the cap grows more slowly than the threshold, down to
-// minLeafPartOfMany of it.
+// leaf that is still the only one in the second half of the spec is taken for the version. Of two leafs each may
+// contribute LeafFraction of the threshold. Of more, the cap grows more slowly than the threshold, down to
+// minLeafFractionOfMany of it.
 func (e *Evaluator) leafCap(elapsed time.Duration) float64 {
 	switch {
 	case len(e.leafs) == 1 && elapsed > e.duration/2:
 		return math.MaxFloat64
 	case len(e.leafs) <= 2:
-		return e.cfg.LeafPart * e.threshold()
+		return e.cfg.LeafFraction * e.threshold()
 	}
-	return max(e.cfg.LeafPart*e.firstThreshold(), minLeafPartOfMany*e.threshold())
+	return max(e.cfg.LeafFraction*e.firstThreshold(), minLeafFractionOfMany*e.threshold())
 }
 
 // isRare reports whether a route has hardly any of the answers of either version.
@@ -168,7 +168,7 @@
 	return answers >= minTrafficAnswers && answers >= rareRouteShare*whole
 }
 
-// hasAnswersOnAllRoutes reports whether the version on trial has enough answers on each route with traffic.
+// hasAnswersOnAllRoutes reports whether the canary version has enough answers on each route with traffic.
 func (e *Evaluator) hasAnswersOnAllRoutes() bool {
 	for _, route := range e.routes {
 		if route.cusums[0].seen.all < float64(e.cfg.LeastAnswers) && e.hasTraffic(route) {
@@ -189,7 +189,7 @@
 	return true
 }
 
-// haveNoneAgainst reports whether none of the sums, over the whole order, speaks against the version.
+// haveNoneAgainst reports whether none of the sums, over the whole spec, speaks against the version.
 func (e *Evaluator) haveNoneAgainst(cusums []*cusum) bool {
 	for _, s := range cusums {
 		if s.wholeLevel(e.leafCap(e.lastUpdate)) > 0 {
@@ -199,26 +199,26 @@
 	return true
 }
 
-func (e *Evaluator) judgement(worst strongestSignal) Judgement {
+func (e *Evaluator) evaluation(worst strongestSignal) Evaluation {
 	signal := Failed
 	if worst.signal > 0 {
 		signal = Late
 	}
-	j := Judgement{
-		Finding: e.finding, Serving: e.totals[0], Trial: e.totals[1], Route: worst.route, Signal: signal,
+	j := Evaluation{
+		Finding: e.finding, Serving: e.totals[0], Canary: e.totals[1], Route: worst.route, Signal: signal,
 		Confidence: 1 / (1 + math.Exp(-worst.level)),
 	}
 	j.Reason = e.reason(j, worst)
 	return j
 }
 
-// reason explains a judgement in one sentence.
-func (e *Evaluator) reason(j Judgement, worst strongestSignal) string {
+// reason explains an evaluation in one sentence.
+func (e *Evaluator) reason(j Evaluation, worst strongestSignal) string {
 	route := "all routes"
 	if worst.route != "" {
 		route = "route " + worst.route
 	}
 	return fmt.Sprintf("Version %s is %s: on %s %.0f of %.0f answers %s, weight %.1f of %.1f; of all attempts %d of %d failed and %d were slow, of %s %d of %d and %d.",
-		e.trial, j.Finding, route, worst.seen.bad, worst.seen.all, j.Signal, worst.level, e.threshold(),
-		j.Trial.Failures, j.Trial.Attempts, j.Trial.Slow, e.serving, j.Serving.Failures, j.Serving.Attempts, j.Serving.Slow)
+		e.canary, j.Finding, route, worst.seen.bad, worst.seen.all, j.Signal, worst.level, e.threshold(),
+		j.Canary.Failures, j.Canary.Attempts, j.Canary.Slow, e.serving, j.Serving.Failures, j.Serving.Attempts, j.Serving.Slow)
 }
--- a/internal/rollout/verdict/helpers_test.go
+++ b/internal/rollout/verdict/helpers_test.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	order         = 12 * time.Second
+	specDuration  = 12 * time.Second
 	normalLatency = 20 * time.Millisecond
 	leafs         = 3
 )
@@ -25,22 +25,22 @@
 	}
 }
 
-// giveUp counts attempts at a leaf that were given up without an answer.
-func (c counts) giveUp(version string, leaf, n int, after time.Duration) {
+// abandon counts attempts at a leaf that were given up without an answer.
+func (c counts) abandon(version string, leaf, n int, after time.Duration) {
 	for range n {
-		c.of(version, leaf).ObserveGivenUp(after)
+		c.of(version, leaf).ObserveAbandoned(after)
 	}
 }
 
 func (c counts) of(version string, leaf int) *evidence.Tally {
-	key := evidence.Key{Service: "s", Order: 1, Route: "/", Version: version, Leaf: fmt.Sprint(version, "-", leaf)}
+	key := evidence.Key{Service: "s", SpecID: 1, Route: "/", Version: version, Leaf: fmt.Sprint(version, "-", leaf)}
 	if c[key] == nil {
 		c[key] = &evidence.Tally{}
 	}
 	return c[key]
 }
 
-// both counts clean answers of all leafs: ten of the serving version's for each of the version on trial.
+// both counts clean answers of all leafs: ten of the serving version's for each of the canary version.
 func (c counts) both(n int) {
 	for leaf := range leafs {
 		c.answers("v1", leaf, 10*n, 0, normalLatency)
@@ -59,12 +59,12 @@
 }
 
 func newEvaluator() *verdict.Evaluator {
-	return verdict.New(verdict.DefaultConfig(), "v1", "v2", order)
+	return verdict.New(verdict.DefaultConfig(), "v1", "v2", specDuration)
 }
 
-// play updates an evaluator every half second from one time to another, after grow has added to the counts.
-func play(t *verdict.Evaluator, c counts, from, to time.Duration, grow func()) verdict.Judgement {
-	var j verdict.Judgement
+// feed updates an evaluator every half second from one time to another, after grow has added to the counts.
+func feed(t *verdict.Evaluator, c counts, from, to time.Duration, grow func()) verdict.Evaluation {
+	var j verdict.Evaluation
 	for at := from; at <= to; at += 500 * time.Millisecond {
 		grow()
 		j = t.Update(at, c.rows())
--- a/internal/rollout/verdict/increment.go
+++ b/internal/rollout/verdict/increment.go
@@ -15,7 +15,7 @@
 	// counted is the tally of the last update, from which failures are counted on. timed is the one from which late
 	// answers are counted on; it stays empty until the route's median is known.
 	counted, timed evidence.Tally
-	timedAt        time.Duration // since the order
+	timedAt        time.Duration // since the spec
 }
 
 // ratio is the number of bad answers among all. Answers that are discounted count as fractions.
@@ -33,7 +33,7 @@
 type increment struct {
 	key     evidence.Key
 	signals []ratio
-	// moments is the number of moments (Config.Moment), at least one, over which the late and timely answers came in.
+	// moments is the number of moments (Config.LongestPause), at least one, over which the late and timely answers came in.
 	moments float64
 }
 
@@ -43,7 +43,7 @@
 	for _, row := range rows {
 		route := e.route(row.Route)
 		before := e.lastSeen[row.Key]
-		isKnown := row.Version == e.serving || row.Version == e.trial
+		isKnown := row.Version == e.serving || row.Version == e.canary
 		if route == nil || !isKnown || before == nil && len(e.lastSeen) >= maxRows {
 			continue
 		}
@@ -54,8 +54,8 @@
 		if row.Attempts() < before.counted.Attempts() {
 			continue
 		}
-		if row.Version == e.trial && len(e.leafs) == 0 {
-			e.trialSeenAt = elapsed
+		if row.Version == e.canary && len(e.leafs) == 0 {
+			e.canarySeenAt = elapsed
 		}
 		e.count(row, before, route)
 		added = append(added, before.advance(row, e.limitsOf(row.Key, route, elapsed), elapsed, e.cfg))
@@ -66,7 +66,7 @@
 // count adds the growth of a row to the totals of its version.
 func (e *Evaluator) count(row evidence.Row, before *lastCounts, route *route) {
 	total := &e.totals[0]
-	if row.Version == e.trial {
+	if row.Version == e.canary {
 		total = &e.totals[1]
 		e.leafs[row.Leaf] = true
 	}
@@ -92,7 +92,7 @@
 	if len(limits) == 0 {
 		return increment{row.Key, signals, 1}
 	}
-	moments := max(1, float64(elapsed-l.timedAt)/float64(cfg.Moment))
+	moments := max(1, float64(elapsed-l.timedAt)/float64(cfg.LongestPause))
 	for i, limit := range limits {
 		late := lateSince(row.Tally, l.timed, limit)
 		signals[i+1] = late.times(cfg.discount(late.all / moments))
@@ -113,9 +113,9 @@
 
 // discount returns the weight of each of n answers of a leaf within a moment: a pause of the leaf delays all of them
 // together.
-func (c *Config) discount(n float64) float64 { return 1 / (1 + max(0, n-1)*c.Alike) }
+func (c *Config) discount(n float64) float64 { return 1 / (1 + max(0, n-1)*c.Correlation) }
 
 func clone(tally evidence.Tally) evidence.Tally {
-	tally.Answered, tally.GivenUp = slices.Clone(tally.Answered), slices.Clone(tally.GivenUp)
+	tally.Answered, tally.Abandoned = slices.Clone(tally.Answered), slices.Clone(tally.Abandoned)
 	return tally
 }
--- a/internal/rollout/verdict/verdicttest/answers.go
+++ b/internal/rollout/verdict/verdicttest/answers.go
@@ -18,11 +18,11 @@
 	coldFor    = 3 * time.Second
 
 	slowLeafFactor = 5
-	greyShare      = 0.4
+	grayShare      = 0.4
 	flapPeriod     = 1500 * time.Millisecond
 	bothFailShare  = 0.15
 	burstFactor    = 3
-	// Passing incidents last for the middle third of the order.
+	// Passing incidents last for the middle third of the spec.
 	incidentFrom = 1.0 / 3
 	incidentTo   = 2.0 / 3
 )
@@ -36,19 +36,19 @@
 
 // leaf is one leaf of a version.
 type leaf struct {
-	id      string
-	zone    int
-	number  int
-	onTrial bool
-	pause   time.Duration
-	phase   time.Duration
+	id       string
+	zone     int
+	number   int
+	isCanary bool
+	pause    time.Duration
+	phase    time.Duration
 }
 
-func newLeaf(id string, number int, onTrial bool, random *rand.Rand) leaf {
+func newLeaf(id string, number int, isCanary bool, random *rand.Rand) leaf {
 	pause := shortestPause + time.Duration(random.Int64N(int64(longestPause-shortestPause)))
 	period := time.Duration(float64(pause) / pauseShare)
 	return leaf{
-		id: id, zone: number % zones, number: number, onTrial: onTrial, pause: pause,
+		id: id, zone: number % zones, number: number, isCanary: isCanary, pause: pause,
 		phase: time.Duration(random.Int64N(int64(period))),
 	}
 }
@@ -61,10 +61,10 @@
 
 // answer is the outcome of an attempt.
 type answer struct {
-	at      time.Duration
-	took    time.Duration
-	failed  bool
-	givenUp bool
+	at          time.Duration
+	took        time.Duration
+	failed      bool
+	isAbandoned bool
 	// isBad says that the version's fault made it bad.
 	isBad bool
 	route int
@@ -72,37 +72,37 @@
 }
 
 // attempt plays a request at a leaf; loaded says that the leaf gets as many requests as in full service.
-func (p *play) attempt(at time.Duration, l *leaf, route int, loaded bool) answer {
+func (p *simulation) attempt(at time.Duration, l *leaf, route int, loaded bool) answer {
 	work := firstMedian
 	if route > 0 {
 		work = nextMedian
 	}
 	factor := math.Exp(spread * p.random.NormFloat64())
 	a := answer{route: route, leaf: l}
-	if l.onTrial && at < coldFor {
+	if l.isCanary && at < coldFor {
 		factor *= coldFactor
 	}
-	if l.onTrial && p.isFaultActive(at, route, loaded) {
+	if l.isCanary && p.isFaultActive(at, route, loaded) {
 		factor = p.applyFault(&a, factor)
 	}
 	a.took = time.Duration(factor * float64(work))
 	p.applyIncident(&a, at, l)
 	a.took += l.paused(at)
 	if a.took > deadline {
-		a.took, a.givenUp, a.failed = deadline, true, false
+		a.took, a.isAbandoned, a.failed = deadline, true, false
 	}
 	a.at = at + a.took
 	return a
 }
 
 // isFaultActive reports whether the version's fault affects a request.
-func (p *play) isFaultActive(at time.Duration, route int, loaded bool) bool {
+func (p *simulation) isFaultActive(at time.Duration, route int, loaded bool) bool {
 	fault := p.of.Fault
 	return float64(at) >= fault.From*float64(p.of.Duration) &&
 		(!fault.LastRoute || route == p.of.Routes-1) && (!fault.UnderLoad || loaded)
 }
 
-func (p *play) applyFault(a *answer, factor float64) float64 {
+func (p *simulation) applyFault(a *answer, factor float64) float64 {
 	fault := p.of.Fault
 	if p.random.Float64() < fault.Failing {
 		a.failed, a.isBad = true, true
@@ -115,10 +115,10 @@
 }
 
 // applyIncident applies the incident to an attempt.
-func (p *play) applyIncident(a *answer, at time.Duration, l *leaf) {
-	part := float64(at) / float64(p.of.Duration)
-	passing := part >= incidentFrom && part < incidentTo
-	chosen := l.onTrial && l.number == 0
+func (p *simulation) applyIncident(a *answer, at time.Duration, l *leaf) {
+	fraction := float64(at) / float64(p.of.Duration)
+	passing := fraction >= incidentFrom && fraction < incidentTo
+	chosen := l.isCanary && l.number == 0
 	switch p.of.Incident {
 	case DeadLeaf:
 		a.dropAnswer(chosen, time.Millisecond)
@@ -126,8 +126,8 @@
 		if chosen {
 			a.took *= slowLeafFactor
 		}
-	case GreyLeaf:
-		a.failed = a.failed || chosen && p.random.Float64() < greyShare
+	case GrayLeaf:
+		a.failed = a.failed || chosen && p.random.Float64() < grayShare
 	case Flapping:
 		a.dropAnswer(chosen && at/flapPeriod%2 == 0, deadline)
 	case ZoneCut:
@@ -138,14 +138,14 @@
 		}
 	case BothFail:
 		a.failed = a.failed || passing && p.random.Float64() < bothFailShare
-	case OldGrey:
-		a.failed = a.failed || !l.onTrial && l.number == 0 && p.random.Float64() < greyShare
+	case OldGrayLeaf:
+		a.failed = a.failed || !l.isCanary && l.number == 0 && p.random.Float64() < grayShare
 	}
 }
 
 // dropAnswer makes an attempt end without an answer if it is lost.
 func (a *answer) dropAnswer(lost bool, after time.Duration) {
 	if lost {
-		a.took, a.failed, a.givenUp = after, false, true
+		a.took, a.failed, a.isAbandoned = after, false, true
 	}
 }
