--- a/internal/request/scatter/attempt.go
+++ b/internal/request/scatter/attempt.go
@@ -7,27 +7,26 @@
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
 )
 
-// Kind says why an attempt is made.
+// Kind is the kind of an attempt.
 type Kind string
 
-// The kinds of attempt.
 const (
 	First Kind = "first"
 	Hedge Kind = "hedge"
 	Retry Kind = "retry"
 )
 
-// Execution is what is known about whether an attempt ran at its leaf.
+// Execution says whether an attempt ran on its leaf.
 type Execution int
 
-// The states of an execution.
+// The values of Execution. Unknown means that the attempt may have run.
 const (
 	Unknown Execution = iota
 	NotRun
 	Ran
 )
 
-// String returns the state's name for logs.
+// String returns the name that is used in logs.
 func (e Execution) String() string {
 	switch e {
 	case NotRun:
@@ -43,46 +42,45 @@
 type Attempt struct {
 	// Shard is the index into the plan's shards.
 	Shard int
-	// Number counts the shard's attempts from 1.
+	// Number is the number of the attempt within its shard, counted from 1.
 	Number  int
 	Kind    Kind
 	Leaf    *balancer.Leaf
 	Started time.Time
-	// Deadline is the plan's.
+	// Deadline is the plan's deadline.
 	Deadline time.Time
-	// Probe says that the attempt was sent alone because the request may crash leafs.
+	// Probe is true if the attempt was sent alone because the request may crash leafs.
 	Probe bool
 }
 
-// Result is how an attempt ended.
+// Result is the result of an attempt.
 type Result[Reply any] struct {
-	// Reply is set only if it may be used.
+	// Reply is the leaf's reply; nil if there is none or it must not be used.
 	Reply     *Reply
 	Reason    Reason
 	Execution Execution
 	Outcome   balancer.Outcome
-	// Final says that another attempt could not help, although there is no reply.
+	// Final is true if there is no reply and a retry would not help.
 	Final bool
-	// NeverArrived says that the attempt most likely did not reach the leaf, without proof
-	// unless the execution says so: it does not count among those that may have run, and the
-	// next one takes nothing from the retry budget.
+	// NeverArrived is true if the attempt most likely did not reach the leaf; only an Execution of NotRun proves it.
+	// Such an attempt counts as a refusal, and its retry takes no token from the retry budget.
 	NeverArrived bool
-	// Queued says that the leaf reported more attempts than slots.
+	// Queued is true if the leaf reported more attempts than slots.
 	Queued bool
-	// BrokeOff says that the answer broke off, so that the request may have crashed the leaf.
+	// BrokeOff is true if the connection was lost during the answer, so that the request may have crashed the leaf.
 	BrokeOff bool
-	// LeafCrashed says that it certainly did. Only probes need to set it.
+	// LeafCrashed is true if the leaf is known to have crashed. Only probes need to set it.
 	LeafCrashed bool
 }
 
-// StartAttempt starts one attempt without blocking and calls done once, at its end. The returned function cancels the
-// attempt. The context is that of the whole request.
+// StartAttempt starts an attempt without blocking and calls done once, when the attempt ends. The returned function
+// cancels the attempt. The context belongs to the whole request.
 type StartAttempt[Reply any] func(ctx context.Context, attempt Attempt, done func(Result[Reply])) context.CancelCauseFunc
 
-// RunAttempt runs one attempt until it ends or the context does.
+// RunAttempt runs an attempt until it ends or the context is done.
 type RunAttempt[Reply any] func(ctx context.Context, attempt Attempt) Result[Reply]
 
-// InBackground runs each attempt in a goroutine of its own.
+// InBackground returns a StartAttempt that calls run in a new goroutine for each attempt.
 func InBackground[Reply any](run RunAttempt[Reply]) StartAttempt[Reply] {
 	return func(ctx context.Context, attempt Attempt, done func(Result[Reply])) context.CancelCauseFunc {
 		ctx, cancel := context.WithCancelCause(ctx)
--- a/internal/request/scatter/caution.go
+++ b/internal/request/scatter/caution.go
@@ -2,26 +2,27 @@
 
 import "time"
 
-// LeafsCrashed is the reason of shards that were not asked because leafs of others crashed while they ran the request.
+// LeafsCrashed is the reason of shards that were not queried because leafs of other shards crashed while running the
+// request.
 const LeafsCrashed Reason = "LEAFS_ENDED"
 
-// caution is the evidence on whether the request crashes leafs, and the probes that are sent to find out.
+// caution tracks whether the request crashes leafs, and the probes that test it.
 //
-// Once a leaf broke off its answer, and until a leaf has answered, the scatter is cautious: it sends one attempt at a
-// time, a probe, and holds the others until that has ended. A request that crashes every leaf then costs one more leaf
-// instead of one for each shard; any other goes on with the first answer.
+// After a leaf's answer broke off, and until a leaf answers, the scatter is cautious: it sends one attempt at a time, a
+// probe, and delays the others until the probe ends. A request that crashes every leaf then crashes one more leaf
+// instead of one per shard. Any other request continues with the first answer.
 type caution struct {
-	// brokeOff says that a leaf broke off its answer.
+	// brokeOff is true if the answer of a leaf broke off.
 	brokeOff bool
-	// crashedProbes counts the probes whose leaf crashed; stopped says that they reached the plan's limit.
+	// crashedProbes counts the probes whose leaf crashed; stopped is true if the count reached the plan's limit.
 	crashedProbes int
 	stopped       bool
-	// probes counts the probes in flight; the last was sent at probedAt.
+	// probes counts the probes in flight; the newest was sent at probedAt.
 	probes   int
 	probedAt time.Time
-	// unresolved counts all attempts in flight, those of settled shards included.
+	// unresolved counts all attempts in flight, including attempts of settled shards.
 	unresolved int
-	// hasDelayed says that shards or groups wait for a probe.
+	// hasDelayed is true if shards or groups wait for a probe.
 	hasDelayed bool
 }
 
@@ -33,30 +34,31 @@
 
 // isCautious reports whether attempts are sent one at a time.
 //
-// Rule: no leaf has run the request, and either the plan is cautious from the start (leafs crashed under the same
-// request lately), a leaf broke off its answer, or the head start of the first attempt lasts.
+// Rule: no leaf is known to have run the request, and either the plan is cautious (leafs recently crashed while running
+// the same request), the answer of a leaf broke off, or the head start of the first attempt is not over.
 func (s *Scatter[Reply]) isCautious() bool {
 	return !s.summary.Ran && (s.plan.Cautious || s.caution.brokeOff || s.inHeadStart())
 }
 
-// inHeadStart reports whether the first attempt is still ahead of the others.
+// inHeadStart reports whether the head start of the first attempt is not over.
 func (s *Scatter[Reply]) inHeadStart() bool {
 	return s.plan.HeadStart > 0 && time.Since(s.began) < s.plan.HeadStart
 }
 
-// Bounds of how long a probe is awaited before the next one is sent: a leaf that is silent has not crashed, and must
-// not block the request.
+// Bounds of the wait for a probe before the next one is sent. A silent leaf has not crashed and must not block the
+// request.
 const (
 	probeTimeoutFactor  = 3 // times the typical latency of an attempt
 	minimumProbeTimeout = 20 * time.Millisecond
-	// delayedRetryPause is the pause after which a delayed shard is tried again if the plan has no ReplicaWait.
+	// delayedRetryPause is the pause before a delayed shard is tried again if the plan has no ReplicaWait.
 	delayedRetryPause = 5 * time.Millisecond
 )
 
 // mustDelay reports whether an attempt for a shard must wait.
 //
-// Rule: only while the scatter is cautious. A plan without probes then sends no attempt at all. Any other sends one probe
-// at a time; if that has not ended after the probe timeout, and the head start is over, the next one is sent.
+// Rule: attempts wait only while the scatter is cautious. A plan without probes then sends no attempts. Any other plan
+// sends one probe at a time; the next one is sent if the probe has not ended after the probe timeout and the head start
+// is over.
 func (s *Scatter[Reply]) mustDelay(index int) bool {
 	if !s.isCautious() {
 		return false
@@ -68,7 +70,7 @@
 	return time.Since(s.caution.probedAt) < timeout || s.inHeadStart()
 }
 
-// delay makes a shard wait for the probe, unless it has an attempt in flight.
+// delay makes a shard wait for the probe unless the shard has an attempt in flight.
 func (s *Scatter[Reply]) delay(shard *shardState[Reply]) {
 	if len(shard.inFlight) > 0 {
 		return
@@ -85,7 +87,7 @@
 	shard.retryAt = time.Now().Add(pause)
 }
 
-// releaseDelayed lets delayed shards and groups go on once a leaf has answered.
+// releaseDelayed schedules delayed shards and starts delayed groups once a leaf has answered.
 func (s *Scatter[Reply]) releaseDelayed() {
 	if !s.summary.Ran || !s.caution.hasDelayed {
 		return
@@ -100,9 +102,9 @@
 	}
 }
 
-// recordCrashEvidence records what the end of an attempt says about the request itself. The request is given up once
-// Plan.CrashedProbesLimit probes crashed their leafs: a probe is sent alone, so nothing else explains the crash.
-func (s *Scatter[Reply]) recordCrashEvidence(ended *finished[Reply]) {
+// recordCrashEvidence records whether an attempt's result indicates that the request crashes leafs. The scatter stops
+// after Plan.CrashedProbesLimit probes crashed their leafs: a probe is sent alone, so no other attempt explains the crash.
+func (s *Scatter[Reply]) recordCrashEvidence(ended *finishedAttempt[Reply]) {
 	s.caution.brokeOff = s.caution.brokeOff || ended.result.BrokeOff
 	if !ended.attempt.Probe {
 		return
@@ -114,7 +116,7 @@
 	s.caution.stopped = s.plan.CrashedProbesLimit > 0 && s.caution.crashedProbes >= s.plan.CrashedProbesLimit
 }
 
-// isBlocked reports whether a plan without probes is cautious and has nothing in flight that could end the caution.
+// isBlocked reports whether a plan without probes is cautious and no attempt or group in flight could change that.
 func (s *Scatter[Reply]) isBlocked() bool {
 	return s.plan.NoProbes && s.caution.unresolved == 0 && s.groups.openShards == 0 && s.isCautious()
 }
--- a/internal/request/scatter/caution_test.go
+++ b/internal/request/scatter/caution_test.go
@@ -16,8 +16,8 @@
 	workTime   = 10 * time.Millisecond
 )
 
-// broke is the result of an attempt whose answer broke off, and whether its leaf crashed.
-func broke(crashed bool) Result[string] {
+// brokenOff returns the result of an attempt whose answer broke off; crashed says whether the leaf crashed.
+func brokenOff(crashed bool) Result[string] {
 	return Result[string]{Reason: LeafFailed, Execution: Unknown, Outcome: balancer.Failed, BrokeOff: true, LeafCrashed: crashed}
 }
 
@@ -28,10 +28,10 @@
 	}
 }
 
-// probes counts the attempts that were sent alone.
-func (w *watcher) probes() int {
+// probes counts the attempts that were sent as probes.
+func (r *attemptRecorder) probes() int {
 	count := 0
-	for _, attempt := range w.began {
+	for _, attempt := range r.began {
 		if attempt.Probe {
 			count++
 		}
@@ -39,28 +39,28 @@
 	return count
 }
 
-// A request that crashes every leaf costs one leaf of each shard and one more, and is then given up at once.
-func TestRequestThatEndsLeafsIsGivenUpAfterAProbe(t *testing.T) {
+// A request that crashes every leaf crashes one leaf per shard and the leaf of one probe; then the scatter stops.
+func TestScatterStopsAfterACrashedProbe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		started := time.Now()
-		_, summary, watched := run(t.Context(), cautionPlan(&testPolicy{budget: 100}), func(string, Attempt) (time.Duration, Result[string]) {
-			return workTime, broke(true)
+		_, summary, recorder := run(t.Context(), cautionPlan(&testPolicy{budget: 100}), func(string, Attempt) (time.Duration, Result[string]) {
+			return workTime, brokenOff(true)
 		})
 		is.Equal(summary.Attempts, manyShards+1)
-		is.Equal(watched.probes(), 1)
+		is.Equal(recorder.probes(), 1)
 		is.True(summary.StoppedByCrashes)
 		is.Equal(time.Since(started), 2*workTime)
 	})
 }
 
-// A request under which leafs crashed before is sent to a single leaf first.
-func TestSuspectIsProbedFirst(t *testing.T) {
+// A request that crashed leafs before is first sent to a single leaf.
+func TestCautiousPlanStartsWithAProbe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		plan := cautionPlan(&testPolicy{budget: 100})
 		plan.Cautious = true
-		outcomes, summary, _ := run(t.Context(), plan, func(string, Attempt) (time.Duration, Result[string]) { return workTime, broke(true) })
+		outcomes, summary, _ := run(t.Context(), plan, func(string, Attempt) (time.Duration, Result[string]) { return workTime, brokenOff(true) })
 		is.Equal(summary.Attempts, 1)
 		is.Equal(outcomes[manyShards-1].Reason, LeafsCrashed)
 
@@ -70,18 +70,18 @@
 		_, summary, _ = run(t.Context(), plan, func(string, Attempt) (time.Duration, Result[string]) { return workTime, replied("well") })
 		is.Equal(summary.Replies, manyShards)
 		is.Equal(summary.Attempts, manyShards)
-		is.Equal(time.Since(started), 2*workTime) // the others were sent with the first answer
+		is.Equal(time.Since(started), 2*workTime) // the other attempts started when the probe was answered
 	})
 }
 
-// The crash of one leaf delays nothing if others answer.
-func TestOneLostLeafIsAskedAgainAtOnce(t *testing.T) {
+// The crash of one leaf does not delay its shard or the others if other leafs answer.
+func TestOneCrashedLeafDoesNotDelayTheScatter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		started := time.Now()
 		_, summary, _ := run(t.Context(), cautionPlan(&testPolicy{budget: 100}), func(leaf string, _ Attempt) (time.Duration, Result[string]) {
 			if leaf == "A1" {
-				return time.Millisecond, broke(true)
+				return time.Millisecond, brokenOff(true)
 			}
 			return workTime, replied("well")
 		})
@@ -90,14 +90,14 @@
 	})
 }
 
-// If all connections are lost at once, all shards are asked again as soon as one leaf has answered.
-func TestAllConnectionsLost(t *testing.T) {
+// If all connections are lost at once, all shards are retried as soon as one leaf has answered.
+func TestAllShardsAreRetriedAfterAllConnectionsAreLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		started := time.Now()
 		_, summary, _ := run(t.Context(), cautionPlan(&testPolicy{budget: 100}), func(_ string, attempt Attempt) (time.Duration, Result[string]) {
 			if attempt.Kind == First {
-				return time.Millisecond, broke(false)
+				return time.Millisecond, brokenOff(false)
 			}
 			return workTime, replied("well")
 		})
@@ -106,8 +106,8 @@
 	})
 }
 
-// A probe at a silent leaf does not delay the others for long: silence is no crash.
-func TestSilentProbeIsNotWaitedFor(t *testing.T) {
+// A probe to a silent leaf delays the other shards for the probe timeout only: a silent leaf has not crashed.
+func TestSilentProbeDoesNotBlockOtherShards(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		plan := cautionPlan(&testPolicy{budget: 100})
@@ -124,28 +124,28 @@
 	})
 }
 
-// A part that is gathered for another node is given up without a probe: that node knows about the other parts.
-func TestPartIsGivenUpWithoutAProbe(t *testing.T) {
+// A group that is queried for another node stops without a probe: that node has more shards and sends the probes.
+func TestPlanWithoutProbesStopsWithoutAProbe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		started := time.Now()
 		plan := cautionPlan(&testPolicy{budget: 100})
 		plan.NoProbes = true
-		_, summary, _ := run(t.Context(), plan, func(string, Attempt) (time.Duration, Result[string]) { return workTime, broke(true) })
+		_, summary, _ := run(t.Context(), plan, func(string, Attempt) (time.Duration, Result[string]) { return workTime, brokenOff(true) })
 		is.Equal(summary.Attempts, manyShards)
 		is.True(summary.StoppedByCrashes)
 		is.Equal(time.Since(started), workTime)
 
 		plan.Cautious = true
-		_, summary, _ = run(t.Context(), plan, func(string, Attempt) (time.Duration, Result[string]) { return workTime, broke(true) })
+		_, summary, _ = run(t.Context(), plan, func(string, Attempt) (time.Duration, Result[string]) { return workTime, brokenOff(true) })
 		is.Equal(summary.Attempts, 0)
 		is.True(summary.StoppedByCrashes)
 	})
 }
 
-// The groups wait for the first attempt, too, and start with its answer; if its leaf crashes, they never do.
+// Groups wait for the head start, too. They start when the first attempt is answered, and not at all if its leaf crashes.
 func TestGroupsWaitForTheFirstAttempt(t *testing.T) {
-	for name, crashes := range map[string]bool{"answered": false, "ended": true} {
+	for name, crashes := range map[string]bool{"answered": false, "crashed": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
@@ -154,14 +154,14 @@
 				plan.Groups = []Group{{Shards: []int{1, 2, 3}}}
 				began := time.Now()
 				var groupAt time.Duration
-				watched := &watcher{script: func(string, Attempt) (time.Duration, Result[string]) {
+				recorder := &attemptRecorder{script: func(string, Attempt) (time.Duration, Result[string]) {
 					if crashes {
-						return workTime, broke(true)
+						return workTime, brokenOff(true)
 					}
 					return workTime, replied("well")
 				}}
 				work := New(plan, Deps[string]{
-					Balancer: balancer.New(balancer.DefaultConfig(), ""), Start: InBackground(watched.run), Observer: watched, Superseded: errSuperseded,
+					Balancer: balancer.New(balancer.DefaultConfig(), ""), Start: InBackground(recorder.run), Observer: recorder, Superseded: errSuperseded,
 					StartGroup: func(_ context.Context, _ int, report func(GroupResult[string])) context.CancelCauseFunc {
 						groupAt = time.Since(began)
 						text := "grouped"
--- a/internal/request/scatter/group.go
+++ b/internal/request/scatter/group.go
@@ -6,43 +6,43 @@
 	"time"
 )
 
-// Group is a set of shards that another node asks on behalf of this one; it sends back all of their replies together.
-// Without an answer, each shard is asked by itself. Nothing is hedged while a group is asked, so that no shard has two
-// replies; whoever carries out the group decides when to give it up.
+// Group is a set of shards that another node queries on behalf of this one and answers together. If it returns no
+// answer, each shard is queried directly. The shards of a group in flight are not hedged, so that no shard gets two
+// replies. StartGroup decides when the attempt of a group times out.
 type Group struct {
 	// Shards are indices into the plan's shards.
 	Shards []int
 }
 
-// MissingInGroup is the reason of shards that the answer of their group lacked.
+// MissingInGroup is the reason of shards that are missing in the answer of their group.
 const MissingInGroup Reason = "MISSING_IN_GROUP"
 
-// GroupResult is a result of the attempt of a group, at its end or before.
+// GroupResult is the partial or final result of a group's attempt.
 type GroupResult[Reply any] struct {
-	// Replies are those of the group's shards, in its order, nil for those that are missing; nil as a
-	// whole if there is no answer.
+	// Replies are the replies of the group's shards, in the order of Group.Shards; an element is nil if the reply is
+	// missing. The slice is nil if there is no answer.
 	Replies []*Reply
-	// Partial says that the missing replies may still come.
+	// Partial is true if a final result follows, which may have the missing replies.
 	Partial bool
-	// Execution is what is known about the leafs if there is no answer.
+	// Execution says whether leafs may have run the request if there is no answer.
 	Execution Execution
-	// Spent is how many attempts of each shard may have been made if there is no answer; at least
-	// one counts unless the execution says that none ran.
+	// Spent is the number of attempts per shard that may have been made if there is no answer. It counts as at least 1
+	// unless Execution is NotRun.
 	Spent int
-	// Final says that there is no answer, and that asking each shard by itself could not help.
+	// Final is true if there is no answer and querying the shards directly would not help.
 	Final bool
-	// BrokeOff says that there is no answer, and that the request may have crashed leafs.
+	// BrokeOff is true if there is no answer and the request may have crashed leafs.
 	BrokeOff bool
 }
 
-// StartGroup starts the attempt of a group, by its index in the plan, without blocking. It calls report at most once
-// with a partial result and once with the final one. The returned function cancels the attempt.
+// StartGroup starts the attempt of the group with the given index in the plan, without blocking. It calls report at most
+// once with a partial result, and once with the final result. The returned function cancels the attempt.
 type StartGroup[Reply any] func(ctx context.Context, group int, report func(GroupResult[Reply])) context.CancelCauseFunc
 
-// resultsPerGroup is the maximum number of results of a group: a partial one and the final one.
+// resultsPerGroup is the maximum number of results of a group: one partial and one final result.
 const resultsPerGroup = 2
 
-// finishedGroup is a group with a result.
+// finishedGroup is a group and its partial or final result.
 type finishedGroup[Reply any] struct {
 	group  int
 	result GroupResult[Reply]
@@ -54,7 +54,7 @@
 	cancels []context.CancelCauseFunc
 	// openShards counts the shards that wait for the result of their group.
 	openShards int
-	// startBy is when delayed groups start at the latest; zero if they are not delayed or have started.
+	// startBy is the latest time at which delayed groups start; zero if no group is delayed.
 	startBy time.Time
 }
 
@@ -68,7 +68,6 @@
 	}
 }
 
-// startGroups starts the attempts of all groups.
 func (s *Scatter[Reply]) startGroups() {
 	for number := range s.plan.Groups {
 		s.summary.Groups++
@@ -85,16 +84,16 @@
 	s.caution.hasDelayed = true
 }
 
-// startDelayedGroups starts delayed groups once a leaf has answered or the head start is over. If a leaf broke off its
-// answer instead, the request may crash leafs, and no other node must spread it: this node asks the groups' shards
-// itself, one by one.
+// startDelayedGroups starts delayed groups once a leaf has answered or the head start is over. If the answer of a leaf
+// broke off instead, the request may crash leafs and must not be sent to other nodes: this node queries the shards of the
+// groups directly.
 func (s *Scatter[Reply]) startDelayedGroups() {
 	if s.groups.startBy.IsZero() {
 		return
 	}
 	if !s.summary.Ran && s.caution.brokeOff {
 		s.groups.startBy = time.Time{}
-		s.dissolveGroups()
+		s.queryGroupsDirectly()
 		return
 	}
 	if s.summary.Ran || !s.inHeadStart() {
@@ -103,8 +102,8 @@
 	}
 }
 
-// dissolveGroups asks each shard of groups that were not started by itself.
-func (s *Scatter[Reply]) dissolveGroups() {
+// queryGroupsDirectly queries each shard of the groups directly. The groups must not have been started.
+func (s *Scatter[Reply]) queryGroupsDirectly() {
 	for _, group := range s.plan.Groups {
 		for _, index := range group.Shards {
 			s.shards[index].isGrouped = false
@@ -114,16 +113,16 @@
 	}
 }
 
-// handleGroup accepts the replies of a group. Without an answer its shards are asked one by one, unless that could not
-// help; shards that an answer lacks are settled.
+// handleGroup accepts the replies of a group. Without an answer, the shards are queried directly unless the result is
+// final. Shards that are missing in a complete answer are settled without a reply.
 func (s *Scatter[Reply]) handleGroup(ended finishedGroup[Reply]) {
 	result := ended.result
 	s.recordGroup(result)
 	s.caution.brokeOff = s.caution.brokeOff || result.BrokeOff
 	s.releaseDelayed()
-	for place, index := range s.plan.Groups[ended.group].Shards {
+	for position, index := range s.plan.Groups[ended.group].Shards {
 		shard := &s.shards[index]
-		hasReply := result.Replies != nil && result.Replies[place] != nil
+		hasReply := result.Replies != nil && result.Replies[position] != nil
 		if !shard.isGrouped || result.Partial && !hasReply {
 			continue
 		}
@@ -132,7 +131,7 @@
 		switch {
 		case shard.done:
 		case hasReply:
-			s.accept(shard, result.Replies[place])
+			s.accept(shard, result.Replies[position])
 		case result.Replies == nil && !result.Final:
 			s.queryDirectly(index, result)
 		default:
@@ -142,7 +141,7 @@
 	}
 }
 
-// queryDirectly asks a shard whose group gave no answer. Attempts that the group may have made count.
+// queryDirectly queries a shard whose group returned no answer. Attempts that the group may have made count as spent.
 func (s *Scatter[Reply]) queryDirectly(index int, result GroupResult[Reply]) {
 	if result.Execution != NotRun {
 		s.shards[index].setSpent(max(1, result.Spent), s.plan.MaximumAttempts)
@@ -150,7 +149,7 @@
 	s.launchFirst(index)
 }
 
-// recordGroup adds what a group's result says about the execution to the summary.
+// recordGroup adds the execution of a group's result to the summary.
 func (s *Scatter[Reply]) recordGroup(result GroupResult[Reply]) {
 	hasReplies := slices.ContainsFunc(result.Replies, func(reply *Reply) bool { return reply != nil })
 	switch {
--- a/internal/request/scatter/group_test.go
+++ b/internal/request/scatter/group_test.go
@@ -13,13 +13,13 @@
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
 )
 
-// groupStep is one result that the attempt of a group reports, after a delay.
+// groupStep is a result that the attempt of a group reports after a delay.
 type groupStep struct {
 	after  time.Duration
 	result GroupResult[string]
 }
 
-// groupScript plays groups, and records which shards have one in flight.
+// groupScript is a fake StartGroup. It reports scripted results and records which shards have a group in flight.
 type groupScript struct {
 	steps [][]groupStep // by group
 
@@ -61,14 +61,14 @@
 	}
 }
 
-func runGroups(ctx context.Context, plan Plan, groups *groupScript, script script) ([]Outcome[string], Summary, *watcher) {
-	watched := &watcher{script: script}
+func runGroups(ctx context.Context, plan Plan, groups *groupScript, script script) ([]Outcome[string], Summary, *attemptRecorder) {
+	recorder := &attemptRecorder{script: script}
 	work := New(plan, Deps[string]{
-		Balancer: balancer.New(balancer.DefaultConfig(), ""), Start: InBackground(watched.run), StartGroup: groups.start(plan),
-		Observer: watched, Superseded: errSuperseded,
+		Balancer: balancer.New(balancer.DefaultConfig(), ""), Start: InBackground(recorder.run), StartGroup: groups.start(plan),
+		Observer: recorder, Superseded: errSuperseded,
 	})
 	outcomes, summary := work.Run(ctx)
-	return outcomes, summary, watched
+	return outcomes, summary, recorder
 }
 
 func parts(texts ...string) []*string {
@@ -81,10 +81,10 @@
 	return replies
 }
 
-// queried counts the attempts at leafs by shard and kind.
-func queried(watched *watcher, kind Kind) map[int]int {
+// attemptsByShard counts the direct attempts of a kind by shard.
+func attemptsByShard(recorder *attemptRecorder, kind Kind) map[int]int {
 	counts := map[int]int{}
-	for _, attempt := range watched.began {
+	for _, attempt := range recorder.began {
 		if attempt.Kind == kind {
 			counts[attempt.Shard]++
 		}
@@ -92,27 +92,27 @@
 	return counts
 }
 
-func ownAnswer(string, Attempt) (time.Duration, Result[string]) {
+func directReply(string, Attempt) (time.Duration, Result[string]) {
 	return 10 * time.Millisecond, replied("own")
 }
 
 const ms = time.Millisecond
 
-// The outcomes of four shards of which the last three are asked as a group.
+// The outcomes of four shards, the last three of which are queried as a group.
 func TestGroupOutcomes(t *testing.T) {
 	cases := map[string]struct {
 		steps   []groupStep
 		want    []string // replies by shard, empty for none
-		first   int      // first attempts at leafs
+		first   int      // shards with a direct first attempt
 		repeats int
 		soft    time.Duration
 		needed  int
 	}{
-		"answered whole": {
+		"complete answer": {
 			steps: []groupStep{{20 * ms, GroupResult[string]{Replies: parts("b", "c", "d")}}},
 			want:  []string{"own", "b", "c", "d"}, first: 1,
 		},
-		"a part is missing at the end": {
+		"a part is missing in the final answer": {
 			steps: []groupStep{{20 * ms, GroupResult[string]{Replies: parts("b", "", "d")}}},
 			want:  []string{"own", "b", "", "d"}, first: 1, needed: 3,
 		},
@@ -124,7 +124,7 @@
 			steps: []groupStep{{20 * ms, GroupResult[string]{Execution: Unknown}}},
 			want:  []string{"own", "own", "own", "own"}, first: 1, repeats: 3,
 		},
-		"may have run, and asking again is of no use": {
+		"may have run, and a retry would not help": {
 			steps: []groupStep{{20 * ms, GroupResult[string]{Execution: Unknown, Final: true}}},
 			want:  []string{"own", "", "", ""}, first: 1, needed: 1,
 		},
@@ -135,21 +135,21 @@
 			},
 			want: []string{"own", "b", "c", "d"}, first: 1, soft: 25 * ms, needed: 4,
 		},
-		"some parts are enough at the soft deadline": {
+		"some parts are sufficient at the soft deadline": {
 			steps: []groupStep{
 				{20 * ms, GroupResult[string]{Replies: parts("b", "c", ""), Partial: true}},
 				{time.Hour, GroupResult[string]{Replies: parts("", "", "d")}},
 			},
 			want: []string{"own", "b", "c", ""}, first: 1, soft: 25 * ms, needed: 3,
 		},
-		"some parts, then it breaks": {
+		"some parts, then a failure": {
 			steps: []groupStep{
 				{20 * ms, GroupResult[string]{Replies: parts("b", "", "d"), Partial: true}},
 				{30 * ms, GroupResult[string]{Execution: Unknown}},
 			},
 			want: []string{"own", "b", "own", "d"}, first: 1, repeats: 1, needed: 4,
 		},
-		"nothing by the deadline": {
+		"no answer by the deadline": {
 			steps: []groupStep{{time.Hour, GroupResult[string]{}}},
 			want:  []string{"own", "", "", ""}, first: 1,
 		},
@@ -165,7 +165,7 @@
 				if c.soft > 0 {
 					plan.SoftDeadline = time.Now().Add(c.soft)
 				}
-				outcomes, summary, watched := runGroups(t.Context(), plan, &groupScript{steps: [][]groupStep{c.steps}}, ownAnswer)
+				outcomes, summary, recorder := runGroups(t.Context(), plan, &groupScript{steps: [][]groupStep{c.steps}}, directReply)
 				replies := 0
 				for shard, want := range c.want {
 					got := ""
@@ -176,8 +176,8 @@
 					is.Equal(got, want)
 				}
 				is.Equal(summary.Replies, replies)
-				is.Equal(len(queried(watched, First)), c.first)
-				is.Equal(len(queried(watched, Retry)), c.repeats)
+				is.Equal(len(attemptsByShard(recorder, First)), c.first)
+				is.Equal(len(attemptsByShard(recorder, Retry)), c.repeats)
 				is.True(summary.Ran)
 				synctest.Wait()
 			})
@@ -185,8 +185,8 @@
 	}
 }
 
-// A group whose answer is no longer needed is cancelled with the cause.
-func TestGroupIsCancelledWithTheRequest(t *testing.T) {
+// A group whose answer is no longer needed is cancelled with the cause Deps.Superseded.
+func TestGroupIsCancelledWhenRunReturns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		groups := &groupScript{steps: [][]groupStep{{{time.Hour, GroupResult[string]{}}}}}
@@ -194,15 +194,15 @@
 			Shards: shards(2, &testPolicy{}), Groups: []Group{{Shards: []int{1}}}, Sufficient: 1,
 			Deadline: time.Now().Add(time.Minute), SoftDeadline: time.Now().Add(50 * ms), MaximumAttempts: 1,
 		}
-		_, summary, _ := runGroups(t.Context(), plan, groups, ownAnswer)
+		_, summary, _ := runGroups(t.Context(), plan, groups, directReply)
 		synctest.Wait()
 		is.True(summary.EndedAtSoftDeadline)
 		is.Equal(groups.causes, []error{errSuperseded})
 	})
 }
 
-// Without room in the budget, leafs that another node may have asked are not asked again.
-func TestRepeatOfAGroupNeedsABudget(t *testing.T) {
+// A shard that its group may have queried is not queried directly without a token in the retry budget.
+func TestRetryAfterAGroupTakesFromTheBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		plan := Plan{
@@ -210,38 +210,38 @@
 			Deadline: time.Now().Add(time.Second), MaximumAttempts: 2,
 		}
 		groups := &groupScript{steps: [][]groupStep{{{20 * ms, GroupResult[string]{Execution: Unknown}}}}}
-		_, summary, watched := runGroups(t.Context(), plan, groups, ownAnswer)
-		is.Equal(len(queried(watched, Retry)), 1)
+		_, summary, recorder := runGroups(t.Context(), plan, groups, directReply)
+		is.Equal(len(attemptsByShard(recorder, Retry)), 1)
 		is.Equal(summary.Replies, 2)
 	})
 }
 
-// Whatever groups and leafs do: no leaf of a shard is asked while its group is in flight, nor more
-// often than the route allows, counting what the group may have asked; and Run returns in time.
-func TestGroupsInAnyOrder(t *testing.T) {
+// For any results of groups and leafs: no shard is queried directly while its group is in flight, attempts, including
+// attempts that the group may have made, stay within the maximum, and Run returns by the deadline.
+func TestShardIsNotQueriedWhileItsGroupIsInFlight(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		draw := drawnGroups(r)
+		c := drawGroupsCase(r)
 		synctest.Test(t, func(t *testing.T) {
 			began := time.Now()
 			plan := Plan{
-				Shards: shards(6, &testPolicy{budget: draw.budget, hedgeAfter: 15 * ms}), Groups: []Group{{Shards: []int{0, 2}}, {Shards: []int{3, 4, 5}}},
-				Deadline: began.Add(300 * ms), SoftDeadline: began.Add(80 * ms), Sufficient: draw.needed, MaximumAttempts: 2,
+				Shards: shards(6, &testPolicy{budget: c.budget, hedgeAfter: 15 * ms}), Groups: []Group{{Shards: []int{0, 2}}, {Shards: []int{3, 4, 5}}},
+				Deadline: began.Add(300 * ms), SoftDeadline: began.Add(80 * ms), Sufficient: c.needed, MaximumAttempts: 2,
 			}
-			groups := &groupScript{steps: draw.steps}
+			groups := &groupScript{steps: c.steps}
 			violated := false
-			outcomes, summary, watched := runGroups(t.Context(), plan, groups, func(_ string, attempt Attempt) (time.Duration, Result[string]) {
+			outcomes, summary, recorder := runGroups(t.Context(), plan, groups, func(_ string, attempt Attempt) (time.Duration, Result[string]) {
 				groups.mu.Lock()
 				violated = violated || groups.inFlight[attempt.Shard]
 				groups.mu.Unlock()
-				return draw.leafDelay, draw.leafResult
+				return c.leafDelay, c.leafResult
 			})
 			took := time.Since(began)
-			synctest.Wait() // for attempts that were started last
+			synctest.Wait() // until the cancelled attempts have ended
 			if violated {
-				t.Fatal("a leaf was asked while its group was in flight")
+				t.Fatal("a shard was queried directly while its group was in flight")
 			}
 			if took > 300*ms {
-				t.Fatalf("took %s", took)
+				t.Fatalf("Run returned after %s, later than the deadline", took)
 			}
 			replies := 0
 			for _, outcome := range outcomes {
@@ -250,14 +250,14 @@
 				}
 			}
 			if replies != summary.Replies {
-				t.Fatalf("%d replies, %d counted", replies, summary.Replies)
+				t.Fatalf("%d outcomes have replies, but the summary counts %d", replies, summary.Replies)
 			}
-			for group, steps := range draw.steps {
+			for group, steps := range c.steps {
 				mayHaveRun := steps[len(steps)-1].result.Execution != NotRun
 				for _, shard := range plan.Groups[group].Shards {
-					count := queried(watched, First)[shard] + queried(watched, Retry)[shard] + queried(watched, Hedge)[shard]
+					count := attemptsByShard(recorder, First)[shard] + attemptsByShard(recorder, Retry)[shard] + attemptsByShard(recorder, Hedge)[shard]
 					if mayHaveRun && count > 1 || count > 2 {
-						t.Fatalf("shard %d was asked %d times", shard, count)
+						t.Fatalf("shard %d had %d direct attempts", shard, count)
 					}
 				}
 			}
@@ -265,8 +265,8 @@
 	})
 }
 
-// groupsDraw is one case of TestGroupsInAnyOrder.
-type groupsDraw struct {
+// groupsCase is one case of TestShardIsNotQueriedWhileItsGroupIsInFlight.
+type groupsCase struct {
 	steps      [][]groupStep
 	budget     int
 	needed     int
@@ -274,13 +274,13 @@
 	leafResult Result[string]
 }
 
-func drawnGroups(t *rapid.T) groupsDraw {
-	draw := groupsDraw{
+func drawGroupsCase(t *rapid.T) groupsCase {
+	c := groupsCase{
 		budget: rapid.IntRange(0, 8).Draw(t, "budget"), needed: rapid.IntRange(1, 6).Draw(t, "needed"),
 		leafDelay: time.Duration(rapid.IntRange(1, 100).Draw(t, "leaf")) * ms, leafResult: replied("own"),
 	}
 	if rapid.Bool().Draw(t, "leafs fail") {
-		draw.leafResult = failedRun(Ran)
+		c.leafResult = failed(Ran)
 	}
 	for _, size := range []int{2, 3} {
 		delay := func() time.Duration { return time.Duration(rapid.IntRange(1, 400).Draw(t, "delay")) * ms }
@@ -306,15 +306,15 @@
 		case 2:
 			end = GroupResult[string]{Execution: Unknown, Final: true}
 		}
-		draw.steps = append(draw.steps, append(steps, groupStep{delay(), end}))
+		c.steps = append(c.steps, append(steps, groupStep{delay(), end}))
 	}
-	return draw
+	return c
 }
 
-// Attempts that may have been made elsewhere count as the shard's, and the next one is a retry
-// that needs a budget.
+// Attempts that another node may have made count toward the shard's maximum, and the next attempt is a retry that takes
+// a token.
 func TestSpentAttemptsCount(t *testing.T) {
-	for name, one := range map[string]struct {
+	for name, c := range map[string]struct {
 		spent, budget   int
 		firsts, repeats int
 	}{
@@ -323,20 +323,20 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				plan := Plan{Shards: shards(2, &testPolicy{budget: one.budget}), Deadline: time.Now().Add(time.Second), MaximumAttempts: 3, NoHedges: true}
-				if one.spent == 1 {
+				plan := Plan{Shards: shards(2, &testPolicy{budget: c.budget}), Deadline: time.Now().Add(time.Second), MaximumAttempts: 3, NoHedges: true}
+				if c.spent == 1 {
 					plan.MaximumAttempts = 2
 				}
 				for shard := range plan.Shards {
-					plan.Shards[shard].Spent = one.spent
+					plan.Shards[shard].Spent = c.spent
 				}
-				_, _, watched := runGroups(t.Context(), plan, &groupScript{}, func(string, Attempt) (time.Duration, Result[string]) {
+				_, _, recorder := runGroups(t.Context(), plan, &groupScript{}, func(string, Attempt) (time.Duration, Result[string]) {
 					return ms, replied("own")
 				})
-				is.Equal(len(queried(watched, First)), one.firsts)
-				is.Equal(len(queried(watched, Retry)), one.repeats)
-				for _, attempt := range watched.began {
-					is.Equal(attempt.Number, one.spent+1)
+				is.Equal(len(attemptsByShard(recorder, First)), c.firsts)
+				is.Equal(len(attemptsByShard(recorder, Retry)), c.repeats)
+				for _, attempt := range recorder.began {
+					is.Equal(attempt.Number, c.spent+1)
 				}
 			})
 		})
--- a/internal/request/scatter/hedge.go
+++ b/internal/request/scatter/hedge.go
@@ -2,10 +2,8 @@
 
 import "time"
 
-// scheduleHedge schedules the shard's next hedge, counted from its newest attempt, which starts now.
-//
-// The delay is the policy's for the shard's hedge stage, counted from 0. A request that may run at most once is never
-// hedged, since both attempts could run it.
+// scheduleHedge schedules the shard's next hedge. The policy returns the delay from now for the shard's hedge stage. A
+// request that may run at most once is never hedged, since both attempts could run it.
 func (s *Scatter[Reply]) scheduleHedge(index int, now time.Time) {
 	shard := &s.shards[index]
 	shard.hedgeAt = time.Time{}
@@ -17,8 +15,8 @@
 	}
 }
 
-// sendHedge sends a hedge that is due, if the shard has attempts left; the leafs in flight are reported as late in any
-// case. A hedge that can't be sent now is scheduled again at the same stage.
+// sendHedge sends a hedge that is due if the shard has attempts left. It always reports the leafs with attempts in
+// flight as late. A hedge that can't be sent now is rescheduled at the same stage.
 func (s *Scatter[Reply]) sendHedge(index int, now time.Time) {
 	shard := &s.shards[index]
 	shard.hedgeAt = time.Time{}
@@ -35,37 +33,38 @@
 	}
 }
 
-// Bounds by which late leafs are distinguished from a node that is late itself, see isNodeLate.
+// Bounds that distinguish late leafs from a late node, see isNodeLate.
 const (
-	lateShareLimit  = 0.5                  // of all shards
-	lateCountLimit  = 8                    // shards; with fewer, slow leafs are as likely
-	postponedShare  = 0.4                  // of the time from the start until hedges were first postponed
-	hedgePostponing = 5 * time.Millisecond // by which a due hedge is postponed each time
+	lateFractionLimit = 0.5                  // of all shards
+	lateCountLimit    = 8                    // shards; with fewer, slow leafs are as likely
+	postponedFraction = 0.4                  // of the time from the start until hedges were first postponed
+	hedgePostponement = 5 * time.Millisecond // by which a due hedge is postponed each time
 )
 
-// isNodeLate reports whether hedges must wait because this node, not the leafs, is most likely what is late.
+// isNodeLate reports whether hedges must be postponed because this node, rather than the leafs, is probably late.
 //
-// Inputs: the shards that are still open and asked one by one, the number of all shards, and the time since Run began.
+// Inputs: the number of open shards that are not in a group in flight, the number of all shards, and the time since Run
+// began.
 //
-// Rule: at least lateCountLimit shards and more than lateShareLimit of all are open when something is due. That many
-// leafs are hardly ever slow together, and hedges would add to the work of a node that is short of CPU. Hedges are
-// postponed for at most postponedShare of the time that had passed when the first of them was.
+// Rule: at least lateCountLimit shards and more than lateFractionLimit of all shards are open when a timer fires. So many
+// leafs are rarely slow at the same time, and hedges would add load to a node that is short of CPU. Hedges are postponed
+// for at most postponedFraction of the time from the start of Run until the first postponement.
 func (s *Scatter[Reply]) isNodeLate(now time.Time) bool {
 	open := s.open - s.groups.openShards
-	if open < lateCountLimit || float64(open) <= lateShareLimit*float64(len(s.shards)) {
+	if open < lateCountLimit || float64(open) <= lateFractionLimit*float64(len(s.shards)) {
 		return false
 	}
-	if s.hedgesHeldSince.IsZero() {
-		s.hedgesHeldSince = now
+	if s.hedgesPostponedSince.IsZero() {
+		s.hedgesPostponedSince = now
 	}
-	return float64(now.Sub(s.hedgesHeldSince)) <= postponedShare*float64(s.hedgesHeldSince.Sub(s.began))
+	return float64(now.Sub(s.hedgesPostponedSince)) <= postponedFraction*float64(s.hedgesPostponedSince.Sub(s.began))
 }
 
-// postponeHedges moves the hedges that are due by hedgePostponing.
+// postponeHedges postpones the hedges that are due by hedgePostponement.
 func (s *Scatter[Reply]) postponeHedges(now time.Time) {
 	for index := range s.shards {
 		if shard := &s.shards[index]; !shard.done && isDue(shard.hedgeAt, now) {
-			shard.hedgeAt = now.Add(hedgePostponing)
+			shard.hedgeAt = now.Add(hedgePostponement)
 		}
 	}
 }
--- a/internal/request/scatter/launch.go
+++ b/internal/request/scatter/launch.go
@@ -6,11 +6,12 @@
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
 )
 
-// launch starts an attempt for a shard and reports whether it did. Without a usable replica or room in the budget, the
-// shard waits or is settled, see waitOrSettle; while a probe is awaited it is delayed, see mustDelay.
+// launch starts an attempt for a shard and reports whether it did. The shard is delayed while the scatter waits for a
+// probe, see mustDelay. Without a usable replica or a token in the budget, the shard waits or is settled, see
+// waitOrSettle.
 //
-// A hedge is not sent to an unhealthy replica, nor if Policy.WorthHedging reports that its reply would come too late: it
-// would add load without helping the request.
+// A hedge is not sent to an unhealthy replica, nor if Policy.WorthHedging reports false: it would add load without
+// helping the request.
 func (s *Scatter[Reply]) launch(index int, kind Kind, takeBudget func() bool) bool {
 	shard := &s.shards[index]
 	if s.mustDelay(index) {
@@ -33,7 +34,7 @@
 	return true
 }
 
-// start starts an attempt at a leaf.
+// start starts an attempt on a leaf.
 func (s *Scatter[Reply]) start(index int, kind Kind, leaf *balancer.Leaf) {
 	now := time.Now()
 	shard, policy := &s.shards[index], s.plan.Shards[index].Policy
@@ -59,13 +60,13 @@
 		took := time.Since(attempt.Started)
 		s.deps.Balancer.Finish(attempt.Leaf, result.Outcome, took, typical)
 		s.deps.Observer.Ended(attempt, result, took)
-		s.results <- &finished[Reply]{attempt, result}
+		s.results <- &finishedAttempt[Reply]{attempt, result}
 	})
 	shard.cancels = append(shard.cancels, cancel)
 }
 
-// choose returns a replica that was not tried yet. If there is none, and the shard may wait for one, it may be a
-// replica that was tried and has no attempt in flight.
+// choose returns a replica that was not tried yet. If there is none and the plan has a ReplicaWait, it returns a replica
+// that was tried and has no attempt in flight.
 func (s *Scatter[Reply]) choose(index int) balancer.Choice {
 	shard := &s.shards[index]
 	candidates := s.candidates(index)
@@ -73,14 +74,14 @@
 	if choice.Leaf != nil || s.plan.ReplicaWait == 0 || len(shard.tried) == len(shard.inFlight) {
 		return choice
 	}
-	busy := make([]string, 0, len(shard.inFlight))
+	inFlight := make([]string, 0, len(shard.inFlight))
 	for _, attempt := range shard.inFlight {
-		busy = append(busy, attempt.leafID)
+		inFlight = append(inFlight, attempt.leafID)
 	}
-	return s.deps.Balancer.Choose(candidates, busy)
+	return s.deps.Balancer.Choose(candidates, inFlight)
 }
 
-// candidates returns the replicas of a shard as they are now.
+// candidates returns the current replicas of a shard.
 func (s *Scatter[Reply]) candidates(index int) []balancer.Candidate {
 	if s.plan.Refresh == nil || s.isPlanFresh {
 		return s.plan.Shards[index].Candidates
@@ -88,8 +89,8 @@
 	return s.plan.Refresh(index)
 }
 
-// waitOrSettle is for a shard that can't be asked now. With Plan.ReplicaWait, it is tried again after that pause unless
-// an attempt is in flight; otherwise it is settled.
+// waitOrSettle handles a shard that can't be queried now. If the plan has a ReplicaWait, the shard is tried again after
+// that pause unless it has an attempt in flight. Otherwise the shard is settled once it has no attempt in flight.
 func (s *Scatter[Reply]) waitOrSettle(shard *shardState[Reply], reason Reason) {
 	if shard.reason == "" {
 		shard.reason = reason
--- a/internal/request/scatter/not_run_test.go
+++ b/internal/request/scatter/not_run_test.go
@@ -12,51 +12,51 @@
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
 )
 
-// drawnEnd is the course of an attempt: when its leaf starts to run it, when it ends, and what is known then.
-type drawnEnd struct {
-	begins  time.Duration // negative: never
+// attemptEnd says when the leaf starts to run an attempt, when the attempt ends, and its result.
+type attemptEnd struct {
+	begins  time.Duration // negative if the leaf never starts to run the attempt
 	ends    time.Duration
 	result  Result[string]
-	certain bool // the leaf reports that it did not run the attempt, or nothing was sent
+	certain bool // the leaf reports that it did not run the attempt, or the attempt was not sent
 }
 
-// drawEnd draws the course of an attempt. Its result says that it did not run only if that is certain.
-func drawEnd(t *rapid.T) drawnEnd {
+// drawAttemptEnd generates an attemptEnd. Its result is NotRun only if certain is set.
+func drawAttemptEnd(t *rapid.T) attemptEnd {
 	millis := func(label string) time.Duration {
 		return time.Duration(rapid.IntRange(0, 40).Draw(t, label)) * time.Millisecond
 	}
 	ends := millis("ends")
 	begins := min(millis("begins"), ends)
-	switch rapid.SampledFrom([]string{"replied", "failed", "broke", "lost", "refused", "never sent", "silent"}).Draw(t, "end") {
+	switch rapid.SampledFrom([]string{"replied", "failed", "broke off", "lost", "refused", "never sent", "silent"}).Draw(t, "end") {
 	case "replied":
-		return drawnEnd{begins: begins, ends: ends, result: replied("x")}
+		return attemptEnd{begins: begins, ends: ends, result: replied("x")}
 	case "failed":
-		return drawnEnd{begins: begins, ends: ends, result: failedRun(Ran)}
-	case "broke":
-		return drawnEnd{begins: begins, ends: ends, result: failedRun(Unknown)}
+		return attemptEnd{begins: begins, ends: ends, result: failed(Ran)}
+	case "broke off":
+		return attemptEnd{begins: begins, ends: ends, result: failed(Unknown)}
 	case "lost":
-		return drawnEnd{begins: -1, ends: ends, result: Result[string]{Reason: LeafFailed, NeverArrived: rapid.Bool().Draw(t, "most likely")}}
+		return attemptEnd{begins: -1, ends: ends, result: Result[string]{Reason: LeafFailed, NeverArrived: rapid.Bool().Draw(t, "most likely")}}
 	case "refused":
-		return drawnEnd{begins: -1, ends: ends, certain: true, result: Result[string]{Reason: Shed, Execution: NotRun, Outcome: balancer.Shed}}
+		return attemptEnd{begins: -1, ends: ends, certain: true, result: Result[string]{Reason: Shed, Execution: NotRun, Outcome: balancer.Shed}}
 	case "never sent":
-		return drawnEnd{begins: -1, ends: ends, certain: true, result: Result[string]{Reason: LeafFailed, Execution: NotRun, NeverArrived: true}}
+		return attemptEnd{begins: -1, ends: ends, certain: true, result: Result[string]{Reason: LeafFailed, Execution: NotRun, NeverArrived: true}}
 	}
-	return drawnEnd{begins: begins, ends: time.Hour, result: replied("late")}
+	return attemptEnd{begins: begins, ends: time.Hour, result: replied("late")}
 }
 
-// notRunCase is a request over some shards, some of them asked in a group.
+// notRunCase is a request to several shards, some of which may be queried as a group.
 type notRunCase struct {
-	plan     Plan
-	ends     []drawnEnd
-	groups   []drawnEnd
-	parts    []bool // whether a group that answers has all of its parts
-	givesUp  time.Duration
-	next     atomic.Int32
-	hasBegun atomic.Bool
+	plan           Plan
+	ends           []attemptEnd
+	groups         []attemptEnd
+	parts          []bool // whether a group that answers has all of its parts
+	cancelledAfter time.Duration
+	next           atomic.Int32
+	hasStarted     atomic.Bool
 }
 
 func drawCase(t *rapid.T) *notRunCase {
-	c := &notRunCase{givesUp: time.Duration(rapid.IntRange(1, 200).Draw(t, "given up after")) * time.Millisecond}
+	c := &notRunCase{cancelledAfter: time.Duration(rapid.IntRange(1, 200).Draw(t, "cancelled after")) * time.Millisecond}
 	count := rapid.IntRange(1, 5).Draw(t, "shards")
 	c.plan = Plan{
 		Sufficient: rapid.IntRange(0, count).Draw(t, "sufficient"), AtMostOnce: rapid.Bool().Draw(t, "once"),
@@ -73,22 +73,23 @@
 			group.Shards = append(group.Shards, shard)
 		}
 		c.plan.Groups = []Group{group}
-		c.groups = []drawnEnd{drawEnd(t)}
+		c.groups = []attemptEnd{drawAttemptEnd(t)}
 		c.parts = []bool{rapid.Bool().Draw(t, "whole")}
 	}
 	for range count * 8 {
-		c.ends = append(c.ends, drawEnd(t))
+		c.ends = append(c.ends, drawAttemptEnd(t))
 	}
 	return c
 }
 
-// wait waits until an attempt ends, and records whether its leaf started to run it; false if it was given up before.
-func (c *notRunCase) wait(ctx context.Context, end drawnEnd) bool {
+// wait waits until an attempt ends and records whether its leaf started to run it. It returns false if the attempt was
+// cancelled first.
+func (c *notRunCase) wait(ctx context.Context, end attemptEnd) bool {
 	began := end.begins
 	if began >= 0 {
 		select {
 		case <-time.After(began):
-			c.hasBegun.Store(true)
+			c.hasStarted.Store(true)
 		case <-ctx.Done():
 			return false
 		}
@@ -129,31 +130,31 @@
 	return cancel
 }
 
-// execute runs a case and returns the reported execution.
+// execute runs the case and returns the execution that the summary reports.
 func (c *notRunCase) execute(t *testing.T) (reported Execution) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithTimeout(t.Context(), c.givesUp)
+		ctx, cancel := context.WithTimeout(t.Context(), c.cancelledAfter)
 		defer cancel()
 		c.plan.Deadline = time.Now().Add(150 * time.Millisecond)
 		work := New(c.plan, Deps[string]{
 			Balancer: balancer.New(balancer.DefaultConfig(), ""), Start: InBackground(c.run), StartGroup: c.startGroup,
-			Observer: &watcher{}, Superseded: errSuperseded,
+			Observer: &attemptRecorder{}, Superseded: errSuperseded,
 		})
 		_, summary := work.Run(ctx)
 		reported = summary.Execution()
 		cancel()
-		time.Sleep(2 * time.Hour) // until all attempts have ended
+		time.Sleep(2 * time.Hour) // longer than any attempt
 	})
 	return reported
 }
 
-// A request that any leaf started to run is never reported as not run, in whatever order attempts, hedges, retries and groups
-// start, end, are lost and are given up.
-func TestNotRunIsTold(t *testing.T) {
+// A request that any leaf started to run is never reported as not run, for any order in which attempts, hedges, retries
+// and groups start, end, are lost and are cancelled.
+func TestStartedRequestIsNotReportedAsNotRun(t *testing.T) {
 	rapid.Check(t, func(drawn *rapid.T) {
 		c := drawCase(drawn)
-		if reported := c.execute(t); reported == NotRun && c.hasBegun.Load() {
-			drawn.Fatal("reported as not run, although a leaf had started to run it")
+		if reported := c.execute(t); reported == NotRun && c.hasStarted.Load() {
+			drawn.Fatal("the request was reported as not run, but a leaf had started to run it")
 		}
 	})
 }
--- a/internal/request/scatter/outcome.go
+++ b/internal/request/scatter/outcome.go
@@ -9,30 +9,30 @@
 // Reason says why a shard has no reply.
 type Reason string
 
-// The reasons of any scatter; the balancer and the caller add their own.
+// The reasons that this package sets; the balancer and the caller define others.
 const (
 	Deadline   Reason = "DEADLINE"
 	LeafFailed Reason = "LEAF_FAILED"
 	Shed       Reason = "SHED"
-	// Unneeded means that Run returned without the shard because enough others had replied.
+	// Unneeded means that Run returned before the shard replied because more replies were of no use.
 	Unneeded Reason = "UNNEEDED"
 )
 
-// Outcome is the end of one shard: a reply, or the reason why there is none.
+// Outcome is the outcome of one shard: a reply, or the reason why there is none.
 type Outcome[Reply any] struct {
 	Reply *Reply
-	// Leaf sent the reply.
+	// Leaf is the leaf that sent the reply; nil if there is no reply or it came from a group.
 	Leaf     *balancer.Leaf
 	Reason   Reason
 	Attempts int
 }
 
-// Summary is what is known about all attempts together.
+// Summary summarizes all attempts of a request.
 type Summary struct {
 	Ran      bool
 	MaybeRan bool
 	Shed     bool
-	// Queued counts replies of leafs that had more attempts than slots.
+	// Queued counts the results of leafs that reported more attempts than slots.
 	Queued    int
 	Replies   int
 	Groups    int
@@ -40,15 +40,16 @@
 	Hedges    int
 	Retries   int
 	Cancelled int
-	// SufficientAt is when the plan's sufficient number of replies was reached; zero if never.
+	// SufficientAt is when the plan's sufficient number of replies was reached; zero if it was not.
 	SufficientAt time.Time
-	// EndedAtSoftDeadline says that the scatter ended at or after its soft deadline, with shards open.
+	// EndedAtSoftDeadline is true if the scatter ended with open shards because the soft deadline had passed and the
+	// replies were sufficient.
 	EndedAtSoftDeadline bool
-	// StoppedByCrashes says that the scatter was given up because the request may crash leafs.
+	// StoppedByCrashes is true if the scatter stopped because the request may crash leafs.
 	StoppedByCrashes bool
 }
 
-// Execution returns what is known about the whole request.
+// Execution returns whether any leaf ran, or may have run, the request.
 func (s Summary) Execution() Execution {
 	switch {
 	case s.Ran:
@@ -59,7 +60,6 @@
 	return NotRun
 }
 
-// count counts an attempt of a kind.
 func (s *Summary) count(kind Kind) {
 	s.Attempts++
 	switch kind {
--- a/internal/request/scatter/scatter.go
+++ b/internal/request/scatter/scatter.go
@@ -1,13 +1,13 @@
-// Package scatter sends one request to one leaf of each of many shards, hedges slow attempts, retries failed ones, and
-// decides when to stop waiting.
+// Package scatter sends a request to one leaf of each shard, hedges slow attempts, retries failed attempts, and decides
+// when to stop waiting.
 //
-// It is independent of the protocol: the caller supplies the shards with their replicas, a Policy for hedges and
-// retries, and a function that starts one attempt. It returns the reply of each shard, or the reason why there is
-// none, and what is known about whether anything ran.
+// The package is independent of the protocol. The caller supplies the shards with their replicas, a Policy for hedges
+// and retries, and a function that starts an attempt. Run returns, for each shard, a reply or the reason why there is
+// none, and whether any leaf may have run the request.
 //
-// A Scatter serves one request. The goroutine that calls Run owns all of its state; attempts run in goroutines of the
-// caller and only send their results. Leafs are chosen by package balancer. All times are by the runtime's monotonic
-// clock; reasons and executions are reported as typed values, never as errors.
+// A Scatter serves one request. The goroutine that calls Run owns all of its state; attempts run in the caller's
+// goroutines and only send their results. Package balancer chooses the leafs. All times are read from the runtime's
+// monotonic clock. Reasons and executions are returned as typed values, never as errors.
 package scatter
 
 import (
@@ -24,33 +24,34 @@
 
 	ctx     context.Context
 	began   time.Time
-	results chan *finished[Reply]
+	results chan *finishedAttempt[Reply]
 	shards  []shardState[Reply]
 	open    int // shards without an outcome
-	// isPlanFresh says that the plan's candidates are current, so that Plan.Refresh need not be called.
+	// isPlanFresh is true while the plan's candidates are current and Plan.Refresh need not be called.
 	isPlanFresh bool
 	summary     Summary
 
 	groups  groupState[Reply]
 	caution caution
-	// hedgesHeldSince is when hedges were first postponed because this node itself was late; zero before that.
-	hedgesHeldSince time.Time
+	// hedgesPostponedSince is when hedges were first postponed because this node itself was late; zero if they never
+	// were.
+	hedgesPostponedSince time.Time
 }
 
-// finished is an attempt with its result.
-type finished[Reply any] struct {
+// finishedAttempt is an attempt and its result.
+type finishedAttempt[Reply any] struct {
 	attempt Attempt
 	result  Result[Reply]
 }
 
-// Deps are what a Scatter is built from besides its plan.
+// Deps are the dependencies of a Scatter.
 type Deps[Reply any] struct {
 	Balancer *balancer.Balancer
 	Start    StartAttempt[Reply]
 	Observer Observer[Reply]
-	// StartGroup starts the attempts of the plan's groups; nil if there are none.
+	// StartGroup starts the attempts of the plan's groups; nil if the plan has none.
 	StartGroup StartGroup[Reply]
-	// OnReply is called with each reply that settles a shard, and the shard's index; it may be nil.
+	// OnReply is called with the index of each settled shard and the reply that settled it; it may be nil.
 	OnReply func(shard int, reply *Reply)
 	// Superseded is the cancellation cause of attempts whose reply is no longer needed.
 	Superseded error
@@ -60,7 +61,7 @@
 func New[Reply any](plan Plan, deps Deps[Reply]) *Scatter[Reply] {
 	s := &Scatter[Reply]{
 		plan: plan, deps: deps,
-		results: make(chan *finished[Reply], len(plan.Shards)*(plan.MaximumAttempts+plan.MaximumRefusals+1)),
+		results: make(chan *finishedAttempt[Reply], len(plan.Shards)*(plan.MaximumAttempts+plan.MaximumRefusals+1)),
 		shards:  make([]shardState[Reply], len(plan.Shards)),
 		open:    len(plan.Shards),
 		groups:  groupState[Reply]{results: make(chan finishedGroup[Reply], resultsPerGroup*len(plan.Groups))},
@@ -72,8 +73,8 @@
 	return s
 }
 
-// Run asks the shards and returns one outcome for each, in the order of the plan. It returns as soon as mustWait
-// reports that waiting is of no use any more, or at the plan's deadline.
+// Run sends the request to the shards and returns one outcome per shard, in the order of the plan. It returns as soon
+// as more results could not change the outcome (see mustWait), or at the plan's deadline.
 func (s *Scatter[Reply]) Run(ctx context.Context) ([]Outcome[Reply], Summary) {
 	deadlined, stopTimer := context.WithDeadline(ctx, s.plan.Deadline)
 	defer stopTimer()
@@ -85,14 +86,14 @@
 	s.summary.EndedAtSoftDeadline = s.open > 0 && s.isSufficient()
 	if s.caution.stopped || s.isBlocked() {
 		s.summary.StoppedByCrashes = true
-		s.giveUp(LeafsCrashed)
+		s.settleOpen(LeafsCrashed)
 	}
-	s.giveUp(Unneeded)
+	s.settleOpen(Unneeded)
 	s.countCancelled()
 	return s.outcomes(), s.summary
 }
 
-// launchAll starts the groups and the first attempts of the shards that are in none.
+// launchAll starts the groups and the first attempts of the shards that are in no group.
 func (s *Scatter[Reply]) launchAll() {
 	if s.plan.HeadStart > 0 {
 		s.delayGroups()
@@ -109,7 +110,7 @@
 	s.isPlanFresh = false
 }
 
-// loop handles results and timers until there is nothing left to wait for.
+// loop handles results and timers until mustWait reports false.
 func (s *Scatter[Reply]) loop() {
 	timer := time.NewTimer(s.untilNext())
 	defer timer.Stop()
@@ -123,13 +124,13 @@
 		case <-timer.C:
 			s.sendDue()
 		case <-s.ctx.Done():
-			s.giveUp(Deadline)
+			s.settleOpen(Deadline)
 		}
 		timer.Reset(s.untilNext())
 	}
 }
 
-// handleQueued handles the results that are queued already, so that the timer is reset once for all of them.
+// handleQueued handles the results that are already queued, so that the timer is reset once for all of them.
 func (s *Scatter[Reply]) handleQueued() {
 	for s.mustWait() {
 		select {
@@ -141,8 +142,8 @@
 	}
 }
 
-// handle records the end of an attempt and settles or retries its shard.
-func (s *Scatter[Reply]) handle(ended *finished[Reply]) {
+// handle records the result of an attempt and settles or retries its shard.
+func (s *Scatter[Reply]) handle(ended *finishedAttempt[Reply]) {
 	index, result := ended.attempt.Shard, ended.result
 	s.caution.unresolved--
 	shard := &s.shards[index]
@@ -172,7 +173,7 @@
 }
 
 // record adds the result of an attempt to the summary and reports it to the shard's policy.
-func (s *Scatter[Reply]) record(ended *finished[Reply]) {
+func (s *Scatter[Reply]) record(ended *finishedAttempt[Reply]) {
 	policy := s.plan.Shards[ended.attempt.Shard].Policy
 	switch ended.result.Execution {
 	case Ran:
@@ -206,7 +207,6 @@
 	s.settle(shard)
 }
 
-// outcomes returns the outcome of each shard.
 func (s *Scatter[Reply]) outcomes() []Outcome[Reply] {
 	outcomes := make([]Outcome[Reply], len(s.shards))
 	for index := range s.shards {
--- a/internal/request/scatter/scatter_test.go
+++ b/internal/request/scatter/scatter_test.go
@@ -17,10 +17,10 @@
 
 var errSuperseded = errors.New("superseded")
 
-// testPolicy hedges after a fixed delay within a budget.
+// testPolicy is a Policy that sends one hedge after a fixed delay; hedges and retries share one budget.
 type testPolicy struct {
 	hedgeAfter time.Duration
-	mutex      sync.Mutex
+	mu         sync.Mutex
 	budget     int
 	useless    bool
 }
@@ -36,37 +36,37 @@
 func (p *testPolicy) Observe(time.Duration)         {}
 func (p *testPolicy) ObserveShed()                  {}
 func (p *testPolicy) take() bool {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	p.budget--
 	return p.budget >= 0
 }
 
-// script says how a leaf treats an attempt.
+// script returns the delay and the result of an attempt on a leaf.
 type script func(leaf string, attempt Attempt) (time.Duration, Result[string])
 
-// watcher runs attempts by a script and records them.
-type watcher struct {
+// attemptRecorder runs attempts as scripted and records them; it implements Observer.
+type attemptRecorder struct {
 	script script
-	mutex  sync.Mutex
+	mu     sync.Mutex
 	began  []Attempt
 	ended  int
 }
 
-func (w *watcher) Began(attempt Attempt) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.began = append(w.began, attempt)
+func (r *attemptRecorder) Began(attempt Attempt) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.began = append(r.began, attempt)
 }
 
-func (w *watcher) Ended(Attempt, Result[string], time.Duration) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.ended++
+func (r *attemptRecorder) Ended(Attempt, Result[string], time.Duration) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.ended++
 }
 
-func (w *watcher) run(ctx context.Context, attempt Attempt) Result[string] {
-	delay, result := w.script(attempt.Leaf.ID, attempt)
+func (r *attemptRecorder) run(ctx context.Context, attempt Attempt) Result[string] {
+	delay, result := r.script(attempt.Leaf.ID, attempt)
 	select {
 	case <-time.After(delay):
 		return result
@@ -79,7 +79,7 @@
 	return Result[string]{Reply: &text, Execution: Ran, Outcome: balancer.Succeeded}
 }
 
-func failedRun(execution Execution) Result[string] {
+func failed(execution Execution) Result[string] {
 	return Result[string]{Reason: LeafFailed, Execution: execution, Outcome: balancer.Failed}
 }
 
@@ -92,16 +92,16 @@
 	return list
 }
 
-func run(ctx context.Context, plan Plan, script script) ([]Outcome[string], Summary, *watcher) {
-	watched := &watcher{script: script}
+func run(ctx context.Context, plan Plan, script script) ([]Outcome[string], Summary, *attemptRecorder) {
+	recorder := &attemptRecorder{script: script}
 	work := New(plan, Deps[string]{
-		Balancer: balancer.New(balancer.DefaultConfig(), ""), Start: InBackground(watched.run), Observer: watched, Superseded: errSuperseded,
+		Balancer: balancer.New(balancer.DefaultConfig(), ""), Start: InBackground(recorder.run), Observer: recorder, Superseded: errSuperseded,
 	})
 	outcomes, summary := work.Run(ctx)
-	return outcomes, summary, watched
+	return outcomes, summary, recorder
 }
 
-func TestASlowLeafIsHedged(t *testing.T) {
+func TestSlowLeafIsHedged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		started := time.Now()
@@ -118,8 +118,8 @@
 	})
 }
 
-// No hedge is sent without budget, nor to a leaf that would answer too late.
-func TestUselessHedgesAreNotSent(t *testing.T) {
+// No hedge is sent without a token in the budget, nor to a leaf that would answer too late.
+func TestHedgeIsNotSentWithoutBudgetOrBenefit(t *testing.T) {
 	for name, policy := range map[string]*testPolicy{
 		"no budget": {hedgeAfter: 20 * time.Millisecond}, "too late": {hedgeAfter: 20 * time.Millisecond, budget: 9, useless: true},
 	} {
@@ -132,15 +132,15 @@
 				})
 				is.Equal(*outcomes[0].Reply, "first")
 				is.Equal(summary.Hedges, 0)
-				is.True(!policy.useless || policy.budget == 9) // no budget was taken
+				is.True(!policy.useless || policy.budget == 9) // the useless hedge took no token
 			})
 		})
 	}
 }
 
-// At the soft deadline a request with enough replies ends; one with too few goes on.
-func TestSoftDeadlineTakesWhatIsEnough(t *testing.T) {
-	for name, one := range map[string]struct {
+// At the soft deadline, a scatter with sufficient replies ends and one with too few continues.
+func TestScatterEndsAtSoftDeadlineWithSufficientReplies(t *testing.T) {
+	for name, c := range map[string]struct {
 		sufficient int
 		took       time.Duration
 		replies    int
@@ -151,7 +151,7 @@
 				started := time.Now()
 				plan := Plan{
 					Shards: shards(4, &testPolicy{}), Deadline: started.Add(time.Second),
-					SoftDeadline: started.Add(100 * time.Millisecond), Sufficient: one.sufficient, MaximumAttempts: 1,
+					SoftDeadline: started.Add(100 * time.Millisecond), Sufficient: c.sufficient, MaximumAttempts: 1,
 				}
 				outcomes, summary, _ := run(t.Context(), plan, func(_ string, attempt Attempt) (time.Duration, Result[string]) {
 					if attempt.Shard == 0 {
@@ -159,9 +159,9 @@
 					}
 					return 10 * time.Millisecond, replied("soon")
 				})
-				is.Equal(time.Since(started), one.took)
-				is.Equal(summary.Replies, one.replies)
-				if one.replies == 3 {
+				is.Equal(time.Since(started), c.took)
+				is.Equal(summary.Replies, c.replies)
+				if c.replies == 3 {
 					is.Equal(outcomes[0].Reason, Unneeded)
 				}
 			})
@@ -169,15 +169,15 @@
 	}
 }
 
-// A request that lost too many shards ends at once instead of waiting for the rest.
-func TestAHopelessRequestEndsAtOnce(t *testing.T) {
+// A scatter with too many failed shards ends at once and does not wait for the remaining replies.
+func TestScatterEndsOnceSufficientRepliesAreImpossible(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		started := time.Now()
 		plan := Plan{Shards: shards(4, &testPolicy{}), Deadline: started.Add(time.Second), Sufficient: 4, MaximumAttempts: 1}
 		_, summary, _ := run(t.Context(), plan, func(_ string, attempt Attempt) (time.Duration, Result[string]) {
 			if attempt.Shard == 0 {
-				return 5 * time.Millisecond, failedRun(Ran)
+				return 5 * time.Millisecond, failed(Ran)
 			}
 			return 500 * time.Millisecond, replied("late")
 		})
@@ -186,8 +186,8 @@
 	})
 }
 
-// A shard without room in its budget waits if the plan allows it.
-func TestAShardWaitsForRoomInItsBudget(t *testing.T) {
+// If the plan has a ReplicaWait, a shard without a token in its retry budget waits and is not settled.
+func TestShardWaitsForRetryBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		policy := &testPolicy{budget: 1}
@@ -195,51 +195,51 @@
 			Shards: shards(1, policy), Deadline: time.Now().Add(200 * time.Millisecond), Sufficient: 1,
 			MaximumAttempts: 2, MaximumRefusals: 5, ReplicaWait: 10 * time.Millisecond,
 		}
-		_, summary, watched := run(t.Context(), plan, func(string, Attempt) (time.Duration, Result[string]) {
+		_, summary, recorder := run(t.Context(), plan, func(string, Attempt) (time.Duration, Result[string]) {
 			return time.Millisecond, Result[string]{Reason: Shed, Execution: NotRun, Outcome: balancer.Shed}
 		})
-		is.Equal(len(watched.began), 2) // the first, and the one retry that the budget allows
+		is.Equal(len(recorder.began), 2) // the first attempt and the one retry that the budget allows
 		is.Equal(summary.Execution(), NotRun)
 	})
 }
 
-func TestACallerThatLeavesEndsEverything(t *testing.T) {
+func TestCancelledContextCancelsAllAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		started := time.Now()
 		ctx, cancel := context.WithCancel(t.Context())
 		time.AfterFunc(30*time.Millisecond, cancel)
 		plan := Plan{Shards: shards(3, &testPolicy{}), Deadline: started.Add(time.Second), MaximumAttempts: 1}
-		_, _, watched := run(ctx, plan, func(string, Attempt) (time.Duration, Result[string]) { return time.Minute, replied("") })
+		_, _, recorder := run(ctx, plan, func(string, Attempt) (time.Duration, Result[string]) { return time.Minute, replied("") })
 		is.Equal(time.Since(started), 30*time.Millisecond)
 		synctest.Wait()
-		is.Equal(watched.ended, 3)
+		is.Equal(recorder.ended, 3)
 	})
 }
 
-// Whatever leafs do, a shard runs no more often than allowed; and a request that may run at most once has
-// at most one attempt that may have run.
-func TestAttemptsStayWithinWhatMayRun(t *testing.T) {
+// For any results of the leafs, the attempts that may have run stay within MaximumAttempts; for a request that may run at
+// most once, at most one attempt may have run.
+func TestAttemptsThatMayHaveRunAreBounded(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		atMostOnce := rapid.Bool().Draw(r, "at most once")
 		maximum := rapid.IntRange(1, 3).Draw(r, "attempts")
 		endings := rapid.SliceOfN(rapid.IntRange(0, 3), 12, 12).Draw(r, "endings")
 		synctest.Test(t, func(t *testing.T) {
 			mayHaveRun, index := 0, 0
-			var mutex sync.Mutex
+			var mu sync.Mutex
 			plan := Plan{
 				Shards: shards(1, &testPolicy{hedgeAfter: 5 * time.Millisecond, budget: 100}), Deadline: time.Now().Add(time.Second), Sufficient: 1,
 				AtMostOnce: atMostOnce, MaximumAttempts: maximum, MaximumRefusals: 3, ReplicaWait: 10 * time.Millisecond,
 			}
 			run(t.Context(), plan, func(string, Attempt) (time.Duration, Result[string]) {
-				mutex.Lock()
-				defer mutex.Unlock()
+				mu.Lock()
+				defer mu.Unlock()
 				ending := endings[index%len(endings)]
 				index++
 				if ending != 0 {
 					mayHaveRun++
 				}
-				return 8 * time.Millisecond, []Result[string]{failedRun(NotRun), failedRun(Unknown), failedRun(Ran), replied("")}[ending]
+				return 8 * time.Millisecond, []Result[string]{failed(NotRun), failed(Unknown), failed(Ran), replied("")}[ending]
 			})
 			limit := maximum
 			if atMostOnce {
@@ -252,13 +252,13 @@
 	})
 }
 
-// If most shards are late together, their hedges wait a little, because this node may be the cause. They are
-// sent all the same if the shards stay late, as when all leafs of a zone are down.
-func TestHedgesOfMostShardsWait(t *testing.T) {
+// If most shards are late at the same time, their hedges are postponed, since this node may be the cause. They are sent
+// if the shards stay late, as when all leafs of a zone are down.
+func TestHedgesArePostponedWhenMostShardsAreLate(t *testing.T) {
 	const shards, hedgeAfter = 20, 40 * time.Millisecond
-	for name, one := range map[string]struct {
+	for name, c := range map[string]struct {
 		late   int           // shards whose first leaf is slow
-		delay  time.Duration // of that leaf
+		delay  time.Duration // latency of those leafs
 		hedges int
 	}{
 		"a few, for long":     {5, time.Second, 5},
@@ -276,24 +276,24 @@
 						Policy:     &testPolicy{hedgeAfter: hedgeAfter, budget: 1},
 					})
 				}
-				watched := &watcher{script: func(_ string, attempt Attempt) (time.Duration, Result[string]) {
-					if attempt.Shard < one.late && attempt.Kind == First {
-						return one.delay, replied("slow")
+				recorder := &attemptRecorder{script: func(_ string, attempt Attempt) (time.Duration, Result[string]) {
+					if attempt.Shard < c.late && attempt.Kind == First {
+						return c.delay, replied("slow")
 					}
 					return 5 * time.Millisecond, replied("fast")
 				}}
 				_, summary := New(plan, Deps[string]{
-					Balancer: balancer.New(balancer.DefaultConfig(), ""), Start: InBackground(watched.run), Observer: watched, Superseded: errSuperseded,
+					Balancer: balancer.New(balancer.DefaultConfig(), ""), Start: InBackground(recorder.run), Observer: recorder, Superseded: errSuperseded,
 				}).Run(t.Context())
-				is.Equal(summary.Hedges, one.hedges)
+				is.Equal(summary.Hedges, c.hedges)
 				is.Equal(summary.Replies, shards)
 			})
 		})
 	}
 }
 
-// A retry needs no budget if the attempt before it never reached its leaf; otherwise it does.
-func TestNoBudgetForAttemptsThatNeverArrived(t *testing.T) {
+// A retry takes no token if the previous attempt never reached its leaf; otherwise it takes one.
+func TestRetryIsFreeIfThePreviousAttemptNeverArrived(t *testing.T) {
 	for name, neverArrived := range map[string]bool{"never arrived": true, "arrived": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -303,14 +303,14 @@
 					Shards: []Shard{{Candidates: []balancer.Candidate{{LeafID: "a"}, {LeafID: "b"}, {LeafID: "c"}}, Policy: &testPolicy{}}},
 				}
 				tries := 0
-				watched := &watcher{script: func(string, Attempt) (time.Duration, Result[string]) {
+				recorder := &attemptRecorder{script: func(string, Attempt) (time.Duration, Result[string]) {
 					if tries++; tries <= 3 {
 						return time.Millisecond, Result[string]{Reason: LeafFailed, Execution: Unknown, NeverArrived: neverArrived}
 					}
 					return time.Millisecond, replied("answer")
 				}}
 				outcomes, summary := New(plan, Deps[string]{
-					Balancer: balancer.New(balancer.DefaultConfig(), ""), Start: InBackground(watched.run), Observer: watched, Superseded: errSuperseded,
+					Balancer: balancer.New(balancer.DefaultConfig(), ""), Start: InBackground(recorder.run), Observer: recorder, Superseded: errSuperseded,
 				}).Run(t.Context())
 				is.Equal(outcomes[0].Reply != nil, neverArrived)
 				is.Equal(summary.Retries, map[bool]int{true: 3, false: 0}[neverArrived])
--- a/internal/request/scatter/shard.go
+++ b/internal/request/scatter/shard.go
@@ -8,44 +8,44 @@
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
 )
 
-// shardState is the progress of one shard.
+// shardState is the state of one shard.
 type shardState[Reply any] struct {
 	index int // into the plan's shards
 
-	tried    []string // ids of the leafs that were asked
+	tried    []string // IDs of the leafs that an attempt was sent to
 	inFlight []inFlightAttempt
 	cancels  []context.CancelCauseFunc // of all attempts
 	attempts int
 	refusals int // attempts that did not run or most likely never arrived
-	// neverArrived says that the last attempt most likely did not reach its leaf.
+	// neverArrived is true if the last failed attempt most likely did not reach its leaf.
 	neverArrived bool
-	// isCounted says that Policy.FirstAttempt was called.
+	// isCounted is true if Policy.FirstAttempt was called.
 	isCounted bool
 
 	hedgeStage int
 	hedgeAt    time.Time // zero if no hedge is scheduled
 	retryAt    time.Time // zero if the shard does not wait for a replica or a probe
-	// isDelayed says that the shard waits for a probe to end.
+	// isDelayed is true while the shard waits for a probe to end.
 	isDelayed bool
 
-	// isGrouped says that the shard is asked in a group.
+	// isGrouped is true while the shard waits for the result of its group.
 	isGrouped bool
-	// isRepeat says that the shard may have been asked before, here in a group or at another node.
+	// isRepeat is true if the shard may have been queried before, in a group or by another node.
 	isRepeat bool
 
 	done   bool
 	reply  *Reply
-	leaf   *balancer.Leaf // that sent the reply
+	leaf   *balancer.Leaf // the leaf that sent the reply
 	reason Reason         // why there is no reply
 }
 
-// inFlightAttempt is an attempt whose end is not known.
+// inFlightAttempt is an attempt that has not ended.
 type inFlightAttempt struct {
 	leafID  string
 	started time.Time
 }
 
-// setSpent counts attempts that may have been made elsewhere, and leaves at least one of the maximum.
+// setSpent counts attempts that another node may have made, and leaves at least one attempt of the maximum.
 func (s *shardState[Reply]) setSpent(spent, maximum int) {
 	s.attempts = min(spent, maximum-1)
 	s.isRepeat = spent > 0
@@ -61,7 +61,7 @@
 	s.retryAt, s.isDelayed = time.Time{}, false
 }
 
-// removeInFlight removes the attempt at a leaf from those in flight.
+// removeInFlight removes the attempt on a leaf from the attempts in flight.
 func (s *shardState[Reply]) removeInFlight(leafID string) {
 	s.inFlight = slices.DeleteFunc(s.inFlight, func(attempt inFlightAttempt) bool { return attempt.leafID == leafID })
 }
--- a/internal/request/scatter/stop.go
+++ b/internal/request/scatter/stop.go
@@ -7,15 +7,16 @@
 
 // mustWait reports whether Run must wait for more results.
 //
-// It ends as soon as one of these holds: every shard has an outcome; crashed probes show that the request crashes leafs
-// (see recordCrashEvidence), or no probe may be sent (see isBlocked); enough replies are in and the soft deadline has
-// passed; or so many shards are lost that Plan.Sufficient replies can't come any more. At the deadline every open shard
-// is given up, which is the first case.
+// Run stops waiting as soon as one of these conditions holds:
+//   - Every shard has an outcome. At the deadline every open shard gets one.
+//   - Probes showed that the request crashes leafs (see recordCrashEvidence), or no probe may be sent (see isBlocked).
+//   - The replies are sufficient and the soft deadline has passed.
+//   - So many shards failed that Plan.Sufficient replies can no longer be reached.
 func (s *Scatter[Reply]) mustWait() bool {
-	return s.open > 0 && !s.caution.stopped && !s.isBlocked() && !s.isSufficient() && !s.isHopeless()
+	return s.open > 0 && !s.caution.stopped && !s.isBlocked() && !s.isSufficient() && !s.cannotSuffice()
 }
 
-// isSufficient reports whether the soft deadline has passed and the replies so far are enough.
+// isSufficient reports whether the soft deadline has passed and the replies received so far are sufficient.
 func (s *Scatter[Reply]) isSufficient() bool {
 	if s.plan.SoftDeadline.IsZero() || s.summary.Replies < max(1, s.plan.Sufficient) {
 		return false
@@ -23,12 +24,12 @@
 	return !time.Now().Before(s.plan.SoftDeadline)
 }
 
-// isHopeless reports whether so many shards are lost that enough replies can't come any more.
-func (s *Scatter[Reply]) isHopeless() bool {
+// cannotSuffice reports whether so many shards failed that Plan.Sufficient replies can no longer be reached.
+func (s *Scatter[Reply]) cannotSuffice() bool {
 	return s.summary.Replies+s.open < s.plan.Sufficient
 }
 
-// settleIfIdle settles a shard without a reply, unless one of its attempts is in flight.
+// settleIfIdle settles a shard without a reply unless one of its attempts is in flight.
 func (s *Scatter[Reply]) settleIfIdle(shard *shardState[Reply]) {
 	if len(shard.inFlight) == 0 {
 		s.settle(shard)
@@ -41,8 +42,8 @@
 	s.open--
 }
 
-// giveUp settles every open shard.
-func (s *Scatter[Reply]) giveUp(reason Reason) {
+// settleOpen settles every open shard without a reply. A shard with nothing in flight keeps its earlier reason.
+func (s *Scatter[Reply]) settleOpen(reason Reason) {
 	for index := range s.shards {
 		shard := &s.shards[index]
 		if shard.done {
@@ -59,9 +60,9 @@
 	}
 }
 
-// countCancelled counts the attempts in flight whose replies are no longer needed. The time that they took so far is
-// observed as their latency: without the stragglers the quantile by which hedges are sent would be too low, and hedges
-// of ordinary attempts would use up the budget.
+// countCancelled counts the attempts in flight, whose replies are no longer needed, and observes the time that they have
+// taken so far as their latency. Without these stragglers the quantile after which hedges are sent would be too low, and
+// hedges of ordinary attempts would use up the budget.
 func (s *Scatter[Reply]) countCancelled() {
 	now := time.Now()
 	for index := range s.shards {
@@ -72,14 +73,14 @@
 	}
 }
 
-// cancelAttempts cancels the attempts of a shard that has its reply.
+// cancelAttempts cancels all attempts of a shard that has a reply.
 func (s *Scatter[Reply]) cancelAttempts(shard *shardState[Reply]) {
 	for _, cancel := range shard.cancels {
 		cancel(s.deps.Superseded)
 	}
 }
 
-// cancelOutstanding cancels all groups and attempts when Run returns.
+// cancelOutstanding cancels all groups and attempts when Run returns, with the cause of the context if it is done.
 func (s *Scatter[Reply]) cancelOutstanding() {
 	cause := s.deps.Superseded
 	if s.ctx.Err() != nil {
--- a/internal/request/scatter/timer.go
+++ b/internal/request/scatter/timer.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// idleTimer is how long the timer runs if nothing is scheduled; a result or the deadline comes first.
+// idleTimer is the duration of the timer if nothing is scheduled; a result or the deadline comes first.
 const idleTimer = time.Hour
 
-// untilNext returns the time until the next hedge, retry, start of the groups, or the soft deadline.
+// untilNext returns the time until the next hedge, retry or start of the groups, or until the soft deadline if the
+// replies are sufficient.
 func (s *Scatter[Reply]) untilNext() time.Duration {
 	var next time.Time
 	consider := func(at time.Time) {
@@ -29,7 +30,7 @@
 	return time.Until(next)
 }
 
-// sendDue sends the groups, hedges and retries that are due.
+// sendDue starts the groups, hedges and retries that are due.
 func (s *Scatter[Reply]) sendDue() {
 	now := time.Now()
 	if isDue(s.groups.startBy, now) {
@@ -52,5 +53,5 @@
 	}
 }
 
-// isDue reports whether a time is set and has come.
+// isDue reports whether a time is set and not after now.
 func isDue(at, now time.Time) bool { return !at.IsZero() && !at.After(now) }
