--- a/internal/request/servingtree/call.go
+++ b/internal/request/servingtree/call.go
@@ -11,29 +11,29 @@
 	number  uint64
 	request *Request
 	began   time.Time
-	// waited is how long the request waited for its connection, in nanoseconds.
+	// waited is the time that the request waited for its connection, in nanoseconds.
 	waited  atomic.Int64
 	acks    chan struct{}
 	partial chan Answer
 	done    chan Result
 
-	// The rest is guarded by the session's mutex.
+	// The following fields are guarded by the session's mutex.
 
-	progress  progress
-	isGivenUp bool // while its line was being written
+	progress    progress
+	isCancelled bool // possibly while its line was being written
 }
 
-// Result is how a call ended: a reply, or a *NeverSentError or *BrokenError.
+// Result is the result of a call: a reply, or an error that is a *NeverSentError or a *BrokenError.
 type Result struct {
 	Reply Reply
 	Err   error
 }
 
-// progress is how far the line with a call's request is.
+// progress is the state of the line with a call's request.
 type progress int
 
 const (
-	waiting progress = iota // for its connection: nothing was sent
+	waiting progress = iota // for the connection; nothing was sent
 	writing
 	written
 )
@@ -42,32 +42,34 @@
 	return &Call{request: &request, began: time.Now(), acks: make(chan struct{}, 1), partial: make(chan Answer, 1), done: make(chan Result, 1)}
 }
 
-// Acks receives a value when the intermediate has acknowledged the request or a probe.
+// Acks returns a channel that receives a value when the intermediate acknowledges the request or a probe. Further
+// acknowledgments are dropped until the value is received.
 func (c *Call) Acks() <-chan struct{} { return c.acks }
 
-// Partial receives the parts that the intermediate sends before its reply is complete, at most once.
+// Partial returns a channel that receives, at most once, the parts that the intermediate sends before the final reply.
 func (c *Call) Partial() <-chan Answer { return c.partial }
 
-// Done receives the result, once.
+// Done returns a channel that receives the result once, unless the call is cancelled.
 func (c *Call) Done() <-chan Result { return c.done }
 
-// Waited returns how long the request waited for its connection; 0 until it was sent.
+// Waited returns the time that the request waited for its connection; 0 until the request is sent.
 func (c *Call) Waited() time.Duration { return time.Duration(c.waited.Load()) }
 
-// Probe asks the intermediate to acknowledge that it is still gathering the group. It blocks for the write timeout at most.
+// Probe requests an acknowledgment that the intermediate is still gathering the group. It blocks for at most the write
+// timeout.
 func (c *Call) Probe() {
 	if c.session != nil {
 		c.session.send(line{Number: c.number, Probe: true})
 	}
 }
 
-// Cancel ends a call whose reply nobody waits for. It reports whether the request may have reached the intermediate:
-// false guarantees that it has not and never will.
+// Cancel cancels a call whose reply is no longer needed. It reports whether the request may have reached the
+// intermediate; false guarantees that it has not and never will.
 func (c *Call) Cancel() bool {
 	if c.session == nil {
 		return false
 	}
-	reached, isInFlight := c.session.giveUp(c)
+	reached, isInFlight := c.session.cancelCall(c)
 	if isInFlight && reached == written {
 		c.session.send(line{Number: c.number, Cancel: true})
 	}
--- a/internal/request/servingtree/client.go
+++ b/internal/request/servingtree/client.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Client sends requests to intermediates, over one connection to each; it is safe for concurrent use.
+// Client sends requests to intermediates over one connection to each. It is safe for concurrent use.
 type Client struct {
 	cfg Config
 
@@ -19,7 +19,7 @@
 	return &Client{cfg: cfg, sessions: map[string]*session{}}
 }
 
-// Start sends a request to the intermediate at an address. It does not wait for the connection.
+// Start sends a request to the intermediate with the given address. It does not wait for the connection.
 func (c *Client) Start(address string, request Request) *Call {
 	call := newCall(request)
 	c.mu.Lock()
@@ -41,8 +41,8 @@
 	return call
 }
 
-// DropSilent closes the connection to an address if nothing was received on it for that long; its calls end with the
-// cause.
+// DropSilent closes the connection to an address if nothing was received on it for the given time. Its calls end with
+// the cause.
 func (c *Client) DropSilent(address string, silence time.Duration, cause error) {
 	c.mu.Lock()
 	s, found := c.sessions[address]
@@ -52,7 +52,7 @@
 	}
 }
 
-// Close closes every connection.
+// Close closes all connections. Later calls of Start fail with a *ClosedError.
 func (c *Client) Close() {
 	c.mu.Lock()
 	c.closed = true
@@ -66,8 +66,8 @@
 	}
 }
 
-// forget removes a session that has ended.
-func (c *Client) forget(s *session) {
+// removeSession removes a session that has ended.
+func (c *Client) removeSession(s *session) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.sessions[s.address] == s {
--- a/internal/request/servingtree/config.go
+++ b/internal/request/servingtree/config.go
@@ -8,19 +8,20 @@
 
 // Config configures the connections between nodes.
 type Config struct {
-	// ConnectTimeout bounds the opening of a connection.
+	// ConnectTimeout is the maximum time to open a connection.
 	ConnectTimeout time.Duration `yaml:"connect_timeout"`
-	// WriteTimeout bounds the writing of a line; a node that does not read for that long loses its connection.
+	// WriteTimeout is the maximum time to write a message; a connection on which a write takes longer is closed.
 	WriteTimeout time.Duration `yaml:"write_timeout"`
-	// IdleTimeout is how long a connection is idle before it is closed.
+	// IdleTimeout is the time without a received message after which a connection is closed; the sending node closes it
+	// after half of that time.
 	IdleTimeout time.Duration `yaml:"idle_timeout"`
-	// MaximumRequests bounds the requests in flight on one connection.
+	// MaximumRequests is the maximum number of requests in flight on one connection.
 	MaximumRequests int `yaml:"maximum_requests"`
-	// MaximumLineBytes bounds the size of a message.
+	// MaximumLineBytes is the maximum size of a message, in bytes.
 	MaximumLineBytes int `yaml:"maximum_line_bytes"`
 }
 
-// DefaultConfig returns a configuration for nodes of one region.
+// DefaultConfig returns the default configuration, for nodes in one region.
 func DefaultConfig() Config {
 	return Config{
 		ConnectTimeout:   500 * time.Millisecond,
--- a/internal/request/servingtree/never_sent_test.go
+++ b/internal/request/servingtree/never_sent_test.go
@@ -12,41 +12,40 @@
 	"pgregory.net/rapid"
 )
 
-// A call that is reported as never sent must not be sent later. The order of events that broke this: two requests wait
-// while a connection is opened; the connection opens, and their lines are written one after the other; the second is
-// given up before its line is written, which counts as never sent; its line is written all the same, without a cancel
-// after it. Its caller sends the request again, and it runs twice.
+// A call that is reported as never sent must not be sent later. These tests guard against this order of events: two
+// calls wait for a connection, it opens, and the second call is cancelled while the line of the first is being written.
+// If the line of the second call were still written, its caller would send the request again and it would run twice.
 
-// slowSocket accepts a line only when it is let through.
-type slowSocket struct {
-	net.Conn // nil: its other methods are not used
-	entered  chan struct{}
-	let      chan struct{}
-	closed   chan struct{}
-	close    sync.Once
+// gatedSocket is a connection whose writes block until passLine allows them.
+type gatedSocket struct {
+	net.Conn     // nil: its other methods are not used
+	writeStarted chan struct{}
+	gate         chan struct{}
+	closed       chan struct{}
+	close        sync.Once
 
 	mu    sync.Mutex
 	lines []line
 }
 
-func newSlowSocket() *slowSocket {
-	return &slowSocket{entered: make(chan struct{}, 1), let: make(chan struct{}), closed: make(chan struct{})}
+func newGatedSocket() *gatedSocket {
+	return &gatedSocket{writeStarted: make(chan struct{}, 1), gate: make(chan struct{}), closed: make(chan struct{})}
 }
 
-func (s *slowSocket) SetWriteDeadline(time.Time) error { return nil }
+func (s *gatedSocket) SetWriteDeadline(time.Time) error { return nil }
 
-func (s *slowSocket) Close() error {
+func (s *gatedSocket) Close() error {
 	s.close.Do(func() { close(s.closed) })
 	return nil
 }
 
-func (s *slowSocket) Write(encoded []byte) (int, error) {
+func (s *gatedSocket) Write(encoded []byte) (int, error) {
 	select {
-	case s.entered <- struct{}{}:
+	case s.writeStarted <- struct{}{}:
 	default:
 	}
 	select {
-	case <-s.let:
+	case <-s.gate:
 	case <-s.closed:
 		return 0, net.ErrClosed
 	}
@@ -60,37 +59,36 @@
 	return len(encoded), nil
 }
 
-// take lets a line through if one is being written, or is within a moment.
-func (s *slowSocket) take() {
+// passLine allows one write if one is blocked or starts within a pause.
+func (s *gatedSocket) passLine() {
 	select {
-	case s.let <- struct{}{}:
-	case <-time.After(moment):
+	case s.gate <- struct{}{}:
+	case <-time.After(pause):
 	}
 }
 
-// moment is mostly enough for other goroutines to proceed; no check depends on it.
-const moment = 100 * time.Microsecond
+// pause usually suffices for other goroutines to proceed; no check depends on it.
+const pause = 100 * time.Microsecond
 
-// neverSentCase is a session over a slowSocket, with the results that its callers received.
+// neverSentCase is a session on a gatedSocket, its calls and what Cancel returned for them.
 type neverSentCase struct {
 	session *session
-	socket  *slowSocket
+	socket  *gatedSocket
 	isOpen  bool
 	calls   []*Call
 	running sync.WaitGroup
 
-	mu      sync.Mutex
-	started map[int]bool // calls that Start has returned
-	given   map[int]bool // what Cancel returned for the calls that were given up
-	ended   bool
+	mu            sync.Mutex
+	started       map[int]bool // calls whose start has returned
+	cancelResults map[int]bool // results of Cancel, by call
+	ended         bool
 }
 
 func newNeverSentCase() *neverSentCase {
 	client := NewClient(DefaultConfig())
-	return &neverSentCase{session: &session{client: client, calls: map[uint64]*Call{}}, socket: newSlowSocket(), started: map[int]bool{}, given: map[int]bool{}}
+	return &neverSentCase{session: &session{client: client, calls: map[uint64]*Call{}}, socket: newGatedSocket(), started: map[int]bool{}, cancelResults: map[int]bool{}}
 }
 
-// start starts a call.
 func (c *neverSentCase) start() {
 	call := newCall(Request{ID: "r"})
 	call.session = c.session
@@ -102,21 +100,20 @@
 		defer c.mu.Unlock()
 		c.started[number] = true
 	})
-	time.Sleep(moment)
+	time.Sleep(pause)
 }
 
-// open opens the connection.
 func (c *neverSentCase) open() {
 	if c.isOpen {
 		return
 	}
 	c.isOpen = true
-	c.running.Go(func() { c.session.opened(&wire{cfg: c.session.client.cfg, socket: c.socket}) })
-	time.Sleep(moment)
+	c.running.Go(func() { c.session.attach(&lineConn{cfg: c.session.client.cfg, socket: c.socket}) })
+	time.Sleep(pause)
 }
 
-// giveUp cancels a call that has started.
-func (c *neverSentCase) giveUp(number int) {
+// cancel cancels a call that has started.
+func (c *neverSentCase) cancel(number int) {
 	c.mu.Lock()
 	isStarted := c.started[number]
 	c.mu.Unlock()
@@ -128,24 +125,24 @@
 		mayBeSent := call.Cancel()
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.given[number] = c.given[number] || mayBeSent
+		c.cancelResults[number] = c.cancelResults[number] || mayBeSent
 	})
-	time.Sleep(moment)
+	time.Sleep(pause)
 }
 
-// lose ends the connection.
-func (c *neverSentCase) lose() {
+// end ends the connection.
+func (c *neverSentCase) end() {
 	c.ended = true
 	c.running.Go(func() { c.session.end(errors.New("lost")) })
 }
 
-// finish lets all lines through and returns what was reported wrongly.
+// finish allows all writes, waits for the calls, and returns an error if a call was reported wrongly.
 func (c *neverSentCase) finish() error {
 	done := make(chan struct{})
 	go func() {
 		for {
 			select {
-			case c.socket.let <- struct{}{}:
+			case c.socket.gate <- struct{}{}:
 			case <-done:
 				return
 			}
@@ -153,69 +150,69 @@
 	}()
 	c.running.Wait()
 	close(done)
-	queried, cancelled := map[uint64]bool{}, map[uint64]bool{}
+	sent, cancelled := map[uint64]bool{}, map[uint64]bool{}
 	for _, l := range c.socket.lines {
-		queried[l.Number] = queried[l.Number] || l.Request != nil
-		cancelled[l.Number] = l.Cancel && queried[l.Number] || cancelled[l.Number]
+		sent[l.Number] = sent[l.Number] || l.Request != nil
+		cancelled[l.Number] = l.Cancel && sent[l.Number] || cancelled[l.Number]
 	}
 	for number, call := range c.calls {
-		if err := c.fault(number, queried[call.number], cancelled[call.number]); err != nil {
+		if err := c.check(number, sent[call.number], cancelled[call.number]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// fault returns what was reported wrongly of a call.
-func (c *neverSentCase) fault(number int, isQueried, isCancelled bool) error {
+// check returns an error if a call was reported wrongly.
+func (c *neverSentCase) check(number int, isSent, isCancelSent bool) error {
 	var neverSent *NeverSentError
 	select {
 	case ended := <-c.calls[number].done:
-		if errors.As(ended.Err, &neverSent) && isQueried {
-			return fmt.Errorf("call %d was reported as never sent, and was sent", number)
+		if errors.As(ended.Err, &neverSent) && isSent {
+			return fmt.Errorf("call %d was reported as never sent, but was sent", number)
 		}
 		return nil
 	default:
 	}
-	mayBeSent, isGiven := c.given[number]
+	mayBeSent, wasCancelled := c.cancelResults[number]
 	switch {
-	case !isGiven || !isQueried:
+	case !wasCancelled || !isSent:
 	case !mayBeSent:
-		return fmt.Errorf("call %d was given up as never sent, and was sent", number)
-	case !c.ended && !isCancelled:
-		return fmt.Errorf("call %d was sent and given up, and no cancel followed it", number)
+		return fmt.Errorf("call %d was cancelled as never sent, but was sent", number)
+	case !c.ended && !isCancelSent:
+		return fmt.Errorf("call %d was sent and cancelled, but no cancel line followed", number)
 	}
 	return nil
 }
 
-// mostWaiting bounds the requests that wait for the connection at the start of a random case, longestCase its steps.
+// maximumWaiting bounds the calls that wait for the connection at the start of a generated case, maximumSteps its steps.
 const (
-	mostWaiting = 4
-	longestCase = 12
+	maximumWaiting = 4
+	maximumSteps   = 12
 )
 
-// A call that is reported as never sent is not sent, and one that was sent and given up is cancelled, in whatever order
-// requests are started and given up, and the connection opens, accepts lines and ends.
-func TestNeverSentIsNeverSent(t *testing.T) {
+// A call that is reported as never sent is not sent, and a cancel line follows a call that was sent and cancelled, for
+// any order in which calls are started and cancelled and the connection opens, accepts lines and ends.
+func TestCallReportedAsNeverSentIsNotSent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newNeverSentCase()
-		for range rapid.IntRange(0, mostWaiting).Draw(t, "waiting") {
+		for range rapid.IntRange(0, maximumWaiting).Draw(t, "waiting") {
 			c.start()
 		}
-		for range rapid.IntRange(1, longestCase).Draw(t, "steps") {
-			switch rapid.SampledFrom([]string{"start", "start", "open", "take", "give up", "give up", "lose"}).Draw(t, "step") {
+		for range rapid.IntRange(1, maximumSteps).Draw(t, "steps") {
+			switch rapid.SampledFrom([]string{"start", "start", "open", "pass line", "cancel", "cancel", "end"}).Draw(t, "step") {
 			case "start":
 				c.start()
 			case "open":
 				c.open()
-			case "take":
-				c.socket.take()
-			case "give up":
+			case "pass line":
+				c.socket.passLine()
+			case "cancel":
 				if len(c.calls) > 0 {
-					c.giveUp(rapid.IntRange(0, len(c.calls)-1).Draw(t, "call"))
+					c.cancel(rapid.IntRange(0, len(c.calls)-1).Draw(t, "call"))
 				}
-			case "lose":
-				c.lose()
+			case "end":
+				c.end()
 			}
 		}
 		if err := c.finish(); err != nil {
@@ -224,43 +221,43 @@
 	})
 }
 
-// isAt reports whether the call's line is that far.
+// isAt reports whether the call's request line has reached the given progress.
 func (c *Call) isAt(reached progress) bool {
 	c.session.mu.Lock()
 	defer c.session.mu.Unlock()
 	return c.progress == reached
 }
 
-// A request that is given up after the connection opened and before its line is written is not sent.
-func TestGivenUpBeforeItsLine(t *testing.T) {
+// A call that is cancelled after the connection opened and before its line is written is not sent.
+func TestCallCancelledBeforeItsLineIsNotSent(t *testing.T) {
 	is := is.New(t)
 	c := newNeverSentCase()
 	c.start()
 	c.start()
 	c.running.Wait() // both wait for the connection
 	c.open()
-	<-c.socket.entered // the first of them is being written
+	<-c.socket.writeStarted // the line of one call is being written
 	for number, call := range c.calls {
 		if !call.isAt(writing) {
-			c.given[number] = call.Cancel()
+			c.cancelResults[number] = call.Cancel()
 		}
 	}
-	is.Equal(len(c.given), 1)
+	is.Equal(len(c.cancelResults), 1)
 	is.NoErr(c.finish())
 	is.Equal(len(c.socket.lines), 1)
 }
 
-// A request that is given up while its line is being written is cancelled after that line.
-func TestGivenUpWhileItIsWritten(t *testing.T) {
+// If a call is cancelled while its line is being written, a cancel line follows.
+func TestCallCancelledWhileWritingIsFollowedByACancel(t *testing.T) {
 	is := is.New(t)
 	c := newNeverSentCase()
 	c.start()
 	c.running.Wait()
 	c.open()
-	<-c.socket.entered
-	c.giveUp(0)
+	<-c.socket.writeStarted
+	c.cancel(0)
 	is.NoErr(c.finish())
 	is.Equal(len(c.socket.lines), 2)
 	is.True(c.socket.lines[1].Cancel)
-	is.True(c.given[0])
+	is.True(c.cancelResults[0])
 }
--- a/internal/request/servingtree/server.go
+++ b/internal/request/servingtree/server.go
@@ -10,29 +10,29 @@
 
 // Handler gathers groups; gateway.Gateway implements it.
 type Handler interface {
-	// Gather answers a request; the context ends when the root no longer waits for the reply. It may call send once,
-	// with the parts that have arrived; the reply then has the rest.
+	// Gather handles a request and returns the reply. The context is cancelled when the root no longer waits for it.
+	// Gather may call send once, with the parts that have arrived; the reply then has the remaining parts.
 	Gather(ctx context.Context, request Request, send func(Answer)) Reply
 }
 
-// Server receives requests of roots; create it with NewServer.
+// Server receives the requests of roots; create it with NewServer.
 type Server struct {
 	cfg     Config
 	handler Handler
 
 	mu       sync.Mutex
 	listener net.Listener
-	wires    map[*wire]bool
-	leaving  bool
+	conns    map[*lineConn]bool
+	stopping bool
 	running  sync.WaitGroup
 }
 
 // NewServer returns a server that does not listen yet.
 func NewServer(cfg Config, handler Handler) *Server {
-	return &Server{cfg: cfg, handler: handler, wires: map[*wire]bool{}}
+	return &Server{cfg: cfg, handler: handler, conns: map[*lineConn]bool{}}
 }
 
-// Serve accepts the connections of a listener until the server is shut down.
+// Serve accepts the connections of a listener until the listener is closed.
 func (s *Server) Serve(listener net.Listener) {
 	s.mu.Lock()
 	s.listener = listener
@@ -45,18 +45,19 @@
 		if err != nil {
 			continue
 		}
-		go s.serve(newWire(s.cfg, socket))
+		go s.serve(newLineConn(s.cfg, socket))
 	}
 }
 
-// PrepareStop begins a planned stop: from now on requests are declined.
+// PrepareStop begins a planned stop: the server declines all further requests.
 func (s *Server) PrepareStop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leaving = true
+	s.stopping = true
 }
 
-// Shutdown waits for the requests in flight until the context ends, and then closes all connections.
+// Shutdown declines further requests, waits until the requests in flight end or the context is done, and closes the
+// listener and all connections.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.PrepareStop()
 	ended := make(chan struct{})
@@ -75,27 +76,27 @@
 	if s.listener != nil {
 		err = errors.Join(err, s.listener.Close())
 	}
-	for open := range s.wires {
-		open.close()
+	for conn := range s.conns {
+		conn.close()
 	}
 	return err
 }
 
-// serve handles one connection; its requests in flight are cancelled when it ends.
-func (s *Server) serve(open *wire) {
+// serve handles one connection. When the connection ends, its requests in flight are cancelled.
+func (s *Server) serve(conn *lineConn) {
 	s.mu.Lock()
-	s.wires[open] = true
+	s.conns[conn] = true
 	s.mu.Unlock()
-	served := &servedConnection{server: s, wire: open, cancels: map[uint64]context.CancelFunc{}}
+	served := &servedConnection{server: s, conn: conn, cancels: map[uint64]context.CancelFunc{}}
 	defer func() {
-		open.close()
+		conn.close()
 		served.cancelAll()
 		s.mu.Lock()
-		delete(s.wires, open)
+		delete(s.conns, conn)
 		s.mu.Unlock()
 	}()
 	for {
-		l, err := open.read()
+		l, err := conn.read()
 		if err != nil {
 			return
 		}
@@ -103,21 +104,21 @@
 	}
 }
 
-// begin counts a request as running; false if the server is stopping.
+// begin counts a request as running. It returns false if the server is stopping.
 func (s *Server) begin() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.leaving {
+	if s.stopping {
 		return false
 	}
 	s.running.Add(1)
 	return true
 }
 
-// servedConnection is a connection of a root with its requests in flight.
+// servedConnection is the connection of a root and its requests in flight.
 type servedConnection struct {
 	server *Server
-	wire   *wire
+	conn   *lineConn
 
 	mu      sync.Mutex
 	cancels map[uint64]context.CancelFunc // by request number
@@ -135,7 +136,7 @@
 	}
 }
 
-// start begins with a request or declines it.
+// start starts a request or declines it.
 func (c *servedConnection) start(number uint64, request Request) {
 	if !c.server.begin() {
 		c.send(line{Number: number, Reply: &Reply{Decline: Leaving}})
@@ -150,7 +151,8 @@
 	go c.gather(ctx, number, request)
 }
 
-// add registers a request and returns its context; false if there are as many as allowed.
+// add registers a request and returns its context. It returns false if the connection has the maximum number of requests
+// in flight.
 func (c *servedConnection) add(number uint64) (context.Context, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -162,7 +164,7 @@
 	return ctx, true
 }
 
-// gather handles a request and sends the reply, unless nobody waits for it.
+// gather handles a request and sends the reply unless the request was cancelled.
 func (c *servedConnection) gather(ctx context.Context, number uint64, request Request) {
 	defer c.server.running.Done()
 	began := time.Now()
@@ -178,10 +180,10 @@
 	}
 }
 
-// send writes a line. If it fails it closes the connection, which the root notices.
+// send writes a line. If that fails, it closes the connection, so that the root's calls end with a *BrokenError.
 func (c *servedConnection) send(l line) {
-	if err := c.wire.write(l); err != nil {
-		c.wire.close()
+	if err := c.conn.write(l); err != nil {
+		c.conn.close()
 	}
 }
 
--- a/internal/request/servingtree/servingtree_test.go
+++ b/internal/request/servingtree/servingtree_test.go
@@ -25,7 +25,7 @@
 	return h(ctx, request, send)
 }
 
-// echo answers with the id of the request.
+// echo answers with the ID of the request.
 func echo(_ context.Context, request Request, _ func(Answer)) Reply {
 	return Reply{Answer: &Answer{Stamps: []string{request.ID}, Records: []byte(request.ID)}}
 }
@@ -36,7 +36,7 @@
 	return Reply{}
 }
 
-// testConfig returns timeouts that no test waits for.
+// testConfig returns the default configuration with timeouts that do not expire during a test.
 func testConfig() Config {
 	cfg := DefaultConfig()
 	cfg.WriteTimeout = 10 * time.Second
@@ -76,13 +76,13 @@
 	case ended := <-call.Done():
 		return ended
 	case <-time.After(time.Minute):
-		t.Fatal("the call does not end")
+		t.Fatal("the call did not end within a minute")
 		return Result{}
 	}
 }
 
-// Many requests share a connection, and each receives its own reply, in whatever order they are sent.
-func TestCrossingRepliesReachTheirRequests(t *testing.T) {
+// Concurrent calls share a connection, and each receives its own reply, for any order of the replies.
+func TestConcurrentRepliesReachTheirCalls(t *testing.T) {
 	is := is.New(t)
 	_, address := serve(t, testConfig(), func(ctx context.Context, request Request, send func(Answer)) Reply {
 		time.Sleep(time.Duration(len(request.ID)*7%5) * time.Millisecond)
@@ -95,7 +95,7 @@
 			id := strings.Repeat("x", number)
 			ended := result(t, client.Start(address, Request{ID: id}))
 			if ended.Err != nil || ended.Reply.Answer == nil || ended.Reply.Answer.Stamps[0] != id {
-				t.Errorf("request %d got %+v", number, ended)
+				t.Errorf("call %d received %+v", number, ended)
 			}
 		})
 	}
@@ -103,8 +103,8 @@
 	is.Equal(len(client.sessions), 1)
 }
 
-// The intermediate acknowledges a request at once, and each probe.
-func TestSignsOfWork(t *testing.T) {
+// The intermediate acknowledges a request at once and every probe.
+func TestRequestAndProbesAreAcknowledged(t *testing.T) {
 	is := is.New(t)
 	_, address := serve(t, testConfig(), untilCancelled)
 	call := newClient(t, testConfig()).Start(address, Request{ID: "a"})
@@ -114,29 +114,29 @@
 	is.True(call.Cancel())
 }
 
-// Parts are received before the reply is complete, and the rest with it.
-func TestPartsComeBeforeTheRest(t *testing.T) {
+// Partial receives the parts that have arrived, and Done receives the remaining parts.
+func TestPartialAnswerPrecedesTheReply(t *testing.T) {
 	is := is.New(t)
-	goOn := make(chan struct{})
+	release := make(chan struct{})
 	_, address := serve(t, testConfig(), func(_ context.Context, _ Request, send func(Answer)) Reply {
 		send(Answer{Stamps: []string{"a", ""}})
-		<-goOn
+		<-release
 		return Reply{Answer: &Answer{Stamps: []string{"", "b"}}}
 	})
 	call := newClient(t, testConfig()).Start(address, Request{ID: "a"})
 	is.Equal((<-call.Partial()).Stamps, []string{"a", ""})
-	close(goOn)
+	close(release)
 	is.Equal(result(t, call).Reply.Answer.Stamps, []string{"", "b"})
 }
 
-// A request is cancelled if its caller leaves, its client closes or its root crashes.
-func TestWorkEndsWithItsRequest(t *testing.T) {
+// The intermediate cancels a request if its call is cancelled, the client is closed or the connection is lost.
+func TestGatherIsCancelledWithItsCall(t *testing.T) {
 	ends := map[string]func(client *Client, call *Call){
 		"cancelled":     func(_ *Client, call *Call) { call.Cancel() },
 		"client closed": func(client *Client, _ *Call) { client.Close() },
-		"connection cut": func(client *Client, call *Call) {
-			_ = call.session.wire.socket.(*net.TCPConn).SetLinger(0)
-			call.session.wire.close()
+		"connection lost": func(client *Client, call *Call) {
+			_ = call.session.conn.socket.(*net.TCPConn).SetLinger(0)
+			call.session.conn.close()
 		},
 	}
 	for name, end := range ends {
@@ -156,12 +156,12 @@
 	}
 }
 
-// During a planned stop new requests are declined, and those in flight are answered.
+// During a planned stop the server declines new requests and answers the requests in flight.
 func TestPlannedStop(t *testing.T) {
 	is := is.New(t)
-	goOn := make(chan struct{})
+	release := make(chan struct{})
 	server, address := serve(t, testConfig(), func(ctx context.Context, request Request, send func(Answer)) Reply {
-		<-goOn
+		<-release
 		return echo(ctx, request, send)
 	})
 	client := newClient(t, testConfig())
@@ -171,47 +171,47 @@
 	is.Equal(result(t, client.Start(address, Request{ID: "after"})).Reply.Decline, Leaving)
 	stopped := make(chan error, 1)
 	go func() { stopped <- server.Shutdown(t.Context()) }()
-	close(goOn)
+	close(release)
 	is.Equal(result(t, before).Reply.Answer.Stamps, []string{"before"})
 	is.NoErr(<-stopped)
 	is.True(result(t, client.Start(address, Request{ID: "late"})).Err != nil)
 }
 
-// The error says whether the request may have run.
-func TestErrorsTellWhetherItMayHaveRun(t *testing.T) {
+// The type of the error says whether the request may have run.
+func TestErrorTypeSaysWhetherTheRequestMayHaveRun(t *testing.T) {
 	is := is.New(t)
 	var neverSent *NeverSentError
 	var broken *BrokenError
 	client := newClient(t, testConfig())
 
-	dead := listen(t)
-	_ = dead.Close()
-	call := client.Start(dead.Addr().String(), Request{ID: "a"})
+	refusing := listen(t)
+	_ = refusing.Close()
+	call := client.Start(refusing.Addr().String(), Request{ID: "a"})
 	is.True(errors.As(result(t, call).Err, &neverSent))
 	is.True(!call.Cancel())
 
-	dying := listen(t)
+	closing := listen(t)
 	go func() {
-		connection, err := dying.Accept()
+		connection, err := closing.Accept()
 		if err != nil {
 			return
 		}
 		_, _ = bufio.NewReader(connection).ReadString('\n')
 		_ = connection.Close()
 	}()
-	is.True(errors.As(result(t, client.Start(dying.Addr().String(), Request{ID: "a"})).Err, &broken))
+	is.True(errors.As(result(t, client.Start(closing.Addr().String(), Request{ID: "a"})).Err, &broken))
 
 	client.Close()
-	is.True(errors.As(result(t, client.Start(dying.Addr().String(), Request{ID: "a"})).Err, &neverSent))
+	is.True(errors.As(result(t, client.Start(closing.Addr().String(), Request{ID: "a"})).Err, &neverSent))
 }
 
-// A frozen intermediate accepts connections and sends nothing: its connection is closed only after it was silent for long
-// enough.
-func TestSilentConnectionIsGivenUp(t *testing.T) {
+// DropSilent closes the connection to an intermediate that sends nothing, but not before it was silent for the given
+// time.
+func TestSilentConnectionIsClosed(t *testing.T) {
 	is := is.New(t)
-	frozen := listen(t) // the kernel accepts the connection, nobody reads it
+	silent := listen(t) // the kernel accepts the connection, but no goroutine reads it
 	client := newClient(t, testConfig())
-	address := frozen.Addr().String()
+	address := silent.Addr().String()
 	call := client.Start(address, Request{ID: "a"})
 	for !call.isAt(written) {
 		time.Sleep(time.Millisecond)
@@ -219,7 +219,7 @@
 	client.DropSilent(address, time.Hour, io.ErrNoProgress)
 	select {
 	case ended := <-call.Done():
-		t.Fatalf("given up too early: %v", ended.Err)
+		t.Fatalf("the call ended before the connection was silent long enough: %v", ended.Err)
 	default:
 	}
 	client.DropSilent(address, 0, io.ErrNoProgress)
@@ -229,19 +229,19 @@
 	is.True(call.Cancel())
 }
 
-// Both sides refuse requests beyond their limits, before anything runs.
-func TestBounds(t *testing.T) {
+// The server and the client refuse requests beyond their limits before any of them runs.
+func TestRequestsBeyondTheLimitsAreRefused(t *testing.T) {
 	is := is.New(t)
-	narrow := testConfig()
-	narrow.MaximumRequests = 2
-	_, address := serve(t, narrow, untilCancelled)
+	limited := testConfig()
+	limited.MaximumRequests = 2
+	_, address := serve(t, limited, untilCancelled)
 	client := newClient(t, testConfig())
 	for range 2 {
 		<-client.Start(address, Request{ID: "a"}).Acks()
 	}
 	is.Equal(result(t, client.Start(address, Request{ID: "b"})).Reply.Decline, Busy)
 
-	bounded := newClient(t, narrow)
+	bounded := newClient(t, limited)
 	for range 2 {
 		<-bounded.Start(address, Request{ID: "a"}).Acks()
 	}
@@ -254,15 +254,15 @@
 	is.True(errors.As(result(t, newClient(t, small).Start(address, Request{Body: make([]byte, 4096)})).Err, &tooLong))
 }
 
-// Lines that can't be decoded or have another version end the connection; those of unknown requests are ignored.
-func TestStrangeLines(t *testing.T) {
+// Lines that can't be decoded or have another version end the connection; lines with an unknown number are ignored.
+func TestInvalidLinesEndTheConnection(t *testing.T) {
 	is := is.New(t)
-	strange := map[string]string{
-		"no json":       "HTTP/1.1 400 Bad Request\r\n\r\n",
+	invalid := map[string]string{
+		"not JSON":      "HTTP/1.1 400 Bad Request\r\n\r\n",
 		"other version": `{"v":2,"n":1,"reply":{"answer":{"stamps":["x"]}}}` + "\n",
 		"too long":      strings.Repeat("x", 8<<10) + "\n",
 	}
-	for name, text := range strange {
+	for name, text := range invalid {
 		cfg := testConfig()
 		cfg.MaximumLineBytes = 4 << 10
 		ended := result(t, newClient(t, cfg).Start(scripted(t, text), Request{ID: "a"}))
@@ -278,7 +278,7 @@
 	is.Equal(len(call.Acks()), 0)
 }
 
-// scripted starts an intermediate that answers the first line with a text.
+// scripted starts an intermediate that answers the first line with the given text.
 func scripted(t *testing.T, text string) (address string) {
 	t.Helper()
 	listener := listen(t)
@@ -294,8 +294,8 @@
 	return listener.Addr().String()
 }
 
-// A failure reaches the root with everything that its caller is sent.
-func TestFailureIsPassedOnWhole(t *testing.T) {
+// A failure reaches the root with the code, execution, message and retry time.
+func TestFailureKeepsAllFields(t *testing.T) {
 	is := is.New(t)
 	sent := failure.New(failure.Overloaded, failure.NotRun, "100%% busy").WithRetryAfter(250 * time.Millisecond)
 	_, address := serve(t, testConfig(), func(context.Context, Request, func(Answer)) Reply { return Reply{Failure: NewFailure(sent)} })
@@ -313,7 +313,7 @@
 	is.Equal(len(failure.Faults(Config{}.Validate())), 5)
 }
 
-// Any input decodes to a line of this version or to an error.
+// Any input either decodes to a line of this version or returns an error.
 func FuzzDecode(f *testing.F) {
 	for _, l := range []line{
 		{Version: version, Number: 1, Request: &Request{ID: "a", Shards: []int{1, 2}}},
@@ -329,7 +329,7 @@
 	f.Fuzz(func(t *testing.T, encoded []byte) {
 		l, err := decode(encoded)
 		if err == nil && l.Version != version {
-			t.Fatal(fmt.Sprint("version ", l.Version))
+			t.Fatal(fmt.Sprint("decoded a line of version ", l.Version))
 		}
 	})
 }
--- a/internal/request/servingtree/session.go
+++ b/internal/request/servingtree/session.go
@@ -10,29 +10,29 @@
 	"github.com/portgauge/portgauge/internal/request/roundtrip"
 )
 
-// session is a connection to an intermediate with its calls. It has one goroutine, which opens the connection and reads
-// it; the lines of calls are written by the goroutines of their callers.
+// session is a connection to an intermediate and its calls. One goroutine opens the connection and reads from it; the
+// callers' goroutines write the lines of their calls.
 type session struct {
 	client  *Client
 	address string
 
-	mu    sync.Mutex
-	wire  *wire // nil while the connection is being opened
-	ended error // why the session ended; nil while it has not
-	next  uint64
-	calls map[uint64]*Call
-	// stopDial cancels the opening of the connection.
+	mu       sync.Mutex
+	conn     *lineConn // nil while the connection is being opened
+	endCause error     // why the session ended; nil before that
+	next     uint64
+	calls    map[uint64]*Call
+	// stopDial cancels the dial.
 	stopDial context.CancelFunc
 
-	// receivedAt is when a line was last received, or else the session began, in Unix nanoseconds.
+	// receivedAt is when the last line was received, in Unix nanoseconds; before that, when the session started.
 	receivedAt atomic.Int64
 }
 
-// idleTimeoutDivisor makes the client close an idle connection first, in half of the time of the server, so that no
-// request is sent on a connection that the server is closing.
+// idleTimeoutDivisor reduces the client's idle timeout to half of the server's. The client then closes idle connections
+// first, so that it sends no request on a connection that the server is closing.
 const idleTimeoutDivisor = 2
 
-// run opens the connection and reads it until it ends.
+// run opens the connection and reads lines from it until it ends.
 func (s *session) run() {
 	ctx, cancel := context.WithTimeout(context.Background(), s.client.cfg.ConnectTimeout)
 	defer cancel()
@@ -45,14 +45,14 @@
 		s.end(err)
 		return
 	}
-	open := newWire(s.client.cfg, socket)
-	open.cfg.IdleTimeout /= idleTimeoutDivisor
-	if !s.opened(open) {
-		open.close()
+	conn := newLineConn(s.client.cfg, socket)
+	conn.cfg.IdleTimeout /= idleTimeoutDivisor
+	if !s.attach(conn) {
+		conn.close()
 		return
 	}
 	for {
-		l, err := open.read()
+		l, err := conn.read()
 		if err != nil {
 			s.end(err)
 			return
@@ -61,32 +61,33 @@
 	}
 }
 
-// opened sends the calls that waited for the connection; false if the session ended meanwhile.
-func (s *session) opened(open *wire) bool {
+// attach sets the opened connection and sends the requests of the calls that waited for it. It returns false if the
+// session has ended.
+func (s *session) attach(conn *lineConn) bool {
 	s.mu.Lock()
-	if s.ended != nil {
+	if s.endCause != nil {
 		s.mu.Unlock()
 		return false
 	}
-	s.wire = open
+	s.conn = conn
 	pending := make([]*Call, 0, len(s.calls))
 	for _, call := range s.calls {
 		pending = append(pending, call)
 	}
 	s.mu.Unlock()
 	for _, call := range pending {
-		s.sendRequest(open, call)
+		s.sendRequest(conn, call)
 	}
 	return true
 }
 
-// start sends a call, or keeps it until the connection is open.
+// start sends the request of a call, or queues the call until the connection is open.
 func (s *session) start(call *Call) {
 	s.mu.Lock()
 	var refusal error
 	switch {
-	case s.ended != nil:
-		refusal = s.ended
+	case s.endCause != nil:
+		refusal = s.endCause
 	case len(s.calls) >= s.client.cfg.MaximumRequests:
 		refusal = &FullError{Limit: s.client.cfg.MaximumRequests}
 	}
@@ -98,38 +99,38 @@
 	s.next++
 	call.number = s.next
 	s.calls[call.number] = call
-	open := s.wire
+	conn := s.conn
 	s.mu.Unlock()
-	if open != nil {
-		s.sendRequest(open, call)
+	if conn != nil {
+		s.sendRequest(conn, call)
 	}
 }
 
-// sendRequest writes the request of a call, unless the call has ended. Checking that and marking the call as being
-// written are one step, so that a call that was given up as never sent is not sent when its connection opens. The times
-// in the request are reduced by the wait for the connection and by an unexpectedly long round trip. A request that
-// can't be written completely may have arrived.
-func (s *session) sendRequest(open *wire, call *Call) {
+// sendRequest writes the request of a call unless the call has ended. The check and the change to the state writing are
+// atomic, so that a call that was cancelled as never sent is not sent when the connection opens. The times in the request
+// are reduced by the wait for the connection and by an unexpectedly long round trip. If the write fails, the request may
+// have arrived.
+func (s *session) sendRequest(conn *lineConn, call *Call) {
 	if !s.beginWriting(call) {
 		return
 	}
 	waited := time.Since(call.began)
 	call.waited.Store(int64(waited))
-	request := call.request.sentAfter(waited, roundtrip.Of(open.socket).High())
-	err := open.write(line{Number: call.number, Request: &request})
-	isGivenUp := s.endWriting(call)
+	request := call.request.adjustTimes(waited, roundtrip.Of(conn.socket).High())
+	err := conn.write(line{Number: call.number, Request: &request})
+	isCancelled := s.endWriting(call)
 	if err != nil {
-		if taken := s.take(call.number); taken != nil {
-			taken.done <- Result{Err: &BrokenError{Cause: err}}
+		if removed := s.removeCall(call.number); removed != nil {
+			removed.done <- Result{Err: &BrokenError{Cause: err}}
 		}
 		return
 	}
-	if isGivenUp {
+	if isCancelled {
 		s.send(line{Number: call.number, Cancel: true})
 	}
 }
 
-// beginWriting marks a call as being written; false if it has ended.
+// beginWriting sets the state of a call to writing. It returns false if the call has ended.
 func (s *session) beginWriting(call *Call) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,36 +141,36 @@
 	return true
 }
 
-// endWriting marks a call as written, and reports whether it was given up meanwhile.
+// endWriting sets the state of a call to written and reports whether the call was cancelled.
 func (s *session) endWriting(call *Call) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	call.progress = written
-	return call.isGivenUp
+	return call.isCancelled
 }
 
-// giveUp removes a call, and returns how far its line was and whether the call was in flight. If the line is being
-// written, its writer cancels the request after it.
-func (s *session) giveUp(call *Call) (reached progress, isInFlight bool) {
+// cancelCall removes a call and returns the state of its line and whether the call was in flight. If the line is being
+// written, sendRequest sends the cancel line after it.
+func (s *session) cancelCall(call *Call) (reached progress, isInFlight bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	isInFlight = s.calls[call.number] == call
 	if isInFlight {
 		delete(s.calls, call.number)
-		call.isGivenUp = true
+		call.isCancelled = true
 	}
 	return call.progress, isInFlight
 }
 
-// send writes a line of a call whose request was sent. Without a connection there is nothing to do.
+// send writes a probe or cancel line. It does nothing while there is no connection.
 func (s *session) send(l line) {
 	s.mu.Lock()
-	open := s.wire
+	conn := s.conn
 	s.mu.Unlock()
-	if open == nil {
+	if conn == nil {
 		return
 	}
-	if err := open.write(l); err != nil {
+	if err := conn.write(l); err != nil {
 		s.end(err)
 	}
 }
@@ -182,12 +183,12 @@
 		return
 	}
 	if l.Reply != nil {
-		if call := s.take(l.Number); call != nil {
+		if call := s.removeCall(l.Number); call != nil {
 			call.done <- Result{Reply: *l.Reply}
 		}
 		return
 	}
-	call := s.find(l.Number)
+	call := s.findCall(l.Number)
 	if call == nil || !l.Accepted {
 		return
 	}
@@ -197,9 +198,9 @@
 	}
 }
 
-// receivePartial handles the parts that are sent before a reply is complete.
+// receivePartial handles a partial reply.
 func (s *session) receivePartial(l line) {
-	call := s.find(l.Number)
+	call := s.findCall(l.Number)
 	if call == nil || l.Reply.Answer == nil {
 		return
 	}
@@ -209,8 +210,8 @@
 	}
 }
 
-// take removes a call and returns it, for whoever took it to end; nil if it has ended.
-func (s *session) take(number uint64) *Call {
+// removeCall removes a call and returns it; nil if the call has ended. The caller must send the result of the call.
+func (s *session) removeCall(number uint64) *Call {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	call := s.calls[number]
@@ -218,32 +219,32 @@
 	return call
 }
 
-// find returns a call in flight; nil if it has ended.
-func (s *session) find(number uint64) *Call {
+// findCall returns a call in flight; nil if the call has ended.
+func (s *session) findCall(number uint64) *Call {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[number]
 }
 
-// end closes the connection and ends its calls, with the first cause that it is called with. They may have run, unless
-// the connection was never open.
+// end closes the connection and ends its calls with the first cause that end was called with. The calls may have run
+// unless the connection was never opened.
 func (s *session) end(cause error) {
 	s.mu.Lock()
-	if s.ended == nil {
-		s.ended = cause
+	if s.endCause == nil {
+		s.endCause = cause
 	}
-	cause = s.ended
-	open := s.wire
+	cause = s.endCause
+	conn := s.conn
 	if s.stopDial != nil {
 		s.stopDial()
 	}
 	calls := s.calls
 	s.calls = map[uint64]*Call{}
 	s.mu.Unlock()
-	s.client.forget(s)
+	s.client.removeSession(s)
 	var reported error = &NeverSentError{Cause: cause}
-	if open != nil {
-		open.close()
+	if conn != nil {
+		conn.close()
 		reported = &BrokenError{Cause: cause}
 	}
 	for _, call := range calls {
--- a/internal/request/servingtree/times_test.go
+++ b/internal/request/servingtree/times_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// The wait of a request for its connection is taken off the times that are sent.
-func TestWaitForTheConnectionIsTakenOff(t *testing.T) {
+// The times that are sent are reduced by the wait for the connection.
+func TestWaitForConnectionReducesTheTimesSent(t *testing.T) {
 	is := is.New(t)
 	sent := make(chan Request, 2)
 	_, address := serve(t, testConfig(), func(ctx context.Context, request Request, send func(Answer)) Reply {
@@ -28,8 +28,8 @@
 	is.Equal(first.DeadlineMicros, request.DeadlineMicros-call.Waited().Microseconds())
 }
 
-// A request that never had a connection has not waited for one.
-func TestRequestWithoutConnectionHasNotWaited(t *testing.T) {
+// Waited returns 0 if no connection was opened.
+func TestWaitedIsZeroWithoutConnection(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -39,23 +39,23 @@
 	is.Equal(call.Waited(), time.Duration(0))
 }
 
-// The part of a round trip beyond the expected one is taken off once, and never more than a quarter of what is left; a
-// shorter round trip changes nothing.
-func TestWaysAreTakenOff(t *testing.T) {
+// The objective is reduced by the excess of the round trip over the expected one, at most by a quarter; a shorter round
+// trip does not change it.
+func TestExcessRoundTripReducesTheObjective(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		millis := func(name string, most int) time.Duration {
 			return time.Duration(rapid.IntRange(0, most).Draw(rt, name)) * time.Millisecond
 		}
 		left, expected, waited, roundTrip := millis("left", 200), millis("expected", 50), millis("waited", 100), millis("round trip", 2000)
-		after := Request{ObjectiveMicros: left.Microseconds(), RoundTrip: expected}.sentAfter(waited, roundTrip)
+		after := Request{ObjectiveMicros: left.Microseconds(), RoundTrip: expected}.adjustTimes(waited, roundTrip)
 		rest := (left - waited).Microseconds()
 		switch {
 		case roundTrip <= expected && after.ObjectiveMicros != rest:
-			rt.Fatal("a shorter round trip counts")
+			rt.Fatal("a shorter round trip changed the objective")
 		case rest > 0 && after.ObjectiveMicros < rest-rest/excessDivisor:
-			rt.Fatal("too much is taken off")
+			rt.Fatal("the objective was reduced by more than a quarter")
 		case rest > 0 && after.ObjectiveMicros < rest-max(0, roundTrip-expected).Microseconds():
-			rt.Fatal("more than the excess is taken off")
+			rt.Fatal("the objective was reduced by more than the excess")
 		}
 	})
 }
