--- a/internal/request/admission/admission_test.go
+++ b/internal/request/admission/admission_test.go
@@ -13,7 +13,7 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-func TestNoMoreRunThanTheLimit(t *testing.T) {
+func TestConcurrencyStaysWithinTheLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		gate := NewGate(Limits{Concurrency: 5, Queue: 100})
@@ -39,11 +39,11 @@
 	})
 }
 
-func TestWhatCanNotFinishIsRefusedAtOnce(t *testing.T) {
+func TestQueryThatCannotFinishIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		gate := NewGate(Limits{Concurrency: 1, Queue: 100})
-		for range 200 { // the gate learns that a query takes 50 ms
+		for range 200 { // the average service time approaches 50 ms
 			ticket, err := gate.Enter(t.Context(), time.Now().Add(time.Hour))
 			is.NoErr(err)
 			time.Sleep(50 * time.Millisecond)
@@ -54,13 +54,13 @@
 		began := time.Now()
 		_, err = gate.Enter(t.Context(), time.Now().Add(60*time.Millisecond))
 		is.True(failure.Is(err, failure.Overloaded))
-		is.Equal(time.Since(began), time.Duration(0)) // at once
+		is.Equal(time.Since(began), time.Duration(0)) // the query was refused without waiting
 		is.Equal(failure.From(err).Execution, failure.NotRun)
 		is.True(failure.From(err).RetryAfter > 0)
 	})
 }
 
-func TestFullQueueRefuses(t *testing.T) {
+func TestFullQueueRefusesQueries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		gate := NewGate(Limits{Concurrency: 1, Queue: 1})
@@ -82,21 +82,21 @@
 	})
 }
 
-func TestCallerThatGoesAwayLeavesTheQueue(t *testing.T) {
+func TestCancelledQueryLeavesTheQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		gate := NewGate(Limits{Concurrency: 1, Queue: 5})
 		ticket, err := gate.Enter(t.Context(), time.Now().Add(time.Hour))
 		is.NoErr(err)
 		ctx, cancel := context.WithCancel(t.Context())
-		gone := make(chan error, 1)
+		refused := make(chan error, 1)
 		go func() {
 			_, err := gate.Enter(ctx, time.Now().Add(time.Hour))
-			gone <- err
+			refused <- err
 		}()
 		synctest.Wait()
 		cancel()
-		err = <-gone
+		err = <-refused
 		is.True(failure.Is(err, failure.Cancelled))
 		is.Equal(failure.From(err).Execution, failure.NotRun)
 		ticket.Done(false)
@@ -104,7 +104,7 @@
 	})
 }
 
-func TestCongestionLowersTheLimitAndCalmRaisesIt(t *testing.T) {
+func TestCongestionLowersAndSuccessRaisesTheLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		gate := NewGate(Limits{Concurrency: 40, Queue: 100})
--- a/internal/request/admission/limit.go
+++ b/internal/request/admission/limit.go
@@ -8,8 +8,7 @@
 // congestedBackoff multiplies the limit in use after a congested query.
 const congestedBackoff = 0.9
 
-// backoffPause is the minimum time between two reductions, so that the queries of one
-// congested moment count once.
+// backoffPause is the minimum time between two reductions, so that the queries of one congested period count once.
 const backoffPause = 100 * time.Millisecond
 
 // SetLimits applies new limits; running queries are not affected.
@@ -27,17 +26,17 @@
 	g.admitWaiting()
 }
 
-// Congested reduces the limit in use in favor of a more urgent service.
+// Congested reduces the limit in use in favor of a service with a higher priority.
 func (g *Gate) Congested() {
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.reduceLimit(now)
-	g.refuseHopeless(now)
+	g.refuseTooLate(now)
 }
 
-// reduceLimit lowers the limit in use after a congested query, at most once per backoffPause: to congestedBackoff times
-// itself or, if that is less, times one more than the queries that run now. The mutex must be held.
+// reduceLimit reduces the limit in use after a congested query, at most once per backoffPause: to congestedBackoff times
+// the lesser of the limit in use and the number of running queries plus one. The mutex must be held.
 func (g *Gate) reduceLimit(now time.Time) {
 	if now.Sub(g.reducedAt) < backoffPause {
 		return
@@ -46,7 +45,7 @@
 	g.limitInUse = math.Max(1, math.Min(g.limitInUse, float64(g.running+1))*congestedBackoff)
 }
 
-// raiseLimit raises the limit in use after a query without congestion: by one per limitInUse queries, up to the
+// raiseLimit raises the limit in use after a query without congestion, by one per limitInUse queries, up to the
 // operator's limit. The mutex must be held.
 func (g *Gate) raiseLimit() {
 	g.limitInUse = math.Min(float64(g.limits.Concurrency), g.limitInUse+1/g.limitInUse)
--- a/internal/request/hedging/budget.go
+++ b/internal/request/hedging/budget.go
@@ -2,11 +2,11 @@
 
 import "sync"
 
-// tokenUnit is one token in thousandths, so that a share in per mille is an integer.
+// tokenUnit is one token in thousandths, so that a fraction in per mille is an integer.
 const tokenUnit = 1000
 
-// budget is a token bucket that is filled by first attempts rather than by time: each
-// earns a share of a token. It is safe for concurrent use.
+// budget is a token bucket that is filled by first attempts rather than by time: each attempt adds a fraction of a
+// token. It is safe for concurrent use.
 type budget struct {
 	mu       sync.Mutex
 	perMille int
@@ -14,8 +14,8 @@
 	limit    int // in thousandths; 0 before init
 }
 
-// init sets the share of a token earned per attempt and the maximum number of tokens. The budget is full only
-// after the first call, so that a changed share adds no tokens.
+// init sets the fraction of a token per attempt and the maximum number of tokens. Only the first call fills the budget,
+// so that a later change adds no tokens.
 func (b *budget) init(perMille uint32, burst int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -26,7 +26,7 @@
 	b.limit = burst * tokenUnit
 }
 
-// earn adds the tokens that first attempts earn.
+// earn adds the tokens of first attempts.
 func (b *budget) earn(attempts int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/request/hedging/config.go
+++ b/internal/request/hedging/config.go
@@ -6,28 +6,28 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// Config tunes hedges and retries of searches.
+// Config configures the hedges and retries of searches.
 type Config struct {
-	// Quantile of recent attempt latency after which the first hedge is sent, in percent.
+	// Quantile is the quantile of recent attempt latencies, in percent, after which a hedge is sent.
 	Quantile float64 `yaml:"quantile"`
 	// Window is the minimum time for which a latency sample counts; the maximum is twice that.
 	Window time.Duration `yaml:"window"`
-	// MinimumDelay is the minimum wait before a hedge.
+	// MinimumDelay is the minimum delay of a hedge.
 	MinimumDelay time.Duration `yaml:"minimum_delay"`
-	// MaximumStages is how many hedges one shard of one query may have.
+	// MaximumStages is the maximum number of hedges per shard of a query.
 	MaximumStages int `yaml:"maximum_stages"`
 	// RetryPerMille is the maximum number of retries after failures per 1,000 first attempts.
 	RetryPerMille uint32 `yaml:"retry_per_mille"`
-	// Burst is the maximum number of tokens in a budget.
+	// Burst is the maximum number of unused hedges, and of unused retries, that a service accumulates.
 	Burst int `yaml:"burst"`
-	// ShedPause is how long no hedges are sent after a leaf of the service shed load.
+	// ShedPause is the time without hedges after a leaf of the service shed load.
 	ShedPause time.Duration `yaml:"shed_pause"`
 }
 
 // DefaultHedgePerMille is the hedge budget, per 1,000 first attempts, of a service that sets none.
 const DefaultHedgePerMille = 20
 
-// DefaultConfig keeps the extra load by hedges near 2%.
+// DefaultConfig returns the default configuration. With it and DefaultHedgePerMille, hedges add about 2% of load.
 func DefaultConfig() Config {
 	return Config{
 		Quantile:      98.3,
--- a/internal/request/hedging/hedging_test.go
+++ b/internal/request/hedging/hedging_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is earned and taken, the tokens taken stay within the burst plus the share earned.
-func TestBudgetIsNeverOverdrawn(t *testing.T) {
+// For any sequence of earn and take, the tokens taken do not exceed the burst plus the tokens earned.
+func TestBudgetBoundsTokensTaken(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		perMille := rapid.Uint32Range(0, 1000).Draw(t, "per mille")
 		burst := rapid.IntRange(1, 50).Draw(t, "burst")
@@ -27,12 +27,12 @@
 			}
 		}
 		if taken*tokenUnit > burst*tokenUnit+earned*int(perMille) {
-			t.Fatalf("%d taken, burst %d, %d earned at %d per mille", taken, burst, earned, perMille)
+			t.Fatalf("%d tokens were taken with a burst of %d and %d attempts at %d per mille", taken, burst, earned, perMille)
 		}
 	})
 }
 
-func TestDelayFollowsTheQuantile(t *testing.T) {
+func TestHedgeDelayIsTheLatencyQuantile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		policy := NewPolicy(DefaultConfig(), 0)
@@ -56,7 +56,7 @@
 	})
 }
 
-func TestNoHedgeWhileShedding(t *testing.T) {
+func TestNoHedgeIsSentDuringTheShedPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		policy := NewPolicy(DefaultConfig(), 0)
--- a/internal/request/hedging/latencies.go
+++ b/internal/request/hedging/latencies.go
@@ -14,23 +14,23 @@
 	significantDigits = 2
 )
 
-// refreshEvery is the number of new samples after which quantiles are worth computing again.
-const refreshEvery = 64
+// samplesPerRefresh is the number of new samples after which quantiles are worth computing again.
+const samplesPerRefresh = 64
 
-// Latencies is the distribution of recent latencies; safe for concurrent use.
+// Latencies is the distribution of recent latencies. It is safe for concurrent use.
 type Latencies struct {
 	window  time.Duration
-	minimum int64 // samples before there are quantiles
+	minimum int64 // number of samples needed for quantiles
 
-	mu       sync.Mutex
-	current  *hdrhistogram.Histogram
-	previous *hdrhistogram.Histogram
-	rotated  time.Time
-	unread   int // samples since Observe last returned true
+	mu         sync.Mutex
+	current    *hdrhistogram.Histogram
+	previous   *hdrhistogram.Histogram
+	rotated    time.Time
+	newSamples int // samples since Observe last returned true
 }
 
-// NewLatencies returns an empty distribution. A sample counts for at least one window and at most two;
-// quantiles are known from the minimum number of samples on.
+// NewLatencies returns an empty distribution. A sample counts for at least one window and at most two. Quantile needs at
+// least the minimum number of samples.
 func NewLatencies(window time.Duration, minimum int) *Latencies {
 	return &Latencies{
 		window:   window,
@@ -47,13 +47,13 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.rotate()
-	// The value is within the histogram's bounds, so that recording can't fail.
+	// The value is within the histogram's bounds, so RecordValue can't fail.
 	_ = l.current.RecordValue(micros)
-	l.unread++
-	if l.unread < refreshEvery {
+	l.newSamples++
+	if l.newSamples < samplesPerRefresh {
 		return false
 	}
-	l.unread = 0
+	l.newSamples = 0
 	return true
 }
 
@@ -68,17 +68,17 @@
 	l.current.Reset()
 }
 
-// Quantile returns a quantile, in percent, of the window with more samples; false while too
-// few are known.
+// Quantile returns the quantile, in percent, of the current or the previous window, whichever has more samples. It
+// returns false if that window has too few.
 func (l *Latencies) Quantile(percent float64) (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	source := l.current
+	larger := l.current
 	if l.current.TotalCount() < l.previous.TotalCount() {
-		source = l.previous
+		larger = l.previous
 	}
-	if source.TotalCount() < l.minimum {
+	if larger.TotalCount() < l.minimum {
 		return 0, false
 	}
-	return time.Duration(source.ValueAtQuantile(percent)) * time.Microsecond, true
+	return time.Duration(larger.ValueAtQuantile(percent)) * time.Microsecond, true
 }
--- a/internal/request/httpnames/httpnames.go
+++ b/internal/request/httpnames/httpnames.go
@@ -1,33 +1,33 @@
-// Package httpnames names the headers and paths that portgauge speaks over HTTP.
+// Package httpnames defines the names of the HTTP headers and paths that portgauge uses.
 //
-// The product has names of its own; a platform that its users run may have others for the same headers and paths. The
-// package has no state and relies on nothing.
+// Default returns the product's own names; a platform may use other names for the same headers and paths. The package has
+// no state and no dependencies.
 package httpnames
 
-// Names is one set of names. Header names are in canonical form.
+// Names is a set of header names, in canonical form, and paths.
 type Names struct {
-	// RequestID identifies one sending of a caller's request; leafs echo it.
+	// RequestID is the header with the ID of one transmission of a caller's request; leafs echo it.
 	RequestID string
-	// DeadlineMillis is how many milliseconds the sender waits for the answer.
+	// DeadlineMillis is the header with the time in milliseconds that the sender waits for the answer.
 	DeadlineMillis string
-	// ResponseStamp is a leaf's signature of its answer; it is passed on unchanged.
+	// ResponseStamp is the header with a leaf's signature of its answer; it is forwarded unchanged.
 	ResponseStamp string
-	// ExpectedIncarnation names the leaf that a request is for; any other leaf refuses the request.
+	// ExpectedIncarnation is the header with the leaf that a request is sent to; any other leaf refuses the request.
 	ExpectedIncarnation string
-	// NotExecuted marks the answer of a leaf that did not run the request.
+	// NotExecuted is the header that marks the answer of a leaf that did not run the request.
 	NotExecuted string
-	// ServerLoad has a leaf's load, separated by commas: running requests, waiting requests, slots and, optionally, the
-	// current run time as a percentage of the usual one.
+	// ServerLoad is the header with a leaf's load, separated by commas: running requests, waiting requests, slots and,
+	// optionally, the current run time as a percentage of the usual run time.
 	ServerLoad string
-	// PartStamps lists the signatures of a gathered answer's parts, separated by commas.
+	// PartStamps is the header with the signatures of a gathered answer's parts, separated by commas.
 	PartStamps string
-	// MissingParts is how many parts a gathered answer lacks.
+	// MissingParts is the header with the number of parts that are missing in a gathered answer.
 	MissingParts string
-	// ReadinessPath answers 200 while callers should connect to a node.
+	// ReadinessPath is the path that answers 200 while callers should connect to the node.
 	ReadinessPath string
 }
 
-// Default returns the product's own names.
+// Default returns portgauge's own names.
 func Default() Names {
 	return Names{
 		RequestID:           "Portgauge-Request-Id",
--- a/internal/request/retrybudget/config.go
+++ b/internal/request/retrybudget/config.go
@@ -6,19 +6,20 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// Config is the limit of the fleet.
+// Config is the limit for the whole fleet. Repeats are hedges and retries.
 type Config struct {
-	// Ratio is the number of repeats allowed per request.
+	// Ratio is the number of hedges and retries allowed per request.
 	Ratio float64 `yaml:"ratio"`
-	// Window is the time over which both are counted.
+	// Window is the time over which requests, hedges and retries are counted.
 	Window time.Duration `yaml:"window"`
-	// Allowance is the number of repeats allowed in a window in the whole fleet, in addition to the ratio.
+	// Allowance is the number of hedges and retries that the whole fleet may send per window in addition to the ratio.
 	Allowance float64 `yaml:"allowance"`
-	// Share is the share of the limit that is used; the rest is for what nodes can't know, such as restarts of others.
+	// Share is the fraction of the limit that the nodes use; the rest covers what a node can't observe, such as restarts
+	// of other nodes.
 	Share float64 `yaml:"share"`
 }
 
-// DefaultConfig allows a tenth of the requests to be repeated.
+// DefaultConfig returns the default configuration. It allows one repeat per ten requests.
 func DefaultConfig() Config {
 	return Config{Ratio: 0.1, Window: 10 * time.Second, Allowance: 20, Share: 0.85}
 }
--- a/internal/request/retrybudget/retrybudget.go
+++ b/internal/request/retrybudget/retrybudget.go
@@ -1,11 +1,10 @@
-// Package retrybudget limits how often a service is asked more than once for the same request, by hedges and retries,
-// for all nodes of a fleet together.
+// Package retrybudget limits the repeats, that is hedges and retries, that all nodes of a fleet send to a service.
 //
-// Over any window of time, the repeats that reach a service must stay below a share of the
-// requests for it plus a fixed allowance. Each node stays below the same share of its own
-// requests plus its share of the allowance, so that the limit holds for the sum without messages between nodes.
+// Over any window of time, the repeats that a service receives must not exceed a ratio of its requests plus a fixed
+// allowance. Each node applies the same ratio to its own requests and adds its share of the allowance, so that the limit
+// holds for the fleet without messages between the nodes.
 //
-// Budgets owns the counts of one node in memory; they are lost when the node restarts. It relies on a clock that counts
+// Budgets owns the counts of one node in memory; they are lost when the node restarts. It relies on a clock that includes
 // the time for which the machine is suspended (package boottime). It starts no goroutines and returns errors only for
 // invalid settings.
 package retrybudget
@@ -17,92 +16,93 @@
 	"github.com/portgauge/portgauge/internal/node/boottime"
 )
 
-// slices is the number of slices in which a window is counted; a slice expires as a whole.
-const slices = 20
+// slicesPerWindow is the number of slices of a window; a slice expires as a whole.
+const slicesPerWindow = 20
 
-// Budgets has the budget of each service on one node; safe for concurrent use.
+// Budgets holds the budget of each service on one node. It is safe for concurrent use.
 type Budgets struct {
-	config Config
-	share  func(service string) float64 // of the allowance, 0 to 1
-	now    func() time.Time
-	start  time.Time
+	cfg   Config
+	share func(service string) float64 // of the allowance, 0 to 1
+	now   func() time.Time
+	start time.Time
 
 	mu       sync.Mutex
 	services map[string]*window
 }
 
-// New returns the budgets of a node. The share function returns the node's share of the allowance for a
-// service, 0 while that is unknown; the sum over all nodes must not exceed 1.
-func New(config Config, share func(service string) float64) *Budgets {
-	return &Budgets{config: config, share: share, now: time.Now, start: time.Now(), services: map[string]*window{}}
+// New returns the budgets of a node. The share function returns the node's share of the allowance for a service, or 0
+// while the share is unknown. The shares of all nodes must not add up to more than 1.
+func New(cfg Config, share func(service string) float64) *Budgets {
+	return &Budgets{cfg: cfg, share: share, now: time.Now, start: time.Now(), services: map[string]*window{}}
 }
 
-// SetClock sets the clock of the windows, which should count the time for which the machine is suspended: otherwise the
-// requests of a window that is long over would allow repeats when the machine resumes. It must be called before the
-// budgets are used.
+// SetClock sets the clock of the windows. The clock should include the time for which the machine is suspended, since
+// otherwise the requests of an expired window would allow repeats when the machine resumes. SetClock must be called
+// before the budgets are used.
 func (b *Budgets) SetClock(clock boottime.Clock) {
 	b.now = clock.Now
 	b.start = clock.Now()
 }
 
-// window counts the requests and repeats of the last Config.Window, in a ring of slices.
+// window counts the requests and repeats of the last Config.Window in a ring of slices.
 type window struct {
-	requests [slices + 1]int
-	repeats  [slices + 1]int
-	newest   int64 // number of the newest slice
+	requests [slicesPerWindow + 1]int
+	repeats  [slicesPerWindow + 1]int
+	newest   int64 // number of the newest slice since Budgets.start
 }
 
-// CountRequest counts a request for a service, once for each that a caller sent.
+// CountRequest counts a request for a service. It must be called once per request of a caller.
 func (b *Budgets) CountRequest(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	kept := b.window(service)
-	kept.requests[kept.newest%(slices+1)]++
+	counts := b.window(service)
+	counts.requests[counts.newest%(slicesPerWindow+1)]++
 }
 
-// Take decides whether a service may be asked again, and counts the repeat if so.
+// Take reports whether a repeat may be sent to a service, and counts the repeat if so.
 //
 // Inputs: the requests and repeats that this node counted within the last Config.Window, the node's share of the
-// allowance, and the reserve, the share of the limit, 0 to 1, that must remain free.
+// allowance, and the reserve, the fraction of the limit, 0 to 1, that must remain free.
 //
-// Rule: the repeats, including this one, must not exceed the limit (see limit) less the reserve. Retries and hedges beyond
-// a share of the requests would overload a service that is slow already.
+// Rule: the repeats, including this one, must not exceed the limit (see limit) less the reserve. More repeats would
+// overload a service that is already slow.
 func (b *Budgets) Take(service string, reserve float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	kept := b.window(service)
-	limit := b.limit(service, kept)
-	if float64(kept.sumRepeats()+1) > limit*(1-reserve) {
+	counts := b.window(service)
+	limit := b.limit(service, counts)
+	if float64(counts.sumRepeats()+1) > limit*(1-reserve) {
 		return false
 	}
-	kept.repeats[kept.newest%(slices+1)]++
+	counts.repeats[counts.newest%(slicesPerWindow+1)]++
 	return true
 }
 
-// FreeShare returns the share of the limit that is still free, 0 to 1.
+// FreeShare returns the fraction of the limit that is free, 0 to 1.
 func (b *Budgets) FreeShare(service string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	kept := b.window(service)
-	limit := b.limit(service, kept)
+	counts := b.window(service)
+	limit := b.limit(service, counts)
 	if limit <= 0 {
 		return 0
 	}
-	return max(0, 1-float64(kept.sumRepeats())/limit)
+	return max(0, 1-float64(counts.sumRepeats())/limit)
 }
 
-// limit returns the maximum number of repeats in the window that ends now: Config.Share of the ratio's and, once the node
-// has run for a window, of its share of the allowance. Before that, its predecessor may have used that share up.
-func (b *Budgets) limit(service string, kept *window) float64 {
+// limit returns the maximum number of repeats in the window that ends now: Config.Ratio of the requests plus the node's
+// share of the allowance, both times Config.Share. A node gets no allowance until it has run for a window, since it may
+// have used up its share before a restart. The mutex must be held.
+func (b *Budgets) limit(service string, counts *window) float64 {
 	requests := 0
-	for index := range kept.requests {
-		requests += kept.requests[index]
+	for index := range counts.requests {
+		requests += counts.requests[index]
 	}
-	limit := b.config.Ratio * float64(requests)
-	if b.now().Sub(b.start) >= b.config.Window {
-		limit += b.config.Allowance * b.share(service)
+	limit := b.cfg.Ratio * float64(requests)
+	if b.now().Sub(b.start) >= b.cfg.Window {
+		limit += b.cfg.Allowance * b.share(service)
 	}
-	return limit * b.config.Share
+	return limit * b.cfg.Share
 }
 
 func (w *window) sumRepeats() int {
@@ -113,31 +113,31 @@
 	return repeats
 }
 
-// window returns the counts of a service, without expired slices. The mutex must be held.
+// window returns the counts of a service without expired slices. The mutex must be held.
 func (b *Budgets) window(service string) *window {
-	current := b.now().Sub(b.start).Nanoseconds() * slices / b.config.Window.Nanoseconds()
-	kept, found := b.services[service]
+	current := b.now().Sub(b.start).Nanoseconds() * slicesPerWindow / b.cfg.Window.Nanoseconds()
+	counts, found := b.services[service]
 	if !found {
-		kept = &window{newest: current}
-		b.services[service] = kept
+		counts = &window{newest: current}
+		b.services[service] = counts
 	}
-	if current-kept.newest > slices {
-		*kept = window{newest: current}
+	if current-counts.newest > slicesPerWindow {
+		*counts = window{newest: current}
 	}
-	for kept.newest < current {
-		kept.newest++
-		kept.requests[kept.newest%(slices+1)] = 0
-		kept.repeats[kept.newest%(slices+1)] = 0
+	for counts.newest < current {
+		counts.newest++
+		counts.requests[counts.newest%(slicesPerWindow+1)] = 0
+		counts.repeats[counts.newest%(slicesPerWindow+1)] = 0
 	}
-	return kept
+	return counts
 }
 
-// Forget drops the counts of services that are not known any more and had no repeats lately.
+// Forget drops the counts of services that are no longer known and had no repeats within the last Config.Window.
 func (b *Budgets) Forget(known func(service string) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for service := range b.services {
-		if kept := b.window(service); !known(service) && kept.sumRepeats() == 0 {
+		if counts := b.window(service); !known(service) && counts.sumRepeats() == 0 {
 			delete(b.services, service)
 		}
 	}
--- a/internal/request/retrybudget/retrybudget_test.go
+++ b/internal/request/retrybudget/retrybudget_test.go
@@ -10,17 +10,17 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// event is one request or repeat anywhere in the fleet.
+// event is a request or a repeat of any node in the fleet.
 type event struct {
 	at     time.Duration
 	repeat bool
 }
 
-// While nodes join, restart and leave, and whatever they are asked for, the repeats of the fleet over any
-// window stay below the ratio of its requests plus the allowance.
-func TestTheFleetKeepsTheBoundOverEveryWindow(t *testing.T) {
+// For any requests and restarts of the nodes, the repeats of the fleet over any window stay within the ratio of its
+// requests plus the allowance.
+func TestFleetStaysWithinTheLimitInEveryWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		config := Config{Ratio: 0.2, Window: 10 * time.Second, Allowance: 56, Share: 0.85}
+		cfg := Config{Ratio: 0.2, Window: 10 * time.Second, Allowance: 56, Share: 0.85}
 		size := rapid.IntRange(1, 12).Draw(t, "nodes")
 		start := time.Now()
 		elapsed := time.Duration(0)
@@ -29,7 +29,7 @@
 			sum += weight
 		}
 		newNode := func(index int) *Budgets {
-			node := New(config, func(string) float64 { return float64(weights[index]) / float64(sum) })
+			node := New(cfg, func(string) float64 { return float64(weights[index]) / float64(sum) })
 			node.now = func() time.Time { return start.Add(elapsed) }
 			node.start = node.now()
 			return node
@@ -38,7 +38,7 @@
 		for index := range nodes {
 			nodes[index] = newNode(index)
 		}
-		elapsed = config.Window
+		elapsed = cfg.Window
 		var events []event
 		for range rapid.IntRange(50, 400).Draw(t, "steps") {
 			elapsed += time.Duration(rapid.IntRange(0, 200).Draw(t, "pause")) * time.Millisecond
@@ -56,46 +56,46 @@
 				}
 			}
 		}
-		checkWindows(t, config, events)
+		checkWindows(t, cfg, events)
 	})
 }
 
-// checkWindows compares the repeats of each window with the largest number of requests in that
-// window, the one before it and the one half a window before it.
-func checkWindows(t *rapid.T, config Config, events []event) {
+// checkWindows compares the repeats in each window with the largest number of requests in that window, the window before
+// it and the window half a window earlier.
+func checkWindows(t *rapid.T, cfg Config, events []event) {
 	count := func(from, to time.Duration, repeat bool) float64 {
 		sum := 0.0
-		for _, one := range events {
-			if one.repeat == repeat && one.at > from && one.at <= to {
+		for _, e := range events {
+			if e.repeat == repeat && e.at > from && e.at <= to {
 				sum++
 			}
 		}
 		return sum
 	}
 	for _, last := range events {
-		from := last.at - config.Window
+		from := last.at - cfg.Window
 		requests := count(from, last.at, false)
-		requests = max(requests, count(from-config.Window/2, from+config.Window/2, false))
-		requests = max(requests, count(from-config.Window, from, false))
-		if repeats := count(from, last.at, true); repeats > config.Ratio*requests+config.Allowance {
-			t.Fatalf("%v repeats in the window until %v, %v requests", repeats, last.at, requests)
+		requests = max(requests, count(from-cfg.Window/2, from+cfg.Window/2, false))
+		requests = max(requests, count(from-cfg.Window, from, false))
+		if repeats := count(from, last.at, true); repeats > cfg.Ratio*requests+cfg.Allowance {
+			t.Fatalf("%v repeats in the window that ends at %v, with %v requests", repeats, last.at, requests)
 		}
 	}
 }
 
-func TestANodeThatStartedLeavesTheAllowanceAlone(t *testing.T) {
+func TestRestartedNodeHasNoAllowanceForOneWindow(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	budgets := New(Config{Ratio: 0.5, Window: 10 * time.Second, Allowance: 100, Share: 1}, func(string) float64 { return 1 })
 	budgets.now = func() time.Time { return now }
 	budgets.start = now
-	is.True(!budgets.Take("s", 0)) // no request yet, no allowance yet
+	is.True(!budgets.Take("s", 0)) // there are no requests, and no allowance within the first window
 	for range 4 {
 		budgets.CountRequest("s")
 	}
 	is.True(budgets.Take("s", 0))
 	is.True(budgets.Take("s", 0))
-	is.True(!budgets.Take("s", 0)) // half of four
+	is.True(!budgets.Take("s", 0)) // the ratio allows half as many repeats as requests
 	now = now.Add(11 * time.Second)
 	for range 100 {
 		is.True(budgets.Take("s", 0))
@@ -104,21 +104,21 @@
 	is.Equal(budgets.FreeShare("s"), 0.0)
 }
 
-func TestReserveAndUnknownFleet(t *testing.T) {
+func TestTakeWithReserveAndUnknownShare(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	share := 0.0
 	budgets := New(Config{Ratio: 0, Window: time.Second, Allowance: 8, Share: 1}, func(string) float64 { return share })
 	budgets.now = func() time.Time { return now }
 	budgets.start = now.Add(-time.Minute)
-	is.True(!budgets.Take("s", 0)) // its share is unknown
+	is.True(!budgets.Take("s", 0)) // the node's share is unknown
 	share = 0.5
 	is.True(budgets.Take("s", 0.5))
 	is.True(budgets.Take("s", 0.5))
 	is.True(!budgets.Take("s", 0.5)) // the other half is reserved
 	is.True(budgets.Take("s", 0))
 	budgets.Forget(func(string) bool { return false })
-	is.True(len(budgets.services) == 1) // it had repeats lately
+	is.True(len(budgets.services) == 1) // a service with recent repeats is kept
 	now = now.Add(time.Minute)
 	budgets.Forget(func(string) bool { return false })
 	is.Equal(len(budgets.services), 0)
--- a/internal/request/retrybudget/suspended_test.go
+++ b/internal/request/retrybudget/suspended_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// Requests from before a suspension have left the window when the machine resumes, and allow no repeats.
-func TestSuspendedMachineSpendsNothingOfAnOldWindow(t *testing.T) {
+// Requests before a suspension that is longer than the window allow no repeats after it.
+func TestRequestsBeforeASuspensionAllowNoRepeats(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	budgets := New(Config{Ratio: 0.2, Window: 10 * time.Second, Share: 1}, func(string) float64 { return 1 })
@@ -17,7 +17,7 @@
 		budgets.CountRequest("s")
 	}
 	is.True(budgets.Take("s", 0))
-	now = now.Add(12 * time.Second) // suspended
+	now = now.Add(12 * time.Second) // the machine is suspended
 	is.True(!budgets.Take("s", 0))
 	is.Equal(budgets.FreeShare("s"), 0.0)
 }
--- a/internal/request/roundtrip/roundtrip.go
+++ b/internal/request/roundtrip/roundtrip.go
@@ -1,7 +1,7 @@
 // Package roundtrip returns the kernel's estimate of the round-trip time of a TCP connection.
 //
-// It has no state; it reads TCP_INFO of the socket at each call. Other connections have no estimate. Times are
-// durations with the kernel's resolution of a microsecond.
+// The package has no state; it reads TCP_INFO from the socket on each call. Connections that are not TCP have no
+// estimate. Times have the kernel's resolution of a microsecond.
 package roundtrip
 
 import (
@@ -11,20 +11,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// Estimate is an estimate of a connection's round-trip time; the zero value means that there is none.
+// Estimate is an estimate of a connection's round-trip time. The zero value means that there is no estimate.
 type Estimate struct {
 	Mean time.Duration
-	// Deviation is the mean deviation from the mean.
+	// Deviation is the mean deviation from Mean.
 	Deviation time.Duration
 }
 
-// rareDeviations is how many mean deviations beyond the mean only few round trips take.
-const rareDeviations = 2
+// highDeviations is the number of mean deviations above the mean that few round trips exceed.
+const highDeviations = 2
 
-// High returns a time that only few round trips exceed.
-func (e Estimate) High() time.Duration { return e.Mean + rareDeviations*e.Deviation }
+// High returns a round-trip time that few round trips exceed.
+func (e Estimate) High() time.Duration { return e.Mean + highDeviations*e.Deviation }
 
-// Of returns the estimate of a connection.
+// Of returns the estimate of a connection, or the zero value if there is none.
 func Of(connection net.Conn) Estimate {
 	tcp, isTCP := connection.(*net.TCPConn)
 	if !isTCP {
--- a/internal/request/roundtrip/roundtrip_test.go
+++ b/internal/request/roundtrip/roundtrip_test.go
@@ -8,23 +8,23 @@
 	"github.com/matryer/is"
 )
 
-// The kernel has an estimate for an open connection, and there is none without a connection.
+// Of returns an estimate for an open TCP connection, and none for nil.
 func TestOf(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	defer func() { is.NoErr(listener.Close()) }()
-	dialled, err := net.Dial("tcp", listener.Addr().String())
+	connection, err := net.Dial("tcp", listener.Addr().String())
 	is.NoErr(err)
-	defer func() { is.NoErr(dialled.Close()) }()
-	estimate := Of(dialled)
+	defer func() { is.NoErr(connection.Close()) }()
+	estimate := Of(connection)
 	is.True(estimate.Mean > 0)
 	is.True(estimate.High() >= estimate.Mean)
 	is.Equal(Of(nil), Estimate{})
 }
 
-// The high estimate grows with the deviation.
-func TestMostlyCountsDeviations(t *testing.T) {
+// High is the mean plus two deviations.
+func TestHighAddsTheDeviation(t *testing.T) {
 	is := is.New(t)
 	is.Equal(Estimate{Mean: 6400 * time.Microsecond, Deviation: 1600 * time.Microsecond}.High(), 9600*time.Microsecond)
 }
--- a/internal/request/scatter/caution.go
+++ b/internal/request/scatter/caution.go
@@ -103,7 +103,8 @@
 }
 
 // recordCrashEvidence records whether an attempt's result indicates that the request crashes leafs. The scatter stops
-// after Plan.CrashedProbesLimit probes crashed their leafs: a probe is sent alone, so no other attempt explains the crash.
+// after Plan.CrashedProbesLimit probes crashed their leafs: a probe is sent alone, so only its request can have caused
+// the crash.
 func (s *Scatter[Reply]) recordCrashEvidence(ended *finishedAttempt[Reply]) {
 	s.caution.brokeOff = s.caution.brokeOff || ended.result.BrokeOff
 	if !ended.attempt.Probe {
--- a/internal/request/servingtree/servingtree_test.go
+++ b/internal/request/servingtree/servingtree_test.go
@@ -103,7 +103,7 @@
 	is.Equal(len(client.sessions), 1)
 }
 
-// The intermediate acknowledges a request at once and every probe.
+// The intermediate acknowledges a request when it starts, and every probe.
 func TestRequestAndProbesAreAcknowledged(t *testing.T) {
 	is := is.New(t)
 	_, address := serve(t, testConfig(), untilCancelled)
