--- a/internal/request/scatter/caution.go
+++ b/internal/request/scatter/caution.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// LeafsCrashed is the reason of shards that were not queried because leafs of other shards crashed while running the
+// LeafsCrashed is the reason for shards that were not queried because leafs of other shards crashed while running the
 // request.
 const LeafsCrashed Reason = "LEAFS_ENDED"
 
--- a/internal/request/scatter/group.go
+++ b/internal/request/scatter/group.go
@@ -14,7 +14,7 @@
 	Shards []int
 }
 
-// MissingInGroup is the reason of shards that are missing in the answer of their group.
+// MissingInGroup is the reason for shards that are missing in the answer of their group.
 const MissingInGroup Reason = "MISSING_IN_GROUP"
 
 // GroupResult is the partial or final result of a group's attempt.
--- a/internal/request/scatter/hedge.go
+++ b/internal/request/scatter/hedge.go
@@ -38,7 +38,7 @@
 	lateFractionLimit = 0.5                  // of all shards
 	lateCountLimit    = 8                    // shards; with fewer, slow leafs are as likely
 	postponedFraction = 0.4                  // of the time from the start until hedges were first postponed
-	hedgePostponement = 5 * time.Millisecond // by which a due hedge is postponed each time
+	hedgePostponement = 5 * time.Millisecond // added to a due hedge by each postponement
 )
 
 // isNodeLate reports whether hedges must be postponed because this node, rather than the leafs, is probably late.
@@ -46,9 +46,9 @@
 // Inputs: the number of open shards that are not in a group in flight, the number of all shards, and the time since Run
 // began.
 //
-// Rule: at least lateCountLimit shards and more than lateFractionLimit of all shards are open when a timer fires. So many
-// leafs are rarely slow at the same time, and hedges would add load to a node that is short of CPU. Hedges are postponed
-// for at most postponedFraction of the time from the start of Run until the first postponement.
+// Rule: at least lateCountLimit shards and more than lateFractionLimit of all shards are open when a timer fires. That
+// many leafs are rarely slow at the same time, and hedges would add load to a node that is short of CPU. Hedges are
+// postponed for at most postponedFraction of the time from the start of Run until the first postponement.
 func (s *Scatter[Reply]) isNodeLate(now time.Time) bool {
 	open := s.open - s.groups.openShards
 	if open < lateCountLimit || float64(open) <= lateFractionLimit*float64(len(s.shards)) {
@@ -60,7 +60,7 @@
 	return float64(now.Sub(s.hedgesPostponedSince)) <= postponedFraction*float64(s.hedgesPostponedSince.Sub(s.began))
 }
 
-// postponeHedges postpones the hedges that are due by hedgePostponement.
+// postponeHedges postpones each due hedge by hedgePostponement.
 func (s *Scatter[Reply]) postponeHedges(now time.Time) {
 	for index := range s.shards {
 		if shard := &s.shards[index]; !shard.done && isDue(shard.hedgeAt, now) {
--- a/internal/request/scatter/stop.go
+++ b/internal/request/scatter/stop.go
@@ -8,7 +8,7 @@
 // mustWait reports whether Run must wait for more results.
 //
 // Run stops waiting as soon as one of these conditions holds:
-//   - Every shard has an outcome. At the deadline every open shard gets one.
+//   - Every shard has an outcome. At the deadline every open shard is settled.
 //   - Probes showed that the request crashes leafs (see recordCrashEvidence), or no probe may be sent (see isBlocked).
 //   - The replies are sufficient and the soft deadline has passed.
 //   - So many shards failed that Plan.Sufficient replies can no longer be reached.
--- a/internal/request/servingtree/client.go
+++ b/internal/request/servingtree/client.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// Close closes all connections. Later calls of Start fail with a *ClosedError.
+// Close closes all connections. Calls that are started later end with a *NeverSentError.
 func (c *Client) Close() {
 	c.mu.Lock()
 	c.closed = true
--- a/internal/request/servingtree/config.go
+++ b/internal/request/servingtree/config.go
@@ -12,8 +12,8 @@
 	ConnectTimeout time.Duration `yaml:"connect_timeout"`
 	// WriteTimeout is the maximum time to write a message; a connection on which a write takes longer is closed.
 	WriteTimeout time.Duration `yaml:"write_timeout"`
-	// IdleTimeout is the time without a received message after which a connection is closed; the sending node closes it
-	// after half of that time.
+	// IdleTimeout is the time without a received message after which a connection is closed. The node that opened the
+	// connection closes it after half of that time.
 	IdleTimeout time.Duration `yaml:"idle_timeout"`
 	// MaximumRequests is the maximum number of requests in flight on one connection.
 	MaximumRequests int `yaml:"maximum_requests"`
