--- a/internal/request/gateway/answer.go
+++ b/internal/request/gateway/answer.go
@@ -8,7 +8,7 @@
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
-// gatheredAnswer merges the parts that have arrived, if they are enough.
+// gatheredAnswer merges the parts that have arrived, if there are enough.
 func (e *execution) gatheredAnswer() (*Answer, error) {
 	answer := &Answer{Status: http.StatusOK}
 	bodies := make([][]byte, 0, len(e.outcomes))
@@ -21,13 +21,13 @@
 		bodies = append(bodies, outcome.Reply.Body)
 	}
 	if len(answer.Stamps) < e.request.leastParts() {
-		return nil, e.failed()
+		return nil, e.noAnswerFailure()
 	}
 	answer.Body = topRecords(bodies, e.request.route.TopRecords)
 	return answer, nil
 }
 
-// singleAnswer passes on the leaf's success, or the last leaf's own failure if there was no success.
+// singleAnswer passes on the leaf's success or, without a success, the last failure of a leaf.
 func (e *execution) singleAnswer() (*Answer, error) {
 	reply := e.outcomes[0].Reply
 	if reply == nil {
@@ -36,22 +36,22 @@
 		e.mu.Unlock()
 	}
 	if reply == nil {
-		return nil, e.failed()
+		return nil, e.noAnswerFailure()
 	}
 	return &Answer{Status: reply.Status, Header: leafhttp.ForwardedHeaders(reply.Header), Body: reply.Body}, nil
 }
 
-// failed returns the failure of a request without an answer, by the first of these that is true:
+// noAnswerFailure returns the failure of a request without an answer, by the first of these that applies:
 //
 //	the failure of the node that gathered all shards, if it ran nothing
-//	LEAFS_ENDED          leafs may have crashed by the request, and it was given up
+//	LEAFS_ENDED          the request may have crashed leafs, and was abandoned
 //	OVERLOADED           no leaf ran it: all refused it or could not be reached; with Retry-After
-//	DEADLINE_EXCEEDED    the first missing shard was given up at the deadline
+//	DEADLINE_EXCEEDED    the first missing shard timed out at the deadline
 //	LEAF_FAILED          the leaf of a single request failed
 //	INCOMPLETE_COVERAGE  a gathered request has too few parts
 //
-// Failures of executions that were ended early are in execution.endedEarly.
-func (e *execution) failed() error {
+// Failures of executions that were cancelled are in execution.earlyFailure.
+func (e *execution) noAnswerFailure() error {
 	state := e.executionState()
 	if e.groupFailure != nil && state == failure.NotRun {
 		return e.groupFailure
@@ -70,7 +70,7 @@
 	}
 	failed := failure.New(code, state, "%d of %d shards are missing: %s", len(e.outcomes)-e.summary.Replies, len(e.outcomes), reason)
 	if state == failure.NotRun {
-		failed = failed.WithRetryAfter(e.gateway.config.RetryAfter)
+		failed = failed.WithRetryAfter(e.gateway.cfg.RetryAfter)
 	}
 	return failed
 }
--- a/internal/request/gateway/attempt.go
+++ b/internal/request/gateway/attempt.go
@@ -12,31 +12,31 @@
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
-// The reasons of this package for a shard without a part, besides those of packages scatter and balancer.
+// Reasons for a shard without a part, in addition to those of packages scatter and balancer.
 const (
-	// reasonGone means that the leaf is draining or is no longer the one that was meant.
+	// reasonGone means that the leaf is draining, or that another leaf has its address now.
 	reasonGone scatter.Reason = "LEAF_GONE"
-	// reasonNotSent means that nothing of the attempt reached the leaf.
+	// reasonNotSent means that no part of the attempt reached the leaf.
 	reasonNotSent scatter.Reason = "NOT_SENT"
-	// reasonBroken means that the connection ended before the whole answer arrived.
+	// reasonBroken means that the connection ended before the complete answer arrived.
 	reasonBroken scatter.Reason = "BROKEN_ANSWER"
-	// reasonRefusedConnection means that the leaf reset a new connection, as it does beyond its maximum number.
+	// reasonRefusedConnection means that the leaf reset a new connection, as it does above its connection limit.
 	reasonRefusedConnection scatter.Reason = "REFUSED_CONNECTION"
 	// reasonLeafError means that the leaf ran the request and failed.
 	reasonLeafError scatter.Reason = "LEAF_ERROR"
-	// reasonUnsigned means that a success lacks the leaf's signature, so that something else may have made it.
+	// reasonUnsigned means that a success lacks the leaf's signature and may come from something else.
 	reasonUnsigned scatter.Reason = "UNSIGNED_ANSWER"
-	// reasonLeafRefuse means that the leaf refused the request as malformed.
-	reasonLeafRefuse scatter.Reason = "REFUSED_BY_LEAF"
+	// reasonRefusedByLeaf means that the leaf refused the request as malformed.
+	reasonRefusedByLeaf scatter.Reason = "REFUSED_BY_LEAF"
 )
 
-// attemptResult is how an attempt ended, as package scatter receives it.
+// attemptResult is the result of an attempt, as package scatter receives it.
 type attemptResult = scatter.Result[leafhttp.Response]
 
-// startAttempt asks one leaf; it implements scatter.Start.
+// startAttempt queries one leaf; it implements scatter.Start.
 func (e *execution) startAttempt(_ context.Context, attempt scatter.Attempt, done func(attemptResult)) context.CancelCauseFunc {
 	if e.isStopped() {
-		done(notSent())
+		done(quarantinedResult())
 		return func(error) {}
 	}
 	var isAbandoned atomic.Bool
@@ -55,7 +55,6 @@
 	}
 }
 
-// classifyEnd classifies the end of an attempt, which is an answer or an error.
 func (e *execution) classifyEnd(attempt scatter.Attempt, response *leafhttp.Response, err error, isAbandoned bool) attemptResult {
 	if err != nil {
 		return classifyError(isAbandoned, err)
@@ -73,14 +72,15 @@
 	return e.classify(response)
 }
 
-// classify decides whether an answer may be used, whether the leaf ran the request, and whether another leaf is asked:
+// classify decides whether an answer may be used, whether the leaf ran the request, and whether another leaf is
+// queried:
 //
-//	not executed, see classifyRefusal     another leaf is asked
+//	not executed, see classifyRefusal  another leaf is queried
 //	signed success                     used
 //	unsigned success                   not used; the leaf may have run the request
-//	status that promises "not run"     not used; it is not true without the "not executed" mark
-//	other status below 500             passed on; other leafs would answer the same, so that none is asked
-//	other status from 500              another leaf is asked; passed on if none succeeds
+//	status that promises "not run"     not used; it is not reliable without the "not executed" mark
+//	other status below 500             passed on; no other leaf is queried, since it would answer the same
+//	other status from 500              another leaf is queried; passed on if none succeeds
 func (e *execution) classify(response *leafhttp.Response) attemptResult {
 	if response.NotExecuted {
 		return classifyRefusal(response)
@@ -105,8 +105,8 @@
 }
 
 // promisesNotRun reports whether callers take a status as the promise that the request has not run and never will. A
-// leaf that answers with one but without the "not executed" mark may have run the request: if the status were passed
-// on, the caller would send the request again and it would run twice.
+// leaf that answers with such a status but without the "not executed" mark may have run the request. If the status were
+// passed on, the caller would send the request again and it would run twice.
 func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -115,27 +115,27 @@
 	return false
 }
 
-// keepFailure keeps a leaf's own failure, to be passed on if no other leaf succeeds.
+// keepFailure stores a leaf's own failure, which is passed on if no other leaf succeeds.
 func (e *execution) keepFailure(response *leafhttp.Response) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.lastFailure = response
 }
 
-// classifyRefusal classifies an answer that is marked as "not executed". 421 means that the leaf is gone or draining, 400 that
-// any leaf would refuse the request, and any other status that the leaf sheds load.
+// classifyRefusal classifies an answer with the "not executed" mark. 421 means that the leaf is gone or draining, 400
+// that any leaf would refuse the request, and any other status that the leaf sheds load.
 func classifyRefusal(response *leafhttp.Response) attemptResult {
 	result := attemptResult{Reason: scatter.Shed, Execution: scatter.NotRun, Outcome: balancer.Shed}
 	switch response.Status {
 	case http.StatusMisdirectedRequest:
 		result.Reason, result.Outcome = reasonGone, balancer.Drained
 	case http.StatusBadRequest:
-		result.Reason, result.Outcome, result.Final = reasonLeafRefuse, balancer.Declined, true
+		result.Reason, result.Outcome, result.Final = reasonRefusedByLeaf, balancer.Declined, true
 	}
 	return result
 }
 
-// classifyError classifies an attempt without an answer.
+// classifyError classifies the error of an attempt without an answer.
 func classifyError(isAbandoned bool, err error) attemptResult {
 	outcome := balancer.Failed
 	if isAbandoned {
--- a/internal/request/gateway/bench_test.go
+++ b/internal/request/gateway/bench_test.go
@@ -23,7 +23,7 @@
 // benchShards is the fan-out of the benchmark.
 const benchShards = 90
 
-// cannedLeaf answers each request on a connection with the same bytes.
+// cannedLeaf starts a leaf that answers each request on a connection with the same bytes, and returns its address.
 func cannedLeaf(b *testing.B) string {
 	b.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -61,11 +61,10 @@
 	}
 }
 
-// BenchmarkGather measures a gathered request over loopback connections, including the leafs' side. Six runs each: 1.13 to
-// 1.22 ms and 3,159 allocations without the watch for crashing requests, 1.03 to 1.19 ms and 3,178 with it.
+// BenchmarkGather measures a gathered request over loopback connections, including the leafs' side.
 func BenchmarkGather(b *testing.B) {
 	address := cannedLeaf(b)
-	known := catalog.New(func(key string, err error) { b.Errorf("%s: %v", key, err) })
+	cat := catalog.New(func(key string, err error) { b.Errorf("%s: %v", key, err) })
 	set := func(key string, value any) {
 		content, err := json.Marshal(value)
 		if err != nil {
@@ -75,7 +74,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		known.Apply(catalog.Change{Entry: catalog.Entry{Key: key, Value: wrapped, Revision: known.Revision() + 1}, Previous: known.Revision()})
+		cat.Apply(catalog.Change{Entry: catalog.Entry{Key: key, Value: wrapped, Revision: cat.Revision() + 1}, Previous: cat.Revision()})
 	}
 	var gathered []string
 	for index := range benchShards {
@@ -93,7 +92,7 @@
 	pool := leafhttp.New(leafhttp.DefaultConfig(), names, nil)
 	defer pool.Close()
 	g := New(Deps{
-		Config: DefaultConfig(), Names: names, Catalog: known, Memory: leafmemory.New(leafmemory.DefaultConfig(), known),
+		Config: DefaultConfig(), Names: names, Catalog: cat, Memory: leafmemory.New(leafmemory.DefaultConfig(), cat),
 		Allocator: connshare.New(connshare.DefaultConfig(), singleNodeFleet{}, catalog.NodeRecord{ID: "n"}), Balancer: balancer.New(balancer.DefaultConfig(), "z"),
 		Budgets: retrybudget.New(retrybudget.DefaultConfig(), func(string) float64 { return 1 }), Leafs: pool, Events: &discardingEvents{}, Quarantine: newRegister(),
 	})
@@ -110,7 +109,6 @@
 	}
 }
 
-// discardingEvents keeps no records.
 type discardingEvents struct{ recordedEvents }
 
 func (j *discardingEvents) Served(RequestRecord)    {}
--- a/internal/request/gateway/caller_timeouts.go
+++ b/internal/request/gateway/caller_timeouts.go
@@ -7,8 +7,8 @@
 	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
-// callerTimeouts learns the timeout that callers of each route start with. A caller that sends a shorter one has spent
-// the difference already, on a connection or on sending the request before. It is safe for concurrent use.
+// callerTimeouts learns the initial timeout of each route's callers. A caller that sends a shorter one has already
+// spent the difference, on opening a connection or on an earlier attempt. It is safe for concurrent use.
 type callerTimeouts struct {
 	mu     sync.Mutex
 	routes map[string]*commonTimeout // by host and prefix
@@ -22,11 +22,11 @@
 }
 
 const (
-	// minimumSightings is how often a timeout must be seen to count, so that a single caller decides nothing.
-	minimumSightings = 5
-	// timeoutMemory is after how long without a sighting a timeout is forgotten.
-	timeoutMemory = time.Minute
-	// maximumTimeoutRoutes bounds the routes that are kept; beyond it all are learned again.
+	// minimumObservations is how often a timeout must be seen to count, so that a single caller has no effect.
+	minimumObservations = 5
+	// timeoutRetention is how long a timeout counts after it was last seen.
+	timeoutRetention = time.Minute
+	// maximumTimeoutRoutes bounds the routes that are stored. When it is reached, all are dropped and learned again.
 	maximumTimeoutRoutes = 4096
 )
 
@@ -34,14 +34,14 @@
 	return &callerTimeouts{routes: map[string]*commonTimeout{}}
 }
 
-// spent estimates how much of its timeout a caller has spent before the request arrived.
+// spent estimates how much of its timeout a caller had spent before the request arrived.
 func (t *callerTimeouts) spent(route *routing.Entry, timeout time.Duration) time.Duration {
 	key := route.Host + route.Prefix
 	now := time.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	common, found := t.routes[key]
-	if !found || now.Sub(common.lastSeen) > timeoutMemory {
+	if !found || now.Sub(common.lastSeen) > timeoutRetention {
 		if len(t.routes) >= maximumTimeoutRoutes {
 			clear(t.routes)
 		}
@@ -55,7 +55,7 @@
 		common.seen++
 		common.lastSeen = now
 	}
-	if common.seen < minimumSightings {
+	if common.seen < minimumObservations {
 		return 0
 	}
 	return common.longest - timeout
--- a/internal/request/gateway/canary.go
+++ b/internal/request/gateway/canary.go
@@ -11,10 +11,10 @@
 	"github.com/portgauge/portgauge/internal/rollout/canary"
 )
 
-// While a service is rolled out to another version, a canary decision decides for the first attempt of each shard which
-// version it goes to (package canary). Hedges and retries are not part of the decision: they go to retryVersions.
+// While a service is rolled out to another version, a canary decision selects the version for the first attempt of each
+// shard (package canary). Hedges and retries go to retryVersions instead.
 
-// canaryDecision is the decision of one shard.
+// canaryDecision is the canary decision for one shard.
 type canaryDecision struct {
 	isMade bool
 	canary.Decision
@@ -29,8 +29,9 @@
 	return g.canary.RetryVersions(service)
 }
 
-// decide returns the decision of a shard, which is made once. unserved means that no leaf of the serving version can be asked,
-// or only leafs in trouble. Nothing is drawn if another node may have asked the shard before and counted its decision.
+// decide returns the decision for a shard, which is made once. unserved means that no leaf of the serving version can
+// be queried, or only unhealthy ones. No decision is made if another node may have queried the shard before and counted
+// its decision.
 func (e *execution) decide(shard int, unserved bool) canary.Decision {
 	if e.gateway.canary == nil || e.spentAttempts > 0 {
 		return canary.Decision{}
@@ -46,14 +47,14 @@
 	return made.Decision
 }
 
-// refundDecision refunds the decision of a shard for which nothing was sent.
+// refundDecision refunds the decision for a shard for which nothing was sent.
 func (e *execution) refundDecision(shard int) {
 	if made := e.canaryDecisions[shard]; made.IsBounded {
 		e.gateway.canary.Refund(made.request, made.Decision)
 	}
 }
 
-// refundDecisions refunds all decisions of a request that is refused.
+// refundDecisions refunds all decisions for a request that is refused.
 func (e *execution) refundDecisions() {
 	for shard := range e.canaryDecisions {
 		e.refundDecision(shard)
@@ -74,8 +75,8 @@
 	}
 }
 
-// firstCandidates returns the leafs that a shard's first attempt may go to by its decision. If none of them can be asked,
-// it refunds the decision and returns the candidates that were planned without one.
+// firstCandidates returns the leafs that a shard's first attempt may go to by its decision. If none of them can be
+// queried, it refunds the decision and returns the candidates that were planned without one.
 func (e *execution) firstCandidates(shard int, planned []balancer.Candidate) []balancer.Candidate {
 	choice := e.gateway.balancer.Choose(planned, nil)
 	decision := e.decide(shard, choice.Leaf == nil || choice.Unhealthy)
@@ -95,8 +96,8 @@
 	return planned
 }
 
-// focusedLeaf returns the first candidate that can be asked and is not in trouble, in the order in which the version's
-// leafs take the bounded share of requests: one leaf at a time, so that few requests make evidence.
+// focusedLeaf returns the first candidate that can be queried and is healthy, in the order in which the version's leafs
+// take the bounded share of requests. One leaf at a time is used, so that few requests are enough evidence.
 func (e *execution) focusedLeaf(service string, candidates []balancer.Candidate) []balancer.Candidate {
 	for _, leaf := range e.gateway.canary.FocusOrder(service, e.gateway.catalog.View().Leafs.Canaries(service)) {
 		at := slices.IndexFunc(candidates, func(candidate balancer.Candidate) bool { return candidate.LeafID == leaf.ID })
@@ -111,22 +112,22 @@
 	return nil
 }
 
-// attemptBegan counts an attempt as in flight at its leaf's version; it is called before the attempt is made.
+// attemptBegan counts an attempt as in flight at its leaf's version. It is called before the attempt is made.
 func (g *Gateway) attemptBegan(leaf *leafset.Leaf) {
 	if g.canary != nil && leaf != nil {
 		g.canary.AttemptStarted(leaf.Service, leaf.Version)
 	}
 }
 
-// attemptEnded ends the count of attemptBegan.
+// attemptEnded reverses attemptBegan.
 func (g *Gateway) attemptEnded(leaf *leafset.Leaf) {
 	if g.canary != nil && leaf != nil {
 		g.canary.AttemptEnded(leaf.Service, leaf.Version)
 	}
 }
 
-// countEvidence counts the end of an attempt as evidence of its leaf's version: a success, a signed failure, or an
-// attempt that was given up without an answer. Refusals, broken connections and attempts that were never sent are no
+// countEvidence counts the end of an attempt as evidence about its leaf's version: a success, a signed failure, or an
+// attempt that was abandoned without an answer. Refusals, broken connections and attempts that were never sent are not
 // evidence.
 func (e *execution) countEvidence(leaf *leafset.Leaf, response *leafhttp.Response, result attemptResult, took time.Duration) {
 	counted := e.gateway.evidence
--- a/internal/request/gateway/canary_fixture_test.go
+++ b/internal/request/gateway/canary_fixture_test.go
@@ -15,19 +15,19 @@
 	"github.com/portgauge/portgauge/internal/rollout/evidence"
 )
 
-// canaryFleet is a fleet of one node, which has the whole share of draws.
-type canaryFleet struct{ coldFleet }
+// canaryFleet is a fleet of one node, which has the whole share of canary decisions.
+type canaryFleet struct{ registeredFleet }
 
 func (canaryFleet) Share(bool) float64 { return 1 }
 
-// allToCanary returns a configuration that draws every request that may be drawn.
+// allToCanary returns a configuration that sends all eligible requests to the canary.
 func allToCanary() canary.Config {
 	cfg := canary.DefaultConfig()
 	cfg.Share, cfg.Used = 1, 1
 	return cfg
 }
 
-// noneToCanary returns a configuration that draws no request.
+// noneToCanary returns a configuration that sends no requests to the canary.
 func noneToCanary() canary.Config {
 	cfg := canary.DefaultConfig()
 	cfg.Share = 0
@@ -40,7 +40,7 @@
 	t      *testing.T
 	specID int64
 	leafs  *scriptedLeafs
-	// canaryAnswer is how the canaries answer; nil means as the others.
+	// canaryAnswer is how the canaries answer; nil means like the other leafs.
 	canaryAnswer func(leaf string) (time.Duration, *leafhttp.Response, error)
 }
 
@@ -58,18 +58,18 @@
 	built.evidence = evidence.NewCollector(built.catalog)
 	startRollout(t, built.catalog, "")
 	built.specID = built.catalog.Revision()
-	built.learn()
+	built.refreshRollouts()
 	return built
 }
 
-// startRollout puts leafs of two versions of s0 into the catalog, and the spec to roll out from one to the other.
-func startRollout(t *testing.T, known *catalog.Catalog, zone string) {
+// startRollout adds leafs of two versions of s0 to the catalog, and the spec to roll out from one to the other.
+func startRollout(t *testing.T, cat *catalog.Catalog, zone string) {
 	t.Helper()
-	put(t, known, catalog.VersionsKey, rollout.Versions{ByVersion: map[string][]string{"v1": {"s0"}}})
+	put(t, cat, catalog.VersionsKey, rollout.Versions{ByVersion: map[string][]string{"v1": {"s0"}}})
 	for id, version := range map[string]string{"s0a": "v1", "s0b": "v1", "s0c": "v2", "s0d": "v2"} {
-		put(t, known, catalog.LeafKey(id), versionedLeaf(id, version, zone))
+		put(t, cat, catalog.LeafKey(id), versionedLeaf(id, version, zone))
 	}
-	put(t, known, catalog.RolloutKey("s0"), rollout.Spec{Service: "s0", Target: "v2", DurationMillis: time.Minute.Milliseconds()})
+	put(t, cat, catalog.RolloutKey("s0"), rollout.Spec{Service: "s0", Target: "v2", DurationMillis: time.Minute.Milliseconds()})
 }
 
 func versionedLeaf(id, version, zone string) leafset.Record {
@@ -78,39 +78,39 @@
 
 func isCanary(leaf string) bool { return leaf == "s0c" || leaf == "s0d" }
 
-// learn confirms the configuration as the newest and has the splitter read it.
-func (b *canaryGateway) learn() {
+// refreshRollouts confirms the configuration as the newest and has the splitter read it.
+func (b *canaryGateway) refreshRollouts() {
 	b.catalog.Confirm(time.Now())
 	b.canary.Refresh()
 }
 
-// enter puts the rollout into a phase.
-func (b *canaryGateway) enter(phase rollout.Phase) {
+// enterPhase moves the rollout to a phase.
+func (b *canaryGateway) enterPhase(phase rollout.Phase) {
 	b.t.Helper()
 	state := rollout.State{Service: "s0", SpecRevision: b.specID, Phase: phase, Serving: "v1", Target: "v2"}
 	put(b.t, b.catalog, catalog.RolloutStateKey("s0"), state)
-	b.learn()
+	b.refreshRollouts()
 }
 
-// finishSwitch ends the ramp to v2.
+// finishSwitch completes the ramp to v2.
 func (b *canaryGateway) finishSwitch() {
 	b.t.Helper()
-	b.enter(rollout.Switching)
+	b.enterPhase(rollout.Switching)
 	time.Sleep(canary.DefaultConfig().Ramp)
 	b.catalog.Confirm(time.Now())
 }
 
-// lose removes leafs from discovery for good.
-func (b *canaryGateway) lose(ids ...string) {
+// removeLeafs removes leafs from discovery and waits until they are no longer remembered.
+func (b *canaryGateway) removeLeafs(ids ...string) {
 	b.t.Helper()
 	for _, id := range ids {
 		put(b.t, b.catalog, catalog.LeafKey(id), nil)
 	}
 	time.Sleep(10 * time.Second)
-	b.learn()
+	b.refreshRollouts()
 }
 
-// queried returns the leafs of s0 that were asked since its last call.
+// queried returns the leafs of s0 that were queried since the last call.
 func (b *canaryGateway) queried() []string {
 	b.leafs.mu.Lock()
 	defer b.leafs.mu.Unlock()
@@ -124,13 +124,13 @@
 	return queried
 }
 
-// withCanary runs a test of a canaryGateway in virtual time.
+// withCanary runs a test with a canaryGateway in virtual time.
 func withCanary(t *testing.T, cfg canary.Config, test func(is *is.I, b *canaryGateway)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) { test(is.New(t), newCanaryGateway(t, cfg)) })
 }
 
-// canaryTally returns what was counted for the canary version.
+// canaryTally returns the evidence counted for the canary version.
 func (b *canaryGateway) canaryTally(is *is.I) evidence.Tally {
 	var tally evidence.Tally
 	for _, row := range b.evidence.Rows() {
--- a/internal/request/gateway/canary_refused_test.go
+++ b/internal/request/gateway/canary_refused_test.go
@@ -13,10 +13,10 @@
 	"github.com/portgauge/portgauge/internal/rollout/canary"
 )
 
-// If no leaf of the serving version can be asked, the canary version is asked within the slack, but gets no share of the
-// requests that are refused, also if that is known only when the attempts are planned.
-func TestCanaryIsNoLastResort(t *testing.T) {
-	lost := func(b *canaryGateway) { b.lose("s0a", "s0b") }
+// If no leaf of the serving version can be queried, the canary version is queried within the slack. Requests that are
+// refused earn it no share, even if that turns out only when the attempts are planned.
+func TestCanaryShareIsBoundedWithoutServingLeafs(t *testing.T) {
+	lost := func(b *canaryGateway) { b.removeLeafs("s0a", "s0b") }
 	leaving := func(b *canaryGateway) {
 		for _, id := range []string{"s0a", "s0b"} {
 			b.balancer.SetLeaving(id, time.Now().Add(time.Hour))
@@ -45,13 +45,13 @@
 	}
 }
 
-// Requests whose only serving leafs are in trouble don't count for the share of the canary version.
-func TestCrashedLeafsEarnNoShare(t *testing.T) {
+// Requests whose only serving leafs are unhealthy do not count towards the share of the canary version.
+func TestUnhealthyServingLeafsEarnNoCanaryShare(t *testing.T) {
 	withCanary(t, canary.DefaultConfig(), func(is *is.I, b *canaryGateway) {
 		works := b.leafs.answer
 		b.leafs.answer = func(leaf string) (time.Duration, *leafhttp.Response, error) {
 			if leaf == "s0a" || leaf == "s0b" {
-				return time.Millisecond, nil, &leafhttp.RefusedConnectionError{Cause: errSilent}
+				return time.Millisecond, nil, &leafhttp.RefusedConnectionError{Cause: errUnresponsive}
 			}
 			return works(leaf)
 		}
@@ -64,17 +64,17 @@
 				canaryRequests++
 			}
 		}
-		is.True(canaryRequests <= 4) // a tenth of the requests before the leafs were known to be in trouble
+		is.True(canaryRequests <= 4) // a tenth of the requests before the leafs were known to be unhealthy
 	})
 }
 
-// A request that is refused for its other shards takes nothing from the slack.
-func TestRefusedRequestsTakeNoCanaryShare(t *testing.T) {
+// A request that is refused because of its other shards uses none of the slack.
+func TestRefusedRequestsUseNoCanarySlack(t *testing.T) {
 	cfg := canary.DefaultConfig()
 	cfg.Slack = 20
 	withCanary(t, cfg, func(is *is.I, b *canaryGateway) {
 		time.Sleep(30 * time.Second)
-		b.lose("s0a", "s0b", "s1a", "s1b", "s2a", "s2b", "s3a", "s3b")
+		b.removeLeafs("s0a", "s0b", "s1a", "s1b", "s2a", "s2b", "s3a", "s3b")
 		for range 50 {
 			_, err := b.Serve(b.t.Context(), newRequest("/pages/1"))
 			is.Equal(failure.From(err).Code, failure.Overloaded)
@@ -87,15 +87,15 @@
 	})
 }
 
-// Requests that are refused before an attempt don't count for the share.
-func TestRefusedRequestsAreNotCounted(t *testing.T) {
+// Requests that are refused before an attempt do not count towards the share.
+func TestRefusedRequestsEarnNoCanaryShare(t *testing.T) {
 	half := allToCanary()
 	half.Share = 0.5
 	withCanary(t, half, func(is *is.I, b *canaryGateway) {
 		for _, service := range []string{"s1", "s2", "s3"} {
-			b.lose(service+"a", service+"b")
+			b.removeLeafs(service+"a", service+"b")
 		}
-		for range 101 { // an odd number, so that one more would be drawn
+		for range 101 { // an odd number: if they counted, the next request would go to the canary
 			_, err := b.Serve(b.t.Context(), newRequest("/pages/1"))
 			is.Equal(failure.From(err).Code, failure.Overloaded)
 		}
--- a/internal/request/gateway/canary_test.go
+++ b/internal/request/gateway/canary_test.go
@@ -21,8 +21,8 @@
 	"github.com/portgauge/portgauge/internal/rollout/canary"
 )
 
-// A drawn first attempt goes to the canary version, to one leaf at a time.
-func TestCanaryAttemptsGoToOneLeaf(t *testing.T) {
+// First attempts that are sent to the canary version go to one leaf at a time.
+func TestCanaryAttemptsGoToOneLeafAtATime(t *testing.T) {
 	for _, path := range []string{"/single/1", "/pages/1"} {
 		withCanary(t, allToCanary(), func(is *is.I, b *canaryGateway) {
 			for range 10 {
@@ -38,13 +38,13 @@
 	}
 }
 
-// After a failure of the canary version, and for hedges, the serving version is asked; its answer is returned.
+// After a failure of the canary version, the retry or hedge goes to the serving version, and its answer is returned.
 func TestFailedCanaryAttemptIsRetriedAtServingVersion(t *testing.T) {
 	cases := map[string]func(leaf string) (time.Duration, *leafhttp.Response, error){
 		"failure": func(leaf string) (time.Duration, *leafhttp.Response, error) { return 0, answered(500, leaf), nil },
 		"refusal": func(string) (time.Duration, *leafhttp.Response, error) { return 0, refused(503), nil },
 		"broken": func(string) (time.Duration, *leafhttp.Response, error) {
-			return 0, nil, &leafhttp.BrokenAnswerError{Cause: errSilent}
+			return 0, nil, &leafhttp.BrokenAnswerError{Cause: errUnresponsive}
 		},
 		"silence": func(string) (time.Duration, *leafhttp.Response, error) { return time.Hour, nil, nil },
 	}
@@ -52,7 +52,7 @@
 		for _, path := range []string{"/single/1", "/pages/1"} {
 			t.Run(name+path, func(t *testing.T) {
 				withCanary(t, allToCanary(), func(is *is.I, b *canaryGateway) {
-					for range 5 { // pay for a hedge
+					for range 5 { // earn the budget for a hedge
 						_, err := b.Serve(b.t.Context(), newRequest(path))
 						is.NoErr(err)
 					}
@@ -71,10 +71,10 @@
 	}
 }
 
-// If no canary can be asked, the attempt goes to the serving version at once, and a later request is drawn.
-func TestDrawWithoutUsableLeafFallsBack(t *testing.T) {
+// If no canary can be queried, the attempt goes to the serving version at once, and a later request goes to the canary.
+func TestCanaryDecisionWithoutUsableLeafFallsBack(t *testing.T) {
 	withCanary(t, canary.DefaultConfig(), func(is *is.I, b *canaryGateway) {
-		b.warmup = warmup.New(warmup.DefaultConfig(), b.catalog, coldFleet{}, catalog.NodeRecord{ID: "n"})
+		b.warmup = warmup.New(warmup.DefaultConfig(), b.catalog, registeredFleet{}, catalog.NodeRecord{ID: "n"})
 		for _, id := range []string{"s0c", "s0d"} {
 			cold := versionedLeaf(id, "v2", "")
 			cold.WarmupMillis = 1000
@@ -99,8 +99,8 @@
 	})
 }
 
-// A request that runs at most once is not drawn for the share of the canary version.
-func TestOnceOnlyRequestsStayWithTheServingVersion(t *testing.T) {
+// A request that runs at most once is not sent to the canary version for its share.
+func TestAtMostOnceRequestsStayWithServingVersion(t *testing.T) {
 	withCanary(t, allToCanary(), func(is *is.I, b *canaryGateway) {
 		for range 20 {
 			_, err := b.Serve(b.t.Context(), newRequest("/once/1"))
@@ -110,17 +110,17 @@
 	})
 }
 
-// slowToSend checks whether a leaf may be asked only when it sends, as a pool does after a wait for a connection.
-type slowToSend struct {
+// delayedLeafs checks whether a leaf may be queried only when it sends, like a pool after waiting for a connection.
+type delayedLeafs struct {
 	*scriptedLeafs
 	wait    time.Duration
 	maySend func(leaf string) bool
 }
 
-func (s *slowToSend) Start(target leafhttp.Target, request *leafhttp.Request, deadline time.Time, done leafhttp.Done) context.CancelCauseFunc {
+func (s *delayedLeafs) Start(target leafhttp.Target, request *leafhttp.Request, deadline time.Time, done leafhttp.Done) context.CancelCauseFunc {
 	time.AfterFunc(s.wait, func() {
 		if !s.maySend(target.LeafID) {
-			done(nil, &leafhttp.NeverSentError{Cause: errSilent})
+			done(nil, &leafhttp.NeverSentError{Cause: errUnresponsive})
 			return
 		}
 		s.scriptedLeafs.Start(target, request, deadline, done)
@@ -128,25 +128,25 @@
 	return func(error) {}
 }
 
-// A planned attempt is not sent if the rollout has been cancelled, aborted or ended meanwhile; the caller gets the answer of
-// the version that may be asked by then.
-func TestWhatWasPlannedIsCheckedWhenItIsSent(t *testing.T) {
+// A planned attempt is not sent if the rollout is cancelled, aborted or ended meanwhile. The caller gets the answer of
+// the version that may be queried by then.
+func TestPlannedAttemptIsCheckedBeforeSending(t *testing.T) {
 	cases := map[string]struct {
 		cfg    canary.Config
 		change func(b *canaryGateway)
-		want   bool // the canary version answers
+		want   bool // whether the canary version answers
 	}{
-		"taken back":  {allToCanary(), func(b *canaryGateway) { put(b.t, b.catalog, catalog.RolloutKey("s0"), nil) }, false},
-		"rolled back": {allToCanary(), func(b *canaryGateway) { b.enter(rollout.RolledBack) }, false},
-		"held":        {allToCanary(), func(b *canaryGateway) { b.canary.Abort("s0", b.specID) }, false},
-		"over":        {allToCanary(), func(*canaryGateway) {}, false},
-		"succeeded":   {noneToCanary(), func(b *canaryGateway) { b.enter(rollout.Succeeded) }, true},
+		"cancelled":   {allToCanary(), func(b *canaryGateway) { put(b.t, b.catalog, catalog.RolloutKey("s0"), nil) }, false},
+		"rolled back": {allToCanary(), func(b *canaryGateway) { b.enterPhase(rollout.RolledBack) }, false},
+		"aborted":     {allToCanary(), func(b *canaryGateway) { b.canary.Abort("s0", b.specID) }, false},
+		"expired":     {allToCanary(), func(*canaryGateway) {}, false},
+		"succeeded":   {noneToCanary(), func(b *canaryGateway) { b.enterPhase(rollout.Succeeded) }, true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			withCanary(t, c.cfg, func(is *is.I, b *canaryGateway) {
-				b.Gateway.leafs = &slowToSend{b.leafs, 20 * time.Millisecond, b.canary.MaySend}
-				if name == "over" {
+				b.Gateway.leafs = &delayedLeafs{b.leafs, 20 * time.Millisecond, b.canary.MaySend}
+				if name == "expired" {
 					time.Sleep(time.Minute - 10*time.Millisecond)
 				}
 				go func() {
@@ -164,16 +164,16 @@
 	}
 }
 
-// A leaf of a version that must not be asked is no candidate and is not warmed, whether it is ready, remembered or was lost
-// a moment ago, even if no other leaf is left.
-func TestDisallowedLeafsGetNothing(t *testing.T) {
+// A leaf of a disallowed version is not queried or warmed, whether it is ready, remembered or was lost recently, even
+// if no other leaf is left.
+func TestDisallowedLeafsAreNeitherQueriedNorWarmed(t *testing.T) {
 	withCanary(t, allToCanary(), func(is *is.I, b *canaryGateway) {
 		var remembered leafset.List
 		for _, id := range []string{"s0c", "s0d", "s0e"} {
 			remembered.Leafs = append(remembered.Leafs, versionedLeaf(id, "v2", ""))
 		}
 		put(b.t, b.catalog, catalog.SavedLeafsKey, remembered)
-		b.enter(rollout.RolledBack)
+		b.enterPhase(rollout.RolledBack)
 		put(b.t, b.catalog, catalog.LeafKey("s0d"), nil)
 		for _, id := range []string{"s0a", "s0b"} {
 			put(b.t, b.catalog, catalog.LeafKey(id), nil)
@@ -183,7 +183,7 @@
 			if _, err := b.Serve(b.t.Context(), newRequest("/single/1")); err != nil {
 				is.Equal(failure.From(err).Execution, failure.NotRun)
 			}
-			time.Sleep(200 * time.Millisecond) // the lost leafs are kept as candidates at first
+			time.Sleep(200 * time.Millisecond) // lost leafs stay candidates for a while
 		}
 		is.True(!slices.ContainsFunc(b.queried(), func(leaf string) bool { return leaf != "s0a" && leaf != "s0b" }))
 		is.True(!slices.ContainsFunc(b.leafs.warmed, func(leaf string) bool { return leaf == "s0c" || leaf == "s0d" || leaf == "s0e" }))
@@ -194,8 +194,8 @@
 	})
 }
 
-// After the ramp only the leafs of the new version are asked and warmed.
-func TestAfterTheRampTheNewLeafsServe(t *testing.T) {
+// After the ramp, only the leafs of the new version are queried and warmed.
+func TestTargetVersionServesAfterRamp(t *testing.T) {
 	withCanary(t, noneToCanary(), func(is *is.I, b *canaryGateway) {
 		b.finishSwitch()
 		b.Warm()
@@ -214,11 +214,11 @@
 		queried := b.queried()
 		is.True(!slices.ContainsFunc(queried, func(leaf string) bool { return !isCanary(leaf) }))
 		is.True(slices.Contains(queried, "s0c") && slices.Contains(queried, "s0d"))
-		b.lose("s0a", "s0b")
+		b.removeLeafs("s0a", "s0b")
 		_, err := b.Serve(b.t.Context(), newRequest("/single/1"))
 		is.NoErr(err)
 		put(b.t, b.catalog, catalog.LeafKey("s0a"), versionedLeaf("s0a", "v1", ""))
-		b.lose("s0c", "s0d")
+		b.removeLeafs("s0c", "s0d")
 		began := time.Now()
 		_, err = b.Serve(b.t.Context(), newRequest("/single/1"))
 		is.Equal(failure.From(err).Code, failure.Overloaded)
@@ -226,8 +226,8 @@
 	})
 }
 
-// Once all requests go to the new version, its leafs are still asked a moment after discovery lost them all.
-func TestMovedLeafsAreAskedAMomentAfterTheirLoss(t *testing.T) {
+// Once all requests go to the new version, its leafs are still queried shortly after discovery lost them all.
+func TestRecentlyLostTargetLeafsAreQueried(t *testing.T) {
 	withCanary(t, noneToCanary(), func(is *is.I, b *canaryGateway) {
 		b.finishSwitch()
 		for _, id := range []string{"s0c", "s0d"} {
@@ -243,13 +243,13 @@
 	})
 }
 
-// During the ramp a failure of either version is retried at the other.
-func TestDuringTheRampBothMayBeRetried(t *testing.T) {
+// During the ramp, a failure of either version is retried at the other.
+func TestRetriesGoToOtherVersionDuringRamp(t *testing.T) {
 	withCanary(t, noneToCanary(), func(is *is.I, b *canaryGateway) {
 		b.leafs.answer = func(leaf string) (time.Duration, *leafhttp.Response, error) {
 			return 0, answered(500, leaf), nil
 		}
-		b.enter(rollout.Switching) // first attempts are not drawn yet
+		b.enterPhase(rollout.Switching) // no first attempts go to the canary yet
 		_, err := b.Serve(b.t.Context(), newRequest("/single/1"))
 		is.NoErr(err)
 		is.True(!isCanary(b.queried()[0]))
@@ -263,7 +263,7 @@
 		is.True(retried)
 	})
 	withCanary(t, allToCanary(), func(is *is.I, b *canaryGateway) {
-		b.enter(rollout.Switching)
+		b.enterPhase(rollout.Switching)
 		b.canaryAnswer = func(leaf string) (time.Duration, *leafhttp.Response, error) { return 0, answered(500, leaf), nil }
 		retried := false
 		for range 40 {
@@ -277,8 +277,8 @@
 	})
 }
 
-// The node is settled only when the last attempt at the old version has ended, also one that began before the switch.
-func TestAttemptUnderWayIsNotSettled(t *testing.T) {
+// The node is settled only when the last attempt at the old version has ended, even if it began before the switch.
+func TestNodeIsNotSettledWhileAttemptIsInFlight(t *testing.T) {
 	withCanary(t, noneToCanary(), func(is *is.I, b *canaryGateway) {
 		b.leafs.answer = func(leaf string) (time.Duration, *leafhttp.Response, error) {
 			return 700 * time.Millisecond, answered(200, leaf), nil
@@ -292,7 +292,7 @@
 			served <- err
 		}()
 		time.Sleep(10 * time.Millisecond)
-		b.enter(rollout.Switching)
+		b.enterPhase(rollout.Switching)
 		time.Sleep(200 * time.Millisecond)
 		is.Equal(b.canary.SettledRevision(), b.catalog.Revision()-1)
 		is.NoErr(<-served)
@@ -300,7 +300,7 @@
 	})
 }
 
-// A node opens a connection to a canary when it knows the rollout and the leaf, once for each rollout spec.
+// A node opens a connection to a canary once it has both the rollout and the leaf, once per rollout spec.
 func TestCanaryIsWarmed(t *testing.T) {
 	withCanary(t, noneToCanary(), func(is *is.I, b *canaryGateway) {
 		for _, id := range []string{"s0c", "s0d"} {
@@ -326,8 +326,8 @@
 	})
 }
 
-// The end of an attempt counts as evidence of its leaf's version if it shows anything about the version.
-func TestEndsOfAttemptsAreCounted(t *testing.T) {
+// The end of an attempt counts as evidence about its leaf's version if it shows anything about the version.
+func TestAttemptEndsAreCountedAsEvidence(t *testing.T) {
 	cases := map[string]struct {
 		answer    func(leaf string) (time.Duration, *leafhttp.Response, error)
 		answered  int64
@@ -345,20 +345,20 @@
 		}, 0, 0, 0},
 		"refusal": {func(string) (time.Duration, *leafhttp.Response, error) { return 0, refused(503), nil }, 0, 0, 0},
 		"unsent": {func(string) (time.Duration, *leafhttp.Response, error) {
-			return 0, nil, &leafhttp.NeverSentError{Cause: errSilent}
+			return 0, nil, &leafhttp.NeverSentError{Cause: errUnresponsive}
 		}, 0, 0, 0},
 		"no connection": {func(string) (time.Duration, *leafhttp.Response, error) {
-			return 0, nil, &leafhttp.RefusedConnectionError{Cause: errSilent}
+			return 0, nil, &leafhttp.RefusedConnectionError{Cause: errUnresponsive}
 		}, 0, 0, 0},
 		"broken": {func(string) (time.Duration, *leafhttp.Response, error) {
-			return 0, nil, &leafhttp.BrokenAnswerError{Cause: errSilent}
+			return 0, nil, &leafhttp.BrokenAnswerError{Cause: errUnresponsive}
 		}, 0, 0, 0},
 		"silence": {func(string) (time.Duration, *leafhttp.Response, error) { return time.Hour, nil, nil }, 0, 0, 1},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			withCanary(t, allToCanary(), func(is *is.I, b *canaryGateway) {
-				for range 5 { // pay for a hedge
+				for range 5 { // earn the budget for a hedge
 					_, err := b.Serve(b.t.Context(), newRequest("/single/1"))
 					is.NoErr(err)
 				}
--- a/internal/request/gateway/canary_tree_test.go
+++ b/internal/request/gateway/canary_tree_test.go
@@ -13,8 +13,8 @@
 	"github.com/portgauge/portgauge/internal/rollout/canary"
 )
 
-// newCanaryTree starts a root whose services are all gathered by another node; some of the nodes know of the rollout of s0.
-func newCanaryTree(t *testing.T, knowing ...string) *tree {
+// newCanaryTree starts a root whose services are all gathered by another node. The given nodes have the rollout of s0.
+func newCanaryTree(t *testing.T, withRollout ...string) *tree {
 	t.Helper()
 	small, large := near("root"), near("there")
 	small.Processors, large.Processors = 0.2, 0.8
@@ -24,7 +24,7 @@
 		put(t, node.catalog, catalog.LeafKey("s0"+zoneNear), nil)
 		put(t, node.catalog, catalog.LeafKey("s0"+zoneFar), nil)
 		startRollout(t, node.catalog, zoneNear)
-		if !slices.Contains(knowing, id) {
+		if !slices.Contains(withRollout, id) {
 			put(t, node.catalog, catalog.RolloutKey("s0"), nil)
 		}
 		node.catalog.Confirm(time.Now())
@@ -32,26 +32,26 @@
 	return b
 }
 
-// An intermediate draws by its own configuration; its root draws nothing for a group.
-func TestIntermediateDrawsByItsOwnRule(t *testing.T) {
+// An intermediate makes canary decisions by its own configuration; its root makes none for a group.
+func TestIntermediateMakesCanaryDecisions(t *testing.T) {
 	cases := map[string]struct {
-		knowing  []string
-		toCanary int
+		withRollout []string
+		toCanary    int
 	}{
-		"only the root knows the order":         {[]string{"root"}, 0},
-		"only the intermediate knows the order": {[]string{"there"}, 5},
-		"both know it":                          {[]string{"root", "there"}, 5},
+		"only the root has the rollout":         {[]string{"root"}, 0},
+		"only the intermediate has the rollout": {[]string{"there"}, 5},
+		"both have the rollout":                 {[]string{"root", "there"}, 5},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := newCanaryTree(t, c.knowing...)
+			b := newCanaryTree(t, c.withRollout...)
 			for range 5 {
-				b.requireWhole(b.ask("root"))
+				b.requireComplete(b.serve("root"))
 			}
-			is.Equal(len(b.seen.by("root")), 0)
+			is.Equal(len(b.attempts.by("root")), 0)
 			toCanary := 0
-			for _, leaf := range b.seen.by("there") {
+			for _, leaf := range b.attempts.by("there") {
 				if isCanary(leaf) {
 					toCanary++
 				}
@@ -61,8 +61,8 @@
 	}
 }
 
-// Groups don't count for the share of the root.
-func TestPassedOnRequestsAreNotCounted(t *testing.T) {
+// Groups do not count towards the share at the root.
+func TestGroupsEarnNoCanaryShareAtRoot(t *testing.T) {
 	is := is.New(t)
 	b := newCanaryTree(t, "root", "there")
 	root := b.nodes["root"].gateway
@@ -70,32 +70,32 @@
 	half.Share = 0.5
 	root.canary = canary.New(half, root.catalog, canaryFleet{})
 	for range 5 {
-		b.requireWhole(b.ask("root"))
+		b.requireComplete(b.serve("root"))
 	}
-	is.Equal(len(b.seen.by("root")), 0)
+	is.Equal(len(b.attempts.by("root")), 0)
 	is.Equal(root.canary.Decide(canary.Request{Service: "s0"}), canary.Decision{})
 	is.Equal(root.canary.Decide(canary.Request{Service: "s0"}).First, canary.Target)
 }
 
 // Once requests are switched to a version, placement follows its leafs.
-func TestPlacementFollowsTheVersionFoundGood(t *testing.T) {
+func TestPlacementFollowsVersionDuringSwitch(t *testing.T) {
 	is := is.New(t)
 	b := newCanaryTree(t, "far")
 	node := b.nodes["far"]
 	placed := newPlacement(node.catalog, zoneFar, nil)
 	entry := node.catalog.View().Routes.Match("h", "/pages/1")
-	is.True(!slices.Contains(placed.of(entry)[0].shards, 0))
+	is.True(!slices.Contains(placed.groupsOf(entry)[0].shards, 0))
 	for _, id := range []string{"s0c", "s0d"} {
 		put(t, node.catalog, catalog.LeafKey(id), versionedLeaf(id, "v2", zoneFar))
 	}
-	is.True(!slices.Contains(placed.of(entry)[0].shards, 0))
+	is.True(!slices.Contains(placed.groupsOf(entry)[0].shards, 0))
 	specID := node.catalog.View().Rollouts["s0"].Spec.Revision
 	put(t, node.catalog, catalog.RolloutStateKey("s0"), rollout.State{Service: "s0", SpecRevision: specID, Phase: rollout.Switching, Serving: "v1", Target: "v2"})
-	is.True(slices.Contains(placed.of(entry)[0].shards, 0))
+	is.True(slices.Contains(placed.groupsOf(entry)[0].shards, 0))
 }
 
-// Draws go only to regions that the route allows and to zones that are not evacuated.
-func TestDrawsKeepToRegionsAndEvacuations(t *testing.T) {
+// Canary decisions select only leafs in regions that the route allows and in zones that are not evacuated.
+func TestCanaryDecisionsRespectRegionsAndEvacuations(t *testing.T) {
 	withCanary(t, allToCanary(), func(is *is.I, b *canaryGateway) {
 		b.regions = map[string]string{zoneNear: regionWest, zoneFar: regionWest, zoneFarther: regionSouth}
 		for id, zone := range map[string]string{"s0a": zoneNear, "s0c": zoneFarther, "s0d": zoneFar} {
--- a/internal/request/gateway/candidates.go
+++ b/internal/request/gateway/candidates.go
@@ -10,27 +10,27 @@
 	"github.com/portgauge/portgauge/internal/rollout/canary"
 )
 
-// leafTarget is a leaf that may be asked, with how to connect to it.
+// leafTarget is a leaf that may be queried, and how to connect to it.
 type leafTarget struct {
 	leafhttp.Target
 	leaf *leafset.Leaf
 }
 
-// candidates returns the leafs of a shard that may be asked now without a canary decision, and sets the shard's targets.
-// Package balancer chooses among them.
+// candidates returns the leafs of a shard that may be queried now without a canary decision, and sets the shard's
+// targets. Package balancer chooses among them.
 func (e *execution) candidates(shard int) []balancer.Candidate {
 	return e.candidatesOf(shard, e.gateway.retryVersions(e.services[shard]))
 }
 
-// candidatesOf returns the leafs of a shard that may be asked now, and sets the shard's targets. A leaf may be asked
-// if all of these are true:
+// candidatesOf returns the leafs of a shard that may be queried now, and sets the shard's targets. A leaf may be
+// queried if all of these are true:
 //
-//   - it is of one of the versions;
-//   - discovery lists it as ready, or lost all leafs of its version a moment ago (leafmemory);
+//   - it runs one of the versions;
+//   - discovery lists it as ready, or recently lost all leafs of its version (leafmemory);
 //   - this node has a share of its connections, or may open an extra one (connshare);
-//   - if it is cold, this node's share of its request rate has room (warmup);
+//   - if it is cold, this node's share of its request rate is not used up (warmup);
 //   - its zone is reachable;
-//   - its region is one that the route allows.
+//   - the route allows its region.
 func (e *execution) candidatesOf(shard int, versions canary.Versions) []balancer.Candidate {
 	service := e.services[shard]
 	queried := queriedService{name: service, isGathered: e.isGathered(), maximumConnections: e.request.service(service).MaximumConnections}
@@ -41,12 +41,12 @@
 	return slices.DeleteFunc(candidates, func(candidate balancer.Candidate) bool { return !e.allowsZone(candidate.Zone) })
 }
 
-// allowsZone reports whether the route allows leafs of a zone to run the request.
+// allowsZone reports whether the route allows leafs in a zone to run the request.
 func (e *execution) allowsZone(zone string) bool {
 	return len(e.request.route.Regions) == 0 || e.request.route.AllowsRegion(e.gateway.regions[zone])
 }
 
-// queriedService is a service whose leafs are asked.
+// queriedService is a service whose leafs are queried.
 type queriedService struct {
 	name string
 	// isGathered selects the share of connections for gathered requests.
@@ -55,7 +55,7 @@
 	maximumConnections int
 }
 
-// usableLeafs returns the leafs of a service that this node may ask, by version, connections and warm-up, and sets
+// usableLeafs returns the leafs of a service that this node may query, by version, connections and warm-up, and sets
 // targets to how to connect to them.
 func (g *Gateway) usableLeafs(service queriedService, versions canary.Versions, targets *[]leafTarget) []balancer.Candidate {
 	*targets = nil
@@ -69,7 +69,8 @@
 	return candidates
 }
 
-// appendUsable appends the leafs of one version that this node may ask to candidates, and how to connect to them to targets.
+// appendUsable appends the leafs of one version that this node may query to candidates, and how to connect to them to
+// targets.
 func (g *Gateway) appendUsable(candidates []balancer.Candidate, service queriedService, leafs []*leafset.Leaf, targets *[]leafTarget) []balancer.Candidate {
 	allotted := g.allocator.Allot(service.name, service.isGathered, leafs, service.maximumConnections)
 	candidates = slices.Grow(candidates, len(allotted))
@@ -100,8 +101,8 @@
 	return leafs
 }
 
-// canaryLeafs returns the leafs of a service's canary version. Once all requests go to that version, recently lost
-// ones are included if there are no others.
+// canaryLeafs returns the leafs of a service's canary version. Once all requests go to that version, it includes
+// recently lost leafs if there are no others.
 func (g *Gateway) canaryLeafs(service string, versions canary.Versions) []*leafset.Leaf {
 	if versions == canary.Target {
 		return g.memory.Canaries(service)
@@ -109,7 +110,7 @@
 	return g.catalog.View().Leafs.Canaries(service)
 }
 
-// target returns the leaf of an attempt, with how to connect to it.
+// target returns the leaf of an attempt, and how to connect to it.
 func (e *execution) target(attempt scatter.Attempt) leafTarget {
 	for _, target := range e.targets[attempt.Shard] {
 		if target.LeafID == attempt.Leaf.ID {
--- a/internal/request/gateway/candidates_test.go
+++ b/internal/request/gateway/candidates_test.go
@@ -18,9 +18,9 @@
 	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
-// Later attempts use the leafs as they are by then: a leaf that drains, or whose zone was evacuated, is not asked, and a
-// new one is.
-func TestLaterAttemptsGoByTheLeafsOfTheirMoment(t *testing.T) {
+// Later attempts use the leafs listed when they start: a draining leaf or one in an evacuated zone is not queried, a
+// new leaf is.
+func TestLaterAttemptsUseCurrentLeafs(t *testing.T) {
 	changes := map[string]func(t *testing.T, g *Gateway){
 		"drained": func(t *testing.T, g *Gateway) {
 			for _, id := range []string{"s0a", "s0b"} {
@@ -39,7 +39,7 @@
 					if changed.Load() {
 						return time.Millisecond, answered(200, leaf), nil
 					}
-					return 100 * time.Millisecond, nil, &leafhttp.NeverSentError{Cause: errors.New("the leaf can't be reached")}
+					return 100 * time.Millisecond, nil, &leafhttp.NeverSentError{Cause: errors.New("the leaf cannot be reached")}
 				}
 				g, _ := newGateway(t, leafs)
 				go func() {
@@ -59,14 +59,14 @@
 }
 
 // Requests beyond the rate of a cold leaf go to another leaf.
-func TestColdLeafsSiblingTakesTheRest(t *testing.T) {
+func TestRequestsBeyondColdRateGoToAnotherLeaf(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		leafs := &scriptedLeafs{answer: func(leaf string) (time.Duration, *leafhttp.Response, error) {
 			return time.Millisecond, answered(200, leaf), nil
 		}}
 		g, _ := newGateway(t, leafs)
-		g.warmup = warmup.New(warmup.DefaultConfig(), g.catalog, coldFleet{}, catalog.NodeRecord{ID: "n"})
+		g.warmup = warmup.New(warmup.DefaultConfig(), g.catalog, registeredFleet{}, catalog.NodeRecord{ID: "n"})
 		put(t, g.catalog, catalog.LeafKey("s0a"), leafset.Record{
 			Name: "s0a", Service: "s0", Address: "127.0.0.1:1", State: leafset.Ready, WarmupMillis: 60_000,
 		})
--- a/internal/request/gateway/config.go
+++ b/internal/request/gateway/config.go
@@ -8,47 +8,46 @@
 
 // Config configures how requests are served.
 type Config struct {
-	// HedgeFactor is how many median latencies a hedge waits while the retry budget is full; with
-	// less of it left the wait grows.
+	// HedgeFactor is how many median latencies a hedge waits while the retry budget is full. The wait grows as the
+	// budget is used up.
 	HedgeFactor float64 `yaml:"hedge_factor"`
-	// HedgeShare is the part of the time left for the objective that a hedge waits at least, unless it
-	// would then be too late to answer in time: an answer is worth the same at any time before the
-	// objective, so that an early hedge only costs load.
+	// HedgeShare is the fraction of the time left until the objective that a hedge waits at least, unless it would then
+	// be too late to answer in time. An answer is worth the same at any time before the objective, so an earlier hedge
+	// would only add load.
 	HedgeShare float64 `yaml:"hedge_share"`
-	// LatencyWindow is how long a latency counts.
+	// LatencyWindow is the period over which latencies are measured.
 	LatencyWindow time.Duration `yaml:"latency_window"`
-	// HedgeReserve is the part of the retry budget that hedges leave for retries.
+	// HedgeReserve is the fraction of the retry budget that hedges leave for retries.
 	HedgeReserve float64 `yaml:"hedge_reserve"`
 	// ReplicaWait is the pause before a shard without a usable leaf is tried again.
 	ReplicaWait time.Duration `yaml:"replica_wait"`
-	// AnswerReserve is kept back from a caller's deadline for sending the answer.
+	// AnswerReserve is subtracted from a caller's deadline to leave time for sending the answer.
 	AnswerReserve time.Duration `yaml:"answer_reserve"`
-	// ObjectiveReserve is kept back from the objective, besides the round trip to the caller,
-	// for making and sending the answer.
+	// ObjectiveReserve is subtracted from the objective, in addition to the round trip to the caller, to leave time for
+	// merging and sending the answer.
 	ObjectiveReserve time.Duration `yaml:"objective_reserve"`
-	// MaximumRefusals is how many attempts of a shard may be refused by leafs that did not run them,
-	// beyond the attempts that its route allows.
+	// MaximumRefusals is how many attempts per shard may be refused by leafs that did not run them, in addition to the
+	// attempts that the route allows.
 	MaximumRefusals int `yaml:"maximum_refusals"`
-	// RetryAfter is the Retry-After of requests that every leaf refused or that no leaf received.
+	// RetryAfter is the Retry-After of requests that every leaf refused or that reached no leaf.
 	RetryAfter time.Duration `yaml:"retry_after"`
-	// OverloadRetryAfter is the mean Retry-After of requests that are refused since most shards
-	// have too many requests queued.
+	// OverloadRetryAfter is the mean Retry-After of requests that are refused because most shards have too many
+	// requests queued.
 	OverloadRetryAfter time.Duration `yaml:"overload_retry_after"`
-	// ServingTree lets another node gather for this one, if it is in a zone with the leafs
-	// or has far more processors.
+	// ServingTree lets another node gather shards for this one if it is in the same zone as their leafs or has far more
+	// processors.
 	ServingTree bool `yaml:"serving_tree"`
-	// CallerHeader names the header by which callers identify themselves, so that a request that crashed
-	// leafs does not count against another caller's of the same path and body; empty means that callers
-	// are not distinguished.
+	// CallerHeader names the header that identifies the caller. A request that crashed leafs then does not count
+	// against other callers' requests with the same path and body. If it is empty, callers are not distinguished.
 	CallerHeader string `yaml:"caller_header"`
-	// FingerprintQuery includes the query in the fingerprint of a request. Otherwise requests of the
-	// same path and body are taken for one request that is sent again.
+	// FingerprintQuery includes the query in the fingerprint of a request. Otherwise requests with the same path and
+	// body are treated as the same request sent again.
 	FingerprintQuery bool `yaml:"fingerprint_query"`
-	// MaximumGathered bounds the groups that this node gathers for others at once.
+	// MaximumGathered bounds the groups that this node gathers for other nodes at a time.
 	MaximumGathered int64 `yaml:"maximum_gathered"`
 }
 
-// DefaultConfig returns a configuration for objectives of tens of milliseconds and more.
+// DefaultConfig returns a configuration for objectives of tens of milliseconds or more.
 func DefaultConfig() Config {
 	return Config{
 		HedgeFactor:        1.6,
--- a/internal/request/gateway/crash.go
+++ b/internal/request/gateway/crash.go
@@ -13,33 +13,33 @@
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
-// LeafLossRecord is an attempt whose answer broke off, and whether the leaf's process has ended.
+// LeafLossRecord is an attempt whose answer was cut off, and whether the leaf's process has ended.
 type LeafLossRecord struct {
 	RequestID string
 	// Content is the fingerprint of the request.
 	Content fingerprint.Fingerprint
 	Service string
 	Leaf    string
-	// Probe numbers the attempts that were sent alone; 0 for others.
+	// Probe is the number of the probe, from 1; 0 for other attempts.
 	Probe int
-	// Ended reports whether the leaf's process has ended, rather than a connection to it.
+	// Ended reports whether the leaf's process has ended, and not just a connection to it.
 	Ended bool
-	// Announced reports whether the leaf had announced that it leaves, or was no longer listed.
+	// Announced reports whether the leaf had announced its drain, or was no longer listed.
 	Announced bool
 }
 
 // isEvidence reports whether the request may have crashed the leaf.
 func (l LeafLossRecord) isEvidence() bool { return l.Ended && !l.Announced }
 
-// attemptEnd is how an attempt ended.
+// attemptEnd is the end of an attempt.
 type attemptEnd struct {
-	response *leafhttp.Response // nil if err is not
+	response *leafhttp.Response // nil if err is set
 	result   attemptResult
 	err      error
 }
 
 // isCompleted reports whether the leaf ran the request to its end and survived. A leaf that stopped at its deadline
-// shows nothing: with more time the request might have crashed it.
+// shows nothing: with more time, the request might have crashed it.
 func (e attemptEnd) isCompleted() bool {
 	return e.result.Execution == scatter.Ran && e.response != nil && e.response.Status != http.StatusGatewayTimeout
 }
@@ -48,25 +48,25 @@
 
 func (e attemptEnd) isRefused() bool { return e.result.Reason == reasonRefusedConnection }
 
-// isAbandoned reports whether nobody waits for the answer any more.
+// isAbandoned reports whether the attempt was cancelled because its answer is no longer needed.
 func (e attemptEnd) isAbandoned() bool { return e.result.Outcome == balancer.Abandoned }
 
-// mayBeLoss reports whether the leaf's process may have ended. It may also end after the request was given up, which
-// counts if the leaf's side closed the connection.
-func (e attemptEnd) mayBeLoss() bool {
+// leafMayHaveEnded reports whether the leaf's process may have ended. This includes attempts that were abandoned, if
+// the leaf's side closed the connection.
+func (e attemptEnd) leafMayHaveEnded() bool {
 	if !e.isBroken() && !e.isRefused() {
 		return false
 	}
 	return !e.isAbandoned() || leafhttp.IsBrokenByLeaf(e.err)
 }
 
-// finishAttempt calls done with the result of an attempt, after it has reported what the end shows of the request. If
-// the leaf may have crashed, its process is checked. Done waits for the check, a round trip or two, if the next attempt
-// depends on it: after a probe, and after a connection broke before its first answer, which looks the same if the leaf
-// crashed and if it refused one connection too many.
+// finishAttempt reports what the end of an attempt shows about the request, and calls done with its result. If the leaf
+// may have crashed, its process is checked, which takes one or two round trips. done waits for the check only if the
+// next attempt depends on it: after a probe, and after a connection broke before its first answer, which may mean
+// either that the leaf crashed or that it refused the connection.
 func (e *execution) finishAttempt(attempt scatter.Attempt, target leafTarget, probe int, end attemptEnd, done func(attemptResult)) {
-	e.observePresence(attempt.Leaf.ID, end)
-	if !end.mayBeLoss() {
+	e.observeForQuarantine(attempt.Leaf.ID, end)
+	if !end.leafMayHaveEnded() {
 		done(end.result)
 		return
 	}
@@ -89,8 +89,8 @@
 	})
 }
 
-// observePresence reports that a leaf survived the request, or was gone before it.
-func (e *execution) observePresence(leafID string, end attemptEnd) {
+// observeForQuarantine reports that a leaf survived the request, or was gone before it.
+func (e *execution) observeForQuarantine(leafID string, end attemptEnd) {
 	if e.tracked == nil {
 		return
 	}
@@ -114,7 +114,8 @@
 	})
 }
 
-// recordLoss reports a leaf whose answer broke off, as evidence against the request if its process ended unannounced.
+// recordLoss reports a leaf whose answer was cut off, as evidence against the request if the leaf's process ended
+// without an announcement.
 func (e *execution) recordLoss(lost LeafLossRecord) {
 	e.gateway.events.LeafLost(lost)
 	if e.tracked == nil || !lost.isEvidence() {
@@ -126,7 +127,7 @@
 	e.tracked.LeafCrashed(lost.Leaf, lost.Probe)
 }
 
-// afterCheck returns the result of an attempt once its leaf was checked. A connection that seemed refused may have
+// afterCheck returns the result of an attempt after its leaf was checked. A connection that seemed refused may have
 // carried the request to a leaf that crashed.
 func afterCheck(result attemptResult, lost LeafLossRecord) attemptResult {
 	result.LeafCrashed = lost.isEvidence()
@@ -145,8 +146,8 @@
 // processCheckWait bounds how long the failure of a group waits for the checks of its leafs.
 const processCheckWait = 200 * time.Millisecond
 
-// crashedLeafNames waits for the checks and returns the leafs that crashed during the request.
-func (e *execution) crashedLeafNames() []string {
+// crashedLeafIDs waits for the checks and returns the leafs that crashed during the request.
+func (e *execution) crashedLeafIDs() []string {
 	e.mu.Lock()
 	checks := slices.Clone(e.processChecks)
 	e.mu.Unlock()
@@ -163,7 +164,7 @@
 	return slices.Clone(e.crashedLeafs)
 }
 
-// reportCrashed reports the leafs that crashed at another node, which gathered a group.
+// reportCrashed reports the leafs that crashed while another node gathered a group.
 func (e *execution) reportCrashed(leafs []string) {
 	if e.tracked == nil {
 		return
--- a/internal/request/gateway/crash_test.go
+++ b/internal/request/gateway/crash_test.go
@@ -1,8 +1,7 @@
 package gateway
 
-// A crashing request came to a node, went to one leaf of each shard, then to the other leaf of each shard, and failed; its
-// caller sent it again to another node, which knew nothing of it. So it took all leafs of the gathered routes away from
-// all other requests, again each time that they had restarted.
+// Without a quarantine, a crashing request goes to every leaf of each shard, and again whenever its caller sends it to
+// another node. It crashes the leafs that all other requests need each time they have restarted.
 
 import (
 	"errors"
@@ -25,10 +24,10 @@
 	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 )
 
-// crashAfter is how long a leaf runs a crashing request until it crashes.
+// crashAfter is how long a leaf runs a crashing request before it crashes.
 const crashAfter = 5 * time.Millisecond
 
-// noListener ignores what the register finds.
+// noListener ignores the register's events.
 type noListener struct{}
 
 func (noListener) Suspected(quarantine.Subject)       {}
@@ -45,12 +44,12 @@
 	return register
 }
 
-// crashingLeafs crash when they run a request, and are found gone when their process is checked.
+// crashingLeafs crash when they run a request; checks of their processes then report that they have ended.
 type crashingLeafs struct {
 	scriptedLeafs
 	mu    sync.Mutex
 	ended map[string]bool
-	// survives reports whether a leaf answers instead.
+	// survives reports whether a leaf answers instead of crashing.
 	survives func(leaf string) bool
 }
 
@@ -71,39 +70,38 @@
 	return f
 }
 
-func (f *crashingLeafs) Check(target leafhttp.Target, _ bool, tell leafhttp.OnChecked) {
+func (f *crashingLeafs) Check(target leafhttp.Target, _ bool, done leafhttp.OnChecked) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	ended := f.ended[target.LeafID]
-	time.AfterFunc(time.Millisecond, func() { tell(ended) })
+	time.AfterFunc(time.Millisecond, func() { done(ended) })
 }
 
-// count returns how many leafs have crashed.
-func (f *crashingLeafs) count() int {
+// crashedCount returns how many leafs have crashed.
+func (f *crashingLeafs) crashedCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.ended)
 }
 
-// newGuardedGateway returns a gateway with a quarantine register.
-func newGuardedGateway(t *testing.T, leafs LeafCaller, register *quarantine.Register) *Gateway {
+func newQuarantineGateway(t *testing.T, leafs LeafCaller, register *quarantine.Register) *Gateway {
 	g, _ := newGateway(t, leafs)
 	g.quarantine = register
 	return g
 }
 
-// A crashing gathered request costs one leaf of each shard and one more. When it is sent again it is refused at once.
-func TestGatheredRequestThatEndsLeafs(t *testing.T) {
+// A crashing gathered request crashes one leaf of each shard and one more. Sent again, it is refused at once.
+func TestCrashingGatheredRequestIsQuarantined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		leafs := newCrashingLeafs()
-		g := newGuardedGateway(t, leafs, newRegister())
+		g := newQuarantineGateway(t, leafs, newRegister())
 		began := time.Now()
 		_, err := g.Serve(t.Context(), newRequest("/pages/1"))
 		is.True(failure.Is(err, failure.Quarantined))
 		is.Equal(failure.From(err).Execution, failure.Unknown) // it ran
 		is.Equal(failure.From(err).RetryAfter, time.Duration(0))
-		is.Equal(leafs.count(), shardCount+1)
+		is.Equal(leafs.crashedCount(), shardCount+1)
 		is.True(time.Since(began) <= 2*crashAfter+2*time.Millisecond)
 		began = time.Now()
 		_, err = g.Serve(t.Context(), newRequest("/pages/1"))
@@ -111,22 +109,22 @@
 		is.Equal(failure.From(err).Execution, failure.NotRun)
 		is.True(failure.From(err).RetryAfter > time.Minute)
 		is.Equal(time.Since(began), time.Duration(0))
-		is.Equal(leafs.count(), shardCount+1)
+		is.Equal(leafs.crashedCount(), shardCount+1)
 		synctest.Wait()
 	})
 }
 
-// A crashing single request that is sent again and again costs three leafs, whether it may run more than once or not.
-func TestSingleRequestThatEndsLeafs(t *testing.T) {
+// A crashing single request that is sent repeatedly crashes three leafs, whether it is repeatable or runs at most once.
+func TestCrashingSingleRequestIsQuarantined(t *testing.T) {
 	for _, path := range []string{"/single/1", "/once/1"} {
 		t.Run(strings.Trim(path, "/1"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				leafs := newCrashingLeafs()
 				register := newRegister()
-				// Leafs that crashed come back with another id: each time the request finds two new ones.
+				// Crashed leafs return with another ID: the request finds two new ones each time.
 				for number := range 5 {
-					g := newGuardedGateway(t, leafs, register)
+					g := newQuarantineGateway(t, leafs, register)
 					for index, id := range []string{"a", "b"} {
 						name := id + strings.Repeat("'", number)
 						put(t, g.catalog, catalog.LeafKey("s0"+[]string{"a", "b"}[index]), nil)
@@ -135,22 +133,22 @@
 					_, err := g.Serve(t.Context(), newRequest(path))
 					is.True(err != nil)
 					synctest.Wait()
-					time.Sleep(2 * time.Millisecond) // until the leaf was checked
+					time.Sleep(2 * time.Millisecond) // until the check of the leaf has ended
 				}
-				is.Equal(leafs.count(), quarantine.DefaultConfig().CrashedLeafs)
+				is.Equal(leafs.crashedCount(), quarantine.DefaultConfig().CrashedLeafs)
 			})
 		})
 	}
 }
 
-// Other requests are not affected, nor are those of another caller for the same path if callers identify themselves. The
-// request of the same caller is recognised from any address and with any query, unless FingerprintQuery is set.
-func TestOnlyThatRequestOfThatCallerIsRefused(t *testing.T) {
+// Other requests are not affected, nor are requests of other callers with the same path if callers identify themselves.
+// The request is recognized from any address and with any query, unless FingerprintQuery is set.
+func TestQuarantineCoversOneRequestOfOneCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		leafs := newCrashingLeafs()
-		g := newGuardedGateway(t, leafs, newRegister())
-		g.config.CallerHeader = "Desk"
+		g := newQuarantineGateway(t, leafs, newRegister())
+		g.cfg.CallerHeader = "Desk"
 		by := func(caller, path string) *Request {
 			request := newRequest(path)
 			request.Leaf.Header = http.Header{"Desk": {caller}}
@@ -167,35 +165,35 @@
 		again.Leaf.Target, again.Caller = "/pages/1?page=2", "192.0.2.2"
 		_, err = g.Serve(t.Context(), again)
 		is.True(failure.Is(err, failure.Quarantined))
-		g.config.FingerprintQuery = true
+		g.cfg.FingerprintQuery = true
 		_, err = g.Serve(t.Context(), again)
 		is.NoErr(err)
 	})
 }
 
-// During a quarantine alert, a new crashing request costs one leaf each time that it is sent, instead of one of each shard.
-func TestTheNextRequestThatEndsLeafsCostsThree(t *testing.T) {
+// During a quarantine alert, a new crashing request crashes one leaf per send, instead of one leaf of each shard.
+func TestCrashingRequestDuringAlertCrashesThreeLeafs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		leafs := newCrashingLeafs()
 		register := newRegister()
 		register.AddRecord(quarantine.Record{Subject: quarantine.Subject{Content: DefaultConfig().fingerprintOf(newRequest("/pages/0"))}})
-		g := newGuardedGateway(t, leafs, register)
+		g := newQuarantineGateway(t, leafs, register)
 		for count := 1; count <= quarantine.DefaultConfig().CrashedLeafs; count++ {
 			_, err := g.Serve(t.Context(), newRequest("/pages/1"))
 			is.True(err != nil)
-			is.Equal(leafs.count(), count)
+			is.Equal(leafs.crashedCount(), count)
 		}
 		_, err := g.Serve(t.Context(), newRequest("/pages/1"))
 		is.True(failure.Is(err, failure.Quarantined))
-		is.Equal(leafs.count(), quarantine.DefaultConfig().CrashedLeafs)
+		is.Equal(leafs.crashedCount(), quarantine.DefaultConfig().CrashedLeafs)
 
 		leafs.survives = func(string) bool { return true }
 		began := time.Now()
 		answer, err := g.Serve(t.Context(), newRequest("/pages/2"))
 		is.NoErr(err)
 		is.Equal(answer.Missing, 0)
-		is.Equal(time.Since(began), 2*crashAfter) // the other shards were asked after the first answer
+		is.Equal(time.Since(began), 2*crashAfter) // the other shards are queried after the first answer
 		time.Sleep(quarantine.DefaultConfig().Alert)
 		began = time.Now()
 		_, err = g.Serve(t.Context(), newRequest("/pages/3"))
@@ -204,8 +202,8 @@
 	})
 }
 
-// A first attempt at a slow leaf delays the others only for a short time.
-func TestSlowFirstAttemptHoldsNothingUpForLong(t *testing.T) {
+// A first attempt at a slow leaf delays the other shards only briefly.
+func TestSlowFirstAttemptDelaysOthersBriefly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		slow := &scriptedLeafs{answer: func(leaf string) (time.Duration, *leafhttp.Response, error) {
@@ -216,21 +214,21 @@
 		}}
 		register := newRegister()
 		register.AddRecord(quarantine.Record{Subject: quarantine.Subject{Content: DefaultConfig().fingerprintOf(newRequest("/pages/0"))}})
-		g := newGuardedGateway(t, slow, register)
+		g := newQuarantineGateway(t, slow, register)
 		answer, err := g.Serve(t.Context(), newRequest("/pages/1"))
 		is.NoErr(err)
 		is.Equal(answer.Missing, 1)
 	})
 }
 
-// A request that runs while leafs crash by another one is answered completely: missing parts are asked for again at once.
-func TestNeighbourIsServed(t *testing.T) {
+// A request that runs while another one crashes leafs is answered completely: missing parts are retried at once.
+func TestOtherRequestsAreServedDuringCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		leafs := newCrashingLeafs()
 		leafs.survives = func(leaf string) bool { return !strings.HasPrefix(leaf, "s1") || strings.HasSuffix(leaf, "b") }
 		register := newRegister()
-		g := newGuardedGateway(t, leafs, register)
+		g := newQuarantineGateway(t, leafs, register)
 		for range 20 {
 			answer, err := g.Serve(t.Context(), newRequest("/pages/1"))
 			is.NoErr(err)
@@ -241,15 +239,15 @@
 	})
 }
 
-// A leaf that stopped at its deadline has not run the request to its end: it does not clear the request.
-func TestOnlyACompletedRunTakesEvidenceBack(t *testing.T) {
+// A leaf that stopped at its deadline has not completed the request, which does not clear it.
+func TestOnlyCompletedRunClearsRequest(t *testing.T) {
 	for status, want := range map[int]quarantine.State{504: quarantine.Suspect, 500: quarantine.Clear, 200: quarantine.Clear} {
 		t.Run(strconv.Itoa(status), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				leafs := newCrashingLeafs()
 				register := newRegister()
-				g := newGuardedGateway(t, leafs, register)
+				g := newQuarantineGateway(t, leafs, register)
 				_, err := g.Serve(t.Context(), newRequest("/once/1"))
 				is.True(err != nil)
 				time.Sleep(2 * time.Millisecond)
@@ -257,20 +255,20 @@
 					return crashAfter, answered(status, records(leaf)), nil
 				}
 				_, err = g.Serve(t.Context(), newRequest("/once/1"))
-				is.NoErr(err) // the leaf's answer is passed on
+				is.NoErr(err) // the leaf's answer, also a failure, is passed on
 				is.Equal(register.State(DefaultConfig().fingerprintOf(newRequest("/once/1"))), want)
 			})
 		})
 	}
 }
 
-// The end of a leaf that had announced that it leaves is no evidence.
-func TestAnnouncedEndIsNoEvidence(t *testing.T) {
+// The exit of a leaf that had announced its drain is not evidence.
+func TestAnnouncedExitIsNotEvidence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		leafs := newCrashingLeafs()
 		register := newRegister()
-		g := newGuardedGateway(t, leafs, register)
+		g := newQuarantineGateway(t, leafs, register)
 		time.AfterFunc(crashAfter/2, func() {
 			for _, id := range []string{"s0a", "s0b"} {
 				put(t, g.catalog, catalog.LeafKey(id), leafset.Record{Name: id, Service: "s0", Address: "127.0.0.1:1", State: leafset.Draining})
@@ -283,8 +281,8 @@
 	})
 }
 
-// A connection that breaks before its first answer may have been refused: the check of the leaf's process decides.
-func TestEndOnANewConnection(t *testing.T) {
+// A connection that breaks before its first answer may have been refused; the check of the leaf's process decides.
+func TestProcessCheckAfterBreakOnNewConnection(t *testing.T) {
 	for name, ended := range map[string]bool{"ended": true, "refused": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -296,17 +294,17 @@
 					leafs.ended[leaf] = ended
 					return crashAfter, nil, &leafhttp.RefusedConnectionError{Cause: errors.New("reset")}
 				}
-				g := newGuardedGateway(t, leafs, newRegister())
+				g := newQuarantineGateway(t, leafs, newRegister())
 				_, err := g.Serve(t.Context(), newRequest("/pages/1"))
 				is.Equal(failure.Is(err, failure.Quarantined), ended)
-				is.Equal(leafs.count() <= shardCount+1, ended) // refused attempts are retried
+				is.Equal(leafs.crashedCount() <= shardCount+1, ended) // refused attempts are retried
 			})
 		})
 	}
 }
 
-// A group is not probed by its intermediate: over all nodes one leaf of each shard crashes, and one more.
-func TestPartsThatEndLeafsAreProbedByTheRootAlone(t *testing.T) {
+// An intermediate does not probe its group: all nodes together crash one leaf of each shard, and one more.
+func TestOnlyRootProbesCrashingRequest(t *testing.T) {
 	is := is.New(t)
 	b := newTree(t, near("root"), far("there"))
 	ended := &crashedLeafSet{}
@@ -315,18 +313,18 @@
 		node.gateway.leafs = &crashingTreeLeafs{treeLeafs: node.leafs, ended: ended}
 		node.leafs.setAnswer(ended.run)
 	}
-	_, err := b.ask("root")
+	_, err := b.serve("root")
 	is.True(failure.Is(err, failure.Quarantined))
-	is.Equal(len(b.seen.by("root"))+len(b.seen.by("there")), shardCount+1)
-	is.Equal(len(b.seen.by("there")), shardCount-nearShards)
-	before := len(b.seen.by("root")) + len(b.seen.by("there"))
-	_, err = b.ask("root")
+	is.Equal(len(b.attempts.by("root"))+len(b.attempts.by("there")), shardCount+1)
+	is.Equal(len(b.attempts.by("there")), shardCount-nearShards)
+	before := len(b.attempts.by("root")) + len(b.attempts.by("there"))
+	_, err = b.serve("root")
 	is.True(failure.Is(err, failure.Quarantined))
-	is.Equal(len(b.seen.by("root"))+len(b.seen.by("there")), before)
+	is.Equal(len(b.attempts.by("root"))+len(b.attempts.by("there")), before)
 }
 
 // A root learns of a quarantine from the reply of an intermediate.
-func TestRootLearnsFromItsIntermediate(t *testing.T) {
+func TestRootLearnsQuarantineFromIntermediate(t *testing.T) {
 	is := is.New(t)
 	b := newTree(t, near("root"), far("there"))
 	ended := &crashedLeafSet{}
@@ -336,12 +334,12 @@
 	}
 	b.nodes["there"].gateway.quarantine.AddRecord(quarantine.Record{Subject: quarantine.Subject{Content: DefaultConfig().fingerprintOf(newRequest("/pages/1"))}})
 	b.nodes["root"].leafs.setAnswer(func(string) (time.Duration, *leafhttp.Response, error) { return time.Hour, nil, nil })
-	_, err := b.ask("root")
+	_, err := b.serve("root")
 	is.True(failure.Is(err, failure.Quarantined))
-	is.Equal(len(b.seen.by("there")), 0)
+	is.Equal(len(b.attempts.by("there")), 0)
 }
 
-// crashedLeafSet are leafs of a tree that crash when they run a request of any node.
+// crashedLeafSet contains the leafs of a tree that have crashed because they ran a request of any node.
 type crashedLeafSet struct {
 	mu    sync.Mutex
 	ended map[string]bool
@@ -363,13 +361,13 @@
 	return e.ended[leaf]
 }
 
-// crashingTreeLeafs is a LeafCaller that finds leafs of a tree gone once they have crashed.
+// crashingTreeLeafs is a LeafCaller whose process checks report the crashed leafs of a tree as ended.
 type crashingTreeLeafs struct {
 	*treeLeafs
 	ended *crashedLeafSet
 }
 
-func (l *crashingTreeLeafs) Check(target leafhttp.Target, _ bool, tell leafhttp.OnChecked) {
+func (l *crashingTreeLeafs) Check(target leafhttp.Target, _ bool, done leafhttp.OnChecked) {
 	ended := l.ended.has(target.LeafID)
-	time.AfterFunc(time.Millisecond, func() { tell(ended) })
+	time.AfterFunc(time.Millisecond, func() { done(ended) })
 }
--- a/internal/request/gateway/deadlines.go
+++ b/internal/request/gateway/deadlines.go
@@ -7,36 +7,38 @@
 	"github.com/portgauge/portgauge/internal/request/servingtree"
 )
 
-// A request has two times. At its objective a gathered answer is sent if it has enough parts; without enough parts,
-// and for single requests, the leafs are awaited until the deadline, when the request is given up. Both are set once,
-// here; only a suspension of the machine moves the deadline (suspension.go).
+// A request has two times. At its objective a gathered answer is sent if it has enough parts. Without enough parts, and
+// for single requests, the leafs have until the deadline, when the request times out. Both are set here, once; only a
+// suspension of the machine moves the deadline (suspension.go).
 
-// roundTripObjectiveDivisor bounds what is taken off the objective for the round trip to the caller: half of it.
+// roundTripObjectiveDivisor bounds the time subtracted from the objective for the round trip to the caller: half of it.
 const roundTripObjectiveDivisor = 2
 
-// callerReserveDivisor bounds what is taken off the caller's timeout for sending the answer: a quarter of it.
+// callerReserveDivisor bounds the time subtracted from the caller's timeout for sending the answer: a quarter of it.
 const callerReserveDivisor = 4
 
 // setTimes sets the times of a caller's request.
 //
-// The deadline is the route's timeout after the arrival, or the caller's timeout less AnswerReserve and the round trip
-// if that is sooner. The objective is the route's, less what the caller has spent and will spend on the network; a
-// partial answer is sent earlier by this node's lag, so that it is made by the objective.
+// The deadline is the route's timeout after the arrival, or, if that is earlier, the caller's timeout less
+// AnswerReserve and the round trip. The objective is the route's, less the time that the caller has already spent and
+// the time on the network. A partial answer is sent earlier by this node's lag, so that it is complete by the
+// objective.
 func (g *Gateway) setTimes(r *routedRequest) {
 	r.deadline = r.Arrived.Add(r.route.Timeout)
-	r.objective = r.Arrived.Add(r.route.Objective - g.timeElsewhere(r.Request, r.route))
+	r.objective = r.Arrived.Add(r.route.Objective - g.callerOverhead(r.Request, r.route))
 	r.answerBy = r.objective.Add(-g.lag.expected(r.route.Objective))
-	r.lateAfter = r.objective.Add(g.config.ObjectiveReserve)
+	r.lateAfter = r.objective.Add(g.cfg.ObjectiveReserve)
 	if r.CallerTimeout <= 0 {
 		return
 	}
-	reserve := min(g.config.AnswerReserve+r.RoundTrip, r.CallerTimeout/callerReserveDivisor)
+	reserve := min(g.cfg.AnswerReserve+r.RoundTrip, r.CallerTimeout/callerReserveDivisor)
 	if callerDeadline := r.Arrived.Add(r.CallerTimeout - reserve); callerDeadline.Before(r.deadline) {
 		r.deadline = callerDeadline
 	}
 }
 
-// setGroupTimes sets the times of a group of shards that another node asks for: the time that is left by that node's message.
+// setGroupTimes sets the times of a group of shards for another node: the time that is left according to that node's
+// message.
 func (g *Gateway) setGroupTimes(r *routedRequest, request servingtree.Request) {
 	r.deadline = r.Arrived.Add(time.Duration(request.DeadlineMicros) * time.Microsecond)
 	r.objective = r.Arrived.Add(time.Duration(request.ObjectiveMicros) * time.Microsecond)
@@ -44,16 +46,16 @@
 	r.lateAfter = r.objective
 }
 
-// timeElsewhere estimates the part of the objective that this node cannot use: the time that the caller spent before
+// callerOverhead estimates the part of the objective that this node cannot use: the time that the caller spent before
 // the request arrived, and the round trip.
-func (g *Gateway) timeElsewhere(request *Request, route *routing.Entry) time.Duration {
-	roundTrip := min(request.RoundTrip+g.config.ObjectiveReserve, route.Objective/roundTripObjectiveDivisor)
+func (g *Gateway) callerOverhead(request *Request, route *routing.Entry) time.Duration {
+	roundTrip := min(request.RoundTrip+g.cfg.ObjectiveReserve, route.Objective/roundTripObjectiveDivisor)
 	spent := request.ConnectTime
 	if request.CallerTimeout > 0 {
 		spent = max(spent, g.timeouts.spent(route, request.CallerTimeout))
 	}
 	if spent+roundTrip >= route.Objective {
-		// Either the objective is lost already, or this caller merely has a shorter timeout than the others.
+		// Either the objective is already lost, or this caller has a shorter timeout than the others.
 		return roundTrip
 	}
 	return spent + roundTrip
--- a/internal/request/gateway/deadlines_test.go
+++ b/internal/request/gateway/deadlines_test.go
@@ -7,14 +7,14 @@
 	"github.com/matryer/is"
 )
 
-// The time that a caller spent on its connection is taken off the objective once, whether or not the common timeout is
-// known.
-func TestConnectingShortensTheObjective(t *testing.T) {
+// The time that a caller spent on its connection is subtracted from the objective once, whether or not the common
+// timeout is known.
+func TestConnectTimeShortensObjective(t *testing.T) {
 	is := is.New(t)
 	g, _ := newGateway(t, &scriptedLeafs{})
 	const trip = 6 * time.Millisecond
 	objective := 200*time.Millisecond - 2*trip - DefaultConfig().ObjectiveReserve
-	for range minimumSightings {
+	for range minimumObservations {
 		request := newRequest("/pages/1")
 		request.RoundTrip, request.ConnectTime = trip, trip
 		routed, err := g.routeRequest(request)
@@ -22,7 +22,7 @@
 		is.Equal(routed.objective.Sub(request.Arrived), objective)
 	}
 	late := newRequest("/pages/1")
-	late.CallerTimeout -= trip // the caller has taken it off its timeout, too
+	late.CallerTimeout -= trip // the caller has also subtracted it from its timeout
 	late.RoundTrip, late.ConnectTime = trip, trip
 	routed, err := g.routeRequest(late)
 	is.NoErr(err)
--- a/internal/request/gateway/events.go
+++ b/internal/request/gateway/events.go
@@ -8,20 +8,20 @@
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
-// EventLog receives every decision that affects a request.
+// EventLog receives all decisions that affect a request.
 type EventLog interface {
 	// Refused reports a request that was refused for its route or its quarantine. Other refusals are reported by
 	// Served, with a failure and without attempts.
 	Refused(request *Request, err error)
-	// Attempted reports an attempt that begins.
+	// Attempted reports the start of an attempt.
 	Attempted(service string, kind scatter.Kind)
 	// AttemptEnded reports the end of an attempt.
 	AttemptEnded(record AttemptRecord)
 	// Served reports the end of a request, whether it was answered or failed.
 	Served(record RequestRecord)
-	// GroupEnded reports the end of a group that another node was asked to gather.
+	// GroupEnded reports the end of a group call to another node.
 	GroupEnded(record GroupRecord)
-	// LeafLost reports an attempt whose answer broke off, once it is known whether the leaf's process has ended.
+	// LeafLost reports an attempt whose answer was cut off, once the check of the leaf's process has ended.
 	LeafLost(record LeafLossRecord)
 }
 
@@ -35,23 +35,23 @@
 	Execution scatter.Execution
 	Took      time.Duration
 	Succeeded bool
-	// Abandoned reports whether the attempt was given up before its answer.
+	// Abandoned reports whether the attempt was cancelled before its answer arrived.
 	Abandoned bool
 }
 
-// RequestRecord is a request with what decided its answer.
+// RequestRecord is a request with everything that determined its answer.
 type RequestRecord struct {
 	RequestID string
 	// Content is the fingerprint of the request.
 	Content fingerprint.Fingerprint
-	// Path and Caller are by what an operator recognises a request.
+	// Path and Caller let an operator identify a request.
 	Path   string
 	Caller string
 	Route  string
-	// Version and Revision are those of the routing table that the request was routed by.
+	// Version and Revision identify the routing table that routed the request.
 	Version  int64
 	Revision int64
-	// ConfigAge is how long ago the store confirmed that revision as the newest.
+	// ConfigAge is the time since the store confirmed that Revision is the newest.
 	ConfigAge time.Duration
 	Took      time.Duration
 	// InTime reports whether the answer was sent within the objective.
@@ -70,7 +70,7 @@
 	Failure *failure.Failure
 }
 
-// MissingPart is a service whose part an answer lacks.
+// MissingPart is a service without a part in an answer.
 type MissingPart struct {
 	Service  string         `json:"service"`
 	Reason   scatter.Reason `json:"reason"`
--- a/internal/request/gateway/execution.go
+++ b/internal/request/gateway/execution.go
@@ -14,48 +14,48 @@
 )
 
 // execution is one run of a request at this node, for a caller or, with partial set, for the node that is its root. It
-// has one shard for each service.
+// has one shard per service.
 type execution struct {
 	gateway  *Gateway
 	request  *routedRequest
 	services []string
-	// groups are the sets of shards that other nodes are asked to gather.
+	// groups are the sets of shards that other nodes gather.
 	groups []group
 	// inGroup reports whether a shard is in a group, by shard; nil if there are no groups.
 	inGroup []bool
-	// targets are the leafs that may be asked, by shard.
+	// targets are the leafs that may be queried, by shard.
 	targets [][]leafTarget
 	// canaryDecisions are the decisions for first attempts, by shard; nil until the first is made.
 	canaryDecisions []canaryDecision
 	// gatheredLatency is the latency of all shards of a gathered request; nil until it is looked up.
 	gatheredLatency *kindLatency
-	// spentAttempts is how many attempts another node may have made at each shard before this one was asked.
+	// spentAttempts is how many attempts other nodes may have made per shard before this node received the group.
 	spentAttempts int
-	// partial buffers the parts for the root; nil unless this is a group that is gathered for another node.
+	// partial buffers the parts for the root; nil unless this is a group for another node.
 	partial *partBuffer
 
 	// outcomes, by shard, and summary are set when all attempts have ended.
 	outcomes []scatter.Outcome[leafhttp.Response]
 	summary  scatter.Summary
 
-	// cancel ends the execution for a cause.
+	// cancel cancels the execution with a cause.
 	cancel context.CancelCauseFunc
-	// slept is for how many nanoseconds the machine was suspended since the request arrived.
-	slept atomic.Int64
-	// tracked is the request's place in the quarantine register; nil if there is no register.
+	// suspendedNanos is how long the machine has been suspended since the request arrived.
+	suspendedNanos atomic.Int64
+	// tracked is the request's entry in the quarantine register; nil if there is no register.
 	tracked *quarantine.Execution
-	// probes counts the attempts that were sent alone.
+	// probes counts the attempts that were sent as probes.
 	probes int
 
-	// mu guards the rest, which attempts and groups set as they end.
+	// mu guards the fields below, which attempts and groups set as they end.
 	mu          sync.Mutex
-	lastFailure *leafhttp.Response // of a leaf, to be passed on if there is no success
-	groupsEnded []GroupRecord
-	// crashedLeafs are the leafs that crashed during the request. processChecks are closed when the check of a leaf
-	// whose answer broke off has ended.
+	lastFailure *leafhttp.Response // of a leaf, passed on if there is no success
+	endedGroups []GroupRecord
+	// crashedLeafs are the IDs of leafs that crashed during the request. Each of processChecks is closed when the check
+	// of a leaf whose answer was cut off has ended.
 	crashedLeafs  []string
 	processChecks []<-chan struct{}
-	// groupFailure is the failure of a node that was asked for all shards.
+	// groupFailure is the failure of a node that was sent all shards.
 	groupFailure error
 }
 
@@ -72,7 +72,7 @@
 		StartGroup: e.startGroup, OnReply: e.onPart(),
 	})
 	e.outcomes, e.summary = attempts.Run(ctx)
-	if err := e.endedEarly(ctx); err != nil {
+	if err := e.earlyFailure(ctx); err != nil {
 		return nil, err
 	}
 	if e.isGathered() {
@@ -81,9 +81,9 @@
 	return e.singleAnswer()
 }
 
-// endedEarly returns the failure of an execution that was ended before its attempts decided the answer; nil if it was
-// not.
-func (e *execution) endedEarly(ctx context.Context) error {
+// earlyFailure returns the failure of an execution that was cancelled before its attempts determined the answer; nil if
+// it was not.
+func (e *execution) earlyFailure(ctx context.Context) error {
 	switch cause := context.Cause(ctx); {
 	case errors.Is(cause, errQuarantined):
 		return e.quarantineFailure(e.executionState())
@@ -91,20 +91,20 @@
 		return failure.New(failure.DeadlineExceeded, e.executionState(), "%s", errSuspended)
 	}
 	if ctx.Err() != nil {
-		return failure.New(failure.Cancelled, e.executionState(), "%s", e.cancelledBy())
+		return failure.New(failure.Cancelled, e.executionState(), "%s", e.cancelReason())
 	}
 	return nil
 }
 
-// cancelledBy says who no longer waits for the answer.
-func (e *execution) cancelledBy() string {
+// cancelReason returns the message of the failure of a cancelled execution.
+func (e *execution) cancelReason() string {
 	if e.partial != nil {
-		return "the root waits for no more parts"
+		return "the root cancelled the group"
 	}
 	return "the caller went away"
 }
 
-// countRequests counts the request in the retry budgets of the services whose leafs this node asks, unless another
+// countRequests counts the request in the retry budgets of the services whose leafs this node queries, unless another
 // node may have counted it.
 func (e *execution) countRequests() {
 	if e.spentAttempts > 0 {
@@ -129,7 +129,7 @@
 
 func (e *execution) isAtMostOnce() bool { return e.request.route.Repeatability == routing.AtMostOnce }
 
-// executionState returns what is known of whether any leaf ran the request.
+// executionState returns whether any leaf ran the request, as far as is known.
 func (e *execution) executionState() failure.ExecutionState {
 	switch e.summary.Execution() {
 	case scatter.Ran:
--- a/internal/request/gateway/fixture_test.go
+++ b/internal/request/gateway/fixture_test.go
@@ -25,7 +25,7 @@
 
 var names = httpnames.Default()
 
-// recordedEvents keeps the records of requests and groups.
+// recordedEvents is an EventLog that keeps the records of requests and groups.
 type recordedEvents struct {
 	mu      sync.Mutex
 	records []RequestRecord
@@ -48,14 +48,14 @@
 	j.groups = append(j.groups, record)
 }
 
-// groupRecords returns the groups that have ended.
+// groupRecords returns the records of the groups that have ended.
 func (j *recordedEvents) groupRecords() []GroupRecord {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return slices.Clone(j.groups)
 }
 
-// scriptedLeafs is a LeafCaller whose leafs answer by a function, after a delay in virtual time.
+// scriptedLeafs is a LeafCaller whose leafs answer as a function says, after a delay.
 type scriptedLeafs struct {
 	answer  func(leaf string) (time.Duration, *leafhttp.Response, error)
 	mu      sync.Mutex
@@ -82,8 +82,8 @@
 
 func (s *scriptedLeafs) MayOpenExtra(string) bool { return true }
 
-// Check reports each leaf as alive.
-func (s *scriptedLeafs) Check(_ leafhttp.Target, _ bool, tell leafhttp.OnChecked) { go tell(false) }
+// Check reports that the leaf's process is alive.
+func (s *scriptedLeafs) Check(_ leafhttp.Target, _ bool, done leafhttp.OnChecked) { go done(false) }
 
 func (s *scriptedLeafs) warmedCount() int {
 	s.mu.Lock()
@@ -105,7 +105,7 @@
 	return &leafhttp.Response{Status: status, Header: http.Header{}, NotExecuted: true}
 }
 
-func put(t *testing.T, known *catalog.Catalog, key string, value any) {
+func put(t *testing.T, cat *catalog.Catalog, key string, value any) {
 	t.Helper()
 	content, err := json.Marshal(value)
 	if err != nil {
@@ -115,21 +115,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	entry := catalog.Entry{Key: key, Value: wrapped, Revision: known.Revision() + 1, Deleted: value == nil}
-	known.Apply(catalog.Change{Entry: entry, Previous: known.Revision()})
+	entry := catalog.Entry{Key: key, Value: wrapped, Revision: cat.Revision() + 1, Deleted: value == nil}
+	cat.Apply(catalog.Change{Entry: entry, Previous: cat.Revision()})
 }
 
-// singleNodeFleet is a fleet of one node.
 type singleNodeFleet struct{}
 
 func (singleNodeFleet) Nodes() []catalog.NodeRecord     { return []catalog.NodeRecord{{ID: "n"}} }
 func (singleNodeFleet) Gatherers() []catalog.NodeRecord { return []catalog.NodeRecord{{ID: "n"}} }
 func (singleNodeFleet) IsGatherer() bool                { return true }
 
-// coldFleet is a fleet of one node that is registered.
-type coldFleet struct{ singleNodeFleet }
+// registeredFleet is a fleet of one registered node.
+type registeredFleet struct{ singleNodeFleet }
 
-func (coldFleet) IsRegistered() bool { return true }
+func (registeredFleet) IsRegistered() bool { return true }
 
 const shardCount = 10
 
@@ -137,15 +136,15 @@
 // two leafs each.
 func newGateway(t *testing.T, leafs LeafCaller) (*Gateway, *recordedEvents) {
 	t.Helper()
-	known := catalog.New(func(key string, err error) { t.Errorf("%s: %v", key, err) })
-	known.EnableRollouts()
+	cat := catalog.New(func(key string, err error) { t.Errorf("%s: %v", key, err) })
+	cat.EnableRollouts()
 	var gathered []string
 	for index := range shardCount {
 		service := fmt.Sprintf("s%d", index)
 		gathered = append(gathered, service)
 		for _, replica := range []string{"a", "b"} {
 			id := service + replica
-			put(t, known, catalog.LeafKey(id), leafset.Record{Name: id, Service: service, Address: "127.0.0.1:1", State: leafset.Ready})
+			put(t, cat, catalog.LeafKey(id), leafset.Record{Name: id, Service: service, Address: "127.0.0.1:1", State: leafset.Ready})
 		}
 	}
 	route := routing.Route{Host: "h", MaximumAttempts: 2, TimeoutMillis: 1000, ObjectiveMillis: 200}
@@ -153,11 +152,11 @@
 	pages.Prefix, pages.Gathered, pages.TopRecords, pages.MinimumCoverage, pages.Repeatability = "/pages/", gathered, 3, 0.8, routing.Repeatable
 	single.Prefix, single.Service, single.Repeatability = "/single/", "s0", routing.Repeatable
 	once.Prefix, once.Service, once.Repeatability = "/once/", "s0", routing.AtMostOnce
-	put(t, known, catalog.RoutesKey, routing.Configuration{Version: 1, Routes: []routing.Route{pages, single, once}})
+	put(t, cat, catalog.RoutesKey, routing.Configuration{Version: 1, Routes: []routing.Route{pages, single, once}})
 	events := &recordedEvents{}
 	budget := retrybudget.Config{Ratio: 1, Window: 10 * time.Second, Share: 1}
 	return New(Deps{
-		Config: DefaultConfig(), Names: names, Catalog: known, Memory: leafmemory.New(leafmemory.DefaultConfig(), known),
+		Config: DefaultConfig(), Names: names, Catalog: cat, Memory: leafmemory.New(leafmemory.DefaultConfig(), cat),
 		Allocator: connshare.New(connshare.DefaultConfig(), singleNodeFleet{}, catalog.NodeRecord{ID: "n"}),
 		Balancer:  balancer.New(balancer.DefaultConfig(), "z"), Budgets: retrybudget.New(budget, func(string) float64 { return 1 }),
 		Leafs: leafs, Events: events,
--- a/internal/request/gateway/gateway_test.go
+++ b/internal/request/gateway/gateway_test.go
@@ -17,8 +17,8 @@
 	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
-// A complete gathered answer has the greatest records of all parts and each signature once.
-func TestGatheredAnswerIsWhole(t *testing.T) {
+// A complete gathered answer has the greatest records of all parts, and each signature once.
+func TestGatheredAnswerHasAllParts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g, _ := newGateway(t, &scriptedLeafs{answer: func(leaf string) (time.Duration, *leafhttp.Response, error) {
@@ -33,8 +33,8 @@
 	})
 }
 
-// At the objective an answer is sent without the part of a shard that does not answer.
-func TestDarkShardIsLeftOutAtTheObjective(t *testing.T) {
+// At the objective, the answer is sent without the part of a shard that does not answer.
+func TestUnresponsiveShardIsOmittedAtObjective(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g, events := newGateway(t, &scriptedLeafs{answer: func(leaf string) (time.Duration, *leafhttp.Response, error) {
@@ -55,7 +55,7 @@
 }
 
 // With too few parts the request fails, and the failure says that leafs ran it.
-func TestTooFewPartsAreAFailure(t *testing.T) {
+func TestTooFewPartsFailTheRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g, _ := newGateway(t, &scriptedLeafs{answer: func(leaf string) (time.Duration, *leafhttp.Response, error) {
@@ -70,8 +70,8 @@
 	})
 }
 
-// A success without a signature is not a part.
-func TestUnsignedSuccessIsNoPart(t *testing.T) {
+// A success without a signature is not used as a part.
+func TestUnsignedSuccessIsNotUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g, _ := newGateway(t, &scriptedLeafs{answer: func(leaf string) (time.Duration, *leafhttp.Response, error) {
@@ -89,9 +89,9 @@
 	})
 }
 
-// The answer to a single request, and how many attempts were made. A leaf's own 408, 429 or 503 is not passed on: callers
-// take it as the promise that the request did not run, and would send it again.
-func TestSingleLeafOutcomes(t *testing.T) {
+// Checks the answer to a single request and the number of attempts. A leaf's own 408, 429 or 503 is not passed on:
+// callers take it as the promise that the request did not run, and would send it again.
+func TestSingleRequestOutcomes(t *testing.T) {
 	broken := &leafhttp.BrokenAnswerError{Cause: errors.New("reset")}
 	neverSent := &leafhttp.NeverSentError{Cause: errors.New("refused")}
 	type reply struct {
@@ -100,28 +100,28 @@
 	}
 	cases := map[string]struct {
 		path    string
-		replies []reply // in order of attempts; the last one repeats
-		status  int     // of the answer; 0 means a failure
+		replies []reply // by attempt; the last one repeats
+		status  int     // of the answer; 0 if the request fails
 		code    failure.Code
 		state   failure.ExecutionState
 		queried int
 	}{
-		"success":                       {"/single/1", []reply{{answered(200, "x"), nil}}, 200, "", 0, 1},
-		"own failure, then success":     {"/single/1", []reply{{answered(500, "x"), nil}, {answered(200, "y"), nil}}, 200, "", 0, 2},
-		"own failures are passed on":    {"/single/1", []reply{{answered(500, "x"), nil}}, 500, "", 0, 2},
-		"own 503 is no promise":         {"/single/1", []reply{{answered(503, "x"), nil}}, 0, failure.LeafFailed, failure.Ran, 2},
-		"own 429 is no promise":         {"/single/1", []reply{{answered(429, "x"), nil}}, 0, failure.LeafFailed, failure.Ran, 2},
-		"once: own 503 is no promise":   {"/once/1", []reply{{answered(503, "x"), nil}}, 0, failure.LeafFailed, failure.Ran, 1},
-		"once: own 408 is no promise":   {"/once/1", []reply{{answered(408, "x"), nil}}, 0, failure.LeafFailed, failure.Ran, 1},
-		"own 404 is final":              {"/single/1", []reply{{answered(404, "x"), nil}}, 404, "", 0, 1},
-		"broken, then success":          {"/single/1", []reply{{nil, broken}, {answered(200, "y"), nil}}, 200, "", 0, 2},
-		"broken twice":                  {"/single/1", []reply{{nil, broken}}, 0, failure.LeafFailed, failure.Unknown, 2},
-		"once: success":                 {"/once/1", []reply{{answered(200, "x"), nil}}, 200, "", 0, 1},
-		"once: broken is not repeated":  {"/once/1", []reply{{nil, broken}}, 0, failure.LeafFailed, failure.Unknown, 1},
-		"once: own failure is final":    {"/once/1", []reply{{answered(500, "x"), nil}}, 500, "", 0, 1},
-		"once: refused, then success":   {"/once/1", []reply{{refused(503), nil}, {answered(200, "y"), nil}}, 200, "", 0, 2},
-		"once: not sent, then success":  {"/once/1", []reply{{nil, neverSent}, {answered(200, "y"), nil}}, 200, "", 0, 2},
-		"once: refused by all is known": {"/once/1", []reply{{refused(503), nil}}, 0, failure.Overloaded, failure.NotRun, 0},
+		"success":                             {"/single/1", []reply{{answered(200, "x"), nil}}, 200, "", 0, 1},
+		"own failure, then success":           {"/single/1", []reply{{answered(500, "x"), nil}, {answered(200, "y"), nil}}, 200, "", 0, 2},
+		"own failures are passed on":          {"/single/1", []reply{{answered(500, "x"), nil}}, 500, "", 0, 2},
+		"own 503 does not mean not run":       {"/single/1", []reply{{answered(503, "x"), nil}}, 0, failure.LeafFailed, failure.Ran, 2},
+		"own 429 does not mean not run":       {"/single/1", []reply{{answered(429, "x"), nil}}, 0, failure.LeafFailed, failure.Ran, 2},
+		"once: own 503 does not mean not run": {"/once/1", []reply{{answered(503, "x"), nil}}, 0, failure.LeafFailed, failure.Ran, 1},
+		"once: own 408 does not mean not run": {"/once/1", []reply{{answered(408, "x"), nil}}, 0, failure.LeafFailed, failure.Ran, 1},
+		"own 404 is final":                    {"/single/1", []reply{{answered(404, "x"), nil}}, 404, "", 0, 1},
+		"broken, then success":                {"/single/1", []reply{{nil, broken}, {answered(200, "y"), nil}}, 200, "", 0, 2},
+		"broken twice":                        {"/single/1", []reply{{nil, broken}}, 0, failure.LeafFailed, failure.Unknown, 2},
+		"once: success":                       {"/once/1", []reply{{answered(200, "x"), nil}}, 200, "", 0, 1},
+		"once: broken is not repeated":        {"/once/1", []reply{{nil, broken}}, 0, failure.LeafFailed, failure.Unknown, 1},
+		"once: own failure is final":          {"/once/1", []reply{{answered(500, "x"), nil}}, 500, "", 0, 1},
+		"once: refused, then success":         {"/once/1", []reply{{refused(503), nil}, {answered(200, "y"), nil}}, 200, "", 0, 2},
+		"once: not sent, then success":        {"/once/1", []reply{{nil, neverSent}, {answered(200, "y"), nil}}, 200, "", 0, 2},
+		"once: refused by all is not run":     {"/once/1", []reply{{refused(503), nil}}, 0, failure.Overloaded, failure.NotRun, 0},
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -134,7 +134,7 @@
 					return time.Millisecond, reply.response, reply.err
 				}}
 				g, _ := newGateway(t, leafs)
-				for range 3 { // earns the budget for a retry
+				for range 3 { // earn the budget for a retry
 					g.budgets.CountRequest("s0")
 				}
 				answer, err := g.Serve(t.Context(), newRequest(one.path))
@@ -165,8 +165,8 @@
 	is.True(failure.From(err).RetryAfter > 0)
 }
 
-// The request is given up at the timeout of its route, even if the caller waits longer.
-func TestTimeoutOfTheRouteHolds(t *testing.T) {
+// The request times out at the timeout of its route, even if the caller waits longer.
+func TestRouteTimeoutIsEnforced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g, _ := newGateway(t, &scriptedLeafs{answer: func(string) (time.Duration, *leafhttp.Response, error) { return time.Hour, nil, nil }})
@@ -179,11 +179,11 @@
 	})
 }
 
-// The time that a caller has spent before is taken off the objective, once the common timeout is known.
-func TestSpentPatienceShortensTheObjective(t *testing.T) {
+// The time that a caller has spent before is subtracted from the objective, once the common timeout is known.
+func TestTimeSpentByCallerShortensObjective(t *testing.T) {
 	is := is.New(t)
 	g, _ := newGateway(t, &scriptedLeafs{})
-	for range minimumSightings {
+	for range minimumObservations {
 		_, err := g.routeRequest(newRequest("/pages/1"))
 		is.NoErr(err)
 	}
@@ -194,7 +194,7 @@
 	is.NoErr(err)
 	is.Equal(routed.objective.Sub(late.Arrived), 200*time.Millisecond-50*time.Millisecond-6*time.Millisecond-DefaultConfig().ObjectiveReserve)
 	other := newRequest("/pages/1")
-	other.CallerTimeout /= 2 // a caller with another timeout, or one that lost the objective already
+	other.CallerTimeout /= 2 // the caller has another timeout, or has already lost the objective
 	routed, err = g.routeRequest(other)
 	is.NoErr(err)
 	is.Equal(routed.objective.Sub(other.Arrived), 200*time.Millisecond-DefaultConfig().ObjectiveReserve)
@@ -230,7 +230,7 @@
 	}
 	cancel()
 	<-ended
-	is.Equal(leafs.warmed[shardCount], "new") // only the services of the new configuration
+	is.Equal(leafs.warmed[shardCount], "new") // only services of the new configuration are warmed again
 	services := map[string]bool{}
 	for _, id := range leafs.warmed[:shardCount] {
 		services[id[:2]] = true
--- a/internal/request/gateway/group_call.go
+++ b/internal/request/gateway/group_call.go
@@ -9,10 +9,11 @@
 	"github.com/portgauge/portgauge/internal/request/servingtree"
 )
 
-// GroupOutcome is the result of asking another node for a group.
+// GroupOutcome is the result of a group call to another node.
 type GroupOutcome string
 
-// The outcomes of a group. After Failed, Cancelled, Silent and Broken its leafs may have been asked.
+// The outcomes of a group call. After GroupFailed, GroupCancelled, GroupSilent and GroupBroken, its leafs may have been
+// queried.
 const (
 	GroupAnswered  GroupOutcome = "answered"
 	GroupFailed    GroupOutcome = "failed"
@@ -24,37 +25,37 @@
 	GroupBroken    GroupOutcome = "broken"
 )
 
-// GroupRecord is a group that another node was asked to gather, with its outcome.
+// GroupRecord is a group call to another node, with its outcome.
 type GroupRecord struct {
 	RequestID string
-	// Intermediate is the id of the node that was asked.
+	// Intermediate is the ID of the other node.
 	Intermediate string
 	Parts        int
 	Outcome      GroupOutcome
-	// Reason says why the node declined or failed, or what ended the connection.
+	// Reason is why the node declined or failed, or why the connection ended.
 	Reason string
 	Took   time.Duration
 }
 
-// groupResult is what came of a group, as package scatter receives it.
+// groupResult is the result of a group, as package scatter receives it.
 type groupResult = scatter.GroupResult[leafhttp.Response]
 
 // groupDone receives the results of a group; see scatter.StartGroup.
 type groupDone func(groupResult)
 
-// groupCall is a group that other nodes are being asked to gather, one after the other.
+// groupCall is a group that is sent to other nodes, one after the other.
 type groupCall struct {
 	root      *root
 	execution *execution
 	group     group
-	// spent is how many attempts at each shard may have been made by nodes that returned nothing.
+	// spent is how many attempts per shard may have been made by nodes that returned nothing.
 	spent int
-	// gotPartial says that some parts have arrived: their records are merged, so that no other node may return them
+	// gotPartial reports whether some parts have arrived. Their records are merged, so no other node may return them
 	// again.
 	gotPartial bool
 }
 
-// startGroup asks another node for a group; it implements scatter.StartGroup.
+// startGroup sends a group to another node; it implements scatter.StartGroup.
 func (e *execution) startGroup(ctx context.Context, number int, done func(groupResult)) context.CancelCauseFunc {
 	p := &groupCall{root: e.gateway.root, execution: e, group: e.groups[number]}
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -66,18 +67,17 @@
 	return cancel
 }
 
-// maximumIntermediates is how many nodes are asked for one group. After two that returned nothing, most of an objective
-// is over.
+// maximumIntermediates is how many nodes one group is sent to. After two nodes that returned nothing, most of an
+// objective has passed.
 const maximumIntermediates = 2
 
-// start sends the group to its node.
 func (p *groupCall) start() *servingtree.Call {
 	p.root.nodes.begin(p.group.node)
 	return p.root.intermediates.Start(p.group.node.Tree, p.execution.groupRequest(p.group, p.spent))
 }
 
-// run waits for the group. If its node returned nothing, and may not have spent all attempts, another node is asked;
-// otherwise package scatter asks the leafs from here, as far as the result allows.
+// run waits for the group. If its node returned nothing, and may not have spent all attempts, the group is sent to
+// another node. Otherwise package scatter queries the leafs from this node, as far as the result allows.
 func (p *groupCall) run(ctx context.Context, call *servingtree.Call, done groupDone) groupResult {
 	for queried := 1; ; queried++ {
 		began := time.Now()
@@ -96,8 +96,8 @@
 	}
 }
 
-// withSpent adds to a result the attempts that nodes which returned nothing may have made. They count among the route's
-// MaximumAttempts, and the request may have run even if the last node ran nothing.
+// withSpent adds to a result the attempts that nodes which returned nothing may have made. They count towards the
+// route's MaximumAttempts, and the request may have run even if the last node ran nothing.
 func (p *groupCall) withSpent(result groupResult) groupResult {
 	if result.Replies != nil {
 		return result
@@ -113,7 +113,7 @@
 	return result
 }
 
-// recordEnd reports the end of a group, and what it shows of the node and its zone.
+// recordEnd reports the end of a group, and what it shows about the node and its zone.
 func (p *groupCall) recordEnd(ended groupEnd, took time.Duration) {
 	e, node := p.execution, p.group.node
 	record := GroupRecord{
@@ -125,22 +125,22 @@
 	e.gateway.events.GroupEnded(record)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.groupsEnded = append(e.groupsEnded, record)
+	e.endedGroups = append(e.endedGroups, record)
 }
 
 // groupRecords returns the records of the groups that have ended.
 func (e *execution) groupRecords() []GroupRecord {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.groupsEnded
+	return e.endedGroups
 }
 
-// groupRequest returns the message that asks another node for a group. The group may lack as many parts as the whole
-// answer may. The node must reply earlier than the answer is planned by the round trip to it.
+// groupRequest returns the message that sends a group to another node. The group may lack as many parts as the whole
+// answer may. The node must reply before the planned time of the answer by the round trip to it.
 func (e *execution) groupRequest(g group, spent int) servingtree.Request {
 	r, root := e.request, e.gateway.root
 	mayMiss := len(e.services) - r.requiredParts
-	roundTrip := root.hop.expected(r.route.Objective)
+	roundTrip := root.roundTrip.expected(r.route.Objective)
 	untilAnswer := time.Until(r.answerBy) - roundTrip
 	return servingtree.Request{
 		ID: r.Leaf.ID, Method: r.Leaf.Method, Target: r.Leaf.Target, Host: r.Leaf.Host, Header: r.Leaf.Header,
--- a/internal/request/gateway/group_call_test.go
+++ b/internal/request/gateway/group_call_test.go
@@ -13,23 +13,23 @@
 	"github.com/portgauge/portgauge/internal/request/servingtree"
 )
 
-// newThreeNodeTree has two nodes that can gather the services without a leaf in the zone of the root.
+// newThreeNodeTree starts a root and two nodes that can gather the services without a leaf in the root's zone.
 func newThreeNodeTree(t *testing.T) *tree {
 	return newTree(t, near("root"), far("first"), catalog.NodeRecord{ID: "second", Zone: zoneFarther})
 }
 
-// askFirst sends requests to the root until it chooses the node "first", and returns the groups of that answer.
-func (b *tree) askFirst() []GroupRecord {
+// serveViaFirst sends requests to the root until it chooses the node "first", and returns the groups of that request.
+func (b *tree) serveViaFirst() []GroupRecord {
 	b.t.Helper()
 	root := b.nodes["root"]
 	for range 100 {
 		root.gateway.root.nodes = newNodeTracker()
-		answer, err := b.ask("root")
+		answer, err := b.serve("root")
 		root.events.mu.Lock()
 		record := root.events.records[len(root.events.records)-1]
 		root.events.mu.Unlock()
 		if len(record.Groups) > 0 && record.Groups[0].Intermediate == "first" {
-			b.requireWhole(answer, err)
+			b.requireComplete(answer, err)
 			return record.Groups
 		}
 	}
@@ -37,41 +37,41 @@
 	return nil
 }
 
-// If a node returns nothing for a group another one is asked, rather than the leafs by the root, which has no connections
-// to them.
-func TestAnotherIntermediateIsAsked(t *testing.T) {
+// If a node returns nothing for a group, the group is sent to another node. The root does not query the leafs, since it
+// has no connections to them.
+func TestFailedGroupIsSentToAnotherIntermediate(t *testing.T) {
 	for name, c := range failureModes() {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			b := newThreeNodeTree(t)
 			c.fail(b.nodes["first"])
-			groups := b.askFirst()
+			groups := b.serveViaFirst()
 			is.Equal(len(groups), 2)
 			is.Equal(groups[0].Outcome, c.outcome)
 			is.Equal(groups[1].Intermediate, "second")
 			is.Equal(groups[1].Outcome, GroupAnswered)
-			for _, leaf := range b.seen.by("root") {
+			for _, leaf := range b.attempts.by("root") {
 				is.True(leaf[2:] == zoneNear)
 			}
 		})
 	}
 }
 
-// Two silent nodes may have made both attempts of the route: no leaf is asked a third time.
-func TestTwoSilentIntermediatesSpendTheAttempts(t *testing.T) {
+// Two silent nodes may have made both attempts of the route, so no leaf is queried a third time.
+func TestTwoSilentIntermediatesSpendAllAttempts(t *testing.T) {
 	is := is.New(t)
 	b := newThreeNodeTree(t)
 	freeze(b.nodes["first"])
 	freeze(b.nodes["second"])
-	_, err := b.ask("root")
+	_, err := b.serve("root")
 	is.True(failure.Is(err, failure.IncompleteCoverage))
 	is.Equal(failure.From(err).Execution, failure.Ran)
 	is.Equal(b.outcomes("root"), []GroupOutcome{GroupSilent, GroupSilent})
-	is.Equal(len(b.seen.by("root")), nearShards)
+	is.Equal(len(b.attempts.by("root")), nearShards)
 }
 
-// A refusal as not run by the second node does not make a group "not run" that the first may have run.
-func TestRefusalAfterSilenceDeniesNothing(t *testing.T) {
+// If the second node refuses a group as not run, the group may still have run at the first.
+func TestNotRunAfterSilenceStaysUnknown(t *testing.T) {
 	is := is.New(t)
 	b := newThreeNodeTree(t)
 	entry := &routing.Entry{Attempts: 2}
@@ -83,14 +83,14 @@
 	is.Equal(p.withSpent(refused.result).Execution.String(), "unknown")
 }
 
-// An intermediate with another version of the routing table gathers a group if its route gathers alike, and
+// An intermediate with another version of the routing table gathers a group if its route gathers the same way, and
 // declines it otherwise.
-func TestOtherTablesThatGatherAlike(t *testing.T) {
+func TestIntermediateWithOtherRoutingTable(t *testing.T) {
 	cases := map[string]struct {
 		change  func(route *routing.Route)
 		outcome GroupOutcome
 	}{
-		"other time-out": {func(route *routing.Route) { route.TimeoutMillis /= 2 }, GroupAnswered},
+		"other timeout":  {func(route *routing.Route) { route.TimeoutMillis /= 2 }, GroupAnswered},
 		"other services": {func(route *routing.Route) { slices.Reverse(route.Gathered) }, GroupDeclined},
 		"other records":  {func(route *routing.Route) { route.TopRecords++ }, GroupDeclined},
 		"other attempts": {func(route *routing.Route) { route.MaximumAttempts++ }, GroupDeclined},
@@ -104,20 +104,20 @@
 			configuration.Routes[0].Gathered = slices.Clone(configuration.Routes[0].Gathered)
 			c.change(&configuration.Routes[0])
 			put(t, there.catalog, catalog.RoutesKey, configuration)
-			b.requireWhole(b.ask("root"))
+			b.requireComplete(b.serve("root"))
 			is.Equal(b.outcomes("root"), []GroupOutcome{c.outcome})
 		})
 	}
 }
 
-// The first group of a root leaves time for the round trip, though none was measured yet.
-func TestFirstGroupLeavesTimeForItsWay(t *testing.T) {
+// The first group of a root allows for the round trip, although none has been measured yet.
+func TestFirstGroupAllowsForRoundTrip(t *testing.T) {
 	is := is.New(t)
 	b := newTree(t, near("root"), far("there"))
 	g := b.nodes["root"].gateway
 	planned := time.Now().Add(time.Second)
 	entry := &routing.Entry{Objective: time.Second}
 	e := &execution{gateway: g, services: make([]string, 2), request: &routedRequest{Request: newRequest("/pages/1"), route: entry, answerBy: planned}}
-	queried := e.groupRequest(group{shards: []int{0, 1}}, 0)
-	is.True(queried.ObjectiveMicros <= (time.Second - initialHop).Microseconds())
+	message := e.groupRequest(group{shards: []int{0, 1}}, 0)
+	is.True(message.ObjectiveMicros <= (time.Second - initialRoundTrip).Microseconds())
 }
--- a/internal/request/gateway/group_reply.go
+++ b/internal/request/gateway/group_reply.go
@@ -13,34 +13,34 @@
 	"github.com/portgauge/portgauge/internal/request/servingtree"
 )
 
-// errSilent is the cause of ending the connection to an intermediate that sends nothing.
-var errSilent = errors.New("the intermediate is silent")
+// errUnresponsive is the cause of closing the connection to an intermediate that sends nothing.
+var errUnresponsive = errors.New("the intermediate did not respond")
 
 const (
-	// The wait for the first acknowledgement of an intermediate is the largest of a quarter of the objective, three
-	// round trips to it, and minimumAckWait.
+	// The wait for an intermediate's first acknowledgement is a quarter of the objective, three round trips to it, or
+	// minimumAckWait, whichever is longest.
 	ackObjectiveDivisor = 4
-	ackHopFactor        = 3
+	ackRoundTripFactor  = 3
 	minimumAckWait      = 10 * time.Millisecond
-	// maximumProbes is how many probes an intermediate may leave unanswered. One is needed: on a busy root the timer
-	// may fire before an acknowledgement that has arrived is read.
+	// maximumProbes is how many probes an intermediate may leave unanswered. It is not zero, since on a busy root the
+	// timer may fire before it has read an acknowledgement that has arrived.
 	maximumProbes = 1
-	// probeWaitDivisor shortens the wait for the answer to a probe: half of the wait before it.
+	// probeWaitDivisor sets the wait for the answer to a probe: half of the wait before the probe.
 	probeWaitDivisor = 2
-	// minimumSilence is how long nothing must have been received from an intermediate for its connection to be closed,
-	// and with it all other groups in flight there.
+	// minimumSilence is how long nothing must have been received from an intermediate before its connection is closed,
+	// which also ends all other groups in flight there.
 	minimumSilence = 300 * time.Millisecond
 )
 
-// groupEnd is how a group ended.
+// groupEnd is the end of a group call.
 type groupEnd struct {
 	result  groupResult
 	outcome GroupOutcome
-	// reason says what went wrong.
+	// reason is why the call failed.
 	reason string
 }
 
-// groupNotRun returns the end of a group of which no leaf was asked.
+// groupNotRun returns the end of a group for which no leaf was queried.
 func groupNotRun(outcome GroupOutcome, reason string) groupEnd {
 	return groupEnd{result: groupResult{Execution: scatter.NotRun}, outcome: outcome, reason: reason}
 }
@@ -48,12 +48,12 @@
 // ackWait returns how long an intermediate may take to acknowledge the group.
 func (p *groupCall) ackWait() time.Duration {
 	objective := p.execution.request.route.Objective
-	return max(minimumAckWait, objective/ackObjectiveDivisor, ackHopFactor*p.root.hop.expected(objective))
+	return max(minimumAckWait, objective/ackObjectiveDivisor, ackRoundTripFactor*p.root.roundTrip.expected(objective))
 }
 
-// await waits for the reply of an intermediate, and gives up on one that is silent. An intermediate must acknowledge
-// the group within ackWait; after the objective it is probed once in each further objective, and must acknowledge each
-// probe. One that leaves more than maximumProbes unanswered is silent.
+// await waits for the reply of an intermediate, and abandons the call if the intermediate is silent. An intermediate
+// must acknowledge the group within ackWait. After the objective it is probed once per further objective and must
+// acknowledge each probe. If more than maximumProbes stay unanswered, it is silent.
 func (p *groupCall) await(ctx context.Context, call *servingtree.Call, done groupDone) groupEnd {
 	began := time.Now()
 	wait := p.ackWait()
@@ -71,12 +71,12 @@
 			acks++
 			unanswered = 0
 			p.root.zones.Responded(p.group.node.Zone)
-			// By the next probe the answer is late, so that there is no hurry to give up.
+			// The answer is late by the next probe anyway, so a longer wait costs nothing.
 			wait = p.execution.request.route.Objective
 			timer.Reset(max(wait, time.Until(p.execution.request.objective)))
 		case <-timer.C:
 			if unanswered >= maximumProbes {
-				return p.giveUp(call, acks > 0)
+				return p.abandon(call, acks > 0)
 			}
 			unanswered++
 			p.root.zones.Suspect(p.group.node.Zone)
@@ -106,16 +106,16 @@
 	}
 }
 
-// giveUp ends a call to an intermediate that is silent. One that had begun may have spent all attempts that the route
-// allows, so that the shards are not asked again.
-func (p *groupCall) giveUp(call *servingtree.Call, hasBegun bool) groupEnd {
+// abandon cancels a call to an intermediate that is silent. If the intermediate has acknowledged the group, it may have
+// spent all attempts that the route allows, so the shards are not queried again.
+func (p *groupCall) abandon(call *servingtree.Call, hasBegun bool) groupEnd {
 	isSent := call.Cancel()
-	p.root.intermediates.DropSilent(p.group.node.Tree, minimumSilence, errSilent)
+	p.root.intermediates.DropSilent(p.group.node.Tree, minimumSilence, errUnresponsive)
 	if !isSent {
-		return groupNotRun(GroupNeverSent, errSilent.Error())
+		return groupNotRun(GroupNeverSent, errUnresponsive.Error())
 	}
 	result := groupResult{Final: hasBegun}
-	return groupEnd{result: result, outcome: GroupSilent, reason: errSilent.Error()}
+	return groupEnd{result: result, outcome: GroupSilent, reason: errUnresponsive.Error()}
 }
 
 // classify decides what the end of a call means for the group.
@@ -127,12 +127,13 @@
 	case ended.Err != nil:
 		return groupEnd{outcome: GroupBroken, reason: ended.Err.Error()}
 	}
-	p.root.hop.observe(took - time.Duration(ended.Reply.TookMicros)*time.Microsecond)
+	p.root.roundTrip.observe(took - time.Duration(ended.Reply.TookMicros)*time.Microsecond)
 	return p.classifyReply(ended.Reply)
 }
 
-// classifyReply decides what a reply means for the group: an answer is used; a failure is final, unless leafs crashed, in
-// which case the shards are probed from here; after a decline another node, or the leafs from here, can be asked.
+// classifyReply decides what a reply means for the group. An answer is used. A failure is final, unless leafs crashed:
+// then this node probes the shards. After a decline, the group may be sent to another node, or this node may query the
+// leafs.
 func (p *groupCall) classifyReply(reply servingtree.Reply) groupEnd {
 	switch {
 	case reply.Answer != nil && len(reply.Answer.Stamps) == len(p.group.shards):
@@ -165,7 +166,7 @@
 	return groupEnd{result: result, outcome: GroupFailed, reason: failed.Message}
 }
 
-// keepGroupFailure keeps the failure of a group that has all shards of the request.
+// keepGroupFailure stores the failure of a group that has all shards of the request.
 func (e *execution) keepGroupFailure(g group, failed *servingtree.Failure) {
 	if len(g.shards) < len(e.services) {
 		return
@@ -175,8 +176,8 @@
 	e.groupFailure = failed.Err()
 }
 
-// replies returns the parts of an answer, by shard of the group. Their records are merged already: the first part that
-// is there has them all.
+// replies returns the parts of an answer, by shard of the group. Their records are merged already, so the first part
+// that is present holds them all.
 func (p *groupCall) replies(answer *servingtree.Answer) []*leafhttp.Response {
 	replies := make([]*leafhttp.Response, len(answer.Stamps))
 	records := answer.Records
@@ -195,7 +196,6 @@
 	return replies
 }
 
-// executionOf converts the execution state of a failure for package scatter.
 func executionOf(state failure.ExecutionState) scatter.Execution {
 	switch state {
 	case failure.NotRun:
--- a/internal/request/gateway/incarnation_test.go
+++ b/internal/request/gateway/incarnation_test.go
@@ -11,22 +11,23 @@
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
 )
 
-// putIncarnation puts an incarnation of the leaf "s0a" into force, and returns the leaf, its target and its candidate.
+// putIncarnation adds an incarnation of the leaf "s0a" to the catalog, and returns the leaf, its target and its
+// candidate.
 func putIncarnation(t *testing.T, g *Gateway, at int64) (*leafset.Leaf, leafTarget, balancer.Candidate) {
 	t.Helper()
 	put(t, g.catalog, catalog.LeafKey("s0a"), leafset.Record{Name: "s0a", Service: "s0", Address: "127.0.0.1:1", State: leafset.Ready, Born: at})
 	leaf, found := g.catalog.View().Leafs.ByName("s0a")
 	if !found {
-		t.Fatal("the leaf is not in force")
+		t.Fatal("the leaf is not in the catalog")
 	}
 	var targets []leafTarget
 	candidates := g.appendUsable(nil, queriedService{name: "s0", maximumConnections: 1}, []*leafset.Leaf{leaf}, &targets)
 	return leaf, targets[0], candidates[0]
 }
 
-// The state of a leaf belongs to one incarnation: that it leaves, its load and slowness, its connections, whether discovery
-// lists it. Requests name the leaf as it calls itself.
-func TestWhatIsKeptOfALeafEndsWithItsLife(t *testing.T) {
+// The state of a leaf belongs to one incarnation: whether it is leaving, its load and slowness, its connections, and
+// whether discovery lists it. Requests contain the name that the leaf itself uses.
+func TestLeafStateBelongsToOneIncarnation(t *testing.T) {
 	is := is.New(t)
 	g, _ := newGateway(t, &scriptedLeafs{})
 	first, firstTarget, firstCandidate := putIncarnation(t, g, 1000)
@@ -39,12 +40,12 @@
 
 	second, secondTarget, secondCandidate := putIncarnation(t, g, 2000)
 	fresh := choose(secondCandidate)
-	is.True(fresh != nil && fresh != kept)                              // leaving; load, slowness, ejection
-	is.True(balancer.KeyOf(first.ID) != balancer.KeyOf(second.ID))      // gossip about it
-	is.True(firstTarget.LeafID != secondTarget.LeafID)                  // connections, and checks of its process
-	is.Equal(secondTarget.Name, "s0a")                                  // the name in requests
-	is.True(!g.isListed(first.ID) && g.isListed(second.ID))             // evidence of crashing requests
-	is.True(!g.memory.MaySend(first.ID) && g.memory.MaySend(second.ID)) // requests that wait for it
+	is.True(fresh != nil && fresh != kept)                              // whether it is leaving, its load, slowness and ejection
+	is.True(balancer.KeyOf(first.ID) != balancer.KeyOf(second.ID))      // gossip keys
+	is.True(firstTarget.LeafID != secondTarget.LeafID)                  // connections and process checks
+	is.Equal(secondTarget.Name, "s0a")                                  // the name in requests stays
+	is.True(!g.isListed(first.ID) && g.isListed(second.ID))             // evidence against crashing requests
+	is.True(!g.memory.MaySend(first.ID) && g.memory.MaySend(second.ID)) // queued requests
 	put(t, g.catalog, catalog.LeafKey("s0a"), leafset.Record{Name: "s0a", Service: "s0", Address: "127.0.0.1:1", State: leafset.Draining, Born: 1000})
-	is.True(g.isListed(second.ID)) // a late report of the first
+	is.True(g.isListed(second.ID)) // a late report about the first incarnation is ignored
 }
--- a/internal/request/gateway/intermediate.go
+++ b/internal/request/gateway/intermediate.go
@@ -13,24 +13,24 @@
 
 var _ servingtree.Handler = (*Gateway)(nil)
 
-// Gather implements servingtree.Handler: it asks the leafs of a group of shards for another node, the root of the
-// request. It declines the group if this node is busy, or gathers the route differently from the root: no answer may mix
-// two versions of a route, and no caller may see an older one after a newer one.
+// Gather implements servingtree.Handler: it queries the leafs of a group of shards for another node, the root of the
+// request. It declines the group if this node is busy, or gathers the route differently from the root: no answer may
+// mix two versions of a route, and no caller may see an older version after a newer one.
 //
-// The parts that have arrived by the objective are sent then, and the rest when it has arrived. Only the root, which
-// knows of the other shards, can tell whether they are enough.
+// The parts that have arrived by the objective are sent then, the others when all have arrived. Only the root can tell
+// whether they are enough, since it also has the other shards.
 func (g *Gateway) Gather(ctx context.Context, message servingtree.Request, send func(servingtree.Answer)) servingtree.Reply {
-	if g.gathered.Add(1) > g.config.MaximumGathered {
-		g.gathered.Add(-1)
+	if g.groupsInFlight.Add(1) > g.cfg.MaximumGathered {
+		g.groupsInFlight.Add(-1)
 		return servingtree.Reply{Decline: servingtree.Busy}
 	}
-	defer g.gathered.Add(-1)
+	defer g.groupsInFlight.Add(-1)
 	e := g.groupExecution(message)
 	if e == nil {
 		return servingtree.Reply{Decline: servingtree.OtherRoute}
 	}
 	e.partial = newPartBuffer(len(e.services))
-	ctx, release := e.watch(ctx)
+	ctx, release := e.track(ctx)
 	defer release()
 	if err := e.refuseQuarantined(); err != nil {
 		g.events.Refused(e.request.Request, err)
@@ -52,16 +52,16 @@
 }
 
 // groupFailureOf converts the failure of a group for its root. It names the leafs that crashed only if the group was
-// given up for them: the root needs them for its own probes.
+// abandoned because of them: the root needs them for its own probes.
 func (e *execution) groupFailureOf(err error) *servingtree.Failure {
 	failed := servingtree.NewFailure(err)
 	if failed.Code == failure.LeafsEnded {
-		failed.CrashedLeafs = e.crashedLeafNames()
+		failed.CrashedLeafs = e.crashedLeafIDs()
 	}
 	return failed
 }
 
-// groupExecution returns the execution of a group; nil if the group does not fit the routing table in force here.
+// groupExecution returns the execution of a group; nil if the group does not match the routing table in force here.
 func (g *Gateway) groupExecution(message servingtree.Request) *execution {
 	table := g.catalog.View().Routes
 	if table == nil {
@@ -83,13 +83,13 @@
 		Path: path, Caller: message.Caller, Arrived: time.Now(),
 	}
 	routed := &routedRequest{
-		Request: request, fingerprint: g.config.fingerprintOf(request), route: route, table: table, rootID: message.Root, requiredParts: message.Required,
+		Request: request, fingerprint: g.cfg.fingerprintOf(request), route: route, table: table, rootID: message.Root, requiredParts: message.Required,
 	}
 	g.setGroupTimes(routed, message)
 	return &execution{gateway: g, request: routed, services: services, spentAttempts: message.Spent}
 }
 
-// servicesOf returns the services of some shards of a gathered route; nil if a shard is none of the route's.
+// servicesOf returns the services of some shards of a gathered route; nil if the route lacks one of the shards.
 func servicesOf(route *routing.Entry, shards []int) []string {
 	services := make([]string, 0, len(shards))
 	for _, index := range shards {
@@ -101,7 +101,6 @@
 	return services
 }
 
-// mergeParts merges parts into the answer for the root.
 func (e *execution) mergeParts(parts []*leafhttp.Response) servingtree.Answer {
 	answer := servingtree.Answer{Stamps: make([]string, len(parts))}
 	bodies := make([][]byte, 0, len(parts))
--- a/internal/request/gateway/lag.go
+++ b/internal/request/gateway/lag.go
@@ -5,45 +5,46 @@
 	"time"
 )
 
-// lagTracker estimates a delay from samples. A node has one for how much later than planned it makes its answers, since
-// timers, merging and queueing take time on a small or busy machine, and a root has one for the round trip to
-// intermediates. Both plan earlier by the estimate. The zero value estimates no delay; it is safe for concurrent use.
-type lagTracker struct {
-	mu  sync.Mutex
-	lag time.Duration
+// delayEstimator estimates a delay from samples. Each node has one for how much later than planned it completes its
+// answers, since timers, merging and queueing take time on a small or busy machine. A root has another for the round
+// trip to intermediates. Both plan earlier by the estimate. The zero value estimates no delay. It is safe for
+// concurrent use.
+type delayEstimator struct {
+	mu       sync.Mutex
+	estimate time.Duration
 }
 
-// Shares of the difference by which a sample moves the estimate. It rises faster than it falls: an answer
-// that is a little late costs more than one that is sent early with a few parts fewer.
+// Fractions of the difference by which a sample moves the estimate. It rises faster than it falls: an answer that is
+// slightly late costs more than one that is sent early without a few parts.
 const (
-	lagRise = 0.5
-	lagFall = 0.1
+	riseFraction = 0.5
+	fallFraction = 0.1
 )
 
-// lagObjectiveDivisor bounds the delay that is planned for: a quarter of the objective.
-const lagObjectiveDivisor = 4
+// maximumDelayDivisor bounds the delay to plan for: a quarter of the objective.
+const maximumDelayDivisor = 4
 
-// observe records a sample; a negative one counts as zero.
-func (l *lagTracker) observe(late time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	difference := float64(max(0, late) - l.lag)
+// observe records a sample; a negative sample counts as zero.
+func (d *delayEstimator) observe(late time.Duration) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	difference := float64(max(0, late) - d.estimate)
 	if difference > 0 {
-		l.lag += time.Duration(lagRise * difference)
+		d.estimate += time.Duration(riseFraction * difference)
 		return
 	}
-	l.lag += time.Duration(lagFall * difference)
+	d.estimate += time.Duration(fallFraction * difference)
 }
 
 // expected returns the delay to plan for within an objective.
-func (l *lagTracker) expected(objective time.Duration) time.Duration {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return min(l.lag, objective/lagObjectiveDivisor)
+func (d *delayEstimator) expected(objective time.Duration) time.Duration {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return min(d.estimate, objective/maximumDelayDivisor)
 }
 
-// observeLag records how much later than planned a partial answer was made. Only answers whose required parts had all
-// arrived before count: others were late for lack of parts.
+// observeLag records how much later than planned a partial answer was completed. Only answers whose required parts had
+// arrived by then count; others were late because parts were missing.
 func (e *execution) observeLag() {
 	enoughAt := e.summary.SufficientAt
 	if e.isGathered() && !enoughAt.IsZero() && e.summary.EndedAtSoftDeadline && enoughAt.Before(e.request.answerBy) {
--- a/internal/request/gateway/lag_test.go
+++ b/internal/request/gateway/lag_test.go
@@ -10,24 +10,24 @@
 	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
 )
 
-// The lag is planned for while answers are late, and forgotten when they are in time again.
-func TestLagIsPlannedFor(t *testing.T) {
+// The estimate rises while answers are late and falls when they are in time again.
+func TestDelayEstimateRisesAndFalls(t *testing.T) {
 	is := is.New(t)
-	var lag lagTracker
+	var lag delayEstimator
 	is.Equal(lag.expected(time.Second), time.Duration(0))
 	for range 20 {
 		lag.observe(30 * time.Millisecond)
 	}
 	is.True((30*time.Millisecond - lag.expected(time.Second)).Abs() < time.Millisecond)
-	is.Equal(lag.expected(40*time.Millisecond), 10*time.Millisecond) // at most a quarter of a short objective
+	is.Equal(lag.expected(40*time.Millisecond), 10*time.Millisecond) // at most a quarter of the objective
 	for range 100 {
 		lag.observe(-time.Millisecond)
 	}
 	is.True(lag.expected(time.Second) < time.Millisecond)
 }
 
-// Only partial answers whose required parts had arrived show the lag, and it moves the next plan.
-func TestLagOfPartialAnswersIsLearnt(t *testing.T) {
+// Only partial answers whose required parts had arrived count as samples of the lag. The next request is planned by it.
+func TestLagOfPartialAnswersIsLearned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g, _ := newGateway(t, &scriptedLeafs{answer: func(leaf string) (time.Duration, *leafhttp.Response, error) {
@@ -49,6 +49,6 @@
 		_, err = g.Serve(t.Context(), newRequest("/pages/1"))
 		is.NoErr(err)
 		is.True((took - time.Since(started) - 20*time.Millisecond).Abs() < time.Millisecond)
-		is.True(g.lag.lag < 20*time.Millisecond) // this one was in time
+		is.True(g.lag.estimate < 20*time.Millisecond) // this answer was in time
 	})
 }
--- a/internal/request/gateway/latency.go
+++ b/internal/request/gateway/latency.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// minimumSamples is how many latencies of a kind of request make its median known.
+	// minimumSamples is how many latencies a kind of request needs for a median.
 	minimumSamples = 20
-	// medianPercent is the quantile that is the typical latency.
+	// medianPercent is the percentile that is used as the typical latency.
 	medianPercent = 50
-	// initialMedianDivisor guesses the median until it is known: a sixth of the objective.
+	// initialMedianDivisor sets the initial median: a sixth of the objective.
 	initialMedianDivisor = 6
-	// maximumMedianRise is the factor by which the lowest median rises with each sample at most, so that it follows
-	// requests that became slower for good, but not a queue that builds up.
+	// maximumMedianRise is the largest factor by which one sample raises the lowest median. It then follows a lasting
+	// rise of the latency, but not a queue that builds up.
 	maximumMedianRise = 1.003
 )
 
-// gatheredKind begins the names of the kinds of gathered requests.
+// gatheredKind is the prefix of the names of gathered kinds.
 const gatheredKind = "gathered "
 
-// latencyTable has the latency of each kind of request; it is safe for concurrent use.
+// latencyTable holds the latency of each kind of request. It is safe for concurrent use.
 type latencyTable struct {
 	window time.Duration
 
@@ -32,30 +32,30 @@
 	kinds map[string]*kindLatency
 }
 
-// kindLatency is the latency of one kind of request at its leafs; it is safe for concurrent use.
+// kindLatency is the latency of one kind of request at its leafs. It is safe for concurrent use.
 type kindLatency struct {
 	latencies *hedging.Latencies
 
 	mu     sync.Mutex
 	median time.Duration
-	// least is about the lowest median: the latency without queueing. 0 until it is known.
-	least time.Duration
+	// lowestMedian approximates the lowest median, the latency without queueing; 0 until it is known.
+	lowestMedian time.Duration
 }
 
 func newLatencyTable(window time.Duration) *latencyTable {
 	return &latencyTable{window: window, kinds: map[string]*kindLatency{}}
 }
 
-// of returns the latency of a kind, whose median is the guess until it is known.
-func (t *latencyTable) of(kind string, guess time.Duration) *kindLatency {
+// get returns the latency of a kind. Its median is guess until there are enough samples.
+func (t *latencyTable) get(kind string, guess time.Duration) *kindLatency {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known, found := t.kinds[kind]
+	latency, found := t.kinds[kind]
 	if !found {
-		known = &kindLatency{latencies: hedging.NewLatencies(t.window, minimumSamples), median: guess}
-		t.kinds[kind] = known
+		latency = &kindLatency{latencies: hedging.NewLatencies(t.window, minimumSamples), median: guess}
+		t.kinds[kind] = latency
 	}
-	return known
+	return latency
 }
 
 // longestUnloaded returns the longest latency without queueing among the kinds of gathered requests.
@@ -71,7 +71,6 @@
 	return longest
 }
 
-// observe records the latency of an attempt.
 func (k *kindLatency) observe(took time.Duration) {
 	if !k.latencies.Observe(took) {
 		return
@@ -80,11 +79,11 @@
 		k.mu.Lock()
 		defer k.mu.Unlock()
 		k.median = median
-		rising := time.Duration(maximumMedianRise * float64(k.least))
-		if k.least == 0 || median < rising {
-			rising = median
+		lowest := time.Duration(maximumMedianRise * float64(k.lowestMedian))
+		if k.lowestMedian == 0 || median < lowest {
+			lowest = median
 		}
-		k.least = rising
+		k.lowestMedian = lowest
 	}
 }
 
@@ -95,15 +94,15 @@
 	return k.median
 }
 
-// unloaded returns the latency without queueing; 0 if it is not known.
+// unloaded returns the latency without queueing; 0 if unknown.
 func (k *kindLatency) unloaded() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.least
+	return k.lowestMedian
 }
 
-// latency returns the latency of this kind of request. The shards of a gathered route are alike, so that they share
-// one; single requests have one for each service. Kinds differ by objective and priority, too.
+// latency returns the latency of this kind of request. The shards of a gathered route are alike and share one; single
+// requests have one per service. Kinds also differ by objective and priority.
 func (e *execution) latency(service string) *kindLatency {
 	if e.isGathered() && e.gatheredLatency != nil {
 		return e.gatheredLatency
@@ -114,7 +113,7 @@
 		kind = gatheredKind
 	}
 	kind += strconv.FormatInt(route.ObjectiveMillis, 10) + " " + strconv.Itoa(route.Priority)
-	latency := e.gateway.latencies.of(kind, route.Objective/initialMedianDivisor)
+	latency := e.gateway.latencies.get(kind, route.Objective/initialMedianDivisor)
 	if e.isGathered() {
 		e.gatheredLatency = latency
 	}
--- a/internal/request/gateway/merge.go
+++ b/internal/request/gateway/merge.go
@@ -9,7 +9,7 @@
 // recordBytes is the size of one record of a gathered part.
 const recordBytes = 16
 
-// recordHeap is a min-heap of records: the least of the records that are kept is the first.
+// recordHeap is a min-heap of the records that are kept; the least is first.
 type recordHeap [][]byte
 
 // Len, Less and Swap implement heap.Interface.
@@ -28,8 +28,8 @@
 	return last
 }
 
-// topRecords returns the greatest records of all parts, greatest first, compared byte by byte. Equal records are all
-// kept. An incomplete record at the end of a part is ignored.
+// topRecords returns the greatest records of all parts in descending byte order. It keeps equal records and ignores an
+// incomplete record at the end of a part.
 func topRecords(parts [][]byte, limit int) []byte {
 	if limit <= 0 {
 		return nil
--- a/internal/request/gateway/merge_test.go
+++ b/internal/request/gateway/merge_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// The greatest records are the first ones after sorting all records.
-func TestTopRecordsAreThoseOfSorting(t *testing.T) {
+// The result equals the first records after sorting all records in descending order.
+func TestTopRecordsMatchSorting(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(0, 12).Draw(t, "limit")
 		var parts, all [][]byte
--- a/internal/request/gateway/node_tracker.go
+++ b/internal/request/gateway/node_tracker.go
@@ -8,8 +8,8 @@
 	"github.com/portgauge/portgauge/internal/config/catalog"
 )
 
-// nodeTracker chooses the nodes that are asked to gather groups, by how busy they are and how they did before; it is
-// safe for concurrent use.
+// nodeTracker chooses the nodes that gather groups, by their load and the outcomes of earlier groups. It is safe for
+// concurrent use.
 type nodeTracker struct {
 	now func() time.Time
 
@@ -17,11 +17,11 @@
 	nodes map[string]*nodeState // by address
 }
 
-// nodeState is what is known of a node.
+// nodeState is the state of one node.
 type nodeState struct {
 	inFlight int // groups
-	failures int // in a row
-	// pausedUntil is until when the node is not asked.
+	failures int // consecutive
+	// pausedUntil is when the node may receive groups again.
 	pausedUntil time.Time
 }
 
@@ -30,28 +30,28 @@
 }
 
 const (
-	// declinedPause is how long a node is not asked after it declined: long enough for a busy node to catch up, or for
-	// one with another routing table to receive the new one.
+	// declinedPause is how long a node receives no groups after it declined one: long enough for a busy node to catch
+	// up, or for a node with another routing table to receive the new one.
 	declinedPause = 300 * time.Millisecond
-	// leavingPause is how long a node is not asked after it said that it leaves.
+	// leavingPause is how long a node receives no groups after it replied that it is leaving.
 	leavingPause = 3 * time.Second
-	// failedPause is how long a node is not asked after it failed; it doubles with each failure in a row, up to
-	// longestPause.
+	// failedPause is how long a node receives no groups after a failure. It doubles with each consecutive failure, up
+	// to longestPause.
 	failedPause      = time.Second
 	longestPause     = 8 * time.Second
 	maximumDoublings = 3
-	// maximumNodeStates bounds the nodes that are kept; beyond it all are forgotten.
+	// maximumNodeStates bounds the nodes that are stored. When it is reached, all are dropped.
 	maximumNodeStates = 4096
 )
 
-// choose returns the less busy of two random nodes among those that fit and are not paused; false if there is none.
+// choose returns the less loaded of two random nodes among those that fit and are not paused; false if there is none.
 func (t *nodeTracker) choose(nodes []catalog.NodeRecord, fits func(catalog.NodeRecord) bool) (catalog.NodeRecord, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
 	usable := make([]catalog.NodeRecord, 0, len(nodes))
 	for _, node := range nodes {
-		if known := t.nodes[node.Tree]; fits(node) && (known == nil || !now.Before(known.pausedUntil)) {
+		if state := t.nodes[node.Tree]; fits(node) && (state == nil || !now.Before(state.pausedUntil)) {
 			usable = append(usable, node)
 		}
 	}
@@ -73,39 +73,39 @@
 	t.node(node.Tree).inFlight++
 }
 
-// end ends the count of begin, and pauses the node by the outcome of the group.
+// end reverses begin, and pauses the node depending on the outcome of the group.
 func (t *nodeTracker) end(node catalog.NodeRecord, outcome GroupOutcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known := t.node(node.Tree)
-	known.inFlight = max(0, known.inFlight-1)
+	state := t.node(node.Tree)
+	state.inFlight = max(0, state.inFlight-1)
 	now := t.now()
 	switch outcome {
 	case GroupAnswered, GroupFailed:
-		known.failures = 0
+		state.failures = 0
 	case GroupDeclined:
-		known.pausedUntil = now.Add(declinedPause)
+		state.pausedUntil = now.Add(declinedPause)
 	case GroupLeaving:
-		known.pausedUntil = now.Add(leavingPause)
+		state.pausedUntil = now.Add(leavingPause)
 	case GroupNeverSent, GroupSilent, GroupBroken:
-		if now.Before(known.pausedUntil) {
-			return // the group was in flight when the node failed, which counts once
+		if now.Before(state.pausedUntil) {
+			return // groups in flight during one failure count once
 		}
-		known.pausedUntil = now.Add(min(longestPause, failedPause<<min(known.failures, maximumDoublings)))
-		known.failures++
+		state.pausedUntil = now.Add(min(longestPause, failedPause<<min(state.failures, maximumDoublings)))
+		state.failures++
 	case GroupCancelled:
 	}
 }
 
-// node returns the state of the node at an address. The mutex must be held.
+// node returns the state of the node at an address. t.mu must be held.
 func (t *nodeTracker) node(address string) *nodeState {
-	known, found := t.nodes[address]
+	state, found := t.nodes[address]
 	if !found {
 		if len(t.nodes) >= maximumNodeStates {
 			clear(t.nodes)
 		}
-		known = &nodeState{}
-		t.nodes[address] = known
+		state = &nodeState{}
+		t.nodes[address] = state
 	}
-	return known
+	return state
 }
--- a/internal/request/gateway/part_buffer.go
+++ b/internal/request/gateway/part_buffer.go
@@ -7,38 +7,37 @@
 	"github.com/portgauge/portgauge/internal/request/servingtree"
 )
 
-// partBuffer has the parts of a group that have not been sent to the root yet; it is safe for concurrent use.
+// partBuffer holds the parts of a group that have not been sent to the root yet. It is safe for concurrent use.
 type partBuffer struct {
-	mu    sync.Mutex
-	parts []*leafhttp.Response // by shard
-	had   bool                 // reports whether a part has arrived
-	ended bool
+	mu          sync.Mutex
+	parts       []*leafhttp.Response // by shard
+	hasReceived bool                 // whether any part has arrived, even if it was sent since
+	ended       bool
 }
 
 func newPartBuffer(shards int) *partBuffer {
 	return &partBuffer{parts: make([]*leafhttp.Response, shards)}
 }
 
-// add adds a part.
 func (b *partBuffer) add(shard int, part *leafhttp.Response) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.parts[shard], b.had = part, true
+	b.parts[shard], b.hasReceived = part, true
 }
 
-// any reports whether a part has arrived.
+// any reports whether a part has arrived, even if it was sent since.
 func (b *partBuffer) any() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.had
+	return b.hasReceived
 }
 
-// send sends the parts that have arrived and reports whether it did; it does nothing after end. The lock is held while
-// it sends, so that these parts are written before those that end returns.
+// send sends the parts that have arrived and reports whether there were any; it does nothing after end. It holds the
+// lock while sending, so that these parts are written before the ones that end returns.
 func (b *partBuffer) send(merge func([]*leafhttp.Response) servingtree.Answer, send func(servingtree.Answer)) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.ended || !b.had {
+	if b.ended || !b.hasReceived {
 		return false
 	}
 	send(merge(b.parts))
@@ -46,7 +45,7 @@
 	return true
 }
 
-// end returns the parts that were not sent.
+// end returns the parts that were not sent. No parts are sent after it.
 func (b *partBuffer) end(merge func([]*leafhttp.Response) servingtree.Answer) servingtree.Answer {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/request/gateway/placement.go
+++ b/internal/request/gateway/placement.go
@@ -10,14 +10,14 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// placement groups the shards of gathered routes by the zones of their leafs; it is safe for concurrent use.
+// placement groups the shards of gathered routes by the zones of their leafs. It is safe for concurrent use.
 type placement struct {
 	catalog *catalog.Catalog
-	zone    string            // this node's own
+	zone    string            // of this node
 	regions map[string]string // by zone
 
 	mu     sync.Mutex
-	leafs  *leafset.Set // from which the groups were made
+	leafs  *leafset.Set // the leafs that the groups were built from
 	groups map[*routing.Entry][]zoneGroup
 }
 
@@ -29,17 +29,18 @@
 	shards []int
 }
 
-func newPlacement(known *catalog.Catalog, zone string, regions map[string]string) *placement {
-	return &placement{catalog: known, zone: zone, regions: regions, groups: map[*routing.Entry][]zoneGroup{}}
+func newPlacement(source *catalog.Catalog, zone string, regions map[string]string) *placement {
+	return &placement{catalog: source, zone: zone, regions: regions, groups: map[*routing.Entry][]zoneGroup{}}
 }
 
-// maximumPlacements bounds the routes whose groups are kept.
+// maximumPlacements bounds the routes whose groups are cached.
 const maximumPlacements = 1024
 
-// of returns the groups of a gathered route. The first has the shards with a leaf in this node's zone; the others are
-// made from the rest, each by the zone that has leafs of most of what is left. Only leafs in regions that the route
-// allows count, so that no node elsewhere reads its requests. The slices are shared: callers must not change them.
-func (p *placement) of(route *routing.Entry) []zoneGroup {
+// groupsOf returns the groups of a gathered route. The first group has the shards with a leaf in this node's zone. Each
+// further group has the shards of the zone that has leafs of most remaining shards. Only leafs in regions that the
+// route allows count, so that no node outside them reads its requests. The slices are shared: callers must not modify
+// them.
+func (p *placement) groupsOf(route *routing.Entry) []zoneGroup {
 	leafs := p.catalog.View().Leafs
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -49,14 +50,14 @@
 	}
 	groups, found := p.groups[route]
 	if !found {
-		groups = p.find(route, leafs)
+		groups = p.build(route, leafs)
 		p.groups[route] = groups
 	}
 	return groups
 }
 
-// find makes the groups of a route.
-func (p *placement) find(route *routing.Entry, leafs *leafset.Set) []zoneGroup {
+// build builds the groups of a route.
+func (p *placement) build(route *routing.Entry, leafs *leafset.Set) []zoneGroup {
 	zones := make([]map[string]bool, len(route.Gathered))
 	own := zoneGroup{zones: map[string]bool{p.zone: true}}
 	var rest []int
@@ -80,7 +81,7 @@
 	return groups
 }
 
-// zonesOf returns the zones that have leafs of a service which may run the route's requests.
+// zonesOf returns the zones with leafs of a service that may run the route's requests.
 func (p *placement) zonesOf(route *routing.Entry, leafs *leafset.Set, service string) map[string]bool {
 	zones := map[string]bool{}
 	for _, leaf := range placedLeafs(leafs, service) {
@@ -91,8 +92,8 @@
 	return zones
 }
 
-// placedLeafs returns the leafs by which a service is placed: the serving ones, or the canaries once requests are
-// being switched to their version.
+// placedLeafs returns the leafs that determine the placement of a service: the serving ones, or the canaries once
+// requests are being switched to their version.
 func placedLeafs(leafs *leafset.Set, service string) []*leafset.Leaf {
 	if leafs.Rule(service).Phase == rollout.Switching {
 		return leafs.Canaries(service)
@@ -100,8 +101,8 @@
 	return leafs.Ready(service)
 }
 
-// largestGroup returns the largest set of shards of the rest that a single zone has leafs of, with all zones that have leafs of
-// each of them. Ties go to the first zone by name.
+// largestGroup returns the largest subset of the remaining shards for which a single zone has leafs, with all zones
+// that have leafs of every shard in it. Ties go to the first zone by name.
 func largestGroup(rest []int, zones []map[string]bool) zoneGroup {
 	counts := map[string]int{}
 	for _, index := range rest {
--- a/internal/request/gateway/plan.go
+++ b/internal/request/gateway/plan.go
@@ -2,11 +2,11 @@
 
 import "github.com/portgauge/portgauge/internal/request/scatter"
 
-// plan describes the attempts of the request to package scatter, which makes them. What may be asked is decided in
+// plan describes the attempts of the request to package scatter, which makes them. The leafs to query are chosen in
 // candidates.go, hedges and retries in policy.go, and the times in deadlines.go.
 //
-// At its soft deadline, answerBy, a gathered request of a caller is answered with the parts that have arrived if they
-// are enough. A group for another node has no soft deadline: its parts are sent then, and the root decides.
+// At its soft deadline, answerBy, a gathered request of a caller is answered if enough parts have arrived. A group for
+// another node has no soft deadline: the parts that have arrived are sent at answerBy, and the root decides.
 func (e *execution) plan() scatter.Plan {
 	route := e.request.route
 	e.request.Leaf.AtMostOnce = e.isAtMostOnce()
@@ -18,14 +18,14 @@
 		Sufficient:      e.request.leastParts(),
 		AtMostOnce:      e.isAtMostOnce(),
 		MaximumAttempts: route.Attempts,
-		MaximumRefusals: e.gateway.config.MaximumRefusals,
-		ReplicaWait:     e.gateway.config.ReplicaWait,
+		MaximumRefusals: e.gateway.cfg.MaximumRefusals,
+		ReplicaWait:     e.gateway.cfg.ReplicaWait,
 	}
 	if e.isGathered() && e.partial == nil {
 		plan.SoftDeadline = e.request.answerBy
 	}
 	e.planShards(&plan)
-	e.probeSuspects(&plan)
+	e.limitCrashes(&plan)
 	return plan
 }
 
@@ -35,7 +35,7 @@
 	policies := make([]shardPolicy, len(e.services))
 	for index, service := range e.services {
 		policies[index] = shardPolicy{
-			config: &e.gateway.config, service: service, budgets: e.gateway.budgets,
+			cfg: &e.gateway.cfg, service: service, budgets: e.gateway.budgets,
 			latency: e.latency(service), objective: e.request.answerBy,
 		}
 		plan.Shards[index] = scatter.Shard{
--- a/internal/request/gateway/readiness.go
+++ b/internal/request/gateway/readiness.go
@@ -8,22 +8,22 @@
 )
 
 // Ready reports whether callers should connect to this node: it has routes, and no other zone serves them better.
-func (g *Gateway) Ready() bool { return g.catalog.View().Routes != nil && !g.isBetterServedElsewhere() }
+func (g *Gateway) Ready() bool { return g.catalog.View().Routes != nil && !g.otherZonesServeBetter() }
 
-// isBetterServedElsewhere reports whether callers should go to the nodes of other zones: this node can't reach the
-// zones of most nodes, and without them can't serve a gathered route that the others can serve.
+// otherZonesServeBetter reports whether callers should use nodes in other zones: this node cannot reach the zones of
+// most nodes, and without them cannot serve a gathered route that those nodes can serve.
 //
-// It stays ready if most nodes are on its side, or if it can still serve every route: a network partition never leaves
-// both of its sides without ready nodes.
-func (g *Gateway) isBetterServedElsewhere() bool {
+// A node stays ready if it can reach most nodes or can still serve every route, so that a network partition never
+// leaves both sides without ready nodes.
+func (g *Gateway) otherZonesServeBetter() bool {
 	if !g.zones.IsCutOff() {
 		return false
 	}
-	return slices.ContainsFunc(g.catalog.View().Routes.GatheredRoutes(), g.isOutOfReach)
+	return slices.ContainsFunc(g.catalog.View().Routes.GatheredRoutes(), g.isUnreachable)
 }
 
-// isOutOfReach reports whether a gathered route lacks its required parts only because zones are unreachable.
-func (g *Gateway) isOutOfReach(route *routing.Entry) bool {
+// isUnreachable reports whether a gathered route lacks its required parts only because zones are unreachable.
+func (g *Gateway) isUnreachable(route *routing.Entry) bool {
 	leafs := g.catalog.View().Leafs
 	reached, known := 0, 0
 	for _, service := range route.Gathered {
--- a/internal/request/gateway/refuse.go
+++ b/internal/request/gateway/refuse.go
@@ -14,20 +14,20 @@
 	"github.com/portgauge/portgauge/internal/rollout/canary"
 )
 
-// This file has every reason for which a request is refused before an attempt is made, in the order in which they are
-// checked. Each failure has the execution state NotRun: no leaf has the request, so that the caller may send it again.
+// This file contains every reason to refuse a request before an attempt is made, in the order in which they are
+// checked. Each failure has the execution state NotRun: no leaf received the request, so the caller may send it again.
 //
 //	findRoute           NOT_READY      the node has no routes yet
 //	findRoute           UNKNOWN_ROUTE  no route matches host and path
 //	refuseQuarantined   QUARANTINED    the request has crashed the leafs that ran it
-//	refuseWithoutLeafs  OVERLOADED     too few services have a leaf that may be asked
+//	refuseWithoutLeafs  OVERLOADED     too few services have a leaf that may be queried
 //	refuseOverloaded    OVERLOADED     most shards are so busy that the objective would be missed
 //
-// Package front refuses malformed and oversized requests before these. A node that gathers a group for another declines
-// it without a failure if it is busy, stopping, or has another route (intermediate.go). Failures after attempts were
-// made are in answer.go.
+// Package front refuses malformed and oversized requests before that. A node that receives a group from another node
+// declines it without a failure if it is busy, stopping, or has another route (intermediate.go). Failures after
+// attempts are in answer.go.
 
-// notReadyRetryAfter is about the time that a new node takes to receive its routes.
+// notReadyRetryAfter is about as long as a new node takes to receive its routes.
 const notReadyRetryAfter = 600 * time.Millisecond
 
 // findRoute returns the routing table in force and the request's route in it.
@@ -43,7 +43,7 @@
 	return table, route, nil
 }
 
-// refuseQuarantined refuses a request that is quarantined. Its Retry-After is what is left of the quarantine's term.
+// refuseQuarantined refuses a request that is quarantined. Its Retry-After is the remaining term of the quarantine.
 func (e *execution) refuseQuarantined() error {
 	if e.quarantineState() != quarantine.Quarantined {
 		return nil
@@ -51,7 +51,7 @@
 	return e.quarantineFailure(failure.NotRun)
 }
 
-// admit returns the plan of the request's attempts, or the failure by which the request is refused.
+// admit returns the plan of the request's attempts, or the failure if the request is refused.
 func (e *execution) admit() (scatter.Plan, error) {
 	if err := e.refuseWithoutLeafs(); err != nil {
 		return scatter.Plan{}, err
@@ -64,17 +64,17 @@
 	return plan, nil
 }
 
-// noLeaf is the reason of a service for which no leaf is known.
+// noLeaf is the reason of a service without a known leaf.
 const noLeaf = scatter.Reason(balancer.NoReplica)
 
-// elsewhereRetryAfter is for callers whose next connection goes to a zone that can serve them: waiting would only cost
-// them time. It is not zero, since Retry-After is sent only if it is positive.
-const elsewhereRetryAfter = time.Millisecond
+// otherZoneRetryAfter is for callers whose next connection goes to a zone that can serve them, so that they need not
+// wait. It is not zero, since Retry-After is sent only if it is positive.
+const otherZoneRetryAfter = time.Millisecond
 
-// refuseWithoutLeafs refuses a request if so many services have no leaf that an answer can't have its required parts:
-// their leafs are gone, draining, evacuated, in unreachable zones, or in regions that the route doesn't allow. A leaf
-// may come back at any time, but waiting for one would hold the caller, who can ask another node meanwhile. A group
-// that is gathered for another node is never refused: only its root knows how many parts are missing in all.
+// refuseWithoutLeafs refuses a request if an answer cannot have its required parts because too many services have no
+// leaf: their leafs are gone, draining, evacuated, in unreachable zones, or in regions that the route does not allow. A
+// leaf may return at any time, but waiting for one would delay the caller, who can use another node meanwhile. A group
+// for another node is never refused: only its root can count all missing parts.
 func (e *execution) refuseWithoutLeafs() error {
 	if e.partial != nil {
 		return nil
@@ -85,15 +85,15 @@
 	if len(e.services)-without >= required {
 		return nil
 	}
-	failed := failure.New(failure.Overloaded, failure.NotRun, "%d of %d services have no leaf in reach, %d are needed: %s", without, len(e.services), required, noLeaf)
-	if e.gateway.isBetterServedElsewhere() {
-		return failed.WithRetryAfter(elsewhereRetryAfter)
+	failed := failure.New(failure.Overloaded, failure.NotRun, "%d of %d services have no reachable leaf; %d parts are required: %s", without, len(e.services), required, noLeaf)
+	if e.gateway.otherZonesServeBetter() {
+		return failed.WithRetryAfter(otherZoneRetryAfter)
 	}
 	return failed.WithRetryAfter(e.request.longRetryAfter())
 }
 
-// shardsWithoutLeafs counts the shards without a leaf that may run the request, and returns the shards whose only such
-// leafs are canaries, so that a canary decision decides whether they may run it.
+// shardsWithoutLeafs counts the shards without a leaf that may run the request. It returns separately the shards for
+// which only canaries may run it, which depends on a canary decision.
 func (e *execution) shardsWithoutLeafs() (without int, canaryOnly []int) {
 	for index := range e.services {
 		switch {
@@ -107,8 +107,9 @@
 	return without, canaryOnly
 }
 
-// decideForCanary decides for shards until as many as wanted go to the canary version, and returns their number. If
-// there can't be enough it decisions none or refunds the decisions, so that a refused request takes nothing from the canary.
+// decideForCanary makes decisions for shards until the wanted number go to the canary version, and returns how many do.
+// If there cannot be enough, it makes no decisions or refunds them, so that a refused request uses none of the canary's
+// share.
 func (e *execution) decideForCanary(shards []int, wanted int) int {
 	if wanted <= 0 || wanted > len(shards) {
 		return 0
@@ -125,8 +126,8 @@
 	return count
 }
 
-// hasLeaf reports whether a service has a leaf that may run the request without a canary decision. Canaries count
-// once all requests go to their version.
+// hasLeaf reports whether a service has a leaf that may run the request without a canary decision. Canaries count once
+// all requests go to their version.
 func (e *execution) hasLeaf(index int) bool {
 	service := e.services[index]
 	versions := e.gateway.retryVersions(service)
@@ -141,7 +142,7 @@
 	return !e.isInGroup(index) && e.anyMayRun(e.gateway.catalog.View().Leafs.Canaries(e.services[index]))
 }
 
-// anyMayRun reports whether any of the leafs is in a zone that the route allows and this node reaches.
+// anyMayRun reports whether any of the leafs is in a zone that the route allows and this node can reach.
 func (e *execution) anyMayRun(leafs []*leafset.Leaf) bool {
 	return slices.ContainsFunc(leafs, func(leaf *leafset.Leaf) bool {
 		return e.allowsZone(leaf.Zone) && e.gateway.zones.Reaches(leaf.Zone)
@@ -149,47 +150,47 @@
 }
 
 const (
-	// retryAfterDivisor is the part of a caller's remaining time that a Retry-After may take up: a third, so that
-	// the caller still follows it and has time for the answer.
+	// retryAfterDivisor limits a Retry-After to a third of a caller's remaining time, so that the caller still follows
+	// it and has time for the answer.
 	retryAfterDivisor = 3
-	// leastRetryAfterShare spreads the Retry-After of callers that are refused together over its last 30%.
-	leastRetryAfterShare = 0.7
-	// defaultRetryAfter is the longest Retry-After for callers that don't say how long they wait.
+	// minimumRetryAfterFraction spreads the Retry-After of callers that are refused together over its last 30%.
+	minimumRetryAfterFraction = 0.7
+	// defaultRetryAfter is the longest Retry-After for callers that send no timeout.
 	defaultRetryAfter = time.Second
 )
 
 // longRetryAfter returns about the longest Retry-After that the caller will follow. It is for outages of unknown
-// length, when the caller has only one or two more times to send the request.
+// duration, in which the caller can send the request only once or twice more.
 func (r *routedRequest) longRetryAfter() time.Duration {
 	left := r.CallerTimeout - time.Since(r.Arrived)
 	if r.CallerTimeout == 0 || left <= 0 {
 		left = retryAfterDivisor * defaultRetryAfter
 	}
-	share := leastRetryAfterShare + (1-leastRetryAfterShare)*rand.Float64()
-	return time.Duration(share * float64(left/retryAfterDivisor))
+	fraction := minimumRetryAfterFraction + (1-minimumRetryAfterFraction)*rand.Float64()
+	return time.Duration(fraction * float64(left/retryAfterDivisor))
 }
 
 const (
-	// overloadTailFactor is how many times the expected latency of a shard the slowest shard of an answer takes.
+	// overloadTailFactor is the ratio of the slowest shard's latency to the expected latency of a shard.
 	overloadTailFactor = 1.3
-	// minimumOverload is the least median delay of the shards, as a multiple of an attempt without queueing, for which
-	// requests are refused. After a start the latencies are not known well enough to refuse for less.
-	minimumOverload = 2.5
-	// minimumJitter and maximumJitter spread the Retry-After of callers that are refused together, as parts of
+	// overloadThreshold is the median delay of the shards from which requests are refused, as a multiple of an attempt
+	// without queueing. After a start, the latencies are not known well enough for a lower threshold.
+	overloadThreshold = 2.5
+	// minimumJitter and maximumJitter spread the Retry-After of callers that are refused together, as fractions of
 	// OverloadRetryAfter.
 	minimumJitter = 0.6
 	maximumJitter = 1.4
 )
 
-// refuseOverloaded refuses a gathered request that can't be answered within its objective, since most of its shards
-// have too many requests queued: the leafs are left to requests that can be, and the caller can come back in time. Routes
-// with a short objective are refused first. A few slow shards don't count: an answer can go out without them.
+// refuseOverloaded refuses a gathered request that cannot be answered within its objective because most of its shards
+// have too many requests queued. The leafs then serve requests that can be answered, and the caller can retry in time.
+// Routes with a short objective are refused first. A few slow shards do not count: an answer can be sent without them.
 //
 // The input is the balancer's delay of each shard, as a multiple of an attempt without queueing. The request is refused
-// if their median is at least minimumOverload and the time that it predicts for the answer is more than is
-// left of the objective. Shards that another node is asked for don't count: this node's data on their leafs is old.
-// A node that gathers a part of the shards refuses nothing, since its root has begun with the others; one that gathers
-// all of them refuses, and the root passes the failure on.
+// if the median is at least overloadThreshold and the predicted time of the answer exceeds the time left until the
+// objective. Shards in groups for other nodes do not count: this node's data on their leafs is old. A node that gathers
+// some of the shards refuses nothing, since its root has begun with the others; a node that gathers all of them
+// refuses, and the root passes the failure on.
 func (e *execution) refuseOverloaded(plan scatter.Plan) error {
 	if !e.isGathered() || len(e.services) < len(e.request.route.Gathered) {
 		return nil
@@ -200,20 +201,21 @@
 	}
 	slices.Sort(delays)
 	median := delays[len(delays)/2]
-	if median < minimumOverload {
+	if median < overloadThreshold {
 		return nil
 	}
 	predicted := e.predictAnswer(median)
 	if predicted <= time.Until(e.request.objective) {
 		return nil
 	}
-	share := minimumJitter + (maximumJitter-minimumJitter)*rand.Float64()
-	after := time.Duration(share * float64(e.gateway.config.OverloadRetryAfter))
+	fraction := minimumJitter + (maximumJitter-minimumJitter)*rand.Float64()
+	after := time.Duration(fraction * float64(e.gateway.cfg.OverloadRetryAfter))
 	return failure.New(failure.Overloaded, failure.NotRun,
 		"most shards have %.1f times the usual delay; an answer is expected after %s", median, predicted).WithRetryAfter(after)
 }
 
-// shardDelays returns the known delays of the shards that this node asks, as multiples of an attempt without queueing.
+// shardDelays returns the known delays of the shards that this node queries, as multiples of an attempt without
+// queueing.
 func (e *execution) shardDelays(plan scatter.Plan) []float64 {
 	delays := make([]float64, 0, len(plan.Shards))
 	for index, shard := range plan.Shards {
@@ -227,8 +229,8 @@
 	return delays
 }
 
-// predictAnswer predicts how long an answer takes from the median delay of its shards. What is queued at the leafs may
-// be requests of any gathered route, so that the slowest kind counts.
+// predictAnswer predicts the latency of an answer from the median delay of its shards. The requests queued at the leafs
+// may be of any gathered route, so the slowest kind counts.
 func (e *execution) predictAnswer(medianDelay float64) time.Duration {
 	own := e.latency("").unloaded()
 	queued := time.Duration((medianDelay - 1) * float64(e.gateway.latencies.longestUnloaded()))
--- a/internal/request/gateway/refuse_overloaded_test.go
+++ b/internal/request/gateway/refuse_overloaded_test.go
@@ -13,8 +13,8 @@
 	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
 )
 
-// If most shards have too many requests queued, a request is refused at once as not run, with Retry-After; if only a few have,
-// it is served.
+// If most shards have too many requests queued, a request is refused at once as not run, with a Retry-After. If only a
+// few have, it is served.
 func TestOverloadOfMostShardsIsRefusedAtOnce(t *testing.T) {
 	for name, one := range map[string]struct {
 		busy    int // shards with long queues
@@ -28,7 +28,7 @@
 				}}
 				g, _ := newGateway(t, leafs)
 				for range 100 {
-					g.latencies.of(gatheredKind+"200 0", time.Second).observe(20 * time.Millisecond)
+					g.latencies.get(gatheredKind+"200 0", time.Second).observe(20 * time.Millisecond)
 				}
 				for index := range one.busy {
 					for _, replica := range []string{"a", "b"} {
@@ -47,7 +47,7 @@
 				is.True(failure.From(err).RetryAfter > 0)
 				is.Equal(time.Since(started), time.Duration(0))
 				is.Equal(len(leafs.queried), 0)
-				time.Sleep(2 * time.Second) // the reports of the queues are old
+				time.Sleep(2 * time.Second) // until the load reports have expired
 				_, err = g.Serve(t.Context(), newRequest("/pages/1"))
 				is.NoErr(err)
 			})
--- a/internal/request/gateway/refuse_test.go
+++ b/internal/request/gateway/refuse_test.go
@@ -24,19 +24,19 @@
 			return time.Millisecond, answered(200, records(leaf)), nil
 		}}
 		g, _ := newGateway(t, leafs)
-		time.Sleep(time.Minute) // long after the start
+		time.Sleep(time.Minute) // long after the start of the gateway
 		lose := func(service int) {
 			for _, replica := range []string{"a", "b"} {
 				put(t, g.catalog, catalog.LeafKey(fmt.Sprintf("s%d%s", service, replica)), nil)
 			}
-			g.memory.IDs() // has the loss noticed
+			g.memory.IDs() // detects the loss
 			time.Sleep(time.Minute)
 		}
 		for _, service := range []int{0, 1} {
 			lose(service)
 		}
 		answer, err := g.Serve(t.Context(), newRequest("/pages/1"))
-		is.NoErr(err) // 8 of 10 parts are needed
+		is.NoErr(err) // 8 of 10 parts are required
 		is.Equal(answer.Missing, 2)
 		lose(2)
 		for _, path := range []string{"/pages/1", "/single/1", "/once/1"} {
@@ -54,8 +54,8 @@
 	})
 }
 
-// If no leaf could be reached the Retry-After is short: by then another leaf can mostly be reached, within the objective.
-func TestUnreachableLeafsAreTriedAgainSoon(t *testing.T) {
+// If no leaf can be reached, the Retry-After is short: another leaf is usually reachable by then, within the objective.
+func TestUnreachableLeafsGetShortRetryAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g, _ := newGateway(t, &scriptedLeafs{answer: func(string) (time.Duration, *leafhttp.Response, error) {
@@ -68,7 +68,7 @@
 }
 
 // A weighted service without leafs keeps its share: its requests are refused, and none goes to another service.
-func TestWeightedPartWithoutLeafsKeepsItsShare(t *testing.T) {
+func TestWeightedServiceWithoutLeafsKeepsItsShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		leafs := &scriptedLeafs{answer: func(leaf string) (time.Duration, *leafhttp.Response, error) {
--- a/internal/request/gateway/regions_test.go
+++ b/internal/request/gateway/regions_test.go
@@ -13,7 +13,8 @@
 	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
 )
 
-// newRegionTree starts a node in each zone; the route allows some regions.
+// newRegionTree starts a node in each zone, with a route that allows the given regions, or all regions if there are
+// none.
 func newRegionTree(t *testing.T, regions ...string) *tree {
 	t.Helper()
 	built := newTree(t, near("n1"), far("f1"), catalog.NodeRecord{ID: "r1", Zone: zoneFarther})
@@ -27,51 +28,51 @@
 	return built
 }
 
-// A route that allows one region is served by its leafs only, even if those fail; a node elsewhere reads a request only if
-// its caller sent it there.
-func TestRouteIsKeptToItsRegions(t *testing.T) {
+// A route that allows one region uses only leafs in that region, even if they fail. Nodes in other regions read a
+// request only if its caller sent it to them.
+func TestRouteStaysInItsRegions(t *testing.T) {
 	for _, root := range []string{"n1", "f1", "r1"} {
-		t.Run("taken by "+root, func(t *testing.T) {
+		t.Run("received by "+root, func(t *testing.T) {
 			is := is.New(t)
 			built := newRegionTree(t, regionWest)
-			built.requireWhole(built.ask(root))
+			built.requireComplete(built.serve(root))
 			for _, node := range built.nodes {
 				node.leafs.setAnswer(func(leaf string) (time.Duration, *leafhttp.Response, error) {
-					return 0, nil, &leafhttp.BrokenAnswerError{Cause: errSilent}
+					return 0, nil, &leafhttp.BrokenAnswerError{Cause: errUnresponsive}
 				})
 			}
-			_, err := built.ask(root)
+			_, err := built.serve(root)
 			is.True(err != nil)
 			for id := range built.nodes {
-				for _, leaf := range built.seen.by(id) {
-					is.True(!strings.HasSuffix(leaf, zoneFarther)) // the only leafs in the south
+				for _, leaf := range built.attempts.by(id) {
+					is.True(!strings.HasSuffix(leaf, zoneFarther)) // the only leafs in the southern region
 				}
 			}
 			if root != "r1" {
-				is.Equal(len(built.seen.by("r1")), 0)
-				for _, pass := range built.nodes[root].events.groupRecords() {
-					is.True(pass.Intermediate != "r1")
+				is.Equal(len(built.attempts.by("r1")), 0)
+				for _, record := range built.nodes[root].events.groupRecords() {
+					is.True(record.Intermediate != "r1")
 				}
 			}
 		})
 	}
 }
 
-// A request is refused at once if its regions have leafs of too few services.
+// A request is refused at once if too few services have leafs in its regions.
 func TestRouteWithoutLeafsInItsRegionsIsRefused(t *testing.T) {
 	is := is.New(t)
 	built := newRegionTree(t, regionSouth)
-	_, err := built.ask("n1")
+	_, err := built.serve("n1")
 	is.Equal(failure.From(err).Execution, failure.NotRun)
 	is.True(failure.From(err).RetryAfter > 0)
 	for id := range built.nodes {
-		is.Equal(len(built.seen.by(id)), 0)
+		is.Equal(len(built.attempts.by(id)), 0)
 	}
 }
 
-// A route without regions is served everywhere.
+// A route without regions uses leafs in all regions.
 func TestRouteWithoutRegionsIsServedEverywhere(t *testing.T) {
 	built := newRegionTree(t)
-	built.requireWhole(built.ask("n1"))
-	built.requireWhole(built.ask("r1"))
+	built.requireComplete(built.serve("n1"))
+	built.requireComplete(built.serve("r1"))
 }
--- a/internal/request/gateway/root.go
+++ b/internal/request/gateway/root.go
@@ -20,20 +20,19 @@
 // Intermediates sends groups to other nodes; servingtree.Client implements it.
 type Intermediates interface {
 	Start(address string, request servingtree.Request) *servingtree.Call
-	// DropSilent closes the connection to a node if nothing was received on it for that long.
+	// DropSilent closes the connection to a node if nothing was received on it for the given time.
 	DropSilent(address string, silence time.Duration, cause error)
 }
 
-// group is a set of shards that one other node is asked to gather.
+// group is a set of shards that one other node gathers.
 type group struct {
 	node catalog.NodeRecord
-	// zones are those whose nodes can gather the group as well.
+	// zones are the zones whose nodes can gather the group.
 	zones map[string]bool
 	// shards are indices into the route's services.
 	shards []int
 }
 
-// scatterGroups converts groups for package scatter.
 func scatterGroups(groups []group) []scatter.Group {
 	if len(groups) == 0 {
 		return nil
@@ -53,38 +52,38 @@
 	placement     *placement
 	nodes         *nodeTracker
 	zones         *reachability.Tracker
-	// hop estimates the round-trip time to an intermediate.
-	hop lagTracker
+	// roundTrip estimates the round-trip time to an intermediate.
+	roundTrip delayEstimator
 }
 
-// initialHop is the estimate of the round trip to an intermediate until it is measured: two trips between zones of 1 to
-// 1.5 ms, and as much for both nodes to write and read a message. A root of a large fleet makes so few requests that it
-// would take long to learn it.
-const initialHop = 5 * time.Millisecond
+// initialRoundTrip is the estimate of the round trip to an intermediate until it is measured: 1 to 1.5 ms per direction
+// between zones, and as much again for both nodes to write and read a message. In a large fleet each root serves too
+// few requests to measure it quickly.
+const initialRoundTrip = 5 * time.Millisecond
 
 func newRoot(deps Deps) *root {
 	return &root{
 		self: deps.Self, fleet: deps.Fleet, intermediates: deps.Intermediates,
 		placement: newPlacement(deps.Catalog, deps.Self.Zone, deps.Regions), nodes: newNodeTracker(),
-		zones: deps.Zones, hop: lagTracker{lag: initialHop},
+		zones: deps.Zones, roundTrip: delayEstimator{estimate: initialRoundTrip},
 	}
 }
 
-// minimumGroup is how many shards a group must have to be worth the round trip to another node.
+// minimumGroup is how many shards a group needs to be worth the round trip to another node.
 const minimumGroup = 3
 
 // groups returns the groups of a route that other nodes gather:
 //
-//   - the shards without a leaf in this node's zone, by a node of a zone that has their leafs, since one merged answer
-//     crosses zones instead of many parts;
-//   - the other shards, by another node of this zone, unless this node is one of the fleet's gatherers. Nodes with far
-//     fewer processors than others of their zone are not: the gatherers keep the connections to leafs.
+//   - the shards without a leaf in this node's zone, by a node in a zone that has their leafs, since one merged answer
+//     then crosses zones instead of many parts;
+//   - the other shards, by another node in this zone, unless this node is one of the fleet's gatherers. Nodes with far
+//     fewer processors than others in their zone are not: the gatherers keep the connections to leafs.
 //
-// Groups below minimumGroup, and those for which no node can be asked, are left to this node.
+// This node queries the leafs of smaller groups than minimumGroup, and of groups that no node can gather, itself.
 func (r *root) groups(route *routing.Entry) []group {
 	isGatherer := r.fleet.IsGatherer()
 	var groups []group
-	for _, placed := range r.placement.of(route) {
+	for _, placed := range r.placement.groupsOf(route) {
 		if len(placed.shards) < minimumGroup || placed.zones[r.self.Zone] && isGatherer {
 			continue
 		}
@@ -95,15 +94,15 @@
 	return groups
 }
 
-// choose returns another node, in one of the zones and reachable, that can be asked to gather; false if there is none.
+// choose returns another node that is reachable, in one of the zones and not paused; false if there is none.
 func (r *root) choose(zones map[string]bool) (catalog.NodeRecord, bool) {
 	return r.nodes.choose(r.fleet.Gatherers(), func(node catalog.NodeRecord) bool {
 		return node.Tree != "" && node.ID != r.self.ID && zones[node.Zone] && r.zones.Reaches(node.Zone)
 	})
 }
 
-// chooseGroups returns the groups of the request that other nodes gather. During a quarantine alert, at least
-// one shard is left to this node for the attempt that goes ahead.
+// chooseGroups returns the groups of the request that other nodes gather. During a quarantine alert, at least one shard
+// is left to this node for the first attempt.
 func (e *execution) chooseGroups() []group {
 	groups := e.gateway.root.groups(e.request.route)
 	if e.tracked != nil && e.tracked.IsAlert() {
@@ -112,7 +111,7 @@
 	return groups
 }
 
-// assignGroups sets the groups that other nodes are asked for before this node asks the leafs itself.
+// assignGroups sets the groups that other nodes gather. This node queries their leafs itself only after that.
 func (e *execution) assignGroups(groups []group) {
 	e.groups = groups
 	e.inGroup = make([]bool, len(e.services))
@@ -123,5 +122,5 @@
 	}
 }
 
-// isInGroup reports whether another node is asked for a shard first.
+// isInGroup reports whether another node gathers a shard first.
 func (e *execution) isInGroup(shard int) bool { return len(e.groups) > 0 && e.inGroup[shard] }
--- a/internal/request/gateway/suspension.go
+++ b/internal/request/gateway/suspension.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// errSuspended ends a request whose deadline passed while the machine was suspended. The clock of timers and deadlines
-// stops during a suspension: otherwise the caller would be kept waiting, and leafs given time, for as long again.
+// errSuspended is the cause of cancelling a request whose deadline passed while the machine was suspended. The clock of
+// timers and deadlines stops during a suspension; otherwise the caller would wait, and leafs would work, too long by
+// its duration.
 var errSuspended = errors.New("the machine was suspended past the request's deadline")
 
-// inFlight is the set of executions in flight; it is safe for concurrent use and its zero value is empty.
+// inFlight is the set of executions in flight. It is safe for concurrent use, and its zero value is empty.
 type inFlight struct {
 	mu         sync.Mutex
 	executions map[*execution]struct{}
@@ -31,20 +32,21 @@
 	delete(f.executions, e)
 }
 
-// Resumed notifies the gateway that the machine was suspended for some time. Requests that arrived before have that
-// much less time, and those whose deadline has passed are ended.
+// Resumed notifies the gateway that the machine was suspended for some time. The deadlines of the requests in flight
+// move earlier by that time, and requests whose deadline has passed are cancelled.
 func (g *Gateway) Resumed(slept time.Duration) {
 	g.inFlight.mu.Lock()
 	defer g.inFlight.mu.Unlock()
 	for e := range g.inFlight.executions {
-		e.slept.Add(int64(slept))
+		e.suspendedNanos.Add(int64(slept))
 		if !time.Now().Before(e.deadline()) {
 			e.cancel(errSuspended)
 		}
 	}
 }
 
-// deadline returns when the answer must be sent, by the monotonic clock, which stops while the machine is suspended.
+// deadline returns when the answer must have been sent, by the monotonic clock, which stops while the machine is
+// suspended.
 func (e *execution) deadline() time.Time {
-	return e.request.deadline.Add(-time.Duration(e.slept.Load()))
+	return e.request.deadline.Add(-time.Duration(e.suspendedNanos.Load()))
 }
--- a/internal/request/gateway/suspension_test.go
+++ b/internal/request/gateway/suspension_test.go
@@ -13,22 +13,22 @@
 	"github.com/portgauge/portgauge/internal/leaf/leafhttp"
 )
 
-// deadlineRecorder records the deadline of each attempt.
+// deadlineRecorder is a LeafCaller that records the deadline of each attempt.
 type deadlineRecorder struct {
 	scriptedLeafs
-	mu   sync.Mutex
-	seen []time.Time
+	mu        sync.Mutex
+	deadlines []time.Time
 }
 
 func (d *deadlineRecorder) Start(target leafhttp.Target, request *leafhttp.Request, deadline time.Time, done leafhttp.Done) context.CancelCauseFunc {
 	d.mu.Lock()
-	d.seen = append(d.seen, deadline)
+	d.deadlines = append(d.deadlines, deadline)
 	d.mu.Unlock()
 	return d.scriptedLeafs.Start(target, request, deadline, done)
 }
 
-// A request whose deadline passed while the machine was suspended ends when it resumes.
-func TestRequestThatWasSleptThroughEnds(t *testing.T) {
+// A request whose deadline passes while the machine is suspended ends when it resumes.
+func TestRequestEndsIfDeadlinePassesDuringSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g, _ := newGateway(t, &scriptedLeafs{answer: func(string) (time.Duration, *leafhttp.Response, error) { return time.Hour, nil, nil }})
@@ -41,8 +41,8 @@
 	})
 }
 
-// A request that has time left goes on, and its later attempts have no more than that.
-func TestLeafsAreGivenTheTimeThatIsLeft(t *testing.T) {
+// A request that has time left continues, and its later attempts get only the time that is left.
+func TestSuspensionShortensLaterAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const slept = 300 * time.Millisecond
@@ -50,7 +50,7 @@
 		leafs.answer = func(string) (time.Duration, *leafhttp.Response, error) {
 			leafs.mu.Lock()
 			defer leafs.mu.Unlock()
-			if len(leafs.seen) == 1 {
+			if len(leafs.deadlines) == 1 {
 				return 60 * time.Millisecond, refused(503), nil
 			}
 			return time.Millisecond, answered(200, "x"), nil
@@ -59,8 +59,8 @@
 		time.AfterFunc(50*time.Millisecond, func() { g.Resumed(slept) })
 		_, err := g.Serve(t.Context(), newRequest("/single/1"))
 		is.NoErr(err)
-		is.Equal(len(leafs.seen), 2)
-		is.Equal(leafs.seen[0].Sub(leafs.seen[1]), slept)
+		is.Equal(len(leafs.deadlines), 2)
+		is.Equal(leafs.deadlines[0].Sub(leafs.deadlines[1]), slept)
 		is.Equal(len(g.inFlight.executions), 0)
 	})
 }
