--- a/internal/request/gateway/tree_fixture_test.go
+++ b/internal/request/gateway/tree_fixture_test.go
@@ -24,18 +24,17 @@
 	"github.com/portgauge/portgauge/internal/request/servingtree"
 )
 
-// treeLeafs is the LeafCaller of one node; the attempts of all nodes are recorded in one log.
+// treeLeafs is the LeafCaller of one node; all nodes record their attempts in one log.
 type treeLeafs struct {
-	node string
-	seen *attemptLog
-	// answer is how leafs answer; nil means at once with a success.
+	node     string
+	attempts *attemptLog
+	// answer is how leafs answer; nil means a success without delay.
 	answer func(leaf string) (time.Duration, *leafhttp.Response, error)
 }
 
-// attemptLog records the attempts of all nodes.
 type attemptLog struct {
 	mu        sync.Mutex
-	queried   map[string][]string // leafs by node
+	queried   map[string][]string // leaf IDs by node
 	cancelled int
 }
 
@@ -52,10 +51,10 @@
 }
 
 func (l *treeLeafs) Start(target leafhttp.Target, _ *leafhttp.Request, _ time.Time, done leafhttp.Done) context.CancelCauseFunc {
-	l.seen.mu.Lock()
-	l.seen.queried[l.node] = append(l.seen.queried[l.node], target.LeafID)
+	l.attempts.mu.Lock()
+	l.attempts.queried[l.node] = append(l.attempts.queried[l.node], target.LeafID)
 	answer := l.answer
-	l.seen.mu.Unlock()
+	l.attempts.mu.Unlock()
 	ctx, cancel := context.WithCancelCause(context.Background())
 	go func() {
 		delay, response, err := time.Duration(0), answered(200, records(target.LeafID)), error(nil)
@@ -66,29 +65,29 @@
 		case <-time.After(delay):
 			done(response, err)
 		case <-ctx.Done():
-			l.seen.mu.Lock()
-			l.seen.cancelled++
-			l.seen.mu.Unlock()
+			l.attempts.mu.Lock()
+			l.attempts.cancelled++
+			l.attempts.mu.Unlock()
 			done(nil, &leafhttp.BrokenAnswerError{Cause: context.Cause(ctx)})
 		}
 	}()
 	return cancel
 }
 
-// setAnswer sets how leafs answer from now on.
+// setAnswer sets how leafs answer subsequent attempts.
 func (l *treeLeafs) setAnswer(answer func(leaf string) (time.Duration, *leafhttp.Response, error)) {
-	l.seen.mu.Lock()
-	defer l.seen.mu.Unlock()
+	l.attempts.mu.Lock()
+	defer l.attempts.mu.Unlock()
 	l.answer = answer
 }
 
 func (l *treeLeafs) MayOpenExtra(string) bool { return true }
 func (l *treeLeafs) Warm([]leafhttp.Target)   {}
 
-// Check reports each leaf as alive.
-func (l *treeLeafs) Check(_ leafhttp.Target, _ bool, tell leafhttp.OnChecked) { go tell(false) }
+// Check reports that the leaf's process is alive.
+func (l *treeLeafs) Check(_ leafhttp.Target, _ bool, done leafhttp.OnChecked) { go done(false) }
 
-// treeNode is a node of a tree.
+// treeNode is one node of a tree.
 type treeNode struct {
 	t        *testing.T
 	record   catalog.NodeRecord
@@ -100,12 +99,12 @@
 	listener net.Listener
 }
 
-// tree is a fleet of nodes over ten services: the first five have leafs in the zones near and far, the others in far and
-// farther.
+// tree is a fleet of nodes over ten services: the first five have leafs in the near and far zones, the others in the
+// far and farther zones.
 type tree struct {
-	t     *testing.T
-	seen  *attemptLog
-	nodes map[string]*treeNode
+	t        *testing.T
+	attempts *attemptLog
+	nodes    map[string]*treeNode
 }
 
 const (
@@ -120,13 +119,13 @@
 // nearShards is how many services have a leaf in the near zone.
 const nearShards = 5
 
-// treeObjective is longer than anything that a test waits for.
+// treeObjective is longer than anything a test waits for.
 const treeObjective = 2 * time.Second
 
 // newTree starts a node for each record, and sets the address in the record.
 func newTree(t *testing.T, nodes ...catalog.NodeRecord) *tree {
 	t.Helper()
-	built := &tree{t: t, seen: &attemptLog{queried: map[string][]string{}}, nodes: map[string]*treeNode{}}
+	built := &tree{t: t, attempts: &attemptLog{queried: map[string][]string{}}, nodes: map[string]*treeNode{}}
 	for index := range nodes {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -145,7 +144,7 @@
 func (b *tree) start(node *treeNode, nodes []catalog.NodeRecord) {
 	node.catalog = catalog.New(func(key string, err error) { b.t.Errorf("%s: %v", key, err) })
 	node.catalog.EnableRollouts()
-	node.events, node.leafs = &recordedEvents{}, &treeLeafs{node: node.record.ID, seen: b.seen}
+	node.events, node.leafs = &recordedEvents{}, &treeLeafs{node: node.record.ID, attempts: b.attempts}
 	var gathered []string
 	for index := range shardCount {
 		service := fmt.Sprintf("s%d", index)
@@ -159,8 +158,8 @@
 			put(b.t, node.catalog, catalog.LeafKey(id), leafset.Record{Name: id, Service: service, Address: "127.0.0.1:1", Zone: zone, State: leafset.Ready})
 		}
 	}
-	for _, known := range nodes {
-		put(b.t, node.catalog, catalog.NodeKey(known.ID), known)
+	for _, peer := range nodes {
+		put(b.t, node.catalog, catalog.NodeKey(peer.ID), peer)
 	}
 	b.putRoutes(node, 1, gathered)
 	fleet := registry.NewFleet(node.catalog, node.record.ID, time.Minute)
@@ -186,14 +185,14 @@
 	}}})
 }
 
-func (b *tree) ask(node string) (*Answer, error) {
+func (b *tree) serve(node string) (*Answer, error) {
 	request := newRequest("/pages/1")
 	request.CallerTimeout = 0
 	return b.nodes[node].gateway.Serve(b.t.Context(), request)
 }
 
-// requireWhole fails the test unless the answer has each part once, with its records.
-func (b *tree) requireWhole(answer *Answer, err error) {
+// requireComplete fails the test unless the answer has each part once, with its records.
+func (b *tree) requireComplete(answer *Answer, err error) {
 	b.t.Helper()
 	is := is.New(b.t)
 	is.NoErr(err)
@@ -201,7 +200,7 @@
 	b.requireConsistent(answer)
 }
 
-// requireConsistent fails the test unless the answer's records are those of its parts.
+// requireConsistent fails the test unless the answer's records are exactly the records of its parts.
 func (b *tree) requireConsistent(answer *Answer) {
 	b.t.Helper()
 	is := is.New(b.t)
@@ -215,17 +214,17 @@
 		inBody = append(inBody, strings.TrimSpace(string(part)))
 	}
 	slices.Sort(services)
-	is.Equal(len(slices.Compact(services)), len(answer.Stamps)) // no service twice
+	is.Equal(len(slices.Compact(services)), len(answer.Stamps)) // no service has two parts
 	slices.Sort(fromStamps)
 	slices.Sort(inBody)
 	is.Equal(inBody, fromStamps)
 }
 
-// outcomes returns the outcomes of the groups that a node asked others for.
+// outcomes returns the outcomes of the groups that a node sent to others.
 func (b *tree) outcomes(node string) []GroupOutcome {
 	var outcomes []GroupOutcome
-	for _, pass := range b.nodes[node].events.groupRecords() {
-		outcomes = append(outcomes, pass.Outcome)
+	for _, record := range b.nodes[node].events.groupRecords() {
+		outcomes = append(outcomes, record.Outcome)
 	}
 	return outcomes
 }
@@ -233,11 +232,11 @@
 func near(id string) catalog.NodeRecord { return catalog.NodeRecord{ID: id, Zone: zoneNear} }
 func far(id string) catalog.NodeRecord  { return catalog.NodeRecord{ID: id, Zone: zoneFar} }
 
-// treeBudgets returns budgets with an allowance for retries that no request pays for: a root has no other budget for the
-// shards that its intermediates gather.
+// treeBudgets returns budgets with an allowance for retries that is independent of requests. A root has no other budget
+// for the shards that its intermediates gather.
 func treeBudgets() *retrybudget.Budgets {
-	config := retrybudget.Config{Ratio: 0, Window: 20 * time.Millisecond, Allowance: 20, Share: 1}
-	budgets := retrybudget.New(config, func(string) float64 { return 1 })
+	cfg := retrybudget.Config{Ratio: 0, Window: 20 * time.Millisecond, Allowance: 20, Share: 1}
+	budgets := retrybudget.New(cfg, func(string) float64 { return 1 })
 	for budgets.FreeShare("any") == 0 {
 		time.Sleep(time.Millisecond) // a new node has no allowance for one window
 	}
--- a/internal/request/gateway/warm.go
+++ b/internal/request/gateway/warm.go
@@ -9,13 +9,13 @@
 	"github.com/portgauge/portgauge/internal/rollout/canary"
 )
 
-// Connections are opened before requests need them: a first request that had to open one to a leaf of every shard would
-// spend most of its objective on it.
+// Connections are opened before requests need them. Otherwise the first request would have to open one to a leaf of
+// each shard, which takes most of its objective.
 
-// maximumWarmed bounds the services to which a node opens connections ahead of requests.
+// maximumWarmed bounds the services to which a node opens connections in advance.
 const maximumWarmed = 512
 
-// Warm opens a connection to one leaf of each gathered service that this node has a share of.
+// Warm opens a connection to one leaf of each gathered service, if this node has a share of the leaf.
 func (g *Gateway) Warm() {
 	table := g.catalog.View().Routes
 	if table == nil {
@@ -29,15 +29,15 @@
 			}
 			warmed[service] = true
 			limit := 0
-			if known, found := table.Service(service); found {
-				limit = known.MaximumConnections
+			if configured, found := table.Service(service); found {
+				limit = configured.MaximumConnections
 			}
 			g.warmService(service, limit)
 		}
 	}
 }
 
-// warmService opens a connection to the leaf that a first request would ask.
+// warmService opens a connection to the leaf that a first request would go to.
 func (g *Gateway) warmService(service string, limit int) {
 	queried := queriedService{name: service, isGathered: true, maximumConnections: limit}
 	var targets []leafTarget
@@ -47,8 +47,8 @@
 	}
 }
 
-// warmLeaf opens a connection to the leaf of an id among the targets, if this node has a share of it and no connection
-// to any of them.
+// warmLeaf opens a connection to the leaf with the given ID, if this node has a share of it and no connection to any of
+// the targets.
 func (g *Gateway) warmLeaf(id string, targets []leafTarget) {
 	first := slices.IndexFunc(targets, func(target leafTarget) bool { return target.LeafID == id })
 	if first < 0 || targets[first].Connections == 0 {
@@ -62,8 +62,8 @@
 	g.leafs.Warm(ordered)
 }
 
-// warmCanaries opens a connection to a leaf of each canary version that this node's canary decisions would go to, once for
-// each rollout spec. warmed has the specs that are done, by service.
+// warmCanaries opens a connection to a leaf of each canary version that this node may select, once per rollout spec.
+// warmed stores the specs that are done, by service.
 func (g *Gateway) warmCanaries(warmed map[string]int64) {
 	view := g.catalog.View()
 	for service := range warmed {
@@ -82,15 +82,14 @@
 	}
 }
 
-// warmCanary opens a connection to the canary that decisions go to first, and reports whether there is any
-// canary.
+// warmCanary opens a connection to the canary that is selected first, and reports whether there is any canary.
 func (g *Gateway) warmCanary(view *catalog.View, service string) bool {
 	leafs := g.canary.FocusOrder(service, view.Leafs.Canaries(service))
 	if len(leafs) == 0 || view.Routes == nil {
 		return false
 	}
-	known, _ := view.Routes.Service(service)
-	queried := queriedService{name: service, isGathered: view.Routes.IsGathered(service), maximumConnections: known.MaximumConnections}
+	configured, _ := view.Routes.Service(service)
+	queried := queriedService{name: service, isGathered: view.Routes.IsGathered(service), maximumConnections: configured.MaximumConnections}
 	var targets []leafTarget
 	g.usableLeafs(queried, canary.Target, &targets)
 	for _, leaf := range leafs {
@@ -102,11 +101,12 @@
 	return true
 }
 
-// changeBacklog is how many changes of the catalog may wait for KeepWarm; one is enough, since it reads the newest view.
+// changeBacklog is how many catalog changes are queued for KeepWarm. More are not needed, since it reads the newest
+// view.
 const changeBacklog = 16
 
-// KeepWarm opens connections for the services that the configuration in force gathers, again for each new
-// configuration, and for each version that becomes a canary, until the context ends.
+// KeepWarm opens connections for the gathered services of the configuration in force, again for each new configuration,
+// and for each new canary version, until the context ends.
 func (g *Gateway) KeepWarm(ctx context.Context) {
 	changes, stop := g.catalog.Subscribe(changeBacklog)
 	defer stop()
@@ -128,7 +128,7 @@
 	}
 }
 
-// followRollouts reads new rollout specs, and warms the canary versions.
+// followRollouts reads new rollout specs and warms the canary versions.
 func (g *Gateway) followRollouts(warmed map[string]int64) {
 	if g.canary == nil {
 		return
--- a/internal/request/gateway/zones.go
+++ b/internal/request/gateway/zones.go
@@ -8,9 +8,9 @@
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
-// minimumUnanswered is how long an attempt must go without an answer to count as a sign that its leaf's zone is
-// unreachable: more than a round trip between near zones and the run time of a fast leaf. If it is too short, the zone is
-// only probed in vain.
+// minimumUnanswered is how long an attempt must stay unanswered to indicate that its leaf's zone is unreachable. It is
+// longer than a round trip between near zones plus the run time of a fast leaf. A shorter value would cause unnecessary
+// probes.
 const minimumUnanswered = 20 * time.Millisecond
 
 // inReachableZones removes the candidates in unreachable zones.
@@ -21,8 +21,8 @@
 	return slices.DeleteFunc(candidates, func(candidate balancer.Candidate) bool { return !g.zones.Reaches(candidate.Zone) })
 }
 
-// observeZone reports to the reachability tracker what the end of an attempt shows of its leaf's zone. A connection
-// that is refused or reset at once shows nothing: a crashed leaf's machine does the same in any zone.
+// observeZone reports to the reachability tracker what the end of an attempt shows about its leaf's zone. A connection
+// that is refused or reset at once shows nothing: the machine of a crashed leaf does the same in any zone.
 func (g *Gateway) observeZone(leaf *balancer.Leaf, result attemptResult, took time.Duration) {
 	switch result.Outcome {
 	case balancer.Succeeded, balancer.Shed, balancer.Drained, balancer.Declined:
@@ -37,7 +37,8 @@
 	}
 }
 
-// observeZone reports to the reachability tracker what the end of a group shows of the zone of the node that was asked.
+// observeZone reports to the reachability tracker what the end of a group call shows about the zone of the node that it
+// was sent to.
 func (p *groupCall) observeZone(outcome GroupOutcome) {
 	zone := p.group.node.Zone
 	switch outcome {
--- a/internal/request/gateway/zones_test.go
+++ b/internal/request/gateway/zones_test.go
@@ -17,7 +17,7 @@
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
 )
 
-// partitionedProber is a Prober for which the nodes of some zones don't answer.
+// partitionedProber is a Prober for which the nodes in some zones do not answer.
 type partitionedProber map[string]bool
 
 func (a partitionedProber) Ping(_ context.Context, node catalog.NodeRecord) bool {
@@ -25,8 +25,8 @@
 }
 func (a partitionedProber) SendZoneLost(catalog.NodeRecord, string) {}
 
-// trackerWithout returns the reachability tracker of a node in the near zone to which some zones, of 5 nodes each, are
-// unreachable. It stops at the end of the test.
+// trackerWithout returns the reachability tracker of a node in the near zone that cannot reach some of the zones, with
+// five nodes each. It stops at the end of the test.
 func trackerWithout(t *testing.T, lost ...string) *reachability.Tracker {
 	t.Helper()
 	cut := partitionedProber{}
@@ -56,12 +56,12 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatal("the zones are not lost")
+	t.Fatal("the zones are still considered reachable")
 	return nil
 }
 
-// placeLeafs moves the leafs of a gateway's services: the first near services have a leaf in the near and one in the far
-// zone, the others two in the far zone.
+// placeLeafs places the leafs of a gateway's services: the first near services have a leaf each in the near and far
+// zones, the others two leafs in the far zone.
 func placeLeafs(t *testing.T, g *Gateway, near int) {
 	t.Helper()
 	for index := range shardCount {
@@ -77,8 +77,8 @@
 	}
 }
 
-// silentFar returns a function for scriptedLeafs by which only leafs of the near zone answer.
-func silentFar(g func() *Gateway) func(leaf string) (time.Duration, *leafhttp.Response, error) {
+// answerNearOnly returns an answer function for scriptedLeafs: only leafs in the near zone answer.
+func answerNearOnly(g func() *Gateway) func(leaf string) (time.Duration, *leafhttp.Response, error) {
 	return func(leaf string) (time.Duration, *leafhttp.Response, error) {
 		if known, _ := g().catalog.View().Leafs.ByID(leaf); known.Zone == zoneFar {
 			return time.Hour, answered(200, leaf), nil
@@ -87,12 +87,12 @@
 	}
 }
 
-// inPartition runs a test of a node in the near zone to which the far zone is unreachable.
+// inPartition runs a test of a node in the near zone that cannot reach the far zone.
 func inPartition(t *testing.T, nearServices int, test func(is *is.I, g *Gateway, leafs *scriptedLeafs)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		var g *Gateway
-		leafs := &scriptedLeafs{answer: silentFar(func() *Gateway { return g })}
+		leafs := &scriptedLeafs{answer: answerNearOnly(func() *Gateway { return g })}
 		g, _ = newGateway(t, leafs)
 		placeLeafs(t, g, nearServices)
 		time.Sleep(time.Minute)
@@ -101,11 +101,11 @@
 	})
 }
 
-// A request that can only be completed by an unreachable zone is refused at once as not run, and no leaf is asked.
-func TestRequestThatALostZoneWouldCompleteIsRefused(t *testing.T) {
+// A request that needs leafs in an unreachable zone is refused at once as not run, and no leaf is queried.
+func TestRequestNeedingUnreachableZoneIsRefused(t *testing.T) {
 	inPartition(t, 7, func(is *is.I, g *Gateway, leafs *scriptedLeafs) {
 		started := time.Now()
-		_, err := g.Serve(context.Background(), newRequest("/pages/1")) // 8 of 10 are needed
+		_, err := g.Serve(context.Background(), newRequest("/pages/1")) // 8 of 10 parts are required
 		failed := failure.From(err)
 		is.Equal(failed.Execution, failure.NotRun)
 		is.Equal(failed.Code, failure.Overloaded)
@@ -115,21 +115,21 @@
 	})
 }
 
-// If enough services are reachable only their leafs are asked, and the answer is sent as planned.
-func TestLeafsInReachAreAsked(t *testing.T) {
+// If enough services are reachable, only their leafs are queried, and the answer is sent at the planned time.
+func TestOnlyReachableLeafsAreQueried(t *testing.T) {
 	inPartition(t, 8, func(is *is.I, g *Gateway, leafs *scriptedLeafs) {
 		answer, err := g.Serve(context.Background(), newRequest("/pages/1"))
 		is.NoErr(err)
 		is.Equal(answer.Missing, 2)
 		is.Equal(len(leafs.queried), 8)
 		for _, leaf := range leafs.queried {
-			is.True(strings.HasSuffix(leaf, "a")) // in the near zone
+			is.True(strings.HasSuffix(leaf, "a")) // the leaf in the near zone
 		}
 	})
 }
 
-// A single request goes to a reachable leaf, without a wait for another.
-func TestSingleRequestGoesToALeafInReach(t *testing.T) {
+// A single request goes to a reachable leaf at once.
+func TestSingleRequestGoesToReachableLeaf(t *testing.T) {
 	inPartition(t, 1, func(is *is.I, g *Gateway, leafs *scriptedLeafs) {
 		for range 20 {
 			started := time.Now()
@@ -144,7 +144,7 @@
 }
 
 // A request whose only leafs are in an unreachable zone is refused at once.
-func TestSingleRequestOfALostZoneIsRefused(t *testing.T) {
+func TestSingleRequestNeedingUnreachableZoneIsRefused(t *testing.T) {
 	inPartition(t, 0, func(is *is.I, g *Gateway, leafs *scriptedLeafs) {
 		_, err := g.Serve(context.Background(), newRequest("/once/1"))
 		is.Equal(failure.From(err).Execution, failure.NotRun)
@@ -152,18 +152,18 @@
 	})
 }
 
-// A node that can't reach most of the fleet, and can't serve a route for it, is not ready; one that can serve all routes,
-// or reaches most of the fleet, is.
-func TestNodeIsReadyUnlessOthersServeBetter(t *testing.T) {
+// A node is not ready if it can reach neither most of the fleet nor the leafs of every route. It is ready if it can
+// serve all routes or reach most of the fleet.
+func TestNodeIsReadyUnlessOtherZonesServeBetter(t *testing.T) {
 	cases := []struct {
 		name  string
 		near  int
 		lost  []string
 		ready bool
 	}{
-		{"most and a route lost", 7, []string{zoneFar, zoneFarther}, false},
-		{"most lost, all routes kept", 8, []string{zoneFar, zoneFarther}, true},
-		{"a route lost, with most of the fleet", 7, []string{zoneFar}, true},
+		{"most zones and a route lost", 7, []string{zoneFar, zoneFarther}, false},
+		{"most zones lost, all routes served", 8, []string{zoneFar, zoneFarther}, true},
+		{"a route lost, most of the fleet reachable", 7, []string{zoneFar}, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -179,8 +179,8 @@
 	}
 }
 
-// No node of an unreachable zone is asked to gather.
-func TestGroupsAreNotPassedToALostZone(t *testing.T) {
+// No groups are sent to nodes in an unreachable zone.
+func TestGroupsAreNotSentToUnreachableZone(t *testing.T) {
 	is := is.New(t)
 	built := newTree(t, near("n1"), far("f1"))
 	root := built.nodes["n1"].gateway
@@ -190,8 +190,8 @@
 	is.Equal(len(root.root.groups(root.catalog.View().Routes.Match("h", "/pages/1"))), 0)
 }
 
-// A silent intermediate has its zone probed, though no leaf was asked.
-func TestSilentIntermediateHasItsZoneLookedAt(t *testing.T) {
+// A silent intermediate causes a probe of its zone, although no leaf was queried.
+func TestSilentIntermediateCausesZoneProbe(t *testing.T) {
 	is := is.New(t)
 	built := newTree(t, near("n1"), far("f1"))
 	root := built.nodes["n1"].gateway
@@ -212,7 +212,7 @@
 	go root.zones.Run(ctx)
 	time.Sleep(10 * time.Millisecond)
 	built.nodes["f1"].listener.Close()
-	_, _ = built.ask("n1") // other tests check how it ends
+	_, _ = built.serve("n1") // the outcome is checked by other tests
 	select {
 	case zone := <-checked:
 		is.Equal(zone, zoneFar)
@@ -221,7 +221,7 @@
 	}
 }
 
-// recordingProber is a Prober that records the zones of the nodes it probes; none answers.
+// recordingProber is a Prober that records the zones of the probed nodes, none of which answers.
 type recordingProber chan string
 
 func (a recordingProber) Ping(_ context.Context, node catalog.NodeRecord) bool {
