--- a/internal/request/gateway/canary_refused_test.go
+++ b/internal/request/gateway/canary_refused_test.go
@@ -22,14 +22,14 @@
 			b.balancer.SetLeaving(id, time.Now().Add(time.Hour))
 		}
 	}
-	for name, vanish := range map[string]func(*canaryGateway){"lost": lost, "leaving": leaving} {
+	for name, hideLeafs := range map[string]func(*canaryGateway){"lost": lost, "leaving": leaving} {
 		for _, slack := range []float64{0, 20} {
 			t.Run(fmt.Sprint(name, slack), func(t *testing.T) {
 				cfg := canary.DefaultConfig()
 				cfg.Slack = slack
 				withCanary(t, cfg, func(is *is.I, b *canaryGateway) {
 					time.Sleep(30 * time.Second)
-					vanish(b)
+					hideLeafs(b)
 					answers := 0
 					for range 100 {
 						if _, err := b.Serve(b.t.Context(), newRequest("/single/1")); err == nil {
@@ -48,12 +48,12 @@
 // Requests whose only serving leafs are unhealthy do not count towards the share of the canary version.
 func TestUnhealthyServingLeafsEarnNoCanaryShare(t *testing.T) {
 	withCanary(t, canary.DefaultConfig(), func(is *is.I, b *canaryGateway) {
-		works := b.leafs.answer
+		original := b.leafs.answer
 		b.leafs.answer = func(leaf string) (time.Duration, *leafhttp.Response, error) {
 			if leaf == "s0a" || leaf == "s0b" {
 				return time.Millisecond, nil, &leafhttp.RefusedConnectionError{Cause: errUnresponsive}
 			}
-			return works(leaf)
+			return original(leaf)
 		}
 		for range 500 {
 			_, _ = b.Serve(b.t.Context(), newRequest("/single/1"))
--- a/internal/request/gateway/crash_test.go
+++ b/internal/request/gateway/crash_test.go
@@ -149,19 +149,19 @@
 		leafs := newCrashingLeafs()
 		g := newQuarantineGateway(t, leafs, newRegister())
 		g.cfg.CallerHeader = "Desk"
-		by := func(caller, path string) *Request {
+		requestOf := func(caller, path string) *Request {
 			request := newRequest(path)
 			request.Leaf.Header = http.Header{"Desk": {caller}}
 			return request
 		}
-		_, err := g.Serve(t.Context(), by("one", "/pages/1"))
+		_, err := g.Serve(t.Context(), requestOf("one", "/pages/1"))
 		is.True(failure.Is(err, failure.Quarantined))
 		leafs.survives = func(string) bool { return true }
-		for _, request := range []*Request{by("two", "/pages/1"), by("one", "/pages/2"), by("one", "/single/1")} {
+		for _, request := range []*Request{requestOf("two", "/pages/1"), requestOf("one", "/pages/2"), requestOf("one", "/single/1")} {
 			_, err = g.Serve(t.Context(), request)
 			is.NoErr(err)
 		}
-		again := by("one", "/pages/1")
+		again := requestOf("one", "/pages/1")
 		again.Leaf.Target, again.Caller = "/pages/1?page=2", "192.0.2.2"
 		_, err = g.Serve(t.Context(), again)
 		is.True(failure.Is(err, failure.Quarantined))
--- a/internal/request/gateway/group_reply.go
+++ b/internal/request/gateway/group_reply.go
@@ -108,13 +108,13 @@
 
 // abandon cancels a call to an intermediate that is silent. If the intermediate has acknowledged the group, it may have
 // spent all attempts that the route allows, so the shards are not queried again.
-func (p *groupCall) abandon(call *servingtree.Call, hasBegun bool) groupEnd {
+func (p *groupCall) abandon(call *servingtree.Call, hasAcknowledged bool) groupEnd {
 	isSent := call.Cancel()
 	p.root.intermediates.DropSilent(p.group.node.Tree, minimumSilence, errUnresponsive)
 	if !isSent {
 		return groupNotRun(GroupNeverSent, errUnresponsive.Error())
 	}
-	result := groupResult{Final: hasBegun}
+	result := groupResult{Final: hasAcknowledged}
 	return groupEnd{result: result, outcome: GroupSilent, reason: errUnresponsive.Error()}
 }
 
@@ -139,7 +139,7 @@
 	case reply.Answer != nil && len(reply.Answer.Stamps) == len(p.group.shards):
 		return groupEnd{result: groupResult{Replies: p.replies(reply.Answer)}, outcome: GroupAnswered}
 	case reply.Answer != nil:
-		return groupEnd{outcome: GroupBroken, reason: "the answer has parts of other services"}
+		return groupEnd{outcome: GroupBroken, reason: "the answer has the wrong number of parts"}
 	case reply.Failure != nil:
 		return p.classifyFailure(reply.Failure)
 	case reply.Decline == servingtree.Leaving:
--- a/internal/request/gateway/refuse.go
+++ b/internal/request/gateway/refuse.go
@@ -64,8 +64,8 @@
 	return plan, nil
 }
 
-// noLeaf is the reason of a service without a known leaf.
-const noLeaf = scatter.Reason(balancer.NoReplica)
+// reasonNoLeaf is the reason of a service without a known leaf.
+const reasonNoLeaf = scatter.Reason(balancer.NoReplica)
 
 // otherZoneRetryAfter is for callers whose next connection goes to a zone that can serve them, so that they need not
 // wait. It is not zero, since Retry-After is sent only if it is positive.
@@ -85,7 +85,7 @@
 	if len(e.services)-without >= required {
 		return nil
 	}
-	failed := failure.New(failure.Overloaded, failure.NotRun, "%d of %d services have no reachable leaf; %d parts are required: %s", without, len(e.services), required, noLeaf)
+	failed := failure.New(failure.Overloaded, failure.NotRun, "%d of %d services have no reachable leaf; %d parts are required: %s", without, len(e.services), required, reasonNoLeaf)
 	if e.gateway.otherZonesServeBetter() {
 		return failed.WithRetryAfter(otherZoneRetryAfter)
 	}
--- a/internal/request/gateway/zones_test.go
+++ b/internal/request/gateway/zones_test.go
@@ -29,9 +29,9 @@
 // five nodes each. It stops at the end of the test.
 func trackerWithout(t *testing.T, lost ...string) *reachability.Tracker {
 	t.Helper()
-	cut := partitionedProber{}
+	prober := partitionedProber{}
 	for _, zone := range lost {
-		cut[zone] = true
+		prober[zone] = true
 	}
 	var nodes []catalog.NodeRecord
 	for _, zone := range []string{zoneNear, zoneFar, zoneFarther} {
@@ -41,7 +41,7 @@
 		}
 	}
 	zones := reachability.New(reachability.Deps{
-		Config: reachability.DefaultConfig(), Self: nodes[0], Prober: cut, Nodes: func() []catalog.NodeRecord { return nodes },
+		Config: reachability.DefaultConfig(), Self: nodes[0], Prober: prober, Nodes: func() []catalog.NodeRecord { return nodes },
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	go zones.Run(ctx)
