--- a/internal/leaf/balancer/balancer.go
+++ b/internal/leaf/balancer/balancer.go
@@ -1,13 +1,12 @@
-// Package balancer chooses which replica of a shard is asked, and keeps the health state of each leaf for that.
+// Package balancer chooses the replica of a shard for each attempt and tracks the health of each leaf.
 //
-// For each leaf it keeps the attempts in flight, the latency of this node's attempts, the load that the leaf reports,
-// failures in a row, and how much slower than typical the leaf is by this node's attempts and by the observations of
-// other nodes. What replies show outweighs what a leaf reports: a leaf that claims to be idle but answers slowly is
-// passed over. Failing leafs are ejected, but the last replica of a shard is always asked, and ejected leafs come back
-// through one probe at a time.
+// For each leaf, it tracks the attempts in flight, the latency of this node's attempts, the load that the leaf reports,
+// consecutive failures, and the slowness relative to the typical latency, as observed by this node and by other nodes.
+// Measured latency outweighs reported load: a leaf that reports no load but answers slowly is passed over. Failing
+// leafs are ejected and probed by one attempt at a time, but the last replica of a shard is always used.
 //
-// It starts no goroutines, does no input or output and returns no errors. Callers report the start and the end of each
-// attempt. Latencies are measured by the monotonic clock. Observations for other nodes are handed to a callback, see
+// The package starts no goroutines, does no I/O and returns no errors. Callers report the start and the end of each
+// attempt. Latencies are measured with the monotonic clock. Observations for other nodes are passed to a callback; see
 // package leafgossip.
 package balancer
 
@@ -16,11 +15,11 @@
 	"time"
 )
 
-// Balancer keeps the state of the leafs that this node has used. It is safe for concurrent use.
+// Balancer holds the state of the leafs that this node has used. It is safe for concurrent use.
 type Balancer struct {
-	config Config
-	zone   string
-	now    func() time.Time
+	cfg  Config
+	zone string
+	now  func() time.Time
 
 	// The callbacks may be nil.
 	onDraining   func(leafID string)
@@ -30,38 +29,38 @@
 
 	mu      sync.RWMutex
 	leafs   map[string]*Leaf
-	keys    map[LeafKey]*Leaf
-	leaving map[string]time.Time // until when, by leaf id
+	byKey   map[LeafKey]*Leaf
+	leaving map[string]time.Time // the end of the period, by leaf ID
 }
 
-// New returns a balancer for a node in a zone.
-func New(config Config, zone string) *Balancer {
-	return &Balancer{config: config, zone: zone, now: time.Now, leafs: map[string]*Leaf{}, keys: map[LeafKey]*Leaf{}, leaving: map[string]time.Time{}}
+// New returns a balancer for a node in the given zone.
+func New(cfg Config, zone string) *Balancer {
+	return &Balancer{cfg: cfg, zone: zone, now: time.Now, leafs: map[string]*Leaf{}, byKey: map[LeafKey]*Leaf{}, leaving: map[string]time.Time{}}
 }
 
-// OnDraining sets the callback for a leaf that reports that it drains. It is called without the balancer's locks held
-// and must be set before the balancer is used.
+// OnDraining sets the callback for a leaf that reports that it is draining. The callback is called without the
+// balancer's locks held and must be set before the balancer is used.
 func (b *Balancer) OnDraining(notify func(leafID string)) { b.onDraining = notify }
 
-// OnEjected sets the callback for a leaf that is ejected or back in use. It is called without the balancer's locks held
-// and must be set before the balancer is used.
+// OnEjected sets the callback for a leaf that is ejected or readmitted. The callback is called without the balancer's
+// locks held and must be set before the balancer is used.
 func (b *Balancer) OnEjected(notify func(leafID string, ejected bool)) { b.onEjected = notify }
 
-// OnAssessment sets the callback for a leaf whose condition changed. It is called without the balancer's locks held and
-// must be set before the balancer is used.
+// OnAssessment sets the callback for a leaf whose condition changed. The callback is called without the balancer's locks
+// held and must be set before the balancer is used.
 func (b *Balancer) OnAssessment(notify func(Assessment)) { b.onAssessment = notify }
 
-// OnObserved sets the callback for observations that other nodes should get. It is called without the balancer's locks
-// held and must be set before the balancer is used.
+// OnObserved sets the callback for observations to send to other nodes. The callback is called without the balancer's
+// locks held and must be set before the balancer is used.
 func (b *Balancer) OnObserved(notify func(Observation)) { b.onObserved = notify }
 
-// Start counts an attempt at the leaf as in flight.
+// Start records the start of an attempt at the leaf.
 func (b *Balancer) Start(leaf *Leaf) { leaf.start(b.now()) }
 
-// Finish records the end of an attempt at the leaf. Typical is the typical latency of such an attempt at any leaf; 0
-// if unknown.
+// Finish records the end of an attempt at the leaf. The parameter typical is the typical latency of such an attempt at
+// any leaf, or 0 if it is unknown.
 func (b *Balancer) Finish(leaf *Leaf, outcome Outcome, took, typical time.Duration) {
-	change := leaf.finish(b.config, outcome, took, typical, b.now())
+	change := leaf.finish(b.cfg, outcome, took, typical, b.now())
 	if change.ejectionChanged && b.onEjected != nil {
 		b.onEjected(leaf.ID, change.ejected)
 	}
@@ -72,7 +71,7 @@
 	}
 }
 
-// AttemptLate records that an attempt at a leaf is late. If the leaf is silent, other nodes are notified.
+// AttemptLate handles an attempt at a leaf that is late. If the leaf is silent, other nodes are notified.
 func (b *Balancer) AttemptLate(leafID string) {
 	b.mu.RLock()
 	leaf, found := b.leafs[leafID]
@@ -82,32 +81,33 @@
 	}
 }
 
-// ReportLoad records the load that a leaf's reply carried.
+// ReportLoad records the load that a leaf reported with its reply.
 func (b *Balancer) ReportLoad(leaf *Leaf, load Load) {
-	leaf.report(b.config, load, b.now())
+	leaf.report(b.cfg, load, b.now())
 	if load.Draining {
 		b.notifyDraining(leaf)
 	}
 }
 
-// HandleObservation records what another node observed.
+// HandleObservation records the observation of another node.
 func (b *Balancer) HandleObservation(observed Observation) {
 	b.mu.RLock()
-	leaf, found := b.keys[observed.Leaf]
+	leaf, found := b.byKey[observed.Leaf]
 	b.mu.RUnlock()
 	if found {
 		b.notifyAssessment(leaf.handle(observed, b.now()))
 	}
 }
 
-// SetLeaving records that a leaf must get no new attempts until a time, by the machine list or a peer.
+// SetLeaving excludes a leaf from new attempts until the given time, because the machine list or a peer says that it is
+// leaving.
 func (b *Balancer) SetLeaving(leafID string, until time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.leaving[leafID] = until
 }
 
-// Forget drops the state of leafs that are not known any more.
+// Forget drops the state of all leafs except the known ones.
 func (b *Balancer) Forget(known map[string]bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -115,7 +115,7 @@
 	for id, leaf := range b.leafs {
 		if !known[id] {
 			delete(b.leafs, id)
-			delete(b.keys, leaf.key)
+			delete(b.byKey, leaf.key)
 		}
 	}
 	for id, until := range b.leaving {
@@ -125,7 +125,7 @@
 	}
 }
 
-// leaf returns the state of a leaf, which is new if the leaf was not used before.
+// leaf returns the state of a leaf, creating it on first use.
 func (b *Balancer) leaf(id, zone string, now time.Time) *Leaf {
 	b.mu.RLock()
 	leaf, found := b.leafs[id]
@@ -138,13 +138,13 @@
 	if leaf, found = b.leafs[id]; found {
 		return leaf
 	}
-	leaf = newLeaf(id, zone, b.config, now)
+	leaf = newLeaf(id, zone, b.cfg, now)
 	b.leafs[id] = leaf
-	b.keys[leaf.key] = leaf
+	b.byKey[leaf.key] = leaf
 	return leaf
 }
 
-// isLeaving reports whether SetLeaving is in force for a leaf.
+// isLeaving reports whether SetLeaving excludes a leaf at the given time.
 func (b *Balancer) isLeaving(leafID string, now time.Time) bool {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
@@ -158,7 +158,7 @@
 	}
 }
 
-// notifyObserved passes on an observation of a leaf; nil is none.
+// notifyObserved calls the OnObserved callback unless the observation is nil.
 func (b *Balancer) notifyObserved(leaf *Leaf, observed *Observation) {
 	if observed == nil || b.onObserved == nil {
 		return
@@ -167,7 +167,7 @@
 	b.onObserved(*observed)
 }
 
-// notifyAssessment passes on a changed assessment; nil is none.
+// notifyAssessment calls the OnAssessment callback unless the assessment is nil.
 func (b *Balancer) notifyAssessment(changed *Assessment) {
 	if changed != nil && b.onAssessment != nil {
 		b.onAssessment(*changed)
--- a/internal/leaf/balancer/balancer_test.go
+++ b/internal/leaf/balancer/balancer_test.go
@@ -8,12 +8,13 @@
 	"github.com/matryer/is"
 )
 
-func three() []Candidate {
+func threeReplicas() []Candidate {
 	return []Candidate{{LeafID: "a", Zone: "z"}, {LeafID: "b", Zone: "z"}, {LeafID: "c", Zone: "z"}}
 }
 
-// ask chooses a replica and finishes the attempt after some virtual time.
-func ask(b *Balancer, candidates []Candidate, outcome Outcome, took func(id string) time.Duration) string {
+// runAttempt chooses a replica and runs an attempt at it in virtual time. It returns the leaf's ID, or the reason why no
+// replica was chosen.
+func runAttempt(b *Balancer, candidates []Candidate, outcome Outcome, took func(id string) time.Duration) string {
 	choice := b.Choose(candidates, nil)
 	if choice.Leaf == nil {
 		return string(choice.Reason)
@@ -29,13 +30,13 @@
 	return func(string) time.Duration { return time.Duration(count) * time.Millisecond }
 }
 
-func TestSlowReplicaThatClaimsToBeIdleIsAvoided(t *testing.T) {
+func TestSlowReplicaReportingNoLoadIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		b := New(DefaultConfig(), "z")
 		counts := map[string]int{}
 		for range 2000 {
-			id := ask(b, three(), Succeeded, func(id string) time.Duration {
+			id := runAttempt(b, threeReplicas(), Succeeded, func(id string) time.Duration {
 				if id == "b" {
 					return 20 * time.Millisecond
 				}
@@ -45,11 +46,11 @@
 			counts[id]++
 		}
 		is.True(counts["b"] < 60)
-		is.True(counts["b"] > 0) // its recovery would be noticed
+		is.True(counts["b"] > 0) // its recovery will be noticed
 	})
 }
 
-func TestFailingReplicaIsEjectedAndTriedAgain(t *testing.T) {
+func TestFailingReplicaIsEjectedAndProbed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		b := New(DefaultConfig(), "z")
@@ -59,24 +60,24 @@
 			b.Finish(bad, Failed, time.Millisecond, 0)
 		}
 		for range 200 {
-			is.True(b.Choose(three(), nil).Leaf.ID != "a")
+			is.True(b.Choose(threeReplicas(), nil).Leaf.ID != "a")
 		}
-		is.Equal(b.Choose(three()[:1], nil).Leaf.ID, "a") // the last replica is asked all the same
+		is.Equal(b.Choose(threeReplicas()[:1], nil).Leaf.ID, "a") // the only replica is used although it is ejected
 		time.Sleep(DefaultConfig().EjectFor + time.Millisecond)
 		b.Start(bad) // the probe
 		for range 200 {
-			is.True(b.Choose(three(), nil).Leaf.ID != "a") // one probe at a time
+			is.True(b.Choose(threeReplicas(), nil).Leaf.ID != "a") // one probe at a time
 		}
 		b.Finish(bad, Succeeded, time.Millisecond, 0)
 		seen := false
 		for range 500 {
-			seen = seen || b.Choose(three(), nil).Leaf.ID == "a"
+			seen = seen || b.Choose(threeReplicas(), nil).Leaf.ID == "a"
 		}
 		is.True(seen)
 	})
 }
 
-func TestLeavingReplicasGetNothing(t *testing.T) {
+func TestLeavingReplicasGetNoAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		b := New(DefaultConfig(), "z")
@@ -87,15 +88,15 @@
 		b.Start(draining)
 		b.Finish(draining, Drained, time.Millisecond, 0)
 		is.Equal(notified, "b")
-		candidates := three()
+		candidates := threeReplicas()
 		candidates[2].Leaving = true
 		is.Equal(b.Choose(candidates, nil).Reason, NoReplica)
 		time.Sleep(2 * time.Second)
-		is.Equal(b.Choose(candidates, nil).Leaf.ID, "a") // its time is over
+		is.Equal(b.Choose(candidates, nil).Leaf.ID, "a") // the period set by SetLeaving has ended
 	})
 }
 
-func TestSheddingLowersTheLimitOfALeaf(t *testing.T) {
+func TestShedLowersInFlightLimit(t *testing.T) {
 	is := is.New(t)
 	b := New(DefaultConfig(), "z")
 	shedding := b.leaf("a", "z", time.Now())
@@ -104,37 +105,37 @@
 		b.Finish(shedding, Shed, time.Millisecond, 0)
 	}
 	b.Start(shedding)
-	is.Equal(b.Choose(three()[:1], nil).Reason, ReplicasFull)
+	is.Equal(b.Choose(threeReplicas()[:1], nil).Reason, ReplicasFull)
 	b.Finish(shedding, Succeeded, time.Millisecond, 0)
-	is.Equal(b.Choose(three()[:1], nil).Leaf.ID, "a")
+	is.Equal(b.Choose(threeReplicas()[:1], nil).Leaf.ID, "a")
 }
 
-func TestOwnZoneIsPreferredUntilItIsWorse(t *testing.T) {
+func TestOwnZoneIsPreferred(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		b := New(DefaultConfig(), "z")
 		candidates := []Candidate{{LeafID: "near", Zone: "z"}, {LeafID: "far", Zone: "y"}}
 		counts := map[string]int{}
 		for range 500 {
-			counts[ask(b, candidates, Succeeded, millis(2))]++
+			counts[runAttempt(b, candidates, Succeeded, millis(2))]++
 		}
 		is.True(counts["near"] > 450)
 	})
 }
 
-func TestForgottenLeafsAreDropped(t *testing.T) {
+func TestForgetDropsUnknownLeafs(t *testing.T) {
 	is := is.New(t)
 	b := New(DefaultConfig(), "z")
-	for _, candidate := range three() {
+	for _, candidate := range threeReplicas() {
 		b.leaf(candidate.LeafID, candidate.Zone, time.Now())
 	}
 	b.Forget(map[string]bool{"b": true})
 	is.Equal(len(b.leafs), 1)
 }
 
-// A leaf that has owed an answer for long gets no attempt while another replica can take it, and is tried
-// again after a pause, one attempt at a time.
-func TestAStalledLeafIsPassedOver(t *testing.T) {
+// A leaf whose answer is overdue gets no attempts while another replica is usable, and is tried again after a pause, by
+// one attempt at a time.
+func TestStalledLeafIsPassedOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		b := New(DefaultConfig(), "z")
@@ -143,30 +144,29 @@
 		b.Finish(stalled, Succeeded, 10*time.Millisecond, 0)
 		b.Start(stalled)
 		time.Sleep(29 * time.Millisecond)
-		is.True(!b.Choose(three()[:1], nil).Unhealthy)
+		is.True(!b.Choose(threeReplicas()[:1], nil).Unhealthy)
 		time.Sleep(31 * time.Millisecond)
 		for range 100 {
-			is.True(b.Choose(three(), nil).Leaf.ID != "a")
+			is.True(b.Choose(threeReplicas(), nil).Leaf.ID != "a")
 		}
-		is.True(b.Choose(three()[:1], nil).Unhealthy) // there is no other
+		is.True(b.Choose(threeReplicas()[:1], nil).Unhealthy) // it is the only replica
 		b.Finish(stalled, Abandoned, 60*time.Millisecond, 0)
-		is.True(b.Choose(three()[:1], nil).Unhealthy) // an abandoned attempt is no answer
+		is.True(b.Choose(threeReplicas()[:1], nil).Unhealthy) // an abandoned attempt does not end the silence
 		time.Sleep(2 * minimumStallPause)
-		is.True(!b.Choose(three()[:1], nil).Unhealthy) // it may be tried
+		is.True(!b.Choose(threeReplicas()[:1], nil).Unhealthy) // the pause is over
 		b.Start(stalled)
-		is.True(b.Choose(three()[:1], nil).Unhealthy) // by one attempt at a time
+		is.True(b.Choose(threeReplicas()[:1], nil).Unhealthy) // one attempt is already in flight
 		b.Finish(stalled, Succeeded, time.Millisecond, 0)
-		is.True(!b.Choose(three()[:1], nil).Unhealthy)
+		is.True(!b.Choose(threeReplicas()[:1], nil).Unhealthy)
 	})
 }
 
-// The leaf that is expected to answer first is chosen: a slow one only if the queues of the others are
-// longer.
+// The leaf with the lowest expected delay is chosen: a slow one only if the queues of the others are longer.
 func TestLeastExpectedDelayIsChosen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		b := New(DefaultConfig(), "z")
-		pair := three()[:2]
+		pair := threeReplicas()[:2]
 		const typical = 10 * time.Millisecond
 		for id, took := range map[string]time.Duration{"a": typical, "b": 5 * typical} {
 			leaf := b.leaf(id, "z", time.Now())
@@ -183,7 +183,7 @@
 		choice = b.Choose(pair, nil)
 		is.Equal(choice.Leaf.ID, "b")
 		is.Equal(choice.ExpectedSlowdown, 5.0)
-		time.Sleep(9 * slownessHalfLife) // the slowness of b fades, so that it is tried again
+		time.Sleep(9 * slownessHalfLife) // the slowness of b decays, so that it is tried again
 		seen := false
 		for range 100 {
 			seen = seen || b.Choose(pair, nil).Leaf.ID == "b"
@@ -192,24 +192,24 @@
 	})
 }
 
-// A leaf is not slow because of one pause.
-func TestOnePauseIsNoSlowness(t *testing.T) {
+// One slow sample among typical ones does not change the median.
+func TestSinglePauseDoesNotMakeALeafSlow(t *testing.T) {
 	is := is.New(t)
 	var known slowness
 	now := time.Now()
 	for _, sample := range []float64{1, 1, 25, 1, 1} {
 		known.add(sample, now)
 	}
-	current, compared := known.now(now)
-	is.True(compared)
+	current, slownessKnown := known.now(now)
+	is.True(slownessKnown)
 	is.Equal(current, 1.0)
 }
 
-// A replica of last resort is asked only if no other can be.
-func TestLastResortIsAskedLast(t *testing.T) {
+// A last-resort replica is chosen only if no other is usable.
+func TestLastResortReplicaIsChosenLast(t *testing.T) {
 	is := is.New(t)
 	b := New(DefaultConfig(), "z")
-	candidates := three()
+	candidates := threeReplicas()
 	candidates[0].LastResort, candidates[1].LastResort = true, true
 	for range 100 {
 		is.Equal(b.Choose(candidates, nil).Leaf.ID, "c")
--- a/internal/leaf/balancer/choose.go
+++ b/internal/leaf/balancer/choose.go
@@ -10,30 +10,30 @@
 type Candidate struct {
 	LeafID string
 	Zone   string
-	// Leaving says that the leaf must receive no new attempts, by order of an operator.
+	// Leaving says that an operator excluded the leaf from new attempts.
 	Leaving bool
-	// LastResort says that the leaf is for attempts that no other can take.
+	// LastResort says that the leaf is used only if no other replica can take the attempt.
 	LastResort bool
-	// Unallotted says that this node is allotted none of the leaf's connections, and would have to open
-	// an extra one for the attempt.
+	// Unallotted says that this node is allotted none of the leaf's connections and would have to open an extra one for
+	// the attempt.
 	Unallotted bool
 }
 
 // Choice is the result of Choose.
 type Choice struct {
 	Leaf *Leaf
-	// Reason says why there is no leaf to ask.
+	// Reason says why Leaf is nil.
 	Reason NoChoiceReason
-	// Unhealthy says that the leaf is ejected, stalled or a last resort, and was chosen because there is no other.
+	// Unhealthy says that the leaf is ejected, stalled or a last resort, and was chosen because no other is usable.
 	Unhealthy bool
-	// ExpectedSlowdown is the expected latency of the attempt as a multiple of the typical one; 0 if unknown.
+	// ExpectedSlowdown is the expected latency of the attempt as a multiple of the typical latency; 0 if unknown.
 	ExpectedSlowdown float64
 }
 
-// NoChoiceReason says why no replica can be asked.
+// NoChoiceReason says why no replica was chosen.
 type NoChoiceReason string
 
-// The reasons for having no replica to ask.
+// Reasons why no replica was chosen.
 const (
 	// NoReplica means that every replica has been tried or is leaving.
 	NoReplica NoChoiceReason = "NO_REPLICA"
@@ -41,58 +41,58 @@
 	ReplicasFull NoChoiceReason = "REPLICAS_FULL"
 )
 
-// Factors by which an expected latency counts for more than it is.
+// Penalty factors for the expected delay or cost of an attempt.
 const (
-	// crossZoneDelay is for replicas in another zone: their link is slower and more expensive, so that the own zone is
-	// left only for a leaf that is clearly slow, or by a hedge.
-	crossZoneDelay = 3
-	// newConnectionDelay is for replicas to which this node would have to open a connection, which costs the leaf a
-	// moment of a slot.
-	newConnectionDelay = 3
-	// crossZoneCost is like crossZoneDelay, where only latencies of this node are known and not slowdowns.
-	crossZoneCost = 2
+	// crossZoneDelayFactor applies to replicas in another zone, whose link is slower and more expensive. Attempts leave
+	// the node's own zone only if its replicas are clearly slow, or as hedges.
+	crossZoneDelayFactor = 3
+	// newConnectionDelayFactor applies to replicas to which this node would have to open a connection, which briefly
+	// occupies a slot of the leaf.
+	newConnectionDelayFactor = 3
+	// crossZoneCostFactor replaces crossZoneDelayFactor if no slowness is known, only this node's latencies.
+	crossZoneCostFactor = 2
 )
 
-// delayJitter spreads the choices of nodes with the same state, so that they don't all turn to the same replica at once;
-// a share of the expected delay.
+// delayJitter is the maximum random increase of an expected delay, as a fraction. It keeps nodes with the same state from
+// all choosing the same replica.
 const delayJitter = 0.1
 
-// exploreShare is the share of choices that may still go to a replica far slower than its
-// peers, so that its recovery is noticed.
-const exploreShare = 0.01
+// exploreFraction is the fraction of choices that may still go to a replica far slower than its peers, so that its
+// recovery is noticed.
+const exploreFraction = 0.01
 
-// commonReplicas is how many replicas of a shard are compared without allocating memory.
-const commonReplicas = 4
+// inlineReplicas is the number of replicas of a shard that Choose compares without allocating memory.
+const inlineReplicas = 4
 
-// Choose decides which replica of a shard gets an attempt.
+// Choose selects the replica of a shard for an attempt.
 //
-// Inputs: the candidates, the ids of those that must not be taken (mostly because they were tried), and the state of
-// each leaf at this moment, see status.
+// Inputs: the candidates, the IDs of the leafs to exclude (usually because they were tried), and the current status of
+// each leaf.
 //
 // Rule:
-//  1. Tried, leaving and draining replicas are left out, and those at their in-flight limit.
-//  2. Ejected and stalled replicas and those of last resort are taken only if there is no other (see isEjected,
-//     isStalled and Candidate.LastResort).
-//  3. A replica that is warming up takes part in a share of the choices only, so that its caches fill first.
-//  4. If the slowdown of any replica is known, the one with the least expected delay wins: its slowdown, times how much
-//     longer attempts take because others wait there, with penalties for another zone and for a new connection.
-//  5. Otherwise replicas whose latency is Config.SlowFactor times that of the fastest are left out, and the better one
-//     of two random replicas wins, by attempts in flight and reported load, times latency. Two random choices keep nodes
-//     with the same state from all turning to the same replica.
+//  1. Tried, leaving and draining replicas are excluded, and so are replicas at their in-flight limit.
+//  2. Ejected, stalled and last-resort replicas are used only if there is no other (see isEjected, isStalled and
+//     Candidate.LastResort).
+//  3. A replica that is warming up takes part in only a fraction of the choices, so that its caches can fill.
+//  4. If the slowness of any replica is known, the replica with the lowest expected delay is chosen. The delay is the
+//     slowness multiplied by the queueing factor, with penalties for another zone and for a new connection.
+//  5. Otherwise, replicas slower than Config.SlowFactor times the fastest one are excluded. Of two replicas selected at
+//     random, the one with the lower cost is chosen, which is its load multiplied by its latency. The random selection
+//     keeps nodes with the same state from all choosing the same replica.
 //
-// With Config.Method Random, any replica of step 2 is taken.
+// With the method Random, any replica that remains after step 2 is chosen.
 func (b *Balancer) Choose(candidates []Candidate, tried []string) Choice {
-	var buffer [commonReplicas]scored
-	var fallbackBuffer [commonReplicas]scored
+	var buffer [inlineReplicas]scored
+	var fallbackBuffer [inlineReplicas]scored
 	usable, unhealthy, reason := b.usable(candidates, tried, buffer[:0], fallbackBuffer[:0])
 	if len(usable) == 0 {
 		return Choice{Reason: reason}
 	}
-	if b.config.Method == Random {
+	if b.cfg.Method == Random {
 		return Choice{Leaf: usable[rand.IntN(len(usable))].leaf, Unhealthy: unhealthy}
 	}
 	usable = dropCold(usable)
-	if isCompared(usable) {
+	if hasKnownSlowness(usable) {
 		return b.leastDelay(usable, unhealthy)
 	}
 	fastest := fastestLatency(usable)
@@ -100,8 +100,8 @@
 	return Choice{Leaf: b.betterOfTwo(usable, fastest), Unhealthy: unhealthy}
 }
 
-// usable returns the replicas that may be asked, appended to one of two empty buffers, and whether they are unhealthy
-// ones; if there are none, the reason.
+// usable returns the replicas that can take an attempt, appended to one of two empty buffers, and whether they are
+// unhealthy. If there are none, it returns the reason.
 func (b *Balancer) usable(candidates []Candidate, tried []string, healthy, fallback []scored) (usable []scored, unhealthy bool, reason NoChoiceReason) {
 	now := b.now()
 	reason = NoReplica
@@ -110,10 +110,10 @@
 			continue
 		}
 		leaf := b.leaf(candidate.LeafID, candidate.Zone, now)
-		state := leaf.status(b.config, now)
+		state := leaf.status(b.cfg, now)
 		switch {
 		case state.draining:
-		case state.full:
+		case state.atLimit:
 			reason = ReplicasFull
 		case state.ejected, state.stalled, candidate.LastResort:
 			fallback = append(fallback, scored{leaf, state, candidate.Unallotted})
@@ -127,49 +127,49 @@
 	return healthy, false, reason
 }
 
-// scored is a replica with its leaf's status at the moment of the choice.
+// scored is a replica with its leaf's status at the time of the choice.
 type scored struct {
 	leaf       *Leaf
 	state      status
 	unallotted bool
 }
 
-// expectedSlowdown returns the expected latency of an attempt as a multiple of the typical one.
+// expectedSlowdown returns the expected latency of an attempt as a multiple of the typical latency.
 func (s scored) expectedSlowdown() float64 {
 	expected := s.state.slowness * s.state.queueing
 	if s.unallotted {
-		return expected * newConnectionDelay
+		return expected * newConnectionDelayFactor
 	}
 	return expected
 }
 
-// dropCold leaves a replica that is colder than its peers out of some choices, so that it
-// warms up on a growing share of its load.
+// dropCold excludes a replica that is less warmed up than its peers from some of the choices, so that its load grows
+// gradually.
 func dropCold(usable []scored) []scored {
 	warmest := 0.0
 	for _, candidate := range usable {
-		warmest = max(warmest, candidate.state.warmth)
+		warmest = max(warmest, candidate.state.warmUpFraction)
 	}
 	kept := usable[:0]
 	for _, candidate := range usable {
-		if candidate.state.warmth >= warmest || rand.Float64()*warmest < candidate.state.warmth {
+		if candidate.state.warmUpFraction >= warmest || rand.Float64()*warmest < candidate.state.warmUpFraction {
 			kept = append(kept, candidate)
 		}
 	}
 	return kept
 }
 
-// isCompared reports whether the slowness of some replica is known.
-func isCompared(usable []scored) bool {
+// hasKnownSlowness reports whether the slowness of at least one replica is known.
+func hasKnownSlowness(usable []scored) bool {
 	for _, candidate := range usable {
-		if candidate.state.compared {
+		if candidate.state.slownessKnown {
 			return true
 		}
 	}
 	return false
 }
 
-// leastDelay returns the replica that is expected to answer first.
+// leastDelay returns the replica with the lowest expected delay.
 func (b *Balancer) leastDelay(usable []scored, unhealthy bool) Choice {
 	var best Choice
 	least := math.Inf(1)
@@ -177,7 +177,7 @@
 		expected := candidate.expectedSlowdown()
 		delay := expected * (1 + delayJitter*rand.Float64())
 		if candidate.leaf.Zone != b.zone {
-			delay *= crossZoneDelay
+			delay *= crossZoneDelayFactor
 		}
 		if delay < least {
 			least = delay
@@ -198,21 +198,21 @@
 	return fastest
 }
 
-// dropSlow leaves out replicas far slower than the fastest one, except in a small share of choices.
+// dropSlow excludes replicas far slower than the fastest one, except in a small fraction of choices.
 func (b *Balancer) dropSlow(usable []scored, fastest float64) []scored {
-	if fastest == 0 || rand.Float64() < exploreShare {
+	if fastest == 0 || rand.Float64() < exploreFraction {
 		return usable
 	}
 	kept := usable[:0]
 	for _, candidate := range usable {
-		if candidate.state.latency <= fastest*b.config.SlowFactor {
+		if candidate.state.latency <= fastest*b.cfg.SlowFactor {
 			kept = append(kept, candidate)
 		}
 	}
 	return kept
 }
 
-// betterOfTwo returns the better one of two random replicas.
+// betterOfTwo returns the replica with the lower cost of two selected at random.
 func (b *Balancer) betterOfTwo(usable []scored, fastest float64) *Leaf {
 	first := rand.IntN(len(usable))
 	if len(usable) == 1 {
@@ -232,7 +232,7 @@
 func (b *Balancer) cost(candidate scored, fastest float64) float64 {
 	cost := candidate.state.cost(fastest)
 	if candidate.leaf.Zone != b.zone {
-		cost *= crossZoneCost
+		cost *= crossZoneCostFactor
 	}
 	return cost
 }
--- a/internal/leaf/balancer/config.go
+++ b/internal/leaf/balancer/config.go
@@ -6,14 +6,14 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// Method is how a replica is chosen among the usable ones.
+// Method selects how a replica is chosen among the usable ones.
 type Method string
 
-// The methods.
+// Replica choice methods.
 const (
-	// TwoChoices compares replicas, see Balancer.Choose.
+	// TwoChoices compares replicas by expected delay or cost; see Balancer.Choose.
 	TwoChoices Method = "two_choices"
-	// Random takes any usable replica, as a baseline for comparisons.
+	// Random chooses a usable replica at random, as a baseline for comparisons.
 	Random Method = "random"
 )
 
@@ -21,23 +21,23 @@
 type Config struct {
 	// Method is how a replica is chosen.
 	Method Method `yaml:"method"`
-	// EjectAfter is how many attempts in a row must fail before a leaf is ejected.
+	// EjectAfter is the number of consecutive failed attempts after which a leaf is ejected.
 	EjectAfter int `yaml:"eject_after"`
 	// EjectFor is how long an ejected leaf waits before its next probe.
 	EjectFor time.Duration `yaml:"eject_for"`
-	// SlowFactor is how many times the latency of the fastest replica a replica may have and still be chosen.
+	// SlowFactor is the maximum latency at which a replica is chosen, as a multiple of the fastest replica's latency.
 	SlowFactor float64 `yaml:"slow_factor"`
-	// WarmUp is how long a new leaf, or one that was ejected, takes to reach its full share.
+	// WarmUp is the time over which the load of a new or readmitted leaf is raised to its full share.
 	WarmUp time.Duration `yaml:"warm_up"`
-	// LoadAge is how long a load report counts.
+	// LoadAge is how long a load report is used after it was received.
 	LoadAge time.Duration `yaml:"load_age"`
-	// InFlightLimit is the maximum number of attempts that one node has in flight at one leaf.
+	// InFlightLimit is the maximum number of attempts that one node may have in flight at one leaf.
 	InFlightLimit int `yaml:"in_flight_limit"`
-	// ForgetDrain is how long a leaf stays out of use after it last reported that it drains.
+	// ForgetDrain is how long a leaf stays out of use after it last reported that it is draining.
 	ForgetDrain time.Duration `yaml:"forget_drain"`
 }
 
-// DefaultConfig suits leafs that answer within tens of milliseconds.
+// DefaultConfig returns settings for leafs that answer within tens of milliseconds.
 func DefaultConfig() Config {
 	return Config{
 		Method:        TwoChoices,
--- a/internal/leaf/balancer/ejection.go
+++ b/internal/leaf/balancer/ejection.go
@@ -2,16 +2,15 @@
 
 import "time"
 
-// countFailure decides when a leaf is ejected, that is asked only if no other replica can be.
+// countFailure counts a failed attempt and ejects the leaf if there were too many. An ejected leaf is used only if no
+// other replica is usable, because its failures would cost each request a timeout or a retry.
 //
-// Inputs: the failures in a row of this node's attempts at the leaf.
-//
-// Rule: a leaf is ejected for Config.EjectFor after Config.EjectAfter failures in a row, and again after each failed
-// probe. One success ends it, see readmit. An ejected leaf would otherwise cost each request a timeout or a retry.
-func (l *Leaf) countFailure(config Config, now time.Time) {
+// Rule: a leaf is ejected for Config.EjectFor after Config.EjectAfter consecutive failures of this node's attempts, and
+// again after each failed probe. One success readmits it.
+func (l *Leaf) countFailure(cfg Config, now time.Time) {
 	l.failures++
-	if l.failures >= config.EjectAfter || !l.ejectedUntil.IsZero() {
-		l.ejectedUntil = now.Add(config.EjectFor)
+	if l.failures >= cfg.EjectAfter || !l.ejectedUntil.IsZero() {
+		l.ejectedUntil = now.Add(cfg.EjectFor)
 	}
 }
 
@@ -20,11 +19,11 @@
 	l.failures = 0
 	if !l.ejectedUntil.IsZero() {
 		l.ejectedUntil = time.Time{}
-		l.warmSince = now
+		l.warmUpStart = now
 	}
 }
 
-// isEjected reports whether the leaf is ejected now. Once the time is over, one attempt at a time probes it.
+// isEjected reports whether the leaf is ejected. After the ejection time, one attempt at a time probes the leaf.
 func (l *Leaf) isEjected(now time.Time) bool {
 	return !l.ejectedUntil.IsZero() && (l.probing || now.Before(l.ejectedUntil))
 }
--- a/internal/leaf/balancer/leaf.go
+++ b/internal/leaf/balancer/leaf.go
@@ -6,85 +6,85 @@
 	"time"
 )
 
-// latencyWeight is the share of a new sample in a leaf's moving average latency.
+// latencyWeight is the weight of a new sample in the moving average of a leaf's latency.
 const latencyWeight = 0.1
 
-// shedBackoff multiplies a leaf's in-flight limit when it sheds load.
+// shedBackoff is the factor by which a leaf's in-flight limit is reduced when the leaf sheds an attempt.
 const shedBackoff = 0.7
 
-// Outcome is how an attempt ended, as far as it says something about the leaf.
+// Outcome is the end of an attempt, classified by what it shows about the leaf's health.
 type Outcome int
 
-// The outcomes of an attempt.
+// Outcomes of an attempt.
 const (
-	// Succeeded means that a verified reply came back.
+	// Succeeded means that a verified reply was received.
 	Succeeded Outcome = iota
-	// Failed means an error of transport, a wrong reply, or none in time.
+	// Failed means a transport error, an invalid reply, or a timeout.
 	Failed
-	// Shed means that the leaf refused because it is overloaded.
+	// Shed means that the leaf refused the attempt because it is overloaded.
 	Shed
-	// Drained means that the leaf refused because it is draining.
+	// Drained means that the leaf refused the attempt because it is draining.
 	Drained
-	// Abandoned means that the reply was no longer needed, which says little about the leaf.
+	// Abandoned means that the reply was no longer needed, which shows little about the leaf.
 	Abandoned
-	// Declined means that the leaf refused for a reason that says nothing about its health.
+	// Declined means that the leaf refused the attempt for a reason unrelated to its health.
 	Declined
 )
 
-// Load is how busy a leaf is by its own report.
+// Load is the load that a leaf reports.
 type Load struct {
 	InFlight uint32
 	Slots    uint32
 	Draining bool
 }
 
-// Leaf is the state of one leaf as this node knows it. It is safe for concurrent use.
+// Leaf is the state of one leaf as observed by this node. It is safe for concurrent use.
 type Leaf struct {
 	ID   string
 	Zone string
 	key  LeafKey
 
 	mu       sync.Mutex
-	inFlight int     // attempts of this node
-	limit    float64 // of attempts in flight
+	inFlight int     // this node's attempts
+	limit    float64 // maximum of inFlight
 	latency  float64 // moving average in seconds; 0 before the first sample
 
-	failures      int // in a row
+	failures      int // consecutive
 	ejectedUntil  time.Time
-	probing       bool // one attempt is in flight to find out whether an ejected leaf is back
+	probing       bool // a probe of the ejected leaf is in flight
 	drainingUntil time.Time
-	warmSince     time.Time
+	warmUpStart   time.Time
 
 	reported   Load // by the leaf itself
 	reportedAt time.Time
-	// inFlightAtReport is how many attempts of this node were in flight when the leaf reported.
+	// inFlightAtReport is the number of this node's attempts in flight when the report was received.
 	inFlightAtReport int
 
 	slowness slowness
-	// isSlow is the condition of the last assessment.
+	// isSlow is the result of the last assessment.
 	isSlow bool
-	// peerSlowAt is when the observation of another node last counted as a sample of slowness.
+	// peerSlowAt is when another node's slow observation was last counted as a sample.
 	peerSlowAt time.Time
 
-	// silentSince is the start of the oldest attempt since which the leaf has answered nothing;
-	// zero if it owes no answer.
+	// silentSince is when the oldest attempt without an answer started, or when the leaf last answered if that is later;
+	// zero if no answer is outstanding.
 	silentSince time.Time
-	// abandonedAt is when an attempt without an answer was last given up.
+	// abandonedAt is when an attempt last failed or was abandoned without an answer.
 	abandonedAt time.Time
 	// answeredAt is when the leaf last answered this node.
 	answeredAt time.Time
-	// silenceReportedAt is when this node last reported the leaf's silence to others.
+	// silenceReportedAt is when this node last reported the leaf's silence to other nodes.
 	silenceReportedAt time.Time
-	// peerSilence is the silence that another node reported at peerSilenceAt; 0 once an answer came.
+	// peerSilence is the silence that another node reported at peerSilenceAt; 0 after an answer.
 	peerSilence   time.Duration
 	peerSilenceAt time.Time
 }
 
-func newLeaf(id, zone string, config Config, now time.Time) *Leaf {
-	return &Leaf{ID: id, Zone: zone, key: KeyOf(id), limit: float64(config.InFlightLimit), warmSince: now}
+func newLeaf(id, zone string, cfg Config, now time.Time) *Leaf {
+	return &Leaf{ID: id, Zone: zone, key: KeyOf(id), limit: float64(cfg.InFlightLimit), warmUpStart: now}
 }
 
-// start counts an attempt as in flight; it marks the attempt as the probe of an ejected leaf.
+// start counts an attempt as in flight. If the leaf's ejection time is over, the attempt is the probe.
 func (l *Leaf) start(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -97,19 +97,19 @@
 	}
 }
 
-// change is what the end of an attempt changed.
+// change describes what the end of an attempt changed.
 type change struct {
-	// ejectionChanged says that the leaf was ejected, or is back in use.
+	// ejectionChanged says that the leaf was ejected or readmitted.
 	ejectionChanged bool
 	ejected         bool
-	// observation is what other nodes should get; nil for nothing.
+	// observation is sent to other nodes; nil if there is nothing to send.
 	observation *Observation
 	// assessment is the changed assessment; nil if it did not change.
 	assessment *Assessment
 }
 
 // finish records the end of an attempt.
-func (l *Leaf) finish(config Config, outcome Outcome, took, typical time.Duration, now time.Time) change {
+func (l *Leaf) finish(cfg Config, outcome Outcome, took, typical time.Duration, now time.Time) change {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	wasEjected := !l.ejectedUntil.IsZero()
@@ -117,31 +117,31 @@
 	l.probing = false
 	wasSilent := l.silence(now) > 0
 	l.updateSilence(outcome, now)
-	observation := l.compare(config, outcome, took, typical, now)
+	observation := l.recordSlowness(cfg, outcome, took, typical, now)
 	if observation == nil && wasSilent && outcome == Succeeded {
 		observation = &Observation{Slowness: 1}
 	}
-	l.learn(config, outcome, took, now)
+	l.applyOutcome(cfg, outcome, took, now)
 	ejected := !l.ejectedUntil.IsZero()
 	return change{ejectionChanged: ejected != wasEjected, ejected: ejected, observation: observation, assessment: l.assess(false)}
 }
 
-// learn updates latency, in-flight limit, ejection and draining by the outcome of an attempt.
-func (l *Leaf) learn(config Config, outcome Outcome, took time.Duration, now time.Time) {
+// applyOutcome updates the latency, the in-flight limit, and the ejection and draining state.
+func (l *Leaf) applyOutcome(cfg Config, outcome Outcome, took time.Duration, now time.Time) {
 	switch outcome {
 	case Succeeded:
 		l.addLatency(took)
-		l.limit = math.Min(float64(config.InFlightLimit), l.limit+1/math.Max(1, l.limit))
+		l.limit = math.Min(float64(cfg.InFlightLimit), l.limit+1/math.Max(1, l.limit))
 		l.readmit(now)
 	case Failed:
-		l.countFailure(config, now)
+		l.countFailure(cfg, now)
 	case Shed:
 		l.limit = math.Max(1, l.limit*shedBackoff)
 	case Drained:
-		l.drainingUntil = now.Add(config.ForgetDrain)
+		l.drainingUntil = now.Add(cfg.ForgetDrain)
 	case Abandoned:
-		// The true latency is at least the time waited; without it
-		// a slow replica would look as good as its fast replies.
+		// The time waited is a lower bound of the latency. If it were ignored, a slow replica would be rated by its
+		// fast replies only.
 		if took.Seconds() > l.latency {
 			l.addLatency(took)
 		}
@@ -149,7 +149,7 @@
 	}
 }
 
-// addLatency adds a sample to the moving average latency.
+// addLatency adds a sample to the moving average of the latency.
 func (l *Leaf) addLatency(took time.Duration) {
 	if l.latency == 0 {
 		l.latency = took.Seconds()
@@ -159,13 +159,13 @@
 }
 
 // report records the load that the leaf reported.
-func (l *Leaf) report(config Config, load Load, now time.Time) {
+func (l *Leaf) report(cfg Config, load Load, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if load.Slots > 0 {
 		l.reported, l.reportedAt, l.inFlightAtReport = load, now, l.inFlight
 	}
 	if load.Draining {
-		l.drainingUntil = now.Add(config.ForgetDrain)
+		l.drainingUntil = now.Add(cfg.ForgetDrain)
 	}
 }
--- a/internal/leaf/balancer/observation.go
+++ b/internal/leaf/balancer/observation.go
@@ -6,67 +6,66 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// LeafKey names a leaf in messages between nodes, in few bytes. Two leafs may share one, which only leads to a
-// wrong assessment of one of them.
+// LeafKey identifies a leaf in messages between nodes, as a hash that keeps messages small. A collision of two leafs only
+// leads to a wrong assessment of one of them.
 type LeafKey uint32
 
-// KeyOf returns the key of a leaf's id.
+// KeyOf returns the key of the leaf with the given ID.
 func KeyOf(leafID string) LeafKey { return LeafKey(xxhash.Sum64String(leafID)) }
 
-// Observation is what one node observed of a leaf, as it is sent to other nodes.
+// Observation is what one node observed about a leaf and sends to other nodes.
 type Observation struct {
 	Leaf LeafKey
-	// Slowness is the latency of an attempt as a multiple of the typical one; 0 if there was no answer.
+	// Slowness is the latency of an attempt as a multiple of the typical latency; 0 if there was no answer.
 	Slowness float64
-	// Silence is how long the leaf has owed an answer; 0 if it answered.
+	// Silence is how long an answer of the leaf has been outstanding; 0 if it answered.
 	Silence time.Duration
 }
 
-// Condition is a node's summary of a leaf's health.
+// Condition is a leaf's health as assessed by a node.
 type Condition string
 
-// The conditions of an assessment.
+// Conditions of a leaf.
 const (
 	Slow    Condition = "slow"
 	Healthy Condition = "well"
 	Silent  Condition = "silent"
 )
 
-// Assessment is a change of a leaf's condition, as this node sees it.
+// Assessment is a change in this node's assessment of a leaf.
 type Assessment struct {
 	LeafID    string
 	Condition Condition
-	// Slowness is the leaf's latency as a multiple of the typical one.
+	// Slowness is the leaf's latency as a multiple of the typical latency.
 	Slowness float64
-	// Silence is how long the leaf has owed an answer.
+	// Silence is how long an answer of the leaf has been outstanding.
 	Silence time.Duration
-	// FromPeer says that the observation of another node changed it, not an attempt of this one.
+	// FromPeer says that another node's observation caused the change, not an attempt of this node.
 	FromPeer bool
 }
 
-// assess decides whether a leaf is assessed as slow, and returns the assessment if the newest sample changed it.
+// assess decides whether a leaf is slow, and returns the assessment if the newest sample changed it.
 //
-// Input: the median slowness, as a multiple of the typical latency.
-//
-// Rule: a leaf is slow from slowThreshold on and healthy again at healthyThreshold. In between it stays what it
-// was, so that a leaf on the edge is not reported over and over.
+// Rule: a leaf becomes slow when its median slowness reaches slowThreshold and healthy when it falls to healthyThreshold.
+// The hysteresis keeps a leaf near a threshold from being reported repeatedly.
 func (l *Leaf) assess(fromPeer bool) *Assessment {
-	isSlow := l.slowness.middle >= slowThreshold || l.isSlow && l.slowness.middle > healthyThreshold
+	isSlow := l.slowness.median >= slowThreshold || l.isSlow && l.slowness.median > healthyThreshold
 	if isSlow == l.isSlow {
 		return nil
 	}
 	l.isSlow = isSlow
-	changed := &Assessment{LeafID: l.ID, Condition: Healthy, Slowness: l.slowness.middle, FromPeer: fromPeer}
+	changed := &Assessment{LeafID: l.ID, Condition: Healthy, Slowness: l.slowness.median, FromPeer: fromPeer}
 	if isSlow {
 		changed.Condition = Slow
 	}
 	return changed
 }
 
-// silenceReportInterval is the minimum time between two observations of a leaf's silence by one node.
+// silenceReportInterval is the minimum time between two reports of a leaf's silence by one node.
 const silenceReportInterval = 100 * time.Millisecond
 
-// observeSilence returns the leaf's silence for other nodes; nil if it is not silent or was reported a moment ago.
+// observeSilence returns an observation of the leaf's silence for other nodes. It returns nil if the leaf is not silent
+// or its silence was reported within silenceReportInterval.
 func (l *Leaf) observeSilence(now time.Time) *Observation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -78,11 +77,11 @@
 	return &Observation{Silence: silence}
 }
 
-// peerSampleInterval is the minimum time between two slow samples of a leaf from other nodes. What many nodes
-// observe in one pause of the leaf is one event, not many.
+// peerSampleInterval is the minimum time between two slow samples of a leaf from other nodes, so that a single pause
+// observed by many nodes counts once.
 const peerSampleInterval = 300 * time.Millisecond
 
-// handle records what another node observed, and returns the assessment if that changed it.
+// handle records the observation of another node, and returns the assessment if that changed it.
 func (l *Leaf) handle(observed Observation, now time.Time) *Assessment {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -103,7 +102,7 @@
 	return l.assess(true)
 }
 
-// handleSilence records a silence that another node observed, unless this node got an answer meanwhile.
+// handleSilence records a silence that another node observed, unless this node received an answer during it.
 func (l *Leaf) handleSilence(silence time.Duration, now time.Time) *Assessment {
 	if now.Sub(l.answeredAt) <= silence {
 		return nil
--- a/internal/leaf/balancer/observation_test.go
+++ b/internal/leaf/balancer/observation_test.go
@@ -8,133 +8,133 @@
 	"github.com/matryer/is"
 )
 
-const typicalWork = 10 * time.Millisecond
+const typicalLatency = 10 * time.Millisecond
 
-// seesSlow makes a balancer observe one attempt at a leaf that takes eight times the typical latency.
-func seesSlow(b *Balancer, id string) {
+// observeSlowAttempt records an attempt at a leaf that takes eight times the typical latency.
+func observeSlowAttempt(b *Balancer, id string) {
 	leaf := b.leaf(id, "z", time.Now())
 	b.Start(leaf)
-	b.Finish(leaf, Succeeded, 8*typicalWork, typicalWork)
+	b.Finish(leaf, Succeeded, 8*typicalLatency, typicalLatency)
 }
 
-// knows makes a balancer observe attempts of typical latency at all leafs.
-func knows(b *Balancer) {
-	for _, candidate := range three() {
+// observeTypicalAttempts records attempts of typical latency at all leafs.
+func observeTypicalAttempts(b *Balancer) {
+	for _, candidate := range threeReplicas() {
 		leaf := b.leaf(candidate.LeafID, candidate.Zone, time.Now())
 		for range slownessSamples {
 			b.Start(leaf)
-			b.Finish(leaf, Succeeded, typicalWork, typicalWork)
+			b.Finish(leaf, Succeeded, typicalLatency, typicalLatency)
 		}
 	}
 }
 
-// shares counts the choices of each leaf.
-func shares(b *Balancer) map[string]int {
+// countChoices returns how often each leaf is chosen in 300 choices.
+func countChoices(b *Balancer) map[string]int {
 	counts := map[string]int{}
 	for range 300 {
-		counts[b.Choose(three(), nil).Leaf.ID]++
+		counts[b.Choose(threeReplicas(), nil).Leaf.ID]++
 	}
 	return counts
 }
 
-// A node that never asked a slow leaf passes it over once several others observed that it is slow, and asks it
-// again once one observed that it is healthy.
-func TestSlownessSeenByOthersCounts(t *testing.T) {
+// A node that sent no attempts to a slow leaf passes it over after several peers reported it as slow, and uses it again
+// after a peer reported it as healthy.
+func TestSlownessReportedByPeersAffectsChoice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		here := New(DefaultConfig(), "z")
+		local := New(DefaultConfig(), "z")
 		var conditions []Condition
-		here.OnAssessment(func(changed Assessment) {
+		local.OnAssessment(func(changed Assessment) {
 			is.True(changed.FromPeer)
 			is.Equal(changed.LeafID, "b")
 			conditions = append(conditions, changed.Condition)
 		})
-		knows(here)
-		time.Sleep(recentSpan + time.Second)
-		for range minimumRecent {
-			there := New(DefaultConfig(), "z")
-			there.OnObserved(here.HandleObservation)
-			seesSlow(there, "b")
+		observeTypicalAttempts(local)
+		time.Sleep(recentWindow + time.Second)
+		for range minimumRecentSamples {
+			remote := New(DefaultConfig(), "z")
+			remote.OnObserved(local.HandleObservation)
+			observeSlowAttempt(remote, "b")
 			time.Sleep(peerSampleInterval)
 		}
-		is.Equal(shares(here)["b"], 0)
+		is.Equal(countChoices(local)["b"], 0)
 		is.Equal(conditions, []Condition{Slow})
-		time.Sleep(recentSpan + time.Second)
-		there := New(DefaultConfig(), "z")
-		there.OnObserved(here.HandleObservation)
-		for range minimumRecent {
-			seesSlow(there, "b") // and announces it
+		time.Sleep(recentWindow + time.Second)
+		remote := New(DefaultConfig(), "z")
+		remote.OnObserved(local.HandleObservation)
+		for range minimumRecentSamples {
+			observeSlowAttempt(remote, "b") // and reports it
 			time.Sleep(peerSampleInterval)
 		}
-		is.Equal(shares(here)["b"], 0)
-		leaf := there.leaf("b", "z", time.Now())
-		time.Sleep(recentSpan + time.Second)
+		is.Equal(countChoices(local)["b"], 0)
+		leaf := remote.leaf("b", "z", time.Now())
+		time.Sleep(recentWindow + time.Second)
 		for range slownessSamples {
-			there.Start(leaf)
-			there.Finish(leaf, Succeeded, typicalWork, typicalWork)
+			remote.Start(leaf)
+			remote.Finish(leaf, Succeeded, typicalLatency, typicalLatency)
 		}
 		time.Sleep(4 * slownessHalfLife)
-		is.True(shares(here)["b"] > 0)
+		is.True(countChoices(local)["b"] > 0)
 	})
 }
 
-// A leaf that owes another node an answer is passed over for a while, unless it answered here.
-func TestSilenceSeenByOthersCounts(t *testing.T) {
+// A leaf that a peer reports as silent is passed over for a while, unless it recently answered this node.
+func TestSilenceReportedByPeersAffectsChoice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		here, there := New(DefaultConfig(), "z"), New(DefaultConfig(), "z")
-		there.OnObserved(here.HandleObservation)
-		knows(here)
+		local, remote := New(DefaultConfig(), "z"), New(DefaultConfig(), "z")
+		remote.OnObserved(local.HandleObservation)
+		observeTypicalAttempts(local)
 		time.Sleep(time.Second)
-		silent := there.leaf("b", "z", time.Now())
-		there.Start(silent)
-		there.AttemptLate("b")
-		is.True(shares(here)["b"] > 0) // not silent for long enough
-		time.Sleep(unknownStall + time.Millisecond)
-		there.AttemptLate("b")
-		is.Equal(shares(here)["b"], 0)
+		silent := remote.leaf("b", "z", time.Now())
+		remote.Start(silent)
+		remote.AttemptLate("b")
+		is.True(countChoices(local)["b"] > 0) // the silence is shorter than the stall timeout
+		time.Sleep(defaultStallTimeout + time.Millisecond)
+		remote.AttemptLate("b")
+		is.Equal(countChoices(local)["b"], 0)
 		time.Sleep(maximumStallPause)
-		is.True(shares(here)["b"] > 0) // the pause is over: it is tried again
-		there.AttemptLate("b")
-		is.Equal(shares(here)["b"], 0)
-		there.Finish(silent, Succeeded, time.Second, 0) // it answered there
-		is.True(shares(here)["b"] > 0)
+		is.True(countChoices(local)["b"] > 0) // the pause is over, so the leaf is tried again
+		remote.AttemptLate("b")
+		is.Equal(countChoices(local)["b"], 0)
+		remote.Finish(silent, Succeeded, time.Second, 0) // the leaf answered the peer
+		is.True(countChoices(local)["b"] > 0)
 		time.Sleep(time.Second)
-		knows(here)
-		there.Start(silent)
-		time.Sleep(unknownStall + time.Millisecond)
-		own := here.leaf("b", "z", time.Now())
-		here.Start(own)
-		here.Finish(own, Succeeded, typicalWork, typicalWork)
-		there.AttemptLate("b")
-		is.True(shares(here)["b"] > 0) // it answered here a moment ago
+		observeTypicalAttempts(local)
+		remote.Start(silent)
+		time.Sleep(defaultStallTimeout + time.Millisecond)
+		own := local.leaf("b", "z", time.Now())
+		local.Start(own)
+		local.Finish(own, Succeeded, typicalLatency, typicalLatency)
+		remote.AttemptLate("b")
+		is.True(countChoices(local)["b"] > 0) // the leaf answered this node during the silence
 	})
 }
 
-// Answers of typical latency are not announced.
-func TestUsualAnswersAreNotTold(t *testing.T) {
+// Answers of typical latency are not reported to other nodes.
+func TestTypicalLatencyIsNotReported(t *testing.T) {
 	is := is.New(t)
 	b := New(DefaultConfig(), "z")
-	b.OnObserved(func(Observation) { t.Error("announced an answer of typical latency") })
-	knows(b)
+	b.OnObserved(func(Observation) { t.Error("reported an answer of typical latency") })
+	observeTypicalAttempts(b)
 	b.HandleObservation(Observation{Leaf: KeyOf("unknown"), Slowness: 9})
 	is.Equal(len(b.leafs), 3)
 }
 
-// A leaf is not slow because many nodes observed the same pause.
-func TestOnePauseSeenByManyIsNoSlowness(t *testing.T) {
+// A pause that many peers report at the same time counts as one slow sample.
+func TestPauseReportedByManyPeersDoesNotMakeALeafSlow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		here := New(DefaultConfig(), "z")
-		here.OnAssessment(func(changed Assessment) { t.Errorf("assessment changed to %v", changed) })
-		knows(here)
-		time.Sleep(recentSpan + time.Second)
+		local := New(DefaultConfig(), "z")
+		local.OnAssessment(func(changed Assessment) { t.Errorf("assessment changed to %v", changed) })
+		observeTypicalAttempts(local)
+		time.Sleep(recentWindow + time.Second)
 		for range 8 {
-			there := New(DefaultConfig(), "z")
-			there.OnObserved(here.HandleObservation)
-			seesSlow(there, "b")
+			remote := New(DefaultConfig(), "z")
+			remote.OnObserved(local.HandleObservation)
+			observeSlowAttempt(remote, "b")
 			time.Sleep(peerSampleInterval / 10)
 		}
-		is.True(shares(here)["b"] > 0)
+		is.True(countChoices(local)["b"] > 0)
 	})
 }
--- a/internal/leaf/balancer/stall.go
+++ b/internal/leaf/balancer/stall.go
@@ -2,33 +2,34 @@
 
 import "time"
 
-// Bounds of the silence after which a leaf is stalled.
+// Bounds of the silence after which a leaf counts as stalled.
 const (
-	stallFactor  = 3 // times the leaf's latency
-	minimumStall = 20 * time.Millisecond
-	// unknownStall is for a leaf that never answered this node.
-	unknownStall = 150 * time.Millisecond
+	stallFactor         = 3 // multiple of the leaf's latency
+	minimumStallTimeout = 20 * time.Millisecond
+	// defaultStallTimeout applies to a leaf that never answered this node.
+	defaultStallTimeout = 150 * time.Millisecond
 )
 
-// Bounds of the pauses between the attempts that find out whether a stalled leaf is back.
+// Bounds of the pauses between the attempts at a stalled leaf.
 const (
 	minimumStallPause = 50 * time.Millisecond
 	maximumStallPause = 2 * time.Second
-	// shortStall is how long a healthy leaf may pause. After a longer silence the leaf is most likely gone, and is
-	// asked more rarely, since each attempt delays a request.
+	// shortStall is the longest pause expected of a healthy leaf. After a longer silence, the leaf has most likely
+	// crashed and is tried less often, since each attempt delays a request.
 	shortStall       = 400 * time.Millisecond
-	shortPauseFactor = 0.5 // times the silence
-	longPauseFactor  = 2   // times the silence
+	shortPauseFactor = 0.5 // multiple of the silence
+	longPauseFactor  = 2   // multiple of the silence
 )
 
-// isStalled decides whether a leaf is passed over because it owes answers.
+// isStalled decides whether a leaf is passed over because answers are overdue.
 //
-// Inputs: how long the leaf has owed this node an answer, its average latency at this node, and the silence that another
-// node reported.
+// Inputs: how long an answer to this node has been outstanding, the leaf's average latency at this node, and the silence
+// that another node reported.
 //
-// Rule: a leaf is stalled once it has owed an answer for stallFactor times its latency, at least minimumStall. While an
-// attempt is in flight it stays stalled; after that, one attempt at a time finds out whether it is back, with pauses that
-// grow with the silence (see stallPause). What another node reports counts for one such pause.
+// Rule: a leaf is stalled when an answer has been outstanding for stallFactor times its latency, and for at least
+// minimumStallTimeout. It remains stalled while an attempt is in flight. After that, it is tried by one attempt at a
+// time, with pauses that grow with the silence (see stallPause). A silence that another node reports applies for one
+// such pause.
 func (l *Leaf) isStalled(now time.Time) bool {
 	if l.peerSilence > 0 && now.Sub(l.peerSilenceAt) < stallPause(l.peerSilence) {
 		return true
@@ -43,16 +44,15 @@
 	return now.Sub(l.abandonedAt) < stallPause(l.abandonedAt.Sub(l.silentSince))
 }
 
-// silence returns how long the leaf has owed an answer to this node; 0 while it may just be
-// working on it.
+// silence returns how long an answer to this node has been outstanding; 0 while the leaf may still be working on it.
 func (l *Leaf) silence(now time.Time) time.Duration {
 	if l.silentSince.IsZero() {
 		return 0
 	}
 	silence := now.Sub(l.silentSince)
-	limit := unknownStall
+	limit := defaultStallTimeout
 	if l.latency > 0 {
-		limit = max(minimumStall, time.Duration(stallFactor*l.latency*float64(time.Second)))
+		limit = max(minimumStallTimeout, time.Duration(stallFactor*l.latency*float64(time.Second)))
 	}
 	if silence < limit {
 		return 0
@@ -60,7 +60,7 @@
 	return silence
 }
 
-// stallPause returns how long a leaf that was silent for that long gets no attempt.
+// stallPause returns how long a leaf gets no attempts after a silence of the given length.
 func stallPause(silence time.Duration) time.Duration {
 	pause := time.Duration(shortPauseFactor * float64(silence))
 	if silence > shortStall {
@@ -69,8 +69,8 @@
 	return min(max(pause, minimumStallPause), maximumStallPause)
 }
 
-// updateSilence records whether an attempt ended with an answer: any answer ends the silence, an attempt that
-// was given up does not.
+// updateSilence records whether an attempt ended with an answer. Any answer ends the silence, but a failed or abandoned
+// attempt does not.
 func (l *Leaf) updateSilence(outcome Outcome, now time.Time) {
 	if outcome == Abandoned || outcome == Failed {
 		l.abandonedAt = now
