--- a/internal/leaf/leafset/editor.go
+++ b/internal/leaf/leafset/editor.go
@@ -8,29 +8,29 @@
 	"github.com/portgauge/portgauge/internal/node/boottime"
 )
 
-// Editor makes a changed copy of a set; the original remains unchanged. What the copy does not change, it shares with the
-// original.
+// Editor makes a changed copy of a set. The original remains unchanged and shares the unchanged parts with the copy.
 type Editor struct {
 	set          *Set
-	owned        map[string]bool // services whose slice is not shared
+	owned        map[string]bool // services whose slice of leafs is not shared
 	changedRules map[string]bool // services whose rule changed
-	// ownsRules, ownsFirst, ownsCanaries and ownsLost say which of these maps are not shared.
+	// ownsRules, ownsFirst, ownsCanaries and ownsLost say which maps of the set are not shared.
 	ownsRules, ownsFirst, ownsCanaries, ownsLost bool
-	// defaultToFirst says that services for which no rule names a serving version get one.
-	defaultToFirst bool
-	// evacuationsChanged says that the ready leafs of every service must be determined again.
+	// defaultsToFirst says that a service whose rule names no serving version is served by its first version.
+	defaultsToFirst bool
+	// evacuationsChanged says that the ready leafs of every service must be updated.
 	evacuationsChanged bool
-	// replaced is the set that is replaced as a whole; nil for changes of a set.
+	// replaced is the set that is replaced entirely; nil if the editor changes a set.
 	replaced *Set
 	// excluded are the names passed to Exclude.
 	excluded map[string]bool
 	clock    boottime.Clock
 }
 
-// SetClock sets the clock by which losses are recorded, instead of the monotonic one.
+// SetClock sets the clock by which losses are recorded. The default is the monotonic clock.
 func (e *Editor) SetClock(clock boottime.Clock) { e.clock = clock }
 
-// Replace starts an empty set that replaces another: the leafs that it lacks at the end were lost.
+// Replace starts with an empty set that replaces another. Ready leafs of the replaced set that are not added are
+// recorded as lost.
 func Replace(before *Set) *Editor {
 	editor := Empty().Edit()
 	editor.set.lost, editor.set.first = before.lost, before.first
@@ -38,7 +38,7 @@
 	return editor
 }
 
-// Edit starts a copy of the set.
+// Edit starts with a copy of the set.
 func (s *Set) Edit() *Editor {
 	copied := &Set{
 		byService: maps.Clone(s.byService), ready: maps.Clone(s.ready), byName: maps.Clone(s.byName), evacuated: s.evacuated,
@@ -47,12 +47,12 @@
 	return &Editor{set: copied, owned: map[string]bool{}, changedRules: map[string]bool{}}
 }
 
-// Put adds a leaf or replaces the one of its name. If that was another incarnation, its process is gone, so that it is not
-// recorded as lost: a lost leaf may only be unlisted for a while, and still be asked.
+// Put adds a leaf or replaces the leaf with the same name. A replaced leaf that was another incarnation is not recorded
+// as lost, because its process has ended. A lost leaf may only be unlisted temporarily and can still get requests.
 func (e *Editor) Put(leaf *Leaf) {
 	known := e.drop(leaf.Name)
 	switch {
-	case leaf.State == Ready, e.isOtherIncarnationLost(leaf), known != nil && known.ID != leaf.ID:
+	case leaf.State == Ready, e.wasOtherIncarnationLost(leaf), known != nil && known.ID != leaf.ID:
 		e.forgetLoss(leaf.Name)
 	case known != nil && known.State == Ready:
 		e.lose(known)
@@ -63,14 +63,15 @@
 	e.set.byService[leaf.Service] = slices.Insert(leafs, at, leaf)
 }
 
-// Remove removes the leaf of a name, if there is one, and records it as lost if it was ready.
+// Remove removes the leaf with the given name, if there is one, and records it as lost if it was ready.
 func (e *Editor) Remove(name string) {
 	if known := e.drop(name); known != nil && known.State == Ready {
 		e.lose(known)
 	}
 }
 
-// Exclude removes the leaf of a name without recording it as lost, because its record is not that of a leaf.
+// Exclude removes the leaf with the given name without recording it as lost, because the record does not describe a
+// leaf.
 func (e *Editor) Exclude(name string) {
 	e.drop(name)
 	e.forgetLoss(name)
@@ -80,19 +81,19 @@
 	e.excluded[name] = true
 }
 
-// isOtherIncarnationLost reports whether another incarnation of a leaf is recorded as lost.
-func (e *Editor) isOtherIncarnationLost(leaf *Leaf) bool {
-	one, wasLost := e.set.lost[leaf.Name]
-	return wasLost && one.leaf.ID != leaf.ID
+// wasOtherIncarnationLost reports whether another incarnation of a leaf is recorded as lost.
+func (e *Editor) wasOtherIncarnationLost(leaf *Leaf) bool {
+	entry, wasLost := e.set.lost[leaf.Name]
+	return wasLost && entry.leaf.ID != leaf.ID
 }
 
-// lose records a leaf that was ready until now as lost.
+// lose records a leaf that has been ready until now as lost.
 func (e *Editor) lose(known *Leaf) {
 	e.ownLost()
 	e.set.lost[known.Name] = lostLeaf{leaf: known, at: e.clock.Now()}
 }
 
-// forgetLoss forgets that a leaf was lost: it is ready again, or its process is gone.
+// forgetLoss removes a leaf from the lost leafs, because it is ready again or its process has ended.
 func (e *Editor) forgetLoss(name string) {
 	if _, wasLost := e.set.lost[name]; wasLost {
 		e.ownLost()
@@ -100,7 +101,7 @@
 	}
 }
 
-// ownLost copies the lost leafs, without those lost more than lostRetention ago.
+// ownLost copies the lost leafs unless they are already copied, and drops leafs lost more than lostRetention ago.
 func (e *Editor) ownLost() {
 	if e.ownsLost {
 		return
@@ -108,10 +109,10 @@
 	e.ownsLost = true
 	oldest := e.clock.Now().Add(-lostRetention)
 	e.set.lost = maps.Clone(e.set.lost)
-	maps.DeleteFunc(e.set.lost, func(_ string, one lostLeaf) bool { return one.at.Before(oldest) })
+	maps.DeleteFunc(e.set.lost, func(_ string, entry lostLeaf) bool { return entry.at.Before(oldest) })
 }
 
-// drop removes the leaf of a name and returns it; nil if there is none.
+// drop removes the leaf with the given name and returns it, or nil if there is none.
 func (e *Editor) drop(name string) *Leaf {
 	known, found := e.set.byName[name]
 	if !found {
@@ -141,7 +142,7 @@
 	delete(e.set.evacuated, zone)
 }
 
-// Done returns the changed set; the editor must not be used after it.
+// Done returns the changed set. The editor must not be used afterwards.
 func (e *Editor) Done() *Set {
 	if e.replaced != nil {
 		e.loseReplaced()
@@ -173,7 +174,7 @@
 	}
 }
 
-// updateReady determines which leafs of a service get requests, and which are canaries.
+// updateReady updates the first version, the canaries and the ready leafs of a service.
 func (e *Editor) updateReady(service string) {
 	leafs := e.set.byService[service]
 	e.updateFirst(service, leafs)
@@ -186,7 +187,7 @@
 	e.set.ready[service] = slices.DeleteFunc(slices.Clone(leafs), isUnusable)
 }
 
-// own returns the leafs of a service as a slice that is not shared.
+// own returns the leafs of a service in a slice that is not shared.
 func (e *Editor) own(service string) []*Leaf {
 	if !e.owned[service] {
 		e.owned[service] = true
--- a/internal/leaf/leafset/incarnations_test.go
+++ b/internal/leaf/leafset/incarnations_test.go
@@ -7,24 +7,24 @@
 	"github.com/matryer/is"
 )
 
-// incarnation returns a leaf whose process started at a time, in Unix milliseconds.
+// incarnation returns a leaf whose process started at the given time in Unix milliseconds.
 func incarnation(born int64, state State) *Leaf {
 	record := Record{Name: "a", Service: "s", Address: "127.0.0.1:1", State: state, Born: born}
 	return NewLeaf(record, born+1, time.Time{})
 }
 
-// A leaf that restarts under its name is another one: nothing is found under the id of the earlier incarnation, which is
-// not recorded as lost either.
-func TestEachLifeHasItsID(t *testing.T) {
+// A leaf that restarts under the same name replaces the earlier incarnation, which is neither found by its ID nor
+// recorded as lost.
+func TestIncarnationsHaveDistinctIDs(t *testing.T) {
 	cases := map[string]func(first *Set) *Set{
 		"registers over the first": func(first *Set) *Set { return put(first, incarnation(20, Ready)) },
 		"drains at once":           func(first *Set) *Set { return put(first, incarnation(20, Draining)) },
-		"after the first went": func(first *Set) *Set {
+		"after the first was removed": func(first *Set) *Set {
 			editor := first.Edit()
 			editor.Remove("a")
 			return put(editor.Done(), incarnation(20, Draining))
 		},
-		"in a whole state": func(first *Set) *Set {
+		"in a replaced set": func(first *Set) *Set {
 			editor := Replace(first)
 			editor.Put(incarnation(20, Draining))
 			return editor.Done()
@@ -50,8 +50,8 @@
 	}
 }
 
-// An incarnation that is only unlisted for a while is recorded as lost by its id, and found by it again.
-func TestLifeThatIsUnlisted(t *testing.T) {
+// An incarnation that is removed is recorded as lost under its ID, and is found under that ID when it is added again.
+func TestUnlistedIncarnationIsLost(t *testing.T) {
 	is := is.New(t)
 	editor := put(Empty(), incarnation(10, Ready)).Edit()
 	editor.Remove("a")
@@ -65,8 +65,8 @@
 	is.True(found)
 }
 
-// Leafs of unknown start have their name as id, whatever it contains.
-func TestNamesWithoutLives(t *testing.T) {
+// The ID of a leaf with an unknown start time is its name, even if the name contains the separator.
+func TestIDWithoutStartTimeIsName(t *testing.T) {
 	is := is.New(t)
 	set := put(Empty(), NewLeaf(Record{Name: "a@10", Service: "s", State: Ready}, 1, time.Time{}))
 	known, found := set.ByID("a@10")
@@ -75,8 +75,8 @@
 	is.Equal(set.IDs(), []string{"a@10"})
 }
 
-// The stored list identifies incarnations: a leaf that restarted since is not the one on the list.
-func TestListsNameLives(t *testing.T) {
+// The stored list identifies incarnations, so that a leaf that has restarted since is not mistaken for the listed one.
+func TestParseListKeepsIncarnations(t *testing.T) {
 	is := is.New(t)
 	set, err := ParseList([]byte(`{"leafs":[{"id":"a","service":"s","address":"127.0.0.1:1","state":"ready","born":10}]}`), 3)
 	is.NoErr(err)
--- a/internal/leaf/leafset/leaf.go
+++ b/internal/leaf/leafset/leaf.go
@@ -8,37 +8,37 @@
 	"github.com/portgauge/portgauge/internal/config/revision"
 )
 
-// Leaf is a record as this node received it; immutable.
+// Leaf is a record that this node received. It is immutable.
 type Leaf struct {
-	// ID identifies one incarnation of the leaf, see IncarnationID.
+	// ID identifies one incarnation of the leaf; see IncarnationID.
 	ID string
 	Record
-	// Revision is the store's revision that wrote the record.
+	// Revision is the store revision at which the record was written.
 	Revision int64
-	// ColdUntil is the time, by this node's clock, until which the leaf can take only few requests; zero if it is warm. The
-	// leaf is really warm a little earlier, by the time that the record took to arrive.
+	// ColdUntil is the time, by this node's clock, until which the leaf can take only a few requests; zero if it is
+	// warm. It is late by the time that the record took to arrive.
 	ColdUntil time.Time
 }
 
-// incarnationMark separates name and start in the id of a leaf.
-const incarnationMark = "@"
+// incarnationSeparator separates the name and the start time in a leaf's ID.
+const incarnationSeparator = "@"
 
-// IncarnationID returns the id of the incarnation of a leaf that started at a time in Unix milliseconds: the name alone if
-// that is 0, for leafs that have a new name at each start.
+// IncarnationID returns the ID of a leaf's incarnation, given its start time in Unix milliseconds. If the start time is
+// 0, as for leafs that get a new name at each start, the ID is the name.
 func IncarnationID(name string, born int64) string {
 	if born == 0 {
 		return name
 	}
-	return name + incarnationMark + strconv.FormatInt(born, 10)
+	return name + incarnationSeparator + strconv.FormatInt(born, 10)
 }
 
-// byNameOf returns the value for the name in an id, whichever incarnation the value is of. It first tries the whole id as
-// a name: an id without a start time is the name alone, which may contain the mark.
-func byNameOf[V any](byName map[string]V, id string) (value V, found bool) {
+// lookupByID returns the value for the name in an ID, regardless of the incarnation. It first looks up the entire ID as
+// a name, because an ID without a start time is the name, which may contain the separator.
+func lookupByID[V any](byName map[string]V, id string) (value V, found bool) {
 	if value, found = byName[id]; found {
 		return value, true
 	}
-	at := strings.LastIndex(id, incarnationMark)
+	at := strings.LastIndex(id, incarnationSeparator)
 	if at <= 0 {
 		return value, false
 	}
@@ -46,7 +46,7 @@
 	return value, found
 }
 
-// NewLeaf returns the leaf of a record of a store revision that this node received at a time.
+// NewLeaf returns the leaf for a record that was written at a store revision and received at the given time.
 func NewLeaf(record Record, at int64, received time.Time) *Leaf {
 	leaf := &Leaf{ID: IncarnationID(record.Name, record.Born), Record: record, Revision: at}
 	if record.WarmupMillis > 0 {
@@ -55,8 +55,8 @@
 	return leaf
 }
 
-// Learn returns the leaf of a record that replaces the known leaf of its name, nil if there is none. A record that is read
-// again after a restore of the store, the same write in another epoch, does not make the leaf cold again.
+// Learn returns the leaf for a record that replaces the known leaf with the same name, which may be nil. If the record
+// is the same write, read again in another epoch after a restore of the store, the leaf keeps its ColdUntil.
 func Learn(known *Leaf, record Record, at int64, received time.Time) *Leaf {
 	leaf := NewLeaf(record, at, received)
 	if known != nil && known.Record == record && revision.Count(known.Revision) == revision.Count(at) {
--- a/internal/leaf/leafset/leafset_test.go
+++ b/internal/leaf/leafset/leafset_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// Edits never change the set before them, and every set has the result of the edits.
+// An edit never changes the original set, and each new set contains the result of the edit.
 func TestSetsAreImmutable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := Empty()
@@ -28,21 +28,21 @@
 			}
 			set = editor.Done()
 			if before.Len() != sizeBefore || len(before.ByService("a")) != ofABefore {
-				t.Fatal("an edit changed the set before it")
+				t.Fatal("an edit changed the original set")
 			}
 			if set.Len() != len(wanted) || len(set.ByService("a"))+len(set.ByService("b")) != len(wanted) {
-				t.Fatalf("set has %d leafs, wanted %d", set.Len(), len(wanted))
+				t.Fatalf("the set has %d leafs, want %d", set.Len(), len(wanted))
 			}
 			for id, service := range wanted {
 				if leaf, found := set.ByID(id); !found || leaf.Service != service {
-					t.Fatalf("leaf %s is %v, wanted in %s", id, leaf, service)
+					t.Fatalf("leaf %s is %v, want one of service %s", id, leaf, service)
 				}
 			}
 		}
 	})
 }
 
-func TestRecordsWithoutWhatIsNeededAreRefused(t *testing.T) {
+func TestParseRejectsIncompleteRecords(t *testing.T) {
 	is := is.New(t)
 	for _, content := range []string{"{", `{"id":"1","service":"a"}`, `{"id":"1","address":"127.0.0.1:1"}`, `{"service":"a","address":"127.0.0.1:1"}`} {
 		_, err := Parse([]byte(content))
@@ -55,8 +55,8 @@
 	is.True(err != nil)
 }
 
-// The leafs of an evacuated zone are known, and get no requests until the evacuation ends.
-func TestEvacuatedLeafsTakeNothing(t *testing.T) {
+// The leafs of an evacuated zone remain in the set but are not ready until the evacuation ends.
+func TestEvacuatedLeafsAreNotReady(t *testing.T) {
 	is := is.New(t)
 	editor := Empty().Edit()
 	editor.Put(NewLeaf(Record{Name: "1", Service: "s", Zone: "a", State: Ready}, 0, time.Time{}))
--- a/internal/leaf/leafset/same_slice_test.go
+++ b/internal/leaf/leafset/same_slice_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestOnlyTheSliceItselfIsTheSame(t *testing.T) {
+func TestSameSlice(t *testing.T) {
 	is := is.New(t)
 	some := []int{1, 2, 3}
 	is.True(SameSlice(some, some))
--- a/internal/leaf/leafset/versions.go
+++ b/internal/leaf/leafset/versions.go
@@ -6,11 +6,11 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// Canaries returns the leafs of a service that are ready and of the canary version; none if there is no
-// roll-out in progress. The slice is shared: callers must not modify it.
+// Canaries returns the ready leafs of a service that have the canary version; none if no roll-out is in progress. The
+// slice is shared: callers must not modify it.
 func (s *Set) Canaries(service string) []*Leaf { return s.canaries[service] }
 
-// Rule returns which versions of a service may get requests.
+// Rule returns the rule that determines which versions of a service may get requests.
 func (s *Set) Rule(service string) rollout.Rule {
 	return s.rules[service].WithDefaultServing(s.first[service])
 }
@@ -21,31 +21,31 @@
 	return !rule.IsServing(leaf.Version) && !rule.IsCanary(leaf.Version)
 }
 
-// IsAllowed reports whether a leaf may get requests if it is ready: its zone is not evacuated, and its
-// version serves or is the canary version.
+// IsAllowed reports whether a leaf may get requests if it is ready: its zone is not evacuated, and its version serves
+// or is the canary version.
 func (s *Set) IsAllowed(leaf *Leaf) bool {
 	return !s.evacuated[leaf.Zone] && !s.IsVersionDisallowed(leaf)
 }
 
-// MayServe reports whether a leaf may get requests other than those for canaries if it is ready: its zone is not
+// MayServe reports whether a leaf may get requests other than canary requests if it is ready: its zone is not
 // evacuated, and its version serves.
 func (s *Set) MayServe(leaf *Leaf) bool {
 	return !s.evacuated[leaf.Zone] && s.Rule(leaf.Service).IsServing(leaf.Version)
 }
 
-// MayServeCanary reports whether a leaf may get requests for canaries if it is ready: its zone is not evacuated, and its
+// MayServeCanary reports whether a leaf may get canary requests if it is ready: its zone is not evacuated, and its
 // version is the canary version.
 func (s *Set) MayServeCanary(leaf *Leaf) bool {
 	return !s.evacuated[leaf.Zone] && s.Rule(leaf.Service).IsCanary(leaf.Version)
 }
 
-// isServing reports whether a leaf is ready and MayServe.
+// isServing reports whether a leaf is ready and MayServe is true.
 func (s *Set) isServing(leaf *Leaf) bool { return leaf.State == Ready && s.MayServe(leaf) }
 
-// isCanary reports whether a leaf is ready and MayServeCanary.
+// isCanary reports whether a leaf is ready and MayServeCanary is true.
 func (s *Set) isCanary(leaf *Leaf) bool { return leaf.State == Ready && s.MayServeCanary(leaf) }
 
-// SetRule sets which versions of a service may get requests.
+// SetRule sets the rule that determines which versions of a service may get requests. The zero rule removes it.
 func (e *Editor) SetRule(service string, rule rollout.Rule) {
 	if e.set.rules[service] == rule {
 		return
@@ -59,24 +59,24 @@
 	e.set.rules[service] = rule
 }
 
-// DefaultToFirstVersion makes services for which no rule names a serving version be served by one version, see
+// DefaultToFirstVersion makes each service whose rule names no serving version be served by its first version; see
 // updateFirst.
-func (e *Editor) DefaultToFirstVersion() { e.defaultToFirst = true }
+func (e *Editor) DefaultToFirstVersion() { e.defaultsToFirst = true }
 
-// updateFirst decides which version of a service serves while no rule names one.
+// updateFirst determines the version that serves a service while no rule names a serving version.
 //
-// Rule: the version whose leafs were there first, or, if leafs of several come at once, the one with the most leafs. It
-// remains the first until a rule names a serving version or bars it. A new version must not get requests just because
-// its leafs appear: a rollout spec decides that.
+// Rule: it is the version whose leafs registered first. If leafs of several versions register at once, it is the one
+// with the most leafs. It remains the first version until a rule names a serving version or disallows it. A new version
+// must not get requests merely because its leafs registered; that requires a rollout spec.
 func (e *Editor) updateFirst(service string, leafs []*Leaf) {
-	if !e.defaultToFirst {
+	if !e.defaultsToFirst {
 		return
 	}
 	first := ""
 	if rule := e.set.rules[service]; rule.Serving == "" {
 		first = e.set.first[service]
 		if first == "" || first == rule.Disallowed {
-			first = mostCounted(countVersions(leafs, rule))
+			first = mostFrequent(countVersions(leafs, rule))
 		}
 	}
 	if first == e.set.first[service] {
@@ -101,8 +101,8 @@
 	return counts
 }
 
-// mostCounted returns the version with the highest count; of several, the first by name.
-func mostCounted(counts map[string]int) string {
+// mostFrequent returns the version with the highest count, and of several the first in lexical order.
+func mostFrequent(counts map[string]int) string {
 	best := ""
 	for version, count := range counts {
 		if best == "" || count > counts[best] || count == counts[best] && version < best {
@@ -112,7 +112,7 @@
 	return best
 }
 
-// updateCanaries determines which leafs of a service are canaries.
+// updateCanaries updates which leafs of a service are canaries.
 func (e *Editor) updateCanaries(service string, leafs []*Leaf) {
 	var canaries []*Leaf
 	for _, leaf := range leafs {
@@ -131,7 +131,7 @@
 	e.set.canaries[service] = canaries
 }
 
-// ownRules copies the rules.
+// ownRules copies the rules unless they are already copied.
 func (e *Editor) ownRules() {
 	if !e.ownsRules {
 		e.ownsRules = true
@@ -139,7 +139,7 @@
 	}
 }
 
-// ownFirst copies the first versions.
+// ownFirst copies the first versions unless they are already copied.
 func (e *Editor) ownFirst() {
 	if !e.ownsFirst {
 		e.ownsFirst = true
@@ -147,7 +147,7 @@
 	}
 }
 
-// ownCanaries copies the canaries.
+// ownCanaries copies the canaries unless they are already copied.
 func (e *Editor) ownCanaries() {
 	if !e.ownsCanaries {
 		e.ownsCanaries = true
--- a/internal/leaf/leafset/versions_test.go
+++ b/internal/leaf/leafset/versions_test.go
@@ -13,8 +13,8 @@
 	return NewLeaf(Record{Name: id, Service: "s", Version: version, State: state}, 0, time.Time{})
 }
 
-// edited returns a set with some leafs added and some removed, where services default to the first version.
-func edited(editor *Editor, leafs []*Leaf, removed ...string) *Set {
+// edit adds and removes leafs in a set whose services default to the first version, and returns the result.
+func edit(editor *Editor, leafs []*Leaf, removed ...string) *Set {
 	editor.DefaultToFirstVersion()
 	for _, leaf := range leafs {
 		editor.Put(leaf)
@@ -40,14 +40,14 @@
 	return named
 }
 
-func oldAndNew() (older, newer []*Leaf) {
+func oldAndNewLeafs() (older, newer []*Leaf) {
 	older = []*Leaf{leafOf("1", "v1", Ready)}
 	newer = []*Leaf{leafOf("2", "v2", Ready), leafOf("3", "v2", Ready), leafOf("4", "v2", Draining)}
 	return older, newer
 }
 
-func TestRuleParts(t *testing.T) {
-	older, newer := oldAndNew()
+func TestRuleSelectsReadyAndCanaryLeafs(t *testing.T) {
+	older, newer := oldAndNewLeafs()
 	cases := []struct {
 		name            string
 		rule            rollout.Rule
@@ -55,10 +55,10 @@
 		allowed         []string
 	}{
 		{"none", rollout.Rule{}, []string{"1", "2", "3"}, nil, []string{"1", "2", "3", "4"}},
-		{"one serves", rollout.Rule{Serving: "v1"}, []string{"1"}, nil, []string{"1"}},
-		{"one is a canary", rollout.Rule{Serving: "v1", Canary: "v2"}, []string{"1"}, []string{"2", "3"}, []string{"1", "2", "3", "4"}},
-		{"only a canary is known", rollout.Rule{Canary: "v2"}, []string{"1"}, []string{"2", "3"}, []string{"1", "2", "3", "4"}},
-		{"neither has leafs", rollout.Rule{Serving: "v8", Canary: "v9"}, nil, nil, nil},
+		{"serving version", rollout.Rule{Serving: "v1"}, []string{"1"}, nil, []string{"1"}},
+		{"serving and canary version", rollout.Rule{Serving: "v1", Canary: "v2"}, []string{"1"}, []string{"2", "3"}, []string{"1", "2", "3", "4"}},
+		{"canary version only", rollout.Rule{Canary: "v2"}, []string{"1"}, []string{"2", "3"}, []string{"1", "2", "3", "4"}},
+		{"versions without leafs", rollout.Rule{Serving: "v8", Canary: "v9"}, nil, nil, nil},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -82,36 +82,36 @@
 	}
 }
 
-// An evacuation applies to canaries as to leafs that serve.
+// An evacuation applies to canaries as well as to leafs that serve.
 func TestEvacuatedLeafsAreNoCanaries(t *testing.T) {
 	is := is.New(t)
-	_, newer := oldAndNew()
-	set := withRule(edited(Empty().Edit(), newer), rollout.Rule{Serving: "v1", Canary: "v2"})
+	_, newer := oldAndNewLeafs()
+	set := withRule(edit(Empty().Edit(), newer), rollout.Rule{Serving: "v1", Canary: "v2"})
 	editor := set.Edit()
 	editor.SetEvacuated("", true)
 	during := editor.Done()
 	is.Equal(len(during.Canaries("s")), 0)
 	is.True(!during.IsAllowed(newer[0]))
-	is.Equal(len(set.Canaries("s")), 2) // the set before it is unchanged
+	is.Equal(len(set.Canaries("s")), 2) // the original set is unchanged
 }
 
-// Without a rule the version that was there first goes on serving, however many leafs of others appear,
-// whatever is ordered and withdrawn, and when the whole state is read again.
-func TestVersionThatWasThereFirstServes(t *testing.T) {
-	older, newer := oldAndNew()
-	first := edited(Empty().Edit(), older)
-	both := edited(first.Edit(), newer)
-	ordered := withRule(both, rollout.Rule{Canary: "v2", Phase: rollout.Canary, SpecID: 7})
+// While no rule names a serving version, the first version keeps serving: when leafs of other versions register, when a
+// canary is set or removed, and when the whole set is replaced.
+func TestFirstVersionServesWithoutRule(t *testing.T) {
+	older, newer := oldAndNewLeafs()
+	first := edit(Empty().Edit(), older)
+	both := edit(first.Edit(), newer)
+	withCanary := withRule(both, rollout.Rule{Canary: "v2", Phase: rollout.Canary, SpecID: 7})
 	cases := map[string]*Set{
-		"the other came":                  both,
-		"a third came":                    edited(both.Edit(), []*Leaf{leafOf("5", "v3", Ready), leafOf("6", "v3", Ready)}),
-		"a whole state":                   edited(Replace(both), append(older, newer...)),
-		"the other was ordered":           ordered,
-		"ordered after nothing else came": edited(withRule(first, rollout.Rule{Canary: "v2"}).Edit(), newer),
-		"the order was taken back":        withRule(ordered, rollout.Rule{}),
-		"a whole state without the order": edited(Replace(ordered), append(older, newer...)),
-		"another order":                   withRule(both, rollout.Rule{Canary: "v3", SpecID: 7}),
-		"an order of what serves":         withRule(both, rollout.Rule{Canary: "v1", SpecID: 7}),
+		"second version registered":      both,
+		"third version registered":       edit(both.Edit(), []*Leaf{leafOf("5", "v3", Ready), leafOf("6", "v3", Ready)}),
+		"replaced set":                   edit(Replace(both), append(older, newer...)),
+		"canary set":                     withCanary,
+		"canary set before registration": edit(withRule(first, rollout.Rule{Canary: "v2"}).Edit(), newer),
+		"rule removed":                   withRule(withCanary, rollout.Rule{}),
+		"replaced set without rule":      edit(Replace(withCanary), append(older, newer...)),
+		"canary without leafs":           withRule(both, rollout.Rule{Canary: "v3", SpecID: 7}),
+		"canary is the first version":    withRule(both, rollout.Rule{Canary: "v1", SpecID: 7}),
 	}
 	for name, set := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -121,44 +121,44 @@
 		})
 	}
 	is := is.New(t)
-	is.Equal(ids(ordered.Canaries("s")), []string{"2", "3"})
-	is.Equal(cases["an order of what serves"].Rule("s"), rollout.Rule{Serving: "v1"})
-	gone := edited(both.Edit(), nil, "1")
-	is.Equal(len(gone.Ready("s")), 0) // no spec makes the other version serve
-	again := edited(gone.Edit(), older)
+	is.Equal(ids(withCanary.Canaries("s")), []string{"2", "3"})
+	is.Equal(cases["canary is the first version"].Rule("s"), rollout.Rule{Serving: "v1"})
+	gone := edit(both.Edit(), nil, "1")
+	is.Equal(len(gone.Ready("s")), 0) // the other version does not serve without a rule
+	again := edit(gone.Edit(), older)
 	is.Equal(ids(again.Ready("s")), []string{"1"})
 }
 
-func TestWrittenVersionOutweighsTheFirst(t *testing.T) {
+func TestServingVersionOfRuleOverridesFirst(t *testing.T) {
 	is := is.New(t)
-	older, newer := oldAndNew()
-	both := edited(edited(Empty().Edit(), older).Edit(), newer)
+	older, newer := oldAndNewLeafs()
+	both := edit(edit(Empty().Edit(), older).Edit(), newer)
 	written := withRule(both, rollout.Rule{Serving: "v2"})
 	is.Equal(ids(written.Ready("s")), []string{"2", "3"})
 	is.Equal(len(written.first), 0)
 }
 
-// Of versions that appear at once the one with the most leafs serves, and so do leafs of unknown version.
-func TestMostServeWhereAllComeAtOnce(t *testing.T) {
+// Of versions whose leafs register at once, the one with the most leafs serves. Leafs with an unknown version also
+// serve.
+func TestMostFrequentVersionBecomesFirst(t *testing.T) {
 	is := is.New(t)
-	older, newer := oldAndNew()
-	set := edited(Empty().Edit(), append(append(older, newer...), leafOf("5", "", Ready)))
+	older, newer := oldAndNewLeafs()
+	set := edit(Empty().Edit(), append(append(older, newer...), leafOf("5", "", Ready)))
 	is.Equal(ids(set.Ready("s")), []string{"2", "3", "5"})
 	is.Equal(set.Rule("s").Serving, "v2")
 }
 
-// A version that was rolled back never becomes the first version, even if the other leafs are of unknown
-// version, or are gone.
-func TestVersionRolledBackIsNotTheFirst(t *testing.T) {
+// A disallowed version never becomes the first version, even if the other leafs have an unknown version or are removed.
+func TestDisallowedVersionIsNeverFirst(t *testing.T) {
 	is := is.New(t)
-	_, newer := oldAndNew()
+	_, newer := oldAndNewLeafs()
 	unknown := leafOf("1", "", Ready)
-	set := withRule(edited(Empty().Edit(), []*Leaf{unknown}), rollout.Rule{Canary: "v2"})
-	set = withRule(edited(set.Edit(), newer), rollout.Rule{Disallowed: "v2"})
+	set := withRule(edit(Empty().Edit(), []*Leaf{unknown}), rollout.Rule{Canary: "v2"})
+	set = withRule(edit(set.Edit(), newer), rollout.Rule{Disallowed: "v2"})
 	is.Equal(ids(set.Ready("s")), []string{"1"})
 	is.True(set.IsVersionDisallowed(newer[0]))
-	set = edited(set.Edit(), nil, "1")
+	set = edit(set.Edit(), nil, "1")
 	is.Equal(len(set.Ready("s")), 0)
-	set = edited(set.Edit(), []*Leaf{leafOf("5", "v1", Ready), leafOf("6", "v1", Ready), leafOf("7", "v3", Ready)})
+	set = edit(set.Edit(), []*Leaf{leafOf("5", "v1", Ready), leafOf("6", "v1", Ready), leafOf("7", "v3", Ready)})
 	is.Equal(ids(set.Ready("s")), []string{"5", "6"})
 }
