--- a/internal/leaf/connshare/config.go
+++ b/internal/leaf/connshare/config.go
@@ -6,21 +6,22 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// Config tunes the allotments.
+// Config configures the allotments.
 type Config struct {
-	// Share is the share of a leaf's connection limit that all nodes together use.
+	// Share is the fraction of a leaf's connection limit that all nodes together use.
 	Share float64 `yaml:"share"`
-	// ShareAfterStart replaces Share on a node that started less than StartSpan ago.
+	// ShareAfterStart replaces Share for a node that started less than StartSpan ago.
 	ShareAfterStart float64 `yaml:"share_after_start"`
 	// StartSpan is how long after its start a node uses ShareAfterStart.
 	StartSpan time.Duration `yaml:"start_span"`
-	// Unlimited is a node's maximum number of connections to a leaf for which the operators set no limit.
+	// Unlimited is a node's maximum number of connections to a leaf for which operators set no limit.
 	Unlimited int `yaml:"unlimited"`
-	// Spare is how many extra connections to a leaf a node may open beyond its allotment.
+	// Spare is the number of extra connections to a leaf that a node may open beyond its allotment.
 	Spare int `yaml:"spare"`
 }
 
-// DefaultConfig leaves half of the limit for the connections of dead processes after a start.
+// DefaultConfig returns settings that, after a start, reserve half of the used connections for those of crashed
+// processes.
 func DefaultConfig() Config {
 	return Config{Share: 0.9, ShareAfterStart: 0.45, StartSpan: 10 * time.Second, Unlimited: 16, Spare: 1}
 }
--- a/internal/leaf/connshare/connshare.go
+++ b/internal/leaf/connshare/connshare.go
@@ -1,15 +1,15 @@
-// Package connshare allots the connections that leafs accept among the nodes of a fleet.
+// Package connshare divides the connections that leafs accept among the nodes of a fleet.
 //
-// A leaf accepts a limited number of connections from all nodes together and resets any beyond. Each node takes an
-// equal share. If that is less than one connection per leaf, each node keeps to some of a service's leafs, those of its
-// own zone first. Allotments are made for the worst case: most of the time other nodes leave part of theirs unused, so
-// that a node may open extra connections, and stops for a while when a leaf refuses one (see package leafhttp).
+// A leaf accepts a limited number of connections from all nodes together and resets any others. Each node gets an equal
+// share. If that is less than one connection per leaf, each node uses only some of a service's leafs, preferring those
+// of its own zone. Allotments assume that all nodes use theirs fully. Since that is rare, a node may open extra
+// connections, and stops for a while when a leaf refuses one (see package leafhttp).
 //
-// A leaf does not notice when machines lose power: the connections of their processes count until the leaf closes them
-// as idle. A node that started a short while ago therefore leaves room for those of its predecessor.
+// A leaf does not detect that a machine lost power: the connections of the machine's processes count until the leaf
+// closes them as idle. A node that started recently therefore leaves room for the connections of its predecessor.
 //
-// Nodes compute their allotments without messages, from the fleet as package registry knows it. The package keeps the
-// computed allotments in memory, starts no goroutines, and returns no errors.
+// Nodes compute their allotments without exchanging messages, from the fleet in package registry. The package caches
+// the allotments, starts no goroutines, and returns no errors.
 package connshare
 
 import (
@@ -23,71 +23,71 @@
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
 )
 
-// maximumKept bounds the services whose allotments are kept; beyond it all are computed again.
-const maximumKept = 4096
+// maximumCached is the maximum number of cached allocations. When it is reached, the cache is cleared.
+const maximumCached = 4096
 
-// Fleet returns the nodes that share the leafs, sorted by id; none while they are unknown. A slice is
-// never modified once it was returned.
+// Fleet provides the nodes that share the leafs, sorted by ID. There are none while the fleet is unknown. Returned
+// slices are never modified.
 type Fleet interface {
 	Nodes() []catalog.NodeRecord
-	// Gatherers are those of the nodes that ask the leafs of gathered services.
+	// Gatherers returns the nodes that send requests to the leafs of gathered services.
 	Gatherers() []catalog.NodeRecord
 }
 
 // Allotment is a leaf with this node's share of its connections.
 type Allotment struct {
 	Leaf *leafset.Leaf
-	// Connections is the number of connections allotted to the node, 0 for leafs that are allotted to other nodes.
+	// Connections is the number of connections allotted to the node; 0 if the leaf is allotted only to other nodes.
 	Connections int
-	// ExtraConnections is how many more may be opened while the leaf accepts them: connections that others leave
-	// unused, and those beyond Config.Share.
+	// ExtraConnections is the number of connections that the node may open beyond its allotment while the leaf accepts
+	// them. They use what other nodes or Config.Share leave unused.
 	ExtraConnections int
-	// LastResort says that the leaf is only for requests that the node's own leafs refuse.
+	// LastResort says that the leaf is used only for requests that the node's own leafs can't take.
 	LastResort bool
 }
 
-// Allocator allots connections to one node; safe for concurrent use.
+// Allocator computes the allotments of one node. It is safe for concurrent use.
 type Allocator struct {
-	config  Config
+	cfg     Config
 	fleet   Fleet
 	self    catalog.NodeRecord
 	now     func() time.Time
 	started time.Time
 
-	mu   sync.Mutex
-	kept map[serviceKey]allocation
+	mu    sync.Mutex
+	cache map[serviceKey]allocation
 }
 
-// serviceKey is a service, and whether it is asked for gathered requests. The leafs of two versions of a service
-// are allotted separately; the version is that of the first leaf.
+// serviceKey identifies a service and whether its requests are gathered. Leafs of different versions of a service are
+// allotted separately; the version is that of the first leaf.
 type serviceKey struct {
 	name     string
 	gathered bool
 	version  string
 }
 
-// allocation is the result of allotting a service's leafs, with its inputs.
+// allocation is the allotments of a service's leafs and the inputs from which they were computed.
 type allocation struct {
 	nodes      []catalog.NodeRecord
 	leafs      []*leafset.Leaf
-	limit      int // connections per leaf; 0 or less means none
+	limit      int // connections per leaf; 0 or less means no limit
 	isNew      bool
 	allotments []Allotment
 }
 
-// hasSameInputs reports whether two allocations are by the same nodes and leafs, identified by their shared slices.
+// hasSameInputs reports whether two allocations have the same inputs. Nodes and leafs are compared by slice identity.
 func (a allocation) hasSameInputs(other allocation) bool {
 	return leafset.SameSlice(a.nodes, other.nodes) && leafset.SameSlice(a.leafs, other.leafs) && a.limit == other.limit && a.isNew == other.isNew
 }
 
-// New returns the allocator of a node that starts now.
-func New(config Config, fleet Fleet, self catalog.NodeRecord) *Allocator {
-	return &Allocator{config: config, fleet: fleet, self: self, now: time.Now, started: time.Now(), kept: map[serviceKey]allocation{}}
+// New returns the allocator of a node that is starting.
+func New(cfg Config, fleet Fleet, self catalog.NodeRecord) *Allocator {
+	return &Allocator{cfg: cfg, fleet: fleet, self: self, now: time.Now, started: time.Now(), cache: map[serviceKey]allocation{}}
 }
 
-// Allot returns the leafs of a service with this node's allotments. The limit is the leafs' own in connections, 0
-// meaning none. Leafs of gathered services are shared by the nodes that gather; another node may open only extra
-// connections to them. The slice is shared: callers must not modify it.
+// Allot returns the leafs of a service with this node's allotments. The limit is the number of connections that each
+// leaf accepts, or 0 if it is unlimited. Leafs of gathered services are shared by the nodes that gather; other nodes
+// may open only extra connections to them. The slice is shared: callers must not modify it.
 func (a *Allocator) Allot(name string, gathered bool, leafs []*leafset.Leaf, limit int) []Allotment {
 	if len(leafs) == 0 {
 		return nil
@@ -99,109 +99,109 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if known, found := a.kept[service]; found && known.hasSameInputs(wanted) {
+	if known, found := a.cache[service]; found && known.hasSameInputs(wanted) {
 		return known.allotments
 	}
-	if len(a.kept) >= maximumKept {
-		clear(a.kept)
+	if len(a.cache) >= maximumCached {
+		clear(a.cache)
 	}
 	wanted.allotments = a.allot(name, wanted)
-	a.kept[service] = wanted
+	a.cache[service] = wanted
 	return wanted.allotments
 }
 
-// allot decides how many connections this node may have to each leaf of a service.
+// allot computes how many connections this node may have to each leaf of a service.
 //
-// Inputs: the nodes that share the leafs, the leafs with their zones, the limit of each leaf in connections, and whether
+// Inputs: the nodes that share the leafs, the leafs with their zones, the connection limit of each leaf, and whether
 // this node is new, that is, started less than Config.StartSpan ago.
 //
-// Rule: without a limit, Config.Unlimited each. With one, an equal share of the part of the limit that is in use (see
-// connectionsPerNode). If that is less than one connection, the node gets one connection to each of its own leafs (see
-// ownLeafs), and only extra connections to the others. A new node uses leafs that are not its own only as a last
-// resort; the same goes for one that is not among those that share the leafs.
-func (a *Allocator) allot(service string, by allocation) []Allotment {
-	allotments := make([]Allotment, len(by.leafs))
-	for index, leaf := range by.leafs {
-		allotments[index] = Allotment{Leaf: leaf, Connections: a.config.Unlimited}
+// Rule: without a limit, the node gets Config.Unlimited connections to each leaf. With a limit, it gets an equal share
+// of the used fraction of the limit (see connectionsPerNode). If the share is less than one connection, the node gets
+// one connection to each of its own leafs (see ownLeafs) and only extra connections to the others, which a new node
+// uses only as a last resort. A node that is not among those that share the leafs gets only extra connections.
+func (a *Allocator) allot(service string, inputs allocation) []Allotment {
+	allotments := make([]Allotment, len(inputs.leafs))
+	for index, leaf := range inputs.leafs {
+		allotments[index] = Allotment{Leaf: leaf, Connections: a.cfg.Unlimited}
 	}
-	if by.limit <= 0 {
+	if inputs.limit <= 0 {
 		return allotments
 	}
-	perNode := a.connectionsPerNode(len(by.nodes), by.limit, by.isNew)
-	isLeftOut := a.isLeftOut(by.nodes)
-	if perNode >= 1 && !isLeftOut {
+	perNode := a.connectionsPerNode(len(inputs.nodes), inputs.limit, inputs.isNew)
+	isExcluded := a.isExcluded(inputs.nodes)
+	if perNode >= 1 && !isExcluded {
 		for index := range allotments {
-			allotments[index].Connections = min(int(perNode), a.config.Unlimited)
-			allotments[index].ExtraConnections = a.extra(by.isNew)
+			allotments[index].Connections = min(int(perNode), a.cfg.Unlimited)
+			allotments[index].ExtraConnections = a.extra(inputs.isNew)
 		}
 		return allotments
 	}
 	for index := range allotments {
-		allotments[index].Connections, allotments[index].ExtraConnections = 0, a.config.Spare
-		allotments[index].LastResort = by.isNew
+		allotments[index].Connections, allotments[index].ExtraConnections = 0, a.cfg.Spare
+		allotments[index].LastResort = inputs.isNew
 	}
-	if isLeftOut {
+	if isExcluded {
 		return allotments
 	}
-	for _, index := range a.ownLeafs(service, by, perNode) {
+	for _, index := range a.ownLeafs(service, inputs, perNode) {
 		own := &allotments[index]
-		own.Connections, own.ExtraConnections, own.LastResort = 1, a.extra(by.isNew), false
+		own.Connections, own.ExtraConnections, own.LastResort = 1, a.extra(inputs.isNew), false
 	}
 	return allotments
 }
 
-// extra returns how many connections to an own leaf may be opened beyond the allotment: none for a new
-// node, since connections that look unused may be those of a dead process.
+// extra returns how many connections to an own leaf may be opened beyond the allotment. A new node may open none, since
+// connections that seem unused may be those of a crashed process.
 func (a *Allocator) extra(isNew bool) int {
 	if isNew {
 		return 0
 	}
-	return a.config.Spare
+	return a.cfg.Spare
 }
 
-// isNew reports whether the node started a short while ago.
-func (a *Allocator) isNew() bool { return a.now().Sub(a.started) < a.config.StartSpan }
+// isNew reports whether the node started less than Config.StartSpan ago.
+func (a *Allocator) isNew() bool { return a.now().Sub(a.started) < a.cfg.StartSpan }
 
-// isLeftOut reports whether the node is known, but not one of those that share some leafs.
-func (a *Allocator) isLeftOut(nodes []catalog.NodeRecord) bool {
+// isExcluded reports whether the node belongs to the fleet but not to the nodes that share the leafs.
+func (a *Allocator) isExcluded(nodes []catalog.NodeRecord) bool {
 	isSelf := func(node catalog.NodeRecord) bool { return node.ID == a.self.ID }
 	return !slices.ContainsFunc(nodes, isSelf) && slices.ContainsFunc(a.fleet.Nodes(), isSelf)
 }
 
-// usedShare returns the share of a leaf's limit that all nodes together use.
-func (a *Allocator) usedShare(isNew bool) float64 {
+// usedFraction returns the fraction of a leaf's limit that all nodes together use.
+func (a *Allocator) usedFraction(isNew bool) float64 {
 	if isNew {
-		return a.config.ShareAfterStart
+		return a.cfg.ShareAfterStart
 	}
-	return a.config.Share
+	return a.cfg.Share
 }
 
-// connectionsPerNode returns a node's equal share of a leaf's limit, which may be less than one connection. It is at
-// least one if the limit has room for a connection of each node and the node is not new, even beyond the share in use.
+// connectionsPerNode returns a node's equal share of a leaf's limit, which may be less than one connection. If the
+// limit has room for a connection of each node and the node is not new, the share is at least one, even if that exceeds
+// the used fraction.
 func (a *Allocator) connectionsPerNode(nodes, limit int, isNew bool) float64 {
 	nodes = max(1, nodes)
-	perNode := a.usedShare(isNew) * float64(limit) / float64(nodes)
+	perNode := a.usedFraction(isNew) * float64(limit) / float64(nodes)
 	if nodes < limit && !isNew {
 		return max(1, perNode)
 	}
 	return perNode
 }
 
-// ownLeafs returns the indices of the leafs to which the node has one connection, if there is less than
-// one for each node.
-func (a *Allocator) ownLeafs(service string, by allocation, perNode float64) []int {
-	count := min(max(1, int(perNode*float64(len(by.leafs)))), len(by.leafs))
-	capacity := int(a.usedShare(by.isNew) * float64(by.limit))
+// ownLeafs returns the indices of the leafs to which the node gets one connection if its share is less than one.
+func (a *Allocator) ownLeafs(service string, inputs allocation, perNode float64) []int {
+	count := min(max(1, int(perNode*float64(len(inputs.leafs)))), len(inputs.leafs))
+	capacity := int(a.usedFraction(inputs.isNew) * float64(inputs.limit))
 	offset := xxhash.Sum64String(service)
-	zones, rank := a.zones(by.nodes)
-	quotas := allotQuotas(zones, by.leafs, count, capacity, int(offset%uint64(len(by.leafs))))
+	zones, rank := a.zones(inputs.nodes)
+	quotas := allotQuotas(zones, inputs.leafs, count, capacity, int(offset%uint64(len(inputs.leafs))))
 	nodes := zones[a.self.Zone]
-	// The offset gives a node different ranks at different services.
+	// The offset gives a node different ranks for different services.
 	return quotas[a.self.Zone].leafsOf((rank+int(offset%uint64(nodes)))%nodes, nodes)
 }
 
-// zones returns the number of nodes of each zone, and this node's rank among those of its own. A
-// node that others don't know yet counts itself in.
+// zones returns the number of nodes in each zone and this node's rank among the nodes of its zone. A node that is not
+// yet registered counts itself.
 func (a *Allocator) zones(nodes []catalog.NodeRecord) (zones map[string]int, rank int) {
 	zones = map[string]int{}
 	isKnown := false
--- a/internal/leaf/connshare/connshare_test.go
+++ b/internal/leaf/connshare/connshare_test.go
@@ -18,7 +18,7 @@
 func (f fixedFleet) Nodes() []catalog.NodeRecord     { return f }
 func (f fixedFleet) Gatherers() []catalog.NodeRecord { return f }
 
-// fleetOf returns nodes, in turn in each of some zones.
+// fleetOf returns nodes that are spread evenly over zones.
 func fleetOf(nodes, zones int) fixedFleet {
 	fleet := make(fixedFleet, nodes)
 	for index := range fleet {
@@ -29,7 +29,7 @@
 
 func zoneName(index int) string { return fmt.Sprintf("zone-%d", index) }
 
-// leafs returns leafs, in turn in each of some zones.
+// leafs returns leafs that are spread evenly over zones.
 func leafs(count, zones int) []*leafset.Leaf {
 	list := make([]*leafset.Leaf, count)
 	for index := range list {
@@ -38,25 +38,24 @@
 	return list
 }
 
-// However many nodes there are, no leaf gets more connections than its limit, even if every
-// node lost power a moment ago and the leaf still counts the connections of all of them. The
-// exception is a limit too small for every node to have one leaf of the service.
-func TestNoLeafIsOverItsLimit(t *testing.T) {
+// No leaf gets more connections than its limit, even if all nodes lost power and restarted while the leaf still counts
+// their old connections. Limits that are too small for one connection per node are skipped.
+func TestAllotmentsStayWithinLeafLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(1, 120).Draw(t, "nodes")
 		count := rapid.IntRange(1, 20).Draw(t, "leafs")
 		limit := rapid.IntRange(8, 120).Draw(t, "limit")
 		nodeZones := rapid.IntRange(1, 6).Draw(t, "zones of nodes")
 		leafZones := rapid.IntRange(1, 6).Draw(t, "zones of leafs")
-		config := DefaultConfig()
-		if float64(nodes) > config.ShareAfterStart*float64(limit*count) {
-			t.Skip("too few connections for one a node")
+		cfg := DefaultConfig()
+		if float64(nodes) > cfg.ShareAfterStart*float64(limit*count) {
+			t.Skip("the limit is too small for one connection per node")
 		}
 		fleet := fleetOf(nodes, nodeZones)
-		for _, span := range []time.Duration{0, config.StartSpan} {
+		for _, span := range []time.Duration{0, cfg.StartSpan} {
 			open := map[string]int{}
 			for _, node := range fleet {
-				allocator := New(config, fleet, node)
+				allocator := New(cfg, fleet, node)
 				allocator.now = func() time.Time { return allocator.started.Add(span) }
 				own := 0
 				for _, allotted := range allocator.Allot("s", true, leafs(count, leafZones), limit) {
@@ -64,7 +63,7 @@
 					open[allotted.Leaf.ID] += allotted.Connections
 				}
 				if own == 0 {
-					t.Fatal("a node has no connection to the service")
+					t.Fatal("a node was allotted no connection to the service")
 				}
 			}
 			generations := 1
@@ -72,16 +71,16 @@
 				generations = 2
 			}
 			for id, sum := range open {
-				// Nodes may not divide evenly by the leafs.
+				// The nodes may not be divisible evenly among the leafs.
 				if generations*(sum-1) > limit {
-					t.Fatalf("%s has %d of %d connections after %v", id, sum, limit, span)
+					t.Fatalf("%s has %d connections with a limit of %d, %v after the start", id, sum, limit, span)
 				}
 			}
 		}
 	})
 }
 
-func TestWithoutALimitEveryLeafIsUsed(t *testing.T) {
+func TestLeafsWithoutLimitAreAllUsed(t *testing.T) {
 	is := is.New(t)
 	used := New(DefaultConfig(), fleetOf(2, 1), fleetOf(2, 1)[0]).Allot("s", true, leafs(3, 1), 0)
 	is.Equal(len(used), 3)
@@ -91,12 +90,12 @@
 	is.Equal(len(New(DefaultConfig(), fixedFleet{}, catalog.NodeRecord{ID: "a"}).Allot("s", true, nil, 5)), 0)
 }
 
-// A node without an allotment of a leaf may still open an extra connection to it.
-func TestEveryLeafMayBeTried(t *testing.T) {
+// A node that is allotted no connection to a leaf may still open an extra one.
+func TestUnallottedLeafsGetExtraConnections(t *testing.T) {
 	is := is.New(t)
 	fleet := fleetOf(64, 1)
 	allocator := New(DefaultConfig(), fleet, fleet[7])
-	for _, allotted := range allocator.Allot("s", true, leafs(3, 1), 54) { // a new node keeps to its allotment
+	for _, allotted := range allocator.Allot("s", true, leafs(3, 1), 54) { // a new node has no extra connections to its own leafs
 		is.Equal(allotted.LastResort, allotted.Connections == 0)
 		is.Equal(allotted.Connections+allotted.ExtraConnections, 1)
 	}
@@ -110,9 +109,9 @@
 	is.Equal(tried, 5)
 }
 
-// If a leaf can't have a connection from every node, the nodes of its own zone have theirs, and
-// those of other zones share the rest evenly.
-func TestTheLeafsOfTheOwnZoneComeFirst(t *testing.T) {
+// If a leaf can't accept a connection from every node, each node of its zone gets one, and the nodes of other zones
+// share the rest evenly.
+func TestLeafsOfOwnZoneAreAllottedFirst(t *testing.T) {
 	is := is.New(t)
 	const nodes, zones, limit = 60, 3, 52
 	fleet := fleetOf(nodes, zones)
@@ -128,8 +127,8 @@
 	is.Equal(open, map[string]int{"leaf-00": 40, "leaf-01": 40, "leaf-02": 40})
 }
 
-// Nodes of a zone without leafs, and one that no other node knows yet, are allotted connections all the same.
-func TestEveryNodeIsDealtLeafs(t *testing.T) {
+// Nodes in a zone without leafs and a node that is not yet registered are allotted connections, too.
+func TestEveryNodeIsAllottedLeafs(t *testing.T) {
 	is := is.New(t)
 	fleet := fleetOf(64, 4)
 	unknown := catalog.NodeRecord{ID: "node-new", Zone: zoneName(3)}
@@ -149,8 +148,8 @@
 	}
 }
 
-// Allotments are kept until nodes, leafs, the limit or the node's age change.
-func TestDealFollowsWhatItDependsOn(t *testing.T) {
+// Cached allotments are recomputed when the nodes, the leafs, the limit or isNew changes.
+func TestAllotmentsFollowInputs(t *testing.T) {
 	is := is.New(t)
 	allocator := New(DefaultConfig(), fleetOf(60, 3), fleetOf(60, 3)[0])
 	now := allocator.started
@@ -172,8 +171,8 @@
 	is.Equal(shares(shards, 52), 21)
 }
 
-// The leafs of two versions of a service are allotted separately: the allotments of both are kept.
-func TestVersionsAreDealtApart(t *testing.T) {
+// Leafs of two versions of a service are allotted separately, and both results are cached.
+func TestVersionsAreAllottedSeparately(t *testing.T) {
 	is := is.New(t)
 	allocator := New(DefaultConfig(), fleetOf(60, 3), fleetOf(60, 3)[0])
 	before, after := leafs(3, 3), leafs(3, 3)
--- a/internal/leaf/connshare/quota.go
+++ b/internal/leaf/connshare/quota.go
@@ -7,76 +7,76 @@
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
 )
 
-// quota is how many nodes of one zone have a connection to each leaf, by the leaf's index.
+// quota is the number of nodes of one zone that have a connection to each leaf, by the leaf's index.
 type quota []int
 
-// leafsOf returns the leafs of the node of a rank among the nodes of its zone. Laid side by side, the shares of
-// a quota make a row of places, one per connection; every nodes-th place from the rank on is the node's. No share
-// is longer than the number of nodes, so that a node has no leaf twice.
+// leafsOf returns the indices of the leafs assigned to the node with the given rank among the nodes of its zone. The
+// connections of all leafs are numbered consecutively, and the node gets those whose number modulo nodes equals its
+// rank. No leaf has more connections than there are nodes, so that a node never gets a leaf twice.
 func (q quota) leafsOf(rank, nodes int) []int {
 	var own []int
-	place := 0
-	for leaf, share := range q {
-		// The first place of the node at or after the start of this share.
-		first := place + ((rank-place)%nodes+nodes)%nodes
-		if first < place+share {
+	start := 0
+	for leaf, count := range q {
+		// first is the number of the node's first connection at or after this leaf's first one.
+		first := start + ((rank-start)%nodes+nodes)%nodes
+		if first < start+count {
 			own = append(own, leaf)
 		}
-		place += share
+		start += count
 	}
 	return own
 }
 
-// allotQuotas allots each node of each zone connections to count leafs: those of its zone as far as
-// their capacity goes, and then those that have the fewest. First is the leaf that is taken first
-// among equals. Capacity, in connections per leaf, is exceeded only if a node would have none.
+// allotQuotas assigns each node of each zone connections to count leafs: first to leafs of its zone within their
+// capacity, then to the leafs with the fewest connections. The parameter first is the leaf that is preferred among
+// equals. The capacity, in connections per leaf, is exceeded only if a node would otherwise get no connection.
 func allotQuotas(zones map[string]int, leafs []*leafset.Leaf, count, capacity, first int) map[string]quota {
 	quotas := make(map[string]quota, len(zones))
 	for zone := range zones {
 		quotas[zone] = make(quota, len(leafs))
 	}
-	taken := make([]int, len(leafs))
-	takeInTurn(zones, quotas, count, func(zone string) bool {
-		return take(quotas[zone], taken, first, func(leaf int) bool {
-			return leafs[leaf].Zone == zone && taken[leaf] < capacity && quotas[zone][leaf] < zones[zone]
+	assigned := make([]int, len(leafs))
+	assignInTurn(zones, quotas, count, func(zone string) bool {
+		return assign(quotas[zone], assigned, first, func(leaf int) bool {
+			return leafs[leaf].Zone == zone && assigned[leaf] < capacity && quotas[zone][leaf] < zones[zone]
 		})
 	})
-	takeInTurn(zones, quotas, count, func(zone string) bool {
-		return take(quotas[zone], taken, first, func(leaf int) bool { return quotas[zone][leaf] < zones[zone] })
+	assignInTurn(zones, quotas, count, func(zone string) bool {
+		return assign(quotas[zone], assigned, first, func(leaf int) bool { return quotas[zone][leaf] < zones[zone] })
 	})
 	return quotas
 }
 
-// takeInTurn makes zones take one connection after the other, in turn, until each has count per node
-// or can't take any more.
-func takeInTurn(zones map[string]int, quotas map[string]quota, count int, takeOne func(zone string) bool) {
+// assignInTurn assigns one connection to each zone in turn until each zone has count connections per node or none can
+// be assigned to it.
+func assignInTurn(zones map[string]int, quotas map[string]quota, count int, assignOne func(zone string) bool) {
 	open := slices.Sorted(maps.Keys(zones))
 	for len(open) > 0 {
 		open = slices.DeleteFunc(open, func(zone string) bool {
-			return sum(quotas[zone]) >= zones[zone]*count || !takeOne(zone)
+			return sum(quotas[zone]) >= zones[zone]*count || !assignOne(zone)
 		})
 	}
 }
 
-// take adds the leaf with the fewest connections, among those that may be taken, to a quota; false
-// if none may.
-func take(quota quota, taken []int, first int, mayTake func(leaf int) bool) bool {
-	leaf := leastTaken(taken, first, mayTake)
+// assign adds a connection to the leaf with the fewest connections for which mayAssign is true. It returns false if
+// there is no such leaf.
+func assign(quota quota, assigned []int, first int, mayAssign func(leaf int) bool) bool {
+	leaf := leastAssigned(assigned, first, mayAssign)
 	if leaf < 0 {
 		return false
 	}
 	quota[leaf]++
-	taken[leaf]++
+	assigned[leaf]++
 	return true
 }
 
-// leastTaken returns the leaf with the fewest connections among those that may be taken; -1 if none
-// may.
-func leastTaken(taken []int, first int, mayTake func(leaf int) bool) int {
+// leastAssigned returns the index of the leaf with the fewest connections for which mayAssign is true, or -1 if there
+// is none.
+func leastAssigned(assigned []int, first int, mayAssign func(leaf int) bool) int {
 	least := -1
-	for offset := range taken {
-		leaf := (first + offset) % len(taken)
-		if mayTake(leaf) && (least < 0 || taken[leaf] < taken[least]) {
+	for offset := range assigned {
+		leaf := (first + offset) % len(assigned)
+		if mayAssign(leaf) && (least < 0 || assigned[leaf] < assigned[least]) {
 			least = leaf
 		}
 	}
@@ -85,8 +85,8 @@
 
 func sum(quota quota) int {
 	total := 0
-	for _, share := range quota {
-		total += share
+	for _, count := range quota {
+		total += count
 	}
 	return total
 }
