--- a/internal/leaf/warmup/config.go
+++ b/internal/leaf/warmup/config.go
@@ -2,15 +2,16 @@
 
 import "github.com/portgauge/portgauge/internal/failure"
 
-// Config is how far above its rate a cold leaf may be asked. Both values are properties of the leafs.
+// Config describes how many requests above its rate a cold leaf can take. Both values are properties of the leafs.
 type Config struct {
-	// Excess is the multiple of its service's cold rate that a cold leaf can take within any second.
+	// Excess is the number of requests that a cold leaf can take within any second, as a multiple of its service's cold
+	// rate.
 	Excess float64 `yaml:"excess"`
-	// Slack is the number of requests that it can take within that second in addition.
+	// Slack is the number of additional requests that a cold leaf can take within any second.
 	Slack float64 `yaml:"slack"`
 }
 
-// DefaultConfig is for leafs with unknown properties: they are sent their rate and one request more.
+// DefaultConfig returns settings for leafs with unknown properties: they get at most their rate plus one request.
 func DefaultConfig() Config { return Config{Excess: 1, Slack: 1} }
 
 // Validate returns an error that names every invalid field.
@@ -21,43 +22,42 @@
 	return checks.Err()
 }
 
-// capacity returns the maximum number of requests that a cold leaf can take within any second, if its rate is
-// perSecond.
+// capacity returns the maximum number of requests that a cold leaf with the given rate can take within any second.
 func (c Config) capacity(perSecond float64) float64 { return c.Excess*perSecond + c.Slack }
 
-// division is how the capacity of a cold leaf is divided among nodes.
+// division describes how the capacity of a cold leaf is divided among nodes.
 type division struct {
-	// senders is how many nodes ask the leaf at all.
+	// senders is the number of nodes that send requests to the leaf.
 	senders int
-	// perSecond is the rate of each of them. In addition, each may send one request at any moment.
+	// perSecond is the rate of each sender, which may additionally send one request at any time.
 	perSecond float64
 }
 
 const (
-	// viewReserve is how many times the senders there is room for: nodes with different views of the fleet, as
-	// after the start or the end of a node, choose different senders for a moment.
-	viewReserve = 2
-	// gatherersPerLeaf is how many of the nodes that gather ask a cold leaf: one of its zone may have died.
-	// More of them would have a lower rate, since each may send one request at any moment.
+	// senderReserve is the factor by which the number of senders may temporarily exceed the intended one. Nodes with
+	// different views of the fleet, as after the start or the end of a node, choose different senders.
+	senderReserve = 2
+	// gatherersPerLeaf is the number of gathering nodes that send requests to a cold leaf. It is above 1 since one of
+	// them may have crashed. A higher number would lower the rate, since each may send one request at any time.
 	gatherersPerLeaf = 2
-	// capacityPerSender is the capacity of the leaf, in requests a second, per node that may ask it, for services that are
-	// not gathered. Their requests come to any node, a few a second, so that many senders at a low rate serve more.
+	// capacityPerSender is the capacity of the leaf, in requests per second, for each sender of a service that is not
+	// gathered. Any node may receive its requests, a few per second, so that many senders at a low rate serve more.
 	capacityPerSender = 4
 )
 
-// divide decides how many nodes may ask a cold leaf, and at what rate each.
+// divide computes how many nodes may send requests to a cold leaf, and at what rate.
 //
-// Inputs: the cold rate of the leaf's service in requests a second, and whether the service is gathered.
+// Inputs: the cold rate of the leaf's service in requests per second, and whether the service is gathered.
 //
-// Rule: within any second each sender sends at most its rate and one request more, and the sum stays below the capacity
-// of the leaf even while there are viewReserve times the senders. The bound needs no messages between nodes.
+// Rule: within any second, each sender sends at most its rate plus one request. The sum stays within the leaf's
+// capacity even while there are senderReserve times as many senders. The bound requires no messages between nodes.
 func (c Config) divide(perSecond float64, gathered bool) division {
 	capacity := c.capacity(perSecond)
 	senders := int(capacity / capacityPerSender)
 	if gathered {
-		senders = min(gatherersPerLeaf, int(capacity/viewReserve))
+		senders = min(gatherersPerLeaf, int(capacity/senderReserve))
 	}
 	senders = max(1, senders)
-	rate := min(perSecond, capacity/viewReserve-float64(senders))
+	rate := min(perSecond, capacity/senderReserve-float64(senders))
 	return division{senders: senders, perSecond: max(0, rate) / float64(senders)}
 }
--- a/internal/leaf/warmup/warmup.go
+++ b/internal/leaf/warmup/warmup.go
@@ -1,12 +1,12 @@
 // Package warmup limits the rate of requests to cold leafs.
 //
-// A leaf that started a short while ago, or whose caches went cold, can take only a limited number of requests a second
-// from all nodes together, and fails above that. The limit needs no messages: for each cold leaf
-// a few nodes, the same on all nodes with the same view of the fleet, have an equal share of the rate. The others
-// don't ask the leaf until it is warm, and ask its siblings.
+// A leaf that started recently, or whose caches are cold, can take only a limited number of requests per second from
+// all nodes together, and fails above that. The limit requires no messages: all nodes with the same view of the fleet
+// select the same few senders for each cold leaf, which get equal shares of the rate. The other nodes send their
+// requests to other replicas until the leaf is warm.
 //
-// The package owns a token bucket for each cold leaf. It relies on the catalog for leafs and their services, on package
-// registry for the fleet, and on the catalog's clock. It starts no goroutines and returns no errors.
+// The package owns a token bucket for each cold leaf. It uses the catalog for leafs and their services, package
+// registry for the fleet, and the catalog's clock. It starts no goroutines and returns no errors.
 package warmup
 
 import (
@@ -20,49 +20,48 @@
 	"github.com/portgauge/portgauge/internal/node/boottime"
 )
 
-// Fleet returns the nodes that may ask leafs; registry.Fleet implements it.
+// Fleet provides the nodes that may send requests to leafs. It is implemented by registry.Fleet.
 type Fleet interface {
-	// Nodes are all nodes of the fleet, Gatherers those that ask the leafs of gathered services. A slice is
-	// never modified once it was returned.
+	// Nodes returns all nodes of the fleet, and Gatherers the nodes that send requests to the leafs of gathered
+	// services. Returned slices are never modified.
 	Nodes() []catalog.NodeRecord
 	Gatherers() []catalog.NodeRecord
-	// IsRegistered reports whether the other nodes know this one.
+	// IsRegistered reports whether this node is registered with the other nodes.
 	IsRegistered() bool
 }
 
-// Limiter limits one node's requests to cold leafs to its share of their rates; safe for concurrent use.
+// Limiter limits a node's requests to cold leafs to the node's share of their rates. It is safe for concurrent use.
 type Limiter struct {
-	config  Config
+	cfg     Config
 	catalog *catalog.Catalog
 	fleet   Fleet
 	self    catalog.NodeRecord
 	now     func() time.Time
 
-	mu    sync.Mutex
-	leafs map[string]*bucket // of cold leafs, by id
+	mu      sync.Mutex
+	buckets map[string]*tokenBucket // of cold leafs, by ID
 }
 
-// bucket is the token bucket of one cold leaf. It holds at most one token.
-type bucket struct {
-	// nodes are the fleet from which the rate was computed.
+// tokenBucket is the token bucket of one cold leaf. It holds at most one token.
+type tokenBucket struct {
+	// nodes are the nodes from which the rate was computed.
 	nodes     []catalog.NodeRecord
-	perSecond float64 // 0 if the node is not one of those that ask the leaf
+	perSecond float64 // 0 if the node is not a sender of the leaf
 	tokens    float64
 	at        time.Time // of the last refill
 }
 
-// New returns the limiter of a node.
-func New(config Config, known *catalog.Catalog, fleet Fleet, self catalog.NodeRecord) *Limiter {
-	return &Limiter{config: config, catalog: known, fleet: fleet, self: self, now: time.Now, leafs: map[string]*bucket{}}
+func New(cfg Config, known *catalog.Catalog, fleet Fleet, self catalog.NodeRecord) *Limiter {
+	return &Limiter{cfg: cfg, catalog: known, fleet: fleet, self: self, now: time.Now, buckets: map[string]*tokenBucket{}}
 }
 
-// SetClock sets the clock by which leafs are cold, which must be that of the catalog. It must be called
+// SetClock sets the clock that determines whether leafs are cold, which must be the catalog's clock. It must be called
 // before the limiter is used.
 func (l *Limiter) SetClock(clock boottime.Clock) { l.now = clock.Now }
 
-// HasToken reports whether this node may ask a leaf now, without taking a token.
+// HasToken reports whether this node may send a request to a leaf now. It takes no token.
 func (l *Limiter) HasToken(leaf *leafset.Leaf) bool {
-	perSecond := l.limitOf(leaf)
+	perSecond := l.rateLimit(leaf)
 	if perSecond == 0 {
 		return true
 	}
@@ -71,30 +70,30 @@
 	return l.refill(leaf, perSecond).tokens >= 1
 }
 
-// Take takes a token for a request to the leaf of an id, right before it is sent. It reports
-// whether the request may be sent.
+// Take takes a token for a request to the leaf with the given ID and reports whether the request may be sent. It must
+// be called right before the request is sent.
 func (l *Limiter) Take(id string) bool {
 	leaf, found := l.catalog.View().Leafs.ByID(id)
 	if !found {
-		return true // a leaf that discovery lost started long ago, so that it is warm
+		return true // a leaf that is no longer in discovery started long ago, so it is warm
 	}
-	perSecond := l.limitOf(leaf)
+	perSecond := l.rateLimit(leaf)
 	if perSecond == 0 {
 		return true
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	kept := l.refill(leaf, perSecond)
-	if kept.tokens < 1 {
+	bucket := l.refill(leaf, perSecond)
+	if bucket.tokens < 1 {
 		return false
 	}
-	kept.tokens--
+	bucket.tokens--
 	return true
 }
 
-// limitOf returns the rate in requests a second that a leaf can take now; 0 means that there is no limit.
-func (l *Limiter) limitOf(leaf *leafset.Leaf) float64 {
-	// Nearly all leafs are warm: the clock is read only for the others.
+// rateLimit returns the rate that a leaf can take now, in requests per second; 0 means no limit.
+func (l *Limiter) rateLimit(leaf *leafset.Leaf) float64 {
+	// The clock is read only for leafs that may be cold, since nearly all leafs are warm.
 	if leaf.ColdUntil.IsZero() || !leaf.ColdUntil.After(l.now()) {
 		return 0
 	}
@@ -106,58 +105,58 @@
 	return service.ColdRequestsPerSecond
 }
 
-// maximumKept is the number of buckets at which those of warm leafs are dropped.
-const maximumKept = 1024
+// maximumBuckets is the number of buckets at which the buckets of warm leafs are dropped.
+const maximumBuckets = 1024
 
-// refill returns the node's bucket of a leaf, refilled. The lock must be held.
-func (l *Limiter) refill(leaf *leafset.Leaf, perSecond float64) *bucket {
+// refill adds the tokens due to the bucket of a leaf and returns the bucket. The mutex must be held.
+func (l *Limiter) refill(leaf *leafset.Leaf, perSecond float64) *tokenBucket {
 	now := l.now()
-	kept, found := l.leafs[leaf.ID]
+	bucket, found := l.buckets[leaf.ID]
 	if !found {
 		l.dropWarm()
-		kept = &bucket{at: now}
-		l.leafs[leaf.ID] = kept
+		bucket = &tokenBucket{at: now}
+		l.buckets[leaf.ID] = bucket
 	}
 	gathered := l.isGathered(leaf.Service)
 	nodes := l.fleet.Nodes()
 	if gathered {
 		nodes = l.fleet.Gatherers()
 	}
-	if !found || !leafset.SameSlice(nodes, kept.nodes) {
-		kept.nodes = nodes
-		kept.perSecond = l.rateOf(leaf, nodes, l.config.divide(perSecond, gathered))
+	if !found || !leafset.SameSlice(nodes, bucket.nodes) {
+		bucket.nodes = nodes
+		bucket.perSecond = l.ownRate(leaf, nodes, l.cfg.divide(perSecond, gathered))
 	}
-	if !l.fleet.IsRegistered() || kept.perSecond == 0 {
-		kept.tokens, kept.at = 0, now
-		return kept
+	if !l.fleet.IsRegistered() || bucket.perSecond == 0 {
+		bucket.tokens, bucket.at = 0, now
+		return bucket
 	}
-	kept.tokens = min(1, kept.tokens+kept.perSecond*now.Sub(kept.at).Seconds())
-	kept.at = now
-	return kept
+	bucket.tokens = min(1, bucket.tokens+bucket.perSecond*now.Sub(bucket.at).Seconds())
+	bucket.at = now
+	return bucket
 }
 
-// dropWarm drops the buckets of leafs that are warm or gone, once there are many. The lock must be held.
+// dropWarm drops the buckets of warm and removed leafs if there are maximumBuckets. The mutex must be held.
 func (l *Limiter) dropWarm() {
-	if len(l.leafs) < maximumKept {
+	if len(l.buckets) < maximumBuckets {
 		return
 	}
 	leafs := l.catalog.View().Leafs
-	for id := range l.leafs {
+	for id := range l.buckets {
 		if leaf, found := leafs.ByID(id); !found || !leaf.ColdUntil.After(l.now()) {
-			delete(l.leafs, id)
+			delete(l.buckets, id)
 		}
 	}
 }
 
-// isGathered reports whether a service is asked by the nodes that gather only.
+// isGathered reports whether only gathering nodes send requests to a service.
 func (l *Limiter) isGathered(service string) bool {
 	routes := l.catalog.View().Routes
 	return routes != nil && routes.IsGathered(service)
 }
 
-// rateOf decides whether this node is one of a cold leaf's senders, and returns its rate in requests a second; 0 if it
-// is not. The senders are the first nodes by their rank at the leaf, so that all nodes choose the same.
-func (l *Limiter) rateOf(leaf *leafset.Leaf, nodes []catalog.NodeRecord, divided division) float64 {
+// ownRate returns this node's rate for a cold leaf in requests per second, or 0 if the node is not one of the senders.
+// The senders are the first nodes by rank, so that all nodes select the same ones.
+func (l *Limiter) ownRate(leaf *leafset.Leaf, nodes []catalog.NodeRecord, d division) float64 {
 	own := rankOf(l.self, leaf)
 	ahead := 0
 	for _, node := range nodes {
@@ -165,26 +164,26 @@
 			ahead++
 		}
 	}
-	if ahead >= divided.senders {
+	if ahead >= d.senders {
 		return 0
 	}
-	return divided.perSecond
+	return d.perSecond
 }
 
-// rank orders the nodes that may ask a leaf: those of its zone come first, then a hash decides.
+// rank orders the nodes that may send requests to a leaf: nodes of its zone come first, then nodes are ordered by hash.
 type rank struct {
-	elsewhere bool
+	otherZone bool
 	hash      uint64
 }
 
-// rankOf returns the rank of a node at a leaf.
+// rankOf returns the rank of a node for a leaf.
 func rankOf(node catalog.NodeRecord, leaf *leafset.Leaf) rank {
-	return rank{elsewhere: node.Zone != leaf.Zone, hash: xxhash.Sum64String(leaf.Name + "\x00" + node.ID)}
+	return rank{otherZone: node.Zone != leaf.Zone, hash: xxhash.Sum64String(leaf.Name + "\x00" + node.ID)}
 }
 
 func (r rank) isBefore(other rank) bool {
-	if r.elsewhere != other.elsewhere {
-		return !r.elsewhere
+	if r.otherZone != other.otherZone {
+		return !r.otherZone
 	}
 	return r.hash < other.hash
 }
--- a/internal/leaf/warmup/warmup_test.go
+++ b/internal/leaf/warmup/warmup_test.go
@@ -21,22 +21,22 @@
 	testLeaf    = "leaf"
 )
 
-// views is the fleet as one node knows it.
-type views struct {
+// fakeFleet is one node's view of the fleet.
+type fakeFleet struct {
 	self  string
 	nodes []catalog.NodeRecord
 }
 
-func (v *views) Nodes() []catalog.NodeRecord     { return v.nodes }
-func (v *views) Gatherers() []catalog.NodeRecord { return v.nodes }
-func (v *views) IsRegistered() bool {
-	return slices.ContainsFunc(v.nodes, func(node catalog.NodeRecord) bool { return node.ID == v.self })
+func (f *fakeFleet) Nodes() []catalog.NodeRecord     { return f.nodes }
+func (f *fakeFleet) Gatherers() []catalog.NodeRecord { return f.nodes }
+func (f *fakeFleet) IsRegistered() bool {
+	return slices.ContainsFunc(f.nodes, func(node catalog.NodeRecord) bool { return node.ID == f.self })
 }
 
-// fatal is implemented by the states of tests and of property checks.
-type fatal interface{ Fatal(...any) }
+// fatalReporter is implemented by testing.T and rapid.T.
+type fatalReporter interface{ Fatal(...any) }
 
-func put(t fatal, known *catalog.Catalog, key string, value any) {
+func put(t fatalReporter, known *catalog.Catalog, key string, value any) {
 	content, err := json.Marshal(value)
 	if err != nil {
 		t.Fatal(err)
@@ -48,8 +48,8 @@
 	known.Apply(catalog.Change{Entry: catalog.Entry{Key: key, Value: wrapped, Revision: known.Revision() + 1}, Previous: known.Revision()})
 }
 
-// newCatalog returns a catalog with one leaf that is cold for a minute, of a service of a rate.
-func newCatalog(t fatal, perSecond float64, gathered bool) *catalog.Catalog {
+// newCatalog returns a catalog with one leaf that is cold for a minute and whose service has the given cold rate.
+func newCatalog(t fatalReporter, perSecond float64, gathered bool) *catalog.Catalog {
 	known := catalog.New(nil)
 	put(t, known, catalog.LeafKey(testLeaf), leafset.Record{
 		Name: testLeaf, Service: testService, Zone: "east", Address: "127.0.0.1:1", State: leafset.Ready, WarmupMillis: time.Minute.Milliseconds(),
@@ -72,11 +72,11 @@
 	return nodes
 }
 
-// Even if all nodes send as much as they may and learn of joins and deaths at different moments,
-// a cold leaf gets no more in any second than it can take.
-func TestColdLeafGetsNoMoreThanItBears(t *testing.T) {
+// A cold leaf gets no more requests in any second than its capacity, even if all nodes use their rate and learn of
+// starts and ends of nodes at different times.
+func TestColdLeafRateStaysWithinCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		config := Config{Excess: rapid.Float64Range(1, 3).Draw(t, "excess"), Slack: rapid.Float64Range(1, 10).Draw(t, "slack")}
+		cfg := Config{Excess: rapid.Float64Range(1, 3).Draw(t, "excess"), Slack: rapid.Float64Range(1, 10).Draw(t, "slack")}
 		perSecond := rapid.Float64Range(1, 40).Draw(t, "per second")
 		gathered := rapid.Bool().Draw(t, "gathered")
 		known := newCatalog(t, perSecond, gathered)
@@ -88,19 +88,19 @@
 		}
 		fleet := fleetOf(current...)
 		var limiters []*Limiter
-		var seen []*views
+		var seen []*fakeFleet
 		join := func(id int) {
 			self := fleetOf(id)[0]
-			view := &views{self: self.ID, nodes: fleet}
-			limiter := New(config, known, view, self)
+			view := &fakeFleet{self: self.ID, nodes: fleet}
+			limiter := New(cfg, known, view, self)
 			limiter.now = func() time.Time { return now }
 			limiters, seen = append(limiters, limiter), append(seen, view)
 		}
 		for _, id := range current {
 			join(id)
 		}
-		// At most as many changes a second as there are senders: viewReserve is for these.
-		changeEvery := time.Second / time.Duration(config.divide(perSecond, gathered).senders)
+		// senderReserve allows at most as many changes per second as there are senders.
+		changeEvery := time.Second / time.Duration(cfg.divide(perSecond, gathered).senders)
 		var sent []time.Time
 		next := now.Add(changeEvery)
 		for step := range 300 {
@@ -117,7 +117,7 @@
 				}
 			}
 			for i := range limiters {
-				if (step+i)%7 == 0 { // nodes learn one after the other
+				if (step+i)%7 == 0 { // nodes learn of changes at different times
 					seen[i].nodes = fleet
 				}
 				if limiters[i].Take(testLeaf) {
@@ -125,37 +125,37 @@
 				}
 			}
 		}
-		checkWindows(t, sent, config.capacity(perSecond))
+		checkWindows(t, sent, cfg.capacity(perSecond))
 	})
 }
 
-// checkWindows fails if more was sent within any second than is allowed.
-func checkWindows(t *rapid.T, sent []time.Time, most float64) {
+// checkWindows fails if the number of requests sent within any second exceeds the limit.
+func checkWindows(t *rapid.T, sent []time.Time, limit float64) {
 	first := 0
 	for last := range sent {
 		for sent[last].Sub(sent[first]) >= time.Second {
 			first++
 		}
-		if count := last - first + 1; float64(count) > most {
-			t.Fatalf("%d requests within a second, %v allowed", count, most)
+		if count := last - first + 1; float64(count) > limit {
+			t.Fatalf("%d requests were sent within a second, want at most %v", count, limit)
 		}
 	}
 }
 
-// The leaf gets most of its rate from the senders, and all nodes choose the same ones.
-func TestSendersUseTheRate(t *testing.T) {
+// The senders, which are the same on all nodes, use most of the leaf's rate.
+func TestSendersUseMostOfTheRate(t *testing.T) {
 	is := is.New(t)
-	config := Config{Excess: 1.5, Slack: 5}
+	cfg := Config{Excess: 1.5, Slack: 5}
 	known := newCatalog(t, 6, true)
 	now := time.Now()
 	ids := make([]int, 20)
 	for id := range ids {
 		ids[id] = id
 	}
-	fleet := &views{nodes: fleetOf(ids...)}
+	fleet := &fakeFleet{nodes: fleetOf(ids...)}
 	senders, sent := 0, 0
 	for _, node := range fleet.nodes {
-		limiter := New(config, known, &views{self: node.ID, nodes: fleet.nodes}, node)
+		limiter := New(cfg, known, &fakeFleet{self: node.ID, nodes: fleet.nodes}, node)
 		at := now
 		limiter.now = func() time.Time { return at }
 		own := 0
@@ -172,17 +172,17 @@
 		sent += own
 	}
 	is.Equal(senders, gatherersPerLeaf)
-	is.True(sent >= 45 && sent <= 55) // 5 a second for 10 s: the rate of 6, less the reserve for other views
+	is.True(sent >= 45 && sent <= 55) // 5 per second for 10 s: the rate of 6, less senderReserve
 }
 
-// Warm leafs, those of services without a rate and those that discovery does not know have no limit; a node
-// that the others don't know sends nothing to a cold one.
-func TestOnlyKnownNodesAskColdLeafs(t *testing.T) {
+// Warm leafs, leafs of services without a cold rate and leafs that are not in discovery have no limit. A node that is
+// not registered sends nothing to cold leafs.
+func TestOnlyRegisteredNodesSendToColdLeafs(t *testing.T) {
 	is := is.New(t)
 	known := newCatalog(t, 6, false)
 	now := time.Now()
 	nodes := fleetOf(0)
-	fleet := &views{self: nodes[0].ID, nodes: nodes}
+	fleet := &fakeFleet{self: nodes[0].ID, nodes: nodes}
 	limiter := New(Config{Excess: 1.5, Slack: 5}, known, fleet, nodes[0])
 	limiter.now = func() time.Time { return now }
 	cold, _ := known.View().Leafs.ByID(testLeaf)
@@ -192,10 +192,10 @@
 	now = now.Add(time.Second)
 	is.True(!limiter.Take(testLeaf))
 	fleet.nodes = nodes
-	is.True(!limiter.HasToken(cold)) // no token was added meanwhile
+	is.True(!limiter.HasToken(cold)) // no token was added while the node was not registered
 	now = now.Add(2 * time.Second)
 	is.True(limiter.HasToken(cold))
-	is.True(limiter.HasToken(cold)) // HasToken takes none
+	is.True(limiter.HasToken(cold)) // HasToken takes no token
 	is.True(limiter.Take(testLeaf))
 	is.True(!limiter.Take(testLeaf))
 	now = now.Add(2 * time.Minute)
