--- a/internal/leaf/leafmemory/config.go
+++ b/internal/leaf/leafmemory/config.go
@@ -6,20 +6,19 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// Config tunes which lost leafs are used, and when the list is stored.
+// Config configures which lost leafs are used and when the list of leafs is stored.
 type Config struct {
-	// Retention is how long a leaf that is lost or drains may still be asked if its service has no
-	// other. It must be below the time after which such a leaf must get no requests.
+	// Retention is how long a lost or draining leaf may still get requests if its service has no ready leaf. It must be
+	// shorter than the time after which such a leaf must not get requests.
 	Retention time.Duration `yaml:"hold"`
-	// TrustAfterStart is how long after its start a node uses the stored list.
+	// TrustAfterStart is how long after its start a node uses the stored list of leafs.
 	TrustAfterStart time.Duration `yaml:"trust_after_start"`
-	// WriteDelay is how long the leafs must be unchanged before the list is stored.
+	// WriteDelay is how long the leafs must remain unchanged before the list is stored.
 	WriteDelay time.Duration `yaml:"write_delay"`
-	// MaximumLeafs is the number of leafs up to which a list is stored.
+	// MaximumLeafs is the maximum number of leafs in a stored list. A longer list is not stored.
 	MaximumLeafs int `yaml:"maximum_leafs"`
 }
 
-// DefaultConfig keeps lost leafs usable for two seconds.
 func DefaultConfig() Config {
 	return Config{Retention: 2 * time.Second, TrustAfterStart: 2500 * time.Millisecond, WriteDelay: 2 * time.Second, MaximumLeafs: 2000}
 }
--- a/internal/leaf/leafmemory/leafmemory_test.go
+++ b/internal/leaf/leafmemory/leafmemory_test.go
@@ -14,7 +14,7 @@
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
 )
 
-// put changes a key of a catalog as a watch does.
+// put sets a key of a catalog as a watch event does; a nil value deletes the key.
 func put(t *testing.T, known *catalog.Catalog, key string, value any) {
 	t.Helper()
 	entry := catalog.Entry{Key: key, Revision: known.Revision() + 1, Deleted: value == nil}
@@ -34,7 +34,7 @@
 	return leafset.Record{Name: id, Service: "s", Address: "127.0.0.1:1", State: state}
 }
 
-func TestLostLeafsAreALastResortForAWhile(t *testing.T) {
+func TestLostLeafsAreLastResortWithinRetention(t *testing.T) {
 	is := is.New(t)
 	known := catalog.New(nil)
 	put(t, known, catalog.LeafKey("a"), record("a", leafset.Ready))
@@ -62,7 +62,7 @@
 	is.Equal(len(leafs), 0)
 }
 
-func TestWrittenListIsBelievedOnlyAfterAStart(t *testing.T) {
+func TestStoredListIsUsedOnlyAfterStart(t *testing.T) {
 	is := is.New(t)
 	known := catalog.New(nil)
 	put(t, known, catalog.SavedLeafsKey, leafset.List{Leafs: []leafset.Record{record("a", leafset.Ready)}})
@@ -77,7 +77,7 @@
 	is.Equal(len(leafs), 0)
 }
 
-func TestListIsWrittenOnceTheLeafsRestAndByOneNodeFirst(t *testing.T) {
+func TestListIsStoredAfterDelayByRank(t *testing.T) {
 	is := is.New(t)
 	known := catalog.New(nil)
 	for _, id := range []string{"n1", "n2", "n3"} {
@@ -108,7 +108,7 @@
 	put(t, known, catalog.SavedLeafsKey, leafset.List{Leafs: []leafset.Record{record("a", leafset.Ready)}})
 	is.Equal(due(3*delay), 0)
 	put(t, known, catalog.LeafKey("a"), record("a", leafset.Draining))
-	is.Equal(due(3*delay), 0) // no ready leaf at all means an outage of discovery
+	is.Equal(due(3*delay), 0) // a list without ready leafs is never stored
 }
 
 func TestConfigNamesEveryFault(t *testing.T) {
@@ -117,8 +117,8 @@
 	is.Equal(len(failure.Faults(Config{Retention: -1, TrustAfterStart: -1, MaximumLeafs: -1}.Validate())), 4)
 }
 
-// An evacuated zone's leafs are no last resort, whether lost a moment ago or on the stored list.
-func TestEvacuatedLeafsAreNoLastResort(t *testing.T) {
+// Leafs of an evacuated zone are not a last resort, whether they were lost recently or are on the stored list.
+func TestEvacuatedLeafsAreNotLastResort(t *testing.T) {
 	is := is.New(t)
 	known := catalog.New(nil)
 	inZone := func(id, zone string) leafset.Record {
@@ -133,18 +133,18 @@
 	put(t, known, catalog.EvacuationKey("east"), struct{}{})
 	is.True(!memory.MaySend("a"))
 	leafs, _ := memory.Candidates("s")
-	is.Equal(len(leafs), 1) // by the stored list
+	is.Equal(len(leafs), 1) // from the stored list
 	is.Equal(leafs[0].ID, "b")
 	put(t, known, catalog.LeafKey("a"), nil)
 	is.True(!memory.MaySend("a"))
 	leafs, _ = memory.Candidates("s")
 	is.Equal(len(leafs), 1)
 	put(t, known, catalog.EvacuationKey("east"), nil)
-	is.True(memory.MaySend("a")) // lost a moment ago, and its zone is no longer evacuated
+	is.True(memory.MaySend("a")) // the leaf was lost recently, and its zone is no longer evacuated
 }
 
-// A leaf may be sent requests until it drains or is gone and no longer remembered.
-func TestLeafThatWentMayBeAskedForAWhile(t *testing.T) {
+// A leaf that starts to drain may be sent requests until the end of the retention, and again when it is ready.
+func TestDrainingLeafMayBeSentRequestsWithinRetention(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		known := catalog.New(nil)
@@ -162,13 +162,13 @@
 	})
 }
 
-// The time of a loss is when the node applied it, whether the service was asked then or not: a node that
-// serves few requests would otherwise ask a leaf that drained long ago.
-func TestLossCountsFromWhenItCameIntoForce(t *testing.T) {
+// The retention of a lost leaf starts when the node applies the change, not at the first request after it. Otherwise, a
+// node with few requests would send them to leafs that drained long ago.
+func TestRetentionStartsWhenLossIsApplied(t *testing.T) {
 	losses := map[string]func(known *catalog.Catalog){
-		"drained":      func(known *catalog.Catalog) { put(t, known, catalog.LeafKey("a"), record("a", leafset.Draining)) },
-		"gone":         func(known *catalog.Catalog) { put(t, known, catalog.LeafKey("a"), nil) },
-		"not in state": func(known *catalog.Catalog) { known.Replace(catalog.Snapshot{Revision: known.Revision() + 1}) },
+		"drained":  func(known *catalog.Catalog) { put(t, known, catalog.LeafKey("a"), record("a", leafset.Draining)) },
+		"removed":  func(known *catalog.Catalog) { put(t, known, catalog.LeafKey("a"), nil) },
+		"replaced": func(known *catalog.Catalog) { known.Replace(catalog.Snapshot{Revision: known.Revision() + 1}) },
 	}
 	for name, lose := range losses {
 		t.Run(name, func(t *testing.T) {
@@ -184,7 +184,7 @@
 				is.Equal(len(leafs), 1)
 				is.True(memory.MaySend("a"))
 				time.Sleep(DefaultConfig().Retention)
-				leafs, _ = other.Candidates("s") // its first call since the loss
+				leafs, _ = other.Candidates("s") // the first call since the loss
 				is.Equal(len(leafs), 0)
 				is.True(!other.MaySend("a"))
 				is.Equal(len(other.IDs()), known.View().Leafs.Len())
--- a/internal/leaf/leafmemory/suspended_test.go
+++ b/internal/leaf/leafmemory/suspended_test.go
@@ -10,9 +10,8 @@
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
 )
 
-// A leaf that was lost just before the machine was suspended is not asked after that, however short a time the machine has
-// run since.
-func TestSuspendedMachineDoesNotAskWhatWasLostLongAgo(t *testing.T) {
+// The time during which the machine was suspended counts towards the retention of a lost leaf.
+func TestRetentionIncludesSuspendedTime(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	clock := func() time.Time { return now }
--- a/internal/leaf/leafmemory/versions_test.go
+++ b/internal/leaf/leafmemory/versions_test.go
@@ -13,25 +13,25 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// newVersioned returns a catalog whose service is served by v1, with v2 as canary if ordered.
-func newVersioned(t *testing.T, ordered bool) *catalog.Catalog {
+// newVersionedCatalog returns a catalog whose service is served by v1, with v2 as the canary if withCanary is true.
+func newVersionedCatalog(t *testing.T, withCanary bool) *catalog.Catalog {
 	t.Helper()
 	known := catalog.New(func(key string, err error) { t.Errorf("%s: %v", key, err) })
 	known.EnableRollouts()
 	put(t, known, catalog.VersionsKey, rollout.Versions{ByVersion: map[string][]string{"v1": {"s"}}})
-	if ordered {
+	if withCanary {
 		put(t, known, catalog.RolloutKey("s"), rollout.Spec{Service: "s", Target: "v2", DurationMillis: 1000})
 	}
 	return known
 }
 
-func versioned(id, version string) leafset.Record {
+func versionedRecord(id, version string) leafset.Record {
 	made := record(id, leafset.Ready)
 	made.Version = version
 	return made
 }
 
-// rollBack stores that the current order was found bad.
+// rollBack stores that the current rollout spec was rolled back.
 func rollBack(t *testing.T, known *catalog.Catalog) {
 	t.Helper()
 	specID := known.View().Rollouts["s"].Spec.Revision
@@ -47,38 +47,38 @@
 	return ids
 }
 
-func TestCanaryMayBeQueriedAndIsNoCandidate(t *testing.T) {
+func TestCanaryMayBeSentRequestsButIsNotCandidate(t *testing.T) {
 	is := is.New(t)
-	known := newVersioned(t, true)
-	put(t, known, catalog.LeafKey("new"), versioned("new", "v2"))
+	known := newVersionedCatalog(t, true)
+	put(t, known, catalog.LeafKey("new"), versionedRecord("new", "v2"))
 	memory := New(DefaultConfig(), known)
 	is.True(memory.MaySend("new"))
 	is.Equal(candidateIDs(memory), []string{})
 	is.Equal(memory.IDs(), []string{"new"})
 	rollBack(t, known)
 	is.True(!memory.MaySend("new"))
-	is.Equal(memory.IDs(), nil) // nor are connections to it kept
+	is.Equal(memory.IDs(), nil) // connections to the leaf are closed, too
 }
 
-func TestDisallowedLeafMayNotBeQueried(t *testing.T) {
+func TestDisallowedLeafMayNotBeSentRequests(t *testing.T) {
 	is := is.New(t)
-	known := newVersioned(t, false)
-	put(t, known, catalog.LeafKey("other"), versioned("other", "v2"))
+	known := newVersionedCatalog(t, false)
+	put(t, known, catalog.LeafKey("other"), versionedRecord("other", "v2"))
 	memory := New(DefaultConfig(), known)
 	is.True(!memory.MaySend("other"))
 	is.Equal(candidateIDs(memory), []string{})
-	put(t, known, catalog.LeafKey("untold"), versioned("untold", ""))
+	put(t, known, catalog.LeafKey("untold"), versionedRecord("untold", ""))
 	is.True(memory.MaySend("untold"))
 	is.Equal(candidateIDs(memory), []string{"untold"})
 }
 
-// Of the leafs lost a moment ago only those that serve are a last resort, even after the rule has changed.
-func TestLostLeafsGoByTheRuleInForce(t *testing.T) {
+// Of the recently lost leafs, only those whose version serves by the current rule are a last resort.
+func TestLostLeafsFollowCurrentRule(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		known := newVersioned(t, true)
-		put(t, known, catalog.LeafKey("old"), versioned("old", "v1"))
-		put(t, known, catalog.LeafKey("new"), versioned("new", "v2"))
+		known := newVersionedCatalog(t, true)
+		put(t, known, catalog.LeafKey("old"), versionedRecord("old", "v1"))
+		put(t, known, catalog.LeafKey("new"), versionedRecord("new", "v2"))
 		memory := New(DefaultConfig(), known)
 		time.Sleep(DefaultConfig().TrustAfterStart)
 		put(t, known, catalog.LeafKey("old"), nil)
@@ -92,25 +92,25 @@
 	})
 }
 
-// Lost leafs that may not be asked don't hide those on the stored list that may.
-func TestLostLeafsDontHideWrittenOnes(t *testing.T) {
+// Lost leafs that must not get requests don't prevent the use of leafs on the stored list.
+func TestExcludedLostLeafsDoNotHideStoredOnes(t *testing.T) {
 	is := is.New(t)
-	known := newVersioned(t, true)
-	put(t, known, catalog.SavedLeafsKey, leafset.List{Leafs: []leafset.Record{versioned("old", "v1")}})
-	put(t, known, catalog.LeafKey("new"), versioned("new", "v2"))
+	known := newVersionedCatalog(t, true)
+	put(t, known, catalog.SavedLeafsKey, leafset.List{Leafs: []leafset.Record{versionedRecord("old", "v1")}})
+	put(t, known, catalog.LeafKey("new"), versionedRecord("new", "v2"))
 	put(t, known, catalog.LeafKey("new"), nil)
 	memory := New(DefaultConfig(), known)
 	is.Equal(candidateIDs(memory), []string{"old"})
 }
 
-// Lost canaries are remembered like leafs that serve, and by the current rule.
+// Lost canaries are usable within the retention, like leafs that serve, but only while the rule allows them.
 func TestLostCanariesAreRetained(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		known := newVersioned(t, true)
-		put(t, known, catalog.LeafKey("old"), versioned("old", "v1"))
+		known := newVersionedCatalog(t, true)
+		put(t, known, catalog.LeafKey("old"), versionedRecord("old", "v1"))
 		for _, id := range []string{"1", "2"} {
-			put(t, known, catalog.LeafKey(id), versioned(id, "v2"))
+			put(t, known, catalog.LeafKey(id), versionedRecord(id, "v2"))
 		}
 		memory := New(DefaultConfig(), known)
 		time.Sleep(DefaultConfig().TrustAfterStart)
@@ -121,7 +121,7 @@
 		is.True(memory.MaySend("1") && memory.MaySend("2"))
 		time.Sleep(DefaultConfig().Retention + time.Millisecond)
 		is.Equal(len(memory.Canaries("s")), 0)
-		put(t, known, catalog.LeafKey("2"), versioned("2", "v2"))
+		put(t, known, catalog.LeafKey("2"), versionedRecord("2", "v2"))
 		put(t, known, catalog.LeafKey("2"), nil)
 		is.Equal(len(memory.Canaries("s")), 1)
 		rollBack(t, known)
@@ -129,11 +129,11 @@
 	})
 }
 
-// A node that starts uses only those leafs of the stored list that the rule allows.
-func TestWrittenListGoesByTheRuleInForce(t *testing.T) {
+// A node that starts uses only the leafs of the stored list that the current rule allows.
+func TestStoredListFollowsCurrentRule(t *testing.T) {
 	is := is.New(t)
-	known := newVersioned(t, true)
-	list := leafset.List{Leafs: []leafset.Record{versioned("bad", "v3"), versioned("new", "v2"), versioned("old", "v1")}}
+	known := newVersionedCatalog(t, true)
+	list := leafset.List{Leafs: []leafset.Record{versionedRecord("bad", "v3"), versionedRecord("new", "v2"), versionedRecord("old", "v1")}}
 	put(t, known, catalog.SavedLeafsKey, list)
 	memory := New(DefaultConfig(), known)
 	is.Equal(candidateIDs(memory), []string{"old"})
@@ -145,10 +145,10 @@
 	is.Equal(ids, []string{"new", "old"})
 }
 
-// The stored list includes versions: without them a node that starts would ask any leaf of it.
-func TestWrittenListKeepsVersions(t *testing.T) {
+// The stored list includes versions. Without them, a node that starts would send requests to leafs of any version.
+func TestStoredListKeepsVersions(t *testing.T) {
 	is := is.New(t)
-	known := newVersioned(t, false)
-	put(t, known, catalog.LeafKey("old"), versioned("old", "v1"))
-	is.Equal(records(known.View().Leafs), []leafset.Record{versioned("old", "v1")})
+	known := newVersionedCatalog(t, false)
+	put(t, known, catalog.LeafKey("old"), versionedRecord("old", "v1"))
+	is.Equal(records(known.View().Leafs), []leafset.Record{versionedRecord("old", "v1")})
 }
--- a/internal/leaf/leafmemory/writer.go
+++ b/internal/leaf/leafmemory/writer.go
@@ -17,74 +17,74 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// checkInterval is how often a writer compares the leafs with the list.
+// checkInterval is the interval at which a writer compares the leafs with the stored list.
 const checkInterval = time.Second
 
-// writeTimeout bounds one write of the list.
+// writeTimeout is the timeout of a write of the list.
 const writeTimeout = time.Second
 
-// Writer stores the list of leafs for nodes that start. All nodes run one; the first by
-// the hash of their ids writes, and if it does not, the others take over one after the
-// other. Each write is conditional on the revision that it replaces, so that concurrent ones do no harm.
+// Writer stores the list of leafs for nodes that start. Every node runs one. The first node in rendezvous order writes,
+// and if it does not, the others take over one after another. Each write is conditional on the revision that it
+// replaces, so that concurrent writes are safe.
 type Writer struct {
-	config  Config
+	cfg     Config
 	catalog *catalog.Catalog
 	store   store.Store
 	self    string
 	logger  *zap.Logger
 
-	wanted []leafset.Record // what the list should be
-	since  time.Time        // when wanted last changed
-	// leafs and remembered are the sets that were compared last, and isWritten is the result. It is kept because the sets
-	// rarely change, and comparing thousands of leafs each second would be a large part of an idle node's CPU time.
+	desired []leafset.Record // the list to store
+	since   time.Time        // when desired last changed
+	// leafs and remembered are the sets compared last, and isStored is the result. It is cached because the sets rarely
+	// change, and comparing thousands of leafs per second would take a large part of an idle node's CPU time.
 	leafs, remembered *leafset.Set
-	isWritten         bool
+	isStored          bool
 }
 
-// NewWriter returns the writer of the node of an id.
-func NewWriter(config Config, known *catalog.Catalog, kept store.Store, self string, logger *zap.Logger) *Writer {
-	return &Writer{config: config, catalog: known, store: kept, self: self, logger: logger}
+// NewWriter returns the writer of the node whose ID is self.
+func NewWriter(cfg Config, known *catalog.Catalog, leafStore store.Store, self string, logger *zap.Logger) *Writer {
+	return &Writer{cfg: cfg, catalog: known, store: leafStore, self: self, logger: logger}
 }
 
-// Run stores the list whenever it has changed, until the context ends.
+// Run stores the list when it has changed, until the context ends.
 func (w *Writer) Run(ctx context.Context) {
 	for wait.For(ctx, checkInterval) {
 		if !w.isDue(time.Now()) {
 			continue
 		}
 		if err := w.write(ctx); err != nil {
-			w.logger.Info("list of leafs can't be stored", zap.Error(err))
+			w.logger.Info("the list of leafs could not be stored; retrying later", zap.Error(err))
 		}
 	}
 }
 
 // isDue decides whether this node stores the list now.
 //
-// Rule: the leafs have differed from the stored list, and been unchanged themselves, for Config.WriteDelay times one
-// more than the node's rank. A set without ready leafs is not stored, since it means an outage of discovery.
+// Rule: the list is stored if it differs from the stored one and has been unchanged for Config.WriteDelay multiplied by
+// one more than the node's rank. A list without leafs is not stored, since it indicates an outage of discovery.
 func (w *Writer) isDue(now time.Time) bool {
 	view := w.catalog.View()
 	w.compare(view, now)
-	if len(w.wanted) == 0 || len(w.wanted) > w.config.MaximumLeafs || w.isWritten {
+	if len(w.desired) == 0 || len(w.desired) > w.cfg.MaximumLeafs || w.isStored {
 		return false
 	}
 	rank := registry.RendezvousRank(view.Nodes, catalog.SavedLeafsKey, w.self)
-	return now.Sub(w.since) >= w.config.WriteDelay*time.Duration(1+rank)
+	return now.Sub(w.since) >= w.cfg.WriteDelay*time.Duration(1+rank)
 }
 
-// compare updates wanted and isWritten, if the leafs or the stored list changed since the last call.
+// compare updates desired and isStored if the leafs or the stored list changed since the last call.
 func (w *Writer) compare(view *catalog.View, now time.Time) {
 	if view.Leafs == w.leafs && view.Remembered == w.remembered {
 		return
 	}
 	w.leafs, w.remembered = view.Leafs, view.Remembered
-	if current := records(view.Leafs); !slices.Equal(current, w.wanted) {
-		w.wanted, w.since = current, now
+	if current := records(view.Leafs); !slices.Equal(current, w.desired) {
+		w.desired, w.since = current, now
 	}
-	w.isWritten = slices.Equal(w.wanted, records(view.Remembered))
+	w.isStored = slices.Equal(w.desired, records(view.Remembered))
 }
 
-// records returns the records of the ready leafs in order of name, without the fields that change with each heartbeat.
+// records returns the records of the ready leafs sorted by name, without the fields that change with each heartbeat.
 func records(set *leafset.Set) []leafset.Record {
 	var ready []leafset.Record
 	for _, id := range set.IDs() {
@@ -100,11 +100,11 @@
 	return ready
 }
 
-// write stores the list.
+// write stores the list if the stored one has not changed since it was read.
 func (w *Writer) write(ctx context.Context) error {
-	document, err := json.Marshal(leafset.List{Leafs: w.wanted})
+	document, err := json.Marshal(leafset.List{Leafs: w.desired})
 	if err != nil {
-		return failure.Wrap(err, failure.Internal, failure.NotRun, "encode list of leafs")
+		return failure.Wrap(err, failure.Internal, failure.NotRun, "encode the list of leafs")
 	}
 	replaced, _ := w.catalog.Entry(catalog.SavedLeafsKey)
 	value, err := catalog.NewDocument("", document, nil)
@@ -114,6 +114,6 @@
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	_, err = w.store.CompareAndSwap(ctx, catalog.SavedLeafsKey, replaced.LiveRevision(), value, false)
-	w.since = time.Now() // a retry waits as long again
+	w.since = time.Now() // a retry waits for the same delay
 	return err
 }
