--- a/internal/leaf/leafclient/config.go
+++ b/internal/leaf/leafclient/config.go
@@ -6,17 +6,17 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// Config bounds connections and replies.
+// Config limits connections to leafs and their replies.
 type Config struct {
-	// MaximumConnections is how many leafs a node is connected to at most.
+	// MaximumConnections is the maximum number of leafs to which a node keeps connections.
 	MaximumConnections int `yaml:"maximum_connections"`
-	// IdleTimeout closes a connection that carries no attempt.
+	// IdleTimeout is how long a connection may be idle before it is closed.
 	IdleTimeout time.Duration `yaml:"idle_timeout"`
-	// MaximumReplyBytes bounds one leaf's reply.
+	// MaximumReplyBytes is the maximum size of a leaf's reply.
 	MaximumReplyBytes int `yaml:"maximum_reply_bytes"`
 }
 
-// DefaultConfig suits a node of 128 MB.
+// DefaultConfig returns settings for a node with 128 MB of memory.
 func DefaultConfig() Config {
 	return Config{MaximumConnections: 512, IdleTimeout: 5 * time.Minute, MaximumReplyBytes: 8 << 20}
 }
--- a/internal/leaf/leafclient/errors.go
+++ b/internal/leaf/leafclient/errors.go
@@ -9,16 +9,15 @@
 	Detail *leafv1.LeafRefusal
 }
 
-// Error returns a message with the reason.
-func (r *Refusal) Error() string { return "leaf refused: " + r.Detail.GetReason().String() }
+func (r *Refusal) Error() string {
+	return "the leaf refused the attempt: " + r.Detail.GetReason().String()
+}
 
-// NeverSentError means that no connection could be opened, so that nothing reached the leaf.
+// NeverSentError means that no part of the attempt reached the leaf.
 type NeverSentError struct {
 	Cause error
 }
 
-// Error returns the message with its cause.
-func (e *NeverSentError) Error() string { return "attempt never sent: " + e.Cause.Error() }
+func (e *NeverSentError) Error() string { return "the attempt was never sent: " + e.Cause.Error() }
 
-// Unwrap returns the cause.
 func (e *NeverSentError) Unwrap() error { return e.Cause }
--- a/internal/leaf/leafclient/leafclient.go
+++ b/internal/leaf/leafclient/leafclient.go
@@ -1,13 +1,12 @@
 // Package leafclient sends searches to leafs over gRPC.
 //
-// A Pool owns the connections of a node: one per leaf, opened on first use and closed when idle or when too many are
-// open, since a node never needs a connection to every leaf. The library's own retries, service
-// config and discovery are off. Its transparent retries remain on: they resend only streams that
-// never left this process or that the server refused unprocessed, which is proof that the
-// attempt did not run.
+// A Pool owns a node's connections: one per leaf, opened on first use and closed when idle or when too many are open. A
+// node never needs connections to all leafs. The gRPC library's configurable retries, service config and discovery are
+// disabled. Its transparent retries remain enabled, because they resend only streams that never left this process or
+// that the server refused unprocessed, so that the attempt did not run.
 //
-// Errors say what is known about the execution: *Refusal and *NeverSentError mean that the attempt did not run, any
-// other error that it may have.
+// Errors tell whether the attempt may have run: *Refusal and *NeverSentError mean that it did not run; after any other
+// error, it may have run.
 package leafclient
 
 import (
@@ -26,32 +25,31 @@
 	leafv1 "github.com/portgauge/portgauge/gen/portgauge/leaf/v1"
 )
 
-// Pool owns the connections of a node; safe for concurrent use.
+// Pool owns the connections of a node. It is safe for concurrent use.
 type Pool struct {
-	config Config
+	cfg Config
 
 	mu          sync.Mutex
-	connections map[string]*pooled // by address
-	recent      list.List          // of *pooled, most recently used first
+	connections map[string]*pooledConnection // by address
+	recent      list.List                    // of *pooledConnection, most recently used first
 }
 
-// pooled is the connection to one leaf.
-type pooled struct {
+// pooledConnection is the connection to one leaf.
+type pooledConnection struct {
 	address    string
 	connection *grpc.ClientConn
 	client     leafv1.LeafServiceClient
-	users      int
+	inUse      int
 	evicted    bool
 	element    *list.Element
 }
 
-// New returns a pool.
-func New(config Config) *Pool {
-	return &Pool{config: config, connections: map[string]*pooled{}}
+func New(cfg Config) *Pool {
+	return &Pool{cfg: cfg, connections: map[string]*pooledConnection{}}
 }
 
-// SearchShard runs one attempt. Its error is a *Refusal, a *NeverSentError, or any other
-// error, which says nothing about whether the leaf ran it.
+// SearchShard runs one attempt. It returns a *Refusal or a *NeverSentError if the attempt did not run. After any other
+// error, the leaf may have run it.
 func (p *Pool) SearchShard(ctx context.Context, address string, request *leafv1.SearchShardRequest) (*leafv1.SearchShardResponse, error) {
 	conn, err := p.acquire(address)
 	if err != nil {
@@ -66,8 +64,8 @@
 	return response, nil
 }
 
-// HasExited reports whether no process listens at a leaf's address any more: then the leaf has exited, and did not just
-// lose a connection. A silent leaf may be alive.
+// HasExited reports whether a leaf's address refuses connections, which means that the leaf's process has exited and
+// did not merely lose a connection. It returns false if there is no reply, since the process may be alive.
 func (p *Pool) HasExited(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
@@ -76,17 +74,18 @@
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
 	}
-	// The connection only showed that the leaf is alive.
+	// The leaf accepted the connection, so it is alive, whether or not the close succeeds.
 	if err := opened.Close(); err != nil {
 		return false
 	}
 	return false
 }
 
-// checkTimeout is how long HasExited waits: two round trips between regions and some more.
+// checkTimeout is how long HasExited waits. It exceeds two round trips between regions.
 const checkTimeout = 200 * time.Millisecond
 
-// classify returns the leaf's refusal if the error has one, a NeverSentError if nothing was sent, and else the error.
+// classify returns the leaf's refusal if the error contains one, a NeverSentError if nothing was sent, and the error
+// itself otherwise.
 func classify(err error, sent *sendRecord) error {
 	if state, isStatus := status.FromError(err); isStatus {
 		for _, detail := range state.Details() {
@@ -101,11 +100,11 @@
 	return err
 }
 
-func (p *Pool) acquire(address string) (*pooled, error) {
+func (p *Pool) acquire(address string) (*pooledConnection, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if conn, found := p.connections[address]; found {
-		conn.users++
+		conn.inUse++
 		p.recent.MoveToFront(conn.element)
 		return conn, nil
 	}
@@ -113,7 +112,7 @@
 	if err != nil {
 		return nil, err
 	}
-	conn := &pooled{address: address, connection: connection, client: leafv1.NewLeafServiceClient(connection), users: 1}
+	conn := &pooledConnection{address: address, connection: connection, client: leafv1.NewLeafServiceClient(connection), inUse: 1}
 	conn.element = p.recent.PushFront(conn)
 	p.connections[address] = conn
 	p.evictOldest()
@@ -125,35 +124,34 @@
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithDisableRetry(),
 		grpc.WithDisableServiceConfig(),
-		grpc.WithIdleTimeout(p.config.IdleTimeout),
-		grpc.WithConnectParams(connectParameters),
+		grpc.WithIdleTimeout(p.cfg.IdleTimeout),
+		grpc.WithConnectParams(connectParams),
 		grpc.WithStatsHandler(sendObserver{}),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(p.config.MaximumReplyBytes)))
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(p.cfg.MaximumReplyBytes)))
 }
 
-// evictOldest closes the least recently used connections beyond the limit; one in use is
-// closed when its last attempt ends.
+// evictOldest evicts the least recently used connections beyond the limit. A connection in use is closed when its last
+// attempt ends.
 func (p *Pool) evictOldest() {
-	for p.recent.Len() > p.config.MaximumConnections {
-		oldest := p.recent.Remove(p.recent.Back()).(*pooled)
+	for p.recent.Len() > p.cfg.MaximumConnections {
+		oldest := p.recent.Remove(p.recent.Back()).(*pooledConnection)
 		delete(p.connections, oldest.address)
 		oldest.evicted = true
-		if oldest.users == 0 {
+		if oldest.inUse == 0 {
 			closeConnection(oldest)
 		}
 	}
 }
 
-func (p *Pool) release(conn *pooled) {
+func (p *Pool) release(conn *pooledConnection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	conn.users--
-	if conn.evicted && conn.users == 0 {
+	conn.inUse--
+	if conn.evicted && conn.inUse == 0 {
 		closeConnection(conn)
 	}
 }
 
-// Close closes every connection.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -164,8 +162,8 @@
 	p.recent.Init()
 }
 
-func closeConnection(conn *pooled) {
-	// Closing a client connection fails only when it is closed already.
+func closeConnection(conn *pooledConnection) {
+	// Close fails only if the connection is already closed.
 	if err := conn.connection.Close(); err != nil {
 		return
 	}
--- a/internal/leaf/leafclient/leafclient_test.go
+++ b/internal/leaf/leafclient/leafclient_test.go
@@ -13,7 +13,7 @@
 	leafv1 "github.com/portgauge/portgauge/gen/portgauge/leaf/v1"
 )
 
-// countingLeaf counts the attempts that it gets.
+// countingLeaf counts the attempts that it runs.
 type countingLeaf struct {
 	leafv1.UnimplementedLeafServiceServer
 	ran chan struct{}
@@ -26,16 +26,16 @@
 
 func serveLeaf(t *testing.T, listener net.Listener) *countingLeaf {
 	t.Helper()
-	served := &countingLeaf{ran: make(chan struct{}, 100)}
+	leaf := &countingLeaf{ran: make(chan struct{}, 100)}
 	server := grpc.NewServer()
-	leafv1.RegisterLeafServiceServer(server, served)
+	leafv1.RegisterLeafServiceServer(server, leaf)
 	go func() {
 		if err := server.Serve(listener); err != nil {
 			return
 		}
 	}()
 	t.Cleanup(server.Stop)
-	return served
+	return leaf
 }
 
 func listen(t *testing.T) net.Listener {
@@ -47,7 +47,7 @@
 	return listener
 }
 
-func TestRefusedConnectionIsProofThatNothingWasSent(t *testing.T) {
+func TestRefusedConnectionIsNeverSent(t *testing.T) {
 	is := is.New(t)
 	listener := listen(t)
 	is.NoErr(listener.Close())
@@ -58,7 +58,7 @@
 	is.True(errors.As(err, &neverSent))
 }
 
-// cuttingListener returns connections that close after a number of bytes were read from them.
+// cuttingListener returns connections that close after the given number of bytes was read from them.
 type cuttingListener struct {
 	net.Listener
 	after int
@@ -69,50 +69,50 @@
 	if err != nil {
 		return nil, err
 	}
-	return &cutConnection{Conn: connection, left: l.after}, nil
+	return &cuttingConnection{Conn: connection, remaining: l.after}, nil
 }
 
-type cutConnection struct {
+type cuttingConnection struct {
 	net.Conn
-	left int
+	remaining int
 }
 
-func (c *cutConnection) Read(buffer []byte) (int, error) {
-	if c.left <= 0 {
+func (c *cuttingConnection) Read(buffer []byte) (int, error) {
+	if c.remaining <= 0 {
 		return 0, errors.Join(net.ErrClosed, c.Close())
 	}
-	size, err := c.Conn.Read(buffer[:min(len(buffer), c.left)])
-	c.left -= size
+	size, err := c.Conn.Read(buffer[:min(len(buffer), c.remaining)])
+	c.remaining -= size
 	return size, err
 }
 
-// Wherever the connection is lost in what the node sends, an attempt that reached the
-// leaf is never reported as never sent.
-func TestLossAtEachByteIsNeverCalledNeverSent(t *testing.T) {
+// If the connection is lost at any byte of the request, an attempt that reached the leaf is not reported as never sent
+// and does not run twice.
+func TestAttemptThatReachedLeafIsNotReportedNeverSent(t *testing.T) {
 	const longest = 420
 	for after := 0; after < longest; after += 7 {
 		listener := listen(t)
-		served := serveLeaf(t, &cuttingListener{Listener: listener, after: after})
+		leaf := serveLeaf(t, &cuttingListener{Listener: listener, after: after})
 		pool := New(DefaultConfig())
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		_, err := pool.SearchShard(ctx, listener.Addr().String(), &leafv1.SearchShardRequest{Identity: &leafv1.AttemptIdentity{RequestId: "request"}})
 		cancel()
 		pool.Close()
 		var neverSent *NeverSentError
-		if errors.As(err, &neverSent) && len(served.ran) > 0 {
+		if errors.As(err, &neverSent) && len(leaf.ran) > 0 {
 			t.Fatalf("cut after %d bytes: the leaf ran an attempt that was reported as never sent: %v", after, err)
 		}
-		if len(served.ran) > 1 {
-			t.Fatalf("cut after %d bytes: the attempt ran %d times", after, len(served.ran))
+		if len(leaf.ran) > 1 {
+			t.Fatalf("cut after %d bytes: the attempt ran %d times", after, len(leaf.ran))
 		}
 	}
 }
 
-func TestConnectionsAreBounded(t *testing.T) {
+func TestConnectionsStayWithinMaximum(t *testing.T) {
 	is := is.New(t)
-	config := DefaultConfig()
-	config.MaximumConnections = 2
-	pool := New(config)
+	cfg := DefaultConfig()
+	cfg.MaximumConnections = 2
+	pool := New(cfg)
 	defer pool.Close()
 	for range 4 {
 		listener := listen(t)
--- a/internal/leaf/leafclient/send_observer.go
+++ b/internal/leaf/leafclient/send_observer.go
@@ -10,8 +10,8 @@
 	"google.golang.org/grpc/stats"
 )
 
-// connectParameters reconnect to a lost leaf soon, since its replacement uses the same address.
-var connectParameters = grpc.ConnectParams{
+// connectParams uses a short backoff, since the replacement of a lost leaf uses the same address.
+var connectParams = grpc.ConnectParams{
 	Backoff: backoff.Config{
 		BaseDelay:  50 * time.Millisecond,
 		Multiplier: 1.6,
@@ -23,21 +23,19 @@
 
 type sendRecordKey struct{}
 
-// sendRecord records whether the headers of an attempt were handed to a connection. Before
-// that, the leaf can't have got the attempt.
+// sendRecord records whether the headers of an attempt were passed to a connection. Before that, the leaf can't have
+// received the attempt.
 type sendRecord struct {
 	headers atomic.Bool
 }
 
-// sendObserver sets the sendRecord of each attempt by the events of the gRPC library.
+// sendObserver is a stats handler that updates the sendRecord of each attempt.
 type sendObserver struct{}
 
 var _ stats.Handler = sendObserver{}
 
-// TagRPC implements stats.Handler.
 func (sendObserver) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context { return ctx }
 
-// HandleRPC implements stats.Handler.
 func (sendObserver) HandleRPC(ctx context.Context, event stats.RPCStats) {
 	if _, isHeader := event.(*stats.OutHeader); !isHeader {
 		return
@@ -47,8 +45,6 @@
 	}
 }
 
-// TagConn implements stats.Handler.
 func (sendObserver) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context { return ctx }
 
-// HandleConn implements stats.Handler.
 func (sendObserver) HandleConn(context.Context, stats.ConnStats) {}
--- a/internal/leaf/leafgossip/config.go
+++ b/internal/leaf/leafgossip/config.go
@@ -7,21 +7,21 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
-// Config limits what a node sends to others about leafs.
+// Config limits the observations of leafs that a node sends to other nodes.
 type Config struct {
-	// Fanout is how many random nodes get each batch; 0 disables sending.
+	// Fanout is the number of random nodes to which each batch is sent; 0 disables sending.
 	Fanout int `yaml:"fanout"`
-	// BatchDelay is how long an observation waits for others to be sent with it.
+	// BatchDelay is how long an observation waits for other observations to be sent in the same batch.
 	BatchDelay time.Duration `yaml:"batch_delay"`
-	// BytesPerSecond is the maximum rate of sending, including headers. Anything beyond is dropped: it would
-	// be outdated by the time it could be sent.
+	// BytesPerSecond is the maximum rate of sending, including headers. Batches beyond it are dropped, since they would
+	// be outdated by the time they could be sent.
 	BytesPerSecond int `yaml:"bytes_per_second"`
-	// BurstBytes is how much may be sent at once after an idle time.
+	// BurstBytes is the maximum amount that may be sent at once after an idle period.
 	BurstBytes int `yaml:"burst_bytes"`
 }
 
-// DefaultConfig leaves three quarters of the 2 KB a second that a node may use for control messages to membership and
-// configuration.
+// DefaultConfig returns settings that leave three quarters of a node's budget for control messages, 2 KB per second, to
+// membership and configuration.
 func DefaultConfig() Config {
 	return Config{Fanout: 8, BatchDelay: 15 * time.Millisecond, BytesPerSecond: 500, BurstBytes: 16000}
 }
@@ -32,6 +32,6 @@
 	checks.Refuse(c.Fanout < 0, "fanout", "must not be negative")
 	checks.Refuse(c.BatchDelay < 0, "batch_delay", "must not be negative")
 	checks.Refuse(c.BytesPerSecond < 1, "bytes_per_second", "must be positive")
-	checks.Refuse(c.BurstBytes < peer.MaximumDatagram, "burst_bytes", "must be at least %d, a whole datagram", peer.MaximumDatagram)
+	checks.Refuse(c.BurstBytes < peer.MaximumDatagram, "burst_bytes", "must be at least %d, the maximum size of a datagram", peer.MaximumDatagram)
 	return checks.Err()
 }
--- a/internal/leaf/leafgossip/leafgossip.go
+++ b/internal/leaf/leafgossip/leafgossip.go
@@ -1,13 +1,13 @@
-// Package leafgossip announces to other nodes which leafs this node observed to become slow, silent or healthy, so that a
-// fleet learns it within a few requests.
+// Package leafgossip sends observations of leafs that are slow, silent or healthy again to other nodes, so that the
+// fleet detects such a change within a few requests.
 //
-// A node that asks a leaf once a second needs many seconds to distinguish a slow leaf from a slow
-// request; all nodes together ask it often enough. Each node announces only its own observations, to a
-// few random nodes, within a limit of bytes a second: the traffic grows with the requests, and nothing
-// is forwarded. A lost message is not repeated: the next observation replaces it.
+// A node that sends one request per second to a leaf needs many seconds to distinguish a slow leaf from a slow request,
+// but all nodes together send enough requests. Each node sends only its own observations, to a few random nodes, within
+// a limit of bytes per second. The traffic grows with the number of requests, and nothing is forwarded. A lost message
+// is not retransmitted, since the next observation replaces it.
 //
-// A Gossip owns the queue of observations, which package balancer makes and handles; its Run is a goroutine of the node.
-// Messages are datagrams of package peer. It returns no errors: what can't be sent is dropped.
+// A Gossip owns the queue of observations, which package balancer creates and handles. Its Run is a goroutine of the
+// node. Messages are datagrams of package peer. The package returns no errors: messages that can't be sent are dropped.
 package leafgossip
 
 import (
@@ -22,29 +22,29 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// maximumPending bounds the observations that wait, and those of one datagram.
+// maximumPending is the maximum number of queued observations, which are sent in one datagram.
 const maximumPending = 128
 
 // envelopeBytes is the approximate size of a datagram without its observations.
 const envelopeBytes = 100
 
-// Nodes returns the peer addresses of random nodes of the fleet.
+// Nodes provides the peer addresses of random nodes of the fleet.
 type Nodes interface {
-	// Others returns up to n distinct addresses, without this node's own.
+	// Others returns up to n distinct addresses, excluding this node's own.
 	Others(n int) []string
 }
 
-// Sender sends datagrams to nodes; peer.Transport implements it.
+// Sender sends datagrams to nodes. It is implemented by peer.Transport.
 type Sender interface {
 	Send(address string, message peer.Message)
 }
 
-// Gossip sends and receives observations of leafs; safe for concurrent use.
+// Gossip sends and receives observations of leafs. It is safe for concurrent use.
 type Gossip struct {
 	cfg    Config
 	nodes  Nodes
 	sender Sender
-	// handle is called with each observation of other nodes.
+	// handle is called for each observation of another node.
 	handle func(balancer.Observation)
 	budget *rate.Limiter
 
@@ -53,7 +53,7 @@
 	wake    chan struct{}
 }
 
-// New returns a Gossip; nothing is sent until Run is called.
+// New returns a Gossip, which sends nothing until Run is called.
 func New(cfg Config, nodes Nodes, sender Sender, handle func(balancer.Observation)) *Gossip {
 	return &Gossip{
 		cfg: cfg, nodes: nodes, sender: sender, handle: handle,
@@ -63,7 +63,8 @@
 	}
 }
 
-// Enqueue queues an observation; a newer one of the same leaf replaces it. It never blocks.
+// Enqueue queues an observation, replacing a queued one of the same leaf. The observation is dropped if the queue is
+// full. Enqueue never blocks.
 func (g *Gossip) Enqueue(o balancer.Observation) {
 	if g.cfg.Fanout == 0 {
 		return
@@ -79,7 +80,7 @@
 	}
 }
 
-// Run sends the queued observations in batches, until the context ends.
+// Run sends the queued observations in batches until the context ends.
 func (g *Gossip) Run(ctx context.Context) {
 	for {
 		select {
@@ -90,28 +91,28 @@
 		if !wait.For(ctx, g.cfg.BatchDelay) {
 			return
 		}
-		g.send(g.take())
+		g.send(g.drain())
 	}
 }
 
-// take empties the queue.
-func (g *Gossip) take() []balancer.Observation {
+// drain empties the queue and returns its observations.
+func (g *Gossip) drain() []balancer.Observation {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	seen := make([]balancer.Observation, 0, len(g.pending))
+	observations := make([]balancer.Observation, 0, len(g.pending))
 	for _, o := range g.pending {
-		seen = append(seen, o)
+		observations = append(observations, o)
 	}
 	clear(g.pending)
-	return seen
+	return observations
 }
 
-// send sends observations to as many random nodes as the budget allows.
-func (g *Gossip) send(seen []balancer.Observation) {
-	if len(seen) == 0 {
+// send sends observations to up to Config.Fanout random nodes, as far as the budget allows.
+func (g *Gossip) send(observations []balancer.Observation) {
+	if len(observations) == 0 {
 		return
 	}
-	message := peer.Message{LeafReports: pack(seen)}
+	message := peer.Message{LeafReports: pack(observations)}
 	size := envelopeBytes + base64Bytes(len(message.LeafReports))
 	now := time.Now()
 	for _, address := range g.nodes.Others(g.cfg.Fanout) {
@@ -122,10 +123,10 @@
 	}
 }
 
-// base64Bytes is the length of n bytes in base64.
+// base64Bytes returns the length of n bytes in base64.
 func base64Bytes(n int) int { return (n + 2) / 3 * 4 }
 
-// Handle handles the observations of another node.
+// Handle decodes the observations of another node and passes them on.
 func (g *Gossip) Handle(reports peer.LeafReports) {
 	for _, o := range unpack(reports) {
 		g.handle(o)
--- a/internal/leaf/leafgossip/leafgossip_test.go
+++ b/internal/leaf/leafgossip/leafgossip_test.go
@@ -17,7 +17,7 @@
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
 )
 
-// fleet returns n addresses.
+// fleet is a number of nodes with generated addresses.
 type fleet int
 
 func (f fleet) Others(n int) []string {
@@ -28,7 +28,7 @@
 	return addresses
 }
 
-// recorder records what is sent.
+// recorder records the messages that are sent.
 type recorder struct {
 	mu   sync.Mutex
 	sent []peer.Message
@@ -46,30 +46,29 @@
 	return len(r.sent)
 }
 
-// Packed observations keep the leaf's key, and its values to within a unit; no positive value becomes
-// zero.
-func TestPackKeepsObservations(t *testing.T) {
+// Packing preserves the leaf's key, and the values to within a unit. No positive value becomes zero.
+func TestPackRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		seen := balancer.Observation{
+		observation := balancer.Observation{
 			Leaf:     balancer.LeafKey(rapid.Uint32().Draw(t, "leaf")),
 			Slowness: rapid.Float64Range(0, 30).Draw(t, "slowness"),
 			Silence:  time.Duration(rapid.Int64Range(0, int64(5*time.Second)).Draw(t, "silence")),
 		}
-		got := unpack(append(pack([]balancer.Observation{seen, seen}), 1, 2))
-		if len(got) != 2 || got[0] != got[1] || got[0].Leaf != seen.Leaf {
-			t.Fatalf("got %v of %v", got, seen)
+		unpacked := unpack(append(pack([]balancer.Observation{observation, observation}), 1, 2))
+		if len(unpacked) != 2 || unpacked[0] != unpacked[1] || unpacked[0].Leaf != observation.Leaf {
+			t.Fatalf("unpacked %v, want two of %v", unpacked, observation)
 		}
-		if math.Abs(got[0].Slowness-seen.Slowness) > slownessUnit || (seen.Slowness > 0) != (got[0].Slowness > 0) {
-			t.Fatalf("slowness %v of %v", got[0].Slowness, seen.Slowness)
+		if math.Abs(unpacked[0].Slowness-observation.Slowness) > slownessUnit || (observation.Slowness > 0) != (unpacked[0].Slowness > 0) {
+			t.Fatalf("unpacked slowness %v, want %v within a unit", unpacked[0].Slowness, observation.Slowness)
 		}
-		if (got[0].Silence-seen.Silence).Abs() > silenceUnit || (seen.Silence > 0) != (got[0].Silence > 0) {
-			t.Fatalf("silence %v of %v", got[0].Silence, seen.Silence)
+		if (unpacked[0].Silence-observation.Silence).Abs() > silenceUnit || (observation.Silence > 0) != (unpacked[0].Silence > 0) {
+			t.Fatalf("unpacked silence %v, want %v within a unit", unpacked[0].Silence, observation.Silence)
 		}
 	})
 }
 
-// The observations of one node reach others in one batch, with the newest of each leaf.
-func TestObservationsAreHeard(t *testing.T) {
+// The observations of a node are sent in one batch that contains the newest observation of each leaf.
+func TestObservationsAreBatchedAndReceived(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -81,17 +80,17 @@
 		g.Enqueue(balancer.Observation{Leaf: 8, Silence: time.Second})
 		time.Sleep(time.Second)
 		is.Equal(sent.count(), 3)
-		heard := map[balancer.LeafKey]balancer.Observation{}
-		other := New(DefaultConfig(), fleet(0), sent, func(o balancer.Observation) { heard[o.Leaf] = o })
+		received := map[balancer.LeafKey]balancer.Observation{}
+		other := New(DefaultConfig(), fleet(0), sent, func(o balancer.Observation) { received[o.Leaf] = o })
 		other.Handle(sent.sent[0].LeafReports)
-		is.Equal(heard, map[balancer.LeafKey]balancer.Observation{7: {Leaf: 7, Slowness: 4}, 8: {Leaf: 8, Silence: time.Second}})
+		is.Equal(received, map[balancer.LeafKey]balancer.Observation{7: {Leaf: 7, Slowness: 4}, 8: {Leaf: 8, Silence: time.Second}})
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// However much is observed, the bytes sent stay within the limit, and every datagram fits.
-func TestBytesAreBounded(t *testing.T) {
+// At any rate of observations, the bytes sent stay within the budget, and no datagram exceeds the maximum size.
+func TestSentBytesStayWithinBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/leaf/leafgossip/report.go
+++ b/internal/leaf/leafgossip/report.go
@@ -9,41 +9,41 @@
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
 )
 
-// packedBytes is the size of a packed observation: 4 bytes for the leaf's key, 1 for its slowness and 1 for its silence.
-// Messages must be small, since fleets have thousands of nodes and leafs.
-const packedBytes = 6
+// packedObservationBytes is the size of a packed observation: 4 bytes for the leaf's key, 1 byte for its slowness and 1
+// byte for its silence. Messages must be small, since fleets have thousands of nodes and leafs.
+const packedObservationBytes = 6
 
-// Units of the packed values; larger values are limited to the maximum of a byte.
+// Units of the packed values. Values beyond the maximum of a byte are clamped.
 const (
 	slownessUnit = 0.125
 	silenceUnit  = 20 * time.Millisecond
 )
 
 // pack encodes observations.
-func pack(seen []balancer.Observation) peer.LeafReports {
-	packed := make([]byte, 0, len(seen)*packedBytes)
-	for _, o := range seen {
+func pack(observations []balancer.Observation) peer.LeafReports {
+	packed := make([]byte, 0, len(observations)*packedObservationBytes)
+	for _, o := range observations {
 		packed = binary.BigEndian.AppendUint32(packed, uint32(o.Leaf))
 		packed = append(packed, toByte(o.Slowness/slownessUnit), toByte(float64(o.Silence)/float64(silenceUnit)))
 	}
 	return packed
 }
 
-// unpack decodes observations; an incomplete one at the end is ignored.
+// unpack decodes observations. An incomplete observation at the end is ignored.
 func unpack(packed peer.LeafReports) []balancer.Observation {
-	seen := make([]balancer.Observation, 0, len(packed)/packedBytes)
-	for len(packed) >= packedBytes {
-		seen = append(seen, balancer.Observation{
+	observations := make([]balancer.Observation, 0, len(packed)/packedObservationBytes)
+	for len(packed) >= packedObservationBytes {
+		observations = append(observations, balancer.Observation{
 			Leaf:     balancer.LeafKey(binary.BigEndian.Uint32(packed)),
 			Slowness: float64(packed[4]) * slownessUnit,
 			Silence:  time.Duration(packed[5]) * silenceUnit,
 		})
-		packed = packed[packedBytes:]
+		packed = packed[packedObservationBytes:]
 	}
-	return seen
+	return observations
 }
 
-// toByte rounds up, so that no positive value becomes zero.
+// toByte rounds a value up to a byte, so that no positive value becomes zero, and clamps it to the range of a byte.
 func toByte(value float64) byte {
 	return byte(min(max(math.Ceil(value), 0), math.MaxUint8))
 }
