--- a/internal/leaf/balancer/balancer.go
+++ b/internal/leaf/balancer/balancer.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// AttemptLate handles an attempt at a leaf that is late. If the leaf is silent, other nodes are notified.
+// AttemptLate handles a late attempt at a leaf. If the leaf is silent, other nodes are notified.
 func (b *Balancer) AttemptLate(leafID string) {
 	b.mu.RLock()
 	leaf, found := b.leafs[leafID]
--- a/internal/leaf/leafhttp/leafhttp.go
+++ b/internal/leaf/leafhttp/leafhttp.go
@@ -4,9 +4,10 @@
 // request. A connection is reused only if no bytes follow the answer. The package never retries: its typed errors tell
 // the caller whether the leaf may have run the request.
 //
-// A Pool owns a node's connections, one reading goroutine per connection, and the checks whether a leaf's process has
-// exited. Package connshare determines the maximum number of connections, which is passed in each Target. Idle times
-// are measured with the runtime's clock, which stops while the machine is suspended; see Pool.Resumed.
+// A Pool owns a node's connections, one reading goroutine per connection, and the checks that determine whether a
+// leaf's process has exited. Package connshare determines the maximum number of connections, which is passed in each
+// Target. Idle times are measured with the runtime's clock, which stops while the machine is suspended; see
+// Pool.Resumed.
 package leafhttp
 
 import (
--- a/internal/leaf/leafset/editor.go
+++ b/internal/leaf/leafset/editor.go
@@ -48,7 +48,8 @@
 }
 
 // Put adds a leaf or replaces the leaf with the same name. A replaced leaf that was another incarnation is not recorded
-// as lost, because its process has ended. A lost leaf may only be unlisted temporarily and can still get requests.
+// as lost, because its process has ended. Lost leafs can still get requests, since they may only be unlisted
+// temporarily.
 func (e *Editor) Put(leaf *Leaf) {
 	known := e.drop(leaf.Name)
 	switch {
