--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -1,8 +1,8 @@
-// Package rollout defines how the requests of a service move from the leafs of one version to those of another: the
-// operators' spec, the fleet's state of carrying it out, and the rule for each node that follows from both.
+// Package rollout defines how the requests of a service move from the leafs of one version to the leafs of another: the
+// spec that operators write, the state of the roll-out in the fleet, and the rule that each node derives from both.
 //
-// The package keeps no state and does no I/O. Specs and states are keys of the store, each with the revision that
-// wrote it. A node derives its rule from both as of the revision that it has in force.
+// The package keeps no state and does no I/O. Specs and states are stored under keys of the store, each with the
+// revision that wrote it. A node derives its rule from the configuration revision that it has in force.
 package rollout
 
 import (
@@ -15,107 +15,106 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// Spec asks that the requests of a service move to the leafs of a version.
+// Spec requests a roll-out: the requests of a service move to the leafs of the target version.
 type Spec struct {
 	Service string `json:"service"`
 	// Target is the version to move to.
 	Target string `json:"target"`
-	// DurationMillis is how long the roll-out may take after the spec was accepted.
+	// DurationMillis is the maximum duration of the roll-out, counted from the acceptance of the spec.
 	DurationMillis int64 `json:"duration_millis"`
-	// Revision is the store's revision that wrote the spec.
+	// Revision is the store revision that wrote the spec.
 	Revision int64 `json:"-"`
-	// id is that of the earlier spec that this one repeats, 0 if there is none.
+	// id is the ID of the earlier spec that this one repeats, 0 if there is none.
 	id int64
 }
 
-// ID identifies the spec among those of its service: the store's count at its first write. It stays the same when
-// the store is restored and operators write the same spec again.
-func (o *Spec) ID() int64 {
-	if o.id != 0 {
-		return o.id
+// ID identifies the spec among the specs of its service. It is the store's count at the first write of the spec, and
+// stays the same when operators write the same spec again after a restore of the store.
+func (s *Spec) ID() int64 {
+	if s.id != 0 {
+		return s.id
 	}
-	return revision.Count(o.Revision)
+	return revision.Count(s.Revision)
 }
 
-// Duration returns how long the roll-out may take.
-func (o *Spec) Duration() time.Duration { return time.Duration(o.DurationMillis) * time.Millisecond }
+func (s *Spec) Duration() time.Duration { return time.Duration(s.DurationMillis) * time.Millisecond }
 
-// maxDurationMillis is the longest duration of a spec in milliseconds, limited by time.Duration.
+// maxDurationMillis is the longest duration that time.Duration can hold, in milliseconds.
 const maxDurationMillis = math.MaxInt64 / int64(time.Millisecond)
 
 // Validate returns an error that names every invalid field.
-func (o *Spec) Validate() error {
+func (s *Spec) Validate() error {
 	var checks failure.Checks
-	checks.Refuse(o.Service == "", "service", "must not be empty")
-	checks.Refuse(o.Target == "", "target", "must not be empty")
-	checks.Refuse(o.DurationMillis <= 0, "duration_millis", "must be positive")
-	checks.Refuse(o.DurationMillis > maxDurationMillis, "duration_millis", "must be at most %d", maxDurationMillis)
+	checks.Refuse(s.Service == "", "service", "must not be empty")
+	checks.Refuse(s.Target == "", "target", "must not be empty")
+	checks.Refuse(s.DurationMillis <= 0, "duration_millis", "must be positive")
+	checks.Refuse(s.DurationMillis > maxDurationMillis, "duration_millis", "must be at most %d", maxDurationMillis)
 	return checks.Err()
 }
 
-// ParseSpec reads and validates a spec in JSON that was written at a revision.
+// ParseSpec decodes and validates a JSON spec that was written at revision at.
 func ParseSpec(content []byte, at int64) (*Spec, error) {
 	spec := &Spec{Revision: at}
 	if err := json.Unmarshal(content, spec); err != nil {
-		return nil, failure.Invalid("rollout", "not a roll-out order: %v", err)
+		return nil, failure.Invalid("rollout", "invalid rollout spec: %v", err)
 	}
 	return spec, spec.Validate()
 }
 
-// InheritID gives the spec the id of the one in force before it if it is the same spec, written again after a
-// restore of the store.
-func (o *Spec) InheritID(before *Spec) {
-	if before == nil || !revision.IsLater(o.Revision, before.Revision) {
+// InheritID sets the spec's ID to the ID of the spec in force before it if both are the same spec, written again
+// after a restore of the store.
+func (s *Spec) InheritID(before *Spec) {
+	if before == nil || !revision.IsLater(s.Revision, before.Revision) {
 		return
 	}
-	if o.Target == before.Target && o.DurationMillis == before.DurationMillis {
-		o.id = before.ID()
+	if s.Target == before.Target && s.DurationMillis == before.DurationMillis {
+		s.id = before.ID()
 	}
 }
 
-// Phase is how far a roll-out is.
+// Phase is the phase of a roll-out.
 type Phase string
 
-// The phases. The last two are final: only another spec follows on them.
+// The phases. Succeeded and RolledBack are final: they last until another spec is written.
 const (
-	// Canary sends the target a bounded share of the requests, to evaluate it.
+	// Canary sends a bounded share of the requests to the target, which is evaluated meanwhile.
 	Canary Phase = "canary"
-	// Switching moves all requests to the target, which was found good.
+	// Switching moves all requests to the target, which passed evaluation.
 	Switching Phase = "switching"
-	// Succeeded means that the target serves, and the version before it gets nothing more.
+	// Succeeded means that the target serves, and that the previous version receives no requests.
 	Succeeded Phase = "succeeded"
-	// RolledBack means that the target gets nothing.
+	// RolledBack means that the target receives no requests.
 	RolledBack Phase = "rolled_back"
 )
 
-// IsFinal reports whether no phase follows.
+// IsFinal reports whether no other phase of the roll-out follows.
 func (p Phase) IsFinal() bool { return p == Succeeded || p == RolledBack }
 
-// State is how far the fleet is with a spec. It is replaced by compare-and-swap only, on condition that the spec
-// is unchanged.
+// State is the progress of a roll-out in the fleet. It is replaced only by compare-and-swap, on condition that the
+// spec is unchanged.
 type State struct {
 	Service string `json:"service"`
 	// SpecRevision is the store's count at which the spec was written.
 	SpecRevision int64 `json:"order_revision"`
 	Phase        Phase `json:"phase"`
-	// Serving is the version that served before the spec, and continues to unless the spec succeeds.
+	// Serving is the version that served before the spec. It continues to serve unless the roll-out succeeds.
 	Serving string `json:"serving"`
 	Target  string `json:"target"`
-	// StartedUnixMillis is when the writer of the spec's first state learned of the spec, by its wall clock.
+	// StartedUnixMillis is the wall-clock time at which the writer of the spec's first state learned of the spec.
 	StartedUnixMillis int64 `json:"started_unix_millis"`
 	// Reason explains the phase in one sentence, with figures.
 	Reason string `json:"reason,omitempty"`
-	// DecidedBy is the id of the node that wrote the state.
+	// DecidedBy is the ID of the node that wrote the state.
 	DecidedBy string `json:"decided_by,omitempty"`
-	// Revision is the store's revision that wrote the state.
+	// Revision is the store revision that wrote the state.
 	Revision int64 `json:"-"`
 }
 
-// ParseState reads and validates a state in JSON that was written at a revision.
+// ParseState decodes and validates a JSON state that was written at revision at.
 func ParseState(content []byte, at int64) (*State, error) {
 	state := &State{Revision: at}
 	if err := json.Unmarshal(content, state); err != nil {
-		return nil, failure.Invalid("rollout_state", "not the state of a roll-out: %v", err)
+		return nil, failure.Invalid("rollout_state", "invalid rollout state: %v", err)
 	}
 	var checks failure.Checks
 	checks.Refuse(state.Service == "", "service", "must not be empty")
@@ -123,8 +122,8 @@
 	return state, checks.Err()
 }
 
-// BelongsTo reports whether the state is of a spec. A state from before a restore of the store belongs to the spec
-// for the same version that operators wrote again after it.
+// BelongsTo reports whether the state belongs to a spec. A state from before a restore of the store belongs to the
+// spec for the same version that operators wrote again after the restore.
 func (s *State) BelongsTo(spec *Spec) bool {
 	if spec == nil || s.Target != spec.Target {
 		return false
@@ -133,7 +132,7 @@
 	return count == spec.ID() || count == revision.Count(spec.Revision) || revision.IsLater(spec.Revision, s.Revision)
 }
 
-// ServingVersion returns the version that serves by the state.
+// ServingVersion returns the version that serves according to the state.
 func (s *State) ServingVersion() string {
 	if s.Phase == Succeeded {
 		return s.Target
@@ -141,18 +140,18 @@
 	return s.Serving
 }
 
-// Versions are the versions that serve the services without a roll-out, as the fleet stored them when it first saw
-// their leafs. Another version that appears beside the stored one gets nothing without a spec.
+// Versions are the serving versions of the services that had no roll-out, as the fleet stored them when their leafs
+// first registered. Another version receives no requests without a spec.
 type Versions struct {
 	// ByVersion lists the services that each version serves; each service occurs once.
 	ByVersion map[string][]string `json:"by_version"`
 }
 
-// ParseVersions reads versions in JSON, and returns the version by service.
+// ParseVersions decodes JSON versions and returns the version by service.
 func ParseVersions(content []byte) (map[string]string, error) {
 	var versions Versions
 	if err := json.Unmarshal(content, &versions); err != nil {
-		return nil, failure.Invalid("service_versions", "not the versions of services: %v", err)
+		return nil, failure.Invalid("service_versions", "invalid service versions: %v", err)
 	}
 	byService := map[string]string{}
 	for version, services := range versions.ByVersion {
@@ -163,33 +162,33 @@
 	return byService, nil
 }
 
-// Rule decides which versions of a service may get requests; the zero rule allows all.
+// Rule decides which versions of a service may receive requests. The zero Rule allows all.
 type Rule struct {
-	// Serving is the version that serves; empty means any but Canary and Disallowed.
+	// Serving is the version that serves. If it is empty, all versions but Canary and Disallowed serve.
 	Serving string
-	// Disallowed is the version that was rolled back or withdrawn, if Serving is empty; otherwise all versions but
-	// Serving and Canary are disallowed.
+	// Disallowed is the version that was rolled back or withdrawn while Serving is empty. If Serving is set, all
+	// versions but Serving and Canary are disallowed.
 	Disallowed string
-	// ExcludesUnversioned says that leafs without a version are those that served before Serving, and get nothing.
+	// ExcludesUnversioned means that leafs without a version served before Serving, and receive no requests now.
 	ExcludesUnversioned bool
-	// Canary is the version that is rolled out, the target of the spec under way; empty if there is none.
+	// Canary is the version being rolled out, the target of the active spec; empty if there is none.
 	Canary string
-	// Phase is Canary or Switching while there is a Canary, else empty.
+	// Phase is Canary or Switching while there is a canary version, else empty.
 	Phase Phase
-	// SpecID is the id of the spec under way, 0 if there is none.
+	// SpecID is the ID of the active spec, 0 if there is none.
 	SpecID int64
-	// Revision is that of the state that the rule follows from, 0 where there is none yet.
+	// Revision is the revision of the state that the rule is derived from, 0 if there is none yet.
 	Revision int64
 }
 
 // RuleOf derives the rule of a service from its spec and state, each nil if there is none, and the stored serving
-// version, empty if there is none. It is the only place that does.
+// version, empty if there is none. All rules are derived here.
 //
 // A final state decides which version serves. A spec without a final state of its own makes its target the canary, in
-// phase canary until a state says otherwise. If only leafs without a version served, the rule bars the target that was
-// rolled back, or excludes those leafs once a version has replaced them.
-func RuleOf(spec *Spec, state *State, written string) Rule {
-	rule := Rule{Serving: written}
+// phase Canary until a state sets another. If only leafs without a version served, the rule disallows a target that was
+// rolled back, or excludes those leafs after a version has replaced them.
+func RuleOf(spec *Spec, state *State, storedVersion string) Rule {
+	rule := Rule{Serving: storedVersion}
 	if state != nil {
 		rule.Serving, rule.Revision = state.ServingVersion(), state.Revision
 	}
@@ -216,20 +215,20 @@
 	return rule
 }
 
-// WithDefaultServing returns the rule with the version that was there first as the serving one, unless the rule names
-// one. A spec for that version has nothing left to do.
-func (r Rule) WithDefaultServing(first string) Rule {
-	if r.Serving != "" || first == "" || r.Disallowed == first {
+// WithDefaultServing returns the rule with a default serving version, which applies unless the rule has a serving
+// version or disallows the default. A spec whose target is the default has no effect.
+func (r Rule) WithDefaultServing(version string) Rule {
+	if r.Serving != "" || version == "" || r.Disallowed == version {
 		return r
 	}
-	if r.Canary == first {
-		return Rule{Serving: first, Revision: r.Revision}
+	if r.Canary == version {
+		return Rule{Serving: version, Revision: r.Revision}
 	}
-	r.Serving, r.Disallowed = first, ""
+	r.Serving, r.Disallowed = version, ""
 	return r
 }
 
-// IsServing reports whether a version serves by the rule. Leafs without a version serve unless the rule excludes
+// IsServing reports whether a version serves under the rule. Leafs without a version serve unless the rule excludes
 // them.
 func (r Rule) IsServing(version string) bool {
 	if version == "" {
@@ -238,5 +237,5 @@
 	return version == r.Serving || r.Serving == "" && version != r.Canary && version != r.Disallowed
 }
 
-// IsCanary reports whether a version is the canary by the rule.
+// IsCanary reports whether a version is the canary under the rule.
 func (r Rule) IsCanary(version string) bool { return version != "" && version == r.Canary }
