--- a/internal/rollout/canary/budget.go
+++ b/internal/rollout/canary/budget.go
@@ -6,45 +6,46 @@
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
 )
 
-// The slack is released between these parts of a spec's duration: a version gets the load of its share before it gets
-// more, and what the slack shows is known before the time is over.
+// The slack is released linearly between these fractions of a spec's duration: after the canary has received its share
+// for a while, and early enough to evaluate the additional answers before the deadline.
 const (
 	slackFrom  = 0.25
 	slackUntil = 0.5
 )
 
-// onceShare is the share of the slack that repeatable requests leave to requests that must run at most once, if there
-// are any: a version must show itself on their routes before it is found good. A larger share would take evidence from
-// the other routes.
+// onceShare is the fraction of the slack that is reserved for requests that must run at most once, if there are any:
+// a canary needs answers on their routes to pass evaluation. A larger fraction would leave too little evidence for the
+// other routes.
 const onceShare = 0.25
 
-// rampFraction is the largest fraction of a spec's duration that the ramp takes: a version found good on little evidence
-// has only a quarter left, in which the verdict is written and the nodes are asked, too.
+// rampFraction is the largest fraction of a spec's duration that the ramp takes. A version that passes evaluation on
+// little evidence has only a quarter of the duration left, which must also cover writing the verdict and querying the
+// nodes.
 const rampFraction = 0.1
 
-// focusTurns is the number of leafs that bounded decisions go to, one after the other, during a spec.
+// focusTurns is the number of turns during a spec; in each turn bounded decisions prefer the next leaf.
 const focusTurns = 12
 
-// budget is how many requests this node may send to the canary version of one spec. The lock of the splitter
-// guards it.
+// budget limits the requests that this node sends to the canary version of one spec. It is guarded by Splitter.mu.
 type budget struct {
 	specID int64
-	// learnedAt is when this node learned of the spec, switchedAt when it learned that the version was found good;
-	// zero before.
+	// learnedAt is when this node learned of the spec. switchedAt is when it learned that the version has passed
+	// evaluation, zero before.
 	learnedAt, switchedAt time.Time
 	duration              time.Duration
-	// fleetShare is this node's share of the fleet's slack, 0 to 1; it only decreases.
+	// fleetShare is this node's share of the fleet's slack, 0 to 1. It never increases.
 	fleetShare float64
-	// start is a random fraction of a request that the budget starts with, so that of many nodes with one request
-	// each some send it to the version, not all or none.
+	// start is the initial credit, a random fraction of a request. Of many nodes with one request each, it makes some
+	// send the request to the canary instead of all or none.
 	start float64
-	// requests counts the requests since the spec was learned of; repeatable and once of them went to the version.
+	// requests counts all requests since the node learned of the spec. repeatable and once count those that were sent
+	// to the canary.
 	requests, repeatable, once int64
-	// hasOnce says that this node got a request that must run at most once.
+	// hasOnce reports whether this node has received a request that must run at most once.
 	hasOnce bool
 }
 
-// elapsed returns the fraction of the spec's duration that is over, 1 or more after its end.
+// elapsed returns the elapsed fraction of the spec's duration, 1 or more after its end.
 func (b *budget) elapsed(now time.Time) float64 {
 	return float64(now.Sub(b.learnedAt)) / float64(b.duration)
 }
@@ -52,11 +53,11 @@
 // isOver reports whether the spec's duration has ended.
 func (b *budget) isOver(now time.Time) bool { return b.elapsed(now) >= 1 }
 
-// hasRoom decides whether one more request may go to a version that is not yet found good.
+// hasRoom reports whether one more request may go to a canary that has not passed evaluation yet.
 //
-// A repeatable request may if all requests sent there stay within Used times Share of this node's requests, plus the
-// slack released so far, less what is reserved for requests that must run at most once. A request that must run at
-// most once may from the middle of the spec on, within the slack that the others left.
+// A repeatable request may go there if all requests sent to the canary stay within Used times Share of this node's
+// requests, plus the slack released so far, minus the reserve for requests that must run at most once. A request that
+// must run at most once may go there in the second half of the spec, within the slack that repeatable requests left.
 func (b *budget) hasRoom(cfg Config, once bool, now time.Time) bool {
 	share := cfg.Used * cfg.Share * float64(b.requests)
 	slack := cfg.Used * cfg.Slack * b.fleetShare
@@ -70,8 +71,7 @@
 	return float64(b.once+1) <= left+b.start
 }
 
-// reservedForOnce returns the share of the released slack that repeatable requests leave to requests that must run at
-// most once.
+// reservedForOnce returns the part of the released slack that is reserved for requests that must run at most once.
 func (b *budget) reservedForOnce(slack float64, now time.Time) float64 {
 	if !b.hasOnce {
 		return 0
@@ -79,21 +79,21 @@
 	return max(0, onceShare*slack*b.releasedSlack(now)-float64(b.once))
 }
 
-// releasedSlack returns the part of the slack, 0 to 1, that may be used by now.
+// releasedSlack returns the fraction of the slack, 0 to 1, that has been released.
 func (b *budget) releasedSlack(now time.Time) float64 {
 	return min(1, max(0, (b.elapsed(now)-slackFrom)/(slackUntil-slackFrom)))
 }
 
-// count counts a request sent to the version, or, with -1, takes one back.
-func (b *budget) count(once bool, by int64) {
+// count adds delta to the number of requests sent to the canary.
+func (b *budget) count(once bool, delta int64) {
 	if once {
-		b.once += by
+		b.once += delta
 		return
 	}
-	b.repeatable += by
+	b.repeatable += delta
 }
 
-// focusOrder returns leafs in the order in which they are tried now.
+// focusOrder returns leafs in the order of preference for the current turn.
 func (b *budget) focusOrder(leafs []*leafset.Leaf, now time.Time) []*leafset.Leaf {
 	if len(leafs) == 0 {
 		return nil
--- a/internal/rollout/canary/config.go
+++ b/internal/rollout/canary/config.go
@@ -1,11 +1,11 @@
 // Package canary decides, for one node, which requests of a service go to the leafs of a canary version.
 //
-// A version that is not yet found good gets a bounded share of the requests. Each node keeps the bound by counting
-// its own requests, without messages. Once the version was found good, each node moves all of its requests to it
-// within a short ramp, and reports when it has nothing in flight at the version that served before.
+// Until a canary version has passed evaluation it receives a bounded share of the requests. Each node enforces the bound
+// by counting its own requests, without messages. After the version has passed, each node moves all of its requests to
+// it within a short ramp, and reports when it has no attempt in flight at the previous version.
 //
-// A Splitter owns the counts of the specs in force and the attempts in flight; it starts no goroutine. It relies on
-// the catalog for rules and specs, on the list of the fleet's nodes for its share of the slack, and on a clock that counts
+// A Splitter owns the counts of the specs in force and the attempts in flight. It starts no goroutine. It depends on the
+// catalog for rules and specs, on the registered nodes for this node's share of the slack, and on a clock that counts
 // suspended time.
 package canary
 
@@ -17,22 +17,24 @@
 
 // Config sets the share of requests for a canary version.
 type Config struct {
-	// Share is the part of a service's requests, 0 to 1, that a version not yet found good may get.
+	// Share is the fraction of a service's requests, 0 to 1, that a canary version may receive before it has passed
+	// evaluation.
 	Share float64 `yaml:"share"`
-	// Slack is the number of requests of a service that it may get beyond the share during one spec, over the whole
-	// fleet.
+	// Slack is the number of requests of a service that the canary version may receive beyond the share during one
+	// roll-out, over the whole fleet.
 	Slack float64 `yaml:"slack"`
-	// Used is the part of both bounds that is used, 0 to 1; the rest covers what nodes cannot see.
+	// Used is the fraction of both bounds that the nodes use, 0 to 1. The rest is a margin for what a node cannot count.
 	Used float64 `yaml:"used"`
-	// Ramp is how long a node takes to move its requests to a version that was found good; shorter for short specs.
+	// Ramp is how long a node takes to move its requests to a version that has passed evaluation. It is shorter for
+	// roll-outs of short duration.
 	Ramp time.Duration `yaml:"ramp"`
-	// ConfirmedWithin is the longest time since the configuration was last confirmed as the newest for which a node
-	// goes beyond the share.
+	// ConfirmedWithin is the maximum time since the configuration was last confirmed as the newest. A node whose
+	// configuration is older does not exceed the share.
 	ConfirmedWithin time.Duration `yaml:"confirmed_within"`
 }
 
-// DefaultConfig gives a canary version a tenth of the requests. ConfirmedWithin lies above the age of the
-// configuration at a healthy node, so that the move of the requests does not lapse there.
+// DefaultConfig sends a tenth of the requests to a canary version. ConfirmedWithin exceeds the age of the configuration
+// at a healthy node, so that the ramp does not lapse there.
 func DefaultConfig() Config {
 	return Config{Share: 0.1, Used: 0.8, Ramp: 2 * time.Second, ConfirmedWithin: 6 * time.Second}
 }
--- a/internal/rollout/canary/fixture_test.go
+++ b/internal/rollout/canary/fixture_test.go
@@ -12,85 +12,85 @@
 )
 
 const (
-	before = "v1"
-	target = "v2"
-	lasts  = 60 * time.Second
+	previous     = "v1"
+	target       = "v2"
+	specDuration = 60 * time.Second
 )
 
-// fataler is what testing.T and rapid.T have in common.
+// fataler is the common interface of testing.T and rapid.T.
 type fataler interface {
 	Helper()
 	Fatal(args ...any)
 }
 
-// site is a configuration with a service s of two versions, with its own clock.
-type site struct {
-	t     fataler
-	known *catalog.Catalog
-	clock time.Time
+// fixture is a catalog with a service "s" of two versions, and a manual clock.
+type fixture struct {
+	t       fataler
+	catalog *catalog.Catalog
+	clock   time.Time
 }
 
-func newSite(t fataler) *site {
-	known := catalog.New(func(key string, err error) { t.Fatal(key, err) })
-	known.EnableRollouts()
-	built := &site{t: t, known: known, clock: time.Now()}
-	built.put(catalog.VersionsKey, rollout.Versions{ByVersion: map[string][]string{before: {"s"}}})
-	for _, version := range []string{before, target} {
+func newFixture(t fataler) *fixture {
+	nodeCatalog := catalog.New(func(key string, err error) { t.Fatal(key, err) })
+	nodeCatalog.EnableRollouts()
+	f := &fixture{t: t, catalog: nodeCatalog, clock: time.Now()}
+	f.put(catalog.VersionsKey, rollout.Versions{ByVersion: map[string][]string{previous: {"s"}}})
+	for _, version := range []string{previous, target} {
 		for index := range 3 {
-			built.putLeaf(version, index, leafset.Ready)
+			f.putLeaf(version, index, leafset.Ready)
 		}
 	}
-	return built
+	return f
 }
 
-func (s *site) putLeaf(version string, index int, state leafset.State) {
+func (f *fixture) putLeaf(version string, index int, state leafset.State) {
 	id := leafID(version, index)
-	s.put(catalog.LeafKey(id), leafset.Record{Name: id, Service: "s", Address: "127.0.0.1:1", Version: version, State: state})
+	f.put(catalog.LeafKey(id), leafset.Record{Name: id, Service: "s", Address: "127.0.0.1:1", Version: version, State: state})
 }
 
 func leafID(version string, index int) string { return fmt.Sprintf("%s-%d", version, index) }
 
-// put writes a document, or removes the key if it is nil, and returns the revision.
-func (s *site) put(key string, document any) int64 {
-	s.t.Helper()
+// put writes a document, or deletes the key if the document is nil, and returns the revision.
+func (f *fixture) put(key string, document any) int64 {
+	f.t.Helper()
 	var content json.RawMessage
 	if document != nil {
 		content, _ = json.Marshal(document)
 	}
 	wrapped, err := catalog.NewDocument("", content, nil)
 	if err != nil {
-		s.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	revision := s.known.Revision() + 1
+	revision := f.catalog.Revision() + 1
 	entry := catalog.Entry{Key: key, Value: wrapped, Revision: revision, Deleted: document == nil}
-	s.known.Apply(catalog.Change{Entry: entry, Previous: revision - 1})
-	s.known.Confirm(s.clock)
+	f.catalog.Apply(catalog.Change{Entry: entry, Previous: revision - 1})
+	f.catalog.Confirm(f.clock)
 	return revision
 }
 
-func (s *site) startRollout() int64 { return s.startRolloutFor(lasts) }
+func (f *fixture) startRollout() int64 { return f.startRolloutFor(specDuration) }
 
-func (s *site) startRolloutFor(duration time.Duration) int64 {
-	return s.put(catalog.RolloutKey("s"), rollout.Spec{Service: "s", Target: target, DurationMillis: duration.Milliseconds()})
+func (f *fixture) startRolloutFor(duration time.Duration) int64 {
+	return f.put(catalog.RolloutKey("s"), rollout.Spec{Service: "s", Target: target, DurationMillis: duration.Milliseconds()})
 }
 
-func (s *site) phase(specID int64, phase rollout.Phase) int64 {
-	return s.put(catalog.RolloutStateKey("s"), rollout.State{Service: "s", SpecRevision: specID, Phase: phase, Serving: before, Target: target})
+func (f *fixture) phase(specID int64, phase rollout.Phase) int64 {
+	return f.put(catalog.RolloutStateKey("s"), rollout.State{Service: "s", SpecRevision: specID, Phase: phase, Serving: previous, Target: target})
 }
 
-// pass advances the clock, with the configuration confirmed.
-func (s *site) pass(time time.Duration) {
-	s.clock = s.clock.Add(time)
-	s.known.Confirm(s.clock)
+// advance advances the clock and confirms the configuration.
+func (f *fixture) advance(duration time.Duration) {
+	f.clock = f.clock.Add(duration)
+	f.catalog.Confirm(f.clock)
 }
 
-func (s *site) splitter(cfg Config, fleet Fleet) *Splitter {
-	made := New(cfg, s.known, fleet)
-	made.now = func() time.Time { return s.clock }
-	return made
+func (f *fixture) splitter(cfg Config, fleet Fleet) *Splitter {
+	splitter := New(cfg, f.catalog, fleet)
+	splitter.now = func() time.Time { return f.clock }
+	return splitter
 }
 
-// decide decides n times and returns how many requests went to the canary version.
+// decide makes n decisions and returns how many of them select the canary.
 func decide(s *Splitter, n int, once bool) int {
 	forCanary := 0
 	for range n {
@@ -101,11 +101,11 @@
 	return forCanary
 }
 
-// one is a fleet of a single node with a settable share.
-type one struct{ share float64 }
+// fakeFleet is a fleet with a settable share; a share of 0 means that the node is not registered.
+type fakeFleet struct{ share float64 }
 
-func (o *one) Share(bool) float64 { return o.share }
-func (o *one) IsRegistered() bool { return o.share > 0 }
+func (f *fakeFleet) Share(bool) float64 { return f.share }
+func (f *fakeFleet) IsRegistered() bool { return f.share > 0 }
 
 func config(slack float64) Config {
 	cfg := DefaultConfig()
@@ -113,22 +113,22 @@
 	return cfg
 }
 
-// started returns a site whose node was there before the spec.
-func started(t *testing.T, slack float64) (*site, *Splitter, int64) {
+// newRollout returns a fixture with a spec that was written after the node had started.
+func newRollout(t *testing.T, slack float64) (*fixture, *Splitter, int64) {
 	t.Helper()
-	built := newSite(t)
-	splitter := built.splitter(config(slack), &one{1})
+	f := newFixture(t)
+	splitter := f.splitter(config(slack), &fakeFleet{1})
 	splitter.random = func() float64 { return 0 }
-	specID := built.startRollout()
+	specID := f.startRollout()
 	splitter.Refresh()
-	return built, splitter, specID
+	return f, splitter, specID
 }
 
-// startedFor is like started, without slack, for a spec of a duration.
-func startedFor(t *testing.T, duration time.Duration) (*site, *Splitter, int64) {
+// newRolloutFor is like newRollout, without slack and with the given duration.
+func newRolloutFor(t *testing.T, duration time.Duration) (*fixture, *Splitter, int64) {
 	t.Helper()
-	built, splitter, _ := started(t, 0)
-	specID := built.startRolloutFor(duration)
+	f, splitter, _ := newRollout(t, 0)
+	specID := f.startRolloutFor(duration)
 	splitter.Refresh()
-	return built, splitter, specID
+	return f, splitter, specID
 }
--- a/internal/rollout/canary/inflight.go
+++ b/internal/rollout/canary/inflight.go
@@ -9,35 +9,36 @@
 // versionKey identifies a version of a service.
 type versionKey struct{ service, version string }
 
-// inFlight counts the attempts in flight; the zero value counts none. Only versions with any are kept.
+// inFlight counts the attempts in flight delta version. The zero value is ready to use. Versions without attempts are not
+// stored.
 type inFlight struct {
 	mu     sync.Mutex
 	counts map[versionKey]int
 }
 
-// AttemptStarted counts an attempt that is about to be made. It must be called before MaySend is checked for it.
+// AttemptStarted counts an attempt as in flight. It must be called before MaySend is called for the attempt.
 func (s *Splitter) AttemptStarted(service, version string) {
 	s.inFlight.add(versionKey{service, version}, 1)
 }
 
-// AttemptEnded ends the count of an attempt.
+// AttemptEnded counts an attempt as no longer in flight.
 func (s *Splitter) AttemptEnded(service, version string) {
 	s.inFlight.add(versionKey{service, version}, -1)
 }
 
-func (f *inFlight) add(key versionKey, by int) {
+func (f *inFlight) add(key versionKey, delta int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.counts == nil {
 		f.counts = map[versionKey]int{}
 	}
-	if f.counts[key] += by; f.counts[key] == 0 {
+	if f.counts[key] += delta; f.counts[key] == 0 {
 		delete(f.counts, key)
 	}
 }
 
-// anyBeside reports whether attempts are in flight at leafs of a service that are not of the given version.
-func (f *inFlight) anyBeside(service, version string) bool {
+// anyExcept reports whether attempts are in flight at leafs of a service of any version but the given one.
+func (f *inFlight) anyExcept(service, version string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for key := range f.counts {
@@ -48,9 +49,10 @@
 	return false
 }
 
-// SettledRevision returns the revision in force if this node sends nothing by an older rule any more and has nothing
-// in flight by one: for each version found good the ramp has ended, and no attempt is in flight at leafs of the
-// version that served before. Otherwise it returns one less than the lowest revision that is not settled.
+// SettledRevision returns the revision up to which this node is settled: it sends no requests under older rules and has
+// none in flight. For each version that passed evaluation the ramp must have ended, and no attempt may be in flight at
+// leafs of the previous version. If all rules are settled, that is the revision in force. Otherwise it is one less than
+// the lowest revision that is not settled.
 func (s *Splitter) SettledRevision() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,8 +67,8 @@
 	return settled
 }
 
-// isSettled reports whether nothing of a service goes to, or is in flight at, the version that served. Attempts are
-// counted before their last check, so that none can begin after the ramp has ended. The lock must be held.
+// isSettled reports whether no request of a service is sent to, or in flight at, the previous version. Attempts are
+// counted before MaySend is checked, so that none can start uncounted after the ramp. s.mu must be held.
 func (s *Splitter) isSettled(service string, rule rollout.Rule, budget *budget) bool {
-	return s.stage(service, rule, budget, s.now()) == moved && !s.inFlight.anyBeside(service, rule.Canary)
+	return s.stage(service, rule, budget, s.now()) == moved && !s.inFlight.anyExcept(service, rule.Canary)
 }
--- a/internal/rollout/canary/splitter.go
+++ b/internal/rollout/canary/splitter.go
@@ -12,44 +12,44 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// Versions selects versions of a service.
+// Versions selects versions of a service by their role in a roll-out.
 type Versions int
 
 // The versions.
 const (
-	// Serving is the version that serves.
+	// Serving selects the serving version.
 	Serving Versions = iota
-	// Target is the canary version.
+	// Target selects the canary version.
 	Target
-	// Both are the version that serves and the canary.
+	// Both selects the serving and the canary version.
 	Both
 )
 
-// Request is a request whose first attempt is about to be made.
+// Request is a request before its first attempt.
 type Request struct {
 	Service string
-	// Once says that the request must run at most once.
+	// Once means that the request must run at most once.
 	Once bool
-	// Unserved says that no healthy leaf of the serving version can take the request. It reaches the service only if it
-	// is drawn for the canary version, so it does not increase that version's share.
+	// Unserved means that no healthy leaf of the serving version can take the request. Such a request is served only if
+	// it is sent to the canary version, so it does not increase that version's share.
 	Unserved bool
 }
 
-// Decision is the decision where the first attempt of a request goes.
+// Decision selects the version for the first attempt of a request.
 type Decision struct {
 	// First is Serving or Target.
 	First Versions
-	// IsBounded says that the attempt uses the bounded share: it goes to the first usable leaf by FocusOrder.
+	// IsBounded means that the attempt counts against the bounded share. It goes to the first usable leaf in FocusOrder.
 	IsBounded bool
-	// spec is the spec of a bounded decision.
+	// specID is the ID of the spec of a bounded decision.
 	specID int64
 }
 
-// Fleet is what a node must know of the others; registry.Fleet is the real one.
+// Fleet describes the registered nodes. It is implemented by registry.Fleet.
 type Fleet interface {
-	// Share returns this node's share, 0 to 1, of a bound that all nodes share, for requests that are gathered or not.
+	// Share returns this node's share, 0 to 1, of a bound on gathered or other requests that is common to all nodes.
 	Share(gathered bool) float64
-	// IsRegistered reports whether the other nodes know this one.
+	// IsRegistered reports whether this node is registered.
 	IsRegistered() bool
 }
 
@@ -63,32 +63,31 @@
 	inFlight inFlight
 
 	mu sync.Mutex
-	// startRevision is the revision of the first configuration seen; 0 before it.
+	// startRevision is the revision of the first configuration, 0 before it.
 	startRevision int64
 	budgets       map[string]*budget // by service
-	// aborts are the highest specs that were stopped, by service; a spec below it was replaced.
+	// aborts are the highest IDs of aborted specs, by service. Specs with lower IDs have been replaced.
 	aborts map[string]int64
-	// abortsRevision is the revision at which old aborts were last dropped; 0 before the first configuration.
+	// abortsRevision is the revision at which old aborts were last dropped, 0 before the first configuration.
 	abortsRevision int64
 }
 
-// New returns the splitter of a node.
-func New(cfg Config, known *catalog.Catalog, fleet Fleet) *Splitter {
+func New(cfg Config, nodeCatalog *catalog.Catalog, fleet Fleet) *Splitter {
 	s := &Splitter{
-		cfg: cfg, catalog: known, fleet: fleet, now: time.Now, random: rand.Float64,
+		cfg: cfg, catalog: nodeCatalog, fleet: fleet, now: time.Now, random: rand.Float64,
 		budgets: map[string]*budget{}, aborts: map[string]int64{},
 	}
 	s.Refresh()
 	return s
 }
 
-// SetClock sets the clock by which specs, ramps and the age of the configuration are measured. It must be the
-// catalog's: by another a machine that was suspended would trust an old rule. It must be called before the catalog
-// has any state.
+// SetClock sets the clock that measures specs, ramps and the age of the configuration. It must be the catalog's clock:
+// with another one, a machine that was suspended would rely on an outdated rule. SetClock must be called before the
+// catalog has any state.
 func (s *Splitter) SetClock(clock boottime.Clock) { s.now = clock.Now }
 
-// Refresh picks up the specs in force, whose durations begin for this node when it learns of them. It is to be
-// called whenever the configuration has changed.
+// Refresh loads the specs in force. For this node the duration of a spec begins when Refresh first finds it. Refresh
+// must be called after each change of the configuration.
 func (s *Splitter) Refresh() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,9 +107,9 @@
 
 // Decide decides which version the first attempt of a request goes to, and counts the request.
 //
-// Before a version is found good, it gets the request if it has a leaf and the budget has room. During the
-// ramp it gets the request with a probability that rises from Share to 1; after it, always. A drawn request counts as
-// sent.
+// Until the canary has passed evaluation, it receives the request if it has a leaf and the budget has room. During the
+// ramp it receives the request with a probability that rises from Share to 1, and afterwards always. A request that is
+// decided for the canary counts as sent.
 func (s *Splitter) Decide(request Request) Decision {
 	service := request.Service
 	if s.catalog.View().Leafs.Rule(service).Canary == "" {
@@ -139,7 +138,7 @@
 	return Decision{First: Target}
 }
 
-// isForCanary decides whether the first attempt of a request goes to the canary version. The lock must be held.
+// isForCanary reports whether the first attempt of a request goes to the canary version. s.mu must be held.
 func (s *Splitter) isForCanary(view *catalog.View, request Request, stage stage, budget *budget, now time.Time) bool {
 	switch stage {
 	case moved:
@@ -154,7 +153,7 @@
 	return false
 }
 
-// Refund takes back a bounded decision by which nothing was sent. The request itself stays counted.
+// Refund returns a bounded decision to the budget if the attempt was not sent. The request itself stays counted.
 func (s *Splitter) Refund(request Request, decision Decision) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -163,8 +162,8 @@
 	}
 }
 
-// FocusOrder returns leafs of the canary version, sorted by id, in the order in which bounded decisions try them. At
-// any time all nodes try the same leaf first, so that single leafs get the load of full service.
+// FocusOrder returns leafs of the canary version, sorted by ID, in the order in which bounded decisions try them. At any
+// time all nodes try the same leaf first, so that this leaf receives the load of full service.
 func (s *Splitter) FocusOrder(service string, leafs []*leafset.Leaf) []*leafset.Leaf {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -175,8 +174,8 @@
 	return budget.focusOrder(leafs, s.now())
 }
 
-// RetryVersions returns the versions that attempts after the first, or without a decision, may go to now. Before the ramp
-// that is the serving version only.
+// RetryVersions returns the versions that retries, and attempts without a decision, may go to now. Before the ramp that
+// is only the serving version.
 func (s *Splitter) RetryVersions(service string) Versions {
 	switch s.stageNow(service) {
 	case ramping:
@@ -188,11 +187,11 @@
 	return Serving
 }
 
-// IsCanaryOpen reports whether the canary version may get any request now.
+// IsCanaryOpen reports whether the canary version may receive requests now.
 func (s *Splitter) IsCanaryOpen(service string) bool { return s.stageNow(service) != stopped }
 
-// MaySend reports whether a leaf may be sent a request now, by its version. Attempts planned earlier are checked by it
-// again just before they are sent. An unknown leaf may not.
+// MaySend reports whether the version of a leaf may receive requests now. Each attempt is checked again immediately
+// before it is sent. MaySend returns false for an unknown leaf.
 func (s *Splitter) MaySend(leafID string) bool {
 	view := s.catalog.View()
 	leaf, found := find(view, leafID)
@@ -209,7 +208,7 @@
 	return rule.IsServing(leaf.Version) && s.stageNow(leaf.Service) != moved
 }
 
-// find returns a leaf that is known, or was until a moment ago.
+// find returns a registered, lost or remembered leaf.
 func find(view *catalog.View, id string) (*leafset.Leaf, bool) {
 	if leaf, found := view.Leafs.ByID(id); found {
 		return leaf, true
@@ -220,7 +219,7 @@
 	return view.Remembered.ByID(id)
 }
 
-// view returns the configuration in force. The lock must be held, so that no older one is used after a newer.
+// view returns the configuration in force. s.mu must be held, so that no older configuration is used after a newer one.
 func (s *Splitter) view() *catalog.View {
 	view := s.catalog.View()
 	if s.startRevision == 0 {
@@ -229,7 +228,7 @@
 	return view
 }
 
-// budget returns the budget of the spec in force for a service. The lock must be held.
+// budget returns the budget of the spec in force for a service, and creates it if necessary. s.mu must be held.
 func (s *Splitter) budget(view *catalog.View, service string, rule rollout.Rule) *budget {
 	budget, found := s.budgets[service]
 	if !found || budget.specID != rule.SpecID {
@@ -242,29 +241,28 @@
 	return budget
 }
 
-// newBudget returns the budget of a spec that this node learns of. A node that found the spec in force when it
-// started does not know what its earlier process spent of the slack, and gets none. Without slack there is no random
-// start either.
+// newBudget returns the budget of a spec. If the spec was already in force when this node started, the node has no slack
+// and no initial credit, because its earlier process may have spent them.
 func (s *Splitter) newBudget(view *catalog.View, service string, rule rollout.Rule) *budget {
-	begun := &budget{specID: rule.SpecID, learnedAt: s.now(), duration: time.Nanosecond}
+	created := &budget{specID: rule.SpecID, learnedAt: s.now(), duration: time.Nanosecond}
 	if spec := view.Rollouts[service].Spec; spec != nil {
-		begun.duration = spec.Duration()
+		created.duration = spec.Duration()
 	}
 	if s.cfg.Slack > 0 && rule.SpecID > revision.Count(s.startRevision) && s.fleet.IsRegistered() {
-		begun.fleetShare, begun.start = s.fleetShare(view, service), s.random()
+		created.fleetShare, created.start = s.fleetShare(view, service), s.random()
 	}
-	return begun
+	return created
 }
 
-// lowerFleetShare lowers the node's share of the slack when the fleet grows. While the others don't know this node it
-// has no share to compare with.
+// lowerFleetShare lowers the node's share of the slack when the fleet grows. The share stays the same while the node is
+// not registered.
 func (s *Splitter) lowerFleetShare(view *catalog.View, service string, budget *budget) {
 	if budget.fleetShare > 0 && s.fleet.IsRegistered() {
 		budget.fleetShare = min(budget.fleetShare, s.fleetShare(view, service))
 	}
 }
 
-// fleetShare returns this node's share of the slack of a service, which depends on whether any route gathers it.
+// fleetShare returns this node's share of the slack of a service. It depends on whether any route gathers the service.
 func (s *Splitter) fleetShare(view *catalog.View, service string) float64 {
 	return s.fleet.Share(view.Routes != nil && view.Routes.IsGathered(service))
 }
--- a/internal/rollout/canary/stage.go
+++ b/internal/rollout/canary/stage.go
@@ -7,22 +7,22 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// stage is how far this node is with a spec.
+// stage is this node's progress with a spec.
 type stage int
 
 // The stages.
 const (
-	// stopped means that the canary version gets nothing: there is none, its spec is aborted, or its time is over.
+	// stopped means that no canary receives requests: there is none, its spec is aborted, or its duration has ended.
 	stopped stage = iota
-	// bounded means that it gets the bounded share, of first attempts only.
+	// bounded means that the canary receives the bounded share, and only first attempts.
 	bounded
-	// ramping means that requests move to it.
+	// ramping means that requests are moving to the canary.
 	ramping
-	// moved means that it gets everything, the version that served nothing.
+	// moved means that the canary receives all requests, and the previous version none.
 	moved
 )
 
-// stageNow returns the stage of the spec of a service.
+// stageNow returns the current stage of the spec of a service.
 func (s *Splitter) stageNow(service string) stage {
 	if s.catalog.View().Leafs.Rule(service).Canary == "" {
 		return stopped
@@ -37,11 +37,11 @@
 	return s.stage(service, rule, s.budget(view, service, rule), s.now())
 }
 
-// stage decides how far this node is with a spec, by the spec's phase, the time since this node learned of it, and
-// the time since the configuration was confirmed as the newest. An aborted spec is stopped. A version found good ramps
-// up and then gets everything, but only while the configuration was confirmed within ConfirmedWithin: otherwise the
-// verdict may have been revoked, and the bound applies again. After the spec's duration an undecided version gets
-// nothing. The lock must be held.
+// stage returns this node's stage of a spec. It depends on the spec's phase, on the time since this node learned of the
+// spec, and on the age of the configuration. An aborted spec is stopped. In phase Switching the canary ramps up and then
+// receives all requests, but only while the configuration was confirmed within ConfirmedWithin: otherwise the verdict may
+// have been revoked, and the bound applies again. After the spec's duration an undecided canary receives no requests.
+// s.mu must be held.
 func (s *Splitter) stage(service string, rule rollout.Rule, budget *budget, now time.Time) stage {
 	switch {
 	case rule.SpecID <= s.aborts[service]:
@@ -57,21 +57,21 @@
 	return bounded
 }
 
-// Ramp returns how long the nodes take to move the requests of a spec of a duration to a version found good.
+// Ramp returns how long the nodes take to move all requests, for a spec with the given duration.
 func (s *Splitter) Ramp(duration time.Duration) time.Duration {
 	return min(s.cfg.Ramp, time.Duration(rampFraction*float64(duration)))
 }
 
-// ramp returns the part of the requests, rising from Share to 1, that goes to a version found good.
+// ramp returns the fraction of the requests that goes to the canary during the ramp. It rises from Share to 1.
 func (s *Splitter) ramp(budget *budget, now time.Time) float64 {
-	over := float64(now.Sub(budget.switchedAt)) / float64(s.Ramp(budget.duration))
-	return s.cfg.Share + (1-s.cfg.Share)*over
+	progress := float64(now.Sub(budget.switchedAt)) / float64(s.Ramp(budget.duration))
+	return s.cfg.Share + (1-s.cfg.Share)*progress
 }
 
-// maxAborts bounds the services whose aborts are kept, well above those that a fleet moves at once.
+// maxAborts bounds the services with a stored abort. It is far above the number of simultaneous roll-outs.
 const maxAborts = 4096
 
-// Abort stops the canary version of a spec for good, whatever the configuration says about it.
+// Abort permanently stops the canary version of a spec, whatever the phase in the configuration.
 func (s *Splitter) Abort(service string, specID int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -81,8 +81,8 @@
 	}
 }
 
-// dropOldAborts drops aborts of specs that were replaced or withdrawn. Aborts of specs that this node has not learned
-// of yet stay, except after a restore of the store, when lost specs' ids are given to others. The lock must be held.
+// dropOldAborts drops aborts of specs that were replaced or withdrawn. It keeps aborts of specs that this node has not
+// learned of yet, except after a restore of the store, which reuses the IDs of lost specs. s.mu must be held.
 func (s *Splitter) dropOldAborts() {
 	view := s.view()
 	isRestored := s.abortsRevision != 0 && revision.IsLater(view.Revision, s.abortsRevision)
--- a/internal/rollout/canary/stage_test.go
+++ b/internal/rollout/canary/stage_test.go
@@ -13,219 +13,220 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// may returns for each of the versions whether a leaf of it may be sent a request now.
-func may(s *Splitter) string {
-	return fmt.Sprintf("%v %v", s.MaySend(leafID(before, 0)), s.MaySend(leafID(target, 0)))
+// maySend returns MaySend for a leaf of the serving version and for a leaf of the canary.
+func maySend(s *Splitter) string {
+	return fmt.Sprintf("%v %v", s.MaySend(leafID(previous, 0)), s.MaySend(leafID(target, 0)))
 }
 
-// Without a spec only the serving version gets requests.
-func TestWithoutAnOrderOneVersionServes(t *testing.T) {
+// Without a spec only the serving version receives requests.
+func TestWithoutSpecOnlyServingVersionGetsRequests(t *testing.T) {
 	is := is.New(t)
-	built := newSite(t)
-	splitter := built.splitter(config(50), &one{1})
+	f := newFixture(t)
+	splitter := f.splitter(config(50), &fakeFleet{1})
 	is.Equal(decide(splitter, 100, false), 0)
 	is.Equal(splitter.RetryVersions("s"), Serving)
-	is.Equal(may(splitter), "true false")
+	is.Equal(maySend(splitter), "true false")
 	is.True(!splitter.IsCanaryOpen("s") && !splitter.MaySend("unknown"))
 	is.Equal(len(splitter.budgets), 0)
 }
 
-// After the spec's duration by this node's clock the version gets nothing more, not even attempts planned before.
-func TestNothingGoesToCanaryAfterTheSpecsTime(t *testing.T) {
+// After the spec's duration, measured by this node, the canary receives no requests, not even attempts planned earlier.
+func TestNoRequestGoesToCanaryAfterSpecDuration(t *testing.T) {
 	is := is.New(t)
-	built, splitter, _ := started(t, 0)
-	built.pass(lasts - 1)
+	f, splitter, _ := newRollout(t, 0)
+	f.advance(specDuration - 1)
 	is.Equal(decide(splitter, 100, false), 8)
-	is.Equal(may(splitter), "true true")
-	built.pass(1)
+	is.Equal(maySend(splitter), "true true")
+	f.advance(1)
 	is.Equal(decide(splitter, 100, false), 0)
-	is.Equal(may(splitter), "true false")
+	is.Equal(maySend(splitter), "true false")
 }
 
-// The duration of a spec begins when a node learns of it, not with its first request.
-func TestTimeBeginsWhenTheOrderIsLearnedOf(t *testing.T) {
+// The duration of a spec begins when the node learns of it, not with the first request.
+func TestDurationBeginsWhenSpecIsLearned(t *testing.T) {
 	is := is.New(t)
-	built, splitter, _ := started(t, 0)
-	built.pass(lasts)
+	f, splitter, _ := newRollout(t, 0)
+	f.advance(specDuration)
 	is.Equal(decide(splitter, 100, false), 0)
 }
 
-// An aborted spec is stopped in each phase, also before it is known; another spec for the same version is not.
-func TestAbortIsOfOneSpecAndStays(t *testing.T) {
+// An abort stops one spec permanently, in each phase and even if it arrives before the spec. It does not stop another spec
+// for the same version.
+func TestAbortStopsOneSpecPermanently(t *testing.T) {
 	is := is.New(t)
-	built, splitter, specID := started(t, 50)
+	f, splitter, specID := newRollout(t, 50)
 	splitter.Abort("s", specID)
 	is.Equal(decide(splitter, 100, false), 0)
-	is.Equal(may(splitter), "true false")
-	built.phase(specID, rollout.Switching)
-	built.pass(time.Hour)
+	is.Equal(maySend(splitter), "true false")
+	f.phase(specID, rollout.Switching)
+	f.advance(time.Hour)
 	is.Equal(decide(splitter, 100, false), 0)
 	is.Equal(splitter.RetryVersions("s"), Serving)
-	is.Equal(may(splitter), "true false")
+	is.Equal(maySend(splitter), "true false")
 	splitter.Abort("s", specID-1)
-	is.Equal(may(splitter), "true false")
+	is.Equal(maySend(splitter), "true false")
 
-	next := built.startRollout()
+	next := f.startRollout()
 	splitter.Refresh()
 	is.Equal(len(splitter.aborts), 0)
-	is.Equal(may(splitter), "true true")
+	is.Equal(maySend(splitter), "true true")
 	splitter.Abort("s", next+1)
 	splitter.Refresh()
-	is.Equal(may(splitter), "true false") // the one before it is replaced
-	built.startRollout()
+	is.Equal(maySend(splitter), "true false") // the abort of the next spec also stops this one
+	f.startRollout()
 	is.Equal(decide(splitter, 100, false), 0)
 }
 
-// Aborts of services without a spec are dropped, and more than the bound are not kept.
+// At most maxAborts aborts are stored, and aborts of services without a spec are dropped.
 func TestAbortsAreBounded(t *testing.T) {
 	is := is.New(t)
-	built, splitter, specID := started(t, 50)
+	f, splitter, specID := newRollout(t, 50)
 	for index := range 2 * maxAborts {
 		splitter.Abort(fmt.Sprint(index), specID+1)
 	}
 	is.Equal(len(splitter.aborts), maxAborts)
-	built.put(catalog.EvacuationKey("z"), struct{}{})
+	f.put(catalog.EvacuationKey("z"), struct{}{})
 	splitter.Refresh()
 	is.Equal(len(splitter.aborts), 0)
 }
 
-// A spec that is withdrawn leaves the version no requests and no budget.
-func TestOrderTakenBack(t *testing.T) {
+// After a spec is withdrawn the canary receives no requests and its budget is dropped.
+func TestSpecWithdrawn(t *testing.T) {
 	is := is.New(t)
-	built, splitter, _ := started(t, 50)
-	is.Equal(may(splitter), "true true")
-	built.put(catalog.RolloutKey("s"), nil)
-	is.Equal(may(splitter), "true false")
+	f, splitter, _ := newRollout(t, 50)
+	is.Equal(maySend(splitter), "true true")
+	f.put(catalog.RolloutKey("s"), nil)
+	is.Equal(maySend(splitter), "true false")
 	is.Equal(decide(splitter, 100, false), 0)
 	splitter.Refresh()
 	is.Equal(len(splitter.budgets), 0)
 }
 
-// A version found good gets everything within the ramp, and the one before it nothing after that.
-func TestRampMovesEverything(t *testing.T) {
+// In phase switching the canary receives all requests by the end of the ramp, and the previous version none.
+func TestRampMovesAllRequests(t *testing.T) {
 	is := is.New(t)
-	built, splitter, specID := started(t, 0)
-	chance := 0.0
-	splitter.random = func() float64 { return chance }
-	built.phase(specID, rollout.Switching)
+	f, splitter, specID := newRollout(t, 0)
+	random := 0.0
+	splitter.random = func() float64 { return random }
+	f.phase(specID, rollout.Switching)
 	splitter.Refresh()
 	is.Equal(splitter.RetryVersions("s"), Both)
 	for _, step := range []struct {
 		fraction float64
 		share    float64
 	}{{0, 0.1}, {0.5, 0.55}, {0.9, 0.91}} {
-		built.clock = splitter.budgets["s"].switchedAt.Add(time.Duration(step.fraction * float64(2*time.Second)))
-		chance = step.share - 0.001
+		f.clock = splitter.budgets["s"].switchedAt.Add(time.Duration(step.fraction * float64(2*time.Second)))
+		random = step.share - 0.001
 		is.Equal(splitter.Decide(Request{Service: "s"}), Decision{First: Target})
-		chance = step.share + 0.001
+		random = step.share + 0.001
 		is.Equal(splitter.Decide(Request{Service: "s"}), Decision{})
-		is.Equal(may(splitter), "true true")
+		is.Equal(maySend(splitter), "true true")
 	}
-	built.pass(2 * time.Second)
+	f.advance(2 * time.Second)
 	is.Equal(splitter.Decide(Request{Service: "s", Once: true}), Decision{First: Target})
 	is.Equal(splitter.RetryVersions("s"), Target)
-	is.Equal(may(splitter), "false true")
-	built.pass(lasts)
-	is.Equal(may(splitter), "false true") // its time only ends what is not found good
+	is.Equal(maySend(splitter), "false true")
+	f.advance(specDuration)
+	is.Equal(maySend(splitter), "false true") // a version that passed evaluation serves beyond the spec's duration
 }
 
-// In a short spec the requests move within a part of its duration.
-func TestRampOfAShortSpec(t *testing.T) {
+// The ramp of a short spec is a fraction of its duration.
+func TestRampOfShortSpec(t *testing.T) {
 	is := is.New(t)
-	built, splitter, specID := startedFor(t, 12*time.Second)
+	f, splitter, specID := newRolloutFor(t, 12*time.Second)
 	is.Equal(splitter.Ramp(12*time.Second), 1200*time.Millisecond)
 	is.Equal(splitter.Ramp(time.Hour), 2*time.Second)
-	built.phase(specID, rollout.Switching)
+	f.phase(specID, rollout.Switching)
 	splitter.Refresh()
-	built.pass(1199 * time.Millisecond)
+	f.advance(1199 * time.Millisecond)
 	is.Equal(splitter.RetryVersions("s"), Both)
-	built.pass(time.Millisecond)
+	f.advance(time.Millisecond)
 	is.Equal(splitter.RetryVersions("s"), Target)
 }
 
-// While the configuration was not confirmed recently nothing goes beyond the share.
+// Without a recent confirmation of the configuration the canary receives no more than the share.
 func TestSwitchLapsesWithoutConfirmation(t *testing.T) {
 	is := is.New(t)
-	built, splitter, specID := started(t, 0)
-	built.phase(specID, rollout.Switching)
+	f, splitter, specID := newRollout(t, 0)
+	f.phase(specID, rollout.Switching)
 	splitter.Refresh()
-	built.clock = built.clock.Add(3 * time.Second)
+	f.clock = f.clock.Add(3 * time.Second)
 	is.Equal(decide(splitter, 10, false), 10)
-	built.clock = built.clock.Add(config(0).ConfirmedWithin - 2500*time.Millisecond)
+	f.clock = f.clock.Add(config(0).ConfirmedWithin - 2500*time.Millisecond)
 	is.Equal(splitter.RetryVersions("s"), Serving)
-	is.Equal(decide(splitter, 50, false), 0) // of its share it had more already
+	is.Equal(decide(splitter, 50, false), 0) // the share is already exceeded
 	is.Equal(decide(splitter, 200, false), 260*8/100-10)
-	is.Equal(may(splitter), "true true")
-	built.pass(0)
-	is.Equal(may(splitter), "false true")
+	is.Equal(maySend(splitter), "true true")
+	f.advance(0)
+	is.Equal(maySend(splitter), "false true")
 }
 
-// A node is settled once its ramp has ended and nothing is in flight at other versions, whenever that began.
-func TestSettledOnceNothingIsUnderWay(t *testing.T) {
+// A node is settled after its ramp when no attempt is in flight at other versions, whenever the attempt started.
+func TestSettledWhenNoAttemptIsInFlight(t *testing.T) {
 	is := is.New(t)
-	built, splitter, specID := started(t, 0)
-	splitter.AttemptStarted("s", before)
+	f, splitter, specID := newRollout(t, 0)
+	splitter.AttemptStarted("s", previous)
 	splitter.AttemptStarted("s", target)
-	is.Equal(splitter.SettledRevision(), built.known.Revision())
-	switched := built.phase(specID, rollout.Switching)
-	built.put(catalog.EvacuationKey("z"), struct{}{})
+	is.Equal(splitter.SettledRevision(), f.catalog.Revision())
+	switched := f.phase(specID, rollout.Switching)
+	f.put(catalog.EvacuationKey("z"), struct{}{})
 	is.Equal(splitter.SettledRevision(), switched-1)
-	built.pass(2 * time.Second)
+	f.advance(2 * time.Second)
 	is.Equal(splitter.SettledRevision(), switched-1)
-	splitter.AttemptEnded("s", before)
+	splitter.AttemptEnded("s", previous)
 	is.Equal(splitter.SettledRevision(), switched+1)
-	built.clock = built.clock.Add(time.Minute) // lapsed: the version that served may be asked again
+	f.clock = f.clock.Add(time.Minute) // not confirmed: the previous version may receive requests again
 	is.Equal(splitter.SettledRevision(), switched-1)
-	built.pass(0)
+	f.advance(0)
 	splitter.Abort("s", specID)
 	is.Equal(splitter.SettledRevision(), switched-1)
 	splitter.AttemptEnded("s", target)
 	is.Equal(len(splitter.inFlight.counts), 0)
 }
 
-// A leaf of a version that no rule lets serve gets nothing, be it ready, lost or only remembered.
+// A leaf of a disallowed version receives no requests, whether it is ready, draining, lost or remembered.
 func TestDisallowedLeafsGetNoRequests(t *testing.T) {
 	is := is.New(t)
-	built, splitter, specID := started(t, 0)
-	built.put(catalog.SavedLeafsKey, leafset.List{Leafs: []leafset.Record{
+	f, splitter, specID := newRollout(t, 0)
+	f.put(catalog.SavedLeafsKey, leafset.List{Leafs: []leafset.Record{
 		{Name: "old", Service: "s", Address: "127.0.0.1:1", Version: target, State: leafset.Ready},
-		{Name: "other", Service: "s", Address: "127.0.0.1:1", Version: before, State: leafset.Ready},
+		{Name: "other", Service: "s", Address: "127.0.0.1:1", Version: previous, State: leafset.Ready},
 	}})
-	built.phase(specID, rollout.RolledBack)
-	built.put(catalog.LeafKey(leafID(target, 1)), nil)
-	built.putLeaf(target, 2, leafset.Draining)
+	f.phase(specID, rollout.RolledBack)
+	f.put(catalog.LeafKey(leafID(target, 1)), nil)
+	f.putLeaf(target, 2, leafset.Draining)
 	for _, disallowed := range []string{leafID(target, 0), leafID(target, 1), leafID(target, 2), "old"} {
 		is.True(!splitter.MaySend(disallowed))
 	}
-	is.True(splitter.MaySend(leafID(before, 0)) && splitter.MaySend("other"))
+	is.True(splitter.MaySend(leafID(previous, 0)) && splitter.MaySend("other"))
 }
 
-// Draws go to one leaf at a time, the same on all nodes, and to each in turn.
-func TestFocusGoesRound(t *testing.T) {
+// Bounded decisions prefer one leaf at a time, the same on all nodes, and each leaf in turn.
+func TestFocusRotatesOverLeafs(t *testing.T) {
 	is := is.New(t)
-	built, splitter, _ := started(t, 0)
-	leafs := built.known.View().Leafs.Canaries("s")
+	f, splitter, _ := newRollout(t, 0)
+	leafs := f.catalog.View().Leafs.Canaries("s")
 	seen := map[string]int{}
 	for range focusTurns {
 		focused := splitter.FocusOrder("s", leafs)
 		is.Equal(len(focused), 3)
 		is.Equal(focused[0], splitter.FocusOrder("s", leafs)[0])
 		seen[focused[0].ID]++
-		built.pass(lasts / focusTurns)
+		f.advance(specDuration / focusTurns)
 	}
 	is.Equal(seen, map[string]int{leafID(target, 0): 4, leafID(target, 1): 4, leafID(target, 2): 4})
 	is.Equal(splitter.FocusOrder("other", nil), nil)
 }
 
-// Without a canary nothing is drawn.
-func TestNothingGoesToCanaryWithoutLeafs(t *testing.T) {
+// No request is decided for the canary while it has no leafs.
+func TestNoRequestGoesToCanaryWithoutLeafs(t *testing.T) {
 	is := is.New(t)
-	built, splitter, _ := started(t, 0)
+	f, splitter, _ := newRollout(t, 0)
 	for index := range 3 {
-		built.put(catalog.LeafKey(leafID(target, index)), nil)
+		f.put(catalog.LeafKey(leafID(target, index)), nil)
 	}
 	is.Equal(decide(splitter, 100, false), 0)
-	built.putLeaf(target, 0, leafset.Ready)
+	f.putLeaf(target, 0, leafset.Ready)
 	is.Equal(decide(splitter, 1, false), 1)
 }
 
@@ -239,23 +240,24 @@
 	is.Equal(fields, []string{"share", "slack", "used", "ramp", "confirmed_within"})
 }
 
-// A machine that resumes does not treat the rule from before the suspension as recent.
-func TestSuspendedMachineGoesByTheBoundUntilItLearns(t *testing.T) {
+// After a suspension the configuration from before it does not count as confirmed, and the bound applies until it is
+// confirmed again.
+func TestBoundAppliesAfterSuspensionUntilConfirmation(t *testing.T) {
 	is := is.New(t)
-	built := newSite(t)
-	clock := func() time.Time { return built.clock }
-	built.known.SetClock(clock)
-	built.pass(0)
-	splitter := New(config(0), built.known, &one{1})
+	f := newFixture(t)
+	clock := func() time.Time { return f.clock }
+	f.catalog.SetClock(clock)
+	f.advance(0)
+	splitter := New(config(0), f.catalog, &fakeFleet{1})
 	splitter.SetClock(clock)
-	specID := built.startRollout()
+	specID := f.startRollout()
 	splitter.Refresh()
-	built.phase(specID, rollout.Switching)
+	f.phase(specID, rollout.Switching)
 	splitter.Refresh()
-	built.pass(splitter.Ramp(lasts) + time.Second)
+	f.advance(splitter.Ramp(specDuration) + time.Second)
 	is.Equal(splitter.stageNow("s"), moved)
-	built.clock = built.clock.Add(config(0).ConfirmedWithin + time.Second) // asleep
+	f.clock = f.clock.Add(config(0).ConfirmedWithin + time.Second) // suspended
 	is.Equal(splitter.stageNow("s"), bounded)
-	built.pass(0)
+	f.advance(0)
 	is.Equal(splitter.stageNow("s"), moved)
 }
