--- a/internal/rollout/canary/stage_test.go
+++ b/internal/rollout/canary/stage_test.go
@@ -50,8 +50,8 @@
 	is.Equal(decide(splitter, 100, false), 0)
 }
 
-// An abort stops one spec permanently, in each phase and even if it arrives before the spec. It does not stop another spec
-// for the same version.
+// An abort stops one spec permanently, in each phase and even if it arrives before the spec. It does not stop another
+// spec for the same version.
 func TestAbortStopsOneSpecPermanently(t *testing.T) {
 	is := is.New(t)
 	f, splitter, specID := newRollout(t, 50)
--- a/internal/rollout/rolloutcontrol/aborts.go
+++ b/internal/rollout/rolloutcontrol/aborts.go
@@ -8,56 +8,55 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
-// maxAborts bounds the specs that are aborted, well above the services with a roll-out at once.
+// maxAborts bounds the stored aborts. It is far above the number of simultaneous roll-outs.
 const maxAborts = 4096
 
-// aborts are the specs whose versions were found bad, with the reasons. The zero value is empty; it is safe for
-// concurrent use.
+// aborts are the aborted specs with the reasons. The zero value is empty. It is safe for concurrent use.
 type aborts struct {
 	mu      sync.Mutex
 	reasons map[rolloutID]string
 }
 
 // add adds an abort and reports whether it is new.
-func (h *aborts) add(id rolloutID, reason string) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if _, found := h.reasons[id]; found || len(h.reasons) >= maxAborts {
+func (a *aborts) add(id rolloutID, reason string) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if _, found := a.reasons[id]; found || len(a.reasons) >= maxAborts {
 		return false
 	}
-	if h.reasons == nil {
-		h.reasons = map[rolloutID]string{}
+	if a.reasons == nil {
+		a.reasons = map[rolloutID]string{}
 	}
-	h.reasons[id] = reason
+	a.reasons[id] = reason
 	return true
 }
 
-// reason returns why a spec is aborted, and whether it is.
-func (h *aborts) reason(id rolloutID) (string, bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	reason, found := h.reasons[id]
+// reason returns the reason for the abort of a spec, and whether the spec is aborted.
+func (a *aborts) reason(id rolloutID) (string, bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	reason, found := a.reasons[id]
 	return reason, found
 }
 
-func (h *aborts) has(id rolloutID) bool {
-	_, found := h.reason(id)
+func (a *aborts) has(id rolloutID) bool {
+	_, found := a.reason(id)
 	return found
 }
 
-// retain drops the aborts of specs that are not wanted any more.
-func (h *aborts) retain(isWanted func(rolloutID) bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for id := range h.reasons {
+// retain drops the aborts of all specs for which isWanted returns false.
+func (a *aborts) retain(isWanted func(rolloutID) bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for id := range a.reasons {
 		if !isWanted(id) {
-			delete(h.reasons, id)
+			delete(a.reasons, id)
 		}
 	}
 }
 
-// abort makes this node and all nodes that reported counts for a spec stop sending requests to its version, whether
-// or not the store accepts the verdict.
+// abort stops requests to the canary of a spec at this node and at all nodes that reported counts for it. It does not
+// wait for the store to accept the verdict.
 func (c *Controller) abort(id rolloutID, reason string) {
 	if !c.aborts.add(id, reason) {
 		return
@@ -77,13 +76,13 @@
 	c.deps.Sender.Send(address, peer.Message{RolloutAbort: &peer.RolloutAbort{Service: id.service, SpecID: id.specID}})
 }
 
-// warnEvaluatorNodes sends an abort to the other evaluator nodes once each report interval until the state is written, because the store
-// may accept the write of any of them.
-func (c *Controller) warnEvaluatorNodes(now time.Time, view *catalog.View, active *activeRollout, id rolloutID) {
-	if now.Sub(active.warnedAt) < c.cfg.ReportInterval {
+// sendAbortToEvaluatorNodes sends an abort to the other evaluator nodes once per report interval until the state is
+// written, because the store may accept a write from any of them.
+func (c *Controller) sendAbortToEvaluatorNodes(now time.Time, view *catalog.View, active *activeRollout, id rolloutID) {
+	if now.Sub(active.abortSentAt) < c.cfg.ReportInterval {
 		return
 	}
-	active.warnedAt = now
+	active.abortSentAt = now
 	for _, evaluatorNode := range c.evaluatorNodes.of(view, id.service) {
 		if evaluatorNode.ID != c.deps.Self.ID {
 			c.sendAbort(evaluatorNode.Address, id)
--- a/internal/rollout/rolloutcontrol/activerollout.go
+++ b/internal/rollout/rolloutcontrol/activerollout.go
@@ -10,64 +10,64 @@
 	"github.com/portgauge/portgauge/internal/rollout/verdict"
 )
 
-// activeRollout is a spec under way as this node follows it.
+// activeRollout is this node's view of a roll-out that has not ended.
 type activeRollout struct {
 	spec rollout.Spec
-	// learnedAt is when this node learned of the spec. knownAtStart says that the spec was in the first
-	// configuration that the node had; elapsedBefore is then the time that had passed before learnedAt, as given by
-	// the state.
+	// learnedAt is when this node learned of the spec. knownAtStart reports whether the first configuration of this
+	// process contained the spec. In that case elapsedBefore is the time from the start of the spec, taken from its
+	// state, to learnedAt.
 	learnedAt     time.Time
 	knownAtStart  bool
 	elapsedBefore time.Duration
 
-	// serving is the version that serves meanwhile; it may be empty, for leafs without a version. isServingKnown says
-	// that it was determined.
+	// serving is the version that serves during the roll-out, empty for leafs without a version. It is valid if
+	// isServingKnown is set.
 	serving        string
 	isServingKnown bool
 
 	evaluator  Evaluator
 	evaluation verdict.Evaluation
 	rows       []evidence.Row
-	newestAt   time.Time // when the newest of the rows arrived
+	newestAt   time.Time // arrival of the newest row
 
-	warnedAt time.Time // when the abort was last sent to the other evaluator nodes
+	abortSentAt time.Time // last time that the abort was sent to the other evaluator nodes
 
-	state          *rollout.State // the one in force for the spec; nil before the first
+	state          *rollout.State // state in force for the spec; nil before the first
 	switchingSince time.Time
-	// settledSince is when the nodes were known to be settled, or were no longer waited for; zero until then.
+	// settledSince is when all nodes had settled, or when the wait for them ended; zero until then.
 	settledSince time.Time
 	status       FleetStatus
 }
 
 // refresh updates the spec's state and serving version from the configuration in force.
-func (o *activeRollout) refresh(now time.Time, view *catalog.View) {
-	known := view.Rollouts[o.spec.Service]
-	if known.State != nil && known.State.BelongsTo(&o.spec) {
-		o.setState(now, known.State)
+func (r *activeRollout) refresh(now time.Time, view *catalog.View) {
+	known := view.Rollouts[r.spec.Service]
+	if known.State != nil && known.State.BelongsTo(&r.spec) {
+		r.setState(now, known.State)
 	} else {
-		o.state = nil
+		r.state = nil
 	}
-	if !o.isServingKnown {
-		o.serving, o.isServingKnown = servingVersion(view, o.spec)
+	if !r.isServingKnown {
+		r.serving, r.isServingKnown = servingVersion(view, r.spec)
 	}
 }
 
-func (o *activeRollout) setState(now time.Time, state *rollout.State) {
-	isFirst := o.state == nil
-	if isFirst && o.knownAtStart {
-		passed := time.Duration(o.learnedAt.UnixMilli()-state.StartedUnixMillis) * time.Millisecond
-		o.elapsedBefore = min(max(passed, 0), o.spec.Duration())
+func (r *activeRollout) setState(now time.Time, state *rollout.State) {
+	isFirst := r.state == nil
+	if isFirst && r.knownAtStart {
+		elapsed := time.Duration(r.learnedAt.UnixMilli()-state.StartedUnixMillis) * time.Millisecond
+		r.elapsedBefore = min(max(elapsed, 0), r.spec.Duration())
 	}
-	if state.Phase == rollout.Switching && o.phase() != rollout.Switching {
-		o.switchingSince, o.settledSince, o.status = now, time.Time{}, FleetStatus{}
+	if state.Phase == rollout.Switching && r.phase() != rollout.Switching {
+		r.switchingSince, r.settledSince, r.status = now, time.Time{}, FleetStatus{}
 	}
-	o.state = state
-	o.serving, o.isServingKnown = state.Serving, true
+	r.state = state
+	r.serving, r.isServingKnown = state.Serving, true
 }
 
-// servingVersion returns the version that serves beside the target of a spec: that of the rule in force, else that
-// of most of the other leafs. If all leafs are of the target, that is the target itself. It returns false while there
-// are no leafs.
+// servingVersion returns the version that serves besides the target of a spec: the serving version of the rule in force,
+// or else the most frequent other version among the leafs. If all leafs have the target version, it returns the target.
+// It returns false while there are no leafs.
 func servingVersion(view *catalog.View, spec rollout.Spec) (string, bool) {
 	if serving := view.Leafs.Rule(spec.Service).Serving; serving != "" {
 		return serving, true
@@ -90,42 +90,42 @@
 }
 
 // phase returns the phase of the roll-out, empty before the first state.
-func (o *activeRollout) phase() rollout.Phase {
-	if o.state == nil {
+func (r *activeRollout) phase() rollout.Phase {
+	if r.state == nil {
 		return ""
 	}
-	return o.state.Phase
+	return r.state.Phase
 }
 
-// elapsed returns the time since this node learned of the spec or, if it started later, since the time that the
-// spec's state names. It may exceed the spec's duration.
-func (o *activeRollout) elapsed(now time.Time) time.Duration {
-	return o.elapsedBefore + now.Sub(o.learnedAt)
+// elapsed returns the time since this node learned of the spec. If the node started after the spec, it returns the time
+// since the start in the spec's state. It may exceed the spec's duration.
+func (r *activeRollout) elapsed(now time.Time) time.Duration {
+	return r.elapsedBefore + now.Sub(r.learnedAt)
 }
 
-// evaluate evaluates the counts. A bad finding is final, and a good one only changes to bad.
-func (o *activeRollout) evaluate(now time.Time, factory EvaluatorFactory, rows []evidence.Row, newest time.Time) {
-	o.rows, o.newestAt = rows, newest
-	if o.evaluation.Finding == verdict.Bad || !o.isServingKnown {
+// evaluate updates the evaluation from the counts. A bad finding is final, and a good one can only change to bad.
+func (r *activeRollout) evaluate(now time.Time, factory EvaluatorFactory, rows []evidence.Row, newest time.Time) {
+	r.rows, r.newestAt = rows, newest
+	if r.evaluation.Finding == verdict.Bad || !r.isServingKnown {
 		return
 	}
-	if o.evaluator == nil {
-		o.evaluator = factory(o.serving, o.spec.Target, o.spec.Duration())
+	if r.evaluator == nil {
+		r.evaluator = factory(r.serving, r.spec.Target, r.spec.Duration())
 	}
-	found := o.evaluator.Update(o.elapsed(now), rows)
-	if found.Finding == verdict.Bad || o.evaluation.Finding != verdict.Good {
-		o.evaluation = found
+	found := r.evaluator.Update(r.elapsed(now), rows)
+	if found.Finding == verdict.Bad || r.evaluation.Finding != verdict.Good {
+		r.evaluation = found
 	}
 }
 
-// stateOf returns the state to write for a phase.
-func (o *activeRollout) stateOf(now time.Time, phase rollout.Phase, reason, self string) rollout.State {
-	started := now.Add(-o.elapsed(now)).UnixMilli()
-	if o.state != nil {
-		started = o.state.StartedUnixMillis
+// stateOf returns the state that records a phase.
+func (r *activeRollout) stateOf(now time.Time, phase rollout.Phase, reason, self string) rollout.State {
+	started := now.Add(-r.elapsed(now)).UnixMilli()
+	if r.state != nil {
+		started = r.state.StartedUnixMillis
 	}
 	return rollout.State{
-		Service: o.spec.Service, SpecRevision: revision.Count(o.spec.Revision), Phase: phase, Serving: o.serving, Target: o.spec.Target,
+		Service: r.spec.Service, SpecRevision: revision.Count(r.spec.Revision), Phase: phase, Serving: r.serving, Target: r.spec.Target,
 		StartedUnixMillis: started, Reason: reason, DecidedBy: self,
 	}
 }
--- a/internal/rollout/rolloutcontrol/config.go
+++ b/internal/rollout/rolloutcontrol/config.go
@@ -7,44 +7,46 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
-// Config sets how the fleet carries out roll-outs.
+// Config sets how nodes execute roll-outs.
 type Config struct {
-	// Enabled makes nodes follow specs, and send the requests of a service to leafs of one version only.
+	// Enabled makes nodes execute rollout specs, and send the requests of a service only to leafs of the serving version.
 	Enabled bool `yaml:"enabled"`
 	// EvaluatorNodes is the number of nodes that evaluate the roll-out of a service.
 	EvaluatorNodes int `yaml:"judges"`
-	// ReportInterval is how often a node reports changed counts to the evaluator nodes, and an evaluator node evaluates them.
+	// ReportInterval is the interval at which a node reports changed counts to the evaluator nodes, and at which these
+	// evaluate them.
 	ReportInterval time.Duration `yaml:"report_interval"`
-	// ResendInterval is how often a node reports all its counts, in case reports were lost.
+	// ResendInterval is the interval at which a node reports all its counts, to replace lost reports.
 	ResendInterval time.Duration `yaml:"resend_interval"`
-	// BytesPerSecond bounds the reports that a node sends, headers included. Reports beyond it wait, and newer counts
-	// replace them.
+	// BytesPerSecond is the maximum rate at which a node sends reports, headers included. Reports beyond it wait, and are
+	// replaced by newer counts.
 	BytesPerSecond int `yaml:"bytes_per_second"`
-	// BurstBytes is what may be sent at once after a quiet time.
+	// BurstBytes is the maximum size of a burst of reports, in bytes.
 	BurstBytes int `yaml:"burst_bytes"`
-	// TakeoverPause is how much longer each evaluator node waits than the one before it by rank to write a state that the
-	// others should have written; shorter for short specs.
+	// TakeoverPause is the additional time that each evaluator node waits, compared with the preceding rank, before it
+	// writes a state that is still missing. It is shorter for roll-outs of short duration.
 	TakeoverPause time.Duration `yaml:"takeover_pause"`
-	// RollbackMargin is how long before a spec's end a version that was not found good is rolled back; shorter for
-	// short specs.
+	// RollbackMargin is how long before the end of a spec a version that has not passed evaluation is rolled back. It is
+	// shorter for roll-outs of short duration.
 	RollbackMargin time.Duration `yaml:"rollback_margin"`
-	// SettleInterval is how often an evaluator node asks whether all nodes send to the new version only, once they can.
+	// SettleInterval is the interval at which an evaluator node queries whether all nodes send requests only to the new
+	// version. The queries begin after the ramp.
 	SettleInterval time.Duration `yaml:"settle_interval"`
-	// SettleWait is how long nodes that don't answer are waited for and, after the spec's end, nodes that still send
-	// to the old version.
+	// SettleWait is the maximum wait for nodes that don't answer, and, after the end of the spec, for nodes that still
+	// send requests to the old version.
 	SettleWait time.Duration `yaml:"settle_wait"`
-	// WriteTimeout bounds one write of a state including reading it back.
+	// WriteTimeout is the timeout of one write of a state, including reading it back.
 	WriteTimeout time.Duration `yaml:"write_timeout"`
-	// RetryPause is the first pause before a failed write is tried again; it doubles up to MaximumRetryPause.
+	// RetryPause is the initial backoff after a failed write. It doubles with each failure, up to MaximumRetryPause.
 	RetryPause time.Duration `yaml:"retry_pause"`
-	// MaximumRetryPause is the longest pause between tries of a write.
+	// MaximumRetryPause is the maximum backoff between attempts of a write.
 	MaximumRetryPause time.Duration `yaml:"maximum_retry_pause"`
-	// VersionsDelay is how long the serving versions must stay the same before they are written, and the shortest
-	// time between two writes.
+	// VersionsDelay is how long the serving versions must stay unchanged before they are written to the store, and the
+	// minimum interval between two writes.
 	VersionsDelay time.Duration `yaml:"versions_delay"`
 }
 
-// DefaultConfig suits specs of some seconds to an hour, and some ninety specs at once within the bound of bytes.
+// DefaultConfig suits specs of a few seconds to an hour, and about ninety simultaneous specs within BytesPerSecond.
 func DefaultConfig() Config {
 	return Config{
 		EvaluatorNodes: 3, ReportInterval: 400 * time.Millisecond, ResendInterval: 4 * time.Second,
@@ -61,7 +63,7 @@
 	var checks failure.Checks
 	checks.Refuse(c.EvaluatorNodes < 1, "judges", "must be at least 1")
 	checks.Refuse(c.BytesPerSecond < 1, "bytes_per_second", "must be positive")
-	checks.Refuse(c.BurstBytes < peer.MaximumDatagram, "burst_bytes", "must be at least %d, a whole datagram", peer.MaximumDatagram)
+	checks.Refuse(c.BurstBytes < peer.MaximumDatagram, "burst_bytes", "must be at least %d, the maximum size of a datagram", peer.MaximumDatagram)
 	durations := []struct {
 		field string
 		value time.Duration
--- a/internal/rollout/rolloutcontrol/controller.go
+++ b/internal/rollout/rolloutcontrol/controller.go
@@ -1,16 +1,15 @@
-// Package rolloutcontrol carries out the specs that move services to other versions: it reports what each node
-// counted to the evaluator nodes of a service, evaluates canary versions, and writes the phase of each roll-out to the
-// store.
+// Package rolloutcontrol executes roll-outs: it reports the counts of each node to the evaluator nodes of a service,
+// evaluates canary versions, and writes the phase of each roll-out to the store.
 //
 // Every node runs a Controller. The evaluator nodes of a service are the first registered nodes by rendezvous hash.
-// Correctness does not depend on nodes agreeing about who they are: each evaluator node may write, and the store accepts a
-// write only in place of the state that the evaluator node knew and while the spec is unchanged. If evaluator nodes disagree the first
-// write wins, and a late one has no effect. A version found bad is stopped at once by messages between nodes (a
-// abort), whether or not the store accepts the write.
+// Correctness does not depend on nodes agreeing on this set. Any evaluator node may write, and the store accepts a write
+// only if it replaces the state that the writer has in force and if the spec is unchanged. If evaluator nodes disagree,
+// the first write wins and later ones have no effect. A version that fails evaluation is stopped immediately by abort
+// messages between nodes, whether or not the store accepts the write.
 //
-// The package owns the counts of all nodes at an evaluator node, the aborts, and the goroutines of Run with its writes and fleet
-// calls. It relies on the catalog for specs, states and registered nodes, on datagrams for reports and aborts, on
-// conditional writes of the store, and on a clock that counts suspended time.
+// The package owns the counts of all nodes at an evaluator node, the aborts, and the goroutines of Run with its writes
+// and fleet queries. It depends on the catalog for specs, states and registered nodes, on datagrams for reports and
+// aborts, on conditional writes of the store, and on a clock that counts suspended time.
 package rolloutcontrol
 
 import (
@@ -25,11 +24,11 @@
 	"github.com/portgauge/portgauge/internal/node/boottime"
 )
 
-// Splitter is what draws this node's requests for canary versions; canary.Splitter is the real one.
+// Splitter splits this node's requests between versions. It is implemented by canary.Splitter.
 type Splitter interface {
-	// Abort stops the canary of a spec at this node for good.
+	// Abort permanently stops the canary of a spec at this node.
 	Abort(service string, specID int64)
-	// SettledRevision returns the revision at which the node is settled: it sends nothing by an older rule any more.
+	// SettledRevision returns the revision up to which the node is settled: it sends no requests under older rules.
 	SettledRevision() int64
 	// Ramp returns how long the nodes take to move the requests of a spec with the given duration.
 	Ramp(duration time.Duration) time.Duration
@@ -37,8 +36,8 @@
 
 // Fleet queries the other nodes.
 type Fleet interface {
-	// Settled asks the nodes at which revision they are settled. Nodes that don't answer before the context ends are
-	// not counted.
+	// Settled queries the revision up to which each node is settled. Nodes that don't answer before the context ends
+	// are not counted.
 	Settled(ctx context.Context, revision int64) FleetStatus
 }
 
@@ -54,11 +53,11 @@
 	Fleet        Fleet
 	Sender       Sender
 	Events       EventLog
-	// Clock counts the time for which the machine was suspended, because a spec's duration continues meanwhile.
+	// Clock includes the time during which the machine was suspended, because a spec's duration continues meanwhile.
 	Clock boottime.Clock
 }
 
-// Controller carries out roll-outs at one node. Run must be called; the other methods are safe for concurrent use.
+// Controller executes roll-outs at one node. Run must be called. The other methods are safe for concurrent use.
 type Controller struct {
 	deps     Deps
 	cfg      Config
@@ -67,20 +66,20 @@
 	reporter *reporter
 
 	// The fields up to running belong to the goroutine of Run.
-	evaluatorNodes evaluatorNodeSet
-	rollouts       map[string]*activeRollout
-	schedules      map[string]*writeSchedule
-	hasStarted     bool // a first configuration was handled
-	steppedAt      boottime.Instant
-	evaluateAfter  time.Time // after a suspension: earlier, reports may be unread
-	reportedAt     time.Time
-	queriedAt      time.Time
-	answeredAt     time.Time // when the call of the newest answer was made
-	fleetCalls     int       // in flight
-	writes         int       // in flight
-	written        chan writeResult
-	answers        chan fleetAnswer
-	running        sync.WaitGroup
+	evaluatorNodes  evaluatorNodeSet
+	rollouts        map[string]*activeRollout
+	schedules       map[string]*writeSchedule
+	hasStarted      bool // the first configuration has been handled
+	steppedAt       boottime.Instant
+	evaluateAfter   time.Time // after a suspension reports may be unread until then
+	reportedAt      time.Time
+	queriedAt       time.Time
+	answerQueriedAt time.Time // when the query of the newest answer was sent
+	fleetQueries    int       // in flight
+	writes          int       // in flight
+	writeResults    chan writeResult
+	fleetAnswers    chan fleetAnswer
+	running         sync.WaitGroup
 
 	statuses statusSnapshot
 }
@@ -91,25 +90,24 @@
 	event    PhaseWriteEvent
 }
 
-// maxWrites bounds the writes of one node in flight, so that many specs at once do not flood the store.
+// maxWrites bounds the writes of one node in flight, so that many simultaneous specs do not overload the store.
 const maxWrites = 8
 
-// changeBacklog is how many configuration changes may wait. Changes beyond it are picked up by the next periodic
-// step.
+// changeBacklog is the buffer size of the subscription to configuration changes. Changes beyond it are handled by the
+// next periodic step.
 const changeBacklog = 64
 
-// New returns a controller.
 func New(deps Deps) *Controller {
 	c := &Controller{
 		deps: deps, cfg: deps.Config, evaluatorNodes: evaluatorNodeSet{max: deps.Config.EvaluatorNodes},
 		rollouts: map[string]*activeRollout{}, schedules: map[string]*writeSchedule{},
-		written: make(chan writeResult), answers: make(chan fleetAnswer),
+		writeResults: make(chan writeResult), fleetAnswers: make(chan fleetAnswer),
 	}
-	c.reporter = newReporter(deps, c.keepOwn, c.dropOwn)
+	c.reporter = newReporter(deps, c.addOwnRows, c.ownRowsDropped)
 	return c
 }
 
-// Run follows specs until the context ends, and returns after its goroutines have ended.
+// Run executes roll-outs until the context ends. It returns after its goroutines have ended.
 func (c *Controller) Run(ctx context.Context) {
 	changes, stop := c.deps.Catalog.Subscribe(changeBacklog)
 	defer stop()
@@ -117,15 +115,15 @@
 	c.steppedAt = c.deps.Clock.Instant()
 	for {
 		timer := time.NewTimer(c.step(ctx, c.deps.Clock.Now()))
-		isOver := c.await(ctx, timer, changes)
+		isDone := c.await(ctx, timer, changes)
 		timer.Stop()
-		if isOver {
+		if isDone {
 			return
 		}
 	}
 }
 
-// await returns when there is something to do, and reports whether the context ended.
+// await blocks until the next step is due, and reports whether the context ended.
 func (c *Controller) await(ctx context.Context, timer *time.Timer, changes <-chan catalog.Change) bool {
 	for {
 		select {
@@ -135,10 +133,10 @@
 			if concernsRollouts(change) {
 				return false
 			}
-		case result := <-c.written:
+		case result := <-c.writeResults:
 			c.writeDone(c.deps.Clock.Now(), result)
 			return false
-		case answer := <-c.answers:
+		case answer := <-c.fleetAnswers:
 			c.handleAnswer(answer)
 			return false
 		case <-ctx.Done():
@@ -147,7 +145,7 @@
 	}
 }
 
-// concernsRollouts reports whether a change is of a spec or of a state.
+// concernsRollouts reports whether a change contains a spec or a state.
 func concernsRollouts(change catalog.Change) bool {
 	for _, entry := range change.Entries() {
 		if strings.HasPrefix(entry.Key, catalog.RolloutKey("")) || strings.HasPrefix(entry.Key, catalog.RolloutStateKey("")) {
@@ -157,12 +155,12 @@
 	return false
 }
 
-// resumeIntervals is for how many report intervals an evaluator node collects reports after its machine resumed: all nodes
-// report their counts within one; the second covers delivery and late ticks.
+// resumeIntervals is the number of report intervals during which an evaluator node only collects reports after its machine
+// resumed. All nodes report within one interval; the second covers delivery and late ticks.
 const resumeIntervals = 2
 
-// mustWaitForReports reports whether the machine resumed so recently that reports and aborts sent meanwhile may still
-// be unread. Otherwise an evaluator node could find a version good by counts from before it turned bad.
+// mustWaitForReports reports whether the machine resumed so recently that reports and aborts sent during the suspension
+// may still be unread. Without the wait an evaluator node could pass a version on counts from before it turned bad.
 func (c *Controller) mustWaitForReports(now time.Time) bool {
 	if c.steppedAt.Suspended() > 0 {
 		c.evaluateAfter = now.Add(resumeIntervals * c.cfg.ReportInterval)
@@ -171,7 +169,7 @@
 	return now.Before(c.evaluateAfter)
 }
 
-// step follows the specs in force and returns the longest time until the next step.
+// step handles all roll-outs once and returns the maximum time until the next step.
 func (c *Controller) step(ctx context.Context, now time.Time) time.Duration {
 	mustWaitForReports := c.mustWaitForReports(now)
 	view := c.deps.Catalog.View()
@@ -196,16 +194,16 @@
 	return next
 }
 
-// refreshRollouts starts to follow the specs in force and forgets those that are over.
+// refreshRollouts adds or updates the active roll-outs, and drops those that have ended.
 func (c *Controller) refreshRollouts(now time.Time, view *catalog.View) {
 	for service, known := range view.Rollouts {
-		if isUnderWay(known) {
+		if isActive(known) {
 			c.refreshRollout(now, view, service, known)
 		}
 	}
 	for service, active := range c.rollouts {
 		known := view.Rollouts[service]
-		if isUnderWay(known) && known.Spec.ID() == active.spec.ID() {
+		if isActive(known) && known.Spec.ID() == active.spec.ID() {
 			continue
 		}
 		if hasStateOfSpec(known) && (active.state == nil || active.state.Revision != known.State.Revision) {
@@ -220,18 +218,18 @@
 	c.hasStarted = true
 }
 
-// refreshRollout follows a spec that is under way.
+// refreshRollout adds or updates the active roll-out of a service.
 func (c *Controller) refreshRollout(now time.Time, view *catalog.View, service string, known catalog.Rollout) {
 	active := c.rollouts[service]
 	if active == nil || active.spec.ID() != known.Spec.ID() {
 		active = &activeRollout{spec: *known.Spec, learnedAt: now, knownAtStart: !c.hasStarted}
 		c.rollouts[service] = active
 		if c.aborts.has(rolloutID{service, known.Spec.ID()}) {
-			c.deps.Splitter.Abort(service, known.Spec.ID()) // the abort came before the spec
+			c.deps.Splitter.Abort(service, known.Spec.ID()) // the abort arrived before the spec
 		}
 		c.deps.Events.SpecSeen(SpecEvent{Spec: *known.Spec, Rank: c.rank(view, service)})
 	}
-	active.spec = *known.Spec // a restored store has it at another revision
+	active.spec = *known.Spec // its revision changes after a restore of the store
 	before := active.state
 	active.refresh(now, view)
 	if state := active.state; state != nil && (before == nil || before.Revision != state.Revision) {
@@ -239,31 +237,31 @@
 	}
 }
 
-// hasStateOfSpec reports whether there is a state that belongs to the spec.
+// hasStateOfSpec reports whether the stored state belongs to the spec.
 func hasStateOfSpec(known catalog.Rollout) bool {
 	return known.State != nil && known.State.BelongsTo(known.Spec)
 }
 
-// isUnderWay reports whether there is a spec without a final state.
-func isUnderWay(known catalog.Rollout) bool {
+// isActive reports whether a service has a spec without a final state.
+func isActive(known catalog.Rollout) bool {
 	return known.Spec != nil && !(hasStateOfSpec(known) && known.State.Phase.IsFinal())
 }
 
-// isWanted reports whether counts and aborts of a spec still matter: it is under way, or this node has not learned
-// of it yet.
+// isWanted reports whether counts and aborts of a spec are needed: the spec is active, or this node has not learned of it
+// yet.
 func (c *Controller) isWanted(view *catalog.View, id rolloutID) bool {
 	if id.specID > revision.Count(view.Revision) {
 		return true
 	}
 	known := view.Rollouts[id.service]
-	return isUnderWay(known) && known.Spec.ID() == id.specID
+	return isActive(known) && known.Spec.ID() == id.specID
 }
 
 func (c *Controller) rank(view *catalog.View, service string) int {
 	return rankOf(c.evaluatorNodes.of(view, service), c.deps.Self.ID)
 }
 
-// report sends this node's counts to the evaluator nodes once each report interval.
+// report sends this node's counts to the evaluator nodes once per report interval.
 func (c *Controller) report(now time.Time, view *catalog.View) {
 	if now.Sub(c.reportedAt) < c.cfg.ReportInterval {
 		return
@@ -273,5 +271,5 @@
 	c.reporter.step(now, evaluatorNodes, func(id rolloutID) bool { return c.isWanted(view, id) })
 }
 
-// Statuses returns the roll-outs under way as this node sees them, with the counts of those that it evaluates.
+// Statuses returns the active roll-outs known to this node, with the counts of those that it evaluates.
 func (c *Controller) Statuses() []Status { return c.statuses.get() }
--- a/internal/rollout/rolloutcontrol/counts.go
+++ b/internal/rollout/rolloutcontrol/counts.go
@@ -8,7 +8,7 @@
 	"github.com/portgauge/portgauge/internal/rollout/evidence"
 )
 
-// VersionCounts are the attempts at a version over all routes and leafs.
+// VersionCounts are the attempts at a version, summed over all routes and leafs.
 type VersionCounts struct {
 	Version  string `json:"version"`
 	Attempts int64  `json:"attempts"`
@@ -19,13 +19,13 @@
 func countVersions(rows []evidence.Row) []VersionCounts {
 	var counts []VersionCounts
 	for _, row := range rows {
-		at := slices.IndexFunc(counts, func(one VersionCounts) bool { return one.Version == row.Version })
-		if at < 0 {
-			at = len(counts)
+		index := slices.IndexFunc(counts, func(c VersionCounts) bool { return c.Version == row.Version })
+		if index < 0 {
+			index = len(counts)
 			counts = append(counts, VersionCounts{Version: row.Version})
 		}
-		counts[at].Attempts += row.Attempts()
-		counts[at].Failures += row.Failures
+		counts[index].Attempts += row.Attempts()
+		counts[index].Failures += row.Failures
 	}
 	slices.SortFunc(counts, func(a, b VersionCounts) int { return strings.Compare(a.Version, b.Version) })
 	return counts
@@ -43,14 +43,14 @@
 func countRoutes(rows []evidence.Row) []RouteCounts {
 	var counts []RouteCounts
 	for _, row := range rows {
-		isSame := func(one RouteCounts) bool { return one.Version == row.Version && one.Route == row.Route }
-		at := slices.IndexFunc(counts, isSame)
-		if at < 0 {
-			at = len(counts)
+		isSame := func(c RouteCounts) bool { return c.Version == row.Version && c.Route == row.Route }
+		index := slices.IndexFunc(counts, isSame)
+		if index < 0 {
+			index = len(counts)
 			counts = append(counts, RouteCounts{Version: row.Version, Route: row.Route})
 		}
-		counts[at].Attempts += row.Attempts()
-		counts[at].Failures += row.Failures
+		counts[index].Attempts += row.Attempts()
+		counts[index].Failures += row.Failures
 	}
 	slices.SortFunc(counts, func(a, b RouteCounts) int {
 		return cmp.Or(strings.Compare(a.Version, b.Version), strings.Compare(a.Route, b.Route))
--- a/internal/rollout/rolloutcontrol/evaluate.go
+++ b/internal/rollout/rolloutcontrol/evaluate.go
@@ -9,8 +9,8 @@
 	"github.com/portgauge/portgauge/internal/rollout/verdict"
 )
 
-// follow does what this node must do now for the roll-out of a service. It returns the time until the next check, 0
-// for the report interval.
+// follow runs one step of the roll-out of a service if this node is one of its evaluator nodes. It returns the time until
+// the next check, 0 for the report interval.
 func (c *Controller) follow(ctx context.Context, now time.Time, view *catalog.View, service string, known catalog.Rollout) time.Duration {
 	rank := c.rank(view, service)
 	active := c.rollouts[service]
@@ -27,8 +27,8 @@
 	}
 }
 
-// evaluate evaluates the counts of a spec, stops a version found bad, and writes the phase that follows. It returns the
-// time until the next check, 0 for the report interval.
+// evaluate evaluates the counts of a spec, aborts it if the version fails evaluation, and writes the next phase. It
+// returns the time until the next check, 0 for the report interval.
 func (c *Controller) evaluate(ctx context.Context, now time.Time, view *catalog.View, active *activeRollout, rank int) time.Duration {
 	id := rolloutID{active.spec.Service, active.spec.ID()}
 	rows, newest := c.tallies.sum(id)
@@ -38,7 +38,7 @@
 	active.evaluate(now, c.deps.NewEvaluator, rows, newest)
 	if active.evaluation.Finding == verdict.Bad {
 		c.abort(id, active.evaluation.Reason)
-		c.warnEvaluatorNodes(now, view, active, id)
+		c.sendAbortToEvaluatorNodes(now, view, active, id)
 	}
 	untilMargin := active.spec.Duration() - c.cfg.rollbackMargin(active.spec.Duration()) - active.elapsed(now)
 	phase, reason := active.nextPhase(now, c.cfg, c.evaluatorNodes.fingerprint(view))
@@ -53,14 +53,15 @@
 	return max(untilMargin, dueIn)
 }
 
-// phaseWrite is a write of a state that an evaluator node wants done.
+// phaseWrite is a write of a state that is due or becomes due after a delay.
 type phaseWrite struct {
 	event PhaseWriteEvent
 	// replaced is the revision of the state that the write replaces, 0 for none.
 	replaced int64
-	// active is the revision at which the spec must still be, 0 for no spec.
-	specID int64
-	// delay is how long the write must have been due before this evaluator node sends it: the evaluator nodes before it go first.
+	// specRevision is the revision that the spec must still have, 0 for no spec.
+	specRevision int64
+	// delay is how long the write must have been planned before this node sends it. Evaluator nodes of lower rank write
+	// first.
 	delay time.Duration
 }
 
@@ -75,10 +76,10 @@
 		replaced = before.Revision
 	}
 	delay := time.Duration(rank) * c.cfg.takeoverPause(state.Phase, active.spec.Duration())
-	return phaseWrite{event: event, replaced: replaced, specID: active.spec.Revision, delay: delay}
+	return phaseWrite{event: event, replaced: replaced, specRevision: active.spec.Revision, delay: delay}
 }
 
-// endWithoutSpec ends a roll-out whose spec was withdrawn: the version that served continues to serve.
+// endWithoutSpec ends a roll-out whose spec was withdrawn. The previous version continues to serve.
 func (c *Controller) endWithoutSpec(ctx context.Context, now time.Time, state rollout.State, rank int) time.Duration {
 	replaced := state.Revision
 	state.Phase, state.Reason, state.DecidedBy = rollout.RolledBack, "the order was taken back", c.deps.Self.ID
@@ -86,8 +87,8 @@
 	return c.write(ctx, now, phaseWrite{event: PhaseWriteEvent{State: state}, replaced: replaced, delay: delay})
 }
 
-// write sends a state to the store if that is due; otherwise it returns the time until it is, 0 if that does not depend
-// on time.
+// write sends a state to the store if the write is due. Otherwise it returns the time until it is due, 0 if that does not
+// depend on time.
 func (c *Controller) write(ctx context.Context, now time.Time, w phaseWrite) time.Duration {
 	state := w.event.State
 	if c.schedules[state.Service] == nil {
@@ -105,9 +106,9 @@
 	c.running.Go(func() {
 		writeCtx, cancel := context.WithTimeout(ctx, c.cfg.WriteTimeout)
 		defer cancel()
-		w.event.Revision, w.event.Err = c.deps.States.Write(writeCtx, state, w.replaced, w.specID)
+		w.event.Revision, w.event.Err = c.deps.States.Write(writeCtx, state, w.replaced, w.specRevision)
 		select {
-		case c.written <- writeResult{schedule, w.event}:
+		case c.writeResults <- writeResult{schedule, w.event}:
 		case <-ctx.Done():
 		}
 	})
--- a/internal/rollout/rolloutcontrol/evaluator.go
+++ b/internal/rollout/rolloutcontrol/evaluator.go
@@ -7,11 +7,11 @@
 	"github.com/portgauge/portgauge/internal/rollout/verdict"
 )
 
-// Evaluator decides whether the canary version of one spec is good; verdict.Evaluator is the real one.
+// Evaluator evaluates the canary version of one spec. It is implemented by verdict.Evaluator.
 type Evaluator interface {
-	// Update evaluates the cumulative counts of all nodes, summed by key, at a time since the spec.
+	// Update evaluates the cumulative counts of all nodes, summed by key. elapsed is the time since the spec.
 	Update(elapsed time.Duration, rows []evidence.Row) verdict.Evaluation
 }
 
-// EvaluatorFactory returns the evaluator of a spec.
+// EvaluatorFactory returns an evaluator for a spec.
 type EvaluatorFactory func(serving, canary string, duration time.Duration) Evaluator
--- a/internal/rollout/rolloutcontrol/evaluatornodes.go
+++ b/internal/rollout/rolloutcontrol/evaluatornodes.go
@@ -8,13 +8,13 @@
 	"github.com/portgauge/portgauge/internal/fleet/registry"
 )
 
-// rankOf returns the index of a node in a list, -1 if it is not in it.
+// rankOf returns the index of the node with the given ID, -1 if it is not in the list.
 func rankOf(nodes []catalog.NodeRecord, id string) int {
 	return slices.IndexFunc(nodes, func(node catalog.NodeRecord) bool { return node.ID == id })
 }
 
-// evaluatorNodesOf returns the nodes that evaluate the roll-out of a service: the first by rendezvous hash in distinct zones,
-// then, if there are too few zones, the first of the others.
+// evaluatorNodesOf returns up to limit nodes that evaluate the roll-out of a service: the first node of each zone by
+// rendezvous hash, followed by the other nodes if there are fewer zones than limit.
 func evaluatorNodesOf(nodes map[string]catalog.NodeRecord, service string, limit int) []catalog.NodeRecord {
 	var evaluatorNodes, others []catalog.NodeRecord
 	zones := map[string]bool{}
@@ -30,8 +30,8 @@
 	return evaluatorNodes[:min(limit, len(evaluatorNodes))]
 }
 
-// evaluatorNodeSet caches the evaluator nodes of services while the registered nodes stay the same. The zero value is empty; it is not
-// safe for concurrent use.
+// evaluatorNodeSet caches the evaluator nodes of services while the registered nodes stay the same. It is not safe for
+// concurrent use.
 type evaluatorNodeSet struct {
 	max              int
 	view             *catalog.View
@@ -40,7 +40,7 @@
 	nodesFingerprint uint64 // the fingerprint of nodes
 }
 
-// of returns the evaluator nodes of a service. The slice is shared, and stays the same while the nodes do.
+// of returns the evaluator nodes of a service. The slice is shared and must not be modified.
 func (s *evaluatorNodeSet) of(view *catalog.View, service string) []catalog.NodeRecord {
 	s.refresh(view)
 	evaluatorNodes, found := s.byService[service]
@@ -57,7 +57,7 @@
 	return s.nodesFingerprint
 }
 
-// refresh empties the cache if the nodes of the view differ.
+// refresh clears the cache if the registered nodes have changed.
 func (s *evaluatorNodeSet) refresh(view *catalog.View) {
 	if view == s.view {
 		return
--- a/internal/rollout/rolloutcontrol/events.go
+++ b/internal/rollout/rolloutcontrol/events.go
@@ -6,38 +6,37 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// EventLog records what a node learns and does about roll-outs. Its methods are called from several goroutines and
-// must not block.
+// EventLog records the roll-out events of a node. Its methods are called from several goroutines and must not block.
 type EventLog interface {
 	// SpecSeen records a spec that this node learned of.
 	SpecSeen(SpecEvent)
-	// PhaseLearned records a state that came into force.
+	// PhaseLearned records a state that came into force at this node.
 	PhaseLearned(rollout.State)
 	// PhaseWritten records a write by this node, successful or not.
 	PhaseWritten(PhaseWriteEvent)
 	// Aborted records an abort that this node sent or received.
 	Aborted(AbortEvent)
-	// RowsDropped records rows of counts that were not kept or not sent.
+	// RowsDropped records rows of counts that were neither stored nor sent.
 	RowsDropped(RowsDroppedEvent)
 	// VersionsWritten records a write of the serving versions, successful or not.
 	VersionsWritten(VersionsWriteEvent)
 }
 
-// SpecEvent is a spec as a node learned of it.
+// SpecEvent records that a node learned of a spec.
 type SpecEvent struct {
 	Spec rollout.Spec
-	// Rank is the node's rank among the evaluator nodes of the service, -1 if it is not one of them.
+	// Rank is the node's rank among the evaluator nodes of the service, -1 if it is not an evaluator node.
 	Rank int
 }
 
-// PhaseWriteEvent is a write of a state, with the counts that led to it.
+// PhaseWriteEvent is a write of a state, with the counts that it is based on.
 type PhaseWriteEvent struct {
 	State rollout.State
-	// Revision is the store's revision of the write, 0 if it failed.
+	// Revision is the store revision of the write, 0 if it failed.
 	Revision int64
 	Err      error
 	Counts   []VersionCounts
-	// Age is the age of the newest of the counts, 0 if there are none.
+	// Age is the age of the newest counts, 0 if there are none.
 	Age time.Duration
 }
 
@@ -46,22 +45,22 @@
 	Service string
 	SpecID  int64
 	Reason  string
-	// Nodes is the number of nodes that it was sent to.
+	// Nodes is the number of nodes that the abort was sent to.
 	Nodes int
-	// From is the peer address that it came from; empty when this node sent it.
+	// From is the peer address of the sender, empty if this node sent the abort.
 	From string
 }
 
-// RowsDroppedEvent counts rows that were dropped.
+// RowsDroppedEvent is a number of dropped rows.
 type RowsDroppedEvent struct {
-	// From is the peer address that they came from; empty when they are this node's own.
+	// From is the peer address of the sender, empty for this node's own rows.
 	From string
 	Rows int
-	// Err says what was wrong with a whole report; nil when there was no room.
+	// Err is the error of a malformed report, nil if there was no room for the rows.
 	Err error
 }
 
-// VersionsWriteEvent is a write of the versions of services.
+// VersionsWriteEvent is a write of the serving versions.
 type VersionsWriteEvent struct {
 	Services int
 	Err      error
--- a/internal/rollout/rolloutcontrol/fleet_test.go
+++ b/internal/rollout/rolloutcontrol/fleet_test.go
@@ -16,14 +16,14 @@
 	"github.com/portgauge/portgauge/internal/rollout/evidence"
 )
 
-// fleet is a set of nodes over one store and a memory network, in virtual time.
+// fleet is a set of nodes with a common store and an in-memory network, in virtual time.
 type fleet struct {
 	t            *testing.T
 	cfg          Config
 	store        *memoryStore
 	network      *peertest.Network
 	newEvaluator EvaluatorFactory
-	ramp         time.Duration // how long nodes take to move their requests
+	ramp         time.Duration // duration of the ramp at each node
 	mu           sync.Mutex
 	nodes        map[string]*testNode
 }
@@ -46,8 +46,8 @@
 
 func newFleet(t *testing.T, size int) *fleet {
 	f := &fleet{t: t, cfg: DefaultConfig(), network: peertest.NewNetwork(1, time.Millisecond), nodes: map[string]*testNode{}, newEvaluator: newThresholdEvaluator}
-	f.store = &memoryStore{entries: map[string]catalog.Entry{}, refused: map[string]bool{}, calls: map[string]int{}}
-	f.store.changed = func() { time.AfterFunc(syncDelay, f.syncAll) }
+	f.store = &memoryStore{entries: map[string]catalog.Entry{}, rejected: map[string]bool{}, calls: map[string]int{}}
+	f.store.onChange = func() { time.AfterFunc(syncDelay, f.syncAll) }
 	for number := range size {
 		id := fmt.Sprintf("n%d", number)
 		f.store.set(catalog.NodeKey(id), catalog.NodeRecord{ID: id, Zone: fmt.Sprintf("z%d", number%3), Address: id})
@@ -58,7 +58,7 @@
 	return f
 }
 
-// start starts a node, or restarts one that was killed under the same id.
+// start starts a node, or restarts a killed node with the same ID.
 func (f *fleet) start(id string) *testNode {
 	n := &testNode{id: id, fleet: f, catalog: catalog.New(nil), transport: f.network.Attach(id)}
 	n.rows, n.changed, n.aborted = map[evidence.Key]evidence.Tally{}, map[evidence.Key]bool{}, map[rolloutID]bool{}
@@ -79,7 +79,7 @@
 	return n
 }
 
-// kill ends the process of a node.
+// kill stops the process of a node.
 func (f *fleet) kill(id string) {
 	f.node(id).stop()
 	f.network.Remove(id)
@@ -94,15 +94,15 @@
 	}
 }
 
-// pause stops a node for a while: it neither sends nor receives, and its calls of the store wait.
-func (f *fleet) pause(id string, span time.Duration) {
+// pause suspends a node: until the duration has passed it neither sends nor receives, and its store calls block.
+func (f *fleet) pause(id string, duration time.Duration) {
 	node := f.node(id)
 	ended := make(chan struct{})
 	node.mu.Lock()
 	node.paused = ended
 	node.mu.Unlock()
 	f.network.Freeze(id, true)
-	time.AfterFunc(span, func() {
+	time.AfterFunc(duration, func() {
 		f.network.Freeze(id, false)
 		node.mu.Lock()
 		node.paused = nil
@@ -112,13 +112,13 @@
 	})
 }
 
-// setCut cuts a node off from the others and the store, or reconnects it.
-func (f *fleet) setCut(id string, cut bool) {
+// setIsolated isolates a node from the other nodes and the store, or reconnects it.
+func (f *fleet) setIsolated(id string, isolated bool) {
 	node := f.node(id)
 	node.mu.Lock()
-	node.cut = cut
+	node.isolated = isolated
 	node.mu.Unlock()
-	f.network.Freeze(id, cut)
+	f.network.Freeze(id, isolated)
 	node.sync()
 }
 
@@ -129,7 +129,7 @@
 	time.Sleep(10 * time.Second)
 }
 
-// evaluate returns the id of an evaluator node of a service by rank.
+// evaluatorNode returns the ID of the evaluator node of a service with the given rank.
 func (f *fleet) evaluatorNode(service string, rank int) string {
 	return f.evaluatorNodes(service)[rank].ID
 }
@@ -138,7 +138,7 @@
 	return evaluatorNodesOf(f.all()[0].catalog.View().Nodes, service, f.cfg.EvaluatorNodes)
 }
 
-// otherNode returns the id of a node that does not evaluate a service.
+// otherNode returns the ID of a node that does not evaluate a service.
 func (f *fleet) otherNode(service string) string {
 	for _, node := range f.all() {
 		if rankOf(f.evaluatorNodes(service), node.id) < 0 {
@@ -148,14 +148,14 @@
 	panic("all nodes are evaluator nodes")
 }
 
-// attemptsSeenBy returns the attempts that were reported to a node for a spec of "s".
-func (f *fleet) attemptsSeenBy(id string, revision int64) int64 {
+// attemptsReportedTo returns the number of attempts that a node received in reports for a spec of "s".
+func (f *fleet) attemptsReportedTo(id string, revision int64) int64 {
 	rows, _ := f.node(id).controller.tallies.sum(rolloutID{"s", revision})
 	return attemptsOf(rows)
 }
 
-// attemptsReported returns the attempts that the running nodes counted.
-func (f *fleet) attemptsReported() int64 {
+// attemptsCounted returns the number of attempts that the running nodes counted.
+func (f *fleet) attemptsCounted() int64 {
 	sum := int64(0)
 	for _, node := range f.all() {
 		sum += attemptsOf(node.Rows())
@@ -171,7 +171,7 @@
 	return sum
 }
 
-// addLeafs starts leafs of a version of a service.
+// addLeafs registers leafs of a version of a service.
 func (f *fleet) addLeafs(service, version string, count int) {
 	for number := range count {
 		id := fmt.Sprintf("%s-%s-%d", service, version, number)
@@ -179,20 +179,20 @@
 	}
 }
 
-// startRollout writes a spec of the operators and returns its revision.
+// startRollout writes a spec and returns its revision.
 func (f *fleet) startRollout(service, target string, duration time.Duration) int64 {
 	return f.store.set(catalog.RolloutKey(service), rollout.Spec{Service: service, Target: target, DurationMillis: duration.Milliseconds()})
 }
 
-// serve makes each node send a request to the canary version of each service every 100 ms, unless it is aborted; the
-// version fails from failsFrom on.
-func (f *fleet) serve(span, failsFrom time.Duration) {
-	const pause = 100 * time.Millisecond
-	for passed := time.Duration(0); passed < span; passed += pause {
+// serve makes each node send a request to each version of each service every 100 ms, unless the spec is aborted. The
+// canary version fails from failsFrom on.
+func (f *fleet) serve(duration, failsFrom time.Duration) {
+	const interval = 100 * time.Millisecond
+	for elapsed := time.Duration(0); elapsed < duration; elapsed += interval {
 		for _, node := range f.all() {
-			node.ask(passed >= failsFrom)
+			node.sendRequests(elapsed >= failsFrom)
 		}
-		time.Sleep(pause)
+		time.Sleep(interval)
 	}
 }
 
--- a/internal/rollout/rolloutcontrol/handlers.go
+++ b/internal/rollout/rolloutcontrol/handlers.go
@@ -5,17 +5,19 @@
 	"github.com/portgauge/portgauge/internal/rollout/evidence"
 )
 
-// keepOwn adds this node's own counts where it is an evaluator node.
-func (c *Controller) keepOwn(rows []evidence.Row) {
+// addOwnRows adds this node's own rows to the tallies. They are for services that it evaluates.
+func (c *Controller) addOwnRows(rows []evidence.Row) {
 	from := process{node: c.deps.Self.ID, start: c.reporter.start}
 	if dropped := c.tallies.add(from, c.deps.Self.Address, rows, c.deps.Clock.Now()); dropped > 0 {
-		c.dropOwn(dropped)
+		c.ownRowsDropped(dropped)
 	}
 }
 
-func (c *Controller) dropOwn(rows int) { c.deps.Events.RowsDropped(RowsDroppedEvent{Rows: rows}) }
+func (c *Controller) ownRowsDropped(rows int) {
+	c.deps.Events.RowsDropped(RowsDroppedEvent{Rows: rows})
+}
 
-// HandleReports adds the counts of another node. If it counts for a spec that is aborted, it is sent the abort.
+// HandleReports adds the counts of another node. If they include an aborted spec, it sends the abort back.
 func (c *Controller) HandleReports(from string, reports peer.RolloutReports) {
 	rows, err := unpack(reports.Rows)
 	if err != nil {
@@ -42,7 +44,7 @@
 	}
 }
 
-// HandleAbort handles an evaluator node's message that a spec's version is bad.
+// HandleAbort handles an abort message from an evaluator node.
 func (c *Controller) HandleAbort(from string, abort peer.RolloutAbort) {
 	id := rolloutID{abort.Service, abort.SpecID}
 	if !c.isWanted(c.deps.Catalog.View(), id) || !c.aborts.add(id, "held by a message from "+from) {
--- a/internal/rollout/rolloutcontrol/node_test.go
+++ b/internal/rollout/rolloutcontrol/node_test.go
@@ -17,7 +17,7 @@
 	"github.com/portgauge/portgauge/internal/rollout/verdict"
 )
 
-// testNode is one node; it is its own counts, splitter, sender, events and fleet.
+// testNode is one node. It implements Counts, Splitter, Sender, EventLog and Fleet for its own controller.
 type testNode struct {
 	id         string
 	fleet      *fleet
@@ -26,33 +26,33 @@
 	transport  *peertest.Transport
 	stop       context.CancelFunc
 
-	mu        sync.Mutex
-	rows      map[evidence.Key]evidence.Tally
-	changed   map[evidence.Key]bool
-	aborted   map[rolloutID]bool
-	paused    chan struct{} // closed when the pause ends; nil while there is none
-	cut       bool
-	silent    bool // it asks nothing
-	unsettled bool
-	sentBytes int
-	// suspended is for how long the machine was suspended, in nanoseconds.
+	mu           sync.Mutex
+	rows         map[evidence.Key]evidence.Tally
+	changed      map[evidence.Key]bool
+	aborted      map[rolloutID]bool
+	paused       chan struct{} // closed when the pause ends; nil while the node is not paused
+	isolated     bool
+	sendsNothing bool
+	unsettled    bool
+	sentBytes    int
+	// suspended is the total time for which the machine was suspended, in nanoseconds.
 	suspended atomic.Int64
-	// hangs is how many more calls of the fleet take as long as they may.
-	hangs atomic.Int32
-	// calls are those of the fleet that this node made; switched is when it learned that the requests move.
-	calls    atomic.Int32
-	switched time.Time
+	// hangingQueries is the number of fleet queries that block until their context ends.
+	hangingQueries atomic.Int32
+	// queries counts the fleet queries of this node. switchedAt is when it learned of phase Switching.
+	queries    atomic.Int32
+	switchedAt time.Time
 }
 
 // clock returns the virtual time plus the time that the machine was suspended.
 func (n *testNode) clock() time.Time { return time.Now().Add(time.Duration(n.suspended.Load())) }
 
-func (n *testNode) TakeChanged(most int) []evidence.Row {
+func (n *testNode) TakeChanged(limit int) []evidence.Row {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var rows []evidence.Row
 	for key := range n.changed {
-		if len(rows) < most {
+		if len(rows) < limit {
 			rows = append(rows, n.row(key))
 			delete(n.changed, key)
 		}
@@ -70,7 +70,7 @@
 	return rows
 }
 
-// row returns a copy of the counts of a key; the lock must be held.
+// row returns a copy of the counts of a key. n.mu must be held.
 func (n *testNode) row(key evidence.Key) evidence.Row {
 	counts := evidence.Tally{}
 	counts.Add(n.rows[key])
@@ -98,7 +98,7 @@
 	return n.aborted[id]
 }
 
-func (n *testNode) forgetAborts() {
+func (n *testNode) clearAborts() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	clear(n.aborted)
@@ -111,7 +111,7 @@
 func (n *testNode) Send(address string, message peer.Message) {
 	line, err := json.Marshal(message)
 	if err != nil || len(line) > peer.MaximumDatagram {
-		n.fleet.t.Errorf("a datagram of %d bytes: %v", len(line), err)
+		n.fleet.t.Errorf("datagram of %d bytes: %v", len(line), err)
 	}
 	n.mu.Lock()
 	if message.RolloutReports != nil {
@@ -132,10 +132,10 @@
 
 func (n *testNode) HandleCall(context.Context, peer.Message) peer.Message { return peer.Message{} }
 
-// Settled returns the status of the nodes that this one reaches.
+// Settled returns the status of the reachable nodes.
 func (n *testNode) Settled(ctx context.Context, _ int64) FleetStatus {
-	n.calls.Add(1)
-	if n.hangs.Add(-1) >= 0 {
+	n.queries.Add(1)
+	if n.hangingQueries.Add(-1) >= 0 {
 		<-ctx.Done()
 	}
 	status := FleetStatus{}
@@ -163,7 +163,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if state.Phase == rollout.Switching {
-		n.switched = time.Now()
+		n.switchedAt = time.Now()
 	}
 }
 
@@ -172,8 +172,8 @@
 func (n *testNode) RowsDropped(RowsDroppedEvent)       {}
 func (n *testNode) VersionsWritten(VersionsWriteEvent) {}
 
-// awake waits until the node is not paused.
-func (n *testNode) awake() {
+// waitWhilePaused blocks until the node is not paused.
+func (n *testNode) waitWhilePaused() {
 	n.mu.Lock()
 	paused := n.paused
 	n.mu.Unlock()
@@ -182,16 +182,16 @@
 	}
 }
 
-func (n *testNode) isCut() bool {
+func (n *testNode) isIsolated() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cut
+	return n.isolated
 }
 
-func (n *testNode) stopCounting() {
+func (n *testNode) stopRequests() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.silent = true
+	n.sendsNothing = true
 }
 
 func (n *testNode) setUnsettled() {
@@ -203,27 +203,28 @@
 func (n *testNode) isUnsettled() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.unsettled || !n.switched.IsZero() && time.Since(n.switched) < n.fleet.ramp
+	return n.unsettled || !n.switchedAt.IsZero() && time.Since(n.switchedAt) < n.fleet.ramp
 }
 
 func (n *testNode) isReachable() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return !n.cut && n.paused == nil
+	return !n.isolated && n.paused == nil
 }
 
-// sync brings the node's configuration up to the store's.
+// sync replaces the node's configuration with a snapshot of the store.
 func (n *testNode) sync() {
 	if n.isReachable() {
 		n.catalog.Replace(n.fleet.store.snapshot())
 	}
 }
 
-func (n *testNode) ask(fails bool) {
+// sendRequests counts one request per version of each service with an active spec. The canary fails if fails is set.
+func (n *testNode) sendRequests(fails bool) {
 	n.mu.Lock()
-	isQuiet := n.paused != nil || n.silent
+	isStopped := n.paused != nil || n.sendsNothing
 	n.mu.Unlock()
-	if isQuiet {
+	if isStopped {
 		return
 	}
 	view := n.catalog.View()
@@ -240,7 +241,7 @@
 	}
 }
 
-// thresholdEvaluator finds a version bad by 10 failures, and good after half of the time without any.
+// thresholdEvaluator finds a version bad after 10 failures, and good after 5 attempts in half of the duration.
 type thresholdEvaluator struct {
 	canary   string
 	duration time.Duration
@@ -250,13 +251,13 @@
 	return thresholdEvaluator{canary, duration}
 }
 
-func (j thresholdEvaluator) Update(elapsed time.Duration, rows []evidence.Row) verdict.Evaluation {
-	for _, one := range countVersions(rows) {
+func (e thresholdEvaluator) Update(elapsed time.Duration, rows []evidence.Row) verdict.Evaluation {
+	for _, counts := range countVersions(rows) {
 		switch {
-		case one.Version != j.canary:
-		case one.Failures >= 10:
+		case counts.Version != e.canary:
+		case counts.Failures >= 10:
 			return verdict.Evaluation{Finding: verdict.Bad, Reason: "10 answers failed"}
-		case elapsed >= j.duration/2 && one.Attempts >= 5:
+		case elapsed >= e.duration/2 && counts.Attempts >= 5:
 			return verdict.Evaluation{Finding: verdict.Good, Reason: "none failed"}
 		}
 	}
--- a/internal/rollout/rolloutcontrol/packing.go
+++ b/internal/rollout/rolloutcontrol/packing.go
@@ -11,12 +11,12 @@
 
 // Bounds of packed rows.
 const (
-	// envelopeBytes is roughly the size of a datagram without its rows and the sender's id: the names of its fields,
+	// envelopeBytes is the approximate size of a datagram without its rows and the sender's ID: the names of its fields,
 	// the sender's address and its start time.
 	envelopeBytes = 200
 	// headerBytes are the IP and UDP headers.
 	headerBytes = 28
-	// maxHistogramBuckets bounds the buckets of a received histogram, with room for finer ones than this version
+	// maxHistogramBuckets bounds the buckets of a received histogram. It permits finer histograms than this version
 	// sends.
 	maxHistogramBuckets = 256
 	// maxNameBytes bounds a name in a row, in bytes.
@@ -25,7 +25,7 @@
 	maxCount = 1 << 40
 )
 
-// packedRoom returns how many bytes of packed rows fit into a datagram of a node.
+// packedRoom returns the number of bytes of packed rows that fit into a datagram. They are encoded in base64.
 func packedRoom(node string) int {
 	return (peer.MaximumDatagram - envelopeBytes - len(node)) / 4 * 3
 }
@@ -35,14 +35,14 @@
 	return envelopeBytes + len(node) + (packed+2)/3*4 + headerBytes
 }
 
-// packer packs rows for one datagram. A name that occurred before is replaced by its number, since the rows of a
-// datagram share most names.
+// packer packs rows for one datagram. Repeated names are replaced by numbers, because the rows of a datagram share most
+// names.
 type packer struct {
 	content []byte
 	names   map[string]uint64
 }
 
-// add packs a row if it fits into the given room, and reports whether it did.
+// add packs a row if the content then fits into room bytes, and reports whether it did.
 func (p *packer) add(row evidence.Row, room int) bool {
 	if p.names == nil {
 		p.names = map[string]uint64{}
@@ -71,7 +71,7 @@
 	return false
 }
 
-// name packs a name: its number, or 0 followed by the name itself if it is new. Numbers start at 1.
+// name packs the number of a name, or 0 followed by the name itself if it is new. Numbers start at 1.
 func (p *packer) name(name string) {
 	number, found := p.names[name]
 	if found {
@@ -88,7 +88,7 @@
 	p.content = binary.AppendUvarint(p.content, uint64(max(number, 0)))
 }
 
-// histogram packs a histogram from its first bucket that is not empty.
+// histogram packs a histogram, starting at its first non-empty bucket.
 func (p *packer) histogram(counts evidence.Histogram) {
 	first := max(0, slices.IndexFunc(counts, func(count int64) bool { return count != 0 }))
 	p.number(int64(first))
@@ -98,22 +98,22 @@
 	}
 }
 
-// unpacker reads what a packer packed; it remembers the first error.
+// unpacker decodes the content of a packer. After malformed input it sets isMalformed and returns zero values.
 type unpacker struct {
-	content []byte
-	names   []string
-	broken  bool
+	content     []byte
+	names       []string
+	isMalformed bool
 }
 
 // unpack returns all rows of a datagram, or an error if any of it is malformed.
 func unpack(content []byte) ([]evidence.Row, error) {
 	u := &unpacker{content: content}
 	var rows []evidence.Row
-	for len(u.content) > 0 && !u.broken {
+	for len(u.content) > 0 && !u.isMalformed {
 		rows = append(rows, u.row())
 	}
-	if u.broken {
-		return nil, failure.Invalid("rollout_reports.rows", "can't be read")
+	if u.isMalformed {
+		return nil, failure.Invalid("rollout_reports.rows", "malformed")
 	}
 	return rows, nil
 }
@@ -133,7 +133,7 @@
 func (u *unpacker) number() int64 {
 	number, size := binary.Uvarint(u.content)
 	if size <= 0 || int64(number) < 0 {
-		u.broken = true
+		u.isMalformed = true
 		return 0
 	}
 	u.content = u.content[size:]
@@ -142,10 +142,10 @@
 
 func (u *unpacker) count() int64 { return u.bounded(maxCount) }
 
-func (u *unpacker) bounded(most int64) int64 {
+func (u *unpacker) bounded(limit int64) int64 {
 	number := u.number()
-	if number > most {
-		u.broken = true
+	if number > limit {
+		u.isMalformed = true
 		return 0
 	}
 	return number
@@ -154,17 +154,17 @@
 func (u *unpacker) name() string {
 	number := u.number()
 	switch {
-	case u.broken:
+	case u.isMalformed:
 		return ""
 	case number > 0 && number <= int64(len(u.names)):
 		return u.names[number-1]
 	case number > 0:
-		u.broken = true
+		u.isMalformed = true
 		return ""
 	}
 	length := int(u.bounded(maxNameBytes))
-	if u.broken || length > len(u.content) {
-		u.broken = true
+	if u.isMalformed || length > len(u.content) {
+		u.isMalformed = true
 		return ""
 	}
 	name := string(u.content[:length])
@@ -175,11 +175,11 @@
 
 func (u *unpacker) histogram() evidence.Histogram {
 	first, length := u.bounded(maxHistogramBuckets), u.bounded(maxHistogramBuckets)
-	if u.broken || first+length > maxHistogramBuckets || length == 0 {
+	if u.isMalformed || first+length > maxHistogramBuckets || length == 0 {
 		return nil
 	}
 	counts := make(evidence.Histogram, first+length)
-	for index := first; index < first+length && !u.broken; index++ {
+	for index := first; index < first+length && !u.isMalformed; index++ {
 		counts[index] = u.count()
 	}
 	return counts
--- a/internal/rollout/rolloutcontrol/phase.go
+++ b/internal/rollout/rolloutcontrol/phase.go
@@ -9,101 +9,101 @@
 	"github.com/portgauge/portgauge/internal/rollout/verdict"
 )
 
-// For short specs the rollback margin and the takeover pause are at most these fractions of the spec's duration, so that
-// a spec of a second is not over before its evaluator nodes have acted. The first state may take longer: nothing waits for it.
+// For short specs these divisors of the spec's duration limit the rollback margin and the takeover pause, so that the
+// evaluator nodes can act before a spec of one second ends. The first state may take longer, because nothing waits for it.
 const (
 	marginDivisor     = 10
 	takeoverDivisor   = 20
 	firstStateDivisor = 4
 )
 
-// The final watch of a version that has all requests takes this fraction of the spec's duration, as the move to the
-// version does, but at least this many report intervals.
+// The final watch, during which a version with all requests is still evaluated, takes the spec's duration divided by
+// finalWatchDivisor, but at least finalWatchReports report intervals.
 const (
 	finalWatchDivisor = 10
 	finalWatchReports = 3
 )
 
-// nextPhase decides which phase is to be written now and why; the phase is empty if none is. Its inputs are the
-// finding about the version, the state in force, the time since the spec, and registered, the fingerprint of the
-// registered nodes.
+// nextPhase returns the phase to write now and the reason, or an empty phase if none is due. It depends on the
+// evaluation, the state in force, the elapsed time, and registered, the fingerprint of the registered nodes.
 //
-// A spec for the version that serves already has succeeded. A version found bad is rolled back in any phase. One
-// found good moves to switching, and from there to succeeded by nextWhileSwitching. One not found good by the
-// rollback margin before the spec's end is rolled back, so that the outcome is written in time. Otherwise the first
-// state is canary.
-func (o *activeRollout) nextPhase(now time.Time, cfg Config, registered uint64) (rollout.Phase, string) {
+// A spec whose target already serves has succeeded. A version that fails evaluation is rolled back in any phase. A
+// version that passes moves to phase Switching, and nextWhileSwitching decides when it succeeds. A version that has not
+// passed by the rollback margin is rolled back, so that the outcome is written before the spec's end. Otherwise the
+// first state has phase Canary.
+func (r *activeRollout) nextPhase(now time.Time, cfg Config, registered uint64) (rollout.Phase, string) {
 	switch {
-	case o.state == nil && o.isServingKnown && o.serving == o.spec.Target:
+	case r.state == nil && r.isServingKnown && r.serving == r.spec.Target:
 		return rollout.Succeeded, "the version serves already"
-	case o.evaluation.Finding == verdict.Bad:
-		return rollout.RolledBack, o.evaluation.Reason
-	case o.phase() == rollout.Switching:
-		return o.nextWhileSwitching(now, cfg, registered)
-	case o.evaluation.Finding == verdict.Good:
-		return rollout.Switching, o.evaluation.Reason
-	case o.elapsed(now) >= o.spec.Duration()-cfg.rollbackMargin(o.spec.Duration()):
-		return rollout.RolledBack, undecidedReason(o.spec.Target, o.rows)
-	case o.state == nil && o.isServingKnown:
+	case r.evaluation.Finding == verdict.Bad:
+		return rollout.RolledBack, r.evaluation.Reason
+	case r.phase() == rollout.Switching:
+		return r.nextWhileSwitching(now, cfg, registered)
+	case r.evaluation.Finding == verdict.Good:
+		return rollout.Switching, r.evaluation.Reason
+	case r.elapsed(now) >= r.spec.Duration()-cfg.rollbackMargin(r.spec.Duration()):
+		return rollout.RolledBack, undecidedReason(r.spec.Target, r.rows)
+	case r.state == nil && r.isServingKnown:
 		return rollout.Canary, ""
 	default:
 		return "", ""
 	}
 }
 
-// nextWhileSwitching decides when the switching phase has succeeded: the nodes that answer are settled, the final
-// watch is over, and all registered nodes answered or SettleWait has passed. A good version is not rolled back
-// because of slow nodes: SettleWait after the spec's end it succeeds in any case.
-func (o *activeRollout) nextWhileSwitching(now time.Time, cfg Config, registered uint64) (rollout.Phase, string) {
-	isWaitOver := now.Sub(o.switchingSince) >= cfg.SettleWait
-	isSettled := o.status.Answered > 0 && o.status.LowestSettled >= o.state.Revision
-	isDone := isSettled && (isWaitOver || o.status.Registered == registered)
+// nextWhileSwitching returns the phase that follows Switching, if any. The roll-out succeeds when all nodes that answered
+// are settled, the final watch is over, and all registered nodes have answered or SettleWait has passed. A version is not
+// rolled back because of slow nodes: SettleWait after the spec's end the roll-out succeeds in any case.
+func (r *activeRollout) nextWhileSwitching(now time.Time, cfg Config, registered uint64) (rollout.Phase, string) {
+	isWaitOver := now.Sub(r.switchingSince) >= cfg.SettleWait
+	isSettled := r.status.Answered > 0 && r.status.LowestSettled >= r.state.Revision
+	isDone := isSettled && (isWaitOver || r.status.Registered == registered)
 	switch {
-	case isDone && !o.isFinalWatchOver(now, cfg):
+	case isDone && !r.isFinalWatchOver(now, cfg):
 		return "", ""
-	case isSettled && o.status.Registered == registered:
+	case isSettled && r.status.Registered == registered:
 		return rollout.Succeeded, "all nodes are settled"
 	case isSettled && isWaitOver:
 		return rollout.Succeeded, "all nodes that answer are settled"
-	case isWaitOver && o.elapsed(now) >= o.spec.Duration()+cfg.SettleWait:
+	case isWaitOver && r.elapsed(now) >= r.spec.Duration()+cfg.SettleWait:
 		return rollout.Succeeded, "found good, and the time is over"
 	default:
 		return "", ""
 	}
 }
 
-// isFinalWatchOver reports whether the version had all requests for the final watch, or the spec's time is over.
-// Without it a spec would succeed, and the old leafs might stop, before a version that fails only under full load
-// has shown it.
-func (o *activeRollout) isFinalWatchOver(now time.Time, cfg Config) bool {
-	if o.settledSince.IsZero() {
-		o.settledSince = now
+// isFinalWatchOver reports whether the version has had all requests for the duration of the final watch, or the spec's
+// duration has ended. Without the final watch a version that fails only under full load could succeed, and the old leafs
+// could stop, before the failures are counted.
+func (r *activeRollout) isFinalWatchOver(now time.Time, cfg Config) bool {
+	if r.settledSince.IsZero() {
+		r.settledSince = now
 	}
-	duration := o.spec.Duration()
-	return now.Sub(o.settledSince) >= cfg.finalWatch(duration) || o.elapsed(now) >= duration
+	duration := r.spec.Duration()
+	return now.Sub(r.settledSince) >= cfg.finalWatch(duration) || r.elapsed(now) >= duration
 }
 
-// undecidedReason returns the reason for rolling back a version that was not found good in time.
+// undecidedReason returns the reason for the rollback of a version that did not pass evaluation in time.
 func undecidedReason(target string, rows []evidence.Row) string {
-	for _, one := range countVersions(rows) {
-		if one.Version == target {
-			return fmt.Sprintf("not found good in time: %d of %d attempts failed", one.Failures, one.Attempts)
+	for _, counts := range countVersions(rows) {
+		if counts.Version == target {
+			return fmt.Sprintf("not found good in time: %d of %d attempts failed", counts.Failures, counts.Attempts)
 		}
 	}
 	return "not found good in time: no attempt was counted"
 }
 
-// finalWatch returns how long a version must have had all requests before a spec of a duration succeeds.
+// finalWatch returns how long a version must have had all requests before a spec with the given duration succeeds.
 func (c Config) finalWatch(duration time.Duration) time.Duration {
 	return max(duration/finalWatchDivisor, finalWatchReports*c.ReportInterval)
 }
 
-// rollbackMargin returns how long before a spec's end a version that was not found good is rolled back.
+// rollbackMargin returns how long before a spec's end a version that has not passed evaluation is rolled back.
 func (c Config) rollbackMargin(duration time.Duration) time.Duration {
 	return min(c.RollbackMargin, duration/marginDivisor)
 }
 
-// takeoverPause returns how much longer each evaluator node of a spec waits than the one before it by rank to write a phase.
+// takeoverPause returns the additional time that each evaluator node waits, compared with the preceding rank, before it
+// writes a phase.
 func (c Config) takeoverPause(phase rollout.Phase, duration time.Duration) time.Duration {
 	if phase == rollout.Canary {
 		return min(c.TakeoverPause, duration/firstStateDivisor)
--- a/internal/rollout/rolloutcontrol/property_test.go
+++ b/internal/rollout/rolloutcontrol/property_test.go
@@ -12,87 +12,87 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// fault is a fault of a fleet, and how long it is left alone after it.
-type fault struct {
-	what string
+// action is an action on a fleet and the time to the next one.
+type action struct {
+	kind string
 	node string
-	// target and seconds are of a spec.
+	// target and seconds are the target and the duration of a spec.
 	target  string
 	seconds int
-	after   time.Duration
+	pause   time.Duration
 }
 
-var kinds = []string{
-	"order", "order", "take back", "store down", "store up", "answer lost", "call lost", "refuse", "pause", "cut", "heal", "restart",
+var actionKinds = []string{
+	"spec", "spec", "withdraw", "store down", "store up", "answer lost", "call lost", "reject", "pause", "isolate", "reconnect", "restart",
 	"messages lost", "messages pass", "fails", "works",
 }
 
-func drawFaults(t *rapid.T) []fault {
-	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) fault {
-		return fault{
-			what:    rapid.SampledFrom(kinds).Draw(t, "what"),
+func drawActions(t *rapid.T) []action {
+	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) action {
+		return action{
+			kind:    rapid.SampledFrom(actionKinds).Draw(t, "kind"),
 			node:    fmt.Sprintf("n%d", rapid.IntRange(0, 4).Draw(t, "node")),
 			target:  rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "target"),
 			seconds: rapid.IntRange(1, 12).Draw(t, "seconds"),
-			after:   time.Duration(rapid.IntRange(0, 40).Draw(t, "after")) * 100 * time.Millisecond,
+			pause:   time.Duration(rapid.IntRange(0, 40).Draw(t, "pause")) * 100 * time.Millisecond,
 		}
-	}), 1, 14).Draw(t, "happenings")
+	}), 1, 14).Draw(t, "actions")
 }
 
-// inject injects a fault and reports whether canary versions fail from then on.
-func (f *fleet) inject(h fault, fails bool) bool {
-	switch h.what {
-	case "order":
-		f.startRollout("s", h.target, time.Duration(h.seconds)*time.Second)
-	case "take back":
+// apply executes an action and reports whether canary versions fail afterwards.
+func (f *fleet) apply(a action, fails bool) bool {
+	switch a.kind {
+	case "spec":
+		f.startRollout("s", a.target, time.Duration(a.seconds)*time.Second)
+	case "withdraw":
 		f.store.set(catalog.RolloutKey("s"), nil)
 	case "store down", "store up":
-		f.store.setDown(h.what == "store down")
+		f.store.setUnavailable(a.kind == "store down")
 	case "answer lost":
-		f.store.fail(func(m *memoryStore) { m.loseDone++ })
+		f.store.inject(func(m *memoryStore) { m.loseAnswers++ })
 	case "call lost":
-		f.store.fail(func(m *memoryStore) { m.loseUndone++ })
-	case "refuse":
-		f.store.fail(func(m *memoryStore) { m.refused[h.node] = true })
+		f.store.inject(func(m *memoryStore) { m.loseWrites++ })
+	case "reject":
+		f.store.inject(func(m *memoryStore) { m.rejected[a.node] = true })
 	case "pause":
-		if f.node(h.node).isReachable() {
-			f.pause(h.node, 3*time.Second)
+		if f.node(a.node).isReachable() {
+			f.pause(a.node, 3*time.Second)
 		}
-	case "cut", "heal":
-		if h.what == "heal" || f.node(h.node).isReachable() {
-			f.setCut(h.node, h.what == "cut")
+	case "isolate", "reconnect":
+		if a.kind == "reconnect" || f.node(a.node).isReachable() {
+			f.setIsolated(a.node, a.kind == "isolate")
 		}
 	case "restart":
-		if f.node(h.node).isReachable() {
-			f.kill(h.node)
-			f.start(h.node)
+		if f.node(a.node).isReachable() {
+			f.kill(a.node)
+			f.start(a.node)
 		}
 	case "messages lost":
 		f.network.SetLoss(0.5)
 	case "messages pass":
 		f.network.SetLoss(0)
 	case "fails", "works":
-		return h.what == "fails"
+		return a.kind == "fails"
 	}
 	return fails
 }
 
-// healAll ends all faults.
-func (f *fleet) healAll() {
-	f.store.fail(func(m *memoryStore) {
-		m.isDown, m.loseDone, m.loseUndone = false, 0, 0
-		clear(m.refused)
+// clearFaults ends all faults.
+func (f *fleet) clearFaults() {
+	f.store.inject(func(m *memoryStore) {
+		m.isUnavailable, m.loseAnswers, m.loseWrites = false, 0, 0
+		clear(m.rejected)
 	})
 	f.network.SetLoss(0)
 	for _, node := range f.all() {
-		if node.isCut() {
-			f.setCut(node.id, false)
+		if node.isIsolated() {
+			f.setIsolated(node.id, false)
 		}
 	}
 }
 
-// rankOfPhase orders phases: none may follow one of a higher or, if final, the same rank.
-func rankOfPhase(phase rollout.Phase) int {
+// phaseOrder returns the position of a phase. The positions of a spec's phases must increase.
+func phaseOrder(phase rollout.Phase) int {
 	switch phase {
 	case rollout.Canary:
 		return 0
@@ -103,50 +103,50 @@
 	}
 }
 
-// violation describes what is wrong with the states that were written; empty for nothing.
+// violation describes the first invalid state that was written, empty if there is none.
 func (m *memoryStore) violation() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	last := map[int64]rollout.Phase{}
 	for index, state := range m.states {
 		before, found := last[state.SpecRevision]
-		if found && rankOfPhase(state.Phase) <= rankOfPhase(before) {
-			return fmt.Sprintf("%s follows on %s of order %d", state.Phase, before, state.SpecRevision)
+		if found && phaseOrder(state.Phase) <= phaseOrder(before) {
+			return fmt.Sprintf("%s follows %s of spec %d", state.Phase, before, state.SpecRevision)
 		}
 		last[state.SpecRevision] = state.Phase
-		standing := m.standing[index]
-		isWithoutSpec := standing == 0 && state.Phase == rollout.RolledBack
-		if standing != state.SpecRevision && !isWithoutSpec {
-			return fmt.Sprintf("%s was written for order %d while order %d stood", state.Phase, state.SpecRevision, standing)
+		inForce := m.specRevisions[index]
+		isWithoutSpec := inForce == 0 && state.Phase == rollout.RolledBack
+		if inForce != state.SpecRevision && !isWithoutSpec {
+			return fmt.Sprintf("%s was written for spec %d while spec %d was in force", state.Phase, state.SpecRevision, inForce)
 		}
 	}
 	return ""
 }
 
-// unfinished describes a last spec, or a state of a withdrawn spec, without a final phase; empty for none.
+// unfinished describes the last spec, or the state of a withdrawn spec, if its phase is not final; else it is empty.
 func (m *memoryStore) unfinished() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	standing := m.find(catalog.RolloutKey("s")).LiveRevision()
+	inForce := m.find(catalog.RolloutKey("s")).LiveRevision()
 	if len(m.states) == 0 {
-		if standing != 0 {
-			return fmt.Sprintf("order %d has no state", standing)
+		if inForce != 0 {
+			return fmt.Sprintf("spec %d has no state", inForce)
 		}
 		return ""
 	}
 	state := m.states[len(m.states)-1]
-	if !state.Phase.IsFinal() || standing != 0 && state.SpecRevision != standing {
-		return fmt.Sprintf("order %d is in force, and the last state is %s of order %d", standing, state.Phase, state.SpecRevision)
+	if !state.Phase.IsFinal() || inForce != 0 && state.SpecRevision != inForce {
+		return fmt.Sprintf("spec %d is in force, and the last state is %s of spec %d", inForce, state.Phase, state.SpecRevision)
 	}
 	return ""
 }
 
-// Under any faults at most one final phase is written for a spec, none for one that was replaced, phases never go
-// back, and without faults each spec comes to its end.
-func TestOneEndForEachSpecWhateverFails(t *testing.T) {
+// Under any faults at most one final phase is written for each spec and none for a replaced one, and phases never go back.
+// After the faults have ended each spec reaches a final phase.
+func TestEachSpecEndsOnceUnderFaults(t *testing.T) {
 	rapid.Check(t, func(check *rapid.T) {
-		happenings := drawFaults(check)
-		var violated, unfinished string
+		actions := drawActions(check)
+		var violation, unfinished string
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t, 5)
 			defer f.stopAll()
@@ -156,20 +156,20 @@
 			f.store.set(catalog.VersionsKey, rollout.Versions{ByVersion: map[string][]string{"a": {"s"}}})
 			time.Sleep(time.Second)
 			fails := false
-			for _, h := range happenings {
-				fails = f.inject(h, fails)
+			for _, a := range actions {
+				fails = f.apply(a, fails)
 				failsFrom := time.Duration(never)
 				if fails {
 					failsFrom = 0
 				}
-				f.serve(h.after, failsFrom)
+				f.serve(a.pause, failsFrom)
 			}
-			f.healAll()
+			f.clearFaults()
 			time.Sleep(30 * time.Second)
-			violated, unfinished = f.store.violation(), f.store.unfinished()
+			violation, unfinished = f.store.violation(), f.store.unfinished()
 		})
-		if violated != "" || unfinished != "" {
-			check.Fatalf("%s; %s", violated, unfinished)
+		if violation != "" || unfinished != "" {
+			check.Fatalf("%s; %s", violation, unfinished)
 		}
 	})
 }
--- a/internal/rollout/rolloutcontrol/reporter.go
+++ b/internal/rollout/rolloutcontrol/reporter.go
@@ -13,8 +13,8 @@
 	"github.com/portgauge/portgauge/internal/rollout/evidence"
 )
 
-// Counts are this node's own counts for the specs under way; evidence.Collector is the real one. Returned rows
-// belong to the caller.
+// Counts are this node's own counts for the active specs. It is implemented by evidence.Collector. Returned rows belong
+// to the caller.
 type Counts interface {
 	// TakeChanged returns up to limit rows that changed since they were last taken.
 	TakeChanged(limit int) []evidence.Row
@@ -22,111 +22,112 @@
 	Rows() []evidence.Row
 }
 
-// Sender sends datagrams to nodes; peer.Transport is one.
+// Sender sends datagrams to nodes. It is implemented by peer.Transport.
 type Sender interface {
 	Send(address string, message peer.Message)
 }
 
-// maxRowsTaken bounds the rows taken at once, to a few milliseconds of packing.
+// maxRowsTaken bounds the rows of one step, and thereby the time to pack them to a few milliseconds.
 const maxRowsTaken = 1024
 
-// outbox holds the rows that wait to be sent to one evaluator node, the newest of each key.
+// outbox holds the newest row of each key that waits to be sent to one evaluator node.
 type outbox struct {
 	address string
-	since   time.Time // when the first of them was added
+	since   time.Time // when the first row was added, or the last datagram sent
 	rows    map[evidence.Key]evidence.Row
 }
 
-// reporter sends this node's counts to the evaluator nodes of each service, within a bound of bytes a second. Rows beyond the
-// bound wait in an outbox for each evaluator node, where newer counts replace them. It is not safe for concurrent use.
+// reporter sends this node's counts to the evaluator nodes of each service, within a limit of bytes per second. Rows
+// beyond the limit wait in an outbox per evaluator node, where newer counts replace them. It is not safe for concurrent
+// use.
 type reporter struct {
 	self   catalog.NodeRecord
 	start  int64 // Unix nanoseconds; identifies this process
 	counts Counts
 	sender Sender
-	// keep stores the node's own counts where it is an evaluator node itself.
-	keep func([]evidence.Row)
-	// dropped is called with the number of rows that fit into no datagram.
-	dropped func(rows int)
-	budget  *rate.Limiter
-	resend  time.Duration
-
-	outboxes   map[string]*outbox              // by id of the evaluator node
-	reportedTo map[string][]catalog.NodeRecord // the evaluator nodes of the latest report, by service
+	// addOwn adds rows of services that this node evaluates itself.
+	addOwn func([]evidence.Row)
+	// onDropped is called with the number of rows that do not fit into a datagram.
+	onDropped func(rows int)
+	budget    *rate.Limiter
+	resend    time.Duration
+
+	outboxes   map[string]*outbox              // by ID of the evaluator node
+	reportedTo map[string][]catalog.NodeRecord // evaluator nodes of the latest report, by service
 	resentAt   time.Time
 }
 
-func newReporter(deps Deps, keep func([]evidence.Row), dropped func(rows int)) *reporter {
+func newReporter(deps Deps, addOwn func([]evidence.Row), onDropped func(rows int)) *reporter {
 	cfg := deps.Config
 	return &reporter{
-		self: deps.Self, start: time.Now().UnixNano(), counts: deps.Counts, sender: deps.Sender, keep: keep, dropped: dropped, resend: cfg.ResendInterval,
+		self: deps.Self, start: time.Now().UnixNano(), counts: deps.Counts, sender: deps.Sender, addOwn: addOwn, onDropped: onDropped, resend: cfg.ResendInterval,
 		budget:   rate.NewLimiter(rate.Limit(cfg.BytesPerSecond), cfg.BurstBytes),
 		outboxes: map[string]*outbox{}, reportedTo: map[string][]catalog.NodeRecord{}, resentAt: deps.Clock.Now(),
 	}
 }
 
-// step moves changed rows into the outboxes and sends as much of them as the budget allows. evaluatorNodes returns the evaluator nodes
-// of a service; isUnderWay reports whether a spec still needs counts.
-func (s *reporter) step(now time.Time, evaluatorNodes func(service string) []catalog.NodeRecord, isUnderWay func(rolloutID) bool) {
-	moved := s.movedServices(evaluatorNodes)
-	s.enqueue(now, s.counts.TakeChanged(maxRowsTaken), evaluatorNodes)
-	s.dropObsolete(evaluatorNodes, isUnderWay)
+// step moves changed rows into the outboxes and sends as many of them as the budget allows. evaluatorNodes returns the
+// evaluator nodes of a service. isWanted reports whether the counts of a spec are still needed.
+func (r *reporter) step(now time.Time, evaluatorNodes func(service string) []catalog.NodeRecord, isWanted func(rolloutID) bool) {
+	moved := r.movedServices(evaluatorNodes)
+	r.enqueue(now, r.counts.TakeChanged(maxRowsTaken), evaluatorNodes)
+	r.dropObsolete(evaluatorNodes, isWanted)
 	switch {
-	case s.isResendDue(now):
-		s.resentAt = now
-		clear(s.reportedTo)
-		s.enqueue(now, s.counts.Rows(), evaluatorNodes)
+	case r.isResendDue(now):
+		r.resentAt = now
+		clear(r.reportedTo)
+		r.enqueue(now, r.counts.Rows(), evaluatorNodes)
 	case len(moved) > 0:
 		isReported := func(row evidence.Row) bool { return !moved[row.Service] }
-		s.enqueue(now, slices.DeleteFunc(slices.Clone(s.counts.Rows()), isReported), evaluatorNodes)
+		r.enqueue(now, slices.DeleteFunc(slices.Clone(r.counts.Rows()), isReported), evaluatorNodes)
 	}
-	s.sendBoxes(now)
+	r.sendOutboxes(now)
 }
 
 // enqueue puts rows into the outboxes of their evaluator nodes.
-func (s *reporter) enqueue(now time.Time, rows []evidence.Row, evaluatorNodes func(string) []catalog.NodeRecord) {
+func (r *reporter) enqueue(now time.Time, rows []evidence.Row, evaluatorNodes func(string) []catalog.NodeRecord) {
 	var own []evidence.Row
 	for _, row := range rows {
-		s.reportedTo[row.Service] = evaluatorNodes(row.Service)
-		for _, evaluatorNode := range s.reportedTo[row.Service] {
-			if evaluatorNode.ID == s.self.ID {
+		r.reportedTo[row.Service] = evaluatorNodes(row.Service)
+		for _, evaluatorNode := range r.reportedTo[row.Service] {
+			if evaluatorNode.ID == r.self.ID {
 				own = append(own, row)
 				continue
 			}
-			s.outboxOf(now, evaluatorNode).rows[row.Key] = row
+			r.outboxOf(now, evaluatorNode).rows[row.Key] = row
 		}
 	}
 	if len(own) > 0 {
-		s.keep(own)
+		r.addOwn(own)
 	}
 }
 
-func (s *reporter) outboxOf(now time.Time, evaluatorNode catalog.NodeRecord) *outbox {
-	known := s.outboxes[evaluatorNode.ID]
+func (r *reporter) outboxOf(now time.Time, evaluatorNode catalog.NodeRecord) *outbox {
+	known := r.outboxes[evaluatorNode.ID]
 	if known == nil {
 		known = &outbox{since: now, rows: map[evidence.Key]evidence.Row{}}
-		s.outboxes[evaluatorNode.ID] = known
+		r.outboxes[evaluatorNode.ID] = known
 	}
 	known.address = evaluatorNode.Address
 	return known
 }
 
-// dropObsolete drops rows of specs that are over, and rows for nodes that are no evaluator nodes any more.
-func (s *reporter) dropObsolete(evaluatorNodes func(string) []catalog.NodeRecord, isUnderWay func(rolloutID) bool) {
-	for id, waiting := range s.outboxes {
+// dropObsolete drops rows of specs that have ended, and rows for nodes that are no longer evaluator nodes.
+func (r *reporter) dropObsolete(evaluatorNodes func(string) []catalog.NodeRecord, isWanted func(rolloutID) bool) {
+	for id, waiting := range r.outboxes {
 		maps.DeleteFunc(waiting.rows, func(key evidence.Key, _ evidence.Row) bool {
-			return !isUnderWay(rolloutID{key.Service, key.SpecID}) || rankOf(evaluatorNodes(key.Service), id) < 0
+			return !isWanted(rolloutID{key.Service, key.SpecID}) || rankOf(evaluatorNodes(key.Service), id) < 0
 		})
 		if len(waiting.rows) == 0 {
-			delete(s.outboxes, id)
+			delete(r.outboxes, id)
 		}
 	}
 }
 
 // movedServices returns the services whose evaluator nodes have changed since the last report.
-func (s *reporter) movedServices(evaluatorNodes func(string) []catalog.NodeRecord) map[string]bool {
+func (r *reporter) movedServices(evaluatorNodes func(string) []catalog.NodeRecord) map[string]bool {
 	moved := map[string]bool{}
-	for service, before := range s.reportedTo {
+	for service, before := range r.reportedTo {
 		if !slices.Equal(before, evaluatorNodes(service)) {
 			moved[service] = true
 		}
@@ -134,35 +135,35 @@
 	return moved
 }
 
-// isResendDue reports whether all counts are to be sent again. That waits until the outboxes are empty.
-func (s *reporter) isResendDue(now time.Time) bool {
-	return len(s.outboxes) == 0 && now.Sub(s.resentAt) >= s.resend
+// isResendDue reports whether all counts must be sent again. A resend waits until the outboxes are empty.
+func (r *reporter) isResendDue(now time.Time) bool {
+	return len(r.outboxes) == 0 && now.Sub(r.resentAt) >= r.resend
 }
 
-// sendBoxes sends datagrams, those of the longest waiting outbox first, until the outboxes are empty or the budget is
-// used up.
-func (s *reporter) sendBoxes(now time.Time) {
-	for len(s.outboxes) > 0 {
-		id := s.longestWaiting()
-		if !s.sendFrom(now, s.outboxes[id]) {
+// sendOutboxes sends datagrams until the outboxes are empty or the budget is exhausted. The outbox that has waited longest
+// is first.
+func (r *reporter) sendOutboxes(now time.Time) {
+	for len(r.outboxes) > 0 {
+		id := r.longestWaiting()
+		if !r.sendDatagram(now, r.outboxes[id]) {
 			return
 		}
-		if len(s.outboxes[id].rows) == 0 {
-			delete(s.outboxes, id)
+		if len(r.outboxes[id].rows) == 0 {
+			delete(r.outboxes, id)
 		}
 	}
 }
 
-func (s *reporter) longestWaiting() string {
-	return slices.MinFunc(slices.Collect(maps.Keys(s.outboxes)), func(a, b string) int {
-		return cmp.Or(s.outboxes[a].since.Compare(s.outboxes[b].since), cmp.Compare(a, b))
+func (r *reporter) longestWaiting() string {
+	return slices.MinFunc(slices.Collect(maps.Keys(r.outboxes)), func(a, b string) int {
+		return cmp.Or(r.outboxes[a].since.Compare(r.outboxes[b].since), cmp.Compare(a, b))
 	})
 }
 
-// sendFrom sends one datagram of rows from an outbox. It returns false if the budget does not allow it.
-func (s *reporter) sendFrom(now time.Time, waiting *outbox) bool {
+// sendDatagram sends one datagram with rows from an outbox. It returns false if the budget is exhausted.
+func (r *reporter) sendDatagram(now time.Time, waiting *outbox) bool {
 	var packed packer
-	room := packedRoom(s.self.ID)
+	room := packedRoom(r.self.ID)
 	var sent []evidence.Key
 	for key, row := range waiting.rows {
 		if packed.add(row, room) {
@@ -173,13 +174,13 @@
 			break
 		}
 		sent = append(sent, key)
-		s.dropped(1) // its names fit into no datagram
+		r.onDropped(1) // the row alone exceeds a datagram
 	}
 	if size := len(packed.content); size > 0 {
-		if !s.budget.AllowN(now, datagramBytes(s.self.ID, size)) {
+		if !r.budget.AllowN(now, datagramBytes(r.self.ID, size)) {
 			return false
 		}
-		s.sender.Send(waiting.address, peer.Message{RolloutReports: &peer.RolloutReports{Node: s.self.ID, StartUnixNano: s.start, Rows: packed.content}})
+		r.sender.Send(waiting.address, peer.Message{RolloutReports: &peer.RolloutReports{Node: r.self.ID, StartUnixNano: r.start, Rows: packed.content}})
 	}
 	for _, key := range sent {
 		delete(waiting.rows, key)
--- a/internal/rollout/rolloutcontrol/reports_test.go
+++ b/internal/rollout/rolloutcontrol/reports_test.go
@@ -21,18 +21,18 @@
 	counts := rapid.SliceOfN(rapid.Int64Range(0, 1000), 0, 48)
 	return evidence.Row{
 		Key: evidence.Key{
-			Service: name.Draw(t, "service"), SpecID: rapid.Int64Range(0, 1<<50).Draw(t, "order"), Route: name.Draw(t, "route"),
+			Service: name.Draw(t, "service"), SpecID: rapid.Int64Range(0, 1<<50).Draw(t, "spec"), Route: name.Draw(t, "route"),
 			Version: name.Draw(t, "version"), Leaf: name.Draw(t, "leaf"), Zone: name.Draw(t, "zone"),
 		},
 		Tally: evidence.Tally{
 			Failures: rapid.Int64Range(0, 1000).Draw(t, "failures"),
-			Answered: counts.Draw(t, "answered"), Abandoned: counts.Draw(t, "given up"),
+			Answered: counts.Draw(t, "answered"), Abandoned: counts.Draw(t, "abandoned"),
 		},
 	}
 }
 
-// Rows that fit into a datagram are unpacked as they were, and rows that don't fit leave no trace.
-func TestPackKeepsRows(t *testing.T) {
+// Unpacked rows equal the packed ones, and rows that don't fit leave the content unchanged.
+func TestPackRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rows := rapid.SliceOfN(rapid.Custom(drawRow), 0, 30).Draw(t, "rows")
 		room := packedRoom("node")
@@ -44,21 +44,21 @@
 			}
 		}
 		if len(packed.content) > room {
-			t.Fatalf("%d bytes in a room of %d", len(packed.content), room)
+			t.Fatalf("packed %d bytes, want at most %d", len(packed.content), room)
 		}
 		got, err := unpack(packed.content)
 		if err != nil || len(got) != len(sent) {
-			t.Fatalf("%d of %d rows: %v", len(got), len(sent), err)
+			t.Fatalf("unpacked %d of %d rows: %v", len(got), len(sent), err)
 		}
 		for index, row := range got {
 			if row.Key != sent[index].Key || row.Failures != sent[index].Failures || !sameCounts(row.Answered, sent[index].Answered) || !sameCounts(row.Abandoned, sent[index].Abandoned) {
-				t.Fatalf("got %v of %v", row, sent[index])
+				t.Fatalf("got %v, want %v", row, sent[index])
 			}
 		}
 	})
 }
 
-// sameCounts compares histograms, ignoring empty buckets at their ends.
+// sameCounts reports whether histograms are equal without their trailing empty buckets.
 func sameCounts(a, b evidence.Histogram) bool {
 	return slices.Equal(withoutTail(a), withoutTail(b))
 }
@@ -78,13 +78,13 @@
 	f.Fuzz(func(t *testing.T, content []byte) {
 		rows, err := unpack(content)
 		if err != nil && len(rows) > 0 {
-			t.Fatal("rows of a report that can't be read")
+			t.Fatal("unpack returned rows of a malformed report")
 		}
 	})
 }
 
-// The sums are those of the newest row of each process, whatever the order and number of reports.
-func TestSumsDontDependOnTheOrderOfReports(t *testing.T) {
+// The sum contains the newest row of each process, whatever the order and repetition of reports.
+func TestSumsAreIndependentOfReportOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		id := rolloutID{"s", 1}
 		type report struct {
@@ -107,18 +107,18 @@
 		}
 		all = append(all, all...)
 		var reported tallies
-		for _, one := range rapid.Permutation(all).Draw(t, "reports") {
-			reported.add(one.from, "address", []evidence.Row{one.row}, time.Now())
+		for _, next := range rapid.Permutation(all).Draw(t, "reports") {
+			reported.add(next.from, "address", []evidence.Row{next.row}, time.Now())
 		}
 		rows, _ := reported.sum(id)
 		if len(rows) != 1 || rows[0].Attempts() != want {
-			t.Fatalf("%v, not %d attempts", rows, want)
+			t.Fatalf("got %v, want %d attempts", rows, want)
 		}
 	})
 }
 
-// An evaluator node keeps a bounded number of rows, accepts newer counts of those that it keeps, and has room again once an
-// spec is over.
+// An evaluator node stores a bounded number of rows, accepts newer counts of stored rows, and has room again after a spec
+// has ended.
 func TestTalliesAreBounded(t *testing.T) {
 	is := is.New(t)
 	var reported tallies
@@ -141,9 +141,8 @@
 	is.Equal(len(reported.rollouts), 0)
 }
 
-// The evaluator nodes are in distinct zones where possible, the same for all nodes, and a node that leaves changes no other
-// evaluator node.
-func TestEvaluatorNodesAreOfDistinctZonesAndStay(t *testing.T) {
+// The evaluator nodes are in distinct zones if possible, and a node that leaves does not change the first evaluator node.
+func TestEvaluatorNodesAreInDistinctZonesAndStable(t *testing.T) {
 	is := is.New(t)
 	nodes := map[string]catalog.NodeRecord{}
 	for number := range 20 {
@@ -157,12 +156,12 @@
 		is.Equal(len(evaluatorNodes), 3)
 		is.True(evaluatorNodes[0].Zone != evaluatorNodes[1].Zone)
 		first[evaluatorNodes[0].ID] = true
-		gone := nodes[evaluatorNodes[1].ID]
-		delete(nodes, gone.ID)
+		removed := nodes[evaluatorNodes[1].ID]
+		delete(nodes, removed.ID)
 		is.Equal(evaluatorNodesOf(nodes, service, 3)[0], evaluatorNodes[0])
-		nodes[gone.ID] = gone
+		nodes[removed.ID] = removed
 	}
-	is.True(len(first) > 10) // the duty is dealt
+	is.True(len(first) > 10) // services have different evaluator nodes
 	is.Equal(len(evaluatorNodesOf(map[string]catalog.NodeRecord{"n0": {ID: "n0"}}, "s", 3)), 1)
 }
 
@@ -172,7 +171,7 @@
 	is.Equal(len(failure.Faults(Config{MaximumRetryPause: -1}.Validate())), 13)
 }
 
-// countingSender counts the rows that are sent.
+// countingSender counts the sent rows.
 type countingSender struct{ rows int }
 
 func (c *countingSender) Send(_ string, message peer.Message) {
@@ -183,18 +182,20 @@
 	c.rows += len(rows)
 }
 
-// A row that no datagram can hold does not keep other rows from being sent.
-func TestRowThatFitsNowhereIsDropped(t *testing.T) {
+// A row that is larger than a datagram does not prevent other rows from being sent.
+func TestRowLargerThanDatagramIsDropped(t *testing.T) {
 	is := is.New(t)
-	sent := &testNode{id: "n", rows: map[evidence.Key]evidence.Tally{}, changed: map[evidence.Key]bool{}}
+	counts := &testNode{id: "n", rows: map[evidence.Key]evidence.Tally{}, changed: map[evidence.Key]bool{}}
 	long := evidence.Key{Service: strings.Repeat("x", maxNameBytes+1), SpecID: 1}
-	sent.observe(long, false)
-	sent.observe(evidence.Key{Service: "s", SpecID: 1}, false)
-	dropped, datagrams := 0, countingSender{}
-	r := newReporter(Deps{Config: DefaultConfig(), Self: catalog.NodeRecord{ID: "n"}, Counts: sent, Sender: &datagrams}, nil, func(rows int) { dropped += rows })
-	evaluatorNodes := func(string) []catalog.NodeRecord { return []catalog.NodeRecord{{ID: "judge", Address: "judge"}} }
+	counts.observe(long, false)
+	counts.observe(evidence.Key{Service: "s", SpecID: 1}, false)
+	dropped, sender := 0, countingSender{}
+	r := newReporter(Deps{Config: DefaultConfig(), Self: catalog.NodeRecord{ID: "n"}, Counts: counts, Sender: &sender}, nil, func(rows int) { dropped += rows })
+	evaluatorNodes := func(string) []catalog.NodeRecord {
+		return []catalog.NodeRecord{{ID: "evaluator", Address: "evaluator"}}
+	}
 	r.step(time.Now(), evaluatorNodes, func(rolloutID) bool { return true })
 	is.Equal(dropped, 1)
-	is.Equal(datagrams.rows, 1)
+	is.Equal(sender.rows, 1)
 	is.Equal(len(r.outboxes), 0)
 }
--- a/internal/rollout/rolloutcontrol/schedule.go
+++ b/internal/rollout/rolloutcontrol/schedule.go
@@ -8,26 +8,26 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// plannedWrite identifies a write that an evaluator node wants done: a phase of a spec in place of the state at a revision.
+// plannedWrite identifies a write: a phase of a spec that replaces the state at a revision.
 type plannedWrite struct {
-	phase    rollout.Phase
-	specID   int64
-	replaces int64
+	phase        rollout.Phase
+	specRevision int64
+	replaced     int64
 }
 
-// writeSchedule decides when the state of one service is written: one write at a time, each successful write once,
-// and with growing pauses while the store does not accept it.
+// writeSchedule decides when the state of one service is written. It allows one write at a time, does not repeat a
+// successful write, and backs off while writes fail.
 type writeSchedule struct {
 	planned   plannedWrite
-	since     time.Time // when it was first wanted
+	since     time.Time // when the write was planned
 	notBefore time.Time
-	pause     time.Duration
+	backoff   time.Duration
 	isBusy    bool
 	isDone    bool
 }
 
-// isDue reports whether a write is to be sent now: it has been planned for the given delay, which leaves the
-// evaluator nodes before this one their time, and no pause after a failure is running.
+// isDue reports whether a write must be sent now: it was planned at least delay ago, so that evaluator nodes of lower rank
+// could write first, and the backoff after a failure has ended.
 func (s *writeSchedule) isDue(now time.Time, planned plannedWrite, delay time.Duration) bool {
 	if s.isBusy {
 		return false
@@ -46,8 +46,8 @@
 	return max(s.since.Add(delay).Sub(now), s.notBefore.Sub(now), 0)
 }
 
-// done records the outcome of a write. After a conflict the state in force is older than the store's; the newer one
-// arrives by itself, and the write is only tried again after the longest pause.
+// done records the outcome of a write. After a conflict the state in force is older than the stored one. The newer state
+// arrives through the catalog, so the write is repeated only after the maximum backoff.
 func (s *writeSchedule) done(now time.Time, err error, cfg Config) {
 	s.isBusy = false
 	switch {
@@ -56,7 +56,7 @@
 	case failure.Is(err, failure.RevisionConflict):
 		s.notBefore = now.Add(cfg.MaximumRetryPause)
 	default:
-		s.pause = min(max(2*s.pause, cfg.RetryPause), cfg.MaximumRetryPause)
-		s.notBefore = now.Add(wait.Jittered(s.pause))
+		s.backoff = min(max(2*s.backoff, cfg.RetryPause), cfg.MaximumRetryPause)
+		s.notBefore = now.Add(wait.Jittered(s.backoff))
 	}
 }
--- a/internal/rollout/rolloutcontrol/settling.go
+++ b/internal/rollout/rolloutcontrol/settling.go
@@ -8,33 +8,33 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// firstCheckFraction is the part of the settle interval, after the ramp, that an evaluator node leaves the nodes before it asks
-// first: they learn of the verdict later than the evaluator node, and finish what is in flight.
+// firstCheckFraction is the fraction of the settle interval that an evaluator node waits after the ramp before its first
+// query: the other nodes learn of the verdict later, and have to finish their attempts in flight.
 const firstCheckFraction = 0.5
 
-// maxFleetCalls bounds the fleet calls in flight. A silent node delays a call up to SettleWait, and the next call,
-// which finds more nodes settled, must not wait for it.
-const maxFleetCalls = 4
+// maxFleetQueries bounds the fleet queries in flight. An unresponsive node delays a query by up to SettleWait, and the
+// next query, which finds more nodes settled, must not wait for it.
+const maxFleetQueries = 4
 
-// FleetStatus is how far the nodes that answered are.
+// FleetStatus summarizes the answers of the nodes to a query.
 type FleetStatus struct {
 	// Answered is the number of nodes that answered.
 	Answered int
-	// Registered is the fingerprint of those of them that are registered.
+	// Registered is the fingerprint of the registered nodes among them.
 	Registered uint64
-	// LowestSettled is the lowest revision at which one of them is settled: it sends nothing by an older rule any
-	// more and has nothing in flight by one.
+	// LowestSettled is the lowest revision up to which one of them is settled: it sends no requests under older rules
+	// and has none in flight.
 	LowestSettled int64
 }
 
-// fleetAnswer is the answer to a fleet call and when the call was made.
+// fleetAnswer is the answer to a fleet query.
 type fleetAnswer struct {
 	queriedAt time.Time
 	status    FleetStatus
 }
 
-// queryFleet asks all nodes whether they are settled if a spec that this node evaluates waits for that, and returns the
-// time until the next check, 0 for the report interval. One answer serves all specs.
+// queryFleet queries all nodes whether they are settled, if a spec that this node evaluates waits for that. It returns
+// the time until the next check, 0 for the report interval. One answer serves all specs.
 func (c *Controller) queryFleet(ctx context.Context, now time.Time, view *catalog.View) time.Duration {
 	revision, next := int64(0), time.Duration(0)
 	for service, active := range c.rollouts {
@@ -49,15 +49,16 @@
 		}
 		next = earlier(next, dueIn)
 	}
-	if revision == 0 || c.fleetCalls >= maxFleetCalls || now.Sub(c.queriedAt) < c.cfg.SettleInterval {
+	if revision == 0 || c.fleetQueries >= maxFleetQueries || now.Sub(c.queriedAt) < c.cfg.SettleInterval {
 		return next
 	}
 	c.startQuery(ctx, now, revision)
 	return c.cfg.SettleInterval
 }
 
-// untilFirstCheck returns how long after the switch of a spec an evaluator node asks first: the first evaluator node once the nodes can
-// be settled, the others when the one before should have written the outcome of its final watch.
+// untilFirstCheck returns the time from the switch of a spec to the first query of an evaluator node. The node of rank 0
+// queries when the nodes can have settled. Each other node queries when the preceding rank should have written the outcome
+// of its final watch.
 func (c *Controller) untilFirstCheck(spec rollout.Spec, rank int) time.Duration {
 	first := c.deps.Splitter.Ramp(spec.Duration()) + time.Duration(firstCheckFraction*float64(c.cfg.SettleInterval))
 	if rank == 0 {
@@ -67,35 +68,35 @@
 }
 
 // earlier returns the shorter of two pauses, where 0 or less means none.
-func earlier(one, other time.Duration) time.Duration {
-	if one <= 0 || other <= 0 {
-		return max(one, other)
+func earlier(a, b time.Duration) time.Duration {
+	if a <= 0 || b <= 0 {
+		return max(a, b)
 	}
-	return min(one, other)
+	return min(a, b)
 }
 
-// startQuery asks the nodes whether they are settled at a revision.
+// startQuery starts a query whether the nodes are settled at a revision.
 func (c *Controller) startQuery(ctx context.Context, now time.Time, revision int64) {
-	c.fleetCalls++
+	c.fleetQueries++
 	c.queriedAt = now
 	c.running.Go(func() {
 		queryCtx, cancel := context.WithTimeout(ctx, c.cfg.SettleWait)
 		defer cancel()
 		answer := fleetAnswer{queriedAt: now, status: c.deps.Fleet.Settled(queryCtx, revision)}
 		select {
-		case c.answers <- answer:
+		case c.fleetAnswers <- answer:
 		case <-ctx.Done():
 		}
 	})
 }
 
-// handleAnswer hands an answer of the fleet to the specs that wait for it, unless a newer one was handled.
+// handleAnswer stores an answer in the roll-outs that wait for it, unless the answer to a newer query was handled before.
 func (c *Controller) handleAnswer(answer fleetAnswer) {
-	c.fleetCalls--
-	if answer.queriedAt.Before(c.answeredAt) {
+	c.fleetQueries--
+	if answer.queriedAt.Before(c.answerQueriedAt) {
 		return
 	}
-	c.answeredAt = answer.queriedAt
+	c.answerQueriedAt = answer.queriedAt
 	for _, active := range c.rollouts {
 		if active.phase() == rollout.Switching {
 			active.status = answer.status
--- a/internal/rollout/rolloutcontrol/statewriter.go
+++ b/internal/rollout/rolloutcontrol/statewriter.go
@@ -14,20 +14,20 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// StateWriter writes the state of a roll-out, only if the state is still at the expected revision (0 for none) and
-// the spec of its service at the given one (0 for none). Its errors are RevisionConflict (not written),
-// StoreUnavailable (nothing was sent) and OutcomeUnknown (sent, but neither answered nor read back).
+// StateWriter writes the state of a roll-out if the stored state still has the expected revision and the spec of the
+// service still has specRevision; 0 stands for a missing key. Its errors are RevisionConflict (not written),
+// StoreUnavailable (not sent) and OutcomeUnknown (sent, but neither answered nor read back).
 type StateWriter interface {
-	Write(ctx context.Context, state rollout.State, expected, specID int64) (revision int64, err error)
+	Write(ctx context.Context, state rollout.State, expected, specRevision int64) (revision int64, err error)
 }
 
-// GuardedStateWriter writes states to a store. After a lost answer it reads the state back: if the state contains the
-// write, it is done; if the state has moved on without it, the write lost a race; if it is unchanged, the same write
-// is sent again, which can take effect only once.
+// GuardedStateWriter writes states to a store. After a lost answer it reads the state back. If the state contains the
+// write, the write is done. If the state has changed without it, the write lost a race. If the state is unchanged, the
+// same write is sent again, which can take effect only once.
 type GuardedStateWriter struct {
 	// Store reads states back.
 	Store store.Store
-	// Guarded writes them under conditions.
+	// Guarded writes states conditionally.
 	Guarded store.Guarded
 	// RetryPause is the pause before a state is read back.
 	RetryPause time.Duration
@@ -35,7 +35,7 @@
 
 var _ StateWriter = GuardedStateWriter{}
 
-// stateWrite is one write of a state.
+// stateWrite is a conditional write of a state.
 type stateWrite struct {
 	key        string
 	changeID   string
@@ -44,32 +44,32 @@
 	conditions []store.Condition
 }
 
-// changeIDOf returns the id of a write. The same state, written in place of the same one by the same node, is the
-// same write.
+// changeIDOf returns the ID of a write. Writes of the same state by the same node that replace the same revision have the
+// same ID.
 func changeIDOf(state rollout.State, expected int64) string {
 	return fmt.Sprintf("%s/%d/%s/%d/%s", state.Service, state.SpecRevision, state.Phase, expected, state.DecidedBy)
 }
 
 // Write implements StateWriter.
-func (g GuardedStateWriter) Write(ctx context.Context, state rollout.State, expected, specID int64) (int64, error) {
+func (g GuardedStateWriter) Write(ctx context.Context, state rollout.State, expected, specRevision int64) (int64, error) {
 	document, err := json.Marshal(state)
 	if err != nil {
 		return 0, failure.Wrap(err, failure.Internal, failure.NotRun, "encode the state of a roll-out")
 	}
 	write := stateWrite{
 		key: catalog.RolloutStateKey(state.Service), changeID: changeIDOf(state, expected), document: document,
-		expected: expected, conditions: []store.Condition{{Key: catalog.RolloutKey(state.Service), Revision: specID}},
+		expected: expected, conditions: []store.Condition{{Key: catalog.RolloutKey(state.Service), Revision: specRevision}},
 	}
 	return g.apply(ctx, write)
 }
 
-// apply sends a write until its outcome is known or the context ends. The first time it does not read the current
-// state, so that the usual case takes one call.
+// apply sends a write until its outcome is known or the context ends. It does not read the current state before the first
+// attempt, so that the usual case takes one call.
 func (g GuardedStateWriter) apply(ctx context.Context, write stateWrite) (int64, error) {
 	result, err := g.swap(ctx, write, nil)
 	for err != nil {
 		if !wait.For(ctx, g.RetryPause) {
-			return 0, failure.Wrap(err, failure.OutcomeUnknown, failure.Unknown, "the store did not confirm the state of a roll-out")
+			return 0, failure.Wrap(err, failure.OutcomeUnknown, failure.Unknown, "the store did not confirm the write of the rollout state")
 		}
 		var found *catalog.Entry
 		if found, err = g.Store.Get(ctx, write.key); err != nil {
@@ -101,7 +101,7 @@
 	return g.Guarded.CompareAndSwapIf(ctx, write.conditions, write.key, write.expected, value)
 }
 
-// isDone reports whether an entry contains a write, and the revision of it.
+// isDone returns the revision of a write, and whether the entry contains it.
 func isDone(entry *catalog.Entry, write stateWrite) (int64, bool) {
 	if entry == nil {
 		return 0, false
@@ -109,10 +109,10 @@
 	return catalog.FindChange(entry, write.changeID)
 }
 
-// conflictOf returns the error for a state or spec that has moved on.
+// conflictOf returns the error for a state or spec that has changed.
 func conflictOf(write stateWrite, current *catalog.Entry) error {
 	revision := current.LiveRevision()
-	conflict := failure.New(failure.RevisionConflict, failure.NotRun, "%s is at revision %d, not %d, or its order moved on", write.key, revision, write.expected)
+	conflict := failure.New(failure.RevisionConflict, failure.NotRun, "%s is at revision %d, not %d, or its rollout spec has changed", write.key, revision, write.expected)
 	conflict.CurrentRevision = revision
 	return conflict
 }
--- a/internal/rollout/rolloutcontrol/statewriter_test.go
+++ b/internal/rollout/rolloutcontrol/statewriter_test.go
@@ -13,12 +13,12 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// writing runs a test of one node's writes to a store that has a spec.
-func writing(t *testing.T, run func(ctx context.Context, is *is.I, f *fleet, states GuardedStateWriter, first rollout.State)) {
+// withStateWriter runs a test of a node's state writer on a store with a spec.
+func withStateWriter(t *testing.T, run func(ctx context.Context, is *is.I, f *fleet, states GuardedStateWriter, first rollout.State)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1)
 		defer f.stopAll()
-		f.node("n0").stop() // the test writes in its place
+		f.node("n0").stop() // the test writes instead
 		time.Sleep(time.Second)
 		specID := f.startRollout("s", "b", specDuration)
 		view := storeView{f.store, f.node("n0")}
@@ -27,8 +27,8 @@
 	})
 }
 
-func TestStateIsNotWrittenForAReplacedSpec(t *testing.T) {
-	writing(t, func(ctx context.Context, is *is.I, f *fleet, states GuardedStateWriter, first rollout.State) {
+func TestStateIsNotWrittenForReplacedSpec(t *testing.T) {
+	withStateWriter(t, func(ctx context.Context, is *is.I, f *fleet, states GuardedStateWriter, first rollout.State) {
 		f.startRollout("s", "c", specDuration)
 		_, err := states.Write(ctx, first, 0, first.SpecRevision)
 		is.True(failure.Is(err, failure.RevisionConflict))
@@ -36,8 +36,8 @@
 	})
 }
 
-func TestStateThatMovedOnIsNotReplaced(t *testing.T) {
-	writing(t, func(ctx context.Context, is *is.I, f *fleet, states GuardedStateWriter, first rollout.State) {
+func TestChangedStateIsNotReplaced(t *testing.T) {
+	withStateWriter(t, func(ctx context.Context, is *is.I, f *fleet, states GuardedStateWriter, first rollout.State) {
 		revision, err := states.Write(ctx, first, 0, first.SpecRevision)
 		is.NoErr(err)
 		is.True(revision > first.SpecRevision)
@@ -49,12 +49,12 @@
 	})
 }
 
-// A write that was overwritten meanwhile is found by its change id among the earlier changes.
-func TestLostAnswerOfAWriteThatWasWrittenOver(t *testing.T) {
-	writing(t, func(ctx context.Context, is *is.I, f *fleet, states GuardedStateWriter, first rollout.State) {
-		f.store.fail(func(m *memoryStore) { m.loseDone = 1 })
+// An overwritten write whose answer was lost is found by its change ID among the earlier changes.
+func TestLostAnswerOfOverwrittenWrite(t *testing.T) {
+	withStateWriter(t, func(ctx context.Context, is *is.I, f *fleet, states GuardedStateWriter, first rollout.State) {
+		f.store.inject(func(m *memoryStore) { m.loseAnswers = 1 })
 		time.AfterFunc(f.cfg.RetryPause/2, func() {
-			f.store.fail(func(m *memoryStore) {
+			f.store.inject(func(m *memoryStore) {
 				entry := m.find(catalog.RolloutStateKey("s"))
 				value, err := catalog.NewDocument("another", []byte(`{"service":"s","order_revision":1,"phase":"switching"}`), entry)
 				is.NoErr(err)
@@ -67,15 +67,15 @@
 	})
 }
 
-// The outcome of a write is unknown, not a failure, while the store does not answer.
-func TestOutcomeOfAWriteToAStoreThatIsDown(t *testing.T) {
-	writing(t, func(ctx context.Context, is *is.I, f *fleet, states GuardedStateWriter, first rollout.State) {
-		f.store.setDown(true)
+// While the store does not answer, the outcome of a write is reported as unknown.
+func TestOutcomeOfWriteToUnavailableStoreIsUnknown(t *testing.T) {
+	withStateWriter(t, func(ctx context.Context, is *is.I, f *fleet, states GuardedStateWriter, first rollout.State) {
+		f.store.setUnavailable(true)
 		short, cancel := context.WithTimeout(ctx, f.cfg.WriteTimeout)
 		defer cancel()
 		_, err := states.Write(short, first, 0, first.SpecRevision)
 		is.True(failure.Is(err, failure.OutcomeUnknown))
-		f.store.setDown(false)
+		f.store.setUnavailable(false)
 		_, err = states.Write(ctx, first, 0, first.SpecRevision)
 		is.NoErr(err)
 		is.Equal(len(f.store.written()), 1)
--- a/internal/rollout/rolloutcontrol/status.go
+++ b/internal/rollout/rolloutcontrol/status.go
@@ -9,18 +9,18 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// Status is a roll-out under way as a node sees it.
+// Status is the status of an active roll-out at a node.
 type Status struct {
 	Service string
-	// Phase is Canary also before the first state is written.
+	// Phase is Canary before the first state is written.
 	Phase   rollout.Phase
 	Serving string
 	Target  string
-	// Counts are those reported to this node; empty if it does not evaluate the service.
+	// Counts are the counts reported to this node, empty if it does not evaluate the service.
 	Counts []RouteCounts
 }
 
-// statusSnapshot holds the latest statuses; the zero value has none. It is safe for concurrent use.
+// statusSnapshot holds the latest statuses. The zero value is empty. It is safe for concurrent use.
 type statusSnapshot struct{ last atomic.Pointer[[]Status] }
 
 func (s *statusSnapshot) set(rollouts map[string]*activeRollout) {
--- a/internal/rollout/rolloutcontrol/store_test.go
+++ b/internal/rollout/rolloutcontrol/store_test.go
@@ -15,26 +15,26 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-var errStore = errors.New("the store does not answer")
+var errUnavailable = errors.New("store is unavailable")
 
-// memoryStore is a store that fails on request.
+// memoryStore is an in-memory store with fault injection.
 type memoryStore struct {
 	store.Store
-	mu       sync.Mutex
-	entries  map[string]catalog.Entry
-	revision int64
-	changed  func()
-	isDown   bool
-	refused  map[string]bool // by node
-	// loseDone and loseUndone are how many more writes lose their answers, after they were done and before.
-	loseDone, loseUndone int
-	calls                map[string]int // by node
-	states               []rollout.State
-	// standing are the revisions of the specs in force when the states were written, 0 for none.
-	standing []int64
+	mu            sync.Mutex
+	entries       map[string]catalog.Entry
+	revision      int64
+	onChange      func()
+	isUnavailable bool
+	rejected      map[string]bool // by node
+	// loseAnswers and loseWrites are the numbers of writes whose answer is lost, after and before the write is applied.
+	loseAnswers, loseWrites int
+	calls                   map[string]int // by node
+	states                  []rollout.State
+	// specRevisions are the revisions of the specs in force when the states were written, 0 for none.
+	specRevisions []int64
 }
 
-// storeView is the store as one node reaches it.
+// storeView is the store as accessed by one node.
 type storeView struct {
 	*memoryStore
 	node *testNode
@@ -42,23 +42,23 @@
 
 const storeDelay = 5 * time.Millisecond
 
-// reach is one call: it is counted, takes time, and waits while its node is paused.
-func (v storeView) reach(ctx context.Context) error {
+// call counts a call, delays it, and blocks it while its node is paused.
+func (v storeView) call(ctx context.Context) error {
 	v.mu.Lock()
 	v.calls[v.node.id]++
 	v.mu.Unlock()
 	time.Sleep(storeDelay)
-	v.node.awake()
+	v.node.waitWhilePaused()
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.isDown || v.refused[v.node.id] || v.node.isCut() {
-		return errStore
+	if v.isUnavailable || v.rejected[v.node.id] || v.node.isIsolated() {
+		return errUnavailable
 	}
 	return ctx.Err()
 }
 
 func (v storeView) Get(ctx context.Context, key string) (*catalog.Entry, error) {
-	if err := v.reach(ctx); err != nil {
+	if err := v.call(ctx); err != nil {
 		return nil, err
 	}
 	v.mu.Lock()
@@ -71,14 +71,14 @@
 }
 
 func (v storeView) CompareAndSwapIf(ctx context.Context, conditions []store.Condition, key string, expected int64, value []byte) (store.SwapResult, error) {
-	if err := v.reach(ctx); err != nil {
+	if err := v.call(ctx); err != nil {
 		return store.SwapResult{}, err
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.loseUndone > 0 {
-		v.loseUndone--
-		return store.SwapResult{}, errStore
+	if v.loseWrites > 0 {
+		v.loseWrites--
+		return store.SwapResult{}, errUnavailable
 	}
 	for _, condition := range append(conditions, store.Condition{Key: key, Revision: expected}) {
 		if v.find(condition.Key).LiveRevision() != condition.Revision {
@@ -86,14 +86,14 @@
 		}
 	}
 	v.put(key, value)
-	if v.loseDone > 0 {
-		v.loseDone--
-		return store.SwapResult{}, errStore
+	if v.loseAnswers > 0 {
+		v.loseAnswers--
+		return store.SwapResult{}, errUnavailable
 	}
 	return store.SwapResult{Swapped: true, Entry: v.find(key)}, nil
 }
 
-// find returns an entry; the lock must be held.
+// find returns an entry, nil if there is none. m.mu must be held.
 func (m *memoryStore) find(key string) *catalog.Entry {
 	entry, found := m.entries[key]
 	if !found {
@@ -102,7 +102,7 @@
 	return &entry
 }
 
-// put writes an entry, nil removes it; the lock must be held.
+// put writes an entry, or deletes it if value is nil. m.mu must be held.
 func (m *memoryStore) put(key string, value []byte) {
 	m.revision++
 	entry := catalog.Entry{Key: key, Value: value, Revision: m.revision, Deleted: value == nil}
@@ -110,13 +110,13 @@
 	if document, err := catalog.DecodeDocument(entry); err == nil && value != nil {
 		if state, err := rollout.ParseState(document, m.revision); err == nil && state.SpecRevision > 0 {
 			m.states = append(m.states, *state)
-			m.standing = append(m.standing, m.find(catalog.RolloutKey(state.Service)).LiveRevision())
+			m.specRevisions = append(m.specRevisions, m.find(catalog.RolloutKey(state.Service)).LiveRevision())
 		}
 	}
-	m.changed()
+	m.onChange()
 }
 
-// set writes a document as operators, leafs and nodes do, nil removes the key, and returns the revision.
+// set writes a document, or deletes the key if document is nil, and returns the revision.
 func (m *memoryStore) set(key string, document any) int64 {
 	var value []byte
 	if document != nil {
@@ -134,16 +134,18 @@
 	return m.revision
 }
 
-// fail changes how the store fails.
-func (m *memoryStore) fail(change func(m *memoryStore)) {
+// inject changes the injected faults under the lock.
+func (m *memoryStore) inject(change func(m *memoryStore)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	change(m)
 }
 
-func (m *memoryStore) setDown(down bool) { m.fail(func(m *memoryStore) { m.isDown = down }) }
+func (m *memoryStore) setUnavailable(unavailable bool) {
+	m.inject(func(m *memoryStore) { m.isUnavailable = unavailable })
+}
 
-// written returns the states that were written.
+// written returns the states in the order of their writes.
 func (m *memoryStore) written() []rollout.State {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -156,7 +158,7 @@
 	return catalog.Snapshot{Revision: m.revision, Entries: slices.Collect(maps.Values(m.entries))}
 }
 
-// phases returns the phases that were written for the specs of a service, in spec.
+// phases returns the phases that were written for the specs of a service, in order.
 func (m *memoryStore) phases(service string) []rollout.Phase {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/rollout/rolloutcontrol/tallies.go
+++ b/internal/rollout/rolloutcontrol/tallies.go
@@ -9,10 +9,10 @@
 	"github.com/portgauge/portgauge/internal/rollout/evidence"
 )
 
-// maxRows bounds the rows that an evaluator node keeps, of all specs together: about 13 MB at 396 bytes a row.
+// maxRows bounds the rows that an evaluator node stores for all specs: about 13 MB at 396 bytes per row.
 const maxRows = 1 << 15
 
-// process is one run of a node's program; its counts start at zero.
+// process identifies a process of a node. Its counts start at zero.
 type process struct {
 	node  string
 	start int64
@@ -30,8 +30,8 @@
 	rows    map[evidence.Key]evidence.Tally
 }
 
-// tallies are the counts reported to an evaluator node, by spec and process. The counts of a restarted node are kept beside
-// those of its earlier process. The zero value is empty; it is safe for concurrent use.
+// tallies are the counts reported to an evaluator node, by spec and process. The counts of a restarted node are added to
+// the counts of its earlier process. The zero value is empty. It is safe for concurrent use.
 type tallies struct {
 	mu       sync.Mutex
 	rollouts map[rolloutID]*rolloutCounts
@@ -44,8 +44,8 @@
 	newest    time.Time
 }
 
-// add adds rows of a process and returns the number of rows that there was no room for. Of two rows with the same key
-// the one with more attempts is kept.
+// add adds rows of a process and returns the number of rows dropped for lack of room. Of two rows with the same key it
+// keeps the one with more attempts.
 func (t *tallies) add(from process, address string, rows []evidence.Row, now time.Time) (dropped int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -57,7 +57,7 @@
 	return dropped
 }
 
-// addRow adds one row and reports whether there was room. The lock must be held.
+// addRow adds one row and reports whether there was room. t.mu must be held.
 func (t *tallies) addRow(from process, address string, row evidence.Row, now time.Time) bool {
 	id := rolloutID{row.Service, row.SpecID}
 	known, found := t.lookup(id, from, row.Key)
@@ -74,7 +74,7 @@
 	return true
 }
 
-// lookup returns what a process reported under a key. The lock must be held.
+// lookup returns the counts that a process reported for a key. t.mu must be held.
 func (t *tallies) lookup(id rolloutID, from process, key evidence.Key) (evidence.Tally, bool) {
 	all := t.rollouts[id]
 	if all == nil || all.processes[from] == nil {
@@ -84,7 +84,7 @@
 	return counts, found
 }
 
-// store stores a row that is newer than the known one. The lock must be held.
+// store adds a row or replaces an older one. t.mu must be held.
 func (t *tallies) store(id rolloutID, from process, address string, row evidence.Row, now time.Time) {
 	if t.rollouts == nil {
 		t.rollouts = map[rolloutID]*rolloutCounts{}
@@ -102,7 +102,7 @@
 	all.newest = now
 }
 
-// sum returns the counts for a spec over all processes, summed and sorted by key, and when the newest arrived.
+// sum returns the counts for a spec, summed over all processes and sorted by key, and the arrival of the newest ones.
 func (t *tallies) sum(id rolloutID) (rows []evidence.Row, newest time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -146,7 +146,7 @@
 	return slices.Compact(addresses)
 }
 
-// retain drops the counts of specs that are not wanted any more.
+// retain drops the counts of all specs for which isWanted returns false.
 func (t *tallies) retain(isWanted func(rolloutID) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/rollout/rolloutcontrol/versionswriter.go
+++ b/internal/rollout/rolloutcontrol/versionswriter.go
@@ -21,9 +21,9 @@
 // versionsInterval is how often the serving versions are compared with those in the store.
 const versionsInterval = time.Second
 
-// VersionsWriter writes to the store which version serves each service that never had a roll-out, so that another
-// version beside it gets nothing without a spec. Every node runs one; the first by rendezvous hash writes, and the
-// others take over after growing delays. A write applies only in place of the revision that it was computed from.
+// VersionsWriter writes the serving versions of services that never had a roll-out to the store, so that other versions
+// receive no requests without a spec. Every node runs one. The first node by rendezvous hash writes, and the others take
+// over after increasing delays. A write takes effect only if it replaces the revision that it was computed from.
 type VersionsWriter struct {
 	cfg     Config
 	catalog *catalog.Catalog
@@ -31,17 +31,17 @@
 	self    string
 	events  EventLog
 
-	view   *catalog.View // the latest one handled
+	view   *catalog.View // latest handled view
 	wanted map[string]string
-	since  time.Time // when that became wanted, or was last written
+	since  time.Time // when wanted changed, or the last write was sent
 }
 
-// NewVersionsWriter returns a writer for the node with the given id.
-func NewVersionsWriter(cfg Config, known *catalog.Catalog, kept store.Store, self string, events EventLog) *VersionsWriter {
-	return &VersionsWriter{cfg: cfg, catalog: known, store: kept, self: self, events: events}
+// NewVersionsWriter returns a writer for the node with the ID self.
+func NewVersionsWriter(cfg Config, nodeCatalog *catalog.Catalog, versionStore store.Store, self string, events EventLog) *VersionsWriter {
+	return &VersionsWriter{cfg: cfg, catalog: nodeCatalog, store: versionStore, self: self, events: events}
 }
 
-// Run writes the versions whenever they have changed, until the context ends.
+// Run writes the versions after each change until the context ends.
 func (w *VersionsWriter) Run(ctx context.Context) {
 	for wait.For(ctx, versionsInterval) {
 		w.step(ctx, time.Now())
@@ -49,7 +49,7 @@
 }
 
 func (w *VersionsWriter) step(ctx context.Context, now time.Time) {
-	// Read the entry first: the wanted versions are then computed from it or a later one, and a later one fails the write.
+	// The entry is read before the view: if the versions are computed from a later entry, the write conflicts.
 	replaced, _ := w.catalog.Entry(catalog.VersionsKey)
 	view := w.catalog.View()
 	if !w.isDue(now, view) {
@@ -58,13 +58,12 @@
 	w.since = now
 	err := w.write(ctx, replaced)
 	if failure.Is(err, failure.RevisionConflict) {
-		return // another node was first
+		return // another node has written
 	}
 	w.events.VersionsWritten(VersionsWriteEvent{Services: len(w.wanted), Err: err})
 }
 
-// isDue reports whether the wanted versions have differed from the stored ones for long enough that this node writes
-// them.
+// isDue reports whether the wanted versions have differed from the stored ones for the delay of this node's rank.
 func (w *VersionsWriter) isDue(now time.Time, view *catalog.View) bool {
 	if view != w.view {
 		w.view = view
@@ -79,8 +78,8 @@
 	return now.Sub(w.since) >= w.cfg.VersionsDelay*time.Duration(1+rank)
 }
 
-// wantedVersions returns what the store should have: the stored versions, without services that are gone, and the
-// services whose leafs are all of one version and that no spec concerns.
+// wantedVersions returns the versions that the store should contain: the stored versions of existing services, and the
+// versions of services without a spec or state whose leafs all have the same version.
 func wantedVersions(view *catalog.View) map[string]string {
 	wanted := map[string]string{}
 	isNamed := namedServices(view)
@@ -96,33 +95,33 @@
 			continue
 		}
 		seen[leaf.Service] = true
-		if isOneVersion(view.Leafs.ByService(leaf.Service)) {
+		if haveSameVersion(view.Leafs.ByService(leaf.Service)) {
 			wanted[leaf.Service] = leaf.Version
 		}
 	}
 	return wanted
 }
 
-// namedServices returns a function that reports whether a route, a spec or a state names a service. While there are
-// no routes at all it returns true for every service.
+// namedServices returns a function that reports whether a service is named by a route, a spec or a state. Without a
+// routing configuration the function returns true for every service.
 func namedServices(view *catalog.View) func(service string) bool {
 	if view.Routes == nil {
 		return func(string) bool { return true }
 	}
 	names := view.Routes.ServiceNames()
 	return func(service string) bool {
-		_, isRoutedByName := slices.BinarySearch(names, service)
-		return isRoutedByName || view.Rollouts[service] != (catalog.Rollout{})
+		_, isRouted := slices.BinarySearch(names, service)
+		return isRouted || view.Rollouts[service] != (catalog.Rollout{})
 	}
 }
 
-// isOneVersion reports whether all leafs have the same, known version.
-func isOneVersion(leafs []*leafset.Leaf) bool {
+// haveSameVersion reports whether all leafs have the same non-empty version.
+func haveSameVersion(leafs []*leafset.Leaf) bool {
 	version := leafs[0].Version
 	return version != "" && !slices.ContainsFunc(leafs, func(leaf *leafset.Leaf) bool { return leaf.Version != version })
 }
 
-// documentOf returns the stored form of versions by service.
+// documentOf encodes versions by service as they are stored.
 func documentOf(byService map[string]string) (json.RawMessage, error) {
 	versions := rollout.Versions{ByVersion: map[string][]string{}}
 	for service, version := range byService {
--- a/internal/rollout/rolloutcontrol/versionswriter_test.go
+++ b/internal/rollout/rolloutcontrol/versionswriter_test.go
@@ -13,8 +13,8 @@
 	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
-// versionsScene runs a test on a fleet whose nodes write the serving versions, with the services named by the routes.
-func versionsScene(t *testing.T, run func(is *is.I, f *fleet)) {
+// withVersionsWriters runs a test on a fleet of three nodes that write the serving versions.
+func withVersionsWriters(t *testing.T, run func(is *is.I, f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3)
 		defer f.stopAll()
@@ -27,14 +27,14 @@
 	})
 }
 
-// versions returns the versions in force after enough time for any node to write.
+// versions waits until any node could have written, and returns the versions in force.
 func (f *fleet) versions() map[string]string {
 	time.Sleep(time.Duration(len(f.all())+1)*f.cfg.VersionsDelay + versionsInterval)
 	return f.all()[0].catalog.View().Versions
 }
 
-func TestVersionsAreWrittenByOneNodeInOneWrite(t *testing.T) {
-	versionsScene(t, func(is *is.I, f *fleet) {
+func TestVersionsAreWrittenInOneWrite(t *testing.T) {
+	withVersionsWriters(t, func(is *is.I, f *fleet) {
 		f.addLeafs("s", "a", 3)
 		f.addLeafs("u", "b", 3)
 		is.Equal(f.versions(), map[string]string{"s": "a", "u": "b"})
@@ -42,9 +42,9 @@
 	})
 }
 
-// The stored version stays, also when another appears beside it or in its place.
-func TestVersionThatIsWrittenDownStays(t *testing.T) {
-	versionsScene(t, func(is *is.I, f *fleet) {
+// The stored version stays when leafs of another version are added or replace its leafs.
+func TestStoredVersionStays(t *testing.T) {
+	withVersionsWriters(t, func(is *is.I, f *fleet) {
 		f.addLeafs("s", "a", 1)
 		is.Equal(f.versions(), map[string]string{"s": "a"})
 		f.addLeafs("s", "b", 1)
@@ -54,8 +54,8 @@
 	})
 }
 
-func TestNothingIsWrittenWhereVersionsDifferOrAreNotTold(t *testing.T) {
-	versionsScene(t, func(is *is.I, f *fleet) {
+func TestNoVersionIsWrittenForMixedOrUnversionedLeafs(t *testing.T) {
+	withVersionsWriters(t, func(is *is.I, f *fleet) {
 		f.addLeafs("s", "", 2)
 		f.addLeafs("u", "a", 1)
 		f.addLeafs("u", "b", 1)
@@ -64,18 +64,18 @@
 	})
 }
 
-// A service that a spec concerns has a state and no stored version.
-func TestNoVersionIsWrittenOfServicesUnderRollout(t *testing.T) {
-	versionsScene(t, func(is *is.I, f *fleet) {
+// No version is stored for a service with a spec, because its state contains the serving version.
+func TestNoVersionIsWrittenDuringRollout(t *testing.T) {
+	withVersionsWriters(t, func(is *is.I, f *fleet) {
 		f.startRollout("s", "b", time.Hour)
 		f.addLeafs("s", "b", 1)
 		is.Equal(len(f.versions()), 0)
 	})
 }
 
-// A service without leafs keeps its version as long as a route names it.
-func TestServicesThatAreGoneAreDropped(t *testing.T) {
-	versionsScene(t, func(is *is.I, f *fleet) {
+// A service without leafs keeps its version only while a route names it.
+func TestVersionsOfRemovedServicesAreDropped(t *testing.T) {
+	withVersionsWriters(t, func(is *is.I, f *fleet) {
 		f.addLeafs("s", "a", 1)
 		f.addLeafs("u", "a", 1)
 		routesTo := func(service string) routing.Configuration {
@@ -90,10 +90,10 @@
 	})
 }
 
-func TestAnotherNodeWritesVersionsIfTheFirstIsCutOff(t *testing.T) {
-	versionsScene(t, func(is *is.I, f *fleet) {
+func TestNextNodeWritesVersionsIfFirstIsRejected(t *testing.T) {
+	withVersionsWriters(t, func(is *is.I, f *fleet) {
 		first := registry.RendezvousOrder(f.all()[0].catalog.View().Nodes, catalog.VersionsKey)[0].ID
-		f.store.fail(func(m *memoryStore) { m.refused[first] = true })
+		f.store.inject(func(m *memoryStore) { m.rejected[first] = true })
 		f.addLeafs("s", "a", 1)
 		is.Equal(f.versions(), map[string]string{"s": "a"})
 	})
