--- a/internal/rollout/canary/bound_test.go
+++ b/internal/rollout/canary/bound_test.go
@@ -117,8 +117,8 @@
 	is.True(forCanary > 10 && forCanary < 60)
 }
 
-// The slack is released in the second quarter of the spec. A node that started after the spec has none, and a node whose
-// fleet has grown has less.
+// The slack is released in the second quarter of the spec. A node that started after the spec has none, and a node
+// whose fleet has grown has less.
 func TestSlackIsReleasedInSecondQuarter(t *testing.T) {
 	is := is.New(t)
 	f, splitter, _ := newRollout(t, 50)
--- a/internal/rollout/canary/config.go
+++ b/internal/rollout/canary/config.go
@@ -1,12 +1,12 @@
 // Package canary decides, for one node, which requests of a service go to the leafs of a canary version.
 //
-// Until a canary version has passed evaluation it receives a bounded share of the requests. Each node enforces the bound
-// by counting its own requests, without messages. After the version has passed, each node moves all of its requests to
-// it within a short ramp, and reports when it has no attempt in flight at the previous version.
+// Until a canary version has passed evaluation it receives a bounded share of the requests. Each node enforces the
+// bound by counting its own requests, without messages. After the version has passed, each node moves all of its
+// requests to it within a short ramp, and reports when it has no attempt in flight at the previous version.
 //
-// A Splitter owns the counts of the specs in force and the attempts in flight. It starts no goroutine. It depends on the
-// catalog for rules and specs, on the registered nodes for this node's share of the slack, and on a clock that counts
-// suspended time.
+// A Splitter owns the counts of the specs in force and the attempts in flight. It starts no goroutine. It depends on
+// the catalog for rules and specs, on the registered nodes for this node's share of the slack, and on a clock that
+// counts suspended time.
 package canary
 
 import (
@@ -23,7 +23,8 @@
 	// Slack is the number of requests of a service that the canary version may receive beyond the share during one
 	// roll-out, over the whole fleet.
 	Slack float64 `yaml:"slack"`
-	// Used is the fraction of both bounds that the nodes use, 0 to 1. The rest is a margin for what a node cannot count.
+	// Used is the fraction of both bounds that the nodes use, 0 to 1. The rest is a margin for what a node cannot
+	// count.
 	Used float64 `yaml:"used"`
 	// Ramp is how long a node takes to move its requests to a version that has passed evaluation. It is shorter for
 	// roll-outs of short duration.
--- a/internal/rollout/canary/splitter.go
+++ b/internal/rollout/canary/splitter.go
@@ -39,7 +39,8 @@
 type Decision struct {
 	// First is Serving or Target.
 	First Versions
-	// IsBounded means that the attempt counts against the bounded share. It goes to the first usable leaf in FocusOrder.
+	// IsBounded means that the attempt counts against the bounded share. It goes to the first usable leaf in
+	// FocusOrder.
 	IsBounded bool
 	// specID is the ID of the spec of a bounded decision.
 	specID int64
@@ -162,8 +163,8 @@
 	}
 }
 
-// FocusOrder returns leafs of the canary version, sorted by ID, in the order in which bounded decisions try them. At any
-// time all nodes try the same leaf first, so that this leaf receives the load of full service.
+// FocusOrder returns leafs of the canary version, sorted by ID, in the order in which bounded decisions try them. At
+// any time all nodes try the same leaf first, so that this leaf receives the load of full service.
 func (s *Splitter) FocusOrder(service string, leafs []*leafset.Leaf) []*leafset.Leaf {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -241,8 +242,8 @@
 	return budget
 }
 
-// newBudget returns the budget of a spec. If the spec was already in force when this node started, the node has no slack
-// and no initial credit, because its earlier process may have spent them.
+// newBudget returns the budget of a spec. If the spec was already in force when this node started, the node has no
+// slack and no initial credit, because its earlier process may have spent them.
 func (s *Splitter) newBudget(view *catalog.View, service string, rule rollout.Rule) *budget {
 	created := &budget{specID: rule.SpecID, learnedAt: s.now(), duration: time.Nanosecond}
 	if spec := view.Rollouts[service].Spec; spec != nil {
--- a/internal/rollout/canary/stage.go
+++ b/internal/rollout/canary/stage.go
@@ -38,10 +38,10 @@
 }
 
 // stage returns this node's stage of a spec. It depends on the spec's phase, on the time since this node learned of the
-// spec, and on the age of the configuration. An aborted spec is stopped. In phase Switching the canary ramps up and then
-// receives all requests, but only while the configuration was confirmed within ConfirmedWithin: otherwise the verdict may
-// have been revoked, and the bound applies again. After the spec's duration an undecided canary receives no requests.
-// s.mu must be held.
+// spec, and on the age of the configuration. An aborted spec is stopped. In phase Switching the canary ramps up and
+// then receives all requests, but only while the configuration was confirmed within ConfirmedWithin: otherwise the
+// verdict may have been revoked, and the bound applies again. After the spec's duration an undecided canary receives no
+// requests. s.mu must be held.
 func (s *Splitter) stage(service string, rule rollout.Rule, budget *budget, now time.Time) stage {
 	switch {
 	case rule.SpecID <= s.aborts[service]:
--- a/internal/rollout/rolloutcontrol/activerollout.go
+++ b/internal/rollout/rolloutcontrol/activerollout.go
@@ -65,9 +65,9 @@
 	r.serving, r.isServingKnown = state.Serving, true
 }
 
-// servingVersion returns the version that serves besides the target of a spec: the serving version of the rule in force,
-// or else the most frequent other version among the leafs. If all leafs have the target version, it returns the target.
-// It returns false while there are no leafs.
+// servingVersion returns the version that serves besides the target of a spec: the serving version of the rule in
+// force, or else the most frequent other version among the leafs. If all leafs have the target version, it returns the
+// target. It returns false while there are no leafs.
 func servingVersion(view *catalog.View, spec rollout.Spec) (string, bool) {
 	if serving := view.Leafs.Rule(spec.Service).Serving; serving != "" {
 		return serving, true
--- a/internal/rollout/rolloutcontrol/config.go
+++ b/internal/rollout/rolloutcontrol/config.go
@@ -9,7 +9,8 @@
 
 // Config sets how nodes execute roll-outs.
 type Config struct {
-	// Enabled makes nodes execute rollout specs, and send the requests of a service only to leafs of the serving version.
+	// Enabled makes nodes execute rollout specs, and send the requests of a service only to leafs of the serving
+	// version.
 	Enabled bool `yaml:"enabled"`
 	// EvaluatorNodes is the number of nodes that evaluate the roll-out of a service.
 	EvaluatorNodes int `yaml:"judges"`
@@ -18,16 +19,16 @@
 	ReportInterval time.Duration `yaml:"report_interval"`
 	// ResendInterval is the interval at which a node reports all its counts, to replace lost reports.
 	ResendInterval time.Duration `yaml:"resend_interval"`
-	// BytesPerSecond is the maximum rate at which a node sends reports, headers included. Reports beyond it wait, and are
-	// replaced by newer counts.
+	// BytesPerSecond is the maximum rate at which a node sends reports, headers included. Reports beyond it wait, and
+	// are replaced by newer counts.
 	BytesPerSecond int `yaml:"bytes_per_second"`
 	// BurstBytes is the maximum size of a burst of reports, in bytes.
 	BurstBytes int `yaml:"burst_bytes"`
 	// TakeoverPause is the additional time that each evaluator node waits, compared with the preceding rank, before it
 	// writes a state that is still missing. It is shorter for roll-outs of short duration.
 	TakeoverPause time.Duration `yaml:"takeover_pause"`
-	// RollbackMargin is how long before the end of a spec a version that has not passed evaluation is rolled back. It is
-	// shorter for roll-outs of short duration.
+	// RollbackMargin is how long before the end of a spec a version that has not passed evaluation is rolled back. It
+	// is shorter for roll-outs of short duration.
 	RollbackMargin time.Duration `yaml:"rollback_margin"`
 	// SettleInterval is the interval at which an evaluator node queries whether all nodes send requests only to the new
 	// version. The queries begin after the ramp.
--- a/internal/rollout/rolloutcontrol/controller.go
+++ b/internal/rollout/rolloutcontrol/controller.go
@@ -2,10 +2,10 @@
 // evaluates canary versions, and writes the phase of each roll-out to the store.
 //
 // Every node runs a Controller. The evaluator nodes of a service are the first registered nodes by rendezvous hash.
-// Correctness does not depend on nodes agreeing on this set. Any evaluator node may write, and the store accepts a write
-// only if it replaces the state that the writer has in force and if the spec is unchanged. If evaluator nodes disagree,
-// the first write wins and later ones have no effect. A version that fails evaluation is stopped immediately by abort
-// messages between nodes, whether or not the store accepts the write.
+// Correctness does not depend on nodes agreeing on this set. Any evaluator node may write, and the store accepts a
+// write only if it replaces the state that the writer has in force and if the spec is unchanged. If evaluator nodes
+// disagree, the first write wins and later ones have no effect. A version that fails evaluation is stopped immediately
+// by abort messages between nodes, whether or not the store accepts the write.
 //
 // The package owns the counts of all nodes at an evaluator node, the aborts, and the goroutines of Run with its writes
 // and fleet queries. It depends on the catalog for specs, states and registered nodes, on datagrams for reports and
@@ -155,8 +155,8 @@
 	return false
 }
 
-// resumeIntervals is the number of report intervals during which an evaluator node only collects reports after its machine
-// resumed. All nodes report within one interval; the second covers delivery and late ticks.
+// resumeIntervals is the number of report intervals during which an evaluator node only collects reports after its
+// machine resumed. All nodes report within one interval; the second covers delivery and late ticks.
 const resumeIntervals = 2
 
 // mustWaitForReports reports whether the machine resumed so recently that reports and aborts sent during the suspension
@@ -247,8 +247,8 @@
 	return known.Spec != nil && !(hasStateOfSpec(known) && known.State.Phase.IsFinal())
 }
 
-// isWanted reports whether counts and aborts of a spec are needed: the spec is active, or this node has not learned of it
-// yet.
+// isWanted reports whether counts and aborts of a spec are needed: the spec is active, or this node has not learned of
+// it yet.
 func (c *Controller) isWanted(view *catalog.View, id rolloutID) bool {
 	if id.specID > revision.Count(view.Revision) {
 		return true
--- a/internal/rollout/rolloutcontrol/controller_test.go
+++ b/internal/rollout/rolloutcontrol/controller_test.go
@@ -247,8 +247,8 @@
 	}
 }
 
-// The evaluator nodes wait for nodes that still send to the old version until SettleWait after the spec's end. The version
-// is not rolled back because of them.
+// The evaluator nodes wait for nodes that still send to the old version until SettleWait after the spec's end. The
+// version is not rolled back because of them.
 func TestSlowNodesDoNotRollBackGoodVersion(t *testing.T) {
 	withFleet(t, func(is *is.I, f *fleet) {
 		f.node("n1").setUnsettled()
--- a/internal/rollout/rolloutcontrol/evaluate.go
+++ b/internal/rollout/rolloutcontrol/evaluate.go
@@ -9,8 +9,8 @@
 	"github.com/portgauge/portgauge/internal/rollout/verdict"
 )
 
-// follow runs one step of the roll-out of a service if this node is one of its evaluator nodes. It returns the time until
-// the next check, 0 for the report interval.
+// follow runs one step of the roll-out of a service if this node is one of its evaluator nodes. It returns the time
+// until the next check, 0 for the report interval.
 func (c *Controller) follow(ctx context.Context, now time.Time, view *catalog.View, service string, known catalog.Rollout) time.Duration {
 	rank := c.rank(view, service)
 	active := c.rollouts[service]
@@ -87,8 +87,8 @@
 	return c.write(ctx, now, phaseWrite{event: PhaseWriteEvent{State: state}, replaced: replaced, delay: delay})
 }
 
-// write sends a state to the store if the write is due. Otherwise it returns the time until it is due, 0 if that does not
-// depend on time.
+// write sends a state to the store if the write is due. Otherwise it returns the time until it is due, 0 if that does
+// not depend on time.
 func (c *Controller) write(ctx context.Context, now time.Time, w phaseWrite) time.Duration {
 	state := w.event.State
 	if c.schedules[state.Service] == nil {
--- a/internal/rollout/rolloutcontrol/packing.go
+++ b/internal/rollout/rolloutcontrol/packing.go
@@ -11,8 +11,8 @@
 
 // Bounds of packed rows.
 const (
-	// envelopeBytes is the approximate size of a datagram without its rows and the sender's ID: the names of its fields,
-	// the sender's address and its start time.
+	// envelopeBytes is the approximate size of a datagram without its rows and the sender's ID: the names of its
+	// fields, the sender's address and its start time.
 	envelopeBytes = 200
 	// headerBytes are the IP and UDP headers.
 	headerBytes = 28
--- a/internal/rollout/rolloutcontrol/phase.go
+++ b/internal/rollout/rolloutcontrol/phase.go
@@ -10,7 +10,8 @@
 )
 
 // For short specs these divisors of the spec's duration limit the rollback margin and the takeover pause, so that the
-// evaluator nodes can act before a spec of one second ends. The first state may take longer, because nothing waits for it.
+// evaluator nodes can act before a spec of one second ends. The first state may take longer, because nothing waits for
+// it.
 const (
 	marginDivisor     = 10
 	takeoverDivisor   = 20
@@ -50,9 +51,9 @@
 	}
 }
 
-// nextWhileSwitching returns the phase that follows Switching, if any. The roll-out succeeds when all nodes that answered
-// are settled, the final watch is over, and all registered nodes have answered or SettleWait has passed. A version is not
-// rolled back because of slow nodes: SettleWait after the spec's end the roll-out succeeds in any case.
+// nextWhileSwitching returns the phase that follows Switching, if any. The roll-out succeeds when all nodes that
+// answered are settled, the final watch is over, and all registered nodes have answered or SettleWait has passed. A
+// version is not rolled back because of slow nodes: SettleWait after the spec's end the roll-out succeeds in any case.
 func (r *activeRollout) nextWhileSwitching(now time.Time, cfg Config, registered uint64) (rollout.Phase, string) {
 	isWaitOver := now.Sub(r.switchingSince) >= cfg.SettleWait
 	isSettled := r.status.Answered > 0 && r.status.LowestSettled >= r.state.Revision
@@ -72,8 +73,8 @@
 }
 
 // isFinalWatchOver reports whether the version has had all requests for the duration of the final watch, or the spec's
-// duration has ended. Without the final watch a version that fails only under full load could succeed, and the old leafs
-// could stop, before the failures are counted.
+// duration has ended. Without the final watch a version that fails only under full load could succeed, and the old
+// leafs could stop, before the failures are counted.
 func (r *activeRollout) isFinalWatchOver(now time.Time, cfg Config) bool {
 	if r.settledSince.IsZero() {
 		r.settledSince = now
--- a/internal/rollout/rolloutcontrol/property_test.go
+++ b/internal/rollout/rolloutcontrol/property_test.go
@@ -141,8 +141,8 @@
 	return ""
 }
 
-// Under any faults at most one final phase is written for each spec and none for a replaced one, and phases never go back.
-// After the faults have ended each spec reaches a final phase.
+// Under any faults at most one final phase is written for each spec and none for a replaced one, and phases never go
+// back. After the faults have ended each spec reaches a final phase.
 func TestEachSpecEndsOnceUnderFaults(t *testing.T) {
 	rapid.Check(t, func(check *rapid.T) {
 		actions := drawActions(check)
--- a/internal/rollout/rolloutcontrol/reporter.go
+++ b/internal/rollout/rolloutcontrol/reporter.go
@@ -140,8 +140,8 @@
 	return len(r.outboxes) == 0 && now.Sub(r.resentAt) >= r.resend
 }
 
-// sendOutboxes sends datagrams until the outboxes are empty or the budget is exhausted. The outbox that has waited longest
-// is first.
+// sendOutboxes sends datagrams until the outboxes are empty or the budget is exhausted. The outbox that has waited
+// longest is first.
 func (r *reporter) sendOutboxes(now time.Time) {
 	for len(r.outboxes) > 0 {
 		id := r.longestWaiting()
--- a/internal/rollout/rolloutcontrol/reports_test.go
+++ b/internal/rollout/rolloutcontrol/reports_test.go
@@ -117,8 +117,8 @@
 	})
 }
 
-// An evaluator node stores a bounded number of rows, accepts newer counts of stored rows, and has room again after a spec
-// has ended.
+// An evaluator node stores a bounded number of rows, accepts newer counts of stored rows, and has room again after a
+// spec has ended.
 func TestTalliesAreBounded(t *testing.T) {
 	is := is.New(t)
 	var reported tallies
@@ -141,7 +141,8 @@
 	is.Equal(len(reported.rollouts), 0)
 }
 
-// The evaluator nodes are in distinct zones if possible, and a node that leaves does not change the first evaluator node.
+// The evaluator nodes are in distinct zones if possible, and a node that leaves does not change the first evaluator
+// node.
 func TestEvaluatorNodesAreInDistinctZonesAndStable(t *testing.T) {
 	is := is.New(t)
 	nodes := map[string]catalog.NodeRecord{}
--- a/internal/rollout/rolloutcontrol/schedule.go
+++ b/internal/rollout/rolloutcontrol/schedule.go
@@ -26,8 +26,8 @@
 	isDone    bool
 }
 
-// isDue reports whether a write must be sent now: it was planned at least delay ago, so that evaluator nodes of lower rank
-// could write first, and the backoff after a failure has ended.
+// isDue reports whether a write must be sent now: it was planned at least delay ago, so that evaluator nodes of lower
+// rank could write first, and the backoff after a failure has ended.
 func (s *writeSchedule) isDue(now time.Time, planned plannedWrite, delay time.Duration) bool {
 	if s.isBusy {
 		return false
@@ -46,8 +46,8 @@
 	return max(s.since.Add(delay).Sub(now), s.notBefore.Sub(now), 0)
 }
 
-// done records the outcome of a write. After a conflict the state in force is older than the stored one. The newer state
-// arrives through the catalog, so the write is repeated only after the maximum backoff.
+// done records the outcome of a write. After a conflict the state in force is older than the stored one. The newer
+// state arrives through the catalog, so the write is repeated only after the maximum backoff.
 func (s *writeSchedule) done(now time.Time, err error, cfg Config) {
 	s.isBusy = false
 	switch {
--- a/internal/rollout/rolloutcontrol/settling.go
+++ b/internal/rollout/rolloutcontrol/settling.go
@@ -8,8 +8,8 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// firstCheckFraction is the fraction of the settle interval that an evaluator node waits after the ramp before its first
-// query: the other nodes learn of the verdict later, and have to finish their attempts in flight.
+// firstCheckFraction is the fraction of the settle interval that an evaluator node waits after the ramp before its
+// first query: the other nodes learn of the verdict later, and have to finish their attempts in flight.
 const firstCheckFraction = 0.5
 
 // maxFleetQueries bounds the fleet queries in flight. An unresponsive node delays a query by up to SettleWait, and the
@@ -56,9 +56,9 @@
 	return c.cfg.SettleInterval
 }
 
-// untilFirstCheck returns the time from the switch of a spec to the first query of an evaluator node. The node of rank 0
-// queries when the nodes can have settled. Each other node queries when the preceding rank should have written the outcome
-// of its final watch.
+// untilFirstCheck returns the time from the switch of a spec to the first query of an evaluator node. The node of rank
+// 0 queries when the nodes can have settled. Each other node queries when the preceding rank should have written the
+// outcome of its final watch.
 func (c *Controller) untilFirstCheck(spec rollout.Spec, rank int) time.Duration {
 	first := c.deps.Splitter.Ramp(spec.Duration()) + time.Duration(firstCheckFraction*float64(c.cfg.SettleInterval))
 	if rank == 0 {
@@ -90,7 +90,8 @@
 	})
 }
 
-// handleAnswer stores an answer in the roll-outs that wait for it, unless the answer to a newer query was handled before.
+// handleAnswer stores an answer in the roll-outs that wait for it, unless the answer to a newer query was handled
+// before.
 func (c *Controller) handleAnswer(answer fleetAnswer) {
 	c.fleetQueries--
 	if answer.queriedAt.Before(c.answerQueriedAt) {
--- a/internal/rollout/rolloutcontrol/statewriter.go
+++ b/internal/rollout/rolloutcontrol/statewriter.go
@@ -44,8 +44,8 @@
 	conditions []store.Condition
 }
 
-// changeIDOf returns the ID of a write. Writes of the same state by the same node that replace the same revision have the
-// same ID.
+// changeIDOf returns the ID of a write. Writes of the same state by the same node that replace the same revision have
+// the same ID.
 func changeIDOf(state rollout.State, expected int64) string {
 	return fmt.Sprintf("%s/%d/%s/%d/%s", state.Service, state.SpecRevision, state.Phase, expected, state.DecidedBy)
 }
@@ -63,8 +63,8 @@
 	return g.apply(ctx, write)
 }
 
-// apply sends a write until its outcome is known or the context ends. It does not read the current state before the first
-// attempt, so that the usual case takes one call.
+// apply sends a write until its outcome is known or the context ends. It does not read the current state before the
+// first attempt, so that the usual case takes one call.
 func (g GuardedStateWriter) apply(ctx context.Context, write stateWrite) (int64, error) {
 	result, err := g.swap(ctx, write, nil)
 	for err != nil {
--- a/internal/rollout/rolloutcontrol/tallies.go
+++ b/internal/rollout/rolloutcontrol/tallies.go
@@ -30,8 +30,8 @@
 	rows    map[evidence.Key]evidence.Tally
 }
 
-// tallies are the counts reported to an evaluator node, by spec and process. The counts of a restarted node are added to
-// the counts of its earlier process. The zero value is empty. It is safe for concurrent use.
+// tallies are the counts reported to an evaluator node, by spec and process. The counts of a restarted node are added
+// to the counts of its earlier process. The zero value is empty. It is safe for concurrent use.
 type tallies struct {
 	mu       sync.Mutex
 	rollouts map[rolloutID]*rolloutCounts
--- a/internal/rollout/rolloutcontrol/versionswriter.go
+++ b/internal/rollout/rolloutcontrol/versionswriter.go
@@ -22,8 +22,8 @@
 const versionsInterval = time.Second
 
 // VersionsWriter writes the serving versions of services that never had a roll-out to the store, so that other versions
-// receive no requests without a spec. Every node runs one. The first node by rendezvous hash writes, and the others take
-// over after increasing delays. A write takes effect only if it replaces the revision that it was computed from.
+// receive no requests without a spec. Every node runs one. The first node by rendezvous hash writes, and the others
+// take over after increasing delays. A write takes effect only if it replaces the revision that it was computed from.
 type VersionsWriter struct {
 	cfg     Config
 	catalog *catalog.Catalog
