--- a/internal/rollout/verdict/baseline.go
+++ b/internal/rollout/verdict/baseline.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Shares of bad answers that are assumed before the serving version has answered, weighted as if assumedWeight answers
-// had been seen: failures are rare, about a third of the answers exceed the lowest limit, which lies close above the
-// median, and pauses of leafs make some answers exceed the others.
+// The prior shares of bad answers of the serving version, weighted like assumedWeight answers: failures are rare, about
+// a third of the answers exceed the lowest limit, which lies just above the median, and pauses of leafs make some
+// answers exceed the higher limits.
 const (
 	assumedWeight   = 40.0
 	assumedFailures = 0.005
@@ -17,30 +17,31 @@
 
 // Bounds of the baseline.
 const (
-	// minBaselineShare is the smallest baseline. With a baseline near zero a single failure would decide.
+	// minBaselineShare is the smallest baseline. With a baseline near zero a single failure would decide the test.
 	minBaselineShare = 0.002
-	// maxBaselineShare is the share above which a signal says nothing, because nearly all answers of both versions
-	// are bad by it.
+	// maxBaselineShare is the baseline above which a signal is ignored, because nearly all answers of both versions are
+	// bad by this signal.
 	maxBaselineShare = 0.7
-	// recentWeight is the number of recent answers (or answers in the same zone) that weigh as much as the whole
-	// spec.
+	// recentWeight is the number of recent answers, or of answers in the same zone, that weigh as much as all answers
+	// of the spec.
 	recentWeight = 20.0
-	// Of at least outlierLeafs serving leafs one is left out of the baseline if it has at least outlierBad bad answers
-	// and more than outlierFactor times the share of the others: one broken leaf must not excuse a bad version. The
-	// rule needs a row for each serving leaf; evidence.Collector counts all of them in one, to which it never applies.
+	// With at least outlierLeafs serving leafs, a leaf is excluded from the baseline if it has at least outlierBad bad
+	// answers and more than outlierFactor times the share of the others, so that a broken serving leaf does not hide a
+	// bad canary. This requires a row per serving leaf. It has no effect on rows of evidence.Collector, which counts
+	// all serving leafs in one row.
 	outlierFactor = 3.0
 	outlierBad    = 3.0
 	outlierLeafs  = 3
 )
 
-// baseline is the share of bad answers of the serving version on one route, by signal. leafs and zones have one entry
-// with an empty name for rows without leaf and zone.
+// baseline estimates the share of bad answers of the serving version on one route, by signal. Rows without leaf and
+// zone are counted under the empty name in leafs and zones.
 type baseline struct {
 	leafs map[string][]ratio
-	// all is the sum over all leafs, trimmed the sum without outliers.
+	// all is the sum over all leafs, trimmed is the sum without outliers.
 	all, trimmed []ratio
-	// current covers the answers since the last update, recent the recent ones with exponential decay, and zones the
-	// recent ones in each zone.
+	// current counts the answers since the last update, recent counts answers with exponential decay, and zones is the
+	// same as recent by zone.
 	current, recent []ratio
 	zones           map[string][]ratio
 }
@@ -53,9 +54,9 @@
 	}
 }
 
-// decay halves the weight of recent answers for each half-life that passed, and starts a new update.
-func (b *baseline) decay(passed, halfLife time.Duration) {
-	factor := math.Exp2(-float64(passed) / float64(halfLife))
+// decay halves the weight of recent answers for each elapsed half-life, and clears the counts of the last update.
+func (b *baseline) decay(elapsed, halfLife time.Duration) {
+	factor := math.Exp2(-float64(elapsed) / float64(halfLife))
 	clear(b.current)
 	scale(b.recent, factor)
 	for _, zone := range b.zones {
@@ -69,7 +70,8 @@
 	}
 }
 
-// observe counts the answers of a serving leaf. Call observeRecent after all answers of an update are counted.
+// observe counts the answers of a serving leaf. observeRecent must be called after all answers of an update are
+// counted.
 func (b *baseline) observe(added increment) {
 	leaf := sumsOf(b.leafs, added.key.Leaf, len(added.signals))
 	for i, signal := range added.signals {
@@ -78,7 +80,7 @@
 	}
 }
 
-// observeRecent counts the answers of a serving leaf as recent ones unless the leaf is an outlier.
+// observeRecent counts the answers of a serving leaf as recent, unless the leaf is an outlier.
 func (b *baseline) observeRecent(added increment) {
 	zone := sumsOf(b.zones, added.key.Zone, len(added.signals))
 	for i, signal := range added.signals {
@@ -97,7 +99,7 @@
 	return sums[name]
 }
 
-// isOutlier reports whether a leaf is far worse than the others together.
+// isOutlier reports whether a leaf has a much higher share of bad answers than the other leafs together.
 func (b *baseline) isOutlier(leaf string, signal int) bool {
 	own, all := b.leafs[leaf][signal], b.all[signal]
 	if len(b.leafs) < outlierLeafs || own.bad < outlierBad {
@@ -107,7 +109,7 @@
 	return own.bad*others.all > outlierFactor*others.bad*own.all && others.all > 0
 }
 
-// trim recomputes trimmed after the answers of an update were counted.
+// trim recomputes trimmed. It must be called after the answers of an update are counted.
 func (b *baseline) trim() {
 	clear(b.trimmed)
 	for leaf, signals := range b.leafs {
@@ -119,19 +121,19 @@
 	}
 }
 
-// share returns the expected share of bad answers in a zone: the highest of the recent share, that of this update and
-// that of the zone, if any serving leaf of it was counted. What affects both versions at once is not the fault of the
-// new one.
+// share returns the expected share of bad answers in a zone: the highest of the recent share, the share in this update,
+// and the recent share in the zone if the zone has serving leafs. Bad answers that affect both versions at the same
+// time are not attributed to the canary.
 func (b *baseline) share(signal int, zone string) float64 {
-	lately := shrink(b.recent[signal], shrink(b.trimmed[signal], assumed(signal), assumedWeight), recentWeight)
-	share := max(lately, shrink(b.current[signal], lately, recentWeight))
+	recent := shrink(b.recent[signal], shrink(b.trimmed[signal], assumed(signal), assumedWeight), recentWeight)
+	share := max(recent, shrink(b.current[signal], recent, recentWeight))
 	if signals := b.zones[zone]; signals != nil {
-		share = max(share, shrink(signals[signal], lately, recentWeight))
+		share = max(share, shrink(signals[signal], recent, recentWeight))
 	}
 	return max(share, minBaselineShare)
 }
 
-// assumed returns the share that a signal is assumed to have before anything is known.
+// assumed returns the prior share of bad answers of a signal.
 func assumed(signal int) float64 {
 	switch signal {
 	case 0:
@@ -142,7 +144,7 @@
 	return assumedSlowest
 }
 
-// shrink returns the counted share, drawn towards a prior share that weighs as much as the given number of answers.
+// shrink returns the counted share, shrunk towards a prior share with the weight of the given number of answers.
 func shrink(counted ratio, prior, weight float64) float64 {
 	return (counted.bad + prior*weight) / (counted.all + weight)
 }
--- a/internal/rollout/verdict/config.go
+++ b/internal/rollout/verdict/config.go
@@ -6,67 +6,69 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// Config sets how certain a finding must be, and what counts as normal behaviour. Shares and parts are between 0 and 1.
+// Config sets the required certainty of a finding, and which behavior is normal. Probabilities, shares and fractions
+// are between 0 and 1.
 type Config struct {
-	// FalseAlarm is the accepted probability of finding a good version bad within the first hundred answers.
+	// FalseAlarm is the accepted probability that a good version is found bad within the first hundred answers.
 	FalseAlarm float64 `yaml:"false_alarm"`
-	// FalseAlarmMoving is the same once a version was found good and the requests move to it. It is higher, because the
-	// version is about to get all requests and few answers may have spoken for it.
+	// FalseAlarmMoving replaces FalseAlarm after a version was found good, while the requests move to it. It is higher,
+	// because the version is about to receive all requests and may have been found good on few answers.
 	FalseAlarmMoving float64 `yaml:"false_alarm_moving"`
-	// Miss is the accepted probability that a version which is found good has LeastBadShare of failures or
-	// LeastSlowShare of late answers.
+	// Miss is the accepted probability that a version is found good although it has a share LeastBadShare of failures
+	// or LeastSlowShare of late answers.
 	Miss float64 `yaml:"miss"`
-	// BadShares are the shares of bad answers, beyond the serving version's share, that are tested for.
+	// BadShares are the shares of bad answers in excess of the serving version's share that the test detects.
 	BadShares []float64 `yaml:"bad_shares"`
-	// LeastBadShare is the smallest share of failures that must be ruled out.
+	// LeastBadShare is the smallest share of failures that must be ruled out before a version is found good.
 	LeastBadShare float64 `yaml:"least_bad_share"`
-	// LeastSlowShare is the smallest share of late answers that must be ruled out.
+	// LeastSlowShare is the smallest share of late answers that must be ruled out before a version is found good.
 	LeastSlowShare float64 `yaml:"least_slow_share"`
-	// SlowFactors are the multiples of the serving version's median from which an answer is late. A low one detects a
-	// version that is slower throughout, a high one a version of which some answers are much slower.
+	// SlowFactors are the multiples of the serving version's median latency above which an answer is late. A low factor
+	// detects a version whose answers are all slower, a high factor a version that has some much slower answers.
 	SlowFactors []float64 `yaml:"slow_factors"`
-	// RoundTrip is added to each of these limits: the round trip between zones.
+	// RoundTrip is the round-trip time between zones. It is added to each limit of SlowFactors.
 	RoundTrip time.Duration `yaml:"way"`
-	// LeafFraction is the largest fraction of the threshold that one of two leafs may contribute; above 0.5 two bad leafs suffice.
+	// LeafFraction is the largest fraction of the threshold that one of two leafs may contribute. Above 0.5 two bad
+	// leafs reach the threshold.
 	LeafFraction float64 `yaml:"leaf_part"`
-	// Correlation is the correlation of late answers of one leaf within Moment, 0 to 1.
+	// Correlation is the correlation, 0 to 1, of late answers of one leaf within LongestPause.
 	Correlation float64 `yaml:"alike"`
-	// LongestPause is the longest pause of a leaf that is normal.
+	// LongestPause is the longest normal pause of a leaf.
 	LongestPause time.Duration `yaml:"moment"`
-	// ColdFor is how long a new leaf may be slow, and ColdFactor the multiple of its limits until then.
+	// ColdFor is how long new leafs may be slow. ColdFactor multiplies their limits during this time.
 	ColdFor    time.Duration `yaml:"cold_for"`
 	ColdFactor float64       `yaml:"cold_factor"`
-	// Recent is the half-life of the serving version's recent answers, with which the canary version is compared.
+	// Recent is the half-life of the weight of the serving version's answers, with which the canary is compared.
 	Recent time.Duration `yaml:"recent"`
-	// Settle is how long an evaluator node must have complete counts before it finds a version good.
+	// Settle is how long the counts of an evaluator node must have been complete before it finds a version good.
 	Settle time.Duration `yaml:"settle"`
-	// GoodFrom is the fraction of the spec's duration from which full evidence makes a version good, GoodByLittle the part
-	// from which little evidence does.
+	// GoodFrom is the fraction of the spec's duration after which a version can be found good on full evidence.
+	// GoodByLittle is the fraction after which it can be found good on little evidence.
 	GoodFrom     float64 `yaml:"good_from"`
 	GoodByLittle float64 `yaml:"good_by_little"`
-	// LeastAnswers is the smallest number of answers by which a version is found good.
+	// LeastAnswers is the minimum number of answers of a version that is found good.
 	LeastAnswers int `yaml:"least_answers"`
 }
 
-// DefaultConfig suits versions with 3 to 30 leafs that get a tenth of 1 to 500 requests a second, for specs of some
-// seconds to some minutes.
+// DefaultConfig suits canary versions with 3 to 30 leafs that receive a tenth of 1 to 500 requests per second, and
+// specs of a few seconds to a few minutes.
 func DefaultConfig() Config {
 	return Config{
 		FalseAlarm: 1e-5, FalseAlarmMoving: 1e-3, Miss: 0.05,
 		BadShares:     []float64{0.05, 0.1, 0.2, 0.4, 0.8},
 		LeastBadShare: 0.1, LeastSlowShare: 0.3,
-		// Twofold steps: from a version that is slower throughout to one of which some answers are much slower.
+		// From versions whose answers are all slower to versions that have some much slower answers.
 		SlowFactors: []float64{1, 2, 4},
-		// Round trip between zones of one region.
+		// Typical round trip between zones of one region.
 		RoundTrip: 2 * time.Millisecond,
-		// Just above half, so that two bad leafs suffice and one never does.
+		// Above 0.5, so that two bad leafs reach the threshold, but one never does.
 		LeafFraction: 0.6,
 		Correlation:  0.3, LongestPause: 250 * time.Millisecond,
 		ColdFor: 4 * time.Second, ColdFactor: 2,
 		Recent: time.Second,
-		// The reports of all nodes come in within about a second.
+		// The reports of all nodes arrive within about a second.
 		Settle: 3 * time.Second,
-		// The rest of the spec's duration is needed to move the requests.
+		// The rest of the spec's duration is required to move the requests.
 		GoodFrom: 0.6, GoodByLittle: 0.75,
 		LeastAnswers: 3,
 	}
--- a/internal/rollout/verdict/cusum.go
+++ b/internal/rollout/verdict/cusum.go
@@ -2,46 +2,47 @@
 
 import "math"
 
-// cusum is the sequential test of one signal on one route. For each share of bad answers tested for, it keeps Page's
-// cumulative sum of the log-likelihood ratio of "the version has that share of bad answers beyond the baseline" to
-// "it answers as the serving version does". A sum that speaks for the version restarts, so that earlier good answers
-// don't excuse a version that turns bad. The contribution of a leaf is bounded.
+// cusum is the sequential test of one signal on one route. For each tested share of bad answers it keeps Page's
+// cumulative sum: the log-likelihood ratio of the hypothesis that the canary has this share of bad answers beyond the
+// baseline to the hypothesis that it answers like the serving version. A sum at or below zero restarts, so that earlier
+// good answers don't mask a version that turns bad. The contribution of a single leaf is capped.
 type cusum struct {
 	shares []float64
-	// weights are the contributions of each leaf since the sum restarted, by share tested.
+	// weights are the contributions of each leaf since the restart of the sum, by tested share.
 	weights []map[string]float64
-	// whole is each leaf's contribution over the whole spec for minShare, the smallest share that must be ruled out.
+	// overall is the contribution of each leaf over the whole spec for minShare, the smallest share that must be ruled
+	// out.
 	minShare float64
-	whole    map[string]float64
+	overall  map[string]float64
 	seen     ratio
 }
 
 func newCusum(shares []float64, minShare float64) *cusum {
-	s := &cusum{shares: shares, minShare: minShare, whole: map[string]float64{}}
+	s := &cusum{shares: shares, minShare: minShare, overall: map[string]float64{}}
 	for range shares {
 		s.weights = append(s.weights, map[string]float64{})
 	}
 	return s
 }
 
-// observe weighs the answers of a leaf against baseline, the serving version's share of bad answers. limit bounds the
-// weight that they may add against the version.
+// observe adds the answers of a leaf. baseline is the serving version's share of bad answers, and limit bounds the
+// weight that the answers may add to each sum.
 func (s *cusum) observe(leaf string, answers ratio, baseline, limit float64) {
 	s.seen.add(answers)
 	for i, share := range s.shares {
 		s.weights[i][leaf] += min(limit, logLikelihoodRatio(answers, baseline, share))
 	}
-	s.whole[leaf] += min(limit, logLikelihoodRatio(answers, baseline, s.minShare))
+	s.overall[leaf] += min(limit, logLikelihoodRatio(answers, baseline, s.minShare))
 }
 
-// logLikelihoodRatio returns the natural logarithm of how much likelier the answers are if, beyond the baseline, the
-// given share of answers is bad.
+// logLikelihoodRatio returns the natural logarithm of the likelihood ratio of the answers: the given share of bad
+// answers beyond the baseline against the baseline alone.
 func logLikelihoodRatio(answers ratio, baseline, share float64) float64 {
 	bad := baseline + share*(1-baseline)
 	return answers.bad*math.Log(bad/baseline) + (answers.all-answers.bad)*math.Log((1-bad)/(1-baseline))
 }
 
-// restart resets the sums that speak for the version.
+// restart resets the sums at or below zero.
 func (s *cusum) restart(leafCap float64) {
 	for _, weight := range s.weights {
 		if cappedSum(weight, leafCap) <= 0 {
@@ -50,7 +51,7 @@
 	}
 }
 
-// level returns the natural logarithm of the likelihood ratio, averaged over the shares.
+// level returns the natural logarithm of the likelihood ratio averaged over the tested shares.
 func (s *cusum) level(leafCap float64) float64 {
 	mean := 0.0
 	for _, weight := range s.weights {
@@ -59,14 +60,15 @@
 	return math.Log(mean)
 }
 
-// wholeLevel returns the log-likelihood ratio for the smallest share over the whole spec.
-func (s *cusum) wholeLevel(leafCap float64) float64 { return cappedSum(s.whole, leafCap) }
+// overallLevel returns the log-likelihood ratio for the smallest share over the whole spec.
+func (s *cusum) overallLevel(leafCap float64) float64 { return cappedSum(s.overall, leafCap) }
 
-// wholeLevelWithoutWorstLeaf is wholeLevel without the leaf that speaks most against the version. A single leaf is
-// kept.
-func (s *cusum) wholeLevelWithoutWorstLeaf() float64 { return sumWithoutWorst(s.whole) }
+// overallLevelWithoutWorstLeaf is like overallLevel, but excludes the leaf with the highest contribution. A single leaf
+// is not excluded.
+func (s *cusum) overallLevelWithoutWorstLeaf() float64 { return sumWithoutWorst(s.overall) }
 
-// levelWithoutWorstLeaf is level without the leaf that speaks most against the version. A single leaf is kept.
+// levelWithoutWorstLeaf is like level, but excludes the leaf with the highest contribution. A single leaf is not
+// excluded.
 func (s *cusum) levelWithoutWorstLeaf() float64 {
 	mean := 0.0
 	for _, weight := range s.weights {
--- a/internal/rollout/verdict/finding.go
+++ b/internal/rollout/verdict/finding.go
@@ -6,43 +6,43 @@
 	"time"
 )
 
-// Bounds of an evaluation, and the minimum of evidence that it needs.
+// Bounds of an evaluation, and the minimum evidence that it requires.
 const (
-	// maxRoutes bounds the routes that are evaluated; others are ignored.
+	// maxRoutes bounds the evaluated routes. Others are ignored.
 	maxRoutes = 8
-	// minAnswersForMedian is the number of answers of the serving version that a median of a route needs.
+	// minAnswersForMedian is the minimum number of answers of the serving version for the median of a route.
 	minAnswersForMedian = 5
-	// minAnswersToCompare is the number of recent answers of the serving version below which its limits come from
-	// another time, and are widened by aloneFactor.
+	// minAnswersToCompare is the number of recent answers of the serving version below which its limits are outdated,
+	// and are multiplied by staleFactor.
 	minAnswersToCompare = 5
-	aloneFactor         = 2
+	staleFactor         = 2
 	// falseAlarmAnswers is the number of answers that Config.FalseAlarm applies to.
 	falseAlarmAnswers = 100
-	// minLeafFractionOfMany is the smallest part of the threshold that one of three leafs or more may contribute: any
-	// three bad leafs reach the threshold, however high it is.
+	// minLeafFractionOfMany is the smallest fraction of the threshold to which the contribution of one of three or more
+	// leafs is capped. Three bad leafs can reach the threshold, however high it is.
 	minLeafFractionOfMany = 0.45
-	// maxWeightPerMoment bounds the weight, a natural logarithm, of one leaf's late answers within one moment. A leaf
-	// pauses in about a tenth of all moments, so that one late moment is at most ten times likelier for a bad
+	// maxWeightPerPause bounds the weight, a natural logarithm, of one leaf's late answers within Config.LongestPause.
+	// A leaf pauses in about a tenth of these intervals, so one late interval is at most ten times as likely for a bad
 	// version.
-	maxWeightPerMoment = 2.3
-	// maxLevelForGood is the level above which a version is not found good on full evidence, maxLevelOnLittle the same
-	// on little evidence. Both are natural logarithms of a likelihood ratio.
+	maxWeightPerPause = 2.3
+	// maxLevelForGood is the highest level at which a version is found good on full evidence, maxLevelOnLittle the
+	// highest on little evidence. Both are natural logarithms of a likelihood ratio.
 	maxLevelForGood  = 2.0
 	maxLevelOnLittle = 1.0
-	// rareRouteShare is the share of a version's answers below which a route is rare.
+	// rareRouteShare is the fraction of a version's answers below which a route is rare.
 	rareRouteShare = 0.1
-	// minTrafficAnswers is the number of answers of the serving version below which a route has no traffic to speak
-	// of: of so few requests the canary version gets hardly any by its share.
+	// minTrafficAnswers is the number of answers of the serving version below which a route counts as having no
+	// traffic: the canary's share of so few requests is close to zero.
 	minTrafficAnswers = 20
 )
 
-// find decides whether the version is good, bad or undecided, by the strongest evidence against it and the time since
-// the spec.
+// updateFinding updates the finding from the strongest evidence against the version and the time since the spec.
 //
-// Bad: the level of a signal, on a route or on all routes together, reaches the threshold. Bad is final. Good: isGood
-// says so; a good version can still be found bad. Otherwise it stays undecided, and the caller rolls it back when the
-// spec's time is over: letting a bad version serve costs all users, refusing a good one costs another spec.
-func (e *Evaluator) find(elapsed time.Duration, worst strongestSignal) {
+// The version is bad if the level of a signal, on a route or on all routes together, reaches the threshold. Bad is
+// final. The version is good if isGood returns true; it can still become bad. Otherwise it stays undecided, and the
+// caller rolls it back at the end of the spec: serving a bad version affects all users, rejecting a good one costs only
+// another spec.
+func (e *Evaluator) updateFinding(elapsed time.Duration, worst strongestSignal) {
 	switch {
 	case e.finding == Bad:
 	case worst.level >= e.threshold():
@@ -52,9 +52,9 @@
 	}
 }
 
-// isGood decides whether a version is found good. It needs the fraction GoodFrom of the spec's duration, complete counts
-// for minimumWatch, and LeastAnswers answers; then either full evidence or, from the part GoodByLittle on, little
-// evidence that speaks for it throughout.
+// isGood reports whether the evidence suffices to find the version good. This requires that the fraction GoodFrom of
+// the spec's duration has elapsed, that the counts have been complete for minimumWatch, and LeastAnswers answers. It
+// also requires full evidence, or after the fraction GoodByLittle little evidence, none of it against the version.
 func (e *Evaluator) isGood(elapsed time.Duration, worst strongestSignal) bool {
 	fraction := float64(elapsed) / float64(e.duration)
 	if fraction < e.cfg.GoodFrom || elapsed-e.completeSince < e.minimumWatch() || e.pooled[0].seen.all < float64(e.cfg.LeastAnswers) {
@@ -64,19 +64,19 @@
 }
 
 // minimumWatch returns how long the counts must have been complete before a version is found good: Config.Settle, but
-// at most a tenth of the spec's duration, since an evaluator node must decide within it.
+// at most a tenth of the spec's duration, because an evaluator node must decide within the spec.
 func (e *Evaluator) minimumWatch() time.Duration { return min(e.cfg.Settle, e.duration/10) }
 
-// isGoodOnFullEvidence reports whether the smallest share of bad answers that must be found is ruled out on all
-// routes together and on each route with traffic, without the worst leaf, which may be unlucky. On a rare route it is
-// enough that nothing speaks against the version.
+// isGoodOnFullEvidence reports whether the smallest share of bad answers that must be detected is ruled out on all
+// routes together and on each route with traffic. The worst leaf is excluded, because its bad answers may be due to
+// chance. On a rare route it suffices that there is no evidence against the version.
 func (e *Evaluator) isGoodOnFullEvidence() bool {
 	if !e.ruleOutBad(e.pooled) {
 		return false
 	}
 	for _, route := range e.routes {
 		if e.isRare(route) {
-			if !e.haveNoneAgainst(route.cusums) {
+			if !e.haveNoEvidenceAgainst(route.cusums) {
 				return false
 			}
 			continue
@@ -88,13 +88,13 @@
 	return true
 }
 
-// isGoodOnLittleEvidence reports whether the version has answered on each route with traffic and all evidence speaks
-// for it; no leaf is left out.
+// isGoodOnLittleEvidence reports whether the version has answered on each route with traffic and no signal has evidence
+// against it. No leaf is excluded.
 func (e *Evaluator) isGoodOnLittleEvidence(worst strongestSignal) bool {
-	return worst.level <= maxLevelOnLittle && e.hasAnswersOnAllRoutes() && e.haveNoneAgainst(e.allCusums())
+	return worst.level <= maxLevelOnLittle && e.hasAnswersOnAllRoutes() && e.haveNoEvidenceAgainst(e.allCusums())
 }
 
-// strongestSignal is the sum with the strongest evidence against the version.
+// strongestSignal is the signal with the strongest evidence against the version.
 type strongestSignal struct {
 	level  float64
 	route  string
@@ -123,26 +123,25 @@
 	return worst
 }
 
-// threshold returns the level from which a version is bad: the logarithm of the inverse of the accepted rate of false
-// alarms, plus a term that grows with the answers, since a sum that restarts has more chances to exceed a fixed level
-// by accident. The answers of the current update don't raise it, so that bad answers never excuse themselves.
+// threshold returns the level at which a version is bad: the negative logarithm of the accepted false-alarm rate, plus
+// a term that grows with the number of answers, because a sum that restarts has more chances to exceed a fixed level.
+// The answers of the current update don't raise the threshold, so that bad answers don't offset themselves.
 func (e *Evaluator) threshold() float64 {
-	return e.firstThreshold() + math.Log1p(float64(e.weighedCanaryAttempts)/falseAlarmAnswers)
+	return e.initialThreshold() + math.Log1p(float64(e.weighedCanaryAttempts)/falseAlarmAnswers)
 }
 
-// firstThreshold returns the threshold for the first answers. It is lower once the version was found good, because
-// its share of the requests grows then.
-func (e *Evaluator) firstThreshold() float64 {
+// initialThreshold returns the threshold before any answers. It is lower after the version was found good, because its
+// share of the requests then grows.
+func (e *Evaluator) initialThreshold() float64 {
 	if e.finding == Good {
 		return -math.Log(e.cfg.FalseAlarmMoving)
 	}
 	return -math.Log(e.cfg.FalseAlarm)
 }
 
-// leafCap returns the most that one leaf may contribute to a level, so that one bad leaf doesn't condemn a version. A
-// leaf that is still the only one in the second half of the spec is taken for the version. Of two leafs each may
-// contribute LeafFraction of the threshold. Of more, the cap grows more slowly than the threshold, down to
-// minLeafFractionOfMany of it.
+// leafCap returns the maximum contribution of one leaf to a level, so that one bad leaf doesn't make a version bad. If
+// there is only one leaf in the second half of the spec, the cap does not apply. With two leafs the cap is LeafFraction
+// of the threshold. With more it grows more slowly than the threshold, but is at least minLeafFractionOfMany of it.
 func (e *Evaluator) leafCap(elapsed time.Duration) float64 {
 	switch {
 	case len(e.leafs) == 1 && elapsed > e.duration/2:
@@ -150,25 +149,26 @@
 	case len(e.leafs) <= 2:
 		return e.cfg.LeafFraction * e.threshold()
 	}
-	return max(e.cfg.LeafFraction*e.firstThreshold(), minLeafFractionOfMany*e.threshold())
+	return max(e.cfg.LeafFraction*e.initialThreshold(), minLeafFractionOfMany*e.threshold())
 }
 
-// isRare reports whether a route has hardly any of the answers of either version.
+// isRare reports whether a route has less than rareRouteShare of the canary's answers and no traffic.
 func (e *Evaluator) isRare(route *route) bool {
 	return route.cusums[0].seen.all < rareRouteShare*e.pooled[0].seen.all && !e.hasTraffic(route)
 }
 
-// hasTraffic reports whether a route has a noticeable part of the serving version's answers.
+// hasTraffic reports whether a route has at least minTrafficAnswers answers of the serving version, and at least
+// rareRouteShare of all its answers.
 func (e *Evaluator) hasTraffic(route *route) bool {
-	whole := 0.0
-	for _, one := range e.routes {
-		whole += one.baseline.all[0].all
+	total := 0.0
+	for _, other := range e.routes {
+		total += other.baseline.all[0].all
 	}
 	answers := route.baseline.all[0].all
-	return answers >= minTrafficAnswers && answers >= rareRouteShare*whole
+	return answers >= minTrafficAnswers && answers >= rareRouteShare*total
 }
 
-// hasAnswersOnAllRoutes reports whether the canary version has enough answers on each route with traffic.
+// hasAnswersOnAllRoutes reports whether the canary has at least LeastAnswers answers on each route with traffic.
 func (e *Evaluator) hasAnswersOnAllRoutes() bool {
 	for _, route := range e.routes {
 		if route.cusums[0].seen.all < float64(e.cfg.LeastAnswers) && e.hasTraffic(route) {
@@ -178,21 +178,21 @@
 	return true
 }
 
-// ruleOutBad reports whether each of the sums rules out, without its worst leaf, the smallest share that must be
-// found.
+// ruleOutBad reports whether each of the sums, without its worst leaf, rules out the smallest share of bad answers that
+// must be detected.
 func (e *Evaluator) ruleOutBad(cusums []*cusum) bool {
 	for _, s := range cusums {
-		if s.wholeLevelWithoutWorstLeaf() > math.Log(e.cfg.Miss) || s.levelWithoutWorstLeaf() > maxLevelForGood {
+		if s.overallLevelWithoutWorstLeaf() > math.Log(e.cfg.Miss) || s.levelWithoutWorstLeaf() > maxLevelForGood {
 			return false
 		}
 	}
 	return true
 }
 
-// haveNoneAgainst reports whether none of the sums, over the whole spec, speaks against the version.
-func (e *Evaluator) haveNoneAgainst(cusums []*cusum) bool {
+// haveNoEvidenceAgainst reports whether none of the sums over the whole spec is evidence against the version.
+func (e *Evaluator) haveNoEvidenceAgainst(cusums []*cusum) bool {
 	for _, s := range cusums {
-		if s.wholeLevel(e.leafCap(e.lastUpdate)) > 0 {
+		if s.overallLevel(e.leafCap(e.lastUpdate)) > 0 {
 			return false
 		}
 	}
@@ -204,21 +204,21 @@
 	if worst.signal > 0 {
 		signal = Late
 	}
-	j := Evaluation{
+	result := Evaluation{
 		Finding: e.finding, Serving: e.totals[0], Canary: e.totals[1], Route: worst.route, Signal: signal,
 		Confidence: 1 / (1 + math.Exp(-worst.level)),
 	}
-	j.Reason = e.reason(j, worst)
-	return j
+	result.Reason = e.reason(result, worst)
+	return result
 }
 
-// reason explains an evaluation in one sentence.
-func (e *Evaluator) reason(j Evaluation, worst strongestSignal) string {
+// reason returns the reason for a finding in one sentence.
+func (e *Evaluator) reason(result Evaluation, worst strongestSignal) string {
 	route := "all routes"
 	if worst.route != "" {
 		route = "route " + worst.route
 	}
 	return fmt.Sprintf("Version %s is %s: on %s %.0f of %.0f answers %s, weight %.1f of %.1f; of all attempts %d of %d failed and %d were slow, of %s %d of %d and %d.",
-		e.canary, j.Finding, route, worst.seen.bad, worst.seen.all, j.Signal, worst.level, e.threshold(),
-		j.Canary.Failures, j.Canary.Attempts, j.Canary.Slow, e.serving, j.Serving.Failures, j.Serving.Attempts, j.Serving.Slow)
+		e.canary, result.Finding, route, worst.seen.bad, worst.seen.all, result.Signal, worst.level, e.threshold(),
+		result.Canary.Failures, result.Canary.Attempts, result.Canary.Slow, e.serving, result.Serving.Failures, result.Serving.Attempts, result.Serving.Slow)
 }
--- a/internal/rollout/verdict/helpers_test.go
+++ b/internal/rollout/verdict/helpers_test.go
@@ -14,10 +14,10 @@
 	leafs         = 3
 )
 
-// counts are cumulative rows.
+// counts are cumulative tallies by key.
 type counts map[evidence.Key]*evidence.Tally
 
-// answers counts n answers of a leaf on the only route, of which the last ones failed.
+// answers counts n answers of a leaf on the only route. The last failed ones are failures.
 func (c counts) answers(version string, leaf, n, failed int, took time.Duration) {
 	tally := c.of(version, leaf)
 	for i := range n {
@@ -25,7 +25,7 @@
 	}
 }
 
-// abandon counts attempts at a leaf that were given up without an answer.
+// abandon counts n attempts at a leaf that were abandoned without an answer.
 func (c counts) abandon(version string, leaf, n int, after time.Duration) {
 	for range n {
 		c.of(version, leaf).ObserveAbandoned(after)
@@ -40,7 +40,7 @@
 	return c[key]
 }
 
-// both counts clean answers of all leafs: ten of the serving version's for each of the canary version.
+// both counts successful answers of all leafs of both versions: n per canary and 10n per serving leaf.
 func (c counts) both(n int) {
 	for leaf := range leafs {
 		c.answers("v1", leaf, 10*n, 0, normalLatency)
@@ -62,12 +62,13 @@
 	return verdict.New(verdict.DefaultConfig(), "v1", "v2", specDuration)
 }
 
-// feed updates an evaluator every half second from one time to another, after grow has added to the counts.
-func feed(t *verdict.Evaluator, c counts, from, to time.Duration, grow func()) verdict.Evaluation {
-	var j verdict.Evaluation
+// update updates an evaluator every half second from one time to another, each time after a call of grow, which adds to
+// the counts. It returns the last evaluation.
+func update(evaluator *verdict.Evaluator, c counts, from, to time.Duration, grow func()) verdict.Evaluation {
+	var evaluation verdict.Evaluation
 	for at := from; at <= to; at += 500 * time.Millisecond {
 		grow()
-		j = t.Update(at, c.rows())
+		evaluation = evaluator.Update(at, c.rows())
 	}
-	return j
+	return evaluation
 }
--- a/internal/rollout/verdict/increment.go
+++ b/internal/rollout/verdict/increment.go
@@ -7,18 +7,18 @@
 	"github.com/portgauge/portgauge/internal/rollout/evidence"
 )
 
-// maxRows bounds the rows that are followed: 2 versions of 256 leafs each on 8 routes. Others are ignored.
+// maxRows bounds the evaluated rows: 2 versions with 256 leafs each on 8 routes. Others are ignored.
 const maxRows = 4096
 
 // lastCounts are the counts of a row at earlier updates.
 type lastCounts struct {
-	// counted is the tally of the last update, from which failures are counted on. timed is the one from which late
-	// answers are counted on; it stays empty until the route's median is known.
+	// counted is the tally of the last update, the base for new failures. timed is the base for new late answers. It is
+	// empty until the route's median is known.
 	counted, timed evidence.Tally
 	timedAt        time.Duration // since the spec
 }
 
-// ratio is the number of bad answers among all. Answers that are discounted count as fractions.
+// ratio is the number of bad answers among all answers. Discounted answers count as fractions.
 type ratio struct{ bad, all float64 }
 
 func (r *ratio) add(other ratio) {
@@ -28,16 +28,17 @@
 
 func (r ratio) times(factor float64) ratio { return ratio{r.bad * factor, r.all * factor} }
 
-// increment is what a row gained since the previous update, by signal: failures first, then answers that failed or
-// were late, one ratio for each slow factor.
+// increment is the growth of a row since the previous update, by signal: first failures, then answers that failed or
+// were late, with one ratio per slow factor.
 type increment struct {
 	key     evidence.Key
 	signals []ratio
-	// moments is the number of moments (Config.LongestPause), at least one, over which the late and timely answers came in.
-	moments float64
+	// pauses is the time, in multiples of Config.LongestPause and at least 1, in which the late and timely answers
+	// arrived.
+	pauses float64
 }
 
-// increments returns what the rows gained since the previous update.
+// increments returns the growth of the rows since the previous update.
 func (e *Evaluator) increments(elapsed time.Duration, rows []evidence.Row) []increment {
 	var added []increment
 	for _, row := range rows {
@@ -80,8 +81,8 @@
 	}
 }
 
-// advance returns what a row gained and remembers its counts. limits are empty while the median is unknown. Attempts
-// without an answer say nothing about failures.
+// advance returns the growth of a row and stores its counts. limits is empty while the median is unknown. Attempts
+// without an answer do not count for the signal of failures.
 func (l *lastCounts) advance(row evidence.Row, limits []time.Duration, elapsed time.Duration, cfg Config) increment {
 	signals := make([]ratio, 1+len(cfg.SlowFactors))
 	signals[0] = ratio{
@@ -92,17 +93,17 @@
 	if len(limits) == 0 {
 		return increment{row.Key, signals, 1}
 	}
-	moments := max(1, float64(elapsed-l.timedAt)/float64(cfg.LongestPause))
+	pauses := max(1, float64(elapsed-l.timedAt)/float64(cfg.LongestPause))
 	for i, limit := range limits {
 		late := lateSince(row.Tally, l.timed, limit)
-		signals[i+1] = late.times(cfg.discount(late.all / moments))
+		signals[i+1] = late.times(cfg.discount(late.all / pauses))
 	}
 	l.timed, l.timedAt = l.counted, elapsed
-	return increment{row.Key, signals, moments}
+	return increment{row.Key, signals, pauses}
 }
 
-// lateSince returns the answers that failed or took longer than a limit. Failures count as late, so that fast
-// failures never make a version look faster.
+// lateSince returns the ratio of answers that failed or took longer than a limit. Failures count as late, so that fast
+// failures don't make a version appear faster.
 func lateSince(now, before evidence.Tally, limit time.Duration) ratio {
 	slow, known := now.Slow(limit)
 	slowBefore, knownBefore := before.Slow(limit)
@@ -111,8 +112,8 @@
 	return ratio{bad: float64(min(bad, all)), all: float64(all)}
 }
 
-// discount returns the weight of each of n answers of a leaf within a moment: a pause of the leaf delays all of them
-// together.
+// discount returns the weight of each of n answers of a leaf within LongestPause, since one pause of the leaf may delay
+// all of them.
 func (c *Config) discount(n float64) float64 { return 1 / (1 + max(0, n-1)*c.Correlation) }
 
 func clone(tally evidence.Tally) evidence.Tally {
--- a/internal/rollout/verdict/limits.go
+++ b/internal/rollout/verdict/limits.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// limits returns the latencies from which answers are late: each slow factor times the median, plus the extra latency
-// of another zone.
+// limits returns the latencies above which answers are late: each slow factor times the median, plus the round trip
+// between zones.
 func (c *Config) limits(median time.Duration) []time.Duration {
 	var limits []time.Duration
 	for _, factor := range c.SlowFactors {
@@ -34,9 +34,8 @@
 	return limits
 }
 
-// limitsOf returns the limits that apply to a row. They are wider for the canary version while its leafs may be
-// cold, and while the serving version has too few recent answers to compare with. A single leaf that starts later
-// than the others gets no allowance.
+// limitsOf returns the limits for a row. They are higher for the canary while its leafs may be cold, and while the
+// serving version has too few recent answers. A single leaf that starts later than the others gets no higher limits.
 func (e *Evaluator) limitsOf(key evidence.Key, route *route, elapsed time.Duration) []time.Duration {
 	if key.Version != e.canary || len(route.limits) == 0 {
 		return route.limits
@@ -46,7 +45,7 @@
 		factor = e.cfg.ColdFactor
 	}
 	if route.baseline.recent[0].all < minAnswersToCompare {
-		factor = max(factor, aloneFactor)
+		factor = max(factor, staleFactor)
 	}
 	limits := make([]time.Duration, len(route.limits))
 	for i, limit := range route.limits {
--- a/internal/rollout/verdict/verdict.go
+++ b/internal/rollout/verdict/verdict.go
@@ -1,12 +1,12 @@
-// Package verdict decides whether a new version of a service is good, bad or still undecided, by comparing how its
-// leafs answer with how those of the serving version answer at the same time.
+// Package verdict decides whether a canary version of a service is good, bad or undecided. It compares the answers of
+// the canary's leafs with the answers of the serving version at the same time.
 //
-// For each route it weighs several signals: answers that failed, and answers that failed or took longer than a
-// multiple of the serving version's median. Each signal is a sequential test (Page's cumulative sum) of a mixture of
-// shares of bad answers against the baseline, the share that the serving version has.
+// For each route it tests several signals: answers that failed, and answers that failed or took longer than a multiple
+// of the serving version's median. Each signal is a sequential test (Page's cumulative sum) of several shares of bad
+// answers against the baseline, the serving version's share.
 //
-// The package is pure computation: it owns only sums, starts no goroutine, reads no clock (callers pass the time
-// since the spec) and does no I/O. Its input is the counts of package evidence.
+// The package is pure computation: it starts no goroutine, reads no clock (callers pass the time since the spec) and
+// does no I/O. Its input is the counts of package evidence.
 package verdict
 
 import (
@@ -39,22 +39,22 @@
 type Totals struct {
 	Attempts int64
 	Failures int64
-	// Slow counts the answers that took longer than the middle one of the route's limits.
+	// Slow counts the answers that exceeded the middle limit of their route.
 	Slow int64
 }
 
-// Evaluation is a finding and what it is based on.
+// Evaluation is a finding with its evidence.
 type Evaluation struct {
 	Finding Finding
-	// Reason explains the finding in one sentence, with the figures.
+	// Reason is the reason for the finding, one sentence with figures.
 	Reason  string
 	Serving Totals
 	Canary  Totals
-	// Route is the route with the strongest evidence against the version; empty for all routes together.
+	// Route is the route with the strongest evidence against the version, empty for all routes together.
 	Route string
-	// Signal is the kind of bad answer with the strongest evidence there.
+	// Signal is the kind of bad answer with the strongest evidence on that route.
 	Signal Signal
-	// Confidence is the probability, 0 to 1, that the version is bad by that signal alone, starting from even odds.
+	// Confidence is the probability, 0 to 1, that the version is bad, based on that signal alone and even prior odds.
 	Confidence float64
 }
 
@@ -69,15 +69,16 @@
 	pooled   []*cusum
 	leafs    map[string]bool
 	finding  Finding
-	// lastUpdate is the time of the last update, canarySeenAt the time of the first counts of the canary version;
-	// both are since the spec.
+	// lastUpdate is the time of the last update, canarySeenAt the time of the first counts of the canary. Both are
+	// relative to the spec.
 	lastUpdate, canarySeenAt time.Duration
-	// completeSince is the time from which the counts are complete, maxAttempts the highest number of attempts seen.
+	// completeSince is the time since which the counts are complete. maxAttempts is the highest number of attempts in
+	// an update.
 	completeSince time.Duration
 	maxAttempts   int64
 	hasStarted    bool
 	totals        [2]Totals
-	// weighedCanaryAttempts is the attempts at the canary version up to the previous update.
+	// weighedCanaryAttempts is the number of attempts at the canary up to the previous update.
 	weighedCanaryAttempts int64
 }
 
@@ -85,12 +86,12 @@
 type route struct {
 	baseline *baseline
 	cusums   []*cusum
-	// limits are the latencies from which answers are late, one for each slow factor; empty while the median is
+	// limits are the latencies above which answers are late, one per slow factor. It is empty while the median is
 	// unknown.
 	limits []time.Duration
 }
 
-// New returns an evaluator for the canary version beside the serving one, for a spec of the given duration.
+// New returns an evaluator that compares the canary with the serving version, for a spec with the given duration.
 func New(cfg Config, serving, canary string, duration time.Duration) *Evaluator {
 	return &Evaluator{
 		cfg: cfg, serving: serving, canary: canary, duration: duration, finding: Undecided,
@@ -98,7 +99,7 @@
 	}
 }
 
-// cusums returns the sums of one route, by signal: failures first, then one for each slow factor.
+// cusums returns new tests of one route, by signal: first failures, then one test per slow factor.
 func (c *Config) cusums() []*cusum {
 	all := []*cusum{newCusum(c.BadShares, c.LeastBadShare)}
 	for range c.SlowFactors {
@@ -107,8 +108,8 @@
 	return all
 }
 
-// slowShares returns the shares that late answers are tested for. Much smaller shares than the smallest that must be
-// found are left out: given enough time, any small difference between two good versions would show them.
+// slowShares returns the tested shares of late answers. Shares much smaller than LeastSlowShare are left out, because
+// the test would eventually detect them in the small differences between two good versions.
 func (c *Config) slowShares() []float64 {
 	var shares []float64
 	for _, share := range c.BadShares {
@@ -119,7 +120,7 @@
 	return append(shares, c.LeastSlowShare)
 }
 
-// Update evaluates the cumulative counts of the whole fleet, one row a key, at a time since the spec.
+// Update evaluates the cumulative counts of the whole fleet, one row per key. elapsed is the time since the spec.
 func (e *Evaluator) Update(elapsed time.Duration, rows []evidence.Row) Evaluation {
 	e.weighedCanaryAttempts = e.totals[1].Attempts
 	e.trackCompleteness(elapsed, rows)
@@ -131,12 +132,12 @@
 	e.lastUpdate = max(e.lastUpdate, elapsed)
 	e.weigh(added, elapsed)
 	worst := e.worst()
-	e.find(elapsed, worst)
+	e.updateFinding(elapsed, worst)
 	return e.evaluation(worst)
 }
 
-// trackCompleteness notes since when the rows are complete. Fewer attempts than before mean that this evaluator node has only
-// begun to receive reports.
+// trackCompleteness updates completeSince. Fewer attempts than before mean that the counts are not complete, for
+// example because this evaluator node has just started to receive reports.
 func (e *Evaluator) trackCompleteness(elapsed time.Duration, rows []evidence.Row) {
 	attempts := int64(0)
 	for _, row := range rows {
@@ -148,12 +149,13 @@
 	e.maxAttempts = max(e.maxAttempts, attempts)
 }
 
-// weigh counts the serving version's answers first, so that the canary version is compared with the same moment.
+// weigh adds the increments to the tests. It counts the serving version's answers first, so that the canary is compared
+// with the same period.
 func (e *Evaluator) weigh(added []increment, elapsed time.Duration) {
 	e.observeServing(added)
-	for _, one := range added {
-		if one.key.Version == e.canary {
-			e.weighCanary(one)
+	for _, row := range added {
+		if row.key.Version == e.canary {
+			e.weighCanary(row)
 		}
 	}
 	for _, s := range e.allCusums() {
@@ -162,14 +164,14 @@
 }
 
 func (e *Evaluator) observeServing(added []increment) {
-	for _, one := range added {
-		if one.key.Version == e.serving {
-			e.routes[one.key.Route].baseline.observe(one)
+	for _, row := range added {
+		if row.key.Version == e.serving {
+			e.routes[row.key.Route].baseline.observe(row)
 		}
 	}
-	for _, one := range added {
-		if one.key.Version == e.serving {
-			e.routes[one.key.Route].baseline.observeRecent(one)
+	for _, row := range added {
+		if row.key.Version == e.serving {
+			e.routes[row.key.Route].baseline.observeRecent(row)
 		}
 	}
 	for _, route := range e.routes {
@@ -186,14 +188,14 @@
 		}
 		limit := math.Inf(1)
 		if i > 0 {
-			limit = maxWeightPerMoment * added.moments
+			limit = maxWeightPerPause * added.pauses
 		}
 		route.cusums[i].observe(added.key.Leaf, signal, share, limit)
 		e.pooled[i].observe(added.key.Leaf, signal, share, limit)
 	}
 }
 
-// allCusums returns the sums of all routes and those of all routes together.
+// allCusums returns the tests of each route and the pooled tests.
 func (e *Evaluator) allCusums() []*cusum {
 	all := append([]*cusum(nil), e.pooled...)
 	for _, route := range e.routes {
@@ -202,7 +204,7 @@
 	return all
 }
 
-// route returns the state of a route, or nil for routes beyond maxRoutes.
+// route returns the state of a route, and creates it if necessary. It returns nil for routes beyond maxRoutes.
 func (e *Evaluator) route(name string) *route {
 	found := e.routes[name]
 	if found == nil && len(e.routes) < maxRoutes {
--- a/internal/rollout/verdict/verdict_test.go
+++ b/internal/rollout/verdict/verdict_test.go
@@ -15,58 +15,58 @@
 	"github.com/portgauge/portgauge/internal/rollout/verdict/verdicttest"
 )
 
-func TestCleanVersionIsGoodButNotBeforeHalf(t *testing.T) {
+func TestCleanVersionIsGoodAfterHalf(t *testing.T) {
 	is := is.New(t)
 	evaluator, c := newEvaluator(), counts{}
-	is.Equal(feed(evaluator, c, 0, specDuration/2, func() { c.both(3) }).Finding, verdict.Undecided)
-	j := feed(evaluator, c, specDuration/2, specDuration*65/100, func() { c.both(3) })
-	is.Equal(j.Finding, verdict.Good)
-	is.Equal(j.Canary.Failures, int64(0))
-	is.True(j.Canary.Attempts > 0 && j.Serving.Attempts == 10*j.Canary.Attempts)
+	is.Equal(update(evaluator, c, 0, specDuration/2, func() { c.both(3) }).Finding, verdict.Undecided)
+	evaluation := update(evaluator, c, specDuration/2, specDuration*65/100, func() { c.both(3) })
+	is.Equal(evaluation.Finding, verdict.Good)
+	is.Equal(evaluation.Canary.Failures, int64(0))
+	is.True(evaluation.Canary.Attempts > 0 && evaluation.Serving.Attempts == 10*evaluation.Canary.Attempts)
 }
 
-func TestBadIsFoundByFailuresAndTold(t *testing.T) {
+func TestFailuresMakeVersionBadWithReason(t *testing.T) {
 	is := is.New(t)
 	evaluator, c := newEvaluator(), counts{}
-	feed(evaluator, c, 0, time.Second, func() { c.both(3) })
+	update(evaluator, c, 0, time.Second, func() { c.both(3) })
 	for leaf := range leafs {
 		c.answers("v2", leaf, 3, 3, normalLatency)
 	}
-	j := evaluator.Update(2*time.Second, c.rows())
-	is.Equal(j.Finding, verdict.Bad)
-	is.Equal(j.Signal, verdict.Failed)
-	is.Equal(j.Canary.Failures, int64(9))
-	is.True(j.Confidence > 0.999)
-	is.True(strings.Contains(j.Reason, "9 of 36 failed"))
+	evaluation := evaluator.Update(2*time.Second, c.rows())
+	is.Equal(evaluation.Finding, verdict.Bad)
+	is.Equal(evaluation.Signal, verdict.Failed)
+	is.Equal(evaluation.Canary.Failures, int64(9))
+	is.True(evaluation.Confidence > 0.999)
+	is.True(strings.Contains(evaluation.Reason, "9 of 36 failed"))
 }
 
-func TestBadStays(t *testing.T) {
+func TestBadIsFinal(t *testing.T) {
 	is := is.New(t)
 	evaluator, c := newEvaluator(), counts{}
-	feed(evaluator, c, 0, time.Second, func() { c.both(1) })
+	update(evaluator, c, 0, time.Second, func() { c.both(1) })
 	for leaf := range leafs {
 		c.answers("v2", leaf, 5, 5, normalLatency)
 	}
 	is.Equal(evaluator.Update(2*time.Second, c.rows()).Finding, verdict.Bad)
-	is.Equal(feed(evaluator, c, 3*time.Second, specDuration, func() { c.both(100) }).Finding, verdict.Bad)
+	is.Equal(update(evaluator, c, 3*time.Second, specDuration, func() { c.both(100) }).Finding, verdict.Bad)
 }
 
-func TestOneLeafDoesNotCondemn(t *testing.T) {
+func TestOneBadLeafDoesNotMakeVersionBad(t *testing.T) {
 	is := is.New(t)
 	evaluator, c := newEvaluator(), counts{}
-	j := feed(evaluator, c, 0, specDuration*65/100, func() {
+	evaluation := update(evaluator, c, 0, specDuration*65/100, func() {
 		c.both(3)
 		c.answers("v2", 0, 20, 20, 8*normalLatency)
 	})
-	is.Equal(j.Finding, verdict.Good)
+	is.Equal(evaluation.Finding, verdict.Good)
 }
 
-// A leaf that fails throughout and a pause of another together do not condemn a version, whenever the pause happens.
-func TestPauseBesideAnIllLeafDoesNotCondemn(t *testing.T) {
+// A slow leaf and a pause of another leaf together do not make a version bad, whenever the pause happens.
+func TestPauseBesideSlowLeafDoesNotMakeVersionBad(t *testing.T) {
 	is := is.New(t)
 	for pause := 5 * time.Second; pause < specDuration; pause += time.Second / 2 {
 		evaluator, c := newEvaluator(), counts{}
-		feed(evaluator, c, 0, pause, func() {
+		update(evaluator, c, 0, pause, func() {
 			c.both(1)
 			c.answers("v2", 0, 5, 0, 8*normalLatency)
 		})
@@ -75,53 +75,53 @@
 	}
 }
 
-// A long burst that makes nearly all answers of both versions late condemns neither.
-func TestLongBurstDoesNotCondemn(t *testing.T) {
-	m := weigh(verdicttest.Case{Name: "long burst", PerSecond: 200, Duration: 2 * time.Minute, Incident: verdicttest.Burst})
+// A long burst that makes nearly all answers of both versions late does not make a version bad.
+func TestLongBurstDoesNotMakeVersionBad(t *testing.T) {
+	m := repeat(verdicttest.Case{Name: "long burst", PerSecond: 200, Duration: 2 * time.Minute, Incident: verdicttest.Burst})
 	if m.Wrong() > 0.1 {
 		t.Fatal(m.String())
 	}
 }
 
-// A version of which only one leaf answers is evaluated by that leaf.
-func TestOnlyLeafCondemnsAfterHalf(t *testing.T) {
+// A version with only one leaf is bad if that leaf is, but not before half of the spec.
+func TestSingleBadLeafMakesVersionBadAfterHalf(t *testing.T) {
 	is := is.New(t)
 	evaluator, c := newEvaluator(), counts{}
 	grow := func() {
 		c.answers("v1", 0, 20, 0, normalLatency)
 		c.answers("v2", 0, 2, 2, normalLatency)
 	}
-	is.Equal(feed(evaluator, c, 0, specDuration/2, grow).Finding, verdict.Undecided)
-	is.Equal(feed(evaluator, c, specDuration/2, specDuration, grow).Finding, verdict.Bad)
+	is.Equal(update(evaluator, c, 0, specDuration/2, grow).Finding, verdict.Undecided)
+	is.Equal(update(evaluator, c, specDuration/2, specDuration, grow).Finding, verdict.Bad)
 }
 
-func TestGoodTurnsBadWhileSwitching(t *testing.T) {
+func TestGoodVersionTurnsBadWhileSwitching(t *testing.T) {
 	is := is.New(t)
 	evaluator, c := newEvaluator(), counts{}
-	is.Equal(feed(evaluator, c, 0, specDuration*65/100, func() { c.both(3) }).Finding, verdict.Good)
+	is.Equal(update(evaluator, c, 0, specDuration*65/100, func() { c.both(3) }).Finding, verdict.Good)
 	for leaf := range leafs {
 		c.answers("v2", leaf, 40, 8, normalLatency)
 	}
 	is.Equal(evaluator.Update(specDuration*7/10, c.rows()).Finding, verdict.Bad)
 }
 
-// A route with hardly any requests does not delay the finding that another route supports.
-func TestRareRouteIsEvaluatedByAvailableAnswers(t *testing.T) {
+// A rare route does not delay a finding that is supported by another route.
+func TestRareRouteDoesNotDelayFinding(t *testing.T) {
 	is := is.New(t)
 	evaluator, c := newEvaluator(), counts{}
 	rare := evidence.Row{Key: evidence.Key{Service: "s", SpecID: 1, Route: "/rare", Version: "v2", Leaf: "v2-1"}}
 	rare.Observe(false, normalLatency)
-	var j verdict.Evaluation
+	var evaluation verdict.Evaluation
 	for at := time.Duration(0); at <= specDuration*65/100; at += 500 * time.Millisecond {
 		c.both(3)
-		j = evaluator.Update(at, append(c.rows(), rare))
+		evaluation = evaluator.Update(at, append(c.rows(), rare))
 	}
-	is.Equal(j.Finding, verdict.Good)
+	is.Equal(evaluation.Finding, verdict.Good)
 }
 
-// A route with half of the serving version's answers is not rare because the canary version got hardly any there:
-// the version is not good until it has answered there, and then not before the time for little evidence.
-func TestRouteWithTrafficIsNotRareByCanaryTraffic(t *testing.T) {
+// A route with half of the serving version's answers is not rare, even if the canary has few answers there. The canary
+// is not good before it has answered on the route, and with few answers not before GoodByLittle.
+func TestRouteWithServingTrafficIsNotRare(t *testing.T) {
 	is := is.New(t)
 	for _, seen := range []struct {
 		answers int
@@ -131,7 +131,7 @@
 		var found float64
 		for at := time.Duration(0); at <= specDuration && found == 0; at += 500 * time.Millisecond {
 			c.both(3)
-			if evaluator.Update(at, append(c.rows(), beside(c, seen.answers)...)).Finding == verdict.Good {
+			if evaluator.Update(at, append(c.rows(), otherRoute(c, seen.answers)...)).Finding == verdict.Good {
 				found = float64(at) / float64(specDuration)
 			}
 		}
@@ -142,15 +142,15 @@
 	}
 }
 
-// beside returns rows of another route, with as many answers of the serving version as on the first, and the given
-// number of answers of each canary.
-func beside(c counts, answers int) []evidence.Row {
+// otherRoute returns rows of another route, with as many answers of the serving version as on the first route, and the
+// given number of answers of the canary version.
+func otherRoute(c counts, answers int) []evidence.Row {
 	rows := c.rows()
-	of := rows[:0]
+	result := rows[:0]
 	for _, row := range rows {
 		if row.Version == "v1" {
 			row.Route = "/other"
-			of = append(of, row)
+			result = append(result, row)
 		}
 	}
 	for leaf := range leafs {
@@ -158,12 +158,12 @@
 		for range (answers + leaf) / leafs {
 			row.Observe(false, normalLatency)
 		}
-		of = append(of, row)
+		result = append(result, row)
 	}
-	return of
+	return result
 }
 
-func TestNothingIsUndecided(t *testing.T) {
+func TestVersionWithoutCountsIsUndecided(t *testing.T) {
 	is := is.New(t)
 	evaluator := newEvaluator()
 	for at := time.Duration(0); at <= specDuration; at += time.Second {
@@ -171,25 +171,25 @@
 	}
 }
 
-// A version that never answers is not found good.
+// A version without any answers is not found good.
 func TestAttemptsWithoutAnswersAreNotGood(t *testing.T) {
 	is := is.New(t)
 	evaluator, c := newEvaluator(), counts{}
-	j := feed(evaluator, c, 0, specDuration, func() {
+	evaluation := update(evaluator, c, 0, specDuration, func() {
 		for leaf := range leafs {
 			c.answers("v1", leaf, 10, 0, normalLatency)
 			c.answers("v2", leaf, 0, 0, normalLatency)
 			c.abandon("v2", leaf, 3, time.Millisecond)
 		}
 	})
-	is.Equal(j.Finding, verdict.Undecided)
+	is.Equal(evaluation.Finding, verdict.Undecided)
 }
 
-// Attempts given up before a limit do not make the share of failures smaller.
-func TestAttemptsWithoutAnswersDoNotExcuse(t *testing.T) {
+// Attempts that were abandoned before a limit do not reduce the share of failures.
+func TestAbandonedAttemptsDoNotHideFailures(t *testing.T) {
 	is := is.New(t)
 	evaluator, c := newEvaluator(), counts{}
-	feed(evaluator, c, 0, time.Second, func() { c.both(3) })
+	update(evaluator, c, 0, time.Second, func() { c.both(3) })
 	for leaf := range leafs {
 		c.answers("v2", leaf, 3, 3, normalLatency)
 		c.abandon("v2", leaf, 1000, time.Millisecond)
@@ -197,25 +197,26 @@
 	is.Equal(evaluator.Update(2*time.Second, c.rows()).Finding, verdict.Bad)
 }
 
-// An evaluator node that has just started receives the reports of the nodes one after the other.
-func TestPartialPictureIsNotGoodAtOnce(t *testing.T) {
+// An evaluator node that has just started does not find a version good, because the reports of other nodes may be
+// missing.
+func TestVersionIsNotGoodBeforeCountsAreComplete(t *testing.T) {
 	is := is.New(t)
-	whole := counts{}
-	whole.both(40)
+	c := counts{}
+	c.both(40)
 	evaluator := newEvaluator()
-	is.Equal(evaluator.Update(specDuration*7/10, whole.rows()).Finding, verdict.Undecided)
+	is.Equal(evaluator.Update(specDuration*7/10, c.rows()).Finding, verdict.Undecided)
 	for leaf := range leafs {
-		whole.answers("v2", leaf, 30, 10, normalLatency)
+		c.answers("v2", leaf, 30, 10, normalLatency)
 	}
-	is.Equal(evaluator.Update(specDuration*7/10+time.Second/2, whole.rows()).Finding, verdict.Bad)
+	is.Equal(evaluator.Update(specDuration*7/10+time.Second/2, c.rows()).Finding, verdict.Bad)
 }
 
 func TestShrinkingRowsAreNotGood(t *testing.T) {
 	is := is.New(t)
-	evaluator, c, part := newEvaluator(), counts{}, counts{}
-	feed(evaluator, c, 0, specDuration/2, func() { c.both(3) })
-	part.both(5)
-	is.Equal(feed(evaluator, part, specDuration/2, specDuration, func() {}).Finding, verdict.Undecided)
+	evaluator, c, partial := newEvaluator(), counts{}, counts{}
+	update(evaluator, c, 0, specDuration/2, func() { c.both(3) })
+	partial.both(5)
+	is.Equal(update(evaluator, partial, specDuration/2, specDuration, func() {}).Finding, verdict.Undecided)
 }
 
 func TestConfigNamesFaults(t *testing.T) {
@@ -228,7 +229,7 @@
 	is.Equal(len(named), 18)
 }
 
-// drawRows draws a history of rows for both versions.
+// drawCounts draws counts for both versions and adds them to c.
 func drawCounts(t *rapid.T, c counts) {
 	for leaf := range leafs {
 		n := rapid.IntRange(0, 30).Draw(t, "answers")
@@ -239,8 +240,8 @@
 	}
 }
 
-// More bad answers in the last update never turn a bad version into a good or undecided one.
-func TestMoreBadAnswersNeverExcuse(t *testing.T) {
+// An additional bad answer in the last update does not turn a bad finding into another one.
+func TestAdditionalBadAnswerKeepsVersionBad(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := counts{}
 		fewer, more := newEvaluator(), newEvaluator()
@@ -252,41 +253,40 @@
 			at += time.Second
 		}
 		drawCounts(t, c)
-		with := fewer.Update(at, c.rows()).Finding
+		finding := fewer.Update(at, c.rows()).Finding
 		c.answers("v2", rapid.IntRange(0, leafs-1).Draw(t, "leaf"), 1, 1, normalLatency)
-		if got := more.Update(at, c.rows()).Finding; with == verdict.Bad && got != verdict.Bad {
-			t.Fatalf("bad by fewer bad answers, %s by one more", got)
+		if got := more.Update(at, c.rows()).Finding; finding == verdict.Bad && got != verdict.Bad {
+			t.Fatalf("bad, but %s after one more bad answer", got)
 		}
 	})
 }
 
-// Arbitrary rows in any order cause no panic, and bad stays bad.
-func TestAnyRowsAreBorne(t *testing.T) {
+// Arbitrary rows in any order cause no panic. Bad is final, and good does not become undecided.
+func TestArbitraryRows(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		evaluator, found := newEvaluator(), verdict.Undecided
 		for range rapid.IntRange(1, 8).Draw(t, "updates") {
 			c := counts{}
 			drawCounts(t, c)
 			at := time.Duration(rapid.IntRange(0, 20).Draw(t, "at")) * time.Second
-			j := evaluator.Update(at, c.rows())
-			if found == verdict.Bad && j.Finding != verdict.Bad || found == verdict.Good && j.Finding == verdict.Undecided {
-				t.Fatalf("%s after %s", j.Finding, found)
+			evaluation := evaluator.Update(at, c.rows())
+			if found == verdict.Bad && evaluation.Finding != verdict.Bad || found == verdict.Good && evaluation.Finding == verdict.Undecided {
+				t.Fatalf("%s after %s", evaluation.Finding, found)
 			}
-			if j.Confidence < 0 || j.Confidence > 1 || j.Confidence != j.Confidence {
-				t.Fatalf("confidence %f", j.Confidence)
+			if evaluation.Confidence < 0 || evaluation.Confidence > 1 || evaluation.Confidence != evaluation.Confidence {
+				t.Fatalf("confidence %f is not in 0 to 1", evaluation.Confidence)
 			}
-			found = j.Finding
+			found = evaluation.Finding
 		}
 	})
 }
 
-// With few requests a version is found good by a few answers. If it then fails while the requests move to it, it is
-// found bad before it gets all of them.
-func TestVersionThatFailsOnceItsRequestsMoveIsNotGood(t *testing.T) {
+// A version that was found good on a few answers does not stay good if it fails while the requests move to it.
+func TestVersionThatFailsWhileRequestsMoveIsNotGood(t *testing.T) {
 	is := is.New(t)
 	evaluator, c := newEvaluator(), counts{}
 	number := 0
-	found := feed(evaluator, c, 0, specDuration*9/10, func() {
+	found := update(evaluator, c, 0, specDuration*9/10, func() {
 		c.answers("v1", number%2, 8, 0, normalLatency)
 		if number%2 == 0 {
 			c.answers("v2", number/2%leafs, 1, 0, normalLatency)
--- a/internal/rollout/verdict/verdicttest/answers.go
+++ b/internal/rollout/verdict/verdicttest/answers.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Behaviour of leafs. The spread is of the logarithm of the latency.
+// Behavior of leafs. spread is the standard deviation of the logarithm of the latency.
 const (
 	firstMedian = 15 * time.Millisecond
 	nextMedian  = 45 * time.Millisecond
@@ -22,12 +22,12 @@
 	flapPeriod     = 1500 * time.Millisecond
 	bothFailShare  = 0.15
 	burstFactor    = 3
-	// Passing incidents last for the middle third of the spec.
+	// Temporary incidents last for the middle third of the spec.
 	incidentFrom = 1.0 / 3
 	incidentTo   = 2.0 / 3
 )
 
-// A leaf pauses for 100 to 250 ms every 2.4 to 6 s, 4% of the time.
+// A leaf pauses for 100 to 250 ms, with 2.4 to 6 s between pauses: 4% of the time.
 const (
 	shortestPause = 100 * time.Millisecond
 	longestPause  = 250 * time.Millisecond
@@ -53,8 +53,8 @@
 	}
 }
 
-// paused returns for how long a pause still lasts at a time, 0 for none.
-func (l *leaf) paused(at time.Duration) time.Duration {
+// remainingPause returns the rest of a pause at a time, 0 if the leaf is not paused.
+func (l *leaf) remainingPause(at time.Duration) time.Duration {
 	period := time.Duration(float64(l.pause) / pauseShare)
 	return max(0, l.pause-(at+l.phase)%period)
 }
@@ -65,29 +65,29 @@
 	took        time.Duration
 	failed      bool
 	isAbandoned bool
-	// isBad says that the version's fault made it bad.
+	// isBad means that the fault of the version made the answer bad.
 	isBad bool
 	route int
 	leaf  *leaf
 }
 
-// attempt plays a request at a leaf; loaded says that the leaf gets as many requests as in full service.
-func (p *simulation) attempt(at time.Duration, l *leaf, route int, loaded bool) answer {
-	work := firstMedian
+// attempt simulates an attempt at a leaf. fullLoad means that the leaf receives as many requests as in full service.
+func (s *simulation) attempt(at time.Duration, l *leaf, route int, fullLoad bool) answer {
+	median := firstMedian
 	if route > 0 {
-		work = nextMedian
+		median = nextMedian
 	}
-	factor := math.Exp(spread * p.random.NormFloat64())
+	factor := math.Exp(spread * s.random.NormFloat64())
 	a := answer{route: route, leaf: l}
 	if l.isCanary && at < coldFor {
 		factor *= coldFactor
 	}
-	if l.isCanary && p.isFaultActive(at, route, loaded) {
-		factor = p.applyFault(&a, factor)
+	if l.isCanary && s.isFaultActive(at, route, fullLoad) {
+		factor = s.applyFault(&a, factor)
 	}
-	a.took = time.Duration(factor * float64(work))
-	p.applyIncident(&a, at, l)
-	a.took += l.paused(at)
+	a.took = time.Duration(factor * float64(median))
+	s.applyIncident(&a, at, l)
+	a.took += l.remainingPause(at)
 	if a.took > deadline {
 		a.took, a.isAbandoned, a.failed = deadline, true, false
 	}
@@ -95,19 +95,19 @@
 	return a
 }
 
-// isFaultActive reports whether the version's fault affects a request.
-func (p *simulation) isFaultActive(at time.Duration, route int, loaded bool) bool {
-	fault := p.of.Fault
-	return float64(at) >= fault.From*float64(p.of.Duration) &&
-		(!fault.LastRoute || route == p.of.Routes-1) && (!fault.UnderLoad || loaded)
+// isFaultActive reports whether the fault of the version affects an attempt.
+func (s *simulation) isFaultActive(at time.Duration, route int, fullLoad bool) bool {
+	fault := s.testCase.Fault
+	return float64(at) >= fault.From*float64(s.testCase.Duration) &&
+		(!fault.LastRoute || route == s.testCase.Routes-1) && (!fault.UnderLoad || fullLoad)
 }
 
-func (p *simulation) applyFault(a *answer, factor float64) float64 {
-	fault := p.of.Fault
-	if p.random.Float64() < fault.Failing {
+func (s *simulation) applyFault(a *answer, factor float64) float64 {
+	fault := s.testCase.Fault
+	if s.random.Float64() < fault.Failing {
 		a.failed, a.isBad = true, true
 	}
-	if fault.Slow > 1 && p.random.Float64() < fault.SlowShare {
+	if fault.Slow > 1 && s.random.Float64() < fault.SlowShare {
 		a.isBad = true
 		return factor * fault.Slow
 	}
@@ -115,35 +115,35 @@
 }
 
 // applyIncident applies the incident to an attempt.
-func (p *simulation) applyIncident(a *answer, at time.Duration, l *leaf) {
-	fraction := float64(at) / float64(p.of.Duration)
-	passing := fraction >= incidentFrom && fraction < incidentTo
-	chosen := l.isCanary && l.number == 0
-	switch p.of.Incident {
+func (s *simulation) applyIncident(a *answer, at time.Duration, l *leaf) {
+	fraction := float64(at) / float64(s.testCase.Duration)
+	isActive := fraction >= incidentFrom && fraction < incidentTo
+	isAffected := l.isCanary && l.number == 0
+	switch s.testCase.Incident {
 	case DeadLeaf:
-		a.dropAnswer(chosen, time.Millisecond)
+		a.dropAnswer(isAffected, time.Millisecond)
 	case SlowLeaf:
-		if chosen {
+		if isAffected {
 			a.took *= slowLeafFactor
 		}
 	case GrayLeaf:
-		a.failed = a.failed || chosen && p.random.Float64() < grayShare
+		a.failed = a.failed || isAffected && s.random.Float64() < grayShare
 	case Flapping:
-		a.dropAnswer(chosen && at/flapPeriod%2 == 0, deadline)
+		a.dropAnswer(isAffected && at/flapPeriod%2 == 0, deadline)
 	case ZoneCut:
-		a.dropAnswer(passing && l.zone == 0, deadline)
+		a.dropAnswer(isActive && l.zone == 0, deadline)
 	case Burst:
-		if passing {
+		if isActive {
 			a.took *= burstFactor
 		}
 	case BothFail:
-		a.failed = a.failed || passing && p.random.Float64() < bothFailShare
+		a.failed = a.failed || isActive && s.random.Float64() < bothFailShare
 	case OldGrayLeaf:
-		a.failed = a.failed || !l.isCanary && l.number == 0 && p.random.Float64() < grayShare
+		a.failed = a.failed || !l.isCanary && l.number == 0 && s.random.Float64() < grayShare
 	}
 }
 
-// dropAnswer makes an attempt end without an answer if it is lost.
+// dropAnswer ends an attempt without an answer after a time, if lost is set.
 func (a *answer) dropAnswer(lost bool, after time.Duration) {
 	if lost {
 		a.took, a.failed, a.isAbandoned = after, false, true
--- a/internal/rollout/verdict/verdicttest/case.go
+++ b/internal/rollout/verdict/verdicttest/case.go
@@ -1,25 +1,25 @@
-// Package verdicttest plays a spec that moves a service to a new version in virtual time, for tests of package
-// verdict: it draws arrivals and latencies from a seed, divides the requests between the two versions as nodes do,
-// injects faults of the version and incidents that are not its fault, and passes the counts to an Evaluator. It
-// starts no goroutine, reads no clock and sends nothing.
+// Package verdicttest simulates roll-outs in virtual time for tests of package verdict. It generates arrivals and
+// latencies from a seed, splits the requests between the two versions like the nodes do, injects faults of the canary
+// and incidents that it does not cause, and passes the counts to an Evaluator. It starts no goroutine and reads no
+// clock.
 package verdicttest
 
 import "time"
 
-// Incident is a disturbance that is not the new version's fault. Cold leafs and pauses occur in all cases.
+// Incident is a disturbance that is not caused by the canary version. Cold leafs and pauses occur in all cases.
 type Incident string
 
-// The incidents. Those of one leaf affect a leaf of the canary version, except OldGrayLeaf.
+// The incidents. Incidents of one leaf affect a canary, except OldGrayLeaf.
 const (
 	None        Incident = "none"
 	DeadLeaf    Incident = "dead leaf"
 	SlowLeaf    Incident = "slow leaf"
-	GrayLeaf    Incident = "grey leaf"
+	GrayLeaf    Incident = "gray leaf"
 	Flapping    Incident = "flapping leaf"
 	ZoneCut     Incident = "zone cut"
 	Burst       Incident = "burst"
 	BothFail    Incident = "both fail"
-	OldGrayLeaf Incident = "old leaf grey"
+	OldGrayLeaf Incident = "old leaf gray"
 	NoReports   Incident = "no reports"
 )
 
@@ -28,7 +28,7 @@
 	return []Incident{None, DeadLeaf, SlowLeaf, GrayLeaf, Flapping, ZoneCut, Burst, BothFail, OldGrayLeaf, NoReports}
 }
 
-// Fault is what is wrong with a version; a good version has the zero value.
+// Fault is a fault of the canary version. The zero value is a good version.
 type Fault struct {
 	// Failing is the share of answers that are failures.
 	Failing float64
@@ -39,17 +39,17 @@
 	From float64
 	// LastRoute limits the fault to the last route.
 	LastRoute bool
-	// UnderLoad limits the fault to leafs that receive as many requests as in full service.
+	// UnderLoad limits the fault to leafs under full load.
 	UnderLoad bool
 }
 
 // IsBad reports whether there is a fault.
 func (f Fault) IsBad() bool { return f.Failing > 0 || f.Slow > 1 }
 
-// Case is a service with a spec.
+// Case is a simulated roll-out of a service.
 type Case struct {
 	Name string
-	// PerSecond is the rate of requests to the service.
+	// PerSecond is the rate of requests to the service, per second.
 	PerSecond float64
 	// Leafs is the number of leafs of each version.
 	Leafs    int
--- a/internal/rollout/verdict/verdicttest/measure.go
+++ b/internal/rollout/verdict/verdicttest/measure.go
@@ -9,37 +9,37 @@
 	"github.com/portgauge/portgauge/internal/rollout/verdict"
 )
 
-// Measure sums up the outcomes of a case over seeds.
+// Measure aggregates the outcomes of a case over several seeds.
 type Measure struct {
 	Case  Case
 	Seeds int
-	// Good, Bad and Undecided count the findings at the end of the spec; Switched those that were good before bad.
-	Good, Bad, Undecided, Switched int
-	// BadAnswers are the bad answers until a version was found bad, BadAfter when that was, and GoodFractions when a
-	// version was found good as fractions of the spec's duration; each sorted.
+	// Good, Bad and Undecided count the findings at the end of the spec. BadAfterGood counts the bad findings that were
+	// good before.
+	Good, Bad, Undecided, BadAfterGood int
+	// BadAnswers are the numbers of bad answers until the version was found bad, BadAfter the times until then, and
+	// GoodFractions the times until the version was found good as fractions of the spec's duration. Each is sorted.
 	BadAnswers    []int
 	BadAfter      []time.Duration
 	GoodFractions []float64
 }
 
-// Repeat plays a case with the given number of seeds and the default configuration.
-func Repeat(of Case, seeds int) Measure {
-	measured := Measure{Case: of, Seeds: seeds}
+// Repeat simulates a case with the given number of seeds and the default configuration.
+func Repeat(c Case, seeds int) Measure {
+	measured := Measure{Case: c, Seeds: seeds}
 	for seed := range seeds {
-		measured.count(Simulate(of, uint64(seed)+1, newEvaluator(of)))
+		measured.count(Simulate(c, uint64(seed)+1, newEvaluator(c)))
 	}
 	measured.sort()
 	return measured
 }
 
-// findingOnly is an Evaluator that returns only the finding.
+// findingOnly adapts verdict.Evaluator to Evaluator.
 type findingOnly struct{ *verdict.Evaluator }
 
-func newEvaluator(of Case) Evaluator {
-	return findingOnly{verdict.New(verdict.DefaultConfig(), Serving, Canary, of.withDefaults().Duration)}
+func newEvaluator(c Case) Evaluator {
+	return findingOnly{verdict.New(verdict.DefaultConfig(), Serving, Canary, c.withDefaults().Duration)}
 }
 
-// Update implements Evaluator.
 func (f findingOnly) Update(elapsed time.Duration, rows []evidence.Row) verdict.Finding {
 	return f.Evaluator.Update(elapsed, rows).Finding
 }
@@ -65,12 +65,12 @@
 		m.BadAnswers = append(m.BadAnswers, outcome.BadAnswers)
 		m.BadAfter = append(m.BadAfter, outcome.BadAt)
 	}
-	if outcome.SpentInSwitch {
-		m.Switched++
+	if outcome.WasGood {
+		m.BadAfterGood++
 	}
 }
 
-// Wrong returns the share of seeds with the wrong finding: a bad version found good, or a good one not found good.
+// Wrong returns the fraction of seeds with a wrong finding: a bad version found good, or a good version not found good.
 func (m *Measure) Wrong() float64 {
 	wrong := m.Good
 	if !m.Case.Fault.IsBad() {
@@ -79,10 +79,10 @@
 	return float64(wrong) / float64(m.Seeds)
 }
 
-// String returns the measure as one line of text.
+// String formats the measure as one line.
 func (m *Measure) String() string {
 	return fmt.Sprintf("%-38s good %5.1f%%  bad %5.1f%%  undecided %5.1f%%  good, then bad %5.1f%%  bad answers %3d/%3d  bad after %4.1f/%4.1f s  good at %.2f/%.2f",
-		m.Case.Name, m.percent(m.Good), m.percent(m.Bad), m.percent(m.Undecided), m.percent(m.Switched),
+		m.Case.Name, m.percent(m.Good), m.percent(m.Bad), m.percent(m.Undecided), m.percent(m.BadAfterGood),
 		quantile(m.BadAnswers, 0.5), quantile(m.BadAnswers, 0.95),
 		quantile(m.BadAfter, 0.5).Seconds(), quantile(m.BadAfter, 0.95).Seconds(),
 		quantile(m.GoodFractions, 0.5), quantile(m.GoodFractions, 0.95))
