--- a/internal/rollout/evidence/collector.go
+++ b/internal/rollout/evidence/collector.go
@@ -10,32 +10,31 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// maxRows bounds the rows that a node keeps. A service has one for each route of the serving version, and one for
-// each route and canary.
+// maxRows bounds the rows of a node. A service has one row per route for the serving version, and one per route and
+// canary.
 const maxRows = 4096
 
-// Collector counts how one node's attempts end at leafs of services with a canary version. The leafs of the serving
-// version share a row for each route, without leaf and zone. It is safe for concurrent use.
+// Collector counts the attempts of one node at leafs of services with a canary version. All leafs of the serving
+// version are counted in one row per route, without leaf and zone. It is safe for concurrent use.
 type Collector struct {
 	catalog *catalog.Catalog
 
 	mu   sync.Mutex
-	rows map[Key]*collected
-	// changed are the rows that changed since they were taken, the longest waiting first.
-	changed []*collected
-	// leafs is the set whose rules the rows were last checked against.
+	rows map[Key]*countedRow
+	// changed are the rows that changed since they were taken, in the order of their first change.
+	changed []*countedRow
+	// leafs is the set whose rules dropOld last applied.
 	leafs *leafset.Set
 }
 
-// collected is a row that is being counted.
-type collected struct {
+// countedRow is a row of a collector. isChanged reports whether it is in Collector.changed.
+type countedRow struct {
 	Row
 	isChanged bool
 }
 
-// NewCollector returns a collector without rows.
-func NewCollector(known *catalog.Catalog) *Collector {
-	return &Collector{catalog: known, rows: map[Key]*collected{}}
+func NewCollector(nodeCatalog *catalog.Catalog) *Collector {
+	return &Collector{catalog: nodeCatalog, rows: map[Key]*countedRow{}}
 }
 
 // Observe counts an answer of a leaf.
@@ -46,7 +45,7 @@
 	c.count(route, leaf, func(tally *Tally) { tally.Observe(failed, took) })
 }
 
-// ObserveAbandoned counts an attempt that was given up without an answer.
+// ObserveAbandoned counts an attempt at a leaf that was abandoned without an answer.
 func (c *Collector) ObserveAbandoned(route string, leaf *leafset.Leaf, took time.Duration) {
 	if !c.IsCounted(leaf) {
 		return
@@ -54,12 +53,12 @@
 	c.count(route, leaf, func(tally *Tally) { tally.ObserveAbandoned(took) })
 }
 
-// IsCounted reports whether a leaf's attempts are counted now.
+// IsCounted reports whether attempts at a leaf are counted now.
 func (c *Collector) IsCounted(leaf *leafset.Leaf) bool {
 	return isCounted(c.catalog.View().Leafs.Rule(leaf.Service), leaf)
 }
 
-// isCounted reports whether a leaf's attempts are counted under a rule.
+// isCounted reports whether attempts at a leaf are counted under a rule.
 func isCounted(rule rollout.Rule, leaf *leafset.Leaf) bool {
 	return rule.Canary != "" && (rule.IsCanary(leaf.Version) || rule.IsServing(leaf.Version))
 }
@@ -70,22 +69,23 @@
 	defer c.mu.Unlock()
 	c.dropOld()
 	rows := make([]Row, 0, len(c.rows))
-	for _, kept := range c.rows {
-		rows = append(rows, kept.copy())
+	for _, counted := range c.rows {
+		rows = append(rows, counted.copy())
 	}
 	return rows
 }
 
-// TakeChanged returns copies of up to limit rows that changed since they were last taken, the longest waiting first.
+// TakeChanged returns copies of up to limit rows that changed since they were last taken, in the order of their first
+// change.
 func (c *Collector) TakeChanged(limit int) []Row {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.dropOld()
 	limit = min(max(0, limit), len(c.changed))
 	rows := make([]Row, 0, limit)
-	for _, kept := range c.changed[:limit] {
-		kept.isChanged = false
-		rows = append(rows, kept.copy())
+	for _, counted := range c.changed[:limit] {
+		counted.isChanged = false
+		rows = append(rows, counted.copy())
 	}
 	c.changed = slices.Delete(c.changed, 0, limit)
 	return rows
@@ -103,39 +103,39 @@
 	if rule.IsCanary(leaf.Version) {
 		key.Leaf, key.Zone = leaf.ID, leaf.Zone
 	}
-	kept, found := c.rows[key]
+	counted, found := c.rows[key]
 	if !found {
 		if len(c.rows) >= maxRows {
 			return
 		}
-		kept = &collected{Row: Row{Key: key}}
-		c.rows[key] = kept
+		counted = &countedRow{Row: Row{Key: key}}
+		c.rows[key] = counted
 	}
-	add(&kept.Tally)
-	if !kept.isChanged {
-		kept.isChanged = true
-		c.changed = append(c.changed, kept)
+	add(&counted.Tally)
+	if !counted.isChanged {
+		counted.isChanged = true
+		c.changed = append(c.changed, counted)
 	}
 }
 
-// dropOld drops the rows of specs that are no longer in force. The lock must be held.
+// dropOld drops the rows of specs that are no longer in force. c.mu must be held.
 func (c *Collector) dropOld() {
 	leafs := c.catalog.View().Leafs
 	if leafs == c.leafs {
 		return
 	}
 	c.leafs = leafs
-	isOld := func(kept *collected) bool { return leafs.Rule(kept.Service).SpecID != kept.SpecID }
-	for key, kept := range c.rows {
-		if isOld(kept) {
+	isOld := func(counted *countedRow) bool { return leafs.Rule(counted.Service).SpecID != counted.SpecID }
+	for key, counted := range c.rows {
+		if isOld(counted) {
 			delete(c.rows, key)
 		}
 	}
 	c.changed = slices.DeleteFunc(c.changed, isOld)
 }
 
-// copy returns a copy of the row.
-func (c *collected) copy() Row {
+// copy returns a deep copy of the row.
+func (c *countedRow) copy() Row {
 	row := c.Row
 	row.Answered, row.Abandoned = slices.Clone(row.Answered), slices.Clone(row.Abandoned)
 	return row
--- a/internal/rollout/evidence/collector_test.go
+++ b/internal/rollout/evidence/collector_test.go
@@ -14,7 +14,7 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-func put(t *testing.T, known *catalog.Catalog, key string, document any) int64 {
+func put(t *testing.T, nodeCatalog *catalog.Catalog, key string, document any) int64 {
 	t.Helper()
 	var content json.RawMessage
 	if document != nil {
@@ -27,36 +27,36 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	revision := known.Revision() + 1
-	known.Apply(catalog.Change{
+	revision := nodeCatalog.Revision() + 1
+	nodeCatalog.Apply(catalog.Change{
 		Entry: catalog.Entry{Key: key, Value: wrapped, Revision: revision, Deleted: document == nil}, Previous: revision - 1,
 	})
 	return revision
 }
 
-// ordered returns a collector of a node that knows a spec to move service s from v1 to v2.
-func ordered(t *testing.T) (*Collector, *catalog.Catalog, int64) {
+// newTestCollector returns a collector, its catalog with a spec that moves service "s" from v1 to v2, and the spec ID.
+func newTestCollector(t *testing.T) (*Collector, *catalog.Catalog, int64) {
 	t.Helper()
-	known := catalog.New(func(key string, err error) { t.Fatal(key, err) })
-	known.EnableRollouts()
-	put(t, known, catalog.VersionsKey, rollout.Versions{ByVersion: map[string][]string{"v1": {"s", "other"}}})
-	specID := put(t, known, catalog.RolloutKey("s"), rollout.Spec{Service: "s", Target: "v2", DurationMillis: 1000})
-	return NewCollector(known), known, specID
+	nodeCatalog := catalog.New(func(key string, err error) { t.Fatal(key, err) })
+	nodeCatalog.EnableRollouts()
+	put(t, nodeCatalog, catalog.VersionsKey, rollout.Versions{ByVersion: map[string][]string{"v1": {"s", "other"}}})
+	specID := put(t, nodeCatalog, catalog.RolloutKey("s"), rollout.Spec{Service: "s", Target: "v2", DurationMillis: 1000})
+	return NewCollector(nodeCatalog), nodeCatalog, specID
 }
 
 func leaf(id, service, version string) *leafset.Leaf {
 	return leafset.NewLeaf(leafset.Record{Name: id, Service: service, Version: version, Zone: "z-" + id}, 0, time.Time{})
 }
 
-// Canaries have a row each, those that serve share one for each route; other leafs have none.
+// Each canary has its own row per route, all serving leafs have one common row per route, and other leafs have none.
 func TestEachCanaryHasItsOwnRow(t *testing.T) {
 	is := is.New(t)
-	c, _, specID := ordered(t)
-	for _, one := range []*leafset.Leaf{
+	c, _, specID := newTestCollector(t)
+	for _, observed := range []*leafset.Leaf{
 		leaf("a", "s", "v1"), leaf("b", "s", "v1"), leaf("c", "s", "v2"), leaf("d", "s", "v2"), leaf("e", "s", "v3"), leaf("f", "other", "v1"),
 	} {
-		c.Observe("r", one, one.ID == "c", time.Millisecond)
-		c.ObserveAbandoned("r", one, time.Second)
+		c.Observe("r", observed, observed.ID == "c", time.Millisecond)
+		c.ObserveAbandoned("r", observed, time.Second)
 	}
 	c.Observe("q", leaf("a", "s", "v1"), false, time.Millisecond)
 	attempts := map[Key]int64{}
@@ -72,22 +72,22 @@
 	})
 }
 
-// An attempt that ends while its spec is replaced is not counted for the next one.
-func TestAttemptOfAnotherOrderIsNotCounted(t *testing.T) {
+// An attempt that ends after its spec was replaced is not counted for the next spec.
+func TestAttemptOfReplacedSpecIsNotCounted(t *testing.T) {
 	is := is.New(t)
-	c, known, _ := ordered(t)
-	put(t, known, catalog.RolloutKey("s"), rollout.Spec{Service: "s", Target: "v3", DurationMillis: 1000})
+	c, nodeCatalog, _ := newTestCollector(t)
+	put(t, nodeCatalog, catalog.RolloutKey("s"), rollout.Spec{Service: "s", Target: "v3", DurationMillis: 1000})
 	c.count("r", leaf("c", "s", "v2"), func(tally *Tally) { tally.Observe(true, time.Millisecond) })
 	is.Equal(len(c.Rows()), 0)
 }
 
-// Rows are returned when they have changed, each with all of its counts, the longest waiting first.
-func TestChangedRowsAreTakenInTurn(t *testing.T) {
+// TakeChanged returns rows with all their counts, in the order of their first change.
+func TestChangedRowsAreTakenInOrder(t *testing.T) {
 	is := is.New(t)
-	c, _, _ := ordered(t)
+	c, _, _ := newTestCollector(t)
 	observe := func(id string) { c.Observe("r", leaf(id, "s", "v2"), false, time.Millisecond) }
-	take := func(most int) (taken string) {
-		for _, row := range c.TakeChanged(most) {
+	take := func(limit int) (taken string) {
+		for _, row := range c.TakeChanged(limit) {
 			taken += fmt.Sprint(row.Leaf, row.Attempts())
 		}
 		return taken
@@ -104,31 +104,31 @@
 	taken := c.Rows()
 	observe("a")
 	for _, row := range taken {
-		is.True(row.Attempts() <= 3) // what was given does not change
+		is.True(row.Attempts() <= 3) // the returned rows are copies
 	}
 }
 
-// Rows of a spec are dropped when it is no longer in force; the next one starts at zero.
+// Rows are dropped when their spec is no longer in force. The counts of the next spec start at zero.
 func TestRowsAreDroppedWithTheirSpec(t *testing.T) {
 	is := is.New(t)
-	c, known, _ := ordered(t)
+	c, nodeCatalog, _ := newTestCollector(t)
 	observe := func() { c.Observe("r", leaf("a", "s", "v2"), false, time.Millisecond) }
 	observe()
-	next := put(t, known, catalog.RolloutKey("s"), rollout.Spec{Service: "s", Target: "v2", DurationMillis: 1000})
+	next := put(t, nodeCatalog, catalog.RolloutKey("s"), rollout.Spec{Service: "s", Target: "v2", DurationMillis: 1000})
 	is.Equal(len(c.TakeChanged(9))+len(c.Rows()), 0)
 	observe()
 	is.Equal(c.Rows()[0].SpecID, next)
 	is.Equal(c.Rows()[0].Attempts(), int64(1))
-	put(t, known, catalog.RolloutStateKey("s"), rollout.State{Service: "s", SpecRevision: next, Phase: rollout.Succeeded, Serving: "v1", Target: "v2"})
+	put(t, nodeCatalog, catalog.RolloutStateKey("s"), rollout.State{Service: "s", SpecRevision: next, Phase: rollout.Succeeded, Serving: "v1", Target: "v2"})
 	is.Equal(len(c.TakeChanged(9))+len(c.Rows()), 0)
 	observe()
 	is.Equal(len(c.Rows()), 0)
 }
 
-// The number of rows is bounded; existing rows go on counting.
+// The number of rows is bounded. Existing rows are still counted when the bound is reached.
 func TestRowsAreBounded(t *testing.T) {
 	is := is.New(t)
-	c, _, _ := ordered(t)
+	c, _, _ := newTestCollector(t)
 	var counting sync.WaitGroup
 	for index := range 2 * maxRows {
 		counting.Go(func() { c.Observe("r", leaf(fmt.Sprint(index), "s", "v2"), false, time.Millisecond) })
@@ -136,7 +136,7 @@
 	counting.Wait()
 	is.Equal(len(c.Rows()), maxRows)
 	is.Equal(len(c.TakeChanged(2*maxRows)), maxRows)
-	kept := c.Rows()[0].Leaf
-	c.Observe("r", leaf(kept, "s", "v2"), false, time.Millisecond)
+	existing := c.Rows()[0].Leaf
+	c.Observe("r", leaf(existing, "s", "v2"), false, time.Millisecond)
 	is.Equal(len(c.TakeChanged(9)), 1)
 }
--- a/internal/rollout/evidence/evidence.go
+++ b/internal/rollout/evidence/evidence.go
@@ -1,9 +1,9 @@
-// Package evidence counts how the leafs of each version of a service answer, so that a new version can be compared
-// with the serving one: by route, at the same time, by failures and latency.
+// Package evidence counts the answers of the leafs of each version of a service by route, failure and latency, so that
+// a canary version can be compared with the serving version.
 //
-// Counts only grow during one spec, so that a report that arrives twice, late or not at all does no harm: of two
-// reports of one row the one with more attempts is kept. A Collector owns the rows of one node; the package starts no
-// goroutine, and relies on the catalog for the specs in force.
+// Counts never decrease during a spec, so duplicate, late and lost reports are harmless: of two reports of a row the
+// one with more attempts is newer. A Collector owns the rows of one node. The package starts no goroutine, and depends
+// on the catalog for the specs in force.
 package evidence
 
 import (
@@ -14,17 +14,17 @@
 // Key identifies a row of counts.
 type Key struct {
 	Service string `json:"service"`
-	// SpecID is the id of the spec that the counts are for.
+	// SpecID is the ID of the spec that the counts belong to.
 	SpecID  int64  `json:"order"`
 	Route   string `json:"route"`
 	Version string `json:"version"`
-	// Leaf is the id of the leaf, so that one bad leaf is not taken for a bad version; empty for the serving version.
+	// Leaf is the leaf's ID, which distinguishes a bad leaf from a bad version. It is empty for the serving version.
 	Leaf string `json:"leaf"`
-	// Zone is the leaf's zone; empty for the serving version.
+	// Zone is the leaf's zone. It is empty for the serving version.
 	Zone string `json:"zone,omitempty"`
 }
 
-// Row is the counts of one key, of one node or summed over nodes.
+// Row contains the counts of one key, of one node or summed over nodes.
 type Row struct {
 	Key
 	Tally
@@ -32,16 +32,16 @@
 
 // Tally counts attempts.
 type Tally struct {
-	// Failures counts the answers by which the leaf reported its own failure.
+	// Failures counts the answers with which a leaf reported its own failure.
 	Failures int64 `json:"failures,omitempty"`
 	// Answered counts all answers by latency.
 	Answered Histogram `json:"answered,omitempty"`
-	// Abandoned counts the attempts that were given up without an answer, by their time until then; the answer would
-	// have taken longer.
+	// Abandoned counts the attempts that were abandoned without an answer, by the time until then. It is a lower bound
+	// of their latency.
 	Abandoned Histogram `json:"given_up,omitempty"`
 }
 
-// Observe counts an answer.
+// Observe counts an answer with its latency.
 func (t *Tally) Observe(failed bool, took time.Duration) {
 	if failed {
 		t.Failures++
@@ -49,10 +49,10 @@
 	t.Answered.observe(took)
 }
 
-// ObserveAbandoned counts an attempt without an answer.
+// ObserveAbandoned counts an attempt that was abandoned after a time.
 func (t *Tally) ObserveAbandoned(took time.Duration) { t.Abandoned.observe(took) }
 
-// Attempts returns the number of attempts.
+// Attempts returns the number of answered and abandoned attempts.
 func (t *Tally) Attempts() int64 { return t.Answered.Total() + t.Abandoned.Total() }
 
 // Add adds the counts of another tally.
@@ -62,26 +62,26 @@
 	t.Abandoned.add(other.Abandoned)
 }
 
-// Slow returns the number of attempts that took longer than a limit, and the number for which that is known. It is
-// unknown for attempts that were given up before the limit.
+// Slow returns the number of attempts that took longer than a limit, and the number of attempts for which this is
+// known. It is unknown for attempts that were abandoned before the limit.
 func (t *Tally) Slow(limit time.Duration) (slow, known int64) {
 	slow = t.Answered.Above(limit) + t.Abandoned.Above(limit)
 	return slow, t.Answered.Total() + t.Abandoned.Above(limit)
 }
 
-// The first bucket of a histogram ends at minLatency, each other at 2^(1/stepsPerDoubling) times the one before it. So 48
-// buckets reach from 0.25 ms to 700 s, each known to within a fifth.
+// The first bucket of a histogram ends at minLatency, and each following bucket at 2^(1/stepsPerDoubling) times the end
+// of the preceding one. The 48 buckets cover 0.25 ms to 2966 s, with a relative error of about a fifth.
 const (
 	minLatency       = 250 * time.Microsecond
 	stepsPerDoubling = 2
 	buckets          = 48
 )
 
-// Histogram counts attempts by latency, in buckets on a logarithmic scale; the zero value is empty. Trailing empty
-// buckets are omitted.
+// Histogram counts attempts by latency in buckets on a logarithmic scale. Trailing empty buckets are omitted, and the
+// zero value is empty.
 type Histogram []int64
 
-// bucketOf returns the bucket of a latency.
+// bucketOf returns the index of the bucket of a latency.
 func bucketOf(took time.Duration) int {
 	if took <= minLatency {
 		return 0
@@ -90,7 +90,7 @@
 	return min(index, buckets-1)
 }
 
-// UpperBound returns the longest latency of a bucket.
+// UpperBound returns the upper latency bound of a bucket, given its index.
 func UpperBound(bucket int) time.Duration {
 	return time.Duration(float64(minLatency) * math.Exp2(float64(bucket)/stepsPerDoubling))
 }
@@ -123,7 +123,7 @@
 	return total
 }
 
-// Above returns the number of attempts that took longer than a latency, to within the width of a bucket.
+// Above returns the number of attempts in the buckets above the bucket of limit.
 func (h Histogram) Above(limit time.Duration) int64 {
 	above := int64(0)
 	for index := bucketOf(limit) + 1; index < len(h); index++ {
@@ -132,18 +132,17 @@
 	return above
 }
 
-// Quantile returns the upper bound of the bucket at which the given fraction of the attempts, 0 to 1, is reached; 0 if
-// there are none.
+// Quantile returns the upper bound of the bucket that contains the given quantile, 0 to 1, or 0 for an empty histogram.
 func (h Histogram) Quantile(fraction float64) time.Duration {
 	total := h.Total()
 	if total == 0 {
 		return 0
 	}
-	wanted := int64(math.Ceil(fraction * float64(total)))
-	counted := int64(0)
+	rank := int64(math.Ceil(fraction * float64(total)))
+	cumulative := int64(0)
 	for index, count := range h {
-		counted += count
-		if counted >= wanted {
+		cumulative += count
+		if cumulative >= rank {
 			return UpperBound(index)
 		}
 	}
--- a/internal/rollout/evidence/evidence_test.go
+++ b/internal/rollout/evidence/evidence_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// A latency is in the first bucket whose upper bound it does not exceed.
-func TestBucketsHoldTheirLatencies(t *testing.T) {
+// A latency is counted in the first bucket whose upper bound it does not exceed.
+func TestBucketOfLatency(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		took := time.Duration(rapid.Int64Range(0, int64(10*time.Minute)).Draw(t, "took"))
 		bucket := bucketOf(took)
@@ -17,31 +17,31 @@
 			t.Fatalf("%s is in bucket %d, which ends at %s", took, bucket, UpperBound(bucket))
 		}
 		if bucket > 0 && took < UpperBound(bucket-1)-time.Microsecond {
-			t.Fatalf("%s is in bucket %d, though the one before it ends at %s", took, bucket, UpperBound(bucket-1))
+			t.Fatalf("%s is in bucket %d, but the preceding bucket ends at %s", took, bucket, UpperBound(bucket-1))
 		}
 	})
 }
 
-func TestTalliesAdd(t *testing.T) {
+func TestAddTallies(t *testing.T) {
 	is := is.New(t)
-	var first, second, both Tally
+	var first, second, sum Tally
 	for i := range 100 {
 		took := time.Duration(i+1) * time.Millisecond
 		first.Observe(i%10 == 0, took)
-		both.Observe(i%10 == 0, took)
+		sum.Observe(i%10 == 0, took)
 	}
 	second.ObserveAbandoned(5 * time.Second)
-	both.ObserveAbandoned(5 * time.Second)
+	sum.ObserveAbandoned(5 * time.Second)
 	first.Add(second)
-	is.Equal(first, both)
+	is.Equal(first, sum)
 	is.Equal(first.Attempts(), int64(101))
 	is.Equal(first.Failures, int64(10))
 	is.True(first.Answered.Quantile(0.5) >= 50*time.Millisecond && first.Answered.Quantile(0.5) <= 75*time.Millisecond)
 	is.Equal(Histogram(nil).Quantile(0.5), time.Duration(0))
 }
 
-// For an attempt that was given up before a limit it is not known whether it was slow.
-func TestSlowCountsWhatIsKnown(t *testing.T) {
+// An attempt that was abandoned before the limit counts neither as slow nor as known.
+func TestSlowExcludesAbandonedBeforeLimit(t *testing.T) {
 	is := is.New(t)
 	var tally Tally
 	tally.Observe(false, 5*time.Millisecond)
