--- a/internal/rollout/canary/splitter.go
+++ b/internal/rollout/canary/splitter.go
@@ -243,7 +243,8 @@
 }
 
 // newBudget returns the budget of a spec. If the spec was already in force when this node started, the node has no
-// slack and no initial credit, because its earlier process may have spent them.
+// slack and no initial credit, because its earlier process may have spent them. The same applies while the node is not
+// registered, and to all nodes if Config.Slack is 0.
 func (s *Splitter) newBudget(view *catalog.View, service string, rule rollout.Rule) *budget {
 	created := &budget{specID: rule.SpecID, learnedAt: s.now(), duration: time.Nanosecond}
 	if spec := view.Rollouts[service].Spec; spec != nil {
--- a/internal/rollout/rolloutcontrol/config.go
+++ b/internal/rollout/rolloutcontrol/config.go
@@ -9,8 +9,8 @@
 
 // Config sets how nodes execute roll-outs.
 type Config struct {
-	// Enabled makes nodes execute rollout specs, and send the requests of a service only to leafs of the serving
-	// version.
+	// Enabled makes nodes execute roll-outs. Without a roll-out the requests of a service go only to leafs of its
+	// serving version.
 	Enabled bool `yaml:"enabled"`
 	// EvaluatorNodes is the number of nodes that evaluate the roll-out of a service.
 	EvaluatorNodes int `yaml:"judges"`
--- a/internal/rollout/rolloutcontrol/controller.go
+++ b/internal/rollout/rolloutcontrol/controller.go
@@ -65,7 +65,7 @@
 	aborts   aborts
 	reporter *reporter
 
-	// The fields up to running belong to the goroutine of Run.
+	// The fields up to running are accessed only by the goroutine of Run.
 	evaluatorNodes  evaluatorNodeSet
 	rollouts        map[string]*activeRollout
 	schedules       map[string]*writeSchedule
--- a/internal/rollout/rolloutcontrol/evaluate.go
+++ b/internal/rollout/rolloutcontrol/evaluate.go
@@ -60,8 +60,8 @@
 	replaced int64
 	// specRevision is the revision that the spec must still have, 0 for no spec.
 	specRevision int64
-	// delay is how long the write must have been planned before this node sends it. Evaluator nodes of lower rank write
-	// first.
+	// delay is how long the write must have been planned before this node sends it. Evaluator nodes of preceding ranks
+	// write first.
 	delay time.Duration
 }
 
--- a/internal/rollout/rolloutcontrol/reporter.go
+++ b/internal/rollout/rolloutcontrol/reporter.go
@@ -69,7 +69,7 @@
 // step moves changed rows into the outboxes and sends as many of them as the budget allows. evaluatorNodes returns the
 // evaluator nodes of a service. isWanted reports whether the counts of a spec are still needed.
 func (r *reporter) step(now time.Time, evaluatorNodes func(service string) []catalog.NodeRecord, isWanted func(rolloutID) bool) {
-	moved := r.movedServices(evaluatorNodes)
+	reassigned := r.reassignedServices(evaluatorNodes)
 	r.enqueue(now, r.counts.TakeChanged(maxRowsTaken), evaluatorNodes)
 	r.dropObsolete(evaluatorNodes, isWanted)
 	switch {
@@ -77,8 +77,8 @@
 		r.resentAt = now
 		clear(r.reportedTo)
 		r.enqueue(now, r.counts.Rows(), evaluatorNodes)
-	case len(moved) > 0:
-		isReported := func(row evidence.Row) bool { return !moved[row.Service] }
+	case len(reassigned) > 0:
+		isReported := func(row evidence.Row) bool { return !reassigned[row.Service] }
 		r.enqueue(now, slices.DeleteFunc(slices.Clone(r.counts.Rows()), isReported), evaluatorNodes)
 	}
 	r.sendOutboxes(now)
@@ -124,15 +124,15 @@
 	}
 }
 
-// movedServices returns the services whose evaluator nodes have changed since the last report.
-func (r *reporter) movedServices(evaluatorNodes func(string) []catalog.NodeRecord) map[string]bool {
-	moved := map[string]bool{}
+// reassignedServices returns the services whose evaluator nodes have changed since the last report.
+func (r *reporter) reassignedServices(evaluatorNodes func(string) []catalog.NodeRecord) map[string]bool {
+	reassigned := map[string]bool{}
 	for service, before := range r.reportedTo {
 		if !slices.Equal(before, evaluatorNodes(service)) {
-			moved[service] = true
+			reassigned[service] = true
 		}
 	}
-	return moved
+	return reassigned
 }
 
 // isResendDue reports whether all counts must be sent again. A resend waits until the outboxes are empty.
--- a/internal/rollout/rolloutcontrol/schedule.go
+++ b/internal/rollout/rolloutcontrol/schedule.go
@@ -26,8 +26,8 @@
 	isDone    bool
 }
 
-// isDue reports whether a write must be sent now: it was planned at least delay ago, so that evaluator nodes of lower
-// rank could write first, and the backoff after a failure has ended.
+// isDue reports whether a write must be sent now: it was planned at least delay ago, so that evaluator nodes of
+// preceding ranks could write first, and the backoff after a failure has ended.
 func (s *writeSchedule) isDue(now time.Time, planned plannedWrite, delay time.Duration) bool {
 	if s.isBusy {
 		return false
--- a/internal/rollout/rolloutcontrol/versionswriter.go
+++ b/internal/rollout/rolloutcontrol/versionswriter.go
@@ -63,7 +63,8 @@
 	w.events.VersionsWritten(VersionsWriteEvent{Services: len(w.wanted), Err: err})
 }
 
-// isDue reports whether the wanted versions have differed from the stored ones for the delay of this node's rank.
+// isDue reports whether the wanted versions differ from the stored ones and have been unchanged for the delay of this
+// node's rank.
 func (w *VersionsWriter) isDue(now time.Time, view *catalog.View) bool {
 	if view != w.view {
 		w.view = view
--- a/internal/rollout/verdict/finding.go
+++ b/internal/rollout/verdict/finding.go
@@ -140,8 +140,9 @@
 }
 
 // leafCap returns the maximum contribution of one leaf to a level, so that one bad leaf doesn't make a version bad. If
-// there is only one leaf in the second half of the spec, the cap does not apply. With two leafs the cap is LeafFraction
-// of the threshold. With more it grows more slowly than the threshold, but is at least minLeafFractionOfMany of it.
+// there is only one leaf, the contribution is unlimited in the second half of the spec. Otherwise the cap with one or
+// two leafs is LeafFraction of the threshold. With more leafs it grows more slowly than the threshold, but is at least
+// minLeafFractionOfMany of it.
 func (e *Evaluator) leafCap(elapsed time.Duration) float64 {
 	switch {
 	case len(e.leafs) == 1 && elapsed > e.duration/2:
@@ -157,8 +158,8 @@
 	return route.cusums[0].seen.all < rareRouteShare*e.pooled[0].seen.all && !e.hasTraffic(route)
 }
 
-// hasTraffic reports whether a route has at least minTrafficAnswers answers of the serving version, and at least
-// rareRouteShare of all its answers.
+// hasTraffic reports whether a route has at least minTrafficAnswers answers of the serving version, and at least the
+// fraction rareRouteShare of the serving version's answers on all routes.
 func (e *Evaluator) hasTraffic(route *route) bool {
 	total := 0.0
 	for _, other := range e.routes {
--- a/internal/rollout/verdict/verdicttest/verdicttest.go
+++ b/internal/rollout/verdict/verdicttest/verdicttest.go
@@ -65,15 +65,15 @@
 // Simulate simulates a case and returns the outcome.
 func Simulate(c Case, seed uint64, evaluator Evaluator) Outcome {
 	s := newSimulation(c.withDefaults(), seed)
-	at, evaluated := s.nextArrival(0), evaluateInterval
-	for ; evaluated <= s.testCase.Duration && s.outcome.Last != verdict.Bad; evaluated += evaluateInterval {
-		for at < evaluated {
+	at, evaluateAt := s.nextArrival(0), evaluateInterval
+	for ; evaluateAt <= s.testCase.Duration && s.outcome.Last != verdict.Bad; evaluateAt += evaluateInterval {
+		for at < evaluateAt {
 			s.request(at)
 			at = s.nextArrival(at)
 		}
-		s.deliver(evaluated)
-		if s.testCase.Incident != NoReports || evaluated < s.testCase.Duration/4 || evaluated > s.testCase.Duration/2 {
-			s.evaluate(evaluated, evaluator)
+		s.deliver(evaluateAt)
+		if s.testCase.Incident != NoReports || evaluateAt < s.testCase.Duration/4 || evaluateAt > s.testCase.Duration/2 {
+			s.evaluate(evaluateAt, evaluator)
 		}
 	}
 	return s.outcome
