--- a/internal/rollout/verdict/config.go
+++ b/internal/rollout/verdict/config.go
@@ -26,12 +26,12 @@
 	// SlowFactors are the multiples of the serving version's median latency above which an answer is late. A low factor
 	// detects a version whose answers are all slower, a high factor a version that has some much slower answers.
 	SlowFactors []float64 `yaml:"slow_factors"`
-	// RoundTrip is the round-trip time between zones. It is added to each limit of SlowFactors.
+	// RoundTrip is the round-trip time between zones. It is added to each latency limit.
 	RoundTrip time.Duration `yaml:"way"`
 	// LeafFraction is the largest fraction of the threshold that one of two leafs may contribute. Above 0.5 two bad
 	// leafs reach the threshold.
 	LeafFraction float64 `yaml:"leaf_part"`
-	// Correlation is the correlation, 0 to 1, of late answers of one leaf within LongestPause.
+	// Correlation is the correlation, 0 to 1, of late answers of one leaf within the longest normal pause.
 	Correlation float64 `yaml:"alike"`
 	// LongestPause is the longest normal pause of a leaf.
 	LongestPause time.Duration `yaml:"moment"`
