--- a/internal/config/catalog/catalog.go
+++ b/internal/config/catalog/catalog.go
@@ -1,14 +1,14 @@
-// Package catalog holds the configuration that one node has in force.
+// Package catalog holds the configuration in force on one node.
 //
 // The configuration is a set of keys, each written by compare-and-swap in the store. Every write has a store-wide
-// revision. A node applies changes in order of revision and never goes back: what it has in force is the state of the
-// store at one revision.
+// revision. A node applies changes in revision order and never goes back: its configuration is the state of the store at
+// one revision.
 //
-// A Catalog owns that state: the entries, the View compiled from them, the recent changes for other nodes, and how long
-// ago the revision was confirmed as the newest. After a restore of the store it also owns the entries that are retained
-// until they are written again (restored.go, retained.go). It starts no goroutines and calls no other node; package
-// configsync brings it changes. Values that can't be decoded are reported and don't change the view. Ages are counted by a
-// boottime.Clock, which includes the time for which the machine was suspended.
+// A Catalog holds the entries, the View compiled from them, the recent changes for other nodes, and the time at which the
+// revision was last confirmed as the newest. After a restore of the store it also holds the entries that are retained
+// until they are rewritten (restored.go, retained.go). It starts no goroutines and calls no other node; package configsync
+// passes changes to it. Values that can't be decoded are reported and don't change the view. Ages are measured with a
+// boottime.Clock, which includes the time during which the machine was suspended.
 package catalog
 
 import (
@@ -21,14 +21,14 @@
 	"github.com/portgauge/portgauge/internal/node/boottime"
 )
 
-// Catalog is the configuration state of a node; safe for concurrent use. Reads take no lock; writes do.
+// Catalog is the configuration state of a node. It is safe for concurrent use. Reads of the view take no lock.
 type Catalog struct {
 	view atomic.Pointer[View]
-	// confirmed is when the revision in force was last known to be the newest, as nanoseconds after startedAt;
-	// counted from there, it doesn't depend on steps of the wall clock.
+	// confirmed is when the revision in force was last known to be the newest, in nanoseconds after startedAt.
+	// An offset from startedAt isn't affected by steps of the wall clock.
 	confirmed atomic.Int64
 	startedAt time.Time
-	// clock counts the time for which the machine was suspended.
+	// clock includes the time during which the machine was suspended.
 	clock boottime.Clock
 
 	mu          sync.Mutex
@@ -38,17 +38,16 @@
 	subscribers map[int]chan Change
 	nextID      int
 	rejected    func(key string, err error)
-	// rollouts says that versions of leafs matter; set before the first state.
+	// rollouts says that requests are routed by the versions of leafs. It is set before the first state.
 	rollouts bool
-	// restored is what is known of the last restore of the store.
+	// restored describes the last restore of the store.
 	restored restored
-	// isProvisional says that the state in force came from a stale read of the store: any other state replaces
-	// it.
+	// isProvisional says that the state in force came from a stale read of the store. Any other state replaces it.
 	isProvisional atomic.Bool
 }
 
-// New returns an empty catalog at revision 0. rejected is called for each value that can't be decoded; the last
-// good value of its key stays in force.
+// New returns an empty catalog at revision 0. rejected is called for each value that can't be decoded. The last
+// valid value of its key stays in force.
 func New(rejected func(key string, err error)) *Catalog {
 	catalog := &Catalog{startedAt: time.Now(), entries: map[string]Entry{}, subscribers: map[int]chan Change{}, rejected: rejected}
 	catalog.confirmed.Store(int64(neverConfirmed))
@@ -56,12 +55,12 @@
 	return catalog
 }
 
-// EnableRollouts makes services be served by the leafs of one version only, and orders to move them to another
-// one be followed. It must be called before the catalog has any state.
+// EnableRollouts restricts each service to the leafs of its serving version and enables rollout specs. It must be
+// called before the catalog has any state.
 func (c *Catalog) EnableRollouts() { c.rollouts = true }
 
-// SetClock sets the clock by which configuration ages and leafs are cold or lost. It should count the time for
-// which the machine is suspended. It must be called before the catalog has any state.
+// SetClock sets the clock that measures the age of the configuration and how long leafs are cold or lost. It should
+// include the time during which the machine is suspended. It must be called before the catalog has any state.
 func (c *Catalog) SetClock(clock boottime.Clock) {
 	c.clock = clock
 	c.startedAt = clock.Now()
@@ -73,13 +72,13 @@
 // Revision returns the revision in force.
 func (c *Catalog) Revision() int64 { return c.view.Load().Revision }
 
-// Apply applies a change if it follows directly on the revision in force. It reports whether the change is in
-// force now, by this call or an earlier one; false means a gap.
+// Apply applies a change if it directly follows the revision in force. It reports whether the change is now in
+// force, through this call or an earlier one; false means a gap.
 func (c *Catalog) Apply(change Change) bool { return c.ApplyAll([]Change{change}) }
 
-// ApplyAll applies changes in order of revision, up to the first gap, in one step, so that a key that changed
-// many times is decoded once. It reports whether the last of them is in force now. A restore of the store is a
-// gap: it takes a whole state, see Replace.
+// ApplyAll applies changes in revision order, up to the first gap, in one step: a key that changed many times is
+// decoded once. It reports whether the last change is now in force. A restore of the store is a gap that only a
+// whole state closes, see Replace.
 func (c *Catalog) ApplyAll(changes []Change) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -88,9 +87,9 @@
 	if len(applied) == 0 {
 		return complete
 	}
-	position := applied[len(applied)-1].Entry.Revision
+	atRevision := applied[len(applied)-1].Entry.Revision
 	c.isProvisional.Store(false)
-	draft := c.newDraft(current, position)
+	draft := c.newDraft(current, atRevision)
 	for _, entry := range newest {
 		if c.isOutdated(entry) {
 			continue
@@ -107,18 +106,18 @@
 	return complete
 }
 
-// consecutive returns the changes that follow on a revision without a gap, with the newest entry of each of their keys. It
-// reports whether there is no gap.
-func consecutive(changes []Change, position int64) (applied []Change, newest map[string]Entry, complete bool) {
+// consecutive returns the changes that follow a revision without a gap, and the newest entry of each of their keys.
+// complete reports that there is no gap.
+func consecutive(changes []Change, atRevision int64) (applied []Change, newest map[string]Entry, complete bool) {
 	newest = map[string]Entry{}
 	for _, change := range changes {
-		if change.Entry.Revision <= position {
+		if change.Entry.Revision <= atRevision {
 			continue
 		}
-		if change.Previous > position || revision.IsLater(change.Entry.Revision, position) {
+		if change.Previous > atRevision || revision.IsLater(change.Entry.Revision, atRevision) {
 			return applied, newest, false
 		}
-		position = change.Entry.Revision
+		atRevision = change.Entry.Revision
 		for _, entry := range change.Entries() {
 			if entry.Key != MarkerKey {
 				newest[entry.Key] = entry
@@ -129,9 +128,9 @@
 	return applied, newest, true
 }
 
-// Replace applies a whole state if it is newer than the one in force, and reports whether it did. The difference
-// is remembered as one change, for nodes that lack just that. After a restore of the store, the entries that
-// this node knows to be newer stay in force, see Retained.
+// Replace applies a whole state if it is newer than the one in force, and reports whether it did. The difference is
+// kept as one change, for nodes that are at the previous revision. After a restore of the store, the entries that are
+// newer on this node stay in force, see RetainedEntry.
 func (c *Catalog) Replace(snapshot Snapshot) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -149,10 +148,10 @@
 	draft := c.newDraft(emptyView(snapshot.Revision), snapshot.Revision)
 	// If the new routes can't be decoded, the old ones stay in force.
 	draft.view.Routes, draft.acceptsOlderRoutes = current.Routes, wasProvisional
-	draft.before, draft.rolloutsBefore = current.Leafs, current.Rollouts
+	draft.leafsBefore, draft.rolloutsBefore = current.Leafs, current.Rollouts
 	draft.useEditor(leafset.Replace(current.Leafs))
 	for _, entry := range entries {
-		c.noteOverwritten(known, entry)
+		c.recordOverwritten(known, entry)
 		c.entries[entry.Key] = entry
 		c.compile(draft, entry)
 	}
@@ -162,10 +161,10 @@
 	return true
 }
 
-// setEntry stores an entry. The tombstone of a transient key is dropped: the ids of processes are never used
-// again, so that tombstones would pile up.
+// setEntry stores an entry. The tombstones of transient keys are dropped: process IDs are never reused, so their
+// tombstones would accumulate.
 func (c *Catalog) setEntry(entry Entry) {
-	c.noteOverwritten(c.entries, entry)
+	c.recordOverwritten(c.entries, entry)
 	if entry.Deleted && isTransient(entry.Key) {
 		delete(c.entries, entry.Key)
 		return
--- a/internal/config/catalog/catalog_test.go
+++ b/internal/config/catalog/catalog_test.go
@@ -20,9 +20,9 @@
 	return Change{Entry: Entry{Key: ServiceKey(name), Value: value, Revision: revision, Deleted: deleted}, Previous: revision - 1}
 }
 
-// Whatever order single changes, batches, old states and repeats arrive in, a node's revision never decreases, and the
-// configuration in force is the store's state at that revision.
-func TestCatalogFollowsTheStoreInAnyInterleaving(t *testing.T) {
+// In any order of single changes, batches, old states and repeats, a node's revision never decreases, and its
+// configuration is the store's state at that revision.
+func TestCatalogMatchesStoreInAnyInterleaving(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"a", "b", "c"}
 		count := rapid.IntRange(1, 20).Draw(t, "changes")
@@ -77,14 +77,14 @@
 	}
 }
 
-func TestSinceGivesWhatAnotherNodeLacks(t *testing.T) {
+func TestSinceReturnsMissedChanges(t *testing.T) {
 	is := is.New(t)
 	node, other := New(nil), New(nil)
-	for revision := range int64(recentLimit + 10) {
+	for revision := range int64(maxRecentChanges + 10) {
 		node.Apply(serviceChange(t, revision+1, "a", uint32(revision+1), false))
 	}
 	_, kept := node.Since(3)
-	is.True(!kept) // too far behind: the whole state is needed
+	is.True(!kept) // too far behind, so the whole state is needed
 	other.Replace(node.Snapshot())
 	is.Equal(other.Revision(), node.Revision())
 	missed, kept := node.Since(node.Revision() - 5)
@@ -92,9 +92,9 @@
 	is.Equal(len(missed), 5)
 }
 
-// A whole state is passed on as its difference, removed records included, and a node between the two revisions applies that
-// as well.
-func TestReplacedStateIsGivenAsOneChange(t *testing.T) {
+// A replaced state is kept as one change, which includes removed records and also applies to a node between the two
+// revisions.
+func TestReplacedStateIsKeptAsOneChange(t *testing.T) {
 	is := is.New(t)
 	first, between := New(nil), New(nil)
 	log := []Change{serviceChange(t, 1, "a", 1, false), serviceChange(t, 2, "b", 2, false)}
@@ -109,7 +109,7 @@
 	changes, kept := first.Since(3)
 	is.True(kept)
 	is.Equal(len(changes), 1)
-	is.Equal(len(changes[0].More), 3) // a, c and the leaf that was removed
+	is.Equal(len(changes[0].More), 3) // a, c and the removed leaf
 	is.True(between.ApplyAll(changes))
 	for _, node := range []*Catalog{first, between} {
 		is.Equal(node.Revision(), int64(6))
@@ -118,7 +118,7 @@
 		is.Equal(len(node.View().Leafs.IDs()), 0)
 	}
 	_, kept = first.Since(2)
-	is.True(kept) // the changes before it are still remembered
+	is.True(kept) // the earlier changes are still kept
 }
 
 func leafValue(t *testing.T) []byte {
@@ -130,7 +130,7 @@
 	return value
 }
 
-func TestUndecodableValueKeepsTheLastGoodOne(t *testing.T) {
+func TestUndecodableValueKeepsLastValidValue(t *testing.T) {
 	is := is.New(t)
 	rejected := ""
 	node := New(func(key string, _ error) { rejected = key })
@@ -160,7 +160,7 @@
 func FuzzOpenEnvelope(f *testing.F) {
 	f.Add([]byte(`{"change_id":"a","payload":"H4sI"}`))
 	f.Fuzz(func(_ *testing.T, value []byte) {
-		// The store may hold any value: nothing may panic.
+		// The store may hold any value, so decoding must not panic.
 		_, _ = OpenEnvelope(value)
 		_, _ = DecodeService(Entry{Value: value})
 		_, _ = DecodeSnapshot(Entry{Value: value})
--- a/internal/config/catalog/changes.go
+++ b/internal/config/catalog/changes.go
@@ -7,13 +7,13 @@
 	"github.com/portgauge/portgauge/internal/config/revision"
 )
 
-// recentLimit is how many changes a node keeps to update other nodes without the whole state.
-const recentLimit = 1500
+// maxRecentChanges bounds the number of changes that a node keeps for other nodes, which then don't need the whole state.
+const maxRecentChanges = 1500
 
-// recentBytes bounds the size of those changes, in bytes.
-const recentBytes = 4 << 20
+// maxRecentBytes bounds the total size of the kept changes.
+const maxRecentBytes = 4 << 20
 
-// difference returns what a newer whole state changes, as one change.
+// difference returns one change that leads from the known entries to a newer whole state.
 func difference(known map[string]Entry, before int64, newer Snapshot) Change {
 	change := Change{Entry: Marker(newer.Revision), Previous: before}
 	present := make(map[string]bool, len(newer.Entries))
@@ -47,9 +47,8 @@
 	return slices.Clone(c.recent[first:]), true
 }
 
-// Subscribe returns a channel of the changes from now on, with the difference of a whole state as one change,
-// and a function that ends the subscription. A subscriber that doesn't keep up misses changes; their revisions
-// reveal that.
+// Subscribe returns a channel of future changes and a function that ends the subscription. A replaced state is sent
+// as one change. Changes that don't fit the buffer are dropped; the subscriber detects the gap by the revisions.
 func (c *Catalog) Subscribe(buffer int) (<-chan Change, func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,7 +63,7 @@
 	}
 }
 
-// publish sends a change to the subscribers.
+// publish sends a change to the subscribers, and skips those whose buffer is full.
 func (c *Catalog) publish(change Change) {
 	for _, subscriber := range c.subscribers {
 		select {
@@ -74,21 +73,20 @@
 	}
 }
 
-// addRecent remembers a change, and forgets the oldest beyond the limits.
+// addRecent keeps a change, and drops the oldest ones beyond the limits.
 func (c *Catalog) addRecent(change Change) {
 	c.recent = append(c.recent, change)
 	c.recentSize += change.Size()
-	for len(c.recent) > recentLimit || (c.recentSize > recentBytes && len(c.recent) > 1) {
+	for len(c.recent) > maxRecentChanges || (c.recentSize > maxRecentBytes && len(c.recent) > 1) {
 		c.recentSize -= c.recent[0].Size()
 		c.recent = c.recent[1:]
 	}
 }
 
-// addRecentDifference remembers the difference of a whole state as a change. It forgets all changes instead if
-// there was no state before, the difference is too large, or the store was restored: earlier changes don't lead
-// to the revision in force then.
+// addRecentDifference keeps the difference of a whole state as a change. If there was no state before, the difference
+// is too large, or the store was restored, it drops all changes instead: they don't lead to the revision in force.
 func (c *Catalog) addRecentDifference(before int64, difference Change) {
-	if before == 0 || difference.Size() > recentBytes || revision.IsLater(difference.Entry.Revision, before) {
+	if before == 0 || difference.Size() > maxRecentBytes || revision.IsLater(difference.Entry.Revision, before) {
 		c.recent, c.recentSize = nil, 0
 		return
 	}
--- a/internal/config/catalog/confirm_test.go
+++ b/internal/config/catalog/confirm_test.go
@@ -8,31 +8,31 @@
 	"github.com/matryer/is"
 )
 
-// The age of the configuration doesn't depend on steps of the wall clock: its times have a monotonic reading, "m=" in their
-// text. A catalog that was never confirmed is old.
-func TestAgeIsFreeOfTheTimeOfDay(t *testing.T) {
+// The confirmation time has a monotonic reading ("m=" in its text), so the age isn't affected by steps of the wall clock.
+// A catalog that was never confirmed is old.
+func TestAgeIgnoresWallClockSteps(t *testing.T) {
 	is := is.New(t)
-	known := New(nil)
-	is.True(time.Since(known.ConfirmedAt()) > 365*24*time.Hour)
+	catalog := New(nil)
+	is.True(time.Since(catalog.ConfirmedAt()) > 365*24*time.Hour)
 	at := time.Now().Add(-time.Minute)
-	known.Confirm(at)
-	known.Confirm(at.Add(-time.Minute)) // an older confirmation changes nothing
-	is.True(known.ConfirmedAt().Equal(at))
-	is.True(strings.Contains(known.ConfirmedAt().String(), " m="))
+	catalog.Confirm(at)
+	catalog.Confirm(at.Add(-time.Minute)) // an older confirmation changes nothing
+	is.True(catalog.ConfirmedAt().Equal(at))
+	is.True(strings.Contains(catalog.ConfirmedAt().String(), " m="))
 }
 
-// The configuration ages while the machine is suspended, and so does a confirmation that came before.
-func TestConfigurationAgesInSleep(t *testing.T) {
+// The age of the configuration includes the time during which the machine was suspended.
+func TestConfigurationAgesDuringSuspension(t *testing.T) {
 	is := is.New(t)
 	suspendedFor := time.Duration(0)
-	known := New(nil)
-	known.SetClock(func() time.Time { return time.Now().Add(suspendedFor) })
-	known.Confirm(known.Now())
-	requestedAt := known.Instant()
+	catalog := New(nil)
+	catalog.SetClock(func() time.Time { return time.Now().Add(suspendedFor) })
+	catalog.Confirm(catalog.Now())
+	requestedAt := catalog.Instant()
 	suspendedFor = 10 * time.Second
-	is.True(known.Age() >= 10*time.Second)
-	known.ConfirmSince(requestedAt, time.Second) // may have come before the suspension
-	is.True(known.Age() >= 10*time.Second)
-	known.ConfirmSince(known.Instant(), time.Second)
-	is.True(known.Age() < 5*time.Second)
+	is.True(catalog.Age() >= 10*time.Second)
+	catalog.ConfirmSince(requestedAt, time.Second) // the response may have arrived before the suspension
+	is.True(catalog.Age() >= 10*time.Second)
+	catalog.ConfirmSince(catalog.Instant(), time.Second)
+	is.True(catalog.Age() < 5*time.Second)
 }
--- a/internal/config/catalog/draft.go
+++ b/internal/config/catalog/draft.go
@@ -14,20 +14,20 @@
 	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
-// draft is a view under construction. Parts of the view before it are copied only when they change.
+// draft is a view under construction. Parts of the previous view are copied only when they change.
 type draft struct {
 	view  *View
 	clock boottime.Clock
-	// rollouts says that versions of leafs matter.
+	// rollouts says that requests are routed by the versions of leafs.
 	rollouts bool
-	// acceptsOlderRoutes says that routes replace those in force even if a later revision wrote those.
+	// acceptsOlderRoutes says that routes replace those in force even if their revision is older.
 	acceptsOlderRoutes bool
 
 	leafs          *leafset.Editor    // nil while no leaf changed
-	before         *leafset.Set       // the leafs in force before the draft
+	leafsBefore    *leafset.Set       // the leafs in force before the draft
 	rolloutsBefore map[string]Rollout // the roll-outs in force before the draft
 
-	// These say which maps of the view are the draft's own copies.
+	// The fields below say which maps of the view are the draft's own copies.
 	ownsNodes      bool
 	ownsServices   bool
 	ownsQuarantine bool
@@ -37,10 +37,9 @@
 func (c *Catalog) newDraft(current *View, revision int64) *draft {
 	next := *current
 	next.Revision = revision
-	return &draft{view: &next, before: current.Leafs, rolloutsBefore: current.Rollouts, rollouts: c.rollouts, clock: c.clock}
+	return &draft{view: &next, leafsBefore: current.Leafs, rolloutsBefore: current.Rollouts, rollouts: c.rollouts, clock: c.clock}
 }
 
-// compiled returns the finished view.
 func (d *draft) compiled() *View {
 	if d.leafs != nil {
 		d.view.Leafs = d.leafs.Done()
@@ -55,7 +54,7 @@
 	case entry.Key == RoutesKey:
 		err = target.compileRoutes(entry)
 	case entry.Key == SavedLeafsKey:
-		err = target.compileRemembered(entry)
+		err = target.compileSavedLeafs(entry)
 	case strings.HasPrefix(entry.Key, servicePrefix):
 		err = target.compileService(strings.TrimPrefix(entry.Key, servicePrefix), entry)
 	case strings.HasPrefix(entry.Key, snapshotPrefix):
@@ -81,12 +80,12 @@
 	}
 }
 
-// compileRoutes puts routes into force if they are newer than those in force.
+// compileRoutes applies routes that are newer than those in force.
 func (d *draft) compileRoutes(entry Entry) error {
 	if entry.Deleted {
 		return nil
 	}
-	configuration, err := parsed(entry, routing.Parse)
+	configuration, err := parseDocument(entry, routing.Parse)
 	if err != nil {
 		return err
 	}
@@ -97,20 +96,20 @@
 	return nil
 }
 
-func (d *draft) compileRemembered(entry Entry) error {
+func (d *draft) compileSavedLeafs(entry Entry) error {
 	if entry.Deleted {
 		d.view.Remembered = leafset.Empty()
 		return nil
 	}
-	remembered, err := parsedAt(entry, leafset.ParseList)
+	savedLeafs, err := parseDocumentAt(entry, leafset.ParseList)
 	if err != nil {
 		return err
 	}
-	d.view.Remembered = remembered
+	d.view.Remembered = savedLeafs
 	return nil
 }
 
-// leafEditor returns the editor of the draft's leafs.
+// leafEditor returns the editor of the draft's leafs, and creates it on first use.
 func (d *draft) leafEditor() *leafset.Editor {
 	if d.leafs == nil {
 		d.useEditor(d.view.Leafs.Edit())
@@ -118,7 +117,7 @@
 	return d.leafs
 }
 
-// useEditor makes the draft edit its leafs through an editor.
+// useEditor sets and configures the editor of the draft's leafs.
 func (d *draft) useEditor(leafs *leafset.Editor) {
 	d.leafs = leafs
 	leafs.SetClock(d.clock)
@@ -127,8 +126,8 @@
 	}
 }
 
-// compileLeaf puts the record of a leaf into force. A record that can't be decoded may be another writer's: the
-// leaf known under its name before counts as gone.
+// compileLeaf applies the record of a leaf. If it can't be decoded, another writer may have written it, so the leaf
+// that was registered under the name is excluded.
 func (d *draft) compileLeaf(name string, entry Entry) error {
 	leafs := d.leafEditor()
 	if entry.Deleted {
@@ -140,7 +139,7 @@
 		leafs.Exclude(name)
 		return err
 	}
-	known, found := d.before.ByName(name)
+	known, found := d.leafsBefore.ByName(name)
 	if !found || known.Revision != entry.Revision {
 		known = leafset.Learn(known, record, entry.Revision, d.clock.Now())
 	}
@@ -150,7 +149,7 @@
 
 // leafRecord decodes the record of a leaf, which must be stored under the leaf's name.
 func leafRecord(name string, entry Entry) (leafset.Record, error) {
-	record, err := parsed(entry, leafset.Parse)
+	record, err := parseDocument(entry, leafset.Parse)
 	if err != nil {
 		return leafset.Record{}, err
 	}
@@ -219,7 +218,7 @@
 	return nil
 }
 
-// editableService returns a copy of a service that belongs to the draft.
+// editableService returns the draft's own copy of a service.
 func (d *draft) editableService(name string) *Service {
 	if !d.ownsServices {
 		d.view.Services = maps.Clone(d.view.Services)
--- a/internal/config/catalog/entry.go
+++ b/internal/config/catalog/entry.go
@@ -4,7 +4,7 @@
 	json "github.com/goccy/go-json"
 )
 
-// Entry is the value of one key at the revision that wrote it; a tombstone has Deleted set.
+// Entry is the value of one key at the revision that wrote it. Deleted marks a tombstone.
 type Entry struct {
 	Key      string          `json:"key"`
 	Value    json.RawMessage `json:"value,omitempty"`
@@ -12,8 +12,8 @@
 	Deleted  bool            `json:"deleted,omitempty"`
 }
 
-// LiveRevision returns the revision that a compare-and-swap of the key must expect: 0 for keys that were never
-// written and for deleted ones.
+// LiveRevision returns the revision that a compare-and-swap of the key must expect: 0 if the key was never written
+// or is deleted.
 func (e *Entry) LiveRevision() int64 {
 	if e == nil || e.Deleted {
 		return 0
@@ -21,22 +21,22 @@
 	return e.Revision
 }
 
-// Change is an entry with the revision of the change before it, which reveals gaps.
+// Change is an entry with the revision of the previous change, by which a receiver detects gaps.
 type Change struct {
 	Entry    Entry `json:"entry"`
 	Previous int64 `json:"previous"`
-	// More are the other entries that the same revision wrote, or, with MarkerKey as the entry, all that differ
-	// between the two revisions.
+	// More are the other entries that the same revision wrote. If Entry has MarkerKey, they are all entries that
+	// differ between the two revisions.
 	More []Entry `json:"more,omitempty"`
 }
 
 // Entries returns all entries of the change.
 func (c Change) Entries() []Entry { return append([]Entry{c.Entry}, c.More...) }
 
-// Marker returns the entry of a change that only advances the revision, to the given one.
+// Marker returns an entry without a value, for a change that advances the revision to the given one.
 func Marker(at int64) Entry { return Entry{Key: MarkerKey, Revision: at, Deleted: true} }
 
-// Size is the size of the values of a change, in bytes.
+// Size returns the total size of the values of a change, in bytes.
 func (c Change) Size() int {
 	size := 0
 	for _, entry := range c.Entries() {
@@ -45,7 +45,7 @@
 	return size
 }
 
-// Snapshot is the whole state, for nodes that lack too much for single changes.
+// Snapshot is the whole state, for nodes that are too far behind to be updated by single changes.
 type Snapshot struct {
 	Revision int64   `json:"revision"`
 	Entries  []Entry `json:"entries"`
--- a/internal/config/catalog/envelope.go
+++ b/internal/config/catalog/envelope.go
@@ -8,8 +8,8 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// historyLength is how many earlier change ids an envelope keeps. A writer whose reply was lost finds its change
-// among them even if that many others wrote the key since.
+// historyLength is how many earlier change IDs an envelope keeps. A writer whose response was lost finds its change
+// among them even after that many writes by others.
 const historyLength = 16
 
 // PastChange is an earlier write of the same key.
@@ -18,16 +18,16 @@
 	Revision int64  `json:"revision"`
 }
 
-// Envelope is what the store holds under a key: the payload and the ids of recent writes.
+// Envelope is the value that the store holds under a key: the payload and the IDs of recent writes.
 type Envelope struct {
 	ChangeID string       `json:"change_id"`
 	Deleted  bool         `json:"deleted,omitempty"`
 	History  []PastChange `json:"history,omitempty"`
-	// Payload is the message in compressed binary form, which bounds what watchers read and pushes carry.
+	// Payload is the compressed binary message. Compression keeps watch responses and pushes small.
 	Payload []byte `json:"payload,omitempty"`
-	// Document is the payload of entries that are JSON: routes, leafs and nodes.
+	// Document is the payload of entries that hold JSON, such as routes, leafs and nodes.
 	Document json.RawMessage `json:"document,omitempty"`
-	// Refused is the reason why the value in the store can't be decoded; such an entry has nothing else.
+	// Refused is the reason why the value in the store can't be decoded. All other fields are then empty.
 	Refused string `json:"refused,omitempty"`
 }
 
@@ -35,12 +35,12 @@
 func NewRefusal(reason error) []byte {
 	value, err := json.Marshal(Envelope{Refused: reason.Error()})
 	if err != nil {
-		return nil // a value that is refused as well
+		return nil // an empty value is rejected as well
 	}
 	return value
 }
 
-// NewDocument wraps a JSON document for a write that replaces the given entry, if any.
+// NewDocument wraps a JSON document for a write that replaces the given entry, if any. A nil document is a deletion.
 func NewDocument(changeID string, document json.RawMessage, replaced *Entry) ([]byte, error) {
 	envelope := Envelope{ChangeID: changeID, Deleted: document == nil, Document: document}
 	if replaced != nil {
@@ -49,7 +49,7 @@
 	return json.Marshal(envelope)
 }
 
-// DecodeDocument reads the JSON document of an entry.
+// DecodeDocument returns the JSON document of an entry.
 func DecodeDocument(entry Entry) (json.RawMessage, error) {
 	envelope, err := OpenEnvelope(entry.Value)
 	if err == nil && envelope.Refused != "" {
@@ -58,7 +58,7 @@
 	return envelope.Document, err
 }
 
-// NewEnvelope wraps a message for a write that replaces the given entry, if any.
+// NewEnvelope wraps a message for a write that replaces the given entry, if any. A nil message is a deletion.
 func NewEnvelope(changeID string, message proto.Message, replaced *Entry) ([]byte, error) {
 	envelope := Envelope{ChangeID: changeID, Deleted: message == nil}
 	if message != nil {
@@ -74,8 +74,7 @@
 	return json.Marshal(envelope)
 }
 
-// pastChanges returns the history for a write that replaces an entry: the entry's own change, then those it
-// remembers.
+// pastChanges returns the history for a write that replaces an entry: the entry's own change, then its history.
 func pastChanges(replaced *Entry) []PastChange {
 	envelope, err := OpenEnvelope(replaced.Value)
 	if err != nil {
@@ -94,7 +93,7 @@
 	return envelope, nil
 }
 
-// FindChange returns the revision at which a change id was written to the entry's key.
+// FindChange returns the revision at which the change with the given ID was written to the entry's key.
 func FindChange(entry *Entry, changeID string) (int64, bool) {
 	envelope, err := OpenEnvelope(entry.Value)
 	if err != nil {
@@ -111,13 +110,13 @@
 	return 0, false
 }
 
-// DecodeService reads a service entry's settings.
+// DecodeService decodes the settings in a service entry.
 func DecodeService(entry Entry) (*adminv1.ServiceSpec, error) {
 	spec := &adminv1.ServiceSpec{}
 	return spec, decodePayload(entry, spec)
 }
 
-// DecodeSnapshot reads a snapshot entry's manifest.
+// DecodeSnapshot decodes the manifest in a snapshot entry.
 func DecodeSnapshot(entry Entry) (*adminv1.SnapshotManifest, error) {
 	message := &adminv1.SnapshotManifest{}
 	return message, decodePayload(entry, message)
@@ -134,8 +133,8 @@
 	return nil
 }
 
-// parsed returns the parsed document of an entry.
-func parsed[T any](entry Entry, parse func([]byte) (T, error)) (T, error) {
+// parseDocument decodes the JSON document of an entry and parses it.
+func parseDocument[T any](entry Entry, parse func([]byte) (T, error)) (T, error) {
 	document, err := DecodeDocument(entry)
 	if err != nil {
 		var none T
@@ -144,7 +143,7 @@
 	return parse(document)
 }
 
-// parsedAt returns the parsed document of an entry, for documents that know the revision that wrote them.
-func parsedAt[T any](entry Entry, parse func(document []byte, revision int64) (T, error)) (T, error) {
-	return parsed(entry, func(document []byte) (T, error) { return parse(document, entry.Revision) })
+// parseDocumentAt is parseDocument for documents that store the revision of their entry.
+func parseDocumentAt[T any](entry Entry, parse func(document []byte, revision int64) (T, error)) (T, error) {
+	return parseDocument(entry, func(document []byte) (T, error) { return parse(document, entry.Revision) })
 }
--- a/internal/config/catalog/evacuation_test.go
+++ b/internal/config/catalog/evacuation_test.go
@@ -16,9 +16,9 @@
 	return Change{Entry: Entry{Key: EvacuationKey(zone), Value: value, Revision: revision, Deleted: deleted}, Previous: revision - 1}
 }
 
-// Whatever order changes and whole states arrive in, the zones evacuated on a node are those of the store at the node's
-// revision: an older state never ends an evacuation or brings it back.
-func TestEvacuationsFollowTheStoreInAnyInterleaving(t *testing.T) {
+// In any order of changes and whole states, the zones evacuated on a node match the store at the node's revision: an
+// older state never ends or restores an evacuation.
+func TestEvacuationsMatchStoreInAnyInterleaving(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 12).Draw(t, "changes")
 		var log []Change
@@ -64,8 +64,8 @@
 	}
 }
 
-// A node that receives only the difference between two whole states learns that an evacuation ended.
-func TestDifferenceTellsOfAnEndedEvacuation(t *testing.T) {
+// The difference between two whole states includes the end of an evacuation.
+func TestDifferenceIncludesEndOfEvacuation(t *testing.T) {
 	is := is.New(t)
 	started := evacuationChange(t, 1, "a", false)
 	first, second := New(nil), New(nil)
--- a/internal/config/catalog/follow_restored_test.go
+++ b/internal/config/catalog/follow_restored_test.go
@@ -10,14 +10,14 @@
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
 )
 
-// However the store is restored, whatever nodes read of it and send each other, in whatever order: the version of the routes
-// never decreases, and once operators have rewritten what was lost, all nodes have what the store has.
-func TestNodesFollowAStoreThatIsRestored(t *testing.T) {
+// In any order of writes, backups, restores, reads and updates between nodes, the version of the routes never decreases.
+// Once the operators have rewritten the lost entries, all nodes match the store.
+func TestNodesConvergeAfterStoreRestores(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := newRestorableStore(t)
-		d.put(RoutesKey, routesOf(1))
-		d.save()
-		nodes := []*Catalog{follower(d), follower(d), follower(d)}
+		store := newRestorableStore(t)
+		store.put(RoutesKey, routesOf(1))
+		store.save()
+		nodes := []*Catalog{newFollower(store), newFollower(store), newFollower(store)}
 		highest := make([]int64, len(nodes))
 		operators := map[string]any{RoutesKey: routesOf(1)}
 		version := int64(1)
@@ -27,71 +27,71 @@
 			case "routes":
 				version++
 				operators[RoutesKey] = routesOf(version)
-				d.put(RoutesKey, routesOf(version))
+				store.put(RoutesKey, routesOf(version))
 			case "evacuate":
 				operators[EvacuationKey("z")] = struct{}{}
-				d.put(EvacuationKey("z"), struct{}{})
+				store.put(EvacuationKey("z"), struct{}{})
 			case "end":
 				delete(operators, EvacuationKey("z"))
-				d.put(EvacuationKey("z"), nil)
+				store.put(EvacuationKey("z"), nil)
 			case "leaf":
-				d.put(LeafKey("l"), leafOf("l", leafset.Ready, 0))
+				store.put(LeafKey("l"), leafOf("l", leafset.Ready, 0))
 			case "save":
-				d.save()
+				store.save()
 			case "restore":
-				d.restore()
+				store.restore()
 			case "again":
-				writeAgain(d, operators)
+				rewriteAll(store, operators)
 			case "read":
-				node.Replace(d.state())
+				node.Replace(store.state())
 			case "watch":
-				node.ApplyAll(d.log)
+				node.ApplyAll(store.log)
 			case "late":
-				from := rapid.IntRange(0, len(d.log)).Draw(t, "from")
-				node.ApplyAll(d.log[from:])
+				from := rapid.IntRange(0, len(store.log)).Draw(t, "from")
+				node.ApplyAll(store.log[from:])
 			case "pull":
 				pull(node, nodes[rapid.IntRange(0, len(nodes)-1).Draw(t, "peer")])
 			case "kept":
 				exchangeRetained(node, nodes[rapid.IntRange(0, len(nodes)-1).Draw(t, "peer")])
 			}
-			for index, one := range nodes {
-				if now := one.View().Routes.Version; now < highest[index] {
-					t.Fatal("routes fell from ", highest[index], " to ", now)
+			for index, other := range nodes {
+				if now := other.View().Routes.Version; now < highest[index] {
+					t.Fatal("routes went back from version ", highest[index], " to ", now)
 				}
-				highest[index] = one.View().Routes.Version
+				highest[index] = other.View().Routes.Version
 			}
 		}
 		for _, node := range nodes {
-			node.Replace(d.state())
+			node.Replace(store.state())
 		}
-		from := len(d.log)
-		writeAgain(d, operators)
+		from := len(store.log)
+		rewriteAll(store, operators)
 		for _, node := range nodes {
-			if !node.ApplyAll(d.log[from:]) {
-				node.Replace(d.state())
+			if !node.ApplyAll(store.log[from:]) {
+				node.Replace(store.state())
 			}
 			if node.View().Routes.Version != version {
-				t.Fatal("routes ", node.View().Routes.Version, " in force, ", version, " accepted")
+				t.Fatal("routes of version ", node.View().Routes.Version, " in force, version ", version, " written by the operators")
 			}
 			_, wanted := operators[EvacuationKey("z")]
 			if node.View().Leafs.IsEvacuated("z") != wanted {
-				t.Fatal("evacuated: ", !wanted, ", accepted: ", wanted)
+				t.Fatal("zone evacuated: ", !wanted, ", the operators wrote: ", wanted)
 			}
 		}
 	})
 }
 
-// writeAgain makes the operators rewrite what they wrote, and remove what they removed.
-func writeAgain(d *restorableStore, operators map[string]any) {
+// rewriteAll repeats the operators' writes and removals.
+func rewriteAll(store *restorableStore, operators map[string]any) {
 	for _, key := range slices.Sorted(maps.Keys(operators)) {
-		d.put(key, operators[key])
+		store.put(key, operators[key])
 	}
 	if _, wanted := operators[EvacuationKey("z")]; !wanted {
-		d.put(EvacuationKey("z"), nil)
+		store.put(EvacuationKey("z"), nil)
 	}
 }
 
-// pull updates a node from another one, as peers do.
+// pull updates a node from a peer.
 func pull(node, peer *Catalog) {
 	changes, kept := peer.Since(node.Revision())
 	if !kept {
@@ -101,7 +101,7 @@
 	node.ApplyAll(changes)
 }
 
-// exchangeRetained passes the entries that one node retains to another one, as peers at the same revision do.
+// exchangeRetained sends the peer's retained entries to a node if both are at the same revision.
 func exchangeRetained(node, peer *Catalog) {
 	if node.Revision() != peer.Revision() {
 		return
--- a/internal/config/catalog/keys.go
+++ b/internal/config/catalog/keys.go
@@ -6,7 +6,7 @@
 	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 )
 
-// Key prefixes of the kinds of entry; there is one entry of routes.
+// Store keys and key prefixes.
 const (
 	servicePrefix  = "service/"
 	snapshotPrefix = "snapshot/"
@@ -14,60 +14,58 @@
 	nodePrefix     = "node/"
 	// evacuationPrefix begins the keys of evacuated zones, whose leafs get no requests while the key exists.
 	evacuationPrefix = "evacuation/"
-	// rolloutPrefix begins the keys of operators' specs to move a service to another version, and
-	// rolloutStatePrefix those of the fleet's progress with them.
+	// rolloutPrefix begins the keys of the operators' rollout specs, rolloutStatePrefix the keys of their progress.
 	rolloutPrefix      = "rollout/"
 	rolloutStatePrefix = "rollout-state/"
-	// quarantinePrefix begins the keys of requests under quarantine, which are sent to no leaf.
+	// quarantinePrefix begins the keys of quarantined requests, which are sent to no leaf.
 	quarantinePrefix = "quarantine/"
 	// RoutesKey is the store key of the routing configuration.
 	RoutesKey = "routes"
-	// SavedLeafsKey is the store key of the list of leafs that the fleet saves.
+	// SavedLeafsKey is the store key of the saved list of leafs.
 	SavedLeafsKey = "remembered-leafs"
-	// VersionsKey is the store key of the versions that services without a roll-out are served by.
+	// VersionsKey is the store key of the serving versions of services without a roll-out.
 	VersionsKey = "service-versions"
-	// MarkerKey has no value: a change of it only advances the revision.
+	// MarkerKey is the key of markers, which have no value and only advance the revision.
 	MarkerKey = "marker"
 )
 
-// ServiceKey is the store key of a service's settings.
+// ServiceKey returns the store key of a service's settings.
 func ServiceKey(name string) string { return servicePrefix + name }
 
-// SnapshotKey is the store key of a service's current manifest.
+// SnapshotKey returns the store key of a service's current manifest.
 func SnapshotKey(service string) string { return snapshotPrefix + service }
 
-// LeafKey is the store key of a leaf's own record.
+// LeafKey returns the store key of a leaf's record.
 func LeafKey(id string) string { return leafPrefix + id }
 
-// NodeKey is the store key of a node's own record.
+// NodeKey returns the store key of a node's record.
 func NodeKey(id string) string { return nodePrefix + id }
 
-// EvacuationKey is the store key that exists while a zone is evacuated.
+// EvacuationKey returns the store key that exists while a zone is evacuated.
 func EvacuationKey(zone string) string { return evacuationPrefix + zone }
 
-// RolloutKey is the store key of the spec to move a service to another version.
+// RolloutKey returns the store key of a service's rollout spec.
 func RolloutKey(service string) string { return rolloutPrefix + service }
 
-// RolloutStateKey is the store key of the progress of a service's spec.
+// RolloutStateKey returns the store key of the progress of a service's rollout spec.
 func RolloutStateKey(service string) string { return rolloutStatePrefix + service }
 
-// QuarantineKey is the store key that exists while the request of a fingerprint is under quarantine.
+// QuarantineKey returns the store key that exists while the request with a fingerprint is quarantined.
 func QuarantineKey(content string) string { return quarantinePrefix + content }
 
-// isTransient reports whether a key may be removed without a tombstone that must be kept: it exists only as long
-// as a process, an evacuation, a quarantine or a spec, or holds versions, so that its absence from a whole
-// state means that it was removed.
+// isTransient reports whether a key needs no tombstone once it is removed: its absence from a whole state means that
+// it was removed. These are the keys of processes, evacuations, quarantines and roll-outs.
 func isTransient(key string) bool {
 	return strings.HasPrefix(key, leafPrefix) || strings.HasPrefix(key, nodePrefix) || strings.HasPrefix(key, evacuationPrefix) ||
 		strings.HasPrefix(key, quarantinePrefix) || isRollout(key)
 }
 
-// isRollout reports whether a key concerns the versions of services.
+// isRollout reports whether a key holds the versions of services, a rollout spec or its progress.
 func isRollout(key string) bool {
 	return key == VersionsKey || strings.HasPrefix(key, rolloutPrefix) || strings.HasPrefix(key, rolloutStatePrefix)
 }
 
-// isProcessRecord reports whether a key is the record of a process, which rewrites it itself.
+// isProcessRecord reports whether a key holds the record of a leaf or a node, which rewrites it itself.
 func isProcessRecord(key string) bool {
 	return strings.HasPrefix(key, leafPrefix) || strings.HasPrefix(key, nodePrefix)
 }
--- a/internal/config/catalog/overwritten.go
+++ b/internal/config/catalog/overwritten.go
@@ -6,11 +6,11 @@
 	"github.com/portgauge/portgauge/internal/config/revision"
 )
 
-// maxOverwritten bounds the writes that are remembered, about 0.5 MB: the last seconds of the start of a large
-// fleet, which writes the most.
+// maxOverwritten bounds the stored writes, which take about 0.5 MB. It covers the last seconds of the start of a large
+// fleet, when the write rate is highest.
 const maxOverwritten = 4096
 
-// overwrittenWrites remembers the newest of the writes that others replaced. The zero value is empty.
+// overwrittenWrites is a bounded set of the most recent writes that later ones replaced. The zero value is empty.
 type overwrittenWrites struct {
 	known map[overwrittenWrite]bool
 	order []overwrittenWrite
@@ -27,7 +27,7 @@
 	return overwrittenWrite{key: entry.Key, count: revision.Count(entry.Revision), sum: xxhash.Sum64(entry.Value)}
 }
 
-// add remembers a write.
+// add stores a write, and drops the oldest one beyond maxOverwritten.
 func (w *overwrittenWrites) add(entry Entry) {
 	write := overwrittenOf(entry)
 	if w.known == nil {
@@ -44,6 +44,6 @@
 	w.order = append(w.order, write)
 }
 
-// has reports whether a write is remembered. If a restored store holds it, it is older than what replaced it: a
-// new write has another count, or the count of a lost write and another value.
+// has reports whether a write was replaced. If a restored store holds such a write, it is older than its replacement:
+// a new write has another count, or the count of a lost write and another value.
 func (w *overwrittenWrites) has(entry Entry) bool { return w.known[overwrittenOf(entry)] }
--- a/internal/config/catalog/payload.go
+++ b/internal/config/catalog/payload.go
@@ -6,10 +6,10 @@
 	"github.com/portgauge/portgauge/internal/compression"
 )
 
-// maximumPayload bounds a payload in bytes once expanded.
-const maximumPayload = 16 << 20
+// maxPayloadBytes bounds the size of an expanded payload in bytes.
+const maxPayloadBytes = 16 << 20
 
-// packMessage encodes a message in compressed binary form, which is much cheaper to decode in a burst than JSON.
+// packMessage encodes a message in compressed binary form, which is much cheaper to decode than JSON.
 func packMessage(message proto.Message) ([]byte, error) {
 	content, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
 	if err != nil {
@@ -18,9 +18,9 @@
 	return compression.Compress(content)
 }
 
-// unpackMessage decodes a message; fields of a newer schema are ignored.
+// unpackMessage decodes a message. Fields of a newer schema are ignored.
 func unpackMessage(payload []byte, message proto.Message) error {
-	content, err := compression.Expand(payload, maximumPayload)
+	content, err := compression.Expand(payload, maxPayloadBytes)
 	if err != nil {
 		return err
 	}
--- a/internal/config/catalog/quarantine.go
+++ b/internal/config/catalog/quarantine.go
@@ -8,7 +8,7 @@
 	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 )
 
-// compileQuarantine puts the quarantine of a request, or its end, into force.
+// compileQuarantine applies the quarantine of a request or its removal.
 func (d *draft) compileQuarantine(key string, entry Entry) error {
 	content, err := fingerprint.Parse(key)
 	if err != nil {
@@ -31,7 +31,7 @@
 		return err
 	}
 	if record.Content != content {
-		return failure.Invalid("content", "%s; must be that of the key", record.Content)
+		return failure.Invalid("content", "%s; must match the key", record.Content)
 	}
 	if d.view.Quarantine == nil {
 		d.view.Quarantine = map[fingerprint.Fingerprint]*quarantine.Record{}
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// Quarantine returns the record of a request under quarantine; nil for any other.
+// Quarantine returns the record of a quarantined request, nil for any other request.
 func (c *Catalog) Quarantine(content fingerprint.Fingerprint) *quarantine.Record {
 	return c.View().Quarantine[content]
 }
--- a/internal/config/catalog/quarantine_test.go
+++ b/internal/config/catalog/quarantine_test.go
@@ -27,9 +27,8 @@
 	return Change{Entry: Entry{Key: QuarantineKey(contentOf(path).String()), Value: value, Revision: revision, Deleted: deleted}, Previous: revision - 1}
 }
 
-// Whatever order changes and whole states arrive in, the requests under quarantine on a node are those of the store at the
-// node's revision.
-func TestQuarantineFollowsTheStoreInAnyInterleaving(t *testing.T) {
+// In any order of changes and whole states, the requests quarantined on a node match the store at the node's revision.
+func TestQuarantineMatchesStoreInAnyInterleaving(t *testing.T) {
 	paths := []string{"/a", "/b"}
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 12).Draw(t, "changes")
@@ -60,8 +59,8 @@
 	})
 }
 
-// A record under the key of another request is rejected, as is one under a key without a fingerprint.
-func TestRecordMustBeThatOfItsKey(t *testing.T) {
+// A record under the key of another request, or under a key that isn't a fingerprint, is rejected.
+func TestQuarantineRecordMustMatchItsKey(t *testing.T) {
 	is := is.New(t)
 	refused := 0
 	node := New(func(string, error) { refused++ })
--- a/internal/config/catalog/restorable_store_test.go
+++ b/internal/config/catalog/restorable_store_test.go
@@ -8,75 +8,75 @@
 	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
-// fatal fails a test; *testing.T and *rapid.T do.
-type fatal interface{ Fatal(...any) }
+// fataler is implemented by *testing.T and *rapid.T.
+type fataler interface{ Fatal(...any) }
 
-// restorableStore is a store that is restored from backups.
+// restorableStore is an in-memory store that can be restored from a backup.
 type restorableStore struct {
-	t       fatal
+	t       fataler
 	epoch   int64
 	count   int64
 	entries map[string]Entry
-	log     []Change // of the epoch
+	log     []Change // the changes of the epoch
 	backup  Snapshot
 }
 
-func newRestorableStore(t fatal) *restorableStore {
+func newRestorableStore(t fataler) *restorableStore {
 	return &restorableStore{t: t, entries: map[string]Entry{}}
 }
 
-// put writes a document under a key, nil to remove it, and returns the change.
-func (d *restorableStore) put(key string, value any) Change {
+// put writes a document under a key, or removes the key if it is nil, and returns the change.
+func (s *restorableStore) put(key string, value any) Change {
 	var document json.RawMessage
 	if value != nil {
 		encoded, err := json.Marshal(value)
 		if err != nil {
-			d.t.Fatal(err)
+			s.t.Fatal(err)
 		}
 		document = encoded
 	}
 	wrapped, err := NewDocument("", document, nil)
 	if err != nil {
-		d.t.Fatal(err)
+		s.t.Fatal(err)
 	}
-	return d.putValue(key, wrapped, value == nil)
+	return s.putValue(key, wrapped, value == nil)
 }
 
-// putValue writes a value under a key as it is, or removes the key, and returns the change.
-func (d *restorableStore) putValue(key string, value json.RawMessage, remove bool) Change {
-	before := revision.At(d.epoch, d.count)
-	d.count++
-	entry := Entry{Key: key, Value: value, Revision: revision.At(d.epoch, d.count), Deleted: remove}
-	d.entries[key] = entry
+// putValue writes an encoded value under a key, or removes the key, and returns the change.
+func (s *restorableStore) putValue(key string, value json.RawMessage, remove bool) Change {
+	before := revision.At(s.epoch, s.count)
+	s.count++
+	entry := Entry{Key: key, Value: value, Revision: revision.At(s.epoch, s.count), Deleted: remove}
+	s.entries[key] = entry
 	if entry.Deleted {
-		delete(d.entries, key)
+		delete(s.entries, key)
 	}
 	change := Change{Entry: entry, Previous: before}
-	d.log = append(d.log, change)
+	s.log = append(s.log, change)
 	return change
 }
 
-// state returns the whole state as a read returns it.
-func (d *restorableStore) state() Snapshot {
-	snapshot := Snapshot{Revision: revision.At(d.epoch, d.count)}
-	for _, entry := range d.entries {
-		entry.Revision = revision.At(d.epoch, revision.Count(entry.Revision))
+// state returns the whole state, as a read of the store does.
+func (s *restorableStore) state() Snapshot {
+	snapshot := Snapshot{Revision: revision.At(s.epoch, s.count)}
+	for _, entry := range s.entries {
+		entry.Revision = revision.At(s.epoch, revision.Count(entry.Revision))
 		snapshot.Entries = append(snapshot.Entries, entry)
 	}
 	return snapshot
 }
 
-func (d *restorableStore) save() { d.backup = d.state() }
+func (s *restorableStore) save() { s.backup = s.state() }
 
-// restore restores the store from its backup.
-func (d *restorableStore) restore() {
-	d.epoch++
-	d.count = revision.Count(d.backup.Revision)
-	d.entries = map[string]Entry{}
-	for _, entry := range d.backup.Entries {
-		d.entries[entry.Key] = entry
+// restore replaces the state with the backup and starts a new epoch.
+func (s *restorableStore) restore() {
+	s.epoch++
+	s.count = revision.Count(s.backup.Revision)
+	s.entries = map[string]Entry{}
+	for _, entry := range s.backup.Entries {
+		s.entries[entry.Key] = entry
 	}
-	d.log = nil
+	s.log = nil
 }
 
 func routesOf(version int64) routing.Configuration { return routing.Configuration{Version: version} }
@@ -85,10 +85,10 @@
 	return leafset.Record{Name: id, Service: "s", Address: "127.0.0.1:1", State: state, Sequence: sequence}
 }
 
-// follower is a node that follows the store.
-func follower(d *restorableStore) *Catalog {
-	known := New(func(key string, err error) { d.t.Fatal(key, err) })
-	known.EnableRollouts()
-	known.Replace(d.state())
-	return known
+// newFollower returns the catalog of a node that has read the store.
+func newFollower(store *restorableStore) *Catalog {
+	node := New(func(key string, err error) { store.t.Fatal(key, err) })
+	node.EnableRollouts()
+	node.Replace(store.state())
+	return node
 }
--- a/internal/config/catalog/restored.go
+++ b/internal/config/catalog/restored.go
@@ -10,31 +10,29 @@
 	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
-// A store that was restored from a backup lacks the writes that it acknowledged since the backup. A node that applied its
-// state as it is would go back by some seconds: in routes, leafs that drain or are gone, evacuated zones, verdicts on
-// versions, requests under quarantine. So a node that enters a new epoch retains what it knows to be newer, until that is
-// written again: by operators and leafs what is theirs, and by nodes what the fleet wrote (package rewriter).
+// A store that was restored from a backup lacks the writes that it acknowledged since the backup. A node that applied the
+// restored state unchanged would roll back routes, drained or removed leafs, evacuated zones, roll-out verdicts and
+// quarantined requests by some seconds. So a node that enters a new epoch retains its newer entries until they are
+// rewritten: operators and leafs rewrite their own, and nodes rewrite the rest (package rewriter).
 
-// lossWindow is how long before the restore a write may have been lost: backups are some seconds old, with a
-// margin.
+// lossWindow is how long before the restore a write may have been lost. Backups are some seconds old; the rest is margin.
 const lossWindow = time.Minute
 
-// restored is what a catalog knows of the last restore; the zero value is that of none. The catalog's lock
-// guards it.
+// restored describes the last restore of the store. The zero value means that there was none. It is guarded by the
+// catalog's lock.
 type restored struct {
 	// at is when the node entered the epoch in force.
 	at time.Time
 	// retained are the retained entries, by key.
-	retained map[string]RetainedEntry
-	// overwritten are writes that others replaced.
+	retained    map[string]RetainedEntry
 	overwritten overwrittenWrites
-	// changedAt is when the value of a key changed last, except for process records.
+	// changedAt is when the value of a key last changed. Process records are left out.
 	changedAt map[string]time.Time
-	// mayWrite reports whether nodes may write a key; nil if they may write all.
+	// mayWrite reports whether nodes may write a key. If it is nil, they may write all keys.
 	mayWrite func(key string) bool
 }
 
-// note remembers a write that replaces another one, nil if there was none.
+// note records a write and the one that it replaces, nil if there was none.
 func (r *restored) note(entry Entry, replaced *Entry, now time.Time) {
 	if replaced != nil && replaced.Revision != entry.Revision {
 		r.overwritten.add(*replaced)
@@ -50,8 +48,8 @@
 	}
 }
 
-// noteOverwritten remembers the write that an entry replaces in a set of known entries.
-func (c *Catalog) noteOverwritten(known map[string]Entry, entry Entry) {
+// recordOverwritten records an entry and the one that it replaces among the known entries.
+func (c *Catalog) recordOverwritten(known map[string]Entry, entry Entry) {
 	before, isKnown := known[entry.Key]
 	if !isKnown {
 		c.restored.note(entry, nil, c.clock.Now())
@@ -60,15 +58,15 @@
 	c.restored.note(entry, &before, c.clock.Now())
 }
 
-// mergeEntries decides which entries are in force once a whole state is applied: the state as it is if it is the
-// first one or replaces a provisional one, otherwise the state merged with what this node knows or retains. The lock must be
-// held.
+// mergeEntries returns the entries that are in force after a whole state is applied. The first state, and one that
+// replaces a provisional state, is taken unchanged. Any other state is merged with the entries that this node has or
+// retains. The lock must be held.
 func (c *Catalog) mergeEntries(snapshot Snapshot, isFirst bool) []Entry {
 	switch {
 	case isFirst:
 		c.restored.retained = nil
 		for _, entry := range snapshot.Entries {
-			c.noteRetained(entry, snapshot.Revision)
+			c.recordRetained(entry, snapshot.Revision)
 		}
 	case revision.IsLater(snapshot.Revision, c.view.Load().Revision):
 		return c.mergeNewEpoch(snapshot)
@@ -78,9 +76,9 @@
 	return snapshot.Entries
 }
 
-// mergeNewEpoch merges the state of a restored store with what this node knows: known entries that are newer
-// replace those read, and known entries that the store lacks stay if they outlive the restore. All of these are
-// retained. Records of leafs that the store lost are retained without being in force. The lock must be held.
+// mergeNewEpoch merges the state of a restored store with the known entries. Known entries that are newer replace
+// those read, and known entries that the store lacks stay if they outlive the restore. All of these are retained.
+// Records of leafs that the store lost are retained but not in force. The lock must be held.
 func (c *Catalog) mergeNewEpoch(snapshot Snapshot) []Entry {
 	now := c.clock.Now()
 	c.restored.at = now
@@ -107,25 +105,25 @@
 	return entries
 }
 
-// newest returns the entry in force of a key that the state of a new epoch has: the one read or the known one.
-// The record of a process that is known to be gone is left out.
-func (c *Catalog) newest(read Entry, position int64) (entry Entry, isUsed bool) {
+// newest returns the entry to use for a key in the state of a new epoch: the one read or the known one. isUsed is
+// false for the record of a process that was already removed.
+func (c *Catalog) newest(read Entry, atRevision int64) (entry Entry, isUsed bool) {
 	known, isKnown := c.entries[read.Key]
 	if !isKnown && isProcessRecord(read.Key) && c.restored.overwritten.has(read) {
 		return Entry{}, false
 	}
-	// A node's record is bound to a lease, which the restore lost as well: the store is right about it.
-	if isKnown && !strings.HasPrefix(read.Key, nodePrefix) && c.isNewer(known, read, position) {
+	// A node's record is bound to a lease, which the restore lost as well, so the store's record is used.
+	if isKnown && !strings.HasPrefix(read.Key, nodePrefix) && c.isNewer(known, read, atRevision) {
 		c.restored.retained[read.Key] = RetainedEntry{Entry: known}
 		return known, true
 	}
-	c.noteRetained(read, position)
+	c.recordRetained(read, atRevision)
 	return read, true
 }
 
-// outlivesRestore decides whether an entry that the restored store lacks stays in force. Routes and tombstones
-// do. Records that their writers rewrite don't. Anything else does if it changed within lossWindow: what is
-// older was in the backup, so that it was removed since.
+// outlivesRestore reports whether an entry that the restored store lacks stays in force. Routes and tombstones do.
+// Records that their writers rewrite don't. Any other entry does if it changed within lossWindow: an older one was in
+// the backup, so its absence means that it was removed since.
 func (c *Catalog) outlivesRestore(known Entry, now time.Time) bool {
 	switch {
 	case known.Key == RoutesKey, known.Deleted:
@@ -136,7 +134,7 @@
 	return now.Sub(c.restored.changedAt[known.Key]) < lossWindow
 }
 
-// mergeSameEpoch merges a later state of the same epoch with the retained entries that were not written again.
+// mergeSameEpoch merges a later state of the same epoch with the retained entries that have not been rewritten.
 // The lock must be held.
 func (c *Catalog) mergeSameEpoch(snapshot Snapshot) []Entry {
 	entries := make([]Entry, 0, len(snapshot.Entries)+len(c.restored.retained))
@@ -153,7 +151,7 @@
 			continue
 		}
 		delete(c.restored.retained, read.Key)
-		c.noteRetained(read, snapshot.Revision)
+		c.recordRetained(read, snapshot.Revision)
 		entries = append(entries, read)
 	}
 	for key, retained := range c.restored.retained {
@@ -164,16 +162,16 @@
 	return entries
 }
 
-// isNewer decides whether a known entry of an earlier epoch is newer than one read with a state of a new epoch,
-// at a revision. Equal values aren't; of two entries from before the restore the later revision is; documents
-// with an order of their own (routes, leafs) decide themselves; otherwise the known entry is newer if it
-// replaced the one read, or was written on top of it.
-func (c *Catalog) isNewer(known, read Entry, position int64) bool {
+// isNewer reports whether a known entry of an earlier epoch is newer than one read with the state of a new epoch. An
+// equal value isn't newer. Two entries from before the restore are compared by revision, and documents with an order
+// of their own (routes, leafs) by that order. Any other known entry is newer if it replaced the one read or was
+// written on top of it.
+func (c *Catalog) isNewer(known, read Entry, atRevision int64) bool {
 	switch {
 	case read.Deleted == known.Deleted && bytes.Equal(read.Value, known.Value):
 		return false
-	case revision.IsLater(position, read.Revision):
-		return known.Revision > read.Revision // another node retains it: both are of earlier epochs
+	case revision.IsLater(atRevision, read.Revision):
+		return known.Revision > read.Revision // another node retains the entry read, so both are of earlier epochs
 	}
 	if order, isComparable := compareDocuments(known, read); isComparable {
 		return order > 0
@@ -181,7 +179,7 @@
 	return c.restored.overwritten.has(read) || descends(known, read)
 }
 
-// compareDocuments compares two entries of a key by the order in their documents, if they have one.
+// compareDocuments compares two entries of a key by the order that their documents define, if any.
 func compareDocuments(a, b Entry) (order int, isComparable bool) {
 	if a.Deleted || b.Deleted {
 		return 0, false
@@ -195,10 +193,10 @@
 	return 0, false
 }
 
-// compareParsed compares two entries by their documents; one that can't be decoded is older than one that can.
+// compareParsed compares two entries by their documents. One that can't be decoded is older than one that can.
 func compareParsed[T any](a, b Entry, parse func([]byte) (T, error), compare func(a, b T) (order int, isComparable bool)) (order int, isComparable bool) {
-	first, firstErr := parsed(a, parse)
-	second, secondErr := parsed(b, parse)
+	first, firstErr := parseDocument(a, parse)
+	second, secondErr := parseDocument(b, parse)
 	switch {
 	case firstErr != nil && secondErr != nil:
 		return 0, false
@@ -210,7 +208,7 @@
 	return compare(first, second)
 }
 
-// descends reports whether a write was made on top of another one, by the history in its envelope.
+// descends reports whether the history in an entry's envelope contains the other entry's change.
 func descends(entry, other Entry) bool {
 	envelope, err := OpenEnvelope(other.Value)
 	if err != nil || envelope.ChangeID == "" {
@@ -220,8 +218,8 @@
 	return found
 }
 
-// isOutdated reports whether a change is older than the entry in force of its key although its revision is
-// later, by the order in their documents: operators and leafs may rewrite an intermediate state first.
+// isOutdated reports whether an entry of a change is older than the one in force, by the order that their documents
+// define, although its revision is later: operators and leafs may rewrite an intermediate state first.
 func (c *Catalog) isOutdated(entry Entry) bool {
 	known, isKnown := c.entries[entry.Key]
 	if !isKnown || entry.Deleted {
@@ -236,10 +234,10 @@
 
 // isOfEarlierProcess reports whether a record is from an earlier process of the leaf than the known one.
 func isOfEarlierProcess(entry, known Entry) bool {
-	record, err := parsed(entry, leafset.Parse)
+	record, err := parseDocument(entry, leafset.Parse)
 	if err != nil {
 		return false
 	}
-	later, err := parsed(known, leafset.Parse)
+	later, err := parseDocument(known, leafset.Parse)
 	return err == nil && record.IsOfEarlierIncarnation(later)
 }
--- a/internal/config/catalog/retained.go
+++ b/internal/config/catalog/retained.go
@@ -11,30 +11,30 @@
 	"github.com/portgauge/portgauge/internal/config/revision"
 )
 
-// RetainFor is how long an entry that only operators write, and the restored store lacks, stays in force unless
-// it is written again. Operators rewrite within a few seconds. An entry that they removed before rewriting it
-// never comes back, and can't be distinguished from a lost one; so a zone whose evacuation ended then stays evacuated for
-// this long. Routes stay without a limit, and what nodes write stays until a node has rewritten it.
+// RetainFor is how long an entry that only operators write stays in force after a restore if it isn't rewritten.
+// Operators rewrite lost entries within a few seconds. An entry that they removed since the backup can't be
+// distinguished from a lost one, so a zone whose evacuation was ended may stay evacuated for this long. Routes are
+// retained without a limit, and entries that nodes write until a node has rewritten them.
 const RetainFor = 10 * time.Second
 
-// RetainedEntry is an entry of an earlier epoch that is newer than what the restored store has of its key.
+// RetainedEntry is an entry of an earlier epoch that is newer than the restored store's value of its key.
 type RetainedEntry struct {
 	Entry Entry
-	// IsLost says that the entry is not in force: it is the record of a leaf that the store lost. Such a leaf is
-	// the last choice for requests.
+	// IsLost marks the record of a leaf that the store lost. The entry is not in force, and the leaf gets requests
+	// only if no other leaf can serve them.
 	IsLost bool
 }
 
-// SetWritable sets which keys nodes may write: only their entries are retained until they are rewritten.
+// SetWritable sets which keys nodes may write. Entries of these keys are retained until they are rewritten.
 func (c *Catalog) SetWritable(mayWrite func(key string) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.restored.mayWrite = mayWrite
 }
 
-// isExpired decides whether a retained entry is dropped. Routes and entries that nodes may write never are. Any
-// other entry is once RetainFor has passed since the node entered the epoch, or immediately if it isn't in force:
-// such an entry is retained only for nodes to rewrite it.
+// isExpired reports whether a retained entry must be dropped. Routes and entries that nodes may write never expire. A
+// lost entry expires at once, since it is retained only for nodes to rewrite it. Any other entry expires RetainFor
+// after the node entered the epoch.
 func (c *Catalog) isExpired(retained RetainedEntry) bool {
 	key := retained.Entry.Key
 	if key == RoutesKey || c.restored.mayWrite == nil || c.restored.mayWrite(key) {
@@ -43,10 +43,10 @@
 	return retained.IsLost || !c.restored.at.IsZero() && c.clock.Since(c.restored.at) >= RetainFor
 }
 
-// noteRetained marks an entry received at a revision as retained if it is of an earlier epoch than the revision:
+// recordRetained marks an entry as retained if its epoch is earlier than the revision with which it was received: then
 // another node retains it.
-func (c *Catalog) noteRetained(entry Entry, position int64) {
-	if !revision.IsLater(position, entry.Revision) {
+func (c *Catalog) recordRetained(entry Entry, atRevision int64) {
+	if !revision.IsLater(atRevision, entry.Revision) {
 		return
 	}
 	if c.restored.retained == nil {
@@ -58,7 +58,7 @@
 	c.restored.retained[entry.Key] = RetainedEntry{Entry: entry}
 }
 
-// RetainedEntries returns the retained entries, those not in force included.
+// RetainedEntries returns all retained entries, including those not in force.
 func (c *Catalog) RetainedEntries() []RetainedEntry {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -82,15 +82,15 @@
 	return entries
 }
 
-// RestoredAt returns when the node entered the epoch in force; zero if it saw no restore.
+// RestoredAt returns when the node entered the epoch in force, or the zero time if it saw no restore.
 func (c *Catalog) RestoredAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.restored.at
 }
 
-// RetainedFingerprint identifies the set of retained entries in force by a hash; 0 if it is empty. Every message
-// between nodes carries it, so no lock is taken unless the store was restored.
+// RetainedFingerprint returns a hash of the set of retained entries in force, 0 if it is empty. Every message between
+// nodes carries it, so it takes no lock unless the store was restored.
 func (c *Catalog) RetainedFingerprint() uint64 {
 	if revision.Epoch(c.Revision()) == 0 {
 		return 0
@@ -102,15 +102,15 @@
 	return sum
 }
 
-// Supersedes reports whether a retained entry is newer than what the store has of its key.
+// Supersedes reports whether a retained entry is newer than the stored one.
 func (c *Catalog) Supersedes(retained, stored Entry) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.isNewer(retained, stored, c.view.Load().Revision)
 }
 
-// Retain takes over entries that another node at the same revision retains: this one may have read the store
-// without having known what the store lost. Entries that this node has dropped are not taken over.
+// Retain adds entries that another node at the same revision retains. A node that started after the restore gets the
+// lost entries this way. Entries that have expired on this node are skipped.
 func (c *Catalog) Retain(entries []Entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -122,7 +122,7 @@
 		if !c.mayRetain(entry, current.Revision) {
 			continue
 		}
-		c.noteRetained(entry, current.Revision)
+		c.recordRetained(entry, current.Revision)
 		c.setEntry(entry)
 		c.compile(draft, entry)
 		added = append(added, entry)
@@ -130,18 +130,18 @@
 	c.putInForce(draft, added)
 }
 
-// mayRetain decides whether an entry that another node retains replaces what is in force here: it is of an
-// earlier epoch, not expired, no process record, and newer than the known entry, if there is one.
-func (c *Catalog) mayRetain(entry Entry, position int64) bool {
+// mayRetain reports whether an entry that another node retains replaces the one in force on this node: it must be of
+// an earlier epoch, not expired, not a process record, and newer than the known entry, if any.
+func (c *Catalog) mayRetain(entry Entry, atRevision int64) bool {
 	known, isKnown := c.entries[entry.Key]
 	switch {
-	case !revision.IsLater(position, entry.Revision), isProcessRecord(entry.Key):
+	case !revision.IsLater(atRevision, entry.Revision), isProcessRecord(entry.Key):
 		return false
 	case c.isExpired(RetainedEntry{Entry: entry}):
 		return false
 	case !isKnown:
 		return true
-	case revision.IsLater(position, known.Revision):
+	case revision.IsLater(atRevision, known.Revision):
 		return entry.Revision > known.Revision
 	case bytes.Equal(known.Value, entry.Value):
 		return false
@@ -150,7 +150,7 @@
 	return !isComparable || order > 0
 }
 
-// DropExpired drops the retained entries that were not rewritten in time, as if they were removed.
+// DropExpired removes the retained entries that were not rewritten in time.
 func (c *Catalog) DropExpired() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -173,8 +173,7 @@
 	c.putInForce(draft, removed)
 }
 
-// putInForce replaces the view by a draft of the same revision, and publishes its entries. The lock must be
-// held.
+// putInForce replaces the view with a draft of the same revision, and publishes its entries. The lock must be held.
 func (c *Catalog) putInForce(changed *draft, entries []Entry) {
 	if len(entries) == 0 {
 		return
@@ -184,9 +183,9 @@
 	c.publish(Change{Entry: Marker(at), Previous: at, More: entries})
 }
 
-// RewriteValue returns the value with which an entry of an earlier epoch is rewritten. It isn't ready while the
-// entry depends on another one that has not been rewritten: the progress of a roll-out names its order by a
-// count, which changes if the restored store lost the order.
+// RewriteValue returns the value with which an entry of an earlier epoch must be rewritten. It isn't ready while the
+// entry depends on another one that has not been rewritten: the progress of a roll-out refers to its spec by a count,
+// which changes if the restored store lost the spec.
 func (c *Catalog) RewriteValue(entry Entry) (value json.RawMessage, isReady bool) {
 	service, isState := strings.CutPrefix(entry.Key, rolloutStatePrefix)
 	if !isState || entry.Deleted {
--- a/internal/config/catalog/rollout.go
+++ b/internal/config/catalog/rollout.go
@@ -6,12 +6,12 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// compileVersions puts the versions that services are served by into force.
+// compileVersions applies the serving versions of services.
 func (d *draft) compileVersions(entry Entry) error {
 	versions := map[string]string{}
 	if !entry.Deleted {
 		var err error
-		if versions, err = parsed(entry, rollout.ParseVersions); err != nil {
+		if versions, err = parseDocument(entry, rollout.ParseVersions); err != nil {
 			return err
 		}
 	}
@@ -26,12 +26,12 @@
 	return nil
 }
 
-// compileSpec puts a spec, or its end, into force.
+// compileSpec applies a rollout spec or its removal.
 func (d *draft) compileSpec(service string, entry Entry) error {
 	known := d.editableRollout(service)
 	known.Spec = nil
 	if !entry.Deleted {
-		spec, err := parsedAt(entry, rollout.ParseSpec)
+		spec, err := parseDocumentAt(entry, rollout.ParseSpec)
 		if err != nil {
 			return err
 		}
@@ -42,12 +42,12 @@
 	return nil
 }
 
-// compileRolloutState puts the progress of a spec, or its end, into force.
+// compileRolloutState applies the progress of a roll-out or its removal.
 func (d *draft) compileRolloutState(service string, entry Entry) error {
 	known := d.editableRollout(service)
 	known.State = nil
 	if !entry.Deleted {
-		state, err := parsedAt(entry, rollout.ParseState)
+		state, err := parseDocumentAt(entry, rollout.ParseState)
 		if err != nil {
 			return err
 		}
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// rolloutBefore returns a service's roll-out before the draft; in a draft of a whole state, that of the state it
-// replaces.
+// rolloutBefore returns a service's roll-out before the draft. In a draft of a whole state, it is the roll-out of the
+// replaced state.
 func (d *draft) rolloutBefore(service string) Rollout {
 	if known, found := d.view.Rollouts[service]; found {
 		return known
@@ -66,7 +66,7 @@
 	return d.rolloutsBefore[service]
 }
 
-// editableRollout returns a copy of a service's roll-out.
+// editableRollout returns a copy of a service's roll-out, and makes the draft own the map.
 func (d *draft) editableRollout(service string) Rollout {
 	if !d.ownsRollouts {
 		d.view.Rollouts = maps.Clone(d.view.Rollouts)
@@ -75,7 +75,7 @@
 	return d.view.Rollouts[service]
 }
 
-// setRollout sets a service's roll-out, and the rule that follows from it.
+// setRollout sets a service's roll-out and the rule that follows from it.
 func (d *draft) setRollout(service string, known Rollout) {
 	if known == (Rollout{}) {
 		delete(d.view.Rollouts, service)
@@ -85,8 +85,7 @@
 	d.updateRule(service)
 }
 
-// updateRule sets the rule by which the leafs of a service are chosen, from its spec, its progress and its
-// version.
+// updateRule sets the rule by which the leafs of a service are selected, from its spec, progress and version.
 func (d *draft) updateRule(service string) {
 	known := d.view.Rollouts[service]
 	d.leafEditor().SetRule(service, rollout.RuleOf(known.Spec, known.State, d.view.Versions[service]))
--- a/internal/config/catalog/rollout_test.go
+++ b/internal/config/catalog/rollout_test.go
@@ -13,12 +13,12 @@
 )
 
 func newRolloutCatalog(rejected func(string, error)) *Catalog {
-	made := New(rejected)
-	made.EnableRollouts()
-	return made
+	catalog := New(rejected)
+	catalog.EnableRollouts()
+	return catalog
 }
 
-// documentChange returns a write of a JSON document; nil removes the key.
+// documentChange returns a write of a JSON document. A nil document removes the key.
 func documentChange(t interface{ Fatal(...any) }, revision int64, key string, document any) Change {
 	entry := Entry{Key: key, Revision: revision, Deleted: document == nil}
 	content, err := json.Marshal(document)
@@ -40,7 +40,7 @@
 	someVersions = []string{"v1", "v2", "v3"}
 )
 
-// drawRolloutChange draws a write of a spec, a state or the versions, or the removal of one.
+// drawRolloutChange draws a write or removal of a spec, a state or the versions.
 func drawRolloutChange(t *rapid.T, revision int64) Change {
 	service := rapid.SampledFrom(someServices).Draw(t, "service")
 	target := rapid.SampledFrom(someVersions).Draw(t, "target")
@@ -64,9 +64,9 @@
 	return documentChange(t, revision, key, document)
 }
 
-// Whatever order changes and whole states arrive in, from the store or from another node, the rule of a service is that
-// of the store's state at the node's revision: no older state brings a version back.
-func TestRulesFollowTheStoreInAnyInterleaving(t *testing.T) {
+// In any order of changes and whole states, from the store or another node, the rule of a service matches the store's
+// state at the node's revision: an older state never restores a version.
+func TestRulesMatchStoreInAnyInterleaving(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 14).Draw(t, "changes")
 		var log []Change
@@ -93,7 +93,7 @@
 	})
 }
 
-// checkRules compares the rules of a node with those of a node with the store's state at its revision.
+// checkRules compares a node's rules with the rules computed from the store's state at the node's revision.
 func checkRules(t *rapid.T, node *Catalog, log []Change) {
 	state := withoutTombstones(stateAt(log, node.Revision()))
 	for _, service := range someServices {
@@ -121,43 +121,43 @@
 		}
 		wanted := rollout.RuleOf(spec, known, written)
 		if rule := node.View().Leafs.Rule(service); rule != wanted {
-			t.Fatalf("service %s at revision %d: rule %+v, not %+v", service, node.Revision(), rule, wanted)
+			t.Fatalf("service %s at revision %d: rule is %+v, want %+v", service, node.Revision(), rule, wanted)
 		}
 	}
 }
 
-// orderedCatalog returns a catalog whose service has a leaf of each of two versions, and a spec of the second.
-func orderedCatalog(t *testing.T) *Catalog {
+// catalogWithSpec returns a catalog with one leaf of each of two versions of a service, and a rollout spec for the second.
+func catalogWithSpec(t *testing.T) *Catalog {
 	t.Helper()
-	known := newRolloutCatalog(func(key string, err error) { t.Errorf("%s: %v", key, err) })
-	known.ApplyAll([]Change{
+	catalog := newRolloutCatalog(func(key string, err error) { t.Errorf("%s: %v", key, err) })
+	catalog.ApplyAll([]Change{
 		documentChange(t, 1, VersionsKey, rollout.Versions{ByVersion: map[string][]string{"v1": {"s"}}}),
 		documentChange(t, 2, LeafKey("old"), versionLeaf("old", "s", "v1")),
 		documentChange(t, 3, LeafKey("new"), versionLeaf("new", "s", "v2")),
 		documentChange(t, 4, RolloutKey("s"), rollout.Spec{Service: "s", Target: "v2", DurationMillis: 1000}),
 	})
-	return known
+	return catalog
 }
 
-func TestWithdrawnSpecLeavesWhatServed(t *testing.T) {
+func TestWithdrawnSpecKeepsServingVersion(t *testing.T) {
 	is := is.New(t)
-	known := orderedCatalog(t)
-	is.Equal(len(known.View().Leafs.Canaries("s")), 1)
-	is.Equal(known.View().Rollouts["s"].Spec.Revision, int64(4))
-	known.Apply(documentChange(t, 5, RolloutStateKey("s"), rollout.State{Service: "s", SpecRevision: 4, Phase: rollout.Switching, Serving: "v1", Target: "v2"}))
-	is.Equal(known.View().Leafs.Rule("s").Phase, rollout.Switching)
-	known.Apply(documentChange(t, 6, RolloutKey("s"), nil))
-	leafs := known.View().Leafs
+	catalog := catalogWithSpec(t)
+	is.Equal(len(catalog.View().Leafs.Canaries("s")), 1)
+	is.Equal(catalog.View().Rollouts["s"].Spec.Revision, int64(4))
+	catalog.Apply(documentChange(t, 5, RolloutStateKey("s"), rollout.State{Service: "s", SpecRevision: 4, Phase: rollout.Switching, Serving: "v1", Target: "v2"}))
+	is.Equal(catalog.View().Leafs.Rule("s").Phase, rollout.Switching)
+	catalog.Apply(documentChange(t, 6, RolloutKey("s"), nil))
+	leafs := catalog.View().Leafs
 	is.Equal(leafs.Rule("s"), rollout.Rule{Serving: "v1", Revision: 5})
 	is.Equal(len(leafs.Canaries("s")), 0)
 	is.Equal(leafs.Ready("s")[0].ID, "old")
 	is.Equal(len(leafs.Ready("s")), 1)
 }
 
-// A node that receives only the difference between two whole states learns that specs, states and versions were removed.
-func TestDifferenceTellsOfWhatIsNoLongerKnownOfVersions(t *testing.T) {
+// The difference between two whole states includes the removal of specs, states and versions.
+func TestDifferenceIncludesRemovedRolloutKeys(t *testing.T) {
 	is := is.New(t)
-	first, second := orderedCatalog(t), orderedCatalog(t)
+	first, second := catalogWithSpec(t), catalogWithSpec(t)
 	state := documentChange(t, 5, RolloutStateKey("s"), rollout.State{Service: "s", SpecRevision: 4, Phase: rollout.Succeeded, Serving: "v1", Target: "v2"})
 	first.Apply(state)
 	second.Apply(state)
@@ -171,42 +171,42 @@
 	is.Equal(second.View().Leafs.Rule("s"), rollout.Rule{})
 }
 
-// A value that can't be decoded leaves the spec that is in force.
-func TestUnreadableSpecLeavesTheOneInForce(t *testing.T) {
+// A spec that can't be decoded doesn't replace the one in force.
+func TestUndecodableSpecKeepsCurrentSpec(t *testing.T) {
 	is := is.New(t)
-	known := orderedCatalog(t)
+	catalog := catalogWithSpec(t)
 	refused := 0
-	known.rejected = func(string, error) { refused++ }
-	known.Apply(documentChange(t, 5, RolloutKey("s"), rollout.Spec{Service: "s", Target: "v3"}))
+	catalog.rejected = func(string, error) { refused++ }
+	catalog.Apply(documentChange(t, 5, RolloutKey("s"), rollout.Spec{Service: "s", Target: "v3"}))
 	is.Equal(refused, 1)
-	is.Equal(known.View().Rollouts["s"].Spec.Target, "v2")
-	is.Equal(known.View().Leafs.Rule("s").SpecID, int64(4))
+	is.Equal(catalog.View().Rollouts["s"].Spec.Target, "v2")
+	is.Equal(catalog.View().Leafs.Rule("s").SpecID, int64(4))
 }
 
-func TestVersionThatCameFirstServesUntilOneIsWrittenDown(t *testing.T) {
+func TestFirstVersionServesUntilVersionsAreWritten(t *testing.T) {
 	is := is.New(t)
-	known := newRolloutCatalog(nil)
-	known.Apply(documentChange(t, 1, LeafKey("old"), versionLeaf("old", "s", "v1")))
+	catalog := newRolloutCatalog(nil)
+	catalog.Apply(documentChange(t, 1, LeafKey("old"), versionLeaf("old", "s", "v1")))
 	for revision := range int64(3) {
 		id := fmt.Sprintf("new-%d", revision)
-		known.Apply(documentChange(t, 2+revision, LeafKey(id), versionLeaf(id, "s", "v2")))
+		catalog.Apply(documentChange(t, 2+revision, LeafKey(id), versionLeaf(id, "s", "v2")))
 	}
-	is.Equal(len(known.View().Leafs.Ready("s")), 1)
-	known.Replace(Snapshot{Revision: 5, Entries: withoutTombstones(known.Snapshot()).Entries})
-	is.Equal(known.View().Leafs.Ready("s")[0].ID, "old")
-	known.Apply(documentChange(t, 6, VersionsKey, rollout.Versions{ByVersion: map[string][]string{"v2": {"s"}}}))
-	is.Equal(len(known.View().Leafs.Ready("s")), 3)
+	is.Equal(len(catalog.View().Leafs.Ready("s")), 1)
+	catalog.Replace(Snapshot{Revision: 5, Entries: withoutTombstones(catalog.Snapshot()).Entries})
+	is.Equal(catalog.View().Leafs.Ready("s")[0].ID, "old")
+	catalog.Apply(documentChange(t, 6, VersionsKey, rollout.Versions{ByVersion: map[string][]string{"v2": {"s"}}}))
+	is.Equal(len(catalog.View().Leafs.Ready("s")), 3)
 }
 
-// Without EnableRollouts, neither specs nor states nor versions of leafs change anything.
+// Without EnableRollouts, specs, states and versions of leafs have no effect.
 func TestRolloutsAreIgnoredUnlessEnabled(t *testing.T) {
 	is := is.New(t)
-	known := New(func(key string, err error) { t.Errorf("%s: %v", key, err) })
-	known.ApplyAll([]Change{
+	catalog := New(func(key string, err error) { t.Errorf("%s: %v", key, err) })
+	catalog.ApplyAll([]Change{
 		documentChange(t, 1, LeafKey("old"), versionLeaf("old", "s", "v1")),
 		documentChange(t, 2, LeafKey("new"), versionLeaf("new", "s", "v2")),
 		documentChange(t, 3, RolloutKey("s"), "no order"),
 	})
-	is.Equal(len(known.View().Leafs.Ready("s")), 2)
-	is.Equal(known.View().Leafs.Rule("s"), rollout.Rule{})
+	is.Equal(len(catalog.View().Leafs.Ready("s")), 2)
+	is.Equal(catalog.View().Leafs.Rule("s"), rollout.Rule{})
 }
--- a/internal/config/catalog/view.go
+++ b/internal/config/catalog/view.go
@@ -10,33 +10,33 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// Service is one service as it is in force; immutable.
+// Service is the configuration of one service in force. It is immutable.
 type Service struct {
 	Spec             *adminv1.ServiceSpec
 	Revision         int64
 	Manifest         *manifest.Manifest
 	SnapshotRevision int64
-	// Leafs indexes Spec.Leafs by id.
+	// Leafs indexes Spec.Leafs by ID.
 	Leafs map[string]*adminv1.Leaf
 }
 
-// View is the configuration in force at one revision; immutable.
+// View is the configuration in force at one revision. It is immutable.
 type View struct {
 	Revision int64
 	Services map[string]*Service
-	// Routes is the routing table; nil while there is none.
+	// Routes is the routing table, nil while there is none.
 	Routes *routing.Table
-	// Leafs are the leafs as discovery knows them.
+	// Leafs are the registered leafs.
 	Leafs *leafset.Set
-	// Remembered is the list of leafs that the fleet saved last.
+	// Remembered is the saved list of leafs.
 	Remembered *leafset.Set
-	// Nodes are the registered nodes of the fleet by id.
+	// Nodes are the registered nodes by ID.
 	Nodes map[string]NodeRecord
-	// Rollouts are the specs to move services to other versions, by service, and their progress.
+	// Rollouts are the rollout specs and their progress by service.
 	Rollouts map[string]Rollout
-	// Quarantine are the requests that are sent to no leaf.
+	// Quarantine are the quarantined requests, which are sent to no leaf.
 	Quarantine map[fingerprint.Fingerprint]*quarantine.Record
-	// Versions are the versions that services without a roll-out are served by, by service.
+	// Versions are the serving versions of services without a roll-out, by service.
 	Versions map[string]string
 }
 
@@ -44,22 +44,22 @@
 	return &View{Revision: at, Services: map[string]*Service{}, Leafs: leafset.Empty(), Remembered: leafset.Empty(), Nodes: map[string]NodeRecord{}, Rollouts: map[string]Rollout{}}
 }
 
-// NodeRecord is what a node publishes of itself.
+// NodeRecord is the record that a node publishes about itself.
 type NodeRecord struct {
 	ID   string `json:"id"`
 	Zone string `json:"zone"`
 	// Address is the node's peer address.
 	Address string `json:"address"`
-	// Tree is the address at which the node gathers for others; empty when it does not.
+	// Tree is the address at which the node gathers for other nodes, empty if it doesn't.
 	Tree string `json:"tree,omitempty"`
-	// Processors is the number of cores available to the node; 0 when unknown.
+	// Processors is the number of cores available to the node, 0 if unknown.
 	Processors float64 `json:"processors,omitempty"`
 }
 
-// Rollout is the state of moving a service to another version.
+// Rollout is the roll-out of a service to another version.
 type Rollout struct {
-	// Spec is the operators' spec; nil if there is none.
+	// Spec is the operators' spec, nil if there is none.
 	Spec *rollout.Spec
-	// State is the progress of a spec, this one or an earlier one; nil before the first.
+	// State is the progress of this spec or an earlier one, nil before the first.
 	State *rollout.State
 }
