--- a/internal/config/configsync/config.go
+++ b/internal/config/configsync/config.go
@@ -8,17 +8,17 @@
 
 // Config configures the distribution of configuration.
 type Config struct {
-	// WatchersPerZone is how many nodes of a zone watch the store: one follows it, the others are its standbys.
+	// WatchersPerZone is the number of nodes per zone that watch the store: one follows it, the others are standbys.
 	WatchersPerZone int `yaml:"watchers_per_zone"`
-	// FanOut is how many nodes a node relays a push to.
+	// FanOut is the number of nodes to which a node relays a push.
 	FanOut int `yaml:"fan_out"`
-	// FirstReadDelay is how long, at most, a node that starts asks only its seeds before it reads the store as
-	// well.
+	// FirstReadDelay is the maximum time for which a starting node pulls only from its seeds before it also reads the
+	// store.
 	FirstReadDelay time.Duration `yaml:"first_read_delay"`
 	// BatchDelay is how long a watcher collects changes before it pushes them.
 	BatchDelay time.Duration `yaml:"batch_delay"`
-	// BackupDelay is how long a standby waits for the push of the watcher before it in rank until it pushes a
-	// change itself.
+	// BackupDelay is how long a standby waits for the push of the next higher-ranked watcher before it pushes a change
+	// itself.
 	BackupDelay time.Duration `yaml:"backup_delay"`
 	// CallTimeout bounds one call between nodes.
 	CallTimeout time.Duration `yaml:"call_timeout"`
@@ -26,25 +26,25 @@
 	RetryPause time.Duration `yaml:"retry_pause"`
 	// MaximumRetryPause is the maximum pause between attempts to reach the store or a peer.
 	MaximumRetryPause time.Duration `yaml:"maximum_retry_pause"`
-	// PushInterval is the minimum time between two pushes of one watcher; the changes of a burst in between are
-	// pushed together.
+	// PushInterval is the minimum time between two pushes of one watcher. Changes that arrive in between are pushed
+	// together.
 	PushInterval time.Duration `yaml:"push_interval"`
-	// PullDelay is how long a node that learns of a newer revision waits for its push before it pulls.
+	// PullDelay is how long a node that learns of a newer revision waits for the push before it pulls.
 	PullDelay time.Duration `yaml:"pull_delay"`
-	// JoinInterval is how often a node compares the members it knows with those that other nodes know.
+	// JoinInterval is how often a node compares its list of zone members with other nodes.
 	JoinInterval time.Duration `yaml:"join_interval"`
-	// WatchSilence is how long a watch may be silent before it is reopened.
+	// WatchSilence is how long a watch may deliver no event before it is reopened.
 	WatchSilence time.Duration `yaml:"watch_silence"`
 	// LookAfter is how long the configuration in force may be unconfirmed before a standby checks the store. The
-	// first watcher confirms it at least each platform.watch_wait.
+	// first watcher confirms it at least once per platform.watch_wait.
 	LookAfter time.Duration `yaml:"look_after"`
 	// MachineListInterval is how often watchers read the machine list.
 	MachineListInterval time.Duration `yaml:"machine_list_interval"`
-	// LeavingTTL is how long a notice that a leaf is leaving is valid unless repeated.
+	// LeavingTTL is how long the notice that a leaf is leaving is valid unless it is renewed.
 	LeavingTTL time.Duration `yaml:"leaving_hold"`
 }
 
-// DefaultConfig brings a change into force in a large zone within a second.
+// DefaultConfig returns settings with which a change is in force in all of a large zone within a second.
 func DefaultConfig() Config {
 	return Config{
 		WatchersPerZone:     2,
--- a/internal/config/configsync/configsync.go
+++ b/internal/config/configsync/configsync.go
@@ -1,28 +1,26 @@
 // Package configsync distributes the configuration from the platform's store to every node.
 //
-// Only a few nodes of each zone read the store, and the zone passes on what they learn. A change goes through
-// these steps, each in the file named after it:
+// Only a few nodes of each zone read the store and distribute the changes within the zone. The files implement these
+// steps:
 //
 //   - watchers: a rendezvous hash over the zone's live members ranks its watchers, the same on all nodes.
-//   - watch: the first watcher follows the store; storestate reads its whole state where changes don't suffice.
-//   - standby: the others rely on the watchers ahead of them, and check the store once nobody confirms the
-//     configuration in force any more.
-//   - push: changes go down a tree of the zone's nodes, redrawn for each push to share the relaying;
-//     push_check makes sure that the push of a standby reached everybody.
-//   - reorder: pushes that overtake each other are put back into order.
-//   - digest: digests on membership probes reveal what a node missed.
-//   - pull: a node fetches what it misses from a peer, and a zone without the store from another zone;
+//   - watch: the first watcher follows the store; storestate reads the whole state if single changes don't suffice.
+//   - standby: the other watchers rely on those of higher rank, and check the store if no peer confirms the
+//     configuration in force.
+//   - push: changes are relayed down a tree of the zone's nodes, which is random per push to spread the load;
+//     push_check verifies that the push of a standby reached all members.
+//   - reorder: changes of pushes that overtake each other are sorted.
+//   - digest: nodes detect missed changes by the digests on membership probes.
+//   - pull: a node fetches missed changes from a peer, and a zone without the store from another zone;
 //     snapshots serves whole states at a bounded rate.
 //
-// A node that starts (startup) takes its first state from its seeds or the store, and meanwhile joins its zone
-// (join) and learns of nodes of other zones (contacts). After a restore of the store, restored takes a node to
-// the new epoch. leaving spreads the notice that a leaf is leaving, and status counts the nodes that have a
-// revision in force.
+// A starting node (startup) gets its first state from its seeds or the store. Meanwhile it joins its zone (join) and
+// collects contacts in other zones (contacts). After a restore of the store, restored brings a node to the new epoch.
+// leaving distributes the notice that a leaf is leaving, and status counts the nodes that have a revision in force.
 //
-// The package owns the loops that Syncer.Run starts and the state of the distribution; the configuration itself
-// belongs to the catalog, which applies changes in order of revision and never goes back. It relies on the
-// store, the machine list, the zone's membership and the peer transport. Configuration ages by the catalog's
-// clock, which counts the time of a suspension; everything else is timed by the monotonic clock.
+// The package owns the loops that Syncer.Run starts and the state of the distribution. The configuration itself belongs
+// to the catalog, which applies changes in revision order and never goes back. The age of the configuration is measured
+// with the catalog's clock, which includes the time of a suspension; everything else is timed by the monotonic clock.
 package configsync
 
 import (
@@ -43,10 +41,10 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// pushBacklog is how many changes may wait to be pushed; digests make up for those that overflow.
+// pushBacklog is how many changes may be queued for a push. Nodes pull the changes that overflow.
 const pushBacklog = 1024
 
-// LeafNoticer receives the ids of leafs that must get no new requests.
+// LeafNoticer receives the IDs of leafs that must get no new requests.
 type LeafNoticer interface {
 	SetLeaving(leafID string, until time.Time)
 }
@@ -60,21 +58,21 @@
 	Transport peer.Transport
 	Leafs     LeafNoticer
 	Logger    *zap.Logger
-	// Seeds are peer addresses to join through besides those on the machine list.
+	// Seeds are peer addresses to join through in addition to those on the machine list.
 	Seeds []string
-	// Relayed is called with the kind of each message sent; it may be nil.
+	// Relayed is called with the kind of each sent message. It may be nil.
 	Relayed func(kind string)
 	// StateDropped is called for each whole state of the store that is dropped because it is older than the
-	// configuration in force; it may be nil.
+	// configuration in force. It may be nil.
 	StateDropped func()
-	// Settled returns the revision at which the node is settled: it sends no requests by an older rule and has
-	// none in flight. Nil means that it is always settled at the revision in force.
+	// Settled returns the revision at which the node is settled: it has no requests in flight that were routed by an
+	// older rule, and sends no more of them. If it is nil, the node is always settled at the revision in force.
 	Settled func() int64
 }
 
-// Syncer is the distribution of configuration on one node; safe for concurrent use.
+// Syncer distributes the configuration on one node. It is safe for concurrent use.
 type Syncer struct {
-	config    Config
+	cfg       Config
 	catalog   *catalog.Catalog
 	store     store.Store
 	machines  machines.Lister
@@ -88,17 +86,17 @@
 	members   *membership.Membership
 
 	startedAt   time.Time
-	ready       chan struct{} // closed once initialised
-	initialised atomic.Bool   // the node has configuration
+	ready       chan struct{} // closed once initialized
+	initialized atomic.Bool   // the node has configuration
 	joined      atomic.Bool   // the zone's members are known well enough to rank watchers
-	storeDownAt atomic.Int64  // since when the store can't be followed, in unix nanoseconds; 0 while it can
+	storeDownAt atomic.Int64  // when following the store failed, in Unix nanoseconds; 0 while it works
 	resumed     atomic.Bool   // the machine was suspended since the watch was opened
 	droppedLog  rate.Sometimes
 
-	// hasReadAsStandby says that the node is a standby and has checked the store as one. Only the watch loop uses it.
+	// hasReadAsStandby says that the node has checked the store since it became a standby. Only the watch loop uses it.
 	hasReadAsStandby bool
 
-	// These are set while a task runs of which there is one at a time.
+	// The flags below are set while a task runs that must run only once at a time.
 	checkingPush     atomic.Bool
 	pulling          atomic.Bool
 	pullPending      atomic.Bool
@@ -106,22 +104,22 @@
 	readingForLegacy atomic.Bool
 
 	pushes     chan catalog.Change
-	lastPushAt atomic.Int64 // when the last push arrived, in unix nanoseconds
+	lastPushAt atomic.Int64 // when the last push arrived, in Unix nanoseconds
 	snapshots  snapshotServer
 	reorder    reorderBuffer
 
 	mu           sync.Mutex
 	contacts     map[string][]string // peer addresses of other zones
-	notices      map[string]*notice  // by leaf id
+	notices      map[string]*notice  // by leaf ID
 	newestPushed int64               // newest revision received or sent by push
 	lastRead     boottime.Instant    // when a datagram was last read
-	// suspendedFor is how long the last suspension of the machine took. Until suspendedUntil, datagrams from before it
+	// suspendedFor is the length of the last suspension of the machine. Until suspendedUntil, datagrams from before it
 	// may still be read.
 	suspendedFor   time.Duration
 	suspendedUntil time.Time
 }
 
-// withDefaults replaces the functions that are nil.
+// withDefaults replaces nil functions by defaults.
 func (d Deps) withDefaults() Deps {
 	if d.Relayed == nil {
 		d.Relayed = func(string) {}
@@ -135,11 +133,11 @@
 	return d
 }
 
-// New returns a syncer; SetMembership must be called before Run.
+// New returns a syncer. SetMembership must be called before Run.
 func New(deps Deps) *Syncer {
 	deps = deps.withDefaults()
 	return &Syncer{
-		config:     deps.Config,
+		cfg:        deps.Config,
 		catalog:    deps.Catalog,
 		store:      deps.Store,
 		machines:   deps.Machines,
@@ -169,10 +167,10 @@
 	s.seeds = seeds
 }
 
-// Ready is closed once the node has configuration, even if that is empty.
+// Ready returns a channel that is closed once the node has configuration, even an empty one.
 func (s *Syncer) Ready() <-chan struct{} { return s.ready }
 
-// Run distributes configuration until the context ends.
+// Run distributes configuration until the context is done.
 func (s *Syncer) Run(ctx context.Context) {
 	var loops sync.WaitGroup
 	for _, loop := range []func(context.Context){s.joinLoop, s.watchLoop, s.pushLoop, s.machineLoop, s.contactLoop, s.crossZoneLoop} {
@@ -181,20 +179,20 @@
 	loops.Wait()
 }
 
-// markInitialised records that the node has configuration, and lets it serve.
-func (s *Syncer) markInitialised() {
-	if s.initialised.CompareAndSwap(false, true) {
+// markInitialized records that the node has configuration, and closes the Ready channel.
+func (s *Syncer) markInitialized() {
+	if s.initialized.CompareAndSwap(false, true) {
 		close(s.ready)
 	}
 }
 
-// pause waits for a duration with jitter, so that nodes that failed together don't retry together. It returns
-// false when the context ended.
+// pause waits for a jittered duration, so that nodes that failed at the same time don't retry at the same time. It
+// returns false if the context is done.
 func pause(ctx context.Context, duration time.Duration) bool {
 	return wait.For(ctx, wait.Jittered(duration))
 }
 
 // backoff doubles a pause, up to the maximum.
 func (s *Syncer) backoff(current time.Duration) time.Duration {
-	return min(2*current, s.config.MaximumRetryPause)
+	return min(2*current, s.cfg.MaximumRetryPause)
 }
--- a/internal/config/configsync/configsync_test.go
+++ b/internal/config/configsync/configsync_test.go
@@ -15,7 +15,7 @@
 	"github.com/portgauge/portgauge/internal/fleet/registry"
 )
 
-// Changes reach every node of every zone within seconds.
+// Changes reach every node of every zone within a second.
 func TestChangesReachEveryNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -29,14 +29,13 @@
 			time.Sleep(time.Second)
 			is.Equal(len(f.lagging(revision)), 0)
 		}
-		// Reads of the store depend on the watchers, not on the number of nodes.
+		// The number of reads of the store depends on the number of watchers, not of nodes.
 		is.True(f.platform.lists <= 3*3*DefaultConfig().WatchersPerZone)
 	})
 }
 
-// The store no longer keeps a change that it has not delivered, so that watchers read its whole state: the
-// difference is pushed like any other change, and costs other nodes no more than that.
-func TestForgottenChangeIsPushed(t *testing.T) {
+// If a watch omits changes, the watchers read the store's whole state and push the difference like any other change.
+func TestChangeReadFromWholeStateIsPushed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, 3, 20)
@@ -46,7 +45,7 @@
 		}
 		time.Sleep(15 * time.Second)
 		f.platform.mu.Lock()
-		f.platform.forgetful = true
+		f.platform.omitsChanges = true
 		f.platform.mu.Unlock()
 		revision := f.platform.write(t, "a", 1)
 		time.Sleep(500 * time.Millisecond)
@@ -58,8 +57,8 @@
 	})
 }
 
-// The first watcher of each zone freezes just before a change: its standby pushes the change.
-func TestFrozenWatcherDoesNotHoldChangesBack(t *testing.T) {
+// If the first watcher is frozen just before a change, its standby pushes the change.
+func TestStandbyPushesWhileFirstWatcherIsFrozen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, 1, 12)
@@ -87,8 +86,8 @@
 	})
 }
 
-// A third of all datagrams is lost and calls between half of the nodes fail: digests make up for that.
-func TestLossIsHealed(t *testing.T) {
+// Changes reach every node although 30 % of the datagrams are lost and calls in one direction between two groups fail.
+func TestChangesReachEveryNodeDespiteLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, 1, 16)
@@ -102,8 +101,8 @@
 	})
 }
 
-// A zone cut off from the store gets changes from another zone.
-func TestZoneWithoutStorePullsFromAnother(t *testing.T) {
+// A zone that can't reach the store pulls changes from another zone.
+func TestZoneWithoutStorePullsFromOtherZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, 2, 6)
@@ -121,14 +120,14 @@
 	})
 }
 
-// The notice of a leaf that leaves by the machine list reaches the nodes of all zones within seconds.
-func TestLeavingLeafIsToldToAllZones(t *testing.T) {
-	testLeavingLeafIsTold(t, func(*fleet) {})
+// The notice of a leaf that the machine list shows as leaving reaches the nodes of all zones within 4 s.
+func TestLeavingNoticeReachesAllZones(t *testing.T) {
+	testLeavingNoticeReachesAllZones(t, func(*fleet) {})
 }
 
-// The same if the watcher that pushes receives the notice by gossip before it reads the machine list.
-func TestLeavingLeafHeardByGossipIsToldToAllZones(t *testing.T) {
-	testLeavingLeafIsTold(t, func(f *fleet) {
+// The notice is also pushed if the watcher receives it by gossip before it reads the machine list.
+func TestGossipedLeavingNoticeReachesAllZones(t *testing.T) {
+	testLeavingNoticeReachesAllZones(t, func(f *fleet) {
 		for id, node := range f.nodes {
 			if id[:2] == "z0" {
 				node.syncer.handleNotices([]peer.LeafNotice{{LeafID: "leaf-1", Millis: DefaultConfig().LeavingTTL.Milliseconds()}})
@@ -137,7 +136,7 @@
 	})
 }
 
-func testLeavingLeafIsTold(t *testing.T, before func(*fleet)) {
+func testLeavingNoticeReachesAllZones(t *testing.T, before func(*fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -153,18 +152,18 @@
 			node.leafs.mu.Lock()
 			_, noticed := node.leafs.leaving["leaf-1"]
 			node.leafs.mu.Unlock()
-			is.True(noticed) // node.id has no notice
+			is.True(noticed) // every node has the notice
 		}
 	})
 }
 
-// A zone whose nodes never agree on its members has watchers all the same.
-func TestRestlessZoneHasWatchers(t *testing.T) {
+// A zone whose nodes never agree on its members still has watchers.
+func TestZoneWithUnstableMembershipHasWatchers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, 1, 6)
 		defer f.stopAll()
-		// Each node knows only those before it, so that no two agree.
+		// Each node reaches only the nodes before it, so that no two have the same members.
 		f.network.Cut(func(from, to string) bool { return from < to })
 		time.Sleep(40 * time.Second)
 		for _, node := range f.nodes {
@@ -187,8 +186,7 @@
 	})
 }
 
-// A node that still has requests of an older rule in flight has the newer revision in force, but isn't settled
-// at it.
+// A node that has requests of an older rule in flight counts as having the newer revision in force, but not as settled.
 func TestStatusCountsSettledNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -196,9 +194,9 @@
 		defer f.stopAll()
 		revision := f.platform.write(t, "a", 1)
 		time.Sleep(2 * time.Minute)
-		settled := func(asked int64) (nodes uint32, lowest int64) {
-			lowest = asked
-			for _, zone := range f.nodes["z0-n0"].syncer.Status(t.Context(), asked) {
+		settled := func(queried int64) (nodes uint32, lowest int64) {
+			lowest = queried
+			for _, zone := range f.nodes["z0-n0"].syncer.Status(t.Context(), queried) {
 				is.Equal(zone.InForce, zone.Nodes)
 				nodes += zone.Settled
 				lowest = min(lowest, zone.LowestSettled)
@@ -215,8 +213,8 @@
 	})
 }
 
-// The fingerprint in a reply covers the nodes that answered and are registered.
-func TestStatusTellsRegisteredNodesApart(t *testing.T) {
+// The fingerprint in a status reply covers the registered nodes that answered.
+func TestStatusFingerprintsRegisteredNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, 2, 7)
@@ -235,7 +233,7 @@
 	})
 }
 
-func TestSplitDealsEveryAddressOnce(t *testing.T) {
+func TestSplitKeepsEveryAddressOnce(t *testing.T) {
 	is := is.New(t)
 	for size := range 30 {
 		addresses := make([]string, size)
@@ -252,7 +250,7 @@
 }
 
 // The first watcher of a zone watches as primary, the others as standbys.
-func TestAllButTheFirstWatcherStandBy(t *testing.T) {
+func TestOnlyFirstWatcherWatchesAsPrimary(t *testing.T) {
 	for _, nodes := range []int{1, 2, 12} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
--- a/internal/config/configsync/contacts.go
+++ b/internal/config/configsync/contacts.go
@@ -10,16 +10,16 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
-// contactsPerZone is how many nodes of each other zone a node remembers.
+// contactsPerZone is how many contacts a node keeps for each other zone.
 const contactsPerZone = 3
 
-// contactInterval is how often watchers draw new contacts in other zones.
+// contactInterval is how often watchers replace their contacts in other zones.
 const contactInterval = time.Minute
 
-// contactLoop lets watchers draw a few nodes of each other zone from the machine list; other nodes get their
-// contacts when they join. The first draw doesn't wait.
+// contactLoop replaces the contacts of watchers with a few nodes of each other zone from the machine list. Other nodes
+// get their contacts when they join. The first replacement doesn't wait for contactInterval.
 func (s *Syncer) contactLoop(ctx context.Context) {
-	wait := s.config.MachineListInterval
+	wait := s.cfg.MachineListInterval
 	for pause(ctx, wait) {
 		if s.rank() == notAWatcher {
 			continue
@@ -33,8 +33,8 @@
 	}
 }
 
-// replaceContacts replaces the contacts in each zone that is on the list. Contacts in other zones stay, since
-// the list lags.
+// replaceContacts replaces the contacts in each zone on the list. Contacts in zones that are not listed are kept, since
+// the list may lag.
 func (s *Syncer) replaceContacts(list machines.List) {
 	own := s.members.Self().Zone
 	byZone := map[string][]string{}
@@ -51,7 +51,7 @@
 }
 
 func (s *Syncer) listMachines(ctx context.Context, query machines.Query) (machines.List, error) {
-	ctx, cancel := context.WithTimeout(ctx, s.config.WatchSilence)
+	ctx, cancel := context.WithTimeout(ctx, s.cfg.WatchSilence)
 	defer cancel()
 	return s.machines.ListMachines(ctx, query)
 }
--- a/internal/config/configsync/digest.go
+++ b/internal/config/configsync/digest.go
@@ -8,8 +8,8 @@
 	"github.com/portgauge/portgauge/internal/node/boottime"
 )
 
-// pullPostponements is how many times a pull is postponed while pushes keep arriving: in a burst, the next push
-// most likely brings the missing changes.
+// pullPostponements is how often a pull is postponed while pushes keep arriving. In a burst, the next push most likely
+// contains the missing changes.
 const pullPostponements = 3
 
 // Digest implements membership.Listener.
@@ -19,7 +19,7 @@
 	}
 }
 
-// Receive implements membership.Listener. It pulls from a peer that is ahead, or that retains other entries.
+// Receive implements membership.Listener. It pulls from a peer that is ahead or that retains other entries.
 func (s *Syncer) Receive(from string, digest peer.Digest, notices []peer.LeafNotice) {
 	s.handleNotices(notices)
 	known := s.catalog.Revision()
@@ -27,7 +27,7 @@
 		s.readStoreForLegacy(digest)
 		return
 	}
-	if digest.Revision == known && s.initialised.Load() {
+	if digest.Revision == known && s.initialized.Load() {
 		s.catalog.Confirm(s.catalog.Now().Add(-s.queueDelay() - time.Duration(digest.AgeMillis)*time.Millisecond))
 		s.compareRetained(from, digest)
 	}
@@ -36,8 +36,8 @@
 	}
 }
 
-// queueDelay returns how long a datagram that is read now may have been queued in the socket: datagrams that
-// came before the machine was suspended are read soon after it resumes.
+// queueDelay returns how long a datagram that is read now may have been queued in the socket. Datagrams that arrived
+// before the machine was suspended are read soon after it resumes.
 func (s *Syncer) queueDelay() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,9 +51,8 @@
 	return 0
 }
 
-// Resumed makes the node find out at once what it missed while the machine was suspended: the watch and the
-// calls in flight may have ended unnoticed, and the age of the configuration grew by the length of the
-// suspension.
+// Resumed makes the node catch up after the machine was suspended: it reopens the watch, which may have ended
+// unnoticed, and pulls from a watcher, since the configuration has aged by the length of the suspension.
 func (s *Syncer) Resumed() {
 	s.resumed.Store(true)
 	for _, watcher := range s.watchers() {
@@ -64,8 +63,8 @@
 	}
 }
 
-// pullLater pulls from a peer that is ahead, unless a push brings the changes first: digests travel beside
-// pushes, and pulling at once would fetch most changes twice.
+// pullLater pulls from a peer that is ahead, unless a push delivers the changes first. Digests are often faster than
+// pushes, so an immediate pull would fetch most changes twice.
 func (s *Syncer) pullLater(from string, revision int64) {
 	if !s.pullPending.CompareAndSwap(false, true) {
 		return
@@ -74,9 +73,9 @@
 }
 
 func (s *Syncer) pullAfterDelay(from string, revision int64, postponements int) {
-	time.AfterFunc(s.config.PullDelay, func() {
+	time.AfterFunc(s.cfg.PullDelay, func() {
 		pushed := time.Since(time.Unix(0, s.lastPushAt.Load()))
-		if s.catalog.Revision() < revision && pushed < s.config.PullDelay && postponements > 0 {
+		if s.catalog.Revision() < revision && pushed < s.cfg.PullDelay && postponements > 0 {
 			s.pullAfterDelay(from, revision, postponements-1)
 			return
 		}
--- a/internal/config/configsync/fleet_test.go
+++ b/internal/config/configsync/fleet_test.go
@@ -25,7 +25,7 @@
 
 var errDown = errors.New("store is down")
 
-// memoryPlatform is a store and machine list in memory.
+// memoryPlatform is an in-memory store and machine list.
 type memoryPlatform struct {
 	store.Store
 	mu       sync.Mutex
@@ -34,26 +34,26 @@
 	machines []machines.Machine
 	lists    int
 	watches  int
-	// events counts the events of watches, by node; silent names the nodes whose watches deliver no more events.
+	// events counts the watch events by node. silent holds the nodes whose watches deliver no more events.
 	events map[string]int
 	silent map[string]bool
-	// roles are the roles of the last watches, by node.
+	// roles are the roles of the last watches by node.
 	roles map[string]store.WatchRole
 	// staleLists counts the stale reads, which return the state from staleBy changes ago.
 	staleLists int
 	staleBy    int
-	// forgotten is the revision up to which changes are no longer kept.
-	forgotten int64
-	// cutOff names the nodes that can't reach the platform.
+	// compacted is the revision up to which changes are no longer kept.
+	compacted int64
+	// cutOff holds the nodes that can't reach the platform.
 	cutOff map[string]bool
-	// epoch counts the restores; the store doesn't announce them if it is mute.
-	epoch  int64
-	isMute bool
-	// forgetful makes watches deliver the store's revision without the changes.
-	forgetful bool
+	// epoch counts the restores. If hidesRestores is set, a restore doesn't advance it.
+	epoch         int64
+	hidesRestores bool
+	// omitsChanges makes watches deliver the store's revision without the changes.
+	omitsChanges bool
 }
 
-// platformView is the platform as one node sees it.
+// platformView is one node's client of the platform.
 type platformView struct {
 	*memoryPlatform
 	node string
@@ -97,7 +97,7 @@
 func (p *memoryPlatform) restore(count int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.isMute {
+	if !p.hidesRestores {
 		p.epoch++
 	}
 	p.log = slices.Clone(p.log[:count])
@@ -137,10 +137,10 @@
 	p.mu.Lock()
 	p.watches++
 	p.roles[p.node] = role
-	receive = p.counted(receive)
-	isForgotten := after < p.forgotten
+	receive = p.countEvents(receive)
+	isCompacted := after < p.compacted
 	p.mu.Unlock()
-	if isForgotten {
+	if isCompacted {
 		return store.ErrHistoryGone
 	}
 	for isFirst := true; ; isFirst = false {
@@ -150,7 +150,7 @@
 			return store.ErrHistoryGone
 		}
 		missed, changed, down := p.log[revision.Count(after):], p.changed, p.cutOff[p.node]
-		newest, forgetful := revision.At(p.epoch, int64(len(p.log))), p.forgetful
+		newest, omitsChanges := revision.At(p.epoch, int64(len(p.log))), p.omitsChanges
 		silent := p.silent[p.node]
 		p.mu.Unlock()
 		if silent {
@@ -165,7 +165,7 @@
 				return err
 			}
 		}
-		if forgetful && after < newest {
+		if omitsChanges && after < newest {
 			missed, after = nil, newest
 			if err := receive(store.Event{Current: newest}); err != nil {
 				return err
@@ -189,8 +189,8 @@
 	}
 }
 
-// counted counts the events that a watch delivers.
-func (p platformView) counted(receive func(store.Event) error) func(store.Event) error {
+// countEvents wraps a watch's receive function to count the events.
+func (p platformView) countEvents(receive func(store.Event) error) func(store.Event) error {
 	return func(event store.Event) error {
 		p.mu.Lock()
 		p.events[p.node]++
@@ -214,30 +214,30 @@
 	return list, nil
 }
 
-// leafNotes records notices of leaving leafs.
-type leafNotes struct {
+// leafNotices records the notices of leaving leafs.
+type leafNotices struct {
 	mu      sync.Mutex
 	leaving map[string]time.Time
 }
 
-func (n *leafNotes) SetLeaving(leafID string, until time.Time) {
+func (n *leafNotices) SetLeaving(leafID string, until time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.leaving[leafID] = until
 }
 
-// testNode is the control side of one node.
+// testNode is a node without its request path.
 type testNode struct {
 	id      string
 	catalog *catalog.Catalog
 	syncer  *Syncer
-	leafs   *leafNotes
+	leafs   *leafNotices
 	stop    context.CancelFunc
-	// unsettled is the revision that the node is not settled at; 0 when it is settled.
+	// unsettled is the revision at which the node is not settled, 0 if it is settled.
 	unsettled atomic.Int64
 }
 
-// settledRevision is the revision in force, or the one before it if the node isn't settled at that.
+// settledRevision returns the revision in force, or the revision before unsettled.
 func (n *testNode) settledRevision() int64 {
 	if unsettled := n.unsettled.Load(); unsettled > 0 {
 		return unsettled - 1
@@ -245,10 +245,10 @@
 	return n.catalog.Revision()
 }
 
-// fleet is many nodes over one platform on a memory network, in virtual time.
+// fleet is a set of nodes that share a platform and an in-memory network, in virtual time.
 type fleet struct {
 	t        *testing.T
-	config   Config
+	cfg      Config
 	platform *memoryPlatform
 	network  *peertest.Network
 	nodes    map[string]*testNode
@@ -256,7 +256,7 @@
 
 func newFleet(t *testing.T, zones, perZone int) *fleet {
 	f := &fleet{
-		t: t, config: DefaultConfig(), platform: &memoryPlatform{changed: make(chan struct{}), cutOff: map[string]bool{}, roles: map[string]store.WatchRole{},
+		t: t, cfg: DefaultConfig(), platform: &memoryPlatform{changed: make(chan struct{}), cutOff: map[string]bool{}, roles: map[string]store.WatchRole{},
 			events: map[string]int{}, silent: map[string]bool{}},
 		network: peertest.NewNetwork(1, time.Millisecond), nodes: map[string]*testNode{},
 	}
@@ -275,9 +275,9 @@
 func (f *fleet) start(id, zone string, seeds ...string) {
 	transport := f.network.Attach(id)
 	view := platformView{f.platform, id}
-	node := &testNode{id: id, catalog: catalog.New(nil), leafs: &leafNotes{leaving: map[string]time.Time{}}}
+	node := &testNode{id: id, catalog: catalog.New(nil), leafs: &leafNotices{leaving: map[string]time.Time{}}}
 	node.syncer = New(Deps{
-		Config: f.config, Catalog: node.catalog, Store: view, Machines: view, Transport: transport, Leafs: node.leafs, Logger: zap.NewNop(), Seeds: seeds,
+		Config: f.cfg, Catalog: node.catalog, Store: view, Machines: view, Transport: transport, Leafs: node.leafs, Logger: zap.NewNop(), Seeds: seeds,
 		Settled: node.settledRevision,
 	})
 	self := peer.Member{ID: id, Address: id, Zone: zone, Incarnation: time.Now().UnixMilli()}
@@ -298,7 +298,7 @@
 	time.Sleep(time.Minute)
 }
 
-// lagging returns the nodes that do not have a revision in force.
+// lagging returns the nodes that don't have a revision in force yet.
 func (f *fleet) lagging(wanted int64) []string {
 	var lagging []string
 	for id, node := range f.nodes {
--- a/internal/config/configsync/handler.go
+++ b/internal/config/configsync/handler.go
@@ -6,16 +6,16 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
-// Handlers receive the messages that concern neither membership nor configuration. Messages without a handler
-// are dropped.
+// Handlers are the receivers of messages other than those of membership and configuration. A message whose handler is
+// nil is dropped.
 type Handlers struct {
 	// Leafs receives reports on leafs.
 	Leafs func(peer.LeafReports)
-	// Reachability receives messages on the reachability of zones, with the peer address of the sender.
+	// Reach receives messages on the reachability of zones, with the peer address of the sender.
 	Reach func(from string, reach peer.Reachability)
-	// Rollouts receives the messages to and from the nodes that evaluate roll-outs.
+	// Rollouts receives the messages to and from evaluator nodes.
 	Rollouts RolloutHandler
-	// Quarantine receives messages on requests that may crash leafs.
+	// Quarantine receives messages on requests that may crash leafs, with the peer address of the sender.
 	Quarantine func(from string, message peer.Quarantine)
 }
 
@@ -25,8 +25,8 @@
 	HandleAbort(from string, abort peer.RolloutAbort)
 }
 
-// PeerHandler is the peer.Handler of a node: it dispatches each message to membership, configuration or one of
-// the other handlers.
+// PeerHandler is the peer.Handler of a node. It dispatches each message to membership, configuration or one of the other
+// handlers.
 type PeerHandler struct {
 	syncer   *Syncer
 	handlers Handlers
@@ -34,7 +34,7 @@
 
 var _ peer.Handler = (*PeerHandler)(nil)
 
-// NewPeerHandler returns the handler of a node's peer address.
+// NewPeerHandler returns the handler of messages to a node's peer address.
 func NewPeerHandler(syncer *Syncer, handlers Handlers) *PeerHandler {
 	return &PeerHandler{syncer: syncer, handlers: handlers}
 }
@@ -70,13 +70,13 @@
 // HandleCall implements peer.Handler.
 func (h *PeerHandler) HandleCall(ctx context.Context, message peer.Message) peer.Message {
 	syncer := h.syncer
-	// The digest is taken before the state, so that it never claims more than the state has.
+	// The digest is taken before the state, so that its revision never exceeds the state's.
 	answer := peer.Message{Digest: syncer.Digest()}
 	switch {
 	case message.Join != nil:
 		answer.Welcome = syncer.handleJoin(*message.Join)
 	case (message.Push != nil || message.Pull != nil) && syncer.isLegacy(message.Digest):
-		// Revisions of unknown epochs must not mix: the peer gets an uninitialised state.
+		// Revisions of unknown epochs must not be mixed, so the peer gets an uninitialized state.
 		syncer.readStoreForLegacy(message.Digest)
 		answer.State = &peer.State{}
 	case message.Push != nil:
--- a/internal/config/configsync/join.go
+++ b/internal/config/configsync/join.go
@@ -12,38 +12,38 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
-// unstableTimeout is how long after its start a node counts as joined although its peers know different members.
+// unstableTimeout is how long after its start a node counts as joined although its peers have different members.
 const unstableTimeout = 15 * time.Second
 
-// aloneTimeout is how long after its start a node that reaches no other takes itself for the only one.
+// aloneTimeout is how long after its start a node that reaches no other node counts as joined.
 const aloneTimeout = 5 * time.Second
 
-// listedAloneTimeout is the same if the machine list answers and neither it nor the seeds name any address to join
-// through. It isn't 0 because the list lags: nodes that start at the same time may be missing from it.
+// listedAloneTimeout replaces aloneTimeout if neither the machine list nor the seeds contain an address to join through.
+// It isn't 0 because the list lags: nodes that start at the same time may be missing from it.
 const listedAloneTimeout = time.Second
 
-// joinTargets is how many nodes a node joins through at a time.
+// joinTargets is how many nodes a node joins through per attempt.
 const joinTargets = 3
 
-// joinCandidates is how many nodes of its zone a node draws from the machine list to join through.
+// joinCandidates is how many nodes of its zone a node requests from the machine list to join through.
 const joinCandidates = 8
 
-// joinLoop joins the zone through the seeds and the machine list until the node's view of the zone is stable,
-// and pulls configuration until the node has some. After that it joins rarely, which heals a zone whose halves
-// lost each other. A zone whose members keep changing counts as joined after unstableTimeout, so that it has
-// watchers and joins don't add to the churn.
+// joinLoop joins the zone through the seeds and the machine list until the node's view of the zone is stable, and pulls
+// configuration until the node has some. After that it joins every Config.JoinInterval, which repairs a partitioned
+// membership. A node whose zone keeps changing counts as joined after unstableTimeout, so that the zone has watchers and
+// joins don't add to the churn.
 func (s *Syncer) joinLoop(ctx context.Context) {
-	wait := s.config.RetryPause
+	wait := s.cfg.RetryPause
 	for {
 		stable := s.join(ctx)
 		if stable || time.Since(s.startedAt) > unstableTimeout {
 			s.markJoined()
 		}
-		if !s.initialised.Load() {
+		if !s.initialized.Load() {
 			s.pullFromZone(ctx)
 		}
-		if s.joined.Load() && s.initialised.Load() {
-			wait = s.config.JoinInterval
+		if s.joined.Load() && s.initialized.Load() {
+			wait = s.cfg.JoinInterval
 		} else {
 			wait = s.backoff(wait)
 		}
@@ -53,15 +53,15 @@
 	}
 }
 
-// markJoined records that the node knows its zone well enough to rank the watchers.
+// markJoined records that the zone's members are known well enough to rank the watchers.
 func (s *Syncer) markJoined() {
 	if s.joined.CompareAndSwap(false, true) {
 		s.logger.Info("joined the zone", zap.Int("members", len(s.members.Members())))
 	}
 }
 
-// join announces this node to a few others and reports whether the view of the zone is stable: all nodes that
-// answered know the same members, or there is no node to ask.
+// join announces this node to a few others and reports whether the view of the zone is stable: all nodes that answered
+// have the same members, or no other node was found in time.
 func (s *Syncer) join(ctx context.Context) bool {
 	targets := s.currentSeeds()
 	listed, err := s.listZone(ctx)
@@ -95,9 +95,9 @@
 	return agreed == joined
 }
 
-// joinThrough joins through one node. A node of another zone contributes contacts, but its members don't count.
+// joinThrough joins through one node. A node of another zone only contributes contacts.
 func (s *Syncer) joinThrough(ctx context.Context, target string) (reached, same bool) {
-	ctx, cancel := context.WithTimeout(ctx, s.config.CallTimeout)
+	ctx, cancel := context.WithTimeout(ctx, s.cfg.CallTimeout)
 	defer cancel()
 	welcome, same, err := s.members.Join(ctx, target)
 	if err != nil || welcome == nil {
@@ -107,7 +107,7 @@
 	return welcome.Zone == s.members.Self().Zone, same
 }
 
-// handleJoin admits a node to the zone; a node of another zone becomes a contact.
+// handleJoin admits a node to the zone. A node of another zone becomes a contact.
 func (s *Syncer) handleJoin(join peer.Join) *peer.Welcome {
 	s.addContacts([]peer.Contact{{Zone: join.Member.Zone, Address: join.Member.Address}})
 	members, known := s.members.HandleJoin(join)
--- a/internal/config/configsync/leaving.go
+++ b/internal/config/configsync/leaving.go
@@ -8,25 +8,26 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
-// renewalShare divides the term of a notice: one that expires this much later than the known one is a renewal.
-const renewalShare = 2
+// renewalDivisor divides Config.LeavingTTL. A notice that expires later than the known one by the quotient or more is a
+// renewal.
+const renewalDivisor = 2
 
-// Bounds of the notices on datagrams: how many are on one, and how often each is passed on.
+// Limits of the gossip of notices: how many a datagram carries, and how often each is transmitted.
 const (
-	noticesPerMessage = 4
-	noticePasses      = 8
+	noticesPerMessage   = 4
+	noticeTransmissions = 8
 )
 
 // notice says that a leaf is leaving and must get no new requests.
 type notice struct {
-	until  time.Time // when the notice expires
-	passes int       // how many datagrams have carried it
-	// pushedUntil is the expiry that this node pushed as a watcher. A notice received by gossip has not been
-	// pushed to other zones by this node.
+	until         time.Time // when the notice expires
+	transmissions int       // how many datagrams have carried it
+	// pushedUntil is the expiry time of the notice that this node last pushed as a watcher, zero if it pushed none.
+	// A notice that was received by gossip still has to be pushed to other zones.
 	pushedUntil time.Time
 }
 
-// Notices implements membership.Listener: it returns notices that have not been passed on often enough.
+// Notices implements membership.Listener. It returns notices that must be transmitted again.
 func (s *Syncer) Notices() []peer.LeafNotice {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -37,25 +38,25 @@
 			delete(s.notices, leafID)
 			continue
 		}
-		if known.passes >= noticePasses || len(chosen) >= noticesPerMessage {
+		if known.transmissions >= noticeTransmissions || len(chosen) >= noticesPerMessage {
 			continue
 		}
-		known.passes++
+		known.transmissions++
 		chosen = append(chosen, peer.LeafNotice{LeafID: leafID, Millis: known.until.Sub(now).Milliseconds()})
 	}
 	return chosen
 }
 
-// handleNotices records the notices from another node.
+// handleNotices records the notices received from another node.
 func (s *Syncer) handleNotices(notices []peer.LeafNotice) {
 	now := time.Now()
 	for _, received := range notices {
-		ttl := min(time.Duration(received.Millis)*time.Millisecond, s.config.LeavingTTL)
+		ttl := min(time.Duration(received.Millis)*time.Millisecond, s.cfg.LeavingTTL)
 		s.recordNotice(received.LeafID, now.Add(ttl))
 	}
 }
 
-// recordNotice records that a leaf is leaving. A renewal is gossiped again.
+// recordNotice records that a leaf is leaving. A renewal is gossiped like a new notice.
 func (s *Syncer) recordNotice(leafID string, until time.Time) {
 	s.leafs.SetLeaving(leafID, until)
 	s.mu.Lock()
@@ -66,16 +67,16 @@
 		return
 	}
 	if s.isRenewal(until, known.until) {
-		known.until, known.passes = until, 0
+		known.until, known.transmissions = until, 0
 	}
 }
 
-// isRenewal reports whether a notice expires so much later than the known one that it must be passed on again.
+// isRenewal reports whether a notice expires so much later than the known one that it must be distributed again.
 func (s *Syncer) isRenewal(until, known time.Time) bool {
-	return until.Sub(known) >= s.config.LeavingTTL/renewalShare
+	return until.Sub(known) >= s.cfg.LeavingTTL/renewalDivisor
 }
 
-// claimNoticePush reports whether this watcher must push a notice, and marks it as pushed.
+// claimNoticePush reports whether this watcher must push a notice. If so, it marks the notice as pushed.
 func (s *Syncer) claimNoticePush(leafID string, until time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,17 +88,16 @@
 	return true
 }
 
-// LeafDraining records that a leaf announced that it is leaving; gossip passes the notice on in the zone.
+// LeafDraining records that a leaf announced that it is leaving. The notice is gossiped in the zone.
 func (s *Syncer) LeafDraining(leafID string) {
-	s.recordNotice(leafID, time.Now().Add(s.config.LeavingTTL))
+	s.recordNotice(leafID, time.Now().Add(s.cfg.LeavingTTL))
 }
 
-// machineLoop lets watchers read the zone's leafs on the machine list and spread the notice of those that are
-// leaving.
+// machineLoop makes watchers read the zone's leafs from the machine list and push notices of the leaving ones.
 func (s *Syncer) machineLoop(ctx context.Context) {
 	version := uint64(0)
 	var leaving []string
-	for pause(ctx, s.config.MachineListInterval) {
+	for pause(ctx, s.cfg.MachineListInterval) {
 		if s.rank() == notAWatcher {
 			version = 0
 			continue
@@ -124,7 +124,7 @@
 	return leaving
 }
 
-// leafIDs returns the ids of the leafs in force under the given names; the machine list doesn't distinguish
+// leafIDs returns the IDs of the leafs that are registered under the given names. The machine list doesn't distinguish
 // processes of the same name.
 func (s *Syncer) leafIDs(names []string) []string {
 	known := s.catalog.View().Leafs
@@ -139,24 +139,24 @@
 	return ids
 }
 
-// pushLeaving pushes the notices that this watcher has not pushed yet, or that need renewal, to its own zone and
-// to one node of each other zone, which passes them on there.
+// pushLeaving records notices of leaving leafs. The first watcher pushes new and renewed ones to its own zone, and to
+// one node of each other zone, which pushes them there.
 func (s *Syncer) pushLeaving(ctx context.Context, leaving []string) {
-	until := time.Now().Add(s.config.LeavingTTL)
+	until := time.Now().Add(s.cfg.LeavingTTL)
 	isFirst := s.rank() == 0
-	var news []peer.LeafNotice
+	var unpushed []peer.LeafNotice
 	for _, leafID := range leaving {
 		s.recordNotice(leafID, until)
 		if isFirst && s.claimNoticePush(leafID, until) {
-			news = append(news, peer.LeafNotice{LeafID: leafID, Millis: s.config.LeavingTTL.Milliseconds()})
+			unpushed = append(unpushed, peer.LeafNotice{LeafID: leafID, Millis: s.cfg.LeavingTTL.Milliseconds()})
 		}
 	}
-	if len(news) == 0 {
+	if len(unpushed) == 0 {
 		return
 	}
-	s.pushToZone(ctx, peer.Push{Notices: news})
+	s.pushToZone(ctx, peer.Push{Notices: unpushed})
 	for _, addresses := range s.contactsByZone() {
-		go s.pushToOtherZone(ctx, addresses, peer.Push{Notices: news, WholeZone: true})
+		go s.pushToOtherZone(ctx, addresses, peer.Push{Notices: unpushed, WholeZone: true})
 	}
 }
 
--- a/internal/config/configsync/pull.go
+++ b/internal/config/configsync/pull.go
@@ -9,11 +9,11 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
-// pullTimeoutFactor times Config.CallTimeout bounds a pull, which may carry the whole state.
+// pullTimeoutFactor is the multiple of Config.CallTimeout that bounds a pull, which may transfer the whole state.
 const pullTimeoutFactor = 4
 
-// pullFromZone pulls from the watchers, which have configuration first, then from another member, then from
-// another zone.
+// pullFromZone pulls from the watchers, which get configuration first, then from a random member, then from another
+// zone.
 func (s *Syncer) pullFromZone(ctx context.Context) {
 	self := s.members.Self().ID
 	for _, watcher := range s.watchers() {
@@ -30,18 +30,18 @@
 	}
 }
 
-// pullFrom pulls what a peer has beyond the revision in force, or asks the nodes that the peer names instead. It
-// reports whether there was any configuration. Only one pull runs at a time; a later digest makes up for a pull that
-// was skipped.
+// pullFrom pulls the changes after the revision in force from a peer, or from the nodes to which the peer refers. It
+// reports whether it received configuration. Only one pull runs at a time. A skipped pull is repeated after a later
+// digest.
 func (s *Syncer) pullFrom(ctx context.Context, address string) bool {
 	if !s.pulling.CompareAndSwap(false, true) {
 		return false
 	}
 	defer s.pulling.Store(false)
-	if s.initialised.Load() {
+	if s.initialized.Load() {
 		defer s.enqueuePulled(s.catalog.Revision())
 	}
-	ctx, cancel := context.WithTimeout(ctx, pullTimeoutFactor*s.config.CallTimeout)
+	ctx, cancel := context.WithTimeout(ctx, pullTimeoutFactor*s.cfg.CallTimeout)
 	defer cancel()
 	loaded, elsewhere := s.pullOnce(ctx, address)
 	for _, other := range elsewhere {
@@ -53,7 +53,7 @@
 	return loaded
 }
 
-// pullOnce pulls from one peer. elsewhere are the nodes to ask instead, if the peer names any.
+// pullOnce pulls from one peer. elsewhere are the addresses of other nodes to which the peer refers.
 func (s *Syncer) pullOnce(ctx context.Context, address string) (loaded bool, elsewhere []string) {
 	s.relayed("pull")
 	after, requestedAt := s.catalog.Revision(), s.catalog.Instant()
@@ -65,17 +65,17 @@
 		return false, answer.State.Elsewhere
 	}
 	if err := s.applyState(*answer.State); err != nil {
-		s.logger.Warn("state of a peer can't be read", zap.String("peer", address), zap.Error(err))
+		s.logger.Warn("discarded the state of a peer: it can't be decoded", zap.String("peer", address), zap.Error(err))
 		return false, nil
 	}
 	if s.catalog.Revision() >= answer.Digest.Revision {
 		s.catalog.ConfirmSince(requestedAt, time.Duration(answer.Digest.AgeMillis)*time.Millisecond)
 	}
-	s.markInitialised()
+	s.markInitialized()
 	return true, nil
 }
 
-// applyState applies a peer's state as far as it is newer.
+// applyState applies the parts of a peer's state that are newer than the configuration in force.
 func (s *Syncer) applyState(state peer.State) error {
 	if len(state.Snapshot) > 0 {
 		snapshot, err := state.Snapshot.Unpack()
@@ -92,10 +92,9 @@
 	return nil
 }
 
-// HandlePull answers a pull with the changes that the peer lacks, or with the whole state if they are no longer
-// kept.
+// HandlePull responds to a pull with the changes that the peer lacks, or with the whole state if they are no longer kept.
 func (s *Syncer) HandlePull(from string, pull peer.Pull) peer.State {
-	state := peer.State{Initialised: s.initialised.Load(), Revision: s.catalog.Revision()}
+	state := peer.State{Initialised: s.initialized.Load(), Revision: s.catalog.Revision()}
 	if pull.Retained {
 		state.Retained = s.catalog.RetainedInForce()
 	}
@@ -106,10 +105,10 @@
 	}
 	served, err := s.snapshots.serve(s.catalog, from)
 	if err != nil {
-		s.logger.Error("whole state can't be sent to a peer", zap.String("peer", from), zap.Error(err))
+		s.logger.Error("the whole state can't be encoded for a peer", zap.String("peer", from), zap.Error(err))
 		return peer.State{}
 	}
-	// A node that has served too many and can name no other has nothing to offer for now.
+	// A node that has reached its rate limit and can't refer to others responds as uninitialized.
 	served.Initialised = len(served.Snapshot) > 0 || len(served.Elsewhere) > 0
 	served.Revision = state.Revision
 	return served
@@ -117,7 +116,7 @@
 
 // crossZoneLoop pulls from other zones while this node can't follow the store.
 func (s *Syncer) crossZoneLoop(ctx context.Context) {
-	for pause(ctx, s.config.MaximumRetryPause/2) {
+	for pause(ctx, s.cfg.MaximumRetryPause/2) {
 		if s.storeDownAt.Load() == 0 {
 			continue
 		}
@@ -131,14 +130,14 @@
 	}
 }
 
-// pushPulled pushes the changes pulled from another zone to the own zone.
+// pushPulled pushes the changes that were pulled from another zone to the node's own zone.
 func (s *Syncer) pushPulled(ctx context.Context, before int64) {
 	changes, found := s.catalog.Since(before)
 	if !found || len(changes) == 0 {
 		return
 	}
 	for len(changes) > 0 {
-		count := prefixWithin(changes, maximumBatch, batchBytes)
+		count := prefixWithin(changes, maxBatchChanges, maxBatchBytes)
 		s.pushChanges(ctx, changes[:count])
 		changes = changes[count:]
 	}
--- a/internal/config/configsync/push.go
+++ b/internal/config/configsync/push.go
@@ -12,15 +12,15 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
-// Bounds of the changes in one push, in number and bytes: a burst, as when hundreds of leafs leave together, is best
-// pushed at once, but a single change may be a configuration of 0.5 MB.
+// Limits of the changes in one push, in number and bytes. A burst, such as hundreds of leafs leaving together, is best
+// pushed at once, but a single change may contain 0.5 MB.
 const (
-	maximumBatch = 512
-	batchBytes   = 1 << 20
+	maxBatchChanges = 512
+	maxBatchBytes   = 1 << 20
 )
 
-// pushLoop pushes the first change after a quiet time with hardly a delay, and those of a burst together, one
-// batch each Config.PushInterval.
+// pushLoop pushes the first change after an idle period within Config.BatchDelay, and the changes of a burst in one
+// batch per Config.PushInterval.
 func (s *Syncer) pushLoop(ctx context.Context) {
 	var lastPush time.Time
 	for {
@@ -31,7 +31,7 @@
 		case change := <-s.pushes:
 			batch = append(batch, change)
 		}
-		collect := max(s.config.BatchDelay, s.config.PushInterval-time.Since(lastPush))
+		collect := max(s.cfg.BatchDelay, s.cfg.PushInterval-time.Since(lastPush))
 		batch = s.collect(batch, collect)
 		lastPush = time.Now()
 		s.pushChanges(ctx, batch)
@@ -44,7 +44,7 @@
 	timer := time.NewTimer(span)
 	defer timer.Stop()
 	size := batch[0].Size()
-	for len(batch) < maximumBatch && size < batchBytes {
+	for len(batch) < maxBatchChanges && size < maxBatchBytes {
 		select {
 		case change := <-s.pushes:
 			batch = append(batch, change)
@@ -60,15 +60,15 @@
 func (s *Syncer) pushChanges(ctx context.Context, changes []catalog.Change) {
 	batch, err := peer.PackBatch(changes)
 	if err != nil {
-		s.logger.Error("changes can't be pushed", zap.Error(err))
+		s.logger.Error("changes were not pushed: they can't be encoded", zap.Error(err))
 		return
 	}
 	s.notePushed(changes)
 	s.pushToZone(ctx, peer.Push{Batch: batch})
 }
 
-// pushToZone starts a push over a random tree of the zone's members. The root of the tree, another member each
-// time, does the fan-out, so that the watcher that starts every push does not carry more than others.
+// pushToZone starts a push over a random tree of the zone's members. The push is sent only to the root of the tree, a
+// different member each time, so that the watcher doesn't carry more load than other nodes.
 func (s *Syncer) pushToZone(ctx context.Context, push peer.Push) {
 	seed := strconv.FormatInt(time.Now().UnixNano(), 36)
 	members := s.otherMembers()
@@ -80,9 +80,9 @@
 	s.relayOver(ctx, push, 1)
 }
 
-// relay sends a push to the first nodes of its subtree, each with a share of the rest.
+// relay sends a push to the first nodes of its subtree, each with a part of the rest.
 func (s *Syncer) relay(ctx context.Context, push peer.Push) {
-	s.relayOver(ctx, push, s.config.FanOut)
+	s.relayOver(ctx, push, s.cfg.FanOut)
 }
 
 // relayOver sends a push over the given number of branches. If the first node of a branch does not accept the
@@ -103,7 +103,7 @@
 
 // sendPush sends a push to a node and reports whether the node accepted it.
 func (s *Syncer) sendPush(ctx context.Context, address string, push peer.Push) bool {
-	ctx, cancel := context.WithTimeout(ctx, s.config.CallTimeout)
+	ctx, cancel := context.WithTimeout(ctx, s.cfg.CallTimeout)
 	defer cancel()
 	s.relayed("push")
 	answer, err := s.transport.Call(ctx, address, peer.Message{Digest: s.Digest(), Push: &push})
@@ -115,12 +115,12 @@
 	s.lastPushAt.Store(time.Now().UnixNano())
 	changes, err := push.Batch.Unpack()
 	if err != nil {
-		s.logger.Warn("push can't be read", zap.String("peer", from), zap.Error(err))
+		s.logger.Warn("a push can't be decoded; pulling from its sender", zap.String("peer", from), zap.Error(err))
 	}
 	s.handleNotices(push.Notices)
 	if err == nil && s.leadToNewEpoch(changes) {
 		go s.followToEpoch(from, push)
-		return peer.State{Initialised: s.initialised.Load(), Revision: s.catalog.Revision()}
+		return peer.State{Initialised: s.initialized.Load(), Revision: s.catalog.Revision()}
 	}
 	gap := err != nil || !s.reorder.apply(s.catalog, changes)
 	s.notePushed(changes)
@@ -128,17 +128,17 @@
 		go s.pullFrom(context.Background(), from)
 	}
 	s.forward(push)
-	return peer.State{Initialised: s.initialised.Load(), Revision: s.catalog.Revision()}
+	return peer.State{Initialised: s.initialized.Load(), Revision: s.catalog.Revision()}
 }
 
-// followToEpoch pulls the whole state of a new epoch from the node that announced it, and only then forwards the
-// push: so each node pulls from its parent in the tree, which has the state by then.
+// followToEpoch pulls the whole state of a new epoch from the node that announced it before it forwards the push, so
+// that each node pulls from its parent in the tree, which already has the state.
 func (s *Syncer) followToEpoch(from string, push peer.Push) {
 	s.pullFrom(context.Background(), from)
 	s.forward(push)
 }
 
-// forward passes a push on to the nodes that it names.
+// forward relays a push to the nodes of its subtree or of the whole zone.
 func (s *Syncer) forward(push peer.Push) {
 	switch {
 	case push.WholeZone:
@@ -149,7 +149,7 @@
 	}
 }
 
-// notePushed records the newest revision that a push brought.
+// notePushed records the newest revision in a push.
 func (s *Syncer) notePushed(changes []catalog.Change) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,8 +158,8 @@
 	}
 }
 
-// split divides addresses into at most count branches of nearly equal size. The first address of a branch relays
-// to the rest of it.
+// split divides addresses into at most count branches of nearly equal size. The first address of a branch relays to the
+// rest of the branch.
 func split(addresses []string, count int) [][]string {
 	count = min(count, len(addresses))
 	branches := make([][]string, 0, count)
--- a/internal/config/configsync/push_check.go
+++ b/internal/config/configsync/push_check.go
@@ -9,29 +9,29 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// afterAll is a revision after all others: a pull with it asks for no changes.
+// afterAll is a revision after all others. A pull with it returns the peer's revision but no changes.
 const afterAll = math.MaxInt64
 
-// checkPushLater makes a standby that pushed check its push after Config.PushInterval: a standby pushes only if
-// the push of a watcher ahead of it failed, and the same cause may make its own fail. A relay that reaches half
-// of the zone leaves the other half without the change and without an error.
+// checkPushLater makes a standby check its push after Config.PushInterval. A standby pushes only if the push of a
+// higher-ranked watcher failed, and its own may fail for the same reason. A push that reaches only half of the zone
+// causes no error.
 func (s *Syncer) checkPushLater(ctx context.Context) {
 	if s.rank() <= 0 || !s.checkingPush.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
 		defer s.checkingPush.Store(false)
-		if wait.For(ctx, s.config.PushInterval) {
+		if wait.For(ctx, s.cfg.PushInterval) {
 			s.checkPush(ctx)
 		}
 	}()
 }
 
-// checkPush asks every member of the zone for its revision, Config.FanOut at a time, and sends those behind what
-// they miss.
+// checkPush queries the revision of every member of the zone, Config.FanOut at a time, and sends the missing changes to
+// members that are behind.
 func (s *Syncer) checkPush(ctx context.Context) {
 	var pending sync.WaitGroup
-	for _, branch := range split(s.otherAddresses(), s.config.FanOut) {
+	for _, branch := range split(s.otherAddresses(), s.cfg.FanOut) {
 		pending.Go(func() {
 			for _, address := range branch {
 				s.repairMember(ctx, address)
@@ -41,7 +41,7 @@
 	pending.Wait()
 }
 
-// repairMember sends a member the changes that it misses.
+// repairMember sends a member the changes that it lacks.
 func (s *Syncer) repairMember(ctx context.Context, address string) {
 	revision, found := s.revisionOf(ctx, address)
 	if !found || revision >= s.catalog.Revision() {
@@ -51,15 +51,15 @@
 	if !found || len(changes) == 0 {
 		return // the member pulls the whole state itself
 	}
-	batch, err := peer.PackBatch(changes[:prefixWithin(changes, maximumBatch, batchBytes)])
+	batch, err := peer.PackBatch(changes[:prefixWithin(changes, maxBatchChanges, maxBatchBytes)])
 	if err == nil {
 		s.sendPush(ctx, address, peer.Push{Batch: batch})
 	}
 }
 
-// revisionOf asks a member for its revision in force.
+// revisionOf queries a member's revision in force.
 func (s *Syncer) revisionOf(ctx context.Context, address string) (revision int64, found bool) {
-	ctx, cancel := context.WithTimeout(ctx, s.config.CallTimeout)
+	ctx, cancel := context.WithTimeout(ctx, s.cfg.CallTimeout)
 	defer cancel()
 	answer, err := s.transport.Call(ctx, address, peer.Message{Digest: s.Digest(), Pull: &peer.Pull{After: afterAll}})
 	if err != nil || answer.State == nil || !answer.State.Initialised {
--- a/internal/config/configsync/push_check_test.go
+++ b/internal/config/configsync/push_check_test.go
@@ -8,9 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// Whichever node a push goes through first, a push that reaches only half of the zone doesn't leave the other
-// half behind. The tree of a push depends on the time, so several are tried.
-func TestPushThatReachesHalfOfAZoneIsChecked(t *testing.T) {
+// Members that a push didn't reach get its changes within 3 s. The tree of a push depends on the time, so the test tries
+// several start times.
+func TestPartialPushIsRepaired(t *testing.T) {
 	for _, late := range []time.Duration{0, 10, 50, 100, 200, 333, 500, 700} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
--- a/internal/config/configsync/reorder_test.go
+++ b/internal/config/configsync/reorder_test.go
@@ -11,9 +11,8 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
-// Pushes that overtake each other lose nothing: once all have arrived, in whatever order, all changes are in
-// force, though no peer can be asked.
-func TestPushesInAnyOrderLoseNothing(t *testing.T) {
+// Once all pushes have arrived, in any order, all changes are in force without a pull from a peer.
+func TestPushesInAnyOrderAreApplied(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 1, 0)
 	f.platform.cutOff["z0-n0"] = true
@@ -42,45 +41,44 @@
 	is.Equal(len(node.syncer.reorder.changes), 0)
 }
 
-// Whatever parts arrive in whatever order, some of them twice, the configuration in force has no gap, and once
-// all have arrived it is complete.
-func TestEarlyChangesFollowTheStore(t *testing.T) {
+// Once all changes have arrived, in any order and some of them twice, all are in force and none is buffered.
+func TestReorderedChangesAreAllApplied(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var log []catalog.Change
 		for revision := range int64(rapid.IntRange(1, 40).Draw(t, "changes")) {
 			log = append(log, catalog.Change{Entry: catalog.Entry{Key: "x", Value: []byte(`{}`), Revision: revision + 1}, Previous: revision})
 		}
 		order := rapid.Permutation(log).Draw(t, "order")
-		known := catalog.New(nil)
+		node := catalog.New(nil)
 		var buffer reorderBuffer
 		for part := range slices.Chunk(order, rapid.IntRange(1, 7).Draw(t, "part")) {
-			buffer.apply(known, part)
+			buffer.apply(node, part)
 			if rapid.Bool().Draw(t, "twice") {
-				buffer.apply(known, part)
+				buffer.apply(node, part)
 			}
 		}
-		if known.Revision() != int64(len(log)) || len(buffer.changes) != 0 {
-			t.Fatalf("revision %d of %d, %d buffered", known.Revision(), len(log), len(buffer.changes))
+		if node.Revision() != int64(len(log)) || len(buffer.changes) != 0 {
+			t.Fatalf("revision %d of %d, %d buffered", node.Revision(), len(log), len(buffer.changes))
 		}
 	})
 }
 
 // The buffer is bounded in number and in bytes.
-func TestEarlyChangesAreBounded(t *testing.T) {
+func TestReorderBufferIsBounded(t *testing.T) {
 	is := is.New(t)
-	known := catalog.New(nil)
+	node := catalog.New(nil)
 	var buffer reorderBuffer
-	large := make([]byte, reorderBytes/4)
+	large := make([]byte, maxReorderBytes/4)
 	for i := range int64(10) {
-		buffer.apply(known, []catalog.Change{{Entry: catalog.Entry{Key: "x", Value: large, Revision: 10 + i}, Previous: 9 + i}})
+		buffer.apply(node, []catalog.Change{{Entry: catalog.Entry{Key: "x", Value: large, Revision: 10 + i}, Previous: 9 + i}})
 	}
 	is.Equal(len(buffer.changes), 4)
-	is.Equal(buffer.changes[0].Entry.Revision, int64(10)) // the earliest are buffered: they are applied first
+	is.Equal(buffer.changes[0].Entry.Revision, int64(10)) // the earliest changes are kept
 	buffer = reorderBuffer{}
 	var many []catalog.Change
-	for i := range int64(mostReordered + 100) {
+	for i := range int64(maxReordered + 100) {
 		many = append(many, catalog.Change{Entry: catalog.Entry{Key: "x", Revision: 10 + i}, Previous: 9 + i})
 	}
-	buffer.apply(known, many)
-	is.Equal(len(buffer.changes), mostReordered)
+	buffer.apply(node, many)
+	is.Equal(len(buffer.changes), maxReordered)
 }
--- a/internal/config/configsync/restored.go
+++ b/internal/config/configsync/restored.go
@@ -11,12 +11,11 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// A node that reads a restored store enters a new epoch. Pushes and digests announce that like any later revision, since
-// every revision of an epoch is above all revisions of the epochs before. No change leads from one epoch to the next, so
-// each node loads the whole state and merges it with what it knows, see catalog.RetainedEntries.
+// A node that reads a restored store enters a new epoch. Pushes and digests announce it like any later revision, since
+// the revisions of an epoch are greater than all revisions of earlier epochs. No change leads from one epoch to the next,
+// so each node loads the whole state and merges it with its own entries, see catalog.RetainedEntry.
 
-// epochChange returns the change that announces a new epoch. It is empty: a receiver can't apply it and pulls
-// the whole state.
+// epochChange returns the change that announces a new epoch. It has no entries; a receiver pulls the whole state.
 func epochChange(before, now int64) catalog.Change {
 	return catalog.Change{Entry: catalog.Marker(now), Previous: before}
 }
@@ -38,9 +37,8 @@
 	return len(changes) > 0 && revision.IsLater(changes[len(changes)-1].Entry.Revision, s.catalog.Revision())
 }
 
-// compareRetained pulls the retained entries of a peer at the same revision if they differ from the own ones,
-// one pull at a time: a node that started after the restore may have read the store without having known what it
-// lost.
+// compareRetained pulls the retained entries of a peer at the same revision if they differ from this node's, one pull at
+// a time. A node that started after the restore gets the lost entries this way.
 func (s *Syncer) compareRetained(from string, digest peer.Digest) {
 	if digest.Retained == 0 || digest.Retained == s.catalog.RetainedFingerprint() || !s.pullingRetained.CompareAndSwap(false, true) {
 		return
@@ -48,13 +46,13 @@
 	go func() {
 		defer s.pullingRetained.Store(false)
 		s.pullRetained(context.Background(), from)
-		wait.For(context.Background(), s.config.RetryPause)
+		wait.For(context.Background(), s.cfg.RetryPause)
 	}()
 }
 
-// pullRetained takes over the entries that a peer retains.
+// pullRetained pulls the entries that a peer retains and retains them as well.
 func (s *Syncer) pullRetained(ctx context.Context, address string) {
-	ctx, cancel := context.WithTimeout(ctx, s.config.CallTimeout)
+	ctx, cancel := context.WithTimeout(ctx, s.cfg.CallTimeout)
 	defer cancel()
 	s.relayed("pull")
 	pull := peer.Pull{After: s.catalog.Revision(), Retained: true}
@@ -64,14 +62,14 @@
 	}
 }
 
-// isLegacy reports whether a digest is from a node of a version that doesn't know of epochs, although the store
-// was restored at some time: its revisions can't be compared with those of this node.
+// isLegacy reports whether a digest is from a node of a version without epochs although the store has been restored. The
+// revisions of such a node can't be compared with this node's.
 func (s *Syncer) isLegacy(digest peer.Digest) bool {
 	return !digest.CountsEpochs && revision.Epoch(s.catalog.Revision()) > 0
 }
 
-// readStoreForLegacy reads the store if a legacy node seems to be ahead. Nothing can be taken from that node,
-// but while a fleet is upgraded node by node such nodes may be the ones that follow the store for a zone.
+// readStoreForLegacy reads the store if a legacy node seems to be ahead. Its state can't be used, but while a fleet is
+// upgraded node by node, all watchers of a zone may be legacy nodes.
 func (s *Syncer) readStoreForLegacy(digest peer.Digest) {
 	if digest.Revision <= revision.Count(s.catalog.Revision()) || !s.readingForLegacy.CompareAndSwap(false, true) {
 		return
@@ -79,8 +77,8 @@
 	go func() {
 		defer s.readingForLegacy.Store(false)
 		if err := s.readStore(context.Background()); err != nil {
-			s.logger.Info("the store can't be read", zap.Error(err))
+			s.logger.Info("the store can't be read; a legacy peer may be ahead of this node", zap.Error(err))
 		}
-		pause(context.Background(), s.config.LookAfter)
+		pause(context.Background(), s.cfg.LookAfter)
 	}()
 }
--- a/internal/config/configsync/restored_test.go
+++ b/internal/config/configsync/restored_test.go
@@ -12,17 +12,17 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
-// serviceCount returns how many services a node has in force.
+// serviceCount returns the number of services in force on a node.
 func (n *testNode) serviceCount() int { return len(n.catalog.View().Services) }
 
-// listed returns how often the whole state was read.
-func (p *memoryPlatform) listed() int {
+// listCount returns the number of reads of the whole state.
+func (p *memoryPlatform) listCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.lists
 }
 
-// cut makes the platform unreachable for some nodes.
+// cut sets for which nodes the platform is unreachable.
 func (p *memoryPlatform) cut(isCut func(id string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -31,8 +31,8 @@
 	}
 }
 
-// A restore of the store brings every node of the fleet to the new epoch, also those that don't watch the store,
-// and changes accepted after it are in force within four seconds; what the store lost stays in force.
+// After a restore of the store, every node enters the new epoch and has changes accepted since in force within 4 s.
+// Entries that the store lost stay in force.
 func TestRestoreReachesEveryNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -54,9 +54,9 @@
 	})
 }
 
-// A zone that was cut off during the restore, and whose count of changes is higher, follows once it is connected
-// again, and takes no other node back.
-func TestZoneThatWasCutOffDuringARestore(t *testing.T) {
+// A zone that was disconnected during the restore, and has a higher count of changes, enters the new epoch once it is
+// connected again. No other node goes back.
+func TestZoneDisconnectedDuringRestoreCatchesUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, 2, 4)
@@ -78,9 +78,9 @@
 	})
 }
 
-// A store that goes back without announcing a new epoch is not read without a pause, and doesn't confirm what is
-// in force as the newest.
-func TestStoreThatGoesBackUntoldIsLeftAlone(t *testing.T) {
+// A store that was rolled back without a new epoch is read with backoff, and doesn't confirm the revision in force as the
+// newest.
+func TestUnannouncedStoreRollbackIsReadWithBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, 1, 3)
@@ -89,13 +89,13 @@
 			f.platform.write(t, "a", 1)
 		}
 		time.Sleep(20 * time.Second)
-		before := f.platform.listed()
-		f.platform.isMute = true
+		before := f.platform.listCount()
+		f.platform.hidesRestores = true
 		f.platform.restore(2)
 		time.Sleep(time.Minute)
-		reads := f.platform.listed() - before
+		reads := f.platform.listCount() - before
 		is.True(reads > 0)
-		is.True(reads <= 3*60) // one a second and watcher
+		is.True(reads <= 3*60) // one read per second and node
 		for _, node := range f.nodes {
 			is.Equal(node.catalog.Revision(), int64(5))
 			is.True(node.catalog.Age() > 50*time.Second)
@@ -103,8 +103,8 @@
 	})
 }
 
-// A node that starts after the restore and reads the store has what the others retain within a few seconds.
-func TestFreshNodeHasWhatOthersKeep(t *testing.T) {
+// A node that starts after the restore and reads the store gets the entries that other nodes retain within 5 s.
+func TestNewNodePullsRetainedEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, 1, 3)
@@ -115,15 +115,15 @@
 		time.Sleep(20 * time.Second)
 		f.platform.restore(1)
 		time.Sleep(3 * time.Second)
-		f.start("z0-new", "z0", "z0-new") // its own seed: it reads the store
+		f.start("z0-new", "z0", "z0-new") // is its own seed, so it reads the store
 		time.Sleep(5 * time.Second)
 		is.Equal(f.nodes["z0-new"].serviceCount(), 3)
 	})
 }
 
-// Nothing passes between a legacy node, which counts no epochs, and a node at a later epoch, since their
-// revisions can't be compared. If the legacy node seems to be ahead, the other one reads the store.
-func TestNodeThatCountsNoEpochs(t *testing.T) {
+// A legacy node, which has no epochs, and a node of a later epoch exchange no state, since their revisions can't be
+// compared. If the legacy node seems to be ahead, the other one reads the store.
+func TestLegacyNodeExchangesNoState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, 1, 2)
@@ -143,13 +143,13 @@
 		is.Equal(len(answer.State.Changes)+len(answer.State.Snapshot), 0)
 		is.Equal(node.serviceCount(), 1)
 
-		// Not every digest makes it read the store: reads that advance nothing are 0.2 to 2 s apart.
-		before := f.platform.listed()
+		// Reads of the store that don't advance the revision are 0.2 to 2 s apart, however many digests arrive.
+		before := f.platform.listCount()
 		for range 1000 {
 			node.syncer.Receive("old", legacy, nil)
 			time.Sleep(10 * time.Millisecond)
 		}
-		checks := f.platform.listed() - before
+		checks := f.platform.listCount() - before
 		is.True(checks >= 4)
 		is.True(checks <= 10)
 	})
--- a/internal/config/configsync/standby.go
+++ b/internal/config/configsync/standby.go
@@ -10,16 +10,16 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// aheadTimeout bounds a pull of a standby from a watcher ahead of it. A healthy node answers across a zone in a
-// few milliseconds; one that is frozen or cut off must not delay the check of the store.
+// aheadTimeout bounds a standby's pull from a higher-ranked watcher. A healthy node of the zone answers in a few
+// milliseconds. A frozen or unreachable one must not delay the check of the store.
 const aheadTimeout = 150 * time.Millisecond
 
-// standByOnce is one step of a standby, and decides when it takes over. It pulls from the watchers ahead of it,
-// which costs no call of the store, and checks the store itself in two cases: it has just become a standby, or
-// the configuration in force was not confirmed as the newest for checkAfter(rank). Such a confirmation, from
-// whatever peer, proves that a watcher ahead is alive.
+// standByOnce runs one step of a standby and decides whether it takes over. The standby pulls from the higher-ranked
+// watchers, which doesn't load the store. It checks the store itself if it has just become a standby, or if no peer
+// confirmed the configuration in force as the newest for checkAfter(rank). A confirmation from any peer proves that a
+// higher-ranked watcher works.
 func (s *Syncer) standByOnce(ctx context.Context, rank int) error {
-	interval := time.Duration(rank) * s.config.RetryPause
+	interval := time.Duration(rank) * s.cfg.RetryPause
 	s.waitForTurn(ctx, rank, interval)
 	if s.rank() != rank {
 		return nil
@@ -35,30 +35,29 @@
 	return nil
 }
 
-// waitForTurn waits for an interval, or until the store must be checked, or until the node's rank changes.
+// waitForTurn waits for an interval, until the store must be checked, or until the node's rank changes.
 func (s *Syncer) waitForTurn(ctx context.Context, rank int, interval time.Duration) {
 	until := time.Now().Add(min(interval, s.checkAfter(rank)-s.catalog.Age()))
 	for left := time.Until(until); left > 0 && s.rank() == rank; left = time.Until(until) {
-		if !wait.For(ctx, min(left, s.config.RetryPause)) {
+		if !wait.For(ctx, min(left, s.cfg.RetryPause)) {
 			return
 		}
 	}
 }
 
-// checkAfter returns how long the configuration in force may be unconfirmed before a standby of a rank checks
-// the store: Config.LookAfter for the first, Config.BackupDelay more for each further one, so that one check
-// serves all standbys.
+// checkAfter returns how long the configuration in force may be unconfirmed before a standby of a rank checks the
+// store: Config.LookAfter for the first, and Config.BackupDelay more for each further one, so that usually only one
+// standby checks.
 func (s *Syncer) checkAfter(rank int) time.Duration {
-	return s.config.LookAfter + time.Duration(rank-1)*s.config.BackupDelay
+	return s.cfg.LookAfter + time.Duration(rank-1)*s.cfg.BackupDelay
 }
 
-// confirmedWithin reports whether the configuration in force was known to be the newest at some time within the
-// last span.
+// confirmedWithin reports whether the configuration in force was confirmed as the newest within the last span.
 func (s *Syncer) confirmedWithin(span time.Duration) bool {
 	return s.catalog.Age() < span
 }
 
-// pullFromAhead pulls from the first watcher ahead of a rank that answers.
+// pullFromAhead pulls from the watchers above a rank, in order, until one answers.
 func (s *Syncer) pullFromAhead(ctx context.Context, rank int) {
 	watchers := s.watchers()
 	for _, watcher := range watchers[:min(rank, len(watchers))] {
@@ -74,10 +73,10 @@
 	return s.pullFrom(ctx, address)
 }
 
-// checkStore applies what changed in the store and queues its push without a delay: the watchers ahead had
-// theirs.
+// checkStore applies the changes in the store and queues their push without Config.BackupDelay: the higher-ranked
+// watchers already had time to push them.
 func (s *Syncer) checkStore(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, s.config.WatchSilence)
+	ctx, cancel := context.WithTimeout(ctx, s.cfg.WatchSilence)
 	defer cancel()
 	before := s.catalog.Revision()
 	err := s.catchUp(ctx)
@@ -88,8 +87,8 @@
 	return err
 }
 
-// enqueuePulled makes a standby push what it pulled since a revision if no push brings it: other nodes may lack
-// it too.
+// enqueuePulled makes a standby push the changes that it pulled after a revision, unless a push delivers them: other
+// nodes may lack them too.
 func (s *Syncer) enqueuePulled(revision int64) {
 	changes, found := s.catalog.Since(revision)
 	if s.rank() <= 0 || !found {
@@ -100,7 +99,7 @@
 	}
 }
 
-// queueUnpushed queues those of the changes after a revision that no push has brought yet.
+// queueUnpushed queues the changes after a revision that no push has delivered yet.
 func (s *Syncer) queueUnpushed(revision int64) {
 	changes, found := s.catalog.Since(revision)
 	if !found {
@@ -113,7 +112,7 @@
 	}
 }
 
-// isPushed reports whether a push brought a change or a later one.
+// isPushed reports whether a push delivered a change or a later one.
 func (s *Syncer) isPushed(change catalog.Change) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/config/configsync/standby_test.go
+++ b/internal/config/configsync/standby_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// first returns the first watcher of a zone.
-func (f *fleet) first(zone string) string {
+// firstWatcher returns the first watcher of a zone.
+func (f *fleet) firstWatcher(zone string) string {
 	for id, node := range f.nodes {
 		if node.syncer.members.Self().Zone == zone && node.syncer.rank() == 0 {
 			return id
@@ -31,9 +31,8 @@
 	return events
 }
 
-// Standbys make no call of the store while the first watcher of their zone is healthy, and have every change all
-// the same.
-func TestStandbysLeaveTheStoreAlone(t *testing.T) {
+// Standbys don't call the store while the first watcher of their zone is healthy, and still get every change.
+func TestStandbysDoNotCallStoreWhileFirstWatcherWorks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, 2, 12)
@@ -49,15 +48,15 @@
 	})
 }
 
-// While the first watcher can't reach the store, a standby checks the store now and then, and stops once the
-// first watcher can.
-func TestStandbyLooksWhileTheFirstHasNoStore(t *testing.T) {
+// While the first watcher can't reach the store, a standby checks the store about every 2 s. It stops once the first
+// watcher recovers.
+func TestStandbyChecksStoreWhileFirstWatcherCannot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, 1, 12)
 		defer f.stopAll()
 		time.Sleep(15 * time.Second)
-		first := f.first("z0")
+		first := f.firstWatcher("z0")
 		before := f.eventsToStandbys()
 		f.platform.setCutOff(first, true)
 		time.Sleep(20 * time.Second)
@@ -77,24 +76,24 @@
 	p.cutOff[id] = cutOff
 }
 
-// firstWatcherFailures are the failures by which the first watcher of a zone stops to pass on changes.
+// firstWatcherFailures are failures that keep the first watcher of a zone from pushing changes.
 var firstWatcherFailures = map[string]func(f *fleet, id string){
-	"dies":         func(f *fleet, id string) { f.nodes[id].stop(); f.network.Remove(id); delete(f.nodes, id) },
-	"has no store": func(f *fleet, id string) { f.platform.setCutOff(id, true) },
+	"crashes":               func(f *fleet, id string) { f.nodes[id].stop(); f.network.Remove(id); delete(f.nodes, id) },
+	"can't reach the store": func(f *fleet, id string) { f.platform.setCutOff(id, true) },
 	"has a silent watch": func(f *fleet, id string) {
 		f.platform.mu.Lock()
 		defer f.platform.mu.Unlock()
 		f.platform.silent[id] = true
 	},
-	"is frozen, and its watch too": func(f *fleet, id string) {
+	"is frozen and can't reach the store": func(f *fleet, id string) {
 		f.network.Freeze(id, true)
 		f.platform.setCutOff(id, true)
-		delete(f.nodes, id) // it can't have the change
+		delete(f.nodes, id) // a frozen node can't get the change
 	},
 }
 
-// A change is in force in the whole zone within 3 s, whatever failure its first watcher had just before.
-func TestChangeIsInForceInTimeWithoutTheFirstWatcher(t *testing.T) {
+// A change is in force in the whole zone within 3 s, even if the first watcher failed just before.
+func TestChangeIsInForceInTimeAfterFirstWatcherFails(t *testing.T) {
 	const bound = 3 * time.Second
 	for name, end := range firstWatcherFailures {
 		t.Run(name, func(t *testing.T) {
@@ -105,7 +104,7 @@
 					defer f.stopAll()
 					f.platform.write(t, "a", 1)
 					time.Sleep(15*time.Second + late)
-					first := f.first("z0")
+					first := f.firstWatcher("z0")
 					stop := f.nodes[first].stop
 					defer stop()
 					end(f, first)
--- a/internal/config/configsync/start_test.go
+++ b/internal/config/configsync/start_test.go
@@ -10,7 +10,7 @@
 )
 
 // A node that starts while the store is down loads its state from peers.
-func TestNodeStartsDuringOutage(t *testing.T) {
+func TestNodeStartsDuringStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, 1, 5)
@@ -31,27 +31,27 @@
 	})
 }
 
-// A node that starts alone reads the store without waiting until it knows its zone.
-func TestFirstReadDoesNotWaitForTheZone(t *testing.T) {
+// A node that starts alone reads the store without waiting until it has joined its zone.
+func TestFirstReadDoesNotWaitForMembership(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, 1, 0)
 		defer f.stopAll()
 		revision := f.platform.write(t, "a", 1)
-		f.config.FirstReadDelay = 10 * time.Millisecond
+		f.cfg.FirstReadDelay = 10 * time.Millisecond
 		f.start("z0-n0", "z0")
 		time.Sleep(100 * time.Millisecond)
 		is.Equal(f.nodes["z0-n0"].catalog.Revision(), revision)
 	})
 }
 
-// A node that starts reads a stale state and the changes since, which costs the platform least; if the store no
-// longer keeps those changes, the node reads the newest state.
-func TestFirstReadIsStaleAndBroughtUpToDate(t *testing.T) {
-	for name, one := range map[string]struct {
-		forgotten int64
+// A starting node reads a stale state and the changes since. If the store no longer keeps those changes, the node reads
+// the newest state.
+func TestFirstReadIsStaleThenCaughtUp(t *testing.T) {
+	for name, test := range map[string]struct {
+		compacted int64
 		lists     int
-	}{"kept": {0, 0}, "forgotten": {2, 1}} {
+	}{"kept": {0, 0}, "compacted": {2, 1}} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
@@ -60,8 +60,8 @@
 				f.platform.write(t, "a", 1)
 				f.platform.write(t, "b", 1)
 				revision := f.platform.write(t, "a", 2)
-				f.platform.staleBy, f.platform.forgotten = 2, one.forgotten
-				f.config.FirstReadDelay = 10 * time.Millisecond
+				f.platform.staleBy, f.platform.compacted = 2, test.compacted
+				f.cfg.FirstReadDelay = 10 * time.Millisecond
 				f.start("z0-n0", "z0")
 				time.Sleep(100 * time.Millisecond)
 				node := f.nodes["z0-n0"]
@@ -70,22 +70,22 @@
 				f.platform.mu.Lock()
 				defer f.platform.mu.Unlock()
 				is.Equal(f.platform.staleLists, 1)
-				is.Equal(f.platform.lists, one.lists)
+				is.Equal(f.platform.lists, test.lists)
 			})
 		})
 	}
 }
 
-// In a fleet that starts together only the seeds read the store; the other nodes load their state from them and
-// from each other.
-func TestFleetStartsFromItsSeeds(t *testing.T) {
+// When a whole fleet starts, only the seeds read the store. The other nodes load their state from the seeds and from each
+// other.
+func TestOnlySeedsReadStoreWhenFleetStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, 6, 0)
 		defer f.stopAll()
 		f.platform.write(t, "a", 1)
 		revision := f.platform.write(t, "b", 1)
-		f.config.FirstReadDelay = 500 * time.Millisecond
+		f.cfg.FirstReadDelay = 500 * time.Millisecond
 		seeds := []string{"z0-n0", "z1-n0", "z2-n0"}
 		for zone := range 6 {
 			for number := range 40 {
@@ -101,14 +101,14 @@
 	})
 }
 
-// A node whose seeds are dead or have no state reads the store after the delay.
-func TestNodeWithDeadSeedsReadsTheStore(t *testing.T) {
+// A node whose seeds are unreachable or have no state reads the store after the delay.
+func TestNodeWithUnreachableSeedsReadsStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, 1, 0)
 		defer f.stopAll()
 		revision := f.platform.write(t, "a", 1)
-		f.config.FirstReadDelay = 500 * time.Millisecond
+		f.cfg.FirstReadDelay = 500 * time.Millisecond
 		f.platform.cutOff["empty"] = true
 		f.start("empty", "z9", "empty")
 		f.start("z0-n0", "z0", "dead", "empty")
@@ -117,14 +117,14 @@
 	})
 }
 
-// A node whose read of the store isn't answered loads its state from a seed that starts later.
-func TestSeedThatStartsLaterIsStillAsked(t *testing.T) {
+// A node that can't read the store loads its state from a seed that starts later.
+func TestNodePullsFromSeedThatStartsLater(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, 1, 0)
 		defer f.stopAll()
 		revision := f.platform.write(t, "a", 1)
-		f.config.FirstReadDelay = 50 * time.Millisecond
+		f.cfg.FirstReadDelay = 50 * time.Millisecond
 		f.platform.cutOff["z0-n1"] = true
 		f.start("z0-n1", "z0", "z0-n0")
 		time.Sleep(300 * time.Millisecond)
--- a/internal/config/configsync/startup.go
+++ b/internal/config/configsync/startup.go
@@ -13,21 +13,20 @@
 )
 
 const (
-	// firstPullPause is the pause between two pulls from the seeds: about the time that a seed takes to read the
-	// store when a whole fleet starts.
+	// firstPullPause is the pause between two pulls from the seeds, about the time in which a seed reads the store when
+	// a whole fleet starts.
 	firstPullPause = 40 * time.Millisecond
-	// firstPullTimeout bounds one pull from a seed, which may be dead. A healthy one needs a tenth of it for a
-	// state of 0.5 MB.
+	// firstPullTimeout bounds one pull from a seed, which may be down. A healthy seed sends a state of 0.5 MB in a tenth
+	// of it.
 	firstPullTimeout = 250 * time.Millisecond
 )
 
-// loadFirstState decides where a node that starts gets its first state, and loads it. The node does so whether
-// it will be a watcher or not: joining its zone takes longer, and it can't serve before. It returns false when
-// the context ended.
+// loadFirstState loads the first state of a starting node. It doesn't wait until the node has joined its zone and has a
+// rank, since the node can't serve without a state. It returns false if the context is done.
 //
-// Seeds read the store at once. Other nodes pull from the seeds, and read the store as well if none has answered
-// after firstReadDelay: a seed may be dead or start later. The first success ends the other attempts, so that a
-// fleet that starts together mostly loads its state from peers instead of reading the store once a node.
+// Seeds read the store at once. Other nodes pull from the seeds, and also read the store if no seed has answered after
+// firstReadDelay: a seed may be down or start later. The first success cancels the other attempts, so that most nodes of
+// a fleet that starts at once load their state from peers instead of the store.
 func (s *Syncer) loadFirstState(ctx context.Context) bool {
 	first, stop := context.WithCancel(ctx)
 	defer stop()
@@ -42,10 +41,10 @@
 		go s.pullFromSeeds(first)
 		wait.For(first, s.firstReadDelay())
 	}
-	retryAfter := s.config.RetryPause
-	for read := s.readStale; !s.initialised.Load(); read = s.readStore {
+	retryAfter := s.cfg.RetryPause
+	for read := s.readStale; !s.initialized.Load(); read = s.readStore {
 		err := read(first)
-		if err == nil || s.initialised.Load() {
+		if err == nil || s.initialized.Load() {
 			break
 		}
 		s.markStoreDown(err)
@@ -57,18 +56,18 @@
 	return ctx.Err() == nil
 }
 
-// firstReadDelay returns half to all of Config.FirstReadDelay, at random, so that nodes that start together
-// don't read the store together.
+// firstReadDelay returns a random delay between half of Config.FirstReadDelay and all of it, so that nodes that start
+// together don't read the store together.
 func (s *Syncer) firstReadDelay() time.Duration {
-	return time.Duration((0.5 + rand.Float64()/2) * float64(s.config.FirstReadDelay))
+	return time.Duration((0.5 + rand.Float64()/2) * float64(s.cfg.FirstReadDelay))
 }
 
 // isSeed reports whether this node is one of the seeds.
 func (s *Syncer) isSeed() bool { return slices.Contains(s.currentSeeds(), s.transport.Address()) }
 
-// pullFromSeeds pulls from random seeds until the node has its first state or the context ends.
+// pullFromSeeds pulls from random seeds until the node has its first state or the context is done.
 func (s *Syncer) pullFromSeeds(ctx context.Context) {
-	for !s.initialised.Load() {
+	for !s.initialized.Load() {
 		seeds := s.currentSeeds()
 		if len(seeds) > 0 {
 			s.pullFromSeed(ctx, seeds[rand.IntN(len(seeds))])
@@ -79,17 +78,16 @@
 	}
 }
 
-// pullFromSeed pulls from one seed.
+// pullFromSeed pulls from one seed, within firstPullTimeout.
 func (s *Syncer) pullFromSeed(ctx context.Context, seed string) {
 	ctx, cancel := context.WithTimeout(ctx, firstPullTimeout)
 	defer cancel()
 	s.pullFrom(ctx, seed)
 }
 
-// readStale reads the store's whole state in the form that costs the store least: a stale state, brought up to
-// date by the changes since.
+// readStale reads the store's whole state at the lowest cost to the store: a stale read, followed by the changes since.
 func (s *Syncer) readStale(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, s.config.WatchSilence)
+	ctx, cancel := context.WithTimeout(ctx, s.cfg.WatchSilence)
 	defer cancel()
 	snapshot, err := s.store.List(ctx, store.Stale)
 	if err != nil {
@@ -98,12 +96,12 @@
 	s.catalog.Replace(snapshot)
 	if err := s.catchUp(ctx); err != nil {
 		if ctx.Err() != nil {
-			return err // the context ended, or a peer was faster
+			return err // the context is done, or a peer was faster
 		}
-		s.logger.Info("stale state can't be brought up to date; reading the newest", zap.Error(err))
+		s.logger.Info("can't catch up from a stale read of the store; reading the newest state", zap.Error(err))
 		return s.readStore(ctx)
 	}
-	s.markInitialised()
+	s.markInitialized()
 	s.markStoreUp()
 	return nil
 }
--- a/internal/config/configsync/status.go
+++ b/internal/config/configsync/status.go
@@ -14,8 +14,7 @@
 	peer.StatusReply
 }
 
-// Status counts, zone by zone, the nodes that have a revision in force. Zones that can't be reached are left
-// out.
+// Status counts the nodes of each zone that have a revision in force. Unreachable zones are left out.
 func (s *Syncer) Status(ctx context.Context, revision int64) []ZoneStatus {
 	own := ZoneStatus{Zone: s.members.Self().Zone, StatusReply: s.HandleStatus(ctx, peer.StatusQuery{Revision: revision, WholeZone: true})}
 	statuses := []ZoneStatus{own}
@@ -55,7 +54,7 @@
 }
 
 func (s *Syncer) queryStatus(ctx context.Context, address string, query peer.StatusQuery) (peer.StatusReply, bool) {
-	ctx, cancel := context.WithTimeout(ctx, pullTimeoutFactor*s.config.CallTimeout)
+	ctx, cancel := context.WithTimeout(ctx, pullTimeoutFactor*s.cfg.CallTimeout)
 	defer cancel()
 	answer, err := s.transport.Call(ctx, address, peer.Message{Digest: s.Digest(), StatusQuery: &query})
 	if err != nil || answer.StatusReply == nil {
@@ -64,7 +63,7 @@
 	return *answer.StatusReply, true
 }
 
-// HandleStatus counts this node and the nodes that it must ask, over a tree as for a push.
+// HandleStatus counts this node and the nodes in the query's subtree or the whole zone, over a tree like a push.
 func (s *Syncer) HandleStatus(ctx context.Context, query peer.StatusQuery) peer.StatusReply {
 	total := s.ownStatus(query.Revision)
 	subtree := query.Subtree
@@ -73,7 +72,7 @@
 	}
 	var mu sync.Mutex
 	var pending sync.WaitGroup
-	for _, branch := range split(subtree, s.config.FanOut) {
+	for _, branch := range split(subtree, s.cfg.FanOut) {
 		pending.Go(func() {
 			reply, found := s.queryBranch(ctx, branch, query.Revision)
 			if !found {
@@ -95,7 +94,7 @@
 
 // ownStatus counts this node alone.
 func (s *Syncer) ownStatus(wanted int64) peer.StatusReply {
-	// Read before the revision in force, so that it never exceeds that.
+	// Read before the revision in force, so that it never exceeds it.
 	settledAt := s.settledAt()
 	revision := s.catalog.Revision()
 	own := peer.StatusReply{Nodes: 1, LowestRevision: revision, LowestSettled: settledAt}
@@ -112,7 +111,8 @@
 	return own
 }
 
-// queryBranch asks the first node of a branch that answers; those before it are not counted.
+// queryBranch queries the nodes of a branch in order until one answers for the rest of the branch. Nodes that don't
+// answer are not counted.
 func (s *Syncer) queryBranch(ctx context.Context, branch []string, revision int64) (peer.StatusReply, bool) {
 	for index, address := range branch {
 		reply, found := s.queryStatus(ctx, address, peer.StatusQuery{Revision: revision, Subtree: branch[index+1:]})
--- a/internal/config/configsync/storestate.go
+++ b/internal/config/configsync/storestate.go
@@ -10,17 +10,17 @@
 	"github.com/portgauge/portgauge/internal/config/store"
 )
 
-// droppedLogInterval is the minimum interval between two log lines about dropped states: a node may drop many in
-// a second.
+// droppedLogInterval is the minimum interval between two log lines about dropped states. A node may drop many states per
+// second.
 const droppedLogInterval = time.Second
 
 // errStoreNotNewer reports that the store's whole state is not newer than the configuration in force.
 var errStoreNotNewer = merry.New("the store's whole state is not newer than the one in force")
 
-// readStore reads the whole state of the store, applies it if it is newer than the configuration in force, and
-// queues the push of what it changed. A state older than the one in force is dropped and confirms nothing.
+// readStore reads the whole state of the store, applies it if it is newer than the configuration in force, and queues
+// the push of the difference. A state older than the one in force is dropped and confirms nothing.
 func (s *Syncer) readStore(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, s.config.WatchSilence)
+	ctx, cancel := context.WithTimeout(ctx, s.cfg.WatchSilence)
 	defer cancel()
 	requestedAt, before := s.catalog.Instant(), s.catalog.Revision()
 	snapshot, err := s.store.List(ctx, store.Linearizable)
@@ -32,10 +32,10 @@
 	case replaced || snapshot.Revision >= before:
 		s.catalog.ConfirmSince(requestedAt, 0)
 	default:
-		// The store lacks what is in force here, so it doesn't confirm that as the newest.
+		// The store lacks changes that are in force on this node, so it doesn't confirm the revision as the newest.
 		s.reportDropped(snapshot.Revision, before)
 	}
-	s.markInitialised()
+	s.markInitialized()
 	s.markStoreUp()
 	if s.enteredEpoch(before) {
 		s.enqueue(epochChange(before, s.catalog.Revision()))
@@ -45,9 +45,9 @@
 	return nil
 }
 
-// reread reads the whole state of a store that no longer keeps the changes since the revision in force. If that
-// doesn't advance the revision, as when a store went back without announcing a new epoch, it fails so that the
-// caller backs off instead of reading again at once.
+// reread reads the whole state of a store that no longer keeps the changes since the revision in force. If the revision
+// doesn't advance, for example because the store was rolled back without a new epoch, it returns errStoreNotNewer so that
+// the caller backs off.
 func (s *Syncer) reread(ctx context.Context) error {
 	before := s.catalog.Revision()
 	if err := s.readStore(ctx); err != nil {
@@ -70,31 +70,32 @@
 	}
 }
 
-// reportDropped counts a whole state that was dropped as older than the one in force, and logs it at a limited
+// reportDropped counts a whole state that was dropped because it is older than the one in force, and logs it at a limited
 // rate.
 func (s *Syncer) reportDropped(revision, inForce int64) {
 	s.dropped()
 	s.droppedLog.Do(func() {
-		s.logger.Warn("whole state of the store dropped as older", zap.Int64("revision", revision), zap.Int64("in_force", inForce))
+		s.logger.Warn("dropped a whole state of the store: it is older than the state in force", zap.Int64("revision", revision), zap.Int64("in_force", inForce))
 	})
 }
 
-// markStoreDown records that the store can't be followed, and logs it once. While it is down, the node pulls
-// from other zones.
+// markStoreDown records that the store can't be followed, and logs the first failure. Until it can be followed again,
+// the node pulls from other zones.
 func (s *Syncer) markStoreDown(err error) {
 	if s.storeDownAt.CompareAndSwap(0, time.Now().UnixNano()) {
 		s.logger.Warn("store lost", zap.Error(err), zap.Int64("revision", s.catalog.Revision()))
 	}
 }
 
-// leaveStoreToWatchers records that this node need not follow the store itself, once it knows its zone.
+// leaveStoreToWatchers records that this node doesn't have to follow the store, because it has joined its zone and is
+// not the first watcher.
 func (s *Syncer) leaveStoreToWatchers() {
 	if s.joined.Load() && s.storeDownAt.Swap(0) != 0 {
-		s.logger.Info("store left to the watchers of the zone", zap.Int64("revision", s.catalog.Revision()))
+		s.logger.Info("stopped following the store: this node is not the first watcher of its zone", zap.Int64("revision", s.catalog.Revision()))
 	}
 }
 
-// markStoreUp records that the store is followed again, and logs it once.
+// markStoreUp records that the store can be followed, and logs the recovery.
 func (s *Syncer) markStoreUp() {
 	if since := s.storeDownAt.Swap(0); since != 0 {
 		s.logger.Info("store regained", zap.Duration("after", time.Since(time.Unix(0, since))), zap.Int64("revision", s.catalog.Revision()))
--- a/internal/config/configsync/watch.go
+++ b/internal/config/configsync/watch.go
@@ -13,23 +13,23 @@
 	"github.com/portgauge/portgauge/internal/node/boottime"
 )
 
-// errGap ends a watch whose events do not continue the revision in force.
-var errGap = merry.New("the watch skipped a change")
+// errGap ends a watch whose events don't follow the revision in force.
+var errGap = merry.New("the watch of the store skipped a change")
 
-// errReopenWatch ends the watch of a node that is no longer the first watcher, or whose machine was suspended.
+// errReopenWatch ends the watch of a node that is no longer the first watcher or whose machine was suspended.
 var errReopenWatch = merry.New("the node's rank as a watcher changed, or the machine was suspended")
 
-// errCaughtUp ends the watch by which a node catches up with the store.
+// errCaughtUp ends the watch with which a node catches up with the store.
 var errCaughtUp = merry.New("the state is up to date")
 
-// watchLoop follows the store while this node is one of the watchers. It reads the first state before that,
-// whatever the rank. After an error it retries with exponential backoff between Config.RetryPause and
-// Config.MaximumRetryPause; the backoff starts over once a watch lasted for Config.WatchSilence.
+// watchLoop loads the first state, whatever the node's rank, and then follows the store while the node is a watcher.
+// After an error it retries with exponential backoff between Config.RetryPause and Config.MaximumRetryPause. The backoff
+// is reset after a watch that lasted longer than Config.WatchSilence.
 func (s *Syncer) watchLoop(ctx context.Context) {
 	if !s.loadFirstState(ctx) {
 		return
 	}
-	retryAfter := s.config.RetryPause
+	retryAfter := s.cfg.RetryPause
 	for {
 		rank := s.rank()
 		if rank == notAWatcher {
@@ -47,7 +47,7 @@
 			err = s.reread(ctx)
 		}
 		if err == nil {
-			retryAfter = s.config.RetryPause
+			retryAfter = s.cfg.RetryPause
 			continue
 		}
 		if errors.Is(err, errReopenWatch) {
@@ -56,8 +56,8 @@
 		if !errors.Is(err, errStoreNotNewer) {
 			s.markStoreDown(err)
 		}
-		if time.Since(opened) > s.config.WatchSilence {
-			retryAfter = s.config.RetryPause
+		if time.Since(opened) > s.cfg.WatchSilence {
+			retryAfter = s.cfg.RetryPause
 		}
 		if !pause(ctx, retryAfter) {
 			return
@@ -66,15 +66,14 @@
 	}
 }
 
-// awaitRank pauses a node that is no watcher before its rank is checked again; false when the context ended.
+// awaitRank pauses a node that isn't a watcher before its rank is checked again. It returns false if the context is done.
 func (s *Syncer) awaitRank(ctx context.Context) bool {
 	s.hasReadAsStandby = false
 	s.leaveStoreToWatchers()
-	return pause(ctx, s.config.RetryPause)
+	return pause(ctx, s.cfg.RetryPause)
 }
 
-// follow follows the store as a watcher of the given rank does: until the watch ends, or for one step as a
-// standby.
+// follow follows the store until the watch ends if the node is the first watcher; a standby runs one step.
 func (s *Syncer) follow(ctx context.Context, rank int) error {
 	if rank > 0 {
 		return s.standByOnce(ctx, rank)
@@ -83,11 +82,11 @@
 	return s.watchOnce(ctx)
 }
 
-// watchOnce reads the whole state if there is none yet, then follows the store's changes until the watch ends.
+// watchOnce reads the whole state if the node has none, then applies the store's changes until the watch ends.
 func (s *Syncer) watchOnce(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	if !s.initialised.Load() {
+	if !s.initialized.Load() {
 		if err := s.readStore(ctx); err != nil {
 			return err
 		}
@@ -107,11 +106,10 @@
 	return err
 }
 
-// superviseWatch cancels a watch that must not go on: no event came for Config.WatchSilence, the node is no
-// longer the first watcher, or the machine was suspended. lastEvent is the time from opening the watch to its
-// last event, in nanoseconds.
+// superviseWatch cancels a watch if no event arrived for Config.WatchSilence, the node is no longer the first watcher, or
+// the machine was suspended. lastEvent is the time from opening the watch to its last event, in nanoseconds.
 func (s *Syncer) superviseWatch(stopped <-chan struct{}, cancel context.CancelFunc, opened time.Time, lastEvent *atomic.Int64) {
-	ticker := time.NewTicker(s.config.RetryPause)
+	ticker := time.NewTicker(s.cfg.RetryPause)
 	defer ticker.Stop()
 	for {
 		select {
@@ -120,15 +118,15 @@
 		case <-ticker.C:
 		}
 		silent := time.Since(opened) - time.Duration(lastEvent.Load())
-		if silent > s.config.WatchSilence || s.rank() != 0 || s.resumed.Load() {
+		if silent > s.cfg.WatchSilence || s.rank() != 0 || s.resumed.Load() {
 			cancel()
 			return
 		}
 	}
 }
 
-// eventHandler returns the function that handles the events of a watch that begins now. Each event counts as
-// requested when the one before it was handled, which bounds the age of what it confirms.
+// eventHandler returns the handler of a watch that starts now. Each event counts as requested when the previous event was
+// received, which bounds the age of the revision that it confirms.
 func (s *Syncer) eventHandler(ctx context.Context) func(store.Event) error {
 	requestedAt := s.catalog.Instant()
 	return func(event store.Event) error {
@@ -138,8 +136,8 @@
 	}
 }
 
-// handleEvent applies a change and queues its push, or records that the revision in force is the newest. asked
-// is when the event was requested.
+// handleEvent applies a change and queues its push, or records that the revision in force is the newest. requestedAt is
+// when the event was requested.
 func (s *Syncer) handleEvent(ctx context.Context, event store.Event, requestedAt boottime.Instant) error {
 	s.markStoreUp()
 	if event.Change != nil {
@@ -151,7 +149,7 @@
 		s.enqueue(*event.Change)
 	}
 	if event.Change == nil && event.Current > s.catalog.Revision() {
-		// The store is ahead of the changes that the watch delivered: read what is missing.
+		// The store is ahead of the changes that the watch delivered.
 		return s.readStore(ctx)
 	}
 	if event.Current == s.catalog.Revision() {
@@ -160,8 +158,8 @@
 	return nil
 }
 
-// enqueue decides when a watcher pushes a change: the first watcher at once, a standby of rank n after n times
-// Config.BackupDelay unless a push has brought the change by then. Other nodes don't push.
+// enqueue schedules the push of a change. The first watcher pushes at once, a standby of rank n after n times
+// Config.BackupDelay unless a push has delivered the change by then. Other nodes don't push.
 func (s *Syncer) enqueue(change catalog.Change) {
 	rank := s.rank()
 	if rank == notAWatcher {
@@ -171,14 +169,14 @@
 		s.queuePush(change)
 		return
 	}
-	time.AfterFunc(time.Duration(rank)*s.config.BackupDelay, func() {
+	time.AfterFunc(time.Duration(rank)*s.cfg.BackupDelay, func() {
 		if !s.isPushed(change) {
 			s.queuePush(change)
 		}
 	})
 }
 
-// queuePush hands a change to the push loop; it never blocks.
+// queuePush sends a change to the push loop without blocking. A change that doesn't fit the queue is dropped.
 func (s *Syncer) queuePush(change catalog.Change) {
 	select {
 	case s.pushes <- change:
--- a/internal/config/configsync/watchers.go
+++ b/internal/config/configsync/watchers.go
@@ -11,11 +11,10 @@
 // notAWatcher is the rank of a node that does not watch the store.
 const notAWatcher = -1
 
-// rank decides whether this node watches the store for its zone. Members are ranked by the hash of their ids,
-// highest first, and the first Config.WatchersPerZone of them are the watchers: rank 0 follows the store and
-// pushes changes, higher ranks are its standbys. All nodes with the same members agree without a message, and a
-// death moves up only those behind it. A node that does not know its zone yet, or isn't a live member, has no
-// rank.
+// rank returns this node's rank as a watcher, or notAWatcher. Members are ranked by the hash of their IDs, highest first,
+// and the first Config.WatchersPerZone are the watchers: rank 0 follows the store and pushes changes, the others are
+// standbys. Nodes with the same members agree without a message, and the loss of a member changes only the ranks after
+// it. A node that has not joined its zone, or isn't a live member, is not a watcher.
 func (s *Syncer) rank() int {
 	if !s.joined.Load() {
 		return notAWatcher
@@ -34,20 +33,20 @@
 			ahead++
 		}
 	}
-	if !present || ahead >= s.config.WatchersPerZone {
+	if !present || ahead >= s.cfg.WatchersPerZone {
 		return notAWatcher
 	}
 	return ahead
 }
 
-// watchers returns the zone's watchers in order of rank.
+// watchers returns the zone's watchers in rank order.
 func (s *Syncer) watchers() []peer.Member {
 	ranked := append([]peer.Member(nil), s.members.Members()...)
 	sortByWeight(ranked, func(member peer.Member) uint64 { return xxhash.Sum64String(member.ID) })
-	return ranked[:min(len(ranked), s.config.WatchersPerZone)]
+	return ranked[:min(len(ranked), s.cfg.WatchersPerZone)]
 }
 
-// sortByWeight sorts members by weight, highest first, then by id.
+// sortByWeight sorts members by weight, highest first, then by ID.
 func sortByWeight(members []peer.Member, weight func(peer.Member) uint64) {
 	weights := make(map[string]uint64, len(members))
 	for _, member := range members {
