--- a/internal/config/configwriter/configwriter.go
+++ b/internal/config/configwriter/configwriter.go
@@ -1,13 +1,13 @@
-// Package configwriter writes operators' changes to the store and resolves writes whose reply was lost.
+// Package configwriter writes operators' changes to the store and resolves the outcome of writes whose response was lost.
 //
-// A write is a compare-and-swap with the revision that the operator saw and a unique change id that the value
-// keeps. When a reply is lost the key is read back: if the id is there, the change was accepted; if the key
-// moved on without it, the write lost a race; if the key did not change, the same compare-and-swap is sent
-// again, which can take effect only once. A guarded write also has conditions on other keys; if one no longer
-// holds, the write lost a race as well.
+// A write is a compare-and-swap with the revision that the operator read. The value contains a unique change ID. If the
+// response is lost, the key is read back: if its value or history contains the change ID, the change was accepted; if
+// another change replaced the expected revision, the write has a conflict; if the key is unchanged, the same
+// compare-and-swap is sent again, which can take effect only once. A guarded write also has conditions on other keys and
+// has a conflict if one of them no longer holds.
 //
-// A Writer keeps no state between writes. It relies on the store; each write is bounded by Config.TotalTimeout.
-// Errors are of type failure.Failure and say whether the change may have been made.
+// A Writer keeps no state between writes. Each write is bounded by Config.TotalTimeout. Errors are of type
+// failure.Failure and say whether the change may have been made.
 package configwriter
 
 import (
@@ -23,17 +23,17 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// Config bounds how long a write is attempted.
+// Config configures the timeouts and retries of writes.
 type Config struct {
 	// CallTimeout bounds one call to the store.
 	CallTimeout time.Duration `yaml:"call_timeout"`
-	// TotalTimeout bounds the whole write with its read-backs.
+	// TotalTimeout bounds a whole write, including retries and reads.
 	TotalTimeout time.Duration `yaml:"total_timeout"`
-	// RetryPause is the pause before the key is read back or written again.
+	// RetryPause is the pause before the key is read and written again.
 	RetryPause time.Duration `yaml:"retry_pause"`
 }
 
-// DefaultConfig suits a store that answers within milliseconds.
+// DefaultConfig returns settings for a store that responds within milliseconds.
 func DefaultConfig() Config {
 	return Config{CallTimeout: time.Second, TotalTimeout: 5 * time.Second, RetryPause: 100 * time.Millisecond}
 }
@@ -47,12 +47,12 @@
 	return checks.Err()
 }
 
-// Write is one change of one key.
+// Write is a change of one key.
 type Write struct {
 	Key      string
 	Expected int64
 	ChangeID string
-	// Message or Document is the new value, depending on the kind of key; with neither the key is deleted.
+	// Message or Document is the new value, depending on the kind of key. If both are nil, the key is deleted.
 	Message  proto.Message
 	Document json.RawMessage
 
@@ -71,25 +71,26 @@
 	return catalog.NewEnvelope(w.ChangeID, w.Message, replaced)
 }
 
-// Writer writes changes; it keeps no state between them and is safe for concurrent use.
+// Writer writes changes. It is safe for concurrent use.
 type Writer struct {
-	config Config
-	store  store.Store
-	// guarded is the store if it supports conditions on other keys, else nil.
+	cfg   Config
+	store store.Store
+	// guarded is the store if it supports conditions on other keys, nil otherwise.
 	guarded store.Guarded
 }
 
-// New returns a writer. Guarded writes need a store that is a store.Guarded as well.
-func New(config Config, target store.Store) *Writer {
+// New returns a writer to a store. Guarded writes need a store that implements store.Guarded.
+func New(cfg Config, target store.Store) *Writer {
 	guarded, _ := target.(store.Guarded)
-	return &Writer{config: config, store: target, guarded: guarded}
+	return &Writer{cfg: cfg, store: target, guarded: guarded}
 }
 
-// Apply writes a change and returns the revision at which it was accepted. It fails with RevisionConflict (not
-// accepted), StoreUnavailable (nothing was sent) or OutcomeUnknown (sent, without a reply or a read-back: apply
-// again with the same change id). A refusal of the store is returned as it is.
+// Apply writes a change and returns the revision at which it was accepted. It fails with RevisionConflict if the change
+// was not accepted, StoreUnavailable if nothing was sent, or OutcomeUnknown if neither a response nor a read confirmed
+// the outcome; the caller may then apply the change again with the same ID. If the store rejects the write, its error is
+// returned unchanged.
 func (w *Writer) Apply(ctx context.Context, write Write) (int64, error) {
-	ctx, cancel := context.WithTimeout(ctx, w.config.TotalTimeout)
+	ctx, cancel := context.WithTimeout(ctx, w.cfg.TotalTimeout)
 	defer cancel()
 	sent := false
 	for {
@@ -100,12 +101,12 @@
 		select {
 		case <-ctx.Done():
 			return 0, w.unresolved(write, sent, err)
-		case <-time.After(w.config.RetryPause):
+		case <-time.After(w.cfg.RetryPause):
 		}
 	}
 }
 
-// attempt reads the key and writes it once. It is resolved when the outcome is known.
+// attempt reads the key and writes it once. resolved reports that the outcome is known.
 func (w *Writer) attempt(ctx context.Context, write Write, sent *bool) (revision int64, resolved bool, err error) {
 	current, err := w.get(ctx, write.Key)
 	if err != nil {
@@ -128,13 +129,13 @@
 	if len(write.conditions) > 0 {
 		return resolveGuarded(write, result.Entry)
 	}
-	// The key changed between the read and the write, perhaps by an earlier copy of this very write: the next read
-	// shows which.
+	// The key changed between the read and the write, possibly by an earlier attempt of this write. The next read
+	// resolves it.
 	return 0, false, nil
 }
 
-// resolve finds the outcome of a write from its key as it was read: the change was accepted, or another one
-// changed the key.
+// resolve determines the outcome of a write from the key's current entry: the change was accepted, or another change
+// replaced the expected revision.
 func resolve(write Write, current *catalog.Entry) (revision int64, resolved bool, err error) {
 	if current != nil {
 		if accepted, found := catalog.FindChange(current, write.ChangeID); found {
@@ -148,13 +149,13 @@
 }
 
 func (w *Writer) get(ctx context.Context, key string) (*catalog.Entry, error) {
-	ctx, cancel := context.WithTimeout(ctx, w.config.CallTimeout)
+	ctx, cancel := context.WithTimeout(ctx, w.cfg.CallTimeout)
 	defer cancel()
 	return w.store.Get(ctx, key)
 }
 
 func (w *Writer) swap(ctx context.Context, write Write, value []byte, sent *bool) (store.SwapResult, error) {
-	ctx, cancel := context.WithTimeout(ctx, w.config.CallTimeout)
+	ctx, cancel := context.WithTimeout(ctx, w.cfg.CallTimeout)
 	defer cancel()
 	*sent = true
 	if len(write.conditions) > 0 {
@@ -163,27 +164,27 @@
 	return w.store.CompareAndSwap(ctx, write.Key, write.Expected, value, write.removes())
 }
 
-// isRefused reports whether the store will never make a write, however often it is attempted.
+// isRefused reports whether the store rejected a write permanently, so that a retry is useless.
 func isRefused(err error) bool {
 	refused, isTyped := errors.AsType[*failure.Failure](err)
 	return isTyped && refused.Execution == failure.NotRun && refused.RetryAfter == 0
 }
 
-// unresolved returns the error of a write whose outcome is not known in time.
+// unresolved returns the error of a write that timed out before its outcome was known.
 func (w *Writer) unresolved(write Write, sent bool, cause error) error {
 	if cause == nil {
 		cause = context.DeadlineExceeded
 	}
 	if sent {
 		unknown := failure.Wrap(cause, failure.OutcomeUnknown, failure.Unknown,
-			"the store did not confirm change "+write.ChangeID+"; apply again with the same change id")
-		return unknown.WithRetryAfter(w.config.TotalTimeout)
+			"the store did not confirm change "+write.ChangeID+"; apply it again with the same change ID")
+		return unknown.WithRetryAfter(w.cfg.TotalTimeout)
 	}
-	unavailable := failure.Wrap(cause, failure.StoreUnavailable, failure.NotRun, "the store does not answer; nothing was written")
-	return unavailable.WithRetryAfter(w.config.TotalTimeout)
+	unavailable := failure.Wrap(cause, failure.StoreUnavailable, failure.NotRun, "the store did not respond in time; nothing was written")
+	return unavailable.WithRetryAfter(w.cfg.TotalTimeout)
 }
 
-// conflict returns the error of a write whose key has another revision than expected.
+// conflict returns the error of a write whose key doesn't have the expected revision.
 func conflict(write Write, current *catalog.Entry) error {
 	revision := current.LiveRevision()
 	failed := failure.New(failure.RevisionConflict, failure.NotRun,
--- a/internal/config/configwriter/configwriter_test.go
+++ b/internal/config/configwriter/configwriter_test.go
@@ -18,15 +18,15 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-var errLost = errors.New("reply lost")
+var errNoResponse = errors.New("no response")
 
-// memoryStore is a store whose faults come from a script, one per call; after its end there are none.
+// memoryStore is an in-memory store with scripted faults, one per call. Calls after the end of the script succeed.
 type memoryStore struct {
 	store.Store
-	mutex    sync.Mutex
+	mu       sync.Mutex
 	entry    *catalog.Entry
 	revision int64
-	applied  map[string]int // how often each change id took effect
+	applied  map[string]int // how often each change took effect, by ID
 	script   []fault
 }
 
@@ -35,7 +35,7 @@
 const (
 	noFault fault = iota
 	loseRequest
-	loseReply
+	loseResponse
 )
 
 func (s *memoryStore) nextFault() fault {
@@ -48,20 +48,20 @@
 }
 
 func (s *memoryStore) Get(context.Context, string) (*catalog.Entry, error) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if s.nextFault() != noFault {
-		return nil, errLost
+		return nil, errNoResponse
 	}
 	return s.entry, nil
 }
 
 func (s *memoryStore) CompareAndSwap(_ context.Context, key string, expected int64, value []byte, remove bool) (store.SwapResult, error) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	fault := s.nextFault()
 	if fault == loseRequest {
-		return store.SwapResult{}, errLost
+		return store.SwapResult{}, errNoResponse
 	}
 	swapped := s.entry.LiveRevision() == expected
 	if swapped {
@@ -73,30 +73,30 @@
 		}
 		s.applied[envelope.ChangeID]++
 	}
-	if fault == loseReply {
-		return store.SwapResult{}, errLost
+	if fault == loseResponse {
+		return store.SwapResult{}, errNoResponse
 	}
 	return store.SwapResult{Swapped: swapped, Entry: s.entry}, nil
 }
 
-// With any requests and replies lost and several operators racing, a change reported as accepted took effect once, and a
-// change reported as a conflict never.
-func TestWritesAreToldRightly(t *testing.T) {
+// Whatever requests and responses are lost, and however operators race, a change reported as accepted took effect exactly
+// once, and a change reported as a conflict never.
+func TestReportedOutcomesAreCorrect(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		target := &memoryStore{applied: map[string]int{}}
-		target.script = rapid.SliceOfN(rapid.SampledFrom([]fault{noFault, loseRequest, loseReply}), 0, 25).Draw(t, "faults")
-		config := Config{CallTimeout: time.Millisecond, TotalTimeout: 20 * time.Millisecond, RetryPause: time.Microsecond}
+		target.script = rapid.SliceOfN(rapid.SampledFrom([]fault{noFault, loseRequest, loseResponse}), 0, 25).Draw(t, "faults")
+		cfg := Config{CallTimeout: time.Millisecond, TotalTimeout: 20 * time.Millisecond, RetryPause: time.Microsecond}
 		operators := rapid.IntRange(1, 3).Draw(t, "operators")
 		outcomes := make([]map[string]error, operators)
 		var running sync.WaitGroup
 		for operator := range operators {
 			outcomes[operator] = map[string]error{}
 			running.Go(func() {
-				writer := New(config, target)
+				writer := New(cfg, target)
 				for number := range 4 {
-					target.mutex.Lock()
+					target.mu.Lock()
 					seen := target.entry.LiveRevision()
-					target.mutex.Unlock()
+					target.mu.Unlock()
 					id := fmt.Sprintf("%d/%d", operator, number)
 					_, err := writer.Apply(context.Background(), Write{Key: "k", Expected: seen, ChangeID: id, Message: &adminv1.ServiceSpec{Name: id}})
 					outcomes[operator][id] = err
@@ -115,27 +115,27 @@
 func checkOutcome(t *rapid.T, id string, err error, applied int) {
 	switch {
 	case err == nil && applied != 1:
-		t.Fatalf("%s was reported as accepted and took effect %d times", id, applied)
+		t.Fatalf("change %s was reported as accepted but took effect %d times", id, applied)
 	case failure.Is(err, failure.RevisionConflict) && applied != 0:
-		t.Fatalf("%s was reported as conflict and took effect", id)
+		t.Fatalf("change %s was reported as a conflict but took effect", id)
 	case failure.Is(err, failure.StoreUnavailable) && applied != 0:
-		t.Fatalf("%s was reported as unavailable and took effect", id)
+		t.Fatalf("change %s was reported as not sent but took effect", id)
 	case applied > 1:
-		t.Fatalf("%s took effect %d times", id, applied)
+		t.Fatalf("change %s took effect %d times", id, applied)
 	}
 }
 
-func TestOutageIsToldByWhatWasSent(t *testing.T) {
+func TestOutageErrorDependsOnWhatWasSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var down []fault
 		for range 1000 {
-			down = append(down, loseReply)
+			down = append(down, loseResponse)
 		}
 		target := &memoryStore{applied: map[string]int{}, script: down}
 		write := Write{Key: "k", ChangeID: "a", Message: &adminv1.ServiceSpec{}}
 		_, err := New(DefaultConfig(), target).Apply(t.Context(), write)
-		is.True(failure.Is(err, failure.StoreUnavailable)) // the first read failed: nothing was sent
+		is.True(failure.Is(err, failure.StoreUnavailable)) // the first read failed, so nothing was sent
 		is.Equal(failure.From(err).Execution, failure.NotRun)
 
 		target = &memoryStore{applied: map[string]int{}, script: append([]fault{noFault}, down...)}
@@ -145,7 +145,7 @@
 
 		target.script = nil
 		revision, err := New(DefaultConfig(), target).Apply(t.Context(), write)
-		is.NoErr(err) // the same change id returns the first outcome
+		is.NoErr(err) // the first outcome is returned for the same change ID
 		is.Equal(revision, int64(1))
 		is.Equal(target.applied["a"], 1)
 	})
--- a/internal/config/configwriter/guarded.go
+++ b/internal/config/configwriter/guarded.go
@@ -9,7 +9,7 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// GuardedWrite is one change of one key under conditions on other keys.
+// GuardedWrite is a change of one key under conditions on other keys.
 type GuardedWrite struct {
 	Key      string
 	Expected int64
@@ -30,12 +30,11 @@
 	return checks.Err()
 }
 
-// ApplyGuarded writes a change like Apply. RevisionConflict says that the key changed or that a condition no
-// longer holds. OutcomeUnknown says that the change may yet be made, later than now, as long as the conditions
-// hold.
+// ApplyGuarded writes a change like Apply. It fails with RevisionConflict if the key changed or a condition no longer
+// holds. After OutcomeUnknown, the change may still take effect later, as long as the conditions hold.
 func (w *Writer) ApplyGuarded(ctx context.Context, write GuardedWrite) (int64, error) {
 	if w.guarded == nil {
-		return 0, failure.New(failure.Internal, failure.NotRun, "this store takes no conditions on other keys")
+		return 0, failure.New(failure.Internal, failure.NotRun, "the store does not support conditions on other keys")
 	}
 	if err := write.Validate(); err != nil {
 		return 0, err
@@ -46,8 +45,8 @@
 	})
 }
 
-// resolveGuarded finds the outcome of a guarded write that the store did not make from its key after the call:
-// if neither this change nor another one changed the key, a condition no longer holds.
+// resolveGuarded determines the outcome of a guarded write that the store didn't make, from the key's entry after the
+// call. If the key is unchanged, a condition no longer holds.
 func resolveGuarded(write Write, current *catalog.Entry) (revision int64, resolved bool, err error) {
 	if revision, resolved, err = resolve(write, current); resolved {
 		return revision, true, err
--- a/internal/config/configwriter/guarded_test.go
+++ b/internal/config/configwriter/guarded_test.go
@@ -14,13 +14,14 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// guardedStore is a memoryStore whose writes also need another key at a revision.
+// guardedStore is a memoryStore whose writes also require that another key has a given revision.
 type guardedStore struct {
 	memoryStore
 	guard int64
-	// late are the writes without a reply that may take effect later.
+	// late are the writes without a response, which may take effect later.
 	late []func()
-	// writes counts the writes that reached the store; before and after run around the write of a number.
+	// writes counts the writes that reached the store. before and after are functions to run around a write, by its
+	// number.
 	writes        int
 	before, after map[int]func()
 }
@@ -33,7 +34,7 @@
 	s.run(s.before)
 	defer s.run(s.after)
 	s.writes++
-	holds := !slices.ContainsFunc(conditions, func(one store.Condition) bool { return one.Revision != s.guard })
+	holds := !slices.ContainsFunc(conditions, func(condition store.Condition) bool { return condition.Revision != s.guard })
 	if holds {
 		result, err := s.CompareAndSwap(ctx, key, expected, value, false)
 		if err != nil {
@@ -42,12 +43,12 @@
 		return result, err
 	}
 	if s.nextFault() != noFault {
-		return store.SwapResult{}, errLost
+		return store.SwapResult{}, errNoResponse
 	}
 	return store.SwapResult{Entry: s.entry}, nil
 }
 
-// run runs the function that is due at the present write.
+// run calls the function that is set for the current number of writes, if any.
 func (s *guardedStore) run(due map[int]func()) {
 	if act, found := due[s.writes]; found {
 		act()
@@ -63,12 +64,12 @@
 	}
 }
 
-func TestGuardedWriteIsMadeOnceWhateverAnswerIsLost(t *testing.T) {
+func TestGuardedWriteTakesEffectOnceDespiteLoss(t *testing.T) {
 	cases := map[string][]fault{
-		"nothing is lost":                {},
-		"the answer":                     {noFault, loseReply},
-		"the call":                       {noFault, loseRequest},
-		"the answer and reading it back": {noFault, loseReply, loseReply, loseReply},
+		"nothing is lost":            {},
+		"the response":               {noFault, loseResponse},
+		"the request":                {noFault, loseRequest},
+		"the response and two reads": {noFault, loseResponse, loseResponse, loseResponse},
 	}
 	for name, script := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -84,9 +85,10 @@
 	}
 }
 
-// A write made before the order was replaced is accepted although its reply was lost; a later one is a conflict.
-func TestReplacedSpecSettlesALostAnswer(t *testing.T) {
-	for name, lost := range map[string]fault{"done": loseReply, "not done": loseRequest} {
+// If the spec is replaced after the response was lost, a write that took effect is reported as accepted, any other as a
+// conflict.
+func TestReplacedSpecResolvesLostResponse(t *testing.T) {
+	for name, lost := range map[string]fault{"response lost": loseResponse, "request lost": loseRequest} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
@@ -94,16 +96,16 @@
 				target.after = map[int]func(){1: func() { target.guard++ }}
 				_, err := New(DefaultConfig(), target).ApplyGuarded(t.Context(), guardedWrite("a"))
 				is.Equal(failure.Is(err, failure.RevisionConflict), lost == loseRequest)
-				is.Equal(err == nil, lost == loseReply)
+				is.Equal(err == nil, lost == loseResponse)
 			})
 		})
 	}
 }
 
-func TestGuardedWriteLosesARace(t *testing.T) {
+func TestGuardedWriteReportsConflict(t *testing.T) {
 	cases := map[string]func(target *guardedStore){
-		"the order was replaced before": func(target *guardedStore) { target.guard++ },
-		"the order was replaced between read and write": func(target *guardedStore) {
+		"the spec was replaced before": func(target *guardedStore) { target.guard++ },
+		"the spec was replaced between read and write": func(target *guardedStore) {
 			target.before = map[int]func(){0: func() { target.guard++ }}
 		},
 		"another state was written before": func(target *guardedStore) { writeOther(target) },
@@ -129,14 +131,14 @@
 func writeOther(target *guardedStore) {
 	value, err := catalog.NewDocument("other", []byte(`{}`), nil)
 	if err != nil {
-		panic(err) // a constant document can be encoded
+		panic(err) // a constant document can always be encoded
 	}
 	target.revision++
 	target.entry = &catalog.Entry{Key: "state", Value: value, Revision: target.revision}
 }
 
-// A write that may yet take effect while its conditions hold has an unknown outcome, and is found when applied again.
-func TestGuardedWriteThatMayYetBeMadeIsUnknown(t *testing.T) {
+// A write that may still take effect later has an unknown outcome. When it is applied again, its outcome is found.
+func TestGuardedWriteThatMayStillTakeEffectIsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		script := []fault{noFault}
@@ -156,11 +158,11 @@
 	})
 }
 
-// Whatever is lost, and whenever the order is replaced, a write reported as accepted takes effect once, and a write reported
-// as a conflict never, then or later.
-func TestGuardedWritesAreToldRightly(t *testing.T) {
+// Whatever messages are lost, and whenever the spec is replaced, a write reported as accepted takes effect exactly once,
+// and a write reported as a conflict never does.
+func TestReportedOutcomesOfGuardedWritesAreCorrect(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		script := rapid.SliceOfN(rapid.SampledFrom([]fault{noFault, loseRequest, loseReply}), 0, 12).Draw(rt, "faults")
+		script := rapid.SliceOfN(rapid.SampledFrom([]fault{noFault, loseRequest, loseResponse}), 0, 12).Draw(rt, "faults")
 		replacedAt := rapid.IntRange(0, 8).Draw(rt, "replaced at")
 		synctest.Test(t, func(*testing.T) {
 			target := newGuardedStore(script...)
@@ -177,7 +179,7 @@
 	})
 }
 
-func TestGuardedWriteNeedsItsParts(t *testing.T) {
+func TestInvalidGuardedWriteIsRejected(t *testing.T) {
 	is := is.New(t)
 	_, err := New(DefaultConfig(), newGuardedStore()).ApplyGuarded(t.Context(), GuardedWrite{Expected: -1})
 	is.Equal(len(failure.Faults(err)), 5)
@@ -185,7 +187,7 @@
 	is.True(failure.Is(err, failure.Internal))
 }
 
-// refusingStore refuses every write for good.
+// refusingStore rejects every write permanently.
 type refusingStore struct{ store.Store }
 
 func (refusingStore) Get(context.Context, string) (*catalog.Entry, error) { return nil, nil }
@@ -194,8 +196,8 @@
 	return store.SwapResult{}, failure.Invalid("key", "not for nodes to write")
 }
 
-// A write that the store refuses for good is not retried, and not reported as one that may have taken effect.
-func TestRefusedWriteIsTold(t *testing.T) {
+// A write that the store rejects permanently is not retried, and is reported as not run.
+func TestRejectedWriteIsReportedAsNotRun(t *testing.T) {
 	is := is.New(t)
 	_, err := New(DefaultConfig(), refusingStore{}).Apply(t.Context(), Write{Key: "k", ChangeID: "a", Document: []byte(`{}`)})
 	is.True(failure.Is(err, failure.InvalidField))
