--- a/internal/config/rewriter/rewriter.go
+++ b/internal/config/rewriter/rewriter.go
@@ -1,12 +1,11 @@
-// Package rewriter writes entries of the fleet to the platform's store again that a restore of the store lost.
+// Package rewriter restores entries written by nodes that the platform's store lost when it was restored from a backup.
 //
-// Every node retains such entries in force, see catalog.RetainedEntry. One node writes each of them: the first in the
-// ranking of the entry's key, and the next ones take over in turn if it does not. Operators and leafs rewrite
-// their own entries.
+// Every node retains such entries in force, see catalog.RetainedEntry. Each of them is rewritten by the first node in the
+// rendezvous ranking of its key; the next nodes take over in turn if that node fails. Operators and leafs rewrite their
+// own entries.
 //
-// A Writer owns one goroutine, Run, and remembers when it last wrote each key. It relies on the catalog, the
-// store, and the registered nodes for the ranking. A write that fails is logged and attempted again by the next
-// turn.
+// A Writer runs in one goroutine, Run, and stores when it last wrote each key. A failed write is logged and retried on
+// the node's next turn.
 package rewriter
 
 import (
@@ -22,36 +21,36 @@
 )
 
 const (
-	// checkInterval is how often a node checks what has to be rewritten.
+	// checkInterval is how often a node checks which entries it must rewrite.
 	checkInterval = time.Second
-	// takeover is how long each node waits for the one before it: two checks, and a call that times out.
-	takeover = 3 * time.Second
-	// maxWrites bounds the entries that a node rewrites in one check, so that all nodes together stay within the
-	// store's rate of writes.
+	// takeoverDelay is how long each node waits for the node ranked before it: two checks and a call that times out.
+	takeoverDelay = 3 * time.Second
+	// maxWrites bounds the entries that a node rewrites per check, so that all nodes together stay within the store's
+	// rate limit.
 	maxWrites = 20
-	// callTimeout bounds one call of the store.
+	// callTimeout bounds one call to the store.
 	callTimeout = time.Second
 )
 
-// EventLog records entries that are rewritten.
+// EventLog records rewritten entries.
 type EventLog interface {
-	// Rewritten records that the store accepted an entry again, or why it did not.
+	// Rewritten records that an entry was rewritten, or the error that prevented it.
 	Rewritten(key string, err error)
 }
 
-// Writer rewrites lost entries, on behalf of one node.
+// Writer rewrites lost entries on behalf of one node.
 type Writer struct {
 	catalog *catalog.Catalog
 	store   store.Store
 	self    string
 	events  EventLog
-	// mayWrite reports whether the store lets nodes write a key; other keys are rewritten by those who own them.
+	// mayWrite reports whether the store allows nodes to write a key. Other keys are rewritten by their owners.
 	mayWrite func(key string) bool
 	// lastWrite is when this node last wrote a key, by key.
 	lastWrite map[string]time.Time
 }
 
-// New returns a writer for the node of an id. It sets in the catalog which keys the store lets nodes write.
+// New returns a writer for the node with the given ID. It passes the keys that nodes may write to Catalog.SetWritable.
 func New(known *catalog.Catalog, target store.Store, self string, events EventLog) *Writer {
 	mayWrite := func(string) bool { return true }
 	if owned, isOwned := target.(store.Owned); isOwned {
@@ -61,7 +60,7 @@
 	return &Writer{catalog: known, store: target, self: self, events: events, mayWrite: mayWrite, lastWrite: map[string]time.Time{}}
 }
 
-// Run rewrites lost entries until the context ends, and makes the catalog drop those that expired.
+// Run rewrites lost entries and drops expired ones until the context is done.
 func (w *Writer) Run(ctx context.Context) {
 	for wait.For(ctx, wait.Jittered(checkInterval)) {
 		w.catalog.DropExpired()
@@ -69,7 +68,7 @@
 	}
 }
 
-// writeDue rewrites the entries that are this node's turn now, in order of their keys.
+// writeDue rewrites the entries that are due on this node, in key order.
 func (w *Writer) writeDue(ctx context.Context) {
 	retained := w.catalog.RetainedEntries()
 	if len(retained) == 0 {
@@ -95,17 +94,17 @@
 	}
 }
 
-// isDue decides whether it is this node's turn to rewrite a key: checkInterval after the restore for the first
-// node in the ranking of the key, takeover later for each next one, and at most once each takeover.
+// isDue reports whether this node must rewrite a key now. The first node in the key's ranking starts checkInterval after
+// the restore, each further one takeoverDelay later. A node rewrites a key at most once per takeoverDelay.
 func (w *Writer) isDue(key string, now time.Time) bool {
 	view := w.catalog.View()
 	rank := registry.RendezvousRank(view.Nodes, key, w.self)
-	turn := w.catalog.RestoredAt().Add(checkInterval + time.Duration(rank)*takeover)
-	return !now.Before(turn) && now.Sub(w.lastWrite[key]) >= takeover
+	turn := w.catalog.RestoredAt().Add(checkInterval + time.Duration(rank)*takeoverDelay)
+	return !now.Before(turn) && now.Sub(w.lastWrite[key]) >= takeoverDelay
 }
 
-// write replaces what the store has of a key by the retained entry, unless the store's is newer: then the change
-// is on its way here.
+// write replaces a key's entry in the store with the retained one. If the store's entry is newer, it does nothing: the
+// watch will deliver that entry.
 func (w *Writer) write(ctx context.Context, entry catalog.Entry, value []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/internal/config/rewriter/rewriter_test.go
+++ b/internal/config/rewriter/rewriter_test.go
@@ -23,18 +23,18 @@
 
 var errDown = errors.New("down")
 
-// memoryStore is a store in its second epoch; nodes may not write some of its keys.
+// memoryStore is an in-memory store in its second epoch.
 type memoryStore struct {
 	store.Store
-	mu      sync.Mutex
-	count   int64
-	entries map[string]catalog.Entry
-	foreign string // prefix of the keys that nodes may not write
-	down    bool
-	writes  []string
+	mu              sync.Mutex
+	count           int64
+	entries         map[string]catalog.Entry
+	protectedPrefix string // prefix of keys that nodes must not write
+	down            bool
+	writes          []string
 }
 
-func (m *memoryStore) MayWrite(key string) bool { return !strings.HasPrefix(key, m.foreign) }
+func (m *memoryStore) MayWrite(key string) bool { return !strings.HasPrefix(key, m.protectedPrefix) }
 
 func (m *memoryStore) Get(_ context.Context, key string) (*catalog.Entry, error) {
 	m.mu.Lock()
@@ -75,11 +75,11 @@
 	return slices.Clone(m.writes)
 }
 
-type silent struct{}
+type discardEvents struct{}
 
-func (silent) Rewritten(string, error) {}
+func (discardEvents) Rewritten(string, error) {}
 
-// entry returns an entry with a document.
+// entry returns an entry that holds a document.
 func entry(t *testing.T, key string, document any, at int64) catalog.Entry {
 	t.Helper()
 	encoded, err := json.Marshal(document)
@@ -93,15 +93,15 @@
 	return catalog.Entry{Key: key, Value: value, Revision: at}
 }
 
-// restored returns the catalog of a node after a restore by which the store lost some entries and kept others.
-func restored(t *testing.T, lost, left []catalog.Entry, nodes int) *catalog.Catalog {
+// restored returns the catalog of a node after a restore that lost some of the store's entries.
+func restored(t *testing.T, lost, kept []catalog.Entry, nodes int) *catalog.Catalog {
 	t.Helper()
-	known := catalog.New(func(key string, err error) { t.Error(key, err) })
-	before := catalog.Snapshot{Revision: 100, Entries: slices.Concat(lost, left)}
+	node := catalog.New(func(key string, err error) { t.Error(key, err) })
+	before := catalog.Snapshot{Revision: 100, Entries: slices.Concat(lost, kept)}
 	after := catalog.Snapshot{Revision: revision.At(1, 50)}
-	for _, one := range left {
-		one.Revision = revision.At(1, one.Revision)
-		after.Entries = append(after.Entries, one)
+	for _, stored := range kept {
+		stored.Revision = revision.At(1, stored.Revision)
+		after.Entries = append(after.Entries, stored)
 	}
 	for number := range nodes {
 		id := fmt.Sprint("n", number)
@@ -110,61 +110,61 @@
 		record.Revision = revision.At(1, 1)
 		after.Entries = append(after.Entries, record)
 	}
-	known.Replace(before)
-	known.Replace(after)
-	return known
+	node.Replace(before)
+	node.Replace(after)
+	return node
 }
 
-// run runs the writers of some nodes for a while.
-func run(t *testing.T, kept *memoryStore, known *catalog.Catalog, ids []string, span time.Duration) {
+// run runs the writers of the given nodes for a time span.
+func run(t *testing.T, target *memoryStore, node *catalog.Catalog, ids []string, span time.Duration) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), span)
 	defer cancel()
 	var running sync.WaitGroup
 	for _, id := range ids {
-		running.Go(func() { New(known, kept, id, silent{}).Run(ctx) })
+		running.Go(func() { New(node, target, id, discardEvents{}).Run(ctx) })
 	}
 	running.Wait()
 }
 
-// What the fleet wrote is rewritten once, by one of the nodes; leafs rewrite their own records.
-func TestLostEntriesAreWrittenOnce(t *testing.T) {
+// An entry that nodes may write is rewritten once, by one node. Records of leafs are not rewritten by nodes.
+func TestLostEntriesAreRewrittenOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		lost := []catalog.Entry{
 			entry(t, catalog.EvacuationKey("a"), struct{}{}, 90), entry(t, catalog.EvacuationKey("b"), struct{}{}, 91),
 			entry(t, catalog.LeafKey("l"), leafset.Record{Name: "l", Service: "s", Address: "127.0.0.1:1", State: leafset.Ready}, 92),
 		}
-		kept := &memoryStore{entries: map[string]catalog.Entry{}, count: 50, foreign: catalog.LeafKey("")}
-		known := restored(t, lost, nil, 3)
-		is.Equal(len(known.RetainedEntries()), 3)
-		run(t, kept, known, []string{"n0", "n1", "n2"}, 2500*time.Millisecond)
-		written := kept.written()
+		target := &memoryStore{entries: map[string]catalog.Entry{}, count: 50, protectedPrefix: catalog.LeafKey("")}
+		node := restored(t, lost, nil, 3)
+		is.Equal(len(node.RetainedEntries()), 3)
+		run(t, target, node, []string{"n0", "n1", "n2"}, 2500*time.Millisecond)
+		written := target.written()
 		slices.Sort(written)
 		is.Equal(written, []string{catalog.EvacuationKey("a"), catalog.EvacuationKey("b")})
-		is.Equal(len(known.RetainedEntries()), 2) // no node may write the leaf's record
+		is.Equal(len(node.RetainedEntries()), 2) // the leaf's record is no longer retained
 	})
 }
 
-// If the first node writes nothing, the others take over one after the other; while the store is down, nothing is lost.
-func TestOthersTakeOver(t *testing.T) {
+// If the first node is down, the next ones take over in turn. Entries stay retained while the store is unavailable.
+func TestNextRankedNodesTakeOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		lost := []catalog.Entry{entry(t, catalog.EvacuationKey("a"), struct{}{}, 90)}
-		kept := &memoryStore{entries: map[string]catalog.Entry{}, count: 50, foreign: "none", down: true}
-		known := restored(t, lost, nil, 3)
+		target := &memoryStore{entries: map[string]catalog.Entry{}, count: 50, protectedPrefix: "none", down: true}
+		node := restored(t, lost, nil, 3)
 		for _, id := range []string{"n0", "n1", "n2"} {
-			run(t, kept, known, []string{id}, 6*time.Second)
+			run(t, target, node, []string{id}, 6*time.Second)
 		}
-		is.Equal(len(kept.written()), 0)
-		kept.down = false
-		run(t, kept, known, []string{"n2"}, 12*time.Second)
-		is.True(len(kept.written()) > 0)
+		is.Equal(len(target.written()), 0)
+		target.down = false
+		run(t, target, node, []string{"n2"}, 12*time.Second)
+		is.True(len(target.written()) > 0)
 	})
 }
 
-// A newer entry that somebody wrote meanwhile is not replaced.
-func TestNewerIsNotReplaced(t *testing.T) {
+// An entry that was written after the restore and is newer than the retained one is not replaced.
+func TestNewerEntryIsNotReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		key := catalog.ServiceKey("s")
@@ -173,10 +173,10 @@
 		lost := catalog.Entry{Key: key, Value: value, Revision: 90, Deleted: true}
 		other, err := catalog.NewEnvelope("other", nil, nil)
 		is.NoErr(err)
-		kept := &memoryStore{entries: map[string]catalog.Entry{key: {Key: key, Value: other, Revision: revision.At(1, 51)}}, count: 51, foreign: "none"}
-		known := restored(t, []catalog.Entry{lost}, nil, 1)
-		is.Equal(len(known.RetainedEntries()), 1)
-		run(t, kept, known, []string{"n0"}, 5*time.Second)
-		is.Equal(len(kept.written()), 0)
+		target := &memoryStore{entries: map[string]catalog.Entry{key: {Key: key, Value: other, Revision: revision.At(1, 51)}}, count: 51, protectedPrefix: "none"}
+		node := restored(t, []catalog.Entry{lost}, nil, 1)
+		is.Equal(len(node.RetainedEntries()), 1)
+		run(t, target, node, []string{"n0"}, 5*time.Second)
+		is.Equal(len(target.written()), 0)
 	})
 }
