--- a/internal/config/manifest/manifest.go
+++ b/internal/config/manifest/manifest.go
@@ -1,8 +1,9 @@
 // Package manifest validates snapshot manifests and finds the shards that hold a key range.
 //
-// A manifest is immutable. Its shards tile the key space exactly: sorted by key, the first starts at the lowest
-// key, each next one starts where the last ended, and the last has no upper end. Queries plan over ranges, so a
-// repartition is just another manifest. Errors are of type failure.Failure and name the invalid field.
+// A manifest is immutable. Its shards cover the key space without gaps or overlaps: in key order, the first shard starts
+// at the lowest key, each further one starts at the end of the previous one, and the last has no upper bound. Queries are
+// planned over key ranges, so a new partitioning only needs a new manifest. Errors are of type failure.Failure and name
+// the invalid field.
 package manifest
 
 import (
@@ -14,10 +15,10 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// MaxShards bounds the shards of a manifest, so that one change fits the control traffic of a node.
+// MaxShards bounds the number of shards of a manifest, so that one change stays small enough to be pushed to all nodes.
 const MaxShards = 4096
 
-// Shard is one part of the key space with the leafs that hold it.
+// Shard is a range of the key space and the leafs that hold it.
 type Shard struct {
 	ID      string
 	Range   keyspace.Range
@@ -25,20 +26,20 @@
 	LeafIDs []string
 }
 
-// Manifest is a validated snapshot manifest; shards are in key order.
+// Manifest is a validated snapshot manifest. Its shards are in key order.
 type Manifest struct {
 	Service    string
 	SnapshotID string
 	Shards     []Shard
 }
 
-// ShardRange is the key range of one shard that a query covers.
+// ShardRange is the part of a shard's key range that a query covers.
 type ShardRange struct {
 	Shard *Shard
 	Range keyspace.Range
 }
 
-// New validates a manifest; its error names the invalid field.
+// New validates and compiles a manifest. Its error names the invalid field.
 func New(message *adminv1.SnapshotManifest) (*Manifest, error) {
 	if message.GetService() == "" {
 		return nil, failure.Invalid("manifest.service", "must not be empty")
@@ -50,7 +51,7 @@
 		return nil, failure.Invalid("manifest.shards", "must name at least one shard")
 	}
 	if len(message.GetShards()) > MaxShards {
-		return nil, failure.Invalid("manifest.shards", "%d shards; at most %d", len(message.GetShards()), MaxShards)
+		return nil, failure.Invalid("manifest.shards", "has %d shards; the limit is %d", len(message.GetShards()), MaxShards)
 	}
 	shards, err := compileShards(message.GetShards())
 	if err != nil {
@@ -94,35 +95,35 @@
 	seen := make(map[string]bool, len(leafIDs))
 	for index, leafID := range leafIDs {
 		if leafID == "" || seen[leafID] {
-			return failure.Invalid(fmt.Sprintf("%s.leaf_ids[%d]", field, index), "leaf %q is empty or named twice", leafID)
+			return failure.Invalid(fmt.Sprintf("%s.leaf_ids[%d]", field, index), "leaf ID %q is empty or named twice", leafID)
 		}
 		seen[leafID] = true
 	}
 	return nil
 }
 
-// checkTiling refuses gaps and overlaps; shards are sorted by their first key.
+// checkTiling returns an error if there is a gap or an overlap between shards, which must be sorted by their first key.
 func checkTiling(shards []Shard) error {
 	expected := ""
 	for index, shard := range shards {
 		if index > 0 && expected == "" {
-			return failure.Invalid("manifest.shards", "shard %q overlaps %q, which has no upper end", shard.ID, shards[index-1].ID)
+			return failure.Invalid("manifest.shards", "shard %q overlaps shard %q, which has no upper bound", shard.ID, shards[index-1].ID)
 		}
 		if shard.Range.From > expected {
-			return failure.Invalid("manifest.shards", "gap [%q, %q) before shard %q", expected, shard.Range.From, shard.ID)
+			return failure.Invalid("manifest.shards", "no shard holds the keys [%q, %q) before shard %q", expected, shard.Range.From, shard.ID)
 		}
 		if shard.Range.From < expected {
-			return failure.Invalid("manifest.shards", "shard %q overlaps the one before it in [%q, %q)", shard.ID, shard.Range.From, expected)
+			return failure.Invalid("manifest.shards", "shard %q overlaps the previous shard in [%q, %q)", shard.ID, shard.Range.From, expected)
 		}
 		expected = shard.Range.To
 	}
 	if expected != "" {
-		return failure.Invalid("manifest.shards", "gap [%q, end) after the last shard", expected)
+		return failure.Invalid("manifest.shards", "no shard holds the keys from %q to the end of the key space", expected)
 	}
 	return nil
 }
 
-// CheckLeafs refuses a manifest that names a leaf unknown to its service.
+// CheckLeafs returns an error if the manifest names a leaf that is not among the known leafs of its service.
 func (m *Manifest) CheckLeafs(known map[string]bool) error {
 	for _, shard := range m.Shards {
 		for _, leafID := range shard.LeafIDs {
@@ -134,7 +135,7 @@
 	return nil
 }
 
-// Plan returns, in key order, the range of each shard that overlaps a range.
+// Plan returns the parts of the shards' key ranges that a queried range covers, in key order.
 func (m *Manifest) Plan(queried keyspace.Range) []ShardRange {
 	first := sort.Search(len(m.Shards), func(i int) bool {
 		end := m.Shards[i].Range.To
--- a/internal/config/manifest/manifest_test.go
+++ b/internal/config/manifest/manifest_test.go
@@ -31,8 +31,8 @@
 	return boundaries
 }
 
-// Every key of a queried range lies in exactly one shard range of the plan, whatever the tiling.
-func TestPlanTilesTheAskedRange(t *testing.T) {
+// Every key of a queried range is in exactly one shard range of the plan.
+func TestPlanTilesQueriedRange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		compiled, err := New(manifestOf(drawBoundaries(t)))
 		if err != nil {
@@ -51,13 +51,13 @@
 			expected = 1
 		}
 		if times != expected {
-			t.Fatalf("key %q lies in %d parts", key, times)
+			t.Fatalf("key %q is in %d shard ranges", key, times)
 		}
 	})
 }
 
-// Moving one boundary of a tiling always leaves a gap or an overlap, which is rejected.
-func TestMovedBoundaryIsRefused(t *testing.T) {
+// Moving one boundary of a valid manifest causes a gap or an overlap, which is rejected.
+func TestMovedBoundaryIsRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		message := manifestOf(drawBoundaries(t))
 		shard := message.Shards[rapid.IntRange(0, len(message.Shards)-1).Draw(t, "shard")]
@@ -68,12 +68,12 @@
 		shard.KeyFrom = moved
 		_, err := New(message)
 		if !failure.Is(err, failure.InvalidField) {
-			t.Fatalf("accepted: %v", err)
+			t.Fatalf("the manifest was not rejected: %v", err)
 		}
 	})
 }
 
-func TestRefusedManifests(t *testing.T) {
+func TestInvalidManifestsAreRejected(t *testing.T) {
 	cases := map[string]struct {
 		change func(*adminv1.SnapshotManifest)
 		field  string
@@ -100,7 +100,7 @@
 	}
 }
 
-func TestUnknownLeafIsRefused(t *testing.T) {
+func TestUnknownLeafIsRejected(t *testing.T) {
 	is := is.New(t)
 	compiled, err := New(manifestOf(nil))
 	is.NoErr(err)
