--- a/internal/config/keyspace/keyspace.go
+++ b/internal/config/keyspace/keyspace.go
@@ -1,36 +1,36 @@
-// Package keyspace computes with half-open intervals of keys.
+// Package keyspace implements operations on half-open intervals of keys.
 //
-// Keys are byte strings in lexical order. A Range with an empty To has no upper end, so the zero Range is the
-// whole key space. The package has no state.
+// Keys are byte strings in lexical order. A Range with an empty To has no upper bound, so the zero Range is the whole key
+// space.
 package keyspace
 
 import (
 	"sort"
 )
 
-// Range is the interval [From, To); an empty To means no upper end.
+// Range is the interval [From, To). An empty To means that there is no upper bound.
 type Range struct {
 	From string
 	To   string
 }
 
-// Contains reports whether the key lies in the range.
+// Contains reports whether the range contains a key.
 func (r Range) Contains(key string) bool {
 	return key >= r.From && (r.To == "" || key < r.To)
 }
 
-// Empty reports whether no key lies in the range.
+// Empty reports whether the range contains no key.
 func (r Range) Empty() bool {
 	return r.To != "" && r.From >= r.To
 }
 
-// Intersect returns the common part of two ranges, and whether there is one.
+// Intersect returns the intersection of two ranges and reports whether it is not empty.
 func (r Range) Intersect(other Range) (Range, bool) {
 	common := Range{From: max(r.From, other.From), To: lowerEnd(r.To, other.To)}
 	return common, !common.Empty()
 }
 
-// Covers reports whether every key of other lies in r.
+// Covers reports whether r contains every key of other.
 func (r Range) Covers(other Range) bool {
 	if other.Empty() {
 		return true
@@ -38,7 +38,7 @@
 	return r.From <= other.From && endAtMost(other.To, r.To)
 }
 
-// Subtract returns the parts of r that none of the given ranges covers, in order.
+// Subtract returns the parts of r that none of the given ranges covers, in key order.
 func (r Range) Subtract(covered []Range) []Range {
 	ordered := append([]Range(nil), covered...)
 	sort.Slice(ordered, func(i, j int) bool { return ordered[i].From < ordered[j].From })
@@ -69,7 +69,7 @@
 	return key + "\x00"
 }
 
-// lowerEnd returns the smaller of two upper ends, where empty means none.
+// lowerEnd returns the smaller of two upper bounds. An empty one means that there is no bound.
 func lowerEnd(a, b string) string {
 	if a == "" {
 		return b
@@ -80,7 +80,7 @@
 	return min(a, b)
 }
 
-// endAtMost reports whether upper end a is not beyond upper end b.
+// endAtMost reports whether upper bound a is at most upper bound b. An empty one means that there is no bound.
 func endAtMost(a, b string) bool {
 	if b == "" {
 		return true
--- a/internal/config/keyspace/keyspace_test.go
+++ b/internal/config/keyspace/keyspace_test.go
@@ -12,7 +12,7 @@
 	return Range{From: key.Draw(t, label+" from"), To: key.Draw(t, label+" to")}
 }
 
-// A key of a range lies either in one of the covered ranges or in exactly one missing one.
+// Every key of a range is either in a covered range or in exactly one missing range.
 func TestSubtractSplitsEveryKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		queried := drawRange(t, "asked")
--- a/internal/config/revision/revision_test.go
+++ b/internal/config/revision/revision_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// Revisions are ordered by epoch, then by count, and both can be read from them.
-func TestOrder(t *testing.T) {
+// Revisions are ordered by epoch, then by count, and contain both.
+func TestRevisionsAreOrderedByEpochThenCount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		epochs, counts := rapid.Int64Range(0, MaximumEpoch), rapid.Int64Range(0, MostCount)
@@ -23,8 +23,8 @@
 	})
 }
 
-// Without epochs a revision is the count.
-func TestFirstEpoch(t *testing.T) {
+// In epoch 0 a revision is the count.
+func TestRevisionOfFirstEpochIsCount(t *testing.T) {
 	is := is.New(t)
 	is.Equal(At(0, 65), int64(65))
 	is.Equal(At(2, 65), int64(2000000000065))
