--- a/internal/config/catalog/catalog.go
+++ b/internal/config/catalog/catalog.go
@@ -6,9 +6,9 @@
 //
 // A Catalog holds the entries, the View compiled from them, the recent changes for other nodes, and the time at which the
 // revision was last confirmed as the newest. After a restore of the store it also holds the entries that are retained
-// until they are rewritten (restored.go, retained.go). It starts no goroutines and calls no other node; package configsync
-// passes changes to it. Values that can't be decoded are reported and don't change the view. Ages are measured with a
-// boottime.Clock, which includes the time during which the machine was suspended.
+// until they are rewritten (restored.go, retained.go). It starts no goroutines and calls no other node. Package
+// configsync passes changes to it. Values that can't be decoded are reported and don't change the view. Ages are measured
+// with a boottime.Clock, which includes the time during which the machine was suspended.
 package catalog
 
 import (
--- a/internal/config/catalog/freshness.go
+++ b/internal/config/catalog/freshness.go
@@ -28,7 +28,8 @@
 }
 
 // ConfirmSince records that the revision in force was the newest at the given age before now, according to a response
-// that was requested at requestedAt. The response may date from before a suspension since then, which is added to the age.
+// that was requested at requestedAt. The response may date from before a suspension of the machine since then, so the
+// length of the suspension is added to the age.
 func (c *Catalog) ConfirmSince(requestedAt boottime.Instant, age time.Duration) {
 	c.Confirm(c.Now().Add(-age - requestedAt.Suspended()))
 }
--- a/internal/config/catalog/rollout_test.go
+++ b/internal/config/catalog/rollout_test.go
@@ -126,7 +126,8 @@
 	}
 }
 
-// catalogWithSpec returns a catalog with one leaf of each of two versions of a service, and a rollout spec for the second.
+// catalogWithSpec returns a catalog with one leaf of each of two versions of a service, and a rollout spec for the second
+// version.
 func catalogWithSpec(t *testing.T) *Catalog {
 	t.Helper()
 	catalog := newRolloutCatalog(func(key string, err error) { t.Errorf("%s: %v", key, err) })
