--- a/internal/config/catalog/entry.go
+++ b/internal/config/catalog/entry.go
@@ -33,7 +33,7 @@
 // Entries returns all entries of the change.
 func (c Change) Entries() []Entry { return append([]Entry{c.Entry}, c.More...) }
 
-// Marker returns an entry without a value, for a change that advances the revision to the given one.
+// Marker returns an entry without a value, for a change that advances the revision and has its entries in Change.More.
 func Marker(at int64) Entry { return Entry{Key: MarkerKey, Revision: at, Deleted: true} }
 
 // Size returns the total size of the values of a change, in bytes.
--- a/internal/config/catalog/envelope.go
+++ b/internal/config/catalog/envelope.go
@@ -133,7 +133,7 @@
 	return nil
 }
 
-// parseDocument decodes the JSON document of an entry and parses it.
+// parseDocument returns the parsed JSON document of an entry.
 func parseDocument[T any](entry Entry, parse func([]byte) (T, error)) (T, error) {
 	document, err := DecodeDocument(entry)
 	if err != nil {
@@ -143,7 +143,7 @@
 	return parse(document)
 }
 
-// parseDocumentAt is parseDocument for documents that store the revision of their entry.
+// parseDocumentAt is parseDocument for parsers that also take the revision of the entry.
 func parseDocumentAt[T any](entry Entry, parse func(document []byte, revision int64) (T, error)) (T, error) {
 	return parseDocument(entry, func(document []byte) (T, error) { return parse(document, entry.Revision) })
 }
--- a/internal/config/catalog/keys.go
+++ b/internal/config/catalog/keys.go
@@ -25,7 +25,7 @@
 	SavedLeafsKey = "remembered-leafs"
 	// VersionsKey is the store key of the serving versions of services without a roll-out.
 	VersionsKey = "service-versions"
-	// MarkerKey is the key of markers, which have no value and only advance the revision.
+	// MarkerKey is the key of marker entries, which have no value, see Marker.
 	MarkerKey = "marker"
 )
 
--- a/internal/config/catalog/retained.go
+++ b/internal/config/catalog/retained.go
@@ -82,7 +82,7 @@
 	return entries
 }
 
-// RestoredAt returns when the node entered the epoch in force, or the zero time if it saw no restore.
+// RestoredAt returns when the node entered the epoch in force, or the zero time if it observed no restore.
 func (c *Catalog) RestoredAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/config/keyspace/keyspace_test.go
+++ b/internal/config/keyspace/keyspace_test.go
@@ -15,7 +15,7 @@
 // Every key of a range is either in a covered range or in exactly one missing range.
 func TestSubtractSplitsEveryKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		queried := drawRange(t, "asked")
+		queried := drawRange(t, "queried")
 		var covered []Range
 		for range rapid.IntRange(0, 4).Draw(t, "count") {
 			covered = append(covered, drawRange(t, "covered"))
