--- a/internal/config/configsync/announced_leaving_test.go
+++ b/internal/config/configsync/announced_leaving_test.go
@@ -9,8 +9,8 @@
 // noticeDeadline bounds the time until every node has the notice of a leaving leaf, as in the trace 06-leaving-reply.
 const noticeDeadline = 5 * time.Second
 
-// If a leaf announces in a response that it is leaving, its notice must reach the nodes of all zones, although only one node
-// received the response and the machine list doesn't show the leaf as leaving.
+// If a leaf announces in a response that it is leaving, its notice must reach the nodes of all zones, although only one
+// node received the response and the machine list doesn't show the leaf as leaving.
 func TestLeafThatAnnouncesLeavingIsKnownInAllZones(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3, 8)
