--- a/internal/request/search/attempt.go
+++ b/internal/request/search/attempt.go
@@ -13,7 +13,7 @@
 // LeafCaller runs one attempt at a leaf; leafclient.Pool implements it.
 type LeafCaller interface {
 	SearchShard(ctx context.Context, address string, request *leafv1.SearchShardRequest) (*leafv1.SearchShardResponse, error)
-	// HasExited reports whether no process listens at a leaf's address any more.
+	// HasExited reports whether no process listens on a leaf's address any more.
 	HasExited(ctx context.Context, address string) bool
 }
 
@@ -26,11 +26,11 @@
 	address := s.service.Leafs[attempt.Leaf.ID].GetAddress()
 	response, err := s.engine.leafs.SearchShard(ctx, address, request)
 	result := s.engine.classify(ctx, request, attempt.Leaf, response, err)
-	return s.learn(ctx, attempt, address, err, result)
+	return s.trackCrash(ctx, attempt, address, err, result)
 }
 
-// classify decides what an attempt's end means: whether the reply is used, whether the leaf ran the attempt, and what that
-// says about the leaf. A reply that fails verification leaves the execution unknown.
+// classify decides what the end of an attempt means: whether the reply is used, whether the leaf ran the attempt, and
+// which outcome counts for the leaf. A reply that fails verification leaves the execution state unknown.
 func (e *Engine) classify(ctx context.Context, request *leafv1.SearchShardRequest, leaf *balancer.Leaf, response *leafv1.SearchShardResponse, err error) scatter.Result[shardReply] {
 	if err != nil {
 		return e.classifyError(ctx, request, leaf, err)
@@ -45,7 +45,8 @@
 	return scatter.Result[shardReply]{Reply: &reply, Execution: scatter.Ran, Outcome: balancer.Succeeded, Queued: load.GetInFlight() > load.GetSlots()}
 }
 
-// classifyError classifies an attempt without a reply. It did not run only if it was never sent or the leaf refused it.
+// classifyError classifies an attempt without a reply. Only an attempt that was never sent or that the leaf refused
+// counts as not run.
 func (e *Engine) classifyError(ctx context.Context, request *leafv1.SearchShardRequest, leaf *balancer.Leaf, err error) scatter.Result[shardReply] {
 	var refusal *leafclient.Refusal
 	if errors.As(err, &refusal) {
@@ -68,8 +69,8 @@
 	return scatter.Result[shardReply]{Reason: scatter.Reason(missingLeafFailed), Execution: scatter.Unknown, Outcome: balancer.Failed}
 }
 
-// classifyRefusal classifies an attempt that the leaf refused: it did not run, unless the refusal is
-// for another attempt or says that the request ran before.
+// classifyRefusal classifies an attempt that the leaf refused. It did not run, unless the refusal has the identity of
+// another attempt, gives an unknown reason, or says that the request ran before.
 func (e *Engine) classifyRefusal(request *leafv1.SearchShardRequest, leaf *balancer.Leaf, refusal *leafv1.LeafRefusal) scatter.Result[shardReply] {
 	if !sameIdentity(request.GetIdentity(), refusal.GetIdentity()) {
 		e.metrics.DroppedReplies.WithLabelValues(request.GetService(), string(dropWrongIdentity)).Inc()
@@ -91,7 +92,7 @@
 	return scatter.Result[shardReply]{Reason: scatter.Reason(missingLeafFailed), Execution: scatter.Unknown, Outcome: balancer.Failed}
 }
 
-// reportLoad passes on the load that a leaf reported.
+// reportLoad passes the load that a leaf reported to the balancer.
 func (e *Engine) reportLoad(leaf *balancer.Leaf, load *leafv1.LeafLoad) {
 	if load == nil {
 		return
--- a/internal/request/search/config.go
+++ b/internal/request/search/config.go
@@ -8,19 +8,19 @@
 
 // Config limits searches.
 type Config struct {
-	// MinimumDeadline is the minimum deadline that a query may ask for.
+	// MinimumDeadline is the minimum deadline that a query may have.
 	MinimumDeadline time.Duration `yaml:"minimum_deadline"`
-	// MergeReserve is the part of the time until the deadline that is reserved for merging and sending the answer.
+	// MergeReserve is the time before the deadline that is reserved for merging and sending the answer.
 	MergeReserve time.Duration `yaml:"merge_reserve"`
-	// MaximumAttempts is the maximum number of attempts at one shard for one query.
+	// MaximumAttempts is the maximum number of attempts per shard and query.
 	MaximumAttempts int `yaml:"maximum_attempts"`
-	// MaximumAnswerBytes is the maximum size of the rows merged into one answer.
+	// MaximumAnswerBytes is the maximum size of the rows in one answer.
 	MaximumAnswerBytes int `yaml:"maximum_answer_bytes"`
-	// ReplanLimit is the maximum number of times that a query is planned again on a newer snapshot.
+	// ReplanLimit is the maximum number of times that a query is replanned on a newer snapshot.
 	ReplanLimit int `yaml:"replan_limit"`
 }
 
-// DefaultConfig suits deadlines of tens of milliseconds and more.
+// DefaultConfig suits deadlines of tens of milliseconds or more.
 func DefaultConfig() Config {
 	return Config{
 		MinimumDeadline:    2 * time.Millisecond,
--- a/internal/request/search/failures.go
+++ b/internal/request/search/failures.go
@@ -10,37 +10,38 @@
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
 )
 
-// failureOf returns the failure of a search without a usable answer: it was quarantined, its caller went away, ranges
-// are missing although full coverage was demanded, or nothing is covered at all. It returns nil otherwise.
+// failureOf returns the failure of a search without a usable answer: it was quarantined, its caller cancelled it, ranges
+// are missing although full coverage was demanded, or nothing is covered. It returns nil otherwise.
 func (e *Engine) failureOf(ctx context.Context, query *query, merged *page, response *searchv1.SearchResponse, execution failure.ExecutionState) error {
 	if errors.Is(context.Cause(ctx), errQuarantined) {
 		return quarantined(query.content(), execution)
 	}
 	if ctx.Err() != nil {
-		return failure.New(failure.Cancelled, execution, "the caller went away")
+		return failure.New(failure.Cancelled, execution, "the caller cancelled the search")
 	}
 	if merged.complete() {
 		return nil
 	}
-	if len(merged.covered) > 0 && !query.wantsFull {
+	if len(merged.covered) > 0 && !query.requiresFullCoverage {
 		return nil
 	}
-	failed := failure.New(failureCode(merged, query), execution, "%d ranges are missing, first %q: %s",
+	failed := failure.New(failureCode(merged, query), execution, "%d ranges are missing, the first from key %q: %s",
 		len(merged.missing), merged.missing[0].keys.From, merged.missing[0].reason)
 	failed.Coverage = response.GetReport().GetCoverage()
 	failed.RetryAfter = e.retryAfter(merged)
 	return failed
 }
 
-// failureCode returns the code of a search with missing ranges: the common cause if nothing at all was covered.
+// failureCode returns the code of a search with missing ranges: their common cause if nothing was covered,
+// IncompleteCoverage otherwise.
 func failureCode(merged *page, query *query) failure.Code {
 	if len(merged.covered) > 0 {
 		return failure.IncompleteCoverage
 	}
-	allShed, allLate := true, true
+	allShed, allTimedOut := true, true
 	for _, missed := range merged.missing {
 		allShed = allShed && (missed.reason == missingShed || missed.reason == missingReason(balancer.ReplicasFull))
-		allLate = allLate && missed.reason == missingDeadline
+		allTimedOut = allTimedOut && missed.reason == missingDeadline
 		if missed.reason == missingNotRepeated {
 			return failure.NotRepeatable
 		}
@@ -48,7 +49,7 @@
 	switch {
 	case allShed:
 		return failure.Overloaded
-	case allLate && !query.atMostOnce:
+	case allTimedOut && !query.atMostOnce:
 		return failure.DeadlineExceeded
 	}
 	return failure.IncompleteCoverage
@@ -57,7 +58,7 @@
 // retryAfterMissing is the delay after which a query with missing ranges may be repeated.
 const retryAfterMissing = 200 * time.Millisecond
 
-// retryAfter returns the delay after which a query may be repeated; 0 if that can't help because it has run already.
+// retryAfter returns the delay after which a query may be repeated; 0 if it must not be, because it has already run.
 func (e *Engine) retryAfter(merged *page) time.Duration {
 	for _, missed := range merged.missing {
 		if missed.reason == missingNotRepeated {
@@ -78,8 +79,8 @@
 	return failure.NotRun
 }
 
-// withExecution returns the failure of a query that could not be planned again, with the execution state of its earlier
-// plans, which may have run.
+// withExecution returns the failure of a query that could not be replanned, with the execution state of its earlier
+// plans.
 func withExecution(err error, execution failure.ExecutionState) error {
 	failed := *failure.From(err)
 	failed.Execution = execution
--- a/internal/request/search/key_scatter.go
+++ b/internal/request/search/key_scatter.go
@@ -19,7 +19,7 @@
 // errSuperseded is the cancellation cause of attempts whose replies are no longer needed.
 var errSuperseded = errors.New("superseded")
 
-// keyScatter asks leafs for every shard range of a plan of key ranges.
+// keyScatter sends a query to the leafs of every shard range of its plan.
 type keyScatter struct {
 	engine      *Engine
 	query       *query
@@ -35,20 +35,20 @@
 	return &keyScatter{engine: engine, query: query, service: service, policy: policy, shardRanges: shardRanges}
 }
 
-// run returns one outcome for each shard range, once all are known or time is up.
+// run returns one outcome per shard range, once all attempts have ended or the deadline has passed.
 func (s *keyScatter) run(ctx context.Context) []shardOutcome {
 	plan := scatter.Plan{
 		Shards:          make([]scatter.Shard, len(s.shardRanges)),
-		Deadline:        s.query.deadline.Add(-s.engine.config.MergeReserve),
+		Deadline:        s.query.deadline.Add(-s.engine.cfg.MergeReserve),
 		AtMostOnce:      s.query.atMostOnce,
 		NoHedges:        s.service.Spec.GetHedge().GetDisabled(),
-		MaximumAttempts: s.engine.config.MaximumAttempts,
+		MaximumAttempts: s.engine.cfg.MaximumAttempts,
 	}
 	plan.Refresh = func(shard int) []balancer.Candidate { return s.candidatesFor(s.shardRanges[shard]) }
 	for index, shardRange := range s.shardRanges {
 		plan.Shards[index] = scatter.Shard{Candidates: s.candidatesFor(shardRange), Policy: s.policy}
 	}
-	s.caution(&plan)
+	s.setCaution(&plan)
 	work := scatter.New(plan, scatter.Deps[shardReply]{
 		Balancer: s.engine.balancer, Start: scatter.InBackground(s.runAttempt), Observer: s, Superseded: errSuperseded,
 	})
@@ -62,12 +62,12 @@
 	return s.outcomes
 }
 
-// candidatesFor returns the replicas that may be asked. A request that may run at most once,
-// and that its caller may repeat at another node under the same id, goes to the one replica
-// that every node chooses for that id; its leaf refuses a second copy.
+// candidatesFor returns the replicas that an attempt may be sent to. An at-most-once request whose caller may repeat it at
+// another node under the same ID is only sent to the replica that every node selects for that ID; this leaf refuses a
+// second copy.
 func (s *keyScatter) candidatesFor(shardRange manifest.ShardRange) []balancer.Candidate {
 	leafIDs := shardRange.Shard.LeafIDs
-	if s.query.atMostOnce && s.query.callerNamed {
+	if s.query.atMostOnce && s.query.hasCallerID {
 		leafIDs = []string{designatedLeaf(s.query.id, leafIDs)}
 	}
 	evacuated := s.engine.catalog.View().Leafs
@@ -83,7 +83,7 @@
 	return candidates
 }
 
-// leafRequest returns the request of an attempt.
+// leafRequest returns the request that is sent to the leaf of an attempt.
 func (s *keyScatter) leafRequest(attempt scatter.Attempt) *leafv1.SearchShardRequest {
 	shardRange := s.shardRanges[attempt.Shard]
 	request := &leafv1.SearchShardRequest{
@@ -116,7 +116,7 @@
 // Ended implements scatter.Observer.
 func (s *keyScatter) Ended(scatter.Attempt, scatter.Result[shardReply], time.Duration) {}
 
-// extraLoad returns the counts for the answer's report.
+// extraLoad returns the attempt counts for the report.
 func (s *keyScatter) extraLoad() *searchv1.ExtraLoad {
 	return &searchv1.ExtraLoad{
 		Attempts: uint32(s.summary.Attempts), Hedges: uint32(s.summary.Hedges),
@@ -124,9 +124,9 @@
 	}
 }
 
-// congested reports whether leafs lack capacity for the query: one shed load or, for bulk
-// services, most of them have attempts queued. Bulk searches keep the queues of leafs short,
-// so that urgent ones don't wait behind them.
+// congested reports whether the leafs lack capacity: one of them shed an attempt or, for bulk services, the attempts of
+// more than half of the shard ranges were queued. Bulk searches keep the leafs' queues short, so that urgent searches
+// don't wait behind them.
 func (s *keyScatter) congested() bool {
 	if s.summary.Shed {
 		return true
@@ -135,7 +135,7 @@
 	return isBulk && 2*s.summary.Queued > len(s.shardRanges)
 }
 
-// snapshotGone reports whether a part failed because its leafs no longer have the snapshot.
+// snapshotGone reports whether a shard range is missing because its leafs no longer have the snapshot.
 func (s *keyScatter) snapshotGone() bool {
 	for _, outcome := range s.outcomes {
 		if outcome.reply == nil && outcome.reason == missingSnapshotGone {
--- a/internal/request/search/lifecycle.go
+++ b/internal/request/search/lifecycle.go
@@ -7,29 +7,29 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// drainRetryAfter is the delay after which callers of a stopping node may retry; by then the machine list and
-// the other nodes know that it stops.
+// drainRetryAfter is the delay after which callers of a stopping node may retry. By then the machine list and the other
+// nodes have registered the stop.
 const drainRetryAfter = 50 * time.Millisecond
 
-// notReadyRetryAfter is the delay after which callers of a node without configuration may retry.
+// notReadyRetryAfter is the delay after which callers of a node without a configuration may retry.
 const notReadyRetryAfter = time.Second
 
-// SetReady makes the engine accept searches, once the configuration is loaded.
+// SetReady makes the engine accept searches. It is called once the configuration is loaded.
 func (e *Engine) SetReady() { e.ready.Store(true) }
 
-// Ready reports whether callers should send searches here.
+// Ready reports whether callers should send searches to this node.
 func (e *Engine) Ready() bool {
 	return e.ready.Load() && !e.isStopping.Load() && !e.draining.Load()
 }
 
-// PrepareStop makes the node report not ready while it still accepts searches, so that callers and
-// load balancers use other nodes before any search is refused.
+// PrepareStop makes the node report that it is not ready, while it still accepts searches, so that callers and load
+// balancers switch to other nodes before any search is refused.
 func (e *Engine) PrepareStop() { e.isStopping.Store(true) }
 
 // Draining reports whether the node refuses new searches for a planned stop.
 func (e *Engine) Draining() bool { return e.draining.Load() }
 
-// Drain refuses new searches and waits until those in flight or the context have ended.
+// Drain refuses new searches and waits until those in flight have ended or the context is done.
 func (e *Engine) Drain(ctx context.Context) error {
 	e.mu.Lock()
 	if !e.draining.Swap(true) && e.running == 0 {
@@ -44,7 +44,7 @@
 	}
 }
 
-// Acquire counts a search as in flight, so that Drain waits, until release is called.
+// Acquire counts a search as in flight until release is called, so that Drain waits for it.
 func (e *Engine) Acquire() (release func(), err error) {
 	if err := e.enter(); err != nil {
 		return nil, err
@@ -52,12 +52,12 @@
 	return e.leave, nil
 }
 
-// enter counts a search as in flight; it fails if the node is stopping or has no configuration.
+// enter counts a search as in flight. It fails if the node is draining or not ready.
 func (e *Engine) enter() error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.draining.Load() {
-		return failure.New(failure.Draining, failure.NotRun, "the node is stopping; ask another").WithRetryAfter(drainRetryAfter)
+		return failure.New(failure.Draining, failure.NotRun, "the node is stopping; send the search to another node").WithRetryAfter(drainRetryAfter)
 	}
 	if !e.ready.Load() {
 		return failure.New(failure.NotReady, failure.NotRun, "the node has no configuration yet").WithRetryAfter(notReadyRetryAfter)
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// leave ends what enter counted.
+// leave ends a search that enter counted.
 func (e *Engine) leave() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/request/search/merge.go
+++ b/internal/request/search/merge.go
@@ -7,11 +7,10 @@
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
-// missingReason says why a range is not covered by an answer. Its values are part of the public
-// interface.
+// missingReason is the reason why an answer doesn't cover a range. Its values are part of the public API.
 type missingReason string
 
-// The reasons for a missing range, besides those of the balancer.
+// The reasons for a missing range, in addition to the balancer's.
 const (
 	missingDeadline                     = missingReason(scatter.Deadline)
 	missingSnapshotGone   missingReason = "SNAPSHOT_GONE"
@@ -25,7 +24,7 @@
 	missingRetryBudget    missingReason = "RETRY_BUDGET"
 )
 
-// shardOutcome is the result of the scatter step for one shard range of the plan.
+// shardOutcome is the result of the scatter for one shard range of the plan.
 type shardOutcome struct {
 	shardRange manifest.ShardRange
 	reply      *shardReply
@@ -36,12 +35,12 @@
 // page is a merged answer.
 type page struct {
 	rows []*searchv1.Row
-	// queried is the part of the query's range that this page covers or misses.
-	queried keyspace.Range
+	// keys is the range of the query that this page accounts for, as covered or missing.
+	keys    keyspace.Range
 	nextKey string
 	covered []keyspace.Range
 	missing []missingRange
-	// queriedWeight and coveredWeight are in the units of the manifest's weights.
+	// queriedWeight and coveredWeight are sums of the manifest's shard weights.
 	queriedWeight float64
 	coveredWeight float64
 }
@@ -51,38 +50,38 @@
 	reason missingReason
 }
 
-// merge joins the parts' rows in key order into one page. Parts are in key order and don't
-// overlap, so that rows need not be compared and no row can appear twice. The page ends at the
-// limit of rows or bytes; what lies beyond is neither covered nor missing.
-func merge(queried keyspace.Range, outcomes []shardOutcome, limit, maximumBytes int) page {
-	merged := page{queried: queried}
+// merge concatenates the rows of all shard ranges into one page. The outcomes are in key order and don't overlap, so rows
+// need not be compared and no row can appear twice. The page ends at the limit of rows or bytes; keys beyond it are
+// neither covered nor missing.
+func merge(keys keyspace.Range, outcomes []shardOutcome, limit, maximumBytes int) page {
+	merged := page{keys: keys}
 	size := 0
 	for _, outcome := range outcomes {
 		if outcome.reply == nil {
-			merged.miss(outcome.shardRange, outcome.shardRange.Range, outcome.reason)
+			merged.addMissing(outcome.shardRange, outcome.shardRange.Range, outcome.reason)
 			continue
 		}
 		covered := outcome.reply.covered
 		for _, row := range outcome.reply.rows {
 			size += len(row.GetKey()) + len(row.GetValue())
 			if size > maximumBytes && len(merged.rows) > 0 {
-				merged.end(outcome.shardRange, keyspace.Range{From: covered.From, To: row.GetKey()}, row.GetKey())
+				merged.endWithin(outcome.shardRange, keyspace.Range{From: covered.From, To: row.GetKey()}, row.GetKey())
 				return merged
 			}
 			merged.rows = append(merged.rows, &searchv1.Row{Key: row.GetKey(), Value: row.GetValue()})
 			if len(merged.rows) == limit {
 				next := keyspace.After(row.GetKey())
-				merged.end(outcome.shardRange, keyspace.Range{From: covered.From, To: next}, next)
+				merged.endWithin(outcome.shardRange, keyspace.Range{From: covered.From, To: next}, next)
 				return merged
 			}
 		}
-		merged.cover(outcome.shardRange, covered)
+		merged.addCovered(outcome.shardRange, covered)
 	}
 	return merged
 }
 
-// cover adds a part's covered range to the page, and what the leaf left out as missing.
-func (p *page) cover(shardRange manifest.ShardRange, covered keyspace.Range) {
+// addCovered adds the covered range of a reply to the page, and the rest of the shard range as missing.
+func (p *page) addCovered(shardRange manifest.ShardRange, covered keyspace.Range) {
 	p.queriedWeight += float64(shardRange.Shard.Weight)
 	missing := shardRange.Range.Subtract([]keyspace.Range{covered})
 	p.covered = append(p.covered, covered)
@@ -94,21 +93,21 @@
 	}
 }
 
-// miss adds a missing range to the page.
-func (p *page) miss(shardRange manifest.ShardRange, keys keyspace.Range, reason missingReason) {
+// addMissing adds a shard range without a reply to the page.
+func (p *page) addMissing(shardRange manifest.ShardRange, keys keyspace.Range, reason missingReason) {
 	p.queriedWeight += float64(shardRange.Shard.Weight)
 	p.missing = append(p.missing, missingRange{keys: keys, reason: reason})
 }
 
-// end ends the page inside a part, and shrinks the asked range accordingly.
-func (p *page) end(shardRange manifest.ShardRange, covered keyspace.Range, next string) {
-	if p.queried.To != "" && next >= p.queried.To {
-		p.cover(shardRange, keyspace.Range{From: covered.From, To: shardRange.Range.To})
+// endWithin ends the page within a shard range, and shortens the page's key range accordingly.
+func (p *page) endWithin(shardRange manifest.ShardRange, covered keyspace.Range, next string) {
+	if p.keys.To != "" && next >= p.keys.To {
+		p.addCovered(shardRange, keyspace.Range{From: covered.From, To: shardRange.Range.To})
 		return
 	}
 	p.queriedWeight += float64(shardRange.Shard.Weight)
 	p.coveredWeight += float64(shardRange.Shard.Weight)
-	p.queried.To = next
+	p.keys.To = next
 	p.nextKey = next
 	if !covered.Empty() {
 		p.covered = append(p.covered, covered)
@@ -117,7 +116,7 @@
 
 func (p *page) complete() bool { return len(p.missing) == 0 }
 
-// coverage returns the page's coverage, computed only from what was merged.
+// coverage returns the coverage of the page, computed only from the merged outcomes.
 func (p *page) coverage() *searchv1.Coverage {
 	coverage := &searchv1.Coverage{Complete: p.complete(), Fraction: 1}
 	if p.queriedWeight > 0 {
--- a/internal/request/search/merge_test.go
+++ b/internal/request/search/merge_test.go
@@ -13,8 +13,8 @@
 	"github.com/portgauge/portgauge/internal/config/manifest"
 )
 
-// For any partition, any parts lost or cut short and any limit: a key of the page's range is
-// either among the rows or in a missing range, and never both or twice.
+// For any partition, missing or truncated replies and limit, each key of the page's range is either in exactly one row or
+// in exactly one missing range.
 func TestMergeAccountsForEveryKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		keys := rapid.SliceOfNDistinct(rapid.StringMatching("[a-h]{1,3}"), 0, 30, rapid.ID[string]).Draw(t, "keys")
@@ -30,7 +30,7 @@
 			counts[row.GetKey()]++
 		}
 		for _, key := range keys {
-			if !merged.queried.Contains(key) {
+			if !merged.keys.Contains(key) {
 				continue
 			}
 			missing := 0
@@ -72,7 +72,7 @@
 	return outcomes
 }
 
-// drawReply answers a part as a leaf does: up to the limit, or cut short.
+// drawReply returns a leaf's reply for a shard range: up to the limit, or truncated.
 func drawReply(t *rapid.T, keys keyspace.Range, all []string, limit int) *shardReply {
 	reply := &shardReply{covered: keys}
 	most := min(limit, rapid.IntRange(1, 40).Draw(t, "most"))
--- a/internal/request/search/observe.go
+++ b/internal/request/search/observe.go
@@ -27,10 +27,10 @@
 		zap.Float64("coverage", report.GetCoverage().GetFraction()), zap.Duration("took", took))
 }
 
-// unknownServiceLabel is the metrics label of unknown services: callers could create any number of labels otherwise.
+// unknownServiceLabel is the metrics label of all unknown services, so that callers can't create arbitrary labels.
 const unknownServiceLabel = "unknown"
 
-// labels returns the metrics labels of a service.
+// labels returns the metrics labels for the service with the given name.
 func (e *Engine) labels(name string) (service, class string) {
 	known, found := e.catalog.View().Services[name]
 	if !found || known.Spec == nil {
--- a/internal/request/search/quarantine.go
+++ b/internal/request/search/quarantine.go
@@ -18,21 +18,21 @@
 // errQuarantined is the cancellation cause of a search that was quarantined while it ran.
 var errQuarantined = errors.New("the search crashes the leafs that run it")
 
-// content returns the fingerprint of a search, which is the same for all of its repeats.
+// content returns the fingerprint of a search, which is the same whenever the search is repeated.
 func (q *query) content() fingerprint.Fingerprint {
 	return fingerprint.Of(fingerprint.Content{
-		Method: "SEARCH", Host: q.service, Path: q.queried.From, Query: q.queried.To, Body: []byte(strconv.Itoa(q.limit) + " " + q.filter),
+		Method: "SEARCH", Host: q.service, Path: q.keys.From, Query: q.keys.To, Body: []byte(strconv.Itoa(q.limit) + " " + q.filter),
 	})
 }
 
-// guard registers a search with the quarantine, which cancels the returned context if the search is quarantined. It fails
-// if the search already is; otherwise release must be called at its end.
+// guard registers a search with the quarantine, which cancels the returned context if it quarantines the search. It fails
+// if the search is already quarantined; otherwise release must be called when the search ends.
 func (e *Engine) guard(ctx context.Context, query *query) (guarded context.Context, release func(), err error) {
 	if e.quarantine == nil {
 		return ctx, func() {}, nil
 	}
 	guarded, cancel := context.WithCancelCause(ctx)
-	subject := quarantine.NewSubject(query.content(), query.service+"/"+query.queried.From, "")
+	subject := quarantine.NewSubject(query.content(), query.service+"/"+query.keys.From, "")
 	query.tracked = e.quarantine.Begin(subject, func() { cancel(errQuarantined) })
 	release = func() {
 		query.tracked.End()
@@ -47,11 +47,11 @@
 
 // quarantined returns the failure of a quarantined search.
 func quarantined(content fingerprint.Fingerprint, execution failure.ExecutionState) *failure.Failure {
-	return failure.New(failure.Quarantined, execution, "leafs crashed while they ran this search; no more are asked (%s)", content)
+	return failure.New(failure.Quarantined, execution, "leafs crashed while they ran this search; it is sent to no more leafs (%s)", content)
 }
 
-// caution sets how a plan treats leafs that crash under the search.
-func (s *keyScatter) caution(plan *scatter.Plan) {
+// setCaution makes a plan probe one leaf first if the search is a suspect, and limits the crashed probes.
+func (s *keyScatter) setCaution(plan *scatter.Plan) {
 	if s.query.tracked == nil {
 		return
 	}
@@ -59,9 +59,10 @@
 	plan.CrashedProbesLimit = quarantine.CrashedProbesLimit
 }
 
-// learn records what the end of an attempt says about the search. After a call broke off, it checks whether the leaf has
-// exited. For a probe it waits for the result, since the next attempt depends on it; otherwise the check is concurrent.
-func (s *keyScatter) learn(ctx context.Context, attempt scatter.Attempt, address string, err error, result scatter.Result[shardReply]) scatter.Result[shardReply] {
+// trackCrash reports the end of an attempt to the quarantine. If the connection was lost, it checks whether the leaf has
+// exited. It waits for this check if the attempt is a probe, since the next attempt depends on it; otherwise the check
+// runs concurrently.
+func (s *keyScatter) trackCrash(ctx context.Context, attempt scatter.Attempt, address string, err error, result scatter.Result[shardReply]) scatter.Result[shardReply] {
 	tracked := s.query.tracked
 	if tracked == nil {
 		return result
@@ -88,10 +89,10 @@
 	return result
 }
 
-// crashName names one crash of a leaf, by id and second. Leafs of searches keep their ids when they restart: by id alone, a
-// search over a shard of two leafs could crash them forever without being counted as crashing three. Calls that notice
-// the same crash do so within less time than a restart takes.
+// crashName identifies one crash of a leaf, by the leaf's ID and the second. Leafs of searches keep their IDs when they
+// restart: by ID alone, a search over a shard of two leafs could crash them forever without ever reaching three crashed
+// leafs. Calls that notice the same crash do so in less time than a restart takes.
 func crashName(leafID string) string { return leafID + "/" + time.Now().UTC().Format(time.TimeOnly) }
 
-// isStopped reports whether the search was quarantined while it ran.
+// isStopped reports whether the search was quarantined while in flight.
 func (s *keyScatter) isStopped() bool { return s.query.tracked != nil && s.query.tracked.IsStopped() }
--- a/internal/request/search/quarantine_test.go
+++ b/internal/request/search/quarantine_test.go
@@ -17,7 +17,7 @@
 	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 )
 
-// noListener ignores all findings.
+// noListener ignores all notifications.
 type noListener struct{}
 
 func (noListener) Suspected(quarantine.Subject)       {}
@@ -26,14 +26,14 @@
 func (noListener) RetestDue(quarantine.Record)        {}
 func (noListener) RetestAnswered(quarantine.Record)   {}
 
-// A search that crashes the leafs that run it is sent to no more of them, whatever id it is repeated under; if only the calls
-// broke off, it is.
-func TestSearchThatEndsLeafs(t *testing.T) {
-	for name, ended := range map[string]bool{"ended": true, "cut off": false} {
+// A search that crashes leafs is quarantined even if it is repeated under other IDs. A search whose connections are lost
+// while the leafs keep running is not.
+func TestSearchThatCrashesLeafsIsQuarantined(t *testing.T) {
+	for name, hasExited := range map[string]bool{"crashed": true, "connection lost": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				leafs := &scriptedLeafs{ended: ended, answer: func(string, *leafv1.SearchShardRequest) (time.Duration, error) {
+				leafs := &scriptedLeafs{hasExited: hasExited, answer: func(string, *leafv1.SearchShardRequest) (time.Duration, error) {
 					return time.Millisecond, status.Error(codes.Unavailable, "transport is closing")
 				}}
 				engine, _ := newTestEngine(t, leafs)
@@ -45,16 +45,16 @@
 					_, err := engine.Search(t.Context(), &searchv1.SearchRequest{Service: "s", RequestId: id})
 					return err
 				}
-				// Each leaf is back under its id after a while; three crashes in all are enough, even of one leaf.
+				// Each leaf restarts under the same ID; three crashes are sufficient, even of one leaf.
 				for number := range 3 {
 					is.True(search(fmt.Sprint("try-", number)) != nil)
 					time.Sleep(2 * time.Second)
 				}
 				queried := len(leafs.queried)
 				err := search("four")
-				is.Equal(failure.Is(err, failure.Quarantined), ended)
-				is.Equal(len(leafs.queried) == queried, ended)
-				if ended {
+				is.Equal(failure.Is(err, failure.Quarantined), hasExited)
+				is.Equal(len(leafs.queried) == queried, hasExited)
+				if hasExited {
 					is.Equal(failure.From(err).Execution, failure.NotRun)
 					is.True(failure.From(err).RetryAfter > 0)
 				}
--- a/internal/request/search/query.go
+++ b/internal/request/search/query.go
@@ -13,38 +13,38 @@
 	"github.com/portgauge/portgauge/internal/quarantine"
 )
 
-// Bounds of a request's fields, in bytes.
+// Maximum sizes of a request's fields, in bytes.
 const (
 	maximumRequestID = 128
 	maximumFilter    = 1024
 	maximumKey       = 4096
 )
 
-// query is a checked request with its defaults filled in.
+// query is a valid request with the defaults filled in.
 type query struct {
 	id string
-	// callerNamed says that the caller chose the id and may repeat it at another node.
-	callerNamed bool
-	service     string
-	queried     keyspace.Range
-	filter      string
-	limit       int
-	atMostOnce  bool
-	wantsFull   bool
-	// deadline is when the answer must be sent.
+	// hasCallerID is true if the caller chose the ID, and may send the request to another node under the same ID.
+	hasCallerID          bool
+	service              string
+	keys                 keyspace.Range
+	filter               string
+	limit                int
+	atMostOnce           bool
+	requiresFullCoverage bool
+	// deadline is the time by which the answer must be sent.
 	deadline time.Time
 	arrived  time.Time
-	// tracked is the search's entry in the register of crashing requests; nil if there is no register.
+	// tracked is the search's execution in the register of crashing requests; nil if there is no register.
 	tracked *quarantine.Execution
 }
 
-// newQuery validates a request against its service's settings; failures name the field.
-func newQuery(config Config, request *searchv1.SearchRequest, spec *adminv1.ServiceSpec, arrived time.Time) (*query, error) {
+// newQuery validates a request against the settings of its service. Its failures name the invalid field.
+func newQuery(cfg Config, request *searchv1.SearchRequest, spec *adminv1.ServiceSpec, arrived time.Time) (*query, error) {
 	if err := checkText(request); err != nil {
 		return nil, err
 	}
-	queried := keyspace.Range{From: request.GetRange().GetFrom(), To: request.GetRange().GetTo()}
-	if queried.Empty() {
+	keys := keyspace.Range{From: request.GetRange().GetFrom(), To: request.GetRange().GetTo()}
+	if keys.Empty() {
 		return nil, failure.Invalid("range.to", "must be greater than range.from")
 	}
 	limit := request.GetLimit()
@@ -54,7 +54,7 @@
 	if limit == 0 {
 		limit = spec.GetPageSize()
 	}
-	allowed, err := allowedTime(config, request.GetDeadlineMillis(), spec)
+	allowed, err := allowedTime(cfg, request.GetDeadlineMillis(), spec)
 	if err != nil {
 		return nil, err
 	}
@@ -63,21 +63,21 @@
 		id = uuid.NewString()
 	}
 	return &query{
-		id:          id,
-		callerNamed: request.GetRequestId() != "",
-		service:     spec.GetName(),
-		queried:     queried,
-		filter:      request.GetFilter(),
-		limit:       int(limit),
-		atMostOnce:  request.GetRepeatability() == searchv1.Repeatability_REPEATABILITY_AT_MOST_ONCE,
-		wantsFull:   request.GetCoverageDemand() == searchv1.CoverageDemand_COVERAGE_DEMAND_FULL,
-		deadline:    arrived.Add(allowed),
-		arrived:     arrived,
+		id:                   id,
+		hasCallerID:          request.GetRequestId() != "",
+		service:              spec.GetName(),
+		keys:                 keys,
+		filter:               request.GetFilter(),
+		limit:                int(limit),
+		atMostOnce:           request.GetRepeatability() == searchv1.Repeatability_REPEATABILITY_AT_MOST_ONCE,
+		requiresFullCoverage: request.GetCoverageDemand() == searchv1.CoverageDemand_COVERAGE_DEMAND_FULL,
+		deadline:             arrived.Add(allowed),
+		arrived:              arrived,
 	}, nil
 }
 
-// allowedTime returns how long a search may take, by the deadline asked for and the service's settings.
-func allowedTime(config Config, requestedMillis uint32, spec *adminv1.ServiceSpec) (time.Duration, error) {
+// allowedTime returns how long a search may take: the requested time, or the service's default if it is 0.
+func allowedTime(cfg Config, requestedMillis uint32, spec *adminv1.ServiceSpec) (time.Duration, error) {
 	if requestedMillis == 0 {
 		requestedMillis = spec.GetDefaultDeadlineMillis()
 	}
@@ -85,13 +85,13 @@
 		return 0, failure.Invalid("deadline_millis", "%d is more than the service's maximum %d", requestedMillis, spec.GetMaxDeadlineMillis())
 	}
 	allowed := time.Duration(requestedMillis) * time.Millisecond
-	if allowed < config.MinimumDeadline {
-		return 0, failure.Invalid("deadline_millis", "%d is less than the minimum %d", requestedMillis, config.MinimumDeadline.Milliseconds())
+	if allowed < cfg.MinimumDeadline {
+		return 0, failure.Invalid("deadline_millis", "%d is less than the minimum %d", requestedMillis, cfg.MinimumDeadline.Milliseconds())
 	}
 	return allowed, nil
 }
 
-// checkText validates the lengths and the encoding of a request's text fields.
+// checkText validates the length and encoding of a request's text fields.
 func checkText(request *searchv1.SearchRequest) error {
 	fields := []struct {
 		name    string
@@ -105,7 +105,7 @@
 	}
 	for _, field := range fields {
 		if len(field.value) > field.maximum {
-			return failure.Invalid(field.name, "%d bytes; at most %d", len(field.value), field.maximum)
+			return failure.Invalid(field.name, "is %d bytes long; the maximum is %d", len(field.value), field.maximum)
 		}
 		if !utf8.ValidString(field.value) {
 			return failure.Invalid(field.name, "must be valid UTF-8")
--- a/internal/request/search/search.go
+++ b/internal/request/search/search.go
@@ -1,12 +1,12 @@
 // Package search runs searches over key ranges: admit, pin a snapshot, plan, scatter, verify, merge, report.
 //
-// Each step is a file or package of its own. A query is pinned to one manifest: all of its
-// attempts, hedges and retries name that snapshot, so that an answer never mixes versions.
+// Each step has its own file or package. A query is pinned to one manifest: all of its attempts, hedges and retries name
+// that snapshot, so an answer never mixes versions.
 //
-// An Engine owns the gates (package admission) and policies (package hedging) of the services on one node, and the count of
-// searches in flight. It relies on the catalog for services, snapshots and leafs, on package scatter for the attempts, on
-// package balancer for the choice of leafs, and on package quarantine for searches that crash leafs. Deadlines are by the
-// runtime's clock. Its errors are *failure.Failure.
+// An Engine owns the gates (package admission) and policies (package hedging) of the services on one node, and counts the
+// searches in flight. It uses the catalog for services, snapshots and leafs, package scatter for attempts, package
+// balancer to select leafs, and package quarantine for searches that crash leafs. Deadlines use the runtime's clock. All
+// errors are *failure.Failure.
 package search
 
 import (
@@ -27,31 +27,31 @@
 	"github.com/portgauge/portgauge/internal/request/hedging"
 )
 
-// Engine answers searches on one node. It is safe for concurrent use.
+// Engine runs the searches of one node. It is safe for concurrent use.
 type Engine struct {
-	config   Config
+	cfg      Config
 	hedging  hedging.Config
 	catalog  *catalog.Catalog
 	balancer *balancer.Balancer
 	leafs    LeafCaller
 	metrics  *telemetry.Metrics
 	logger   *zap.Logger
-	// quarantine tracks crashing requests; nil tracks none.
+	// quarantine tracks crashing requests; it may be nil.
 	quarantine *quarantine.Register
 
 	ready      atomic.Bool
-	isStopping atomic.Bool // a planned stop is announced, but searches are still accepted
+	isStopping atomic.Bool // a planned stop has begun, but searches are still accepted
 	draining   atomic.Bool
 
-	// mu guards the maps and running, but not the values of the maps.
+	// mu guards running and the maps, but not the values of the maps.
 	mu       sync.Mutex
 	gates    map[string]*admission.Gate
 	policies map[string]*hedging.Policy
 	running  int
-	idle     chan struct{} // closed when draining and nothing runs
+	idle     chan struct{} // closed when the engine drains and no search is in flight
 }
 
-// Deps are what an engine is built from.
+// Deps are the dependencies of an Engine.
 type Deps struct {
 	Config   Config
 	Hedging  hedging.Config
@@ -60,14 +60,14 @@
 	Leafs    LeafCaller
 	Metrics  *telemetry.Metrics
 	Logger   *zap.Logger
-	// Quarantine tracks crashing requests; nil tracks none.
+	// Quarantine tracks crashing requests; it may be nil.
 	Quarantine *quarantine.Register
 }
 
-// New returns an engine that is not ready yet.
+// New returns an engine that refuses searches until SetReady is called.
 func New(deps Deps) *Engine {
 	return &Engine{
-		config:     deps.Config,
+		cfg:        deps.Config,
 		hedging:    deps.Hedging,
 		catalog:    deps.Catalog,
 		balancer:   deps.Balancer,
@@ -81,8 +81,8 @@
 	}
 }
 
-// Search answers one request. Its errors are *failure.Failure. The caller must call Hold first and release it once
-// the answer is sent.
+// Search runs one search. Its errors are *failure.Failure. The caller must call Acquire first, and release once the
+// answer is sent.
 func (e *Engine) Search(ctx context.Context, request *searchv1.SearchRequest) (*searchv1.SearchResponse, error) {
 	arrived := time.Now()
 	response, err := e.search(ctx, request, arrived)
@@ -95,7 +95,7 @@
 	if err != nil {
 		return nil, err
 	}
-	query, err := newQuery(e.config, request, service.Spec, arrived)
+	query, err := newQuery(e.cfg, request, service.Spec, arrived)
 	if err != nil {
 		return nil, err
 	}
@@ -117,8 +117,8 @@
 	return answer, err
 }
 
-// reduceLessUrgentLimits decides whose limit is reduced after a congested search of a service: it reduces the limits of less urgent
-// services with searches in flight, and reports whether there was one; then the more urgent service keeps its own.
+// reduceLessUrgentLimits reduces, after a congested search of a service, the limits of all less urgent services with
+// searches in flight. It reports whether there was any; if so, the more urgent service keeps its own limit.
 func (e *Engine) reduceLessUrgentLimits(spec *adminv1.ServiceSpec) bool {
 	isReduced := false
 	for name, other := range e.catalog.View().Services {
@@ -136,7 +136,7 @@
 	return isReduced
 }
 
-// gate returns the service's gate, with the current limits.
+// gate returns the service's gate, with the limits of spec.
 func (e *Engine) gate(spec *adminv1.ServiceSpec) *admission.Gate {
 	limits := admission.Limits{Concurrency: int(spec.GetConcurrencyLimit()), Queue: int(spec.GetQueueLimit())}
 	e.mu.Lock()
@@ -150,7 +150,7 @@
 	return gate
 }
 
-// policy returns the service's hedge and retry policy, with the current budget.
+// policy returns the service's hedge and retry policy, with the hedge budget of spec.
 func (e *Engine) policy(spec *adminv1.ServiceSpec) *hedging.Policy {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/request/search/search_test.go
+++ b/internal/request/search/search_test.go
@@ -24,16 +24,16 @@
 	"github.com/portgauge/portgauge/internal/request/hedging"
 )
 
-// scriptedLeafs answers attempts by a function of address and attempt, in virtual time.
+// scriptedLeafs is a LeafCaller whose replies and delays are returned by a function, in virtual time.
 type scriptedLeafs struct {
 	mu      sync.Mutex
 	queried []string
 	answer  func(address string, request *leafv1.SearchShardRequest) (time.Duration, error)
-	// ended says that HasExited reports leafs as exited.
-	ended bool
+	// hasExited is the result of HasExited.
+	hasExited bool
 }
 
-func (s *scriptedLeafs) HasExited(context.Context, string) bool { return s.ended }
+func (s *scriptedLeafs) HasExited(context.Context, string) bool { return s.hasExited }
 
 func (s *scriptedLeafs) SearchShard(ctx context.Context, address string, request *leafv1.SearchShardRequest) (*leafv1.SearchShardResponse, error) {
 	s.mu.Lock()
@@ -55,37 +55,37 @@
 	return &leafclient.Refusal{Detail: &leafv1.LeafRefusal{Identity: request.GetIdentity(), Reason: reason}}
 }
 
-func put(t *testing.T, known *catalog.Catalog, key string, message proto.Message) {
+func put(t *testing.T, cat *catalog.Catalog, key string, message proto.Message) {
 	t.Helper()
 	value, err := catalog.NewEnvelope("change", message, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	revision := known.Revision()
-	known.Apply(catalog.Change{Entry: catalog.Entry{Key: key, Value: json.RawMessage(value), Revision: revision + 1}, Previous: revision})
+	revision := cat.Revision()
+	cat.Apply(catalog.Change{Entry: catalog.Entry{Key: key, Value: json.RawMessage(value), Revision: revision + 1}, Previous: revision})
 }
 
-// newTestEngine returns an engine with one service of two shards on three leafs.
+// newTestEngine returns an engine with one service, which has two shards on three leafs.
 func newTestEngine(t *testing.T, leafs *scriptedLeafs) (*Engine, *catalog.Catalog) {
 	t.Helper()
-	known := catalog.New(nil)
+	cat := catalog.New(nil)
 	spec := &adminv1.ServiceSpec{Name: "s", DefaultDeadlineMillis: 500, MaxDeadlineMillis: 1000, ConcurrencyLimit: 100, QueueLimit: 10, PageSize: 100}
 	for _, id := range []string{"a", "b", "c"} {
 		spec.Leafs = append(spec.Leafs, &adminv1.Leaf{Id: id, Address: id, Zone: "z"})
 	}
-	put(t, known, catalog.ServiceKey("s"), spec)
-	publish(t, known, "v1")
+	put(t, cat, catalog.ServiceKey("s"), spec)
+	publish(t, cat, "v1")
 	engine := New(Deps{
-		Config: DefaultConfig(), Hedging: hedging.DefaultConfig(), Catalog: known, Balancer: balancer.New(balancer.DefaultConfig(), "z"),
+		Config: DefaultConfig(), Hedging: hedging.DefaultConfig(), Catalog: cat, Balancer: balancer.New(balancer.DefaultConfig(), "z"),
 		Leafs: leafs, Metrics: telemetry.NewMetrics(), Logger: zap.NewNop(),
 	})
 	engine.SetReady()
-	return engine, known
+	return engine, cat
 }
 
-func publish(t *testing.T, known *catalog.Catalog, snapshot string) {
+func publish(t *testing.T, cat *catalog.Catalog, snapshot string) {
 	t.Helper()
-	put(t, known, catalog.SnapshotKey("s"), &adminv1.SnapshotManifest{Service: "s", SnapshotId: snapshot, Shards: []*adminv1.Shard{
+	put(t, cat, catalog.SnapshotKey("s"), &adminv1.SnapshotManifest{Service: "s", SnapshotId: snapshot, Shards: []*adminv1.Shard{
 		{Id: "low", KeyTo: "m", LeafIds: []string{"a", "b"}}, {Id: "high", KeyFrom: "m", LeafIds: []string{"b", "c"}},
 	}})
 }
@@ -132,8 +132,8 @@
 	}
 }
 
-// A request that may run at most once and has its caller's id goes to the same replica of each shard
-// from every node, and nowhere else, whatever the leafs answer.
+// Every node sends an at-most-once request with a caller's ID to the same replica of each shard and to no other, whatever
+// the leafs answer.
 func TestAtMostOnceStaysAtTheDesignatedReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -145,7 +145,7 @@
 			_, err := engine.Search(t.Context(), atMostOnce("same"))
 			is.True(err != nil)
 		}
-		is.Equal(len(leafs.queried), 6) // two shards, three searches
+		is.Equal(len(leafs.queried), 6) // each of three searches sent one attempt per shard
 		distinct := map[string]bool{}
 		for _, address := range leafs.queried {
 			distinct[address] = true
@@ -154,9 +154,9 @@
 	})
 }
 
-// An attempt that was refused without running is retried at another replica, even for such a request if
-// its id is the node's own; one of unknown outcome is not.
-func TestAtMostOnceIsRetriedOnlyAfterProof(t *testing.T) {
+// An attempt of an at-most-once request with an ID of the node is retried at another replica if it was refused without
+// running, but not if its outcome is unknown.
+func TestAtMostOnceIsRetriedOnlyIfNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		shedding := &scriptedLeafs{answer: func(address string, r *leafv1.SearchShardRequest) (time.Duration, error) {
@@ -180,20 +180,20 @@
 	})
 }
 
-// If leafs dropped the pinned snapshot, the whole query starts over on the newer one.
-func TestSnapshotGoneStartsOver(t *testing.T) {
+// If the leafs dropped the pinned snapshot, the whole query is replanned on a newer one.
+func TestSnapshotGoneReplansQuery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var engine *Engine
-		var known *catalog.Catalog
+		var cat *catalog.Catalog
 		leafs := &scriptedLeafs{answer: func(_ string, r *leafv1.SearchShardRequest) (time.Duration, error) {
 			if r.GetIdentity().GetSnapshotId() == "v1" {
 				return time.Millisecond, refusal(r, leafv1.RefusalReason_REFUSAL_REASON_SNAPSHOT_GONE)
 			}
 			return 0, nil
 		}}
-		engine, known = newTestEngine(t, leafs)
-		go publish(t, known, "v2")
+		engine, cat = newTestEngine(t, leafs)
+		go publish(t, cat, "v2")
 		response, err := engine.Search(t.Context(), &searchv1.SearchRequest{Service: "s"})
 		is.NoErr(err)
 		is.Equal(response.GetReport().GetSnapshotId(), "v2")
@@ -201,23 +201,23 @@
 	})
 }
 
-// A search whose first plan ran at a leaf is not reported as not run if its service is gone before it starts over: that
-// failure must have the execution state of the whole search, not of the second plan.
-func TestServiceGoneBeforeStartingOver(t *testing.T) {
+// A search whose first plan ran at a leaf, and whose service is deleted before it is replanned, fails with the execution
+// state of the whole search.
+func TestFailedReplanKeepsExecutionState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		leafs := &scriptedLeafs{answer: func(_ string, r *leafv1.SearchShardRequest) (time.Duration, error) {
 			if r.GetIdentity().GetShardId() == "low" {
-				return time.Millisecond, nil // it runs
+				return time.Millisecond, nil // the attempt runs
 			}
 			return 2 * time.Millisecond, refusal(r, leafv1.RefusalReason_REFUSAL_REASON_SNAPSHOT_GONE)
 		}}
-		engine, known := newTestEngine(t, leafs)
+		engine, cat := newTestEngine(t, leafs)
 		go func() {
-			time.Sleep(1500 * time.Microsecond) // between the first leaf's answer and the second one's refusal
-			publish(t, known, "v2")
-			deleted := catalog.Entry{Key: catalog.ServiceKey("s"), Revision: known.Revision() + 1, Deleted: true}
-			known.Apply(catalog.Change{Entry: deleted, Previous: known.Revision()})
+			time.Sleep(1500 * time.Microsecond) // after one shard's reply and before the other's refusal
+			publish(t, cat, "v2")
+			deleted := catalog.Entry{Key: catalog.ServiceKey("s"), Revision: cat.Revision() + 1, Deleted: true}
+			cat.Apply(catalog.Change{Entry: deleted, Previous: cat.Revision()})
 		}()
 		_, err := engine.Search(t.Context(), &searchv1.SearchRequest{Service: "s"})
 		is.True(failure.Is(err, failure.UnknownService))
@@ -225,8 +225,8 @@
 	})
 }
 
-// A query that no leaf answers ends at its deadline, not later.
-func TestDeadlineIsKept(t *testing.T) {
+// A search with an unresponsive shard ends by its deadline.
+func TestSearchEndsAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		engine, _ := newTestEngine(t, &scriptedLeafs{answer: func(address string, _ *leafv1.SearchShardRequest) (time.Duration, error) {
@@ -245,7 +245,7 @@
 	})
 }
 
-// Hedges replace slow attempts, and their number stays within the budget.
+// Slow attempts are hedged, and the number of hedges stays within the budget.
 func TestHedgesStayWithinBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -271,7 +271,7 @@
 	})
 }
 
-func TestDrainRefusesNewAndWaitsForRunning(t *testing.T) {
+func TestDrainRefusesNewSearchesAndWaitsForThoseInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		engine, _ := newTestEngine(t, &scriptedLeafs{answer: func(string, *leafv1.SearchShardRequest) (time.Duration, error) {
@@ -288,14 +288,14 @@
 		is.Equal(failure.From(err).Execution, failure.NotRun)
 		is.True(failure.From(err).RetryAfter > 0)
 		_, err = engine.Search(t.Context(), &searchv1.SearchRequest{Service: "s"})
-		is.NoErr(err) // the one in flight ends
+		is.NoErr(err) // the search in flight is answered
 		release()
 		is.NoErr(<-drained)
 		is.Equal(time.Since(began), 400*time.Millisecond)
 	})
 }
 
-func TestBadRequestsNameTheirField(t *testing.T) {
+func TestInvalidRequestsNameTheField(t *testing.T) {
 	long := make([]byte, 5000)
 	cases := map[string]struct {
 		request *searchv1.SearchRequest
@@ -326,10 +326,10 @@
 
 func TestUnknownServiceAndSnapshot(t *testing.T) {
 	is := is.New(t)
-	engine, known := newTestEngine(t, &scriptedLeafs{})
+	engine, cat := newTestEngine(t, &scriptedLeafs{})
 	_, err := engine.Search(t.Context(), &searchv1.SearchRequest{Service: "none"})
 	is.True(failure.Is(err, failure.UnknownService))
-	put(t, known, catalog.ServiceKey("bare"), &adminv1.ServiceSpec{Name: "bare"})
+	put(t, cat, catalog.ServiceKey("bare"), &adminv1.ServiceSpec{Name: "bare"})
 	_, err = engine.Search(t.Context(), &searchv1.SearchRequest{Service: "bare"})
 	is.True(failure.Is(err, failure.NoSnapshot))
 }
--- a/internal/request/search/verify.go
+++ b/internal/request/search/verify.go
@@ -8,7 +8,7 @@
 	"github.com/portgauge/portgauge/internal/config/keyspace"
 )
 
-// dropReason says why a leaf's reply is not merged.
+// dropReason is the reason why a leaf's reply is not merged.
 type dropReason string
 
 // The reasons for dropping a reply.
@@ -22,14 +22,14 @@
 	dropUnmatchedRow  dropReason = "UNMATCHED_ROW"
 )
 
-// shardReply is a verified reply: its rows are all of the covered range's rows that match.
+// shardReply is a verified reply: its rows are all matching rows of the covered range.
 type shardReply struct {
 	covered keyspace.Range
 	rows    []*leafv1.Row
 }
 
-// verify checks a reply against the attempt that it must answer. A reply that differs in any part
-// of the identity, or has rows that can't be that attempt's, is dropped as a whole.
+// verify checks a reply against the request of its attempt. A reply with a different identity, or with a covered range or
+// rows that can't answer the request, is dropped as a whole.
 func verify(request *leafv1.SearchShardRequest, response *leafv1.SearchShardResponse) (shardReply, dropReason) {
 	if !sameIdentity(request.GetIdentity(), response.GetIdentity()) {
 		return shardReply{}, dropWrongIdentity
--- a/internal/request/search/verify_test.go
+++ b/internal/request/search/verify_test.go
@@ -9,7 +9,7 @@
 	leafv1 "github.com/portgauge/portgauge/gen/portgauge/leaf/v1"
 )
 
-func goodExchange() (*leafv1.SearchShardRequest, *leafv1.SearchShardResponse) {
+func validExchange() (*leafv1.SearchShardRequest, *leafv1.SearchShardResponse) {
 	identity := &leafv1.AttemptIdentity{RequestId: "r", SnapshotId: "v1", ShardId: "s", Attempt: 1, Nonce: 7}
 	request := &leafv1.SearchShardRequest{Identity: identity, KeyFrom: "b", KeyTo: "m", Filter: "x", Limit: 3}
 	response := &leafv1.SearchShardResponse{
@@ -21,10 +21,10 @@
 
 func TestVerifyAcceptsOnlyTheAttemptsOwnReply(t *testing.T) {
 	cases := map[string]struct {
-		spoil  func(*leafv1.SearchShardResponse)
+		mutate func(*leafv1.SearchShardResponse)
 		reason dropReason
 	}{
-		"as asked":         {func(*leafv1.SearchShardResponse) {}, replyAccepted},
+		"valid":            {func(*leafv1.SearchShardResponse) {}, replyAccepted},
 		"ends early":       {func(r *leafv1.SearchShardResponse) { r.CoveredTo = "d" }, replyAccepted},
 		"no identity":      {func(r *leafv1.SearchShardResponse) { r.Identity = nil }, dropWrongIdentity},
 		"other request":    {func(r *leafv1.SearchShardResponse) { r.Identity.RequestId = "q" }, dropWrongIdentity},
@@ -38,14 +38,14 @@
 		"row before range": {func(r *leafv1.SearchShardResponse) { r.Rows[0].Key = "ax" }, dropForeignRow},
 		"row after range":  {func(r *leafv1.SearchShardResponse) { r.Rows[1].Key = "mx" }, dropForeignRow},
 		"row twice":        {func(r *leafv1.SearchShardResponse) { r.Rows[1].Key = "bx" }, dropUnorderedRows},
-		"row not wanted":   {func(r *leafv1.SearchShardResponse) { r.Rows[1].Value = nil }, dropUnmatchedRow},
+		"row not matching": {func(r *leafv1.SearchShardResponse) { r.Rows[1].Value = nil }, dropUnmatchedRow},
 		"beyond the limit": {func(r *leafv1.SearchShardResponse) { r.Rows = append(r.Rows, r.Rows...) }, dropTooManyRows},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			request, response := goodExchange()
-			test.spoil(response)
+			request, response := validExchange()
+			test.mutate(response)
 			_, reason := verify(request, response)
 			is.Equal(reason, test.reason)
 		})
