--- a/internal/quarantine/config.go
+++ b/internal/quarantine/config.go
@@ -6,34 +6,33 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// CrashedProbesLimit is the number of leafs that may crash under probes of one execution before it is given up. The evidence
-// decides about the next execution.
+// CrashedProbesLimit is the number of leafs that may crash under the probes of one execution before the execution ends.
+// Whether the request is executed again depends on the evidence.
 const CrashedProbesLimit = 1
 
-// Config sets what puts a request under quarantine, and for how long.
+// Config sets when a request is put under quarantine, and for how long.
 type Config struct {
-	// CrashedLeafs is the number of leafs that must have crashed under a request, Episodes the number of episodes of these
-	// crashes, and EpisodesIfOthersGone the same if other leafs are gone without a known cause.
+	// A request is put under quarantine after crashes of CrashedLeafs leafs in Episodes episodes, or in
+	// EpisodesIfOthersGone episodes if other leafs have stopped listening for an unknown reason.
 	CrashedLeafs         int `yaml:"ends"`
 	Episodes             int `yaml:"episodes"`
 	EpisodesIfOthersGone int `yaml:"herd_episodes"`
-	// SuspectMemory is how long evidence counts that is not enough yet.
+	// SuspectMemory is the time after the last crash for which insufficient evidence is kept.
 	SuspectMemory time.Duration `yaml:"suspect_memory"`
-	// RetestAfter is how long a request is refused until it is tried again at one leaf. RetestBackoffFactor is the
-	// factor by which each next delay is longer. MaximumRetests is the largest number of retests; after that only an
-	// operator lifts the quarantine.
+	// RetestAfter is the time for which a request is refused before it is retested at one leaf. Each further delay is
+	// RetestBackoffFactor times the previous one. After MaximumRetests retests only an operator can lift the quarantine.
 	RetestAfter         time.Duration `yaml:"term"`
 	RetestBackoffFactor int           `yaml:"lengthening"`
 	MaximumRetests      int           `yaml:"trials"`
-	// Alert is how long after a request was put under quarantine further ones are expected: gathered requests go to
-	// one leaf first then.
+	// Alert is the time after a request was put under quarantine during which gathered requests are sent to one leaf
+	// first, because more crashing requests are expected.
 	Alert time.Duration `yaml:"alert"`
-	// MaximumSuspects and MaximumRecords bound what is kept; the oldest is dropped first.
+	// MaximumSuspects and MaximumRecords bound the number of suspects and records; the oldest is dropped first.
 	MaximumSuspects int `yaml:"maximum_suspects"`
 	MaximumRecords  int `yaml:"maximum_records"`
 }
 
-// DefaultConfig lets a request crash three leafs, and tries it again after 10 minutes, an hour and six hours.
+// DefaultConfig quarantines a request after three crashes, and retests it after 10 minutes, an hour and six hours.
 func DefaultConfig() Config {
 	return Config{
 		CrashedLeafs: 3, Episodes: 2, EpisodesIfOthersGone: 4, SuspectMemory: time.Minute,
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -11,32 +11,32 @@
 // Crash is the crash of a leaf under a request.
 type Crash struct {
 	Leaf string `json:"leaf"`
-	// Episode is the same for crashes seen by attempts that were sent without knowledge of each other.
+	// Episode is equal for crashes under attempts that were sent together.
 	Episode uint64 `json:"episode"`
 }
 
-// Evidence is what one node has seen of a request.
+// Evidence is one node's evidence against a request.
 type Evidence struct {
 	Subject
 	Crashes []Crash `json:"ends,omitempty"`
-	// OthersGone says that other leafs, which the request was not at, were found gone.
+	// OthersGone is true if the request's attempts found other leafs no longer listening, which it had not crashed.
 	OthersGone bool `json:"in_herd,omitempty"`
 }
 
-// suspect is a request under which leafs crashed, too few so far.
+// suspect is a request with evidence that is not sufficient for a quarantine.
 type suspect struct {
 	subject Subject
-	// episodes are the episodes of the crashes.
-	episodes map[string]uint64 // by leaf
+	// episodes are the episodes of the crashes, by leaf.
+	episodes map[string]uint64
 	lastAt   time.Time
-	// othersGone says that other leafs, which the request was not at, were found gone.
+	// othersGone is true if the request's attempts found other leafs no longer listening, which it had not crashed.
 	othersGone bool
-	// isOwn says that this node saw some of the crashes itself, isReported that it reported them to other nodes.
+	// isOwn is true if this node detected some of the crashes, isReported if it reported them to other nodes.
 	isOwn      bool
 	isReported bool
 }
 
-// add adds a crash. A leaf crashes once.
+// add adds a crash. Further crashes of the same leaf only renew the time.
 func (s *suspect) add(crash Crash, now time.Time) {
 	if _, found := s.episodes[crash.Leaf]; !found && len(s.episodes) < maxLeafs {
 		s.episodes[crash.Leaf] = crash.Episode
@@ -47,13 +47,13 @@
 // removeCrash removes the crash of a leaf that is attributed to another request.
 func (s *suspect) removeCrash(leaf string) { delete(s.episodes, leaf) }
 
-// isEnough decides whether the evidence puts the request under quarantine: CrashedLeafs leafs crashed under it, in at least
-// Episodes episodes, or EpisodesIfOthersGone if other leafs are gone, too.
+// isSufficient decides whether the evidence puts the request under quarantine: at least CrashedLeafs leafs crashed under
+// it, in at least Episodes episodes, or EpisodesIfOthersGone if other leafs are gone, too.
 //
-// Leafs that crash together for another reason make one episode for every request that was at them, so one episode
-// proves nothing. A second one means that the request was sent again, knowing of the first, and the leaf crashed
-// again. While other leafs go down as well, that may still be a coincidence.
-func (s *suspect) isEnough(cfg Config) bool {
+// Leafs that crash together for another reason cause one episode for every request they were running, so one episode
+// proves nothing. A second episode means that the request was sent again after the first was detected, and crashed
+// another leaf. If other leafs are gone as well, this may still be a coincidence.
+func (s *suspect) isSufficient(cfg Config) bool {
 	if len(s.episodes) < cfg.CrashedLeafs {
 		return false
 	}
@@ -67,7 +67,7 @@
 	return len(seen) >= cfg.Episodes
 }
 
-// reportedCrashes returns the crashes that are reported to others, at most maxReportedCrashes: one of each episode
+// reportedCrashes returns the crashes to report to other nodes, at most maxReportedCrashes: the first of each episode
 // before the rest.
 func (s *suspect) reportedCrashes() []Crash {
 	var first, rest []Crash
@@ -85,7 +85,7 @@
 	return crashes[:min(len(crashes), maxReportedCrashes)]
 }
 
-// leafs returns the crashed leafs, as many as fit into a record.
+// leafs returns as many of the crashed leafs as fit into a record.
 func (s *suspect) leafs() []string {
 	var leafs []string
 	size := 0
@@ -101,41 +101,41 @@
 // AddEvidence adds the evidence of another node.
 func (r *Register) AddEvidence(evidence Evidence) { r.addEvidence(evidence, false) }
 
-// Evidence returns what this node has seen of a request, to report it to others. It returns false if there is
-// nothing, for instance because the request was answered meanwhile.
+// Evidence returns this node's evidence against a request, to be reported to other nodes. It returns false if there is
+// none, for instance because the request has been answered in the meantime.
 func (r *Register) Evidence(content fingerprint.Fingerprint) (Evidence, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	known := r.suspect(content)
-	if known == nil || !known.isOwn {
+	entry := r.findSuspect(content)
+	if entry == nil || !entry.isOwn {
 		return Evidence{}, false
 	}
-	known.isReported = true
-	return Evidence{Subject: known.subject, Crashes: known.reportedCrashes(), OthersGone: known.othersGone}, true
+	entry.isReported = true
+	return Evidence{Subject: entry.subject, Crashes: entry.reportedCrashes(), OthersGone: entry.othersGone}, true
 }
 
-// addEvidence adds evidence against a request, and puts it under quarantine if that is enough. Crashes attributed to
-// another request don't count.
+// addEvidence adds evidence against a request, and puts the request under quarantine if the evidence is sufficient.
+// Crashes attributed to another request don't count.
 func (r *Register) addEvidence(evidence Evidence, isOwn bool) {
 	r.mu.Lock()
 	if r.recordOf(evidence.Content) != nil {
 		r.mu.Unlock()
 		return
 	}
-	known := r.suspectOf(evidence.Subject)
+	entry := r.findOrAddSuspect(evidence.Subject)
 	for _, crash := range evidence.Crashes {
 		if !r.isAttributed(crash.Leaf, evidence.Content) {
-			known.add(crash, r.clock.Now())
+			entry.add(crash, r.clock.Now())
 		}
 	}
-	known.isOwn = known.isOwn || isOwn
-	known.othersGone = known.othersGone || evidence.OthersGone
+	entry.isOwn = entry.isOwn || isOwn
+	entry.othersGone = entry.othersGone || evidence.OthersGone
 	switch {
-	case len(known.episodes) == 0:
+	case len(entry.episodes) == 0:
 		r.dropSuspect(evidence.Content)
 		r.mu.Unlock()
-	case known.isEnough(r.cfg):
-		record := Record{Subject: known.subject, Leafs: known.leafs(), By: r.self}
+	case entry.isSufficient(r.cfg):
+		record := Record{Subject: entry.subject, Leafs: entry.leafs(), By: r.self}
 		toHalt := r.addUnsaved(record)
 		r.mu.Unlock()
 		haltAll(toHalt)
@@ -148,23 +148,23 @@
 	}
 }
 
-// noteLeafGone notes that an execution of a request found a leaf gone, and reports whether that is a sign that leafs
-// crash together for another reason: it is not if the leaf's crash is attributed to a request, or was one under this
-// request.
+// noteLeafGone notes that an attempt of a request found a leaf no longer listening, and reports whether this indicates
+// that leafs crash for another reason. It does not if the leaf crashed under this request, or if its crash is attributed
+// to a request.
 func (r *Register) noteLeafGone(content fingerprint.Fingerprint, leaf string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if _, found := r.attributed[leaf]; found {
 		return false
 	}
-	known := r.suspect(content)
-	if known == nil {
+	entry := r.findSuspect(content)
+	if entry == nil {
 		return true
 	}
-	if _, found := known.episodes[leaf]; found {
+	if _, found := entry.episodes[leaf]; found {
 		return false
 	}
-	known.othersGone = true
+	entry.othersGone = true
 	return true
 }
 
@@ -181,31 +181,32 @@
 	return found && by != content
 }
 
-// suspect returns a suspect whose evidence is no older than Config.SuspectMemory, or nil. The lock must be held.
-func (r *Register) suspect(content fingerprint.Fingerprint) *suspect {
-	known, isKnown := r.suspects[content]
-	if !isKnown {
+// findSuspect returns the suspect, or nil if there is none or its evidence has expired (Config.SuspectMemory). The lock
+// must be held.
+func (r *Register) findSuspect(content fingerprint.Fingerprint) *suspect {
+	entry, found := r.suspects[content]
+	if !found {
 		return nil
 	}
-	if r.clock.Since(known.lastAt) >= r.cfg.SuspectMemory {
+	if r.clock.Since(entry.lastAt) >= r.cfg.SuspectMemory {
 		r.dropSuspect(content)
 		return nil
 	}
-	return known
+	return entry
 }
 
-// suspectOf returns the suspect that evidence is added to. The lock must be held.
-func (r *Register) suspectOf(subject Subject) *suspect {
-	if known := r.suspect(subject.Content); known != nil {
-		return known
+// findOrAddSuspect returns the suspect, and adds it if there is none. The lock must be held.
+func (r *Register) findOrAddSuspect(subject Subject) *suspect {
+	if entry := r.findSuspect(subject.Content); entry != nil {
+		return entry
 	}
 	if len(r.suspects) >= r.cfg.MaximumSuspects {
 		r.dropOldestSuspect()
 	}
-	known := &suspect{subject: subject, episodes: map[string]uint64{}}
-	r.suspects[subject.Content] = known
+	entry := &suspect{subject: subject, episodes: map[string]uint64{}}
+	r.suspects[subject.Content] = entry
 	r.suspectCount.Store(int64(len(r.suspects)))
-	return known
+	return entry
 }
 
 func (r *Register) dropSuspect(content fingerprint.Fingerprint) {
@@ -215,9 +216,9 @@
 
 func (r *Register) dropOldestSuspect() {
 	var oldest *suspect
-	for _, known := range r.suspects {
-		if oldest == nil || known.lastAt.Before(oldest.lastAt) {
-			oldest = known
+	for _, entry := range r.suspects {
+		if oldest == nil || entry.lastAt.Before(oldest.lastAt) {
+			oldest = entry
 		}
 	}
 	r.dropSuspect(oldest.subject.Content)
--- a/internal/quarantine/execution.go
+++ b/internal/quarantine/execution.go
@@ -5,29 +5,30 @@
 	"sync/atomic"
 )
 
-// Execution is one execution of a request in progress at this node.
+// Execution is one execution of a request at this node.
 type Execution struct {
 	register *Register
 	subject  Subject
 	state    State
-	// record is the record of an execution that is refused or a retest.
+	// record is the quarantine record of the request if the execution is refused or a retest.
 	record *Record
-	// isAlert says that crashing requests were expected when the execution began.
+	// isAlert is the result of Register.isAlert when the execution began.
 	isAlert bool
-	// isRetest says that the request is under quarantine, but may go to one leaf.
+	// isRetest is true if the request is under quarantine, but may be sent to one leaf.
 	isRetest bool
 	// episode is the number of the execution's first episode.
 	episode uint64
 
 	isAnswered atomic.Bool
 	isStopped  atomic.Bool
-	// othersGone says that leafs were found gone that the request was not at.
+	// othersGone is true if attempts found leafs no longer listening that the request had not crashed.
 	othersGone atomic.Bool
 	stop       func()
 }
 
-// Begin begins an execution of a request. If its State is Quarantined, it must not go on. stop is called if it must
-// not any more, at most once and from any goroutine. End must be called in any case.
+// Begin begins an execution of a request. If its State is Quarantined, the request must not be sent to leafs. stop is
+// called if the request is put under quarantine later, at most once and from any goroutine. End must be called in any
+// case.
 func (r *Register) Begin(subject Subject, stop func()) *Execution {
 	execution := &Execution{register: r, subject: subject, stop: stop, episode: rand.Uint64()}
 	r.mu.Lock()
@@ -53,7 +54,7 @@
 	return execution
 }
 
-// addExecution adds an execution in progress. The lock must be held.
+// addExecution adds an execution to those in flight. The lock must be held.
 func (r *Register) addExecution(execution *Execution) {
 	running := r.executions[execution.subject.Content]
 	if running == nil {
@@ -63,19 +64,19 @@
 	running[execution] = true
 }
 
-// State returns how the request was treated when the execution began.
+// State returns the state of the request when the execution began.
 func (e *Execution) State() State { return e.state }
 
-// IsAlert reports whether another request was put under quarantine so recently before the execution that further ones
-// are expected.
+// IsAlert reports whether another request had been put under quarantine within Config.Alert when the execution began, so
+// that more crashing requests are expected.
 func (e *Execution) IsAlert() bool { return e.isAlert }
 
-// IsStopped reports whether nothing more of the execution may be sent.
+// IsStopped reports whether the execution must send no more attempts.
 func (e *Execution) IsStopped() bool { return e.isStopped.Load() }
 
-// LeafCrashed reports that a leaf crashed under the execution. number is the episode within the execution: 0 for
-// attempts sent without knowledge of a crash, another one for each attempt that was sent knowing of earlier crashes.
-// A crash during a retest ends the retest; after an answer it is ignored.
+// LeafCrashed reports that a leaf crashed under the execution. number is the episode within the execution: 0 for attempts
+// sent before any crash was detected, a different one for each attempt sent after a crash was detected. A crash during a
+// retest ends the retest. A crash after an answer is ignored.
 func (e *Execution) LeafCrashed(leaf string, number int) {
 	if e.isAnswered.Load() {
 		return
@@ -88,25 +89,25 @@
 	e.register.addEvidence(Evidence{Subject: e.subject, Crashes: []Crash{crash}, OthersGone: e.othersGone.Load()}, true)
 }
 
-// LeafGone reports that a leaf was gone when the execution came to it.
+// LeafGone reports that an attempt found a leaf no longer listening.
 func (e *Execution) LeafGone(leaf string) {
 	if !e.othersGone.Load() && e.register.noteLeafGone(e.subject.Content, leaf) {
 		e.othersGone.Store(true)
 	}
 }
 
-// Answered reports that a leaf answered the request. That clears it, because a request that crashes leafs never gets
-// an answer.
+// Answered reports that a leaf answered the request. This clears the request, because one that crashes leafs is never
+// answered.
 func (e *Execution) Answered() {
 	if e.isAnswered.Swap(true) || e.register.suspectCount.Load() == 0 && !e.isRetest {
 		return
 	}
 	r := e.register
 	r.mu.Lock()
-	known := r.suspects[e.subject.Content]
+	entry := r.suspects[e.subject.Content]
 	r.dropSuspect(e.subject.Content)
 	r.mu.Unlock()
-	if known != nil && known.isReported {
+	if entry != nil && entry.isReported {
 		r.listener.EvidenceDropped(e.subject)
 	}
 	if e.isRetest {
@@ -114,7 +115,7 @@
 	}
 }
 
-// End ends the execution.
+// End removes the execution from those in flight.
 func (e *Execution) End() {
 	r := e.register
 	r.mu.Lock()
@@ -126,7 +127,7 @@
 	}
 }
 
-// halt stops the execution, once.
+// halt stops the execution if it is not stopped yet.
 func (e *Execution) halt() {
 	if !e.isStopped.Swap(true) {
 		e.stop()
--- a/internal/quarantine/fingerprint/fingerprint.go
+++ b/internal/quarantine/fingerprint/fingerprint.go
@@ -1,5 +1,5 @@
-// Package fingerprint identifies requests by what they ask for, so that repetitions of a request are recognised at
-// any node: each has its own id, but the path, caller and body stay the same. The package keeps no state.
+// Package fingerprint identifies requests by their content, so that any node recognizes a repeated request. Each
+// repetition has its own ID, but the same path, caller and body. The package keeps no state.
 package fingerprint
 
 import (
@@ -12,27 +12,25 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// size is the length of a fingerprint in bytes. To find a request with the fingerprint of another caller's request
-// takes about 2^128 hashes; to find two requests with the same fingerprint takes 2^64. With 64 bits the latter would
-// take 2^32, about an hour.
+// size is the size of a fingerprint in bytes. With 128 bits, finding a request with a given fingerprint takes about 2^128
+// hashes, and finding two requests with equal fingerprints 2^64. With 64 bits the latter would take 2^32, about an hour.
 const size = 16
 
-// Fingerprint identifies a request; the zero value identifies none.
+// Fingerprint identifies a request; the zero value stands for no request.
 type Fingerprint [size]byte
 
-// Content is what a fingerprint is computed from.
+// Content holds the fields of a request that its fingerprint is computed from.
 type Content struct {
 	Method string
 	Host   string
 	Path   string
-	// Query counts only if the operator configures it: page numbers and the like change between repetitions.
+	// Query is set only if the operator configures it: page numbers and the like change between repetitions.
 	Query string
-	// Caller is how callers identify themselves; not the network address, which they may share or change.
+	// Caller is the identity that the caller states, not its network address, which may be shared or change.
 	Caller string
 	Body   []byte
 }
 
-// Of returns the fingerprint of a content.
 func Of(content Content) Fingerprint {
 	sum := sha256.New()
 	for _, part := range []string{content.Method, content.Host, content.Path, content.Query, content.Caller} {
@@ -42,7 +40,7 @@
 	return Fingerprint(sum.Sum(nil)[:size])
 }
 
-// writePart writes a part preceded by its length, so that no two contents are encoded alike.
+// writePart writes a part preceded by its length, so that different contents have different encodings.
 func writePart(sum hash.Hash, part []byte) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(part)))
@@ -50,14 +48,14 @@
 	mustWrite(sum, part)
 }
 
-// mustWrite writes to a hash, which never returns an error.
+// mustWrite writes to a hash. Hashes never return an error.
 func mustWrite(w io.Writer, part []byte) {
 	if _, err := w.Write(part); err != nil {
 		panic(err)
 	}
 }
 
-// String returns the fingerprint as 32 hexadecimal digits, empty for none.
+// String returns the fingerprint as 32 hexadecimal digits, or "" for the zero value.
 func (f Fingerprint) String() string {
 	if f.IsZero() {
 		return ""
@@ -65,7 +63,7 @@
 	return hex.EncodeToString(f[:])
 }
 
-// IsZero reports whether there is no fingerprint.
+// IsZero reports whether f is the zero value.
 func (f Fingerprint) IsZero() bool { return f == Fingerprint{} }
 
 // Parse parses a fingerprint as returned by String.
@@ -77,10 +75,8 @@
 	return Fingerprint(read), nil
 }
 
-// MarshalText implements encoding.TextMarshaler.
 func (f Fingerprint) MarshalText() ([]byte, error) { return []byte(f.String()), nil }
 
-// UnmarshalText implements encoding.TextUnmarshaler.
 func (f *Fingerprint) UnmarshalText(text []byte) error {
 	if len(text) == 0 {
 		*f = Fingerprint{}
--- a/internal/quarantine/fingerprint/fingerprint_test.go
+++ b/internal/quarantine/fingerprint/fingerprint_test.go
@@ -13,7 +13,7 @@
 	return Content{Method: "GET", Host: "pages.example", Path: "/pages/1", Query: "a=b", Caller: "desk-7", Body: []byte("body")}
 }
 
-func TestEveryPartCounts(t *testing.T) {
+func TestFingerprintDependsOnEveryField(t *testing.T) {
 	is := is.New(t)
 	known := map[Fingerprint]bool{Of(sample()): true}
 	for _, change := range []func(*Content){
@@ -34,7 +34,7 @@
 	is.Equal(Of(sample()), Of(sample()))
 }
 
-func TestTextIsReadBack(t *testing.T) {
+func TestTextRoundTrip(t *testing.T) {
 	is := is.New(t)
 	encoded, err := json.Marshal(Of(sample()))
 	is.NoErr(err)
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -7,18 +7,18 @@
 	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 )
 
-// Bounds that make evidence and records fit into a datagram (peer.MaximumDatagram): the bytes of a path, of the ids of
-// leafs together, and the number of crashes.
+// Bounds that make evidence and records fit into a datagram (peer.MaximumDatagram): the size of a path and the total size
+// of the leaf IDs, in bytes, and the number of crashes.
 const (
 	maxPathBytes       = 120
 	maxLeafBytes       = 600
 	maxReportedCrashes = 8
 )
 
-// maxLeafs bounds the crashed leafs that are kept of a request.
+// maxLeafs is the maximum number of crashed leafs that are kept per request.
 const maxLeafs = 64
 
-// Subject identifies a request to operators.
+// Subject is a request's fingerprint, with a path and a caller that identify the request to operators.
 type Subject struct {
 	Content fingerprint.Fingerprint `json:"content"`
 	Path    string                  `json:"path,omitempty"`
@@ -30,24 +30,24 @@
 	return Subject{Content: content, Path: path[:min(len(path), maxPathBytes)], Caller: caller}
 }
 
-// Record is a request under quarantine, as the store keeps it and nodes announce it to each other.
+// Record is a request under quarantine, as it is stored and sent to other nodes.
 type Record struct {
 	Subject
-	// Leafs crashed under it; at most maxLeafBytes of ids.
+	// Leafs are the leafs that crashed under the request; their IDs have at most maxLeafBytes bytes in total.
 	Leafs []string `json:"leafs"`
-	// Retests is the number of retests since.
+	// Retests is the number of retests since the request was put under quarantine.
 	Retests int `json:"trials,omitempty"`
-	// By is the id of the node that found it.
+	// By is the ID of the node that put the request under quarantine.
 	By string `json:"by"`
-	// Revision is the store's revision, 0 while the store does not have the record.
+	// Revision is the store revision of the record, 0 while the store does not have it.
 	Revision int64 `json:"-"`
 }
 
-// ParseRecord reads and validates a record of the store.
+// ParseRecord decodes and validates a stored record.
 func ParseRecord(document json.RawMessage, revision int64) (*Record, error) {
 	var record Record
 	if err := json.Unmarshal(document, &record); err != nil {
-		return nil, failure.Invalid("quarantine", "not a record: %v", err)
+		return nil, failure.Invalid("quarantine", "can't decode the record: %v", err)
 	}
 	record.Revision = revision
 	return &record, record.Validate()
@@ -58,6 +58,6 @@
 	var checks failure.Checks
 	checks.Refuse(r.Content.IsZero(), "content", "must not be empty")
 	checks.Refuse(r.Retests < 0, "trials", "must not be negative")
-	checks.Refuse(len(r.Leafs) > maxLeafs, "leafs", "%d; at most %d", len(r.Leafs), maxLeafs)
+	checks.Refuse(len(r.Leafs) > maxLeafs, "leafs", "%d leafs; at most %d", len(r.Leafs), maxLeafs)
 	return checks.Err()
 }
--- a/internal/quarantine/register_test.go
+++ b/internal/quarantine/register_test.go
@@ -10,20 +10,20 @@
 	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 )
 
-// fleet is a register with its announcements, a store, and a clock that is set.
-type fleet struct {
+// registerFixture is a register with recorded notifications, a map of stored records and a clock that the test sets.
+type registerFixture struct {
 	*Register
 	at          time.Time
 	store       map[fingerprint.Fingerprint]*Record
 	suspected   []Subject
-	acquitted   []Subject
+	dropped     []Subject
 	quarantined []Record
 	due         []Record
-	survived    []Record
+	answered    []Record
 }
 
-func newFleet() *fleet {
-	f := &fleet{at: time.Unix(1000, 0), store: map[fingerprint.Fingerprint]*Record{}}
+func newRegisterFixture() *registerFixture {
+	f := &registerFixture{at: time.Unix(1000, 0), store: map[fingerprint.Fingerprint]*Record{}}
 	f.Register = NewRegister(Deps{
 		Config: DefaultConfig(), Clock: func() time.Time { return f.at }, Self: "n1",
 		StoredRecord: func(content fingerprint.Fingerprint) *Record { return f.store[content] },
@@ -32,14 +32,14 @@
 	return f
 }
 
-func (f *fleet) Suspected(subject Subject)       { f.suspected = append(f.suspected, subject) }
-func (f *fleet) EvidenceDropped(subject Subject) { f.acquitted = append(f.acquitted, subject) }
-func (f *fleet) Quarantined(record Record)       { f.quarantined = append(f.quarantined, record) }
-func (f *fleet) RetestDue(record Record)         { f.due = append(f.due, record) }
-func (f *fleet) RetestAnswered(record Record)    { f.survived = append(f.survived, record) }
+func (f *registerFixture) Suspected(subject Subject)       { f.suspected = append(f.suspected, subject) }
+func (f *registerFixture) EvidenceDropped(subject Subject) { f.dropped = append(f.dropped, subject) }
+func (f *registerFixture) Quarantined(record Record)       { f.quarantined = append(f.quarantined, record) }
+func (f *registerFixture) RetestDue(record Record)         { f.due = append(f.due, record) }
+func (f *registerFixture) RetestAnswered(record Record)    { f.answered = append(f.answered, record) }
 
-// save puts a record into the store.
-func (f *fleet) save(record Record, revision int64) {
+// save stores a record.
+func (f *registerFixture) save(record Record, revision int64) {
 	record.Revision = revision
 	f.store[record.Content] = &record
 	f.ConfirmStored(record)
@@ -57,17 +57,17 @@
 	return names
 }
 
-// crashAll makes leafs crash under attempts of an execution that were sent together.
+// crashAll reports crashes of leafs under attempts that were sent together.
 func crashAll(execution *Execution, number int, names ...string) {
 	for _, name := range names {
 		execution.LeafCrashed(name, number)
 	}
 }
 
-// One attempt is sent to every shard, and one more that knows their outcome.
-func TestEndsInTwoEpisodesPutARequestUnderQuarantine(t *testing.T) {
+// Crashes of the first attempts, which are sent together, and of one probe put a request under quarantine.
+func TestCrashesInTwoEpisodesQuarantineRequest(t *testing.T) {
 	is := is.New(t)
-	f := newFleet()
+	f := newRegisterFixture()
 	stopped := 0
 	execution := f.Begin(subject("a"), func() { stopped++ })
 	is.Equal(execution.State(), Clear)
@@ -84,26 +84,25 @@
 	is.True(f.RetryAfter(subject("a").Content) > 0)
 }
 
-// A request that was at leafs which crashed together is not put under quarantine, also if it is tried again at others
-// that are gone.
-func TestAHerdOfCrashesIsOneEpisode(t *testing.T) {
+// Crashes under attempts sent together don't put a request under quarantine, and an answer clears it.
+func TestSimultaneousCrashesAreOneEpisode(t *testing.T) {
 	is := is.New(t)
-	f := newFleet()
+	f := newRegisterFixture()
 	execution := f.Begin(subject("a"), func() { t.Error("stopped") })
 	crashAll(execution, 0, leafs("leaf-", 40)...)
 	is.Equal(len(f.quarantined), 0)
 	execution.Answered()
 	is.Equal(f.State(subject("a").Content), Clear)
-	crashAll(execution, 1, leafs("later-", 40)...) // after an answer of any leaf nothing counts
+	crashAll(execution, 1, leafs("later-", 40)...) // crashes after an answer don't count
 	is.Equal(f.State(subject("a").Content), Clear)
 }
 
-// Requests that must run at most once are never sent again by a node: executions at three nodes make up the evidence.
-func TestEvidenceOfManyNodes(t *testing.T) {
+// A node never retries an at-most-once request, so the evidence comes from executions at three nodes.
+func TestEvidenceOfSeveralNodesIsSummed(t *testing.T) {
 	is := is.New(t)
-	aggregator := newFleet()
+	aggregator := newRegisterFixture()
 	for index, name := range leafs("leaf-", 3) {
-		other := newFleet()
+		other := newRegisterFixture()
 		other.Begin(subject("a"), func() {}).LeafCrashed(name, 0)
 		is.Equal(len(other.suspected), 1)
 		reported, found := other.Evidence(subject("a").Content)
@@ -112,16 +111,16 @@
 		aggregator.AddEvidence(reported) // a repeated report changes nothing
 		is.Equal(len(aggregator.quarantined), index/2)
 	}
-	is.Equal(len(aggregator.suspected), 0) // evidence of others is not reported again
+	is.Equal(len(aggregator.suspected), 0) // evidence of other nodes is not reported again
 }
 
-// If leafs are gone that the request was not at, leafs may be crashing for another reason: more episodes are needed.
-func TestMoreEpisodesAreWantedInAHerd(t *testing.T) {
+// More episodes are required if leafs that the request was not sent to are gone: leafs may crash for another reason.
+func TestMoreEpisodesAreRequiredIfOtherLeafsAreGone(t *testing.T) {
 	is := is.New(t)
-	f := newFleet()
+	f := newRegisterFixture()
 	execution := f.Begin(subject("a"), func() {})
 	crashAll(execution, 0, leafs("leaf-", 20)...)
-	execution.LeafGone("leaf-3") // it crashed under the request
+	execution.LeafGone("leaf-3") // this leaf crashed under the request, so it doesn't count as another one
 	is.Equal(f.State(subject("a").Content), Suspect)
 	execution.LeafGone("another")
 	for probe := range DefaultConfig().EpisodesIfOthersGone - 1 {
@@ -130,32 +129,32 @@
 	}
 	is.Equal(len(f.quarantined), 1)
 	next := f.Begin(subject("b"), func() {})
-	next.LeafGone("leaf-0") // by the other one's doing
+	next.LeafGone("leaf-0") // its crash is attributed to the first request
 	crashAll(next, 0, "x", "y")
 	next.LeafCrashed("z", 1)
 	is.Equal(len(f.quarantined), 2)
 }
 
-// Crashes attributed to one request don't count against others that were at the same leafs.
-func TestNeighboursAreExplainedAway(t *testing.T) {
+// Crashes attributed to one request are not evidence against others that the same leafs were running.
+func TestCrashesAttributedToAnotherRequestDoNotCount(t *testing.T) {
 	is := is.New(t)
-	f := newFleet()
-	neighbour := f.Begin(subject("neighbour"), func() {})
-	neighbour.LeafCrashed("leaf-0", 0)
-	neighbour.LeafCrashed("leaf-1", 1)
+	f := newRegisterFixture()
+	neighbor := f.Begin(subject("neighbour"), func() {})
+	neighbor.LeafCrashed("leaf-0", 0)
+	neighbor.LeafCrashed("leaf-1", 1)
 	culprit := f.Begin(subject("culprit"), func() {})
 	culprit.LeafCrashed("leaf-0", 0)
 	culprit.LeafCrashed("leaf-1", 1)
 	culprit.LeafCrashed("leaf-2", 2)
 	is.Equal(len(f.quarantined), 1)
 	is.Equal(f.State(subject("neighbour").Content), Clear)
-	neighbour.LeafCrashed("leaf-2", 2) // reported late
+	neighbor.LeafCrashed("leaf-2", 2) // reported after the crash was attributed
 	is.Equal(f.State(subject("neighbour").Content), Clear)
 }
 
-func TestEvidenceLapses(t *testing.T) {
+func TestEvidenceExpires(t *testing.T) {
 	is := is.New(t)
-	f := newFleet()
+	f := newRegisterFixture()
 	f.Begin(subject("a"), func() {}).LeafCrashed("leaf-0", 0)
 	f.Begin(subject("a"), func() {}).LeafCrashed("leaf-1", 0)
 	f.at = f.at.Add(DefaultConfig().SuspectMemory)
@@ -164,75 +163,74 @@
 	is.Equal(len(f.quarantined), 0)
 }
 
-// A suspect that is answered at this node is cleared here and at the nodes it was reported to.
-func TestAnAnswerAcquitsEverywhere(t *testing.T) {
+// An answer drops the evidence against a suspect at this node and at the nodes that it was reported to.
+func TestAnswerDropsEvidenceAtAllNodes(t *testing.T) {
 	is := is.New(t)
-	f, aggregator := newFleet(), newFleet()
+	f, aggregator := newRegisterFixture(), newRegisterFixture()
 	f.Begin(subject("a"), func() {}).LeafCrashed("leaf-0", 0)
 	reported, _ := f.Evidence(subject("a").Content)
 	aggregator.AddEvidence(reported)
 	is.Equal(aggregator.State(subject("a").Content), Suspect)
 	f.Begin(subject("a"), func() {}).Answered()
-	is.Equal(len(f.acquitted), 1)
-	aggregator.DropEvidence(f.acquitted[0].Content)
+	is.Equal(len(f.dropped), 1)
+	aggregator.DropEvidence(f.dropped[0].Content)
 	is.Equal(aggregator.State(subject("a").Content), Clear)
 }
 
-// quarantine puts a request under quarantine by a record in the store.
-func (f *fleet) quarantine(name string, revision int64, retests int) {
+// quarantine stores a record of a request.
+func (f *registerFixture) quarantine(name string, revision int64, retests int) {
 	f.save(Record{Subject: subject(name), Leafs: []string{"x", "y", "z"}, Retests: retests, By: "n1"}, revision)
 }
 
-// A request that arrives again after RetestAfter is still refused, and a retest is requested. With a permit of the store
-// one execution may go to one leaf. If that crashes, the next delay is longer; after the last retest only an operator
-// lifts the quarantine.
-func TestRetestsAreFewAndPermitted(t *testing.T) {
+// A retest is requested once RetestAfter has passed, and a permit allows one execution. After a crash the next delay is
+// longer, and after the last retest only an operator can lift the quarantine.
+func TestRetestsAreLimitedAndRequirePermit(t *testing.T) {
 	is := is.New(t)
-	f := newFleet()
+	f := newRegisterFixture()
 	f.quarantine("a", 7, 0)
-	come := func() *Execution { return f.Begin(subject("a"), func() {}) }
-	is.Equal(come().State(), Quarantined)
+	begin := func() *Execution { return f.Begin(subject("a"), func() {}) }
+	is.Equal(begin().State(), Quarantined)
 	f.at = f.at.Add(DefaultConfig().RetestAfter)
-	is.Equal(come().State(), Quarantined)
-	is.Equal(come().State(), Quarantined)
-	is.Equal(len(f.due), 1) // once, however often it comes
+	is.Equal(begin().State(), Quarantined)
+	is.Equal(begin().State(), Quarantined)
+	is.Equal(len(f.due), 1) // two arrivals request one retest
 	f.PermitRetest(subject("a").Content)
 	f.quarantine("a", 8, 1)
-	retest := come()
+	retest := begin()
 	is.Equal(retest.State(), Suspect)
-	is.Equal(come().State(), Quarantined) // one execution only
+	is.Equal(begin().State(), Quarantined) // a permit allows one execution
 	retest.LeafCrashed("leaf-0", 0)
 	is.True(retest.IsStopped())
-	is.Equal(come().State(), Quarantined)
+	is.Equal(begin().State(), Quarantined)
 	f.at = f.at.Add(DefaultConfig().RetestAfter)
-	come()
+	begin()
 	is.Equal(len(f.due), 1) // the next delay is longer
 	f.at = f.at.Add(5 * DefaultConfig().RetestAfter)
-	come()
+	begin()
 	is.Equal(len(f.due), 2)
 	f.quarantine("a", 9, DefaultConfig().MaximumRetests)
-	come()
+	begin()
 	f.at = f.at.Add(1000 * time.Hour)
-	come()
+	begin()
 	is.Equal(len(f.due), 2)
 	is.Equal(f.RetryAfter(subject("a").Content), time.Duration(0))
 }
 
 func TestAnsweredRetestEndsQuarantine(t *testing.T) {
 	is := is.New(t)
-	f := newFleet()
+	f := newRegisterFixture()
 	f.quarantine("a", 7, 0)
 	f.Begin(subject("a"), func() {})
 	f.PermitRetest(subject("a").Content)
 	f.Begin(subject("a"), func() {}).Answered()
-	is.Equal(len(f.survived), 1)
-	is.Equal(f.survived[0].Revision, int64(7))
+	is.Equal(len(f.answered), 1)
+	is.Equal(f.answered[0].Revision, int64(7))
 }
 
-// A record that the store had and an operator lifted stays lifted.
-func TestLifted(t *testing.T) {
+// A record that was stored and then lifted by an operator is not restored from the unsaved records.
+func TestLiftedRecordStaysLifted(t *testing.T) {
 	is := is.New(t)
-	f := newFleet()
+	f := newRegisterFixture()
 	is.True(f.AddRecord(Record{Subject: subject("a"), Leafs: []string{"x"}, By: "n2"}))
 	is.True(!f.AddRecord(Record{Subject: subject("a"), Leafs: []string{"x"}, By: "n2"}))
 	is.Equal(len(f.Unsaved()), 1)
@@ -243,10 +241,10 @@
 	is.Equal(f.State(subject("a").Content), Clear)
 }
 
-// A caller who crashes a leaf with each of many requests fills the table of suspects with the newest of them only.
+// The numbers of suspects and unsaved records are bounded; the oldest are dropped.
 func TestTablesAreBounded(t *testing.T) {
 	is := is.New(t)
-	f := newFleet()
+	f := newRegisterFixture()
 	cfg := DefaultConfig()
 	for index := range 2 * cfg.MaximumSuspects {
 		f.at = f.at.Add(time.Millisecond)
--- a/internal/quarantine/retest.go
+++ b/internal/quarantine/retest.go
@@ -6,78 +6,78 @@
 	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 )
 
-// retestRequestInterval is the pause between requests for a retest that were not granted. retestPermitTTL is how long a
-// permit is valid.
+// retestRequestInterval is the interval at which a retest is requested until it is permitted. retestPermitTTL is the time
+// for which a permit is valid.
 const (
 	retestRequestInterval = 5 * time.Second
 	retestPermitTTL       = 30 * time.Second
 )
 
-// retestState is how long a stored record has been known here.
+// retestState is the state of a stored record's retests at this node.
 type retestState struct {
 	revision int64
-	since    time.Time
-	// requestedAt is when a retest was last requested, permittedAt when one was permitted; zero if not, or once used.
+	since    time.Time // when this node first used the revision
+	// requestedAt is the time of the last request for a retest, zero if there was none. permittedAt is the time of the
+	// permit, zero if there is none or it has been used.
 	requestedAt time.Time
 	permittedAt time.Time
 }
 
-// retestOf returns the retest state of a stored record. The lock must be held.
-func (r *Register) retestOf(record *Record) *retestState {
-	known, isKnown := r.retestStates[record.Content]
-	if !isKnown {
+// findOrAddRetest returns the retest state of a stored record, and adds it if there is none. The lock must be held.
+func (r *Register) findOrAddRetest(record *Record) *retestState {
+	state, found := r.retestStates[record.Content]
+	if !found {
 		if len(r.retestStates) >= 2*r.cfg.MaximumRecords {
 			clear(r.retestStates)
 		}
-		known = &retestState{}
-		r.retestStates[record.Content] = known
+		state = &retestState{}
+		r.retestStates[record.Content] = state
 	}
-	if known.revision != record.Revision {
-		// A permit stays: it is what the new revision was written for.
-		known.revision, known.since, known.requestedAt = record.Revision, r.clock.Now(), time.Time{}
+	if state.revision != record.Revision {
+		// A permit remains valid: the new revision was written to grant it.
+		state.revision, state.since, state.requestedAt = record.Revision, r.clock.Now(), time.Time{}
 	}
-	return known
+	return state
 }
 
-// isRetestDue decides whether a retest, one execution at one leaf, is to be requested for a quarantined request that
-// arrived again: its delay is over, Config.MaximumRetests is not used up, and none was requested for
-// retestRequestInterval. Only stored
-// records have retests, because the store's compare-and-swap selects the one node that may run it. The lock must be
-// held.
+// isRetestDue decides whether this node requests a retest, one execution at one leaf, for a quarantined request that
+// arrived again: its delay has passed, fewer than Config.MaximumRetests were run, and none was requested within
+// retestRequestInterval. Only stored records are retested, because the store's compare-and-swap selects the one node that
+// may run the retest. The lock must be held.
 func (r *Register) isRetestDue(record *Record) bool {
 	if record.Revision == 0 || record.Retests >= r.cfg.MaximumRetests {
 		return false
 	}
-	known, now := r.retestOf(record), r.clock.Now()
-	if now.Sub(known.since) < r.cfg.delayAfter(record.Retests) || now.Sub(known.requestedAt) < retestRequestInterval {
+	state, now := r.findOrAddRetest(record), r.clock.Now()
+	if now.Sub(state.since) < r.cfg.delayAfter(record.Retests) || now.Sub(state.requestedAt) < retestRequestInterval {
 		return false
 	}
-	known.requestedAt = now
+	state.requestedAt = now
 	return true
 }
 
 // takePermit reports whether a retest is permitted, and uses the permit. The lock must be held.
 func (r *Register) takePermit(record *Record) bool {
-	known, isKnown := r.retestStates[record.Content]
-	if !isKnown || known.permittedAt.IsZero() {
+	state, found := r.retestStates[record.Content]
+	if !found || state.permittedAt.IsZero() {
 		return false
 	}
-	isPermitted := r.clock.Since(known.permittedAt) < retestPermitTTL
-	known.permittedAt = time.Time{}
+	isPermitted := r.clock.Since(state.permittedAt) < retestPermitTTL
+	state.permittedAt = time.Time{}
 	return isPermitted
 }
 
-// PermitRetest lets the next execution of a quarantined request go to one leaf, within retestPermitTTL.
+// PermitRetest permits the next execution of a quarantined request at one leaf, within retestPermitTTL.
 func (r *Register) PermitRetest(content fingerprint.Fingerprint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if known, isKnown := r.retestStates[content]; isKnown {
-		known.permittedAt = r.clock.Now()
+	if state, found := r.retestStates[content]; found {
+		state.permittedAt = r.clock.Now()
 	}
 }
 
-// RetryAfter returns for how long a quarantined request will at least be refused; 0 if it is not quarantined, or only
-// an operator can lift the quarantine.
+// RetryAfter returns the minimum time for which a quarantined request will be refused; 0 if it is not quarantined, or if
+// only an operator can lift the quarantine.
 func (r *Register) RetryAfter(content fingerprint.Fingerprint) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -90,11 +90,11 @@
 	case record.Retests >= r.cfg.MaximumRetests:
 		return 0
 	}
-	return max(retestRequestInterval, r.cfg.delayAfter(record.Retests)-r.clock.Since(r.retestOf(record).since))
+	return max(retestRequestInterval, r.cfg.delayAfter(record.Retests)-r.clock.Since(r.findOrAddRetest(record).since))
 }
 
-// delayAfter returns how long a request is refused after the given number of retests: RetestAfter, multiplied by
-// RetestBackoffFactor for each.
+// delayAfter returns the delay before the next retest after the given number of retests: RetestAfter, multiplied by
+// RetestBackoffFactor for each of them.
 func (c Config) delayAfter(retests int) time.Duration {
 	delay := c.RetestAfter
 	for range retests {
--- a/internal/quarantine/unsaved.go
+++ b/internal/quarantine/unsaved.go
@@ -12,24 +12,24 @@
 	since  time.Time
 }
 
-// recordOf returns the record of a request, nil if it is not under quarantine. A record that the store has not
-// accepted within Config.RetestAfter lapses. The lock must be held.
+// recordOf returns the record of a request, nil if it is not under quarantine. A record that the store has not accepted
+// within Config.RetestAfter expires. The lock must be held.
 func (r *Register) recordOf(content fingerprint.Fingerprint) *Record {
 	if record := r.stored(content); record != nil {
 		return record
 	}
-	known, isFound := r.unsaved[content]
-	if !isFound {
+	entry, found := r.unsaved[content]
+	if !found {
 		return nil
 	}
-	if r.clock.Since(known.since) >= r.cfg.RetestAfter {
-		delete(r.unsaved, content) // the store has not accepted it
+	if r.clock.Since(entry.since) >= r.cfg.RetestAfter {
+		delete(r.unsaved, content)
 		return nil
 	}
-	return &known.record
+	return &entry.record
 }
 
-// AddRecord adds a record that another node announced, and reports whether it is new.
+// AddRecord adds a record that another node sent, and reports whether it is new.
 func (r *Register) AddRecord(record Record) bool {
 	r.mu.Lock()
 	if r.recordOf(record.Content) != nil {
@@ -42,16 +42,16 @@
 	return true
 }
 
-// ConfirmStored notes that the store has a record.
+// ConfirmStored marks a record as stored.
 func (r *Register) ConfirmStored(record Record) {
 	r.mu.Lock()
 	delete(r.unsaved, record.Content)
-	toHalt := r.apply(record)
+	toHalt := r.attributeCrashes(record)
 	r.mu.Unlock()
 	haltAll(toHalt)
 }
 
-// Lift notes that the store has no record of a request any more.
+// Lift removes a request, whose record is no longer stored, from quarantine.
 func (r *Register) Lift(content fingerprint.Fingerprint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -77,7 +77,7 @@
 	return records
 }
 
-// addUnsaved adds a record that the store does not have yet, and returns the executions of the request that must be
+// addUnsaved adds a record that the store does not have yet, and returns the executions of the request, which must be
 // halted. The lock must be held.
 func (r *Register) addUnsaved(record Record) []*Execution {
 	if len(r.unsaved) >= r.cfg.MaximumRecords {
@@ -85,22 +85,22 @@
 	}
 	r.quarantinedAt = r.clock.Now()
 	r.unsaved[record.Content] = &unsavedRecord{record: record, since: r.quarantinedAt}
-	return r.apply(record)
+	return r.attributeCrashes(record)
 }
 
 func (r *Register) dropOldestUnsaved() {
 	var oldest *unsavedRecord
-	for _, known := range r.unsaved {
-		if oldest == nil || known.since.Before(oldest.since) {
-			oldest = known
+	for _, entry := range r.unsaved {
+		if oldest == nil || entry.since.Before(oldest.since) {
+			oldest = entry
 		}
 	}
 	delete(r.unsaved, oldest.record.Content)
 }
 
-// apply attributes the crashes of a record to its request, which removes them from other suspects, and returns the
-// executions of the request that must be halted. The lock must be held.
-func (r *Register) apply(record Record) []*Execution {
+// attributeCrashes attributes the crashes of a record to its request, removes them from other suspects, and returns the
+// executions of the request, which must be halted. Retests are excepted. The lock must be held.
+func (r *Register) attributeCrashes(record Record) []*Execution {
 	r.dropSuspect(record.Content)
 	if len(r.attributed) >= maxLeafs*r.cfg.MaximumRecords {
 		clear(r.attributed)
