--- a/internal/quarantine/config.go
+++ b/internal/quarantine/config.go
@@ -20,7 +20,8 @@
 	// SuspectMemory is the time after the last crash for which insufficient evidence is kept.
 	SuspectMemory time.Duration `yaml:"suspect_memory"`
 	// RetestAfter is the time for which a request is refused before it is retested at one leaf. Each further delay is
-	// RetestBackoffFactor times the previous one. After MaximumRetests retests only an operator can lift the quarantine.
+	// RetestBackoffFactor times the previous one. After MaximumRetests retests only an operator can lift the
+	// quarantine.
 	RetestAfter         time.Duration `yaml:"term"`
 	RetestBackoffFactor int           `yaml:"lengthening"`
 	MaximumRetests      int           `yaml:"trials"`
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -47,8 +47,8 @@
 // removeCrash removes the crash of a leaf that is attributed to another request.
 func (s *suspect) removeCrash(leaf string) { delete(s.episodes, leaf) }
 
-// isSufficient decides whether the evidence puts the request under quarantine: at least CrashedLeafs leafs crashed under
-// it, in at least Episodes episodes, or EpisodesIfOthersGone if other leafs are gone, too.
+// isSufficient decides whether the evidence puts the request under quarantine: at least CrashedLeafs leafs crashed
+// under it, in at least Episodes episodes, or EpisodesIfOthersGone if other leafs are gone, too.
 //
 // Leafs that crash together for another reason cause one episode for every request they were running, so one episode
 // proves nothing. A second episode means that the request was sent again after the first was detected, and crashed
@@ -149,8 +149,8 @@
 }
 
 // noteLeafGone notes that an attempt of a request found a leaf no longer listening, and reports whether this indicates
-// that leafs crash for another reason. It does not if the leaf crashed under this request, or if its crash is attributed
-// to a request.
+// that leafs crash for another reason. It does not if the leaf crashed under this request, or if its crash is
+// attributed to a request.
 func (r *Register) noteLeafGone(content fingerprint.Fingerprint, leaf string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/quarantine/execution.go
+++ b/internal/quarantine/execution.go
@@ -67,16 +67,16 @@
 // State returns the state of the request when the execution began.
 func (e *Execution) State() State { return e.state }
 
-// IsAlert reports whether another request had been put under quarantine within Config.Alert when the execution began, so
-// that more crashing requests are expected.
+// IsAlert reports whether another request had been put under quarantine within Config.Alert when the execution began,
+// so that more crashing requests are expected.
 func (e *Execution) IsAlert() bool { return e.isAlert }
 
 // IsStopped reports whether the execution must send no more attempts.
 func (e *Execution) IsStopped() bool { return e.isStopped.Load() }
 
-// LeafCrashed reports that a leaf crashed under the execution. number is the episode within the execution: 0 for attempts
-// sent before any crash was detected, a different one for each attempt sent after a crash was detected. A crash during a
-// retest ends the retest. A crash after an answer is ignored.
+// LeafCrashed reports that a leaf crashed under the execution. number is the episode within the execution: 0 for
+// attempts sent before any crash was detected, a different one for each attempt sent after a crash was detected. A
+// crash during a retest ends the retest. A crash after an answer is ignored.
 func (e *Execution) LeafCrashed(leaf string, number int) {
 	if e.isAnswered.Load() {
 		return
--- a/internal/quarantine/fingerprint/fingerprint.go
+++ b/internal/quarantine/fingerprint/fingerprint.go
@@ -12,8 +12,9 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// size is the size of a fingerprint in bytes. With 128 bits, finding a request with a given fingerprint takes about 2^128
-// hashes, and finding two requests with equal fingerprints 2^64. With 64 bits the latter would take 2^32, about an hour.
+// size is the size of a fingerprint in bytes. With 128 bits, finding a request with a given fingerprint takes about
+// 2^128 hashes, and finding two requests with equal fingerprints 2^64. With 64 bits the latter would take 2^32, about
+// an hour.
 const size = 16
 
 // Fingerprint identifies a request; the zero value stands for no request.
--- a/internal/quarantine/quarantinesync/config.go
+++ b/internal/quarantine/quarantinesync/config.go
@@ -1,13 +1,14 @@
-// Package quarantinesync carries the findings of package quarantine to the other nodes and to the store.
+// Package quarantinesync sends the findings of package quarantine to the other nodes and to the store.
 //
-// Evidence that is not enough goes by datagram to three nodes, chosen by rendezvous hash for the request, which add
-// up what all nodes saw: a request that must run only once crashes one leaf at each node that it arrives at. A
-// request under quarantine is announced to all nodes by datagram at once, and written to the store, by which it
-// reaches nodes that missed the datagram, were cut off, or start later. While the store does not accept it, the node
-// that found it, or one of the three others, continues to write and to announce it.
+// A node sends insufficient evidence by datagram to three nodes, the aggregators, which are selected by rendezvous hash
+// of the request and sum the evidence of all nodes: an at-most-once request crashes only one leaf at each node that it
+// arrives at. The record of a request under quarantine is sent to all nodes by datagram at once, and written to the
+// store, from which nodes get it that missed the datagram, were partitioned, or start later. While the store does not
+// accept the record, the node that found it retries the write and repeats the broadcast, and the aggregators retry the
+// write, too.
 //
-// A Sync owns the goroutine of Run, the timers of reports and the calls of the store in flight. It relies on the
-// catalog for registered nodes and stored records, and on package peer for datagrams.
+// A Sync owns the goroutine of Run, the timers of reports and the store calls in flight. It uses the catalog for
+// registered nodes and stored records, and package peer for datagrams.
 package quarantinesync
 
 import (
@@ -16,23 +17,23 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// Config sets how findings are carried.
+// Config sets when findings are sent to other nodes and to the store.
 type Config struct {
-	// ReportDelay is how long evidence is kept back in case an answer withdraws it; RepeatDelay is when it is
-	// reported again, since a datagram may be lost.
+	// ReportDelay is the time before evidence is reported; an answer within this time drops the evidence. RepeatDelay
+	// is the time after which it is reported again, in case the datagram was lost.
 	ReportDelay time.Duration `yaml:"report_delay"`
 	RepeatDelay time.Duration `yaml:"repeat_delay"`
-	// SaveInterval is how often a record that the store does not have is written and, in small fleets, announced
-	// again.
+	// SaveInterval is the interval at which the write of an unsaved record is retried and, in small fleets, its
+	// broadcast repeated.
 	SaveInterval time.Duration `yaml:"save_interval"`
-	// TakeoverPause is how much longer each node waits than the one before it to write a record that the store does not
-	// have.
+	// TakeoverPause is the time that each aggregator waits longer than the one ranked before it, to write an unsaved
+	// record.
 	TakeoverPause time.Duration `yaml:"takeover_pause"`
-	// CallTimeout bounds a call of the store.
+	// CallTimeout is the timeout of a store call.
 	CallTimeout time.Duration `yaml:"call_timeout"`
 }
 
-// DefaultConfig has a request refused everywhere within two one-way delays, and stored within a second.
+// DefaultConfig makes all nodes refuse a request within two one-way delays, and stores its record within a second.
 func DefaultConfig() Config {
 	return Config{
 		ReportDelay: 20 * time.Millisecond, RepeatDelay: 300 * time.Millisecond, SaveInterval: 500 * time.Millisecond,
--- a/internal/quarantine/quarantinesync/fixture_test.go
+++ b/internal/quarantine/quarantinesync/fixture_test.go
@@ -18,33 +18,34 @@
 
 var errDown = errors.New("the store is down")
 
-// fleet is a set of nodes over one store, whose changes reach each node's catalog at once unless it is cut off.
+// fleet is a set of nodes and their store. A write updates the catalogs of all nodes at once, except those that are
+// partitioned from the fleet.
 type fleet struct {
 	t *testing.T
-	// writing makes reading a revision and the write that follows atomic.
+	// writing makes a compare-and-swap atomic.
 	writing sync.Mutex
 
-	mu       sync.Mutex
-	isDown   bool
-	loses    bool // answers of writes that were made
-	writes   int
-	entries  map[string]catalog.Entry
-	revision int64
-	nodes    map[string]*node // by address
+	mu           sync.Mutex
+	isDown       bool
+	losesAnswers bool // writes take effect, but their answers are lost
+	writes       int
+	entries      map[string]catalog.Entry
+	revision     int64
+	nodes        map[string]*node // by address
 }
 
 // node is one node of a fleet.
 type node struct {
-	fleet    *fleet
-	record   catalog.NodeRecord
-	catalog  *catalog.Catalog
-	register *quarantine.Register
-	sync     *Sync
-	isCut    bool
-	sent     int
+	fleet         *fleet
+	record        catalog.NodeRecord
+	catalog       *catalog.Catalog
+	register      *quarantine.Register
+	sync          *Sync
+	isPartitioned bool
+	sent          int
 }
 
-// newFleet starts nodes with the given ids.
+// newFleet starts nodes with the given IDs.
 func newFleet(t *testing.T, ids ...string) *fleet {
 	t.Helper()
 	f := &fleet{t: t, entries: map[string]catalog.Entry{}, nodes: map[string]*node{}}
@@ -92,7 +93,7 @@
 	n.fleet.mu.Lock()
 	n.sent++
 	to := n.fleet.nodes[address]
-	isLost := n.isCut || to == nil || to.isCut
+	isLost := n.isPartitioned || to == nil || to.isPartitioned
 	n.fleet.mu.Unlock()
 	if isLost {
 		return
@@ -115,7 +116,7 @@
 	return n.sent
 }
 
-// put writes a key and brings it into force at the nodes that are not cut off.
+// put writes a key and updates the catalogs of the nodes that are not partitioned.
 func (f *fleet) put(key string, value []byte, remove bool) catalog.Entry {
 	f.mu.Lock()
 	f.revision++
@@ -123,13 +124,13 @@
 	f.entries[key] = entry
 	f.mu.Unlock()
 	for _, n := range f.nodes {
-		n.follow()
+		n.refresh()
 	}
 	return entry
 }
 
-// follow brings a node up to date with the store.
-func (n *node) follow() {
+// refresh updates a node's catalog from the store, unless the node is partitioned.
+func (n *node) refresh() {
 	n.fleet.mu.Lock()
 	snapshot := catalog.Snapshot{Revision: n.fleet.revision}
 	for _, entry := range n.fleet.entries {
@@ -137,14 +138,14 @@
 			snapshot.Entries = append(snapshot.Entries, entry)
 		}
 	}
-	isCut := n.isCut
+	isPartitioned := n.isPartitioned
 	n.fleet.mu.Unlock()
-	if !isCut {
+	if !isPartitioned {
 		n.catalog.Replace(snapshot)
 	}
 }
 
-func (f *fleet) set(change func()) {
+func (f *fleet) withLock(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change()
@@ -170,7 +171,7 @@
 	f.mu.Lock()
 	f.writes++
 	known, found := f.entries[key]
-	isDown, loses := f.isDown, f.loses
+	isDown, losesAnswers := f.isDown, f.losesAnswers
 	f.mu.Unlock()
 	switch {
 	case isDown:
@@ -181,7 +182,7 @@
 		return store.SwapResult{}, nil
 	}
 	entry := f.put(key, value, remove)
-	if loses {
+	if losesAnswers {
 		return store.SwapResult{}, errDown
 	}
 	return store.SwapResult{Swapped: true, Entry: &entry}, nil
@@ -200,11 +201,11 @@
 
 // crashLeafs makes a request crash three leafs at a node, in two episodes.
 func (n *node) crashLeafs() {
-	try := n.register.Begin(subject, func() {})
-	try.LeafCrashed("leaf-1", 0)
-	try.LeafCrashed("leaf-2", 0)
-	try.LeafCrashed("leaf-3", 1)
-	try.End()
+	execution := n.register.Begin(subject, func() {})
+	execution.LeafCrashed("leaf-1", 0)
+	execution.LeafCrashed("leaf-2", 0)
+	execution.LeafCrashed("leaf-3", 1)
+	execution.End()
 }
 
 func (f *fleet) states() map[string]quarantine.State {
@@ -224,5 +225,5 @@
 	return true
 }
 
-// contact is the time within which all nodes must know of the third crash.
-const contact = 4 * time.Second
+// convergenceTime is the time within which all nodes must have the record after the third crash.
+const convergenceTime = 4 * time.Second
--- a/internal/quarantine/quarantinesync/restored_test.go
+++ b/internal/quarantine/quarantinesync/restored_test.go
@@ -12,28 +12,28 @@
 	"github.com/portgauge/portgauge/internal/quarantine"
 )
 
-// A record that the store accepted and lost in a restore before it was in force at any node is written again by the
-// node that found it, even if there is no other node to take over.
-func TestRecordThatARestoreLost(t *testing.T) {
+// A record that the store accepted, and lost in a restore before any node's catalog had it, is written again by the
+// node that found it, even if there is no aggregator besides this node.
+func TestRecordLostInRestoreIsWrittenAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, "a")
 		key := catalog.QuarantineKey(subject.Content.String())
-		f.set(func() { f.node("a").isCut = true })
+		f.withLock(func() { f.node("a").isPartitioned = true })
 		f.node("a").crashLeafs()
-		time.Sleep(contact)
-		f.set(func() { is.Equal(f.writes, 1) })
-		f.set(func() {
+		time.Sleep(convergenceTime)
+		f.withLock(func() { is.Equal(f.writes, 1) })
+		f.withLock(func() {
 			delete(f.entries, key)
 			f.revision = revision.At(1, 1)
-			f.node("a").isCut = false
+			f.node("a").isPartitioned = false
 		})
-		f.node("a").follow()
-		time.Sleep(contact)
-		f.set(func() {
-			_, isKept := f.entries[key]
+		f.node("a").refresh()
+		time.Sleep(convergenceTime)
+		f.withLock(func() {
+			_, isStored := f.entries[key]
 			is.Equal(f.writes, 2)
-			is.True(isKept)
+			is.True(isStored)
 		})
 		is.True(f.allInState(quarantine.Quarantined))
 	})
--- a/internal/quarantine/quarantinesync/save.go
+++ b/internal/quarantine/quarantinesync/save.go
@@ -17,11 +17,10 @@
 	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 )
 
-// saveAll writes the records that the store does not have and that this node is to write, and broadcasts its own
-// again.
+// saveAll writes the unsaved records that this node is responsible for, and repeats the broadcasts of its own records.
 func (s *Sync) saveAll(ctx context.Context) {
 	unsaved := s.deps.Register.Unsaved()
-	s.dropLapsed(unsaved)
+	s.dropExpired(unsaved)
 	for _, record := range unsaved {
 		if !s.isWriter(record) {
 			continue
@@ -33,24 +32,24 @@
 	}
 }
 
-// dropLapsed drops the times of records that lapsed before the store accepted them.
-func (s *Sync) dropLapsed(unsaved []quarantine.Record) {
+// dropExpired drops the times of records that are no longer unsaved, because they expired or were stored.
+func (s *Sync) dropExpired(unsaved []quarantine.Record) {
 	isUnsaved := map[fingerprint.Fingerprint]bool{}
 	for _, record := range unsaved {
 		isUnsaved[record.Content] = true
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	isOver := func(content fingerprint.Fingerprint, _ time.Time) bool { return !isUnsaved[content] }
-	maps.DeleteFunc(s.receivedAt, isOver)
-	maps.DeleteFunc(s.broadcastAt, isOver)
+	isExpired := func(content fingerprint.Fingerprint, _ time.Time) bool { return !isUnsaved[content] }
+	maps.DeleteFunc(s.receivedAt, isExpired)
+	maps.DeleteFunc(s.broadcastAt, isExpired)
 }
 
-// rebroadcastBytesPerSecond bounds the repeated announcements of one record while the store does not accept it. Small
-// fleets repeat them each SaveInterval, large ones less often.
+// rebroadcastBytesPerSecond limits the repeated broadcasts of one record while the store does not accept it. Small
+// fleets repeat them every SaveInterval, large ones less often.
 const rebroadcastBytesPerSecond = 128 << 10
 
-// isBroadcastDue reports whether a record is to be sent to all nodes again.
+// isBroadcastDue reports whether the broadcast of a record may be repeated now, and notes the time if so.
 func (s *Sync) isBroadcastDue(content fingerprint.Fingerprint) bool {
 	bytes := len(s.deps.Catalog.View().Nodes) * peer.MaximumDatagram
 	pause := time.Duration(bytes) * time.Second / rebroadcastBytesPerSecond
@@ -63,9 +62,9 @@
 	return true
 }
 
-// isWriter decides whether this node writes a record that the store does not have. The node that found it does so at
-// once. The aggregators do so by rank, each one TakeoverPause later than the one before: the first one pause after it
-// received the record.
+// isWriter decides whether this node writes an unsaved record. The node that found the record writes it at once. The
+// aggregators write it in the order of their ranks, each one TakeoverPause later than the one before: the first does so
+// one pause after it received the record.
 func (s *Sync) isWriter(record quarantine.Record) bool {
 	if record.By == s.deps.Self.ID {
 		return true
@@ -80,17 +79,17 @@
 	return time.Since(s.receivedAt[record.Content]) >= time.Duration(1+rank)*s.deps.Config.TakeoverPause
 }
 
-// save writes a record to the store in a goroutine of its own. After a lost answer it is written again: the key
-// exists then, whoever wrote it.
+// save writes a record to the store in a new goroutine. If the store's answer is lost, a later write finds the key and
+// takes the record as saved, whichever node wrote it.
 func (s *Sync) save(ctx context.Context, record quarantine.Record) {
 	if !s.claimSave(record.Content) {
 		return
 	}
-	s.running.Go(func() {
-		s.makeRoom(ctx)
+	s.calls.Go(func() {
+		s.evictOldest(ctx)
 		_, err := s.write(ctx, record, 0)
 		if failure.Is(err, failure.RevisionConflict) {
-			err = nil // another node was first
+			err = nil // the record has already been written
 		}
 		if err != nil {
 			s.mu.Lock()
@@ -101,7 +100,8 @@
 	})
 }
 
-// claimSave reports whether a record is to be written, and notes that it is: once between two restores of the store.
+// claimSave reports whether this node must write a record, and marks it as written, so that it is written once between
+// two restores of the store.
 func (s *Sync) claimSave(content fingerprint.Fingerprint) bool {
 	now := s.deps.Catalog.Revision()
 	s.mu.Lock()
@@ -114,12 +114,12 @@
 	return true
 }
 
-// write writes a record in place of what is at a revision, 0 for nothing. It fails with RevisionConflict if something
-// else is there.
+// write writes a record if its key is at the expected revision, 0 if the key must not exist. Otherwise it fails with
+// RevisionConflict.
 func (s *Sync) write(ctx context.Context, record quarantine.Record, expected int64) (int64, error) {
 	document, err := json.Marshal(record)
 	if err != nil {
-		return 0, failure.Wrap(err, failure.Internal, failure.NotRun, "encode a record of the quarantine")
+		return 0, failure.Wrap(err, failure.Internal, failure.NotRun, "encode a quarantine record")
 	}
 	value, err := catalog.NewDocument(uuid.NewString(), document, nil)
 	if err != nil {
@@ -128,20 +128,20 @@
 	return s.swap(ctx, record, expected, value)
 }
 
-// remove removes a record from the store if it is at its revision.
+// remove removes a record from the store if its key is at the record's revision.
 func (s *Sync) remove(ctx context.Context, record quarantine.Record) error {
 	_, err := s.swap(ctx, record, record.Revision, nil)
 	return err
 }
 
-// swap writes a value in place of a record; nil removes it.
+// swap writes a value to a record's key if the key is at the expected revision; a nil value removes the key.
 func (s *Sync) swap(ctx context.Context, record quarantine.Record, expected int64, value json.RawMessage) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.deps.Config.CallTimeout)
 	defer cancel()
 	key := catalog.QuarantineKey(record.Content.String())
 	result, err := s.deps.Store.CompareAndSwap(ctx, key, expected, value, value == nil)
 	if err != nil {
-		return 0, failure.Wrap(err, failure.OutcomeUnknown, failure.Unknown, "the store did not confirm a record of the quarantine")
+		return 0, failure.Wrap(err, failure.OutcomeUnknown, failure.Unknown, "the store did not confirm the write of a quarantine record")
 	}
 	if !result.Swapped {
 		return 0, failure.New(failure.RevisionConflict, failure.NotRun, "%s is at revision %d, not %d", key, result.Entry.LiveRevision(), expected)
@@ -149,8 +149,8 @@
 	return result.Entry.Revision, nil
 }
 
-// makeRoom removes the oldest record if the store has as many as it may.
-func (s *Sync) makeRoom(ctx context.Context) {
+// evictOldest removes the oldest record from the store if the number of records has reached MaximumRecords.
+func (s *Sync) evictOldest(ctx context.Context) {
 	records := s.deps.Catalog.View().Quarantine
 	if len(records) < s.deps.Limits.MaximumRecords {
 		return
@@ -166,11 +166,11 @@
 	}
 }
 
-// RetestDue implements quarantine.Listener. Of all nodes that the request arrives at, the one whose write the store
-// accepts may try it.
+// RetestDue implements quarantine.Listener. Of all nodes that the request arrives at, only the one whose write the
+// store accepts may run the retest.
 func (s *Sync) RetestDue(record quarantine.Record) {
 	s.enqueue(func(ctx context.Context) {
-		s.running.Go(func() {
+		s.calls.Go(func() {
 			next := record
 			next.Retests++
 			_, err := s.write(ctx, next, record.Revision)
@@ -182,13 +182,13 @@
 	})
 }
 
-// RetestAnswered implements quarantine.Listener: the record is removed, so that the request goes to all leafs again.
+// RetestAnswered implements quarantine.Listener. It removes the record, so that the request is served normally again.
 func (s *Sync) RetestAnswered(record quarantine.Record) {
 	s.enqueue(func(ctx context.Context) {
-		s.running.Go(func() {
+		s.calls.Go(func() {
 			current := s.deps.Catalog.Quarantine(record.Content)
 			if current == nil {
-				return // lifted already
+				return // the quarantine has already been lifted
 			}
 			if err := s.remove(ctx, *current); err != nil {
 				s.deps.Events.Saved(*current, err)
--- a/internal/quarantine/quarantinesync/sync.go
+++ b/internal/quarantine/quarantinesync/sync.go
@@ -13,29 +13,29 @@
 	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 )
 
-// aggregatorCount is the number of nodes that add up the evidence against a request. They also write its record to the
-// store if the node that found it does not. Any two of these nodes may be down.
+// aggregatorCount is the number of nodes that sum the evidence against a request, and that write its record to the
+// store if the node that found it does not. Any two of them may be down.
 const aggregatorCount = 3
 
-// Lengths of the queues of findings and of configuration changes.
+// Capacities of the queues of findings and of configuration changes.
 const (
 	queueLength   = 256
 	changeBacklog = 256
 )
 
-// Sender sends datagrams; peer.SocketTransport is the real one.
+// Sender sends datagrams; peer.SocketTransport implements it.
 type Sender interface {
 	Send(address string, message peer.Message)
 }
 
 // EventLog records findings.
 type EventLog interface {
-	// Quarantined records a request under quarantine; from is the peer address of the node that announced it, empty
-	// if this node found it.
+	// Quarantined records that a request was put under quarantine; from is the peer address of the node that sent the
+	// record, empty if it is this node's own.
 	Quarantined(record quarantine.Record, from string)
-	// Saved records that the store accepted a record, or the error.
+	// Saved records that the store accepted a record, or the error of the write.
 	Saved(record quarantine.Record, err error)
-	// Retest records that a request under quarantine may be tried once more, or the error.
+	// Retest records that the store permitted a retest, or the error.
 	Retest(record quarantine.Record, err error)
 	// Lifted records that a request is no longer under quarantine.
 	Lifted(content fingerprint.Fingerprint)
@@ -55,28 +55,28 @@
 	Events   EventLog
 }
 
-// Sync sends what a register finds to other nodes and to the store, and hands it what comes from them. It is safe for
+// Sync sends a register's findings to other nodes and to the store, and applies theirs to the register. It is safe for
 // concurrent use.
 type Sync struct {
-	deps    Deps
-	queue   chan func(context.Context)
-	running sync.WaitGroup
+	deps  Deps
+	queue chan func(context.Context)
+	calls sync.WaitGroup
 
 	mu sync.Mutex
-	// reportPending are the requests whose evidence is about to be reported.
+	// reportPending contains the requests whose evidence waits for its first report.
 	reportPending map[fingerprint.Fingerprint]bool
-	// receivedAt is when this node received a record that the store does not have.
+	// receivedAt are the times at which this node received unsaved records.
 	receivedAt map[fingerprint.Fingerprint]time.Time
-	// broadcastAt is when a record that the store does not have was last sent to all nodes again.
+	// broadcastAt are the times of the last repeated broadcasts of unsaved records.
 	broadcastAt map[fingerprint.Fingerprint]time.Time
-	// savedAt are the records that the store has accepted or is being asked to, until they are in force here, with
-	// the revision that was in force then. A restore of the store in between may have lost them.
+	// savedAt contains the records whose write has begun or succeeded, but which are not in the catalog yet, with the
+	// catalog's revision at the start of the write. A restore of the store may have lost them since.
 	savedAt map[fingerprint.Fingerprint]int64
 }
 
 var _ quarantine.Listener = (*Sync)(nil)
 
-// New returns a Sync and makes it the listener of the register.
+// New returns a Sync and sets it as the register's listener.
 func New(deps Deps) *Sync {
 	s := &Sync{
 		deps: deps, queue: make(chan func(context.Context), queueLength), reportPending: map[fingerprint.Fingerprint]bool{},
@@ -86,9 +86,9 @@
 	return s
 }
 
-// Run processes findings and configuration changes until the context ends.
+// Run processes findings and configuration changes until the context is done.
 func (s *Sync) Run(ctx context.Context) {
-	defer s.running.Wait()
+	defer s.calls.Wait()
 	changes, stop := s.deps.Catalog.Subscribe(changeBacklog)
 	defer stop()
 	ticker := time.NewTicker(s.deps.Config.SaveInterval)
@@ -107,7 +107,7 @@
 	}
 }
 
-// enqueue queues the handling of a finding for Run; it drops it if the queue is full.
+// enqueue queues the handler of a finding for Run, and drops it if the queue is full.
 func (s *Sync) enqueue(finding func(context.Context)) {
 	select {
 	case s.queue <- finding:
@@ -116,14 +116,14 @@
 	}
 }
 
-// Suspected implements quarantine.Listener: the evidence is reported after ReportDelay, unless an answer withdraws
-// it, and again after RepeatDelay.
+// Suspected implements quarantine.Listener. It reports the evidence after ReportDelay and again after RepeatDelay,
+// unless an answer has dropped it.
 func (s *Sync) Suspected(subject quarantine.Subject) {
 	s.mu.Lock()
-	isWaiting := s.reportPending[subject.Content]
+	isPending := s.reportPending[subject.Content]
 	s.reportPending[subject.Content] = true
 	s.mu.Unlock()
-	if isWaiting {
+	if isPending {
 		return
 	}
 	time.AfterFunc(s.deps.Config.ReportDelay, func() {
@@ -135,7 +135,7 @@
 	time.AfterFunc(s.deps.Config.RepeatDelay, func() { s.report(subject.Content) })
 }
 
-// report sends this node's evidence against a request to the nodes that add it up.
+// report sends this node's evidence against a request to the aggregators.
 func (s *Sync) report(content fingerprint.Fingerprint) {
 	evidence, found := s.deps.Register.Evidence(content)
 	if !found {
@@ -144,7 +144,7 @@
 	s.sendToAggregators(content, peer.Quarantine{Evidence: &evidence})
 }
 
-// EvidenceDropped implements quarantine.Listener.
+// EvidenceDropped implements quarantine.Listener. It makes the aggregators drop their evidence, too.
 func (s *Sync) EvidenceDropped(subject quarantine.Subject) {
 	s.sendToAggregators(subject.Content, peer.Quarantine{Answered: subject.Content})
 }
@@ -157,20 +157,20 @@
 	}
 }
 
-// aggregatorsOf returns the nodes that add up the evidence against a request.
+// aggregatorsOf returns the nodes that sum the evidence against a request, by rank.
 func (s *Sync) aggregatorsOf(content fingerprint.Fingerprint) []catalog.NodeRecord {
 	ranked := registry.RendezvousOrder(s.deps.Catalog.View().Nodes, content.String())
 	return ranked[:min(len(ranked), aggregatorCount)]
 }
 
-// Quarantined implements quarantine.Listener: the record is sent to all nodes and written to the store.
+// Quarantined implements quarantine.Listener. It sends the record to all nodes and writes it to the store.
 func (s *Sync) Quarantined(record quarantine.Record) {
 	s.deps.Events.Quarantined(record, "")
 	s.broadcast(record)
 	s.enqueue(func(ctx context.Context) { s.save(ctx, record) })
 }
 
-// broadcast sends a record to all nodes, one datagram each.
+// broadcast sends a record to every other node in one datagram.
 func (s *Sync) broadcast(record quarantine.Record) {
 	for _, node := range s.deps.Catalog.View().Nodes {
 		if node.ID != s.deps.Self.ID {
@@ -179,7 +179,7 @@
 	}
 }
 
-// Handle handles a message of another node.
+// Handle processes a message from another node.
 func (s *Sync) Handle(from string, message peer.Quarantine) {
 	switch {
 	case message.Evidence != nil:
@@ -201,7 +201,7 @@
 	s.deps.Events.Quarantined(record, from)
 }
 
-// handleChange notes which requests the store has under quarantine, and which it no longer has.
+// handleChange applies the quarantine records that a configuration change adds or removes.
 func (s *Sync) handleChange(change catalog.Change) {
 	for _, entry := range change.Entries() {
 		content, isQuarantine := catalog.QuarantinedContent(entry.Key)
@@ -212,7 +212,7 @@
 		delete(s.receivedAt, content)
 		delete(s.savedAt, content)
 		s.mu.Unlock()
-		// What is in force may be newer than the change.
+		// The catalog may be newer than the change.
 		if record := s.deps.Catalog.Quarantine(content); record != nil {
 			s.deps.Register.ConfirmStored(*record)
 			continue
--- a/internal/quarantine/quarantinesync/sync_test.go
+++ b/internal/quarantine/quarantinesync/sync_test.go
@@ -13,9 +13,9 @@
 	"github.com/portgauge/portgauge/internal/quarantine"
 )
 
-// The node that puts a request under quarantine announces it to all others at once, and the store keeps it for nodes
-// that start later.
-func TestAllNodesRefuseAtOnce(t *testing.T) {
+// The node that puts a request under quarantine sends the record to all others at once, and stores it for nodes that
+// start later.
+func TestQuarantineReachesAllNodesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, "a", "b", "c", "d", "e")
@@ -24,59 +24,59 @@
 		synctest.Wait()
 		is.True(f.allInState(quarantine.Quarantined))
 		is.Equal(f.writes, 1)
-		time.Sleep(contact)
+		time.Sleep(convergenceTime)
 		is.Equal(f.writes, 1)
 		late := f.start("late")
 		is.Equal(late.register.State(subject.Content), quarantine.Quarantined)
 	})
 }
 
-// A node that was cut off gets the record from the store when it is back.
-func TestANodeThatWasCutOffLearns(t *testing.T) {
+// A node that missed the broadcast while partitioned gets the record from the store.
+func TestPartitionedNodeGetsRecordFromStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, "a", "b", "c")
-		f.set(func() { f.node("b").isCut = true })
+		f.withLock(func() { f.node("b").isPartitioned = true })
 		f.node("a").crashLeafs()
 		time.Sleep(time.Second)
 		is.Equal(f.node("b").register.State(subject.Content), quarantine.Clear)
-		f.set(func() { f.node("b").isCut = false })
-		f.node("b").follow()
+		f.withLock(func() { f.node("b").isPartitioned = false })
+		f.node("b").refresh()
 		is.Equal(f.node("b").register.State(subject.Content), quarantine.Quarantined)
 	})
 }
 
-// While the store is down nodes repeat the announcement, and the store has the record soon after its return, even if
-// the node that found it is gone.
-func TestStoreThatIsDown(t *testing.T) {
-	for name, finderGoes := range map[string]bool{"finder stays": false, "finder goes": true} {
+// While the store is down the broadcast is repeated. The record is stored soon after the store is up again, even if the
+// node that found it is gone.
+func TestRecordIsStoredAfterStoreOutage(t *testing.T) {
+	for name, isFinderGone := range map[string]bool{"finder stays up": false, "finder is gone": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				f := newFleet(t, "a", "b", "c", "d", "e")
-				f.set(func() { f.isDown, f.node("c").isCut = true, true })
+				f.withLock(func() { f.isDown, f.node("c").isPartitioned = true, true })
 				f.node("a").crashLeafs()
 				time.Sleep(2 * time.Second)
 				is.Equal(f.node("c").register.State(subject.Content), quarantine.Clear)
-				f.set(func() { f.node("c").isCut = false })
+				f.withLock(func() { f.node("c").isPartitioned = false })
 				time.Sleep(2 * time.Second)
-				is.True(f.allInState(quarantine.Quarantined)) // announced again
-				if finderGoes {
-					f.set(func() { f.node("a").isCut = true })
+				is.True(f.allInState(quarantine.Quarantined)) // the broadcast was repeated
+				if isFinderGone {
+					f.withLock(func() { f.node("a").isPartitioned = true })
 				}
-				f.set(func() { f.isDown = false })
-				time.Sleep(contact)
+				f.withLock(func() { f.isDown = false })
+				time.Sleep(convergenceTime)
 				f.mu.Lock()
-				_, isKept := f.entries[catalog.QuarantineKey(subject.Content.String())]
+				_, isStored := f.entries[catalog.QuarantineKey(subject.Content.String())]
 				f.mu.Unlock()
-				is.True(isKept)
+				is.True(isStored)
 			})
 		})
 	}
 }
 
-// Repeated announcements in a large fleet stay within their bound while the store is down.
-func TestTellingIsBounded(t *testing.T) {
+// Repeated broadcasts in a large fleet stay within rebroadcastBytesPerSecond while the store is down.
+func TestRebroadcastRateIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, "a", "b", "c")
@@ -84,7 +84,7 @@
 			id := fmt.Sprint("other-", number)
 			f.putRecord(catalog.NodeRecord{ID: id, Address: id})
 		}
-		f.set(func() { f.isDown = true })
+		f.withLock(func() { f.isDown = true })
 		f.node("a").crashLeafs()
 		time.Sleep(time.Second)
 		const span = 20
@@ -97,13 +97,13 @@
 }
 
 // A write whose answer is lost takes effect once.
-func TestLostAnswerOfAWrite(t *testing.T) {
+func TestWriteWithLostAnswerTakesEffectOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, "a", "b", "c")
-		f.set(func() { f.loses = true })
+		f.withLock(func() { f.losesAnswers = true })
 		f.node("a").crashLeafs()
-		time.Sleep(contact)
+		time.Sleep(convergenceTime)
 		is.True(f.allInState(quarantine.Quarantined))
 		is.True(f.writes <= 2)
 		unsaved := f.node("a").register.Unsaved()
@@ -111,47 +111,47 @@
 	})
 }
 
-// Three nodes see one crash each, too few for any of them; the nodes that add them up put the request under
+// Three nodes detect one crash each, which is insufficient for each of them; the aggregators put the request under
 // quarantine.
-func TestEvidenceIsAddedUp(t *testing.T) {
+func TestAggregatorsSumEvidence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, "a", "b", "c", "d", "e", "f")
 		for index, id := range []string{"a", "b", "c"} {
-			try := f.node(id).register.Begin(subject, func() {})
-			try.LeafCrashed("leaf-"+id, 0)
-			try.End()
+			execution := f.node(id).register.Begin(subject, func() {})
+			execution.LeafCrashed("leaf-"+id, 0)
+			execution.End()
 			time.Sleep(100 * time.Millisecond)
 			is.Equal(f.allInState(quarantine.Quarantined), index == 2)
 		}
 	})
 }
 
-// An answer withdraws the evidence wherever it was reported, before and after.
-func TestAnswerTakesEvidenceBack(t *testing.T) {
+// An answer drops the evidence at the nodes that it was reported to, and prevents a report that is pending.
+func TestAnswerDropsReportedEvidence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, "a", "b", "c", "d")
-		try := f.node("a").register.Begin(subject, func() {})
-		try.LeafCrashed("leaf-1", 0)
+		execution := f.node("a").register.Begin(subject, func() {})
+		execution.LeafCrashed("leaf-1", 0)
 		time.Sleep(100 * time.Millisecond)
 		is.True(!f.allInState(quarantine.Clear))
-		try.Answered()
+		execution.Answered()
 		time.Sleep(100 * time.Millisecond)
 		is.True(f.allInState(quarantine.Clear))
 		sent := f.node("a").countSent()
-		try = f.node("a").register.Begin(subject, func() {})
-		try.LeafCrashed("leaf-2", 0)
+		execution = f.node("a").register.Begin(subject, func() {})
+		execution.LeafCrashed("leaf-2", 0)
 		time.Sleep(time.Millisecond)
 		f.node("a").register.Begin(subject, func() {}).Answered()
 		time.Sleep(time.Second)
-		is.Equal(f.node("a").countSent(), sent) // nothing was reported yet
+		is.Equal(f.node("a").countSent(), sent) // the evidence was dropped before it was reported
 	})
 }
 
-// Of all nodes that a request arrives at after RetestAfter, one tries it, and again only after a longer delay; if it is
-// answered, all nodes serve it.
-func TestOneNodeTriesItAgain(t *testing.T) {
+// Of all nodes that a request arrives at after RetestAfter, one runs the retest. After a crash the next retest runs
+// after a longer delay; after an answer all nodes serve the request.
+func TestOneNodeRunsRetest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, "a", "b", "c")
@@ -160,8 +160,8 @@
 		retests := func() []*quarantine.Execution {
 			var permitted []*quarantine.Execution
 			for _, n := range f.nodes {
-				if try := n.register.Begin(subject, func() {}); try.State() == quarantine.Suspect {
-					permitted = append(permitted, try)
+				if execution := n.register.Begin(subject, func() {}); execution.State() == quarantine.Suspect {
+					permitted = append(permitted, execution)
 				}
 			}
 			time.Sleep(100 * time.Millisecond)
@@ -169,7 +169,7 @@
 		}
 		is.Equal(len(retests()), 0)
 		time.Sleep(quarantine.DefaultConfig().RetestAfter)
-		is.Equal(len(retests()), 0) // asked for
+		is.Equal(len(retests()), 0) // the retest is only requested
 		first := retests()
 		is.Equal(len(first), 1)
 		first[0].LeafCrashed("leaf-4", 1)
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -7,8 +7,8 @@
 	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 )
 
-// Bounds that make evidence and records fit into a datagram (peer.MaximumDatagram): the size of a path and the total size
-// of the leaf IDs, in bytes, and the number of crashes.
+// Bounds that make evidence and records fit into a datagram (peer.MaximumDatagram): the size of a path and the total
+// size of the leaf IDs, in bytes, and the number of crashes.
 const (
 	maxPathBytes       = 120
 	maxLeafBytes       = 600
--- a/internal/quarantine/register.go
+++ b/internal/quarantine/register.go
@@ -1,13 +1,13 @@
 // Package quarantine detects requests that crash the leafs which run them, and stops sending them to leafs.
 //
 // Evidence against a request is the crash of a leaf that was running it: the connection is lost, and the leaf's address
-// refuses connections afterwards. A lost connection alone, a timeout, or the exit of a leaf that had announced its drain
-// is no evidence. Crashes are grouped into episodes: crashes under attempts sent together are one episode; a crash under
-// an attempt sent after these were detected is another. An answer from any leaf clears a request. isSufficient decides
-// when the evidence puts a request under quarantine, isRetestDue when the request is retested.
+// refuses connections afterwards. A lost connection alone, a timeout, or the exit of a leaf that had announced its
+// drain is no evidence. Crashes are grouped into episodes: crashes under attempts sent together are one episode; a
+// crash under an attempt sent after these were detected is another. An answer from any leaf clears a request.
+// isSufficient decides when the evidence puts a request under quarantine, isRetestDue when the request is retested.
 //
-// A Register keeps its state in memory, uses the clock that it is given, and starts no goroutines. Package quarantinesync
-// sends its findings to other nodes and to the store.
+// A Register keeps its state in memory, uses the clock that it is given, and starts no goroutines. Package
+// quarantinesync sends its findings to other nodes and to the store.
 package quarantine
 
 import (
@@ -109,8 +109,8 @@
 	return r.state(content)
 }
 
-// state decides the state of a request: quarantined if there is a record of it, suspect if there is evidence that has not
-// expired. The lock must be held.
+// state decides the state of a request: quarantined if there is a record of it, suspect if there is evidence that has
+// not expired. The lock must be held.
 func (r *Register) state(content fingerprint.Fingerprint) State {
 	if r.recordOf(content) != nil {
 		return Quarantined
--- a/internal/quarantine/retest.go
+++ b/internal/quarantine/retest.go
@@ -6,8 +6,8 @@
 	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 )
 
-// retestRequestInterval is the interval at which a retest is requested until it is permitted. retestPermitTTL is the time
-// for which a permit is valid.
+// retestRequestInterval is the interval at which a retest is requested until it is permitted. retestPermitTTL is the
+// time for which a permit is valid.
 const (
 	retestRequestInterval = 5 * time.Second
 	retestPermitTTL       = 30 * time.Second
@@ -42,8 +42,8 @@
 
 // isRetestDue decides whether this node requests a retest, one execution at one leaf, for a quarantined request that
 // arrived again: its delay has passed, fewer than Config.MaximumRetests were run, and none was requested within
-// retestRequestInterval. Only stored records are retested, because the store's compare-and-swap selects the one node that
-// may run the retest. The lock must be held.
+// retestRequestInterval. Only stored records are retested, because the store's compare-and-swap selects the one node
+// that may run the retest. The lock must be held.
 func (r *Register) isRetestDue(record *Record) bool {
 	if record.Revision == 0 || record.Retests >= r.cfg.MaximumRetests {
 		return false
@@ -76,8 +76,8 @@
 	}
 }
 
-// RetryAfter returns the minimum time for which a quarantined request will be refused; 0 if it is not quarantined, or if
-// only an operator can lift the quarantine.
+// RetryAfter returns the minimum time for which a quarantined request will be refused; 0 if it is not quarantined, or
+// if only an operator can lift the quarantine.
 func (r *Register) RetryAfter(content fingerprint.Fingerprint) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/quarantine/unrelated_crashes_test.go
+++ b/internal/quarantine/unrelated_crashes_test.go
@@ -41,8 +41,8 @@
 
 func leafName(shard, replica int) string { return strconv.Itoa(shard) + "-" + strconv.Itoa(replica) }
 
-// outcomeAt returns the outcome of an attempt at a leaf: the time at which it ends, and whether the leaf crashed under it
-// or was no longer listening.
+// outcomeAt returns the outcome of an attempt at a leaf: the time at which it ends, and whether the leaf crashed under
+// it or was no longer listening.
 func (c crashTimes) outcomeAt(random *rand.Rand, leaf string, at time.Time) (endsAt time.Time, didCrash, wasGone bool) {
 	endsAt = at.Add(minServiceTime + time.Duration(random.Int64N(int64(serviceTimeRange))))
 	crashedAt, crashes := c[leaf]
@@ -64,8 +64,8 @@
 	probe    int // number of the probe, 0 for an attempt of the initial fan-out
 }
 
-// simulatedExecution is one execution of a request: an attempt at a leaf of each shard and, if leafs crashed and none has
-// answered, sequential probes of the other leafs until one of them crashes. A suspect begins with a probe.
+// simulatedExecution is one execution of a request: an attempt at a leaf of each shard and, if leafs crashed and none
+// has answered, sequential probes of the other leafs until one of them crashes. A suspect begins with a probe.
 type simulatedExecution struct {
 	random       *rand.Rand
 	crashing     crashTimes
@@ -156,8 +156,8 @@
 	return leaf[:last] + string('0'+'1'-leaf[last])
 }
 
-// A path that one caller requests continuously is not put under quarantine by unrelated crashes of its leafs, whether it
-// is sent to one shard or gathered from many. This guards the rule of EpisodesIfOthersGone.
+// A path that one caller requests continuously is not put under quarantine by unrelated crashes of its leafs, whether
+// it is sent to one shard or gathered from many. This guards the rule of EpisodesIfOthersGone.
 func TestUnrelatedCrashesDoNotQuarantineBusyPath(t *testing.T) {
 	cases := map[string]struct{ shards, quarantined int }{"gathered": {20, 1}, "single": {1, 0}}
 	for name, test := range cases {
--- a/internal/request/search/answer.go
+++ b/internal/request/search/answer.go
@@ -21,8 +21,8 @@
 	return service, nil
 }
 
-// answer plans and scatters a query, and merges the replies. If leafs no longer have the pinned snapshot, it starts over
-// on a newer one, see mayReplan. It also reports whether the search was congested.
+// answer plans and scatters a query, and merges the replies. If leafs no longer have the pinned snapshot, it starts
+// over on a newer one, see mayReplan. It also reports whether the search was congested.
 func (e *Engine) answer(ctx context.Context, query *query) (*searchv1.SearchResponse, bool, error) {
 	var extra searchv1.ExtraLoad
 	ran, maybeRan, congested := false, false, false
@@ -47,8 +47,8 @@
 
 // mayReplan decides whether a query whose leafs dropped the pinned snapshot starts over on a newer one.
 //
-// Rule: yes, unless it has already been replanned Config.ReplanLimit times, it is at-most-once and may have run, less than
-// Config.MinimumDeadline is left, or there is no newer snapshot.
+// Rule: yes, unless it has already been replanned Config.ReplanLimit times, it is at-most-once and may have run, less
+// than Config.MinimumDeadline is left, or there is no newer snapshot.
 func (e *Engine) mayReplan(query *query, pinned *catalog.Service, replans int, ran bool) bool {
 	if replans >= e.cfg.ReplanLimit || (query.atMostOnce && ran) {
 		return false
--- a/internal/request/search/failures.go
+++ b/internal/request/search/failures.go
@@ -10,8 +10,8 @@
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
 )
 
-// failureOf returns the failure of a search without a usable answer: it was quarantined, its caller cancelled it, ranges
-// are missing although full coverage was demanded, or nothing is covered. It returns nil otherwise.
+// failureOf returns the failure of a search without a usable answer: it was quarantined, its caller cancelled it,
+// ranges are missing although full coverage was demanded, or nothing is covered. It returns nil otherwise.
 func (e *Engine) failureOf(ctx context.Context, query *query, merged *page, response *searchv1.SearchResponse, execution failure.ExecutionState) error {
 	if errors.Is(context.Cause(ctx), errQuarantined) {
 		return quarantined(query.content(), execution)
--- a/internal/request/search/key_scatter.go
+++ b/internal/request/search/key_scatter.go
@@ -62,9 +62,9 @@
 	return s.outcomes
 }
 
-// candidatesFor returns the replicas that an attempt may be sent to. An at-most-once request whose caller may repeat it at
-// another node under the same ID is only sent to the replica that every node selects for that ID; this leaf refuses a
-// second copy.
+// candidatesFor returns the replicas that an attempt may be sent to. An at-most-once request whose caller may repeat it
+// at another node under the same ID is only sent to the replica that every node selects for that ID; this leaf refuses
+// a second copy.
 func (s *keyScatter) candidatesFor(shardRange manifest.ShardRange) []balancer.Candidate {
 	leafIDs := shardRange.Shard.LeafIDs
 	if s.query.atMostOnce && s.query.hasCallerID {
--- a/internal/request/search/merge.go
+++ b/internal/request/search/merge.go
@@ -50,9 +50,9 @@
 	reason missingReason
 }
 
-// merge concatenates the rows of all shard ranges into one page. The outcomes are in key order and don't overlap, so rows
-// need not be compared and no row can appear twice. The page ends at the limit of rows or bytes; keys beyond it are
-// neither covered nor missing.
+// merge concatenates the rows of all shard ranges into one page. The outcomes are in key order and don't overlap, so
+// rows need not be compared and no row can appear twice. The page ends at the limit of rows or bytes; keys beyond it
+// are neither covered nor missing.
 func merge(keys keyspace.Range, outcomes []shardOutcome, limit, maximumBytes int) page {
 	merged := page{keys: keys}
 	size := 0
--- a/internal/request/search/merge_test.go
+++ b/internal/request/search/merge_test.go
@@ -13,8 +13,8 @@
 	"github.com/portgauge/portgauge/internal/config/manifest"
 )
 
-// For any partition, missing or truncated replies and limit, each key of the page's range is either in exactly one row or
-// in exactly one missing range.
+// For any partition, missing or truncated replies and limit, each key of the page's range is either in exactly one row
+// or in exactly one missing range.
 func TestMergeAccountsForEveryKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		keys := rapid.SliceOfNDistinct(rapid.StringMatching("[a-h]{1,3}"), 0, 30, rapid.ID[string]).Draw(t, "keys")
--- a/internal/request/search/quarantine.go
+++ b/internal/request/search/quarantine.go
@@ -25,8 +25,8 @@
 	})
 }
 
-// guard registers a search with the quarantine, which cancels the returned context if it quarantines the search. It fails
-// if the search is already quarantined; otherwise release must be called when the search ends.
+// guard registers a search with the quarantine, which cancels the returned context if it quarantines the search. It
+// fails if the search is already quarantined; otherwise release must be called when the search ends.
 func (e *Engine) guard(ctx context.Context, query *query) (guarded context.Context, release func(), err error) {
 	if e.quarantine == nil {
 		return ctx, func() {}, nil
@@ -59,9 +59,9 @@
 	plan.CrashedProbesLimit = quarantine.CrashedProbesLimit
 }
 
-// trackCrash reports the end of an attempt to the quarantine. If the connection was lost, it checks whether the leaf has
-// exited. It waits for this check if the attempt is a probe, since the next attempt depends on it; otherwise the check
-// runs concurrently.
+// trackCrash reports the end of an attempt to the quarantine. If the connection was lost, it checks whether the leaf
+// has exited. It waits for this check if the attempt is a probe, since the next attempt depends on it; otherwise the
+// check runs concurrently.
 func (s *keyScatter) trackCrash(ctx context.Context, attempt scatter.Attempt, address string, err error, result scatter.Result[shardReply]) scatter.Result[shardReply] {
 	tracked := s.query.tracked
 	if tracked == nil {
--- a/internal/request/search/quarantine_test.go
+++ b/internal/request/search/quarantine_test.go
@@ -26,8 +26,8 @@
 func (noListener) RetestDue(quarantine.Record)        {}
 func (noListener) RetestAnswered(quarantine.Record)   {}
 
-// A search that crashes leafs is quarantined even if it is repeated under other IDs. A search whose connections are lost
-// while the leafs keep running is not.
+// A search that crashes leafs is quarantined even if it is repeated under other IDs. A search whose connections are
+// lost while the leafs keep running is not.
 func TestSearchThatCrashesLeafsIsQuarantined(t *testing.T) {
 	for name, hasExited := range map[string]bool{"crashed": true, "connection lost": false} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/request/search/search.go
+++ b/internal/request/search/search.go
@@ -1,12 +1,12 @@
 // Package search runs searches over key ranges: admit, pin a snapshot, plan, scatter, verify, merge, report.
 //
-// Each step has its own file or package. A query is pinned to one manifest: all of its attempts, hedges and retries name
-// that snapshot, so an answer never mixes versions.
+// Each step has its own file or package. A query is pinned to one manifest: all of its attempts, hedges and retries
+// name that snapshot, so an answer never mixes versions.
 //
-// An Engine owns the gates (package admission) and policies (package hedging) of the services on one node, and counts the
-// searches in flight. It uses the catalog for services, snapshots and leafs, package scatter for attempts, package
-// balancer to select leafs, and package quarantine for searches that crash leafs. Deadlines use the runtime's clock. All
-// errors are *failure.Failure.
+// An Engine owns the gates (package admission) and policies (package hedging) of the services on one node, and counts
+// the searches in flight. It uses the catalog for services, snapshots and leafs, package scatter for attempts, package
+// balancer to select leafs, and package quarantine for searches that crash leafs. Deadlines use the runtime's clock.
+// All errors are *failure.Failure.
 package search
 
 import (
--- a/internal/request/search/search_test.go
+++ b/internal/request/search/search_test.go
@@ -132,8 +132,8 @@
 	}
 }
 
-// Every node sends an at-most-once request with a caller's ID to the same replica of each shard and to no other, whatever
-// the leafs answer.
+// Every node sends an at-most-once request with a caller's ID to the same replica of each shard and to no other,
+// whatever the leafs answer.
 func TestAtMostOnceStaysAtTheDesignatedReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -201,8 +201,8 @@
 	})
 }
 
-// A search whose first plan ran at a leaf, and whose service is deleted before it is replanned, fails with the execution
-// state of the whole search.
+// A search whose first plan ran at a leaf, and whose service is deleted before it is replanned, fails with the
+// execution state of the whole search.
 func TestFailedReplanKeepsExecutionState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/request/search/verify.go
+++ b/internal/request/search/verify.go
@@ -28,8 +28,8 @@
 	rows    []*leafv1.Row
 }
 
-// verify checks a reply against the request of its attempt. A reply with a different identity, or with a covered range or
-// rows that can't answer the request, is dropped as a whole.
+// verify checks a reply against the request of its attempt. A reply with a different identity, or with a covered range
+// or rows that can't answer the request, is dropped as a whole.
 func verify(request *leafv1.SearchShardRequest, response *leafv1.SearchShardResponse) (shardReply, dropReason) {
 	if !sameIdentity(request.GetIdentity(), response.GetIdentity()) {
 		return shardReply{}, dropWrongIdentity
