--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -58,6 +58,6 @@
 	var checks failure.Checks
 	checks.Refuse(r.Content.IsZero(), "content", "must not be empty")
 	checks.Refuse(r.Retests < 0, "trials", "must not be negative")
-	checks.Refuse(len(r.Leafs) > maxLeafs, "leafs", "%d leafs; at most %d", len(r.Leafs), maxLeafs)
+	checks.Refuse(len(r.Leafs) > maxLeafs, "leafs", "%d leafs exceed the maximum of %d", len(r.Leafs), maxLeafs)
 	return checks.Err()
 }
--- a/internal/request/front/answer.go
+++ b/internal/request/front/answer.go
@@ -10,7 +10,7 @@
 	"github.com/portgauge/portgauge/internal/request/gateway"
 )
 
-// failureBody is the body of a failure's answer.
+// failureBody is the JSON body of a failure.
 type failureBody struct {
 	Code      failure.Code `json:"code"`
 	Execution string       `json:"execution"`
@@ -18,7 +18,7 @@
 	Message   string       `json:"message"`
 }
 
-// writeAnswer sends a leaf's answer or a gathered one, unchanged.
+// writeAnswer writes the answer of a leaf, or a gathered answer with the headers that describe its parts.
 func (s *Server) writeAnswer(w http.ResponseWriter, r *http.Request, answer *gateway.Answer) {
 	header := w.Header()
 	for name, values := range answer.Header {
@@ -30,8 +30,8 @@
 			header.Set(s.names.MissingParts, strconv.Itoa(answer.Missing))
 		}
 	}
-	if _, isTyped := header["Content-Type"]; !isTyped {
-		// Keeps net/http from guessing a type that the leaf did not name.
+	if _, hasType := header["Content-Type"]; !hasType {
+		// A nil value prevents net/http from setting a type that the leaf did not send.
 		header["Content-Type"] = nil
 	}
 	if r.Method != http.MethodHead && answer.Status != http.StatusNoContent && answer.Status != http.StatusNotModified {
@@ -40,7 +40,7 @@
 	s.send(w, answer.Status, answer.Body)
 }
 
-// writeFailure sends a failure, with its Retry-After in seconds.
+// writeFailure writes a failure, with its Retry-After header in seconds.
 func (s *Server) writeFailure(w http.ResponseWriter, err error) {
 	failed := failure.From(err)
 	body, encodeErr := json.Marshal(failureBody{
@@ -58,21 +58,21 @@
 	s.send(w, statusOf(failed), body)
 }
 
-// send sends an answer. A node that is not ready asks callers to close their connections: otherwise those that keep
-// them would stay with a node that can't serve them, while new connections go elsewhere.
+// send writes a response. While the node is not ready it sets Connection: close, because callers with open connections
+// would otherwise stay with a node that can't serve them.
 func (s *Server) send(w http.ResponseWriter, status int, body []byte) {
 	if !s.Ready() {
 		w.Header().Set("Connection", "close")
 	}
 	w.WriteHeader(status)
-	// An error means that the caller went away.
+	// An error means that the caller has closed the connection.
 	if _, err := w.Write(body); err != nil {
 		return
 	}
 }
 
-// statusOf returns the HTTP status of a failure. 503 promises that the request did not run and never will; if that is
-// not known, the status is 504 after the deadline and 502 otherwise.
+// statusOf returns the HTTP status of a failure. 503 guarantees that the request did not run and never will. Without
+// this guarantee, the status is 504 after the deadline and 502 otherwise.
 func statusOf(failed *failure.Failure) int {
 	switch {
 	case failed.Code == failure.UnknownRoute:
--- a/internal/request/front/connection.go
+++ b/internal/request/front/connection.go
@@ -9,33 +9,34 @@
 	"github.com/portgauge/portgauge/internal/request/roundtrip"
 )
 
-// roundTrip returns a high estimate of the round-trip time of a connection, since a low one would make answers late; 0 if
-// it is not known.
+// roundTrip returns the round-trip time of a connection, 0 if it is unknown. The estimate is high, because answers
+// would be late with a low one.
 func roundTrip(connection net.Conn) time.Duration { return roundtrip.Of(connection).High() }
 
 // callerConnection is a connection that a caller opened.
 type callerConnection struct {
 	conn     net.Conn
 	openedAt time.Time
-	// used reports whether a request has arrived on it.
-	used atomic.Bool
+	// isUsed is true once a request has arrived on the connection.
+	isUsed atomic.Bool
 }
 
 // connectionKey is the context key of a request's connection.
 type connectionKey struct{}
 
-// withConnection is the server's ConnContext hook.
+// withConnection adds a connection to the context of its requests; it is the server's ConnContext hook.
 func withConnection(ctx context.Context, connection net.Conn) context.Context {
 	return context.WithValue(ctx, connectionKey{}, &callerConnection{conn: connection, openedAt: time.Now()})
 }
 
-// networkTimes returns the round-trip time to the caller, and what the caller spent on opening the connection for the
-// request that arrived: one round trip if it is the first and arrived within one, 0 if the connection was there before.
-func (c *callerConnection) networkTimes(arrived time.Time) (trip, connecting time.Duration) {
-	trip = roundTrip(c.conn)
-	isFirst := !c.used.Swap(true)
-	if isFirst && arrived.Sub(c.openedAt) <= trip {
-		connecting = trip
+// networkTimes returns the round-trip time to the caller, and the time that the caller spent on opening the connection
+// for the request that arrived: one round trip if the request is the first on the connection and arrived within one
+// round trip of its opening, 0 otherwise.
+func (c *callerConnection) networkTimes(arrived time.Time) (rtt, connecting time.Duration) {
+	rtt = roundTrip(c.conn)
+	isFirst := !c.isUsed.Swap(true)
+	if isFirst && arrived.Sub(c.openedAt) <= rtt {
+		connecting = rtt
 	}
-	return trip, connecting
+	return rtt, connecting
 }
--- a/internal/request/front/front_test.go
+++ b/internal/request/front/front_test.go
@@ -25,7 +25,7 @@
 
 var names = httpnames.Default()
 
-// scriptedBackend is a Backend whose answers a function makes.
+// scriptedBackend is a Backend whose answers are returned by a function.
 type scriptedBackend struct {
 	serve  func(ctx context.Context, request *gateway.Request) (*gateway.Answer, error)
 	ready  atomic.Bool
@@ -38,7 +38,7 @@
 func (b *scriptedBackend) Ready() bool            { return b.ready.Load() }
 func (b *scriptedBackend) Limits() routing.Limits { return *b.limits.Load() }
 
-// start serves a backend on a free address.
+// start serves a backend on a free port.
 func start(t *testing.T, serve func(ctx context.Context, request *gateway.Request) (*gateway.Answer, error)) (*Server, *scriptedBackend, string) {
 	t.Helper()
 	backend := &scriptedBackend{serve: serve}
@@ -54,7 +54,7 @@
 	return server, backend, listener.Addr().String()
 }
 
-// exchange sends bytes on a new connection and reads one answer.
+// exchange sends a raw request on a new connection and returns the response and its body.
 func exchange(t *testing.T, address, content string) (*http.Response, string) {
 	t.Helper()
 	connection, err := net.Dial("tcp4", address)
@@ -80,7 +80,7 @@
 	return "GET /a/%2Fb?q=%20 HTTP/1.1\r\nHost: h.example\r\n" + strings.Join(append(headers, ""), "\r\n") + "\r\n"
 }
 
-func TestRequestReachesTheGatewayAsItWasSent(t *testing.T) {
+func TestRequestReachesGatewayUnchanged(t *testing.T) {
 	is := is.New(t)
 	var seen *gateway.Request
 	_, _, address := start(t, func(_ context.Context, request *gateway.Request) (*gateway.Answer, error) {
@@ -92,7 +92,7 @@
 	is.Equal(response.StatusCode, 201)
 	is.Equal(body, "body")
 	is.Equal(response.Header.Get("X-Leaf"), "1")
-	is.Equal(response.Header.Get("Content-Type"), "") // the leaf named none
+	is.Equal(response.Header.Get("Content-Type"), "") // the leaf sent no content type
 	is.Equal(seen.Leaf.Target, "/a/%2Fb?q=%20")
 	is.Equal(seen.Path, "/a/%2Fb")
 	is.Equal(seen.Leaf.ID, "r1")
@@ -102,7 +102,7 @@
 	is.Equal(seen.Leaf.Header, http.Header{"X-Kept": {"1"}})
 }
 
-func TestGatheredAnswerNamesItsParts(t *testing.T) {
+func TestGatheredAnswerHasPartHeaders(t *testing.T) {
 	is := is.New(t)
 	_, _, address := start(t, func(context.Context, *gateway.Request) (*gateway.Answer, error) {
 		return &gateway.Answer{Status: 200, Stamps: []string{"s1", "s2"}, Missing: 1, Body: []byte("records")}, nil
@@ -113,12 +113,12 @@
 	is.Equal(body, "records")
 }
 
-// The status is 503, with Retry-After, only if nothing ran.
-func TestFailuresHaveTheirStatus(t *testing.T) {
+// The status is 503 only if the request did not run.
+func TestStatusOfFailures(t *testing.T) {
 	cases := []struct {
-		failed *failure.Failure
-		status int
-		after  string
+		failed     *failure.Failure
+		status     int
+		retryAfter string
 	}{
 		{failure.New(failure.UnknownRoute, failure.NotRun, ""), 404, ""},
 		{failure.New(failure.Overloaded, failure.NotRun, "").WithRetryAfter(50 * time.Millisecond), 503, "0.05"},
@@ -128,19 +128,19 @@
 		{failure.New(failure.IncompleteCoverage, failure.Ran, ""), 502, ""},
 		{failure.New(failure.LeafFailed, failure.Unknown, ""), 502, ""},
 	}
-	for _, one := range cases {
-		t.Run(fmt.Sprint(one.failed.Code, one.status), func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(fmt.Sprint(test.failed.Code, test.status), func(t *testing.T) {
 			is := is.New(t)
-			_, _, address := start(t, func(context.Context, *gateway.Request) (*gateway.Answer, error) { return nil, one.failed })
+			_, _, address := start(t, func(context.Context, *gateway.Request) (*gateway.Answer, error) { return nil, test.failed })
 			response, body := exchange(t, address, get())
-			is.Equal(response.StatusCode, one.status)
-			is.Equal(response.Header.Get("Retry-After"), one.after)
-			is.True(strings.Contains(body, string(one.failed.Code)))
+			is.Equal(response.StatusCode, test.status)
+			is.Equal(response.Header.Get("Retry-After"), test.retryAfter)
+			is.True(strings.Contains(body, string(test.failed.Code)))
 		})
 	}
 }
 
-func TestBadRequestsNameTheField(t *testing.T) {
+func TestInvalidRequestsNameTheField(t *testing.T) {
 	cases := map[string]struct {
 		content string
 		status  int
@@ -153,22 +153,22 @@
 		"body":       {"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 1001\r\n\r\n" + strings.Repeat("x", 1001), 413, "body"},
 		"two bodies": {"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd", 400, ""},
 	}
-	for name, one := range cases {
+	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			_, _, address := start(t, func(context.Context, *gateway.Request) (*gateway.Answer, error) {
 				t.Error("the request reached the gateway")
 				return nil, nil
 			})
-			response, body := exchange(t, address, one.content)
-			is.Equal(response.StatusCode, one.status)
-			is.True(strings.Contains(body, one.field))
+			response, body := exchange(t, address, test.content)
+			is.Equal(response.StatusCode, test.status)
+			is.True(strings.Contains(body, test.field))
 		})
 	}
 }
 
-// A caller that closes its connection cancels its request within milliseconds.
-func TestACallerThatLeavesCancels(t *testing.T) {
+// A request is cancelled when its caller closes the connection.
+func TestClosedConnectionCancelsRequest(t *testing.T) {
 	is := is.New(t)
 	ended := make(chan struct{})
 	_, _, address := start(t, func(ctx context.Context, _ *gateway.Request) (*gateway.Answer, error) {
@@ -189,9 +189,9 @@
 	}
 }
 
-// From the announcement of a planned stop the node is not ready and asks for closed connections, but requests in flight
-// are answered.
-func TestPlannedStopCutsNothing(t *testing.T) {
+// Once a planned stop begins, the node is not ready and its answers close connections, but requests in flight are
+// answered.
+func TestPlannedStopAnswersRequestsInFlight(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
 	server, _, address := start(t, func(context.Context, *gateway.Request) (*gateway.Answer, error) {
@@ -220,8 +220,8 @@
 	is.NoErr(<-stopped)
 }
 
-// A request in flight at the end of a planned stop is answered, with a status that does not promise "not run".
-func TestPlannedStopAnswersWhatItGivesUp(t *testing.T) {
+// A request still in flight at the end of a planned stop is answered, and not with 503, since it may have run.
+func TestPlannedStopAnswersCancelledRequests(t *testing.T) {
 	is := is.New(t)
 	server, _, address := start(t, func(ctx context.Context, _ *gateway.Request) (*gateway.Answer, error) {
 		<-ctx.Done()
@@ -246,8 +246,8 @@
 	is.True(!server.Ready())
 }
 
-// Answers ask callers to close their connections while the node is not ready, and only then.
-func TestConnectionsAreGivenUpWhileNotReady(t *testing.T) {
+// Answers have the header Connection: close while the node is not ready, and only then.
+func TestConnectionsAreClosedWhileNotReady(t *testing.T) {
 	is := is.New(t)
 	_, backend, address := start(t, func(context.Context, *gateway.Request) (*gateway.Answer, error) {
 		return &gateway.Answer{Status: http.StatusOK}, nil
@@ -263,8 +263,8 @@
 	is.True(!response.Close)
 }
 
-// Limits that change apply to connections that are open already.
-func TestLimitsInForceAreKept(t *testing.T) {
+// Changed limits apply to connections that are already open.
+func TestChangedLimitsApplyToOpenConnections(t *testing.T) {
 	is := is.New(t)
 	_, backend, address := start(t, func(context.Context, *gateway.Request) (*gateway.Answer, error) {
 		return &gateway.Answer{Status: 200}, nil
@@ -293,7 +293,7 @@
 }
 
 // The header timeout does not apply to the body.
-func TestASlowBodyIsNoSlowHeader(t *testing.T) {
+func TestHeaderTimeoutDoesNotApplyToBody(t *testing.T) {
 	is := is.New(t)
 	_, backend, address := start(t, func(_ context.Context, request *gateway.Request) (*gateway.Answer, error) {
 		return &gateway.Answer{Status: 200, Body: request.Leaf.Body}, nil
--- a/internal/request/front/handler.go
+++ b/internal/request/front/handler.go
@@ -16,18 +16,18 @@
 	"github.com/portgauge/portgauge/internal/request/gateway"
 )
 
-// The parts of a request that failures name.
+// The values of a failure's field that are not header names.
 const (
 	headerField = "header"
 	bodyField   = "body"
 )
 
-// serve answers one request.
+// serve handles one request.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	connection, isKnown := r.Context().Value(connectionKey{}).(*callerConnection)
 	if isKnown {
-		s.timeouts.headerRead(connection.conn)
+		s.timeouts.stopHeaderTimer(connection.conn)
 	}
 	request, err := s.read(w, r, arrived)
 	if err != nil {
@@ -45,13 +45,13 @@
 	s.writeAnswer(w, r, answer)
 }
 
-// read reads a request. It refuses one that can't be passed on, in this order:
+// read reads and validates a request. It checks in this order, and fails with:
 //
-//	TOO_LARGE           the header is beyond MaximumHeaderBytes
-//	INVALID_FIELD       the deadline header is not a number of milliseconds
-//	DEADLINE_TOO_SHORT  the caller has no time left
-//	TOO_LARGE           the body is beyond MaximumBodyBytes
-//	INVALID_FIELD       the body can't be read
+//	TOO_LARGE           if the header exceeds MaximumHeaderBytes
+//	INVALID_FIELD       if the deadline header is not a number of milliseconds
+//	DEADLINE_TOO_SHORT  if the caller has no time left
+//	TOO_LARGE           if the body exceeds MaximumBodyBytes
+//	INVALID_FIELD       if the body can't be read
 func (s *Server) read(w http.ResponseWriter, r *http.Request, arrived time.Time) (*gateway.Request, error) {
 	limits := s.backend.Limits()
 	if size := headerBytes(r); size > limits.HeaderBytes() {
@@ -84,7 +84,7 @@
 	}, nil
 }
 
-// headerBytes returns about the size of a request's header on the wire.
+// headerBytes returns the approximate size of a request's header on the wire.
 func headerBytes(r *http.Request) int {
 	const lineOverhead = 4 // a colon, a space and the end of the line
 	size := len(r.Method) + len(r.RequestURI) + len(r.Host) + lineOverhead
@@ -96,7 +96,7 @@
 	return size
 }
 
-// callerTimeout returns how long the caller will wait by its deadline header; 0 if it has none.
+// callerTimeout returns the timeout in the request's deadline header, 0 if it has none.
 func (s *Server) callerTimeout(r *http.Request) (time.Duration, error) {
 	text := r.Header.Get(s.names.DeadlineMillis)
 	if text == "" {
@@ -112,27 +112,27 @@
 	return time.Duration(millis) * time.Millisecond, nil
 }
 
-// readBody reads the body of a request, up to a limit in bytes.
+// readBody reads the body of a request. It fails if the body exceeds the limit, in bytes.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
-	var beyond *http.MaxBytesError
+	var exceeded *http.MaxBytesError
 	switch {
-	case errors.As(err, &beyond):
-		return nil, tooLarge(bodyField, beyond.Limit+1, beyond.Limit)
+	case errors.As(err, &exceeded):
+		return nil, tooLarge(bodyField, exceeded.Limit+1, exceeded.Limit)
 	case err != nil:
 		return nil, failure.Invalid(bodyField, "can't be read: %v", err)
 	}
 	return body, nil
 }
 
-// tooLarge returns the failure of a request with a part beyond the limits.
+// tooLarge returns the failure of a request with a header or body that exceeds its limit.
 func tooLarge(field string, size, limit int64) error {
-	beyond := failure.New(failure.TooLarge, failure.NotRun, "%d bytes; at most %d", size, limit)
-	beyond.Field = field
-	return beyond
+	exceeded := failure.New(failure.TooLarge, failure.NotRun, "%d bytes exceed the maximum of %d bytes", size, limit)
+	exceeded.Field = field
+	return exceeded
 }
 
-// callerAddress returns the caller's address without the port, which differs on each connection.
+// callerAddress returns the caller's address without the port, which differs between connections.
 func callerAddress(r *http.Request) string {
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
--- a/internal/request/front/timeouts.go
+++ b/internal/request/front/timeouts.go
@@ -9,12 +9,12 @@
 	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
-// connectionTimeouts closes connections that are idle, or send a header, for longer than the limits in force allow. The
-// limits may change while a connection is open, which the timeouts of http.Server, fixed when it starts, can't follow.
+// connectionTimeouts closes connections that exceed the current idle or header timeout. The limits may change while a
+// connection is open, whereas the timeouts of http.Server are fixed when it starts.
 type connectionTimeouts struct {
 	limits func() routing.Limits
 
-	mutex  sync.Mutex
+	mu     sync.Mutex
 	timers map[net.Conn]*time.Timer
 }
 
@@ -22,7 +22,7 @@
 	return &connectionTimeouts{limits: limits, timers: map[net.Conn]*time.Timer{}}
 }
 
-// stateChanged follows the state of a connection; it is the server's ConnState hook.
+// stateChanged starts or stops the timer of a connection; it is the server's ConnState hook.
 func (t *connectionTimeouts) stateChanged(connection net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew, http.StateIdle:
@@ -34,25 +34,26 @@
 	}
 }
 
-// headerRead stops the timer of a connection whose request header has been read: the body may take longer.
-func (t *connectionTimeouts) headerRead(connection net.Conn) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
+// stopHeaderTimer stops the timer of a connection whose request header has been read, since the header timeout doesn't
+// apply to the body.
+func (t *connectionTimeouts) stopHeaderTimer(connection net.Conn) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	if timer, found := t.timers[connection]; found {
 		timer.Stop()
 	}
 }
 
-// arm has the connection closed after the limit, unless its state changes before.
+// arm closes the connection after the limit, unless its state changes before.
 func (t *connectionTimeouts) arm(connection net.Conn, limit time.Duration) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	if timer, found := t.timers[connection]; found {
 		timer.Reset(limit)
 		return
 	}
 	t.timers[connection] = time.AfterFunc(limit, func() {
-		// An error means that the connection is closed already.
+		// An error means that the connection has already been closed.
 		if err := connection.Close(); err != nil {
 			return
 		}
@@ -60,8 +61,8 @@
 }
 
 func (t *connectionTimeouts) disarm(connection net.Conn) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	if timer, found := t.timers[connection]; found {
 		timer.Stop()
 		delete(t.timers, connection)
--- a/internal/request/routing/configuration.go
+++ b/internal/request/routing/configuration.go
@@ -10,63 +10,64 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// Repeatability is how often a request may run.
+// Repeatability says how often a request may run.
 type Repeatability string
 
-// The repeatabilities.
+// The values of Repeatability.
 const (
 	// Repeatable requests may run any number of times.
 	Repeatable Repeatability = "repeatable"
-	// AtMostOnce requests run at most once.
+	// AtMostOnce requests must not run more than once.
 	AtMostOnce Repeatability = "at_most_once"
 )
 
 // Configuration is one version of the routes, as operators write it.
 type Configuration struct {
-	// Version is the operators' own number; it increases with each change.
+	// Version is a number chosen by the operators, which increases with each change.
 	Version  int64     `json:"version"`
 	Routes   []Route   `json:"routes"`
 	Services []Service `json:"services"`
 	Limits   Limits    `json:"limits"`
 }
 
-// Compare orders two configurations by the operators' own numbers. The order is not known if the numbers are equal.
+// Compare orders two configurations by Version. The order is unknown if the versions are equal.
 func Compare(a, b Configuration) (order int, isKnown bool) {
 	return cmp.Compare(a.Version, b.Version), a.Version != b.Version
 }
 
-// Route sends the requests of a host and path prefix to one target. Exactly one of Service, Weighted and Gathered is
+// Route sends the requests for a host and path prefix to its target: exactly one of Service, Weighted and Gathered is
 // set.
 type Route struct {
 	Name string `json:"name"`
 	Host string `json:"host"`
-	// Prefix begins and ends with a slash; the longest prefix of a host that matches is used.
+	// Prefix begins and ends with a slash; the longest matching prefix of a host is used.
 	Prefix string `json:"prefix"`
-	// Service takes every request.
+	// Service is the service that receives every request.
 	Service string `json:"service,omitempty"`
-	// Weighted services take the requests in proportion to their weights.
+	// Weighted services receive requests in proportion to their weights.
 	Weighted []WeightedService `json:"weighted,omitempty"`
-	// Gathered services are shards: each request goes to one leaf of each.
+	// Gathered services are shards: each request is sent to one leaf of each.
 	Gathered []string `json:"gathered,omitempty"`
-	// TopRecords is how many of the greatest records a gathered answer has.
+	// TopRecords is the number of greatest records that a gathered answer contains.
 	TopRecords int `json:"top_records,omitempty"`
-	// MinimumCoverage is the least share of the gathered services that an answer must have, 0 to 1.
+	// MinimumCoverage is the minimum fraction of the gathered services that an answer must contain, 0 to 1.
 	MinimumCoverage float64       `json:"minimum_coverage,omitempty"`
 	Repeatability   Repeatability `json:"repeatability"`
-	// MaximumAttempts is how many leafs of one service may run one request; 0 means the default.
+	// MaximumAttempts is the maximum number of leafs of one service that may run a request; 0 means the default.
 	MaximumAttempts int `json:"maximum_attempts"`
-	// TimeoutMillis is how long after its arrival a request is given up; 0 means the default.
+	// TimeoutMillis is the time after its arrival at which a request times out; 0 means the default.
 	TimeoutMillis int64 `json:"timeout_millis"`
-	// ObjectiveMillis is the time within which an answer has its full worth; 0 means the default.
+	// ObjectiveMillis is the latency objective: the time within which an answer has its full value; 0 means the
+	// default.
 	ObjectiveMillis int64 `json:"objective_millis"`
-	// Regions are those whose leafs may run the requests, and whose nodes may gather them for others; empty means
-	// all.
+	// Regions are the regions whose leafs may run the requests, and whose nodes may gather answers for others; empty
+	// means all regions.
 	Regions []string `json:"regions,omitempty"`
 	// Priority ranks requests under overload; 0 is the most urgent.
 	Priority int `json:"priority"`
 }
 
-// WeightedService is one service of a weighted route.
+// WeightedService is a service of a weighted route.
 type WeightedService struct {
 	Service string  `json:"service"`
 	Weight  float64 `json:"weight"`
@@ -75,17 +76,18 @@
 // Service is the configuration of the leafs of a service.
 type Service struct {
 	Name string `json:"name"`
-	// HealthPath answers 200 while a leaf is healthy.
+	// HealthPath is the path that a leaf answers with 200 while it is healthy.
 	HealthPath string `json:"health_path,omitempty"`
-	// MaximumConnections is how many connections a leaf accepts from all nodes together; 0 means that there is no
+	// MaximumConnections is the maximum number of connections that a leaf accepts from all nodes together; 0 means no
 	// limit.
 	MaximumConnections int `json:"maximum_connections,omitempty"`
-	// ColdRequestsPerSecond is how many requests a second a leaf can serve from all nodes together while it is cold,
-	// as after its start; 0 means that there is no limit.
+	// ColdRequestsPerSecond is the number of requests per second from all nodes together that a leaf can serve while it
+	// is cold, for instance after a start; 0 means no limit.
 	ColdRequestsPerSecond float64 `json:"cold_requests_per_second,omitempty"`
 }
 
-// Limits bound what callers may send, in bytes, and how long they may take, in milliseconds; 0 means the default.
+// Limits are the maximum sizes of requests, in bytes, and the timeouts of callers' connections, in milliseconds; 0
+// means the default.
 type Limits struct {
 	MaximumHeaderBytes  int   `json:"maximum_header_bytes,omitempty"`
 	MaximumBodyBytes    int64 `json:"maximum_body_bytes,omitempty"`
@@ -117,20 +119,20 @@
 	return l.MaximumBodyBytes
 }
 
-// HeaderTimeout returns how long a caller may take to send a request's header.
+// HeaderTimeout returns the maximum time for receiving a request's header.
 func (l Limits) HeaderTimeout() time.Duration {
 	return millisOr(l.HeaderTimeoutMillis, DefaultHeaderTimeout)
 }
 
-// IdleTimeout returns how long a connection may be idle between requests.
+// IdleTimeout returns the maximum time for which a connection may be idle between requests.
 func (l Limits) IdleTimeout() time.Duration {
 	return millisOr(l.IdleTimeoutMillis, DefaultIdleTimeout)
 }
 
-// millisOr returns a number of milliseconds as a duration, or otherwise if it is not positive.
-func millisOr(millis int64, otherwise time.Duration) time.Duration {
+// millisOr returns a number of milliseconds as a duration, or the fallback if the number is not positive.
+func millisOr(millis int64, fallback time.Duration) time.Duration {
 	if millis <= 0 {
-		return otherwise
+		return fallback
 	}
 	return time.Duration(millis) * time.Millisecond
 }
@@ -139,7 +141,7 @@
 func Parse(content []byte) (Configuration, error) {
 	var configuration Configuration
 	if err := json.Unmarshal(content, &configuration); err != nil {
-		return Configuration{}, failure.Invalid("routes", "not a configuration: %v", err)
+		return Configuration{}, failure.Invalid("routes", "can't decode the configuration: %v", err)
 	}
 	return configuration, configuration.Validate()
 }
@@ -153,7 +155,7 @@
 		field := indexed("routes", index)
 		checks.Add(field, route.validate())
 		key := strings.ToLower(route.Host) + " " + route.Prefix
-		checks.Refuse(seen[key], field+".prefix", "host %q has this prefix twice", route.Host)
+		checks.Refuse(seen[key], field+".prefix", "another route of host %q has the same prefix", route.Host)
 		seen[key] = true
 	}
 	for index, service := range c.Services {
@@ -168,8 +170,8 @@
 	var checks failure.Checks
 	checks.Refuse(r.Host == "", "host", "must not be empty")
 	checks.Refuse(!strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/"), "prefix", "%q must begin and end with a slash", r.Prefix)
-	checks.Refuse(r.targets() != 1, "service", "exactly one of service, weighted and gathered must be set")
-	checks.Refuse(r.Repeatability != Repeatable && r.Repeatability != AtMostOnce, "repeatability", "%q; must be %q or %q", r.Repeatability, Repeatable, AtMostOnce)
+	checks.Refuse(r.countTargets() != 1, "service", "exactly one of service, weighted and gathered must be set")
+	checks.Refuse(r.Repeatability != Repeatable && r.Repeatability != AtMostOnce, "repeatability", "%q is invalid; must be %q or %q", r.Repeatability, Repeatable, AtMostOnce)
 	checks.Refuse(len(r.Gathered) > 0 && r.Repeatability != Repeatable, "repeatability", "a gathered route must be %q", Repeatable)
 	checks.Refuse(r.MaximumAttempts < 0, "maximum_attempts", "must not be negative")
 	checks.Refuse(r.TimeoutMillis < 0, "timeout_millis", "must not be negative")
@@ -185,8 +187,8 @@
 	return checks.Err()
 }
 
-// targets counts the kinds of targets that a route sets.
-func (r Route) targets() int {
+// countTargets returns how many of Service, Weighted and Gathered are set.
+func (r Route) countTargets() int {
 	count := 0
 	for _, isSet := range []bool{r.Service != "", len(r.Weighted) > 0, len(r.Gathered) > 0} {
 		if isSet {
--- a/internal/request/routing/routing.go
+++ b/internal/request/routing/routing.go
@@ -1,10 +1,10 @@
 // Package routing maps requests to services by the operators' routes.
 //
-// A Configuration is one version of all routes. It is validated as a whole, compiled into an immutable Table, and put
-// into force as a whole; package catalog has the table in force. A request is matched to its route once and keeps it
-// until its end, so that no answer mixes versions. Shares owns the state of weighted routes; the package has no
-// goroutines and no clock. Times in a configuration are milliseconds and sizes are bytes; errors of Parse and Validate
-// are *failure.Failure that name the field.
+// A Configuration is one version of all routes. It is validated as a whole, compiled into an immutable Table, and
+// activated as a whole; package catalog holds the active table. A request is matched to its route once and keeps this
+// route until it ends, so an answer never mixes versions. Shares owns the state of weighted routes. The package starts
+// no goroutines and uses no clock. In a configuration, times are in milliseconds and sizes in bytes. The errors of
+// Parse and Validate are *failure.Failure and name the invalid field.
 package routing
 
 import (
@@ -18,39 +18,38 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Defaults of a route that sets no value.
+// The defaults for fields that a route doesn't set.
 const (
 	defaultAttempts  = 2
 	defaultTimeout   = 30 * time.Second
 	defaultObjective = time.Second
 )
 
-// Table is a compiled configuration; it is immutable.
+// Table is a compiled configuration. It is immutable.
 type Table struct {
 	Version int64
-	// Revision is the revision of the store at which the configuration was written.
+	// Revision is the store revision at which the configuration was written.
 	Revision int64
 	Limits   Limits
 	Routes   []Route
 
 	byHost   map[string][]*Entry // longest prefix first
 	services map[string]Service
-	gathered map[string]bool // services that a route gathers
+	gathered map[string]bool // the services that a route gathers
 }
 
-// Entry is a route of a table with its derived values; it is immutable.
+// Entry is a route of a table with its derived values. It is immutable.
 type Entry struct {
 	Route
 	Timeout   time.Duration
 	Objective time.Duration
 	Attempts  int
-	// RequiredParts is the least number of parts that a gathered answer must have.
+	// RequiredParts is the minimum number of parts of a gathered answer.
 	RequiredParts int
-	// WeightKey is equal for two versions of a route with the same weights, so that Shares keeps its state across
-	// versions.
+	// WeightKey is equal for versions of a route with the same weights, so that Shares keeps its state across them.
 	WeightKey string
-	// GatherKey is equal for two versions of a route that gather alike: with the same services, records, attempts,
-	// repeatability and regions.
+	// GatherKey is equal for versions of a route that are gathered in the same way: with the same services, top
+	// records, attempts, repeatability and regions.
 	GatherKey uint64
 }
 
@@ -111,20 +110,22 @@
 	return entry
 }
 
-// gatherKey hashes what decides how a route is gathered; roots and intermediates compare the result.
+// gatherKey hashes the fields that decide how a route is gathered. Roots and intermediates compare the result.
 func gatherKey(entry *Entry) uint64 {
 	return xxhash.Sum64String(fmt.Sprintf("%q %d %d %s %q", entry.Gathered, entry.TopRecords, entry.Attempts, entry.Repeatability, entry.Regions))
 }
 
-// AllowsRegion reports whether leafs of a region may run the route's requests, and its nodes gather them for others.
+// AllowsRegion reports whether the leafs of a region may run the route's requests, and its nodes may gather answers for
+// others.
 func (e *Entry) AllowsRegion(region string) bool {
 	return len(e.Regions) == 0 || slices.Contains(e.Regions, region)
 }
 
-// coverageTolerance absorbs the rounding error of a share that is written as a decimal.
+// coverageTolerance absorbs the rounding error of a coverage that is written as a decimal fraction.
 const coverageTolerance = 1e-9
 
-// requiredParts returns the least number of parts that is the required share of all; at least one.
+// requiredParts returns the minimum number of parts that make up the required coverage: at least one, and 0 if there
+// are no parts.
 func requiredParts(parts int, coverage float64) int {
 	if parts == 0 {
 		return 0
@@ -132,8 +133,7 @@
 	return max(1, int(math.Ceil(coverage*float64(parts)-coverageTolerance)))
 }
 
-// Match returns the route of a request by its host, with or without a port, and its path without the query; nil if there
-// is none.
+// Match returns the route for a host, with or without a port, and a path without the query; nil if there is none.
 func (t *Table) Match(host, path string) *Entry {
 	for _, entry := range t.byHost[normalHost(host)] {
 		if strings.HasPrefix(path, entry.Prefix) {
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// normalHost removes the port of a host and lower-cases it.
+// normalHost returns a host without its port, in lower case.
 func normalHost(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -151,7 +151,7 @@
 	return strings.ToLower(host)
 }
 
-// Service returns the configuration of a service; false if there is none.
+// Service returns the configuration of a service, and false if there is none.
 func (t *Table) Service(name string) (Service, bool) {
 	service, found := t.services[name]
 	return service, found
@@ -160,7 +160,7 @@
 // IsGathered reports whether a route gathers a service.
 func (t *Table) IsGathered(name string) bool { return t.gathered[name] }
 
-// ServiceNames returns the services that routes or the list of services name, sorted.
+// ServiceNames returns the sorted names of all services in the routes and in the list of services.
 func (t *Table) ServiceNames() []string {
 	names := map[string]bool{}
 	for name := range t.services {
@@ -185,5 +185,5 @@
 	return sorted
 }
 
-// indexed names an element of a list field.
+// indexed returns the name of an element of a list field.
 func indexed(field string, index int) string { return fmt.Sprintf("%s[%d]", field, index) }
--- a/internal/request/routing/routing_test.go
+++ b/internal/request/routing/routing_test.go
@@ -35,7 +35,7 @@
 	is.Equal(service("c.example", "/x/"), "")
 }
 
-func TestRequiredPartsAreTheLeastShare(t *testing.T) {
+func TestRequiredPartsIsTheSmallestSufficientNumber(t *testing.T) {
 	is := is.New(t)
 	is.Equal(requiredParts(20, 0.89), 18)
 	is.Equal(requiredParts(20, 0.75), 15)
@@ -47,12 +47,12 @@
 		hundredths := rapid.IntRange(0, 100).Draw(t, "coverage")
 		required := requiredParts(parts, float64(hundredths)/100)
 		if required*100 < hundredths*parts || (required > 1 && (required-1)*100 >= hundredths*parts) {
-			t.Fatalf("%d of %d is not the least for %d%%", required, parts, hundredths)
+			t.Fatalf("%d of %d is not the smallest number for %d%%", required, parts, hundredths)
 		}
 	})
 }
 
-func TestEveryBadFieldIsNamed(t *testing.T) {
+func TestValidateNamesTheInvalidField(t *testing.T) {
 	bad := map[string]func(*Configuration){
 		"version":                  func(c *Configuration) { c.Version = -1 },
 		"routes[0].host":           func(c *Configuration) { c.Routes[0].Host = "" },
@@ -66,12 +66,12 @@
 			c.Routes[0].Service, c.Routes[0].Weighted = "", []WeightedService{{Service: "a"}}
 		},
 	}
-	for field, spoil := range bad {
+	for field, mutate := range bad {
 		t.Run(field, func(t *testing.T) {
 			is := is.New(t)
 			configuration := Configuration{Routes: []Route{route("a.example", "/", "a")}}
 			is.NoErr(configuration.Validate())
-			spoil(&configuration)
+			mutate(&configuration)
 			faults := failure.Faults(configuration.Validate())
 			is.True(len(faults) > 0)
 			is.Equal(faults[0].Field, field)
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestParseRefusesWhatIsNoConfiguration(t *testing.T) {
+func TestParseRefusesInvalidJSON(t *testing.T) {
 	is := is.New(t)
 	_, err := Parse([]byte("{"))
 	is.True(failure.Is(err, failure.InvalidField))
@@ -90,8 +90,9 @@
 	is.Equal(configuration.Version, int64(3))
 }
 
-// Whatever the weights, each service has had its share of the requests to within two at any moment.
-func TestSharesFollowTheWeightsAtEveryMoment(t *testing.T) {
+// For any weights, after each request the number of requests of each service differs from its weighted fraction by at
+// most two.
+func TestSharesFollowTheWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var weighted []WeightedService
 		total := 0.0
--- a/internal/request/routing/shares.go
+++ b/internal/request/routing/shares.go
@@ -5,35 +5,34 @@
 	"sync"
 )
 
-// Shares distributes the requests of weighted routes over their services, so that at any moment each service has had
-// its share of the requests to within two. It is safe for concurrent use.
+// Shares distributes the requests of weighted routes over their services, so that at any time the number of requests of
+// each service differs from its weighted fraction by at most two. It is safe for concurrent use.
 //
-// It is a smooth weighted round-robin: with each request every service earns its weight as credit, and the service with
-// the most credit takes the request and pays the total. The first credits are random, so that nodes that start together
-// don't choose in step.
+// It uses smooth weighted round-robin: each request adds every service's weight to its credit, and the service with the
+// highest credit receives the request and is debited the total weight. The initial credits are random, so that nodes
+// that start together don't select the same services at the same time.
 type Shares struct {
-	mutex  sync.Mutex
-	routes map[string][]float64 // credit of each part, by WeightKey
+	mu     sync.Mutex
+	routes map[string][]float64 // the credit of each service, by WeightKey
 }
 
-// NewShares returns Shares without state.
 func NewShares() *Shares { return &Shares{routes: map[string][]float64{}} }
 
-// maximumKeptRoutes bounds the routes whose credits are kept; beyond it all start again.
-const maximumKeptRoutes = 4096
+// maximumRoutes is the maximum number of routes whose credits are kept; if it is exceeded, all credits are reset.
+const maximumRoutes = 4096
 
-// Next returns the index of the weighted service that takes the route's next request. A service that is overloaded or
-// has no leaf keeps its share: operators weight services that differ, such as two versions, and the requests of one must
-// not go to the other.
+// Next returns the index of the weighted service that receives the route's next request. A service that is overloaded
+// or has no leafs is still selected by its weight: operators weight services that differ, such as two versions, and
+// requests for one must not be sent to the other.
 func (s *Shares) Next(entry *Entry) int {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	credits, found := s.routes[entry.WeightKey]
 	if !found {
-		if len(s.routes) >= maximumKeptRoutes {
+		if len(s.routes) >= maximumRoutes {
 			clear(s.routes)
 		}
-		credits = firstCredits(entry.Weighted)
+		credits = initialCredits(entry.Weighted)
 		s.routes[entry.WeightKey] = credits
 	}
 	best, total := -1, 0.0
@@ -54,8 +53,8 @@
 	return best
 }
 
-// firstCredits returns random credits that sum to zero, each less than the total weight.
-func firstCredits(services []WeightedService) []float64 {
+// initialCredits returns random credits that sum to zero, each with a magnitude below the total weight.
+func initialCredits(services []WeightedService) []float64 {
 	credits := make([]float64, len(services))
 	total := 0.0
 	for _, weighted := range services {
--- a/internal/request/search/query.go
+++ b/internal/request/search/query.go
@@ -105,7 +105,7 @@
 	}
 	for _, field := range fields {
 		if len(field.value) > field.maximum {
-			return failure.Invalid(field.name, "is %d bytes long; the maximum is %d", len(field.value), field.maximum)
+			return failure.Invalid(field.name, "%d bytes exceed the maximum of %d bytes", len(field.value), field.maximum)
 		}
 		if !utf8.ValidString(field.value) {
 			return failure.Invalid(field.name, "must be valid UTF-8")
