--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -19,7 +19,7 @@
 type Evidence struct {
 	Subject
 	Crashes []Crash `json:"ends,omitempty"`
-	// OthersGone is true if the request's attempts found other leafs no longer listening, which it had not crashed.
+	// OthersGone is true if attempts of the request found leafs no longer listening that had not crashed under it.
 	OthersGone bool `json:"in_herd,omitempty"`
 }
 
@@ -29,7 +29,7 @@
 	// episodes are the episodes of the crashes, by leaf.
 	episodes map[string]uint64
 	lastAt   time.Time
-	// othersGone is true if the request's attempts found other leafs no longer listening, which it had not crashed.
+	// othersGone is true if attempts of the request found leafs no longer listening that had not crashed under it.
 	othersGone bool
 	// isOwn is true if this node detected some of the crashes, isReported if it reported them to other nodes.
 	isOwn      bool
--- a/internal/quarantine/execution.go
+++ b/internal/quarantine/execution.go
@@ -21,13 +21,13 @@
 
 	isAnswered atomic.Bool
 	isStopped  atomic.Bool
-	// othersGone is true if attempts found leafs no longer listening that the request had not crashed.
+	// othersGone is true if attempts found leafs no longer listening that had not crashed under the request.
 	othersGone atomic.Bool
 	stop       func()
 }
 
 // Begin begins an execution of a request. If its State is Quarantined, the request must not be sent to leafs. stop is
-// called if the request is put under quarantine later, at most once and from any goroutine. End must be called in any
+// called if the execution must send no more attempts, at most once and from any goroutine. End must be called in any
 // case.
 func (r *Register) Begin(subject Subject, stop func()) *Execution {
 	execution := &Execution{register: r, subject: subject, stop: stop, episode: rand.Uint64()}
--- a/internal/quarantine/quarantinesync/config.go
+++ b/internal/quarantine/quarantinesync/config.go
@@ -3,7 +3,7 @@
 // A node sends insufficient evidence by datagram to three nodes, the aggregators, which are selected by rendezvous hash
 // of the request and sum the evidence of all nodes: an at-most-once request crashes only one leaf at each node that it
 // arrives at. The record of a request under quarantine is sent to all nodes by datagram at once, and written to the
-// store, from which nodes get it that missed the datagram, were partitioned, or start later. While the store does not
+// store. Nodes that missed the datagram, were partitioned, or start later get it from there. While the store does not
 // accept the record, the node that found it retries the write and repeats the broadcast, and the aggregators retry the
 // write, too.
 //
@@ -26,8 +26,7 @@
 	// SaveInterval is the interval at which the write of an unsaved record is retried and, in small fleets, its
 	// broadcast repeated.
 	SaveInterval time.Duration `yaml:"save_interval"`
-	// TakeoverPause is the time that each aggregator waits longer than the one ranked before it, to write an unsaved
-	// record.
+	// TakeoverPause is the time by which each aggregator writes an unsaved record later than the one ranked before it.
 	TakeoverPause time.Duration `yaml:"takeover_pause"`
 	// CallTimeout is the timeout of a store call.
 	CallTimeout time.Duration `yaml:"call_timeout"`
--- a/internal/quarantine/quarantinesync/save.go
+++ b/internal/quarantine/quarantinesync/save.go
@@ -79,8 +79,8 @@
 	return time.Since(s.receivedAt[record.Content]) >= time.Duration(1+rank)*s.deps.Config.TakeoverPause
 }
 
-// save writes a record to the store in a new goroutine. If the store's answer is lost, a later write finds the key and
-// takes the record as saved, whichever node wrote it.
+// save writes a record to the store in a new goroutine. If the key already exists, because another node wrote it or the
+// answer to an earlier write was lost, the record counts as saved.
 func (s *Sync) save(ctx context.Context, record quarantine.Record) {
 	if !s.claimSave(record.Content) {
 		return
--- a/internal/quarantine/quarantinesync/sync_test.go
+++ b/internal/quarantine/quarantinesync/sync_test.go
@@ -96,7 +96,6 @@
 	})
 }
 
-// A write whose answer is lost takes effect once.
 func TestWriteWithLostAnswerTakesEffectOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/quarantine/unsaved.go
+++ b/internal/quarantine/unsaved.go
@@ -77,7 +77,7 @@
 	return records
 }
 
-// addUnsaved adds a record that the store does not have yet, and returns the executions of the request, which must be
+// addUnsaved adds a record that the store does not have yet, and returns the executions of the request that must be
 // halted. The lock must be held.
 func (r *Register) addUnsaved(record Record) []*Execution {
 	if len(r.unsaved) >= r.cfg.MaximumRecords {
@@ -98,8 +98,8 @@
 	delete(r.unsaved, oldest.record.Content)
 }
 
-// attributeCrashes attributes the crashes of a record to its request, removes them from other suspects, and returns the
-// executions of the request, which must be halted. Retests are excepted. The lock must be held.
+// attributeCrashes attributes the crashes of a record to its request and removes them from other suspects. It returns
+// the executions of the request that must be halted, which are all but the retests. The lock must be held.
 func (r *Register) attributeCrashes(record Record) []*Execution {
 	r.dropSuspect(record.Content)
 	if len(r.attributed) >= maxLeafs*r.cfg.MaximumRecords {
--- a/internal/request/front/front_test.go
+++ b/internal/request/front/front_test.go
@@ -38,8 +38,8 @@
 func (b *scriptedBackend) Ready() bool            { return b.ready.Load() }
 func (b *scriptedBackend) Limits() routing.Limits { return *b.limits.Load() }
 
-// start serves a backend on a free port.
-func start(t *testing.T, serve func(ctx context.Context, request *gateway.Request) (*gateway.Answer, error)) (*Server, *scriptedBackend, string) {
+// startServer serves a backend on a free port.
+func startServer(t *testing.T, serve func(ctx context.Context, request *gateway.Request) (*gateway.Answer, error)) (*Server, *scriptedBackend, string) {
 	t.Helper()
 	backend := &scriptedBackend{serve: serve}
 	backend.ready.Store(true)
@@ -76,14 +76,14 @@
 	return response, string(body)
 }
 
-func get(headers ...string) string {
+func getRequest(headers ...string) string {
 	return "GET /a/%2Fb?q=%20 HTTP/1.1\r\nHost: h.example\r\n" + strings.Join(append(headers, ""), "\r\n") + "\r\n"
 }
 
 func TestRequestReachesGatewayUnchanged(t *testing.T) {
 	is := is.New(t)
 	var seen *gateway.Request
-	_, _, address := start(t, func(_ context.Context, request *gateway.Request) (*gateway.Answer, error) {
+	_, _, address := startServer(t, func(_ context.Context, request *gateway.Request) (*gateway.Answer, error) {
 		seen = request
 		return &gateway.Answer{Status: 201, Header: http.Header{"X-Leaf": {"1"}}, Body: []byte("body")}, nil
 	})
@@ -104,10 +104,10 @@
 
 func TestGatheredAnswerHasPartHeaders(t *testing.T) {
 	is := is.New(t)
-	_, _, address := start(t, func(context.Context, *gateway.Request) (*gateway.Answer, error) {
+	_, _, address := startServer(t, func(context.Context, *gateway.Request) (*gateway.Answer, error) {
 		return &gateway.Answer{Status: 200, Stamps: []string{"s1", "s2"}, Missing: 1, Body: []byte("records")}, nil
 	})
-	response, body := exchange(t, address, get())
+	response, body := exchange(t, address, getRequest())
 	is.Equal(response.Header.Get(names.PartStamps), "s1, s2")
 	is.Equal(response.Header.Get(names.MissingParts), "1")
 	is.Equal(body, "records")
@@ -131,8 +131,8 @@
 	for _, test := range cases {
 		t.Run(fmt.Sprint(test.failed.Code, test.status), func(t *testing.T) {
 			is := is.New(t)
-			_, _, address := start(t, func(context.Context, *gateway.Request) (*gateway.Answer, error) { return nil, test.failed })
-			response, body := exchange(t, address, get())
+			_, _, address := startServer(t, func(context.Context, *gateway.Request) (*gateway.Answer, error) { return nil, test.failed })
+			response, body := exchange(t, address, getRequest())
 			is.Equal(response.StatusCode, test.status)
 			is.Equal(response.Header.Get("Retry-After"), test.retryAfter)
 			is.True(strings.Contains(body, string(test.failed.Code)))
@@ -146,17 +146,17 @@
 		status  int
 		field   string
 	}{
-		"deadline":   {get("Portgauge-Deadline-Millis: soon"), 400, names.DeadlineMillis},
-		"negative":   {get("Portgauge-Deadline-Millis: -5"), 400, names.DeadlineMillis},
-		"no time":    {get("Portgauge-Deadline-Millis: 0"), 503, ""},
-		"header":     {get("X-Long: " + strings.Repeat("x", 5000)), 431, "header"},
+		"deadline":   {getRequest("Portgauge-Deadline-Millis: soon"), 400, names.DeadlineMillis},
+		"negative":   {getRequest("Portgauge-Deadline-Millis: -5"), 400, names.DeadlineMillis},
+		"no time":    {getRequest("Portgauge-Deadline-Millis: 0"), 503, ""},
+		"header":     {getRequest("X-Long: " + strings.Repeat("x", 5000)), 431, "header"},
 		"body":       {"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 1001\r\n\r\n" + strings.Repeat("x", 1001), 413, "body"},
 		"two bodies": {"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd", 400, ""},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			_, _, address := start(t, func(context.Context, *gateway.Request) (*gateway.Answer, error) {
+			_, _, address := startServer(t, func(context.Context, *gateway.Request) (*gateway.Answer, error) {
 				t.Error("the request reached the gateway")
 				return nil, nil
 			})
@@ -171,14 +171,14 @@
 func TestClosedConnectionCancelsRequest(t *testing.T) {
 	is := is.New(t)
 	ended := make(chan struct{})
-	_, _, address := start(t, func(ctx context.Context, _ *gateway.Request) (*gateway.Answer, error) {
+	_, _, address := startServer(t, func(ctx context.Context, _ *gateway.Request) (*gateway.Answer, error) {
 		<-ctx.Done()
 		close(ended)
 		return nil, failure.New(failure.Cancelled, failure.Unknown, "")
 	})
 	connection, err := net.Dial("tcp4", address)
 	is.NoErr(err)
-	_, err = io.WriteString(connection, get())
+	_, err = io.WriteString(connection, getRequest())
 	is.NoErr(err)
 	time.Sleep(20 * time.Millisecond)
 	is.NoErr(connection.Close())
@@ -194,7 +194,7 @@
 func TestPlannedStopAnswersRequestsInFlight(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
-	server, _, address := start(t, func(context.Context, *gateway.Request) (*gateway.Answer, error) {
+	server, _, address := startServer(t, func(context.Context, *gateway.Request) (*gateway.Answer, error) {
 		<-release
 		return &gateway.Answer{Status: 200, Body: []byte("whole")}, nil
 	})
@@ -206,7 +206,7 @@
 	is.Equal(ready(), 200)
 	bodies := make(chan string, 1)
 	go func() {
-		response, body := exchange(t, address, get())
+		response, body := exchange(t, address, getRequest())
 		bodies <- fmt.Sprintf("%t %s", response.Close, body)
 	}()
 	time.Sleep(50 * time.Millisecond)
@@ -223,13 +223,13 @@
 // A request still in flight at the end of a planned stop is answered, and not with 503, since it may have run.
 func TestPlannedStopAnswersCancelledRequests(t *testing.T) {
 	is := is.New(t)
-	server, _, address := start(t, func(ctx context.Context, _ *gateway.Request) (*gateway.Answer, error) {
+	server, _, address := startServer(t, func(ctx context.Context, _ *gateway.Request) (*gateway.Answer, error) {
 		<-ctx.Done()
 		return nil, failure.New(failure.Cancelled, failure.Unknown, "")
 	})
 	statuses := make(chan int, 1)
 	go func() {
-		response, _ := exchange(t, address, get())
+		response, _ := exchange(t, address, getRequest())
 		statuses <- response.StatusCode
 	}()
 	time.Sleep(50 * time.Millisecond)
@@ -241,7 +241,7 @@
 
 func TestNotReadyWithoutRoutes(t *testing.T) {
 	is := is.New(t)
-	server, backend, _ := start(t, nil)
+	server, backend, _ := startServer(t, nil)
 	backend.ready.Store(false)
 	is.True(!server.Ready())
 }
@@ -249,7 +249,7 @@
 // Answers have the header Connection: close while the node is not ready, and only then.
 func TestConnectionsAreClosedWhileNotReady(t *testing.T) {
 	is := is.New(t)
-	_, backend, address := start(t, func(context.Context, *gateway.Request) (*gateway.Answer, error) {
+	_, backend, address := startServer(t, func(context.Context, *gateway.Request) (*gateway.Answer, error) {
 		return &gateway.Answer{Status: http.StatusOK}, nil
 	})
 	get := "GET / HTTP/1.1\r\nHost: h\r\n\r\n"
@@ -266,7 +266,7 @@
 // Changed limits apply to connections that are already open.
 func TestChangedLimitsApplyToOpenConnections(t *testing.T) {
 	is := is.New(t)
-	_, backend, address := start(t, func(context.Context, *gateway.Request) (*gateway.Answer, error) {
+	_, backend, address := startServer(t, func(context.Context, *gateway.Request) (*gateway.Answer, error) {
 		return &gateway.Answer{Status: 200}, nil
 	})
 	connection, err := net.Dial("tcp4", address)
@@ -274,7 +274,7 @@
 	defer connection.Close()
 	reader := bufio.NewReader(connection)
 	backend.limits.Store(&routing.Limits{IdleTimeoutMillis: 50, HeaderTimeoutMillis: 50})
-	_, err = io.WriteString(connection, get())
+	_, err = io.WriteString(connection, getRequest())
 	is.NoErr(err)
 	_, err = http.ReadResponse(reader, nil)
 	is.NoErr(err)
@@ -295,7 +295,7 @@
 // The header timeout does not apply to the body.
 func TestHeaderTimeoutDoesNotApplyToBody(t *testing.T) {
 	is := is.New(t)
-	_, backend, address := start(t, func(_ context.Context, request *gateway.Request) (*gateway.Answer, error) {
+	_, backend, address := startServer(t, func(_ context.Context, request *gateway.Request) (*gateway.Answer, error) {
 		return &gateway.Answer{Status: 200, Body: request.Leaf.Body}, nil
 	})
 	backend.limits.Store(&routing.Limits{HeaderTimeoutMillis: 50})
@@ -315,11 +315,11 @@
 func TestRoundTripIsMeasured(t *testing.T) {
 	is := is.New(t)
 	trips := make(chan time.Duration, 1)
-	_, _, address := start(t, func(_ context.Context, request *gateway.Request) (*gateway.Answer, error) {
+	_, _, address := startServer(t, func(_ context.Context, request *gateway.Request) (*gateway.Answer, error) {
 		trips <- request.RoundTrip
 		return &gateway.Answer{Status: 200, Body: bytes.Repeat([]byte("x"), 10)}, nil
 	})
-	exchange(t, address, get())
+	exchange(t, address, getRequest())
 	is.True(<-trips > 0)
 	is.Equal(roundTrip(nil), time.Duration(0))
 }
