--- a/internal/fleet/membership/config.go
+++ b/internal/fleet/membership/config.go
@@ -6,26 +6,26 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// Config configures failure detection. All nodes of a zone should use the same values.
+// Config configures failure detection within a zone. All nodes of a zone should use the same values.
 type Config struct {
 	// ProbeInterval is how often a node probes one other member.
 	ProbeInterval time.Duration `yaml:"probe_interval"`
-	// ProbeTimeout is how long a direct probe waits before others are asked to probe.
+	// ProbeTimeout is how long a node waits for the answer to a direct probe before it asks other members to probe.
 	ProbeTimeout time.Duration `yaml:"probe_timeout"`
-	// IndirectProbes is how many other members are asked to probe.
+	// IndirectProbes is how many other members a node asks to probe a member that did not answer.
 	IndirectProbes int `yaml:"indirect_probes"`
-	// SuspicionIntervals is how many probe intervals a suspect has to refute, times the
-	// decimal logarithm of the zone's size.
+	// SuspicionIntervals times the decimal logarithm of the zone's size is the number of probe intervals in which a
+	// suspect can refute the suspicion.
 	SuspicionIntervals float64 `yaml:"suspicion_intervals"`
-	// UpdatesPerMessage bounds the member changes on one datagram.
+	// UpdatesPerMessage bounds the member updates in one datagram.
 	UpdatesPerMessage int `yaml:"rumours_per_message"`
-	// RetransmitFactor times the decimal logarithm of the zone's size is how many times a node passes a change on.
+	// RetransmitFactor times the decimal logarithm of the zone's size is how many times a node sends an update.
 	RetransmitFactor int `yaml:"rumour_factor"`
-	// KeepDead is how long dead members are remembered, so that old updates don't revive them.
+	// KeepDead is how long dead members are kept in the list, so that old updates do not revive them.
 	KeepDead time.Duration `yaml:"keep_dead"`
 }
 
-// DefaultConfig keeps control traffic under 1 KB/s whatever the zone's size.
+// DefaultConfig returns settings that keep control traffic under 1 KB/s regardless of the zone's size.
 func DefaultConfig() Config {
 	return Config{
 		ProbeInterval:      time.Second,
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -1,12 +1,13 @@
-// Package membership keeps the list of a zone's live nodes by probes and gossip, as SWIM does.
+// Package membership maintains the list of a zone's live nodes with the SWIM protocol.
 //
-// Each interval a node probes one member, in shuffled rounds that probe every member once. A member that does
-// not answer is probed through others, then suspected, and declared dead only after it had time to refute that
-// (probe.go). Changes are gossiped on the probes (updates.go), so that the bytes per second are bounded whatever
-// the zone's size. Zones don't probe each other: a cut between zones makes no node dead.
+// In each interval, a node probes one member, in shuffled rounds that cover every member once. If a member does
+// not answer, the node asks other members to probe it, then suspects it, and declares it dead only after a period
+// in which the member can refute the suspicion (probe.go). Membership changes are piggybacked on the probes
+// (updates.go), so the bandwidth is bounded regardless of the zone's size. Nodes probe only members of their own
+// zone, so a network partition between zones makes no node dead.
 //
-// A Membership owns the list and one goroutine per probe, which end with the context of Run. It relies on the
-// peer transport, and its Listener provides and receives what else travels on the datagrams. Times are by the
+// A Membership owns the list and one goroutine per probe; the goroutines end with the context of Run. It uses the
+// peer transport. Its Listener provides and receives the other content of the datagrams. Times are measured on the
 // monotonic clock.
 package membership
 
@@ -24,49 +25,49 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
-// leaveFanOut is how many members are notified of a planned stop directly; gossip reaches the others.
+// leaveFanOut is the number of members that are notified directly of a planned stop; gossip reaches the others.
 const leaveFanOut = 8
 
-// Listener provides and receives what the datagrams of the membership carry besides members.
+// Listener provides and receives the content of membership datagrams other than members.
 type Listener interface {
 	// Digest returns the node's own configuration digest, for outgoing messages.
 	Digest() peer.Digest
-	// Notices returns leaf notices to pass on with an outgoing message.
+	// Notices returns the leaf notices to send with an outgoing message.
 	Notices() []peer.LeafNotice
-	// Receive receives the digest and the notices of an incoming message.
+	// Receive handles the digest and the notices of an incoming message.
 	Receive(from string, digest peer.Digest, notices []peer.LeafNotice)
 }
 
-// Membership is the list of live nodes as one node knows it; safe for concurrent use.
+// Membership is one node's view of the live nodes. It is safe for concurrent use.
 type Membership struct {
-	config    Config
+	cfg       Config
 	transport peer.Transport
 	listener  Listener
 	random    *rand.Rand // guarded by mu
 
-	mu         sync.Mutex
-	self       peer.Member
-	members    map[string]*knownMember // by id, self left out
-	updates    *updateQueue
-	probeRound []string     // ids still to probe in this round
-	probes     peer.Pending // those without an answer yet
-	version    uint64       // raised whenever the set of usable members changes
-	cached     []peer.Member
-	cachedAt   uint64
+	mu            sync.Mutex
+	self          peer.Member
+	members       map[string]*knownMember // by id; excludes self
+	updates       *updateQueue
+	probeRound    []string     // ids of the members not yet probed in this round
+	pendingProbes peer.Pending // probes without an answer yet
+	version       uint64       // incremented whenever the set of usable members changes
+	cached        []peer.Member
+	cachedVersion uint64
 }
 
-// knownMember is what this node knows of another member.
+// knownMember is this node's record of another member.
 type knownMember struct {
 	member     peer.Member
 	changedAt  time.Time
-	confirming bool // a suspect whose time is up is being probed a last time
+	confirming bool // the suspicion timeout has passed and confirmDeath is running
 }
 
-// New returns a membership of one: self, with its id, zone and peer address.
-func New(config Config, self peer.Member, transport peer.Transport, listener Listener, seed uint64) *Membership {
+// New returns a membership whose only member is self. ID, Zone and Address of self must be set.
+func New(cfg Config, self peer.Member, transport peer.Transport, listener Listener, seed uint64) *Membership {
 	self.State = peer.Alive
 	return &Membership{
-		config:    config,
+		cfg:       cfg,
 		transport: transport,
 		listener:  listener,
 		random:    rand.New(rand.NewPCG(seed, 1)),
@@ -77,15 +78,15 @@
 	}
 }
 
-// Self returns the node itself.
+// Self returns this node's own member record.
 func (m *Membership) Self() peer.Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.self
 }
 
-// Members returns the usable members, self included, sorted by id. Suspects count as usable. The slice is
-// shared: callers must not change it.
+// Members returns the usable members, including self, sorted by id. Suspects count as usable. The slice is shared;
+// callers must not modify it.
 func (m *Membership) Members() []peer.Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -93,7 +94,7 @@
 }
 
 func (m *Membership) usable() []peer.Member {
-	if m.cachedAt == m.version {
+	if m.cachedVersion == m.version {
 		return m.cached
 	}
 	usable := make([]peer.Member, 0, len(m.members)+1)
@@ -106,13 +107,13 @@
 		}
 	}
 	slices.SortFunc(usable, func(a, b peer.Member) int { return strings.Compare(a.ID, b.ID) })
-	m.cached, m.cachedAt = usable, m.version
+	m.cached, m.cachedVersion = usable, m.version
 	return usable
 }
 
 func isUsable(state peer.MemberState) bool { return state == peer.Alive || state == peer.Suspect }
 
-// Counts returns the number of members by state, self included.
+// Counts returns the number of members in each state, including self.
 func (m *Membership) Counts() map[peer.MemberState]int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -125,7 +126,7 @@
 
 // Run probes until the context ends.
 func (m *Membership) Run(ctx context.Context) {
-	ticker := time.NewTicker(m.config.ProbeInterval)
+	ticker := time.NewTicker(m.cfg.ProbeInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -140,8 +141,8 @@
 	}
 }
 
-// Join announces this node to another one and merges the members known there. It reports whether both knew the
-// same members before.
+// Join announces this node to another one and merges the members that the other node knows. It reports whether both
+// nodes had the same members before.
 func (m *Membership) Join(ctx context.Context, address string) (welcome *peer.Welcome, same bool, err error) {
 	join := &peer.Join{Member: m.Self(), Known: m.fingerprint()}
 	answer, err := m.transport.Call(ctx, address, peer.Message{Digest: m.listener.Digest(), Join: join})
@@ -156,7 +157,8 @@
 	return answer.Welcome, answer.Welcome.Known == join.Known, nil
 }
 
-// HandleJoin admits a node and returns the members known here, unless it knows the same.
+// HandleJoin admits a node. It returns the members that this node knows, unless the joining node has the same ones,
+// and their fingerprint.
 func (m *Membership) HandleJoin(join peer.Join) (members []peer.Member, known uint64) {
 	m.merge([]peer.Member{join.Member})
 	known = m.fingerprint()
@@ -166,7 +168,7 @@
 		return nil, known
 	}
 	if joining, found := m.members[join.Member.ID]; found && !isUsable(joining.member.State) {
-		// The joining node must learn that it is considered dead, or it can't refute that.
+		// The joining node can refute its death only if it is told about it.
 		return append(slices.Clone(m.usable()), joining.member), known
 	}
 	if known == join.Known {
@@ -175,8 +177,8 @@
 	return slices.Clone(m.usable()), known
 }
 
-// fingerprint is equal for two nodes that know the same usable members. Incarnations are left out: they change
-// with every refutation, which the other node may not have received.
+// fingerprint returns a hash that is equal on two nodes with the same usable members. It ignores incarnations: they
+// change with every refutation, and the other node may not have received the latest one.
 func (m *Membership) fingerprint() uint64 {
 	digest := xxhash.New()
 	for _, member := range m.Members() {
@@ -186,7 +188,7 @@
 	return digest.Sum64()
 }
 
-// Leave notifies some members that this node is stopping, so that no suspicion is needed.
+// Leave marks this node as stopping and notifies some members, so that they remove it without suspecting it first.
 func (m *Membership) Leave() {
 	m.mu.Lock()
 	m.self.State = peer.Left
@@ -199,7 +201,7 @@
 	}
 }
 
-// HandleDatagram merges what a datagram says of members, and answers probes.
+// HandleDatagram merges the members of a datagram and answers probes.
 func (m *Membership) HandleDatagram(message peer.Message) {
 	m.merge(message.Members)
 	m.listener.Receive(message.From, message.Digest, message.Notices)
@@ -207,28 +209,28 @@
 	case message.Probe != nil:
 		m.answerProbe(message.From, *message.Probe)
 	case message.Acknowledge != nil:
-		m.acknowledged(message.Acknowledge.Sequence)
+		m.handleAcknowledge(message.Acknowledge.Sequence)
 	case message.ProbeRequest != nil:
 		go m.probeOnBehalf(message.From, *message.ProbeRequest)
 	}
 }
 
-// send adds the digest, notices and updates that every datagram carries.
+// send sends a message with the digest, notices and updates that every datagram carries.
 func (m *Membership) send(address string, message peer.Message) {
 	message.Digest = m.listener.Digest()
 	message.Notices = m.listener.Notices()
 	m.mu.Lock()
-	message.Members = m.updates.next(m.config.UpdatesPerMessage, m.maximumTransmissions())
+	message.Members = m.updates.next(m.cfg.UpdatesPerMessage, m.maximumTransmissions())
 	m.mu.Unlock()
 	m.transport.Send(address, message)
 }
 
-// maximumTransmissions grows with the logarithm of the zone's size.
+// maximumTransmissions returns how many times this node sends an update. It grows with the logarithm of the zone's size.
 func (m *Membership) maximumTransmissions() int {
-	return m.config.RetransmitFactor * int(math.Ceil(math.Log10(float64(len(m.members)+2))))
+	return m.cfg.RetransmitFactor * int(math.Ceil(math.Log10(float64(len(m.members)+2))))
 }
 
-// sample returns random usable members other than self and the excluded one.
+// sample returns up to count random usable members other than self and the excluded one. The caller must hold mu.
 func (m *Membership) sample(count int, excluded string) []peer.Member {
 	var others []peer.Member
 	for _, member := range m.usable() {
@@ -251,7 +253,7 @@
 	return chosen[0], true
 }
 
-// merge merges reports of members and gossips those that are news; members of other zones are ignored.
+// merge merges reports about members and gossips the ones that change the list. It ignores members of other zones.
 func (m *Membership) merge(members []peer.Member) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -262,9 +264,8 @@
 	}
 }
 
-// mergeList merges a whole list without gossiping it: what is news to a node that joins is known to the others.
-// A member that this node considers dead but the list does not is alive again: a node that was cut off alone
-// considers all others dead.
+// mergeList merges a whole list without gossiping it, since the other nodes have the content already. If this node
+// considers a member dead and the list does not, the list prevails: an isolated node considers all others dead.
 func (m *Membership) mergeList(members []peer.Member) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -277,7 +278,7 @@
 	}
 }
 
-// refute answers a report that this node is suspect or dead with a higher incarnation.
+// refute responds to a report that this node is suspect or dead by raising its incarnation.
 func (m *Membership) refute(member peer.Member) {
 	if member.State == peer.Alive || m.self.State == peer.Left || member.Incarnation < m.self.Incarnation {
 		return
@@ -287,7 +288,8 @@
 	m.updates.add(m.self)
 }
 
-// update merges a report of a member, and reports whether that changed the usable members or their states.
+// update merges a report about a member, and reports whether the usable members or their states changed. The caller
+// must hold mu.
 func (m *Membership) update(member peer.Member) bool {
 	if member.Zone != m.self.Zone || member.ID == "" {
 		return false
@@ -302,14 +304,15 @@
 	}
 	m.members[member.ID] = &knownMember{member: member, changedAt: time.Now()}
 	if !found && !isUsable(member.State) {
-		// The death of an unknown member is no news, but overrides older reports that it is alive.
+		// The death of an unknown member changes nothing, but it is stored to override older reports that the member
+		// is alive.
 		return false
 	}
 	m.version++
 	return true
 }
 
-// supersedes reports whether a report of a member is newer than what is known.
+// supersedes reports whether a report about a member overrides the known one.
 func supersedes(reported, known peer.Member) bool {
 	if reported.Incarnation != known.Incarnation {
 		return reported.Incarnation > known.Incarnation
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -13,12 +13,12 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer/peertest"
 )
 
-// quiet is a listener that provides nothing and ignores what it receives.
-type quiet struct{}
+// nopListener is a Listener that provides nothing and ignores what it receives.
+type nopListener struct{}
 
-func (quiet) Digest() peer.Digest                            { return peer.Digest{} }
-func (quiet) Notices() []peer.LeafNotice                     { return nil }
-func (quiet) Receive(string, peer.Digest, []peer.LeafNotice) {}
+func (nopListener) Digest() peer.Digest                            { return peer.Digest{} }
+func (nopListener) Notices() []peer.LeafNotice                     { return nil }
+func (nopListener) Receive(string, peer.Digest, []peer.LeafNotice) {}
 
 type handler struct{ members *Membership }
 
@@ -40,7 +40,7 @@
 	for number := range size {
 		z.start(t, number, int64(1))
 	}
-	for range 2 { // nodes join again and again
+	for range 2 { // nodes join repeatedly
 		for _, member := range z.members[1:] {
 			if _, _, err := member.Join(t.Context(), "n0"); err != nil {
 				t.Fatal(err)
@@ -53,7 +53,7 @@
 func (z *zone) start(t *testing.T, number int, incarnation int64) *Membership {
 	address := fmt.Sprintf("n%d", number)
 	transport := z.network.Attach(address)
-	member := New(DefaultConfig(), peer.Member{ID: address, Address: address, Zone: "z", Incarnation: incarnation}, transport, quiet{}, uint64(number))
+	member := New(DefaultConfig(), peer.Member{ID: address, Address: address, Zone: "z", Incarnation: incarnation}, transport, nopListener{}, uint64(number))
 	transport.Serve(handler{member})
 	ctx, cancel := context.WithCancel(t.Context())
 	go member.Run(ctx)
@@ -82,7 +82,7 @@
 	return count
 }
 
-func TestJoinedNodesKnowEachOther(t *testing.T) {
+func TestJoinedNodesListEachOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		z := newZone(t, 30)
@@ -94,7 +94,7 @@
 	})
 }
 
-func TestDeadNodeIsFound(t *testing.T) {
+func TestDeadNodeIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		z := newZone(t, 30)
@@ -104,12 +104,12 @@
 		z.network.Remove("n7")
 		time.Sleep(30 * time.Second)
 		is.Equal(z.seenBy("n7"), 0)
-		is.Equal(z.seenBy("n8"), 29) // the stopped node's own view is included
+		is.Equal(z.seenBy("n8"), 29) // including the stopped node's own list
 	})
 }
 
-// A node cut off for so long that it and the others consider each other dead is alive again when it joins again.
-func TestFrozenNodeComesBack(t *testing.T) {
+// A node that was frozen until it and the other nodes considered each other dead is alive again after it rejoins.
+func TestFrozenNodeRejoins(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		z := newZone(t, 20)
@@ -119,7 +119,7 @@
 		time.Sleep(time.Minute)
 		is.Equal(z.seenBy("n5"), 0)
 		z.network.Freeze("n5", false)
-		for range 2 { // nodes join again and again
+		for range 2 { // nodes join repeatedly
 			_, _, err := z.members[5].Join(t.Context(), "n0")
 			is.NoErr(err)
 		}
@@ -129,9 +129,9 @@
 	})
 }
 
-// With a fifth of all datagrams lost, hardly any node considers another one dead at any time, and none for long, thanks to
-// the last probes and refutation.
-func TestLossKillsHardlyAnybody(t *testing.T) {
+// With a fifth of all datagrams lost, few nodes consider another node dead at any time, and the lists are
+// complete again after the loss has ended.
+func TestDatagramLossCausesFewFalseDeaths(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const size, checks = 25, 30
@@ -139,14 +139,14 @@
 		defer z.stop()
 		time.Sleep(20 * time.Second)
 		z.network.SetLoss(0.2)
-		deadOpinions := 0
+		falseDeaths := 0
 		for range checks {
 			time.Sleep(10 * time.Second)
 			for _, member := range z.members {
-				deadOpinions += member.Counts()[peer.Dead]
+				falseDeaths += member.Counts()[peer.Dead]
 			}
 		}
-		is.True(deadOpinions < checks*size*(size-1)/200) // under half a percent of all opinions
+		is.True(falseDeaths < checks*size*(size-1)/200) // under 0.5% of all node pairs
 		z.network.SetLoss(0)
 		for _, member := range z.members[1:] {
 			_, _, err := member.Join(t.Context(), "n0")
@@ -161,7 +161,7 @@
 	})
 }
 
-func TestPlannedStopNeedsNoSuspicion(t *testing.T) {
+func TestPlannedStopIsSeenWithoutSuspicion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		z := newZone(t, 20)
@@ -173,8 +173,8 @@
 	})
 }
 
-// A new process on an old id replaces what is known of its predecessor.
-func TestRestartedNodeSupersedesItsDeath(t *testing.T) {
+// A new process with the ID of a dead node replaces its predecessor in the lists.
+func TestRestartedNodeReplacesDeadPredecessor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		z := newZone(t, 10)
--- a/internal/fleet/membership/probe.go
+++ b/internal/fleet/membership/probe.go
@@ -10,15 +10,15 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// suspectNotices is how many times a suspect is notified by the node that suspects it. Gossip alone reaches it
+// suspectNotifications is how many times a node notifies a member that it suspects. Gossip alone reaches the suspect
 // too late if many messages are lost.
-const suspectNotices = 4
+const suspectNotifications = 4
 
-// confirmationProbes is how many last probes a suspect gets.
+// confirmationProbes is how many times a suspect is probed before it is declared dead.
 const confirmationProbes = 5
 
-// answerProbe acknowledges a probe of this node. A prober that is suspect or dead here is notified of that,
-// since it can refute only what it knows.
+// answerProbe acknowledges a probe of this node. If this node considers the prober suspect or dead, the answer says
+// so, since the prober can refute only what it has been told.
 func (m *Membership) answerProbe(prober string, probe peer.Probe) {
 	if probe.TargetID != m.Self().ID {
 		return
@@ -33,7 +33,7 @@
 	m.send(prober, peer.Message{Acknowledge: &peer.Acknowledge{Sequence: probe.Sequence}})
 }
 
-// nextTarget returns the next member of the shuffled round.
+// nextTarget returns the next member to probe in the shuffled round.
 func (m *Membership) nextTarget() (peer.Member, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -54,25 +54,24 @@
 	return peer.Member{}, false
 }
 
-// probe decides whether a member is suspected: it probes the member, after Config.ProbeTimeout asks
-// Config.IndirectProbes others to probe it, and suspects it if there is still no answer after twice
-// Config.ProbeTimeout.
+// probe probes a member. Without an answer within Config.ProbeTimeout, it asks Config.IndirectProbes others to probe
+// the member. Without an answer within another two times Config.ProbeTimeout, it marks the member as suspect.
 func (m *Membership) probe(ctx context.Context, target peer.Member) {
 	sequence, answered := m.openProbe()
 	defer m.closeProbe(sequence)
 	m.send(target.Address, peer.Message{Probe: &peer.Probe{Sequence: sequence, TargetID: target.ID}})
-	if awaitAnswer(ctx, answered, m.config.ProbeTimeout) {
+	if awaitAnswer(ctx, answered, m.cfg.ProbeTimeout) {
 		return
 	}
 	m.mu.Lock()
-	helpers := m.sample(m.config.IndirectProbes, target.ID)
+	helpers := m.sample(m.cfg.IndirectProbes, target.ID)
 	m.mu.Unlock()
 	for _, helper := range helpers {
 		m.send(helper.Address, peer.Message{ProbeRequest: &peer.ProbeRequest{
 			Sequence: sequence, TargetID: target.ID, TargetAddress: target.Address,
 		}})
 	}
-	if awaitAnswer(ctx, answered, 2*m.config.ProbeTimeout) || ctx.Err() != nil {
+	if awaitAnswer(ctx, answered, 2*m.cfg.ProbeTimeout) || ctx.Err() != nil {
 		return
 	}
 	target.State = peer.Suspect
@@ -80,11 +79,11 @@
 	m.notifySuspect(ctx, target)
 }
 
-// notifySuspect sends a suspicion to the suspect itself, so that it can refute it.
+// notifySuspect notifies a suspect of the suspicion, so that it can refute it.
 func (m *Membership) notifySuspect(ctx context.Context, suspect peer.Member) {
-	for range suspectNotices {
+	for range suspectNotifications {
 		m.transport.Send(suspect.Address, peer.Message{Digest: m.listener.Digest(), Members: []peer.Member{suspect}})
-		if !wait.For(ctx, m.config.ProbeInterval) {
+		if !wait.For(ctx, m.cfg.ProbeInterval) {
 			return
 		}
 		m.mu.Lock()
@@ -97,14 +96,14 @@
 	}
 }
 
-// probeOnBehalf probes a member on behalf of another node and passes on its answer.
+// probeOnBehalf probes a member on behalf of another node and forwards the acknowledgement to that node.
 func (m *Membership) probeOnBehalf(requester string, request peer.ProbeRequest) {
 	if m.probeOnce(context.Background(), peer.Member{ID: request.TargetID, Address: request.TargetAddress}) {
 		m.send(requester, peer.Message{Acknowledge: &peer.Acknowledge{Sequence: request.Sequence}})
 	}
 }
 
-// awaitAnswer reports whether a probe is answered before a timeout.
+// awaitAnswer waits for the answer to a probe, and reports whether it arrived before the timeout.
 func awaitAnswer(ctx context.Context, answered <-chan struct{}, timeout time.Duration) bool {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -121,23 +120,23 @@
 func (m *Membership) openProbe() (uint64, <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.probes.Open()
+	return m.pendingProbes.Open()
 }
 
 func (m *Membership) closeProbe(sequence uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.probes.Close(sequence)
+	m.pendingProbes.Close(sequence)
 }
 
-func (m *Membership) acknowledged(sequence uint64) {
+func (m *Membership) handleAcknowledge(sequence uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.probes.Answer(sequence)
+	m.pendingProbes.Answer(sequence)
 }
 
-// expireSuspects probes suspects a last time whose time to refute is over, and forgets members that have been
-// dead for Config.KeepDead.
+// expireSuspects starts confirmDeath for suspects that did not refute the suspicion in time, and removes members that
+// have been dead or gone for Config.KeepDead.
 func (m *Membership) expireSuspects(ctx context.Context, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -148,18 +147,18 @@
 		case known.member.State == peer.Suspect && age >= suspicion && !known.confirming:
 			known.confirming = true
 			go m.confirmDeath(ctx, known.member)
-		case !isUsable(known.member.State) && age >= m.config.KeepDead:
+		case !isUsable(known.member.State) && age >= m.cfg.KeepDead:
 			delete(m.members, id)
 		}
 	}
 }
 
-// confirmDeath decides whether a suspect is dead: it is, unless it answers one of confirmationProbes last
-// probes. Its refutation may not have reached this node although all others received it.
+// confirmDeath declares a suspect dead unless it answers one of confirmationProbes probes. The probes are necessary
+// because its refutation may have reached all nodes except this one.
 func (m *Membership) confirmDeath(ctx context.Context, suspect peer.Member) {
-	answers := false
+	answered := false
 	for range confirmationProbes {
-		if answers = m.probeOnce(ctx, suspect); answers || ctx.Err() != nil {
+		if answered = m.probeOnce(ctx, suspect); answered || ctx.Err() != nil {
 			break
 		}
 	}
@@ -169,7 +168,7 @@
 	if !found || known.member != suspect || ctx.Err() != nil {
 		return
 	}
-	if answers {
+	if answered {
 		suspect.State = peer.Alive
 		m.members[suspect.ID] = &knownMember{member: suspect, changedAt: time.Now()}
 		return
@@ -185,12 +184,12 @@
 	sequence, answered := m.openProbe()
 	defer m.closeProbe(sequence)
 	m.send(target.Address, peer.Message{Probe: &peer.Probe{Sequence: sequence, TargetID: target.ID}})
-	return awaitAnswer(ctx, answered, m.config.ProbeTimeout)
+	return awaitAnswer(ctx, answered, m.cfg.ProbeTimeout)
 }
 
-// suspicionTime returns how long a suspect has to refute: Config.SuspicionIntervals probe intervals times the
+// suspicionTime returns the time in which a suspect can refute: Config.SuspicionIntervals probe intervals times the
 // decimal logarithm of the zone's size, since gossip takes longer in a larger zone.
 func (m *Membership) suspicionTime() time.Duration {
 	scale := math.Max(1, math.Log10(float64(len(m.members)+1)))
-	return time.Duration(m.config.SuspicionIntervals * scale * float64(m.config.ProbeInterval))
+	return time.Duration(m.cfg.SuspicionIntervals * scale * float64(m.cfg.ProbeInterval))
 }
