--- a/internal/fleet/registry/fleet.go
+++ b/internal/fleet/registry/fleet.go
@@ -11,149 +11,148 @@
 	"github.com/portgauge/portgauge/internal/node/boottime"
 )
 
-// gatherersShare is the part of a bound on the leafs of gathered services that the gatherers have together; the
-// other nodes have the rest, for when the gatherers fail them.
+// gatherersShare is the gatherers' total share of a bound on the leafs of gathered services. The other nodes have the
+// rest, which they need when the gatherers are unavailable.
 const gatherersShare = 0.8
 
-// Fleet knows the nodes of the fleet. A node that is gone still counts for a while, since its share of common
-// bounds is not free at once. It is safe for concurrent use.
+// Fleet tracks the registered nodes. A node that is no longer registered still counts for the retention time, since it
+// may continue to use its share of common bounds. A Fleet is safe for concurrent use.
 type Fleet struct {
-	catalog *catalog.Catalog
-	memory  time.Duration
-	self    string
-	now     func() time.Time
+	catalog   *catalog.Catalog
+	retention time.Duration
+	self      string
+	now       func() time.Time
 
 	mu    sync.Mutex
 	view  *catalog.View        // the view that nodes was computed from
-	gone  map[string]time.Time // until when nodes that are gone still count, by id
+	gone  map[string]time.Time // by id, when a node that is no longer registered stops counting
 	nodes []catalog.NodeRecord // sorted by id
-	// gatherers are the nodes of nodes that gather, see Gatherers.
-	gatherers []catalog.NodeRecord
-	// isGatherer says whether this node gathers.
-	isGatherer bool
-	// until is when the first of gone no longer counts; zero if there is none.
-	until time.Time
+	// gatherers holds the elements of nodes that gather, see Gatherers.
+	gatherers  []catalog.NodeRecord
+	isGatherer bool // whether this node is one of gatherers
+	// nextExpiry is the earliest time in gone; zero if gone is empty.
+	nextExpiry time.Time
 }
 
-// NewFleet returns a Fleet for the node of an id; nodes that are gone still count for the time of memory.
-func NewFleet(known *catalog.Catalog, self string, memory time.Duration) *Fleet {
-	return &Fleet{catalog: known, memory: memory, self: self, now: time.Now, gone: map[string]time.Time{}}
+// NewFleet returns the Fleet of the node with the ID self.
+func NewFleet(known *catalog.Catalog, self string, retention time.Duration) *Fleet {
+	return &Fleet{catalog: known, retention: retention, self: self, now: time.Now, gone: map[string]time.Time{}}
 }
 
-// SetClock sets the clock by which nodes that are gone still count. It must be called before the Fleet is used.
-func (c *Fleet) SetClock(clock boottime.Clock) { c.now = clock.Now }
+// SetClock sets the clock that measures the retention time. It must be called before the Fleet is used.
+func (f *Fleet) SetClock(clock boottime.Clock) { f.now = clock.Now }
 
-// Nodes returns the nodes that are registered or were a moment ago, sorted by id. The slice is shared and never
-// changed: callers must not change it either.
-func (c *Fleet) Nodes() []catalog.NodeRecord {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.refresh()
-	return c.nodes
+// Nodes returns the nodes that are registered or were within the retention time, sorted by ID. The slice is shared and
+// never modified; callers must not modify it either.
+func (f *Fleet) Nodes() []catalog.NodeRecord {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.refresh()
+	return f.nodes
 }
 
-// Gatherers returns the nodes that gather for the others of their zones, see the function Gatherers. The slice
-// is shared and never changed.
-func (c *Fleet) Gatherers() []catalog.NodeRecord {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.refresh()
-	return c.gatherers
+// Gatherers returns the nodes that gather for the others of their zones, see the function Gatherers. The slice is shared
+// and never modified; callers must not modify it either.
+func (f *Fleet) Gatherers() []catalog.NodeRecord {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.refresh()
+	return f.gatherers
 }
 
 // IsGatherer reports whether this node gathers for others.
-func (c *Fleet) IsGatherer() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.refresh()
-	return c.isGatherer
+func (f *Fleet) IsGatherer() bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.refresh()
+	return f.isGatherer
 }
 
-// IsRegistered reports whether this node is registered, as far as it knows itself.
-func (c *Fleet) IsRegistered() bool {
-	_, registered := c.catalog.View().Nodes[c.self]
+// IsRegistered reports whether this node is registered in the configuration that it has in force.
+func (f *Fleet) IsRegistered() bool {
+	_, registered := f.catalog.View().Nodes[f.self]
 	return registered
 }
 
-// refresh updates the nodes from the configuration in force. The lock must be held.
-func (c *Fleet) refresh() {
-	view := c.catalog.View()
-	now := c.now()
-	if view == c.view && (c.until.IsZero() || now.Before(c.until)) {
+// refresh updates the nodes from the configuration in force. The caller must hold mu.
+func (f *Fleet) refresh() {
+	view := f.catalog.View()
+	now := f.now()
+	if view == f.view && (f.nextExpiry.IsZero() || now.Before(f.nextExpiry)) {
 		return
 	}
-	nodes := c.current(view, now)
-	c.view = view
-	if !slices.Equal(nodes, c.nodes) {
-		c.nodes = nodes
+	nodes := f.current(view, now)
+	f.view = view
+	if !slices.Equal(nodes, f.nodes) {
+		f.nodes = nodes
 	}
-	// Callers compare the slice to find out whether the gatherers changed, so it is replaced only if they did.
-	if gatherers := Gatherers(nodes); !slices.Equal(gatherers, c.gatherers) {
-		c.gatherers = gatherers
-		c.isGatherer = slices.ContainsFunc(c.gatherers, func(node catalog.NodeRecord) bool { return node.ID == c.self })
+	// Callers compare slices to detect a change of the gatherers, so the slice is replaced only on a change.
+	if gatherers := Gatherers(nodes); !slices.Equal(gatherers, f.gatherers) {
+		f.gatherers = gatherers
+		f.isGatherer = slices.ContainsFunc(f.gatherers, func(node catalog.NodeRecord) bool { return node.ID == f.self })
 	}
 }
 
-// current returns the nodes that count, and sets until when that is valid. The lock must be held.
-func (c *Fleet) current(view *catalog.View, now time.Time) []catalog.NodeRecord {
+// current returns the nodes that count, and sets nextExpiry. The caller must hold mu.
+func (f *Fleet) current(view *catalog.View, now time.Time) []catalog.NodeRecord {
 	nodes := make([]catalog.NodeRecord, 0, len(view.Nodes))
-	c.until = time.Time{}
-	for _, node := range c.nodes {
+	f.nextExpiry = time.Time{}
+	for _, node := range f.nodes {
 		if _, registered := view.Nodes[node.ID]; registered {
 			continue
 		}
-		if c.gone[node.ID].IsZero() {
-			c.gone[node.ID] = now.Add(c.memory)
+		if f.gone[node.ID].IsZero() {
+			f.gone[node.ID] = now.Add(f.retention)
 		}
-		until := c.gone[node.ID]
+		until := f.gone[node.ID]
 		if !now.Before(until) {
-			delete(c.gone, node.ID)
+			delete(f.gone, node.ID)
 			continue
 		}
 		nodes = append(nodes, node)
-		if c.until.IsZero() || until.Before(c.until) {
-			c.until = until
+		if f.nextExpiry.IsZero() || until.Before(f.nextExpiry) {
+			f.nextExpiry = until
 		}
 	}
 	for id, node := range view.Nodes {
-		delete(c.gone, id)
+		delete(f.gone, id)
 		nodes = append(nodes, node)
 	}
 	slices.SortFunc(nodes, func(a, b catalog.NodeRecord) int { return strings.Compare(a.ID, b.ID) })
 	return nodes
 }
 
-// Others returns the peer addresses of up to n random registered nodes other than this one.
-func (c *Fleet) Others(n int) []string {
-	nodes := c.Nodes()
-	view := c.catalog.View()
+// Others returns the peer addresses of up to n registered nodes other than this one, chosen at random.
+func (f *Fleet) Others(n int) []string {
+	nodes := f.Nodes()
+	view := f.catalog.View()
 	addresses := make([]string, 0, n)
 	for _, index := range rand.Perm(len(nodes)) {
 		if len(addresses) >= n {
 			break
 		}
-		if node, registered := view.Nodes[nodes[index].ID]; registered && node.ID != c.self {
+		if node, registered := view.Nodes[nodes[index].ID]; registered && node.ID != f.self {
 			addresses = append(addresses, node.Address)
 		}
 	}
 	return addresses
 }
 
-// Share returns this node's share, between 0 and 1, of a bound that all nodes share; 0 unless it is registered.
-// Of bounds on gathered services, the gatherers have most.
-func (c *Fleet) Share(gathered bool) float64 {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.refresh()
-	if !c.IsRegistered() {
+// Share returns this node's share, between 0 and 1, of a bound that is common to all nodes; 0 if the node is not
+// registered. If gathered is true, the bound is on a gathered service, and the gatherers have most of it.
+func (f *Fleet) Share(gathered bool) float64 {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.refresh()
+	if !f.IsRegistered() {
 		return 0
 	}
-	others := len(c.nodes) - len(c.gatherers)
+	others := len(f.nodes) - len(f.gatherers)
 	switch {
 	case !gathered || others == 0:
-		return 1 / float64(len(c.nodes))
-	case c.isGatherer:
-		return gatherersShare / float64(len(c.gatherers))
+		return 1 / float64(len(f.nodes))
+	case f.isGatherer:
+		return gatherersShare / float64(len(f.gatherers))
 	default:
 		return (1 - gatherersShare) / float64(others)
 	}
--- a/internal/fleet/registry/gatherers.go
+++ b/internal/fleet/registry/gatherers.go
@@ -2,13 +2,13 @@
 
 import "github.com/portgauge/portgauge/internal/config/catalog"
 
-// gathererShare is the part of the most cores of a node in the zone that a node needs to gather for others: with
-// less, it takes clearly longer for the same request.
-const gathererShare = 0.5
+// gathererCoreFraction times the largest number of cores of a node in the zone is the number of cores that a node needs
+// to gather for others. With fewer, it takes clearly longer for the same request.
+const gathererCoreFraction = 0.5
 
-// Gatherers returns the nodes that gather requests over many shards, for themselves and for the others of their
-// zone: those with at least gathererShare of the most cores there, and those of unknown size. If all are alike,
-// all gather. The order is kept.
+// Gatherers returns the nodes that gather requests over many shards, for themselves and for the other nodes of their
+// zone: nodes with at least gathererCoreFraction of the zone's largest number of cores, and nodes with an unknown
+// number. If all nodes are alike, all gather. The order of the nodes is kept.
 func Gatherers(nodes []catalog.NodeRecord) []catalog.NodeRecord {
 	largest := map[string]float64{}
 	for _, node := range nodes {
@@ -18,7 +18,7 @@
 	}
 	var gatherers []catalog.NodeRecord
 	for _, node := range nodes {
-		if node.Processors == 0 || node.Processors >= gathererShare*largest[node.Zone] {
+		if node.Processors == 0 || node.Processors >= gathererCoreFraction*largest[node.Zone] {
 			gatherers = append(gatherers, node)
 		}
 	}
--- a/internal/fleet/registry/previous_test.go
+++ b/internal/fleet/registry/previous_test.go
@@ -13,12 +13,12 @@
 	"github.com/portgauge/portgauge/internal/config/catalog"
 )
 
-var resuming = catalog.NodeRecord{ID: "n", Zone: "z", Address: "127.0.0.1:1"}
+var ownRecord = catalog.NodeRecord{ID: "n", Zone: "z", Address: "127.0.0.1:1"}
 
-// leave puts a record that is bound to a lease into a configuration.
-func leave(t *testing.T, known *catalog.Catalog, left leasedRecord) {
+// putRecord puts a node record with a lease into a configuration.
+func putRecord(t *testing.T, known *catalog.Catalog, record leasedRecord) {
 	t.Helper()
-	document, err := json.Marshal(left)
+	document, err := json.Marshal(record)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -27,14 +27,14 @@
 		t.Fatal(err)
 	}
 	revision := known.Revision()
-	known.Apply(catalog.Change{Entry: catalog.Entry{Key: catalog.NodeKey(left.ID), Value: value, Revision: revision + 1}, Previous: revision})
+	known.Apply(catalog.Change{Entry: catalog.Entry{Key: catalog.NodeKey(record.ID), Value: value, Revision: revision + 1}, Previous: revision})
 }
 
-// startResuming runs the registry of a node with an earlier record, in virtual time, and returns the function that stops it
-// and waits for its end.
+// startResuming runs the registry of a node that may resume a previous record, and returns a function that stops the
+// registry and waits for its end.
 func startResuming(t *testing.T, lessor *memoryLessor, known *catalog.Catalog, ready chan struct{}) (stop func()) {
 	t.Helper()
-	record := New(DefaultConfig(), lessor, resuming, zap.NewNop())
+	record := New(DefaultConfig(), lessor, ownRecord, zap.NewNop())
 	record.ResumeFrom(known, ready)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
@@ -48,7 +48,8 @@
 	}
 }
 
-// runResuming runs such a registry and returns its calls in some seconds.
+// runResuming runs such a registry for a number of seconds and returns how many leases it was granted and how often it
+// renewed one.
 func runResuming(t *testing.T, lessor *memoryLessor, known *catalog.Catalog, ready chan struct{}, seconds int) (granted, kept int) {
 	t.Helper()
 	stop := startResuming(t, lessor, known, ready)
@@ -58,35 +59,35 @@
 	return granted, kept
 }
 
-// closed returns a closed channel: there is configuration.
-func closed() chan struct{} {
+// closedChannel returns a closed channel, which signals that there is a configuration.
+func closedChannel() chan struct{} {
 	ready := make(chan struct{})
 	close(ready)
 	return ready
 }
 
-// A node that restarts before its record is gone renews the lease of the record instead of registering, unless the record
-// differs, or its lease is over.
-func TestRecordOfAnEarlierProcessIsResumed(t *testing.T) {
-	moved := resuming
+// A node that restarts while its record is in the store renews the lease of the record instead of registering, unless the
+// record differs or the lease has expired.
+func TestRecordOfPreviousProcessIsResumed(t *testing.T) {
+	moved := ownRecord
 	moved.Address = "127.0.0.1:2"
 	for name, one := range map[string]struct {
-		left    leasedRecord
+		record  leasedRecord
 		lost    bool
 		granted int
 	}{
-		"as it was":    {leasedRecord{NodeRecord: resuming, Lease: 7}, false, 0},
-		"elsewhere":    {leasedRecord{NodeRecord: moved, Lease: 7}, false, 1},
-		"lease over":   {leasedRecord{NodeRecord: resuming, Lease: 7}, true, 1},
-		"lease untold": {leasedRecord{NodeRecord: resuming}, false, 1},
+		"unchanged":          {leasedRecord{NodeRecord: ownRecord, Lease: 7}, false, 0},
+		"address changed":    {leasedRecord{NodeRecord: moved, Lease: 7}, false, 1},
+		"lease expired":      {leasedRecord{NodeRecord: ownRecord, Lease: 7}, true, 1},
+		"no lease in record": {leasedRecord{NodeRecord: ownRecord}, false, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				known := catalog.New(nil)
-				leave(t, known, one.left)
+				putRecord(t, known, one.record)
 				lessor := &memoryLessor{put: map[string]int64{}, lost: one.lost}
-				granted, kept := runResuming(t, lessor, known, closed(), 25)
+				granted, kept := runResuming(t, lessor, known, closedChannel(), 25)
 				is.Equal(granted, one.granted)
 				is.Equal(kept, 3-one.granted)
 			})
@@ -94,7 +95,7 @@
 	}
 }
 
-// A node that gets no configuration registers all the same.
+// A node that receives no configuration still registers.
 func TestNodeWithoutConfigurationRegisters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -104,18 +105,18 @@
 	})
 }
 
-// A node that resumed by an old state changes to the lease that its record is bound to.
-func TestReplacedLeaseIsNotKept(t *testing.T) {
+// A node that resumed from an old state switches to the lease that its record is bound to.
+func TestReplacedLeaseIsNotRenewed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		known := catalog.New(nil)
-		leave(t, known, leasedRecord{NodeRecord: resuming, Lease: 7})
+		putRecord(t, known, leasedRecord{NodeRecord: ownRecord, Lease: 7})
 		lessor := &memoryLessor{put: map[string]int64{}}
 		go func() {
 			time.Sleep(5 * time.Second)
-			leave(t, known, leasedRecord{NodeRecord: resuming, Lease: 8})
+			putRecord(t, known, leasedRecord{NodeRecord: ownRecord, Lease: 8})
 		}()
-		granted, kept := runResuming(t, lessor, known, closed(), 25)
+		granted, kept := runResuming(t, lessor, known, closedChannel(), 25)
 		is.Equal(granted, 0)
 		is.Equal(kept, 3)
 		is.Equal(lessor.keptLast, int64(8))
--- a/internal/fleet/registry/ranking.go
+++ b/internal/fleet/registry/ranking.go
@@ -9,7 +9,7 @@
 	"github.com/portgauge/portgauge/internal/config/catalog"
 )
 
-// position is the position of a node in the ranking of a topic: by weight, highest first, then by id.
+// position is the sort key of a node in the ranking for a topic: by weight in descending order, then by ID.
 type position struct {
 	weight uint64
 	id     string
@@ -23,8 +23,8 @@
 	return cmp.Or(cmp.Compare(other.weight, p.weight), cmp.Compare(p.id, other.id))
 }
 
-// RendezvousOrder returns nodes in order of rendezvous hash for a topic: the same on all nodes, different for each topic,
-// and stable for the remaining nodes when one goes.
+// RendezvousOrder returns nodes in the order of their rendezvous hashes for a topic. The order is the same on all nodes,
+// differs between topics, and is stable for the remaining nodes when one is removed.
 func RendezvousOrder(nodes map[string]catalog.NodeRecord, topic string) []catalog.NodeRecord {
 	positions := make([]position, 0, len(nodes))
 	for id := range nodes {
@@ -38,7 +38,8 @@
 	return ranked
 }
 
-// RendezvousRank returns how many nodes come before that of an id in the order of RendezvousOrder; the id need not be among them.
+// RendezvousRank returns how many nodes precede the node with the given ID in RendezvousOrder. The node itself need not
+// be in nodes.
 func RendezvousRank(nodes map[string]catalog.NodeRecord, topic, id string) int {
 	own := positionOf(topic, id)
 	ahead := 0
@@ -50,8 +51,8 @@
 	return ahead
 }
 
-// Fingerprint identifies a set of nodes by a hash. The fingerprint of two disjoint sets is the sum of theirs, so
-// that it can be computed in parts.
+// Fingerprint returns a hash of a set of nodes. The fingerprint of the union of disjoint sets is the sum of their
+// fingerprints, so it can be computed in parts.
 func Fingerprint(nodes map[string]catalog.NodeRecord) uint64 {
 	sum := uint64(0)
 	for id := range nodes {
--- a/internal/fleet/registry/ranking_test.go
+++ b/internal/fleet/registry/ranking_test.go
@@ -18,25 +18,25 @@
 	return nodes
 }
 
-// A node's rank is its position in the order, also if the node isn't among them.
-func TestRankIsThePlaceInTheOrder(t *testing.T) {
+// A node's rank is its position in the order, even if the node is not one of the given nodes.
+func TestRendezvousRankMatchesOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := drawNodes(t)
 		for rank, node := range RendezvousOrder(nodes, "topic") {
 			if got := RendezvousRank(nodes, "topic", node.ID); got != rank {
-				t.Fatalf("%s has rank %d at place %d", node.ID, got, rank)
+				t.Fatalf("%s has rank %d at position %d of the order", node.ID, got, rank)
 			}
 			others := maps.Clone(nodes)
 			delete(others, node.ID)
 			if got := RendezvousRank(others, "topic", node.ID); got != rank {
-				t.Fatalf("%s has rank %d of the others at place %d", node.ID, got, rank)
+				t.Fatalf("%s has rank %d among the others, at position %d of the order", node.ID, got, rank)
 			}
 		}
 	})
 }
 
-// The fingerprints of the parts of a set add up to its own; not if a node replaces another or is counted twice.
-func TestFingerprintTellsNodesApart(t *testing.T) {
+// The fingerprints of the nodes add up to the fingerprint of their set, unless a node is replaced or counted twice.
+func TestFingerprintDistinguishesNodeSets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := drawNodes(t)
 		sum := uint64(0)
@@ -44,11 +44,11 @@
 			sum += NodeFingerprint(id)
 		}
 		if sum != Fingerprint(nodes) {
-			t.Fatal("the parts are not the whole")
+			t.Fatal("the sum of the nodes' fingerprints is not the fingerprint of the set")
 		}
 		for id := range nodes {
 			if sum-NodeFingerprint(id)+NodeFingerprint("other") == sum || sum+NodeFingerprint(id) == sum {
-				t.Fatal("another set has the same fingerprint")
+				t.Fatal("a different set has the same fingerprint")
 			}
 		}
 	})
--- a/internal/fleet/registry/registry.go
+++ b/internal/fleet/registry/registry.go
@@ -1,13 +1,12 @@
-// Package registry registers a node with the fleet, and counts the fleet's nodes.
+// Package registry registers a node with the fleet and tracks the registered nodes.
 //
-// A Registry writes a record of its node into the store, under a lease that it renews; the records reach every
-// node with the configuration. A Fleet reads them: which nodes there are, which of them gather for others, and
-// what share of a common bound a node has. Ranking orders nodes by rendezvous hash. No permission depends on a
-// record.
+// A Registry writes a record of its node to the store, under a lease that it renews. The records reach every node
+// with the configuration. From them, a Fleet derives the list of nodes, the nodes that gather for others, and each
+// node's share of a common bound. RendezvousOrder orders nodes by rendezvous hash. No permission depends on a record.
 //
-// A Registry owns the lease of its node; Run is its only goroutine. It relies on a store.Lessor, and on the
-// catalog to find the record that an earlier process of the node left and to notice restores of the store. A
-// Fleet owns the list of nodes and ages it by a clock that counts the time of a suspension.
+// A Registry owns the lease of its node; Run is its only goroutine. It uses a store.Lessor, and the catalog to find
+// the record of a previous process of the node and to detect restores of the store. A Fleet owns the list of nodes and
+// expires its entries by a clock that includes the time for which the machine was suspended.
 package registry
 
 import (
@@ -25,27 +24,28 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// renewals is how many times a lease is renewed in its time to live: if a renewal fails, two thirds of that time are left
-// for retries.
-const renewals = 3
+// renewalsPerTTL is how many times a lease is renewed within its time to live. If a renewal fails, two thirds of the
+// time to live are left for retries.
+const renewalsPerTTL = 3
 
-// epochCheckInterval is how often a node checks whether the store was restored. The checks of a fleet are spread
-// over it, and so are the renewals and registrations that follow.
+// epochCheckInterval is how often a node checks whether the store was restored. The checks of the nodes, and the
+// renewals and registrations that follow a restore, are spread over this interval.
 const epochCheckInterval = time.Second
 
 // Config configures the registration of a node.
 type Config struct {
-	// TimeToLive is how long a record outlives its node.
+	// TimeToLive is the time to live of a record's lease: how long the record stays in the store after its node has
+	// crashed.
 	TimeToLive time.Duration `yaml:"time_to_live"`
-	// RetryPause is the pause between attempts to register.
+	// RetryPause is the average pause before a failed registration or renewal is retried.
 	RetryPause time.Duration `yaml:"retry_pause"`
-	// CallTimeout bounds one call of the store.
+	// CallTimeout bounds one call to the store.
 	CallTimeout time.Duration `yaml:"call_timeout"`
-	// Memory is how long a node that is gone still counts.
+	// Memory is how long a node that is no longer registered still counts as a node of the fleet.
 	Memory time.Duration `yaml:"memory"`
 }
 
-// DefaultConfig keeps a record for half a minute.
+// DefaultConfig returns settings that keep the record of a crashed node for 30 seconds.
 func DefaultConfig() Config {
 	return Config{TimeToLive: 30 * time.Second, RetryPause: time.Second, CallTimeout: time.Second, Memory: 15 * time.Second}
 }
@@ -62,33 +62,32 @@
 
 // Registry keeps the record of one node in the store.
 type Registry struct {
-	config   Config
+	cfg      Config
 	lessor   store.Lessor
 	self     catalog.NodeRecord
 	logger   *zap.Logger
 	previous previousRecord
-	// resumed receives a value when the machine resumed from a suspension.
+	// resumed receives a value when the machine has resumed from a suspension.
 	resumed chan struct{}
-	// registeredAt is the revision in force when the node registered. A restore of the store since then may have
-	// lost the lease and assigned its id to another node.
-	registeredAt int64
+	// registeredRevision is the revision in force when the node registered. A later restore of the store may have
+	// removed the lease and assigned its ID to another node.
+	registeredRevision int64
 }
 
-// New returns a registry for a node.
-func New(config Config, lessor store.Lessor, self catalog.NodeRecord, logger *zap.Logger) *Registry {
-	return &Registry{config: config, lessor: lessor, self: self, logger: logger, resumed: make(chan struct{}, 1)}
+func New(cfg Config, lessor store.Lessor, self catalog.NodeRecord, logger *zap.Logger) *Registry {
+	return &Registry{cfg: cfg, lessor: lessor, self: self, logger: logger, resumed: make(chan struct{}, 1)}
 }
 
-// Run registers the node and renews its lease until the context ends; then it ends the lease.
+// Run registers the node and renews its lease until the context ends. Then it revokes the lease.
 func (r *Registry) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		r.registeredAt = r.previous.revision()
+		r.registeredRevision = r.previous.revision()
 		lease, granted, err := r.register(ctx)
-		if r.registeredAt == 0 { // there was no configuration yet
-			r.registeredAt = r.previous.revision()
+		if r.registeredRevision == 0 { // the node had no configuration yet
+			r.registeredRevision = r.previous.revision()
 		}
 		if err != nil {
-			r.logger.Warn("node can't be registered", zap.Error(err))
+			r.logger.Warn("node registration failed; retrying", zap.Error(err))
 			if !wait.For(ctx, r.pause()) {
 				return
 			}
@@ -99,26 +98,26 @@
 	}
 }
 
-// ResumeFrom makes the registry take over the record that an earlier process of the node left in the
-// configuration: renewing its lease costs the store far less than registering. Run waits a while for the
-// configuration then. Call it before Run.
+// ResumeFrom lets the registry take over the record that a previous process of the node left in the configuration:
+// renewing its lease costs the store far less than registering. Run then waits up to configurationWait for the
+// configuration. ResumeFrom must be called before Run.
 func (r *Registry) ResumeFrom(known *catalog.Catalog, ready <-chan struct{}) {
 	r.previous = previousRecord{known: known, ready: ready}
 }
 
-// pause returns the pause before the next attempt, with jitter for nodes that failed together.
+// pause returns the jittered pause before the next attempt, so that nodes that failed together don't retry together.
 func (r *Registry) pause() time.Duration {
-	return wait.Jittered(r.config.RetryPause)
+	return wait.Jittered(r.cfg.RetryPause)
 }
 
-// register takes over the record of an earlier process, or writes a new record under a new lease.
+// register takes over the record of a previous process, or writes a new record under a new lease.
 func (r *Registry) register(ctx context.Context) (lease int64, granted time.Duration, err error) {
 	if lease, err = r.resume(ctx); lease != 0 || err != nil {
-		return lease, r.config.TimeToLive, err
+		return lease, r.cfg.TimeToLive, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, r.config.CallTimeout)
+	ctx, cancel := context.WithTimeout(ctx, r.cfg.CallTimeout)
 	defer cancel()
-	lease, granted, err = r.lessor.Grant(ctx, r.config.TimeToLive)
+	lease, granted, err = r.lessor.Grant(ctx, r.cfg.TimeToLive)
 	if err != nil {
 		return 0, 0, err
 	}
@@ -129,8 +128,8 @@
 	return lease, granted, r.lessor.PutLeased(ctx, catalog.NodeKey(r.self.ID), document, lease)
 }
 
-// resume renews the lease of the record that an earlier process left; 0 if there is no such record or its lease
-// is over.
+// resume renews the lease of the record that a previous process left, and returns the lease. It returns 0 if there is
+// no such record or its lease has expired.
 func (r *Registry) resume(ctx context.Context) (lease int64, err error) {
 	lease = r.previous.lease(ctx, r.self)
 	if lease == 0 {
@@ -143,15 +142,14 @@
 	return lease, err
 }
 
-// renew decides when the lease is renewed or given up. It renews the lease renewals times in its time to live,
-// after a failure after Config.RetryPause, and at once when the machine resumed. It returns, so that the node
-// registers again, when the store was restored, the lease is over, or the record is bound to another lease. When
-// the context ends, it ends the lease.
+// renew renews the lease renewalsPerTTL times within its time to live, after Config.RetryPause if a renewal failed, and
+// at once when the machine resumes. It returns, so that the node registers again, if the store was restored, the lease
+// has expired, or the record is bound to another lease. When the context ends, it revokes the lease.
 func (r *Registry) renew(ctx context.Context, lease int64, granted time.Duration) {
-	pause := granted / renewals
+	pause := granted / renewalsPerTTL
 	for r.waitToRenew(ctx, pause) {
 		if r.isRestored() {
-			r.logger.Info("the store was restored: checking the node's record", zap.Int64("lease", lease))
+			r.logger.Info("the store was restored; checking the record of the node", zap.Int64("lease", lease))
 			return
 		}
 		if r.previous.isReplaced(r.self, lease) {
@@ -160,25 +158,27 @@
 		err := r.keep(ctx, lease)
 		switch {
 		case errors.Is(err, store.ErrLeaseGone):
-			r.logger.Warn("lease of the node is over", zap.Int64("lease", lease))
+			r.logger.Warn("lease of the node has expired; registering again", zap.Int64("lease", lease))
 			return
 		case err != nil:
-			r.logger.Warn("lease of the node can't be renewed", zap.Int64("lease", lease), zap.Error(err))
+			r.logger.Warn("renewal of the node's lease failed; retrying", zap.Int64("lease", lease), zap.Error(err))
 			pause = r.pause()
 		default:
-			pause = granted / renewals
+			pause = granted / renewalsPerTTL
 		}
 	}
-	if !r.isRestored() { // otherwise the id may be another node's lease by now
+	if !r.isRestored() { // after a restore, the lease ID may belong to another node
 		r.end(lease)
 	}
 }
 
 // isRestored reports whether the store was restored since the node registered.
-func (r *Registry) isRestored() bool { return revision.IsLater(r.previous.revision(), r.registeredAt) }
+func (r *Registry) isRestored() bool {
+	return revision.IsLater(r.previous.revision(), r.registeredRevision)
+}
 
-// Resumed makes the registry renew its lease at once: the lease kept running out while the machine was
-// suspended.
+// Resumed makes the registry renew its lease at once, because the time to live of the lease elapsed while the machine
+// was suspended.
 func (r *Registry) Resumed() {
 	select {
 	case r.resumed <- struct{}{}:
@@ -186,8 +186,8 @@
 	}
 }
 
-// waitToRenew waits for a pause, or until the machine resumes or the store was restored; false when the context
-// ended.
+// waitToRenew waits for a pause, but only until the machine resumes or the store is restored. It returns false if the
+// context ended.
 func (r *Registry) waitToRenew(ctx context.Context, pause time.Duration) bool {
 	for until := time.Now().Add(pause); ctx.Err() == nil; {
 		left := time.Until(until)
@@ -201,7 +201,7 @@
 	return false
 }
 
-// waitResumed waits for a pause, and reports whether the machine resumed meanwhile.
+// waitResumed waits for a pause, but only until the machine resumes, and reports whether it resumed.
 func (r *Registry) waitResumed(ctx context.Context, pause time.Duration) bool {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
@@ -216,16 +216,16 @@
 
 // keep renews the lease once.
 func (r *Registry) keep(ctx context.Context, lease int64) error {
-	ctx, cancel := context.WithTimeout(ctx, r.config.CallTimeout)
+	ctx, cancel := context.WithTimeout(ctx, r.cfg.CallTimeout)
 	defer cancel()
 	return r.lessor.Keep(ctx, lease)
 }
 
-// end ends the lease; if that fails, the lease expires by itself.
+// end revokes the lease. If that fails, the lease expires.
 func (r *Registry) end(lease int64) {
-	ctx, cancel := context.WithTimeout(context.Background(), r.config.CallTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), r.cfg.CallTimeout)
 	defer cancel()
 	if err := r.lessor.End(ctx, lease); err != nil {
-		r.logger.Info("lease of the node can't be ended; it expires by itself", zap.Error(err))
+		r.logger.Info("lease of the node could not be revoked; it will expire", zap.Error(err))
 	}
 }
--- a/internal/fleet/registry/registry_test.go
+++ b/internal/fleet/registry/registry_test.go
@@ -20,7 +20,7 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// memoryLessor keeps leases in memory and fails on request.
+// memoryLessor is a store.Lessor that keeps leases in memory and can be made to fail.
 type memoryLessor struct {
 	mu      sync.Mutex
 	failing bool
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// calls returns the numbers of leases granted, renewed and ended so far, and the lease of a key.
+// calls returns the number of grants, renewals and revocations so far, and the lease of a key.
 func (m *memoryLessor) calls(key string) (granted, kept, ended int, lease int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -87,9 +87,9 @@
 	m.failing, m.lost = failing, lost
 }
 
-// A node registers, renews its lease, registers again when the lease is over, and ends it when it stops; an outage of the
-// store causes retries only.
-func TestRecordIsKeptThroughOutages(t *testing.T) {
+// A node registers, renews its lease, registers again when the lease has expired, and revokes it when it stops. A store
+// outage only causes retries.
+func TestNodeStaysRegisteredThroughStoreOutages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		lessor := &memoryLessor{put: map[string]int64{}, failing: true}
@@ -134,8 +134,8 @@
 	known.Apply(catalog.Change{Entry: catalog.Entry{Key: catalog.NodeKey(id), Value: value, Revision: revision + 1, Deleted: deleted}, Previous: revision})
 }
 
-// Nodes that are gone still count for a while, and a node that isn't registered has no share.
-func TestFleetRemembersNodesForAWhile(t *testing.T) {
+// Nodes that are no longer registered count for the retention time, and a node that isn't registered has no share.
+func TestGoneNodesCountForRetentionTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		known := catalog.New(nil)
@@ -156,13 +156,13 @@
 	})
 }
 
-func TestConfigNamesEveryFault(t *testing.T) {
+func TestValidateNamesEveryInvalidField(t *testing.T) {
 	is := is.New(t)
 	is.NoErr(DefaultConfig().Validate())
 	is.Equal(len(failure.Faults(Config{}.Validate())), 4)
 }
 
-// ids returns the ids of the nodes that a Fleet counts.
+// ids returns the IDs of the nodes that a Fleet counts.
 func ids(fleet *Fleet) []string {
 	var ids []string
 	for _, node := range fleet.Nodes() {
@@ -171,9 +171,9 @@
 	return ids
 }
 
-// Whatever the nodes are, their shares of a bound add up to all of it, and the gatherers have most of the bounds on gathered
-// services.
-func TestPartsOfABound(t *testing.T) {
+// The nodes' shares of a bound add up to 1 whatever their sizes, and the gatherers have most of a bound on a gathered
+// service.
+func TestSharesAddUpToBound(t *testing.T) {
 	is := is.New(t)
 	for _, large := range []int{0, 1, 2, 5} {
 		known := catalog.New(nil)
@@ -197,7 +197,7 @@
 	}
 }
 
-// A node with less than half of the most cores in its zone does not gather; one of unknown size does.
+// A node with less than half of the largest number of cores in its zone does not gather. A node of unknown size does.
 func TestGatherers(t *testing.T) {
 	is := is.New(t)
 	nodes := []catalog.NodeRecord{
@@ -226,8 +226,8 @@
 	known.Apply(catalog.Change{Entry: catalog.Entry{Key: catalog.NodeKey(node.ID), Value: value, Revision: known.Revision() + 1}, Previous: known.Revision()})
 }
 
-// The slice of the gatherers stays the same when a node comes or goes that doesn't gather.
-func TestGatherersStayTheSameSlice(t *testing.T) {
+// The slice of gatherers is replaced only if the gatherers change, since callers compare slices.
+func TestGatherersSliceIsReplacedOnlyOnChange(t *testing.T) {
 	is := is.New(t)
 	known := catalog.New(nil)
 	put := func(node catalog.NodeRecord) {
@@ -250,16 +250,16 @@
 	is.True(!fleet.IsGatherer())
 }
 
-// A lease that expired while the machine was suspended is noticed when the machine resumes, not at its next renewal.
-func TestLeaseIsRenewedOnWaking(t *testing.T) {
+// A lease that expired while the machine was suspended is replaced as soon as the machine resumes, not at the next renewal.
+func TestLeaseIsRenewedOnResume(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		lessor := &memoryLessor{put: map[string]int64{}}
-		config := DefaultConfig()
-		node := New(config, lessor, catalog.NodeRecord{ID: "n"}, zap.NewNop())
+		cfg := DefaultConfig()
+		node := New(cfg, lessor, catalog.NodeRecord{ID: "n"}, zap.NewNop())
 		ctx, cancel := context.WithCancel(t.Context())
 		go node.Run(ctx)
-		time.Sleep(config.TimeToLive / 10)
+		time.Sleep(cfg.TimeToLive / 10)
 		synctest.Wait()
 		granted, kept, _, _ := lessor.calls("")
 		is.Equal(granted, 1)
--- a/internal/fleet/registry/restored_test.go
+++ b/internal/fleet/registry/restored_test.go
@@ -11,17 +11,17 @@
 	"github.com/portgauge/portgauge/internal/config/revision"
 )
 
-// A restore of the store is noticed within a second, not by the next renewal: a node whose record was lost registers again, a
-// node whose record is still there renews its lease, and neither touches the lease that it had, which may be another node's.
-func TestRecordIsLookedAfterOnceTheStoreIsRestored(t *testing.T) {
+// A node detects a restore of the store within a second. It registers again if its record was lost, and else renews the
+// lease of the record. It never revokes the lease that it had before, since that may belong to another node.
+func TestRecordIsCheckedAfterStoreRestore(t *testing.T) {
 	for name, isLost := range map[string]bool{"lost": true, "still there": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				known := catalog.New(nil)
-				leave(t, known, leasedRecord{NodeRecord: resuming, Lease: 7})
+				putRecord(t, known, leasedRecord{NodeRecord: ownRecord, Lease: 7})
 				lessor := &memoryLessor{put: map[string]int64{}}
-				stop := startResuming(t, lessor, known, closed())
+				stop := startResuming(t, lessor, known, closedChannel())
 				time.Sleep(time.Second)
 				_, kept, _, _ := lessor.calls(catalog.NodeKey("n"))
 				is.Equal(kept, 1)
@@ -45,14 +45,14 @@
 	}
 }
 
-// A node that stops before it has noticed a restore doesn't end the lease that it had.
-func TestLeaseOfBeforeARestoreIsNotEnded(t *testing.T) {
+// A node that stops before it has handled a restore doesn't revoke the lease that it had.
+func TestLeaseFromBeforeStoreRestoreIsNotEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		known := catalog.New(nil)
-		leave(t, known, leasedRecord{NodeRecord: catalog.NodeRecord{ID: "other"}})
+		putRecord(t, known, leasedRecord{NodeRecord: catalog.NodeRecord{ID: "other"}})
 		lessor := &memoryLessor{put: map[string]int64{}}
-		stop := startResuming(t, lessor, known, closed())
+		stop := startResuming(t, lessor, known, closedChannel())
 		time.Sleep(500 * time.Millisecond)
 		is.True(known.Replace(catalog.Snapshot{Revision: revision.At(1, 1)}))
 		stop()
