--- a/internal/fleet/reachability/config.go
+++ b/internal/fleet/reachability/config.go
@@ -9,27 +9,27 @@
 // maxNodes bounds the nodes that one check pings.
 const maxNodes = 64
 
-// Config configures how soon a zone counts as lost, and how soon it is reachable again.
+// Config configures how soon a zone counts as lost, and how soon it counts as reachable again.
 type Config struct {
-	// Enabled lets the node treat zones as lost.
+	// Enabled enables the detection of lost zones.
 	Enabled bool `yaml:"enabled"`
-	// FirstWait is how long the first two nodes of a zone have to answer a check.
+	// FirstWait is how long a check waits for an answer from the first two nodes of a zone.
 	FirstWait time.Duration `yaml:"first_wait"`
-	// Wait is how long the other nodes of a check have to answer; a zone with longer round trips gets twice its
-	// longest.
+	// Wait is how long a check then waits for an answer from the other nodes. Both waits are extended to twice the
+	// zone's longest round trip.
 	Wait time.Duration `yaml:"wait"`
-	// LeastNodes is how many different nodes of a zone must leave a check unanswered.
+	// LeastNodes is how many different nodes of a zone must not answer before the zone counts as lost.
 	LeastNodes int `yaml:"least_nodes"`
-	// Pause is how long a zone is not checked again after a check.
+	// Pause is the minimum time between two checks of a zone.
 	Pause time.Duration `yaml:"pause"`
-	// ProbeInterval is how often one node of a lost zone is pinged.
+	// ProbeInterval is the interval between pings to a lost zone.
 	ProbeInterval time.Duration `yaml:"probe_interval"`
-	// Fanout is how many nodes of the own zone are notified of a lost zone.
+	// Fanout is how many nodes of its own zone a node notifies of a lost zone.
 	Fanout int `yaml:"fanout"`
 }
 
-// DefaultConfig suits zones within a region or near each other, with round trips of a few milliseconds; longer
-// ones are learnt.
+// DefaultConfig returns settings for zones within a region or near each other, with round trips of a few milliseconds.
+// Checks adapt to longer round trips.
 func DefaultConfig() Config {
 	return Config{
 		Enabled:       true,
--- a/internal/fleet/reachability/datagrams.go
+++ b/internal/fleet/reachability/datagrams.go
@@ -8,19 +8,19 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
-// maxPending bounds the open requests; further ones count as unanswered.
+// maxPending bounds the number of pending pings; further pings are not sent and count as unanswered.
 const maxPending = 4096
 
-// Sender sends datagrams to nodes; peer.Transport is one.
+// Sender sends datagrams to nodes; peer.Transport implements it.
 type Sender interface {
 	Send(address string, message peer.Message)
 }
 
-// Datagrams is the Prober over peer datagrams; safe for concurrent use.
+// Datagrams implements Prober over peer datagrams. It is safe for concurrent use.
 type Datagrams struct {
 	sender Sender
-	// zoneLost is called with a zone that another node has lost.
-	zoneLost func(zone string)
+	// onZoneLost is called with a zone that another node has lost.
+	onZoneLost func(zone string)
 
 	mu      sync.Mutex
 	pending peer.Pending
@@ -28,14 +28,14 @@
 
 var _ Prober = (*Datagrams)(nil)
 
-// NewDatagrams returns a prober; OnZoneLost sets who learns of zones that other nodes lost.
+// NewDatagrams returns a prober that ignores announcements of lost zones until OnZoneLost is called.
 func NewDatagrams(sender Sender) *Datagrams {
-	return &Datagrams{sender: sender, zoneLost: func(string) {}}
+	return &Datagrams{sender: sender, onZoneLost: func(string) {}}
 }
 
-// OnZoneLost sets the function that is called with a zone that another node has lost. It must be set before
-// datagrams arrive.
-func (d *Datagrams) OnZoneLost(zoneLost func(zone string)) { d.zoneLost = zoneLost }
+// OnZoneLost sets the function that is called with each zone that another node has lost. It must be called before the
+// first datagram arrives.
+func (d *Datagrams) OnZoneLost(zoneLost func(zone string)) { d.onZoneLost = zoneLost }
 
 // Ping implements Prober.
 func (d *Datagrams) Ping(ctx context.Context, node catalog.NodeRecord) bool {
@@ -58,19 +58,20 @@
 	d.sender.Send(node.Address, peer.Message{Reachability: &peer.Reachability{Lost: zone}})
 }
 
-// Handle handles a datagram: it answers a ping, and passes on an answer or the announcement of a lost zone.
+// Handle handles a datagram: a ping, the answer to a ping, or the announcement of a lost zone.
 func (d *Datagrams) Handle(from string, reach peer.Reachability) {
 	switch {
 	case reach.Lost != "":
-		d.zoneLost(reach.Lost)
+		d.onZoneLost(reach.Lost)
 	case reach.Answer:
-		d.answered(reach.Number)
+		d.recordAnswer(reach.Number)
 	default:
 		d.sender.Send(from, peer.Message{Reachability: &peer.Reachability{Number: reach.Number, Answer: true}})
 	}
 }
 
-// open returns the number of a new request; the channel is nil when there are too many.
+// open returns the number of a new ping and a channel that its answer closes. The channel is nil if maxPending pings are
+// pending.
 func (d *Datagrams) open() (uint64, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -86,7 +87,7 @@
 	d.pending.Close(number)
 }
 
-func (d *Datagrams) answered(number uint64) {
+func (d *Datagrams) recordAnswer(number uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.pending.Answer(number)
--- a/internal/fleet/reachability/datagrams_test.go
+++ b/internal/fleet/reachability/datagrams_test.go
@@ -13,16 +13,16 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
-// link delivers datagrams between nodes, by address.
+// link delivers datagrams between nodes.
 type link struct {
-	nodes map[string]*Datagrams
+	nodes map[string]*Datagrams // by address
 
 	mu sync.Mutex
 	// lost reports whether a datagram between two nodes is dropped.
 	lost func(from, to string) bool
 }
 
-// drop sets which datagrams are dropped.
+// drop sets the function that reports which datagrams are dropped.
 func (l *link) drop(lost func(from, to string) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -35,29 +35,29 @@
 	return l.lost(from, to)
 }
 
-// end is the link as seen by one node.
-type end struct {
+// linkEnd is the Sender of one node.
+type linkEnd struct {
 	link *link
 	from string
 }
 
-func (e end) Send(to string, message peer.Message) {
+func (e linkEnd) Send(to string, message peer.Message) {
 	if e.link.drops(e.from, to) {
 		return
 	}
 	time.AfterFunc(time.Millisecond, func() { e.link.nodes[to].Handle(e.from, *message.Reachability) })
 }
 
-// newLink starts a tracker at the first node of each zone.
-func newLink(t *testing.T, w *testNetwork) (*link, map[string]*Tracker) {
+// newLink starts a tracker on every node and connects the trackers.
+func newLink(t *testing.T, network *testNetwork) (*link, map[string]*Tracker) {
 	t.Helper()
 	l := &link{nodes: map[string]*Datagrams{}, lost: func(string, string) bool { return false }}
 	trackers := map[string]*Tracker{}
 	ctx, cancel := context.WithCancel(t.Context())
-	for _, node := range w.nodes {
-		datagrams := NewDatagrams(end{l, node.Address})
+	for _, node := range network.nodes {
+		datagrams := NewDatagrams(linkEnd{l, node.Address})
 		l.nodes[node.Address] = datagrams
-		tracker := New(Deps{Config: DefaultConfig(), Self: node, Prober: datagrams, Nodes: func() []catalog.NodeRecord { return w.nodes }})
+		tracker := New(Deps{Config: DefaultConfig(), Self: node, Prober: datagrams, Nodes: func() []catalog.NodeRecord { return network.nodes }})
 		datagrams.OnZoneLost(tracker.Suspect)
 		go tracker.Run(ctx)
 		trackers[node.ID] = tracker
@@ -70,12 +70,12 @@
 	return l, trackers
 }
 
-// A cut of one direction is noticed on both sides, and so is its end.
-func TestOneWayCutIsFoundAtBothSides(t *testing.T) {
+// Both sides detect a one-way partition and its end.
+func TestOneWayCutIsDetectedOnBothSides(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newTestNetwork(5, near, far, mid)
-		l, trackers := newLink(t, w)
+		network := newTestNetwork(5, near, far, mid)
+		l, trackers := newLink(t, network)
 		l.drop(func(from, to string) bool { return from[:3] == far && to[:3] != far })
 		trackers["near-0"].Suspect(far)
 		trackers["far-0"].Suspect(near)
@@ -90,12 +90,13 @@
 	})
 }
 
-// If one node loses a zone, the other nodes of its own zone check that zone within a moment, without a request of their own.
-func TestOneSuspicionIsEnoughForAZone(t *testing.T) {
+// If one node loses a zone, the other nodes of its own zone check and lose that zone soon after, without requests of their
+// own.
+func TestAnnouncementSpreadsLossWithinZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newTestNetwork(5, near, far, mid)
-		l, trackers := newLink(t, w)
+		network := newTestNetwork(5, near, far, mid)
+		l, trackers := newLink(t, network)
 		l.drop(func(from, to string) bool { return (from[:3] == far) != (to[:3] == far) })
 		trackers["near-0"].Suspect(far)
 		time.Sleep(4 * checkTime())
@@ -105,23 +106,23 @@
 	})
 }
 
-// A false announcement of another node causes a check, and loses nothing.
-func TestFalseWordLosesNothing(t *testing.T) {
+// A false announcement from another node only causes a check.
+func TestFalseAnnouncementMarksNoZoneLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newTestNetwork(5, near, far)
-		l, trackers := newLink(t, w)
+		network := newTestNetwork(5, near, far)
+		l, trackers := newLink(t, network)
 		l.nodes["near-0"].Handle("near-1", peer.Reachability{Lost: far})
 		time.Sleep(time.Second)
 		is.True(trackers["near-0"].Reaches(far))
 	})
 }
 
-// The number of open requests is bounded, and each ends with its context.
-func TestOpenQuestionsAreBounded(t *testing.T) {
+// The number of pending pings is bounded, and each ends with its context.
+func TestPendingPingsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		d := NewDatagrams(end{&link{lost: func(string, string) bool { return true }}, "a"})
+		d := NewDatagrams(linkEnd{&link{lost: func(string, string) bool { return true }}, "a"})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		for range 2 * maxPending {
@@ -134,7 +135,7 @@
 	})
 }
 
-// count returns the number of open requests.
+// count returns the number of pending pings.
 func (d *Datagrams) count() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/fleet/reachability/reachability.go
+++ b/internal/fleet/reachability/reachability.go
@@ -1,16 +1,16 @@
-// Package reachability tracks which zones this node can reach, so that requests which only a lost zone could
-// serve are rejected without a wait, and others are not sent there.
+// Package reachability tracks which zones this node can reach. Requests that only a lost zone could serve are rejected
+// at once, and other requests are not sent to lost zones.
 //
-// A leaf or an intermediate that doesn't respond is no proof: leafs pause, and nodes crash. It only makes the
-// node check the zone (zonecheck.go): it pings several nodes there, and some of other zones as a control. A zone
-// is lost if none of its nodes answers, nothing else is received from it meanwhile, and a control does answer,
-// so that neither this node's own delay nor its own isolation is taken for the zone's. Since both the ping and
-// its answer must arrive, a cut of one direction is noticed on both sides. While a zone is lost, one of its
-// nodes at a time is pinged; any response from there ends the loss.
+// A leaf or an intermediate node that doesn't respond proves nothing, since leafs pause and nodes crash. It only
+// triggers a check of its zone (zonecheck.go): the node pings several nodes of the zone, and some nodes of other zones
+// as a control. The zone is lost if none of its nodes answers, nothing else is received from it during the check, and a
+// control answers. Without the control, a delay or isolation of this node would look like the loss of the zone. Since
+// both the ping and its answer must arrive, both sides detect a one-way partition. While a zone is lost, its nodes are
+// pinged one at a time; any response from the zone ends the loss.
 //
-// A Tracker owns the state of each zone and the goroutines of its checks, which end with the context of Run. It
-// relies on the list of registered nodes, a Prober (Datagrams sends over the peer transport) and a clock that
-// counts the time of a suspension.
+// A Tracker owns the state of each zone and the goroutines of its checks, which end with the context of Run. It uses
+// the list of registered nodes, a Prober (Datagrams sends over the peer transport), and a clock that includes the time
+// for which the machine was suspended.
 package reachability
 
 import (
@@ -23,24 +23,24 @@
 	"github.com/portgauge/portgauge/internal/node/boottime"
 )
 
-// maxZones bounds the zones that are tracked; further ones always count as reachable.
+// maxZones bounds the number of tracked zones; further zones always count as reachable.
 const maxZones = 256
 
-// answerLimit is how long an answer may take and still end the loss of a zone.
+// answerLimit is how long a node waits for the answer to a ping.
 const answerLimit = time.Second
 
-// recheckSlack is how long after the pause a zone is checked once more: a check in progress has ended by then.
+// recheckSlack is added to the pause before a zone is checked again, so that a check in progress has ended by then.
 const recheckSlack = 200 * time.Millisecond
 
-// Prober exchanges datagrams with nodes.
+// Prober exchanges datagrams with other nodes.
 type Prober interface {
 	// Ping reports whether a node answers before the context ends.
 	Ping(ctx context.Context, node catalog.NodeRecord) bool
-	// SendZoneLost notifies a node, without waiting, that this one has lost a zone.
+	// SendZoneLost notifies a node that this node has lost a zone. It doesn't block.
 	SendZoneLost(node catalog.NodeRecord, zone string)
 }
 
-// Change is a zone that was lost, or that is reachable again.
+// Change reports that a zone was lost or is reachable again.
 type Change struct {
 	Zone string
 	Lost bool
@@ -51,32 +51,32 @@
 	Config Config
 	// Self is this node's own record.
 	Self catalog.NodeRecord
-	// Nodes returns the registered nodes; this one may be among them.
+	// Nodes returns the registered nodes; the result may include this node.
 	Nodes  func() []catalog.NodeRecord
 	Prober Prober
-	// Changed is called for each zone that is lost or reachable again; it may be nil.
+	// Changed is called when a zone is lost or reachable again; it may be nil.
 	Changed func(Change)
-	// Clock counts the time for which the machine was suspended.
+	// Clock includes the time for which the machine was suspended.
 	Clock boottime.Clock
 }
 
-// Tracker tracks which zones are lost; safe for concurrent use. To a nil Tracker every zone is reachable.
+// Tracker tracks which zones are lost. It is safe for concurrent use. For a nil Tracker, every zone is reachable.
 type Tracker struct {
 	deps Deps
-	lost atomic.Int32 // how many zones are lost
+	lost atomic.Int32 // number of lost zones
 
 	mu    sync.RWMutex
 	zones map[string]*zone
-	// ctx ends all checks; nil before Run.
+	// ctx is the context of all checks; nil before Run.
 	ctx context.Context
 }
 
-// New returns a tracker; it checks nothing before Run.
+// New returns a tracker. It checks no zone before Run.
 func New(deps Deps) *Tracker {
 	return &Tracker{deps: deps, zones: map[string]*zone{}}
 }
 
-// Run lets the tracker check zones until the context ends.
+// Run enables checks of zones until the context ends.
 func (t *Tracker) Run(ctx context.Context) {
 	t.mu.Lock()
 	t.ctx = ctx
@@ -87,7 +87,7 @@
 // AnyLost reports whether any zone is lost.
 func (t *Tracker) AnyLost() bool { return t != nil && t.lost.Load() > 0 }
 
-// Reaches reports whether a zone is reachable. The own one always is.
+// Reaches reports whether a zone is reachable. The node's own zone always is.
 func (t *Tracker) Reaches(name string) bool {
 	if !t.AnyLost() {
 		return true
@@ -113,7 +113,7 @@
 	return 2*lost > len(nodes)
 }
 
-// Responded records that something in a zone responded to this node, which ends the loss of the zone.
+// Responded records a response from a leaf or node of a zone, which ends the loss of the zone.
 func (t *Tracker) Responded(name string) {
 	if t == nil || name == t.deps.Self.Zone {
 		return
@@ -126,20 +126,20 @@
 	}
 	known.responded.Store(true)
 	if known.lost.Load() {
-		t.markFound(known)
+		t.markReachable(known)
 	}
 }
 
-// NoResponse records that a leaf of a zone left an attempt unanswered. minSilentLeafs different leafs, with no
-// response from the zone in between, make the node check the zone.
+// NoResponse records that a leaf of a zone did not answer an attempt. It starts a check of the zone once minSilentLeafs
+// different leafs did not answer and nothing else in the zone responded in between.
 func (t *Tracker) NoResponse(name, leafID string) {
 	if known := t.zoneOf(name); known != nil && known.addSilent(leafID) {
 		t.Suspect(name)
 	}
 }
 
-// Suspect checks a zone, as when one of its nodes did not respond in time or another node lost it. It doesn't
-// block, and does nothing within Config.Pause of the last check.
+// Suspect starts a check of a zone, for example because one of its nodes did not respond in time or another node lost
+// the zone. It doesn't block. It does nothing during a check of the zone and for Config.Pause after one.
 func (t *Tracker) Suspect(name string) {
 	known := t.zoneOf(name)
 	if known == nil {
@@ -160,9 +160,9 @@
 	}()
 }
 
-// SuspectAndRecheck checks a zone now and, unless that loses it, once more after the pause between checks.
-// Otherwise a node that checked right before a cut would notice it later than the rest of its zone, and callers
-// are sent to other zones only once no node of a zone is ready.
+// SuspectAndRecheck starts a check of a zone and, unless the zone is lost by then, another check after the pause between
+// checks. Without the second check, a node that checked right before a partition would detect it later than the rest
+// of its zone, and callers are sent to other zones only when no node of a zone is ready.
 func (t *Tracker) SuspectAndRecheck(name string) {
 	known := t.zoneOf(name)
 	if known == nil {
@@ -180,7 +180,8 @@
 	})
 }
 
-// suspectOtherZones checks every other zone: what cuts off one zone often cuts off more.
+// suspectOtherZones checks all zones other than the lost one and this node's own, because what cuts off one zone often
+// cuts off several.
 func (t *Tracker) suspectOtherZones(lost string) {
 	seen := map[string]bool{lost: true, t.deps.Self.Zone: true}
 	for _, node := range t.deps.Nodes() {
@@ -191,7 +192,7 @@
 	}
 }
 
-// zoneOf returns the state of a zone; nil for the own one, and for zones that aren't tracked.
+// zoneOf returns the state of a zone; nil for this node's own zone and for zones that aren't tracked.
 func (t *Tracker) zoneOf(name string) *zone {
 	if t == nil || !t.deps.Config.Enabled || name == t.deps.Self.Zone || name == "" {
 		return nil
@@ -211,13 +212,13 @@
 	return known
 }
 
-// markLost records that a zone is lost, announces that to some nodes of the own zone, and pings the lost zone
+// markLost records that a zone is lost, notifies Config.Fanout nodes of this node's own zone, and pings the lost zone
 // until it responds.
 func (t *Tracker) markLost(ctx context.Context, known *zone) {
 	known.responded.Store(false)
 	known.lost.Store(true)
 	t.lost.Add(1)
-	t.changed(Change{Zone: known.name, Lost: true})
+	t.notifyChanged(Change{Zone: known.name, Lost: true})
 	t.suspectOtherZones(known.name)
 	own := t.nodesOf(func(node catalog.NodeRecord) bool { return node.Zone == t.deps.Self.Zone })
 	for _, node := range own[:min(t.deps.Config.Fanout, len(own))] {
@@ -226,22 +227,22 @@
 	t.awaitReturn(ctx, known)
 }
 
-// awaitReturn pings the nodes of a lost zone, one each Config.ProbeInterval, until there is any response from
-// the zone. A zone without nodes counts as reachable: nothing could end its loss.
+// awaitReturn pings the nodes of a lost zone, one per Config.ProbeInterval, until anything in the zone responds. A zone
+// without nodes counts as reachable, since nothing could end its loss.
 func (t *Tracker) awaitReturn(ctx context.Context, known *zone) {
 	ticker := time.NewTicker(t.deps.Config.ProbeInterval)
 	defer ticker.Stop()
-	var turn []catalog.NodeRecord
+	var remaining []catalog.NodeRecord
 	for known.lost.Load() {
-		if len(turn) == 0 {
-			turn = t.nodesOf(func(node catalog.NodeRecord) bool { return node.Zone == known.name })
+		if len(remaining) == 0 {
+			remaining = t.nodesOf(func(node catalog.NodeRecord) bool { return node.Zone == known.name })
 		}
-		if len(turn) == 0 {
-			t.markFound(known)
+		if len(remaining) == 0 {
+			t.markReachable(known)
 			return
 		}
-		go t.probe(ctx, known, turn[0])
-		turn = turn[1:]
+		go t.probe(ctx, known, remaining[0])
+		remaining = remaining[1:]
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -250,7 +251,7 @@
 	}
 }
 
-// probe pings a node of a zone, and records its answer, however late, as a response.
+// probe pings a node of a zone. It records an answer within answerLimit as a response, even if a check has ended before.
 func (t *Tracker) probe(ctx context.Context, known *zone, node catalog.NodeRecord) bool {
 	ctx, cancel := context.WithTimeout(ctx, answerLimit)
 	defer cancel()
@@ -258,20 +259,20 @@
 	if !t.deps.Prober.Ping(ctx, node) {
 		return false
 	}
-	known.recordAnswerTime(time.Since(began))
+	known.recordRoundTrip(time.Since(began))
 	t.Responded(known.name)
 	return true
 }
 
-// markFound records that a zone is reachable again.
-func (t *Tracker) markFound(known *zone) {
+// markReachable records that a zone is reachable again.
+func (t *Tracker) markReachable(known *zone) {
 	if known.lost.CompareAndSwap(true, false) {
 		t.lost.Add(-1)
-		t.changed(Change{Zone: known.name})
+		t.notifyChanged(Change{Zone: known.name})
 	}
 }
 
-func (t *Tracker) changed(change Change) {
+func (t *Tracker) notifyChanged(change Change) {
 	if t.deps.Changed != nil {
 		t.deps.Changed(change)
 	}
--- a/internal/fleet/reachability/reachability_test.go
+++ b/internal/fleet/reachability/reachability_test.go
@@ -22,34 +22,34 @@
 	mid  = "mid"
 )
 
-// testNetwork is the Prober of a tracker: the nodes that it pings, and how they answer.
+// testNetwork is a Prober that simulates the nodes that a tracker pings.
 type testNetwork struct {
 	mu    sync.Mutex
 	nodes []catalog.NodeRecord
-	// silent are the zones and nodes that don't answer.
+	// silent holds the zones and nodes that don't answer.
 	silent map[string]bool
-	// delay is the round trip of a ping.
+	// delay is the round-trip time of a ping.
 	delay     time.Duration
 	probed    map[string]int // by zone
-	zonesLost []string       // "zone of the receiver of lost zone"
+	zonesLost []string       // announcements, as "<zone of the receiver> of <lost zone>"
 }
 
 func newTestNetwork(nodes int, zones ...string) *testNetwork {
-	w := &testNetwork{silent: map[string]bool{}, delay: time.Millisecond, probed: map[string]int{}}
+	network := &testNetwork{silent: map[string]bool{}, delay: time.Millisecond, probed: map[string]int{}}
 	for _, zone := range zones {
 		for index := range nodes {
 			id := fmt.Sprintf("%s-%d", zone, index)
-			w.nodes = append(w.nodes, catalog.NodeRecord{ID: id, Zone: zone, Address: id})
+			network.nodes = append(network.nodes, catalog.NodeRecord{ID: id, Zone: zone, Address: id})
 		}
 	}
-	return w
+	return network
 }
 
-func (w *testNetwork) Ping(ctx context.Context, node catalog.NodeRecord) bool {
-	w.mu.Lock()
-	w.probed[node.Zone]++
-	isSilent, delay := w.silent[node.Zone] || w.silent[node.ID], w.delay
-	w.mu.Unlock()
+func (network *testNetwork) Ping(ctx context.Context, node catalog.NodeRecord) bool {
+	network.mu.Lock()
+	network.probed[node.Zone]++
+	isSilent, delay := network.silent[node.Zone] || network.silent[node.ID], network.delay
+	network.mu.Unlock()
 	if isSilent {
 		<-ctx.Done()
 		return false
@@ -62,33 +62,33 @@
 	}
 }
 
-func (w *testNetwork) SendZoneLost(node catalog.NodeRecord, zone string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.zonesLost = append(w.zonesLost, node.Zone+" of "+zone)
+func (network *testNetwork) SendZoneLost(node catalog.NodeRecord, zone string) {
+	network.mu.Lock()
+	defer network.mu.Unlock()
+	network.zonesLost = append(network.zonesLost, node.Zone+" of "+zone)
 }
 
 // set makes zones or nodes silent, or lets them answer.
-func (w *testNetwork) set(isSilent bool, names ...string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (network *testNetwork) set(isSilent bool, names ...string) {
+	network.mu.Lock()
+	defer network.mu.Unlock()
 	for _, name := range names {
-		w.silent[name] = isSilent
+		network.silent[name] = isSilent
 	}
 }
 
-func (w *testNetwork) count(zone string) int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.probed[zone]
+func (network *testNetwork) count(zone string) int {
+	network.mu.Lock()
+	defer network.mu.Unlock()
+	return network.probed[zone]
 }
 
-// tracker starts the tracker of a node in the near zone.
-func (w *testNetwork) tracker(t *testing.T) *Tracker {
+// tracker starts the tracker of the first node in the near zone.
+func (network *testNetwork) tracker(t *testing.T) *Tracker {
 	t.Helper()
 	tracker := New(Deps{
-		Config: DefaultConfig(), Self: w.nodes[0], Prober: w,
-		Nodes: func() []catalog.NodeRecord { return w.nodes },
+		Config: DefaultConfig(), Self: network.nodes[0], Prober: network,
+		Nodes: func() []catalog.NodeRecord { return network.nodes },
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	go tracker.Run(ctx)
@@ -100,54 +100,54 @@
 	return tracker
 }
 
-// within runs a test in virtual time with three zones of five nodes.
-func within(t *testing.T, test func(is *is.I, w *testNetwork, tracker *Tracker)) {
+// withTracker runs a test in virtual time with three zones of five nodes each.
+func withTracker(t *testing.T, test func(is *is.I, network *testNetwork, tracker *Tracker)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := newTestNetwork(5, near, mid, far)
-		test(is.New(t), w, w.tracker(t))
+		network := newTestNetwork(5, near, mid, far)
+		test(is.New(t), network, network.tracker(t))
 	})
 }
 
-// checkTime is the longest that a check takes.
+// checkTime returns how long a check takes at most.
 func checkTime() time.Duration {
 	cfg := DefaultConfig()
 	return cfg.FirstWait + cfg.Wait + time.Millisecond
 }
 
-// A zone that is cut off is lost after one check, and that is announced to some nodes of the own zone.
+// A zone that is cut off is lost after one check, and the node announces the loss to some nodes of its own zone.
 func TestCutZoneIsLost(t *testing.T) {
-	within(t, func(is *is.I, w *testNetwork, tracker *Tracker) {
-		w.set(true, far)
+	withTracker(t, func(is *is.I, network *testNetwork, tracker *Tracker) {
+		network.set(true, far)
 		tracker.Suspect(far)
 		time.Sleep(checkTime())
 		is.True(!tracker.Reaches(far))
 		is.True(tracker.Reaches(mid))
 		is.True(tracker.Reaches(near))
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		is.Equal(w.zonesLost, []string{"near of far", "near of far", "near of far", "near of far"})
+		network.mu.Lock()
+		defer network.mu.Unlock()
+		is.Equal(network.zonesLost, []string{"near of far", "near of far", "near of far", "near of far"})
 	})
 }
 
-// A zone that is connected again is reachable within a second, without any request.
-func TestHealedZoneIsBack(t *testing.T) {
-	within(t, func(is *is.I, w *testNetwork, tracker *Tracker) {
-		w.set(true, far)
+// A zone is reachable within a second after a partition has ended, even without requests.
+func TestHealedZoneIsReachable(t *testing.T) {
+	withTracker(t, func(is *is.I, network *testNetwork, tracker *Tracker) {
+		network.set(true, far)
 		tracker.Suspect(far)
 		time.Sleep(5 * time.Second)
 		is.True(!tracker.Reaches(far))
-		w.set(false, far)
+		network.set(false, far)
 		time.Sleep(time.Second)
 		is.True(tracker.Reaches(far))
 		is.True(!tracker.AnyLost())
 	})
 }
 
-// A node that lost one zone checks the others by itself, and notices a second lost zone without an announcement.
-func TestLossOfOneZoneHasTheOthersLookedAt(t *testing.T) {
-	within(t, func(is *is.I, w *testNetwork, tracker *Tracker) {
-		w.set(true, far, mid)
+// A node that lost one zone checks the others, and detects the loss of a second zone without an announcement.
+func TestLossOfOneZoneChecksTheOthers(t *testing.T) {
+	withTracker(t, func(is *is.I, network *testNetwork, tracker *Tracker) {
+		network.set(true, far, mid)
 		tracker.Suspect(far)
 		time.Sleep(2 * checkTime())
 		is.True(!tracker.Reaches(far))
@@ -155,71 +155,70 @@
 	})
 }
 
-// A node that checked right before a cut, and receives an announcement in the pause that follows, checks again by itself.
-func TestWordInThePauseIsLookedIntoAfterIt(t *testing.T) {
-	within(t, func(is *is.I, w *testNetwork, tracker *Tracker) {
+// A node that checked a zone right before a partition, and receives an announcement during the following pause, checks the
+// zone again after the pause.
+func TestAnnouncementDuringPauseCausesRecheck(t *testing.T) {
+	withTracker(t, func(is *is.I, network *testNetwork, tracker *Tracker) {
 		tracker.Suspect(far)
 		time.Sleep(checkTime())
 		is.True(tracker.Reaches(far))
-		w.set(true, far)
+		network.set(true, far)
 		tracker.SuspectAndRecheck(far)
 		time.Sleep(time.Second)
 		is.True(!tracker.Reaches(far))
 	})
 }
 
-// A lost zone is pinged by one datagram at a time.
-func TestLostZoneIsAskedSparsely(t *testing.T) {
-	within(t, func(is *is.I, w *testNetwork, tracker *Tracker) {
-		w.set(true, far)
+// A node sends one ping to a lost zone per probe interval.
+func TestPingsOfLostZoneAreRateLimited(t *testing.T) {
+	withTracker(t, func(is *is.I, network *testNetwork, tracker *Tracker) {
+		network.set(true, far)
 		tracker.Suspect(far)
 		time.Sleep(checkTime())
-		before := w.count(far)
+		before := network.count(far)
 		time.Sleep(10 * time.Second)
-		is.True(w.count(far)-before <= 40)
+		is.True(network.count(far)-before <= 40)
 	})
 }
 
-// A single silent leaf causes no check.
-func TestOneDeadLeafIsNotLookedInto(t *testing.T) {
-	within(t, func(is *is.I, w *testNetwork, tracker *Tracker) {
+func TestSingleSilentLeafCausesNoCheck(t *testing.T) {
+	withTracker(t, func(is *is.I, network *testNetwork, tracker *Tracker) {
 		for range 10 {
 			tracker.NoResponse(far, "leaf")
 			time.Sleep(100 * time.Millisecond)
 		}
-		is.Equal(w.count(far), 0)
+		is.Equal(network.count(far), 0)
 	})
 }
 
-// Silent leafs among others that respond cause no check either.
-func TestSilentLeafsAmongOthersAreNotLookedInto(t *testing.T) {
-	within(t, func(is *is.I, w *testNetwork, tracker *Tracker) {
+func TestSilentLeafsAmongRespondingOnesCauseNoCheck(t *testing.T) {
+	withTracker(t, func(is *is.I, network *testNetwork, tracker *Tracker) {
 		for index := range 10 {
 			tracker.NoResponse(far, fmt.Sprint("leaf", index))
 			tracker.Responded(far)
 		}
 		time.Sleep(time.Second)
-		is.Equal(w.count(far), 0)
+		is.Equal(network.count(far), 0)
 	})
 }
 
-// Leafs that are slow or paused together don't make a zone lost whose nodes answer.
-func TestSlowLeafsDontLoseAZone(t *testing.T) {
-	within(t, func(is *is.I, w *testNetwork, tracker *Tracker) {
+// Leafs that are slow or paused at the same time don't make a zone lost if its nodes answer.
+func TestSlowLeafsDoNotMakeZoneLost(t *testing.T) {
+	withTracker(t, func(is *is.I, network *testNetwork, tracker *Tracker) {
 		for range 20 {
 			tracker.NoResponse(far, "leaf 1")
 			tracker.NoResponse(far, "leaf 2")
 			time.Sleep(100 * time.Millisecond)
 			is.True(tracker.Reaches(far))
 		}
-		is.True(w.count(far) <= 5*firstProbed) // one small check each pause
+		is.True(network.count(far) <= 5*firstProbed) // at most one first step of a check per pause
 	})
 }
 
-// Two silent leafs of a zone that is cut off make it lost.
-func TestTwoSilentLeafsOfACutZone(t *testing.T) {
-	within(t, func(is *is.I, w *testNetwork, tracker *Tracker) {
-		w.set(true, far)
+// Two silent leafs cause a check, which detects that their zone is cut off.
+func TestTwoSilentLeafsCauseCheckOfZone(t *testing.T) {
+	withTracker(t, func(is *is.I, network *testNetwork, tracker *Tracker) {
+		network.set(true, far)
 		tracker.NoResponse(far, "leaf 1")
 		tracker.NoResponse(far, "leaf 2")
 		time.Sleep(checkTime())
@@ -227,10 +226,10 @@
 	})
 }
 
-// If no other zone answers either, this node itself is late or cut off: no zone is lost.
-func TestIsolatedNodeLosesNothing(t *testing.T) {
-	within(t, func(is *is.I, w *testNetwork, tracker *Tracker) {
-		w.set(true, near, mid, far)
+// If no zone answers, this node itself is cut off, and no zone is lost.
+func TestIsolatedNodeMarksNoZoneLost(t *testing.T) {
+	withTracker(t, func(is *is.I, network *testNetwork, tracker *Tracker) {
+		network.set(true, near, mid, far)
 		tracker.Suspect(far)
 		tracker.Suspect(mid)
 		time.Sleep(2 * time.Second)
@@ -238,10 +237,10 @@
 	})
 }
 
-// If all answers are late, as on a node that was frozen, no zone is lost.
-func TestFrozenNodeLosesNothing(t *testing.T) {
-	within(t, func(is *is.I, w *testNetwork, tracker *Tracker) {
-		w.delay = 300 * time.Millisecond
+// If all answers are late, as on a frozen node, no zone is lost.
+func TestFrozenNodeMarksNoZoneLost(t *testing.T) {
+	withTracker(t, func(is *is.I, network *testNetwork, tracker *Tracker) {
+		network.delay = 300 * time.Millisecond
 		tracker.Suspect(far)
 		for range 100 {
 			time.Sleep(10 * time.Millisecond)
@@ -250,26 +249,27 @@
 	})
 }
 
-// The machine is suspended in the middle of a check, after other zones answered and before the checked one did.
-func TestSuspendedNodeLosesNothing(t *testing.T) {
-	within(t, func(is *is.I, w *testNetwork, tracker *Tracker) {
+// A check during which the machine is suspended, after the controls answered and before the checked zone did, marks no zone
+// lost.
+func TestSuspendedNodeMarksNoZoneLost(t *testing.T) {
+	withTracker(t, func(is *is.I, network *testNetwork, tracker *Tracker) {
 		var suspendedFor atomic.Int64
 		tracker.deps.Clock = func() time.Time { return time.Now().Add(time.Duration(suspendedFor.Load())) }
-		w.set(true, far)
+		network.set(true, far)
 		tracker.Suspect(far)
 		time.Sleep(DefaultConfig().FirstWait + DefaultConfig().Wait/2)
 		suspendedFor.Store(int64(10 * time.Second))
-		w.set(false, far)
+		network.set(false, far)
 		time.Sleep(time.Second)
 		is.True(tracker.Reaches(far))
-		is.Equal(w.zonesLost, nil) // nor was it lost meanwhile
+		is.Equal(network.zonesLost, nil) // the zone was never lost
 	})
 }
 
-// The response of a leaf during a check outweighs the silence of nodes.
-func TestAnswerOfALeafOutweighsSilentNodes(t *testing.T) {
-	within(t, func(is *is.I, w *testNetwork, tracker *Tracker) {
-		w.set(true, far)
+// The response of a leaf during a check overrides the silence of the zone's nodes.
+func TestLeafResponseDuringCheckKeepsZoneReachable(t *testing.T) {
+	withTracker(t, func(is *is.I, network *testNetwork, tracker *Tracker) {
+		network.set(true, far)
 		tracker.Suspect(far)
 		time.Sleep(DefaultConfig().FirstWait + DefaultConfig().Wait/2)
 		tracker.Responded(far)
@@ -278,10 +278,9 @@
 	})
 }
 
-// The response of a leaf ends the loss of a zone.
-func TestAnswerOfALeafBringsAZoneBack(t *testing.T) {
-	within(t, func(is *is.I, w *testNetwork, tracker *Tracker) {
-		w.set(true, far)
+func TestLeafResponseEndsLossOfZone(t *testing.T) {
+	withTracker(t, func(is *is.I, network *testNetwork, tracker *Tracker) {
+		network.set(true, far)
 		tracker.Suspect(far)
 		time.Sleep(checkTime())
 		is.True(!tracker.Reaches(far))
@@ -290,39 +289,38 @@
 	})
 }
 
-// A zone with too few nodes is never lost.
-func TestZoneOfFewNodesIsNotLost(t *testing.T) {
+func TestZoneWithTooFewNodesIsNeverLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newTestNetwork(DefaultConfig().LeastNodes-1, near, far)
-		tracker := w.tracker(t)
-		w.set(true, far)
+		network := newTestNetwork(DefaultConfig().LeastNodes-1, near, far)
+		tracker := network.tracker(t)
+		network.set(true, far)
 		tracker.Suspect(far)
 		time.Sleep(2 * time.Second)
 		is.True(tracker.Reaches(far))
 	})
 }
 
-// A zone with longer round trips than a check waits is lost once at most: its round trip is learnt.
-func TestLongWayIsLearnt(t *testing.T) {
-	within(t, func(is *is.I, w *testNetwork, tracker *Tracker) {
-		w.delay = 30 * time.Millisecond // the answers of the controls still count
+// Checks adapt to a zone with longer round trips than the first wait.
+func TestTimeoutAdaptsToLongRoundTrips(t *testing.T) {
+	withTracker(t, func(is *is.I, network *testNetwork, tracker *Tracker) {
+		network.delay = 30 * time.Millisecond // short enough for the answers of the controls to count
 		for range 5 {
 			tracker.Suspect(far)
 			time.Sleep(time.Second)
 			is.True(tracker.Reaches(far))
 		}
-		w.mu.Lock()
-		probed := w.probed[far]
-		w.mu.Unlock()
+		network.mu.Lock()
+		probed := network.probed[far]
+		network.mu.Unlock()
 		is.Equal(probed, firstProbed+DefaultConfig().LeastNodes+4*firstProbed) // later checks wait long enough
 	})
 }
 
-// A node that lost most of the fleet is cut off; a node that lost a small part isn't.
+// A node is cut off if it lost the zones of more than half of the nodes.
 func TestIsCutOff(t *testing.T) {
-	within(t, func(is *is.I, w *testNetwork, tracker *Tracker) {
-		w.set(true, far, mid)
+	withTracker(t, func(is *is.I, network *testNetwork, tracker *Tracker) {
+		network.set(true, far, mid)
 		tracker.Suspect(far)
 		time.Sleep(checkTime())
 		is.True(!tracker.IsCutOff())
@@ -332,28 +330,28 @@
 	})
 }
 
-// However many nodes of a zone crashed together, a single live one ends its loss after a round of pings.
-func TestOneLivingNodeKeepsAZone(t *testing.T) {
+// A single live node ends the loss of a zone within one round of pings, however many nodes of the zone crashed.
+func TestSingleLiveNodeEndsLossOfZone(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		nodes := rapid.IntRange(DefaultConfig().LeastNodes, 12).Draw(rt, "nodes")
 		living := rapid.IntRange(0, nodes-1).Draw(rt, "living")
 		synctest.Test(t, func(t *testing.T) {
-			w := newTestNetwork(nodes, near, far)
+			network := newTestNetwork(nodes, near, far)
 			for index := range nodes {
-				w.set(index != living, fmt.Sprintf("%s-%d", far, index))
+				network.set(index != living, fmt.Sprintf("%s-%d", far, index))
 			}
-			tracker := w.tracker(t)
+			tracker := network.tracker(t)
 			tracker.Suspect(far)
 			time.Sleep(checkTime() + time.Duration(nodes)*DefaultConfig().ProbeInterval)
 			if !tracker.Reaches(far) {
-				t.Error("lost")
+				t.Error("the zone is lost although one of its nodes answers")
 			}
 		})
 	})
 }
 
-// To a nil tracker, and to one that is disabled, all zones are reachable, and neither pings.
-func TestOffAsksNothing(t *testing.T) {
+// A nil or disabled tracker reports all zones as reachable and sends no pings.
+func TestDisabledTrackerSendsNoPings(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var none *Tracker
@@ -361,19 +359,18 @@
 		none.NoResponse(far, "leaf")
 		none.Responded(far)
 		is.True(none.Reaches(far) && !none.IsCutOff())
-		w := newTestNetwork(5, near, far)
-		tracker := w.tracker(t)
+		network := newTestNetwork(5, near, far)
+		tracker := network.tracker(t)
 		tracker.deps.Config.Enabled = false
-		w.set(true, far)
+		network.set(true, far)
 		tracker.Suspect(far)
 		time.Sleep(time.Second)
 		is.True(tracker.Reaches(far))
-		is.Equal(w.count(far), 0)
+		is.Equal(network.count(far), 0)
 	})
 }
 
-// Validate names every invalid field.
-func TestValidateNamesEveryField(t *testing.T) {
+func TestValidateNamesEveryInvalidField(t *testing.T) {
 	is := is.New(t)
 	is.NoErr(DefaultConfig().Validate())
 	bad := Config{Wait: 2 * answerLimit, LeastNodes: 1, Pause: -1, Fanout: -1}
--- a/internal/fleet/reachability/zone.go
+++ b/internal/fleet/reachability/zone.go
@@ -7,36 +7,35 @@
 	"time"
 )
 
-// minSilentLeafs is how many different leafs of a zone must be silent to check it: a single one may have
+// minSilentLeafs is how many different leafs of a zone must be silent before it is checked; a single one may have
 // crashed.
 const minSilentLeafs = 2
 
-// slowestFactor times its longest round trip is how long a zone has to answer.
-const slowestFactor = 2
+// roundTripFactor times the longest round trip to a zone is the timeout of its checks.
+const roundTripFactor = 2
 
 // zone is the state of another zone.
 type zone struct {
 	name string
 	lost atomic.Bool
-	// responded says that something in the zone responded since the last silent leaf, or since the last check
-	// began.
+	// responded is true if anything in the zone responded since the last silent leaf, or since the last check began.
 	responded atomic.Bool
-	// recheckPending says that a further check is scheduled.
+	// recheckPending is true while another check is scheduled.
 	recheckPending atomic.Bool
 
 	mu sync.Mutex
-	// silent are different leafs that were silent without a response from the zone since, at most
+	// silentLeafs holds the IDs of different leafs that did not respond since the last response from the zone; at most
 	// minSilentLeafs.
-	silent   []string
-	checking bool
-	// endedAt is when the last check ended.
-	endedAt time.Time
-	// slowest is the longest round trip to one of its nodes.
-	slowest time.Duration
+	silentLeafs []string
+	checking    bool
+	// checkedAt is when the last check ended.
+	checkedAt time.Time
+	// longestRoundTrip is the longest round trip to any node of the zone.
+	longestRoundTrip time.Duration
 }
 
-// addSilent records a silent leaf, and reports whether there are enough to check the zone. A check in progress
-// makes its own observations.
+// addSilent records a silent leaf, and reports whether there are enough of them to check the zone. It does nothing
+// during a check, which makes its own observations.
 func (z *zone) addSilent(leafID string) bool {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -44,19 +43,19 @@
 		return false
 	}
 	if z.responded.Swap(false) {
-		z.silent = nil
+		z.silentLeafs = nil
 	}
-	if !slices.Contains(z.silent, leafID) && len(z.silent) < minSilentLeafs {
-		z.silent = append(z.silent, leafID)
+	if !slices.Contains(z.silentLeafs, leafID) && len(z.silentLeafs) < minSilentLeafs {
+		z.silentLeafs = append(z.silentLeafs, leafID)
 	}
-	return len(z.silent) >= minSilentLeafs
+	return len(z.silentLeafs) >= minSilentLeafs
 }
 
-// beginCheck reports whether the zone may be checked now; if so, endCheck must follow.
+// beginCheck reports whether the zone may be checked now. If so, the caller must call endCheck after the check.
 func (z *zone) beginCheck(pause time.Duration) bool {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	if z.checking || !z.endedAt.IsZero() && time.Since(z.endedAt) < pause {
+	if z.checking || !z.checkedAt.IsZero() && time.Since(z.checkedAt) < pause {
 		return false
 	}
 	z.checking = true
@@ -67,21 +66,20 @@
 func (z *zone) endCheck() {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	z.checking, z.silent = false, nil
-	z.endedAt = time.Now()
+	z.checking, z.silentLeafs = false, nil
+	z.checkedAt = time.Now()
 }
 
-// recordAnswerTime records the round trip of an answer.
-func (z *zone) recordAnswerTime(answer time.Duration) {
+func (z *zone) recordRoundTrip(roundTrip time.Duration) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	z.slowest = max(z.slowest, answer)
+	z.longestRoundTrip = max(z.longestRoundTrip, roundTrip)
 }
 
-// timeout returns how long the zone has to answer: at least the given time, longer if its round trips are
-// longer, and at most answerLimit.
-func (z *zone) timeout(least time.Duration) time.Duration {
+// timeout returns how long a check waits for answers from the zone: roundTripFactor times its longest round trip, but at
+// least minimum and at most answerLimit.
+func (z *zone) timeout(minimum time.Duration) time.Duration {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	return min(max(least, slowestFactor*z.slowest), answerLimit)
+	return min(max(minimum, roundTripFactor*z.longestRoundTrip), answerLimit)
 }
--- a/internal/fleet/reachability/zonecheck.go
+++ b/internal/fleet/reachability/zonecheck.go
@@ -11,32 +11,32 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// firstProbed is how many nodes a check pings first: usually one of them answers, and no more are needed.
+// firstProbed is how many nodes a check pings first. Usually one of them answers, which ends the check.
 const firstProbed = 2
 
-// controlProbes is how many nodes of other zones are pinged as a control.
+// controlProbes is how many nodes of other zones a check pings as a control.
 const controlProbes = 3
 
-// maxRepeats bounds how often a check starts over because this node itself was late.
+// maxRepeats bounds how many times a check pings and waits, if this node itself is late.
 const maxRepeats = 3
 
-// lateDivisor divides a wait: this node is late if it wakes later than that part of the wait, since answers that
-// have arrived may not be read yet.
+// lateDivisor divides the length of a wait: this node is late if it wakes up more than that fraction of the wait after
+// its end, since it may not have read answers that arrived in time.
 const lateDivisor = 2
 
 // zoneCheck is one check of a zone.
 type zoneCheck struct {
 	tracker *Tracker
 	zone    *zone
-	// controlAnswered says that a node of another zone answered.
+	// controlAnswered is true if a node of another zone answered.
 	controlAnswered atomic.Bool
 }
 
-// isLost decides whether the zone is lost. It pings firstProbed nodes and, if nothing in the zone responds
-// within the timeout of Config.FirstWait, Config.LeastNodes nodes and controlProbes nodes of other zones. The
-// zone is lost if nothing there responds within the timeout of Config.Wait but a control does. A check during
-// which this node itself was late or suspended proves nothing and starts over, up to maxRepeats times. A zone
-// with fewer nodes than Config.LeastNodes is never lost: their silence may be a crash.
+// isLost checks whether the zone is lost. It pings firstProbed nodes. If nothing in the zone responds within the timeout
+// for Config.FirstWait, it pings Config.LeastNodes nodes and controlProbes nodes of other zones. The zone is lost if
+// nothing in it responds within the timeout for Config.Wait but a control does. If this node itself was late or
+// suspended, the result is inconclusive, and the second step is repeated, up to maxRepeats times in total. A zone with
+// fewer nodes than Config.LeastNodes is never lost, since all of them may have crashed.
 func (c *zoneCheck) isLost(ctx context.Context) bool {
 	cfg := c.tracker.deps.Config
 	nodes := c.tracker.nodesOf(func(node catalog.NodeRecord) bool { return node.Zone == c.zone.name })
@@ -48,7 +48,7 @@
 		return false
 	}
 	for range maxRepeats {
-		// Each repeat pings other nodes, as far as there are any.
+		// Each repetition pings different nodes if there are enough.
 		nodes = append(nodes[firstProbed:], nodes[:firstProbed]...)
 		c.probeAll(ctx, nodes[:cfg.LeastNodes])
 		c.probeControls(ctx)
@@ -70,12 +70,12 @@
 	}
 }
 
-// probeControls pings nodes of other zones as a control, the own zone included.
+// probeControls pings nodes of other zones, including this node's own zone, as a control.
 func (c *zoneCheck) probeControls(ctx context.Context) {
 	others := c.tracker.nodesOf(func(node catalog.NodeRecord) bool {
 		return node.Zone != c.zone.name && c.tracker.Reaches(node.Zone)
 	})
-	// Nodes of the own zone come first: they still answer if several zones are lost together.
+	// Nodes of this node's own zone come first, since they answer even if several zones are lost at once.
 	own := c.tracker.deps.Self.Zone
 	slices.SortStableFunc(others, func(a, b catalog.NodeRecord) int { return boolRank(b.Zone == own) - boolRank(a.Zone == own) })
 	for _, node := range others[:min(controlProbes, len(others))] {
@@ -96,9 +96,9 @@
 	return 0
 }
 
-// wait waits, and reports whether this node woke in time and whether the context has not ended. A machine that
-// was suspended is late as well: the answers of one zone may have come before the suspension and those of the
-// other during it.
+// wait waits, and reports whether this node woke up in time and whether the context is still active. If the machine was
+// suspended, the node is late as well: answers from one zone may have arrived before the suspension, and answers from
+// the other during it.
 func (c *zoneCheck) wait(ctx context.Context, length time.Duration) (inTime, running bool) {
 	clock := c.tracker.deps.Clock
 	began := clock.Now()
@@ -106,7 +106,7 @@
 	return clock.Since(began) < length+length/lateDivisor, running
 }
 
-// nodesOf returns the other nodes that match, in random order.
+// nodesOf returns the matching nodes other than this one, in random order.
 func (t *Tracker) nodesOf(matches func(catalog.NodeRecord) bool) []catalog.NodeRecord {
 	var nodes []catalog.NodeRecord
 	for _, node := range t.deps.Nodes() {
