--- a/internal/fleet/peer/batch.go
+++ b/internal/fleet/peer/batch.go
@@ -7,10 +7,9 @@
 	"github.com/portgauge/portgauge/internal/config/catalog"
 )
 
-// Batch is a list of changes, compressed once by the node that starts a push; relays pass it on as it is.
+// Batch is a compressed list of changes. The node that starts a push compresses it once; relays forward it unchanged.
 type Batch []byte
 
-// PackBatch compresses changes.
 func PackBatch(changes []catalog.Change) (Batch, error) {
 	content, err := json.Marshal(changes)
 	if err != nil {
@@ -19,7 +18,7 @@
 	return compression.Compress(content)
 }
 
-// Unpack returns the changes of a batch; an empty batch has none.
+// Unpack returns the changes of a batch; nil if the batch is empty.
 func (b Batch) Unpack() ([]catalog.Change, error) {
 	if len(b) == 0 {
 		return nil, nil
@@ -32,10 +31,9 @@
 	return changes, json.Unmarshal(content, &changes)
 }
 
-// PackedSnapshot is a whole state, compressed once and sent to many nodes as it is.
+// PackedSnapshot is a compressed snapshot. It is compressed once and sent to many nodes.
 type PackedSnapshot []byte
 
-// PackSnapshot compresses a whole state.
 func PackSnapshot(snapshot catalog.Snapshot) (PackedSnapshot, error) {
 	content, err := json.Marshal(snapshot)
 	if err != nil {
@@ -44,7 +42,6 @@
 	return compression.Compress(content)
 }
 
-// Unpack returns the whole state.
 func (p PackedSnapshot) Unpack() (catalog.Snapshot, error) {
 	content, err := compression.Expand(p, MaximumLine)
 	if err != nil {
--- a/internal/fleet/peer/line.go
+++ b/internal/fleet/peer/line.go
@@ -10,16 +10,16 @@
 	"github.com/portgauge/portgauge/internal/compression"
 )
 
-// compressAbove is the size in bytes above which a line is compressed: a configuration value, mostly repeated
-// field names and addresses, shrinks to a fraction.
+// compressAbove is the size in bytes above which a line is compressed. Configuration values compress well, since they
+// consist mostly of repeated field names and addresses.
 const compressAbove = 1024
 
-// compressed is the form of a large message: a line that contains the compressed line.
+// compressed is the envelope of a large message: it contains the compressed line.
 type compressed struct {
 	Gzip []byte `json:"gzip"`
 }
 
-// writeLine sends a message as one line and returns the bytes sent.
+// writeLine sends a message as one line and returns the number of bytes sent.
 func writeLine(connection net.Conn, message Message) (int, error) {
 	line, err := encodeLine(message)
 	if err != nil {
@@ -28,7 +28,7 @@
 	return connection.Write(append(line, '\n'))
 }
 
-// readLine receives a message and returns the bytes received.
+// readLine receives a message and returns it with the number of bytes received.
 func readLine(connection net.Conn) (Message, int, error) {
 	reader := bufio.NewReader(io.LimitReader(connection, MaximumLine))
 	line, err := reader.ReadBytes('\n')
@@ -51,23 +51,23 @@
 	return json.Marshal(compressed{Gzip: packed})
 }
 
-// isPacked reports whether most of a message is compressed already: a batch, or a whole state.
+// isPacked reports whether most of a message is already compressed, as a batch or a snapshot is.
 func (m Message) isPacked() bool {
 	return m.Push != nil || m.State != nil && len(m.State.Snapshot) > 0
 }
 
 func decodeLine(line []byte) (Message, error) {
-	var form struct {
+	var envelope struct {
 		Message
 		compressed
 	}
-	if err := json.Unmarshal(line, &form); err != nil {
+	if err := json.Unmarshal(line, &envelope); err != nil {
 		return Message{}, err
 	}
-	if len(form.Gzip) == 0 {
-		return form.Message, nil
+	if len(envelope.Gzip) == 0 {
+		return envelope.Message, nil
 	}
-	expanded, err := compression.Expand(form.Gzip, MaximumLine)
+	expanded, err := compression.Expand(envelope.Gzip, MaximumLine)
 	if err != nil {
 		return Message{}, err
 	}
--- a/internal/fleet/peer/message.go
+++ b/internal/fleet/peer/message.go
@@ -6,10 +6,10 @@
 	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 )
 
-// MemberState is the state of a node as its peers know it.
+// MemberState is the state of a node in the view of its peers.
 type MemberState string
 
-// The states of a member. Of two states of the same incarnation, the later one in this list overrides the earlier.
+// The states of a member. Within an incarnation, a state overrides the states listed before it.
 const (
 	Alive   MemberState = "alive"
 	Suspect MemberState = "suspect"
@@ -22,40 +22,40 @@
 	ID      string `json:"id"`
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
-	// Incarnation is raised by the member itself only, to refute its suspicion or death.
+	// Incarnation is raised only by the member itself, to refute a report that it is suspect or dead.
 	Incarnation int64       `json:"incarnation"`
 	State       MemberState `json:"state"`
 }
 
-// LeafNotice says that a leaf must get no new requests for a while.
+// LeafNotice reports that a leaf must receive no new requests for a limited time.
 type LeafNotice struct {
 	LeafID string `json:"leaf_id"`
-	// Millis is how long the notice is valid from its receipt, in milliseconds.
+	// Millis is how long the notice is valid after its receipt, in milliseconds.
 	Millis int64 `json:"millis"`
 }
 
-// LeafReports are the sender's observations of leafs, packed by package leafgossip.
+// LeafReports contains the sender's observations of leafs, encoded by package leafgossip.
 type LeafReports []byte
 
-// Digest summarises a node's configuration.
+// Digest summarizes a node's configuration.
 type Digest struct {
 	// Revision is the revision in force, see package revision.
 	Revision int64 `json:"revision"`
 	// AgeMillis is how long ago the revision was last confirmed to be the newest.
 	AgeMillis int64 `json:"age_millis"`
-	// Retained is the fingerprint of the entries that the node retains after a restore of the store; 0 if there
-	// are none.
+	// Retained is the fingerprint of the entries that the node retains after a restore of the store; 0 if there are
+	// none.
 	Retained uint64 `json:"kept,omitempty"`
-	// CountsEpochs says that the node knows of restores of the store. The revisions of a node that doesn't are
-	// bare counts, of an unknown epoch.
+	// CountsEpochs is true if the node's revisions include the store's epoch. The revisions of an older node are bare
+	// counts of an unknown epoch.
 	CountsEpochs bool `json:"counts_epochs,omitempty"`
 }
 
-// Message is one line; exactly one of the bodies is set.
+// Message is one line of the protocol. At most one of the bodies, Probe and the fields after it, is set.
 type Message struct {
 	// From is the sender's peer address.
 	From string `json:"from"`
-	// Digest, Members and Notices are on every datagram of the membership.
+	// Digest, Members and Notices are part of every membership datagram.
 	Digest  Digest       `json:"digest,omitzero"`
 	Members []Member     `json:"members,omitempty"`
 	Notices []LeafNotice `json:"notices,omitempty"`
@@ -82,8 +82,8 @@
 // Probe asks a member whether it is alive.
 type Probe struct {
 	Sequence uint64 `json:"sequence"`
-	// TargetID names the member meant, so that a new process on an old address does not
-	// answer for its predecessor.
+	// TargetID is the ID of the probed member, so that a new process at a reused address does not answer for its
+	// predecessor.
 	TargetID string `json:"target_id"`
 }
 
@@ -92,29 +92,30 @@
 	Sequence uint64 `json:"sequence"`
 }
 
-// ProbeRequest asks a member to probe another on the sender's behalf.
+// ProbeRequest asks a member to probe another member on behalf of the sender.
 type ProbeRequest struct {
 	Sequence      uint64 `json:"sequence"`
 	TargetID      string `json:"target_id"`
 	TargetAddress string `json:"target_address"`
 }
 
-// Reachability pings a node of any zone, answers a ping, or announces a zone that the sender has lost.
+// Reachability is a ping to a node of any zone, the answer to a ping, or the announcement that the sender has lost a
+// zone.
 type Reachability struct {
-	// Number is the number of the ping, which the answer repeats; 0 in an announcement.
+	// Number is the number of the ping, which the answer repeats. It is 0 in an announcement.
 	Number uint64 `json:"number,omitempty"`
 	Answer bool   `json:"answer,omitempty"`
 	Lost   string `json:"lost,omitempty"`
 }
 
-// Join asks for the members of the zone and announces the sender.
+// Join announces the sender and requests the members of the zone.
 type Join struct {
 	Member Member `json:"member"`
-	// Known is the fingerprint of the members that the sender knows.
+	// Known is the fingerprint of the sender's members.
 	Known uint64 `json:"known"`
 }
 
-// Contact is a node of another zone.
+// Contact is the address of a node in another zone.
 type Contact struct {
 	Zone    string `json:"zone"`
 	Address string `json:"address"`
@@ -122,10 +123,10 @@
 
 // Welcome answers Join.
 type Welcome struct {
-	// Zone is the answering node's own.
+	// Zone is the zone of the answering node.
 	Zone string `json:"zone"`
-	// Known is the fingerprint of the members that the answering node knows; Members is left
-	// out when the asking node knows the same.
+	// Known is the fingerprint of the answering node's members. Members is omitted if the joining node has the same
+	// ones.
 	Known    uint64    `json:"known"`
 	Members  []Member  `json:"members,omitempty"`
 	Contacts []Contact `json:"contacts,omitempty"`
@@ -135,40 +136,41 @@
 type Push struct {
 	Batch   Batch        `json:"batch,omitempty"`
 	Notices []LeafNotice `json:"notices,omitempty"`
-	// Subtree are the addresses to which the receiver must relay the push.
+	// Subtree contains the addresses to which the receiver must relay the push.
 	Subtree []string `json:"subtree,omitempty"`
-	// WholeZone asks the receiver to relay the push to all members of its zone.
+	// WholeZone requests that the receiver relay the push to all members of its zone.
 	WholeZone bool `json:"whole_zone,omitempty"`
 }
 
-// Pull asks for everything after a revision.
+// Pull requests all changes after a revision.
 type Pull struct {
 	After int64 `json:"after"`
-	// Retained asks for the entries that the node retains after a restore of the store, too.
+	// Retained requests also the entries that the receiver retains after a restore of the store.
 	Retained bool `json:"kept,omitempty"`
 }
 
-// State answers Pull and Push: changes, preceded by a whole state if changes alone don't reach back far enough.
+// State answers Pull and Push. It contains changes, and a snapshot that precedes them if the sender's history of changes
+// does not reach back to the requested revision.
 type State struct {
-	// Initialised is false while the sender has no configuration at all.
+	// Initialised is false while the sender has no configuration.
 	Initialised bool  `json:"initialised"`
 	Revision    int64 `json:"revision"`
-	// Snapshot is a whole state that the changes follow on; empty when they reach back far enough.
+	// Snapshot is the state that the changes apply to; empty if the history of changes reaches back far enough.
 	Snapshot PackedSnapshot   `json:"snapshot,omitempty"`
 	Changes  []catalog.Change `json:"changes,omitempty"`
-	// Retained are the entries that the node retains, if they are asked for.
+	// Retained contains the entries that the sender retains, if they were requested.
 	Retained []catalog.Entry `json:"kept,omitempty"`
-	// Elsewhere are peer addresses to ask instead: nodes that the sender has just sent its whole state.
+	// Elsewhere contains peer addresses to pull from instead: nodes to which the sender has just sent a snapshot.
 	Elsewhere []string `json:"elsewhere,omitempty"`
 }
 
-// RolloutReports are counts of attempts at the versions of services, sent to the nodes that evaluate roll-outs.
+// RolloutReports contains the sender's counts of attempts by service and version. They are sent to evaluator nodes.
 type RolloutReports struct {
-	// Node is the id of the node that counted.
+	// Node is the ID of the node that counted.
 	Node string `json:"node"`
-	// StartUnixNano identifies the process that counted: a new process counts from zero.
+	// StartUnixNano identifies the process that counted, since a new process counts from zero.
 	StartUnixNano int64 `json:"start_unix_nano"`
-	// Rows are the counts, packed by package rolloutcontrol.
+	// Rows contains the counts, encoded by package rolloutcontrol.
 	Rows []byte `json:"rows"`
 }
 
@@ -176,38 +178,38 @@
 type Quarantine struct {
 	// Evidence is the sender's evidence against the request.
 	Evidence *quarantine.Evidence `json:"evidence,omitempty"`
-	// Answered is the request whose evidence the sender withdraws: a leaf answered it.
+	// Answered is the fingerprint of a request that a leaf answered; the sender drops its evidence against the request.
 	Answered fingerprint.Fingerprint `json:"answered,omitzero"`
-	// Record says that the request is under quarantine.
+	// Record reports that the request is quarantined.
 	Record *quarantine.Record `json:"record,omitempty"`
 }
 
-// RolloutAbort says that no further requests may be sent to the canary version by an order.
+// RolloutAbort reports that a roll-out is aborted: no further requests may be sent to its canary version. On the wire, an
+// abort is named rollout_hold, and a rollout spec order.
 type RolloutAbort struct {
 	Service string `json:"service"`
-	// SpecID is the revision of the spec.
+	// SpecID is the revision of the rollout spec.
 	SpecID int64 `json:"order"`
 }
 
-// StatusQuery asks how many nodes have a revision in force, and how many are settled at it.
+// StatusQuery requests the number of nodes that have a revision in force, and the number that are settled at it.
 type StatusQuery struct {
 	Revision int64 `json:"revision"`
-	// WholeZone asks the receiver to ask all members of its zone; otherwise it asks the
-	// given subtree.
+	// WholeZone requests that the receiver query all members of its zone; otherwise it queries Subtree.
 	WholeZone bool     `json:"whole_zone,omitempty"`
 	Subtree   []string `json:"subtree,omitempty"`
 }
 
-// StatusReply answers StatusQuery for the nodes asked that answered.
+// StatusReply answers StatusQuery for the queried nodes that answered.
 type StatusReply struct {
 	Nodes          uint32 `json:"nodes"`
 	InForce        uint32 `json:"in_force"`
 	LowestRevision int64  `json:"lowest_revision"`
-	// Settled counts the nodes that send no requests by a rule from before the revision and have none in flight;
-	// LowestSettled is the lowest revision at which a node is settled.
+	// Settled counts the nodes that send no requests by rules from before the revision and have no such requests in
+	// flight. LowestSettled is the lowest revision at which a node is settled.
 	Settled       uint32 `json:"settled"`
 	LowestSettled int64  `json:"lowest_settled"`
-	// Registered is the fingerprint of those of the nodes that are registered, as each of them knows it, so that
-	// unregistered nodes aren't counted in place of silent ones.
+	// Registered is the fingerprint of the answering nodes that consider themselves registered, so that unregistered
+	// nodes aren't counted in place of silent ones.
 	Registered uint64 `json:"registered,omitempty"`
 }
--- a/internal/fleet/peer/peer_test.go
+++ b/internal/fleet/peer/peer_test.go
@@ -13,15 +13,15 @@
 	"github.com/portgauge/portgauge/internal/config/catalog"
 )
 
-// echo answers a pull with its revision and records datagrams.
+// echo is a Handler that answers a pull with its revision and records datagrams.
 type echo struct {
-	mutex     sync.Mutex
+	mu        sync.Mutex
 	datagrams []Message
 }
 
 func (e *echo) HandleDatagram(message Message) {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	e.datagrams = append(e.datagrams, message)
 }
 
@@ -54,9 +54,9 @@
 	is.Equal(len(answer.State.Changes[0].Entry.Key), 5000) // sent compressed
 	first.Send(second.Address(), Message{Probe: &Probe{Sequence: 7}})
 	for range 200 {
-		handler.mutex.Lock()
+		handler.mu.Lock()
 		count := len(handler.datagrams)
-		handler.mutex.Unlock()
+		handler.mu.Unlock()
 		if count == 1 {
 			break
 		}
@@ -66,8 +66,8 @@
 	is.Equal(handler.datagrams[0].From, first.Address())
 }
 
-// Garbage on the sockets is ignored, and the node goes on.
-func TestGarbageIsIgnored(t *testing.T) {
+// Malformed input on the sockets is ignored, and the transport still answers calls.
+func TestMalformedInputIsIgnored(t *testing.T) {
 	is := is.New(t)
 	transport := listenForTest(t, &echo{})
 	connection, err := net.Dial("tcp", transport.Address())
@@ -76,7 +76,7 @@
 	is.NoErr(err)
 	buffer := make([]byte, 1)
 	_, err = connection.Read(buffer)
-	is.True(err != nil) // closed
+	is.True(err != nil) // the transport closed the connection
 	datagrams, err := net.Dial("udp", transport.Address())
 	is.NoErr(err)
 	_, err = datagrams.Write([]byte{0xff, 0x00})
@@ -86,7 +86,7 @@
 	is.Equal(answer.State.Revision, int64(1))
 }
 
-func TestBatchSurvivesPacking(t *testing.T) {
+func TestBatchRoundTrip(t *testing.T) {
 	is := is.New(t)
 	changes := []catalog.Change{{Entry: catalog.Entry{Key: "a", Value: []byte(`{"x":1}`), Revision: 3}, Previous: 2}}
 	batch, err := PackBatch(changes)
@@ -106,7 +106,7 @@
 	f.Add(line)
 	f.Add([]byte(`{"gzip":"H4sIAAAAAAAA/wMAAAAAAAAAAAA="}`))
 	f.Fuzz(func(_ *testing.T, line []byte) {
-		// Nothing may panic.
+		// Decoding must not panic.
 		_, _ = decodeLine(line)
 		_, _ = Batch(line).Unpack()
 	})
--- a/internal/fleet/peer/peertest/network.go
+++ b/internal/fleet/peer/peertest/network.go
@@ -1,6 +1,6 @@
-// Package peertest connects nodes of package peer inside one process, for tests in virtual time: a Network delivers
-// datagrams and calls after a delay, and loses, cuts or freezes them as a test asks. It keeps the handlers of the attached
-// nodes and starts a timer for each datagram; losses are drawn from a seed.
+// Package peertest connects nodes of package peer inside one process, for tests in virtual time. A Network delivers
+// datagrams and calls after a delay, and can simulate loss, partitions and frozen nodes. It keeps the handlers of the
+// attached nodes and starts a timer for each datagram. Losses are pseudo-random and depend only on a seed.
 package peertest
 
 import (
@@ -14,15 +14,15 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
-// ErrUnreachable is the error of calls across a cut or to a node that is not attached.
+// ErrUnreachable is returned by calls across a partition, to or from a frozen node, or to a node that is not attached.
 var ErrUnreachable = merry.New("peer unreachable")
 
 // Network connects nodes inside one process. It is safe for concurrent use.
 type Network struct {
-	// Delay is how long a message takes in one direction.
+	// Delay is the one-way delay of a message.
 	Delay time.Duration
 
-	mutex    sync.Mutex
+	mu       sync.Mutex
 	loss     float64
 	random   *rand.Rand
 	handlers map[string]peer.Handler
@@ -30,7 +30,7 @@
 	cut      func(from, to string) bool
 }
 
-// NewNetwork returns a network without nodes whose losses are drawn from a seed.
+// NewNetwork returns a network without nodes. The seed determines which datagrams are lost.
 func NewNetwork(seed uint64, delay time.Duration) *Network {
 	return &Network{
 		Delay:    delay,
@@ -40,47 +40,47 @@
 	}
 }
 
-// Attach returns the transport of a node. Messages to the node are lost until Serve has set its handler.
+// Attach returns the transport of a node. Messages to the node are lost until its Serve method is called.
 func (n *Network) Attach(address string) *Transport {
 	return &Transport{network: n, address: address}
 }
 
-// Remove detaches a node, as when its process dies.
+// Remove detaches a node, as if its process had crashed.
 func (n *Network) Remove(address string) {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	delete(n.handlers, address)
 }
 
-// Freeze sets whether a node is frozen: a frozen node neither sends nor receives messages.
+// Freeze sets whether a node is frozen. A frozen node neither sends nor receives messages.
 func (n *Network) Freeze(address string, frozen bool) {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	n.frozen[address] = frozen
 }
 
-// SetLoss sets the share of datagrams that are lost, between 0 and 1.
-func (n *Network) SetLoss(share float64) {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
-	n.loss = share
+// SetLoss sets the fraction of datagrams that are lost, between 0 and 1.
+func (n *Network) SetLoss(fraction float64) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.loss = fraction
 }
 
-// Cut drops the messages for which cut returns true; nil drops none.
+// Cut drops all messages for which cut returns true. A nil function drops none.
 func (n *Network) Cut(cut func(from, to string) bool) {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	n.cut = cut
 }
 
 // route returns the handler that receives a message, or nil if the message is lost.
-func (n *Network) route(from, to string, mayLose bool) peer.Handler {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
+func (n *Network) route(from, to string, isDatagram bool) peer.Handler {
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	if n.frozen[to] || n.frozen[from] || (n.cut != nil && n.cut(from, to)) {
 		return nil
 	}
-	if mayLose && n.random.Float64() < n.loss {
+	if isDatagram && n.random.Float64() < n.loss {
 		return nil
 	}
 	return n.handlers[to]
@@ -94,10 +94,10 @@
 
 var _ peer.Transport = (*Transport)(nil)
 
-// Serve passes messages to the handler from now on.
+// Serve starts to pass messages to the handler.
 func (t *Transport) Serve(handler peer.Handler) {
-	t.network.mutex.Lock()
-	defer t.network.mutex.Unlock()
+	t.network.mu.Lock()
+	defer t.network.mu.Unlock()
 	t.network.handlers[t.address] = handler
 }
 
@@ -117,7 +117,7 @@
 // Call implements peer.Transport.
 func (t *Transport) Call(ctx context.Context, address string, message peer.Message) (peer.Message, error) {
 	message.From = t.address
-	if err := t.travel(ctx); err != nil {
+	if err := t.waitDelay(ctx); err != nil {
 		return peer.Message{}, err
 	}
 	handler := t.network.route(t.address, address, false)
@@ -125,11 +125,11 @@
 		return peer.Message{}, merry.Wrap(ErrUnreachable)
 	}
 	answer := handler.HandleCall(ctx, message)
-	return answer, t.travel(ctx)
+	return answer, t.waitDelay(ctx)
 }
 
-// travel waits for the delay of one direction.
-func (t *Transport) travel(ctx context.Context) error {
+// waitDelay waits for the one-way delay.
+func (t *Transport) waitDelay(ctx context.Context) error {
 	select {
 	case <-time.After(t.network.Delay):
 		return nil
--- a/internal/fleet/peer/pending.go
+++ b/internal/fleet/peer/pending.go
@@ -1,16 +1,16 @@
 package peer
 
-// Pending are the numbered requests over datagrams that wait for an answer. The zero value is ready; the owner's lock
+// Pending tracks numbered datagram requests that wait for an answer. The zero value is ready for use. The owner's lock
 // guards it.
 type Pending struct {
 	last     uint64
-	answered map[uint64]chan struct{} // by number of the request
+	answered map[uint64]chan struct{} // by request number
 }
 
-// Len returns how many requests wait for an answer.
+// Len returns the number of requests that wait for an answer.
 func (p *Pending) Len() int { return len(p.answered) }
 
-// Open returns the number of a new request, and a channel that its answer closes.
+// Open returns the number of a new request and a channel that is closed by Answer.
 func (p *Pending) Open() (number uint64, answered <-chan struct{}) {
 	if p.answered == nil {
 		p.answered = map[uint64]chan struct{}{}
@@ -21,10 +21,10 @@
 	return p.last, channel
 }
 
-// Close ends the wait for an answer.
+// Close removes a request, whether or not it was answered.
 func (p *Pending) Close(number uint64) { delete(p.answered, number) }
 
-// Answer records the answer to a request; a late or repeated one is ignored.
+// Answer records the answer to a request. It ignores late and repeated answers.
 func (p *Pending) Answer(number uint64) {
 	if answered, found := p.answered[number]; found {
 		close(answered)
--- a/internal/fleet/peer/transport.go
+++ b/internal/fleet/peer/transport.go
@@ -12,32 +12,32 @@
 	json "github.com/goccy/go-json"
 )
 
-// Bounds of messages in bytes. A datagram beyond its bound is not sent.
+// Maximum sizes of messages in bytes. A datagram that exceeds its maximum is not sent.
 const (
 	MaximumDatagram = 1400
 	MaximumLine     = 32 << 20
 )
 
-// Estimated bytes on the wire besides a message's own, for the accounting of control traffic: the IP and UDP headers of a
-// datagram, and the packets that open, acknowledge and close a TCP connection.
+// Estimated overhead of a message in bytes, for the accounting of control traffic: the IP and UDP headers of a datagram,
+// and the packets that open, acknowledge and close a TCP connection.
 const (
 	datagramOverhead = 28
 	callOverhead     = 480
 )
 
-// callTimeout bounds the handling of one call at its receiver.
+// callTimeout bounds how long the receiver handles a call.
 const callTimeout = 5 * time.Second
 
-// Names of the transports for the meter.
+// Names of the transports, as passed to the meter.
 const (
 	meterDatagram = "udp"
 	meterCall     = "tcp"
 )
 
-// Meter receives the bytes of each message sent or received, overhead included.
+// Meter is called with the size in bytes of each message sent or received, including the overhead.
 type Meter func(transport string, sent, received int)
 
-// SocketTransport is the Transport over real sockets.
+// SocketTransport implements Transport over UDP and TCP sockets.
 type SocketTransport struct {
 	datagrams *net.UDPConn
 	listener  *net.TCPListener
@@ -52,10 +52,10 @@
 
 var _ Transport = (*SocketTransport)(nil)
 
-// Listen opens the UDP and TCP sockets of an address given by IP number; with port 0, one free port is chosen
-// for both. advertise is the address for other nodes; empty means the one listened on.
+// Listen opens the UDP and TCP sockets of an address. If the port is 0, it chooses one free port for both. advertise is
+// the address that other nodes use; if empty, it is the address listened on.
 func Listen(address, advertise string, meter Meter) (*SocketTransport, error) {
-	const attempts = 20 // the port chosen for TCP may be in use for UDP
+	const attempts = 20 // the free TCP port may be in use for UDP
 	var lastErr error
 	for range attempts {
 		transport, err := listenOnce(address, meter)
@@ -88,7 +88,7 @@
 	return &SocketTransport{datagrams: datagrams, listener: listener, meter: meter, ctx: ctx, cancel: cancel}, nil
 }
 
-// Serve starts to receive messages.
+// Serve starts to receive messages and passes them to the handler.
 func (t *SocketTransport) Serve(handler Handler) {
 	t.handler = handler
 	t.done.Add(2)
@@ -99,7 +99,7 @@
 // Address implements Transport.
 func (t *SocketTransport) Address() string { return t.advertise }
 
-// Close closes the sockets and waits until no message is being handled.
+// Close closes the sockets and waits until all messages in progress are handled.
 func (t *SocketTransport) Close() error {
 	t.cancel()
 	err := errors.Join(t.datagrams.Close(), t.listener.Close())
@@ -147,8 +147,8 @@
 	return answer, nil
 }
 
-// resetOnClose makes the close of a connection reset it. The exchange is complete and nothing in flight; a
-// normal close would keep the port in TIME_WAIT for a minute.
+// resetOnClose lets Close reset the connection. That is safe because the exchange is complete and no data is in flight.
+// A normal close would keep the port in TIME_WAIT for a minute.
 func resetOnClose(connection net.Conn) {
 	if tcp, isTCP := connection.(*net.TCPConn); isTCP {
 		if err := tcp.SetLinger(0); err != nil {
@@ -208,7 +208,7 @@
 	}
 }
 
-// closeQuietly closes a connection that is no longer needed; a second close is harmless.
+// closeQuietly closes a connection that is no longer needed and ignores errors; it may be called twice.
 func closeQuietly(connection io.Closer) {
 	if err := connection.Close(); err != nil {
 		return
