--- a/internal/fleet/machines/catalog.go
+++ b/internal/fleet/machines/catalog.go
@@ -7,15 +7,14 @@
 	"github.com/portgauge/portgauge/internal/config/catalog"
 )
 
-// CatalogLister lists the nodes that registered themselves, from the configuration in force: no call leaves the
-// node. Leafs are in the configuration too, and are not listed.
+// CatalogLister lists the registered nodes from the configuration in force, without a call to the platform. It does not
+// list leafs, which callers find in the configuration.
 type CatalogLister struct {
 	catalog *catalog.Catalog
 }
 
 var _ Lister = (*CatalogLister)(nil)
 
-// NewCatalogLister returns a lister.
 func NewCatalogLister(known *catalog.Catalog) *CatalogLister { return &CatalogLister{catalog: known} }
 
 // ListMachines implements Lister.
--- a/internal/fleet/machines/machines.go
+++ b/internal/fleet/machines/machines.go
@@ -1,11 +1,11 @@
-// Package machines is the interface to the platform's list of machines, which lags behind reality. CatalogLister
-// implements it from the registered nodes in the configuration, for platforms without such a list. The package
-// owns no state; errors are those of the platform's client.
+// Package machines defines the interface to the platform's list of machines. The list may be out of date. CatalogLister
+// implements the interface from the registered nodes in the configuration, for platforms without such a list. The package
+// owns no state; its errors are the errors of the platform's client.
 package machines
 
 import "context"
 
-// State is the state of a machine as the platform reports it.
+// State is the state of a machine according to the platform.
 type State string
 
 // The states of a machine.
@@ -14,7 +14,7 @@
 	Leaving State = "leaving"
 )
 
-// Role says what runs on a machine.
+// Role is what runs on a machine.
 type Role string
 
 // The roles of a machine.
@@ -23,7 +23,7 @@
 	RoleLeaf Role = "leaf"
 )
 
-// Machine is one line of the list.
+// Machine is one entry of the list.
 type Machine struct {
 	ID      string
 	Address string
@@ -32,27 +32,27 @@
 	Role    Role
 }
 
-// List is the requested part of the machine list at a version.
+// List is the requested part of the machine list, and the list's version.
 type List struct {
 	Machines []Machine
 	Version  uint64
-	// Unchanged is set, and Machines left out, when the caller's version is current.
+	// Unchanged is true, and Machines empty, if Query.KnownVersion is current.
 	Unchanged bool
 }
 
 // Query selects a part of the list.
 type Query struct {
-	// Zone and Role narrow the list when set.
+	// Zone and Role restrict the list if they are not empty.
 	Zone string
 	Role Role
-	// MostPerZone bounds the machines returned of each zone, picked at random; 0 means all.
+	// MostPerZone bounds the number of machines per zone, which are chosen at random; 0 means all.
 	MostPerZone uint32
-	// KnownVersion is the version the caller has.
+	// KnownVersion is the version that the caller has.
 	KnownVersion uint64
 }
 
-// Lister reads the machine list. At full size the whole list is too large to read often, so
-// callers ask for the part they need.
+// Lister reads the machine list. The whole list of a large fleet is too large to read often, so callers request the part
+// that they need.
 type Lister interface {
 	ListMachines(ctx context.Context, query Query) (List, error)
 }
--- a/internal/fleet/ownplatform/byte_counter.go
+++ b/internal/fleet/ownplatform/byte_counter.go
@@ -6,10 +6,10 @@
 	"google.golang.org/grpc/stats"
 )
 
-// Meter receives the size in bytes of each message sent to or received from the platform.
+// Meter is called with the size in bytes of each message sent to or received from the platform.
 type Meter func(sent, received int)
 
-// byteCounter reports each message on the connection to the meter.
+// byteCounter reports the size of each message on a connection to a Meter.
 type byteCounter struct {
 	meter Meter
 }
--- a/internal/fleet/ownplatform/guarded_test.go
+++ b/internal/fleet/ownplatform/guarded_test.go
@@ -13,10 +13,10 @@
 	"github.com/portgauge/portgauge/internal/lab/platform"
 )
 
-// callsPerSecond is the stand-in's rate limit, higher than a test needs.
+// callsPerSecond is the rate limit of the simulated platform; no test reaches it.
 const callsPerSecond = 1000
 
-// start returns a client of a stand-in platform on the loopback interface.
+// start starts a simulated platform on the loopback interface and returns a client of it.
 func start(t *testing.T) *Client {
 	t.Helper()
 	var listening net.ListenConfig
@@ -42,27 +42,27 @@
 	return client
 }
 
-// A guarded write succeeds only while each condition holds; a key that was never written has revision 0.
-func TestGuardedWriteNeedsItsConditions(t *testing.T) {
+// A guarded write succeeds only if each condition holds. A key that was never written has revision 0.
+func TestGuardedWriteRequiresAllConditions(t *testing.T) {
 	is := is.New(t)
 	client := start(t)
-	order, err := client.CompareAndSwap(t.Context(), "order", 0, []byte(`1`), false)
+	spec, err := client.CompareAndSwap(t.Context(), "order", 0, []byte(`1`), false)
 	is.NoErr(err)
-	conditions := []store.Condition{{Key: "order", Revision: order.Entry.Revision}, {Key: "absent"}}
+	conditions := []store.Condition{{Key: "order", Revision: spec.Entry.Revision}, {Key: "absent"}}
 	written, err := client.CompareAndSwapIf(t.Context(), conditions, "state", 0, []byte(`a`))
 	is.NoErr(err)
 	is.True(written.Swapped)
 	again, err := client.CompareAndSwapIf(t.Context(), conditions, "state", 0, []byte(`b`))
 	is.NoErr(err)
-	is.True(!again.Swapped) // the key's own revision is compared too
-	_, err = client.CompareAndSwap(t.Context(), "order", order.Entry.Revision, nil, true)
+	is.True(!again.Swapped) // the revision of the written key is compared as well
+	_, err = client.CompareAndSwap(t.Context(), "order", spec.Entry.Revision, nil, true)
 	is.NoErr(err)
 	refused, err := client.CompareAndSwapIf(t.Context(), conditions, "state", written.Entry.Revision, []byte(`c`))
 	is.NoErr(err)
 	is.True(!refused.Swapped)
 	is.Equal(string(refused.Entry.Value), `a`)
-	taken := []store.Condition{{Key: "order"}}
-	written, err = client.CompareAndSwapIf(t.Context(), taken, "state", written.Entry.Revision, []byte(`d`))
+	deleted := []store.Condition{{Key: "order"}}
+	written, err = client.CompareAndSwapIf(t.Context(), deleted, "state", written.Entry.Revision, []byte(`d`))
 	is.NoErr(err)
 	is.True(written.Swapped) // a deleted key has revision 0
 }
--- a/internal/fleet/ownplatform/leases.go
+++ b/internal/fleet/ownplatform/leases.go
@@ -28,13 +28,13 @@
 // Keep implements store.Lessor.
 func (c *Client) Keep(ctx context.Context, lease int64) error {
 	_, err := c.store.KeepLease(ctx, &platformv1.KeepLeaseRequest{Lease: lease})
-	return leaseFailure(err, "store keep lease")
+	return wrapLeaseError(err, "store keep lease")
 }
 
 // End implements store.Lessor.
 func (c *Client) End(ctx context.Context, lease int64) error {
 	_, err := c.store.EndLease(ctx, &platformv1.EndLeaseRequest{Lease: lease})
-	return leaseFailure(err, "store end lease")
+	return wrapLeaseError(err, "store end lease")
 }
 
 // PutLeased implements store.Lessor.
@@ -44,11 +44,12 @@
 		return err
 	}
 	_, err = c.store.PutLeased(ctx, &platformv1.PutLeasedRequest{Key: key, Value: value, Lease: lease})
-	return leaseFailure(err, "store put leased")
+	return wrapLeaseError(err, "store put leased")
 }
 
-// leaseFailure puts the name of the call before an error; NOT_FOUND means that the lease is over: store.ErrLeaseGone.
-func leaseFailure(err error, call string) error {
+// wrapLeaseError prepends the name of the call to an error. NOT_FOUND means that the lease has expired or was revoked, and
+// becomes store.ErrLeaseGone.
+func wrapLeaseError(err error, call string) error {
 	if status.Code(err) == codes.NotFound {
 		return merry.Prepend(store.ErrLeaseGone, call)
 	}
--- a/internal/fleet/ownplatform/leases_test.go
+++ b/internal/fleet/ownplatform/leases_test.go
@@ -11,8 +11,8 @@
 	"github.com/portgauge/portgauge/internal/config/store"
 )
 
-// A document written under a lease reads like any other, and is deleted when the lease ends.
-func TestLeasedDocumentGoesWithItsLease(t *testing.T) {
+// A document written under a lease can be read like any other, and is deleted when the lease ends.
+func TestLeasedDocumentIsDeletedWithItsLease(t *testing.T) {
 	is := is.New(t)
 	client := start(t)
 	lease, granted, err := client.Grant(t.Context(), time.Minute)
--- a/internal/fleet/ownplatform/ownplatform.go
+++ b/internal/fleet/ownplatform/ownplatform.go
@@ -1,9 +1,9 @@
-// Package ownplatform is the client of this product's own platform protocol (proto/portgauge/platform/v1): a store with
-// leases and a machine list over gRPC. It is used where the settings name no other platform; the adapter to the users'
-// platform is package platform at the root of the repository, and internal/lab/platform serves this protocol in tests.
+// Package ownplatform implements the client of this product's own platform protocol (proto/portgauge/platform/v1): a store
+// with leases and a machine list over gRPC. A node uses it unless the settings name another platform. The adapter to the
+// users' platform is package platform at the root of the repository; internal/lab/platform serves this protocol in tests.
 //
-// A Client owns one gRPC connection, opened on first use. It keeps no state and never retries: timeouts and retries are
-// the callers'. Errors are gRPC statuses with the name of the call in front; a lease that is over is store.ErrLeaseGone.
+// A Client owns one gRPC connection, opened on first use. It keeps no other state and never retries; callers set timeouts
+// and retry. Errors are gRPC statuses prefixed with the name of the call, or store.ErrLeaseGone for a lease that has ended.
 package ownplatform
 
 import (
@@ -19,7 +19,7 @@
 	"github.com/portgauge/portgauge/internal/fleet/machines"
 )
 
-// Client is one connection to the platform; safe for concurrent use.
+// Client calls the platform over one connection. It is safe for concurrent use.
 type Client struct {
 	connection *grpc.ClientConn
 	store      platformv1.StoreServiceClient
@@ -32,7 +32,7 @@
 	_ machines.Lister = (*Client)(nil)
 )
 
-// New returns a client; the connection is opened on first use. The meter is called with the size of each message.
+// New returns a client of the platform at an address. The connection is opened on first use.
 func New(address string, meter Meter) (*Client, error) {
 	connection, err := grpc.NewClient("passthrough:///"+address,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
@@ -61,7 +61,7 @@
 	return entryFrom(response.GetEntry()), nil
 }
 
-// List implements store.Store; its responses are always linearizable.
+// List implements store.Store. The result is always linearizable.
 func (c *Client) List(ctx context.Context, _ store.Consistency) (catalog.Snapshot, error) {
 	response, err := c.store.List(ctx, &platformv1.ListRequest{})
 	if err != nil {
@@ -96,7 +96,7 @@
 	return store.SwapResult{Swapped: response.GetSwapped(), Entry: entryFrom(response.GetEntry())}, nil
 }
 
-// Watch implements store.Store: the stream delivers each change at once, whatever the role.
+// Watch implements store.Store. The stream delivers each change at once, whatever the role.
 func (c *Client) Watch(ctx context.Context, after int64, _ store.WatchRole, receive func(store.Event) error) error {
 	stream, err := c.store.Watch(ctx, &platformv1.WatchRequest{AfterRevision: after})
 	if err != nil {
