--- a/internal/failure/checks.go
+++ b/internal/failure/checks.go
@@ -2,7 +2,7 @@
 
 import "errors"
 
-// Checks collects the failures of a set of fields, so that one error names every invalid field.
+// Checks collects the failures of several fields, so that one error names every invalid field.
 type Checks struct {
 	faults []error
 }
@@ -14,7 +14,7 @@
 	}
 }
 
-// Add records the failures of a nested set of fields, with a prefix before the names of the fields.
+// Add records the failures of a nested struct. The prefix and a dot precede the names of its fields.
 func (c *Checks) Add(prefix string, err error) {
 	for _, fault := range Faults(err) {
 		nested := *fault
@@ -23,13 +23,13 @@
 	}
 }
 
-// Err returns the recorded failures, joined; nil if there are none.
+// Err returns the recorded failures as one joined error, or nil if there are none.
 func (c *Checks) Err() error { return errors.Join(c.faults...) }
 
-// joined is the interface of the errors that errors.Join returns.
+// joined is implemented by the errors that errors.Join returns.
 type joined interface{ Unwrap() []error }
 
-// Faults returns the failures that are joined in an error; an error of another type becomes an Internal failure.
+// Faults returns the failures joined in an error. An error that contains no Failure becomes one with code Internal.
 func Faults(err error) []*Failure {
 	if err == nil {
 		return nil
--- a/internal/failure/failure.go
+++ b/internal/failure/failure.go
@@ -1,8 +1,8 @@
 // Package failure defines the typed errors that portgauge returns to callers and operators.
 //
-// Every failure has a stable code, says whether any back end ran the request and, if a retry is useful, how long to wait
-// before it. The package owns no state; internal/request/front and internal/operator/api encode failures for callers and
-// operators.
+// Every failure has a stable code. It states whether a back end ran the request and, if a retry is useful, how long to
+// wait before it. The package owns no state; internal/request/front and internal/operator/api encode failures for callers
+// and operators.
 package failure
 
 import (
@@ -15,10 +15,10 @@
 	searchv1 "github.com/portgauge/portgauge/gen/portgauge/search/v1"
 )
 
-// Code is the stable name of a kind of failure. Codes are never renamed.
+// Code is the stable name of a kind of failure. A code is never renamed.
 type Code string
 
-// The codes a caller or operator can receive.
+// The codes that a caller or operator can receive.
 const (
 	InvalidField       Code = "INVALID_FIELD"
 	TooLarge           Code = "TOO_LARGE"
@@ -38,14 +38,14 @@
 	OutcomeUnknown     Code = "OUTCOME_UNKNOWN"
 	Cancelled          Code = "CANCELLED"
 	Unreachable        Code = "UNREACHABLE"
-	// LeafsEnded means that leafs crashed while they ran the request, Quarantined that so many did that it is sent to no
-	// leaf any more.
+	// LeafsEnded means that leafs crashed while they ran the request. Quarantined means that enough leafs crashed that the
+	// request is no longer sent to any leaf.
 	LeafsEnded  Code = "LEAFS_ENDED"
 	Quarantined Code = "QUARANTINED"
 	Internal    Code = "INTERNAL"
 )
 
-// ExecutionState says what is known of whether the request ran at a back end.
+// ExecutionState states whether a back end ran the request, as far as portgauge can tell.
 type ExecutionState = searchv1.ExecutionState
 
 // The execution states of a failure.
@@ -55,19 +55,19 @@
 	Unknown = searchv1.ExecutionState_EXECUTION_STATE_UNKNOWN
 )
 
-// Failure is the one error type that crosses portgauge's public interfaces.
+// Failure is the only error type that portgauge's public interfaces return.
 type Failure struct {
 	Code      Code
 	Execution ExecutionState
 	// Field is the path of the invalid field, for InvalidField.
 	Field string
-	// Message is one sentence for a person; programs read the other fields.
+	// Message is a human-readable sentence; programs use the other fields.
 	Message string
 	// RetryAfter is how long to wait before a retry; zero if a retry is useless.
 	RetryAfter time.Duration
-	// Coverage is what was reached, for IncompleteCoverage.
+	// Coverage is the coverage that was reached, for IncompleteCoverage.
 	Coverage *searchv1.Coverage
-	// CurrentRevision is the revision in the store, for RevisionConflict.
+	// CurrentRevision is the current revision in the store, for RevisionConflict.
 	CurrentRevision int64
 
 	cause error
@@ -78,14 +78,14 @@
 	return &Failure{Code: code, Execution: execution, Message: fmt.Sprintf(format, arguments...)}
 }
 
-// Invalid returns an InvalidField failure; nothing ran.
+// Invalid returns an InvalidField failure with execution NotRun and a formatted message.
 func Invalid(field, format string, arguments ...any) *Failure {
 	invalid := New(InvalidField, NotRun, format, arguments...)
 	invalid.Field = field
 	return invalid
 }
 
-// Wrap returns a failure that keeps its cause, with the stack of the caller.
+// Wrap returns a failure that wraps cause and records the caller's stack.
 func Wrap(cause error, code Code, execution ExecutionState, message string) *Failure {
 	return &Failure{Code: code, Execution: execution, Message: message, cause: merry.WrapSkipping(cause, 1)}
 }
@@ -96,7 +96,7 @@
 	return f
 }
 
-// Error returns the code, the field if any, the message and the cause.
+// Error returns the code, the field if there is one, the message, and the cause if there is one.
 func (f *Failure) Error() string {
 	text := string(f.Code)
 	if f.Field != "" {
@@ -109,10 +109,10 @@
 	return text
 }
 
-// Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.cause }
 
-// From returns the Failure in an error chain, or a new one with code Internal and execution Unknown if there is none.
+// From returns the first Failure in an error chain. If there is none, it wraps err in one with code Internal and execution
+// Unknown.
 func From(err error) *Failure {
 	var found *Failure
 	if errors.As(err, &found) {
@@ -121,7 +121,7 @@
 	return Wrap(err, Internal, Unknown, "unexpected error")
 }
 
-// Is reports whether an error chain contains a failure with the code.
+// Is reports whether the first Failure in an error chain has the given code.
 func Is(err error, code Code) bool {
 	var found *Failure
 	return errors.As(err, &found) && found.Code == code
