--- a/internal/compression/compression.go
+++ b/internal/compression/compression.go
@@ -1,5 +1,5 @@
-// Package compression compresses values and messages as gzip, and expands them up to a bound in bytes. It owns a
-// pool of idle compressors.
+// Package compression compresses values and messages with gzip, and expands them up to a maximum size. It owns a pool of
+// idle compressors.
 package compression
 
 import (
@@ -11,13 +11,13 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// ErrTooLong is the error of content that exceeds its bound once expanded.
-var ErrTooLong = merry.New("content too long once expanded")
+// ErrTooLong is returned by Expand for content that exceeds the maximum size when expanded.
+var ErrTooLong = merry.New("expanded content exceeds the maximum size")
 
-// compressors are idle compressors, which are worth keeping: each has about 800 KB of tables.
+// compressors pools idle compressors, since each allocates about 800 KB of tables.
 var compressors = sync.Pool{New: func() any { return gzip.NewWriter(nil) }}
 
-// Compress returns the content as gzip.
+// Compress returns the content compressed with gzip.
 func Compress(content []byte) ([]byte, error) {
 	var buffer bytes.Buffer
 	writer := compressors.Get().(*gzip.Writer)
@@ -32,7 +32,7 @@
 	return buffer.Bytes(), nil
 }
 
-// Expand returns the content of a gzip form, or ErrTooLong if it exceeds maximumBytes.
+// Expand returns the decompressed content of packed, or ErrTooLong if it exceeds maximumBytes.
 func Expand(packed []byte, maximumBytes int64) ([]byte, error) {
 	reader, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,5 +1,5 @@
-// Package wait waits for a time that a context may cut short. It relies on the monotonic clock, which does not
-// advance while the machine is suspended.
+// Package wait provides waits that end early if a context ends. It uses the monotonic clock, which does not advance while
+// the machine is suspended.
 package wait
 
 import (
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// For waits, and reports whether the whole time has passed; false means that the context ended.
+// For waits for a duration. It returns false if the context ended first.
 func For(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -20,8 +20,8 @@
 	}
 }
 
-// Jittered returns half to one and a half times a pause, at random, so that callers that failed together don't
-// retry together.
+// Jittered returns a random duration between 0.5 and 1.5 times pause, so that callers that failed together don't retry
+// together.
 func Jittered(pause time.Duration) time.Duration {
 	return time.Duration(float64(pause) * (0.5 + rand.Float64()))
 }
