--- a/internal/hangup/hangup.go
+++ b/internal/hangup/hangup.go
@@ -1,10 +1,9 @@
-// Package hangup catches SIGHUP, the signal by which a node is told to reload its settings, as early in the life of a process
-// as possible.
+// Package hangup catches SIGHUP, which tells a node to reload its settings, as early in the life of a process as possible.
 //
-// Until a process catches the signal, the signal ends it, and a node needs some tens of milliseconds until its main function
-// runs, most of them for the initialisation of its packages. This package imports next to nothing, so that it is initialised
-// among the first; Go initialises packages in the order of their import paths, so its path matters, too. It owns one channel and
-// the process's disposition of SIGHUP.
+// SIGHUP ends a process that doesn't catch it, and the main function of a node starts only some tens of milliseconds after
+// the process, mostly because of package initialization. This package imports almost nothing, so that it is among the first
+// to be initialized. Go initializes packages in the order of their import paths, so its path matters as well. The package
+// owns one channel and the process's disposition of SIGHUP.
 package hangup
 
 import (
@@ -13,11 +12,11 @@
 	"syscall"
 )
 
-// nodeArgument is the first argument of a process that runs a node. SIGHUP ends any other process, as when its terminal closes,
-// unless its parent ignored the signal.
+// nodeArgument is the first argument of a process that runs a node. SIGHUP ends any other process, for example when its
+// terminal closes, unless its parent ignored the signal.
 const nodeArgument = "node"
 
-// signals has room for one signal: a second one, before the first was received, would reload the same settings.
+// signals has a buffer of one: a second signal before the first is received would reload the same settings.
 var signals = make(chan os.Signal, 1)
 
 func init() {
@@ -26,8 +25,8 @@
 	}
 }
 
-// Signals returns the channel of signals to reload. From its first call on, SIGHUP doesn't end the process, whatever it runs;
-// that holds also if the parent of the process ignored the signal.
+// Signals returns the channel that receives SIGHUP. After the first call, SIGHUP no longer ends the process, whatever it
+// runs. The channel receives SIGHUP even if the parent of the process ignored the signal.
 func Signals() <-chan os.Signal {
 	signal.Notify(signals, syscall.SIGHUP)
 	return signals
--- a/internal/hangup/hangup_test.go
+++ b/internal/hangup/hangup_test.go
@@ -14,11 +14,12 @@
 	"github.com/matryer/is"
 )
 
-// variable has the test's program run as a process that receives the signal; its value has no meaning.
+// childVariable is the environment variable that makes the test binary run as a child process that receives the signal; its
+// value has no meaning.
 const variable = "PORTGAUGE_TEST_HANGUP"
 
-// TestMain runs such a process, or the tests. The process prints "up", and then "told" when it gets a signal to reload, or
-// "alive" when its standard input ends first.
+// TestMain runs the tests, or a child process. The child prints "up", and then "signaled" when it receives the signal, or
+// "alive" if its standard input ends first.
 func TestMain(m *testing.M) {
 	if os.Getenv(variable) == "" {
 		os.Exit(m.Run())
@@ -31,27 +32,27 @@
 	fmt.Println("up")
 	select {
 	case <-signals:
-		fmt.Println("told")
+		fmt.Println("signaled")
 	case <-inputEnded:
 		fmt.Println("alive")
 	case <-time.After(10 * time.Second):
 	}
 }
 
-// A signal to reload doesn't end a node that has asked for none yet, and is kept until it asks, also where the node's parent
-// ignored the signal, as nohup does. It ends other processes, unless their parent ignored it.
-func TestSignalBeforeANodeAsks(t *testing.T) {
+// SIGHUP doesn't end a node before its first receive from the channel, and is buffered until then, even if the node's parent
+// ignored the signal, as nohup does. It ends other processes unless their parent ignored it.
+func TestSignalBeforeFirstReceive(t *testing.T) {
 	for _, test := range []struct {
 		argument  string
 		isIgnored bool
 		wanted    string
 	}{
-		{nodeArgument, false, "told"},
-		{nodeArgument, true, "told"},
+		{nodeArgument, false, "signaled"},
+		{nodeArgument, true, "signaled"},
 		{"search", false, ""},
 		{"search", true, "alive"},
 	} {
-		t.Run(fmt.Sprintf("%s, ignored by its parent %t", test.argument, test.isIgnored), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%s, ignored by parent %t", test.argument, test.isIgnored), func(t *testing.T) {
 			is := is.New(t)
 			process := exec.Command(os.Args[0], test.argument)
 			process.Env = append(os.Environ(), variable+"=1")
@@ -76,8 +77,8 @@
 	}
 }
 
-// setInherited sets whether processes started by the test begin with the signal ignored, whatever the test's own parent did:
-// an ignored signal stays ignored in a new process, a caught one has its default action there.
+// setInherited sets whether processes started by the test begin with the signal ignored, whatever the test's own parent did.
+// An ignored signal stays ignored in a new process; a caught signal has its default action there.
 func setInherited(t *testing.T, isIgnored bool) {
 	t.Helper()
 	t.Cleanup(func() { signal.Reset(syscall.SIGHUP) })
