--- a/internal/fleet/registry/previous_test.go
+++ b/internal/fleet/registry/previous_test.go
@@ -71,7 +71,7 @@
 func TestRecordOfPreviousProcessIsResumed(t *testing.T) {
 	moved := ownRecord
 	moved.Address = "127.0.0.1:2"
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		record  leasedRecord
 		lost    bool
 		granted int
@@ -85,11 +85,11 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				known := catalog.New(nil)
-				putRecord(t, known, one.record)
-				lessor := &memoryLessor{put: map[string]int64{}, lost: one.lost}
+				putRecord(t, known, test.record)
+				lessor := &memoryLessor{put: map[string]int64{}, lost: test.lost}
 				granted, kept := runResuming(t, lessor, known, closedChannel(), 25)
-				is.Equal(granted, one.granted)
-				is.Equal(kept, 3-one.granted)
+				is.Equal(granted, test.granted)
+				is.Equal(kept, 3-test.granted)
 			})
 		})
 	}
