--- a/internal/fleet/reachability/reachability_test.go
+++ b/internal/fleet/reachability/reachability_test.go
@@ -45,11 +45,11 @@
 	return network
 }
 
-func (network *testNetwork) Ping(ctx context.Context, node catalog.NodeRecord) bool {
-	network.mu.Lock()
-	network.probed[node.Zone]++
-	isSilent, delay := network.silent[node.Zone] || network.silent[node.ID], network.delay
-	network.mu.Unlock()
+func (n *testNetwork) Ping(ctx context.Context, node catalog.NodeRecord) bool {
+	n.mu.Lock()
+	n.probed[node.Zone]++
+	isSilent, delay := n.silent[node.Zone] || n.silent[node.ID], n.delay
+	n.mu.Unlock()
 	if isSilent {
 		<-ctx.Done()
 		return false
@@ -62,33 +62,33 @@
 	}
 }
 
-func (network *testNetwork) SendZoneLost(node catalog.NodeRecord, zone string) {
-	network.mu.Lock()
-	defer network.mu.Unlock()
-	network.zonesLost = append(network.zonesLost, node.Zone+" of "+zone)
+func (n *testNetwork) SendZoneLost(node catalog.NodeRecord, zone string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.zonesLost = append(n.zonesLost, node.Zone+" of "+zone)
 }
 
 // set makes zones or nodes silent, or lets them answer.
-func (network *testNetwork) set(isSilent bool, names ...string) {
-	network.mu.Lock()
-	defer network.mu.Unlock()
+func (n *testNetwork) set(isSilent bool, names ...string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	for _, name := range names {
-		network.silent[name] = isSilent
+		n.silent[name] = isSilent
 	}
 }
 
-func (network *testNetwork) count(zone string) int {
-	network.mu.Lock()
-	defer network.mu.Unlock()
-	return network.probed[zone]
+func (n *testNetwork) count(zone string) int {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.probed[zone]
 }
 
 // tracker starts the tracker of the first node in the near zone.
-func (network *testNetwork) tracker(t *testing.T) *Tracker {
+func (n *testNetwork) tracker(t *testing.T) *Tracker {
 	t.Helper()
 	tracker := New(Deps{
-		Config: DefaultConfig(), Self: network.nodes[0], Prober: network,
-		Nodes: func() []catalog.NodeRecord { return network.nodes },
+		Config: DefaultConfig(), Self: n.nodes[0], Prober: n,
+		Nodes: func() []catalog.NodeRecord { return n.nodes },
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	go tracker.Run(ctx)
--- a/internal/fleet/registry/ranking.go
+++ b/internal/fleet/registry/ranking.go
@@ -32,8 +32,8 @@
 	}
 	slices.SortFunc(positions, position.compare)
 	ranked := make([]catalog.NodeRecord, len(positions))
-	for index, one := range positions {
-		ranked[index] = nodes[one.id]
+	for index, p := range positions {
+		ranked[index] = nodes[p.id]
 	}
 	return ranked
 }
--- a/internal/hangup/hangup_test.go
+++ b/internal/hangup/hangup_test.go
@@ -16,12 +16,12 @@
 
 // childVariable is the environment variable that makes the test binary run as a child process that receives the signal; its
 // value has no meaning.
-const variable = "PORTGAUGE_TEST_HANGUP"
+const childVariable = "PORTGAUGE_TEST_HANGUP"
 
 // TestMain runs the tests, or a child process. The child prints "up", and then "signaled" when it receives the signal, or
 // "alive" if its standard input ends first.
 func TestMain(m *testing.M) {
-	if os.Getenv(variable) == "" {
+	if os.Getenv(childVariable) == "" {
 		os.Exit(m.Run())
 	}
 	inputEnded := make(chan struct{})
@@ -55,7 +55,7 @@
 		t.Run(fmt.Sprintf("%s, ignored by parent %t", test.argument, test.isIgnored), func(t *testing.T) {
 			is := is.New(t)
 			process := exec.Command(os.Args[0], test.argument)
-			process.Env = append(os.Environ(), variable+"=1")
+			process.Env = append(os.Environ(), childVariable+"=1")
 			input, err := process.StdinPipe()
 			is.NoErr(err)
 			output, err := process.StdoutPipe()
