--- a/internal/node/boottime/boottime.go
+++ b/internal/node/boottime/boottime.go
@@ -1,11 +1,11 @@
-// Package boottime is a clock that includes the time for which the machine was suspended, and detects suspensions.
+// Package boottime provides a clock that includes the time for which the machine was suspended, and detects suspensions.
 //
-// The monotonic clock behind time.Now, timers and deadlines stops during a suspension. Leases, quarantine terms, ages of
-// the configuration and anything else that expires by itself are measured here instead; otherwise a machine that was
-// suspended for ten seconds would trust them ten seconds longer than the rest of the fleet does. The time of day can't
-// serve, since it may jump.
+// The monotonic clock of time.Now, timers and deadlines stops during a suspension. Leases, quarantine terms, the age of
+// the configuration and other terms that expire are measured with this clock instead; otherwise a machine that was
+// suspended for ten seconds would treat them as valid for ten seconds longer than the rest of the fleet does. The wall
+// clock is not suitable, since it may jump.
 //
-// It owns no state beyond the start of each Clock and relies on the kernel's CLOCK_BOOTTIME.
+// The clock is the kernel's CLOCK_BOOTTIME.
 package boottime
 
 import (
@@ -15,11 +15,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock returns instants that may be compared only with others of the same clock. The nil Clock is the monotonic clock,
-// for tests in virtual time and kernels without CLOCK_BOOTTIME.
+// Clock returns the current time. Its times may be compared only with times of the same Clock. The nil Clock is the
+// monotonic clock, for tests in virtual time and kernels without CLOCK_BOOTTIME.
 type Clock func() time.Time
 
-// Now returns the current instant.
 func (c Clock) Now() time.Time {
 	if c == nil {
 		return time.Now()
@@ -27,10 +26,10 @@
 	return c()
 }
 
-// Since returns the time since an instant, suspensions included.
-func (c Clock) Since(instant time.Time) time.Duration { return c.Now().Sub(instant) }
+// Since returns the time elapsed since start, including suspensions.
+func (c Clock) Since(start time.Time) time.Duration { return c.Now().Sub(start) }
 
-// System returns the machine's clock, or an error if the kernel doesn't have it.
+// System returns a clock that reads CLOCK_BOOTTIME, or an error if the kernel doesn't have it.
 func System() (Clock, error) {
 	start, err := sinceBoot()
 	if err != nil {
@@ -40,18 +39,18 @@
 	return func() time.Time {
 		now, err := sinceBoot()
 		if err != nil {
-			// The clock worked above, and CLOCK_BOOTTIME has no documented way to fail later.
+			// The first reading succeeded, and CLOCK_BOOTTIME has no documented way to fail later.
 			panic(err)
 		}
 		return base.Add(now - start)
 	}, nil
 }
 
-// sinceBoot reads CLOCK_BOOTTIME.
+// sinceBoot returns the value of CLOCK_BOOTTIME.
 func sinceBoot() (time.Duration, error) {
-	var read unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &read); err != nil {
+	var reading unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &reading); err != nil {
 		return 0, merry.Prepend(err, "read CLOCK_BOOTTIME")
 	}
-	return time.Duration(read.Nano()), nil
+	return time.Duration(reading.Nano()), nil
 }
--- a/internal/node/boottime/boottime_test.go
+++ b/internal/node/boottime/boottime_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-func TestSystemClockGoesOn(t *testing.T) {
+func TestSystemClockAdvances(t *testing.T) {
 	is := is.New(t)
 	clock, err := System()
 	is.NoErr(err)
@@ -17,13 +17,13 @@
 	is.True(clock.Since(first) >= 2*time.Millisecond)
 }
 
-func TestNilClockIsTheSteadyOne(t *testing.T) {
+func TestNilClockIsMonotonicClock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var clock Clock
-		began := clock.Now()
+		start := clock.Now()
 		time.Sleep(time.Hour)
-		is.Equal(clock.Since(began), time.Hour)
+		is.Equal(clock.Since(start), time.Hour)
 	})
 }
 
--- a/internal/node/boottime/suspension.go
+++ b/internal/node/boottime/suspension.go
@@ -8,37 +8,37 @@
 )
 
 // minSuspension is the smallest difference between the two clocks that counts as a suspension. Reading both takes
-// microseconds, and the kernel slews them alike.
+// microseconds, and the kernel slews both at the same rate.
 const minSuspension = 20 * time.Millisecond
 
-// Instant is an instant on both clocks, the one that includes suspensions and the monotonic one.
+// Instant is a reading of both clocks: the one that includes suspensions and the monotonic one.
 type Instant struct {
-	clock   Clock
-	counted time.Time
-	steady  time.Time
+	clock     Clock
+	bootTime  time.Time
+	monotonic time.Time
 }
 
-// Instant returns the current instant. The monotonic clock is read first here and last in Suspended, so that a process that is
-// descheduled between the two readings does not take that for a suspension.
+// Instant reads both clocks. It reads the monotonic clock first, and Suspended reads it last, so that the time for which
+// the process is descheduled between the two readings doesn't count as a suspension.
 func (c Clock) Instant() Instant {
-	steady := time.Now()
-	return Instant{clock: c, counted: c.Now(), steady: steady}
+	monotonic := time.Now()
+	return Instant{clock: c, bootTime: c.Now(), monotonic: monotonic}
 }
 
-// Suspended returns for how long the machine was suspended since the mark; 0 if it was not.
-func (m Instant) Suspended() time.Duration {
-	counted := m.clock.Since(m.counted)
-	suspended := counted - time.Since(m.steady)
+// Suspended returns for how long the machine was suspended since the instant; 0 if it was not.
+func (i Instant) Suspended() time.Duration {
+	elapsed := i.clock.Since(i.bootTime)
+	suspended := elapsed - time.Since(i.monotonic)
 	if suspended < minSuspension {
 		return 0
 	}
 	return suspended
 }
 
-// CheckInterval is how often Watch checks for a suspension: after one, a node acts on outdated state for at most this long.
+// CheckInterval is how often Watch checks for a suspension. It bounds how long a node acts on outdated state after one.
 const CheckInterval = 100 * time.Millisecond
 
-// Watch calls resumed after each suspension with its length, until the context ends.
+// Watch calls resumed with the length of each suspension after it ended, until the context ends.
 func Watch(ctx context.Context, clock Clock, resumed func(suspended time.Duration)) {
 	instant := clock.Instant()
 	for wait.For(ctx, CheckInterval) {
--- a/internal/node/boottime/suspension_test.go
+++ b/internal/node/boottime/suspension_test.go
@@ -10,14 +10,14 @@
 	"github.com/matryer/is"
 )
 
-// suspendable is a clock of a machine that can be suspended in virtual time, where the steady clock stands still.
-type suspendable struct{ slept atomic.Int64 }
+// suspendable is the clock of a machine whose suspensions are simulated: they advance this clock but not time.Now.
+type suspendable struct{ suspended atomic.Int64 }
 
-func (s *suspendable) now() time.Time { return time.Now().Add(time.Duration(s.slept.Load())) }
+func (s *suspendable) now() time.Time { return time.Now().Add(time.Duration(s.suspended.Load())) }
 
-func (s *suspendable) suspend(span time.Duration) { s.slept.Add(int64(span)) }
+func (s *suspendable) suspend(duration time.Duration) { s.suspended.Add(int64(duration)) }
 
-func TestEachSuspensionIsToldOnce(t *testing.T) {
+func TestWatchReportsEachSuspensionOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		machine := &suspendable{}
@@ -26,7 +26,7 @@
 		go Watch(ctx, machine.now, func(suspended time.Duration) { reported = append(reported, suspended) })
 		time.Sleep(time.Hour)
 		synctest.Wait()
-		is.Equal(len(reported), 0) // an ordinary hour
+		is.Equal(len(reported), 0) // no suspension
 		machine.suspend(5 * time.Second)
 		time.Sleep(2 * CheckInterval)
 		machine.suspend(time.Minute)
@@ -37,7 +37,7 @@
 	})
 }
 
-func TestMarkTellsWhatPassedInSleep(t *testing.T) {
+func TestInstantMeasuresSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		machine := &suspendable{}
--- a/internal/node/decisionlog/decisionlog.go
+++ b/internal/node/decisionlog/decisionlog.go
@@ -1,9 +1,9 @@
 // Package decisionlog writes one JSON line for each decision about a request and each change of the state that decisions
 // are based on, at a bounded rate.
 //
-// It owns a queue of events and the goroutine in Run that encodes and writes them, so that no caller of Write ever waits
-// for the output. Events beyond the rate or the queue are dropped and counted. Failed and partial requests have a rate of
-// their own, so that they still get through when ordinary ones use theirs up. It relies on the output alone.
+// It owns a queue of events. Run encodes and writes them, so that callers of Write never wait for the output. Events that
+// exceed the rate or the queue are dropped and counted. Failed and partial requests have a rate of their own, so that
+// ordinary requests can't displace them.
 package decisionlog
 
 import (
@@ -20,17 +20,17 @@
 
 // Config bounds the volume of the log.
 type Config struct {
-	// LinesPerSecond bounds the lines of ordinary decisions.
+	// LinesPerSecond bounds the lines per second for ordinary decisions.
 	LinesPerSecond float64 `yaml:"lines_per_second"`
-	// FailureLinesPerSecond bounds the lines of failed and partial requests.
+	// FailureLinesPerSecond bounds the lines per second for failed and partial requests and for changes of state.
 	FailureLinesPerSecond float64 `yaml:"failure_lines_per_second"`
-	// EveryAttempt also logs attempts that succeeded or were abandoned.
+	// EveryAttempt also logs attempts that succeeded or were abandoned; the default logs failed attempts only.
 	EveryAttempt bool `yaml:"every_attempt"`
-	// Queue is how many lines may be queued for the output.
+	// Queue is the maximum number of lines queued for the output; further lines are dropped.
 	Queue int `yaml:"queue"`
 }
 
-// DefaultConfig allows a few kilobytes a second.
+// DefaultConfig allows a few kilobytes per second.
 func DefaultConfig() Config {
 	return Config{LinesPerSecond: 5, FailureLinesPerSecond: 20, Queue: 256}
 }
@@ -44,71 +44,72 @@
 	return checks.Err()
 }
 
-// Importance selects the rate that a line counts against.
+// Importance selects the rate limit of a line.
 type Importance int
 
-// The importances.
+// Ordinary lines are limited to Config.LinesPerSecond, Failed lines to Config.FailureLinesPerSecond.
 const (
 	Ordinary Importance = iota
 	Failed
 )
 
-// Log is the decision log of a node; safe for concurrent use.
+// Log is the decision log of a node. It is safe for concurrent use.
 type Log struct {
-	output   io.Writer
-	queue    chan any
-	ordinary *rate.Limiter
-	failed   *rate.Limiter
-	leftOut  atomic.Int64
-	dropped  func()
+	output       io.Writer
+	queue        chan any
+	ordinary     *rate.Limiter
+	failed       *rate.Limiter
+	droppedLines atomic.Int64
+	dropped      func()
 }
 
-// New returns a log that writes nothing until Run is called. The dropped function is called for each dropped line.
-func New(config Config, output io.Writer, dropped func()) *Log {
+// New returns a log that writes nothing until Run is called. It calls dropped for each dropped line.
+func New(cfg Config, output io.Writer, dropped func()) *Log {
 	return &Log{
 		output:   output,
-		queue:    make(chan any, config.Queue),
-		ordinary: limiter(config.LinesPerSecond),
-		failed:   limiter(config.FailureLinesPerSecond),
+		queue:    make(chan any, cfg.Queue),
+		ordinary: limiter(cfg.LinesPerSecond),
+		failed:   limiter(cfg.FailureLinesPerSecond),
 		dropped:  dropped,
 	}
 }
 
-// burstSeconds is the burst of each rate, in seconds' worth of lines.
+// burstSeconds is how many seconds' worth of lines a burst may have.
 const burstSeconds = 3
 
 func limiter(perSecond float64) *rate.Limiter {
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(burstSeconds*perSecond)))
 }
 
-// Write queues an event, or drops it. The event is encoded later and must not be changed.
+// Write queues an event, or drops it if the rate is exceeded or the queue is full. The event is encoded later and must not
+// be changed.
 func (l *Log) Write(importance Importance, event any) {
-	bound := l.ordinary
+	limit := l.ordinary
 	if importance == Failed {
-		bound = l.failed
+		limit = l.failed
 	}
-	if bound.Allow() {
+	if limit.Allow() {
 		select {
 		case l.queue <- event:
 			return
 		default:
 		}
 	}
-	l.leftOut.Add(1)
+	l.droppedLines.Add(1)
 	l.dropped()
 }
 
-// leftOutEvent counts the lines dropped since the previous one.
-type leftOutEvent struct {
-	Time    time.Time `json:"time"`
-	Event   string    `json:"event"`
-	LeftOut int64     `json:"lines"`
+// droppedEvent is the number of lines dropped since the previous droppedEvent.
+type droppedEvent struct {
+	Time  time.Time `json:"time"`
+	Event string    `json:"event"`
+	Lines int64     `json:"lines"`
 }
 
 // reportInterval is how often dropped lines are reported.
 const reportInterval = 5 * time.Second
 
-// Run writes lines until the context ends, and then those still queued.
+// Run writes lines until the context ends, then writes the lines that are still queued and returns.
 func (l *Log) Run(ctx context.Context) {
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
@@ -117,7 +118,7 @@
 		case event := <-l.queue:
 			l.writeLine(event)
 		case <-ticker.C:
-			l.reportLeftOut()
+			l.reportDropped()
 		case <-ctx.Done():
 			l.flush()
 			return
@@ -131,24 +132,24 @@
 		case event := <-l.queue:
 			l.writeLine(event)
 		default:
-			l.reportLeftOut()
+			l.reportDropped()
 			return
 		}
 	}
 }
 
-func (l *Log) reportLeftOut() {
-	if lines := l.leftOut.Swap(0); lines > 0 {
-		l.writeLine(leftOutEvent{Time: time.Now(), Event: "lines_left_out", LeftOut: lines})
+func (l *Log) reportDropped() {
+	if lines := l.droppedLines.Swap(0); lines > 0 {
+		l.writeLine(droppedEvent{Time: time.Now(), Event: "lines_left_out", Lines: lines})
 	}
 }
 
 func (l *Log) writeLine(event any) {
 	line, err := json.Marshal(event)
 	if err != nil {
-		return // can't happen: events are plain structs of encodable fields
+		return // unreachable: events are structs with encodable fields
 	}
-	// An output that fails can't be reported anywhere: it is the log itself.
+	// The error can't be reported: the failed output is the log itself.
 	if _, err := l.output.Write(append(line, '\n')); err != nil {
 		return
 	}
--- a/internal/node/decisionlog/decisionlog_test.go
+++ b/internal/node/decisionlog/decisionlog_test.go
@@ -21,19 +21,19 @@
 // blockedOutput blocks every write until it is released.
 type blockedOutput struct {
 	release chan struct{}
-	mutex   sync.Mutex
+	mu      sync.Mutex
 	content bytes.Buffer
 }
 
 func (b *blockedOutput) Write(line []byte) (int, error) {
 	<-b.release
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	return b.content.Write(line)
 }
 
-// An output that blocks never blocks Write, and dropped lines are reported.
-func TestABlockedOutputBlocksNobody(t *testing.T) {
+// Callers of Write must not wait for a blocked output, and the lines dropped meanwhile must be reported.
+func TestBlockedOutputDoesNotBlockWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		output := &blockedOutput{release: make(chan struct{})}
@@ -57,8 +57,8 @@
 	})
 }
 
-// Ordinary lines don't use up the rate of failed ones.
-func TestFailuresOutlastOrdinaryLines(t *testing.T) {
+// Ordinary lines must not use up the rate of failed lines.
+func TestFailedLinesHaveTheirOwnRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var output bytes.Buffer
@@ -78,7 +78,7 @@
 	})
 }
 
-func TestConfigNamesEveryFault(t *testing.T) {
+func TestValidateReportsEveryInvalidField(t *testing.T) {
 	is := is.New(t)
 	is.NoErr(DefaultConfig().Validate())
 	is.Equal(len(failure.Faults(Config{LinesPerSecond: -1, FailureLinesPerSecond: -1}.Validate())), 3)
--- a/internal/node/dialect.go
+++ b/internal/node/dialect.go
@@ -12,7 +12,7 @@
 	"github.com/portgauge/portgauge/internal/request/httpnames"
 )
 
-// PlatformStore is a connection to a platform's store.
+// PlatformStore is a connection to the store of a platform.
 type PlatformStore interface {
 	store.Store
 	Close() error
@@ -22,51 +22,51 @@
 type Dialect struct {
 	// Name is the value of the setting platform.dialect.
 	Name string
-	// HTTP has the header names and paths of callers and leafs.
+	// HTTP holds the header names and paths that callers and leafs use.
 	HTTP httpnames.Names
-	// Connect connects to the store. The called function is called after each call of it.
-	Connect func(config settings.Platform, called func(store.Answer)) PlatformStore
+	// Connect connects to the store. It must call called after each call of the store.
+	Connect func(cfg settings.Platform, called func(store.Answer)) PlatformStore
 }
 
-// dialects are the known protocols besides the product's own.
+// dialects are the supported platform protocols besides the product's own.
 type dialects []Dialect
 
-// platformDeps is the platform as the rest of the node sees it.
+// platformDeps provides the platform to the rest of the node.
 type platformDeps struct {
 	fx.Out
 
 	Store store.Store
-	// Machines is nil if nodes find each other through their records in the store.
+	// Machines is nil if nodes discover each other through their records in the store.
 	Machines machines.Lister `name:"platform"`
 	// Lessor is nil if the platform has no leases.
 	Lessor store.Lessor
-	// Guarded is nil if the platform has no writes under conditions on other keys.
+	// Guarded is nil if the platform has no writes that are conditional on other keys.
 	Guarded store.Guarded
 	HTTP    httpnames.Names
 }
 
-// newPlatform connects to the platform by the dialect in the settings.
-func newPlatform(config settings.Settings, known dialects, metrics *telemetry.Metrics, events *storeEvents, lifecycle fx.Lifecycle) (platformDeps, error) {
-	if config.Platform.Dialect == settings.DefaultDialect {
-		return newOwnPlatform(config, metrics, lifecycle)
+// newPlatform connects to the platform with the protocol that the setting platform.dialect names.
+func newPlatform(cfg settings.Settings, known dialects, metrics *telemetry.Metrics, events *storeEvents, lifecycle fx.Lifecycle) (platformDeps, error) {
+	if cfg.Platform.Dialect == settings.DefaultDialect {
+		return newOwnPlatform(cfg, metrics, lifecycle)
 	}
 	for _, dialect := range known {
-		if dialect.Name != config.Platform.Dialect {
+		if dialect.Name != cfg.Platform.Dialect {
 			continue
 		}
-		connected := dialect.Connect(config.Platform, events.called)
-		lifecycle.Append(fx.StopHook(connected.Close))
-		lessor, _ := connected.(store.Lessor)
-		guarded, _ := connected.(store.Guarded)
-		return platformDeps{Store: connected, Lessor: lessor, Guarded: guarded, HTTP: dialect.HTTP}, nil
+		platformStore := dialect.Connect(cfg.Platform, events.called)
+		lifecycle.Append(fx.StopHook(platformStore.Close))
+		lessor, _ := platformStore.(store.Lessor)
+		guarded, _ := platformStore.(store.Guarded)
+		return platformDeps{Store: platformStore, Lessor: lessor, Guarded: guarded, HTTP: dialect.HTTP}, nil
 	}
-	return platformDeps{}, failure.Invalid("platform.dialect", "%q is not known to this program", config.Platform.Dialect)
+	return platformDeps{}, failure.Invalid("platform.dialect", "this program does not support the dialect %q", cfg.Platform.Dialect)
 }
 
-// newOwnPlatform connects by the product's own protocol.
-func newOwnPlatform(config settings.Settings, metrics *telemetry.Metrics, lifecycle fx.Lifecycle) (platformDeps, error) {
+// newOwnPlatform connects with the product's own protocol.
+func newOwnPlatform(cfg settings.Settings, metrics *telemetry.Metrics, lifecycle fx.Lifecycle) (platformDeps, error) {
 	sentToPlatform := metrics.ControlBytes.WithLabelValues("platform")
-	client, err := ownplatform.New(config.Platform.Address, func(sent, _ int) { sentToPlatform.Add(float64(sent)) })
+	client, err := ownplatform.New(cfg.Platform.Address, func(sent, _ int) { sentToPlatform.Add(float64(sent)) })
 	if err != nil {
 		return platformDeps{}, err
 	}
--- a/internal/node/life.go
+++ b/internal/node/life.go
@@ -14,11 +14,11 @@
 )
 
 // logLifetime logs the start and the end of the node.
-func logLifetime(lifecycle fx.Lifecycle, config settings.Settings, self catalog.NodeRecord, logger *zap.Logger) {
+func logLifetime(lifecycle fx.Lifecycle, cfg settings.Settings, self catalog.NodeRecord, logger *zap.Logger) {
 	lifecycle.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			logger.Info("node started", zap.String("node", self.ID), zap.String("zone", self.Zone),
-				zap.String("version", version.Current().Version), zap.String("platform", config.Platform.Address))
+				zap.String("version", version.Current().Version), zap.String("platform", cfg.Platform.Address))
 			return nil
 		},
 		OnStop: func(context.Context) error {
@@ -28,7 +28,7 @@
 	})
 }
 
-// runReload puts changed settings into force, on the reload signal and when the file changes.
+// runReload applies changed settings on the reload signal and when the settings file changes.
 func runReload(lifecycle fx.Lifecycle, start Start, level zap.AtomicLevel, syncer *configsync.Syncer, logger *zap.Logger) {
 	if start.Load == nil {
 		return
--- a/internal/node/maintenance.go
+++ b/internal/node/maintenance.go
@@ -15,11 +15,11 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// maintenanceInterval is how often gauges are set and state of vanished leafs is dropped.
+// maintenanceInterval is how often the gauges are set and the state of removed leafs is dropped.
 const maintenanceInterval = 5 * time.Second
 
-// maintainer drops the state kept for leafs and services that no longer exist, and sets the gauges of configuration
-// and membership.
+// maintainer drops the state of leafs and services that no longer exist, and sets the gauges for configuration and
+// membership.
 type maintainer struct {
 	catalog  *catalog.Catalog
 	balancer *balancer.Balancer
@@ -30,35 +30,35 @@
 	metrics  *telemetry.Metrics
 }
 
-func newMaintainer(known *catalog.Catalog, choice *balancer.Balancer, budgets *retrybudget.Budgets, pool *leafhttp.Pool, memory *leafmemory.Memory, members *membership.Membership, metrics *telemetry.Metrics) *maintainer {
-	return &maintainer{catalog: known, balancer: choice, budgets: budgets, pool: pool, memory: memory, members: members, metrics: metrics}
+func newMaintainer(known *catalog.Catalog, leafBalancer *balancer.Balancer, budgets *retrybudget.Budgets, pool *leafhttp.Pool, memory *leafmemory.Memory, members *membership.Membership, metrics *telemetry.Metrics) *maintainer {
+	return &maintainer{catalog: known, balancer: leafBalancer, budgets: budgets, pool: pool, memory: memory, members: members, metrics: metrics}
 }
 
-func (h *maintainer) run(ctx context.Context) {
+func (m *maintainer) run(ctx context.Context) {
 	for wait.For(ctx, maintenanceInterval) {
-		h.sweep()
+		m.sweep()
 	}
 }
 
-func (h *maintainer) sweep() {
-	view := h.catalog.View()
+func (m *maintainer) sweep() {
+	view := m.catalog.View()
 	known := map[string]bool{}
 	for _, service := range view.Services {
 		for leafID := range service.Leafs {
 			known[leafID] = true
 		}
 	}
-	for _, leafID := range h.memory.IDs() {
+	for _, leafID := range m.memory.IDs() {
 		known[leafID] = true
 	}
-	h.balancer.Forget(known)
-	h.pool.Prune(func(incarnation string) bool { return known[incarnation] })
-	h.budgets.Forget(h.isRouted(view))
-	h.setGauges(view)
+	m.balancer.Forget(known)
+	m.pool.Prune(func(incarnation string) bool { return known[incarnation] })
+	m.budgets.Forget(m.isRouted(view))
+	m.setGauges(view)
 }
 
-// isRouted returns a function that reports whether the routes name a service.
-func (h *maintainer) isRouted(view *catalog.View) func(service string) bool {
+// isRouted returns a function that reports whether any route in the view names a service.
+func (m *maintainer) isRouted(view *catalog.View) func(service string) bool {
 	routed := map[string]bool{}
 	if view.Routes != nil {
 		for _, name := range view.Routes.ServiceNames() {
@@ -68,12 +68,12 @@
 	return func(service string) bool { return routed[service] }
 }
 
-func (h *maintainer) setGauges(view *catalog.View) {
-	h.metrics.ConfigRevision.Set(float64(view.Revision))
-	h.metrics.Kept.Set(float64(len(h.catalog.RetainedInForce())))
-	h.metrics.ConfigAge.Set(h.catalog.Age().Seconds())
-	counts := h.members.Counts()
+func (m *maintainer) setGauges(view *catalog.View) {
+	m.metrics.ConfigRevision.Set(float64(view.Revision))
+	m.metrics.Retained.Set(float64(len(m.catalog.RetainedInForce())))
+	m.metrics.ConfigAge.Set(m.catalog.Age().Seconds())
+	counts := m.members.Counts()
 	for _, state := range []peer.MemberState{peer.Alive, peer.Suspect, peer.Left, peer.Dead} {
-		h.metrics.Members.WithLabelValues(string(state)).Set(float64(counts[state]))
+		m.metrics.Members.WithLabelValues(string(state)).Set(float64(counts[state]))
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,8 +1,8 @@
-// Package node wires the packages of a node together by fx and runs them as one process.
+// Package node wires the packages of a node together with fx and runs them as one process.
 //
-// At a start the peer listener opens first, then the node joins its zone and gets its configuration, then it serves
-// operators and callers. A planned stop goes the other way: the node announces it to callers and peers, serves on for a
-// moment, refuses new searches as not run, waits for requests in flight, and closes.
+// On start, the node opens the peer listener, joins its zone, loads its configuration, and then serves operators and
+// callers. On a planned stop, it announces the stop to callers and peers, keeps serving for the setting
+// stop.announce_delay, refuses new searches as not run, waits for the requests in flight, and closes.
 //
 // The package owns the listeners, the background goroutines and their shutdown, and the events of the decision log
 // (the *Events types). It makes no decisions of its own.
@@ -22,29 +22,29 @@
 	"github.com/portgauge/portgauge/internal/node/telemetry"
 )
 
-// closeReserve is the part of fx's stop timeout that is left for closing after the drain.
+// closeReserve is the part of the fx stop timeout that is reserved for closing after the drain.
 const closeReserve = 10 * time.Second
 
 // Start is the input of New.
 type Start struct {
 	Settings settings.Settings
-	// SettingsPath is the file that Load reads; empty if there is none.
+	// SettingsPath is the file that Load reads; empty means no file.
 	SettingsPath string
-	// Load reads the settings again; nil if they can't change.
+	// Load reads the settings again; nil disables reloading.
 	Load reload.Loader
 	// Reload receives the signals to reload the settings.
 	Reload <-chan os.Signal
-	// Logs receives log and decision log as JSON lines.
+	// Logs receives the log and the decision log as JSON lines.
 	Logs io.Writer
-	// Dialects are the platform protocols that the node speaks besides the product's own.
+	// Dialects are the supported platform protocols besides the product's own.
 	Dialects []Dialect
 }
 
-// New returns the application of one node; its Run and Stop are fx's.
+// New returns the fx application that runs one node.
 func New(start Start) *fx.App {
-	config := start.Settings
+	cfg := start.Settings
 	return fx.New(
-		fx.Supply(start, config, dialects(start.Dialects), fx.Annotate(start.Logs, fx.As(new(io.Writer)))),
+		fx.Supply(start, cfg, dialects(start.Dialects), fx.Annotate(start.Logs, fx.As(new(io.Writer)))),
 		fx.Provide(
 			newLevel,
 			func(level zap.AtomicLevel) *zap.Logger { return telemetry.NewLogger(start.Logs, level) },
@@ -93,10 +93,10 @@
 			return events
 		}),
 		fx.Invoke(runLog, logLifetime, runControl, runOperators, runServing, runReload),
-		fx.StopTimeout(config.Stop.PrepareStopDelay+config.Stop.DrainTimeout+closeReserve),
+		fx.StopTimeout(cfg.Stop.PrepareStopDelay+cfg.Stop.DrainTimeout+closeReserve),
 	)
 }
 
-func newLevel(config settings.Settings) (zap.AtomicLevel, error) {
-	return zap.ParseAtomicLevel(config.LogLevel)
+func newLevel(cfg settings.Settings) (zap.AtomicLevel, error) {
+	return zap.ParseAtomicLevel(cfg.LogLevel)
 }
--- a/internal/node/provide_config.go
+++ b/internal/node/provide_config.go
@@ -18,11 +18,11 @@
 	"go.uber.org/zap"
 )
 
-func newCatalog(config settings.Settings, clock boottime.Clock, metrics *telemetry.Metrics, logger *zap.Logger) *catalog.Catalog {
+func newCatalog(cfg settings.Settings, clock boottime.Clock, metrics *telemetry.Metrics, logger *zap.Logger) *catalog.Catalog {
 	rejected := &rejectedValues{metrics: metrics, logger: logger}
 	known := catalog.New(rejected.reject)
 	known.SetClock(clock)
-	if config.Rollouts.Enabled {
+	if cfg.Rollouts.Enabled {
 		known.EnableRollouts()
 	}
 	return known
@@ -37,13 +37,13 @@
 	Machines  machines.Lister
 	Transport *peer.SocketTransport
 	Balancer  *balancer.Balancer
-	Canary    *canary.Splitter // nil without roll-outs
+	Canary    *canary.Splitter // nil if roll-outs are disabled
 	Metrics   *telemetry.Metrics
 	Logger    *zap.Logger
 }
 
 func newSyncer(deps syncerDeps) *configsync.Syncer {
-	var settled func() int64 // nil without roll-outs: the syncer then reports the revision in force
+	var settled func() int64 // nil if roll-outs are disabled: the syncer then reports the revision in force
 	if deps.Canary != nil {
 		settled = deps.Canary.SettledRevision
 	}
@@ -58,10 +58,10 @@
 	return syncer
 }
 
-func newRewriter(known *catalog.Catalog, kept store.Store, self catalog.NodeRecord, events *storeEvents) *rewriter.Writer {
-	return rewriter.New(known, kept, self.ID, events)
+func newRewriter(known *catalog.Catalog, configStore store.Store, self catalog.NodeRecord, events *storeEvents) *rewriter.Writer {
+	return rewriter.New(known, configStore, self.ID, events)
 }
 
-func newAdmin(config settings.Settings, known *catalog.Catalog, kept store.Store) *admin.Admin {
-	return admin.New(known, kept, configwriter.New(config.ConfigWriter, kept))
+func newAdmin(cfg settings.Settings, known *catalog.Catalog, configStore store.Store) *admin.Admin {
+	return admin.New(known, configStore, configwriter.New(cfg.ConfigWriter, configStore))
 }
--- a/internal/node/provide_fleet.go
+++ b/internal/node/provide_fleet.go
@@ -26,7 +26,7 @@
 	Catalog  *catalog.Catalog
 }
 
-// newLister returns the platform's list of machines, or one made from the nodes' records where the platform has none.
+// newLister returns the machine list of the platform, or a list built from the nodes' records if the platform has none.
 func newLister(deps listerDeps) machines.Lister {
 	if deps.Platform != nil {
 		return deps.Platform
@@ -34,20 +34,20 @@
 	return machines.NewCatalogLister(deps.Catalog)
 }
 
-func newTransport(config settings.Settings, metrics *telemetry.Metrics) (*peer.SocketTransport, error) {
-	return peer.Listen(config.Listen.Peers, config.Listen.AdvertisePeers, func(transport string, sent, _ int) {
+func newTransport(cfg settings.Settings, metrics *telemetry.Metrics) (*peer.SocketTransport, error) {
+	return peer.Listen(cfg.Listen.Peers, cfg.Listen.AdvertisePeers, func(transport string, sent, _ int) {
 		metrics.ControlBytes.WithLabelValues(transport).Add(float64(sent))
 	})
 }
 
-// newSelf returns the node's own record. Without a configured id, zone and peer address make one.
-func newSelf(config settings.Settings, transport *peer.SocketTransport) catalog.NodeRecord {
+// newSelf returns the node's own record. If no ID is configured, it is made from the zone and the peer address.
+func newSelf(cfg settings.Settings, transport *peer.SocketTransport) catalog.NodeRecord {
 	self := catalog.NodeRecord{
-		ID: config.Node.ID, Zone: config.Node.Zone, Address: transport.Address(), Tree: config.Listen.Tree,
-		Processors: config.Node.Processors * config.Node.ProcessorShare,
+		ID: cfg.Node.ID, Zone: cfg.Node.Zone, Address: transport.Address(), Tree: cfg.Listen.Tree,
+		Processors: cfg.Node.Processors * cfg.Node.ProcessorShare,
 	}
-	if config.Listen.AdvertiseTree != "" {
-		self.Tree = config.Listen.AdvertiseTree
+	if cfg.Listen.AdvertiseTree != "" {
+		self.Tree = cfg.Listen.AdvertiseTree
 	}
 	if self.ID == "" {
 		self.ID = fmt.Sprintf("%s/%s", self.Zone, self.Address)
@@ -55,19 +55,19 @@
 	return self
 }
 
-func newFleet(config settings.Settings, known *catalog.Catalog, self catalog.NodeRecord, clock boottime.Clock) *registry.Fleet {
-	fleet := registry.NewFleet(known, self.ID, config.Registry.Memory)
+func newFleet(cfg settings.Settings, known *catalog.Catalog, self catalog.NodeRecord, clock boottime.Clock) *registry.Fleet {
+	fleet := registry.NewFleet(known, self.ID, cfg.Registry.Memory)
 	fleet.SetClock(clock)
 	return fleet
 }
 
-func newMembership(config settings.Settings, record catalog.NodeRecord, transport *peer.SocketTransport, syncer *configsync.Syncer) *membership.Membership {
+func newMembership(cfg settings.Settings, record catalog.NodeRecord, transport *peer.SocketTransport, syncer *configsync.Syncer) *membership.Membership {
 	self := peer.Member{
 		ID: record.ID, Address: record.Address, Zone: record.Zone,
-		// A new process under a known id must supersede what the zone knows of its predecessor.
+		// A restarted node must supersede the member with the same ID that the zone still lists.
 		Incarnation: time.Now().UnixMilli(),
 	}
-	members := membership.New(config.Membership, self, transport, syncer, xxhash.Sum64String(self.ID))
+	members := membership.New(cfg.Membership, self, transport, syncer, xxhash.Sum64String(self.ID))
 	syncer.SetMembership(members)
 	return members
 }
@@ -76,9 +76,9 @@
 	return reachability.NewDatagrams(transport)
 }
 
-func newZones(config settings.Settings, known *catalog.Catalog, self catalog.NodeRecord, prober *reachability.Datagrams, events *stateEvents, clock boottime.Clock) *reachability.Tracker {
+func newZones(cfg settings.Settings, known *catalog.Catalog, self catalog.NodeRecord, prober *reachability.Datagrams, events *stateEvents, clock boottime.Clock) *reachability.Tracker {
 	zones := reachability.New(reachability.Deps{
-		Config: config.Reachability, Self: self, Prober: prober, Changed: events.zoneChanged, Clock: clock,
+		Config: cfg.Reachability, Self: self, Prober: prober, Changed: events.zoneChanged, Clock: clock,
 		Nodes: func() []catalog.NodeRecord { return slices.Collect(maps.Values(known.View().Nodes)) },
 	})
 	prober.OnZoneLost(zones.SuspectAndRecheck)
--- a/internal/node/provide_leaf.go
+++ b/internal/node/provide_leaf.go
@@ -21,37 +21,37 @@
 	"go.uber.org/zap"
 )
 
-func newMemory(config settings.Settings, known *catalog.Catalog, clock boottime.Clock) *leafmemory.Memory {
-	memory := leafmemory.New(config.LeafMemory, known)
+func newMemory(cfg settings.Settings, known *catalog.Catalog, clock boottime.Clock) *leafmemory.Memory {
+	memory := leafmemory.New(cfg.LeafMemory, known)
 	memory.SetClock(clock)
 	return memory
 }
 
-func newLeafWriter(config settings.Settings, known *catalog.Catalog, kept store.Store, self catalog.NodeRecord, logger *zap.Logger) *leafmemory.Writer {
-	return leafmemory.NewWriter(config.LeafMemory, known, kept, self.ID, logger)
+func newLeafWriter(cfg settings.Settings, known *catalog.Catalog, configStore store.Store, self catalog.NodeRecord, logger *zap.Logger) *leafmemory.Writer {
+	return leafmemory.NewWriter(cfg.LeafMemory, known, configStore, self.ID, logger)
 }
 
-func newBalancer(config settings.Settings, events *stateEvents) *balancer.Balancer {
-	choice := balancer.New(config.Balancer, config.Node.Zone)
-	choice.OnEjected(events.leafEjected)
-	choice.OnAssessment(events.leafAssessed)
-	return choice
+func newBalancer(cfg settings.Settings, events *stateEvents) *balancer.Balancer {
+	leafBalancer := balancer.New(cfg.Balancer, cfg.Node.Zone)
+	leafBalancer.OnEjected(events.leafEjected)
+	leafBalancer.OnAssessment(events.leafAssessed)
+	return leafBalancer
 }
 
-func newLeafGossip(config settings.Settings, fleet *registry.Fleet, transport *peer.SocketTransport, choice *balancer.Balancer) *leafgossip.Gossip {
-	gossip := leafgossip.New(config.LeafGossip, fleet, transport, choice.HandleObservation)
-	choice.OnObserved(gossip.Enqueue)
+func newLeafGossip(cfg settings.Settings, fleet *registry.Fleet, transport *peer.SocketTransport, leafBalancer *balancer.Balancer) *leafgossip.Gossip {
+	gossip := leafgossip.New(cfg.LeafGossip, fleet, transport, leafBalancer.HandleObservation)
+	leafBalancer.OnObserved(gossip.Enqueue)
 	return gossip
 }
 
-func newLeafPool(config settings.Settings, lifecycle fx.Lifecycle) *leafclient.Pool {
-	pool := leafclient.New(config.LeafClient)
+func newLeafPool(cfg settings.Settings, lifecycle fx.Lifecycle) *leafclient.Pool {
+	pool := leafclient.New(cfg.LeafClient)
 	lifecycle.Append(fx.StopHook(pool.Close))
 	return pool
 }
 
-func newAllocator(config settings.Settings, fleet *registry.Fleet, self catalog.NodeRecord) *connshare.Allocator {
-	return connshare.New(config.ConnectionShare, fleet, self)
+func newAllocator(cfg settings.Settings, fleet *registry.Fleet, self catalog.NodeRecord) *connshare.Allocator {
+	return connshare.New(cfg.ConnectionShare, fleet, self)
 }
 
 type httpPoolDeps struct {
@@ -70,14 +70,14 @@
 	pool := leafhttp.New(deps.Config.LeafHTTP, deps.Names, deps.Metrics.LeafConnections.Inc)
 	pool.SetMaySend(func(incarnation string) bool {
 		isAllowed := deps.Memory.MaySend(incarnation) && (deps.Canary == nil || deps.Canary.MaySend(incarnation))
-		return isAllowed && deps.Warmup.Take(incarnation) // last, so that a leaf that may not be asked uses up none of this node's share
+		return isAllowed && deps.Warmup.Take(incarnation) // last, so that disallowed leafs don't use up this node's share
 	})
 	deps.Lifecycle.Append(fx.StopHook(pool.Close))
 	return pool
 }
 
-func newWarmup(config settings.Settings, known *catalog.Catalog, fleet *registry.Fleet, self catalog.NodeRecord, clock boottime.Clock) *warmup.Limiter {
-	limiter := warmup.New(config.Warmup, known, fleet, self)
+func newWarmup(cfg settings.Settings, known *catalog.Catalog, fleet *registry.Fleet, self catalog.NodeRecord, clock boottime.Clock) *warmup.Limiter {
+	limiter := warmup.New(cfg.Warmup, known, fleet, self)
 	limiter.SetClock(clock)
 	return limiter
 }
--- a/internal/node/provide_request.go
+++ b/internal/node/provide_request.go
@@ -26,8 +26,8 @@
 	"go.uber.org/zap"
 )
 
-func newBudgets(config settings.Settings, known *catalog.Catalog, fleet *registry.Fleet, clock boottime.Clock) *retrybudget.Budgets {
-	budgets := retrybudget.New(config.RetryBudget, func(service string) float64 {
+func newBudgets(cfg settings.Settings, known *catalog.Catalog, fleet *registry.Fleet, clock boottime.Clock) *retrybudget.Budgets {
+	budgets := retrybudget.New(cfg.RetryBudget, func(service string) float64 {
 		routes := known.View().Routes
 		return fleet.Share(routes != nil && routes.IsGathered(service))
 	})
@@ -67,14 +67,14 @@
 	})
 }
 
-func newIntermediates(config settings.Settings, lifecycle fx.Lifecycle) *servingtree.Client {
-	client := servingtree.NewClient(config.ServingTree)
+func newIntermediates(cfg settings.Settings, lifecycle fx.Lifecycle) *servingtree.Client {
+	client := servingtree.NewClient(cfg.ServingTree)
 	lifecycle.Append(fx.StopHook(client.Close))
 	return client
 }
 
-func newTree(config settings.Settings, handler *gateway.Gateway) *servingtree.Server {
-	return servingtree.NewServer(config.ServingTree, handler)
+func newTree(cfg settings.Settings, handler *gateway.Gateway) *servingtree.Server {
+	return servingtree.NewServer(cfg.ServingTree, handler)
 }
 
 func newFront(backend *gateway.Gateway, names httpnames.Names, logger *zap.Logger) *front.Server {
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -18,18 +18,18 @@
 	"github.com/portgauge/portgauge/internal/quarantine/quarantinesync"
 )
 
-// newClock returns the clock that includes suspensions, or the monotonic one (nil) if the kernel has none.
+// newClock returns the clock that includes suspensions, or nil (the monotonic clock) if the kernel doesn't have it.
 func newClock(logger *zap.Logger) boottime.Clock {
 	clock, err := boottime.System()
 	if err != nil {
-		logger.Warn("suspensions of the machine are not counted", zap.Error(err))
+		logger.Warn("the kernel has no clock that includes suspensions of the machine; the node uses the monotonic clock and does not detect suspensions", zap.Error(err))
 		return nil
 	}
 	return clock
 }
 
-func newRegister(config settings.Settings, known *catalog.Catalog, self catalog.NodeRecord, clock boottime.Clock) *quarantine.Register {
-	return quarantine.NewRegister(quarantine.Deps{Config: config.Quarantine, Clock: clock, StoredRecord: known.Quarantine, Self: self.ID})
+func newRegister(cfg settings.Settings, known *catalog.Catalog, self catalog.NodeRecord, clock boottime.Clock) *quarantine.Register {
+	return quarantine.NewRegister(quarantine.Deps{Config: cfg.Quarantine, Clock: clock, StoredRecord: known.Quarantine, Self: self.ID})
 }
 
 type quarantineDeps struct {
@@ -52,7 +52,7 @@
 	})
 }
 
-// quarantineEvents writes the events of crashing requests to the decision log.
+// quarantineEvents writes the events of the quarantine to the decision log and counts quarantined requests.
 type quarantineEvents struct {
 	log     *decisionlog.Log
 	metrics *telemetry.Metrics
@@ -60,7 +60,7 @@
 
 var _ quarantinesync.EventLog = quarantineEvents{}
 
-// Names of events of the quarantine.
+// Names of quarantine events in the decision log.
 const (
 	eventQuarantined       = "request_quarantined"
 	eventQuarantineSaved   = "quarantine_saved"
@@ -75,10 +75,10 @@
 	Content fingerprint.Fingerprint `json:"content,omitzero"`
 	Path    string                  `json:"path,omitempty"`
 	Caller  string                  `json:"caller,omitempty"`
-	// Leafs crashed under the request.
+	// Leafs are the leafs that crashed while they ran the request.
 	Leafs   []string `json:"leafs,omitempty"`
 	Retests int      `json:"trials,omitempty"`
-	// By is the node that found it, From the node that this one learned it from.
+	// By is the node that quarantined the request, From the node that sent the record to this one.
 	By       string `json:"by,omitempty"`
 	From     string `json:"from,omitempty"`
 	Findings int    `json:"findings,omitempty"`
@@ -88,7 +88,7 @@
 func (e quarantineEvents) write(name string, record quarantine.Record, from string, err error) {
 	event := quarantineEvent{
 		Time: time.Now(), Event: name, Content: record.Content, Path: record.Path, Caller: record.Caller,
-		Leafs: record.Leafs, Retests: record.Retests, By: record.By, From: from, Error: textOf(err),
+		Leafs: record.Leafs, Retests: record.Retests, By: record.By, From: from, Error: errorText(err),
 	}
 	e.log.Write(decisionlog.Failed, event)
 }
--- a/internal/node/rejected_values_test.go
+++ b/internal/node/rejected_values_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// Each key is logged once a minute, however often it is rejected, and the number of keys is bounded.
-func TestRefusedValuesAreToldOfOnceAMinute(t *testing.T) {
+// A key that is rejected often must not flood the log, and the number of stored keys is bounded.
+func TestRejectedValueIsLoggedOncePerInterval(t *testing.T) {
 	is := is.New(t)
 	var r rejectedValues
 	now := time.Now()
@@ -18,11 +18,11 @@
 	is.True(r.isDue("b", now.Add(time.Second)))
 	is.True(r.isDue("a", now.Add(rejectedLogInterval)))
 	later := now.Add(time.Hour)
-	told := 0
+	loggedKeys := 0
 	for index := range 2 * maxRejectedKeys {
 		if r.isDue(fmt.Sprint(index), later) {
-			told++
+			loggedKeys++
 		}
 	}
-	is.Equal(told, maxRejectedKeys)
+	is.Equal(loggedKeys, maxRejectedKeys)
 }
--- a/internal/node/reload/reload.go
+++ b/internal/node/reload/reload.go
@@ -1,7 +1,7 @@
-// Package reload puts changed settings into force in a running node.
+// Package reload applies changed settings to a running node.
 //
-// The settings file is read again on the reload signal and when its content changes. A file that can't be read, or that
-// is invalid anywhere, changes nothing. The package owns the hash of the content seen last; Run is its only goroutine.
+// It reads the settings file again on the reload signal and when the content of the file changes. If the file can't be
+// read, or any setting is invalid, nothing changes.
 package reload
 
 import (
@@ -18,23 +18,23 @@
 // checkInterval is how often the file is checked for changes.
 const checkInterval = 2 * time.Second
 
-// Loader reads and validates the settings as at the start, overrides included.
+// Loader reads and validates the settings as at the start of the node, including the overrides.
 type Loader func() (settings.Settings, error)
 
-// Reloader reads settings again. Its apply function puts those into force that can change while the node runs, and returns
-// the names of changed settings that need a restart.
+// Reloader reloads settings. Its apply function applies the settings that can change while the node runs, and returns the
+// names of the changed settings that need a restart.
 type Reloader struct {
-	path   string
-	load   Loader
-	apply  func(settings.Settings) (needRestart []string)
-	logger *zap.Logger
-	seen   uint64 // hash of the file's content
+	path     string
+	load     Loader
+	apply    func(settings.Settings) (needRestart []string)
+	logger   *zap.Logger
+	lastHash uint64 // hash of the file's content at the last load
 }
 
-// New returns a reloader for a settings file; an empty path means that there is no file.
+// New returns a reloader for a settings file. If the path is empty, the settings are reloaded only on signals.
 func New(path string, load Loader, apply func(settings.Settings) []string, logger *zap.Logger) *Reloader {
 	reloader := &Reloader{path: path, load: load, apply: apply, logger: logger}
-	reloader.seen, _ = reloader.hash()
+	reloader.lastHash, _ = reloader.hash()
 	return reloader
 }
 
@@ -47,7 +47,7 @@
 		case <-signals:
 			r.reload("signal")
 		case <-ticker.C:
-			if hash, found := r.hash(); found && hash != r.seen {
+			if hash, found := r.hash(); found && hash != r.lastHash {
 				r.reload("file changed")
 			}
 		case <-ctx.Done():
@@ -66,11 +66,11 @@
 
 func (r *Reloader) reload(cause string) {
 	if hash, found := r.hash(); found {
-		r.seen = hash
+		r.lastHash = hash
 	}
 	changed, err := r.load()
 	if err != nil {
-		r.logger.Error("settings are invalid; the old ones stay in force", zap.String("cause", cause), zap.Error(err))
+		r.logger.Error("settings could not be reloaded; the previous settings stay in force", zap.String("cause", cause), zap.Error(err))
 		return
 	}
 	r.logger.Info("settings reloaded", zap.String("cause", cause), zap.Strings("need_restart", r.apply(changed)))
--- a/internal/node/reload/reload_test.go
+++ b/internal/node/reload/reload_test.go
@@ -15,7 +15,8 @@
 	"github.com/portgauge/portgauge/internal/node/settings"
 )
 
-func TestSettingsAreReloadedOnSignalAndChangeAndRefusedWhole(t *testing.T) {
+// An invalid settings file must not be applied in part.
+func TestSettingsAreReloadedOnSignalAndFileChange(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.yaml")
 	write := func(content string) {
 		if err := os.WriteFile(path, []byte(content), 0o600); err != nil {
@@ -37,7 +38,7 @@
 		go New(path, load, apply, zap.NewNop()).Run(ctx, signals)
 		time.Sleep(time.Minute)
 		synctest.Wait()
-		is.Equal(len(applied), 0) // nothing changed
+		is.Equal(len(applied), 0) // the file has not changed
 		signals <- syscall.SIGHUP
 		synctest.Wait()
 		is.Equal(applied, []string{"info"})
@@ -48,7 +49,7 @@
 		write("node: {zone: a}\nlog_level: debug\nunknown: 1\n")
 		time.Sleep(2 * checkInterval)
 		synctest.Wait()
-		is.Equal(applied, []string{"info", "warn"}) // refused as a whole
+		is.Equal(applied, []string{"info", "warn"}) // the unknown setting invalidates the whole file
 		is.NoErr(os.Remove(path))
 		signals <- syscall.SIGHUP
 		synctest.Wait()
--- a/internal/node/request_events.go
+++ b/internal/node/request_events.go
@@ -16,7 +16,7 @@
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
-// requestEvents writes requests and their attempts to the decision log and the metrics.
+// requestEvents records requests and their attempts in the decision log and the metrics.
 type requestEvents struct {
 	log      *decisionlog.Log
 	metrics  *telemetry.Metrics
@@ -37,18 +37,18 @@
 
 // Names of events in the decision log.
 const (
-	eventRefused       = "request_refused"
-	eventServed        = "request_served"
-	eventPartial       = "request_partial"
-	eventFailed        = "request_failed"
-	eventAttemptFailed = "attempt_failed"
-	eventGathered      = "request_gathered"
-	eventPassed        = "group_unanswered"
-	eventAttemptEnded  = "attempt_ended"
-	eventLeafLost      = "leaf_lost"
+	eventRefused         = "request_refused"
+	eventServed          = "request_served"
+	eventPartial         = "request_partial"
+	eventFailed          = "request_failed"
+	eventAttemptFailed   = "attempt_failed"
+	eventGathered        = "request_gathered"
+	eventGroupUnanswered = "group_unanswered"
+	eventAttemptEnded    = "attempt_ended"
+	eventLeafLost        = "leaf_lost"
 )
 
-// Outcomes of requests in the metrics.
+// Label values of requests in the metrics.
 const (
 	outcomeWhole   = "whole"
 	outcomePartial = "partial"
@@ -69,7 +69,7 @@
 	Time      time.Time `json:"time"`
 	Event     string    `json:"event"`
 	RequestID string    `json:"request_id"`
-	// Content, Path and Caller are set for failed requests only.
+	// Content, Path and Caller are set only for failed requests.
 	Content         fingerprint.Fingerprint `json:"content,omitzero"`
 	Path            string                  `json:"path,omitempty"`
 	Caller          string                  `json:"caller,omitempty"`
@@ -88,12 +88,13 @@
 	Execution       string                  `json:"execution"`
 	Code            failure.Code            `json:"code,omitempty"`
 	Message         string                  `json:"message,omitempty"`
-	// Groups are the parts that other nodes gathered. For is the root for which this node gathered a group.
+	// Groups are the groups of parts that were passed on to other nodes. For is the root node for which this node gathered
+	// a group.
 	Groups []groupEvent `json:"groups,omitempty"`
 	For    string       `json:"for,omitempty"`
 }
 
-// groupEvent is the outcome of a group passed on to an intermediate.
+// groupEvent is the outcome of a group of parts that was passed on to an intermediate node.
 type groupEvent struct {
 	Intermediate string               `json:"intermediate"`
 	Parts        int                  `json:"parts"`
@@ -102,7 +103,8 @@
 	TookMillis   float64              `json:"took_millis"`
 }
 
-type passedEvent struct {
+// unansweredGroupEvent is a group whose intermediate node did not answer.
+type unansweredGroupEvent struct {
 	Time      time.Time `json:"time"`
 	Event     string    `json:"event"`
 	RequestID string    `json:"request_id"`
@@ -136,8 +138,7 @@
 	e.attempts[kind].Inc()
 }
 
-// AttemptEnded implements gateway.EventLog. Successful and abandoned attempts are logged
-// only if everyAttempt is set.
+// AttemptEnded implements gateway.EventLog. Successful and abandoned attempts are logged only if everyAttempt is set.
 func (e *requestEvents) AttemptEnded(record gateway.AttemptRecord) {
 	event := eventAttemptEnded
 	if !record.Succeeded && !record.Abandoned {
@@ -181,7 +182,7 @@
 	if record.Root != "" {
 		event.Event = eventGathered
 		if event.Code == failure.Cancelled {
-			// The root has answered with the parts it had: not a failure.
+			// Not a failure: the root answered with the parts that it had received.
 			importance, outcome = decisionlog.Ordinary, outcomePartial
 		}
 		e.metrics.TreeGathered.WithLabelValues(outcome).Inc()
@@ -200,17 +201,18 @@
 	}
 }
 
-// GroupEnded implements gateway.EventLog. Groups that were answered are part of their request's event.
+// GroupEnded implements gateway.EventLog. Only groups without an answer are logged here: answered groups are in the event
+// of their request, and cancelled ones are not failures.
 func (e *requestEvents) GroupEnded(record gateway.GroupRecord) {
 	e.metrics.TreePassed.WithLabelValues(string(record.Outcome)).Inc()
 	e.metrics.TreeLatency.Observe(record.Took.Seconds())
 	if record.Outcome == gateway.GroupAnswered || record.Outcome == gateway.GroupCancelled {
 		return
 	}
-	e.log.Write(decisionlog.Failed, passedEvent{Time: time.Now(), Event: eventPassed, RequestID: record.RequestID, groupEvent: newGroupEvent(record)})
+	e.log.Write(decisionlog.Failed, unansweredGroupEvent{Time: time.Now(), Event: eventGroupUnanswered, RequestID: record.RequestID, groupEvent: newGroupEvent(record)})
 }
 
-// lossEvent is the result of checking a leaf whose answer broke off.
+// lossEvent is the result of the check of a leaf whose answer broke off.
 type lossEvent struct {
 	Time      time.Time               `json:"time"`
 	Event     string                  `json:"event"`
@@ -222,8 +224,8 @@
 	Announced bool                    `json:"announced,omitempty"`
 }
 
-// LeafLost implements gateway.EventLog. It uses the failures' share of the log: in a burst of failed attempts the ordinary
-// share is used up, and this line is what connects a crash with a request.
+// LeafLost implements gateway.EventLog. It counts against the rate of failures: a burst of failed attempts uses up the
+// ordinary rate, and only this line connects a crash with a request.
 func (e *requestEvents) LeafLost(record gateway.LeafLossRecord) {
 	e.metrics.LeafsLost.WithLabelValues(strconv.FormatBool(record.Ended)).Inc()
 	e.log.Write(decisionlog.Failed, lossEvent{
@@ -236,6 +238,6 @@
 	return float64(duration.Microseconds()) / float64(time.Millisecond/time.Microsecond)
 }
 
-func newGatewayEvents(config settings.Settings, log *decisionlog.Log, metrics *telemetry.Metrics) gateway.EventLog {
-	return newRequestEvents(log, metrics, config.DecisionLog.EveryAttempt)
+func newGatewayEvents(cfg settings.Settings, log *decisionlog.Log, metrics *telemetry.Metrics) gateway.EventLog {
+	return newRequestEvents(log, metrics, cfg.DecisionLog.EveryAttempt)
 }
--- a/internal/node/rollout_events.go
+++ b/internal/node/rollout_events.go
@@ -13,7 +13,7 @@
 
 var _ rolloutcontrol.EventLog = rolloutEvents{}
 
-// Names of events of roll-outs.
+// Names of roll-out events in the decision log.
 const (
 	eventSpecSeen        = "rollout_order_seen"
 	eventPhaseLearned    = "rollout_phase_learned"
@@ -32,7 +32,7 @@
 	SpecID         int64     `json:"order"`
 	Target         string    `json:"target"`
 	DurationMillis int64     `json:"duration_millis"`
-	// Rank is the node's place among the evaluator nodes, from 0; -1 if it is not an evaluator node.
+	// Rank is the node's rank among the evaluator nodes, from 0; -1 if the node is not an evaluator node.
 	Rank int `json:"rank"`
 }
 
@@ -47,7 +47,7 @@
 	Revision int64         `json:"revision,omitempty"`
 	Reason   string        `json:"reason,omitempty"`
 	By       string        `json:"by,omitempty"`
-	// Counts are the answers the decision is based on, AgeMillis the age of the newest of them.
+	// Counts are the counted attempts that the decision is based on, AgeMillis is the age of the newest of them.
 	Counts    []rolloutcontrol.VersionCounts `json:"counts,omitempty"`
 	AgeMillis int64                          `json:"age_millis,omitempty"`
 	Error     string                         `json:"error,omitempty"`
@@ -123,19 +123,19 @@
 // RowsDropped implements rolloutcontrol.EventLog.
 func (e rolloutEvents) RowsDropped(record rolloutcontrol.RowsDroppedEvent) {
 	e.log.Write(decisionlog.Ordinary, rowsDroppedEvent{
-		Time: time.Now(), Event: eventRowsDropped, From: record.From, Rows: record.Rows, Error: textOf(record.Err),
+		Time: time.Now(), Event: eventRowsDropped, From: record.From, Rows: record.Rows, Error: errorText(record.Err),
 	})
 }
 
 // VersionsWritten implements rolloutcontrol.EventLog.
 func (e rolloutEvents) VersionsWritten(record rolloutcontrol.VersionsWriteEvent) {
 	e.log.Write(decisionlog.Failed, versionsEvent{
-		Time: time.Now(), Event: eventVersionsWritten, Services: record.Services, Error: textOf(record.Err),
+		Time: time.Now(), Event: eventVersionsWritten, Services: record.Services, Error: errorText(record.Err),
 	})
 }
 
 // textOf returns the text of an error, or "" for nil.
-func textOf(err error) string {
+func errorText(err error) string {
 	if err == nil {
 		return ""
 	}
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -39,20 +39,21 @@
 	Clock       boottime.Clock
 }
 
-// rollouts are the roll-out loops of a node. The zero value is off.
+// rollouts are the roll-out loops of a node. In the zero value roll-outs are disabled.
 type rollouts struct {
 	controller *rolloutcontrol.Controller
 	versions   *rolloutcontrol.VersionsWriter
 }
 
-// newRollouts returns the loops if the settings enable them. They need a store with guarded writes.
+// newRollouts returns the roll-out loops, or the zero value if the settings disable roll-outs. It returns an InvalidField
+// failure if roll-outs are enabled and the store has no guarded writes.
 func newRollouts(deps rolloutDeps) (*rollouts, error) {
 	cfg := deps.Config.Rollouts
 	if !cfg.Enabled {
 		return &rollouts{}, nil
 	}
 	if deps.Guarded == nil {
-		return nil, failure.Invalid("rollouts.enabled", "the store of dialect %q has no guarded writes", deps.Config.Platform.Dialect)
+		return nil, failure.Invalid("rollouts.enabled", "roll-outs need guarded writes, which the store of dialect %q does not have", deps.Config.Platform.Dialect)
 	}
 	events := rolloutEvents{log: deps.StateEvents.log}
 	controller := rolloutcontrol.New(rolloutcontrol.Deps{
@@ -70,7 +71,7 @@
 	}, nil
 }
 
-// handler returns the handler of messages about roll-outs, or nil without roll-outs.
+// handler returns the handler of roll-out messages, or nil if roll-outs are disabled.
 func (r *rollouts) handler() configsync.RolloutHandler {
 	if r.controller == nil {
 		return nil
@@ -78,7 +79,7 @@
 	return r.controller
 }
 
-// run blocks until the context ends; without roll-outs it returns at once.
+// run blocks until the context ends, or returns at once if roll-outs are disabled.
 func (r *rollouts) run(ctx context.Context) {
 	if r.controller == nil {
 		return
@@ -89,7 +90,7 @@
 	running.Wait()
 }
 
-// fleetStatus collects the settled revisions of all nodes by the status call.
+// fleetStatus collects the settled revisions of all nodes with the status call.
 type fleetStatus struct{ syncer *configsync.Syncer }
 
 var _ rolloutcontrol.Fleet = fleetStatus{}
@@ -107,25 +108,25 @@
 	return status
 }
 
-// newSplitter returns nil if roll-outs are off.
-func newSplitter(config settings.Settings, known *catalog.Catalog, fleet *registry.Fleet, clock boottime.Clock) *canary.Splitter {
-	if !config.Rollouts.Enabled {
+// newSplitter returns nil if roll-outs are disabled.
+func newSplitter(cfg settings.Settings, known *catalog.Catalog, fleet *registry.Fleet, clock boottime.Clock) *canary.Splitter {
+	if !cfg.Rollouts.Enabled {
 		return nil
 	}
-	splitter := canary.New(config.Canary, known, fleet)
+	splitter := canary.New(cfg.Canary, known, fleet)
 	splitter.SetClock(clock)
 	return splitter
 }
 
-// newCollector returns nil if roll-outs are off.
-func newCollector(config settings.Settings, known *catalog.Catalog) *evidence.Collector {
-	if !config.Rollouts.Enabled {
+// newCollector returns nil if roll-outs are disabled.
+func newCollector(cfg settings.Settings, known *catalog.Catalog) *evidence.Collector {
+	if !cfg.Rollouts.Enabled {
 		return nil
 	}
 	return evidence.NewCollector(known)
 }
 
-// newEvaluator makes what finds out whether the version of a spec is good.
+// newEvaluator returns the factory of the evaluators that decide whether the target version of a spec is good.
 func newEvaluator(cfg verdict.Config) rolloutcontrol.EvaluatorFactory {
 	return func(serving, canaryVersion string, duration time.Duration) rolloutcontrol.Evaluator {
 		return verdict.New(cfg, serving, canaryVersion, duration)
--- a/internal/node/rollouts_test.go
+++ b/internal/node/rollouts_test.go
@@ -9,21 +9,21 @@
 	"github.com/portgauge/portgauge/internal/node/settings"
 )
 
-// Disabled roll-outs neither send nor receive messages.
-func TestRolloutsThatAreOffHearNothing(t *testing.T) {
+// A node with disabled roll-outs must handle no roll-out messages and run no loops.
+func TestDisabledRolloutsHandleNoMessages(t *testing.T) {
 	is := is.New(t)
-	off, err := newRollouts(rolloutDeps{Config: settings.Default()})
+	disabled, err := newRollouts(rolloutDeps{Config: settings.Default()})
 	is.NoErr(err)
-	is.True(off.handler() == nil)
-	off.run(t.Context()) // ends at once
+	is.True(disabled.handler() == nil)
+	disabled.run(t.Context()) // returns at once
 }
 
 // Without guarded writes two evaluator nodes could overwrite each other's decisions.
-func TestRolloutsNeedGuardedWrites(t *testing.T) {
+func TestRolloutsRequireGuardedWrites(t *testing.T) {
 	is := is.New(t)
-	config := settings.Default()
-	config.Rollouts.Enabled = true
-	_, err := newRollouts(rolloutDeps{Config: config})
+	cfg := settings.Default()
+	cfg.Rollouts.Enabled = true
+	_, err := newRollouts(rolloutDeps{Config: cfg})
 	faults := failure.Faults(err)
 	is.Equal(len(faults), 1)
 	is.Equal(faults[0].Field, "rollouts.enabled")
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -36,7 +36,7 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// runLog writes the decision log from the start until everything else has stopped.
+// runLog writes the decision log from the start of the node until all other parts have stopped.
 func runLog(lifecycle fx.Lifecycle, log *decisionlog.Log) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -56,7 +56,7 @@
 	})
 }
 
-// controlDeps are the loops that run beside requests.
+// controlDeps are the dependencies of the background loops.
 type controlDeps struct {
 	fx.In
 
@@ -83,7 +83,7 @@
 	Leafs       *leafhttp.Pool
 }
 
-// runControl runs membership, configuration and the other background loops until the serving side has stopped.
+// runControl runs membership, configuration and the other background loops until the servers have stopped.
 func runControl(lifecycle fx.Lifecycle, deps controlDeps) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -105,13 +105,13 @@
 			running.Go(func() { deps.Rewriter.Run(ctx) })
 			onResume := []func(time.Duration){deps.Gateway.Resumed, deps.Leafs.Resumed, func(time.Duration) { deps.Syncer.Resumed() }}
 			if deps.Lessor != nil {
-				record := registry.New(deps.Config.Registry, deps.Lessor, deps.Self, deps.Logger)
-				record.ResumeFrom(deps.Catalog, deps.Syncer.Ready())
-				running.Go(func() { record.Run(ctx) })
-				onResume = append(onResume, func(time.Duration) { record.Resumed() })
+				registration := registry.New(deps.Config.Registry, deps.Lessor, deps.Self, deps.Logger)
+				registration.ResumeFrom(deps.Catalog, deps.Syncer.Ready())
+				running.Go(func() { registration.Run(ctx) })
+				onResume = append(onResume, func(time.Duration) { registration.Resumed() })
 			}
 			go boottime.Watch(ctx, deps.Clock, func(suspended time.Duration) {
-				deps.Logger.Warn("the machine was suspended", zap.Duration("slept", suspended))
+				deps.Logger.Warn("the machine was suspended; the suspension counts against deadlines and idle times, and the configuration is refreshed", zap.Duration("slept", suspended))
 				for _, resumed := range onResume {
 					resumed(suspended)
 				}
@@ -133,15 +133,15 @@
 	})
 }
 
-func runOperators(lifecycle fx.Lifecycle, config settings.Settings, self catalog.NodeRecord, deps operatorDeps) {
+func runOperators(lifecycle fx.Lifecycle, cfg settings.Settings, self catalog.NodeRecord, deps operatorDeps) {
 	handler := api.NewOperatorHandler(api.OperatorDeps{
 		Admin: deps.Admin, Catalog: deps.Catalog, Syncer: deps.Syncer, Engine: deps.Engine,
 		Metrics: deps.Metrics, Level: deps.Level, NodeID: self.ID,
 	})
-	serve(lifecycle, config.Listen.Operators, api.NewServer(handler), deps.Logger)
+	serve(lifecycle, cfg.Listen.Operators, api.NewServer(handler), deps.Logger)
 }
 
-// servingDeps are the servers of requests, and what a planned stop announces itself to.
+// servingDeps are the servers of requests and the parts that announce a planned stop.
 type servingDeps struct {
 	fx.In
 
@@ -155,28 +155,28 @@
 	Logger  *zap.Logger
 }
 
-// runServing serves searches, the front and other nodes' groups. A planned stop announces itself, keeps serving for the
-// announcement delay, and then drains all three at the same time.
+// runServing serves searches, the front and the groups of other nodes. On a planned stop it announces the stop, keeps
+// serving for stop.announce_delay, and then drains all three servers at the same time.
 func runServing(lifecycle fx.Lifecycle, deps servingDeps) {
-	config, logger := deps.Config, deps.Logger
-	serve(lifecycle, config.Listen.Callers, api.NewServer(api.NewCallerHandler(api.CallerDeps{Engine: deps.Engine})), logger)
-	if config.Listen.Ready != "" {
-		serve(lifecycle, config.Listen.Ready, api.NewServer(deps.Front.ReadinessHandler()), logger)
+	cfg, logger := deps.Config, deps.Logger
+	serve(lifecycle, cfg.Listen.Callers, api.NewServer(api.NewCallerHandler(api.CallerDeps{Engine: deps.Engine})), logger)
+	if cfg.Listen.Ready != "" {
+		serve(lifecycle, cfg.Listen.Ready, api.NewServer(deps.Front.ReadinessHandler()), logger)
 	}
 	warming, stopWarming := context.WithCancel(context.Background())
 	lifecycle.Append(fx.Hook{
 		OnStart: func(ctx context.Context) error {
-			if config.Listen.Tree != "" {
-				listener, err := listen(ctx, config.Listen.Tree, logger)
+			if cfg.Listen.Tree != "" {
+				listener, err := listen(ctx, cfg.Listen.Tree, logger)
 				if err != nil {
 					return err
 				}
 				go deps.Tree.Serve(listener)
 			}
-			if config.Listen.Front == "" {
+			if cfg.Listen.Front == "" {
 				return nil
 			}
-			listener, err := listen(ctx, config.Listen.Front, logger)
+			listener, err := listen(ctx, cfg.Listen.Front, logger)
 			if err != nil {
 				return err
 			}
@@ -193,8 +193,8 @@
 			deps.Tree.PrepareStop()
 			deps.Engine.PrepareStop()
 			deps.Front.PrepareStop()
-			logger.Info("stopping: announced")
-			if !wait.For(ctx, config.Stop.PrepareStopDelay) {
+			logger.Info("stopping: announced to callers and peers")
+			if !wait.For(ctx, cfg.Stop.PrepareStopDelay) {
 				return ctx.Err()
 			}
 			drain(ctx, deps)
@@ -204,10 +204,10 @@
 }
 
 // acceptDelay is how long connections wait in the listener's backlog for the node's first configuration, which usually
-// takes a few milliseconds. After that they are accepted and their requests refused as not run.
+// arrives within a few milliseconds. After that they are accepted, and their requests are refused as not run.
 const acceptDelay = 300 * time.Millisecond
 
-// awaitRoutes waits for the first configuration, for acceptDelay at most.
+// awaitRoutes waits for the first configuration, but at most for acceptDelay.
 func awaitRoutes(ready <-chan struct{}) {
 	select {
 	case <-ready:
@@ -215,29 +215,29 @@
 	}
 }
 
-// drain waits for the requests in flight, for stop.drain_timeout at most.
+// drain waits for the requests in flight, but at most for the setting stop.drain_timeout.
 func drain(ctx context.Context, deps servingDeps) {
 	ctx, cancel := context.WithTimeout(ctx, deps.Config.Stop.DrainTimeout)
 	defer cancel()
 	var draining sync.WaitGroup
 	draining.Go(func() {
 		err := deps.Engine.Drain(ctx)
-		deps.Logger.Info("stopping: searches drained", zap.Error(err))
+		deps.Logger.Info("stopping: the drain of searches has ended", zap.Error(err))
 	})
 	draining.Go(func() {
 		err := deps.Front.Shutdown(ctx)
-		deps.Logger.Info("stopping: front drained", zap.Error(err))
+		deps.Logger.Info("stopping: the drain of the front has ended", zap.Error(err))
 	})
 	draining.Go(func() {
 		err := deps.Tree.Shutdown(ctx)
-		deps.Logger.Info("stopping: requests of other nodes drained", zap.Error(err))
+		deps.Logger.Info("stopping: the drain of requests from other nodes has ended", zap.Error(err))
 	})
 	draining.Wait()
 }
 
 func listen(ctx context.Context, address string, logger *zap.Logger) (net.Listener, error) {
-	var config net.ListenConfig
-	listener, err := config.Listen(ctx, "tcp", address)
+	var cfg net.ListenConfig
+	listener, err := cfg.Listen(ctx, "tcp", address)
 	if err != nil {
 		return nil, merry.Prepend(err, "listen on "+address)
 	}
@@ -245,7 +245,7 @@
 	return listener, nil
 }
 
-// serve runs a server from the node's start to its stop.
+// serve runs a server from the start of the node to its stop.
 func serve(lifecycle fx.Lifecycle, address string, server *http.Server, logger *zap.Logger) {
 	lifecycle.Append(fx.Hook{
 		OnStart: func(ctx context.Context) error {
@@ -265,6 +265,6 @@
 	})
 }
 
-func newDecisionLog(config settings.Settings, output io.Writer, metrics *telemetry.Metrics) *decisionlog.Log {
-	return decisionlog.New(config.DecisionLog, output, metrics.LogLinesLeftOut.Inc)
+func newDecisionLog(cfg settings.Settings, output io.Writer, metrics *telemetry.Metrics) *decisionlog.Log {
+	return decisionlog.New(cfg.DecisionLog, output, metrics.LogLinesDropped.Inc)
 }
--- a/internal/node/state_events.go
+++ b/internal/node/state_events.go
@@ -12,7 +12,8 @@
 	"github.com/portgauge/portgauge/internal/node/decisionlog"
 )
 
-// stateEvents writes changes of the state that decisions are based on to the decision log: configuration, leafs, nodes, zones.
+// stateEvents writes changes of the state that decisions are based on to the decision log: configuration, leafs, nodes
+// and zones.
 type stateEvents struct {
 	log     *decisionlog.Log
 	catalog *catalog.Catalog
@@ -36,7 +37,7 @@
 	Key      string    `json:"key"`
 	Revision int64     `json:"revision"`
 	Gone     bool      `json:"gone,omitempty"`
-	// Version is the operators' version number of the routes in force after the change.
+	// Version is the version number that operators gave to the routes in force after the change.
 	Version int64 `json:"config_version,omitempty"`
 }
 
@@ -47,7 +48,8 @@
 	Revision int64     `json:"revision"`
 }
 
-// leafAssessedEvent is a new assessment of a leaf. Told says that it follows from other nodes' reports, not from own attempts.
+// leafAssessedEvent is a new assessment of a leaf. FromPeer is set if it is based on reports of other nodes instead of this
+// node's attempts.
 type leafAssessedEvent struct {
 	Time          time.Time          `json:"time"`
 	Event         string             `json:"event"`
@@ -55,17 +57,17 @@
 	Condition     balancer.Condition `json:"condition"`
 	Slowness      float64            `json:"slowness,omitempty"`
 	SilenceMillis int64              `json:"silence_millis,omitempty"`
-	Told          bool               `json:"told"`
+	FromPeer      bool               `json:"told"`
 }
 
-// zoneEvent reports a zone out of reach, or back.
+// zoneEvent reports that a zone became unreachable, or reachable again.
 type zoneEvent struct {
 	Time  time.Time `json:"time"`
 	Event string    `json:"event"`
 	Zone  string    `json:"zone"`
 }
 
-// leafsEvent lists the leafs whose state changed together, and the zones under evacuation.
+// leafsEvent lists the leafs that changed together, by their new state, and the evacuated zones.
 type leafsEvent struct {
 	Time     time.Time `json:"time"`
 	Event    string    `json:"event"`
@@ -75,11 +77,11 @@
 	Gone     []string  `json:"gone,omitempty"`
 	// LeftOut is how many changed leafs are not listed.
 	LeftOut int `json:"left_out,omitempty"`
-	// Evacuated are the zones under evacuation.
+	// Evacuated are the evacuated zones.
 	Evacuated []string `json:"evacuated,omitempty"`
 }
 
-// nodesEvent lists the nodes of the fleet that registered, and those that are gone.
+// nodesEvent lists the nodes that registered and the nodes whose registration is gone.
 type nodesEvent struct {
 	Time       time.Time `json:"time"`
 	Event      string    `json:"event"`
@@ -90,7 +92,7 @@
 	LeftOut int `json:"left_out,omitempty"`
 }
 
-// add records the change of a node.
+// add adds a changed node to the event.
 func (e *nodesEvent) add(id string, registered bool) {
 	switch {
 	case len(e.Registered)+len(e.Gone) >= maxListed:
@@ -102,10 +104,10 @@
 	}
 }
 
-// maxListed bounds the leafs or nodes that one line lists; at 12 bytes an id that is 6 KB.
+// maxListed bounds the leafs or nodes listed on one line; with IDs of 12 bytes, the list takes 6 KB.
 const maxListed = 512
 
-// add records the change of a leaf.
+// add adds a changed leaf to the event.
 func (e *leafsEvent) add(id string, state leafset.State, gone bool) {
 	if len(e.Ready)+len(e.Draining)+len(e.Gone) >= maxListed {
 		e.LeftOut++
@@ -121,25 +123,25 @@
 	}
 }
 
-// changeBacklog is how many configuration changes may be queued for logging.
+// changeBacklog bounds the configuration changes queued for logging.
 const changeBacklog = 128
 
-// run logs each configuration change that comes into force, until the context ends.
+// run logs configuration changes as they come into force, until the context ends.
 func (e *stateEvents) run(ctx context.Context) {
 	changes, stop := e.catalog.Subscribe(changeBacklog)
 	defer stop()
 	for {
 		select {
 		case change := <-changes:
-			e.changed(withWaiting(change, changes))
+			e.changed(withQueued(change, changes))
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// withWaiting returns the entries of a change and of those queued behind it.
-func withWaiting(change catalog.Change, changes <-chan catalog.Change) []catalog.Entry {
+// withQueued returns the entries of a change and of the changes queued behind it.
+func withQueued(change catalog.Change, changes <-chan catalog.Change) []catalog.Entry {
 	entries := change.Entries()
 	for {
 		select {
@@ -151,7 +153,7 @@
 	}
 }
 
-// changed logs the leafs among the changed entries in one line, the nodes in another, and each other entry in its own.
+// changed logs all changed leafs on one line, all changed nodes on another, and each other entry on a line of its own.
 func (e *stateEvents) changed(entries []catalog.Entry) {
 	view := e.catalog.View()
 	var leafs, nodes []string
@@ -207,7 +209,7 @@
 	e.log.Write(decisionlog.Failed, event)
 }
 
-// leafEjected logs that a leaf is ejected for its failures, or is back.
+// leafEjected logs that a leaf was ejected because of its failures, or that its ejection ended.
 func (e *stateEvents) leafEjected(leafID string, ejected bool) {
 	event := leafEvent{Time: time.Now(), Event: eventLeafReturned, Leaf: leafID, Revision: e.catalog.Revision()}
 	if ejected {
@@ -216,15 +218,15 @@
 	e.log.Write(decisionlog.Ordinary, event)
 }
 
-// leafAssessed logs that a leaf is assessed as slow, silent or well again.
+// leafAssessed logs the new assessment of a leaf, such as slow or silent.
 func (e *stateEvents) leafAssessed(assessment balancer.Assessment) {
 	e.log.Write(decisionlog.Ordinary, leafAssessedEvent{
 		Time: time.Now(), Event: eventLeafAssessed, Leaf: assessment.LeafID, Condition: assessment.Condition,
-		Slowness: assessment.Slowness, SilenceMillis: assessment.Silence.Milliseconds(), Told: assessment.FromPeer,
+		Slowness: assessment.Slowness, SilenceMillis: assessment.Silence.Milliseconds(), FromPeer: assessment.FromPeer,
 	})
 }
 
-// zoneChanged logs that a zone is out of reach, or back.
+// zoneChanged logs that a zone became unreachable, or reachable again.
 func (e *stateEvents) zoneChanged(change reachability.Change) {
 	event := zoneEvent{Time: time.Now(), Event: eventZoneFound, Zone: change.Zone}
 	if change.Lost {
--- a/internal/node/store_events.go
+++ b/internal/node/store_events.go
@@ -11,15 +11,15 @@
 	"github.com/portgauge/portgauge/internal/node/telemetry"
 )
 
-// Names of store events: its first answer, an answer of a new epoch (it was restored from a backup), and an entry written
-// again after a restore.
+// Names of store events in the decision log: the first answer, the first answer of a new epoch (the store was restored
+// from a backup), and an entry written again after a restore.
 const (
 	eventStoreFound     = "store_found"
 	eventStoreRestored  = "store_restored"
 	eventEntryRewritten = "entry_rewritten"
 )
 
-// rewrittenEvent reports that an entry was written again, or why not.
+// rewrittenEvent reports that an entry was written again, or why the write failed.
 type rewrittenEvent struct {
 	Time  time.Time `json:"time"`
 	Event string    `json:"event"`
@@ -34,17 +34,17 @@
 	Call     string    `json:"call"`
 	Epoch    int64     `json:"epoch"`
 	Revision int64     `json:"revision,omitempty"`
-	// Before is the last position seen before the restore.
+	// Before is the last position before the restore.
 	Before *storePosition `json:"before,omitempty"`
 }
 
-// storePosition is the highest revision seen in an epoch of the store.
+// storePosition is the highest revision received in an epoch of the store.
 type storePosition struct {
 	Epoch    int64 `json:"epoch"`
 	Revision int64 `json:"revision"`
 }
 
-// storeEvents writes the store's answers to metrics and decision log.
+// storeEvents records the answers of the store in the metrics and the decision log.
 type storeEvents struct {
 	metrics *telemetry.Metrics
 	log     *decisionlog.Log
@@ -80,10 +80,10 @@
 
 // Rewritten implements rewriter.EventLog.
 func (e *storeEvents) Rewritten(key string, err error) {
-	e.log.Write(decisionlog.Failed, rewrittenEvent{Time: time.Now(), Event: eventEntryRewritten, Key: key, Error: textOf(err)})
+	e.log.Write(decisionlog.Failed, rewrittenEvent{Time: time.Now(), Event: eventEntryRewritten, Key: key, Error: errorText(err)})
 }
 
-// logEpoch logs an answer of another epoch than the one before. The lock must be held.
+// logEpoch logs the first answer of the store, or the first of a new epoch. e.mu must be held.
 func (e *storeEvents) logEpoch(answer store.Answer) {
 	event := eventStoreFound
 	if e.position != nil {
@@ -94,7 +94,7 @@
 	})
 }
 
-// statusLabel returns the label of a call's status in the metrics.
+// statusLabel returns the metric label for the status of a call; 0 means that the store did not answer.
 func statusLabel(status int) string {
 	if status == 0 {
 		return "no_answer"
--- a/internal/node/store_events_test.go
+++ b/internal/node/store_events_test.go
@@ -13,8 +13,8 @@
 	"github.com/portgauge/portgauge/internal/node/telemetry"
 )
 
-// The log has the first epoch and each change of it with the position before; metrics show the current position.
-func TestRestoresOfTheStoreAreLogged(t *testing.T) {
+// A restore of the store must be logged with the position before it, and the gauges must show the current position.
+func TestStoreRestoreIsLogged(t *testing.T) {
 	is := is.New(t)
 	var output bytes.Buffer
 	metrics := telemetry.NewMetrics()
@@ -30,21 +30,21 @@
 	} {
 		events.called(answer)
 	}
-	ended, cancel := context.WithCancel(t.Context())
+	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
-	log.Run(ended)
+	log.Run(cancelled)
 	lines := strings.Split(strings.TrimSpace(output.String()), "\n")
 	is.Equal(len(lines), 2)
 	is.True(strings.Contains(lines[0], `"event":"store_found","call":"kv-range","epoch":1,"revision":40`))
 	is.True(strings.Contains(lines[1], `"event":"store_restored","call":"kv-keep","epoch":2,"before":{"epoch":1,"revision":65}`))
 	families, err := metrics.Registry.Gather()
 	is.NoErr(err)
-	told := map[string]float64{}
+	gauges := map[string]float64{}
 	for _, family := range families {
 		if strings.Contains(family.GetName(), "store_") && family.Metric[0].GetGauge() != nil {
-			told[family.GetName()] = family.Metric[0].GetGauge().GetValue()
+			gauges[family.GetName()] = family.Metric[0].GetGauge().GetValue()
 		}
 	}
-	is.Equal(told["portgauge_store_epoch"], 2.0)
-	is.Equal(told["portgauge_store_revision"], 62.0)
+	is.Equal(gauges["portgauge_store_epoch"], 2.0)
+	is.Equal(gauges["portgauge_store_revision"], 62.0)
 }
--- a/internal/node/telemetry/brief.go
+++ b/internal/node/telemetry/brief.go
@@ -8,8 +8,8 @@
 	dto "github.com/prometheus/client_model/go"
 )
 
-// Brief gathers the node's own counters and gauges that are not zero, without help texts, for collectors that keep only the
-// first kilobytes of a page: the whole page begins with 6 KB of the Go runtime's metrics.
+// Brief gathers the nonzero counters and gauges of the product, without help texts. It is for collectors that keep only
+// the first kilobytes of a page: the full page begins with 6 KB of metrics of the Go runtime.
 type Brief struct {
 	Whole prometheus.Gatherer
 }
--- a/internal/node/telemetry/brief_test.go
+++ b/internal/node/telemetry/brief_test.go
@@ -6,8 +6,8 @@
 	"github.com/matryer/is"
 )
 
-// A collector that keeps little of a page has the node's own figures on it, and nothing that is zero.
-func TestBriefHoldsTheNodesOwnFigures(t *testing.T) {
+// The brief page must hold the product's own counters and gauges, and no zero values.
+func TestBriefHasOnlyNonzeroProductMetrics(t *testing.T) {
 	is := is.New(t)
 	metrics := NewMetrics()
 	metrics.LeafsLost.WithLabelValues("true").Add(3)
--- a/internal/node/telemetry/logger.go
+++ b/internal/node/telemetry/logger.go
@@ -7,7 +7,7 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// NewLogger makes a logger of JSON lines whose level can be changed while it runs.
+// NewLogger returns a logger that writes JSON lines; its level can be changed at run time.
 func NewLogger(output io.Writer, level zap.AtomicLevel) *zap.Logger {
 	encoding := zap.NewProductionEncoderConfig()
 	encoding.TimeKey = "time"
--- a/internal/node/telemetry/metrics.go
+++ b/internal/node/telemetry/metrics.go
@@ -1,7 +1,8 @@
-// Package telemetry has the metrics of a node, as fields of Metrics, and its logger.
+// Package telemetry provides the metrics and the logger of a node.
 //
-// It owns the Prometheus registry; names and labels are an interface to operators and don't change. Latencies are in seconds.
-// It relies on the packages it measures only for the roll-outs, which are collected at each scrape.
+// It owns the Prometheus registry. The names and labels of metrics are an interface to operators and don't change.
+// Latencies are in seconds. Metrics of roll-outs are collected at each scrape; all others are set by the packages that
+// they measure.
 package telemetry
 
 import (
@@ -11,111 +12,111 @@
 
 const namespace = "portgauge"
 
-// Metrics are the counters, gauges and histograms of a node on their own registry.
+// Metrics are the counters, gauges and histograms of a node in their own registry.
 type Metrics struct {
 	Registry *prometheus.Registry
 
-	// QueryLatency is the time from a query's arrival to its answer, in seconds.
+	// QueryLatency is the time from the arrival of a query to its answer, in seconds.
 	QueryLatency *prometheus.HistogramVec
-	// QueryCoverage is the covered fraction of each answer.
+	// QueryCoverage is the fraction of the requested data that each answer covers.
 	QueryCoverage *prometheus.HistogramVec
-	// Refusals counts failures by service, code and execution state.
+	// Refusals counts failed queries by service, code and execution state.
 	Refusals *prometheus.CounterVec
 	// Attempts counts leaf attempts by service and kind: first, hedge or retry.
 	Attempts *prometheus.CounterVec
-	// CancelledAttempts counts attempts that lost to another.
+	// CancelledAttempts counts attempts that were cancelled because another attempt answered first.
 	CancelledAttempts *prometheus.CounterVec
-	// DroppedReplies counts leaf replies that were not merged, by reason.
+	// DroppedReplies counts leaf replies that were not merged into an answer, by reason.
 	DroppedReplies *prometheus.CounterVec
-	// ConfigRevision is the revision in force.
+	// ConfigRevision is the configuration revision in force.
 	ConfigRevision prometheus.Gauge
-	// ConfigAge is how long ago the revision in force was last confirmed to be the newest.
+	// ConfigAge is the time since the revision in force was last confirmed to be the newest, in seconds.
 	ConfigAge prometheus.Gauge
-	// ConfigRejected counts values of the store that could not be put into force.
+	// ConfigRejected counts stored values that could not be decoded.
 	ConfigRejected prometheus.Counter
-	// ConfigRelayed counts configuration messages between nodes, by kind.
+	// ConfigRelayed counts configuration messages sent to other nodes, by kind.
 	ConfigRelayed *prometheus.CounterVec
-	// ControlBytes counts bytes sent between nodes for control, by transport.
+	// ControlBytes counts bytes of control messages sent, by transport.
 	ControlBytes *prometheus.CounterVec
 	// FrontRequests counts requests of the front by route and outcome.
 	FrontRequests *prometheus.CounterVec
-	// FrontLatency is the time from a front request's arrival to its answer, in seconds.
+	// FrontLatency is the time from the arrival of a front request to its answer, in seconds.
 	FrontLatency *prometheus.HistogramVec
 	// FrontAttempts counts leaf attempts of the front by kind.
 	FrontAttempts *prometheus.CounterVec
 	// FrontAttemptFailures counts leaf attempts of the front without a usable reply, by reason.
 	FrontAttemptFailures *prometheus.CounterVec
-	// FrontMissingParts counts the parts that gathered answers lacked.
+	// FrontMissingParts counts the parts missing from gathered answers.
 	FrontMissingParts prometheus.Counter
-	// TreePassed counts requests passed on to other nodes, by outcome.
+	// TreePassed counts groups of parts passed on to intermediate nodes, by outcome.
 	TreePassed *prometheus.CounterVec
-	// TreeLatency is the time from passing a request on to its reply.
+	// TreeLatency is the time from passing a group on to the reply, in seconds.
 	TreeLatency prometheus.Histogram
-	// TreeGathered counts requests gathered for other nodes, by outcome.
+	// TreeGathered counts groups gathered for other nodes, by outcome.
 	TreeGathered *prometheus.CounterVec
-	// LeafsLost counts answers that broke off, by whether the leaf's process had crashed.
+	// LeafsLost counts leaf answers that broke off, by whether the leaf process had ended.
 	LeafsLost *prometheus.CounterVec
-	// Quarantined counts requests put under quarantine, by this node or another.
+	// Quarantined counts requests that this or another node quarantined.
 	Quarantined prometheus.Counter
 	// LeafConnections counts connections opened to leafs.
 	LeafConnections prometheus.Counter
 	// StoreCalls counts calls of the store by name and status.
 	StoreCalls *prometheus.CounterVec
-	// StoreRevision is the store's revision by its last answer with one, StoreEpoch how often it had been restored from a
-	// backup by then.
+	// StoreRevision is the revision in the last store answer that had one. StoreEpoch is the number of restores
+	// from a backup in the last answer.
 	StoreRevision prometheus.Gauge
 	StoreEpoch    prometheus.Gauge
-	// Kept is the number of entries kept in force although a restored store lacks them.
-	Kept prometheus.Gauge
-	// StatesDropped counts whole states read from the store and dropped as older than the one in force.
+	// Retained is the number of entries kept in force that the restored store lacks.
+	Retained prometheus.Gauge
+	// StatesDropped counts full states read from the store that were dropped because they were older than the one in force.
 	StatesDropped prometheus.Counter
-	// LogLinesLeftOut counts dropped lines of the decision log.
-	LogLinesLeftOut prometheus.Counter
-	// Members is the number of nodes known in the zone, by state.
+	// LogLinesDropped counts dropped lines of the decision log.
+	LogLinesDropped prometheus.Counter
+	// Members is the number of nodes in the member list of the zone, by state.
 	Members *prometheus.GaugeVec
 }
 
-// NewMetrics returns the metrics, registered together with those of the Go runtime.
+// NewMetrics returns metrics that are registered together with the metrics of the Go runtime and the process.
 func NewMetrics() *Metrics {
 	metrics := &Metrics{
 		Registry:             prometheus.NewRegistry(),
-		QueryLatency:         histogram("query_latency_seconds", "Time from a query's arrival to its answer.", latencyBuckets(), "service", "class"),
-		QueryCoverage:        histogram("query_coverage", "Covered fraction of each answer.", []float64{0, 0.5, 0.9, 0.99, 0.9999, 1}, "service"),
-		Refusals:             counters("failures_total", "Failed queries by code and execution state.", "service", "code", "execution"),
-		Attempts:             counters("leaf_attempts_total", "Leaf attempts by kind.", "service", "kind"),
-		CancelledAttempts:    counters("leaf_attempts_cancelled_total", "Leaf attempts that lost to another.", "service"),
-		DroppedReplies:       counters("leaf_replies_dropped_total", "Leaf replies that were not merged.", "service", "reason"),
-		ConfigRevision:       prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Name: "config_revision", Help: "Configuration revision in force."}),
-		ConfigAge:            prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Name: "config_age_seconds", Help: "Time since the configuration in force was confirmed to be the newest."}),
-		ConfigRejected:       counter("config_rejected_total", "Stored values that could not be put into force."),
-		ConfigRelayed:        counters("config_messages_total", "Configuration messages sent to other nodes.", "kind"),
-		ControlBytes:         counters("control_bytes_sent_total", "Bytes sent to other nodes for control.", "transport"),
+		QueryLatency:         histogram("query_latency_seconds", "Time from the arrival of a query to its answer, in seconds.", latencyBuckets(), "service", "class"),
+		QueryCoverage:        histogram("query_coverage", "Fraction of the requested data that each answer covers.", []float64{0, 0.5, 0.9, 0.99, 0.9999, 1}, "service"),
+		Refusals:             counters("failures_total", "Failed queries by service, code and execution state.", "service", "code", "execution"),
+		Attempts:             counters("leaf_attempts_total", "Leaf attempts of queries by service and kind (first, hedge or retry).", "service", "kind"),
+		CancelledAttempts:    counters("leaf_attempts_cancelled_total", "Leaf attempts that were cancelled because another attempt answered first.", "service"),
+		DroppedReplies:       counters("leaf_replies_dropped_total", "Leaf replies that were not merged into an answer, by reason.", "service", "reason"),
+		ConfigRevision:       prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Name: "config_revision", Help: "Configuration revision in force on this node."}),
+		ConfigAge:            prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Name: "config_age_seconds", Help: "Time since the configuration in force was last confirmed to be the newest, in seconds."}),
+		ConfigRejected:       counter("config_rejected_total", "Stored values that were rejected as invalid; the last valid value of the key stays in force."),
+		ConfigRelayed:        counters("config_messages_total", "Configuration messages sent to other nodes by kind.", "kind"),
+		ControlBytes:         counters("control_bytes_sent_total", "Bytes of control messages sent by transport.", "transport"),
 		FrontRequests:        counters("front_requests_total", "Requests of the front by route and outcome.", "route", "outcome"),
-		FrontLatency:         histogram("front_latency_seconds", "Time from a front request's arrival to its answer.", latencyBuckets(), "outcome"),
-		FrontAttempts:        counters("front_attempts_total", "Leaf attempts of the front by kind.", "kind"),
-		FrontAttemptFailures: counters("front_attempt_failures_total", "Leaf attempts of the front without a usable reply.", "reason"),
-		FrontMissingParts:    counter("front_missing_parts_total", "Parts that gathered answers lacked."),
-		TreePassed:           counters("tree_passed_total", "Requests passed on to other nodes by outcome.", "outcome"),
-		TreeLatency:          prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: namespace, Name: "tree_pass_seconds", Help: "Time from passing a request on to its reply.", Buckets: latencyBuckets()}),
-		TreeGathered:         counters("tree_gathered_total", "Requests gathered for other nodes by outcome.", "outcome"),
-		LeafsLost:            counters("leafs_lost_total", "Answers that broke off, by whether the leaf's process crashed.", "ended"),
-		Quarantined:          counter("requests_quarantined_total", "Requests put under quarantine because leafs crashed while running them."),
+		FrontLatency:         histogram("front_latency_seconds", "Time from the arrival of a front request to its answer, in seconds.", latencyBuckets(), "outcome"),
+		FrontAttempts:        counters("front_attempts_total", "Leaf attempts of the front by kind (first, hedge or retry).", "kind"),
+		FrontAttemptFailures: counters("front_attempt_failures_total", "Leaf attempts of the front without a usable reply, by reason.", "reason"),
+		FrontMissingParts:    counter("front_missing_parts_total", "Parts that were missing from gathered answers."),
+		TreePassed:           counters("tree_passed_total", "Groups of parts passed on to intermediate nodes by outcome.", "outcome"),
+		TreeLatency:          prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: namespace, Name: "tree_pass_seconds", Help: "Time from passing a group on to an intermediate node to its reply, in seconds.", Buckets: latencyBuckets()}),
+		TreeGathered:         counters("tree_gathered_total", "Groups of parts gathered for other nodes by outcome.", "outcome"),
+		LeafsLost:            counters("leafs_lost_total", "Leaf answers that broke off, by whether the leaf process had ended.", "ended"),
+		Quarantined:          counter("requests_quarantined_total", "Requests that this or another node quarantined because leafs crashed while they ran them."),
 		LeafConnections:      counter("leaf_connections_opened_total", "Connections opened to leafs."),
-		StoreCalls:           counters("store_calls_total", "Calls of the store.", "call", "status"),
-		StoreRevision:        prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Name: "store_revision", Help: "Revision of the store by its last answer."}),
-		StoreEpoch:           prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Name: "store_epoch", Help: "Restores of the store from a backup by its last answer."}),
-		Kept:                 prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Name: "config_kept_entries", Help: "Entries in force that the restored store lacks."}),
-		StatesDropped:        counter("config_states_dropped_total", "Whole states of the store that were older than the one in force."),
-		LogLinesLeftOut:      counter("log_lines_left_out_total", "Decision log lines that were dropped."),
-		Members:              prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: namespace, Name: "members", Help: "Nodes known in the zone by state."}, []string{"state"}),
+		StoreCalls:           counters("store_calls_total", "Calls of the store by call and status; no_answer means that the store did not answer.", "call", "status"),
+		StoreRevision:        prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Name: "store_revision", Help: "Revision in the last store answer that had one."}),
+		StoreEpoch:           prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Name: "store_epoch", Help: "Number of restores of the store from a backup, by its last answer."}),
+		Retained:             prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Name: "config_kept_entries", Help: "Entries that stay in force although the restored store lacks them."}),
+		StatesDropped:        counter("config_states_dropped_total", "Full states read from the store that were dropped because they were older than the one in force."),
+		LogLinesDropped:      counter("log_lines_left_out_total", "Decision log lines that were dropped because the rate was exceeded or the queue was full."),
+		Members:              prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: namespace, Name: "members", Help: "Nodes in the member list of the zone by state."}, []string{"state"}),
 	}
 	metrics.Registry.MustRegister(
 		metrics.QueryLatency, metrics.QueryCoverage, metrics.Refusals, metrics.Attempts,
 		metrics.CancelledAttempts, metrics.DroppedReplies, metrics.ConfigRevision, metrics.ConfigAge,
 		metrics.ConfigRejected, metrics.ConfigRelayed, metrics.ControlBytes, metrics.Members,
 		metrics.FrontRequests, metrics.FrontLatency, metrics.FrontAttempts, metrics.FrontAttemptFailures,
-		metrics.FrontMissingParts, metrics.TreePassed, metrics.TreeLatency, metrics.TreeGathered, metrics.LeafsLost, metrics.Quarantined, metrics.LeafConnections, metrics.StoreCalls, metrics.LogLinesLeftOut,
-		metrics.StoreRevision, metrics.StoreEpoch, metrics.StatesDropped, metrics.Kept,
+		metrics.FrontMissingParts, metrics.TreePassed, metrics.TreeLatency, metrics.TreeGathered, metrics.LeafsLost, metrics.Quarantined, metrics.LeafConnections, metrics.StoreCalls, metrics.LogLinesDropped,
+		metrics.StoreRevision, metrics.StoreEpoch, metrics.StatesDropped, metrics.Retained,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}),
 	)
 	return metrics
@@ -133,5 +134,5 @@
 	return prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help}, labels)
 }
 
-// latencyBuckets go from 1 ms to 16 s, doubling.
+// latencyBuckets returns bucket bounds that double from 1 ms to 16 s.
 func latencyBuckets() []float64 { return prometheus.ExponentialBuckets(0.001, 2, 15) }
--- a/internal/node/telemetry/rollouts.go
+++ b/internal/node/telemetry/rollouts.go
@@ -6,8 +6,8 @@
 	"github.com/portgauge/portgauge/internal/rollout/rolloutcontrol"
 )
 
-// rolloutCollector collects the roll-outs under way at each scrape, so that finished ones leave no series behind. Their
-// number is bounded by the roll-outs under way, and by versions and routes of those that this node evaluates.
+// rolloutCollector collects the roll-outs in progress at each scrape, so that finished roll-outs have no series. The number
+// of series is bounded by the roll-outs in progress, and by the versions and routes of those that this node evaluates.
 type rolloutCollector struct {
 	statuses func() []rolloutcontrol.Status
 	phase    *prometheus.Desc
@@ -17,14 +17,14 @@
 
 var _ prometheus.Collector = (*rolloutCollector)(nil)
 
-// RegisterRollouts adds the roll-outs under way to the metrics.
+// RegisterRollouts adds the roll-outs in progress to the metrics.
 func (m *Metrics) RegisterRollouts(statuses func() []rolloutcontrol.Status) error {
-	counted := []string{"service", "version", "route"}
+	countLabels := []string{"service", "version", "route"}
 	return m.Registry.Register(&rolloutCollector{
 		statuses: statuses,
-		phase:    prometheus.NewDesc(namespace+"_rollout_phase", "1 for the phase of each roll-out under way.", []string{"service", "phase", "target"}, nil),
-		attempts: prometheus.NewDesc(namespace+"_rollout_attempts", "Attempts of all nodes for a roll-out under way, at its judges.", counted, nil),
-		failures: prometheus.NewDesc(namespace+"_rollout_failures", "Those of the attempts that the leaf itself failed.", counted, nil),
+		phase:    prometheus.NewDesc(namespace+"_rollout_phase", "1 for the current phase of each roll-out in progress.", []string{"service", "phase", "target"}, nil),
+		attempts: prometheus.NewDesc(namespace+"_rollout_attempts", "Leaf attempts of all nodes in a roll-out in progress; reported by its evaluator nodes.", countLabels, nil),
+		failures: prometheus.NewDesc(namespace+"_rollout_failures", "Leaf attempts of all nodes in a roll-out in progress that failed at the leaf; reported by its evaluator nodes.", countLabels, nil),
 	})
 }
 
--- a/internal/node/telemetry/rollouts_test.go
+++ b/internal/node/telemetry/rollouts_test.go
@@ -9,8 +9,8 @@
 	"github.com/portgauge/portgauge/internal/rollout/rolloutcontrol"
 )
 
-// Roll-outs under way have series, and none once they are over.
-func TestRolloutsLeaveNoSeriesBehind(t *testing.T) {
+// The series of a roll-out must disappear when it has finished.
+func TestFinishedRolloutHasNoSeries(t *testing.T) {
 	is := is.New(t)
 	statuses := []rolloutcontrol.Status{{
 		Service: "s", Phase: rollout.Canary, Target: "b",
--- a/internal/node/version/version.go
+++ b/internal/node/version/version.go
@@ -13,7 +13,7 @@
 	Revision string `json:"revision,omitempty"`
 }
 
-// Current returns the build of this process; Go and Revision are empty if the binary carries no build information.
+// Current returns the build of this process. Go and Revision are empty if the binary has no build information.
 func Current() Info {
 	info := Info{Version: Number}
 	build, found := debug.ReadBuildInfo()
