--- a/internal/node/settings/load.go
+++ b/internal/node/settings/load.go
@@ -14,16 +14,16 @@
 // environmentPrefix is the prefix of environment variables that override settings.
 const environmentPrefix = "PORTGAUGE_"
 
-// Override is one setting given outside the file.
+// Override is a setting given by an environment variable or a flag.
 type Override struct {
 	// Path is the setting's name, such as search.merge_reserve.
 	Path  string
 	Value string
-	// Source is where the override came from, for error messages.
+	// Source is the variable or flag, for error messages.
 	Source string
 }
 
-// ParseFlag reads an override of the form path=value.
+// ParseFlag parses an override of the form path=value.
 func ParseFlag(text string) (Override, error) {
 	path, value, found := strings.Cut(text, "=")
 	if !found || path == "" {
@@ -32,8 +32,8 @@
 	return Override{Path: path, Value: value, Source: "--set " + path}, nil
 }
 
-// Load reads and validates settings from a file (none if the path is empty), the environment and flags. The error joins all
-// faults, each with its line or source.
+// Load reads and validates settings from a file, the environment and flags. An empty path means no file. The error joins
+// all faults, each with its line or source.
 func Load(path string, environment []string, flags []Override) (Settings, error) {
 	document := &yaml.Node{Kind: yaml.MappingNode}
 	if path != "" {
@@ -51,7 +51,7 @@
 func parse(name string, content []byte) (*yaml.Node, error) {
 	var root yaml.Node
 	if err := yaml.Unmarshal(content, &root); err != nil {
-		return nil, failure.Invalid(name, "not YAML: %v", err)
+		return nil, failure.Invalid(name, "is not valid YAML: %v", err)
 	}
 	if len(root.Content) == 0 {
 		return &yaml.Node{Kind: yaml.MappingNode}, nil
@@ -77,10 +77,10 @@
 	return settings, locate(name, document, sources, settings.Validate())
 }
 
-// decodeStrictly decodes the document and names every unknown field and mistyped value.
+// decodeStrictly decodes the document. The error lists every unknown setting and every value of the wrong type.
 func decodeStrictly(name string, document *yaml.Node, settings *Settings) error {
 	var checks failure.Checks
-	refuseUnknown(&checks, name, document, "", knownGroups())
+	rejectUnknown(&checks, name, document, "", knownPaths())
 	err := document.Decode(settings)
 	var mistyped *yaml.TypeError
 	switch {
@@ -94,8 +94,8 @@
 	return checks.Err()
 }
 
-// knownGroups returns the names of all settings and of the groups they are in.
-func knownGroups() map[string]bool {
+// knownPaths returns the names of all settings and of the groups that contain them.
+func knownPaths() map[string]bool {
 	known := map[string]bool{}
 	for _, path := range Paths() {
 		for end := 0; end < len(path); end++ {
@@ -108,7 +108,7 @@
 	return known
 }
 
-func refuseUnknown(checks *failure.Checks, name string, node *yaml.Node, prefix string, known map[string]bool) {
+func rejectUnknown(checks *failure.Checks, name string, node *yaml.Node, prefix string, known map[string]bool) {
 	if node.Kind != yaml.MappingNode {
 		return
 	}
@@ -120,12 +120,12 @@
 			continue
 		}
 		if value := node.Content[index+1]; isGroup(path, value) {
-			refuseUnknown(checks, name, value, path+".", known)
+			rejectUnknown(checks, name, value, path+".", known)
 		}
 	}
 }
 
-// locate adds to each fault the line or source that its value came from.
+// locate adds the line or source of the value to each fault.
 func locate(name string, document *yaml.Node, sources map[string]string, err error) error {
 	var located failure.Checks
 	for _, fault := range failure.Faults(err) {
@@ -140,7 +140,7 @@
 	return located.Err()
 }
 
-// valueAt returns the value at a path of the document, or nil.
+// valueAt returns the value at a path of the document, or nil if there is none.
 func valueAt(node *yaml.Node, path []string) *yaml.Node {
 	value := child(node, path[0])
 	if value == nil || len(path) == 1 {
@@ -161,7 +161,7 @@
 	return nil
 }
 
-// setScalar sets the value at a path, creating missing mappings.
+// setScalar sets the value at a path and creates missing mappings.
 func setScalar(node *yaml.Node, path []string, value string) error {
 	existing := child(node, path[0])
 	if len(path) == 1 {
@@ -186,8 +186,8 @@
 	return setScalar(existing, path[1:], value)
 }
 
-// fromEnvironment finds the overrides among environment variables. Names of settings hold
-// underscores, so each known path is looked up rather than guessed from the variable.
+// fromEnvironment returns the overrides among the environment variables. Names of settings contain underscores, so the
+// variable of each setting is looked up, instead of deriving the path from the variable.
 func fromEnvironment(environment []string) []Override {
 	values := map[string]string{}
 	for _, variable := range environment {
@@ -231,10 +231,10 @@
 	return paths
 }
 
-// regionsPath is the one setting that is a table of its own: its keys are zones.
+// regionsPath is the only setting whose value is a mapping; its keys are zones.
 const regionsPath = "regions"
 
-// isGroup reports whether the value at a path is a group of settings.
+// isGroup reports whether the value at a path is a group of settings, not the value of a setting.
 func isGroup(path string, value *yaml.Node) bool {
 	return value.Kind == yaml.MappingNode && path != regionsPath
 }
@@ -254,7 +254,7 @@
 	return names
 }
 
-// values returns the encoded value of each setting by its name.
+// values returns the value of each setting in YAML, by name.
 func values(settings Settings) map[string]string {
 	content, err := yaml.Marshal(settings)
 	if err != nil {
--- a/internal/node/settings/page_test.go
+++ b/internal/node/settings/page_test.go
@@ -17,7 +17,7 @@
 	"github.com/matryer/is"
 )
 
-// update writes the page of settings anew: go test ./internal/node/settings -run TestPageOfSettings -update
+// update makes TestPageOfSettings write the page: go test ./internal/node/settings -run TestPageOfSettings -update
 var update = flag.Bool("update", false, "write docs/SETTINGS.md")
 
 const (
@@ -28,15 +28,15 @@
 
 const pageHead = `# Settings
 
-Generated from the types (` + "`go test ./internal/node/settings -run TestPageOfSettings -update`" + `); the tests fail while it
-is not what they say. [OPERATIONS.md](OPERATIONS.md#settings) tells how settings are given.
+Generated from the types (` + "`go test ./internal/node/settings -run TestPageOfSettings -update`" + `); the test fails if the
+page differs. [OPERATIONS.md](OPERATIONS.md#settings) describes how to give settings.
 `
 
-// fieldDocs are the comments of the fields of a package's types, by "Type.Field".
+// fieldDocs holds the field comments of a package's struct types, by "Type.Field".
 type fieldDocs map[string]string
 
-// parseDocs reads the comments of a package. A comment that names several fields is theirs all: those
-// that follow it without a comment or an empty line of their own.
+// parseDocs parses the field comments of a package. A comment that names several fields also applies to the named fields
+// below it that have no comment of their own.
 func parseDocs(t *testing.T, pkgPath string) fieldDocs {
 	t.Helper()
 	folder := filepath.Join(repository, strings.TrimPrefix(pkgPath, modulePath))
@@ -80,12 +80,12 @@
 	}
 }
 
-// page writes the tables of all settings, one for each group.
+// page renders the tables of all settings, one per group.
 type page struct {
-	t     *testing.T
-	docs  map[string]fieldDocs // by package
-	lines []string
-	bare  []string // settings without a comment
+	t            *testing.T
+	docs         map[string]fieldDocs // by package
+	lines        []string
+	undocumented []string // settings without a comment
 }
 
 func (p *page) docOf(owner reflect.Type, field reflect.StructField) string {
@@ -95,8 +95,8 @@
 	return p.docs[owner.PkgPath()][owner.Name()+"."+field.Name]
 }
 
-// group writes the table of one struct's own settings, then those of the groups in it. The prefix ends
-// with a dot unless it is empty.
+// group renders the table of the settings in a struct, then the tables of its groups. The prefix ends with a dot unless it
+// is empty.
 func (p *page) group(title, prefix string, value reflect.Value) {
 	p.lines = append(p.lines, "", "## "+title, "", "| setting | default | meaning |", "|---|---|---|")
 	owner := value.Type()
@@ -110,9 +110,9 @@
 		}
 		doc := p.docOf(owner, field)
 		if doc == "" {
-			p.bare = append(p.bare, name)
+			p.undocumented = append(p.undocumented, name)
 		}
-		p.lines = append(p.lines, fmt.Sprintf("| `%s` | %s | %s |", name, shown(value.Field(i)), strings.ReplaceAll(doc, "|", "\\|")))
+		p.lines = append(p.lines, fmt.Sprintf("| `%s` | %s | %s |", name, formatDefault(value.Field(i)), strings.ReplaceAll(doc, "|", "\\|")))
 	}
 	for _, i := range groups {
 		name := prefix + yamlName(owner.Field(i))
@@ -120,16 +120,16 @@
 	}
 }
 
-// yamlName gives the name of a field in a file.
+// yamlName returns the name of a field in a settings file.
 func yamlName(field reflect.StructField) string {
 	name, _, _ := strings.Cut(field.Tag.Get("yaml"), ",")
 	return name
 }
 
-// shown gives a default as it stands in a file.
-func shown(value reflect.Value) string {
-	if span, isSpan := value.Interface().(time.Duration); isSpan {
-		return span.String()
+// formatDefault returns a default as it is written in a settings file.
+func formatDefault(value reflect.Value) string {
+	if duration, isDuration := value.Interface().(time.Duration); isDuration {
+		return duration.String()
 	}
 	if value.IsZero() && value.Kind() != reflect.Bool && !value.CanInt() && !value.CanFloat() {
 		return ""
@@ -137,24 +137,24 @@
 	return fmt.Sprint(value.Interface())
 }
 
-// rendered gives the page, and the settings that it can say nothing of.
-func rendered(t *testing.T) (string, []string) {
+// renderPage returns the page and the settings that have no comment.
+func renderPage(t *testing.T) (string, []string) {
 	p := &page{t: t, docs: map[string]fieldDocs{}}
 	p.group("At the top", "", reflect.ValueOf(Default()))
-	return pageHead + strings.Join(p.lines, "\n") + "\n", p.bare
+	return pageHead + strings.Join(p.lines, "\n") + "\n", p.undocumented
 }
 
-// The page of settings is what the types say, names every setting, and says something of each.
+// The page must match the types and list every setting with its comment.
 func TestPageOfSettings(t *testing.T) {
 	is := is.New(t)
-	content, bare := rendered(t)
+	content, undocumented := renderPage(t)
 	if *update {
 		is.NoErr(os.WriteFile(pagePath, []byte(content), 0o644))
 	}
 	written, err := os.ReadFile(pagePath)
 	is.NoErr(err)
-	is.Equal(string(written), content) // run the command that the page names
-	is.Equal(len(bare), 0)             // settings without a comment
+	is.Equal(string(written), content) // otherwise run the command in the head of the page
+	is.Equal(len(undocumented), 0)     // every setting has a comment
 	for _, path := range Paths() {
 		is.True(slices.ContainsFunc(strings.Split(content, "\n"), func(line string) bool { return strings.HasPrefix(line, "| `"+path+"` |") }))
 	}
--- a/internal/node/settings/settings.go
+++ b/internal/node/settings/settings.go
@@ -1,9 +1,9 @@
 // Package settings reads and validates the settings of a node.
 //
-// Settings come from one YAML file. Each can be overridden by an environment variable
-// (PORTGAUGE_SEARCH_MERGE_RESERVE for search.merge_reserve) or a flag (--set search.merge_reserve=2ms); a flag wins over
-// the environment, the environment over the file. Unknown fields are refused, and all errors are reported at once, each
-// a failure.InvalidField with its path and line.
+// Settings come from one YAML file. Each setting can be overridden by an environment variable
+// (PORTGAUGE_SEARCH_MERGE_RESERVE for search.merge_reserve) or a flag (--set search.merge_reserve=2ms). Flags take
+// precedence over the environment, and the environment over the file. Unknown settings are errors. All errors are
+// reported at once, each as a failure.InvalidField with its path and line.
 //
 // The package owns the sections that belong to the process (node, listen, platform, stop). Every other section is the
 // Config of the package that uses it, with its own defaults and validation. docs/SETTINGS.md is generated from the
@@ -42,35 +42,35 @@
 	"github.com/portgauge/portgauge/internal/rollout/verdict"
 )
 
-// Node identifies the node and its machine.
+// Node describes the node and its machine.
 type Node struct {
-	// ID is unique in the fleet; empty means one is made from zone and peer address.
+	// ID is the node's ID, unique in the fleet; if empty, it is made from the zone and the peer address.
 	ID string `yaml:"id"`
-	// Zone is the failure domain that the node is in.
+	// Zone is the failure domain of the node.
 	Zone string `yaml:"zone"`
-	// Processors is the number of processors of the machine and ProcessorShare the node's fraction of them. Their product
-	// is compared between nodes of a zone to decide who gathers for others; 0 means unknown.
+	// Processors is the number of processors of the machine, and ProcessorShare is the fraction of them that the node may
+	// use. The nodes of a zone compare the products to decide which of them gather for others; 0 means unknown.
 	Processors     float64 `yaml:"processors"`
 	ProcessorShare float64 `yaml:"processor_share"`
 }
 
-// Listen has the node's listeners; each is an IP address and port.
+// Listen has the addresses of the node's listeners, each an IP address and port.
 type Listen struct {
-	// Callers serves searches.
+	// Callers is the address that serves searches.
 	Callers string `yaml:"callers"`
-	// Front serves requests by the routing table; empty means off.
+	// Front is the address that serves requests by the routing table; if empty, the front is disabled.
 	Front string `yaml:"front"`
-	// Ready serves the readiness of the front; empty means off.
+	// Ready is the address that serves readiness checks of the front; if empty, they are disabled.
 	Ready string `yaml:"ready"`
-	// Operators serves administration, metrics, health and profiles.
+	// Operators is the address that serves administration, metrics, health checks and profiles.
 	Operators string `yaml:"operators"`
-	// Peers serves other nodes, over UDP and TCP.
+	// Peers is the address that serves other nodes, over UDP and TCP.
 	Peers string `yaml:"peers"`
-	// Tree serves groups of requests for other nodes; empty means off.
+	// Tree is the address that serves groups of parts for other nodes; if empty, the node gathers for no other node.
 	Tree string `yaml:"tree"`
-	// AdvertiseTree is the address of Tree announced to other nodes, if it differs.
+	// AdvertiseTree is the address under which other nodes reach Tree, if it differs from Tree.
 	AdvertiseTree string `yaml:"advertise_tree"`
-	// AdvertisePeers is the address of Peers announced to other nodes, if it differs.
+	// AdvertisePeers is the address under which other nodes reach Peers, if it differs from Peers.
 	AdvertisePeers string `yaml:"advertise_peers"`
 }
 
@@ -78,14 +78,14 @@
 type Platform struct {
 	// Address is the IP address and port of the store.
 	Address string `yaml:"address"`
-	// Dialect is the protocol of the platform, one of those the program was built with.
+	// Dialect is the protocol of the platform; the program must have been built with it.
 	Dialect string `yaml:"dialect"`
-	// WatchWait is how long a watch call may wait before it returns without a change, in dialects with long polling.
+	// WatchWait is how long a watch call may wait for a change before it returns, in dialects with long polling.
 	WatchWait time.Duration `yaml:"watch_wait"`
-	// WatchPause is the pause after a watch call that returned changes, so that a burst arrives in few calls.
+	// WatchPause is the pause after a watch call that returned changes, so that a burst of changes takes few calls.
 	WatchPause time.Duration `yaml:"watch_pause"`
-	// StandbyWatchWait and StandbyWatchPause are the same for standby watchers. They are longer because each call of the
-	// store has a price.
+	// StandbyWatchWait and StandbyWatchPause are WatchWait and WatchPause for standby watchers. Longer values save calls of
+	// the store.
 	StandbyWatchWait  time.Duration `yaml:"standby_watch_wait"`
 	StandbyWatchPause time.Duration `yaml:"standby_watch_pause"`
 }
@@ -93,11 +93,11 @@
 // DefaultDialect is the product's own platform protocol.
 const DefaultDialect = "grpc"
 
-// Stop has the bounds of a planned stop.
+// Stop has the time limits of a planned stop.
 type Stop struct {
-	// DrainTimeout is how long requests in flight may take to finish.
+	// DrainTimeout is how long a stopping node waits for the requests in flight.
 	DrainTimeout time.Duration `yaml:"drain_timeout"`
-	// PrepareStopDelay is how long the node accepts new requests after it announced its stop.
+	// PrepareStopDelay is how long the node accepts new requests after it has announced its stop.
 	PrepareStopDelay time.Duration `yaml:"announce_delay"`
 }
 
@@ -106,11 +106,11 @@
 	Node     Node     `yaml:"node"`
 	Listen   Listen   `yaml:"listen"`
 	Platform Platform `yaml:"platform"`
-	// Regions maps each zone to its region, for routes that are restricted to regions.
+	// Regions maps zones to regions, for routes that are restricted to regions.
 	Regions map[string]string `yaml:"regions"`
-	// Seeds are peer addresses to join through, in addition to the machine list.
+	// Seeds are addresses of peers through which the node joins the fleet, in addition to the machine list.
 	Seeds []string `yaml:"seeds"`
-	// LogLevel is debug, info, warn or error.
+	// LogLevel is the lowest level that is logged: debug, info, warn or error.
 	LogLevel string `yaml:"log_level"`
 	Stop     Stop   `yaml:"stop"`
 
@@ -133,19 +133,19 @@
 	ServingTree     servingtree.Config  `yaml:"serving_tree"`
 	DecisionLog     decisionlog.Config  `yaml:"decision_log"`
 
-	// Quarantine decides which requests crash leafs.
+	// Quarantine has the limits for quarantining requests that crash leafs.
 	Quarantine quarantine.Config `yaml:"quarantine"`
-	// QuarantineSync distributes quarantined requests to the other nodes and the store.
+	// QuarantineSync has the limits for sending quarantined requests to the other nodes and the store.
 	QuarantineSync quarantinesync.Config `yaml:"quarantine_sync"`
 
 	Rollouts rolloutcontrol.Config `yaml:"rollouts"`
-	// Canary is the share of requests of a canary version.
+	// Canary bounds the requests that canaries receive.
 	Canary canary.Config `yaml:"canary"`
-	// RolloutVerdict decides whether a canary version is good.
+	// RolloutVerdict has the thresholds for deciding whether a canary version is good.
 	RolloutVerdict verdict.Config `yaml:"rollout_verdict"`
 }
 
-// Default returns the defaults.
+// Default returns the default settings. They lack only the zone, which has no default.
 func Default() Settings {
 	return Settings{
 		Listen: Listen{
@@ -182,8 +182,8 @@
 	}
 }
 
-// defaultPlatform bounds the delay of a change: a first watcher sees it within 0.3 s, a standby within 0.8 s, and pushes what
-// has not been pushed half a second later. Together that is well within the 4 s in which a change must be in force.
+// defaultPlatform bounds the delay of a change: a first watcher receives it within 0.3 s, a standby watcher within 0.8 s,
+// and the standby watcher pushes what has not been pushed 0.5 s later. A change must be in force within 4 s.
 func defaultPlatform() Platform {
 	return Platform{
 		Address: "127.0.0.1:7300", Dialect: DefaultDialect,
@@ -192,7 +192,7 @@
 	}
 }
 
-// Validate returns all invalid fields.
+// Validate returns an error that lists every invalid field.
 func (s Settings) Validate() error {
 	var checks failure.Checks
 	checks.Refuse(s.Node.Zone == "", "node.zone", "must not be empty")
@@ -210,7 +210,7 @@
 	checks.Refuse(s.Platform.Dialect == "", "platform.dialect", "must not be empty")
 	checks.Refuse(s.Platform.WatchWait <= 0, "platform.watch_wait", "must be positive")
 	checks.Refuse(s.Platform.WatchPause < 0, "platform.watch_pause", "must not be negative")
-	// Otherwise standby watchers would call the store although the first watcher of their zone is healthy.
+	// With a shorter look_after, standby watchers would call the store although the first watcher of their zone works.
 	checks.Refuse(s.ConfigSync.LookAfter <= s.Platform.WatchWait, "config_sync.look_after", "must be longer than platform.watch_wait")
 	checks.Refuse(s.Platform.StandbyWatchWait <= 0, "platform.standby_watch_wait", "must be positive")
 	checks.Refuse(s.Platform.StandbyWatchPause < 0, "platform.standby_watch_pause", "must not be negative")
@@ -247,7 +247,7 @@
 	return checks.Err()
 }
 
-// requireAddress accepts only an IP address with a port; names are not resolved.
+// requireAddress accepts only an IP address with a port; host names are not resolved.
 func requireAddress(checks *failure.Checks, field, address string) {
 	_, err := netip.ParseAddrPort(address)
 	checks.Refuse(err != nil, field, "%q; must be an IP address and port, such as 127.0.0.1:7400", address)
--- a/internal/node/settings/settings_test.go
+++ b/internal/node/settings/settings_test.go
@@ -11,7 +11,7 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// Parse returns the settings of a file with the given content, without environment and flags.
+// Parse returns the settings of a file with the given content, without overrides.
 func Parse(name string, content []byte) (Settings, error) {
 	document, err := parse(name, content)
 	if err != nil {
@@ -20,7 +20,7 @@
 	return assemble(name, document, nil)
 }
 
-func TestAllFaultsAreNamedAtOnceWithTheirLines(t *testing.T) {
+func TestAllFaultsAreReportedWithTheirLines(t *testing.T) {
 	is := is.New(t)
 	_, err := Parse("node.yaml", []byte(`
 node:
@@ -43,7 +43,7 @@
 	is.True(strings.Contains(text["search.minimum_deadline"], "default"))
 }
 
-func TestUnknownFieldsAndTypesAreRefused(t *testing.T) {
+func TestUnknownFieldsAndMistypedValuesAreRejected(t *testing.T) {
 	is := is.New(t)
 	_, err := Parse("node.yaml", []byte("node:\n  zone: a\n  zoon: b\nserach: {}\nstop:\n  drain_timeout: soon\n"))
 	faults := failure.Faults(err)
@@ -53,7 +53,7 @@
 	is.True(strings.Contains(faults[2].Message, "line 6"))
 }
 
-func TestFlagsWinOverEnvironmentOverFile(t *testing.T) {
+func TestFlagsOverrideEnvironment(t *testing.T) {
 	is := is.New(t)
 	flag, err := ParseFlag("stop.drain_timeout=3s")
 	is.NoErr(err)
@@ -65,7 +65,7 @@
 	is.Equal(loaded.ConfigSync.FanOut, 7)
 }
 
-func TestFaultOfAFlagNamesTheFlag(t *testing.T) {
+func TestInvalidFlagIsNamedInError(t *testing.T) {
 	is := is.New(t)
 	_, err := Load("", nil, []Override{{Path: "node.zone", Value: "z"}, {Path: "balancer.eject_after", Value: "0", Source: "--set balancer.eject_after"}})
 	is.True(strings.Contains(err.Error(), "--set balancer.eject_after"))
@@ -73,8 +73,7 @@
 	is.True(failure.Is(err, failure.InvalidField))
 }
 
-// What 'settings show' prints is a settings file with no fault but the zone, which has no
-// default.
+// The output of 'settings show' must be a valid settings file, except for the zone, which has no default.
 func TestDefaultsAreValid(t *testing.T) {
 	is := is.New(t)
 	content, err := yaml.Marshal(Default())
@@ -88,12 +87,12 @@
 	f.Add([]byte("node:\n  zone: a\n"))
 	f.Add([]byte("seeds: [127.0.0.1:1]\nstop: {drain_timeout: 1s}\n"))
 	f.Fuzz(func(_ *testing.T, content []byte) {
-		// Any outcome but a crash is fine.
+		// Parse must not panic.
 		_, _ = Parse("fuzz", content)
 	})
 }
 
-func TestDifferencesNameWhatNeedsARestart(t *testing.T) {
+func TestDifferencesListsSettingsThatNeedRestart(t *testing.T) {
 	is := is.New(t)
 	changed := Default()
 	is.Equal(len(Differences(Default(), changed)), 0)
@@ -103,8 +102,8 @@
 	is.Equal(Differences(Default(), changed), []string{"node.zone", "gateway.hedge_factor"})
 }
 
-// Standing by needs the first watcher's word more often than it looks by itself.
-func TestLookAfterIsLongerThanTheWaitOfAWatch(t *testing.T) {
+// With a shorter look_after, standby watchers would call the store although the first watcher works.
+func TestLookAfterMustExceedWatchWait(t *testing.T) {
 	is := is.New(t)
 	_, err := Parse("node.yaml", []byte("node:\n  zone: a\nplatform:\n  watch_wait: 2s\n"))
 	faults := failure.Faults(err)
