--- a/internal/node/dialect.go
+++ b/internal/node/dialect.go
@@ -46,11 +46,11 @@
 }
 
 // newPlatform connects to the platform with the protocol that the setting platform.dialect names.
-func newPlatform(cfg settings.Settings, known dialects, metrics *telemetry.Metrics, events *storeEvents, lifecycle fx.Lifecycle) (platformDeps, error) {
+func newPlatform(cfg settings.Settings, supported dialects, metrics *telemetry.Metrics, events *storeEvents, lifecycle fx.Lifecycle) (platformDeps, error) {
 	if cfg.Platform.Dialect == settings.DefaultDialect {
 		return newOwnPlatform(cfg, metrics, lifecycle)
 	}
-	for _, dialect := range known {
+	for _, dialect := range supported {
 		if dialect.Name != cfg.Platform.Dialect {
 			continue
 		}
--- a/internal/node/maintenance.go
+++ b/internal/node/maintenance.go
@@ -30,8 +30,8 @@
 	metrics  *telemetry.Metrics
 }
 
-func newMaintainer(known *catalog.Catalog, leafBalancer *balancer.Balancer, budgets *retrybudget.Budgets, pool *leafhttp.Pool, memory *leafmemory.Memory, members *membership.Membership, metrics *telemetry.Metrics) *maintainer {
-	return &maintainer{catalog: known, balancer: leafBalancer, budgets: budgets, pool: pool, memory: memory, members: members, metrics: metrics}
+func newMaintainer(cat *catalog.Catalog, leafBalancer *balancer.Balancer, budgets *retrybudget.Budgets, pool *leafhttp.Pool, memory *leafmemory.Memory, members *membership.Membership, metrics *telemetry.Metrics) *maintainer {
+	return &maintainer{catalog: cat, balancer: leafBalancer, budgets: budgets, pool: pool, memory: memory, members: members, metrics: metrics}
 }
 
 func (m *maintainer) run(ctx context.Context) {
--- a/internal/node/provide_config.go
+++ b/internal/node/provide_config.go
@@ -20,12 +20,12 @@
 
 func newCatalog(cfg settings.Settings, clock boottime.Clock, metrics *telemetry.Metrics, logger *zap.Logger) *catalog.Catalog {
 	rejected := &rejectedValues{metrics: metrics, logger: logger}
-	known := catalog.New(rejected.reject)
-	known.SetClock(clock)
+	cat := catalog.New(rejected.reject)
+	cat.SetClock(clock)
 	if cfg.Rollouts.Enabled {
-		known.EnableRollouts()
+		cat.EnableRollouts()
 	}
-	return known
+	return cat
 }
 
 type syncerDeps struct {
@@ -58,10 +58,10 @@
 	return syncer
 }
 
-func newRewriter(known *catalog.Catalog, configStore store.Store, self catalog.NodeRecord, events *storeEvents) *rewriter.Writer {
-	return rewriter.New(known, configStore, self.ID, events)
+func newRewriter(cat *catalog.Catalog, configStore store.Store, self catalog.NodeRecord, events *storeEvents) *rewriter.Writer {
+	return rewriter.New(cat, configStore, self.ID, events)
 }
 
-func newAdmin(cfg settings.Settings, known *catalog.Catalog, configStore store.Store) *admin.Admin {
-	return admin.New(known, configStore, configwriter.New(cfg.ConfigWriter, configStore))
+func newAdmin(cfg settings.Settings, cat *catalog.Catalog, configStore store.Store) *admin.Admin {
+	return admin.New(cat, configStore, configwriter.New(cfg.ConfigWriter, configStore))
 }
--- a/internal/node/provide_fleet.go
+++ b/internal/node/provide_fleet.go
@@ -55,8 +55,8 @@
 	return self
 }
 
-func newFleet(cfg settings.Settings, known *catalog.Catalog, self catalog.NodeRecord, clock boottime.Clock) *registry.Fleet {
-	fleet := registry.NewFleet(known, self.ID, cfg.Registry.Memory)
+func newFleet(cfg settings.Settings, cat *catalog.Catalog, self catalog.NodeRecord, clock boottime.Clock) *registry.Fleet {
+	fleet := registry.NewFleet(cat, self.ID, cfg.Registry.Memory)
 	fleet.SetClock(clock)
 	return fleet
 }
@@ -76,10 +76,10 @@
 	return reachability.NewDatagrams(transport)
 }
 
-func newZones(cfg settings.Settings, known *catalog.Catalog, self catalog.NodeRecord, prober *reachability.Datagrams, events *stateEvents, clock boottime.Clock) *reachability.Tracker {
+func newZones(cfg settings.Settings, cat *catalog.Catalog, self catalog.NodeRecord, prober *reachability.Datagrams, events *stateEvents, clock boottime.Clock) *reachability.Tracker {
 	zones := reachability.New(reachability.Deps{
 		Config: cfg.Reachability, Self: self, Prober: prober, Changed: events.zoneChanged, Clock: clock,
-		Nodes: func() []catalog.NodeRecord { return slices.Collect(maps.Values(known.View().Nodes)) },
+		Nodes: func() []catalog.NodeRecord { return slices.Collect(maps.Values(cat.View().Nodes)) },
 	})
 	prober.OnZoneLost(zones.SuspectAndRecheck)
 	return zones
--- a/internal/node/provide_leaf.go
+++ b/internal/node/provide_leaf.go
@@ -21,14 +21,14 @@
 	"go.uber.org/zap"
 )
 
-func newMemory(cfg settings.Settings, known *catalog.Catalog, clock boottime.Clock) *leafmemory.Memory {
-	memory := leafmemory.New(cfg.LeafMemory, known)
+func newMemory(cfg settings.Settings, cat *catalog.Catalog, clock boottime.Clock) *leafmemory.Memory {
+	memory := leafmemory.New(cfg.LeafMemory, cat)
 	memory.SetClock(clock)
 	return memory
 }
 
-func newLeafWriter(cfg settings.Settings, known *catalog.Catalog, configStore store.Store, self catalog.NodeRecord, logger *zap.Logger) *leafmemory.Writer {
-	return leafmemory.NewWriter(cfg.LeafMemory, known, configStore, self.ID, logger)
+func newLeafWriter(cfg settings.Settings, cat *catalog.Catalog, configStore store.Store, self catalog.NodeRecord, logger *zap.Logger) *leafmemory.Writer {
+	return leafmemory.NewWriter(cfg.LeafMemory, cat, configStore, self.ID, logger)
 }
 
 func newBalancer(cfg settings.Settings, events *stateEvents) *balancer.Balancer {
@@ -76,8 +76,8 @@
 	return pool
 }
 
-func newWarmup(cfg settings.Settings, known *catalog.Catalog, fleet *registry.Fleet, self catalog.NodeRecord, clock boottime.Clock) *warmup.Limiter {
-	limiter := warmup.New(cfg.Warmup, known, fleet, self)
+func newWarmup(cfg settings.Settings, cat *catalog.Catalog, fleet *registry.Fleet, self catalog.NodeRecord, clock boottime.Clock) *warmup.Limiter {
+	limiter := warmup.New(cfg.Warmup, cat, fleet, self)
 	limiter.SetClock(clock)
 	return limiter
 }
--- a/internal/node/provide_request.go
+++ b/internal/node/provide_request.go
@@ -26,9 +26,9 @@
 	"go.uber.org/zap"
 )
 
-func newBudgets(cfg settings.Settings, known *catalog.Catalog, fleet *registry.Fleet, clock boottime.Clock) *retrybudget.Budgets {
+func newBudgets(cfg settings.Settings, cat *catalog.Catalog, fleet *registry.Fleet, clock boottime.Clock) *retrybudget.Budgets {
 	budgets := retrybudget.New(cfg.RetryBudget, func(service string) float64 {
-		routes := known.View().Routes
+		routes := cat.View().Routes
 		return fleet.Share(routes != nil && routes.IsGathered(service))
 	})
 	budgets.SetClock(clock)
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -28,8 +28,8 @@
 	return clock
 }
 
-func newRegister(cfg settings.Settings, known *catalog.Catalog, self catalog.NodeRecord, clock boottime.Clock) *quarantine.Register {
-	return quarantine.NewRegister(quarantine.Deps{Config: cfg.Quarantine, Clock: clock, StoredRecord: known.Quarantine, Self: self.ID})
+func newRegister(cfg settings.Settings, cat *catalog.Catalog, self catalog.NodeRecord, clock boottime.Clock) *quarantine.Register {
+	return quarantine.NewRegister(quarantine.Deps{Config: cfg.Quarantine, Clock: clock, StoredRecord: cat.Quarantine, Self: self.ID})
 }
 
 type quarantineDeps struct {
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -109,21 +109,21 @@
 }
 
 // newSplitter returns nil if roll-outs are disabled.
-func newSplitter(cfg settings.Settings, known *catalog.Catalog, fleet *registry.Fleet, clock boottime.Clock) *canary.Splitter {
+func newSplitter(cfg settings.Settings, cat *catalog.Catalog, fleet *registry.Fleet, clock boottime.Clock) *canary.Splitter {
 	if !cfg.Rollouts.Enabled {
 		return nil
 	}
-	splitter := canary.New(cfg.Canary, known, fleet)
+	splitter := canary.New(cfg.Canary, cat, fleet)
 	splitter.SetClock(clock)
 	return splitter
 }
 
 // newCollector returns nil if roll-outs are disabled.
-func newCollector(cfg settings.Settings, known *catalog.Catalog) *evidence.Collector {
+func newCollector(cfg settings.Settings, cat *catalog.Catalog) *evidence.Collector {
 	if !cfg.Rollouts.Enabled {
 		return nil
 	}
-	return evidence.NewCollector(known)
+	return evidence.NewCollector(cat)
 }
 
 // newEvaluator returns the factory of the evaluators that decide whether the target version of a spec is good.
--- a/internal/node/state_events.go
+++ b/internal/node/state_events.go
@@ -235,6 +235,6 @@
 	e.log.Write(decisionlog.Failed, event)
 }
 
-func newStateEvents(log *decisionlog.Log, known *catalog.Catalog) *stateEvents {
-	return &stateEvents{log: log, catalog: known}
+func newStateEvents(log *decisionlog.Log, cat *catalog.Catalog) *stateEvents {
+	return &stateEvents{log: log, catalog: cat}
 }
