--- a/internal/operator/admin/admin.go
+++ b/internal/operator/admin/admin.go
@@ -1,8 +1,8 @@
-// Package admin carries out the operators' calls: it validates changes, writes them by compare-and-swap, and returns
-// what is in force on the node.
+// Package admin implements the operators' calls: it validates changes, writes them by compare-and-swap, and returns the
+// configuration in force on the node.
 //
-// An Admin keeps no state and starts no goroutine. It reads the catalog, which may lag behind the store, and writes
-// through a configwriter.Writer. Errors are failures of package failure: InvalidField, the Unknown codes,
+// An Admin keeps no state and starts no goroutines. It reads the catalog, which may lag behind the store, and writes
+// through a configwriter.Writer. Errors have one of these codes of package failure: InvalidField, the Unknown codes,
 // RevisionConflict, StoreUnavailable and OutcomeUnknown.
 package admin
 
@@ -21,19 +21,18 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// Admin carries out operators' calls on one node. It is safe for concurrent use.
+// Admin implements the operators' calls on one node. It is safe for concurrent use.
 type Admin struct {
 	catalog *catalog.Catalog
 	store   store.Store
 	writer  *configwriter.Writer
 }
 
-// New returns an Admin.
-func New(known *catalog.Catalog, target store.Store, writer *configwriter.Writer) *Admin {
-	return &Admin{catalog: known, store: target, writer: writer}
+func New(cat *catalog.Catalog, configStore store.Store, writer *configwriter.Writer) *Admin {
+	return &Admin{catalog: cat, store: configStore, writer: writer}
 }
 
-// ApplyService validates and writes a service's settings.
+// ApplyService validates the spec of a service and writes it.
 func (a *Admin) ApplyService(ctx context.Context, request *adminv1.ApplyServiceRequest) (*adminv1.ApplyServiceResponse, error) {
 	spec := request.GetSpec()
 	if spec != nil {
@@ -59,24 +58,25 @@
 	return &adminv1.ApplyServiceResponse{Revision: revision, ChangeId: changeID}, nil
 }
 
-// checkReplicasRemain refuses settings that leave a shard of the current snapshot without any replica.
+// checkReplicasRemain returns an error if a spec would leave a shard of the current snapshot without a replica.
 func (a *Admin) checkReplicasRemain(spec *adminv1.ServiceSpec) error {
 	service, found := a.catalog.View().Services[spec.GetName()]
 	if !found || service.Manifest == nil {
 		return nil
 	}
-	kept := leafIDs(spec)
+	remaining := leafIDs(spec)
 	for _, shard := range service.Manifest.Shards {
-		if !anyKnown(shard.LeafIDs, kept) {
+		if !anyIn(shard.LeafIDs, remaining) {
 			return failure.Invalid("spec.leafs", "shard %q of snapshot %q would have no replica left", shard.ID, service.Manifest.SnapshotID)
 		}
 	}
 	return nil
 }
 
-func anyKnown(wanted []string, known map[string]bool) bool {
-	for _, id := range wanted {
-		if known[id] {
+// anyIn reports whether any of the IDs is in the set.
+func anyIn(ids []string, set map[string]bool) bool {
+	for _, id := range ids {
+		if set[id] {
 			return true
 		}
 	}
@@ -91,14 +91,14 @@
 	return ids
 }
 
-// DeleteService removes a service. Its snapshot stays, in case the service comes back.
+// DeleteService deletes a service. Its snapshot stays, in case the service is created again.
 func (a *Admin) DeleteService(ctx context.Context, request *adminv1.DeleteServiceRequest) (*adminv1.DeleteServiceResponse, error) {
 	changeID, err := changeIDOf(request.GetChangeId())
 	if err != nil {
 		return nil, err
 	}
 	if request.GetExpectedRevision() <= 0 {
-		return nil, failure.Invalid("expected_revision", "must be the revision to delete")
+		return nil, failure.Invalid("expected_revision", "must be the current revision of the service")
 	}
 	revision, err := a.writer.Apply(ctx, configwriter.Write{
 		Key: catalog.ServiceKey(request.GetName()), Expected: request.GetExpectedRevision(), ChangeID: changeID,
@@ -109,7 +109,7 @@
 	return &adminv1.DeleteServiceResponse{Revision: revision}, nil
 }
 
-// PublishSnapshot validates a manifest and makes it the current one of its service.
+// PublishSnapshot validates a manifest and makes it the current manifest of its service.
 func (a *Admin) PublishSnapshot(ctx context.Context, request *adminv1.PublishSnapshotRequest) (*adminv1.PublishSnapshotResponse, error) {
 	compiled, err := manifest.New(request.GetManifest())
 	if err != nil {
@@ -134,12 +134,12 @@
 	return &adminv1.PublishSnapshotResponse{Revision: revision, ChangeId: changeID}, nil
 }
 
-// checkManifestLeafs compares a manifest with the service in the store. What is in force here may lag behind a
-// service that was just applied through another node.
+// checkManifestLeafs checks that a manifest names only leafs of its service. It reads the service from the store, since the
+// catalog may lag behind a service that was just applied through another node.
 func (a *Admin) checkManifestLeafs(ctx context.Context, compiled *manifest.Manifest) error {
 	entry, err := a.store.Get(ctx, catalog.ServiceKey(compiled.Service))
 	if err != nil {
-		return failure.Wrap(err, failure.StoreUnavailable, failure.NotRun, "read the service").WithRetryAfter(notReadyRetryAfter)
+		return failure.Wrap(err, failure.StoreUnavailable, failure.NotRun, "read the service from the store").WithRetryAfter(notReadyRetryAfter)
 	}
 	if entry == nil || entry.Deleted {
 		return failure.New(failure.UnknownService, failure.NotRun, "no service %q", compiled.Service)
@@ -151,7 +151,7 @@
 	return compiled.CheckLeafs(leafIDs(spec))
 }
 
-// GetService returns a service as in force on this node.
+// GetService returns a service in force on this node.
 func (a *Admin) GetService(name string) (*adminv1.GetServiceResponse, error) {
 	service, found := a.catalog.View().Services[name]
 	if !found || service.Spec == nil {
@@ -174,11 +174,12 @@
 	return response
 }
 
-// ListSnapshots returns the snapshots in force on this node, of one service or, if it is empty, of all.
+// ListSnapshots returns the current snapshot of a service, or of all services if the name is empty, sorted by service. It
+// returns the snapshots in force on this node.
 func (a *Admin) ListSnapshots(service string) (*adminv1.ListSnapshotsResponse, error) {
 	response := &adminv1.ListSnapshotsResponse{}
-	for name, known := range a.catalog.View().Services {
-		if known.Manifest == nil || (service != "" && name != service) {
+	for name, current := range a.catalog.View().Services {
+		if current.Manifest == nil || (service != "" && name != service) {
 			continue
 		}
 		entry, found := a.catalog.Entry(catalog.SnapshotKey(name))
@@ -189,7 +190,7 @@
 		if err != nil {
 			return nil, err
 		}
-		response.Snapshots = append(response.Snapshots, &adminv1.SnapshotEntry{Manifest: message, Revision: known.SnapshotRevision})
+		response.Snapshots = append(response.Snapshots, &adminv1.SnapshotEntry{Manifest: message, Revision: current.SnapshotRevision})
 	}
 	sort.Slice(response.Snapshots, func(i, j int) bool {
 		return response.Snapshots[i].GetManifest().GetService() < response.Snapshots[j].GetManifest().GetService()
@@ -197,7 +198,7 @@
 	return response, nil
 }
 
-// changeIDOf returns the change id of a request, or a new one if it has none.
+// changeIDOf returns the change ID of a request, or a new ID if the request has none.
 func changeIDOf(given string) (string, error) {
 	if given == "" {
 		return uuid.NewString(), nil
@@ -208,7 +209,7 @@
 	return given, nil
 }
 
-// joinFaults returns the first fault of an error with the others in its message.
+// joinFaults returns the first fault of an error, with the other faults added to its message.
 func joinFaults(err error) error {
 	faults := failure.Faults(err)
 	first := *faults[0]
--- a/internal/operator/admin/evacuations.go
+++ b/internal/operator/admin/evacuations.go
@@ -9,11 +9,11 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// evacuation is the document that exists while a zone is evacuated; its key says everything.
+// evacuation is the document stored while a zone is evacuated. It is empty, since the key names the zone.
 var evacuation = json.RawMessage(`{}`)
 
-// EvacuateZone makes all nodes stop sending requests to the leafs of a zone. If two operators evacuate a zone at
-// once, one gets a conflict.
+// EvacuateZone makes all nodes stop sending requests to the leafs of a zone. If two operators evacuate a zone at the same
+// time, one of them gets a RevisionConflict.
 func (a *Admin) EvacuateZone(ctx context.Context, request *adminv1.EvacuateZoneRequest) (*adminv1.EvacuateZoneResponse, error) {
 	if request.GetZone() == "" {
 		return nil, failure.Invalid("zone", "must not be empty")
@@ -25,7 +25,7 @@
 	return &adminv1.EvacuateZoneResponse{Revision: revision, ChangeId: changeID}, nil
 }
 
-// RestoreZone ends the evacuation of a zone that the operator saw at a revision.
+// RestoreZone ends the evacuation of a zone if it still has the expected revision.
 func (a *Admin) RestoreZone(ctx context.Context, request *adminv1.RestoreZoneRequest) (*adminv1.RestoreZoneResponse, error) {
 	if request.GetZone() == "" {
 		return nil, failure.Invalid("zone", "must not be empty")
@@ -46,7 +46,7 @@
 	for _, zone := range a.catalog.View().Leafs.EvacuatedZones() {
 		entry, found := a.catalog.Entry(catalog.EvacuationKey(zone))
 		if !found {
-			continue // restored since the view was read
+			continue // restored after the view was read
 		}
 		response.Zones = append(response.Zones, &adminv1.EvacuatedZone{Zone: zone, Revision: entry.Revision})
 	}
--- a/internal/operator/admin/evacuations_test.go
+++ b/internal/operator/admin/evacuations_test.go
@@ -14,16 +14,16 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// keptStore is an in-memory store that applies each change to a catalog at once.
-type keptStore struct {
+// memoryStore is an in-memory store that applies each change to a catalog at once.
+type memoryStore struct {
 	store.Store
-	known *catalog.Catalog
+	cat *catalog.Catalog
 
 	mu      sync.Mutex
 	entries map[string]catalog.Entry
 }
 
-func (s *keptStore) Get(_ context.Context, key string) (*catalog.Entry, error) {
+func (s *memoryStore) Get(_ context.Context, key string) (*catalog.Entry, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	entry, found := s.entries[key]
@@ -33,7 +33,7 @@
 	return &entry, nil
 }
 
-func (s *keptStore) CompareAndSwap(_ context.Context, key string, expected int64, value []byte, remove bool) (store.SwapResult, error) {
+func (s *memoryStore) CompareAndSwap(_ context.Context, key string, expected int64, value []byte, remove bool) (store.SwapResult, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before, found := s.entries[key]
@@ -44,27 +44,27 @@
 	if current != expected {
 		return store.SwapResult{Entry: &before}, nil
 	}
-	entry := catalog.Entry{Key: key, Value: value, Revision: s.known.Revision() + 1, Deleted: remove}
+	entry := catalog.Entry{Key: key, Value: value, Revision: s.cat.Revision() + 1, Deleted: remove}
 	s.entries[key] = entry
-	s.known.Apply(catalog.Change{Entry: entry, Previous: entry.Revision - 1})
+	s.cat.Apply(catalog.Change{Entry: entry, Previous: entry.Revision - 1})
 	return store.SwapResult{Swapped: true, Entry: &entry}, nil
 }
 
 func newTestAdmin() (*Admin, *catalog.Catalog) {
-	known := catalog.New(nil)
-	kept := &keptStore{known: known, entries: map[string]catalog.Entry{}}
-	return New(known, kept, configwriter.New(configwriter.DefaultConfig(), kept)), known
+	cat := catalog.New(nil)
+	memory := &memoryStore{cat: cat, entries: map[string]catalog.Entry{}}
+	return New(cat, memory, configwriter.New(configwriter.DefaultConfig(), memory)), cat
 }
 
-// A zone is evacuated, listed and restored; restoring an evacuation that is over, or evacuating twice, is a conflict.
+// Evacuating an evacuated zone, or restoring a restored one, must be a conflict.
 func TestZoneIsEvacuatedAndRestored(t *testing.T) {
 	is := is.New(t)
-	admin, known := newTestAdmin()
+	admin, cat := newTestAdmin()
 	evacuated, err := admin.EvacuateZone(t.Context(), &adminv1.EvacuateZoneRequest{Zone: "east", ChangeId: "c1"})
 	is.NoErr(err)
-	is.True(known.View().Leafs.IsEvacuated("east"))
+	is.True(cat.View().Leafs.IsEvacuated("east"))
 	again, err := admin.EvacuateZone(t.Context(), &adminv1.EvacuateZoneRequest{Zone: "east", ChangeId: "c1"})
-	is.NoErr(err) // the same change after a lost reply
+	is.NoErr(err) // the same change sent again after a lost reply
 	is.Equal(again.GetRevision(), evacuated.GetRevision())
 	_, err = admin.EvacuateZone(t.Context(), &adminv1.EvacuateZoneRequest{Zone: "east", ChangeId: "c2"})
 	is.True(failure.Is(err, failure.RevisionConflict))
@@ -76,14 +76,14 @@
 
 	_, err = admin.RestoreZone(t.Context(), &adminv1.RestoreZoneRequest{Zone: "east", ExpectedRevision: evacuated.GetRevision()})
 	is.NoErr(err)
-	is.True(!known.View().Leafs.IsEvacuated("east"))
+	is.True(!cat.View().Leafs.IsEvacuated("east"))
 	_, err = admin.RestoreZone(t.Context(), &adminv1.RestoreZoneRequest{Zone: "east", ExpectedRevision: evacuated.GetRevision()})
 	is.True(failure.Is(err, failure.RevisionConflict))
 	is.Equal(len(admin.ListEvacuatedZones().GetZones()), 0)
 }
 
-// If several operators evacuate a zone at once, one of them succeeds.
-func TestOneOfRacingOperatorsEvacuates(t *testing.T) {
+// If several operators evacuate a zone at the same time, exactly one must succeed.
+func TestConcurrentEvacuationsConflict(t *testing.T) {
 	is := is.New(t)
 	admin, _ := newTestAdmin()
 	outcomes := make(chan error, 8)
@@ -105,7 +105,7 @@
 	is.Equal(accepted, 1)
 }
 
-func TestEvacuationFaultsNameTheField(t *testing.T) {
+func TestInvalidEvacuationNamesField(t *testing.T) {
 	is := is.New(t)
 	admin, _ := newTestAdmin()
 	_, err := admin.EvacuateZone(t.Context(), &adminv1.EvacuateZoneRequest{})
--- a/internal/operator/admin/quarantine.go
+++ b/internal/operator/admin/quarantine.go
@@ -11,7 +11,7 @@
 	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 )
 
-// ListQuarantine returns the requests under quarantine in force on this node, sorted by path.
+// ListQuarantine returns the quarantined requests in force on this node, sorted by path.
 func (a *Admin) ListQuarantine() *adminv1.ListQuarantineResponse {
 	response := &adminv1.ListQuarantineResponse{}
 	for _, record := range a.catalog.View().Quarantine {
@@ -26,7 +26,7 @@
 	return response
 }
 
-// LiftQuarantine removes the record of a request that the operator saw under quarantine at a revision.
+// LiftQuarantine ends the quarantine of a request if it still has the expected revision.
 func (a *Admin) LiftQuarantine(ctx context.Context, request *adminv1.LiftQuarantineRequest) (*adminv1.LiftQuarantineResponse, error) {
 	content, err := fingerprint.Parse(request.GetContent())
 	if err != nil {
--- a/internal/operator/admin/quarantine_test.go
+++ b/internal/operator/admin/quarantine_test.go
@@ -13,10 +13,10 @@
 	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 )
 
-// A request under quarantine is listed and lifted; lifting one that has been found again meanwhile is a conflict.
+// Lifting a quarantine with another revision than the current one must be a conflict.
 func TestQuarantineIsListedAndLifted(t *testing.T) {
 	is := is.New(t)
-	admin, known := newTestAdmin()
+	admin, cat := newTestAdmin()
 	content := fingerprint.Of(fingerprint.Content{Path: "/a"})
 	record := quarantine.Record{Subject: quarantine.NewSubject(content, "/a", "192.0.2.1"), Leafs: []string{"x", "y"}, Retests: 1, By: "n1"}
 	document, err := json.Marshal(record)
@@ -40,8 +40,8 @@
 	is.Equal(failure.From(lift("zz", 1)).Field, "content")
 	is.Equal(failure.From(lift(content.String(), 0)).Field, "expected_revision")
 	is.True(failure.Is(lift(content.String(), listed[0].GetRevision()+1), failure.RevisionConflict))
-	is.True(known.Quarantine(content) != nil)
+	is.True(cat.Quarantine(content) != nil)
 	is.NoErr(lift(content.String(), listed[0].GetRevision()))
-	is.True(known.Quarantine(content) == nil)
+	is.True(cat.Quarantine(content) == nil)
 	is.Equal(len(admin.ListQuarantine().GetRequests()), 0)
 }
--- a/internal/operator/admin/rollouts.go
+++ b/internal/operator/admin/rollouts.go
@@ -12,8 +12,8 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// StartRollout orders that the requests of a service move to the leafs of a version. If two operators order at once,
-// one gets a conflict.
+// StartRollout writes a spec that moves the requests of a service to the leafs of a version. If two operators start
+// roll-outs of a service at the same time, one of them gets a RevisionConflict.
 func (a *Admin) StartRollout(ctx context.Context, request *adminv1.StartRolloutRequest) (*adminv1.StartRolloutResponse, error) {
 	spec := rollout.Spec{Service: request.GetService(), Target: request.GetTarget(), DurationMillis: request.GetDurationMillis()}
 	if err := spec.Validate(); err != nil {
@@ -21,7 +21,7 @@
 	}
 	document, err := json.Marshal(spec)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.Internal, failure.NotRun, "encode roll-out order")
+		return nil, failure.Wrap(err, failure.Internal, failure.NotRun, "encode roll-out spec")
 	}
 	key := catalog.RolloutKey(spec.Service)
 	revision, changeID, err := a.writeDocument(ctx, key, document, request.GetExpectedRevision(), request.GetChangeId())
@@ -31,13 +31,13 @@
 	return &adminv1.StartRolloutResponse{Revision: revision, ChangeId: changeID}, nil
 }
 
-// CancelRollout withdraws the spec of a service that the operator saw at a revision.
+// CancelRollout deletes the spec of a service if it still has the expected revision.
 func (a *Admin) CancelRollout(ctx context.Context, request *adminv1.CancelRolloutRequest) (*adminv1.CancelRolloutResponse, error) {
 	if request.GetService() == "" {
 		return nil, failure.Invalid("service", "must not be empty")
 	}
 	if request.GetExpectedRevision() <= 0 {
-		return nil, failure.Invalid("expected_revision", "must be the revision of the order")
+		return nil, failure.Invalid("expected_revision", "must be the current revision of the roll-out spec")
 	}
 	key := catalog.RolloutKey(request.GetService())
 	revision, _, err := a.writeDocument(ctx, key, nil, request.GetExpectedRevision(), request.GetChangeId())
@@ -47,23 +47,22 @@
 	return &adminv1.CancelRolloutResponse{Revision: revision}, nil
 }
 
-// GetRollout returns the spec of a service and its progress, as in force on this node.
+// GetRollout returns the spec and the progress of a service's roll-out, as in force on this node.
 func (a *Admin) GetRollout(request *adminv1.GetRolloutRequest) (*adminv1.GetRolloutResponse, error) {
 	if request.GetService() == "" {
 		return nil, failure.Invalid("service", "must not be empty")
 	}
 	view := a.catalog.View()
-	known, found := view.Rollouts[request.GetService()]
+	stored, found := view.Rollouts[request.GetService()]
 	if !found {
 		return nil, failure.New(failure.UnknownService, failure.NotRun, "service %q never had a roll-out", request.GetService())
 	}
 	return &adminv1.GetRolloutResponse{
-		Rollout: rolloutMessage(view, request.GetService(), known), ConfigAgeMillis: a.catalog.Age().Milliseconds(),
+		Rollout: rolloutMessage(view, request.GetService(), stored), ConfigAgeMillis: a.catalog.Age().Milliseconds(),
 	}, nil
 }
 
-// ListRollouts returns the specs of all services that ever had one and their progress, sorted by service, as in
-// force on this node.
+// ListRollouts returns the roll-outs of all services that ever had one, sorted by service, as in force on this node.
 func (a *Admin) ListRollouts() *adminv1.ListRolloutsResponse {
 	view := a.catalog.View()
 	response := &adminv1.ListRolloutsResponse{ConfigAgeMillis: a.catalog.Age().Milliseconds()}
@@ -73,7 +72,7 @@
 	return response
 }
 
-// phases maps phases to those of the operators' interface.
+// phases maps phases to the phases of the RPC interface.
 var phases = map[rollout.Phase]adminv1.RolloutPhase{
 	rollout.Canary:     adminv1.RolloutPhase_ROLLOUT_PHASE_CANARY,
 	rollout.Switching:  adminv1.RolloutPhase_ROLLOUT_PHASE_SWITCHING,
@@ -81,19 +80,19 @@
 	rollout.RolledBack: adminv1.RolloutPhase_ROLLOUT_PHASE_ROLLED_BACK,
 }
 
-// rolloutMessage returns a roll-out in the form of the operators' interface. Of a state that belongs to a spec
-// which was replaced, only the serving version is used.
-func rolloutMessage(view *catalog.View, service string, known catalog.Rollout) *adminv1.Rollout {
+// rolloutMessage returns a roll-out as an RPC message. If the state belongs to a replaced spec, the message has only its
+// revision.
+func rolloutMessage(view *catalog.View, service string, stored catalog.Rollout) *adminv1.Rollout {
 	message := &adminv1.Rollout{Service: service, Serving: view.Leafs.Rule(service).Serving}
-	if spec := known.Spec; spec != nil {
+	if spec := stored.Spec; spec != nil {
 		message.Target, message.DurationMillis, message.OrderRevision = spec.Target, spec.DurationMillis, spec.Revision
 	}
-	state := known.State
+	state := stored.State
 	if state == nil {
 		return message
 	}
 	message.StateRevision = state.Revision
-	if known.Spec != nil && !state.BelongsTo(known.Spec) {
+	if stored.Spec != nil && !state.BelongsTo(stored.Spec) {
 		return message
 	}
 	message.Target, message.Phase = state.Target, phases[state.Phase]
--- a/internal/operator/admin/rollouts_test.go
+++ b/internal/operator/admin/rollouts_test.go
@@ -14,25 +14,25 @@
 )
 
 func newRolloutAdmin() (*Admin, *catalog.Catalog) {
-	admin, known := newTestAdmin()
-	known.EnableRollouts()
-	return admin, known
+	admin, cat := newTestAdmin()
+	cat.EnableRollouts()
+	return admin, cat
 }
 
 func startRequest(changeID string, expected int64) *adminv1.StartRolloutRequest {
 	return &adminv1.StartRolloutRequest{Service: "maps", Target: "v2", DurationMillis: 60000, ChangeId: changeID, ExpectedRevision: expected}
 }
 
-// A roll-out is ordered, shown and cancelled; a call repeated after a lost reply changes nothing.
-func TestRolloutIsOrderedAndTakenBack(t *testing.T) {
+// A call repeated after a lost reply must not change anything.
+func TestRolloutIsStartedAndCancelled(t *testing.T) {
 	is := is.New(t)
-	admin, known := newRolloutAdmin()
+	admin, cat := newRolloutAdmin()
 	started, err := admin.StartRollout(t.Context(), startRequest("c1", 0))
 	is.NoErr(err)
 	again, err := admin.StartRollout(t.Context(), startRequest("c1", 0))
 	is.NoErr(err)
 	is.Equal(again.GetRevision(), started.GetRevision())
-	is.Equal(known.View().Leafs.Rule("maps").Canary, "v2")
+	is.Equal(cat.View().Leafs.Rule("maps").Canary, "v2")
 
 	shown, err := admin.GetRollout(&adminv1.GetRolloutRequest{Service: "maps"})
 	is.NoErr(err)
@@ -42,13 +42,14 @@
 
 	_, err = admin.CancelRollout(t.Context(), &adminv1.CancelRolloutRequest{Service: "maps", ExpectedRevision: started.GetRevision()})
 	is.NoErr(err)
-	is.Equal(known.View().Leafs.Rule("maps"), rollout.Rule{})
+	is.Equal(cat.View().Leafs.Rule("maps"), rollout.Rule{})
 	_, err = admin.GetRollout(&adminv1.GetRolloutRequest{Service: "maps"})
 	is.True(failure.Is(err, failure.UnknownService))
 }
 
-// If several operators order at once one of them succeeds, and cancelling a spec that was replaced is a conflict.
-func TestRacingOrdersConflict(t *testing.T) {
+// If several operators start a roll-out at the same time, exactly one must succeed. Cancelling a replaced spec must be a
+// conflict.
+func TestConcurrentRolloutSpecsConflict(t *testing.T) {
 	is := is.New(t)
 	admin, _ := newRolloutAdmin()
 	outcomes := make(chan error, 8)
@@ -74,13 +75,13 @@
 	is.True(failure.Is(err, failure.RevisionConflict))
 }
 
-// What is shown of a spec never comes from the state of a spec before it.
-func TestStateOfAnotherSpecIsNotShown(t *testing.T) {
+// The state of a replaced spec must not be shown as the state of the current one.
+func TestStateOfReplacedSpecIsNotShown(t *testing.T) {
 	is := is.New(t)
-	admin, known := newRolloutAdmin()
+	admin, cat := newRolloutAdmin()
 	started, err := admin.StartRollout(t.Context(), startRequest("", 0))
 	is.NoErr(err)
-	writeState(t, known, rollout.State{Service: "maps", SpecRevision: started.GetRevision(), Phase: rollout.RolledBack, Serving: "v1", Target: "v2", Reason: "9 of 12 failed", DecidedBy: "n1"})
+	writeState(t, cat, rollout.State{Service: "maps", SpecRevision: started.GetRevision(), Phase: rollout.RolledBack, Serving: "v1", Target: "v2", Reason: "9 of 12 failed", DecidedBy: "n1"})
 	shown, err := admin.GetRollout(&adminv1.GetRolloutRequest{Service: "maps"})
 	is.NoErr(err)
 	is.Equal(shown.GetRollout().GetPhase(), adminv1.RolloutPhase_ROLLOUT_PHASE_ROLLED_BACK)
@@ -95,8 +96,8 @@
 	is.Equal(shown.GetRollout().GetReason(), "")
 }
 
-// writeState brings the state of a roll-out into force, as an evaluator node does through the store.
-func writeState(t *testing.T, known *catalog.Catalog, state rollout.State) {
+// writeState applies the state of a roll-out to the catalog, as if an evaluator node had written it to the store.
+func writeState(t *testing.T, cat *catalog.Catalog, state rollout.State) {
 	t.Helper()
 	document, err := json.Marshal(state)
 	if err != nil {
@@ -106,11 +107,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	entry := catalog.Entry{Key: catalog.RolloutStateKey(state.Service), Value: value, Revision: known.Revision() + 1}
-	known.Apply(catalog.Change{Entry: entry, Previous: known.Revision()})
+	entry := catalog.Entry{Key: catalog.RolloutStateKey(state.Service), Value: value, Revision: cat.Revision() + 1}
+	cat.Apply(catalog.Change{Entry: entry, Previous: cat.Revision()})
 }
 
-func TestRolloutFaultsNameTheField(t *testing.T) {
+func TestInvalidRolloutNamesField(t *testing.T) {
 	is := is.New(t)
 	admin, _ := newRolloutAdmin()
 	_, err := admin.StartRollout(t.Context(), &adminv1.StartRolloutRequest{Target: "v2", DurationMillis: 1})
--- a/internal/operator/admin/routes.go
+++ b/internal/operator/admin/routes.go
@@ -13,7 +13,7 @@
 	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
-// ApplyRoutes validates the routing configuration and writes it as a whole.
+// ApplyRoutes validates the routing configuration and replaces the current one with it.
 func (a *Admin) ApplyRoutes(ctx context.Context, request *adminv1.ApplyRoutesRequest) (*adminv1.ApplyRoutesResponse, error) {
 	configuration, err := routing.Parse([]byte(request.GetDocument()))
 	if err != nil {
@@ -76,14 +76,14 @@
 	checks.Refuse(leaf.GetId() == "", "leaf.id", "must not be empty")
 	checks.Refuse(leaf.GetService() == "", "leaf.service", "must not be empty")
 	_, err := netip.ParseAddrPort(leaf.GetAddress())
-	checks.Refuse(err != nil, "leaf.address", "%q; must be an IP number and port, such as 127.0.0.1:7500", leaf.GetAddress())
+	checks.Refuse(err != nil, "leaf.address", "%q; must be an IP address and port, such as 127.0.0.1:7500", leaf.GetAddress())
 	return checks.Err()
 }
 
-// DeleteLeaf removes the record of a leaf.
+// DeleteLeaf deletes the record of a leaf.
 func (a *Admin) DeleteLeaf(ctx context.Context, request *adminv1.DeleteLeafRequest) (*adminv1.DeleteLeafResponse, error) {
 	if request.GetExpectedRevision() <= 0 {
-		return nil, failure.Invalid("expected_revision", "must be the revision to delete")
+		return nil, failure.Invalid("expected_revision", "must be the current revision of the leaf")
 	}
 	revision, _, err := a.writeDocument(ctx, catalog.LeafKey(request.GetId()), nil, request.GetExpectedRevision(), request.GetChangeId())
 	if err != nil {
@@ -92,9 +92,9 @@
 	return &adminv1.DeleteLeafResponse{Revision: revision}, nil
 }
 
-// writeDocument writes a document by compare-and-swap; a nil one deletes the key.
-func (a *Admin) writeDocument(ctx context.Context, key string, document json.RawMessage, expected int64, given string) (revision int64, changeID string, err error) {
-	changeID, err = changeIDOf(given)
+// writeDocument writes a document by compare-and-swap. A nil document deletes the key.
+func (a *Admin) writeDocument(ctx context.Context, key string, document json.RawMessage, expected int64, givenChangeID string) (revision int64, changeID string, err error) {
+	changeID, err = changeIDOf(givenChangeID)
 	if err != nil {
 		return 0, "", err
 	}
--- a/internal/operator/admin/spec.go
+++ b/internal/operator/admin/spec.go
@@ -10,10 +10,10 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// notReadyRetryAfter is the Retry-After when the store did not answer.
+// notReadyRetryAfter is the Retry-After if the store did not answer.
 const notReadyRetryAfter = time.Second
 
-// Defaults and bounds of a service's settings.
+// Defaults and bounds of service specs.
 const (
 	defaultDeadlineMillis    = 1000
 	defaultMaximumDeadline   = 30_000
@@ -34,7 +34,7 @@
 	maximumQueueLimitAllowed = 100_000
 )
 
-// FillDefaults sets each setting that is not given to its default.
+// FillDefaults sets unset fields to their defaults.
 func FillDefaults(spec *adminv1.ServiceSpec) {
 	fill := func(field *uint32, value uint32) {
 		if *field == 0 {
@@ -51,7 +51,7 @@
 	}
 }
 
-// ValidateSpec returns an error that names every invalid field of a service's settings.
+// ValidateSpec returns an error that lists every invalid field of a service spec.
 func ValidateSpec(spec *adminv1.ServiceSpec) error {
 	var checks failure.Checks
 	if spec == nil {
@@ -80,12 +80,12 @@
 		checks.Refuse(seen[leaf.GetId()], field+".id", "leaf %q is named twice", leaf.GetId())
 		seen[leaf.GetId()] = true
 		_, err := netip.ParseAddrPort(leaf.GetAddress())
-		checks.Refuse(err != nil, field+".address", "%q; must be an IP number and port", leaf.GetAddress())
+		checks.Refuse(err != nil, field+".address", "%q; must be an IP address and port", leaf.GetAddress())
 		checkName(checks, field+".zone", leaf.GetZone(), maximumZoneLength)
 	}
 }
 
-// checkName allows letters, digits and a few punctuation marks, so that names fit into keys, logs and metrics.
+// checkName allows only letters, digits and a few punctuation marks, so that names can be used in keys, logs and metrics.
 func checkName(checks *failure.Checks, field, name string, maximum int) {
 	checks.Refuse(name == "", field, "must not be empty")
 	checks.Refuse(len(name) > maximum, field, "%d bytes; at most %d", len(name), maximum)
--- a/internal/operator/api/admin_handler.go
+++ b/internal/operator/api/admin_handler.go
@@ -13,7 +13,7 @@
 	"github.com/portgauge/portgauge/internal/request/search"
 )
 
-// watchBuffer is how many changes a slow watcher may lag behind before it loses some.
+// watchBuffer is how many changes a slow watcher may lag behind before it misses changes.
 const watchBuffer = 1024
 
 // adminHandler serves AdminService.
@@ -27,7 +27,7 @@
 
 var _ adminv1connect.AdminServiceHandler = (*adminHandler)(nil)
 
-// reply returns the response or the RPC error of an operator's call.
+// reply returns the response of a call, or its error as an RPC error.
 func reply[T any](message *T, err error) (*connect.Response[T], error) {
 	if err != nil {
 		return nil, toRPC(err)
@@ -160,11 +160,11 @@
 	}
 }
 
-// sendChange sends each key of a change.
+// sendChange sends one response for each changed key.
 func sendChange(stream *connect.ServerStream[adminv1.WatchServicesResponse], change catalog.Change) error {
 	for _, entry := range change.Entries() {
 		if entry.Key == catalog.MarkerKey {
-			continue // it only advances the revision
+			continue // the marker only advances the revision
 		}
 		response := &adminv1.WatchServicesResponse{Revision: change.Entry.Revision, Key: entry.Key, Deleted: entry.Deleted}
 		if err := stream.Send(response); err != nil {
--- a/internal/operator/api/api_test.go
+++ b/internal/operator/api/api_test.go
@@ -35,7 +35,7 @@
 	"github.com/portgauge/portgauge/internal/request/search"
 )
 
-// threeRows answers every attempt with those of three rows whose keys are in its range.
+// threeRows is a leaf client whose leafs hold three rows: a, m and z.
 type threeRows struct{}
 
 func (threeRows) HasExited(context.Context, string) bool { return false }
@@ -52,15 +52,15 @@
 
 func serve(t *testing.T, ready bool) string {
 	t.Helper()
-	known := catalog.New(nil)
-	apply(t, known, catalog.ServiceKey("s"), &adminv1.ServiceSpec{
+	cat := catalog.New(nil)
+	apply(t, cat, catalog.ServiceKey("s"), &adminv1.ServiceSpec{
 		Name: "s", DefaultDeadlineMillis: 1000, MaxDeadlineMillis: 2000, ConcurrencyLimit: 10, PageSize: 10, Leafs: []*adminv1.Leaf{{Id: "l", Address: "l", Zone: "z"}},
 	})
-	apply(t, known, catalog.SnapshotKey("s"), &adminv1.SnapshotManifest{Service: "s", SnapshotId: "v1", Shards: []*adminv1.Shard{
+	apply(t, cat, catalog.SnapshotKey("s"), &adminv1.SnapshotManifest{Service: "s", SnapshotId: "v1", Shards: []*adminv1.Shard{
 		{Id: "1", KeyTo: "m", LeafIds: []string{"l"}}, {Id: "2", KeyFrom: "m", LeafIds: []string{"l"}},
 	}})
 	engine := search.New(search.Deps{
-		Config: search.DefaultConfig(), Hedging: hedging.DefaultConfig(), Catalog: known, Balancer: balancer.New(balancer.DefaultConfig(), "z"),
+		Config: search.DefaultConfig(), Hedging: hedging.DefaultConfig(), Catalog: cat, Balancer: balancer.New(balancer.DefaultConfig(), "z"),
 		Leafs: threeRows{}, Metrics: telemetry.NewMetrics(), Logger: zap.NewNop(),
 	})
 	if ready {
@@ -80,14 +80,14 @@
 	return listener.Addr().String()
 }
 
-func apply(t *testing.T, known *catalog.Catalog, key string, message proto.Message) {
+func apply(t *testing.T, cat *catalog.Catalog, key string, message proto.Message) {
 	t.Helper()
 	value, err := catalog.NewEnvelope("change", message, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	revision := known.Revision()
-	known.Apply(catalog.Change{Entry: catalog.Entry{Key: key, Value: value, Revision: revision + 1}, Previous: revision})
+	revision := cat.Revision()
+	cat.Apply(catalog.Change{Entry: catalog.Entry{Key: key, Value: value, Revision: revision + 1}, Previous: revision})
 }
 
 func postJSON(t *testing.T, address, body string) (int, http.Header, []byte) {
@@ -106,8 +106,8 @@
 	return response.StatusCode, response.Header, content
 }
 
-// A plain gRPC client, a streamed answer and JSON over HTTP return the same rows.
-func TestSameRowsByEveryProtocol(t *testing.T) {
+// gRPC, JSON over HTTP and streamed answers must have the same rows.
+func TestAllProtocolsReturnSameRows(t *testing.T) {
 	is := is.New(t)
 	address := serve(t, true)
 	request := &searchv1.SearchRequest{Service: "s"}
@@ -147,7 +147,7 @@
 	return strings.Join(keys, " ")
 }
 
-func TestBadInputOverHTTP(t *testing.T) {
+func TestInvalidInputOverHTTP(t *testing.T) {
 	address := serve(t, true)
 	cases := map[string]struct {
 		body  string
@@ -178,8 +178,8 @@
 	is.Equal(code, http.StatusOK) // the node still answers
 }
 
-// A client that sends its body slowly does not delay others.
-func TestSlowClientDoesNotHoldOthersUp(t *testing.T) {
+// A client that sends its body slowly must not delay other clients.
+func TestSlowClientDoesNotDelayOthers(t *testing.T) {
 	is := is.New(t)
 	address := serve(t, true)
 	slow, err := net.Dial("tcp", address)
@@ -191,7 +191,7 @@
 	is.Equal(code, http.StatusOK)
 }
 
-func TestRefusalSaysWhenToComeBack(t *testing.T) {
+func TestUnreadyNodeReturnsRetryAfter(t *testing.T) {
 	is := is.New(t)
 	address := serve(t, false)
 	code, header, content := postJSON(t, address, `{"service":"s"}`)
@@ -211,7 +211,7 @@
 	is.Equal(failed.RetryAfter, time.Second)
 }
 
-func TestTransportErrors(t *testing.T) {
+func TestFailureOfTransportErrors(t *testing.T) {
 	is := is.New(t)
 	is.Equal(FailureOf(errors.New("anything")).Execution, failure.Unknown)
 	is.Equal(FailureOf(status.Error(14, "lost")).Execution, failure.Unknown)
--- a/internal/operator/api/errors.go
+++ b/internal/operator/api/errors.go
@@ -17,10 +17,10 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// retryAfterHeader is the standard header, in whole seconds.
+// retryAfterHeader is the standard HTTP header; its value is in whole seconds.
 const retryAfterHeader = "Retry-After"
 
-// rpcCodes maps failure codes to RPC codes; any other is Internal.
+// rpcCodes maps failure codes to RPC codes; other failure codes map to Internal.
 var rpcCodes = map[failure.Code]connect.Code{
 	failure.InvalidField:       connect.CodeInvalidArgument,
 	failure.UnknownService:     connect.CodeNotFound,
@@ -38,7 +38,7 @@
 	failure.Cancelled:          connect.CodeCanceled,
 }
 
-// toRPC returns the error that a client receives: RPC code, typed details, Retry-After.
+// toRPC returns the error that a client receives, with the RPC code, typed details and the Retry-After header.
 func toRPC(err error) error {
 	failed := failure.From(err)
 	code, known := rpcCodes[failed.Code]
@@ -68,18 +68,18 @@
 	}
 }
 
-// dialOperation is the name of opening a connection in errors of package net.
+// dialOperation is the operation in errors of package net if a connection could not be opened.
 const dialOperation = "dial"
 
-// unreachableRetryAfter is the Retry-After for a node that no connection could be opened to.
+// unreachableRetryAfter is the Retry-After if no connection to the node could be opened.
 const unreachableRetryAfter = 100 * time.Millisecond
 
-// FailureOf returns the typed failure of an error that a client of the API received. An error without one came from
-// the transport: if no connection was opened nothing ran, otherwise the execution is unknown.
+// FailureOf returns the typed failure in an error that a client of the API received. An error without a typed failure comes
+// from the transport: if no connection was opened, nothing ran; otherwise the execution state is unknown.
 func FailureOf(err error) *failure.Failure {
 	var networkError *net.OpError
 	if errors.As(err, &networkError) && networkError.Op == dialOperation {
-		return failure.Wrap(err, failure.Unreachable, failure.NotRun, "no connection to the node").WithRetryAfter(unreachableRetryAfter)
+		return failure.Wrap(err, failure.Unreachable, failure.NotRun, "could not connect to the node").WithRetryAfter(unreachableRetryAfter)
 	}
 	var rpcError *connect.Error
 	if !errors.As(err, &rpcError) {
@@ -94,7 +94,7 @@
 			return fromDetail(typed, rpcError.Message())
 		}
 	}
-	return failure.Wrap(err, failure.Internal, failure.Unknown, "call failed")
+	return failure.Wrap(err, failure.Internal, failure.Unknown, "the call failed without a typed error")
 }
 
 func fromDetail(detail *searchv1.FailureDetail, message string) *failure.Failure {
@@ -106,7 +106,7 @@
 	return failed
 }
 
-// statusOf returns the HTTP status of a health probe.
+// statusOf returns the HTTP status for a health check.
 func statusOf(healthy bool) int {
 	if healthy {
 		return http.StatusOK
--- a/internal/operator/api/health.go
+++ b/internal/operator/api/health.go
@@ -9,7 +9,7 @@
 	"github.com/portgauge/portgauge/internal/request/search"
 )
 
-// healthChecker answers gRPC health checks by the readiness of the engine.
+// healthChecker answers gRPC health checks with the readiness of the search engine.
 type healthChecker struct {
 	engine  *search.Engine
 	service string
--- a/internal/operator/api/search_handler.go
+++ b/internal/operator/api/search_handler.go
@@ -10,7 +10,7 @@
 	"github.com/portgauge/portgauge/internal/request/search"
 )
 
-// streamChunkRows is the number of rows in a streamed chunk.
+// streamChunkRows is the maximum number of rows in a streamed chunk.
 const streamChunkRows = 256
 
 // searchHandler serves SearchService.
--- a/internal/operator/api/server.go
+++ b/internal/operator/api/server.go
@@ -1,8 +1,7 @@
-// Package api serves callers and operators over HTTP: gRPC, gRPC-Web and JSON on one port each, by connect on
-// net/http under gin.
+// Package api serves callers and operators over HTTP. Each of the two servers accepts gRPC, gRPC-Web and JSON on one
+// port, with connect handlers on a gin router.
 //
-// It translates between the RPC messages and packages search and admin, which carry out the calls, and between
-// failures and RPC codes. It owns no state but the servers that Serve runs.
+// It passes calls to the packages search and admin, and translates between failures and RPC codes.
 package api
 
 import (
@@ -28,7 +27,7 @@
 	"github.com/portgauge/portgauge/internal/request/search"
 )
 
-// Bounds of requests in bytes, and of the time a client may take to send one.
+// Limits on the size of requests, and on the time that a client may take to send one.
 const (
 	maximumSearchBytes = 64 << 10
 	maximumAdminBytes  = 4 << 20
@@ -43,7 +42,7 @@
 	Engine *search.Engine
 }
 
-// NewCallerHandler returns the handler of SearchService, health checks and reflection.
+// NewCallerHandler returns the handler for SearchService, health checks and reflection.
 func NewCallerHandler(deps CallerDeps) http.Handler {
 	router := newRouter()
 	mount(router)(searchv1connect.NewSearchServiceHandler(&searchHandler{engine: deps.Engine}, connect.WithReadMaxBytes(maximumSearchBytes)))
@@ -63,7 +62,7 @@
 	NodeID  string
 }
 
-// NewOperatorHandler returns the handler of AdminService, metrics, the log level, profiles and health.
+// NewOperatorHandler returns the handler for AdminService, metrics, the log level, profiles and health checks.
 func NewOperatorHandler(deps OperatorDeps) http.Handler {
 	router := newRouter()
 	handler := &adminHandler{admin: deps.Admin, catalog: deps.Catalog, syncer: deps.Syncer, engine: deps.Engine, nodeID: deps.NodeID}
@@ -85,7 +84,8 @@
 	return router
 }
 
-// mount returns a function that mounts a connect handler under its path.
+// mount returns a function that registers a connect handler under its path. It accepts the results of the generated
+// handler constructors.
 func mount(router *gin.Engine) func(path string, handler http.Handler) {
 	return func(path string, handler http.Handler) {
 		router.Any(path+"*method", gin.WrapH(handler))
@@ -122,7 +122,7 @@
 	})
 }
 
-// NewServer returns a server for HTTP/1.1 and HTTP/2, both without TLS.
+// NewServer returns a server for HTTP/1.1 and unencrypted HTTP/2.
 func NewServer(handler http.Handler) *http.Server {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
@@ -137,10 +137,10 @@
 	}
 }
 
-// Serve serves until the server is shut down; any other error is logged.
+// Serve serves until the server is shut down. If the server fails, it logs the error and returns.
 func Serve(server *http.Server, listener net.Listener, logger *zap.Logger) {
 	err := server.Serve(listener)
 	if err != nil && !errors.Is(err, http.ErrServerClosed) {
-		logger.Error("server ended", zap.String("address", listener.Addr().String()), zap.Error(err))
+		logger.Error("server failed; it accepts no more connections", zap.String("address", listener.Addr().String()), zap.Error(err))
 	}
 }
--- a/internal/operator/cli/clients.go
+++ b/internal/operator/cli/clients.go
@@ -25,7 +25,7 @@
 	standardInputMarker = "-"
 )
 
-// NewHTTPClient returns a client for one node that keeps its connections open.
+// NewHTTPClient returns a client that keeps enough idle connections for load on a single node.
 func NewHTTPClient() *http.Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &http.Client{Transport: &http.Transport{
@@ -36,18 +36,18 @@
 	}}
 }
 
-// AdminClient returns a client for a node's operator address.
+// AdminClient returns a client for the operator address of a node.
 func AdminClient(address string) adminv1connect.AdminServiceClient {
 	return adminv1connect.NewAdminServiceClient(NewHTTPClient(), "http://"+address)
 }
 
-// SearchClient returns a client for a node's caller address.
+// SearchClient returns a client for the caller address of a node.
 func SearchClient(address string) searchv1connect.SearchServiceClient {
 	return searchv1connect.NewSearchServiceClient(NewHTTPClient(), "http://"+address)
 }
 
-// ReadMessage reads a message as YAML or JSON from a file, or from standard input for "-". Unknown fields are an
-// error.
+// ReadMessage reads a message in YAML or JSON from a file, or from standard input if the path is "-". Unknown fields are
+// errors.
 func ReadMessage(path string, input io.Reader, message proto.Message) error {
 	asJSON, err := ReadDocument(path, input)
 	if err != nil {
@@ -59,19 +59,19 @@
 	return nil
 }
 
-// ReadDocument reads YAML or JSON from a file, or from standard input for "-", and returns JSON.
+// ReadDocument reads YAML or JSON from a file, or from standard input if the path is "-", and returns it as JSON.
 func ReadDocument(path string, input io.Reader) ([]byte, error) {
 	content, err := readInput(path, input)
 	if err != nil {
 		return nil, err
 	}
-	var tree any
-	if err := yaml.Unmarshal(content, &tree); err != nil {
-		return nil, failure.Invalid(path, "neither YAML nor JSON: %v", err)
+	var document any
+	if err := yaml.Unmarshal(content, &document); err != nil {
+		return nil, failure.Invalid(path, "is neither valid YAML nor valid JSON: %v", err)
 	}
-	asJSON, err := json.Marshal(tree)
+	asJSON, err := json.Marshal(document)
 	if err != nil {
-		return nil, failure.Invalid(path, "not a plain document: %v", err)
+		return nil, failure.Invalid(path, "has values that JSON can't represent: %v", err)
 	}
 	return asJSON, nil
 }
--- a/internal/operator/cli/exit.go
+++ b/internal/operator/cli/exit.go
@@ -37,7 +37,7 @@
 	failure.IncompleteCoverage: ExitIncomplete,
 }
 
-// Fail prints an error, each fault on a line of its own, and returns the exit code.
+// Fail prints each fault of an error on a line of its own and returns the exit code.
 func Fail(output io.Writer, err error) int {
 	code := ExitInternal
 	for _, fault := range failure.Faults(err) {
--- a/internal/operator/cli/output.go
+++ b/internal/operator/cli/output.go
@@ -1,5 +1,5 @@
-// Package cli is what the command lines share: clients of a node, input of documents, output as a table or JSON, and
-// exit codes. It keeps no state.
+// Package cli has the code shared by the command-line programs: clients for a node, input of documents, output as a table
+// or JSON, and exit codes.
 package cli
 
 import (
@@ -15,7 +15,6 @@
 // Format is the output format of a command.
 type Format string
 
-// The formats.
 const (
 	JSON  Format = "json"
 	Table Format = "table"
@@ -44,7 +43,7 @@
 	return PrintTable(output, header, rows)
 }
 
-// PrintTable prints aligned columns under a header.
+// PrintTable prints a header and rows in aligned columns.
 func PrintTable(output io.Writer, header []string, rows [][]string) error {
 	writer := tabwriter.NewWriter(output, 0, 4, 2, ' ', 0)
 	for _, row := range append([][]string{header}, rows...) {
--- a/internal/operator/cli/run.go
+++ b/internal/operator/cli/run.go
@@ -6,8 +6,8 @@
 	"github.com/alecthomas/kong"
 )
 
-// Run parses arguments into a tree of subcommands, runs the selected one, and returns the exit code. The prepare
-// functions are called with the parser before it parses.
+// Run parses the arguments, runs the selected subcommand and returns the exit code. The prepare functions are called with
+// the parser before it parses.
 func Run(name, description string, commands any, arguments []string, prepare ...func(*kong.Kong)) int {
 	parser, err := kong.New(commands, kong.Name(name), kong.Description(description), kong.UsageOnError())
 	if err != nil {
