--- a/cmd/portgauge/demo.go
+++ b/cmd/portgauge/demo.go
@@ -9,5 +9,4 @@
 // demoCommand demonstrates the product in one process.
 type demoCommand struct{}
 
-// Run runs the demonstration to its end.
 func (c *demoCommand) Run() error { return demo.Run(os.Stdout) }
--- a/cmd/portgauge/dialects.go
+++ b/cmd/portgauge/dialects.go
@@ -12,8 +12,8 @@
 	return []node.Dialect{{
 		Name: platform.Name,
 		HTTP: platform.HTTPNames(),
-		Connect: func(config settings.Platform, called func(store.Answer)) node.PlatformStore {
-			return platform.NewClient(config, called)
+		Connect: func(cfg settings.Platform, called func(store.Answer)) node.PlatformStore {
+			return platform.NewClient(cfg, called)
 		},
 	}}
 }
--- a/cmd/portgauge/node.go
+++ b/cmd/portgauge/node.go
@@ -15,20 +15,20 @@
 // nodeCommand runs a node.
 type nodeCommand struct {
 	Settings string   `help:"Settings file (YAML)." placeholder:"FILE"`
-	Set      []string `help:"Override a setting, such as --set search.merge_reserve=2ms. May be repeated; 'portgauge settings show' lists the names." placeholder:"NAME=VALUE" sep:"none"`
+	Set      []string `help:"Override a setting, such as --set search.merge_reserve=2ms. May be repeated. 'portgauge settings show' lists the names of all settings." placeholder:"NAME=VALUE" sep:"none"`
 }
 
-// Run runs until SIGTERM or SIGINT begins a planned stop; a second signal exits at once. SIGHUP
-// reloads the settings.
+// Run runs a node until SIGTERM or SIGINT starts a planned stop. A second signal exits at once. SIGHUP reloads the
+// settings.
 func (c *nodeCommand) Run() error {
 	load := func() (settings.Settings, error) { return loadSettings(c.Settings, c.Set) }
-	config, err := load()
+	cfg, err := load()
 	if err != nil {
 		return err
 	}
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
-	app := node.New(node.Start{Settings: config, SettingsPath: c.Settings, Load: load, Reload: hangup.Signals(), Logs: os.Stdout, Dialects: dialects()})
+	app := node.New(node.Start{Settings: cfg, SettingsPath: c.Settings, Load: load, Reload: hangup.Signals(), Logs: os.Stdout, Dialects: dialects()})
 	if err := app.Err(); err != nil {
 		return err
 	}
--- a/cmd/portgauge/operator.go
+++ b/cmd/portgauge/operator.go
@@ -14,27 +14,27 @@
 	"github.com/portgauge/portgauge/internal/operator/cli"
 )
 
-// operatorFlags are shared by the operators' commands.
+// operatorFlags are the flags of all operator commands.
 type operatorFlags struct {
 	Address string        `help:"Operator address of a node." default:"127.0.0.1:7401"`
-	Timeout time.Duration `help:"Time allowed for the call." default:"10s"`
+	Timeout time.Duration `help:"Timeout of the call." default:"10s"`
 	Output  cli.Format    `help:"Output format: ${enum}." enum:"json,table" default:"table"`
 }
 
-// writeFlags are shared by the commands that change something.
+// writeFlags are the flags of the commands that change the configuration.
 type writeFlags struct {
-	Revision int64  `help:"Revision that is to be replaced; 0 to create." default:"0"`
-	ChangeID string `help:"Identity of the change; use the same one to repeat a call whose outcome is unknown."`
+	Revision int64  `help:"Current revision of what is changed; 0 to create it." default:"0"`
+	ChangeID string `help:"ID of the change; made by the node if empty. Repeat a call whose outcome is unknown with the same ID."`
 }
 
 func (f *operatorFlags) context() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.Background(), f.Timeout)
 }
 
-// adminMethod is a method of the operators' service.
+// adminMethod is a method of AdminService.
 type adminMethod[Request, Response any] func(adminv1connect.AdminServiceClient, context.Context, *connect.Request[Request]) (*connect.Response[Response], error)
 
-// call makes one call at the node of the flags, within their timeout. Its errors are failures.
+// call calls a method on the node at flags.Address, within flags.Timeout. Errors are failures.
 func call[Request, Response any](flags *operatorFlags, method adminMethod[Request, Response], request *Request) (*Response, error) {
 	ctx, cancel := flags.context()
 	defer cancel()
@@ -45,7 +45,7 @@
 	return response.Msg, nil
 }
 
-// printRevision prints what was changed and the revision that accepted the change; column is the header of the name.
+// printRevision prints the name of what was changed, under the given column header, and the revision of the change.
 func printRevision(format cli.Format, message proto.Message, column, name string, revision int64) error {
 	row := []string{name, strconv.FormatInt(revision, 10)}
 	return cli.PrintMessage(os.Stdout, format, message, []string{column, "REVISION"}, [][]string{row})
--- a/cmd/portgauge/quarantine.go
+++ b/cmd/portgauge/quarantine.go
@@ -10,18 +10,18 @@
 	"github.com/portgauge/portgauge/internal/operator/cli"
 )
 
-// quarantineCommand groups the calls about crashing requests.
+// quarantineCommand groups the commands for quarantined requests.
 type quarantineCommand struct {
-	List quarantineListCommand `cmd:"" help:"List the requests that go to no leaf because leafs crashed under them."`
-	Lift quarantineLiftCommand `cmd:"" help:"Let a request go to leafs again."`
+	List quarantineListCommand `cmd:"" help:"List the requests that are sent to no leaf because leafs crashed while they ran them."`
+	Lift quarantineLiftCommand `cmd:"" help:"Lift the quarantine of a request, so that it is sent to leafs again."`
 }
 
-// quarantineListCommand lists the requests under quarantine.
+// quarantineListCommand lists the quarantined requests.
 type quarantineListCommand struct {
 	operatorFlags
 }
 
-// Run prints the requests under quarantine that are in force on the node.
+// Run prints the quarantined requests in force on the node.
 func (c *quarantineListCommand) Run() error {
 	response, err := call(&c.operatorFlags, adminv1connect.AdminServiceClient.ListQuarantine, &adminv1.ListQuarantineRequest{})
 	if err != nil {
@@ -42,10 +42,10 @@
 type quarantineLiftCommand struct {
 	operatorFlags
 	writeFlags
-	Content string `arg:"" help:"Content of the request, as it is listed."`
+	Content string `arg:"" help:"Fingerprint of the request, from the column CONTENT of the list."`
 }
 
-// Run lifts the quarantine and prints the revision that accepted it.
+// Run lifts the quarantine and prints the revision of the change.
 func (c *quarantineLiftCommand) Run() error {
 	response, err := call(&c.operatorFlags, adminv1connect.AdminServiceClient.LiftQuarantine, &adminv1.LiftQuarantineRequest{
 		Content: c.Content, ExpectedRevision: c.Revision, ChangeId: c.ChangeID,
--- a/cmd/portgauge/rollout.go
+++ b/cmd/portgauge/rollout.go
@@ -11,24 +11,24 @@
 	"github.com/portgauge/portgauge/internal/operator/cli"
 )
 
-// rolloutCommand groups the calls about roll-outs.
+// rolloutCommand groups the commands for roll-outs.
 type rolloutCommand struct {
-	Start  rolloutStartCommand  `cmd:"" help:"Order a service to move to the leafs of a version if that is found good."`
-	Status rolloutStatusCommand `cmd:"" help:"Show the phase of a service's roll-out and the reason."`
-	Cancel rolloutCancelCommand `cmd:"" help:"Cancel an order; the version before it continues to serve."`
+	Start  rolloutStartCommand  `cmd:"" help:"Move a service to the leafs of a version, if the version is found good."`
+	Status rolloutStatusCommand `cmd:"" help:"Show the phase of a service's roll-out and the reason for it."`
+	Cancel rolloutCancelCommand `cmd:"" help:"Cancel a roll-out; the version before it continues to serve."`
 	List   rolloutListCommand   `cmd:"" help:"List the roll-outs of all services."`
 }
 
-// rolloutStartCommand orders a roll-out.
+// rolloutStartCommand starts a roll-out.
 type rolloutStartCommand struct {
 	operatorFlags
 	writeFlags
 	Service  string        `arg:"" help:"Service to move."`
-	Target   string        `arg:"" help:"Version to move to; its leafs run beside those that serve now."`
-	Duration time.Duration `help:"How long the roll-out may take; without a verdict by then it is rolled back." default:"10m"`
+	Target   string        `arg:"" help:"Version to move to; its leafs must run in addition to the leafs that serve now."`
+	Duration time.Duration `help:"How long the roll-out may take; if there is no verdict by then, it is rolled back." default:"10m"`
 }
 
-// Run writes the order and prints the revision that accepted it.
+// Run writes the rollout spec and prints its revision.
 func (c *rolloutStartCommand) Run() error {
 	response, err := call(&c.operatorFlags, adminv1connect.AdminServiceClient.StartRollout, &adminv1.StartRolloutRequest{
 		Service: c.Service, Target: c.Target, DurationMillis: c.Duration.Milliseconds(), ExpectedRevision: c.Revision, ChangeId: c.ChangeID,
@@ -39,14 +39,14 @@
 	return printRevision(c.Output, response, "SERVICE", c.Service, response.GetRevision())
 }
 
-// rolloutCancelCommand cancels an order.
+// rolloutCancelCommand cancels a roll-out.
 type rolloutCancelCommand struct {
 	operatorFlags
 	writeFlags
-	Service string `arg:"" help:"Service whose order is cancelled."`
+	Service string `arg:"" help:"Service whose roll-out is cancelled."`
 }
 
-// Run cancels the order and prints the revision that accepted it.
+// Run deletes the rollout spec and prints the revision of the change.
 func (c *rolloutCancelCommand) Run() error {
 	response, err := call(&c.operatorFlags, adminv1connect.AdminServiceClient.CancelRollout, &adminv1.CancelRolloutRequest{
 		Service: c.Service, ExpectedRevision: c.Revision, ChangeId: c.ChangeID,
@@ -63,7 +63,7 @@
 	Service string `arg:"" help:"Service to show."`
 }
 
-// Run prints the roll-out as the asked node has it in force.
+// Run prints the roll-out as in force on the node.
 func (c *rolloutStatusCommand) Run() error {
 	response, err := call(&c.operatorFlags, adminv1connect.AdminServiceClient.GetRollout, &adminv1.GetRolloutRequest{Service: c.Service})
 	if err != nil {
@@ -77,7 +77,7 @@
 	operatorFlags
 }
 
-// Run prints the roll-outs as the asked node has them in force.
+// Run prints the roll-outs as in force on the node.
 func (c *rolloutListCommand) Run() error {
 	response, err := call(&c.operatorFlags, adminv1connect.AdminServiceClient.ListRollouts, &adminv1.ListRolloutsRequest{})
 	if err != nil {
--- a/cmd/portgauge/routes.go
+++ b/cmd/portgauge/routes.go
@@ -11,19 +11,19 @@
 	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
-// routesCommand groups the calls about routes.
+// routesCommand groups the commands for routes.
 type routesCommand struct {
 	Check routesCheckCommand `cmd:"" help:"Check a routing configuration and list all faults."`
 	Apply routesApplyCommand `cmd:"" help:"Replace the routing configuration from a file or standard input."`
 	Get   routesGetCommand   `cmd:"" help:"Show the routing configuration in force on a node, with its age."`
 }
 
-// routesCheckCommand checks a file without any node.
+// routesCheckCommand checks a file without calling a node.
 type routesCheckCommand struct {
 	File string `arg:"" help:"Routing configuration as YAML or JSON; - for standard input."`
 }
 
-// Run fails with all faults of the file.
+// Run prints the number of routes, or returns all faults of the file.
 func (c *routesCheckCommand) Run() error {
 	document, err := cli.ReadDocument(c.File, os.Stdin)
 	if err != nil {
@@ -33,7 +33,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Printf("%s: %d routes, no fault found\n", c.File, len(configuration.Routes))
+	_, err = fmt.Printf("%s: %d routes, no faults found\n", c.File, len(configuration.Routes))
 	return err
 }
 
@@ -44,7 +44,7 @@
 	File string `arg:"" help:"Routing configuration as YAML or JSON; - for standard input."`
 }
 
-// Run applies the configuration and prints the revision that accepted it.
+// Run writes the configuration and prints its new revision.
 func (c *routesApplyCommand) Run() error {
 	document, err := cli.ReadDocument(c.File, os.Stdin)
 	if err != nil {
@@ -65,7 +65,7 @@
 	operatorFlags
 }
 
-// Run prints the routes that the node serves by.
+// Run prints the routes in force on the node.
 func (c *routesGetCommand) Run() error {
 	response, err := call(&c.operatorFlags, adminv1connect.AdminServiceClient.GetRoutes, &adminv1.GetRoutesRequest{})
 	if err != nil {
--- a/cmd/portgauge/search.go
+++ b/cmd/portgauge/search.go
@@ -18,24 +18,24 @@
 type searchCommand struct {
 	Address      string        `help:"Caller address of a node." default:"127.0.0.1:7400"`
 	Service      string        `arg:"" help:"Service to search."`
-	Filter       string        `arg:"" optional:"" help:"Text that a row's key or value must contain."`
-	From         string        `help:"First key of the range."`
-	To           string        `help:"Key after the last of the range; none means no end."`
-	Limit        uint32        `help:"Most rows to return; 0 means the service's page size."`
-	Deadline     time.Duration `help:"Time allowed; 0 means the service's default."`
-	AtMostOnce   bool          `help:"Run at most once at each shard."`
+	Filter       string        `arg:"" optional:"" help:"Text that the key or the value of a row must contain."`
+	From         string        `help:"First key of the range; empty means no lower bound."`
+	To           string        `help:"Key after the last key of the range; empty means no upper bound."`
+	Limit        uint32        `help:"Maximum number of rows to return; 0 means the page size of the service."`
+	Deadline     time.Duration `help:"Time allowed for the answer; 0 means the default deadline of the service."`
+	AtMostOnce   bool          `help:"Run the request at most once on each shard."`
 	FullCoverage bool          `help:"Fail unless every shard answered."`
-	RequestID    string        `help:"Identity of the request; made by the node when empty."`
+	RequestID    string        `help:"ID of the request; made by the node if empty."`
 	Output       cli.Format    `help:"Output format: ${enum}." enum:"json,table" default:"table"`
 }
 
-// clientGrace is how much longer than the deadline the client waits for the answer.
+// clientGrace is how long the client waits for the answer after the deadline.
 const clientGrace = 5 * time.Second
 
-// defaultClientWait is how long the client waits when it names no deadline.
+// defaultClientWait is how long the client waits for the answer if no deadline is given.
 const defaultClientWait = 60 * time.Second
 
-// Run prints rows on standard output and the coverage on standard error.
+// Run prints the rows on standard output and the coverage on standard error.
 func (c *searchCommand) Run() error {
 	wait := defaultClientWait
 	if c.Deadline > 0 {
--- a/cmd/portgauge/service.go
+++ b/cmd/portgauge/service.go
@@ -16,14 +16,14 @@
 	"github.com/portgauge/portgauge/internal/operator/cli"
 )
 
-// serviceCommand groups the calls about services.
+// serviceCommand groups the commands for services.
 type serviceCommand struct {
 	Apply  serviceApplyCommand  `cmd:"" help:"Create or replace a service from a file or standard input."`
 	Get    serviceGetCommand    `cmd:"" help:"Show one service."`
 	List   serviceListCommand   `cmd:"" help:"List all services."`
 	Delete serviceDeleteCommand `cmd:"" help:"Delete a service."`
-	Watch  serviceWatchCommand  `cmd:"" help:"Print each change as it comes into force on the node."`
-	Status serviceStatusCommand `cmd:"" help:"Show, by zone, how many nodes have a revision in force."`
+	Watch  serviceWatchCommand  `cmd:"" help:"Print each change of the configuration as it comes into force on a node."`
+	Status serviceStatusCommand `cmd:"" help:"Show by zone how many nodes have a revision in force."`
 }
 
 // serviceApplyCommand creates or replaces a service.
@@ -33,7 +33,7 @@
 	File string `arg:"" help:"Service as YAML or JSON; - for standard input."`
 }
 
-// Run applies the service and prints the revision that accepted it.
+// Run writes the service and prints its new revision.
 func (c *serviceApplyCommand) Run() error {
 	spec := &adminv1.ServiceSpec{}
 	if err := cli.ReadMessage(c.File, os.Stdin, spec); err != nil {
@@ -102,7 +102,7 @@
 	Name string `arg:"" help:"Service to delete."`
 }
 
-// Run deletes the service at the given revision.
+// Run deletes the service if it still has the given revision.
 func (c *serviceDeleteCommand) Run() error {
 	response, err := call(&c.operatorFlags, adminv1connect.AdminServiceClient.DeleteService, &adminv1.DeleteServiceRequest{
 		Name: c.Name, ExpectedRevision: c.Revision, ChangeId: c.ChangeID,
@@ -113,14 +113,14 @@
 	return printRevision(c.Output, response, "DELETED", c.Name, response.GetRevision())
 }
 
-// serviceWatchCommand prints changes.
+// serviceWatchCommand prints changes of the configuration.
 type serviceWatchCommand struct {
 	Address string     `help:"Operator address of a node." default:"127.0.0.1:7401"`
 	Output  cli.Format `help:"Output format: ${enum}." enum:"json,table" default:"table"`
-	After   int64      `help:"Also print changes after this revision that the node still keeps."`
+	After   int64      `help:"Also print earlier changes after this revision, as far as the node still has them."`
 }
 
-// Run prints changes until interrupted.
+// Run prints changes until it is interrupted.
 func (c *serviceWatchCommand) Run() error {
 	stream, err := cli.AdminClient(c.Address).WatchServices(context.Background(), connect.NewRequest(&adminv1.WatchServicesRequest{AfterRevision: c.After}))
 	if err != nil {
@@ -142,14 +142,14 @@
 // serviceStatusCommand shows how many nodes have a revision in force.
 type serviceStatusCommand struct {
 	operatorFlags
-	Revision int64 `help:"Revision to ask about; 0 means the one in force on the asked node."`
-	Wait     bool  `help:"Wait until every node reached has the revision in force."`
+	Revision int64 `help:"Revision to look for; 0 means the revision in force on the node that is called."`
+	Wait     bool  `help:"Wait until every node that answers has the revision in force."`
 }
 
-// statusPause is the pause between two calls with --wait.
+// statusPause is the pause between two status calls with --wait.
 const statusPause = 200 * time.Millisecond
 
-// Run prints the nodes in force by zone.
+// Run prints by zone how many nodes have the revision in force.
 func (c *serviceStatusCommand) Run() error {
 	ctx, cancel := c.context()
 	defer cancel()
@@ -167,7 +167,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return failure.New(failure.DeadlineExceeded, failure.Unknown, "revision %d is not in force everywhere yet", c.Revision)
+			return failure.New(failure.DeadlineExceeded, failure.Unknown, "revision %d did not come into force on all nodes within the timeout", c.Revision)
 		case <-time.After(statusPause):
 		}
 	}
--- a/cmd/portgauge/settings.go
+++ b/cmd/portgauge/settings.go
@@ -12,7 +12,7 @@
 // settingsCommand checks and shows settings.
 type settingsCommand struct {
 	Check settingsCheckCommand `cmd:"" help:"Check a settings file and list all faults."`
-	Show  settingsShowCommand  `cmd:"" help:"Print every setting with its default, as a settings file."`
+	Show  settingsShowCommand  `cmd:"" help:"Print all settings with their defaults, in the form of a settings file."`
 }
 
 // settingsCheckCommand checks a file.
@@ -20,19 +20,18 @@
 	File string `arg:"" help:"Settings file (YAML)."`
 }
 
-// Run fails with all faults of the file.
+// Run returns all faults of the file.
 func (c *settingsCheckCommand) Run() error {
 	if _, err := settings.Load(c.File, nil, nil); err != nil {
 		return err
 	}
-	_, err := fmt.Println(c.File + ": no fault found")
+	_, err := fmt.Println(c.File + ": no faults found")
 	return err
 }
 
 // settingsShowCommand prints the defaults.
 type settingsShowCommand struct{}
 
-// Run prints the defaults.
 func (c *settingsShowCommand) Run() error {
 	return yaml.NewEncoder(os.Stdout).Encode(settings.Default())
 }
--- a/cmd/portgauge/snapshot.go
+++ b/cmd/portgauge/snapshot.go
@@ -9,10 +9,10 @@
 	"github.com/portgauge/portgauge/internal/operator/cli"
 )
 
-// snapshotCommand groups the calls about snapshots.
+// snapshotCommand groups the commands for snapshots.
 type snapshotCommand struct {
-	Publish snapshotPublishCommand `cmd:"" help:"Make a manifest the current one of its service."`
-	List    snapshotListCommand    `cmd:"" help:"List the current manifests."`
+	Publish snapshotPublishCommand `cmd:"" help:"Publish a manifest as the current snapshot of its service."`
+	List    snapshotListCommand    `cmd:"" help:"List the current snapshots."`
 }
 
 // snapshotPublishCommand publishes a manifest.
@@ -22,7 +22,7 @@
 	File string `arg:"" help:"Manifest as YAML or JSON; - for standard input."`
 }
 
-// Run publishes the manifest and prints the revision that accepted it.
+// Run publishes the manifest and prints its revision.
 func (c *snapshotPublishCommand) Run() error {
 	manifest := &adminv1.SnapshotManifest{}
 	if err := cli.ReadMessage(c.File, os.Stdin, manifest); err != nil {
@@ -38,13 +38,13 @@
 	return cli.PrintMessage(os.Stdout, c.Output, response, []string{"SERVICE", "SNAPSHOT", "REVISION"}, rows)
 }
 
-// snapshotListCommand lists manifests.
+// snapshotListCommand lists the current snapshots.
 type snapshotListCommand struct {
 	operatorFlags
-	Service string `arg:"" optional:"" help:"Only this service's."`
+	Service string `arg:"" optional:"" help:"List only the snapshot of this service."`
 }
 
-// Run prints the current manifests.
+// Run prints the current snapshots.
 func (c *snapshotListCommand) Run() error {
 	response, err := call(&c.operatorFlags, adminv1connect.AdminServiceClient.ListSnapshots, &adminv1.ListSnapshotsRequest{Service: c.Service})
 	if err != nil {
--- a/cmd/portgauge/version.go
+++ b/cmd/portgauge/version.go
@@ -12,7 +12,6 @@
 	Output cli.Format `help:"Output format: ${enum}." enum:"json,table" default:"table"`
 }
 
-// Run prints the build.
 func (c *versionCommand) Run() error {
 	info := version.Current()
 	return cli.PrintValue(os.Stdout, c.Output, info, []string{"VERSION", "GO", "REVISION"}, [][]string{{info.Version, info.Go, info.Revision}})
--- a/cmd/portgauge/zone.go
+++ b/cmd/portgauge/zone.go
@@ -9,21 +9,21 @@
 	"github.com/portgauge/portgauge/internal/operator/cli"
 )
 
-// zoneCommand groups the calls about evacuations.
+// zoneCommand groups the commands for evacuations.
 type zoneCommand struct {
 	Evacuate zoneEvacuateCommand `cmd:"" help:"Stop sending requests to the leafs of a zone."`
-	Restore  zoneRestoreCommand  `cmd:"" help:"End the evacuation of a zone."`
-	List     zoneListCommand     `cmd:"" help:"List the evacuated zones with the revisions of their evacuations."`
+	Restore  zoneRestoreCommand  `cmd:"" help:"End the evacuation of a zone, so that its leafs receive requests again."`
+	List     zoneListCommand     `cmd:"" help:"List the evacuated zones and the revisions of their evacuations."`
 }
 
 // zoneEvacuateCommand evacuates a zone.
 type zoneEvacuateCommand struct {
 	operatorFlags
 	Zone     string `arg:"" help:"Zone to evacuate."`
-	ChangeID string `help:"Identity of the change; use the same one to repeat a call whose outcome is unknown."`
+	ChangeID string `help:"ID of the change; made by the node if empty. Repeat a call whose outcome is unknown with the same ID."`
 }
 
-// Run evacuates the zone and prints the revision that accepted it.
+// Run evacuates the zone and prints the revision of the evacuation.
 func (c *zoneEvacuateCommand) Run() error {
 	response, err := call(&c.operatorFlags, adminv1connect.AdminServiceClient.EvacuateZone, &adminv1.EvacuateZoneRequest{Zone: c.Zone, ChangeId: c.ChangeID})
 	if err != nil {
@@ -39,7 +39,7 @@
 	Zone string `arg:"" help:"Zone to restore."`
 }
 
-// Run ends the evacuation and prints the revision that accepted it.
+// Run ends the evacuation and prints the revision of the change.
 func (c *zoneRestoreCommand) Run() error {
 	response, err := call(&c.operatorFlags, adminv1connect.AdminServiceClient.RestoreZone, &adminv1.RestoreZoneRequest{
 		Zone: c.Zone, ExpectedRevision: c.Revision, ChangeId: c.ChangeID,
