--- a/gen/portgauge/admin/v1/adminv1connect/admin.connect.go
+++ b/gen/portgauge/admin/v1/adminv1connect/admin.connect.go
@@ -2,7 +2,7 @@
 //
 // Source: portgauge/admin/v1/admin.proto
 
-// Package portgauge.admin.v1 is what operators and their automation use.
+// Package portgauge.admin.v1 is the interface for operators and their automation.
 package adminv1connect
 
 import (
@@ -100,32 +100,32 @@
 	GetService(context.Context, *connect.Request[v1.GetServiceRequest]) (*connect.Response[v1.GetServiceResponse], error)
 	ListServices(context.Context, *connect.Request[v1.ListServicesRequest]) (*connect.Response[v1.ListServicesResponse], error)
 	DeleteService(context.Context, *connect.Request[v1.DeleteServiceRequest]) (*connect.Response[v1.DeleteServiceResponse], error)
-	// WatchServices streams each change as it comes into force on the asked node.
+	// WatchServices streams each change of the configuration as it comes into force on the called node.
 	WatchServices(context.Context, *connect.Request[v1.WatchServicesRequest]) (*connect.ServerStreamForClient[v1.WatchServicesResponse], error)
-	// GetStatus shows by zone how many nodes have a revision in force.
+	// GetStatus returns by zone how many nodes have a revision in force.
 	GetStatus(context.Context, *connect.Request[v1.GetStatusRequest]) (*connect.Response[v1.GetStatusResponse], error)
-	// PublishSnapshot makes a manifest the current one of its service by compare-and-swap.
+	// PublishSnapshot makes a manifest the current manifest of its service by compare-and-swap.
 	PublishSnapshot(context.Context, *connect.Request[v1.PublishSnapshotRequest]) (*connect.Response[v1.PublishSnapshotResponse], error)
 	ListSnapshots(context.Context, *connect.Request[v1.ListSnapshotsRequest]) (*connect.Response[v1.ListSnapshotsResponse], error)
-	// ApplyRoutes replaces the routing configuration as a whole by compare-and-swap.
+	// ApplyRoutes replaces the whole routing configuration by compare-and-swap.
 	ApplyRoutes(context.Context, *connect.Request[v1.ApplyRoutesRequest]) (*connect.Response[v1.ApplyRoutesResponse], error)
 	GetRoutes(context.Context, *connect.Request[v1.GetRoutesRequest]) (*connect.Response[v1.GetRoutesResponse], error)
-	// ApplyLeaf adds or replaces the record of a leaf that routes are served by.
+	// ApplyLeaf adds or replaces the record of a leaf that serves routes.
 	ApplyLeaf(context.Context, *connect.Request[v1.ApplyLeafRequest]) (*connect.Response[v1.ApplyLeafResponse], error)
 	DeleteLeaf(context.Context, *connect.Request[v1.DeleteLeafRequest]) (*connect.Response[v1.DeleteLeafResponse], error)
-	// EvacuateZone has all nodes send nothing more to the leafs of a zone, until RestoreZone.
+	// EvacuateZone makes all nodes stop sending requests to the leafs of a zone, until RestoreZone is called.
 	EvacuateZone(context.Context, *connect.Request[v1.EvacuateZoneRequest]) (*connect.Response[v1.EvacuateZoneResponse], error)
 	RestoreZone(context.Context, *connect.Request[v1.RestoreZoneRequest]) (*connect.Response[v1.RestoreZoneResponse], error)
 	ListEvacuatedZones(context.Context, *connect.Request[v1.ListEvacuatedZonesRequest]) (*connect.Response[v1.ListEvacuatedZonesResponse], error)
-	// StartRollout orders that the requests of a service move to the leafs of a version, if it proves good.
+	// StartRollout moves the requests of a service to the leafs of a version, if the version is found good.
 	StartRollout(context.Context, *connect.Request[v1.StartRolloutRequest]) (*connect.Response[v1.StartRolloutResponse], error)
-	// CancelRollout takes the order of a service back: unless it has succeeded, the version before it serves on.
+	// CancelRollout cancels the roll-out of a service. Unless it has succeeded, the version before it continues to serve.
 	CancelRollout(context.Context, *connect.Request[v1.CancelRolloutRequest]) (*connect.Response[v1.CancelRolloutResponse], error)
 	GetRollout(context.Context, *connect.Request[v1.GetRolloutRequest]) (*connect.Response[v1.GetRolloutResponse], error)
 	ListRollouts(context.Context, *connect.Request[v1.ListRolloutsRequest]) (*connect.Response[v1.ListRolloutsResponse], error)
-	// ListQuarantine shows the requests that go to no leaf, since leafs ended while they ran them.
+	// ListQuarantine returns the requests that are sent to no leaf because leafs crashed while they ran them.
 	ListQuarantine(context.Context, *connect.Request[v1.ListQuarantineRequest]) (*connect.Response[v1.ListQuarantineResponse], error)
-	// LiftQuarantine lets such a request go to leafs again.
+	// LiftQuarantine ends the quarantine of a request, so that it is sent to leafs again.
 	LiftQuarantine(context.Context, *connect.Request[v1.LiftQuarantineRequest]) (*connect.Response[v1.LiftQuarantineResponse], error)
 }
 
@@ -406,32 +406,32 @@
 	GetService(context.Context, *connect.Request[v1.GetServiceRequest]) (*connect.Response[v1.GetServiceResponse], error)
 	ListServices(context.Context, *connect.Request[v1.ListServicesRequest]) (*connect.Response[v1.ListServicesResponse], error)
 	DeleteService(context.Context, *connect.Request[v1.DeleteServiceRequest]) (*connect.Response[v1.DeleteServiceResponse], error)
-	// WatchServices streams each change as it comes into force on the asked node.
+	// WatchServices streams each change of the configuration as it comes into force on the called node.
 	WatchServices(context.Context, *connect.Request[v1.WatchServicesRequest], *connect.ServerStream[v1.WatchServicesResponse]) error
-	// GetStatus shows by zone how many nodes have a revision in force.
+	// GetStatus returns by zone how many nodes have a revision in force.
 	GetStatus(context.Context, *connect.Request[v1.GetStatusRequest]) (*connect.Response[v1.GetStatusResponse], error)
-	// PublishSnapshot makes a manifest the current one of its service by compare-and-swap.
+	// PublishSnapshot makes a manifest the current manifest of its service by compare-and-swap.
 	PublishSnapshot(context.Context, *connect.Request[v1.PublishSnapshotRequest]) (*connect.Response[v1.PublishSnapshotResponse], error)
 	ListSnapshots(context.Context, *connect.Request[v1.ListSnapshotsRequest]) (*connect.Response[v1.ListSnapshotsResponse], error)
-	// ApplyRoutes replaces the routing configuration as a whole by compare-and-swap.
+	// ApplyRoutes replaces the whole routing configuration by compare-and-swap.
 	ApplyRoutes(context.Context, *connect.Request[v1.ApplyRoutesRequest]) (*connect.Response[v1.ApplyRoutesResponse], error)
 	GetRoutes(context.Context, *connect.Request[v1.GetRoutesRequest]) (*connect.Response[v1.GetRoutesResponse], error)
-	// ApplyLeaf adds or replaces the record of a leaf that routes are served by.
+	// ApplyLeaf adds or replaces the record of a leaf that serves routes.
 	ApplyLeaf(context.Context, *connect.Request[v1.ApplyLeafRequest]) (*connect.Response[v1.ApplyLeafResponse], error)
 	DeleteLeaf(context.Context, *connect.Request[v1.DeleteLeafRequest]) (*connect.Response[v1.DeleteLeafResponse], error)
-	// EvacuateZone has all nodes send nothing more to the leafs of a zone, until RestoreZone.
+	// EvacuateZone makes all nodes stop sending requests to the leafs of a zone, until RestoreZone is called.
 	EvacuateZone(context.Context, *connect.Request[v1.EvacuateZoneRequest]) (*connect.Response[v1.EvacuateZoneResponse], error)
 	RestoreZone(context.Context, *connect.Request[v1.RestoreZoneRequest]) (*connect.Response[v1.RestoreZoneResponse], error)
 	ListEvacuatedZones(context.Context, *connect.Request[v1.ListEvacuatedZonesRequest]) (*connect.Response[v1.ListEvacuatedZonesResponse], error)
-	// StartRollout orders that the requests of a service move to the leafs of a version, if it proves good.
+	// StartRollout moves the requests of a service to the leafs of a version, if the version is found good.
 	StartRollout(context.Context, *connect.Request[v1.StartRolloutRequest]) (*connect.Response[v1.StartRolloutResponse], error)
-	// CancelRollout takes the order of a service back: unless it has succeeded, the version before it serves on.
+	// CancelRollout cancels the roll-out of a service. Unless it has succeeded, the version before it continues to serve.
 	CancelRollout(context.Context, *connect.Request[v1.CancelRolloutRequest]) (*connect.Response[v1.CancelRolloutResponse], error)
 	GetRollout(context.Context, *connect.Request[v1.GetRolloutRequest]) (*connect.Response[v1.GetRolloutResponse], error)
 	ListRollouts(context.Context, *connect.Request[v1.ListRolloutsRequest]) (*connect.Response[v1.ListRolloutsResponse], error)
-	// ListQuarantine shows the requests that go to no leaf, since leafs ended while they ran them.
+	// ListQuarantine returns the requests that are sent to no leaf because leafs crashed while they ran them.
 	ListQuarantine(context.Context, *connect.Request[v1.ListQuarantineRequest]) (*connect.Response[v1.ListQuarantineResponse], error)
-	// LiftQuarantine lets such a request go to leafs again.
+	// LiftQuarantine ends the quarantine of a request, so that it is sent to leafs again.
 	LiftQuarantine(context.Context, *connect.Request[v1.LiftQuarantineRequest]) (*connect.Response[v1.LiftQuarantineResponse], error)
 }
 
--- a/gen/portgauge/leaf/v1/leafv1connect/leaf.connect.go
+++ b/gen/portgauge/leaf/v1/leafv1connect/leaf.connect.go
@@ -2,7 +2,7 @@
 //
 // Source: portgauge/leaf/v1/leaf.proto
 
-// Package portgauge.leaf.v1 is the protocol between a node and a back end.
+// Package portgauge.leaf.v1 is the protocol between nodes and leafs.
 package leafv1connect
 
 import (
--- a/gen/portgauge/platform/v1/platformv1connect/platform.connect.go
+++ b/gen/portgauge/platform/v1/platformv1connect/platform.connect.go
@@ -2,8 +2,8 @@
 //
 // Source: portgauge/platform/v1/platform.proto
 
-// Package portgauge.platform.v1 is the protocol of the platform's stand-in: a key-value
-// store with compare-and-swap and watches, and a list of machines.
+// Package portgauge.platform.v1 is the protocol of the simulated platform: a key-value store with compare-and-swap and
+// watches, and a list of machines.
 package platformv1connect
 
 import (
@@ -64,15 +64,17 @@
 	Get(context.Context, *connect.Request[v1.GetRequest]) (*connect.Response[v1.GetResponse], error)
 	List(context.Context, *connect.Request[v1.ListRequest]) (*connect.Response[v1.ListResponse], error)
 	CompareAndSwap(context.Context, *connect.Request[v1.CompareAndSwapRequest]) (*connect.Response[v1.CompareAndSwapResponse], error)
-	// Watch streams changes after a revision, in order of revision, without gaps.
+	// Watch streams the changes after a revision, in the order of revisions and without gaps.
 	Watch(context.Context, *connect.Request[v1.WatchRequest]) (*connect.ServerStreamForClient[v1.WatchResponse], error)
-	// GrantLease opens a lease. Keys written under it go when it is over: ended, or not kept for its time to live.
+	// GrantLease grants a lease. Keys written under it are deleted when it is ended, or when it expires because it was not
+	// renewed within its time to live.
 	GrantLease(context.Context, *connect.Request[v1.GrantLeaseRequest]) (*connect.Response[v1.GrantLeaseResponse], error)
-	// KeepLease starts the time to live of a lease anew; NOT_FOUND when it is over.
+	// KeepLease renews a lease for its time to live. It returns NOT_FOUND if the lease has ended or expired.
 	KeepLease(context.Context, *connect.Request[v1.KeepLeaseRequest]) (*connect.Response[v1.KeepLeaseResponse], error)
-	// EndLease ends a lease; NOT_FOUND when it is over.
+	// EndLease ends a lease. It returns NOT_FOUND if the lease has ended or expired.
 	EndLease(context.Context, *connect.Request[v1.EndLeaseRequest]) (*connect.Response[v1.EndLeaseResponse], error)
-	// PutLeased writes a key under a lease, whatever it holds; NOT_FOUND when the lease is over.
+	// PutLeased writes a key under a lease, without comparing its current value. It returns NOT_FOUND if the lease has ended
+	// or expired.
 	PutLeased(context.Context, *connect.Request[v1.PutLeasedRequest]) (*connect.Response[v1.PutLeasedResponse], error)
 }
 
@@ -195,15 +197,17 @@
 	Get(context.Context, *connect.Request[v1.GetRequest]) (*connect.Response[v1.GetResponse], error)
 	List(context.Context, *connect.Request[v1.ListRequest]) (*connect.Response[v1.ListResponse], error)
 	CompareAndSwap(context.Context, *connect.Request[v1.CompareAndSwapRequest]) (*connect.Response[v1.CompareAndSwapResponse], error)
-	// Watch streams changes after a revision, in order of revision, without gaps.
+	// Watch streams the changes after a revision, in the order of revisions and without gaps.
 	Watch(context.Context, *connect.Request[v1.WatchRequest], *connect.ServerStream[v1.WatchResponse]) error
-	// GrantLease opens a lease. Keys written under it go when it is over: ended, or not kept for its time to live.
+	// GrantLease grants a lease. Keys written under it are deleted when it is ended, or when it expires because it was not
+	// renewed within its time to live.
 	GrantLease(context.Context, *connect.Request[v1.GrantLeaseRequest]) (*connect.Response[v1.GrantLeaseResponse], error)
-	// KeepLease starts the time to live of a lease anew; NOT_FOUND when it is over.
+	// KeepLease renews a lease for its time to live. It returns NOT_FOUND if the lease has ended or expired.
 	KeepLease(context.Context, *connect.Request[v1.KeepLeaseRequest]) (*connect.Response[v1.KeepLeaseResponse], error)
-	// EndLease ends a lease; NOT_FOUND when it is over.
+	// EndLease ends a lease. It returns NOT_FOUND if the lease has ended or expired.
 	EndLease(context.Context, *connect.Request[v1.EndLeaseRequest]) (*connect.Response[v1.EndLeaseResponse], error)
-	// PutLeased writes a key under a lease, whatever it holds; NOT_FOUND when the lease is over.
+	// PutLeased writes a key under a lease, without comparing its current value. It returns NOT_FOUND if the lease has ended
+	// or expired.
 	PutLeased(context.Context, *connect.Request[v1.PutLeasedRequest]) (*connect.Response[v1.PutLeasedResponse], error)
 }
 
--- a/gen/portgauge/search/v1/searchv1connect/search.connect.go
+++ b/gen/portgauge/search/v1/searchv1connect/search.connect.go
@@ -2,7 +2,7 @@
 //
 // Source: portgauge/search/v1/search.proto
 
-// Package portgauge.search.v1 is what callers use to run searches.
+// Package portgauge.search.v1 is the interface for callers that run searches.
 package searchv1connect
 
 import (
@@ -45,7 +45,7 @@
 type SearchServiceClient interface {
 	// Search returns one page of rows and its coverage.
 	Search(context.Context, *connect.Request[v1.SearchRequest]) (*connect.Response[v1.SearchResponse], error)
-	// StreamSearch returns the same answer in chunks; the last chunk carries the report.
+	// StreamSearch returns the same answer in chunks. The last chunk has the report.
 	StreamSearch(context.Context, *connect.Request[v1.SearchRequest]) (*connect.ServerStreamForClient[v1.StreamSearchResponse], error)
 }
 
@@ -95,7 +95,7 @@
 type SearchServiceHandler interface {
 	// Search returns one page of rows and its coverage.
 	Search(context.Context, *connect.Request[v1.SearchRequest]) (*connect.Response[v1.SearchResponse], error)
-	// StreamSearch returns the same answer in chunks; the last chunk carries the report.
+	// StreamSearch returns the same answer in chunks. The last chunk has the report.
 	StreamSearch(context.Context, *connect.Request[v1.SearchRequest], *connect.ServerStream[v1.StreamSearchResponse]) error
 }
 
