--- a/internal/node/boottime/suspension_test.go
+++ b/internal/node/boottime/suspension_test.go
@@ -10,17 +10,17 @@
 	"github.com/matryer/is"
 )
 
-// suspendable is the clock of a machine whose suspensions are simulated: they advance this clock but not time.Now.
-type suspendable struct{ suspended atomic.Int64 }
+// suspendableClock is the clock of a machine whose suspensions are simulated: they advance this clock but not time.Now.
+type suspendableClock struct{ suspended atomic.Int64 }
 
-func (s *suspendable) now() time.Time { return time.Now().Add(time.Duration(s.suspended.Load())) }
+func (s *suspendableClock) now() time.Time { return time.Now().Add(time.Duration(s.suspended.Load())) }
 
-func (s *suspendable) suspend(duration time.Duration) { s.suspended.Add(int64(duration)) }
+func (s *suspendableClock) suspend(duration time.Duration) { s.suspended.Add(int64(duration)) }
 
 func TestWatchReportsEachSuspensionOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		machine := &suspendable{}
+		machine := &suspendableClock{}
 		var reported []time.Duration
 		ctx, cancel := context.WithCancel(t.Context())
 		go Watch(ctx, machine.now, func(suspended time.Duration) { reported = append(reported, suspended) })
@@ -40,7 +40,7 @@
 func TestInstantMeasuresSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		machine := &suspendable{}
+		machine := &suspendableClock{}
 		instant := Clock(machine.now).Instant()
 		time.Sleep(time.Second)
 		is.Equal(instant.Suspended(), time.Duration(0))
--- a/internal/node/decisionlog/decisionlog.go
+++ b/internal/node/decisionlog/decisionlog.go
@@ -47,7 +47,8 @@
 // Importance selects the rate limit of a line.
 type Importance int
 
-// Ordinary lines are limited to Config.LinesPerSecond, Failed lines to Config.FailureLinesPerSecond.
+// Ordinary lines are limited to Config.LinesPerSecond, Failed lines to Config.FailureLinesPerSecond. Changes of state count
+// as Failed, so that they are not displaced either.
 const (
 	Ordinary Importance = iota
 	Failed
--- a/internal/node/telemetry/metrics.go
+++ b/internal/node/telemetry/metrics.go
@@ -80,34 +80,34 @@
 func NewMetrics() *Metrics {
 	metrics := &Metrics{
 		Registry:             prometheus.NewRegistry(),
-		QueryLatency:         histogram("query_latency_seconds", "Time from the arrival of a query to its answer, in seconds.", latencyBuckets(), "service", "class"),
-		QueryCoverage:        histogram("query_coverage", "Fraction of the requested data that each answer covers.", []float64{0, 0.5, 0.9, 0.99, 0.9999, 1}, "service"),
-		Refusals:             counters("failures_total", "Failed queries by service, code and execution state.", "service", "code", "execution"),
-		Attempts:             counters("leaf_attempts_total", "Leaf attempts of queries by service and kind (first, hedge or retry).", "service", "kind"),
-		CancelledAttempts:    counters("leaf_attempts_cancelled_total", "Leaf attempts that were cancelled because another attempt answered first.", "service"),
-		DroppedReplies:       counters("leaf_replies_dropped_total", "Leaf replies that were not merged into an answer, by reason.", "service", "reason"),
+		QueryLatency:         newHistogram("query_latency_seconds", "Time from the arrival of a query to its answer, in seconds.", latencyBuckets(), "service", "class"),
+		QueryCoverage:        newHistogram("query_coverage", "Fraction of the requested data that each answer covers.", []float64{0, 0.5, 0.9, 0.99, 0.9999, 1}, "service"),
+		Refusals:             newCounterVec("failures_total", "Failed queries by service, code and execution state.", "service", "code", "execution"),
+		Attempts:             newCounterVec("leaf_attempts_total", "Leaf attempts of queries by service and kind (first, hedge or retry).", "service", "kind"),
+		CancelledAttempts:    newCounterVec("leaf_attempts_cancelled_total", "Leaf attempts that were cancelled because another attempt answered first.", "service"),
+		DroppedReplies:       newCounterVec("leaf_replies_dropped_total", "Leaf replies that were not merged into an answer, by reason.", "service", "reason"),
 		ConfigRevision:       prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Name: "config_revision", Help: "Configuration revision in force on this node."}),
 		ConfigAge:            prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Name: "config_age_seconds", Help: "Time since the configuration in force was last confirmed to be the newest, in seconds."}),
-		ConfigRejected:       counter("config_rejected_total", "Stored values that were rejected as invalid; the last valid value of the key stays in force."),
-		ConfigRelayed:        counters("config_messages_total", "Configuration messages sent to other nodes by kind.", "kind"),
-		ControlBytes:         counters("control_bytes_sent_total", "Bytes of control messages sent by transport.", "transport"),
-		FrontRequests:        counters("front_requests_total", "Requests of the front by route and outcome.", "route", "outcome"),
-		FrontLatency:         histogram("front_latency_seconds", "Time from the arrival of a front request to its answer, in seconds.", latencyBuckets(), "outcome"),
-		FrontAttempts:        counters("front_attempts_total", "Leaf attempts of the front by kind (first, hedge or retry).", "kind"),
-		FrontAttemptFailures: counters("front_attempt_failures_total", "Leaf attempts of the front without a usable reply, by reason.", "reason"),
-		FrontMissingParts:    counter("front_missing_parts_total", "Parts that were missing from gathered answers."),
-		TreePassed:           counters("tree_passed_total", "Groups of parts passed on to intermediate nodes by outcome.", "outcome"),
+		ConfigRejected:       newCounter("config_rejected_total", "Stored values that were rejected as invalid; the last valid value of the key stays in force."),
+		ConfigRelayed:        newCounterVec("config_messages_total", "Configuration messages sent to other nodes by kind.", "kind"),
+		ControlBytes:         newCounterVec("control_bytes_sent_total", "Bytes of control messages sent by transport.", "transport"),
+		FrontRequests:        newCounterVec("front_requests_total", "Requests of the front by route and outcome; refused requests have no route and their failure code as outcome.", "route", "outcome"),
+		FrontLatency:         newHistogram("front_latency_seconds", "Time from the arrival of a front request to its answer, in seconds.", latencyBuckets(), "outcome"),
+		FrontAttempts:        newCounterVec("front_attempts_total", "Leaf attempts of the front by kind (first, hedge or retry).", "kind"),
+		FrontAttemptFailures: newCounterVec("front_attempt_failures_total", "Leaf attempts of the front without a usable reply, by reason.", "reason"),
+		FrontMissingParts:    newCounter("front_missing_parts_total", "Parts that were missing from gathered answers."),
+		TreePassed:           newCounterVec("tree_passed_total", "Groups of parts passed on to intermediate nodes by outcome.", "outcome"),
 		TreeLatency:          prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: namespace, Name: "tree_pass_seconds", Help: "Time from passing a group on to an intermediate node to its reply, in seconds.", Buckets: latencyBuckets()}),
-		TreeGathered:         counters("tree_gathered_total", "Groups of parts gathered for other nodes by outcome.", "outcome"),
-		LeafsLost:            counters("leafs_lost_total", "Leaf answers that broke off, by whether the leaf process had ended.", "ended"),
-		Quarantined:          counter("requests_quarantined_total", "Requests that this or another node quarantined because leafs crashed while they ran them."),
-		LeafConnections:      counter("leaf_connections_opened_total", "Connections opened to leafs."),
-		StoreCalls:           counters("store_calls_total", "Calls of the store by call and status; no_answer means that the store did not answer.", "call", "status"),
+		TreeGathered:         newCounterVec("tree_gathered_total", "Groups of parts gathered for other nodes by outcome.", "outcome"),
+		LeafsLost:            newCounterVec("leafs_lost_total", "Leaf answers that broke off, by whether the leaf process had ended.", "ended"),
+		Quarantined:          newCounter("requests_quarantined_total", "Requests that this or another node quarantined because leafs crashed while they ran them."),
+		LeafConnections:      newCounter("leaf_connections_opened_total", "Connections opened to leafs."),
+		StoreCalls:           newCounterVec("store_calls_total", "Calls of the store by call and status; no_answer means that the store did not answer.", "call", "status"),
 		StoreRevision:        prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Name: "store_revision", Help: "Revision in the last store answer that had one."}),
 		StoreEpoch:           prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Name: "store_epoch", Help: "Number of restores of the store from a backup, by its last answer."}),
 		Retained:             prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Name: "config_kept_entries", Help: "Entries that stay in force although the restored store lacks them."}),
-		StatesDropped:        counter("config_states_dropped_total", "Full states read from the store that were dropped because they were older than the one in force."),
-		LogLinesDropped:      counter("log_lines_left_out_total", "Decision log lines that were dropped because the rate was exceeded or the queue was full."),
+		StatesDropped:        newCounter("config_states_dropped_total", "Full states read from the store that were dropped because they were older than the one in force."),
+		LogLinesDropped:      newCounter("log_lines_left_out_total", "Decision log lines that were dropped because the rate was exceeded or the queue was full."),
 		Members:              prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: namespace, Name: "members", Help: "Nodes in the member list of the zone by state."}, []string{"state"}),
 	}
 	metrics.Registry.MustRegister(
@@ -122,15 +122,15 @@
 	return metrics
 }
 
-func histogram(name, help string, buckets []float64, labels ...string) *prometheus.HistogramVec {
+func newHistogram(name, help string, buckets []float64, labels ...string) *prometheus.HistogramVec {
 	return prometheus.NewHistogramVec(prometheus.HistogramOpts{Namespace: namespace, Name: name, Help: help, Buckets: buckets}, labels)
 }
 
-func counter(name, help string) prometheus.Counter {
+func newCounter(name, help string) prometheus.Counter {
 	return prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help})
 }
 
-func counters(name, help string, labels ...string) *prometheus.CounterVec {
+func newCounterVec(name, help string, labels ...string) *prometheus.CounterVec {
 	return prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help}, labels)
 }
 
--- a/internal/operator/admin/spec.go
+++ b/internal/operator/admin/spec.go
@@ -15,23 +15,23 @@
 
 // Defaults and bounds of service specs.
 const (
-	defaultDeadlineMillis    = 1000
-	defaultMaximumDeadline   = 30_000
-	defaultConcurrencyLimit  = 64
-	defaultQueueLimit        = 128
-	defaultPageSize          = 1000
-	maximumDeadlineAllowed   = 10 * 60 * 1000
-	maximumPageSizeAllowed   = 100_000
-	maximumConcurrency       = 100_000
-	maximumNameLength        = 64
-	maximumLeafs             = 20_000
-	maximumHedgeBudget       = 1000
-	allowedNamePunctuation   = "-_."
-	maximumChangeIDLength    = 128
-	maximumSnapshotIDLength  = 128
-	maximumLeafIDLength      = 64
-	maximumZoneLength        = 64
-	maximumQueueLimitAllowed = 100_000
+	defaultDeadlineMillis        = 1000
+	defaultMaximumDeadlineMillis = 30_000
+	defaultConcurrencyLimit      = 64
+	defaultQueueLimit            = 128
+	defaultPageSize              = 1000
+	maximumDeadlineMillis        = 10 * 60 * 1000
+	maximumPageSize              = 100_000
+	maximumConcurrencyLimit      = 100_000
+	maximumNameLength            = 64
+	maximumLeafs                 = 20_000
+	maximumHedgeBudgetPerMille   = 1000
+	allowedNamePunctuation       = "-_."
+	maximumChangeIDLength        = 128
+	maximumSnapshotIDLength      = 128
+	maximumLeafIDLength          = 64
+	maximumZoneLength            = 64
+	maximumQueueLimit            = 100_000
 )
 
 // FillDefaults sets unset fields to their defaults.
@@ -41,7 +41,7 @@
 			*field = value
 		}
 	}
-	fill(&spec.MaxDeadlineMillis, defaultMaximumDeadline)
+	fill(&spec.MaxDeadlineMillis, defaultMaximumDeadlineMillis)
 	fill(&spec.DefaultDeadlineMillis, min(defaultDeadlineMillis, spec.MaxDeadlineMillis))
 	fill(&spec.ConcurrencyLimit, defaultConcurrencyLimit)
 	fill(&spec.QueueLimit, defaultQueueLimit)
@@ -60,12 +60,12 @@
 	checkName(&checks, "spec.name", spec.GetName(), maximumNameLength)
 	_, knownUrgency := adminv1.Urgency_name[int32(spec.GetUrgency())]
 	checks.Refuse(!knownUrgency, "spec.urgency", "%d is not an urgency", spec.GetUrgency())
-	checks.Refuse(spec.GetMaxDeadlineMillis() > maximumDeadlineAllowed, "spec.max_deadline_millis", "%d; at most %d", spec.GetMaxDeadlineMillis(), maximumDeadlineAllowed)
+	checks.Refuse(spec.GetMaxDeadlineMillis() > maximumDeadlineMillis, "spec.max_deadline_millis", "%d; at most %d", spec.GetMaxDeadlineMillis(), maximumDeadlineMillis)
 	checks.Refuse(spec.GetDefaultDeadlineMillis() > spec.GetMaxDeadlineMillis(), "spec.default_deadline_millis", "%d; at most max_deadline_millis %d", spec.GetDefaultDeadlineMillis(), spec.GetMaxDeadlineMillis())
-	checks.Refuse(spec.GetConcurrencyLimit() > maximumConcurrency, "spec.concurrency_limit", "%d; at most %d", spec.GetConcurrencyLimit(), maximumConcurrency)
-	checks.Refuse(spec.GetQueueLimit() > maximumQueueLimitAllowed, "spec.queue_limit", "%d; at most %d", spec.GetQueueLimit(), maximumQueueLimitAllowed)
-	checks.Refuse(spec.GetPageSize() > maximumPageSizeAllowed, "spec.page_size", "%d; at most %d", spec.GetPageSize(), maximumPageSizeAllowed)
-	checks.Refuse(spec.GetHedge().GetBudgetPerMille() > maximumHedgeBudget, "spec.hedge.budget_per_mille", "%d; at most %d", spec.GetHedge().GetBudgetPerMille(), maximumHedgeBudget)
+	checks.Refuse(spec.GetConcurrencyLimit() > maximumConcurrencyLimit, "spec.concurrency_limit", "%d; at most %d", spec.GetConcurrencyLimit(), maximumConcurrencyLimit)
+	checks.Refuse(spec.GetQueueLimit() > maximumQueueLimit, "spec.queue_limit", "%d; at most %d", spec.GetQueueLimit(), maximumQueueLimit)
+	checks.Refuse(spec.GetPageSize() > maximumPageSize, "spec.page_size", "%d; at most %d", spec.GetPageSize(), maximumPageSize)
+	checks.Refuse(spec.GetHedge().GetBudgetPerMille() > maximumHedgeBudgetPerMille, "spec.hedge.budget_per_mille", "%d; at most %d", spec.GetHedge().GetBudgetPerMille(), maximumHedgeBudgetPerMille)
 	checks.Refuse(len(spec.GetLeafs()) == 0, "spec.leafs", "must name at least one leaf")
 	checks.Refuse(len(spec.GetLeafs()) > maximumLeafs, "spec.leafs", "%d leafs; at most %d", len(spec.GetLeafs()), maximumLeafs)
 	checkLeafs(&checks, spec.GetLeafs())
--- a/internal/operator/api/api_test.go
+++ b/internal/operator/api/api_test.go
@@ -154,13 +154,13 @@
 		code  int
 		field string
 	}{
-		"unknown service": {`{"service":"none"}`, http.StatusNotFound, ""},
-		"deadline month":  {`{"service":"s","deadlineMillis":2592000000}`, http.StatusBadRequest, "deadline_millis"},
-		"empty range":     {`{"service":"s","range":{"from":"z","to":"a"}}`, http.StatusBadRequest, "range.to"},
-		"cut short":       {`{"service":"s`, http.StatusBadRequest, ""},
-		"unknown field":   {`{"service":"s","nonsense":1}`, http.StatusOK, ""},
-		"oversize":        {`{"service":"s","filter":"` + strings.Repeat("x", maximumSearchBytes) + `"}`, http.StatusTooManyRequests, ""},
-		"long filter":     {`{"service":"s","filter":"` + strings.Repeat("x", 2000) + `"}`, http.StatusBadRequest, "filter"},
+		"unknown service":     {`{"service":"none"}`, http.StatusNotFound, ""},
+		"deadline of a month": {`{"service":"s","deadlineMillis":2592000000}`, http.StatusBadRequest, "deadline_millis"},
+		"empty range":         {`{"service":"s","range":{"from":"z","to":"a"}}`, http.StatusBadRequest, "range.to"},
+		"truncated body":      {`{"service":"s`, http.StatusBadRequest, ""},
+		"unknown field":       {`{"service":"s","nonsense":1}`, http.StatusOK, ""},
+		"oversized body":      {`{"service":"s","filter":"` + strings.Repeat("x", maximumSearchBytes) + `"}`, http.StatusTooManyRequests, ""},
+		"long filter":         {`{"service":"s","filter":"` + strings.Repeat("x", 2000) + `"}`, http.StatusBadRequest, "filter"},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/operator/cli/clients.go
+++ b/internal/operator/cli/clients.go
@@ -19,10 +19,10 @@
 )
 
 const (
-	dialTimeout         = 2 * time.Second
-	connectionsPerHost  = 256
-	maximumInputBytes   = 16 << 20
-	standardInputMarker = "-"
+	dialTimeout            = 2 * time.Second
+	idleConnectionsPerHost = 256
+	maximumInputBytes      = 16 << 20
+	standardInputMarker    = "-"
 )
 
 // NewHTTPClient returns a client that keeps enough idle connections for load on a single node.
@@ -32,7 +32,7 @@
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			return dialer.DialContext(ctx, network, address)
 		},
-		MaxIdleConnsPerHost: connectionsPerHost,
+		MaxIdleConnsPerHost: idleConnectionsPerHost,
 	}}
 }
 
