--- a/internal/node/rejected_values.go
+++ b/internal/node/rejected_values.go
@@ -30,7 +30,7 @@
 func (r *rejectedValues) reject(key string, err error) {
 	r.metrics.ConfigRejected.Inc()
 	if r.isDue(key, time.Now()) {
-		r.logger.Error("a stored value is invalid and was rejected; the last valid value of the key stays in force", zap.String("key", key), zap.Error(err))
+		r.logger.Error("a stored value is invalid and was rejected; a leaf whose record is invalid counts as removed, for any other key the last valid value stays in force", zap.String("key", key), zap.Error(err))
 	}
 }
 
--- a/internal/node/request_events.go
+++ b/internal/node/request_events.go
@@ -103,7 +103,7 @@
 	TookMillis   float64              `json:"took_millis"`
 }
 
-// unansweredGroupEvent is a group whose intermediate node did not answer.
+// unansweredGroupEvent is a group that its intermediate node did not gather.
 type unansweredGroupEvent struct {
 	Time      time.Time `json:"time"`
 	Event     string    `json:"event"`
@@ -202,7 +202,7 @@
 }
 
 // GroupEnded implements gateway.EventLog. Only groups without an answer are logged here: answered groups are in the event
-// of their request, and cancelled ones are not failures.
+// of their request, and cancelled groups are not failures.
 func (e *requestEvents) GroupEnded(record gateway.GroupRecord) {
 	e.metrics.TreePassed.WithLabelValues(string(record.Outcome)).Inc()
 	e.metrics.TreeLatency.Observe(record.Took.Seconds())
--- a/internal/node/rollout_events.go
+++ b/internal/node/rollout_events.go
@@ -134,7 +134,7 @@
 	})
 }
 
-// textOf returns the text of an error, or "" for nil.
+// errorText returns the text of an error, or "" for nil.
 func errorText(err error) string {
 	if err == nil {
 		return ""
--- a/internal/node/telemetry/metrics.go
+++ b/internal/node/telemetry/metrics.go
@@ -24,7 +24,7 @@
 	Refusals *prometheus.CounterVec
 	// Attempts counts leaf attempts by service and kind: first, hedge or retry.
 	Attempts *prometheus.CounterVec
-	// CancelledAttempts counts attempts that were cancelled because another attempt answered first.
+	// CancelledAttempts counts leaf attempts that were cancelled because their replies were no longer needed.
 	CancelledAttempts *prometheus.CounterVec
 	// DroppedReplies counts leaf replies that were not merged into an answer, by reason.
 	DroppedReplies *prometheus.CounterVec
@@ -84,11 +84,11 @@
 		QueryCoverage:        newHistogram("query_coverage", "Fraction of the requested data that each answer covers.", []float64{0, 0.5, 0.9, 0.99, 0.9999, 1}, "service"),
 		Refusals:             newCounterVec("failures_total", "Failed queries by service, code and execution state.", "service", "code", "execution"),
 		Attempts:             newCounterVec("leaf_attempts_total", "Leaf attempts of queries by service and kind (first, hedge or retry).", "service", "kind"),
-		CancelledAttempts:    newCounterVec("leaf_attempts_cancelled_total", "Leaf attempts that were cancelled because another attempt answered first.", "service"),
+		CancelledAttempts:    newCounterVec("leaf_attempts_cancelled_total", "Leaf attempts that were cancelled because their replies were no longer needed.", "service"),
 		DroppedReplies:       newCounterVec("leaf_replies_dropped_total", "Leaf replies that were not merged into an answer, by reason.", "service", "reason"),
 		ConfigRevision:       prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Name: "config_revision", Help: "Configuration revision in force on this node."}),
 		ConfigAge:            prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Name: "config_age_seconds", Help: "Time since the configuration in force was last confirmed to be the newest, in seconds."}),
-		ConfigRejected:       newCounter("config_rejected_total", "Stored values that were rejected as invalid; the last valid value of the key stays in force."),
+		ConfigRejected:       newCounter("config_rejected_total", "Stored values that were rejected as invalid; the log names key and field."),
 		ConfigRelayed:        newCounterVec("config_messages_total", "Configuration messages sent to other nodes by kind.", "kind"),
 		ControlBytes:         newCounterVec("control_bytes_sent_total", "Bytes of control messages sent by transport.", "transport"),
 		FrontRequests:        newCounterVec("front_requests_total", "Requests of the front by route and outcome; refused requests have no route and their failure code as outcome.", "route", "outcome"),
