--- a/cmd/portgauge/leaf.go
+++ b/cmd/portgauge/leaf.go
@@ -11,7 +11,6 @@
 	Delete leafDeleteCommand `cmd:"" help:"Delete the record of a leaf."`
 }
 
-// leafApplyCommand adds or replaces the record of a leaf.
 type leafApplyCommand struct {
 	operatorFlags
 	writeFlags
@@ -37,7 +36,6 @@
 	return printRevision(c.Output, response, "LEAF", c.ID, response.GetRevision())
 }
 
-// leafDeleteCommand deletes the record of a leaf.
 type leafDeleteCommand struct {
 	operatorFlags
 	writeFlags
--- a/cmd/portgauge/node.go
+++ b/cmd/portgauge/node.go
@@ -12,7 +12,6 @@
 	"github.com/portgauge/portgauge/internal/operator/cli"
 )
 
-// nodeCommand runs a node.
 type nodeCommand struct {
 	Settings string   `help:"Settings file (YAML)." placeholder:"FILE"`
 	Set      []string `help:"Override a setting, such as --set search.merge_reserve=2ms. May be repeated. 'portgauge settings show' lists the names of all settings." placeholder:"NAME=VALUE" sep:"none"`
--- a/cmd/portgauge/quarantine.go
+++ b/cmd/portgauge/quarantine.go
@@ -16,7 +16,6 @@
 	Lift quarantineLiftCommand `cmd:"" help:"Lift the quarantine of a request, so that it is sent to leafs again."`
 }
 
-// quarantineListCommand lists the quarantined requests.
 type quarantineListCommand struct {
 	operatorFlags
 }
@@ -38,7 +37,6 @@
 	return cli.PrintMessage(os.Stdout, c.Output, response, header, rows)
 }
 
-// quarantineLiftCommand lifts the quarantine of a request.
 type quarantineLiftCommand struct {
 	operatorFlags
 	writeFlags
--- a/cmd/portgauge/rollout.go
+++ b/cmd/portgauge/rollout.go
@@ -19,7 +19,6 @@
 	List   rolloutListCommand   `cmd:"" help:"List the roll-outs of all services."`
 }
 
-// rolloutStartCommand starts a roll-out.
 type rolloutStartCommand struct {
 	operatorFlags
 	writeFlags
@@ -39,7 +38,6 @@
 	return printRevision(c.Output, response, "SERVICE", c.Service, response.GetRevision())
 }
 
-// rolloutCancelCommand cancels a roll-out.
 type rolloutCancelCommand struct {
 	operatorFlags
 	writeFlags
@@ -57,7 +55,6 @@
 	return printRevision(c.Output, response, "SERVICE", c.Service, response.GetRevision())
 }
 
-// rolloutStatusCommand shows one roll-out.
 type rolloutStatusCommand struct {
 	operatorFlags
 	Service string `arg:"" help:"Service to show."`
@@ -72,7 +69,6 @@
 	return cli.PrintMessage(os.Stdout, c.Output, response, rolloutHeader(), [][]string{rolloutRow(response.GetRollout())})
 }
 
-// rolloutListCommand lists all roll-outs.
 type rolloutListCommand struct {
 	operatorFlags
 }
--- a/cmd/portgauge/routes.go
+++ b/cmd/portgauge/routes.go
@@ -15,7 +15,7 @@
 type routesCommand struct {
 	Check routesCheckCommand `cmd:"" help:"Check a routing configuration and list all faults."`
 	Apply routesApplyCommand `cmd:"" help:"Replace the routing configuration from a file or standard input."`
-	Get   routesGetCommand   `cmd:"" help:"Show the routing configuration in force on a node, with its age."`
+	Get   routesGetCommand   `cmd:"" help:"Show the routing configuration in force on a node; the JSON output includes its age."`
 }
 
 // routesCheckCommand checks a file without calling a node.
@@ -37,7 +37,6 @@
 	return err
 }
 
-// routesApplyCommand replaces the routing configuration.
 type routesApplyCommand struct {
 	operatorFlags
 	writeFlags
@@ -60,7 +59,6 @@
 	return cli.PrintMessage(os.Stdout, c.Output, response, []string{"REVISION", "CHANGE"}, rows)
 }
 
-// routesGetCommand shows the routing configuration.
 type routesGetCommand struct {
 	operatorFlags
 }
--- a/cmd/portgauge/search.go
+++ b/cmd/portgauge/search.go
@@ -14,7 +14,6 @@
 	"github.com/portgauge/portgauge/internal/operator/cli"
 )
 
-// searchCommand runs one search.
 type searchCommand struct {
 	Address      string        `help:"Caller address of a node." default:"127.0.0.1:7400"`
 	Service      string        `arg:"" help:"Service to search."`
--- a/cmd/portgauge/service.go
+++ b/cmd/portgauge/service.go
@@ -26,7 +26,6 @@
 	Status serviceStatusCommand `cmd:"" help:"Show by zone how many nodes have a revision in force."`
 }
 
-// serviceApplyCommand creates or replaces a service.
 type serviceApplyCommand struct {
 	operatorFlags
 	writeFlags
@@ -49,13 +48,11 @@
 	return cli.PrintMessage(os.Stdout, c.Output, response, []string{"SERVICE", "REVISION", "CHANGE"}, rows)
 }
 
-// serviceGetCommand shows a service.
 type serviceGetCommand struct {
 	operatorFlags
 	Name string `arg:"" help:"Service to show."`
 }
 
-// Run prints the service.
 func (c *serviceGetCommand) Run() error {
 	response, err := call(&c.operatorFlags, adminv1connect.AdminServiceClient.GetService, &adminv1.GetServiceRequest{Name: c.Name})
 	if err != nil {
@@ -77,12 +74,10 @@
 	}
 }
 
-// serviceListCommand lists services.
 type serviceListCommand struct {
 	operatorFlags
 }
 
-// Run prints all services.
 func (c *serviceListCommand) Run() error {
 	response, err := call(&c.operatorFlags, adminv1connect.AdminServiceClient.ListServices, &adminv1.ListServicesRequest{})
 	if err != nil {
@@ -95,7 +90,6 @@
 	return cli.PrintMessage(os.Stdout, c.Output, response, serviceHeader(), rows)
 }
 
-// serviceDeleteCommand deletes a service.
 type serviceDeleteCommand struct {
 	operatorFlags
 	writeFlags
@@ -139,7 +133,6 @@
 	return nil
 }
 
-// serviceStatusCommand shows how many nodes have a revision in force.
 type serviceStatusCommand struct {
 	operatorFlags
 	Revision int64 `help:"Revision to look for; 0 means the revision in force on the node that is called."`
--- a/cmd/portgauge/settings.go
+++ b/cmd/portgauge/settings.go
@@ -9,13 +9,11 @@
 	"github.com/portgauge/portgauge/internal/node/settings"
 )
 
-// settingsCommand checks and shows settings.
 type settingsCommand struct {
 	Check settingsCheckCommand `cmd:"" help:"Check a settings file and list all faults."`
 	Show  settingsShowCommand  `cmd:"" help:"Print all settings with their defaults, in the form of a settings file."`
 }
 
-// settingsCheckCommand checks a file.
 type settingsCheckCommand struct {
 	File string `arg:"" help:"Settings file (YAML)."`
 }
@@ -29,7 +27,6 @@
 	return err
 }
 
-// settingsShowCommand prints the defaults.
 type settingsShowCommand struct{}
 
 func (c *settingsShowCommand) Run() error {
--- a/cmd/portgauge/snapshot.go
+++ b/cmd/portgauge/snapshot.go
@@ -15,7 +15,6 @@
 	List    snapshotListCommand    `cmd:"" help:"List the current snapshots."`
 }
 
-// snapshotPublishCommand publishes a manifest.
 type snapshotPublishCommand struct {
 	operatorFlags
 	writeFlags
@@ -38,7 +37,6 @@
 	return cli.PrintMessage(os.Stdout, c.Output, response, []string{"SERVICE", "SNAPSHOT", "REVISION"}, rows)
 }
 
-// snapshotListCommand lists the current snapshots.
 type snapshotListCommand struct {
 	operatorFlags
 	Service string `arg:"" optional:"" help:"List only the snapshot of this service."`
--- a/cmd/portgauge/version.go
+++ b/cmd/portgauge/version.go
@@ -7,7 +7,6 @@
 	"github.com/portgauge/portgauge/internal/operator/cli"
 )
 
-// versionCommand prints the build.
 type versionCommand struct {
 	Output cli.Format `help:"Output format: ${enum}." enum:"json,table" default:"table"`
 }
--- a/cmd/portgauge/zone.go
+++ b/cmd/portgauge/zone.go
@@ -16,7 +16,6 @@
 	List     zoneListCommand     `cmd:"" help:"List the evacuated zones and the revisions of their evacuations."`
 }
 
-// zoneEvacuateCommand evacuates a zone.
 type zoneEvacuateCommand struct {
 	operatorFlags
 	Zone     string `arg:"" help:"Zone to evacuate."`
@@ -32,7 +31,6 @@
 	return printRevision(c.Output, response, "ZONE", c.Zone, response.GetRevision())
 }
 
-// zoneRestoreCommand ends an evacuation.
 type zoneRestoreCommand struct {
 	operatorFlags
 	writeFlags
@@ -50,7 +48,6 @@
 	return printRevision(c.Output, response, "ZONE", c.Zone, response.GetRevision())
 }
 
-// zoneListCommand lists the evacuated zones.
 type zoneListCommand struct {
 	operatorFlags
 }
--- a/internal/node/state_events.go
+++ b/internal/node/state_events.go
@@ -77,7 +77,6 @@
 	Gone     []string  `json:"gone,omitempty"`
 	// LeftOut is how many changed leafs are not listed.
 	LeftOut int `json:"left_out,omitempty"`
-	// Evacuated are the evacuated zones.
 	Evacuated []string `json:"evacuated,omitempty"`
 }
 
--- a/internal/node/store_events.go
+++ b/internal/node/store_events.go
@@ -27,7 +27,7 @@
 	Error string    `json:"error,omitempty"`
 }
 
-// storeEvent is the store's position, and its position before a restore.
+// storeEvent reports the position of the store, and after a restore also the position before it.
 type storeEvent struct {
 	Time     time.Time `json:"time"`
 	Event    string    `json:"event"`
--- a/internal/node/telemetry/metrics.go
+++ b/internal/node/telemetry/metrics.go
@@ -60,7 +60,7 @@
 	Quarantined prometheus.Counter
 	// LeafConnections counts connections opened to leafs.
 	LeafConnections prometheus.Counter
-	// StoreCalls counts calls of the store by name and status.
+	// StoreCalls counts calls of the store by call and status.
 	StoreCalls *prometheus.CounterVec
 	// StoreRevision is the revision in the last store answer that had one. StoreEpoch is the number of restores
 	// from a backup in the last answer.
--- a/internal/operator/api/admin_handler.go
+++ b/internal/operator/api/admin_handler.go
@@ -16,7 +16,6 @@
 // watchBuffer is how many changes a slow watcher may lag behind before it misses changes.
 const watchBuffer = 1024
 
-// adminHandler serves AdminService.
 type adminHandler struct {
 	admin   *admin.Admin
 	catalog *catalog.Catalog
--- a/internal/operator/api/search_handler.go
+++ b/internal/operator/api/search_handler.go
@@ -13,7 +13,6 @@
 // streamChunkRows is the maximum number of rows in a streamed chunk.
 const streamChunkRows = 256
 
-// searchHandler serves SearchService.
 type searchHandler struct {
 	engine *search.Engine
 }
--- a/internal/operator/api/server.go
+++ b/internal/operator/api/server.go
@@ -37,7 +37,6 @@
 	idleTimeout        = 2 * time.Minute
 )
 
-// CallerDeps are the dependencies of the callers' server.
 type CallerDeps struct {
 	Engine *search.Engine
 }
@@ -51,7 +50,6 @@
 	return router
 }
 
-// OperatorDeps are the dependencies of the operators' server.
 type OperatorDeps struct {
 	Admin   *admin.Admin
 	Catalog *catalog.Catalog
--- a/internal/operator/cli/output.go
+++ b/internal/operator/cli/output.go
@@ -12,7 +12,6 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Format is the output format of a command.
 type Format string
 
 const (
