--- a/internal/node/state_events.go
+++ b/internal/node/state_events.go
@@ -76,7 +76,7 @@
 	Draining []string  `json:"draining,omitempty"`
 	Gone     []string  `json:"gone,omitempty"`
 	// LeftOut is how many changed leafs are not listed.
-	LeftOut int `json:"left_out,omitempty"`
+	LeftOut   int      `json:"left_out,omitempty"`
 	Evacuated []string `json:"evacuated,omitempty"`
 }
 
