--- a/cmd/portgauge/version.go
+++ b/cmd/portgauge/version.go
@@ -7,12 +7,10 @@
 	"github.com/portgauge/portgauge/internal/operator/cli"
 )
 
-// versionCommand prints the build.
 type versionCommand struct {
 	Output cli.Format `help:"Output format: ${enum}." enum:"json,table" default:"table"`
 }
 
-// Run prints the build.
 func (c *versionCommand) Run() error {
 	info := version.Current()
 	return cli.PrintValue(os.Stdout, c.Output, info, []string{"VERSION", "GO", "REVISION"}, [][]string{{info.Version, info.Go, info.Revision}})
