--- a/internal/lab/replay/answer_faults.go
+++ b/internal/lab/replay/answer_faults.go
@@ -11,24 +11,24 @@
 	"github.com/portgauge/portgauge/internal/request/search"
 )
 
-// answerFaults counts what is wrong with an answer.
+// answerFaults counts the faults of an answer.
 type answerFaults struct {
-	// Mixed rows are marked with another snapshot than the answer names.
+	// Mixed counts rows of a snapshot other than the one that the answer names.
 	Mixed int
-	// Foreign rows don't match the request.
+	// Foreign counts rows that don't match the request, and repeated rows.
 	Foreign int
-	// Missing rows are absent, and the answer doesn't report their range as missing.
+	// Missing counts absent rows whose range the answer doesn't report as missing.
 	Missing int
-	// Surplus rows are in a range that the answer reports as missing.
+	// Surplus counts rows in a range that the answer reports as missing.
 	Surplus int
-	// WrongFraction is set if completeness, fraction and missing ranges contradict each other.
+	// WrongFraction is set if the completeness, the fraction and the missing ranges contradict each other.
 	WrongFraction bool
 }
 
-// indexCache has the sample index of each snapshot, to check answers with; safe for concurrent use.
+// indexCache caches the sample index of each snapshot, against which answers are checked. It is safe for concurrent use.
 type indexCache struct {
 	header  *Header
-	mutex   sync.Mutex
+	mu      sync.Mutex
 	indexes map[string]*sample.Index
 }
 
@@ -37,10 +37,10 @@
 }
 
 func (c *indexCache) index(snapshot string) *sample.Index {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	if known, found := c.indexes[snapshot]; found {
-		return known
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if cached, found := c.indexes[snapshot]; found {
+		return cached
 	}
 	built, err := sample.Build(c.header.Dataset, c.header.Seed, c.header.Records, snapshot)
 	if err != nil {
@@ -59,13 +59,13 @@
 	return &searchv1.KeyRange{From: records[min(first, second)].Key, To: records[max(first, second)].Key}
 }
 
-// check compares an answer with the rows of the snapshot that it names.
+// check compares an answer with the rows of the snapshot that the answer names.
 func (c *indexCache) check(request *searchv1.SearchRequest, response *searchv1.SearchResponse) answerFaults {
 	report := response.GetReport()
 	index := c.index(report.GetSnapshotId())
-	queried := keyspace.Range{From: request.GetRange().GetFrom(), To: request.GetRange().GetTo()}
+	keys := keyspace.Range{From: request.GetRange().GetFrom(), To: request.GetRange().GetTo()}
 	if next := report.GetNextKey(); next != "" {
-		queried.To = next
+		keys.To = next
 	}
 	var missing []keyspace.Range
 	for _, part := range report.GetCoverage().GetMissing() {
@@ -73,7 +73,7 @@
 	}
 	result := answerFaults{WrongFraction: report.GetCoverage().GetComplete() != (len(missing) == 0) ||
 		(report.GetCoverage().GetFraction() == 1) != (len(missing) == 0)}
-	expected := expectedRows(index, queried, request.GetFilter())
+	expected := expectedRows(index, keys, request.GetFilter())
 	for _, row := range response.GetRows() {
 		value, found := expected[row.GetKey()]
 		switch {
@@ -94,11 +94,11 @@
 	return result
 }
 
-// expectedRows returns the rows that match a request, by key. The check removes each that it finds, so that a row that comes
-// twice is foreign the second time.
-func expectedRows(index *sample.Index, queried keyspace.Range, filter string) map[string][]byte {
+// expectedRows returns the rows that match a request, by key. The check deletes each row that it finds, so a repeated row
+// counts as foreign.
+func expectedRows(index *sample.Index, keys keyspace.Range, filter string) map[string][]byte {
 	expected := map[string][]byte{}
-	for _, record := range index.In(queried) {
+	for _, record := range index.In(keys) {
 		if search.Matches(filter, record.Key, record.Value) {
 			expected[record.Key] = record.Value
 		}
--- a/internal/lab/replay/callers.go
+++ b/internal/lab/replay/callers.go
@@ -17,20 +17,19 @@
 	"github.com/portgauge/portgauge/internal/operator/cli"
 )
 
-// call is a request that a caller sent, and what came of it.
-type call struct {
+// callRecord is a request that a caller sent, and its result.
+type callRecord struct {
 	Service    string
 	RequestID  string
 	Node       string
 	AtMostOnce bool
 	Full       bool
-	// Last is set if the caller did not repeat the search.
+	// Last is set if the caller did not send the search again.
 	Last   bool
 	SentAt time.Time
 	Took   time.Duration
-	// Failure is set if there was no answer.
-	Failure *failure.Failure
-	// Faults is what is wrong with the answer.
+	// Failure is nil if the request was answered.
+	Failure  *failure.Failure
 	Faults   answerFaults
 	Snapshot string
 	Revision int64
@@ -39,29 +38,29 @@
 	Extra    *searchv1.ExtraLoad
 }
 
-// callers sends the loads of a trace and records the calls; safe for concurrent use.
+// callers sends the loads of a trace and records the calls. It is safe for concurrent use.
 type callers struct {
 	cluster *cluster
 	indexes *indexCache
 	clients map[string]searchv1connect.SearchServiceClient
 
-	mutex sync.Mutex
-	calls []call
+	mu    sync.Mutex
+	calls []callRecord
 	done  sync.WaitGroup
 }
 
 func newCallers(cluster *cluster, indexes *indexCache) *callers {
-	made := &callers{cluster: cluster, indexes: indexes, clients: map[string]searchv1connect.SearchServiceClient{}}
+	created := &callers{cluster: cluster, indexes: indexes, clients: map[string]searchv1connect.SearchServiceClient{}}
 	for id, node := range cluster.nodes {
-		made.clients[id] = cli.SearchClient(node.callers)
+		created.clients[id] = cli.SearchClient(node.callersAddress)
 	}
-	return made
+	return created
 }
 
-// clientGrace is how much longer than the deadline a caller waits.
+// clientGrace is the time that a caller waits after the deadline.
 const clientGrace = 2 * time.Second
 
-// run sends searches at the rate of a load, whether or not earlier ones were answered.
+// run sends searches at the rate of a load. It doesn't wait for the answers to earlier searches.
 func (c *callers) run(ctx context.Context, load *Load, seed uint64, until time.Time) {
 	random := rand.New(rand.NewPCG(seed, 11))
 	interval := time.Duration(float64(time.Second) / load.PerSecond)
@@ -79,17 +78,17 @@
 	}
 }
 
-// filters are the texts that callers search for, by dataset; the empty one matches all rows.
+// filters are the filters of searches, by dataset. The empty filter matches all rows.
 var filters = map[sample.Dataset][]string{
 	sample.Tiles:    {"", "", "coast/", "skagen", "vejle/0"},
 	sample.Invoices: {"", "", "clancy", "funded\":true", "howth"},
 }
 
-// request returns a search of all keys, or of a range between two records.
+// request returns a search over all keys, or over the range between two random records.
 func (c *callers) request(load *Load, random *rand.Rand, id string) *searchv1.SearchRequest {
-	texts := filters[c.cluster.header.Dataset]
+	candidates := filters[c.cluster.header.Dataset]
 	request := &searchv1.SearchRequest{
-		Service: load.Service, RequestId: id, DeadlineMillis: load.DeadlineMS, Limit: load.Limit, Filter: texts[random.IntN(len(texts))],
+		Service: load.Service, RequestId: id, DeadlineMillis: load.DeadlineMS, Limit: load.Limit, Filter: candidates[random.IntN(len(candidates))],
 	}
 	if random.IntN(2) == 0 {
 		request.Range = c.indexes.randomRange(random)
@@ -106,61 +105,61 @@
 	return request
 }
 
-// maximumSends bounds how often a caller sends a search.
-const maximumSends = 4
+// maxSends limits how many times a caller sends a search.
+const maxSends = 4
 
-// search sends a search, and repeats it at other nodes if the load says so.
+// search sends a search. It retries the search at other nodes if the load has Repeat or Follow set.
 func (c *callers) search(ctx context.Context, load *Load, request *searchv1.SearchRequest, first int) {
 	id := request.GetRequestId()
-	for send := range maximumSends {
+	for send := range maxSends {
 		node := load.Nodes[(first+send)%len(load.Nodes)]
 		if load.Follow && send > 0 {
-			// A search that was refused as not run is repeated as a new request: only an id of its own shows whether the
-			// refused one ran after all.
+			// A search that was refused as not run is retried as a new request. Its own ID is needed to detect that the refused
+			// request ran.
 			request.RequestId = fmt.Sprintf("%s/%d", id, send)
 		}
-		made := c.send(ctx, load, request, node)
-		again := made.Failure != nil && send+1 < maximumSends && ctx.Err() == nil &&
-			(load.Repeat || (load.Follow && made.Failure.Execution == failure.NotRun))
-		made.Last = !again
-		c.record(made)
-		if !again {
+		call := c.send(ctx, load, request, node)
+		willRepeat := call.Failure != nil && send+1 < maxSends && ctx.Err() == nil &&
+			(load.Repeat || (load.Follow && call.Failure.Execution == failure.NotRun))
+		call.Last = !willRepeat
+		c.record(call)
+		if !willRepeat {
 			return
 		}
-		time.Sleep(made.Failure.RetryAfter)
+		time.Sleep(call.Failure.RetryAfter)
 	}
 }
 
-func (c *callers) record(made call) {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	c.calls = append(c.calls, made)
+func (c *callers) record(call callRecord) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.calls = append(c.calls, call)
 }
 
-func (c *callers) send(ctx context.Context, load *Load, request *searchv1.SearchRequest, node string) call {
+func (c *callers) send(ctx context.Context, load *Load, request *searchv1.SearchRequest, node string) callRecord {
 	wait := time.Duration(request.GetDeadlineMillis())*time.Millisecond + clientGrace
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	made := call{
+	call := callRecord{
 		Service: load.Service, RequestID: request.GetRequestId(), Node: node, AtMostOnce: load.AtMostOnce, Full: load.Full, SentAt: time.Now(),
 	}
-	response, err := c.ask(ctx, load, request, node)
-	made.Took = time.Since(made.SentAt)
+	response, err := c.query(ctx, load, request, node)
+	call.Took = time.Since(call.SentAt)
 	if err != nil {
-		made.Failure = api.FailureOf(err)
-		return made
+		call.Failure = api.FailureOf(err)
+		return call
 	}
 	report := response.GetReport()
-	made.Faults = c.indexes.check(request, response)
-	made.Snapshot = report.GetSnapshotId()
-	made.Revision = report.GetConfigRevision()
-	made.Complete = report.GetCoverage().GetComplete()
-	made.Rows = len(response.GetRows())
-	made.Extra = report.GetExtraLoad()
-	return made
+	call.Faults = c.indexes.check(request, response)
+	call.Snapshot = report.GetSnapshotId()
+	call.Revision = report.GetConfigRevision()
+	call.Complete = report.GetCoverage().GetComplete()
+	call.Rows = len(response.GetRows())
+	call.Extra = report.GetExtraLoad()
+	return call
 }
 
-func (c *callers) ask(ctx context.Context, load *Load, request *searchv1.SearchRequest, node string) (*searchv1.SearchResponse, error) {
+func (c *callers) query(ctx context.Context, load *Load, request *searchv1.SearchRequest, node string) (*searchv1.SearchResponse, error) {
 	if !load.Stream {
 		response, err := c.clients[node].Search(ctx, connect.NewRequest(request))
 		if err != nil {
@@ -172,16 +171,16 @@
 	if err != nil {
 		return nil, err
 	}
-	whole := &searchv1.SearchResponse{}
+	merged := &searchv1.SearchResponse{}
 	for stream.Receive() {
-		whole.Rows = append(whole.Rows, stream.Msg().GetRows()...)
-		whole.Report = stream.Msg().GetReport()
+		merged.Rows = append(merged.Rows, stream.Msg().GetRows()...)
+		merged.Report = stream.Msg().GetReport()
 	}
 	if err := stream.Err(); err != nil {
 		return nil, err
 	}
-	if whole.Report == nil {
+	if merged.Report == nil {
 		return nil, failure.New(failure.Internal, failure.Unknown, "the stream ended without a report")
 	}
-	return whole, nil
+	return merged, nil
 }
--- a/internal/lab/replay/checks.go
+++ b/internal/lab/replay/checks.go
@@ -12,16 +12,16 @@
 // CheckName is the name of a check.
 type CheckName string
 
-// result says whether an outcome holds, and with which figures.
+// result is the result of a check and a summary of its figures.
 type result struct {
-	passed bool
-	figure string
+	passed  bool
+	summary string
 }
 
-// checkFunc checks an outcome on the recording of a run.
+// checkFunc checks an outcome against the recording of a run.
 type checkFunc func(*recording, Outcome) result
 
-// checkFuncs are all checks by name. docs/TRACES.md describes them.
+// checkFuncs are the checks by name. docs/TRACES.md describes them.
 var checkFuncs = map[CheckName]checkFunc{
 	"one_snapshot":     checkOneSnapshot,
 	"true_coverage":    checkTrueCoverage,
@@ -44,19 +44,19 @@
 	"store_calls":      checkStoreCalls,
 }
 
-func (e *recording) answered(service string) []call {
-	var answered []call
-	for _, made := range e.calls {
-		if made.Failure == nil && (service == "" || made.Service == service) {
-			answered = append(answered, made)
+func (rec *recording) answered(service string) []callRecord {
+	var answered []callRecord
+	for _, call := range rec.calls {
+		if call.Failure == nil && (service == "" || call.Service == service) {
+			answered = append(answered, call)
 		}
 	}
 	return answered
 }
 
-// countAnswers passes if no answer has a fault.
-func countAnswers(e *recording, outcome Outcome, unit string, faults func(answerFaults) int) result {
-	answers := e.answered(outcome.Service)
+// countAnswers counts a kind of fault in the answers. It passes if there is none.
+func countAnswers(rec *recording, outcome Outcome, unit string, faults func(answerFaults) int) result {
+	answers := rec.answered(outcome.Service)
 	total := 0
 	for _, answer := range answers {
 		total += faults(answer.Faults)
@@ -64,12 +64,12 @@
 	return result{total == 0, fmt.Sprintf("%d %s in %d answers", total, unit, len(answers))}
 }
 
-func checkOneSnapshot(e *recording, outcome Outcome) result {
-	return countAnswers(e, outcome, "rows of another snapshot", func(v answerFaults) int { return v.Mixed })
+func checkOneSnapshot(rec *recording, outcome Outcome) result {
+	return countAnswers(rec, outcome, "rows of another snapshot", func(v answerFaults) int { return v.Mixed })
 }
 
-func checkTrueCoverage(e *recording, outcome Outcome) result {
-	return countAnswers(e, outcome, "rows missing but not reported, or present in a range reported as missing", func(v answerFaults) int {
+func checkTrueCoverage(rec *recording, outcome Outcome) result {
+	return countAnswers(rec, outcome, "rows missing but not reported, or present in a range reported as missing", func(v answerFaults) int {
 		wrong := v.Missing + v.Surplus
 		if v.WrongFraction {
 			wrong++
@@ -78,41 +78,41 @@
 	})
 }
 
-func checkOwnAnswers(e *recording, outcome Outcome) result {
-	return countAnswers(e, outcome, "foreign rows", func(v answerFaults) int { return v.Foreign })
+func checkOwnAnswers(rec *recording, outcome Outcome) result {
+	return countAnswers(rec, outcome, "foreign rows", func(v answerFaults) int { return v.Foreign })
 }
 
-// checkNotRun finds requests that were always refused as not run, and that a leaf ran.
-func checkNotRun(e *recording, outcome Outcome) result {
+// checkNotRun finds requests that a leaf ran although all their calls were refused as not run.
+func checkNotRun(rec *recording, outcome Outcome) result {
 	ran := map[string]bool{}
-	for _, execution := range e.executions {
+	for _, execution := range rec.executions {
 		ran[execution.RequestID] = true
 	}
-	claimed := map[string]bool{}
-	for _, made := range e.calls {
-		if made.RequestID != "" && made.Failure != nil && made.Failure.Execution == failure.NotRun {
-			claimed[made.RequestID] = true
+	notRun := map[string]bool{}
+	for _, call := range rec.calls {
+		if call.RequestID != "" && call.Failure != nil && call.Failure.Execution == failure.NotRun {
+			notRun[call.RequestID] = true
 		}
 	}
-	for _, made := range e.calls {
-		if made.Failure == nil || made.Failure.Execution != failure.NotRun {
-			delete(claimed, made.RequestID)
+	for _, call := range rec.calls {
+		if call.Failure == nil || call.Failure.Execution != failure.NotRun {
+			delete(notRun, call.RequestID)
 		}
 	}
 	wrong := 0
-	for id := range claimed {
+	for id := range notRun {
 		if ran[id] {
 			wrong++
 		}
 	}
-	enough := float64(len(claimed)) >= outcome.AtLeast
-	return result{wrong == 0 && enough, fmt.Sprintf("%d of %d requests refused as not run had run (at least %g refusals wanted)", wrong, len(claimed), outcome.AtLeast)}
+	isEnough := float64(len(notRun)) >= outcome.AtLeast
+	return result{wrong == 0 && isEnough, fmt.Sprintf("%d of %d requests refused as not run had run (at least %g refusals required)", wrong, len(notRun), outcome.AtLeast)}
 }
 
-// checkAtMostOnce finds execution ids that ran more than once, over all leafs.
-func checkAtMostOnce(e *recording, outcome Outcome) result {
+// checkAtMostOnce finds execution IDs that ran more than once across all leafs.
+func checkAtMostOnce(rec *recording, outcome Outcome) result {
 	counts := map[string]int{}
-	for _, execution := range e.executions {
+	for _, execution := range rec.executions {
 		if execution.ExecutionID != "" {
 			counts[execution.ExecutionID]++
 		}
@@ -123,13 +123,13 @@
 			twice++
 		}
 	}
-	enough := float64(len(counts)) >= outcome.AtLeast
-	return result{twice == 0 && enough, fmt.Sprintf("%d of %d execution ids ran more than once (at least %g ids wanted)", twice, len(counts), outcome.AtLeast)}
+	isEnough := float64(len(counts)) >= outcome.AtLeast
+	return result{twice == 0 && isEnough, fmt.Sprintf("%d of %d execution IDs ran more than once (at least %g IDs required)", twice, len(counts), outcome.AtLeast)}
 }
 
-func (e *recording) executionsOf(leafID string) []leaf.Execution {
+func (rec *recording) executionsOf(leafID string) []leaf.Execution {
 	var executions []leaf.Execution
-	for _, execution := range e.executions {
+	for _, execution := range rec.executions {
 		if leafID == "" || execution.LeafID == leafID {
 			executions = append(executions, execution)
 		}
@@ -137,60 +137,61 @@
 	return executions
 }
 
-// checkNoNewWork measures when a leaf that is leaving ran its last attempt.
-func checkNoNewWork(e *recording, outcome Outcome) result {
-	leftAt := e.began.Add(time.Duration(outcome.AfterMS) * time.Millisecond)
+// checkNoNewWork measures the time from the start of a leaf's drain to its last new attempt. It requires an attempt before the
+// drain, too.
+func checkNoNewWork(rec *recording, outcome Outcome) result {
+	drainStart := rec.startedAt.Add(time.Duration(outcome.AfterMS) * time.Millisecond)
 	last := time.Duration(0)
 	before := 0
-	for _, execution := range e.executionsOf(outcome.Leaf) {
-		since := time.UnixMicro(execution.At).Sub(leftAt)
+	for _, execution := range rec.executionsOf(outcome.Leaf) {
+		since := time.UnixMicro(execution.At).Sub(drainStart)
 		last = max(last, since)
 		if since < 0 {
 			before++
 		}
 	}
 	bound := time.Duration(outcome.WithinMS) * time.Millisecond
-	return result{last <= bound && before > 0, fmt.Sprintf("last new attempt %d ms after the leaf began to leave, bound %d ms, %d attempts before", last.Milliseconds(), outcome.WithinMS, before)}
+	return result{last <= bound && before > 0, fmt.Sprintf("last new attempt %d ms after the leaf began to drain, bound %d ms, %d attempts before", last.Milliseconds(), outcome.WithinMS, before)}
 }
 
-// checkNoFailures passes if every search was answered after its repetitions.
-func checkNoFailures(e *recording, outcome Outcome) result {
+// checkNoFailures passes if every search was answered, if need be after retries.
+func checkNoFailures(rec *recording, outcome Outcome) result {
 	failed, total, first := 0, 0, ""
-	for _, made := range e.calls {
-		if !made.Last || (outcome.Service != "" && made.Service != outcome.Service) {
+	for _, call := range rec.calls {
+		if !call.Last || (outcome.Service != "" && call.Service != outcome.Service) {
 			continue
 		}
 		total++
-		if made.Failure != nil {
+		if call.Failure != nil {
 			failed++
 			if first == "" {
-				first = ", first: " + made.Failure.Error()
+				first = ", first: " + call.Failure.Error()
 			}
 		}
 	}
 	return result{failed == 0 && total > 0, fmt.Sprintf("%d of %d searches failed%s", failed, total, first)}
 }
 
-func checkCleanStops(e *recording, _ Outcome) result {
-	return result{len(e.stopFailures) == 0, fmt.Sprintf("%d stops were not clean %s", len(e.stopFailures), strings.Join(e.stopFailures, "; "))}
+func checkCleanStops(rec *recording, _ Outcome) result {
+	return result{len(rec.stopFailures) == 0, fmt.Sprintf("%d planned stops failed %s", len(rec.stopFailures), strings.Join(rec.stopFailures, "; "))}
 }
 
-// checkInForce measures the time from the store's acceptance of each change of a service until each node serves it.
-func checkInForce(e *recording, outcome Outcome) result {
+// checkInForce measures the time from the write of each change of a service to the store until each node serves it.
+func checkInForce(rec *recording, outcome Outcome) result {
 	nodes := outcome.Nodes
 	if len(nodes) == 0 {
-		nodes = e.nodes
+		nodes = rec.nodes
 	}
 	bound := time.Duration(outcome.WithinMS) * time.Millisecond
 	slowest := time.Duration(0)
 	late, total := 0, 0
-	for _, write := range e.writes {
-		if !strings.HasPrefix(write.Key, "service/") || write.At < e.began.UnixMicro() {
+	for _, write := range rec.writes {
+		if !strings.HasPrefix(write.Key, "service/") || write.At < rec.startedAt.UnixMicro() {
 			continue
 		}
 		total++
 		for _, node := range nodes {
-			at, found := e.observed.reachedAt(node, write.Revision)
+			at, found := rec.observed.reachedAt(node, write.Revision)
 			took := at.Sub(time.UnixMicro(write.At))
 			if !found || took > bound {
 				late++
@@ -202,33 +203,33 @@
 	return result{late == 0 && total > 0, fmt.Sprintf("%d changes on %d nodes, %d late or never, slowest %d ms, bound %d ms", total, len(nodes), late, slowest.Milliseconds(), outcome.WithinMS)}
 }
 
-// checkNeverReverts counts how often a node served a lower revision than before.
-func checkNeverReverts(e *recording, _ Outcome) result {
-	return result{e.observed.reversals == 0, fmt.Sprintf("%d times a node showed a lower revision than before", e.observed.reversals)}
+// checkNeverReverts passes if no node served a lower revision than before.
+func checkNeverReverts(rec *recording, _ Outcome) result {
+	return result{rec.observed.regressions == 0, fmt.Sprintf("%d times a node served a lower revision than before", rec.observed.regressions)}
 }
 
-// checkWritesSettled compares the outcomes that operators got with the writes of the store: each accepted change was made
-// once, at its revision, and each refused one never.
-func checkWritesSettled(e *recording, outcome Outcome) result {
-	taken := map[string][]int64{}
-	for _, write := range e.writes {
+// checkWritesSettled compares the results that operators received with the writes in the store. An accepted change must be
+// written exactly once, at its revision; a refused change must not be written; and no result may stay unknown.
+func checkWritesSettled(rec *recording, outcome Outcome) result {
+	applied := map[string][]int64{}
+	for _, write := range rec.writes {
 		if id := changeIDIn(write.Value); id != "" {
-			taken[id] = append(taken[id], write.Revision)
+			applied[id] = append(applied[id], write.Revision)
 		}
 	}
-	accepted, refused, unsettled, wrong, again := 0, 0, 0, 0, 0
-	for _, operation := range e.operations {
-		revisions := taken[operation.ChangeID]
-		if operation.Sends > 1 {
-			again++
+	accepted, refused, unsettled, wrong, resent := 0, 0, 0, 0, 0
+	for _, change := range rec.changes {
+		revisions := applied[change.ChangeID]
+		if change.Sends > 1 {
+			resent++
 		}
 		switch {
-		case operation.Failure == nil:
+		case change.Failure == nil:
 			accepted++
-			if len(revisions) != 1 || revisions[0] != operation.Revision {
+			if len(revisions) != 1 || revisions[0] != change.Revision {
 				wrong++
 			}
-		case operation.Failure.Execution == failure.NotRun:
+		case change.Failure.Execution == failure.NotRun:
 			refused++
 			wrong += len(revisions)
 		default:
@@ -238,100 +239,100 @@
 			}
 		}
 	}
-	enough := float64(accepted) >= outcome.AtLeast
-	return result{wrong == 0 && unsettled == 0 && enough, fmt.Sprintf("%d accepted, %d refused, %d never settled, %d reported wrongly, %d sent more than once", accepted, refused, unsettled, wrong, again)}
+	isEnough := float64(accepted) >= outcome.AtLeast
+	return result{wrong == 0 && unsettled == 0 && isEnough, fmt.Sprintf("%d accepted, %d refused, %d with unknown outcome, %d reported wrongly, %d sent more than once", accepted, refused, unsettled, wrong, resent)}
 }
 
-// checkSnapshotCurrent finds attempts at a snapshot that had been replaced long before.
-func checkSnapshotCurrent(e *recording, outcome Outcome) result {
+// checkSnapshotCurrent finds attempts at a snapshot that was replaced more than the bound earlier.
+func checkSnapshotCurrent(rec *recording, outcome Outcome) result {
 	bound := time.Duration(outcome.WithinMS) * time.Millisecond
-	current := currentSnapshots(e, outcome.Service)
+	history := publicationsOf(rec, outcome.Service)
 	stale := 0
 	slowest := time.Duration(0)
-	for _, execution := range e.executions {
+	for _, execution := range rec.executions {
 		if execution.Service != outcome.Service {
 			continue
 		}
-		age := current.age(execution)
+		age := history.staleness(execution)
 		slowest = max(slowest, age)
 		if age > bound {
 			stale++
 		}
 	}
-	return result{stale == 0 && len(current.published) > 0, fmt.Sprintf("%d of %d attempts at a snapshot replaced over %d ms before, longest %d ms", stale, len(e.executions), outcome.WithinMS, slowest.Milliseconds())}
+	return result{stale == 0 && len(history.publications) > 0, fmt.Sprintf("%d of %d attempts at a snapshot that was replaced more than %d ms earlier, longest %d ms", stale, len(rec.executions), outcome.WithinMS, slowest.Milliseconds())}
 }
 
-func checkCompleteShare(e *recording, outcome Outcome) result {
+func checkCompleteShare(rec *recording, outcome Outcome) result {
 	complete, total := 0, 0
-	for _, made := range e.calls {
-		if !made.Last || (outcome.Service != "" && made.Service != outcome.Service) {
+	for _, call := range rec.calls {
+		if !call.Last || (outcome.Service != "" && call.Service != outcome.Service) {
 			continue
 		}
 		total++
-		if made.Failure == nil && made.Complete {
+		if call.Failure == nil && call.Complete {
 			complete++
 		}
 	}
-	share := float64(complete) / float64(max(total, 1))
-	return result{share >= outcome.AtLeast && total > 0, fmt.Sprintf("%.4f of %d searches answered completely, at least %g", share, total, outcome.AtLeast)}
+	fraction := float64(complete) / float64(max(total, 1))
+	return result{fraction >= outcome.AtLeast && total > 0, fmt.Sprintf("%.4f of %d searches answered completely (at least %g required)", fraction, total, outcome.AtLeast)}
 }
 
-func checkAnswers(e *recording, outcome Outcome) result {
-	count := len(e.answered(outcome.Service))
-	return result{float64(count) >= outcome.AtLeast, fmt.Sprintf("%d answers, at least %g", count, outcome.AtLeast)}
+func checkAnswers(rec *recording, outcome Outcome) result {
+	count := len(rec.answered(outcome.Service))
+	return result{float64(count) >= outcome.AtLeast, fmt.Sprintf("%d answers (at least %g required)", count, outcome.AtLeast)}
 }
 
-func checkFailures(e *recording, outcome Outcome) result {
+func checkFailures(rec *recording, outcome Outcome) result {
 	codes := map[failure.Code]int{}
 	count := 0
-	for _, made := range e.calls {
-		if made.Failure != nil {
+	for _, call := range rec.calls {
+		if call.Failure != nil {
 			count++
-			codes[made.Failure.Code]++
+			codes[call.Failure.Code]++
 		}
 	}
 	inBounds := float64(count) >= outcome.AtLeast && (outcome.AtMost == 0 || float64(count) <= outcome.AtMost)
-	return result{inBounds, fmt.Sprintf("%d failed requests %v, at least %g", count, codes, outcome.AtLeast)}
+	return result{inBounds, fmt.Sprintf("%d failed requests %v (at least %g required)", count, codes, outcome.AtLeast)}
 }
 
-func checkAttempts(e *recording, outcome Outcome) result {
-	count := len(e.executionsOf(outcome.Leaf))
-	return result{float64(count) >= outcome.AtLeast, fmt.Sprintf("%d attempts ran, at least %g", count, outcome.AtLeast)}
+func checkAttempts(rec *recording, outcome Outcome) result {
+	count := len(rec.executionsOf(outcome.Leaf))
+	return result{float64(count) >= outcome.AtLeast, fmt.Sprintf("%d attempts ran (at least %g required)", count, outcome.AtLeast)}
 }
 
-func checkAcceptedChanges(e *recording, outcome Outcome) result {
+func checkAcceptedChanges(rec *recording, outcome Outcome) result {
 	count := 0
-	for _, operation := range e.operations {
-		if operation.Failure == nil {
+	for _, change := range rec.changes {
+		if change.Failure == nil {
 			count++
 		}
 	}
-	return result{float64(count) >= outcome.AtLeast, fmt.Sprintf("%d changes accepted of %d sent, at least %g", count, len(e.operations), outcome.AtLeast)}
+	return result{float64(count) >= outcome.AtLeast, fmt.Sprintf("%d changes accepted of %d sent (at least %g required)", count, len(rec.changes), outcome.AtLeast)}
 }
 
-// checkPromptRefusals passes if refusals as overloaded came soon, with a time to retry after.
-func checkPromptRefusals(e *recording, outcome Outcome) result {
+// checkPromptRefusals passes if all overloaded refusals arrived within the bound and had a retry-after time.
+func checkPromptRefusals(rec *recording, outcome Outcome) result {
 	bound := time.Duration(outcome.WithinMS) * time.Millisecond
-	refused, late, silent := 0, 0, 0
+	refused, late, withoutRetryAfter := 0, 0, 0
 	slowest := time.Duration(0)
-	for _, made := range e.calls {
-		if made.Failure == nil || made.Failure.Code != failure.Overloaded {
+	for _, call := range rec.calls {
+		if call.Failure == nil || call.Failure.Code != failure.Overloaded {
 			continue
 		}
 		refused++
-		slowest = max(slowest, made.Took)
-		if made.Took > bound {
+		slowest = max(slowest, call.Took)
+		if call.Took > bound {
 			late++
 		}
-		if made.Failure.RetryAfter <= 0 {
-			silent++
+		if call.Failure.RetryAfter <= 0 {
+			withoutRetryAfter++
 		}
 	}
-	enough := float64(refused) >= outcome.AtLeast
-	return result{late == 0 && silent == 0 && enough, fmt.Sprintf("%d refusals, slowest %d ms, %d over %d ms, %d without a time to retry after", refused, slowest.Milliseconds(), late, outcome.WithinMS, silent)}
+	isEnough := float64(refused) >= outcome.AtLeast
+	return result{late == 0 && withoutRetryAfter == 0 && isEnough, fmt.Sprintf("%d refusals, slowest %d ms, %d over %d ms, %d without a retry-after time", refused, slowest.Milliseconds(), late, outcome.WithinMS, withoutRetryAfter)}
 }
 
-func checkStoreCalls(e *recording, outcome Outcome) result {
-	reads := e.counts.Lists + e.counts.Watches
-	return result{e.counts.Limited == 0 && float64(reads) <= outcome.AtMost, fmt.Sprintf("%d lists and watches, at most %g; %d calls over the store's limit", reads, outcome.AtMost, e.counts.Limited)}
+func checkStoreCalls(rec *recording, outcome Outcome) result {
+	reads := rec.counts.Lists + rec.counts.Watches
+	return result{rec.counts.Limited == 0 && float64(reads) <= outcome.AtMost, fmt.Sprintf("%d lists and watches (at most %g allowed); %d calls refused by the store's rate limit", reads, outcome.AtMost, rec.counts.Limited)}
 }
--- a/internal/lab/replay/cluster.go
+++ b/internal/lab/replay/cluster.go
@@ -17,44 +17,44 @@
 	"github.com/portgauge/portgauge/internal/lab/retry"
 )
 
-// cluster has the processes of a trace and the forwarders between them.
+// cluster owns the processes of a trace and the forwarders between them.
 type cluster struct {
 	header   *Header
 	programs process.Programs
-	folder   string
+	dir      string
 
 	platform        *process.Process
 	platformAddress string
 	platformControl string
 
-	mutex    sync.Mutex
+	mu       sync.Mutex
 	nodes    map[string]*nodeProcess
 	leafs    map[string]*leafProcess
 	machines map[string]*platformv1.Machine
 	cuts     map[[2]string]bool
 }
 
-// nodeProcess is a node with the forwarders to it and from it to the platform.
+// nodeProcess is a node with the forwarder from its peers and the one to the platform.
 type nodeProcess struct {
-	spec       NodeSpec
-	callers    string
-	operators  string
-	peers      string // where it listens
-	advertised string // the forwarder from other nodes
-	platform   string // the forwarder to the platform
-	running    *process.Process
-	forwarders []*forwarder.Forwarder
+	spec              NodeSpec
+	callersAddress    string
+	operatorsAddress  string
+	peersAddress      string // listen address
+	advertisedAddress string // address of the forwarder from other nodes
+	platformAddress   string // address of the forwarder to the platform
+	running           *process.Process
+	forwarders        []*forwarder.Forwarder
 }
 
 // leafProcess is a leaf with the forwarder to it.
 type leafProcess struct {
-	spec      LeafSpec
-	address   string
-	forwarded string
-	control   string
-	record    string
-	running   *process.Process
-	forwarder *forwarder.Forwarder
+	spec             LeafSpec
+	address          string
+	forwardedAddress string
+	controlAddress   string
+	recordPath       string
+	running          *process.Process
+	forwarder        *forwarder.Forwarder
 }
 
 const (
@@ -66,15 +66,15 @@
 	addressesOfPlatform = 2
 )
 
-func newCluster(header *Header, programs process.Programs, folder string) *cluster {
+func newCluster(header *Header, programs process.Programs, dir string) *cluster {
 	return &cluster{
-		header: header, programs: programs, folder: folder,
+		header: header, programs: programs, dir: dir,
 		nodes: map[string]*nodeProcess{}, leafs: map[string]*leafProcess{},
 		machines: map[string]*platformv1.Machine{}, cuts: map[[2]string]bool{},
 	}
 }
 
-// start starts all processes and waits until all nodes have all services.
+// start starts all processes and waits until every node has every service.
 func (c *cluster) start(ctx context.Context) error {
 	count := addressesOfPlatform + addressesPerNode*len(c.header.Nodes) + addressesPerLeaf*len(c.header.Leafs)
 	addresses, err := process.FreeAddresses(count)
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// addMachines starts the leafs and the forwarders of all machines.
+// addMachines starts the leafs, and the forwarders of all leafs and nodes.
 func (c *cluster) addMachines(addresses []string) error {
 	for _, spec := range c.header.Leafs {
 		if err := c.addLeaf(spec, addresses[:addressesPerLeaf]); err != nil {
@@ -123,21 +123,21 @@
 
 // stop kills all processes and closes all forwarders.
 func (c *cluster) stop() {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for _, node := range c.nodes {
 		if node.running != nil {
 			node.running.Kill()
 		}
-		for _, passing := range node.forwarders {
-			passing.Close()
+		for _, fwd := range node.forwarders {
+			fwd.Close()
 		}
 	}
-	for _, served := range c.leafs {
-		if served.running != nil {
-			served.running.Kill()
+	for _, proc := range c.leafs {
+		if proc.running != nil {
+			proc.running.Kill()
 		}
-		served.forwarder.Close()
+		proc.forwarder.Close()
 	}
 	if c.platform != nil {
 		c.platform.Kill()
@@ -156,50 +156,50 @@
 }
 
 func (c *cluster) addLeaf(spec LeafSpec, addresses []string) error {
-	added := &leafProcess{
-		spec: spec, address: addresses[0], forwarded: addresses[1], control: addresses[2],
-		record: filepath.Join(c.folder, spec.ID+".jsonl"),
+	proc := &leafProcess{
+		spec: spec, address: addresses[0], forwardedAddress: addresses[1], controlAddress: addresses[2],
+		recordPath: filepath.Join(c.dir, spec.ID+".jsonl"),
 	}
 	var err error
-	added.forwarder, err = forwarder.NewTCP(added.forwarded, added.address, func(string) bool { return !c.isCut(anySender, spec.ID) })
+	proc.forwarder, err = forwarder.NewTCP(proc.forwardedAddress, proc.address, func(string) bool { return !c.isCut(anySender, spec.ID) })
 	if err != nil {
 		return err
 	}
-	c.leafs[spec.ID] = added
-	c.machines[spec.ID] = &platformv1.Machine{Id: spec.ID, Address: added.forwarded, Zone: spec.Zone, Role: "leaf", State: platformv1.MachineState_MACHINE_STATE_LIVE}
-	return c.startLeaf(added)
+	c.leafs[spec.ID] = proc
+	c.machines[spec.ID] = &platformv1.Machine{Id: spec.ID, Address: proc.forwardedAddress, Zone: spec.Zone, Role: "leaf", State: platformv1.MachineState_MACHINE_STATE_LIVE}
+	return c.startLeaf(proc)
 }
 
-func (c *cluster) startLeaf(served *leafProcess) error {
+func (c *cluster) startLeaf(proc *leafProcess) error {
 	var err error
-	served.running, err = process.Start(served.spec.ID, c.programs.Lab, "leaf",
-		"--id", served.spec.ID, "--address", served.address, "--control", served.control, "--record", served.record,
+	proc.running, err = process.Start(proc.spec.ID, c.programs.Lab, "leaf",
+		"--id", proc.spec.ID, "--address", proc.address, "--control", proc.controlAddress, "--record", proc.recordPath,
 		"--dataset", string(c.header.Dataset), "--seed", fmt.Sprint(c.header.Seed), "--records", fmt.Sprint(c.header.Records),
-		"--snapshots", strings.Join(served.spec.Snapshots, ","), "--slots", fmt.Sprint(served.spec.Slots),
-		"--median-service-time", fmt.Sprintf("%gms", max(served.spec.MedianMS, 0.01)))
+		"--snapshots", strings.Join(proc.spec.Snapshots, ","), "--slots", fmt.Sprint(proc.spec.Slots),
+		"--median-service-time", fmt.Sprintf("%gms", max(proc.spec.MedianMS, 0.01)))
 	return err
 }
 
 func (c *cluster) addNode(spec NodeSpec, addresses []string) error {
-	added := &nodeProcess{spec: spec, callers: addresses[0], operators: addresses[1], peers: addresses[2], advertised: addresses[3], platform: addresses[4]}
-	toPlatform, err := forwarder.NewTCP(added.platform, c.platformAddress, func(string) bool { return !c.isCut(spec.ID, platformName) })
+	proc := &nodeProcess{spec: spec, callersAddress: addresses[0], operatorsAddress: addresses[1], peersAddress: addresses[2], advertisedAddress: addresses[3], platformAddress: addresses[4]}
+	toPlatform, err := forwarder.NewTCP(proc.platformAddress, c.platformAddress, func(string) bool { return !c.isCut(spec.ID, platformName) })
 	if err != nil {
 		return err
 	}
-	toPeers, err := forwarder.NewPeer(added.advertised, added.peers, func(from string) bool { return !c.isCut(c.nodeAt(from), spec.ID) })
+	toPeers, err := forwarder.NewPeer(proc.advertisedAddress, proc.peersAddress, func(from string) bool { return !c.isCut(c.nodeAt(from), spec.ID) })
 	if err != nil {
 		return err
 	}
-	added.forwarders = []*forwarder.Forwarder{toPlatform, toPeers}
-	c.nodes[spec.ID] = added
-	c.machines[spec.ID] = &platformv1.Machine{Id: spec.ID, Address: added.advertised, Zone: spec.Zone, Role: "node", State: platformv1.MachineState_MACHINE_STATE_LIVE}
+	proc.forwarders = []*forwarder.Forwarder{toPlatform, toPeers}
+	c.nodes[spec.ID] = proc
+	c.machines[spec.ID] = &platformv1.Machine{Id: spec.ID, Address: proc.advertisedAddress, Zone: spec.Zone, Role: "node", State: platformv1.MachineState_MACHINE_STATE_LIVE}
 	return nil
 }
 
 func (c *cluster) startNode(node *nodeProcess) error {
 	values := map[string]string{
-		"node.id": node.spec.ID, "node.zone": node.spec.Zone, "platform.address": node.platform,
-		"listen.callers": node.callers, "listen.operators": node.operators, "listen.peers": node.peers, "listen.advertise_peers": node.advertised,
+		"node.id": node.spec.ID, "node.zone": node.spec.Zone, "platform.address": node.platformAddress,
+		"listen.callers": node.callersAddress, "listen.operators": node.operatorsAddress, "listen.peers": node.peersAddress, "listen.advertise_peers": node.advertisedAddress,
 	}
 	for name, value := range node.spec.Set {
 		values[name] = value
@@ -214,12 +214,12 @@
 }
 
 func (c *cluster) putMachines(ctx context.Context) error {
-	c.mutex.Lock()
+	c.mu.Lock()
 	var list []*platformv1.Machine
 	for _, machine := range c.machines {
 		list = append(list, machine)
 	}
-	c.mutex.Unlock()
+	c.mu.Unlock()
 	sort.Slice(list, func(i, j int) bool { return list[i].GetId() < list[j].GetId() })
 	return control.Put(ctx, c.platformControl, "/machines", list)
 }
@@ -232,7 +232,7 @@
 	return c.leafs[name].running
 }
 
-// restart starts a process again on its old addresses.
+// restart starts a process again on the same addresses.
 func (c *cluster) restart(name string) error {
 	if node, found := c.nodes[name]; found {
 		return c.startNode(node)
@@ -240,5 +240,5 @@
 	return c.startLeaf(c.leafs[name])
 }
 
-// makeFolder creates the folder for the records of a run.
-func makeFolder() (string, error) { return os.MkdirTemp("", "portgauge-replay-") }
+// makeRecordDir creates the directory for the leafs' records of a run.
+func makeRecordDir() (string, error) { return os.MkdirTemp("", "portgauge-replay-") }
--- a/internal/lab/replay/cuts.go
+++ b/internal/lab/replay/cuts.go
@@ -1,12 +1,12 @@
 package replay
 
-// anySender stands for all senders to a leaf: its forwarder can't tell the node of a connection, so that a leaf is cut
-// off from all or none.
+// anySender stands for all senders to a leaf. The leaf's forwarder can't identify the node of a connection, so a leaf is cut
+// off from all nodes or none.
 const anySender = "*"
 
-// setCut makes or heals a cut between two groups, and applies it to open connections.
+// setCut creates or heals a partition between two groups and applies the change to open connections.
 func (c *cluster) setCut(between []string, cut bool) {
-	c.mutex.Lock()
+	c.mu.Lock()
 	for _, first := range c.expand(between[0]) {
 		for _, second := range c.expand(between[1]) {
 			c.cuts[[2]string{first, second}] = cut
@@ -19,18 +19,18 @@
 			}
 		}
 	}
-	c.mutex.Unlock()
+	c.mu.Unlock()
 	for _, node := range c.nodes {
-		for _, passing := range node.forwarders {
-			passing.Recheck()
+		for _, fwd := range node.forwarders {
+			fwd.Recheck()
 		}
 	}
-	for _, served := range c.leafs {
-		served.forwarder.Recheck()
+	for _, proc := range c.leafs {
+		proc.forwarder.Recheck()
 	}
 }
 
-// expand returns the nodes of a zone, or the name itself if it is no zone.
+// expand returns the nodes of a zone, or the name itself if it isn't a zone.
 func (c *cluster) expand(name string) []string {
 	var names []string
 	for id, node := range c.nodes {
@@ -45,15 +45,15 @@
 }
 
 func (c *cluster) isCut(from, to string) bool {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	return c.cuts[[2]string{from, to}]
 }
 
 // nodeAt returns the node that advertises a peer address, or "".
 func (c *cluster) nodeAt(address string) string {
 	for id, node := range c.nodes {
-		if node.advertised == address {
+		if node.advertisedAddress == address {
 			return id
 		}
 	}
--- a/internal/lab/replay/observers.go
+++ b/internal/lab/replay/observers.go
@@ -11,69 +11,69 @@
 	"github.com/portgauge/portgauge/internal/operator/cli"
 )
 
-// observers records the revisions that nodes serve; safe for concurrent use.
+// observers records the revisions that nodes serve. It is safe for concurrent use.
 type observers struct {
 	cluster *cluster
-	mutex   sync.Mutex
-	// reached is when each node first served at least a revision.
-	reached map[string]map[int64]time.Time
-	highest map[string]int64
-	// reversals counts revisions that a node served after a higher one.
-	reversals int
+	mu      sync.Mutex
+	// servedSince is the time at which each node first served a revision.
+	servedSince map[string]map[int64]time.Time
+	highest     map[string]int64
+	// regressions counts revisions that a node served after a higher one.
+	regressions int
 }
 
 func newObservers(cluster *cluster) *observers {
-	return &observers{cluster: cluster, reached: map[string]map[int64]time.Time{}, highest: map[string]int64{}}
+	return &observers{cluster: cluster, servedSince: map[string]map[int64]time.Time{}, highest: map[string]int64{}}
 }
 
-// observePause is the time between two calls to a node.
-const observePause = 25 * time.Millisecond
+// pollInterval is the pause between two calls to a node.
+const pollInterval = 25 * time.Millisecond
 
-// follow records the revision of a node until the context ends. Its calls cause none between nodes.
-func (o *observers) follow(ctx context.Context, node *nodeProcess) {
-	client := cli.AdminClient(node.operators)
+// observe polls a node and records its revision until the context ends. The polls cause no calls between nodes.
+func (o *observers) observe(ctx context.Context, node *nodeProcess) {
+	client := cli.AdminClient(node.operatorsAddress)
 	for ctx.Err() == nil {
-		ask, cancel := context.WithTimeout(ctx, time.Second)
-		response, err := client.ListServices(ask, connect.NewRequest(&adminv1.ListServicesRequest{}))
+		callCtx, cancel := context.WithTimeout(ctx, time.Second)
+		response, err := client.ListServices(callCtx, connect.NewRequest(&adminv1.ListServicesRequest{}))
 		cancel()
 		if err == nil {
-			o.note(node.spec.ID, revisionOf(response.Msg))
+			o.recordRevision(node.spec.ID, revisionOf(response.Msg))
 		}
-		time.Sleep(observePause)
+		time.Sleep(pollInterval)
 	}
 }
 
 // revisionOf returns the highest revision of any service.
 func revisionOf(services *adminv1.ListServicesResponse) int64 {
-	newest := int64(0)
+	highest := int64(0)
 	for _, service := range services.GetServices() {
-		newest = max(newest, service.GetRevision())
+		highest = max(highest, service.GetRevision())
 	}
-	return newest
+	return highest
 }
 
-func (o *observers) note(node string, revision int64) {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	if o.reached[node] == nil {
-		o.reached[node] = map[int64]time.Time{}
+func (o *observers) recordRevision(node string, revision int64) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if o.servedSince[node] == nil {
+		o.servedSince[node] = map[int64]time.Time{}
 	}
 	if revision < o.highest[node] && revision > 0 {
-		o.reversals++
+		o.regressions++
 	}
 	if revision > o.highest[node] {
 		o.highest[node] = revision
-		o.reached[node][revision] = time.Now()
+		o.servedSince[node][revision] = time.Now()
 	}
 }
 
-// reachedAt returns when a node first served a revision or a later one, and false if it never did.
+// reachedAt returns the time at which a node first served the revision or a later one, and false if it never did.
 func (o *observers) reachedAt(node string, revision int64) (time.Time, bool) {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	var first time.Time
-	for shown, at := range o.reached[node] {
-		if shown >= revision && (first.IsZero() || at.Before(first)) {
+	for served, at := range o.servedSince[node] {
+		if served >= revision && (first.IsZero() || at.Before(first)) {
 			first = at
 		}
 	}
--- a/internal/lab/replay/replay.go
+++ b/internal/lab/replay/replay.go
@@ -1,7 +1,7 @@
-// Package replay replays traces over real processes and checks their outcomes on the records of leafs, store and callers.
+// Package replay replays traces against real processes and checks the outcomes on the records of leafs, store and callers.
 //
-// A cluster owns the processes and the forwarders between them; all have ended when Run returns. Callers, operators and observers
-// record what they see while the events are played in real time. Checks evaluate the outcomes afterwards.
+// A cluster owns the processes and the forwarders between them, which have all ended when Run returns. Callers, operators and
+// observers record their results while the events are played in real time. The checks run afterwards.
 package replay
 
 import (
@@ -22,16 +22,16 @@
 	"github.com/portgauge/portgauge/internal/lab/process"
 )
 
-// recording is everything that was recorded while a trace ran.
+// recording contains all records of a trace's run.
 type recording struct {
-	began      time.Time
-	calls      []call
-	operations []writeRecord
+	startedAt  time.Time
+	calls      []callRecord
+	changes    []changeRecord
 	writes     []platform.Write
 	counts     platform.Counts
 	executions []leaf.Execution
 	observed   *observers
-	// stopFailures describe the planned stops that failed.
+	// stopFailures describes the planned stops that failed.
 	stopFailures []string
 	nodes        []string
 }
@@ -43,15 +43,15 @@
 	callers   *callers
 	operators *operators
 	observed  *observers
-	began     time.Time
+	startedAt time.Time
 
-	mutex        sync.Mutex
+	mu           sync.Mutex
 	stopFailures []string
 	background   sync.WaitGroup
 }
 
-// Run replays a trace and writes a line for each outcome. It returns how many hold and how many don't, and an error if the
-// trace could not be played. All processes that it started have ended when it returns.
+// Run replays a trace and writes a line for each outcome. It returns the numbers of passed and failed outcomes, and an error
+// if the trace could not be played. All processes that it started have ended when it returns.
 func Run(ctx context.Context, trace *Trace, programs process.Programs, output io.Writer) (passed, failed int, err error) {
 	recorded, err := play(ctx, trace, programs)
 	if err != nil {
@@ -66,7 +66,7 @@
 			failed++
 			status = "FAIL"
 		}
-		if _, err := fmt.Fprintf(output, "%s %s %s: %s\n", status, trace.Header.Name, outcome.Check, result.figure); err != nil {
+		if _, err := fmt.Fprintf(output, "%s %s %s: %s\n", status, trace.Header.Name, outcome.Check, result.summary); err != nil {
 			return passed, failed, err
 		}
 	}
@@ -74,41 +74,41 @@
 }
 
 func play(ctx context.Context, trace *Trace, programs process.Programs) (*recording, error) {
-	folder, err := makeFolder()
+	dir, err := makeRecordDir()
 	if err != nil {
 		return nil, err
 	}
 	defer func() {
-		if err := os.RemoveAll(folder); err != nil {
+		if err := os.RemoveAll(dir); err != nil {
 			return
 		}
 	}()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	started := newCluster(&trace.Header, programs, folder)
+	started := newCluster(&trace.Header, programs, dir)
 	defer started.stop()
 	if err := started.start(ctx); err != nil {
 		return nil, err
 	}
 	p := &player{
 		trace: trace, cluster: started, callers: newCallers(started, newIndexCache(&trace.Header)),
-		operators: &operators{cluster: started}, observed: newObservers(started), began: time.Now(),
+		operators: &operators{cluster: started}, observed: newObservers(started), startedAt: time.Now(),
 	}
 	return p.run(ctx)
 }
 
-// run plays the events in order of time, waits for the loads and operators, and collects the records.
+// run plays the events in order of their time, waits for the loads and operators, and collects the records.
 func (p *player) run(ctx context.Context) (*recording, error) {
-	followContext, stopFollowing := context.WithCancel(ctx)
-	defer stopFollowing()
+	observeCtx, stopObserving := context.WithCancel(ctx)
+	defer stopObserving()
 	for _, node := range p.cluster.nodes {
-		go p.observed.follow(followContext, node)
+		go p.observed.observe(observeCtx, node)
 	}
 	events := append([]Event(nil), p.trace.Events...)
 	sort.SliceStable(events, func(i, j int) bool { return events[i].AtMS < events[j].AtMS })
 	for number, event := range events {
 		time.Sleep(time.Until(p.at(event.AtMS)))
-		if err := p.perform(ctx, number, event); err != nil {
+		if err := p.handleEvent(ctx, number, event); err != nil {
 			return nil, err
 		}
 	}
@@ -116,15 +116,15 @@
 	p.callers.done.Wait()
 	p.operators.done.Wait()
 	time.Sleep(time.Until(p.at(p.trace.Header.DurationMS)))
-	return p.gather(ctx)
+	return p.collect(ctx)
 }
 
 func (p *player) at(millis int64) time.Time {
-	return p.began.Add(time.Duration(millis) * time.Millisecond)
+	return p.startedAt.Add(time.Duration(millis) * time.Millisecond)
 }
 
-// perform starts what an event says. Loads, operators and planned stops run in the background.
-func (p *player) perform(ctx context.Context, number int, event Event) error {
+// handleEvent plays an event. Loads, operators and planned stops run in the background.
+func (p *player) handleEvent(ctx context.Context, number int, event Event) error {
 	switch {
 	case event.Load != nil:
 		seed := p.trace.Header.Seed + uint64(number)
@@ -169,7 +169,7 @@
 
 func (p *player) setLeafFaults(ctx context.Context, change *LeafFaults) error {
 	for _, leafID := range change.Leafs {
-		if err := control.Put(ctx, p.cluster.leafs[leafID].control, "/faults", change.Faults); err != nil {
+		if err := control.Put(ctx, p.cluster.leafs[leafID].controlAddress, "/faults", change.Faults); err != nil {
 			return err
 		}
 	}
@@ -178,8 +178,8 @@
 
 func (p *player) plannedStop(name string) {
 	if err := p.cluster.process(name).Stop(); err != nil {
-		p.mutex.Lock()
-		defer p.mutex.Unlock()
+		p.mu.Lock()
+		defer p.mu.Unlock()
 		p.stopFailures = append(p.stopFailures, fmt.Sprintf("%s: %v", name, err))
 	}
 }
@@ -198,15 +198,15 @@
 	if change.State == "leaving" {
 		state = platformv1.MachineState_MACHINE_STATE_LEAVING
 	}
-	p.cluster.mutex.Lock()
+	p.cluster.mu.Lock()
 	p.cluster.machines[change.ID].State = state
-	p.cluster.mutex.Unlock()
+	p.cluster.mu.Unlock()
 	return p.cluster.putMachines(ctx)
 }
 
-func (p *player) gather(ctx context.Context) (*recording, error) {
+func (p *player) collect(ctx context.Context) (*recording, error) {
 	recorded := &recording{
-		began: p.began, calls: p.callers.calls, operations: p.operators.writes, observed: p.observed, stopFailures: p.stopFailures,
+		startedAt: p.startedAt, calls: p.callers.calls, changes: p.operators.changes, observed: p.observed, stopFailures: p.stopFailures,
 	}
 	for id := range p.cluster.nodes {
 		recorded.nodes = append(recorded.nodes, id)
@@ -217,8 +217,8 @@
 	if err := control.Get(ctx, p.cluster.platformControl, "/counts", &recorded.counts); err != nil {
 		return nil, err
 	}
-	for _, served := range p.cluster.leafs {
-		executions, err := readExecutions(served.record)
+	for _, proc := range p.cluster.leafs {
+		executions, err := readExecutions(proc.recordPath)
 		if err != nil {
 			return nil, err
 		}
@@ -227,7 +227,8 @@
 	return recorded, nil
 }
 
-// readExecutions reads the executions that a leaf recorded. The last line of a killed leaf may be cut off.
+// readExecutions reads the executions that a leaf recorded. It skips lines that can't be parsed: a killed leaf may leave a
+// truncated last line.
 func readExecutions(path string) ([]leaf.Execution, error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/internal/lab/replay/services.go
+++ b/internal/lab/replay/services.go
@@ -13,16 +13,16 @@
 	"github.com/portgauge/portgauge/internal/operator/cli"
 )
 
-// createService applies a service and its first snapshot, and waits until every node has the snapshot.
+// createService applies a service, publishes its first snapshot, and waits until every node has the snapshot.
 func (c *cluster) createService(ctx context.Context, spec ServiceSpec) error {
 	first := c.nodes[c.header.Nodes[0].ID]
-	client := cli.AdminClient(first.operators)
+	client := cli.AdminClient(first.operatorsAddress)
 	err := retry.Eventually(ctx, startTimeout, func() error {
 		_, err := client.ApplyService(ctx, connect.NewRequest(&adminv1.ApplyServiceRequest{Spec: c.serviceSpec(spec)}))
 		return err
 	})
 	if err != nil {
-		return merry.Prepend(api.FailureOf(err), "create service; output of the node: "+first.running.Output())
+		return merry.Prepend(api.FailureOf(err), "failed to create the service; output of the node: "+first.running.Output())
 	}
 	manifest, err := c.manifest(spec, spec.Snapshot, spec.Shards, spec.Replicas)
 	if err != nil {
@@ -33,7 +33,7 @@
 	}
 	for _, node := range c.nodes {
 		err := retry.Eventually(ctx, startTimeout, func() error {
-			status, err := cli.AdminClient(node.operators).ListSnapshots(ctx, connect.NewRequest(&adminv1.ListSnapshotsRequest{Service: spec.Name}))
+			status, err := cli.AdminClient(node.operatorsAddress).ListSnapshots(ctx, connect.NewRequest(&adminv1.ListSnapshotsRequest{Service: spec.Name}))
 			if err == nil && len(status.Msg.GetSnapshots()) == 0 {
 				return merry.Errorf("node %s has no snapshot of %s", node.spec.ID, spec.Name)
 			}
@@ -47,12 +47,12 @@
 }
 
 func (c *cluster) serviceSpec(spec ServiceSpec) *adminv1.ServiceSpec {
-	made := &adminv1.ServiceSpec{Name: spec.Name, ConcurrencyLimit: spec.Concurrency, QueueLimit: spec.Queue}
+	created := &adminv1.ServiceSpec{Name: spec.Name, ConcurrencyLimit: spec.Concurrency, QueueLimit: spec.Queue}
 	for _, leafID := range spec.Leafs {
-		served := c.leafs[leafID]
-		made.Leafs = append(made.Leafs, &adminv1.Leaf{Id: leafID, Address: served.forwarded, Zone: served.spec.Zone})
+		proc := c.leafs[leafID]
+		created.Leafs = append(created.Leafs, &adminv1.Leaf{Id: leafID, Address: proc.forwardedAddress, Zone: proc.spec.Zone})
 	}
-	return made
+	return created
 }
 
 func (c *cluster) manifest(spec ServiceSpec, snapshot string, shards, replicas int) (*adminv1.SnapshotManifest, error) {
--- a/internal/lab/replay/snapshots.go
+++ b/internal/lab/replay/snapshots.go
@@ -9,43 +9,43 @@
 	"github.com/portgauge/portgauge/internal/lab/platform"
 )
 
-// publication is a snapshot that the store accepted at a time.
+// publication is a snapshot and the time at which the store accepted it.
 type publication struct {
 	snapshot string
 	at       time.Time
 }
 
-// history has the publications of a service in order.
-type history struct {
-	published []publication
+// publicationHistory contains the publications of a service, ordered by time.
+type publicationHistory struct {
+	publications []publication
 }
 
-func currentSnapshots(e *recording, service string) history {
-	var found history
-	for _, write := range e.writes {
+func publicationsOf(rec *recording, service string) publicationHistory {
+	var found publicationHistory
+	for _, write := range rec.writes {
 		if write.Key != catalog.SnapshotKey(service) || write.Deleted {
 			continue
 		}
 		if snapshot := snapshotIn(write); snapshot != "" {
-			found.published = append(found.published, publication{snapshot: snapshot, at: time.UnixMicro(write.At)})
+			found.publications = append(found.publications, publication{snapshot: snapshot, at: time.UnixMicro(write.At)})
 		}
 	}
-	sort.Slice(found.published, func(i, j int) bool { return found.published[i].at.Before(found.published[j].at) })
+	sort.Slice(found.publications, func(i, j int) bool { return found.publications[i].at.Before(found.publications[j].at) })
 	return found
 }
 
-// age returns how long before an execution its snapshot had been replaced, or 0.
-func (h history) age(execution leaf.Execution) time.Duration {
+// staleness returns the time from the replacement of an execution's snapshot to the execution, or 0 if the snapshot was current.
+func (h publicationHistory) staleness(execution leaf.Execution) time.Duration {
 	at := time.UnixMicro(execution.At)
 	replacedAt := time.Time{}
-	for index, published := range h.published {
+	for index, published := range h.publications {
 		if published.at.After(at) {
 			break
 		}
 		if published.snapshot == execution.SnapshotID {
 			replacedAt = time.Time{}
-			if index+1 < len(h.published) && h.published[index+1].at.Before(at) {
-				replacedAt = h.published[index+1].at
+			if index+1 < len(h.publications) && h.publications[index+1].at.Before(at) {
+				replacedAt = h.publications[index+1].at
 			}
 		}
 	}
--- a/internal/lab/replay/trace.go
+++ b/internal/lab/replay/trace.go
@@ -21,7 +21,7 @@
 	Outcomes []Outcome
 }
 
-// Header describes the processes.
+// Header describes the processes, services and data of a trace.
 type Header struct {
 	Name        string         `json:"name"`
 	Description string         `json:"description"`
@@ -40,7 +40,7 @@
 type NodeSpec struct {
 	ID   string `json:"id"`
 	Zone string `json:"zone"`
-	// Set has settings by name.
+	// Set overrides settings, by name.
 	Set map[string]string `json:"set,omitempty"`
 }
 
@@ -64,7 +64,7 @@
 	Queue       uint32   `json:"queue,omitempty"`
 }
 
-// Event is something that happens at a time. Exactly one of its kinds is set.
+// Event is an action at a given time. Exactly one of the kinds is set.
 type Event struct {
 	AtMS int64 `json:"at_ms"`
 
@@ -90,39 +90,40 @@
 	UntilMS    int64    `json:"until_ms"`
 	PerSecond  float64  `json:"per_second"`
 	DeadlineMS uint32   `json:"deadline_ms"`
-	// Limit is the page size; 0 means the service's.
+	// Limit is the page size; 0 means the default of the service.
 	Limit      uint32 `json:"limit,omitempty"`
 	AtMostOnce bool   `json:"at_most_once,omitempty"`
 	Full       bool   `json:"full,omitempty"`
-	// Follow sends a search that was refused as not run to another node, as a new request.
+	// Follow retries a search that was refused as not run at another node, as a new request.
 	Follow bool `json:"follow,omitempty"`
-	// Repeat sends the same request id to another node after any failure.
+	// Repeat retries a search at another node after any failure, with the same request ID.
 	Repeat bool `json:"repeat,omitempty"`
-	// Unnamed lets the node make the request id.
+	// Unnamed sends no request ID, so the node generates one.
 	Unnamed bool `json:"unnamed,omitempty"`
 	// Stream requests a streamed answer.
 	Stream bool `json:"stream,omitempty"`
 }
 
-// Publish publishes snapshots.
+// Publish is an operator that publishes snapshots through one node.
 type Publish struct {
 	Service   string   `json:"service"`
 	Node      string   `json:"node"`
 	Snapshots []string `json:"snapshots"`
 	Shards    []int    `json:"shards"`
 	Replicas  int      `json:"replicas"`
-	// EveryMS and UntilMS publish them in turn, again and again; if EveryMS is 0 the first is published once.
+	// EveryMS is the interval at which the snapshots are published in turn, until UntilMS. If it is 0, only the first snapshot
+	// is published, once.
 	EveryMS int64 `json:"every_ms,omitempty"`
 	UntilMS int64 `json:"until_ms,omitempty"`
 }
 
-// Apply is an operator that changes a service again and again through one node.
+// Apply is an operator that changes a service repeatedly through one node.
 type Apply struct {
 	Service string `json:"service"`
 	Node    string `json:"node"`
 	EveryMS int64  `json:"every_ms"`
 	UntilMS int64  `json:"until_ms"`
-	// Leaving has the leafs that the operator marks as leaving.
+	// Leaving lists the leafs that the operator marks as leaving.
 	Leaving []string `json:"leaving,omitempty"`
 }
 
@@ -137,27 +138,27 @@
 	Faults platform.Faults `json:"faults"`
 }
 
-// MachineChange changes a machine's state on the machine list.
+// MachineChange changes the state of a machine in the machine list.
 type MachineChange struct {
 	ID    string `json:"id"`
 	State string `json:"state"`
 }
 
-// Target names a process: a node or a leaf.
+// Target identifies a process, which is a node or a leaf.
 type Target struct {
 	Process string `json:"process"`
 }
 
-// Cut is a cut between two groups of nodes, or between nodes and the platform or a leaf.
+// Cut is a network partition between two groups of nodes, or between nodes and the platform or a leaf.
 type Cut struct {
-	// Between has two names, each a zone, a node, a leaf or "platform".
+	// Between contains two names, each the name of a zone, a node, a leaf or "platform".
 	Between []string `json:"between"`
 }
 
 // Outcome is a check that must pass.
 type Outcome struct {
 	Check CheckName `json:"check"`
-	// Service limits the check to a service.
+	// Service restricts the check to one service.
 	Service string `json:"service,omitempty"`
 	// Leaf, Nodes, AfterMS, WithinMS, AtLeast and AtMost are parameters of some checks.
 	Leaf     string   `json:"leaf,omitempty"`
@@ -168,17 +169,16 @@
 	AtMost   float64  `json:"at_most,omitempty"`
 }
 
-// line is a line of a trace. Exactly one kind is set.
+// line is a line of a trace. Exactly one of the fields is set.
 type line struct {
 	Header  *Header  `json:"header,omitempty"`
 	Event   *Event   `json:"event,omitempty"`
 	Outcome *Outcome `json:"outcome,omitempty"`
 }
 
-// maximumLine bounds a line of a trace in bytes.
-const maximumLine = 1 << 20
+const maxLineBytes = 1 << 20
 
-// Read parses the trace in a file. A failure names the file, line and field.
+// Read parses the trace in a file. Failures name the file, line and field.
 func Read(path string) (*Trace, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -187,18 +187,18 @@
 	return Parse(path, content)
 }
 
-// Parse parses a trace. Path is the file that failures name.
+// Parse parses a trace. Failures name the path as the file.
 func Parse(path string, content []byte) (*Trace, error) {
 	trace := &Trace{Path: path}
 	scanner := bufio.NewScanner(bytes.NewReader(content))
-	scanner.Buffer(nil, maximumLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for number := 1; scanner.Scan(); number++ {
 		text := bytes.TrimSpace(scanner.Bytes())
 		if len(text) == 0 {
 			continue
 		}
 		where := fmt.Sprintf("%s line %d", path, number)
-		if err := trace.add(where, text); err != nil {
+		if err := trace.addLine(where, text); err != nil {
 			return nil, err
 		}
 	}
@@ -209,33 +209,33 @@
 		return nil, failure.Invalid(path, "has no header")
 	}
 	if len(trace.Outcomes) == 0 {
-		return nil, failure.Invalid(path, "states no outcome")
+		return nil, failure.Invalid(path, "has no outcome")
 	}
 	return trace, nil
 }
 
-func (t *Trace) add(where string, text []byte) error {
-	var parsed line
+func (t *Trace) addLine(where string, text []byte) error {
+	var decoded line
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(&parsed); err != nil {
+	if err := decoder.Decode(&decoded); err != nil {
 		return failure.Invalid(where, "%v", err)
 	}
 	switch {
-	case parsed.Header != nil:
+	case decoded.Header != nil:
 		if t.Header.Name != "" {
-			return failure.Invalid(where, "a second header")
+			return failure.Invalid(where, "has a second header")
 		}
-		t.Header = *parsed.Header
+		t.Header = *decoded.Header
 		return t.checkHeader(where)
 	case t.Header.Name == "":
 		return failure.Invalid(where, "the header must come first")
-	case parsed.Event != nil:
-		t.Events = append(t.Events, *parsed.Event)
-		return t.checkEvent(where, parsed.Event)
-	case parsed.Outcome != nil:
-		t.Outcomes = append(t.Outcomes, *parsed.Outcome)
-		return t.checkOutcome(where, parsed.Outcome)
+	case decoded.Event != nil:
+		t.Events = append(t.Events, *decoded.Event)
+		return t.checkEvent(where, decoded.Event)
+	case decoded.Outcome != nil:
+		t.Outcomes = append(t.Outcomes, *decoded.Outcome)
+		return t.checkOutcome(where, decoded.Outcome)
 	}
 	return failure.Invalid(where, "must hold a header, an event or an outcome")
 }
--- a/internal/lab/replay/trace_test.go
+++ b/internal/lab/replay/trace_test.go
@@ -13,13 +13,13 @@
 	"github.com/portgauge/portgauge/internal/lab/process"
 )
 
-const goodHeader = `{"header":{"name":"t","seed":1,"dataset":"tiles","records":10,"duration_ms":1000,` +
+const validHeader = `{"header":{"name":"t","seed":1,"dataset":"tiles","records":10,"duration_ms":1000,` +
 	`"nodes":[{"id":"n","zone":"z"}],"leafs":[{"id":"l","zone":"z","slots":1,"median_ms":1,"snapshots":["v1"]}],` +
 	`"services":[{"name":"s","leafs":["l"],"snapshot":"v1","shards":1,"replicas":1}]}}` + "\n"
 
-const goodOutcome = `{"outcome":{"check":"own_answers"}}` + "\n"
+const validOutcome = `{"outcome":{"check":"own_answers"}}` + "\n"
 
-func TestCommittedTracesAreWellFormed(t *testing.T) {
+func TestCommittedTracesAreValid(t *testing.T) {
 	is := is.New(t)
 	paths, err := filepath.Glob("../../../traces/*.jsonl")
 	is.NoErr(err)
@@ -30,9 +30,9 @@
 	}
 }
 
-// The shortest trace is replayed over real processes, which Run starts and kills. Its outcomes that bound a time are left to the
-// replay command.
-func TestShortestTraceIsReplayed(t *testing.T) {
+// The trace runs against real processes, which Run starts and kills. Outcomes with a time bound are checked by the replay command
+// only.
+func TestReplayOfShortestTracePasses(t *testing.T) {
 	is := is.New(t)
 	here, err := os.Getwd()
 	is.NoErr(err)
@@ -49,22 +49,22 @@
 	is.Equal(failed, 0)
 }
 
-func TestMalformedTracesAreRefusedWithLineAndField(t *testing.T) {
+func TestParseRejectsMalformedTraceWithLineAndField(t *testing.T) {
 	cases := map[string]struct {
 		content string
 		words   []string
 	}{
-		"not JSON":        {goodHeader + "nonsense\n", []string{"line 2"}},
-		"unknown field":   {goodHeader + `{"event":{"at_ms":1,"kil":{}}}`, []string{"line 2", "kil"}},
-		"no header":       {goodOutcome, []string{"line 1", "header"}},
-		"two headers":     {goodHeader + goodHeader, []string{"line 2", "second header"}},
-		"no outcome":      {goodHeader, []string{"no outcome"}},
-		"unknown check":   {goodHeader + `{"outcome":{"check":"luck"}}`, []string{"line 2", "check", "luck"}},
-		"unknown process": {goodHeader + `{"event":{"at_ms":1,"kill":{"process":"x"}}}`, []string{"kill.process"}},
-		"two kinds":       {goodHeader + `{"event":{"at_ms":1,"kill":{"process":"l"},"wake":{"process":"l"}}}`, []string{"exactly one"}},
-		"too late":        {goodHeader + `{"event":{"at_ms":2000,"kill":{"process":"l"}}}`, []string{"at_ms"}},
-		"cut of one":      {goodHeader + `{"event":{"at_ms":1,"cut":{"between":["z"]}}}`, []string{"cut.between"}},
-		"rate":            {goodHeader + `{"event":{"at_ms":1,"load":{"service":"s","nodes":["n"],"until_ms":9,"per_second":0}}}`, []string{"load.per_second"}},
+		"not JSON":        {validHeader + "nonsense\n", []string{"line 2"}},
+		"unknown field":   {validHeader + `{"event":{"at_ms":1,"kil":{}}}`, []string{"line 2", "kil"}},
+		"no header":       {validOutcome, []string{"line 1", "header"}},
+		"two headers":     {validHeader + validHeader, []string{"line 2", "second header"}},
+		"no outcome":      {validHeader, []string{"no outcome"}},
+		"unknown check":   {validHeader + `{"outcome":{"check":"luck"}}`, []string{"line 2", "check", "luck"}},
+		"unknown process": {validHeader + `{"event":{"at_ms":1,"kill":{"process":"x"}}}`, []string{"kill.process"}},
+		"two kinds":       {validHeader + `{"event":{"at_ms":1,"kill":{"process":"l"},"wake":{"process":"l"}}}`, []string{"exactly one"}},
+		"too late":        {validHeader + `{"event":{"at_ms":2000,"kill":{"process":"l"}}}`, []string{"at_ms"}},
+		"cut of one":      {validHeader + `{"event":{"at_ms":1,"cut":{"between":["z"]}}}`, []string{"cut.between"}},
+		"rate":            {validHeader + `{"event":{"at_ms":1,"load":{"service":"s","nodes":["n"],"until_ms":9,"per_second":0}}}`, []string{"load.per_second"}},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -72,16 +72,16 @@
 			_, err := Parse("trace", []byte(test.content))
 			is.True(failure.Is(err, failure.InvalidField))
 			for _, word := range test.words {
-				is.True(strings.Contains(err.Error(), word)) // word
+				is.True(strings.Contains(err.Error(), word)) // the message names the line, field or fault
 			}
 		})
 	}
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(goodHeader + goodOutcome))
+	f.Add([]byte(validHeader + validOutcome))
 	f.Fuzz(func(_ *testing.T, content []byte) {
-		// Any outcome but a crash is fine.
+		// Parse may return an error but must not panic.
 		_, _ = Parse("fuzz", content)
 	})
 }
--- a/internal/lab/replay/validate.go
+++ b/internal/lab/replay/validate.go
@@ -10,7 +10,7 @@
 // platformName is the platform's name in cuts.
 const platformName = "platform"
 
-// checkHeader returns a failure with every invalid field of the header.
+// checkHeader returns a failure that lists every invalid field of the header.
 func (t *Trace) checkHeader(where string) error {
 	header := &t.Header
 	var checks failure.Checks
@@ -50,7 +50,7 @@
 	return slices.ContainsFunc(t.Header.Services, func(spec ServiceSpec) bool { return spec.Name == name })
 }
 
-// checkEvent returns a failure with every invalid field of an event.
+// checkEvent returns a failure that lists every invalid field of an event.
 func (t *Trace) checkEvent(where string, event *Event) error {
 	var checks failure.Checks
 	checks.Refuse(event.AtMS < 0 || event.AtMS > t.Header.DurationMS, where+" at_ms", "%d; must lie within duration_ms %d", event.AtMS, t.Header.DurationMS)
@@ -58,13 +58,13 @@
 	t.checkOperators(&checks, where, event)
 	t.checkMachines(&checks, where, event)
 	t.checkCuts(&checks, where, event)
-	kinds := event.kinds()
+	kinds := event.countKinds()
 	checks.Refuse(kinds != 1, where, "must hold exactly one kind of event, not %d", kinds)
 	return checks.Err()
 }
 
-// kinds returns how many kinds of an event are set.
-func (e *Event) kinds() int {
+// countKinds returns the number of kinds that are set.
+func (e *Event) countKinds() int {
 	count := 0
 	for _, isSet := range []bool{
 		e.Load != nil, e.Publish != nil, e.Apply != nil, e.LeafFaults != nil, e.PlatformFaults != nil, e.Machine != nil,
@@ -129,12 +129,12 @@
 		checks.Refuse(len(cut.Between) != 2, where+" "+name+".between", "must hold two names")
 		for _, end := range cut.Between {
 			isKnown := end == platformName || t.isLeaf(end) || t.isNode(end) || t.isZone(end)
-			checks.Refuse(!isKnown, where+" "+name+".between", "%q is no zone, node, leaf or %q", end, platformName)
+			checks.Refuse(!isKnown, where+" "+name+".between", "%q is not a zone, node, leaf or %q", end, platformName)
 		}
 	}
 }
 
-// checkOutcome returns a failure with every invalid field of an outcome.
+// checkOutcome returns a failure that lists every invalid field of an outcome.
 func (t *Trace) checkOutcome(where string, outcome *Outcome) error {
 	var checks failure.Checks
 	_, known := checkFuncs[outcome.Check]
