--- a/internal/lab/platform/leases_test.go
+++ b/internal/lab/platform/leases_test.go
@@ -12,19 +12,19 @@
 	platformv1 "github.com/portgauge/portgauge/gen/portgauge/platform/v1"
 )
 
-const lives = 30 * time.Second
+const testTTL = 30 * time.Second
 
-// leased returns a platform with key "k" under a lease.
-type leased struct {
+// leasedPlatform is a platform with key "k" under a lease.
+type leasedPlatform struct {
 	*Platform
 	t     *testing.T
 	lease int64
 }
 
-func newLeased(t *testing.T) *leased {
+func newLeasedPlatform(t *testing.T) *leasedPlatform {
 	t.Helper()
 	p := New(1000)
-	granted, err := p.GrantLease(t.Context(), &platformv1.GrantLeaseRequest{TimeToLiveMillis: lives.Milliseconds()})
+	granted, err := p.GrantLease(t.Context(), &platformv1.GrantLeaseRequest{TimeToLiveMillis: testTTL.Milliseconds()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,11 +32,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &leased{p, t, granted.GetLease()}
+	return &leasedPlatform{p, t, granted.GetLease()}
 }
 
-// isThere reports whether the key exists.
-func (l *leased) isThere() bool {
+func (l *leasedPlatform) keyExists() bool {
 	l.t.Helper()
 	read, err := l.Get(l.t.Context(), &platformv1.GetRequest{Key: "k"})
 	if err != nil {
@@ -45,46 +44,46 @@
 	return !read.GetEntry().GetDeleted()
 }
 
-func (l *leased) keep() error {
+func (l *leasedPlatform) renew() error {
 	_, err := l.KeepLease(l.t.Context(), &platformv1.KeepLeaseRequest{Lease: l.lease})
 	return err
 }
 
-func inLease(t *testing.T, test func(is *is.I, l *leased)) {
+func withLeasedPlatform(t *testing.T, test func(is *is.I, l *leasedPlatform)) {
 	t.Helper()
-	synctest.Test(t, func(t *testing.T) { test(is.New(t), newLeased(t)) })
+	synctest.Test(t, func(t *testing.T) { test(is.New(t), newLeasedPlatform(t)) })
 }
 
-func TestKeysGoWithALeaseThatIsNotKept(t *testing.T) {
-	inLease(t, func(is *is.I, l *leased) {
+func TestKeysAreDeletedWhenLeaseExpires(t *testing.T) {
+	withLeasedPlatform(t, func(is *is.I, l *leasedPlatform) {
 		for range 3 {
-			time.Sleep(lives - time.Second)
-			is.NoErr(l.keep())
-			is.True(l.isThere())
+			time.Sleep(testTTL - time.Second)
+			is.NoErr(l.renew())
+			is.True(l.keyExists())
 		}
-		time.Sleep(lives + time.Millisecond)
-		is.True(!l.isThere())
-		is.Equal(status.Code(l.keep()), codes.NotFound)
+		time.Sleep(testTTL + time.Millisecond)
+		is.True(!l.keyExists())
+		is.Equal(status.Code(l.renew()), codes.NotFound)
 		_, err := l.PutLeased(t.Context(), &platformv1.PutLeasedRequest{Key: "k", Lease: l.lease})
 		is.Equal(status.Code(err), codes.NotFound)
 	})
 }
 
-func TestNoLeaseEndsWhileTheStoreIsDown(t *testing.T) {
-	inLease(t, func(is *is.I, l *leased) {
+func TestLeaseDoesNotExpireWhileStoreIsDown(t *testing.T) {
+	withLeasedPlatform(t, func(is *is.I, l *leasedPlatform) {
 		l.SetFaults(Faults{StoreDown: true})
-		time.Sleep(10 * lives)
+		time.Sleep(10 * testTTL)
 		l.SetFaults(Faults{})
-		is.True(l.isThere())
-		is.NoErr(l.keep())
-		time.Sleep(lives + time.Millisecond)
-		is.True(!l.isThere())
+		is.True(l.keyExists())
+		is.NoErr(l.renew())
+		time.Sleep(testTTL + time.Millisecond)
+		is.True(!l.keyExists())
 	})
 }
 
-// A key that was written again is no longer under its lease.
-func TestKeyWrittenAnewOutlivesTheLease(t *testing.T) {
-	inLease(t, func(is *is.I, l *leased) {
+// A key that is written without a lease is detached from its former lease.
+func TestKeyRewrittenWithoutLeaseOutlivesLease(t *testing.T) {
+	withLeasedPlatform(t, func(is *is.I, l *leasedPlatform) {
 		read, err := l.Get(t.Context(), &platformv1.GetRequest{Key: "k"})
 		is.NoErr(err)
 		swapped, err := l.CompareAndSwap(t.Context(), &platformv1.CompareAndSwapRequest{Key: "k", ExpectedRevision: read.GetEntry().GetRevision()})
@@ -92,6 +91,6 @@
 		is.True(swapped.GetSwapped())
 		_, err = l.EndLease(t.Context(), &platformv1.EndLeaseRequest{Lease: l.lease})
 		is.NoErr(err)
-		is.True(l.isThere())
+		is.True(l.keyExists())
 	})
 }
--- a/internal/lab/platform/platform.go
+++ b/internal/lab/platform/platform.go
@@ -1,5 +1,6 @@
-// Package platform is a stand-in for the platform of the product's own protocol: a rate-limited store with compare-and-swap,
-// watches, leases and outages, and a machine list that lags. A Platform keeps its state in memory; leases expire by timers.
+// Package platform is a stand-in for a platform that implements Portgauge's own platform protocol. It has a rate-limited store
+// with compare-and-swap, watches, leases and outages, and a machine list that can be stale. A Platform keeps its state in
+// memory; timers expire the leases.
 package platform
 
 import (
@@ -17,18 +18,18 @@
 	platformv1 "github.com/portgauge/portgauge/gen/portgauge/platform/v1"
 )
 
-// heartbeatInterval is how often a watch without changes reports the current revision.
+// heartbeatInterval is the interval at which a watch without changes reports the current revision.
 const heartbeatInterval = 500 * time.Millisecond
 
-// Faults are the faults of the platform.
+// Faults are the faults that the platform injects.
 type Faults struct {
 	// StoreDown fails every call to the store and ends its watches.
 	StoreDown bool `json:"store_down,omitempty"`
-	// DelayMillis is added to every call to the store.
+	// DelayMillis delays every call to the store.
 	DelayMillis int64 `json:"delay_millis,omitempty"`
-	// LoseReplies is the number of coming writes that take effect without a reply.
+	// LoseReplies is the number of subsequent writes that take effect but return an error.
 	LoseReplies int `json:"lose_replies,omitempty"`
-	// MachinesStale hides changes of the machine list.
+	// MachinesStale hides changes to the machine list.
 	MachinesStale bool `json:"machines_stale,omitempty"`
 }
 
@@ -38,18 +39,18 @@
 	Revision int64  `json:"revision"`
 	Value    string `json:"value"`
 	Deleted  bool   `json:"deleted,omitempty"`
-	// At is when it took effect, in Unix microseconds.
+	// At is the time at which the write took effect, in Unix microseconds.
 	At int64 `json:"at"`
 }
 
-// Counts are the numbers of calls by kind, and of those refused by the rate limit.
+// Counts contains the number of calls by kind, and of calls refused by the rate limit.
 type Counts struct {
 	Gets    int64 `json:"gets"`
 	Lists   int64 `json:"lists"`
 	Swaps   int64 `json:"swaps"`
 	Watches int64 `json:"watches"`
 	Limited int64 `json:"limited"`
-	// Leases counts calls about leases, writes under one included.
+	// Leases counts calls about leases, including writes under a lease.
 	Leases int64 `json:"leases"`
 	// MachineLists counts reads of the machine list.
 	MachineLists int64 `json:"machine_lists"`
@@ -61,20 +62,20 @@
 	platformv1.UnimplementedMachineListServiceServer
 	limiter *rate.Limiter
 
-	mutex    sync.Mutex
+	mu       sync.Mutex
 	faults   Faults
 	entries  map[string]*platformv1.Entry
 	log      []*platformv1.Entry // every change, in order of revision
 	writes   []Write
 	revision int64
-	changed  chan struct{} // closed and replaced at each change, also of faults
+	changed  chan struct{} // closed and replaced at each change of an entry or of the faults
 	leases   leases
 	machines []*platformv1.Machine
-	shown    []*platformv1.Machine // the list that reads return
+	visible  []*platformv1.Machine // the machines that ListMachines returns
 	counts   Counts
 }
 
-// New returns an empty platform whose store accepts so many calls a second.
+// New returns an empty platform whose store accepts the given number of calls per second.
 func New(callsPerSecond float64) *Platform {
 	return &Platform{
 		limiter: rate.NewLimiter(rate.Limit(callsPerSecond), max(1, int(callsPerSecond))),
@@ -86,58 +87,58 @@
 
 // SetFaults replaces the faults.
 func (p *Platform) SetFaults(faults Faults) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	p.faults = faults
-	p.show()
-	p.wakeWatches()
+	p.updateVisible()
+	p.notifyWatches()
 }
 
 // SetMachines replaces the list of machines.
 func (p *Platform) SetMachines(machines []*platformv1.Machine) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	p.machines = machines
-	p.show()
+	p.updateVisible()
 }
 
-func (p *Platform) show() {
+func (p *Platform) updateVisible() {
 	if !p.faults.MachinesStale {
-		p.shown = p.machines
+		p.visible = p.machines
 	}
 }
 
-// Writes returns every write that took effect, in order.
+// Writes returns all writes that took effect, in order.
 func (p *Platform) Writes() []Write {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	return append([]Write(nil), p.writes...)
 }
 
 // Counts returns the numbers of calls so far.
 func (p *Platform) Counts() Counts {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	return p.counts
 }
 
-func (p *Platform) wakeWatches() {
+func (p *Platform) notifyWatches() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// enter applies the rate limit, the delay and an outage to a call.
-func (p *Platform) enter(ctx context.Context, count func(*Counts)) error {
-	p.mutex.Lock()
+// admit counts a call and applies the rate limit, the delay and an outage to it.
+func (p *Platform) admit(ctx context.Context, count func(*Counts)) error {
+	p.mu.Lock()
 	faults := p.faults
 	count(&p.counts)
 	limited := !p.limiter.Allow()
 	if limited {
 		p.counts.Limited++
 	}
-	p.mutex.Unlock()
+	p.mu.Unlock()
 	if limited {
-		return status.Error(codes.ResourceExhausted, "rate limit")
+		return status.Error(codes.ResourceExhausted, "the call exceeds the rate limit")
 	}
 	if faults.DelayMillis > 0 {
 		select {
@@ -147,28 +148,28 @@
 		}
 	}
 	if faults.StoreDown {
-		return status.Error(codes.Unavailable, "store is down")
+		return status.Error(codes.Unavailable, "the store is down")
 	}
 	return nil
 }
 
 // Get implements StoreServiceServer.
 func (p *Platform) Get(ctx context.Context, request *platformv1.GetRequest) (*platformv1.GetResponse, error) {
-	if err := p.enter(ctx, func(c *Counts) { c.Gets++ }); err != nil {
+	if err := p.admit(ctx, func(c *Counts) { c.Gets++ }); err != nil {
 		return nil, err
 	}
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	return &platformv1.GetResponse{Entry: p.entries[request.GetKey()]}, nil
 }
 
 // List implements StoreServiceServer.
 func (p *Platform) List(ctx context.Context, _ *platformv1.ListRequest) (*platformv1.ListResponse, error) {
-	if err := p.enter(ctx, func(c *Counts) { c.Lists++ }); err != nil {
+	if err := p.admit(ctx, func(c *Counts) { c.Lists++ }); err != nil {
 		return nil, err
 	}
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	response := &platformv1.ListResponse{Revision: p.revision}
 	for _, entry := range p.entries {
 		response.Entries = append(response.Entries, entry)
@@ -178,25 +179,25 @@
 
 // CompareAndSwap implements StoreServiceServer.
 func (p *Platform) CompareAndSwap(ctx context.Context, request *platformv1.CompareAndSwapRequest) (*platformv1.CompareAndSwapResponse, error) {
-	if err := p.enter(ctx, func(c *Counts) { c.Swaps++ }); err != nil {
+	if err := p.admit(ctx, func(c *Counts) { c.Swaps++ }); err != nil {
 		return nil, err
 	}
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	current := p.entries[request.GetKey()]
-	if liveRevision(current) != request.GetExpectedRevision() || !p.areMet(request.GetConditions()) {
+	if liveRevision(current) != request.GetExpectedRevision() || !p.conditionsMet(request.GetConditions()) {
 		return &platformv1.CompareAndSwapResponse{Entry: current}, nil
 	}
-	p.leases.release(request.GetKey())
+	p.leases.detach(request.GetKey())
 	entry := p.write(&platformv1.Entry{Key: request.GetKey(), Value: request.GetValue(), Deleted: request.GetDelete()})
-	if err := p.loseReply(); err != nil {
+	if err := p.consumeLostReply(); err != nil {
 		return nil, err
 	}
 	return &platformv1.CompareAndSwapResponse{Swapped: true, Entry: entry}, nil
 }
 
-// areMet reports whether all conditions are met. The caller must hold the mutex.
-func (p *Platform) areMet(conditions []*platformv1.Condition) bool {
+// conditionsMet reports whether all conditions are met. The caller must hold mu.
+func (p *Platform) conditionsMet(conditions []*platformv1.Condition) bool {
 	for _, condition := range conditions {
 		if liveRevision(p.entries[condition.GetKey()]) != condition.GetRevision() {
 			return false
@@ -212,16 +213,16 @@
 	return entry.GetRevision()
 }
 
-// loseReply returns an error if the reply of a write is to be lost. The caller must hold the mutex.
-func (p *Platform) loseReply() error {
+// consumeLostReply returns an error, once per lost reply that the faults request. The caller must hold mu.
+func (p *Platform) consumeLostReply() error {
 	if p.faults.LoseReplies == 0 {
 		return nil
 	}
 	p.faults.LoseReplies--
-	return status.Error(codes.Unavailable, "reply lost")
+	return status.Error(codes.Unavailable, "the reply was lost")
 }
 
-// write writes an entry at the next revision and returns it. The caller must hold the mutex.
+// write writes an entry at the next revision and returns it. The caller must hold mu.
 func (p *Platform) write(entry *platformv1.Entry) *platformv1.Entry {
 	p.revision++
 	entry.Revision = p.revision
@@ -230,30 +231,31 @@
 	p.writes = append(p.writes, Write{
 		Key: entry.GetKey(), Revision: entry.GetRevision(), Value: string(entry.GetValue()), Deleted: entry.GetDeleted(), At: time.Now().UnixMicro(),
 	})
-	p.wakeWatches()
+	p.notifyWatches()
 	return entry
 }
 
-// Watch implements StoreServiceServer. It begins by sending the current revision if nothing was missed.
+// Watch implements StoreServiceServer. It first sends the changes after the requested revision, or the current revision if
+// there are none.
 func (p *Platform) Watch(request *platformv1.WatchRequest, stream platformv1.StoreService_WatchServer) error {
 	ctx := stream.Context()
-	if err := p.enter(ctx, func(c *Counts) { c.Watches++ }); err != nil {
+	if err := p.admit(ctx, func(c *Counts) { c.Watches++ }); err != nil {
 		return err
 	}
 	position := request.GetAfterRevision()
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
 	for isFirst := true; ; isFirst = false {
-		missed, current, changed, down := p.since(position)
+		entries, current, changed, down := p.since(position)
 		if down {
-			return status.Error(codes.Unavailable, "store is down")
+			return status.Error(codes.Unavailable, "the store is down")
 		}
-		if isFirst && len(missed) == 0 {
+		if isFirst && len(entries) == 0 {
 			if err := stream.Send(&platformv1.WatchResponse{CurrentRevision: current}); err != nil {
 				return err
 			}
 		}
-		for _, entry := range missed {
+		for _, entry := range entries {
 			response := &platformv1.WatchResponse{Entry: entry, PreviousRevision: entry.GetRevision() - 1, CurrentRevision: current}
 			if err := stream.Send(response); err != nil {
 				return err
@@ -272,25 +274,25 @@
 	}
 }
 
-// since returns the changes after a revision, and a channel that is closed at the next one.
-func (p *Platform) since(revision int64) (missed []*platformv1.Entry, current int64, changed <-chan struct{}, down bool) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	// Revisions count from 1 without gaps, so a revision is also a position in the log.
+// since returns the changes after a revision, and a channel that is closed at the next change.
+func (p *Platform) since(revision int64) (entries []*platformv1.Entry, current int64, changed <-chan struct{}, down bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	// Revisions start at 1 and have no gaps, so a revision is also a position in the log.
 	start := min(max(revision, 0), int64(len(p.log)))
 	return p.log[start:], p.revision, p.changed, p.faults.StoreDown
 }
 
 // ListMachines implements MachineListServiceServer.
 func (p *Platform) ListMachines(_ context.Context, request *platformv1.ListMachinesRequest) (*platformv1.ListMachinesResponse, error) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	p.counts.MachineLists++
-	var wanted []*platformv1.Machine
+	var matching []*platformv1.Machine
 	version := xxhash.New()
-	for _, machine := range p.shown {
+	for _, machine := range p.visible {
 		if matches(request, machine) {
-			wanted = append(wanted, machine)
+			matching = append(matching, machine)
 			// Writing to a hash can't fail.
 			_, _ = fmt.Fprintln(version, machine.GetId(), machine.GetAddress(), machine.GetState())
 		}
@@ -300,7 +302,7 @@
 		response.Unchanged = true
 		return response, nil
 	}
-	response.Machines = somePerZone(wanted, int(request.GetMostPerZone()))
+	response.Machines = samplePerZone(matching, int(request.GetMostPerZone()))
 	return response, nil
 }
 
@@ -309,19 +311,19 @@
 		(request.GetRole() == "" || machine.GetRole() == request.GetRole())
 }
 
-// somePerZone returns at most so many machines of each zone, drawn at random; 0 means all.
-func somePerZone(all []*platformv1.Machine, most int) []*platformv1.Machine {
+// samplePerZone returns at most the given number of machines of each zone, chosen at random; 0 means all machines.
+func samplePerZone(all []*platformv1.Machine, most int) []*platformv1.Machine {
 	if most == 0 {
 		return all
 	}
 	counts := map[string]int{}
-	var picked []*platformv1.Machine
+	var selected []*platformv1.Machine
 	for _, position := range rand.Perm(len(all)) {
 		machine := all[position]
 		if counts[machine.GetZone()] < most {
 			counts[machine.GetZone()]++
-			picked = append(picked, machine)
+			selected = append(selected, machine)
 		}
 	}
-	return picked
+	return selected
 }
