--- a/internal/lab/kvstore/calls.go
+++ b/internal/lab/kvstore/calls.go
@@ -11,10 +11,10 @@
 	"github.com/gin-gonic/gin"
 )
 
-// PathPrefix begins the paths of all calls.
+// PathPrefix is the prefix of the paths of all calls.
 const PathPrefix = "/portgauge/"
 
-// Handler serves the store's calls.
+// Handler returns a handler that serves the store's calls.
 func (s *Store) Handler() http.Handler {
 	gin.SetMode(gin.ReleaseMode)
 	router := gin.New()
@@ -29,15 +29,15 @@
 	return router
 }
 
-// admit ends expired leases, and refuses the call or leaves it unanswered if the faults say so.
+// admit ends expired leases, sends the epoch, and applies the faults Refuse and Silent.
 func (s *Store) admit(c *gin.Context) {
 	if s.isSilent() {
 		<-c.Request.Context().Done()
 		c.Abort()
 		return
 	}
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if s.epoch > 0 {
 		c.Header("Store-Era", strconv.FormatInt(s.epoch, 10))
 	}
@@ -48,14 +48,14 @@
 }
 
 func (s *Store) isSilent() bool {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	return s.faults.Silent
 }
 
 func (s *Store) getKey(c *gin.Context) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	item, found := s.items[c.Query("TlsKey")]
 	if !found {
 		c.Status(http.StatusNotFound)
@@ -64,25 +64,25 @@
 	c.JSON(http.StatusOK, item)
 }
 
-// pageItems is the number of items in a page of a range.
-const pageItems = 50
+// pageSize is the maximum number of items in a page of a range.
+const pageSize = 50
 
 func (s *Store) getRange(c *gin.Context) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	known, at := s.items, s.revision
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	visible, at := s.items, s.revision
 	if c.Query("stale") == "1" && s.faults.HoldStale {
-		known, at = s.stale.items, s.stale.revision
+		visible, at = s.stale.items, s.stale.revision
 	}
 	items := []Item{}
-	for key, item := range known {
+	for key, item := range visible {
 		if strings.HasPrefix(key, c.Query("PathPrefix")) && key > c.Query("after") {
 			items = append(items, item)
 		}
 	}
 	sort.Slice(items, func(i, j int) bool { return items[i].Key < items[j].Key })
-	more := len(items) > pageItems
-	c.JSON(http.StatusOK, gin.H{"items": items[:min(len(items), pageItems)], "more": more, "at": at})
+	more := len(items) > pageSize
+	c.JSON(http.StatusOK, gin.H{"items": items[:min(len(items), pageSize)], "more": more, "at": at})
 }
 
 func (s *Store) watch(c *gin.Context) {
@@ -92,14 +92,14 @@
 	defer cancel()
 	epoch := s.Epoch()
 	for {
-		s.mutex.Lock()
+		s.mu.Lock()
 		if after < s.compacted || after > s.revision || s.epoch != epoch {
-			s.mutex.Unlock()
+			s.mu.Unlock()
 			c.Status(http.StatusGone)
 			return
 		}
 		events, at, changed, isSilent := s.eventsAfter(after, c.Query("PathPrefix")), s.revision, s.changed, s.faults.SilentWatches
-		s.mutex.Unlock()
+		s.mu.Unlock()
 		if len(events) > 0 && !isSilent {
 			c.JSON(http.StatusOK, gin.H{"events": events, "at": at})
 			return
--- a/internal/lab/kvstore/kvstore.go
+++ b/internal/lab/kvstore/kvstore.go
@@ -1,9 +1,8 @@
-// Package kvstore is a small stand-in for the users' metadata store, for tests and the lab: linearizable reads and
-// transactions, watches that wait for changes, leases, a history that can be dropped, backups. It injects the faults that a
-// test sets.
+// Package kvstore is a small stand-in for the metadata store of a deployment, for tests and the lab. It provides linearizable
+// reads and transactions, long-poll watches, leases, compaction and backups, and injects the faults that a test sets.
 //
-// A Store keeps its state in memory and serves it by the Handler; it starts no goroutine. Leases expire when a call comes
-// in.
+// A Store keeps its state in memory and serves it through its Handler. It starts no goroutine: expired leases end when the
+// next call arrives.
 package kvstore
 
 import (
@@ -23,23 +22,23 @@
 	Deleted  bool   `json:"gone,omitempty"`
 }
 
-// Faults are the faults of the store.
+// Faults are the faults that the store injects.
 type Faults struct {
-	// Refuse is the status of the answer to every call, unless it is 0.
+	// Refuse is the HTTP status of the answer to every call, unless it is 0.
 	Refuse int
-	// Silent leaves calls without an answer until the caller gives up.
+	// Silent leaves calls unanswered until the caller cancels them.
 	Silent bool
-	// LoseAnswers makes changes and closes the connection instead of answering.
+	// LoseAnswers applies transactions but closes the connection instead of answering.
 	LoseAnswers bool
-	// HoldStale answers stale reads from the state at the time when it was set.
+	// HoldStale answers stale reads from the state at the time when HoldStale was set.
 	HoldStale bool
-	// SilentWatches hides changes from watches, which answer without any when their wait is over.
+	// SilentWatches hides changes from watches. They return no events when their wait time has passed.
 	SilentWatches bool
 }
 
-// Store is the stand-in; safe for concurrent use.
+// Store is the stand-in store. It is safe for concurrent use.
 type Store struct {
-	mutex     sync.Mutex
+	mu        sync.Mutex
 	revision  int64
 	items     map[string]Item
 	history   []Item
@@ -48,7 +47,7 @@
 	nextLease int64
 	changed   chan struct{}
 	faults    Faults
-	// epoch grows by one with each restore; clients are sent it unless it is 0.
+	// epoch is incremented by each restore. It is sent to clients unless it is 0.
 	epoch  int64
 	backup backup
 	// stale is the state for stale reads while HoldStale is set.
@@ -61,70 +60,70 @@
 	items    map[string]Item
 }
 
-// New returns an empty store of an epoch; epoch 0 is not announced to clients.
+// New returns an empty store with the given epoch. Epoch 0 is not sent to clients.
 func New(epoch int64) *Store {
 	return &Store{items: map[string]Item{}, leases: map[int64]lease{}, changed: make(chan struct{}), nextLease: 1, epoch: epoch}
 }
 
 // SetFaults replaces the faults.
 func (s *Store) SetFaults(faults Faults) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if faults.HoldStale && !s.faults.HoldStale {
 		s.stale = staleState{revision: s.revision, items: maps.Clone(s.items)}
 	}
 	s.faults = faults
 }
 
-// Put writes a value as JSON under a key, as operators and leafs do, and returns the count.
+// Put writes a value as JSON under a key, as operators and leafs do, and returns the new revision.
 func (s *Store) Put(key string, value any) int64 {
 	content, err := json.Marshal(value)
 	if err != nil {
-		panic(err) // tests pass only values that can be encoded
+		panic(err) // callers pass only values that can be encoded
 	}
 	return s.PutBytes(key, content)
 }
 
-// PutBytes writes bytes, which need not be JSON, under a key and returns the count.
+// PutBytes writes bytes, which need not be JSON, under a key and returns the new revision.
 func (s *Store) PutBytes(key string, content []byte) int64 {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	s.revision++
 	s.write(Item{Key: key, Value: content})
-	s.wake()
+	s.notifyWatches()
 	return s.revision
 }
 
-// Remove removes a key and returns the count.
+// Remove removes a key and returns the new revision.
 func (s *Store) Remove(key string) int64 {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	s.revision++
 	s.remove(key)
-	s.wake()
+	s.notifyWatches()
 	return s.revision
 }
 
-// Compact drops the history.
+// Compact discards the history. Watches from earlier revisions fail.
 func (s *Store) Compact() {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	s.history, s.compacted = nil, s.revision
-	s.wake()
+	s.notifyWatches()
 }
 
-// Item returns a key as it is now.
+// Item returns the current item of a key, and false if there is none.
 func (s *Store) Item(key string) (Item, bool) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	item, found := s.items[key]
 	return item, found
 }
 
-// Keys returns the keys with a prefix, in no order.
+// Keys returns the keys with a prefix, in no particular order.
 func (s *Store) Keys(prefix string) []string {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	var keys []string
 	for key := range s.items {
 		if strings.HasPrefix(key, prefix) {
@@ -136,8 +135,8 @@
 
 func (s *Store) write(item Item) {
 	item.Revision, item.Created = s.revision, s.revision
-	if known, found := s.items[item.Key]; found {
-		item.Created = known.Created
+	if existing, found := s.items[item.Key]; found {
+		item.Created = existing.Created
 	}
 	s.items[item.Key] = item
 	s.history = append(s.history, item)
@@ -151,7 +150,7 @@
 	s.history = append(s.history, Item{Key: key, Revision: s.revision, Deleted: true})
 }
 
-func (s *Store) wake() {
+func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
--- a/internal/lab/kvstore/kvstoretest/kvstoretest.go
+++ b/internal/lab/kvstore/kvstoretest/kvstoretest.go
@@ -11,45 +11,45 @@
 	"github.com/portgauge/portgauge/internal/lab/kvstore"
 )
 
-// Store is a stand-in store that counts the calls that its Handler receives; safe for concurrent use.
+// Store is a stand-in store that counts the calls that its Handler receives. It is safe for concurrent use.
 type Store struct {
 	*kvstore.Store
 
-	mutex sync.Mutex
+	mu    sync.Mutex
 	calls map[string]int
 }
 
-// New returns an empty store of an epoch; epoch 0 is not announced to clients.
+// New returns an empty store with the given epoch. Epoch 0 is not sent to clients.
 func New(epoch int64) *Store {
 	return &Store{Store: kvstore.New(epoch), calls: map[string]int{}}
 }
 
-// Handler serves the store's calls and counts them.
+// Handler returns a handler that serves the store's calls and counts them.
 func (s *Store) Handler() http.Handler {
-	served := s.Store.Handler()
+	inner := s.Store.Handler()
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		s.mutex.Lock()
+		s.mu.Lock()
 		s.calls[strings.Split(strings.TrimPrefix(r.URL.Path, kvstore.PathPrefix), "/")[0]]++
-		s.mutex.Unlock()
-		served.ServeHTTP(w, r)
+		s.mu.Unlock()
+		inner.ServeHTTP(w, r)
 	})
 }
 
-// Calls returns how many calls of a name, such as kv-range, were received.
+// Calls returns the number of received calls with the given name, such as kv-range.
 func (s *Store) Calls(name string) int {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	return s.calls[name]
 }
 
 // Revision returns the store's revision. It panics if the store refuses calls.
 func (s *Store) Revision() int64 {
-	answer := httptest.NewRecorder()
-	s.Store.Handler().ServeHTTP(answer, httptest.NewRequest(http.MethodGet, kvstore.PathPrefix+"kv-range?PathPrefix=none", nil))
+	recorder := httptest.NewRecorder()
+	s.Store.Handler().ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, kvstore.PathPrefix+"kv-range?PathPrefix=none", nil))
 	var page struct {
 		Revision int64 `json:"at"`
 	}
-	if err := json.Unmarshal(answer.Body.Bytes(), &page); err != nil {
+	if err := json.Unmarshal(recorder.Body.Bytes(), &page); err != nil {
 		panic(err)
 	}
 	return page.Revision
--- a/internal/lab/kvstore/lease.go
+++ b/internal/lab/kvstore/lease.go
@@ -9,43 +9,43 @@
 )
 
 type lease struct {
-	ends       time.Time
-	timeToLive time.Duration
+	expiresAt time.Time
+	ttl       time.Duration
 }
 
 func (s *Store) grant(c *gin.Context) {
-	var asked struct {
+	var request struct {
 		TimeToLive int64 `json:"ttl_ms"`
 	}
-	if err := c.BindJSON(&asked); err != nil {
+	if err := c.BindJSON(&request); err != nil {
 		return
 	}
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	timeToLive := time.Duration(asked.TimeToLive) * time.Millisecond
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	ttl := time.Duration(request.TimeToLive) * time.Millisecond
 	id := s.nextLease
 	s.nextLease++
-	s.leases[id] = lease{ends: time.Now().Add(timeToLive), timeToLive: timeToLive}
-	c.JSON(http.StatusOK, gin.H{"lease": id, "ttl_ms": asked.TimeToLive})
+	s.leases[id] = lease{expiresAt: time.Now().Add(ttl), ttl: ttl}
+	c.JSON(http.StatusOK, gin.H{"lease": id, "ttl_ms": request.TimeToLive})
 }
 
 func (s *Store) keep(c *gin.Context) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	id, _ := strconv.ParseInt(c.Param("id"), 10, 64)
-	held, found := s.leases[id]
+	current, found := s.leases[id]
 	if !found {
 		c.Status(http.StatusNotFound)
 		return
 	}
-	held.ends = time.Now().Add(held.timeToLive)
-	s.leases[id] = held
-	c.JSON(http.StatusOK, gin.H{"ttl_ms": held.timeToLive.Milliseconds()})
+	current.expiresAt = time.Now().Add(current.ttl)
+	s.leases[id] = current
+	c.JSON(http.StatusOK, gin.H{"ttl_ms": current.ttl.Milliseconds()})
 }
 
 func (s *Store) endLease(c *gin.Context) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	id, _ := strconv.ParseInt(c.Param("id"), 10, 64)
 	if _, found := s.leases[id]; !found {
 		c.Status(http.StatusNotFound)
@@ -56,8 +56,8 @@
 }
 
 func (s *Store) expire(now time.Time) {
-	for id, held := range s.leases {
-		if now.After(held.ends) {
+	for id, current := range s.leases {
+		if now.After(current.expiresAt) {
 			s.dropLease(id)
 		}
 	}
@@ -71,5 +71,5 @@
 			s.remove(key)
 		}
 	}
-	s.wake()
+	s.notifyWatches()
 }
--- a/internal/lab/kvstore/transaction.go
+++ b/internal/lab/kvstore/transaction.go
@@ -14,49 +14,49 @@
 	Remove      []string
 }
 
-// foreignKeys are the prefixes of keys that only operators and leafs write.
-var foreignKeys = []string{"op/", "servers/"}
+// reservedPrefixes are the prefixes of keys that only operators and leafs may write.
+var reservedPrefixes = []string{"op/", "servers/"}
 
-// writesForeign reports whether the transaction writes or removes such a key.
-func (t transaction) writesForeign() bool {
+// writesReserved reports whether the transaction writes or removes a key with a reserved prefix.
+func (t transaction) writesReserved() bool {
 	written := slices.Clone(t.Remove)
 	for _, item := range t.Put {
 		written = append(written, item.Key)
 	}
 	return slices.ContainsFunc(written, func(key string) bool {
-		return slices.ContainsFunc(foreignKeys, func(prefix string) bool { return strings.HasPrefix(key, prefix) })
+		return slices.ContainsFunc(reservedPrefixes, func(prefix string) bool { return strings.HasPrefix(key, prefix) })
 	})
 }
 
-// transact makes a transaction. A transaction without effect is answered by 403 if it writes a key of others, by 412 with the
-// current items if a condition doesn't hold, and by 404 if a lease is over.
+// transact applies a transaction. It applies nothing and answers 403 if the transaction writes a reserved key, 412 with the
+// current items if a condition doesn't hold, and 404 if a lease doesn't exist.
 func (s *Store) transact(c *gin.Context) {
-	var asked transaction
-	if err := c.BindJSON(&asked); err != nil {
+	var request transaction
+	if err := c.BindJSON(&request); err != nil {
 		return
 	}
-	if asked.writesForeign() {
+	if request.writesReserved() {
 		c.Status(http.StatusForbidden)
 		return
 	}
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	if current, matches := s.compare(asked.ExpectedRev); !matches {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if current, matches := s.compare(request.ExpectedRev); !matches {
 		c.JSON(http.StatusPreconditionFailed, gin.H{"items": current})
 		return
 	}
-	if !s.hasLeases(asked.Put) {
+	if !s.hasLeases(request.Put) {
 		c.Status(http.StatusNotFound)
 		return
 	}
-	s.apply(asked)
+	s.apply(request)
 	if s.faults.LoseAnswers {
 		panic(http.ErrAbortHandler)
 	}
 	c.JSON(http.StatusOK, gin.H{"Revision": s.revision})
 }
 
-// hasLeases reports whether all leases of some items exist. The caller must hold the mutex.
+// hasLeases reports whether the leases of all items exist. The caller must hold mu.
 func (s *Store) hasLeases(items []Item) bool {
 	for _, item := range items {
 		if _, found := s.leases[item.Lease]; item.Lease != 0 && !found {
@@ -66,28 +66,28 @@
 	return true
 }
 
-// apply makes the writes and removals of a transaction at the next revision. The caller must hold the mutex.
-func (s *Store) apply(asked transaction) {
+// apply applies the writes and removals of a transaction at the next revision. The caller must hold mu.
+func (s *Store) apply(request transaction) {
 	s.revision++
-	for _, item := range asked.Put {
+	for _, item := range request.Put {
 		s.write(item)
 	}
-	for _, key := range asked.Remove {
+	for _, key := range request.Remove {
 		s.remove(key)
 	}
-	s.wake()
+	s.notifyWatches()
 }
 
-// compare reports whether all items have the expected revisions, and returns those that exist. The caller must hold the mutex.
+// compare reports whether all items have the expected revisions, and returns the items that exist. The caller must hold mu.
 func (s *Store) compare(expected []Item) (current []Item, matches bool) {
 	matches = true
 	for _, item := range expected {
-		known := s.items[item.Key]
-		if known.Revision != item.Revision {
+		existing := s.items[item.Key]
+		if existing.Revision != item.Revision {
 			matches = false
 		}
-		if known.Key != "" {
-			current = append(current, known)
+		if existing.Key != "" {
+			current = append(current, existing)
 		}
 	}
 	return current, matches
