--- a/internal/lab/kvstore/kvstore.go
+++ b/internal/lab/kvstore/kvstore.go
@@ -135,8 +135,8 @@
 
 func (s *Store) write(item Item) {
 	item.Revision, item.Created = s.revision, s.revision
-	if existing, found := s.items[item.Key]; found {
-		item.Created = existing.Created
+	if stored, found := s.items[item.Key]; found {
+		item.Created = stored.Created
 	}
 	s.items[item.Key] = item
 	s.history = append(s.history, item)
--- a/internal/lab/kvstore/transaction.go
+++ b/internal/lab/kvstore/transaction.go
@@ -82,12 +82,12 @@
 func (s *Store) compare(expected []Item) (current []Item, matches bool) {
 	matches = true
 	for _, item := range expected {
-		existing := s.items[item.Key]
-		if existing.Revision != item.Revision {
+		stored := s.items[item.Key]
+		if stored.Revision != item.Revision {
 			matches = false
 		}
-		if existing.Key != "" {
-			current = append(current, existing)
+		if stored.Key != "" {
+			current = append(current, stored)
 		}
 	}
 	return current, matches
--- a/internal/lab/leaf/faults.go
+++ b/internal/lab/leaf/faults.go
@@ -1,32 +1,32 @@
 package leaf
 
-// Faults are the faults of a leaf. Shares are between 0 and 1, and drawn for each attempt.
+// Faults are the faults that a leaf injects. Each share is the probability, from 0 to 1, that an attempt has the fault.
 type Faults struct {
 	// SlowFactor multiplies every service time; 0 means 1.
 	SlowFactor float64 `json:"slow_factor,omitempty"`
-	// StragglerShare of attempts take StragglerLow to StragglerHigh times as long.
+	// StragglerShare is the share of attempts that take StragglerLow to StragglerHigh times as long.
 	StragglerShare float64 `json:"straggler_share,omitempty"`
 	StragglerLow   float64 `json:"straggler_low,omitempty"`
 	StragglerHigh  float64 `json:"straggler_high,omitempty"`
-	// LoseReplyShare of attempts run, and are answered by an error without detail.
+	// LoseReplyShare is the share of attempts that run but are answered with an error without details.
 	LoseReplyShare float64 `json:"lose_reply_share,omitempty"`
-	// CrossShare of attempts are answered with the reply to another attempt.
+	// CrossShare is the share of attempts that are answered with the reply to another attempt.
 	CrossShare float64 `json:"cross_share,omitempty"`
-	// ForeignRowShare of replies have a row from outside of the requested range.
+	// ForeignRowShare is the share of replies that contain a row outside the requested range.
 	ForeignRowShare float64 `json:"foreign_row_share,omitempty"`
-	// TruncateShare of replies cover only the first half of their rows, and report that.
+	// TruncateShare is the share of replies that contain only the first half of their rows, and report the covered range.
 	TruncateShare float64 `json:"truncate_share,omitempty"`
-	// DuplicateRowShare of replies have a row twice.
+	// DuplicateRowShare is the share of replies that contain a row twice.
 	DuplicateRowShare float64 `json:"duplicate_row_share,omitempty"`
-	// ShedShare of attempts are refused as shed.
+	// ShedShare is the share of attempts that are refused as shed.
 	ShedShare float64 `json:"shed_share,omitempty"`
-	// IgnoreCancel finishes attempts that the node has cancelled.
+	// IgnoreCancel runs attempts to the end although the node has cancelled them.
 	IgnoreCancel bool `json:"ignore_cancel,omitempty"`
-	// ClaimIdle reports no load.
+	// ClaimIdle reports no attempts in flight.
 	ClaimIdle bool `json:"claim_idle,omitempty"`
-	// Draining refuses attempts as draining.
+	// Draining refuses all attempts as draining.
 	Draining bool `json:"draining,omitempty"`
-	// ClaimDraining reports draining in replies and serves on.
+	// ClaimDraining reports draining in replies, but serves attempts.
 	ClaimDraining bool `json:"claim_draining,omitempty"`
 	// Snapshots replaces the snapshots that the leaf has, unless it is empty.
 	Snapshots []string `json:"snapshots,omitempty"`
--- a/internal/lab/leaf/leaf.go
+++ b/internal/lab/leaf/leaf.go
@@ -1,6 +1,6 @@
-// Package leaf is a stand-in leaf of the gRPC leaf protocol: it has snapshots of a sample index, serves any key range of
-// them, and records what it executed. A Leaf owns its indexes in memory and the file of executions; it reads the wall clock
-// and draws from a seed.
+// Package leaf is a stand-in leaf for the gRPC leaf protocol. It serves any key range of the snapshots of a sample index and
+// records the attempts that it runs. A Leaf owns its indexes in memory and the record file. It reads the wall clock and uses
+// a seeded random source.
 package leaf
 
 import (
@@ -28,20 +28,21 @@
 	Dataset sample.Dataset
 	Seed    uint64
 	Records int
-	// Snapshots are the snapshots that it has at the start.
+	// Snapshots are the snapshots that the leaf has at the start.
 	Snapshots []string
-	// Slots is the number of attempts that run at once.
+	// Slots is the number of attempts that run concurrently.
 	Slots int
-	// QueuePerSlot is how many attempts wait for each slot before the leaf sheds load.
+	// QueuePerSlot is the number of attempts per slot that may wait before the leaf sheds load.
 	QueuePerSlot int
-	// MedianServiceTime and ServiceSpread, the sigma of the logarithm, are those of a log-normal service time.
+	// MedianServiceTime and ServiceSpread are the parameters of a log-normal service time. ServiceSpread is the sigma of its
+	// logarithm.
 	MedianServiceTime time.Duration
 	ServiceSpread     float64
-	// Record is a file to which each execution is written before it runs; empty for none.
+	// Record is the file to which each execution is written before it runs. If it is empty, executions are not recorded.
 	Record string
 }
 
-// Validate returns a failure with every invalid field.
+// Validate returns a failure that lists every invalid field.
 func (c Config) Validate() error {
 	var checks failure.Checks
 	checks.Refuse(c.ID == "", "id", "must not be empty")
@@ -54,7 +55,7 @@
 	return checks.Err()
 }
 
-// Execution is the record of an attempt that the leaf ran.
+// Execution is the record of an attempt that a leaf ran.
 type Execution struct {
 	LeafID      string `json:"leaf_id"`
 	Service     string `json:"service"`
@@ -63,74 +64,73 @@
 	ShardID     string `json:"shard_id"`
 	Attempt     uint32 `json:"attempt"`
 	ExecutionID string `json:"execution_id,omitempty"`
-	// At is when it began to run, in Unix microseconds.
+	// At is the time at which the attempt began to run, in Unix microseconds.
 	At int64 `json:"at"`
 }
 
-// recordMode is the mode of the file of executions.
-const recordMode = 0o600
+const recordFileMode = 0o600
 
-// executionIDMemory is how long after its not-after time an execution id is refused if it comes again.
-const executionIDMemory = 10 * time.Minute
+// executionIDRetention is the time for which a leaf refuses a repeated execution ID, counted from the ID's not-after time.
+const executionIDRetention = 10 * time.Minute
 
-// Leaf implements LeafServiceServer; safe for concurrent use.
+// Leaf implements LeafServiceServer. It is safe for concurrent use.
 type Leaf struct {
 	leafv1.UnimplementedLeafServiceServer
-	config Config
-	slots  chan struct{}
+	cfg   Config
+	slots chan struct{}
 
-	mutex    sync.Mutex
-	random   *rand.Rand
-	faults   Faults
-	indexes  map[string]*sample.Index
-	held     map[string]bool
-	inFlight int
-	ran      map[string]time.Time // execution ids, until when they are remembered
-	previous *leafv1.SearchShardResponse
-	file     *os.File
+	mu           sync.Mutex
+	rng          *rand.Rand
+	faults       Faults
+	indexes      map[string]*sample.Index
+	available    map[string]bool
+	inFlight     int
+	executed     map[string]time.Time // when each execution ID expires
+	lastResponse *leafv1.SearchShardResponse
+	file         *os.File
 }
 
-// New builds the indexes of a leaf and opens its record.
-func New(config Config) (*Leaf, error) {
+// New builds the indexes of a leaf and opens its record file.
+func New(cfg Config) (*Leaf, error) {
 	leaf := &Leaf{
-		config:  config,
-		slots:   make(chan struct{}, config.Slots),
-		random:  rand.New(rand.NewPCG(config.Seed, uint64(len(config.ID)))),
-		indexes: map[string]*sample.Index{},
-		held:    map[string]bool{},
-		ran:     map[string]time.Time{},
+		cfg:       cfg,
+		slots:     make(chan struct{}, cfg.Slots),
+		rng:       rand.New(rand.NewPCG(cfg.Seed, uint64(len(cfg.ID)))),
+		indexes:   map[string]*sample.Index{},
+		available: map[string]bool{},
+		executed:  map[string]time.Time{},
 	}
-	if config.Record != "" {
-		file, err := os.OpenFile(config.Record, os.O_CREATE|os.O_APPEND|os.O_WRONLY, recordMode)
+	if cfg.Record != "" {
+		file, err := os.OpenFile(cfg.Record, os.O_CREATE|os.O_APPEND|os.O_WRONLY, recordFileMode)
 		if err != nil {
 			return nil, failure.Invalid("record", "%v", err)
 		}
 		leaf.file = file
 	}
-	return leaf, leaf.setSnapshots(config.Snapshots)
+	return leaf, leaf.setSnapshots(cfg.Snapshots)
 }
 
 // setSnapshots replaces the snapshots that the leaf has.
 func (l *Leaf) setSnapshots(snapshots []string) error {
-	held := map[string]bool{}
+	available := map[string]bool{}
 	for _, snapshot := range snapshots {
 		if l.indexes[snapshot] == nil {
-			index, err := sample.Build(l.config.Dataset, l.config.Seed, l.config.Records, snapshot)
+			index, err := sample.Build(l.cfg.Dataset, l.cfg.Seed, l.cfg.Records, snapshot)
 			if err != nil {
 				return err
 			}
 			l.indexes[snapshot] = index
 		}
-		held[snapshot] = true
+		available[snapshot] = true
 	}
-	l.held = held
+	l.available = available
 	return nil
 }
 
 // SetFaults replaces the faults.
 func (l *Leaf) SetFaults(faults Faults) error {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	l.faults = faults
 	if len(faults.Snapshots) > 0 {
 		return l.setSnapshots(faults.Snapshots)
@@ -141,45 +141,45 @@
 // SearchShard implements LeafServiceServer.
 func (l *Leaf) SearchShard(ctx context.Context, request *leafv1.SearchShardRequest) (*leafv1.SearchShardResponse, error) {
 	arrived := time.Now()
-	faults, refusal := l.admit(request)
-	if refusal != nil {
-		return nil, refusal
+	faults, refusalErr := l.admit(request)
+	if refusalErr != nil {
+		return nil, refusalErr
 	}
-	defer l.leave()
-	if err := l.takeSlot(ctx, faults, request, arrived); err != nil {
+	defer l.release()
+	if err := l.acquireSlot(ctx, faults, request, arrived); err != nil {
 		return nil, err
 	}
 	defer func() { <-l.slots }()
-	index, refusal := l.begin(request, arrived)
-	if refusal != nil {
-		return nil, refusal
+	index, refusalErr := l.begin(request, arrived)
+	if refusalErr != nil {
+		return nil, refusalErr
 	}
-	l.work(ctx, faults)
+	l.waitServiceTime(ctx, faults)
 	return l.respond(request, index, faults)
 }
 
-// admit refuses an attempt while the leaf drains or sheds load, or else counts it as in flight.
+// admit refuses an attempt if the leaf is draining or sheds load. Otherwise it counts the attempt as in flight.
 func (l *Leaf) admit(request *leafv1.SearchShardRequest) (Faults, error) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	waiting := l.inFlight - l.config.Slots
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	waiting := l.inFlight - l.cfg.Slots
 	switch {
 	case l.faults.Draining:
 		return l.faults, l.refuse(request, leafv1.RefusalReason_REFUSAL_REASON_DRAINING)
-	case waiting >= l.config.Slots*l.config.QueuePerSlot, l.draw(l.faults.ShedShare):
+	case waiting >= l.cfg.Slots*l.cfg.QueuePerSlot, l.occurs(l.faults.ShedShare):
 		return l.faults, l.refuse(request, leafv1.RefusalReason_REFUSAL_REASON_SHEDDING)
 	}
 	l.inFlight++
 	return l.faults, nil
 }
 
-func (l *Leaf) leave() {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
+func (l *Leaf) release() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	l.inFlight--
 }
 
-func (l *Leaf) takeSlot(ctx context.Context, faults Faults, request *leafv1.SearchShardRequest, arrived time.Time) error {
+func (l *Leaf) acquireSlot(ctx context.Context, faults Faults, request *leafv1.SearchShardRequest, arrived time.Time) error {
 	remaining := time.Until(arrived.Add(time.Duration(request.GetTimeRemainingMicros()) * time.Microsecond))
 	timer := time.NewTimer(remaining)
 	defer timer.Stop()
@@ -193,36 +193,36 @@
 	case <-timer.C:
 	case <-cancelled:
 	}
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	return l.refuse(request, leafv1.RefusalReason_REFUSAL_REASON_TOO_LATE)
 }
 
-// begin records the execution of an attempt. It is the last step that may refuse it.
+// begin records the execution of an attempt. It is the last step that may refuse the attempt.
 func (l *Leaf) begin(request *leafv1.SearchShardRequest, arrived time.Time) (*sample.Index, error) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	now := time.Now()
 	snapshot := request.GetIdentity().GetSnapshotId()
-	if !l.held[snapshot] {
+	if !l.available[snapshot] {
 		return nil, l.refuse(request, leafv1.RefusalReason_REFUSAL_REASON_SNAPSHOT_GONE)
 	}
 	if now.Sub(arrived) >= time.Duration(request.GetTimeRemainingMicros())*time.Microsecond {
 		return nil, l.refuse(request, leafv1.RefusalReason_REFUSAL_REASON_TOO_LATE)
 	}
 	if id := request.GetExecutionId(); id != "" {
-		if refusal := l.claim(request, id, now); refusal != nil {
-			return nil, refusal
+		if refusalErr := l.claimExecutionID(request, id, now); refusalErr != nil {
+			return nil, refusalErr
 		}
 	}
 	return l.indexes[snapshot], l.record(Execution{
-		LeafID: l.config.ID, Service: request.GetService(), RequestID: request.GetIdentity().GetRequestId(), SnapshotID: snapshot,
+		LeafID: l.cfg.ID, Service: request.GetService(), RequestID: request.GetIdentity().GetRequestId(), SnapshotID: snapshot,
 		ShardID: request.GetIdentity().GetShardId(), Attempt: request.GetIdentity().GetAttempt(),
 		ExecutionID: request.GetExecutionId(), At: now.UnixMicro(),
 	})
 }
 
-// record writes an execution to the file, if there is one. The caller must hold the mutex.
+// record writes an execution to the record file, if there is one. The caller must hold mu.
 func (l *Leaf) record(execution Execution) error {
 	if l.file == nil {
 		return nil
@@ -235,20 +235,20 @@
 	return err
 }
 
-// claim refuses an execution id that is late or was run before.
-func (l *Leaf) claim(request *leafv1.SearchShardRequest, id string, now time.Time) error {
+// claimExecutionID refuses an execution ID that is past its not-after time or was already executed. The caller must hold mu.
+func (l *Leaf) claimExecutionID(request *leafv1.SearchShardRequest, id string, now time.Time) error {
 	if now.UnixMilli() > request.GetNotAfterUnixMillis() {
 		return l.refuse(request, leafv1.RefusalReason_REFUSAL_REASON_TOO_LATE)
 	}
-	if until, ran := l.ran[id]; ran && now.Before(until) {
+	if until, found := l.executed[id]; found && now.Before(until) {
 		return l.refuse(request, leafv1.RefusalReason_REFUSAL_REASON_DUPLICATE_EXECUTION)
 	}
-	l.ran[id] = time.UnixMilli(request.GetNotAfterUnixMillis()).Add(executionIDMemory)
+	l.executed[id] = time.UnixMilli(request.GetNotAfterUnixMillis()).Add(executionIDRetention)
 	return nil
 }
 
-// work waits for the service time.
-func (l *Leaf) work(ctx context.Context, faults Faults) {
+// waitServiceTime waits for a random service time, or until the attempt is cancelled.
+func (l *Leaf) waitServiceTime(ctx context.Context, faults Faults) {
 	timer := time.NewTimer(l.serviceTime(faults))
 	defer timer.Stop()
 	cancelled := ctx.Done()
@@ -262,46 +262,46 @@
 }
 
 func (l *Leaf) serviceTime(faults Faults) time.Duration {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	seconds := l.config.MedianServiceTime.Seconds() * math.Exp(l.random.NormFloat64()*l.config.ServiceSpread)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	seconds := l.cfg.MedianServiceTime.Seconds() * math.Exp(l.rng.NormFloat64()*l.cfg.ServiceSpread)
 	if faults.SlowFactor > 0 {
 		seconds *= faults.SlowFactor
 	}
-	if l.draw(faults.StragglerShare) {
-		seconds *= faults.StragglerLow + l.random.Float64()*(faults.StragglerHigh-faults.StragglerLow)
+	if l.occurs(faults.StragglerShare) {
+		seconds *= faults.StragglerLow + l.rng.Float64()*(faults.StragglerHigh-faults.StragglerLow)
 	}
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// respond returns the reply, with the faults drawn for it.
+// respond returns the reply and applies the faults that occur in it.
 func (l *Leaf) respond(request *leafv1.SearchShardRequest, index *sample.Index, faults Faults) (*leafv1.SearchShardResponse, error) {
-	response := answer(request, index)
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	response.Load = l.load()
-	if l.draw(faults.LoseReplyShare) {
-		return nil, status.Error(codes.Unavailable, "reply lost")
+	response := buildResponse(request, index)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	response.Load = l.currentLoad()
+	if l.occurs(faults.LoseReplyShare) {
+		return nil, status.Error(codes.Unavailable, "the reply was lost")
 	}
-	if l.draw(faults.TruncateShare) {
+	if l.occurs(faults.TruncateShare) {
 		truncate(response)
 	}
-	if l.draw(faults.ForeignRowShare) {
+	if l.occurs(faults.ForeignRowShare) {
 		response.Rows = append(response.Rows, &leafv1.Row{Key: "\x00foreign", Value: []byte("{}")})
 	}
-	if l.draw(faults.DuplicateRowShare) && len(response.Rows) > 0 {
+	if l.occurs(faults.DuplicateRowShare) && len(response.Rows) > 0 {
 		response.Rows = append(response.Rows, response.Rows[len(response.Rows)-1])
 	}
-	previous := l.previous
-	l.previous = response
-	if l.draw(faults.CrossShare) && previous != nil {
+	previous := l.lastResponse
+	l.lastResponse = response
+	if l.occurs(faults.CrossShare) && previous != nil {
 		return previous, nil
 	}
 	return response, nil
 }
 
-// answer returns the rows of the requested range, up to the limit.
-func answer(request *leafv1.SearchShardRequest, index *sample.Index) *leafv1.SearchShardResponse {
+// buildResponse returns the rows of the requested range, up to the limit.
+func buildResponse(request *leafv1.SearchShardRequest, index *sample.Index) *leafv1.SearchShardResponse {
 	response := &leafv1.SearchShardResponse{
 		Identity: request.GetIdentity(), CoveredFrom: request.GetKeyFrom(), CoveredTo: request.GetKeyTo(),
 	}
@@ -318,7 +318,7 @@
 	return response
 }
 
-// truncate cuts a reply to the first half of its rows and reports that in the covered range.
+// truncate cuts a reply to the first half of its rows and shortens the covered range to them.
 func truncate(response *leafv1.SearchShardResponse) {
 	half := len(response.GetRows()) / 2
 	if half == 0 {
@@ -328,24 +328,24 @@
 	response.CoveredTo = keyspace.After(response.Rows[half-1].GetKey())
 }
 
-func (l *Leaf) load() *leafv1.LeafLoad {
-	load := &leafv1.LeafLoad{Slots: uint32(l.config.Slots), Draining: l.faults.Draining || l.faults.ClaimDraining}
+func (l *Leaf) currentLoad() *leafv1.LeafLoad {
+	load := &leafv1.LeafLoad{Slots: uint32(l.cfg.Slots), Draining: l.faults.Draining || l.faults.ClaimDraining}
 	if !l.faults.ClaimIdle {
 		load.InFlight = uint32(l.inFlight)
 	}
 	return load
 }
 
-func (l *Leaf) draw(share float64) bool { return share > 0 && l.random.Float64() < share }
+func (l *Leaf) occurs(fraction float64) bool { return fraction > 0 && l.rng.Float64() < fraction }
 
-// shedRetryAfter is the time in milliseconds after which a caller may retry.
-const shedRetryAfter = 50
+// retryAfterMillis is the time after which a refused caller may retry.
+const retryAfterMillis = 50
 
-// refuse returns the refusal of an attempt that did not run. The caller must hold the mutex.
+// refuse returns the refusal of an attempt that did not run. The caller must hold mu.
 func (l *Leaf) refuse(request *leafv1.SearchShardRequest, reason leafv1.RefusalReason) error {
 	state := status.New(codes.Unavailable, reason.String())
 	detailed, err := state.WithDetails(&leafv1.LeafRefusal{
-		Identity: request.GetIdentity(), Reason: reason, RetryAfterMillis: shedRetryAfter, Load: l.load(),
+		Identity: request.GetIdentity(), Reason: reason, RetryAfterMillis: retryAfterMillis, Load: l.currentLoad(),
 	})
 	if err != nil {
 		return state.Err()
