--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo is the demonstration of the README: a node, a stand-in platform and stand-in leafs in one process, over a
-// small sample index. Everything that it starts ends with Run.
+// Package demo runs the demonstration that the README describes: a node, a stand-in platform and stand-in leafs in one process,
+// over a small sample index. Everything that Run starts ends with it.
 package demo
 
 import (
@@ -36,7 +36,7 @@
 	zone            = "zone-a"
 )
 
-// cluster is what the demonstration runs.
+// cluster is the node and the leafs of the demonstration.
 type cluster struct {
 	output    io.Writer
 	callers   string
@@ -48,35 +48,35 @@
 	id      string
 	address string
 	stop    context.CancelFunc
-	ended   chan struct{}
+	done    chan struct{}
 }
 
-// Run starts a cluster, searches, stops a leaf, searches again, and stops.
+// Run starts a cluster, searches before and after each stop of two leafs, and stops the node.
 func Run(output io.Writer) error {
 	ctx, cancel := context.WithTimeout(context.Background(), demoTimeout)
 	defer cancel()
-	demo := &cluster{output: output}
+	c := &cluster{output: output}
 	addresses, err := process.FreeAddresses(1 + leafCount + addressesOfNode)
 	if err != nil {
 		return err
 	}
 	platformAddress, addresses := addresses[0], addresses[1:]
-	go serveQuietly(func() error { return platform.New(callsPerSecond).Serve(ctx, platformAddress, "") })
-	if err := demo.startLeafs(ctx, addresses[:leafCount]); err != nil {
+	go serveIgnoringError(func() error { return platform.New(callsPerSecond).Serve(ctx, platformAddress, "") })
+	if err := c.startLeafs(ctx, addresses[:leafCount]); err != nil {
 		return err
 	}
-	stopNode, err := demo.startNode(ctx, platformAddress, addresses[leafCount:])
+	stopNode, err := c.startNode(ctx, platformAddress, addresses[leafCount:])
 	if err != nil {
 		return err
 	}
-	if err := demo.show(ctx); err != nil {
+	if err := c.runSteps(ctx); err != nil {
 		return err
 	}
 	return stopNode()
 }
 
-// serveQuietly runs a server. Calls to it fail if it ends early.
-func serveQuietly(serve func() error) {
+// serveIgnoringError runs a server and ignores its error. If the server ends early, the calls to it fail.
+func serveIgnoringError(serve func() error) {
 	if err := serve(); err != nil {
 		return
 	}
@@ -92,58 +92,58 @@
 		if err != nil {
 			return err
 		}
-		leafContext, stop := context.WithCancel(ctx)
-		running := &runningLeaf{id: id, address: address, stop: stop, ended: make(chan struct{})}
+		leafCtx, stop := context.WithCancel(ctx)
+		leafProc := &runningLeaf{id: id, address: address, stop: stop, done: make(chan struct{})}
 		go func() {
-			defer close(running.ended)
-			serveQuietly(func() error { return served.Serve(leafContext, address, "") })
+			defer close(leafProc.done)
+			serveIgnoringError(func() error { return served.Serve(leafCtx, address, "") })
 		}()
-		c.leafs = append(c.leafs, running)
+		c.leafs = append(c.leafs, leafProc)
 	}
 	return nil
 }
 
 func (c *cluster) startNode(ctx context.Context, platformAddress string, addresses []string) (func() error, error) {
-	config := settings.Default()
-	config.Node.Zone = zone
-	config.Platform.Address = platformAddress
-	config.LogLevel = "error"
-	config.Stop.PrepareStopDelay = 0
-	config.Listen.Callers, config.Listen.Operators, config.Listen.Peers = addresses[0], addresses[1], addresses[2]
-	c.callers, c.operators = config.Listen.Callers, config.Listen.Operators
-	app := node.New(node.Start{Settings: config, Logs: c.output})
-	if err := app.Start(ctx); err != nil {
+	cfg := settings.Default()
+	cfg.Node.Zone = zone
+	cfg.Platform.Address = platformAddress
+	cfg.LogLevel = "error"
+	cfg.Stop.PrepareStopDelay = 0
+	cfg.Listen.Callers, cfg.Listen.Operators, cfg.Listen.Peers = addresses[0], addresses[1], addresses[2]
+	c.callers, c.operators = cfg.Listen.Callers, cfg.Listen.Operators
+	nodeApp := node.New(node.Start{Settings: cfg, Logs: c.output})
+	if err := nodeApp.Start(ctx); err != nil {
 		return nil, err
 	}
-	return func() error { return app.Stop(ctx) }, nil
+	return func() error { return nodeApp.Stop(ctx) }, nil
 }
 
-func (c *cluster) show(ctx context.Context) error {
+func (c *cluster) runSteps(ctx context.Context) error {
 	if err := c.configure(ctx); err != nil {
 		return err
 	}
-	if err := c.search(ctx, "every replica up, 'coast/skagen' tiles"); err != nil {
+	if err := c.search(ctx, "All replicas are up; tiles that match 'coast/skagen':"); err != nil {
 		return err
 	}
 	c.stopLeaf(0)
-	if err := c.search(ctx, "leaf-1 is gone; each shard still has a replica"); err != nil {
+	if err := c.search(ctx, "leaf-1 has stopped; each shard still has a replica:"); err != nil {
 		return err
 	}
 	c.stopLeaf(1)
-	return c.search(ctx, "leaf-2 is gone too; shards held by these two alone are missing")
+	return c.search(ctx, "leaf-2 has stopped, too; shards with replicas on these two leafs only are missing:")
 }
 
 func (c *cluster) stopLeaf(number int) {
 	c.leafs[number].stop()
-	<-c.leafs[number].ended
+	<-c.leafs[number].done
 }
 
 func (c *cluster) configure(ctx context.Context) error {
 	var leafs []*adminv1.Leaf
 	var ids []string
-	for _, running := range c.leafs {
-		leafs = append(leafs, &adminv1.Leaf{Id: running.id, Address: running.address, Zone: zone})
-		ids = append(ids, running.id)
+	for _, leafProc := range c.leafs {
+		leafs = append(leafs, &adminv1.Leaf{Id: leafProc.id, Address: leafProc.address, Zone: zone})
+		ids = append(ids, leafProc.id)
 	}
 	client := cli.AdminClient(c.operators)
 	err := retry.Eventually(ctx, demoTimeout, func() error {
@@ -188,8 +188,8 @@
 	return nil
 }
 
-func (c *cluster) printf(format string, arguments ...any) {
-	if _, err := fmt.Fprintf(c.output, format, arguments...); err != nil {
+func (c *cluster) printf(format string, args ...any) {
+	if _, err := fmt.Fprintf(c.output, format, args...); err != nil {
 		return
 	}
 }
--- a/internal/lab/demo/demo_test.go
+++ b/internal/lab/demo/demo_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// The demonstration, the README's first command, ends by itself and shows a missing range.
-func TestDemoRuns(t *testing.T) {
+// The demonstration, which is the first command in the README, must end by itself.
+func TestDemoReportsFullCoverageAndMissingRange(t *testing.T) {
 	is := is.New(t)
 	var output bytes.Buffer
 	is.NoErr(Run(&output))
--- a/internal/lab/httpleaf/httpleaf.go
+++ b/internal/lab/httpleaf/httpleaf.go
@@ -1,7 +1,7 @@
-// Package httpleaf is a stand-in leaf that writes HTTP/1.1 byte by byte, so that it can answer as badly as a faulty leaf
-// does.
+// Package httpleaf is a stand-in leaf for HTTP/1.1. It writes answers byte by byte, so it can send the malformed answers of a
+// faulty leaf.
 //
-// A Leaf owns its listener and a goroutine for each connection until Stop, and remembers every request.
+// Until Stop, a Leaf owns its listener and a goroutine for each connection. It records every request.
 package httpleaf
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/portgauge/portgauge/internal/request/httpnames"
 )
 
-// Answer is the answer of a leaf. The zero value is a signed, empty success.
+// Answer is the answer of a leaf. The zero value is a signed success with an empty body.
 type Answer struct {
 	// Delay is the service time.
 	Delay  time.Duration
@@ -28,25 +28,25 @@
 	NotExecuted bool
 	// Unsigned omits the signature.
 	Unsigned bool
-	// RequestID replaces the id that is echoed, unless it is empty.
+	// RequestID replaces the echoed request ID, unless it is empty.
 	RequestID string
-	// Unframed omits the length and ends the answer by closing the connection.
+	// Unframed omits the Content-Length header and ends the answer by closing the connection.
 	Unframed bool
-	// BreakOff closes the connection after so many bytes of the body, unless it is 0.
+	// BreakOff is the number of bytes of the body after which the leaf closes the connection; 0 sends the whole body.
 	BreakOff int
-	// Silent sends nothing and keeps the connection open.
+	// Silent sends no answer and keeps the connection open.
 	Silent bool
-	// Dropped closes the connection without an answer.
+	// Dropped closes the connection without sending an answer.
 	Dropped bool
-	// Crash stops the leaf with all of its connections after the delay, without an answer.
+	// Crash stops the leaf and closes all of its connections after the delay, without sending an answer.
 	Crash bool
-	// Before is sent before the answer, After behind it.
+	// Before is sent before the answer, and After is sent after it.
 	Before, After []byte
-	// Close announces that the connection will be closed, and closes it.
+	// Close sends Connection: close and closes the connection after the answer.
 	Close bool
-	// KeepAliveSeconds is how long the connection may be idle, as announced to the caller; 0 announces nothing.
+	// KeepAliveSeconds is the idle timeout in the Keep-Alive header; 0 omits the header.
 	KeepAliveSeconds int
-	// Load is the value of the header with the leaf's load.
+	// Load is the value of the header that reports the leaf's load; empty omits the header.
 	Load string
 }
 
@@ -60,28 +60,28 @@
 	Header      http.Header
 	Body        []byte
 	Deadline    time.Duration
-	// At is when it was read.
+	// At is the time at which the request was read.
 	At time.Time
 }
 
-// Leaf is one incarnation of a leaf; safe for concurrent use.
+// Leaf is one incarnation of a leaf. It is safe for concurrent use.
 type Leaf struct {
 	ID     string
 	names  httpnames.Names
 	answer func(Request) Answer
 
 	listener net.Listener
-	mutex    sync.Mutex
+	mu       sync.Mutex
 	requests []Request
-	open     map[net.Conn]bool
+	conns    map[net.Conn]bool
 }
 
-// Start starts a leaf on a free address of the loopback interface. It calls answer for each request, concurrently.
+// Start starts a leaf on a free loopback address. It calls answer concurrently, once per request.
 func Start(id string, names httpnames.Names, answer func(Request) Answer) (*Leaf, error) {
 	return StartAt("127.0.0.1:0", id, names, answer)
 }
 
-// StartAt starts a leaf on a given address.
+// StartAt starts a leaf on the given address.
 func StartAt(address, id string, names httpnames.Names, answer func(Request) Answer) (*Leaf, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -90,57 +90,57 @@
 	return Serve(listener, id, names, answer), nil
 }
 
-// Serve starts a leaf that accepts connections of a listener until Stop, which closes the listener.
+// Serve starts a leaf that accepts connections from a listener until Stop, which closes the listener.
 func Serve(listener net.Listener, id string, names httpnames.Names, answer func(Request) Answer) *Leaf {
-	leaf := &Leaf{ID: id, names: names, answer: answer, listener: listener, open: map[net.Conn]bool{}}
+	leaf := &Leaf{ID: id, names: names, answer: answer, listener: listener, conns: map[net.Conn]bool{}}
 	go leaf.accept()
 	return leaf
 }
 
-// Address returns the address at which the leaf listens.
+// Address returns the listen address.
 func (l *Leaf) Address() string { return l.listener.Addr().String() }
 
 // Stop closes the listener and all connections.
 func (l *Leaf) Stop() {
 	_ = l.listener.Close()
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	for connection := range l.open {
-		_ = connection.Close()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for conn := range l.conns {
+		_ = conn.Close()
 	}
 }
 
-// Requests returns the requests so far, in order of their arrival.
+// Requests returns the requests received so far, in order of arrival.
 func (l *Leaf) Requests() []Request {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	return append([]Request(nil), l.requests...)
 }
 
 func (l *Leaf) accept() {
 	for {
-		connection, err := l.listener.Accept()
+		conn, err := l.listener.Accept()
 		if err != nil {
 			return
 		}
-		l.mutex.Lock()
-		l.open[connection] = true
-		l.mutex.Unlock()
-		go l.serve(connection)
+		l.mu.Lock()
+		l.conns[conn] = true
+		l.mu.Unlock()
+		go l.serve(conn)
 	}
 }
 
-func (l *Leaf) serve(connection net.Conn) {
+func (l *Leaf) serve(conn net.Conn) {
 	defer func() {
-		_ = connection.Close()
-		l.mutex.Lock()
-		defer l.mutex.Unlock()
-		delete(l.open, connection)
+		_ = conn.Close()
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		delete(l.conns, conn)
 	}()
-	reader := bufio.NewReader(connection)
+	reader := bufio.NewReader(conn)
 	for {
 		request, err := l.read(reader)
-		if err != nil || !l.reply(connection, reader, request) {
+		if err != nil || !l.reply(conn, reader, request) {
 			return
 		}
 	}
@@ -161,20 +161,20 @@
 		Incarnation: read.Header.Get(l.names.ExpectedIncarnation), Header: read.Header, Body: body,
 		Deadline: time.Duration(millis) * time.Millisecond, At: time.Now(),
 	}
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	l.requests = append(l.requests, request)
 	return request, nil
 }
 
 // reply sends the answer and reports whether the connection stays open.
-func (l *Leaf) reply(connection net.Conn, reader *bufio.Reader, request Request) bool {
+func (l *Leaf) reply(conn net.Conn, reader *bufio.Reader, request Request) bool {
 	if request.Incarnation != "" && request.Incarnation != l.ID {
-		return l.send(connection, request, Answer{Status: http.StatusMisdirectedRequest, NotExecuted: true})
+		return l.send(conn, request, Answer{Status: http.StatusMisdirectedRequest, NotExecuted: true})
 	}
 	answer := l.answer(request)
 	if answer.Silent {
-		_, _ = reader.Peek(1) // until the caller closes the connection
+		_, _ = reader.Peek(1) // wait until the caller closes the connection
 		return false
 	}
 	if answer.Dropped {
@@ -185,10 +185,10 @@
 		l.Stop()
 		return false
 	}
-	return l.send(connection, request, answer)
+	return l.send(conn, request, answer)
 }
 
-func (l *Leaf) send(connection net.Conn, request Request, answer Answer) bool {
+func (l *Leaf) send(conn net.Conn, request Request, answer Answer) bool {
 	if answer.Status == 0 {
 		answer.Status = http.StatusOK
 	}
@@ -205,7 +205,7 @@
 	}
 	content.Write(body)
 	content.Write(answer.After)
-	_, err := connection.Write(content.Bytes())
+	_, err := conn.Write(content.Bytes())
 	return err == nil && answer.BreakOff == 0 && !answer.Unframed && !answer.Close
 }
 
@@ -215,8 +215,8 @@
 		id = answer.RequestID
 	}
 	headers := [][2]string{{l.names.RequestID, id}}
-	add := func(wanted bool, name, value string) {
-		if wanted {
+	add := func(include bool, name, value string) {
+		if include {
 			headers = append(headers, [2]string{name, value})
 		}
 	}
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -1,6 +1,5 @@
-// Package load sends searches over gRPC at a fixed rate: arrivals follow a seeded Poisson schedule whether or not earlier
-// searches were answered, and latency counts from the scheduled arrival. It owns a goroutine for each search in flight, and
-// is the only load tool for searches.
+// Package load is an open-loop load generator that sends searches over gRPC. Arrivals follow a seeded Poisson process and don't
+// wait for earlier searches. Latency is measured from the scheduled arrival. A goroutine runs for each search in flight.
 package load
 
 import (
@@ -23,21 +22,21 @@
 
 // Config describes a load.
 type Config struct {
-	// Addresses are the caller addresses of nodes, which get searches in turn.
+	// Addresses are the caller addresses of nodes. Searches are sent to them round-robin.
 	Addresses []string
 	Service   string
 	PerSecond float64
 	Duration  time.Duration
 	Deadline  time.Duration
-	// Limit is the page size; 0 means the service's.
+	// Limit is the page size; 0 means the default of the service.
 	Limit  uint32
 	Filter string
 	Seed   uint64
-	// Progress receives a line each second, unless it is nil.
+	// Progress receives a line per second, unless it is nil.
 	Progress io.Writer
 }
 
-// Validate returns a failure with every invalid field.
+// Validate returns a failure that lists every invalid field.
 func (c Config) Validate() error {
 	var checks failure.Checks
 	checks.Refuse(len(c.Addresses) == 0, "addresses", "must name at least one")
@@ -48,7 +47,7 @@
 	return checks.Err()
 }
 
-// Quantiles are latencies in milliseconds.
+// Quantiles contains quantiles of a latency, in milliseconds.
 type Quantiles struct {
 	P50  float64 `json:"p50"`
 	P90  float64 `json:"p90"`
@@ -57,22 +56,23 @@
 	Max  float64 `json:"max"`
 }
 
-// Result sums up a load.
+// Result is the summary of a load.
 type Result struct {
 	Sent     int `json:"sent"`
 	Answered int `json:"answered"`
 	Complete int `json:"complete"`
 	// Failures counts failed searches by code.
 	Failures map[string]int `json:"failures,omitempty"`
-	// AnswerMillis are latencies of answers, RefusalMillis those of refusals as overloaded.
+	// AnswerMillis contains the latencies of answers, and RefusalMillis the latencies of overloaded refusals.
 	AnswerMillis  Quantiles `json:"answer_ms"`
 	RefusalMillis Quantiles `json:"refusal_ms"`
-	// Late counts answers after the deadline.
+	// Late counts answers that arrived after the deadline.
 	Late int `json:"late"`
-	// Goodput is the rate of complete answers within the deadline.
+	// Goodput is the rate of complete answers within the deadline, per second.
 	Goodput  float64 `json:"goodput_per_second"`
 	Coverage float64 `json:"mean_coverage"`
-	// ExtraLoad is the attempts at leafs over those of the plans, of answered searches; 1 means none extra.
+	// ExtraLoad is the ratio of all attempts at leafs to first attempts, over the answered searches. It is 1 if there were no
+	// hedges or retries.
 	ExtraLoad float64 `json:"extra_load"`
 	Hedges    uint64  `json:"hedges"`
 	Retries   uint64  `json:"retries"`
@@ -81,17 +81,17 @@
 
 // Bounds and precision of latency histograms, in microseconds.
 const (
-	lowestMicros  = 1
-	highestMicros = int64(10 * time.Minute / time.Microsecond)
-	digits        = 3
+	minMicros         = 1
+	maxMicros         = int64(10 * time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
 // stream is a load in progress.
-type stream struct {
-	config  Config
+type loadRun struct {
+	cfg     Config
 	clients []searchv1connect.SearchServiceClient
 
-	mutex    sync.Mutex
+	mu       sync.Mutex
 	answers  *hdrhistogram.Histogram
 	refusals *hdrhistogram.Histogram
 	result   Result
@@ -99,143 +99,143 @@
 	coverage float64
 }
 
-// clientGrace is how much longer than the deadline a caller waits.
+// clientGrace is the time that a caller waits after the deadline.
 const clientGrace = 5 * time.Second
 
-// Run sends all searches and waits until each was answered or failed.
-func Run(ctx context.Context, config Config) (Result, error) {
-	if err := config.Validate(); err != nil {
+// Run sends all searches and waits until each is answered or has failed.
+func Run(ctx context.Context, cfg Config) (Result, error) {
+	if err := cfg.Validate(); err != nil {
 		return Result{}, err
 	}
-	running := &stream{
-		config:   config,
-		answers:  hdrhistogram.New(lowestMicros, highestMicros, digits),
-		refusals: hdrhistogram.New(lowestMicros, highestMicros, digits),
+	r := &loadRun{
+		cfg:      cfg,
+		answers:  hdrhistogram.New(minMicros, maxMicros, significantDigits),
+		refusals: hdrhistogram.New(minMicros, maxMicros, significantDigits),
 		result:   Result{Failures: map[string]int{}},
 	}
-	for _, address := range config.Addresses {
-		running.clients = append(running.clients, cli.SearchClient(address))
+	for _, address := range cfg.Addresses {
+		r.clients = append(r.clients, cli.SearchClient(address))
 	}
-	stop := running.showProgress()
-	running.send(ctx)
+	stop := r.showProgress()
+	r.send(ctx)
 	stop()
-	return running.finish(), nil
+	return r.summarize(), nil
 }
 
-// send sends searches on the schedule.
-func (s *stream) send(ctx context.Context) {
-	random := rand.New(rand.NewPCG(s.config.Seed, 5))
-	var running sync.WaitGroup
-	defer running.Wait()
-	began := time.Now()
+// send sends searches at their scheduled arrivals and waits for their results.
+func (r *loadRun) send(ctx context.Context) {
+	rng := rand.New(rand.NewPCG(r.cfg.Seed, 5))
+	var inFlight sync.WaitGroup
+	defer inFlight.Wait()
+	startedAt := time.Now()
 	arrival := time.Duration(0)
 	for number := 0; ; number++ {
-		arrival += time.Duration(random.ExpFloat64() / s.config.PerSecond * float64(time.Second))
-		if arrival > s.config.Duration {
+		arrival += time.Duration(rng.ExpFloat64() / r.cfg.PerSecond * float64(time.Second))
+		if arrival > r.cfg.Duration {
 			return
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(time.Until(began.Add(arrival))):
+		case <-time.After(time.Until(startedAt.Add(arrival))):
 		}
-		intended := began.Add(arrival)
-		client := s.clients[number%len(s.clients)]
-		running.Go(func() { s.search(ctx, client, intended) })
+		scheduledAt := startedAt.Add(arrival)
+		client := r.clients[number%len(r.clients)]
+		inFlight.Go(func() { r.search(ctx, client, scheduledAt) })
 	}
 }
 
-func (s *stream) search(ctx context.Context, client searchv1connect.SearchServiceClient, intended time.Time) {
-	ctx, cancel := context.WithTimeout(ctx, s.config.Deadline+clientGrace)
+func (r *loadRun) search(ctx context.Context, client searchv1connect.SearchServiceClient, scheduledAt time.Time) {
+	ctx, cancel := context.WithTimeout(ctx, r.cfg.Deadline+clientGrace)
 	defer cancel()
 	response, err := client.Search(ctx, connect.NewRequest(&searchv1.SearchRequest{
-		Service: s.config.Service, Filter: s.config.Filter, Limit: s.config.Limit, DeadlineMillis: uint32(s.config.Deadline.Milliseconds()),
+		Service: r.cfg.Service, Filter: r.cfg.Filter, Limit: r.cfg.Limit, DeadlineMillis: uint32(r.cfg.Deadline.Milliseconds()),
 	}))
-	took := time.Since(intended)
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.result.Sent++
+	latency := time.Since(scheduledAt)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.result.Sent++
 	if err != nil {
-		s.noteFailure(api.FailureOf(err), took)
+		r.recordFailure(api.FailureOf(err), latency)
 		return
 	}
-	s.noteAnswer(response.Msg.GetReport(), took)
+	r.recordAnswer(response.Msg.GetReport(), latency)
 }
 
-func (s *stream) noteFailure(failed *failure.Failure, took time.Duration) {
-	s.result.Failures[string(failed.Code)]++
-	if failed.Code == failure.Overloaded {
-		// The value is within the bounds of the histogram, so that recording can't fail.
-		_ = s.refusals.RecordValue(min(max(took.Microseconds(), lowestMicros), highestMicros))
+func (r *loadRun) recordFailure(failureErr *failure.Failure, latency time.Duration) {
+	r.result.Failures[string(failureErr.Code)]++
+	if failureErr.Code == failure.Overloaded {
+		// Recording can't fail because the value is within the bounds of the histogram.
+		_ = r.refusals.RecordValue(min(max(latency.Microseconds(), minMicros), maxMicros))
 	}
 }
 
-func (s *stream) noteAnswer(report *searchv1.Report, took time.Duration) {
-	_ = s.answers.RecordValue(min(max(took.Microseconds(), lowestMicros), highestMicros))
-	s.result.Answered++
-	if took > s.config.Deadline {
-		s.result.Late++
+func (r *loadRun) recordAnswer(report *searchv1.Report, latency time.Duration) {
+	_ = r.answers.RecordValue(min(max(latency.Microseconds(), minMicros), maxMicros))
+	r.result.Answered++
+	if latency > r.cfg.Deadline {
+		r.result.Late++
 	}
 	if report.GetCoverage().GetComplete() {
-		s.result.Complete++
+		r.result.Complete++
 	}
-	s.coverage += report.GetCoverage().GetFraction()
+	r.coverage += report.GetCoverage().GetFraction()
 	extra := report.GetExtraLoad()
-	s.attempts += uint64(extra.GetAttempts())
-	s.result.Hedges += uint64(extra.GetHedges())
-	s.result.Retries += uint64(extra.GetRetries())
-	s.result.Cancelled += uint64(extra.GetCancelled())
+	r.attempts += uint64(extra.GetAttempts())
+	r.result.Hedges += uint64(extra.GetHedges())
+	r.result.Retries += uint64(extra.GetRetries())
+	r.result.Cancelled += uint64(extra.GetCancelled())
 }
 
-func (s *stream) finish() Result {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.result.AnswerMillis = quantilesOf(s.answers)
-	s.result.RefusalMillis = quantilesOf(s.refusals)
-	s.result.Goodput = float64(max(s.result.Complete-s.result.Late, 0)) / s.config.Duration.Seconds()
-	if s.result.Answered > 0 {
-		s.result.Coverage = s.coverage / float64(s.result.Answered)
+func (r *loadRun) summarize() Result {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.result.AnswerMillis = quantilesOf(r.answers)
+	r.result.RefusalMillis = quantilesOf(r.refusals)
+	r.result.Goodput = float64(max(r.result.Complete-r.result.Late, 0)) / r.cfg.Duration.Seconds()
+	if r.result.Answered > 0 {
+		r.result.Coverage = r.coverage / float64(r.result.Answered)
 	}
-	if first := s.attempts - s.result.Hedges - s.result.Retries; first > 0 {
-		s.result.ExtraLoad = float64(s.attempts) / float64(first)
+	if first := r.attempts - r.result.Hedges - r.result.Retries; first > 0 {
+		r.result.ExtraLoad = float64(r.attempts) / float64(first)
 	}
-	return s.result
+	return r.result
 }
 
-// quantilesOf returns the quantiles of a histogram of microseconds.
+// quantilesOf returns the quantiles of a histogram whose values are in microseconds.
 func quantilesOf(histogram *hdrhistogram.Histogram) Quantiles {
 	at := func(quantile float64) float64 { return float64(histogram.ValueAtQuantile(quantile)) / 1000 }
 	return Quantiles{P50: at(50), P90: at(90), P99: at(99), P999: at(99.9), Max: float64(histogram.Max()) / 1000}
 }
 
-// showProgress prints a line each second until the returned function is called.
-func (s *stream) showProgress() func() {
-	if s.config.Progress == nil {
+// showProgress prints a line per second until the returned function is called.
+func (r *loadRun) showProgress() func() {
+	if r.cfg.Progress == nil {
 		return func() {}
 	}
 	ticker := time.NewTicker(time.Second)
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
 		for {
 			select {
-			case <-ended:
+			case <-done:
 				return
 			case <-ticker.C:
-				s.printProgress()
+				r.printProgress()
 			}
 		}
 	}()
 	return func() {
 		ticker.Stop()
-		close(ended)
+		close(done)
 	}
 }
 
-func (s *stream) printProgress() {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	_, err := fmt.Fprintf(s.config.Progress, "%d sent, %d answered, p99 %.1f ms, failures %v\n",
-		s.result.Sent, s.result.Answered, quantilesOf(s.answers).P99, s.result.Failures)
+func (r *loadRun) printProgress() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	_, err := fmt.Fprintf(r.cfg.Progress, "%d sent, %d answered, p99 %.1f ms, failures %v\n",
+		r.result.Sent, r.result.Answered, quantilesOf(r.answers).P99, r.result.Failures)
 	if err != nil {
 		return
 	}
--- a/internal/lab/replay/answer_faults.go
+++ b/internal/lab/replay/answer_faults.go
@@ -50,9 +50,9 @@
 	return built
 }
 
-func (c *indexCache) randomRange(random *rand.Rand) *searchv1.KeyRange {
+func (c *indexCache) randomRange(rng *rand.Rand) *searchv1.KeyRange {
 	records := c.index(c.header.Services[0].Snapshot).Records
-	first, second := random.IntN(len(records)), random.IntN(len(records))
+	first, second := rng.IntN(len(records)), rng.IntN(len(records))
 	if first == second {
 		return nil
 	}
--- a/internal/lab/replay/callers.go
+++ b/internal/lab/replay/callers.go
@@ -62,7 +62,7 @@
 
 // run sends searches at the rate of a load. It doesn't wait for the answers to earlier searches.
 func (c *callers) run(ctx context.Context, load *Load, seed uint64, until time.Time) {
-	random := rand.New(rand.NewPCG(seed, 11))
+	rng := rand.New(rand.NewPCG(seed, 11))
 	interval := time.Duration(float64(time.Second) / load.PerSecond)
 	next := time.Now()
 	for number := 0; next.Before(until); number++ {
@@ -72,8 +72,8 @@
 		case <-time.After(time.Until(next)):
 		}
 		next = next.Add(interval)
-		request := c.request(load, random, fmt.Sprintf("%s-%d-%d", load.Service, seed, number))
-		first := random.IntN(len(load.Nodes))
+		request := c.request(load, rng, fmt.Sprintf("%s-%d-%d", load.Service, seed, number))
+		first := rng.IntN(len(load.Nodes))
 		c.done.Go(func() { c.search(ctx, load, request, first) })
 	}
 }
@@ -85,13 +85,13 @@
 }
 
 // request returns a search over all keys, or over the range between two random records.
-func (c *callers) request(load *Load, random *rand.Rand, id string) *searchv1.SearchRequest {
+func (c *callers) request(load *Load, rng *rand.Rand, id string) *searchv1.SearchRequest {
 	candidates := filters[c.cluster.header.Dataset]
 	request := &searchv1.SearchRequest{
-		Service: load.Service, RequestId: id, DeadlineMillis: load.DeadlineMS, Limit: load.Limit, Filter: candidates[random.IntN(len(candidates))],
+		Service: load.Service, RequestId: id, DeadlineMillis: load.DeadlineMS, Limit: load.Limit, Filter: candidates[rng.IntN(len(candidates))],
 	}
-	if random.IntN(2) == 0 {
-		request.Range = c.indexes.randomRange(random)
+	if rng.IntN(2) == 0 {
+		request.Range = c.indexes.randomRange(rng)
 	}
 	if load.Unnamed {
 		request.RequestId = ""
--- a/internal/lab/sample/sample.go
+++ b/internal/lab/sample/sample.go
@@ -1,5 +1,5 @@
-// Package sample generates the records of sample indexes from a seed: map tiles keyed by coastline or field, and invoices
-// keyed by debtor and number. Equal arguments give equal indexes.
+// Package sample generates sample indexes from a seed: map tiles keyed by kind and place, and invoices keyed by debtor and
+// number. Equal arguments produce equal indexes.
 package sample
 
 import (
@@ -29,22 +29,22 @@
 	Value []byte
 }
 
-// Index has all records of a snapshot, sorted by key.
+// Index contains all records of a snapshot, sorted by key.
 type Index struct {
 	Snapshot string
 	Records  []Record
 }
 
-// absentOneIn is the number of records of which one is absent, a different one in each snapshot, so that snapshots differ in
-// which rows they have.
+// absentOneIn is the mean number of records of which Build omits one. A hash of snapshot and key selects the omitted records,
+// so snapshots differ in their keys.
 const absentOneIn = 16
 
 // Build returns the index of a snapshot.
 func Build(dataset Dataset, seed uint64, count int, snapshot string) (*Index, error) {
-	random := rand.New(rand.NewPCG(seed, 7))
+	rng := rand.New(rand.NewPCG(seed, 7))
 	index := &Index{Snapshot: snapshot}
 	for number := range count {
-		key, value, err := makeRecord(dataset, random, number, snapshot)
+		key, value, err := makeRecord(dataset, rng, number, snapshot)
 		if err != nil {
 			return nil, err
 		}
@@ -81,17 +81,17 @@
 	debtors = []string{"ashgrove", "burrow", "clancy", "donnelly", "eastwall", "fenian", "glasnevin", "howth"}
 )
 
-func makeRecord(dataset Dataset, random *rand.Rand, number int, snapshot string) (string, []byte, error) {
+func makeRecord(dataset Dataset, rng *rand.Rand, number int, snapshot string) (string, []byte, error) {
 	switch dataset {
 	case Tiles:
-		kind, place, zoom := kinds[random.IntN(len(kinds))], places[random.IntN(len(places))], 8+random.IntN(8)
+		kind, place, zoom := kinds[rng.IntN(len(kinds))], places[rng.IntN(len(places))], 8+rng.IntN(8)
 		key := fmt.Sprintf("%s/%s/%05d/z%02d", kind, place, number, zoom)
-		value, err := json.Marshal(tile{Snapshot: snapshot, Kind: kind, Zoom: zoom, Cloud: float64(random.IntN(100)) / 100, Bytes: 1000 + random.IntN(60000)})
+		value, err := json.Marshal(tile{Snapshot: snapshot, Kind: kind, Zoom: zoom, Cloud: float64(rng.IntN(100)) / 100, Bytes: 1000 + rng.IntN(60000)})
 		return key, value, err
 	case Invoices:
-		debtor := fmt.Sprintf("%s-%03d", debtors[random.IntN(len(debtors))], random.IntN(200))
+		debtor := fmt.Sprintf("%s-%03d", debtors[rng.IntN(len(debtors))], rng.IntN(200))
 		key := fmt.Sprintf("%s/%06d", debtor, number)
-		value, err := json.Marshal(invoice{Snapshot: snapshot, Debtor: debtor, Cents: random.Int64N(5_000_000), DueDay: random.IntN(365), Funded: random.IntN(2) == 0})
+		value, err := json.Marshal(invoice{Snapshot: snapshot, Debtor: debtor, Cents: rng.Int64N(5_000_000), DueDay: rng.IntN(365), Funded: rng.IntN(2) == 0})
 		return key, value, err
 	}
 	return "", nil, failure.Invalid("dataset", "%q; must be %q or %q", dataset, Tiles, Invoices)
@@ -99,15 +99,15 @@
 
 // In returns the records of a key range.
 func (index *Index) In(keys keyspace.Range) []Record {
-	first := sort.Search(len(index.Records), func(i int) bool { return index.Records[i].Key >= keys.From })
-	last := len(index.Records)
+	start := sort.Search(len(index.Records), func(i int) bool { return index.Records[i].Key >= keys.From })
+	end := len(index.Records)
 	if keys.To != "" {
-		last = sort.Search(len(index.Records), func(i int) bool { return index.Records[i].Key >= keys.To })
+		end = sort.Search(len(index.Records), func(i int) bool { return index.Records[i].Key >= keys.To })
 	}
-	return index.Records[first:max(first, last)]
+	return index.Records[start:max(start, end)]
 }
 
-// Split returns the ranges of so many shards of nearly equal size, which together cover all keys.
+// Split returns the key ranges of count shards of nearly equal size, which together cover all keys.
 func (index *Index) Split(count int) []keyspace.Range {
 	ranges := make([]keyspace.Range, count)
 	previous := ""
--- a/internal/lab/sample/service.go
+++ b/internal/lab/sample/service.go
@@ -13,7 +13,7 @@
 	return &adminv1.ServiceSpec{Name: name, Leafs: leafs}
 }
 
-// Manifest returns a manifest whose shards are of equal size, with their replicas assigned to the leafs in turn.
+// Manifest returns a manifest with shards of nearly equal size, whose replicas are assigned to the leafs round-robin.
 func Manifest(service string, index *Index, shards, replicas int, leafIDs []string) *adminv1.SnapshotManifest {
 	manifest := &adminv1.SnapshotManifest{Service: service, SnapshotId: index.Snapshot}
 	replicas = min(replicas, len(leafIDs))
