--- a/cmd/portgauge-lab/http_leaf.go
+++ b/cmd/portgauge-lab/http_leaf.go
@@ -13,7 +13,7 @@
 	"github.com/portgauge/portgauge/internal/request/httpnames"
 )
 
-// httpLeafCommand runs a stand-in leaf for routes, which answers with random records.
+// httpLeafCommand runs a stand-in leaf for routes. The leaf answers with random records.
 type httpLeafCommand struct {
 	ID      string        `help:"Identity of this start of the leaf." required:""`
 	Address string        `help:"IP number and port." default:"127.0.0.1:7600"`
@@ -21,7 +21,7 @@
 	Delay   time.Duration `help:"Service time of a request." default:"2ms"`
 }
 
-// Run serves until SIGTERM or SIGINT.
+// Run serves requests until SIGTERM or SIGINT.
 func (c *httpLeafCommand) Run() error {
 	leaf, err := httpleaf.StartAt(c.Address, c.ID, httpnames.Default(), func(httpleaf.Request) httpleaf.Answer {
 		return httpleaf.Answer{Delay: c.Delay, Body: c.records()}
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// records returns an answer of readable records, each 16 bytes on a line of its own.
+// records returns a body of readable records, each a line of 16 bytes.
 func (c *httpLeafCommand) records() []byte {
 	var body bytes.Buffer
 	for range c.Records {
--- a/cmd/portgauge-lab/leaf.go
+++ b/cmd/portgauge-lab/leaf.go
@@ -26,21 +26,21 @@
 	Record            string         `help:"File to which each execution is written before it runs." placeholder:"FILE"`
 }
 
-// Run serves until SIGTERM or SIGINT, and finishes attempts in flight.
+// Run serves attempts until SIGTERM or SIGINT, and then finishes the attempts in flight.
 func (c *leafCommand) Run() error {
-	config := leaf.Config{
+	cfg := leaf.Config{
 		ID: c.ID, Dataset: c.Dataset, Seed: c.Seed, Records: c.Records, Snapshots: c.Snapshots,
 		Slots: c.Slots, QueuePerSlot: c.QueuePerSlot, MedianServiceTime: c.MedianServiceTime, ServiceSpread: c.ServiceSpread,
 		Record: c.Record,
 	}
-	if err := config.Validate(); err != nil {
+	if err := cfg.Validate(); err != nil {
 		return err
 	}
-	served, err := leaf.New(config)
+	server, err := leaf.New(cfg)
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	return served.Serve(ctx, c.Address, c.Control)
+	return server.Serve(ctx, c.Address, c.Control)
 }
--- a/cmd/portgauge-lab/load.go
+++ b/cmd/portgauge-lab/load.go
@@ -23,15 +23,15 @@
 	Seed      uint64        `help:"Seed of the arrivals." default:"1"`
 }
 
-// longestLoad bounds the duration of a load.
-const longestLoad = time.Hour
+// maxDuration limits the duration of a load.
+const maxDuration = time.Hour
 
-// Run prints the result as JSON.
+// Run sends the searches and prints the result as JSON.
 func (c *loadCommand) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	result, err := load.Run(ctx, load.Config{
-		Addresses: c.Addresses, Service: c.Service, PerSecond: c.PerSecond, Duration: min(c.Duration, longestLoad),
+		Addresses: c.Addresses, Service: c.Service, PerSecond: c.PerSecond, Duration: min(c.Duration, maxDuration),
 		Deadline: c.Deadline, Limit: c.Limit, Filter: c.Filter, Seed: c.Seed, Progress: os.Stderr,
 	})
 	if err != nil {
--- a/cmd/portgauge-lab/main.go
+++ b/cmd/portgauge-lab/main.go
@@ -1,5 +1,5 @@
-// Command portgauge-lab runs stand-ins for what portgauge depends on, sends load, replays traces and plays faults and
-// roll-outs over real nodes.
+// Command portgauge-lab runs stand-ins for the dependencies of Portgauge, sends load, replays traces, and runs fault injection
+// and roll-outs against real nodes.
 package main
 
 import (
@@ -8,7 +8,7 @@
 	"github.com/portgauge/portgauge/internal/operator/cli"
 )
 
-// commandLine is the tree of subcommands; each has a file of its own.
+// commandLine is the tree of subcommands.
 type commandLine struct {
 	Leaf     leafCommand     `cmd:"" help:"Run a stand-in leaf for searches."`
 	HTTPLeaf httpLeafCommand `cmd:"" name:"http-leaf" help:"Run a stand-in leaf for routes."`
@@ -24,6 +24,6 @@
 	os.Exit(run(os.Args[1:]))
 }
 
-func run(arguments []string) int {
-	return cli.Run("portgauge-lab", "Stand-ins, load, traces and faults for portgauge.", &commandLine{}, arguments)
+func run(args []string) int {
+	return cli.Run("portgauge-lab", "Stand-ins, load generation, trace replay and fault injection for Portgauge.", &commandLine{}, args)
 }
--- a/cmd/portgauge-lab/platform.go
+++ b/cmd/portgauge-lab/platform.go
@@ -15,7 +15,7 @@
 	CallsPerSecond float64 `help:"Calls a second that the store accepts." default:"200"`
 }
 
-// Run serves until SIGTERM or SIGINT.
+// Run serves calls until SIGTERM or SIGINT.
 func (c *platformCommand) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
--- a/cmd/portgauge-lab/replay.go
+++ b/cmd/portgauge-lab/replay.go
@@ -16,7 +16,7 @@
 	Check bool     `help:"Only check the traces; run nothing."`
 }
 
-// Run replays each trace in turn and fails if any outcome does not hold.
+// Run validates all traces, then replays them in turn unless Check is set. It fails if any outcome does not hold.
 func (c *replayCommand) Run() error {
 	var traces []*replay.Trace
 	for _, file := range c.Files {
@@ -27,21 +27,21 @@
 		traces = append(traces, trace)
 	}
 	if c.Check {
-		_, err := fmt.Printf("%d traces, no fault found\n", len(traces))
+		_, err := fmt.Printf("%d traces are valid\n", len(traces))
 		return err
 	}
 	return withPrograms(func(ctx context.Context, programs process.Programs) error {
-		return playAll(ctx, traces, programs)
+		return replayAll(ctx, traces, programs)
 	})
 }
 
-// playAll replays each trace in turn and fails if any outcome does not hold.
-func playAll(ctx context.Context, traces []*replay.Trace, programs process.Programs) error {
+// replayAll replays the traces in turn. A trace that can't be played counts all its outcomes as failed.
+func replayAll(ctx context.Context, traces []*replay.Trace, programs process.Programs) error {
 	totalPassed, totalFailed := 0, 0
 	for _, trace := range traces {
 		passed, failed, err := replay.Run(ctx, trace, programs, os.Stdout)
 		if err != nil {
-			fmt.Printf("FAIL %s could not be played: %v\n", trace.Header.Name, err)
+			fmt.Printf("FAIL %s: the trace could not be played: %v\n", trace.Header.Name, err)
 		}
 		totalPassed += passed
 		totalFailed += failed
--- a/cmd/portgauge-lab/rollout.go
+++ b/cmd/portgauge-lab/rollout.go
@@ -12,7 +12,7 @@
 	"github.com/portgauge/portgauge/internal/lab/soak"
 )
 
-// rolloutCommand plays roll-outs of good and bad versions over real nodes.
+// rolloutCommand runs roll-outs of good and bad versions on real nodes.
 type rolloutCommand struct {
 	Cases     []string      `help:"Cases to play; empty plays all, an unknown one lists them." sep:";"`
 	Duration  time.Duration `default:"12s" help:"How long each order may take."`
@@ -21,7 +21,7 @@
 	Logs      string        `help:"Folder for the newest output of the nodes."`
 }
 
-// Run plays the cases and fails if any had the wrong outcome or broke a promise.
+// Run runs the cases and fails if any case has the wrong outcome or breaks a guarantee.
 func (c *rolloutCommand) Run() error {
 	seed := c.Seed
 	if seed == 0 {
@@ -36,7 +36,7 @@
 		}
 		fmt.Printf("%d passed, %d failed\n", passed, failed)
 		if failed > 0 {
-			return failure.New(failure.Internal, failure.Unknown, "%d roll-outs went otherwise than they must", failed)
+			return failure.New(failure.Internal, failure.Unknown, "%d roll-outs had the wrong outcome or broke a guarantee", failed)
 		}
 		return nil
 	})
--- a/cmd/portgauge-lab/sample.go
+++ b/cmd/portgauge-lab/sample.go
@@ -7,7 +7,7 @@
 	"github.com/portgauge/portgauge/internal/operator/cli"
 )
 
-// sampleCommand groups the generators of operators' files.
+// sampleCommand groups the commands that print sample services and manifests.
 type sampleCommand struct {
 	Service  sampleServiceCommand  `cmd:"" help:"Print a service, for 'portgauge service apply -'."`
 	Manifest sampleManifestCommand `cmd:"" help:"Print a manifest, for 'portgauge snapshot publish -'."`
--- a/cmd/portgauge-lab/soak.go
+++ b/cmd/portgauge-lab/soak.go
@@ -12,7 +12,7 @@
 	"github.com/portgauge/portgauge/internal/lab/soak"
 )
 
-// soakCommand injects random faults around real nodes and checks the promises.
+// soakCommand injects random faults around real nodes and checks the guarantees.
 type soakCommand struct {
 	Seeds     []uint64      `help:"Seeds to play; empty draws one."`
 	Length    time.Duration `default:"40s" help:"How long faults are injected, for each seed."`
@@ -23,7 +23,7 @@
 	KeepAll   bool          `help:"Keep the logs of all seeds."`
 }
 
-// Run plays each seed in turn and fails if any promise was broken.
+// Run runs each seed in turn and fails if any guarantee is broken.
 func (c *soakCommand) Run() error {
 	seeds := c.Seeds
 	if len(seeds) == 0 {
@@ -37,12 +37,12 @@
 			if err != nil {
 				return err
 			}
-			held, broken := soak.Report(results, os.Stdout)
-			passed, failed = passed+held, failed+broken
+			seedPassed, seedFailed := soak.Report(results, os.Stdout)
+			passed, failed = passed+seedPassed, failed+seedFailed
 		}
 		fmt.Printf("%d passed, %d failed\n", passed, failed)
 		if failed > 0 {
-			return failure.New(failure.Internal, failure.Unknown, "%d promises broken", failed)
+			return failure.New(failure.Internal, failure.Unknown, "%d guarantees were broken", failed)
 		}
 		return nil
 	})
