--- a/internal/lab/platform/platform.go
+++ b/internal/lab/platform/platform.go
@@ -115,7 +115,6 @@
 	return append([]Write(nil), p.writes...)
 }
 
-// Counts returns the numbers of calls so far.
 func (p *Platform) Counts() Counts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -213,7 +212,7 @@
 	return entry.GetRevision()
 }
 
-// consumeLostReply returns an error, once per lost reply that the faults request. The caller must hold mu.
+// consumeLostReply returns an error while LoseReplies is positive, and decrements it. The caller must hold mu.
 func (p *Platform) consumeLostReply() error {
 	if p.faults.LoseReplies == 0 {
 		return nil
--- a/internal/lab/replay/checks.go
+++ b/internal/lab/replay/checks.go
@@ -9,7 +9,6 @@
 	"github.com/portgauge/portgauge/internal/lab/leaf"
 )
 
-// CheckName is the name of a check.
 type CheckName string
 
 // result is the result of a check and a summary of its figures.
@@ -105,8 +104,8 @@
 			wrong++
 		}
 	}
-	isEnough := float64(len(notRun)) >= outcome.AtLeast
-	return result{wrong == 0 && isEnough, fmt.Sprintf("%d of %d requests refused as not run had run (at least %g refusals required)", wrong, len(notRun), outcome.AtLeast)}
+	minimumMet := float64(len(notRun)) >= outcome.AtLeast
+	return result{wrong == 0 && minimumMet, fmt.Sprintf("%d of %d requests refused as not run had run (at least %g refusals required)", wrong, len(notRun), outcome.AtLeast)}
 }
 
 // checkAtMostOnce finds execution IDs that ran more than once across all leafs.
@@ -123,8 +122,8 @@
 			twice++
 		}
 	}
-	isEnough := float64(len(counts)) >= outcome.AtLeast
-	return result{twice == 0 && isEnough, fmt.Sprintf("%d of %d execution IDs ran more than once (at least %g IDs required)", twice, len(counts), outcome.AtLeast)}
+	minimumMet := float64(len(counts)) >= outcome.AtLeast
+	return result{twice == 0 && minimumMet, fmt.Sprintf("%d of %d execution IDs ran more than once (at least %g IDs required)", twice, len(counts), outcome.AtLeast)}
 }
 
 func (rec *recording) executionsOf(leafID string) []leaf.Execution {
@@ -154,7 +153,7 @@
 	return result{last <= bound && before > 0, fmt.Sprintf("last new attempt %d ms after the leaf began to drain, bound %d ms, %d attempts before", last.Milliseconds(), outcome.WithinMS, before)}
 }
 
-// checkNoFailures passes if every search was answered, if need be after retries.
+// checkNoFailures passes if every search was answered, possibly after retries.
 func checkNoFailures(rec *recording, outcome Outcome) result {
 	failed, total, first := 0, 0, ""
 	for _, call := range rec.calls {
@@ -239,8 +238,8 @@
 			}
 		}
 	}
-	isEnough := float64(accepted) >= outcome.AtLeast
-	return result{wrong == 0 && unsettled == 0 && isEnough, fmt.Sprintf("%d accepted, %d refused, %d with unknown outcome, %d reported wrongly, %d sent more than once", accepted, refused, unsettled, wrong, resent)}
+	minimumMet := float64(accepted) >= outcome.AtLeast
+	return result{wrong == 0 && unsettled == 0 && minimumMet, fmt.Sprintf("%d accepted, %d refused, %d with unknown outcome, %d reported wrongly, %d sent more than once", accepted, refused, unsettled, wrong, resent)}
 }
 
 // checkSnapshotCurrent finds attempts at a snapshot that was replaced more than the bound earlier.
@@ -310,7 +309,7 @@
 	return result{float64(count) >= outcome.AtLeast, fmt.Sprintf("%d changes accepted of %d sent (at least %g required)", count, len(rec.changes), outcome.AtLeast)}
 }
 
-// checkPromptRefusals passes if all overloaded refusals arrived within the bound and had a retry-after time.
+// checkPromptRefusals passes if all refusals as overloaded arrived within the bound, with a retry-after time.
 func checkPromptRefusals(rec *recording, outcome Outcome) result {
 	bound := time.Duration(outcome.WithinMS) * time.Millisecond
 	refused, late, withoutRetryAfter := 0, 0, 0
@@ -328,8 +327,8 @@
 			withoutRetryAfter++
 		}
 	}
-	isEnough := float64(refused) >= outcome.AtLeast
-	return result{late == 0 && withoutRetryAfter == 0 && isEnough, fmt.Sprintf("%d refusals, slowest %d ms, %d over %d ms, %d without a retry-after time", refused, slowest.Milliseconds(), late, outcome.WithinMS, withoutRetryAfter)}
+	minimumMet := float64(refused) >= outcome.AtLeast
+	return result{late == 0 && withoutRetryAfter == 0 && minimumMet, fmt.Sprintf("%d refusals, slowest %d ms, %d over %d ms, %d without a retry-after time", refused, slowest.Milliseconds(), late, outcome.WithinMS, withoutRetryAfter)}
 }
 
 func checkStoreCalls(rec *recording, outcome Outcome) result {
--- a/internal/lab/replay/cuts.go
+++ b/internal/lab/replay/cuts.go
@@ -7,8 +7,8 @@
 // setCut creates or heals a partition between two groups and applies the change to open connections.
 func (c *cluster) setCut(between []string, cut bool) {
 	c.mu.Lock()
-	for _, first := range c.expand(between[0]) {
-		for _, second := range c.expand(between[1]) {
+	for _, first := range c.expandZone(between[0]) {
+		for _, second := range c.expandZone(between[1]) {
 			c.cuts[[2]string{first, second}] = cut
 			c.cuts[[2]string{second, first}] = cut
 			if _, isLeaf := c.leafs[second]; isLeaf {
@@ -30,8 +30,8 @@
 	}
 }
 
-// expand returns the nodes of a zone, or the name itself if it isn't a zone.
-func (c *cluster) expand(name string) []string {
+// expandZone returns the nodes of a zone, or the name itself if it isn't a zone.
+func (c *cluster) expandZone(name string) []string {
 	var names []string
 	for id, node := range c.nodes {
 		if node.spec.Zone == name {
--- a/internal/lab/replay/trace.go
+++ b/internal/lab/replay/trace.go
@@ -36,7 +36,6 @@
 	StoreCallsPerSecond float64 `json:"store_calls_per_second,omitempty"`
 }
 
-// NodeSpec describes a node.
 type NodeSpec struct {
 	ID   string `json:"id"`
 	Zone string `json:"zone"`
@@ -44,7 +43,6 @@
 	Set map[string]string `json:"set,omitempty"`
 }
 
-// LeafSpec describes a leaf.
 type LeafSpec struct {
 	ID        string   `json:"id"`
 	Zone      string   `json:"zone"`
@@ -94,7 +92,7 @@
 	Limit      uint32 `json:"limit,omitempty"`
 	AtMostOnce bool   `json:"at_most_once,omitempty"`
 	Full       bool   `json:"full,omitempty"`
-	// Follow retries a search that was refused as not run at another node, as a new request.
+	// Follow retries a search at another node, as a new request, if it was refused as not run.
 	Follow bool `json:"follow,omitempty"`
 	// Repeat retries a search at another node after any failure, with the same request ID.
 	Repeat bool `json:"repeat,omitempty"`
