--- a/internal/lab/soak/checks.go
+++ b/internal/lab/soak/checks.go
@@ -10,235 +10,234 @@
 	"time"
 )
 
-// Bounds of the promises: until a configuration is in force and until a leaving leaf gets nothing, in all nodes without a
-// fault, and the share of requests served after the faults. They follow from the stated aims of the product.
+// Bounds of the promises: the time until a configuration is in force and the time until a leaving leaf receives no requests,
+// both on nodes without a fault, and the minimum fraction of requests served after the faults.
 const (
 	configurationBound = 3 * time.Second
 	drainBound         = 3 * time.Second
-	servedShare        = 0.95
+	minServedFraction  = 0.95
 )
 
 func sortDescending(records [][]byte) {
 	slices.SortFunc(records, func(a, b []byte) int { return bytes.Compare(b, a) })
 }
 
-// checkAll checks every promise on the records of callers and leafs. From calm on there were no more faults, and nodes had had
-// time to recover.
-func checkAll(w *environment, seen []outcome, calm time.Time) []Result {
-	ran := w.runs()
+// checkAll checks every promise except those about roll-outs against the records of callers and leafs. There are no faults after
+// the time recovered, and the nodes have had time to recover by then.
+func checkAll(e *environment, seen []outcome, recovered time.Time) []Result {
+	ran := e.runs()
 	return []Result{
-		checkOnce(seen, ran), checkRefusals(seen, ran), checkSent(seen, ran), checkSingles(w, seen), checkGathered(w, seen),
-		checkConfiguration(w, seen), checkDraining(w), checkEvacuations(w), checkStops(seen), checkRecovery(seen, calm),
-		checkCrashing(w), checkOtherRequests(seen),
+		checkOnce(seen, ran), checkRefusals(seen, ran), checkOnlySentRequests(seen, ran), checkSingles(e, seen), checkGathered(e, seen),
+		checkConfiguration(e, seen), checkDraining(e), checkEvacuations(e), checkStops(seen), checkRecovery(seen, recovered),
+		checkCrashing(e), checkOtherRequests(seen),
 	}
 }
 
 func checkOnce(seen []outcome, ran map[string][]string) Result {
-	v := Result{Promise: "a request marked not repeatable runs at most once"}
+	result := Result{Promise: "a request marked not repeatable runs at most once"}
 	for _, o := range seen {
 		if o.kind == Once {
-			v.check(len(ran[o.id]) <= 1, "%s ran at %v", o.id, ran[o.id])
+			result.check(len(ran[o.id]) <= 1, "%s ran at %v", o.id, ran[o.id])
 		}
 	}
-	return v
+	return result
 }
 
 func checkRefusals(seen []outcome, ran map[string][]string) Result {
-	v := Result{Promise: "a refusal that says not run is true"}
+	result := Result{Promise: "a request refused as not run has not run"}
 	for _, o := range seen {
 		switch o.status {
 		case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 			if o.kind == Once {
-				v.check(len(ran[o.id]) == 0, "%s got %d and ran at %v", o.id, o.status, ran[o.id])
+				result.check(len(ran[o.id]) == 0, "%s was answered with status %d and ran at %v", o.id, o.status, ran[o.id])
 			}
 		}
 	}
-	return v
+	return result
 }
 
-func checkSent(seen []outcome, ran map[string][]string) Result {
-	v := Result{Promise: "leafs run only what callers sent"}
-	known := map[string]bool{}
+func checkOnlySentRequests(seen []outcome, ran map[string][]string) Result {
+	result := Result{Promise: "leafs run only requests that callers sent"}
+	sent := map[string]bool{}
 	for _, o := range seen {
-		known[o.id] = true
+		sent[o.id] = true
 	}
 	for id := range ran {
-		v.check(known[id], "%s ran and was never sent", id)
+		result.check(sent[id], "%s ran although no caller sent it", id)
 	}
-	return v
+	return result
 }
 
-func checkSingles(w *environment, seen []outcome) Result {
-	v := Result{Promise: "an answer of one leaf is whole and the caller's own"}
+func checkSingles(e *environment, seen []outcome) Result {
+	result := Result{Promise: "the answer of a single leaf is complete and belongs to the caller's request"}
 	for _, o := range seen {
 		if o.status != http.StatusOK || o.kind == Gathered {
 			continue
 		}
-		leafID, id, _ := strings.Cut(o.header.Get(w.names.ResponseStamp), ".")
-		service := w.serviceOf(leafID)
-		v.check(id == o.id && bytes.Equal(o.body, partBody(service, o.id)), "%s got the answer %q of %s (%s)", o.id, o.body, leafID, id)
+		leafID, id, _ := strings.Cut(o.header.Get(e.names.ResponseStamp), ".")
+		service := e.serviceOf(leafID)
+		result.check(id == o.id && bytes.Equal(o.body, partBody(service, o.id)), "%s received the answer %q from %s for request %s", o.id, o.body, leafID, id)
 	}
-	return v
+	return result
 }
 
-func checkGathered(w *environment, seen []outcome) Result {
-	v := Result{Promise: "a gathered answer holds the greatest records of the parts that it names, and says how many are missing"}
+func checkGathered(e *environment, seen []outcome) Result {
+	result := Result{Promise: "a gathered answer contains the greatest records of the parts that it lists, and states how many parts are missing"}
 	for _, o := range seen {
 		if o.status == http.StatusOK && o.kind == Gathered {
-			fault := gatheredFault(w, o)
-			v.check(fault == "", "%s: %s", o.id, fault)
+			fault := gatheredFault(e, o)
+			result.check(fault == "", "%s: %s", o.id, fault)
 		}
 	}
-	return v
+	return result
 }
 
-// gatheredFault returns what is wrong with a gathered answer, or "".
-func gatheredFault(w *environment, o outcome) string {
+// gatheredFault describes the fault of a gathered answer, or returns "" if there is none.
+func gatheredFault(e *environment, o outcome) string {
 	services := map[string]bool{}
 	var bodies [][]byte
-	for _, stamp := range o.parts(w.names) {
+	for _, stamp := range o.parts(e.names) {
 		leafID, id, _ := strings.Cut(stamp, ".")
-		service := w.serviceOf(leafID)
-		if id != o.id || services[service] || !slices.Contains(w.gathered, service) {
-			return fmt.Sprintf("part %q of service %q", stamp, service)
+		service := e.serviceOf(leafID)
+		if id != o.id || services[service] || !slices.Contains(e.gathered, service) {
+			return fmt.Sprintf("unexpected part %q of service %q", stamp, service)
 		}
 		services[service] = true
 		bodies = append(bodies, partBody(service, o.id))
 	}
 	missing := 0
-	if text := o.header.Get(w.names.MissingParts); text != "" {
+	if text := o.header.Get(e.names.MissingParts); text != "" {
 		if _, err := fmt.Sscan(text, &missing); err != nil {
-			return "missing parts " + text
+			return "invalid number of missing parts: " + text
 		}
 	}
 	switch {
-	case len(services)+missing != len(w.gathered):
-		return fmt.Sprintf("%d parts and %d missing of %d", len(services), missing, len(w.gathered))
-	case len(services) < int(math.Ceil(minCoverage*float64(len(w.gathered)))):
-		return fmt.Sprintf("only %d parts", len(services))
+	case len(services)+missing != len(e.gathered):
+		return fmt.Sprintf("lists %d parts and %d missing of %d", len(services), missing, len(e.gathered))
+	case len(services) < int(math.Ceil(minCoverage*float64(len(e.gathered)))):
+		return fmt.Sprintf("lists only %d parts, below the minimum coverage", len(services))
 	case !bytes.Equal(o.body, greatest(bodies, topRecords)):
-		return "not the greatest records"
+		return "does not contain the greatest records of its parts"
 	}
 	return ""
 }
 
-// checkConfiguration checks that nodes without a fault serve by the newest configuration after its bound, and that no
-// process goes back to an older one.
-func checkConfiguration(w *environment, seen []outcome) Result {
-	v := Result{Promise: "an accepted configuration is in force within its bound and never reverts"}
-	bySent := slices.Clone(seen)
-	slices.SortFunc(bySent, func(a, b outcome) int { return a.sent.Compare(b.sent) })
+// checkConfiguration checks that nodes without a fault serve requests with the newest configuration once its bound has
+// passed, and that no process reverts to an older one.
+func checkConfiguration(e *environment, seen []outcome) Result {
+	result := Result{Promise: "an accepted configuration is in force within its bound and never reverts"}
+	inSendOrder := slices.Clone(seen)
+	slices.SortFunc(inSendOrder, func(a, b outcome) int { return a.sent.Compare(b.sent) })
 	type process struct {
 		node *nodeState
 		life int
 	}
-	reached := map[process]reachedVersions{}
-	for _, o := range bySent {
+	reached := map[process]versionBounds{}
+	for _, o := range inSendOrder {
 		if o.kind != Switched || o.status != http.StatusOK {
 			continue
 		}
-		leafID, _, _ := strings.Cut(o.header.Get(w.names.ResponseStamp), ".")
-		newest := w.newestWith(w.serviceOf(leafID), o.ended)
-		due := w.dueAt(o.sent.Add(-configurationBound))
-		inTouch := !o.node.hadFault(o.sent.Add(-configurationBound), o.ended, true)
-		v.check(!inTouch || newest >= due, "%s at %s served by version %d at most, %d was due", o.id, o.node.name, newest, due)
-		at := process{o.node, o.life}
-		least := reached[at].by(o.sent)
-		v.check(least <= newest, "%s at %s served by version %d at most after %d was seen", o.id, o.node.name, newest, least)
-		if oldest := w.oldestWith(w.serviceOf(leafID), least); oldest > least {
-			reached[at] = append(reached[at], reachedVersion{oldest, o.ended})
+		leafID, _, _ := strings.Cut(o.header.Get(e.names.ResponseStamp), ".")
+		newest := e.newestWith(e.serviceOf(leafID), o.ended)
+		due := e.dueAt(o.sent.Add(-configurationBound))
+		hadNoFault := !o.node.hadFault(o.sent.Add(-configurationBound), o.ended, true)
+		result.check(!hadNoFault || newest >= due, "%s at %s served with version %d or older, want %d", o.id, o.node.name, newest, due)
+		key := process{o.node, o.life}
+		lowest := reached[key].lowestAt(o.sent)
+		result.check(lowest <= newest, "%s at %s served with version %d or older after version %d had been in force", o.id, o.node.name, newest, lowest)
+		if oldest := e.oldestWith(e.serviceOf(leafID), lowest); oldest > lowest {
+			reached[key] = append(reached[key], versionBound{oldest, o.ended})
 		}
 	}
-	return v
+	return result
 }
 
-// reachedVersions are the lowest versions that a process must have had in force, each with the end of the answer that shows
-// it, in any order. Only answers that ended before a request was sent say something about that request: requests in flight
-// together, such as all those of a node that was frozen while the configuration changed, may be served by either version in
-// any order.
-type reachedVersions []reachedVersion
+// versionBounds are the lowest versions that a process must have had in force, each with the end of the answer that shows
+// it, in any order. A request is checked only against answers that ended before it was sent: concurrent requests, such as
+// those that wait at a frozen node while the configuration changes, may be served with either version.
+type versionBounds []versionBound
 
-type reachedVersion struct {
+type versionBound struct {
 	version int
 	seen    time.Time
 }
 
-// by returns the lowest version that must have been in force at a time, or 0.
-func (r reachedVersions) by(at time.Time) int {
-	least := 0
-	for _, one := range r {
+// lowestAt returns the lowest version that must have been in force at the given time, or 0.
+func (b versionBounds) lowestAt(at time.Time) int {
+	lowest := 0
+	for _, one := range b {
 		if !one.seen.After(at) {
-			least = max(least, one.version)
+			lowest = max(lowest, one.version)
 		}
 	}
-	return least
+	return lowest
 }
 
-func checkDraining(w *environment) Result {
-	v := Result{Promise: "a leaving leaf gets no new work after its bound"}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for id, state := range w.leafs {
+func checkDraining(e *environment) Result {
+	result := Result{Promise: "a leaving leaf receives no requests after its bound"}
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for id, state := range e.leafs {
 		if state.leavingAt.IsZero() {
 			continue
 		}
-		late := w.lateRequests(state, state.leavingAt.Add(drainBound), time.Time{})
-		v.check(late == 0, "%s got %d requests more than %v after it began to leave", id, late, drainBound)
+		late := e.lateRequests(state, state.leavingAt.Add(drainBound), time.Time{})
+		result.check(late == 0, "%s received %d requests more than %v after it began to leave", id, late, drainBound)
 	}
-	return v
+	return result
 }
 
-// lateRequests counts the requests that a leaf received between two times while no node had a fault. A zero before means
-// never.
-func (w *environment) lateRequests(state *leafState, after, before time.Time) int {
+// lateRequests counts the requests that a leaf received after one time and before another while no node had a fault. A zero
+// before sets no upper bound.
+func (e *environment) lateRequests(state *leafState, after, before time.Time) int {
 	late := 0
 	for _, request := range state.receivedRequests() {
 		isLate := request.At.After(after) && (before.IsZero() || request.At.Before(before))
-		if isLate && w.isCalmAt(request.At) {
+		if isLate && e.isFaultFreeAt(request.At) {
 			late++
 		}
 	}
 	return late
 }
 
-func checkEvacuations(w *environment) Result {
-	v := Result{Promise: "the leafs of an evacuated zone get nothing after its bound"}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, span := range w.evacuations {
+func checkEvacuations(e *environment) Result {
+	result := Result{Promise: "the leafs of an evacuated zone receive no requests after its bound"}
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for _, span := range e.evacuations {
 		due := span.from.Add(drainBound)
-		for id, state := range w.leafs {
+		for id, state := range e.leafs {
 			if state.zone != span.zone {
 				continue
 			}
-			late := w.lateRequests(state, due, span.until)
-			v.check(late == 0, "%s got %d requests more than %v after the evacuation of %s", id, late, drainBound, span.zone)
+			late := e.lateRequests(state, due, span.until)
+			result.check(late == 0, "%s received %d requests more than %v after the evacuation of %s", id, late, drainBound, span.zone)
 		}
 	}
-	return v
+	return result
 }
 
-// stopWindow is how long before a planned stop a request must have been sent, at most, to be checked.
+// stopWindow bounds how long before a planned stop a request was sent for it to be checked.
 const stopWindow = time.Second
 
 func checkStops(seen []outcome) Result {
-	v := Result{Promise: "a planned stop cuts no request in flight"}
+	result := Result{Promise: "a planned stop interrupts no request in flight"}
 	for _, o := range seen {
 		for _, stop := range o.node.stopTimes() {
-			wasUnderWay := o.sent.Before(stop) && o.ended.After(stop) && stop.Sub(o.sent) < stopWindow
-			if wasUnderWay && !o.node.hadFault(o.sent, o.ended, false) {
-				v.check(o.status != 0, "%s at %s was cut %v after the stop", o.id, o.node.name, o.ended.Sub(stop))
+			wasInFlight := o.sent.Before(stop) && o.ended.After(stop) && stop.Sub(o.sent) < stopWindow
+			if wasInFlight && !o.node.hadFault(o.sent, o.ended, false) {
+				result.check(o.status != 0, "%s at %s was interrupted %v after the stop", o.id, o.node.name, o.ended.Sub(stop))
 			}
 		}
 	}
-	return v
+	return result
 }
 
-func checkRecovery(seen []outcome, calm time.Time) Result {
-	v := Result{Promise: "requests are served once the faults are over"}
+func checkRecovery(seen []outcome, recovered time.Time) Result {
+	result := Result{Promise: "requests are served after the faults have ended"}
 	served, sent := 0, 0
 	for _, o := range seen {
-		if o.sent.Before(calm) || o.isCrashing {
+		if o.sent.Before(recovered) || o.isCrashing {
 			continue
 		}
 		sent++
@@ -246,6 +245,6 @@
 			served++
 		}
 	}
-	v.check(sent > 0 && float64(served) >= servedShare*float64(sent), "%d of %d requests served in calm", served, sent)
-	return v
+	result.check(sent > 0 && float64(served) >= minServedFraction*float64(sent), "%d of %d requests served after recovery", served, sent)
+	return result
 }
--- a/internal/lab/soak/checks_rollouts.go
+++ b/internal/lab/soak/checks_rollouts.go
@@ -6,73 +6,73 @@
 	"github.com/portgauge/portgauge/internal/lab/rollouts"
 )
 
-// checkRollouts checks every promise about roll-outs. Promises that bound a time hold for the visits for which clear returns
-// true.
+// checkRollouts checks every promise about roll-outs. Promises with a time bound are checked only for requests for which
+// clear returns true.
 func checkRollouts(releases []rollouts.Release, clear rollouts.Clear) []Result {
 	return []Result{
-		checkExposure(releases, clear), checkLateRequests(releases, clear), checkUnordered(releases, clear),
+		checkExposure(releases, clear), checkLateRequests(releases, clear), checkOutsideRollout(releases, clear),
 		checkOutcomes(releases), checkOldLeafs(releases, clear),
 	}
 }
 
 func checkExposure(releases []rollouts.Release, clear rollouts.Clear) Result {
-	v := Result{Promise: "a bad version gets its share and the slack at most"}
+	result := Result{Promise: "a bad version receives at most its share of the requests and the slack"}
 	for _, r := range releases {
 		if !r.Target.Fault().IsBad() {
 			continue
 		}
 		e := r.Exposure(clear)
-		v.check(float64(e.Got) <= e.Bound(), "%s got %d of %d requests, %.0f at most", nameOf(r), e.Got, e.Reached, e.Bound())
+		result.check(float64(e.Got) <= e.Bound(), "%s received %d of %d requests, bound %.0f", nameOf(r), e.Got, e.Reached, e.Bound())
 	}
-	return v
+	return result
 }
 
 func checkLateRequests(releases []rollouts.Release, clear rollouts.Clear) Result {
-	v := Result{Promise: "a bad version gets nothing some seconds after its 50th bad answer"}
+	result := Result{Promise: "a bad version receives no requests later than the bound after its 50th bad answer"}
 	for _, r := range releases {
 		if _, isCondemned := r.FiftiethBadAnswer(); isCondemned && !r.HadNoBadAnswer() {
 			late := r.Late(clear)
-			v.check(len(late) == 0, "%s got %d requests too late%s", nameOf(r), len(late), firstOf(late))
+			result.check(len(late) == 0, "%s received %d requests too late%s", nameOf(r), len(late), firstOf(late))
 		}
 	}
-	return v
+	return result
 }
 
-func checkUnordered(releases []rollouts.Release, clear rollouts.Clear) Result {
-	v := Result{Promise: "a version that no order lets serve gets nothing"}
+func checkOutsideRollout(releases []rollouts.Release, clear rollouts.Clear) Result {
+	result := Result{Promise: "a version outside of a roll-out receives no requests"}
 	for _, r := range releases {
 		if r.Old != r.Target {
 			disallowed := r.Unordered(clear)
-			v.check(len(disallowed) == 0, "%s got %d requests that it must not get%s", nameOf(r), len(disallowed), firstOf(disallowed))
+			result.check(len(disallowed) == 0, "%s received %d disallowed requests%s", nameOf(r), len(disallowed), firstOf(disallowed))
 		}
 	}
-	return v
+	return result
 }
 
 func checkOutcomes(releases []rollouts.Release) Result {
-	v := Result{Promise: "an order has one outcome: none once it was replaced, no success once it was cancelled"}
+	result := Result{Promise: "a roll-out has one outcome: none after it was replaced, and no success after it was cancelled"}
 	for _, r := range releases {
 		misled := r.WrongStatuses()
-		v.check(len(misled) == 0, "%s: operators read %v", nameOf(r), misled)
+		result.check(len(misled) == 0, "%s: operators read the wrong statuses %v", nameOf(r), misled)
 	}
-	return v
+	return result
 }
 
 func checkOldLeafs(releases []rollouts.Release, clear rollouts.Clear) Result {
-	v := Result{Promise: "old leafs have nothing once an order has succeeded"}
+	result := Result{Promise: "leafs of the old version have no requests in flight after a roll-out succeeded"}
 	for _, r := range releases {
 		if status, _ := r.Outcome(); status != rollouts.Succeeded || r.Old == r.Target {
 			continue
 		}
 		left := r.AtOldVersion(clear)
-		v.check(len(left) == 0, "%s: %d requests at the old leafs%s", nameOf(r), len(left), firstOf(left))
+		result.check(len(left) == 0, "%s: %d requests at leafs of the old version%s", nameOf(r), len(left), firstOf(left))
 	}
-	return v
+	return result
 }
 
 func nameOf(r rollouts.Release) string { return r.Target.Service() + " to " + r.Target.Name() }
 
-// firstOf describes the first of some visits, or returns "" if there are none.
+// firstOf describes the first of the given requests, or returns "" if there are none.
 func firstOf(visits []rollouts.Visit) string {
 	if len(visits) == 0 {
 		return ""
@@ -80,9 +80,9 @@
 	return ", first " + visits[0].ID + " at " + visits[0].Leaf
 }
 
-// clearOf returns a function that reports whether a visit came from nodes and over links without a fault. A gathered request
-// may come from any node.
-func (w *environment) clearOf(seen []outcome) rollouts.Clear {
+// clearOf returns a function that reports whether a request came from a node and over a link without a fault. Parts of a
+// gathered request may come from any node.
+func (e *environment) clearOf(seen []outcome) rollouts.Clear {
 	byID := map[string]outcome{}
 	for _, o := range seen {
 		byID[o.id] = o
@@ -90,10 +90,10 @@
 	return func(visit rollouts.Visit) bool {
 		o, found := byID[visit.ID]
 		from := visit.At.Add(-rollouts.Lateness)
-		if !found || w.leafHadFault(visit.Leaf, from, visit.At) {
+		if !found || e.leafHadFault(visit.Leaf, from, visit.At) {
 			return false
 		}
-		for _, node := range w.nodes {
+		for _, node := range e.nodes {
 			if (node == o.node || o.kind == Gathered) && node.hadFault(from, visit.At, true) {
 				return false
 			}
@@ -102,11 +102,11 @@
 	}
 }
 
-// leafHadFault reports whether a leaf's link had a fault between two times.
-func (w *environment) leafHadFault(id string, from, until time.Time) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, t := range w.leafs[id].faultSpans {
+// leafHadFault reports whether the leaf's link had a fault between two times.
+func (e *environment) leafHadFault(id string, from, until time.Time) bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for _, t := range e.leafs[id].faultSpans {
 		if t.from.Before(until) && t.until.After(from) {
 			return true
 		}
--- a/internal/lab/soak/checks_rollouts_test.go
+++ b/internal/lab/soak/checks_rollouts_test.go
@@ -15,8 +15,8 @@
 
 const leafWork = time.Millisecond
 
-// visited returns a version whose leaf received requests at some times.
-func visited(name string, fault rollouts.Fault, ordered time.Time, times ...time.Time) *rollouts.Version {
+// newVersionWithRequests returns a version whose leaf received requests at the given times.
+func newVersionWithRequests(name string, fault rollouts.Fault, ordered time.Time, times ...time.Time) *rollouts.Version {
 	v := rollouts.NewVersion("s", name, leafWork, fault)
 	v.Order(ordered)
 	for _, at := range times {
@@ -25,8 +25,8 @@
 	return v
 }
 
-// Each promise about roll-outs is kept in a good case and broken in a bad one.
-func TestRolloutChecksTellGoodRunsFromBad(t *testing.T) {
+// Each roll-out check passes a run that keeps its promise and reports one that breaks it.
+func TestRolloutChecksReportBrokenPromises(t *testing.T) {
 	began := time.Now()
 	bad := rollouts.Fault{Failing: 1}
 	after := func(span time.Duration, count int) []time.Time {
@@ -38,7 +38,7 @@
 	}
 	release := func(old, target []time.Time, status ...rollouts.Outcome) []rollouts.Release {
 		r := rollouts.Release{
-			Old: visited("a", rollouts.Fault{}, began, old...), Target: visited("b", bad, began, target...),
+			Old: newVersionWithRequests("a", rollouts.Fault{}, began, old...), Target: newVersionWithRequests("b", bad, began, target...),
 			Duration: 10 * time.Second, At: began, Revision: 1,
 		}
 		for index, outcome := range status {
@@ -54,19 +54,19 @@
 			checkExposure(release(serve, after(0, rollouts.Slack)), rollouts.Always),
 			checkExposure(release(serve, after(0, rollouts.Slack+20)), rollouts.Always),
 		},
-		"condemned": {
+		"late requests": {
 			checkLateRequests(release(serve, append(condemned, after(time.Second, 1)...)), rollouts.Always),
 			checkLateRequests(release(serve, append(condemned, after(late, 1)...)), rollouts.Always),
 		},
-		"barred": {
-			checkUnordered(release(serve, after(2*time.Second, 1), rollouts.RolledBack), rollouts.Always),
-			checkUnordered(release(serve, after(late, 1), rollouts.RolledBack), rollouts.Always),
+		"outside of a roll-out": {
+			checkOutsideRollout(release(serve, after(2*time.Second, 1), rollouts.RolledBack), rollouts.Always),
+			checkOutsideRollout(release(serve, after(late, 1), rollouts.RolledBack), rollouts.Always),
 		},
 		"outcomes": {
 			checkOutcomes(release(nil, nil, rollouts.Running, rollouts.RolledBack)),
 			checkOutcomes(release(nil, nil, rollouts.RolledBack, rollouts.Succeeded)),
 		},
-		"leftover": {
+		"old leafs": {
 			checkOldLeafs(release(serve, nil, rollouts.Succeeded), rollouts.Always),
 			checkOldLeafs(release(after(2*time.Second, 1), nil, rollouts.Succeeded), rollouts.Always),
 		},
@@ -81,29 +81,29 @@
 	}
 }
 
-// A visit is held to promises that bound a time unless there was a fault shortly before on its caller's node, on any node if
-// it was gathered, or on the leaf.
-func TestVisitsInTrouble(t *testing.T) {
-	w := still(t)
+// A request is exempt from time bounds if shortly before it there was a fault of its caller's node, of any node if it was
+// gathered, or of the leaf's link.
+func TestRequestsNearAFaultAreExempt(t *testing.T) {
+	e := newIdleEnvironment(t)
 	now := time.Now()
 	own, other := &nodeState{name: "own"}, &nodeState{name: "other"}
-	w.nodes = []*nodeState{own, other}
+	e.nodes = []*nodeState{own, other}
 	seen := []outcome{{id: "single", kind: Single, node: own}, {id: "gathered", kind: Gathered, node: own}}
 	lately := []faultSpan{{from: now.Add(-2 * time.Second), until: now.Add(-time.Second)}}
 	cases := map[string]struct {
 		own, other, leaf []faultSpan
 		single, gathered bool
 	}{
-		"calm":    {nil, nil, nil, true, true},
-		"own":     {lately, nil, nil, false, false},
-		"another": {nil, lately, nil, true, false},
-		"leaf":    {nil, nil, lately, false, false},
+		"no fault":     {nil, nil, nil, true, true},
+		"own node":     {lately, nil, nil, false, false},
+		"another node": {nil, lately, nil, true, false},
+		"leaf":         {nil, nil, lately, false, false},
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			own.faultSpans, other.faultSpans, w.leafs["leaf-1"].faultSpans = one.own, one.other, one.leaf
-			clear := w.clearOf(seen)
+			own.faultSpans, other.faultSpans, e.leafs["leaf-1"].faultSpans = one.own, one.other, one.leaf
+			clear := e.clearOf(seen)
 			is.Equal(clear(rollouts.Visit{Leaf: "leaf-1", ID: "single", At: now}), one.single)
 			is.Equal(clear(rollouts.Visit{Leaf: "leaf-1", ID: "gathered", At: now}), one.gathered)
 			is.True(!clear(rollouts.Visit{Leaf: "leaf-1", ID: "unknown", At: now}))
@@ -111,38 +111,38 @@
 	}
 }
 
-// An operator records each status once, and doesn't take one of a replaced order for the newer order's.
-func TestOperatorReadsWhatItIsTold(t *testing.T) {
+// An operator records each status once, and does not attribute the status of a replaced roll-out to the next one.
+func TestOperatorAttributesStatusToItsRollout(t *testing.T) {
 	is := is.New(t)
-	w := still(t)
-	o := newOperator(w, func(text string) { t.Error(text) })
-	number, err := o.startRollout(t.Context(), plan{service: singleName, isServing: true, duration: time.Second})
+	e := newIdleEnvironment(t)
+	o := newOperator(e, func(text string) { t.Error(text) })
+	number, err := o.startRollout(t.Context(), plan{service: singleName, targetsServingVersion: true, duration: time.Second})
 	is.NoErr(err)
-	w.store.Put(platform.StatusKey(singleName), platform.EncodeStatus(rollout.State{Service: singleName, Target: "first", Phase: rollout.Succeeded}))
+	e.store.Put(platform.StatusKey(singleName), platform.EncodeStatus(rollout.State{Service: singleName, Target: "first", Phase: rollout.Succeeded}))
 	o.readStatus(singleName)
 	o.readStatus(singleName)
 	status, _ := o.outcome(number)
 	is.Equal(status, rollouts.Succeeded)
 	is.Equal(len(o.allReleases()[number].Statuses), 1)
-	second, err := o.startRollout(t.Context(), plan{service: singleName, isServing: true, duration: time.Second})
+	second, err := o.startRollout(t.Context(), plan{service: singleName, targetsServingVersion: true, duration: time.Second})
 	is.NoErr(err)
 	status, _ = o.outcome(second)
 	is.Equal(status, rollouts.Outcome(""))
 }
 
-// Leafs that an operator stops record requests and drop them.
-func TestEndedLeafsAnswerNothing(t *testing.T) {
+// A version that another one replaced has no leaf records, and its stopped leafs answer no requests.
+func TestStoppedLeafsDropRequests(t *testing.T) {
 	is := is.New(t)
-	w := still(t)
-	old := w.servingOf(singleName)
+	e := newIdleEnvironment(t)
+	old := e.servingVersion(singleName)
 	next := rollouts.NewVersion(singleName, "next", leafWork, rollouts.Fault{})
 	old.Stop()
-	w.succeed(old, next)
-	is.Equal(w.servingOf(singleName), next)
-	is.True(!w.leafs["leaf-3"].leavingAt.IsZero())
-	_, found := w.store.Item(leafKey("leaf-3"))
+	e.promote(old, next)
+	is.Equal(e.servingVersion(singleName), next)
+	is.True(!e.leafs["leaf-3"].leavingAt.IsZero())
+	_, found := e.store.Item(leafKey("leaf-3"))
 	is.True(!found)
-	answer, err := http.Get("http://" + w.leafs["leaf-3"].leaf.Address() + "/x")
+	answer, err := http.Get("http://" + e.leafs["leaf-3"].leaf.Address() + "/x")
 	if err == nil {
 		_ = answer.Body.Close()
 	}
--- a/internal/lab/soak/checks_test.go
+++ b/internal/lab/soak/checks_test.go
@@ -14,46 +14,47 @@
 	"github.com/portgauge/portgauge/platform"
 )
 
-// still returns an environment without processes: two gathered services with a leaf each, and a single one.
-func still(t *testing.T) *environment {
+// newIdleEnvironment returns an environment without node processes: two gathered services and two single services, each with
+// one leaf.
+func newIdleEnvironment(t *testing.T) *environment {
 	t.Helper()
 	store := kvstore.New(0)
 	server := httptest.NewServer(store.Handler())
 	t.Cleanup(server.Close)
-	w := &environment{names: platform.HTTPNames(), store: store, leafs: map[string]*leafState{}, gathered: []string{"part0", "part1"}}
+	e := &environment{names: platform.HTTPNames(), store: store, leafs: map[string]*leafState{}, gathered: []string{"part0", "part1"}}
 	for _, service := range []string{"part0", "part1", singleName, anotherName} {
-		if _, err := w.addLeaf(service); err != nil {
+		if _, err := e.addLeaf(service); err != nil {
 			t.Fatal(err)
 		}
 	}
 	t.Cleanup(func() {
-		for _, state := range w.leafs {
+		for _, state := range e.leafs {
 			state.leaf.Stop()
 			state.link.Close()
 		}
 	})
-	w.nodes = []*nodeState{{name: "node-0"}}
-	return w
+	e.nodes = []*nodeState{{name: "node-0"}}
+	return e
 }
 
-func (w *environment) answered(id string, kind Kind, stamps string, missing string, body []byte) outcome {
+func (e *environment) newOutcome(id string, kind Kind, stamps string, missing string, body []byte) outcome {
 	header := http.Header{}
 	if kind == Gathered {
-		header.Set(w.names.PartStamps, stamps)
-		header.Set(w.names.MissingParts, missing)
+		header.Set(e.names.PartStamps, stamps)
+		header.Set(e.names.MissingParts, missing)
 	} else {
-		header.Set(w.names.ResponseStamp, stamps)
+		header.Set(e.names.ResponseStamp, stamps)
 	}
-	return outcome{id: id, kind: kind, node: w.nodes[0], status: http.StatusOK, header: header, body: body, sent: time.Now(), ended: time.Now()}
+	return outcome{id: id, kind: kind, node: e.nodes[0], status: http.StatusOK, header: header, body: body, sent: time.Now(), ended: time.Now()}
 }
 
-// Each promise is kept in a good case and broken in a bad one.
-func TestChecksTellGoodRunsFromBad(t *testing.T) {
-	w := still(t)
+// Each check passes a run that keeps its promise and reports one that breaks it.
+func TestChecksReportBrokenPromises(t *testing.T) {
+	e := newIdleEnvironment(t)
 	whole := greatest([][]byte{partBody("part0", "r"), partBody("part1", "r")}, topRecords)
 	half := greatest([][]byte{partBody("part0", "r")}, topRecords)
 	now := time.Now()
-	node := w.nodes[0]
+	node := e.nodes[0]
 	once := outcome{id: "r", kind: Once, node: node, status: http.StatusServiceUnavailable}
 	stopped := &nodeState{name: "stopped", stops: []time.Time{now}}
 	cases := map[string]struct {
@@ -61,18 +62,18 @@
 	}{
 		"once":     {checkOnce([]outcome{once}, map[string][]string{"r": {"leaf-1"}}), checkOnce([]outcome{once}, map[string][]string{"r": {"leaf-1", "leaf-2"}})},
 		"refusals": {checkRefusals([]outcome{once}, nil), checkRefusals([]outcome{once}, map[string][]string{"r": {"leaf-1"}})},
-		"asked":    {checkSent([]outcome{once}, map[string][]string{"r": {"leaf-1"}}), checkSent([]outcome{once}, map[string][]string{"x": {"leaf-1"}})},
+		"sent":     {checkOnlySentRequests([]outcome{once}, map[string][]string{"r": {"leaf-1"}}), checkOnlySentRequests([]outcome{once}, map[string][]string{"x": {"leaf-1"}})},
 		"single": {
-			checkSingles(w, []outcome{w.answered("r", Single, "leaf-3.r", "", partBody(singleName, "r"))}),
-			checkSingles(w, []outcome{w.answered("r", Single, "leaf-3.q", "", partBody(singleName, "q"))}),
+			checkSingles(e, []outcome{e.newOutcome("r", Single, "leaf-3.r", "", partBody(singleName, "r"))}),
+			checkSingles(e, []outcome{e.newOutcome("r", Single, "leaf-3.q", "", partBody(singleName, "q"))}),
 		},
 		"gathered": {
-			checkGathered(w, []outcome{w.answered("r", Gathered, "leaf-1.r, leaf-2.r", "0", whole)}),
-			checkGathered(w, []outcome{w.answered("r", Gathered, "leaf-1.r, leaf-2.r", "0", half)}),
+			checkGathered(e, []outcome{e.newOutcome("r", Gathered, "leaf-1.r, leaf-2.r", "0", whole)}),
+			checkGathered(e, []outcome{e.newOutcome("r", Gathered, "leaf-1.r, leaf-2.r", "0", half)}),
 		},
 		"missing parts": {
-			checkGathered(w, []outcome{w.answered("r", Gathered, "leaf-1.r,leaf-2.r", "", whole)}),
-			checkGathered(w, []outcome{w.answered("r", Gathered, "leaf-1.r", "0", half)}),
+			checkGathered(e, []outcome{e.newOutcome("r", Gathered, "leaf-1.r,leaf-2.r", "", whole)}),
+			checkGathered(e, []outcome{e.newOutcome("r", Gathered, "leaf-1.r", "0", half)}),
 		},
 		"stops": {
 			checkStops([]outcome{{node: stopped, status: http.StatusOK, sent: now.Add(-time.Millisecond), ended: now.Add(time.Millisecond)}}),
@@ -93,67 +94,64 @@
 	}
 }
 
-// A node that serves by an old configuration after the bound, or goes back to one, breaks the promise; one that had a fault
-// gets more time.
+// A node that serves with an old configuration after the bound, or reverts to one, breaks the promise, unless it had a fault.
 func TestCheckConfiguration(t *testing.T) {
 	is := is.New(t)
-	w := still(t)
+	e := newIdleEnvironment(t)
 	began := time.Now()
-	w.changes = []change{{1, singleName, began}, {2, anotherName, began.Add(10 * time.Second)}}
+	e.changes = []change{{1, singleName, began}, {2, anotherName, began.Add(10 * time.Second)}}
 	served := func(leafID string, after time.Duration) outcome {
-		o := w.answered("r", Switched, leafID+".r", "", nil)
+		o := e.newOutcome("r", Switched, leafID+".r", "", nil)
 		o.sent, o.ended = began.Add(after), began.Add(after+time.Millisecond)
 		return o
 	}
 	const old, current = "leaf-3", "leaf-4"
-	is.Equal(len(checkConfiguration(w, []outcome{served(old, time.Second), served(old, 12*time.Second), served(current, 14*time.Second)}).Broken), 0)
-	is.Equal(len(checkConfiguration(w, []outcome{served(old, 14*time.Second)}).Broken), 1)                                  // late
-	is.Equal(len(checkConfiguration(w, []outcome{served(current, 11*time.Second), served(old, 12*time.Second)}).Broken), 1) // back
-	w.nodes[0].faultSpans = []faultSpan{{from: began.Add(12 * time.Second), until: began.Add(20 * time.Second)}}
-	is.Equal(len(checkConfiguration(w, []outcome{served(old, 14*time.Second)}).Broken), 0)
+	is.Equal(len(checkConfiguration(e, []outcome{served(old, time.Second), served(old, 12*time.Second), served(current, 14*time.Second)}).Broken), 0)
+	is.Equal(len(checkConfiguration(e, []outcome{served(old, 14*time.Second)}).Broken), 1)                                  // served with the old version after the bound
+	is.Equal(len(checkConfiguration(e, []outcome{served(current, 11*time.Second), served(old, 12*time.Second)}).Broken), 1) // reverted to the old version
+	e.nodes[0].faultSpans = []faultSpan{{from: began.Add(12 * time.Second), until: began.Add(20 * time.Second)}}
+	is.Equal(len(checkConfiguration(e, []outcome{served(old, 14*time.Second)}).Broken), 0)
 }
 
-// A node was frozen while the second configuration was accepted. When it went on, the requests that waited there were served
-// within a millisecond, some by the first version and some by the second, in any order. Nothing went back, and a third
-// version, which has the first service again, was not accepted yet: that answers of requests in flight show it was a fault
-// of this check.
-func TestRequestsOfAFrozenNodeAreServedInAnyOrder(t *testing.T) {
+// Requests that waited at a frozen node may be served with the old or the new configuration in any order. The check must not
+// take this for a revert, nor for a third version with the first service that was not yet accepted.
+func TestCheckConfigurationAllowsAnyOrderAfterAFreeze(t *testing.T) {
 	is := is.New(t)
-	w := still(t)
+	e := newIdleEnvironment(t)
 	began := time.Now()
-	w.changes = []change{{1, singleName, began}, {2, anotherName, began.Add(8 * time.Second)}, {3, singleName, began.Add(13 * time.Second)}}
-	w.nodes[0].faultSpans = []faultSpan{{from: began.Add(6 * time.Second), until: began.Add(9300 * time.Millisecond)}}
+	e.changes = []change{{1, singleName, began}, {2, anotherName, began.Add(8 * time.Second)}, {3, singleName, began.Add(13 * time.Second)}}
+	e.nodes[0].faultSpans = []faultSpan{{from: began.Add(6 * time.Second), until: began.Add(9300 * time.Millisecond)}}
 	const first, second = "leaf-3", "leaf-4"
 	served := func(leafID string, sent, ended int) outcome {
-		o := w.answered("r", Switched, leafID+".r", "", nil)
+		o := e.newOutcome("r", Switched, leafID+".r", "", nil)
 		o.sent, o.ended = began.Add(time.Duration(sent)*time.Millisecond), began.Add(time.Duration(ended)*time.Millisecond)
 		return o
 	}
 	frozen := []outcome{served(first, 6900, 9322), served(second, 7000, 9324), served(first, 7700, 9323)}
-	is.Equal(checkConfiguration(w, append(frozen, served(second, 9400, 9430), served(first, 13500, 13530))).Broken, nil)
-	is.Equal(len(checkConfiguration(w, append(frozen, served(first, 9400, 9430))).Broken), 1) // back to the first, after all had ended
-	// Answers of an earlier version count also for requests that were sent before the answer of a later one ended.
+	is.Equal(checkConfiguration(e, append(frozen, served(second, 9400, 9430), served(first, 13500, 13530))).Broken, nil)
+	is.Equal(len(checkConfiguration(e, append(frozen, served(first, 9400, 9430))).Broken), 1) // reverted to the first version after all answers had ended
+	// The bound from an answer with version 2 applies to requests sent before the answer with version 3 ended.
 	later := []outcome{served(second, 8200, 8230), served(second, 8300, 8330), served(first, 13100, 13200), served(first, 8900, 8930)}
-	is.Equal(len(checkConfiguration(w, later).Broken), 1)
+	is.Equal(len(checkConfiguration(e, later).Broken), 1)
 }
 
-// A leaving leaf that receives a request after the bound breaks the promise, if no node had a fault.
+// A request to a leaving leaf after the bound breaks the promise if no node had a fault.
 func TestCheckDraining(t *testing.T) {
 	is := is.New(t)
-	w := still(t)
-	state := w.leafs["leaf-3"]
-	ask(t, state.leaf)
+	e := newIdleEnvironment(t)
+	state := e.leafs["leaf-3"]
+	sendRequest(t, state.leaf)
 	state.leavingAt = time.Now()
-	is.Equal(len(checkDraining(w).Broken), 0)
+	is.Equal(len(checkDraining(e).Broken), 0)
 	state.leavingAt = time.Now().Add(-drainBound - time.Second)
-	is.Equal(len(checkDraining(w).Broken), 1)
-	w.nodes[0].noteFault(time.Second, false)
-	ask(t, state.leaf)
-	is.Equal(len(checkDraining(w).Broken), 1) // the first leaf still
+	is.Equal(len(checkDraining(e).Broken), 1)
+	e.nodes[0].recordFault(time.Second, false)
+	sendRequest(t, state.leaf)
+	is.Equal(len(checkDraining(e).Broken), 1) // a request during a fault does not count
 }
 
-// ask sends a leaf a request.
-func ask(t *testing.T, leaf *httpleaf.Leaf) {
+// sendRequest sends a request to a leaf.
+func sendRequest(t *testing.T, leaf *httpleaf.Leaf) {
 	t.Helper()
 	answer, err := http.Get("http://" + leaf.Address() + "/x")
 	if err != nil {
@@ -162,7 +160,7 @@
 	_ = answer.Body.Close()
 }
 
-// A link does what its condition says, and passes bytes on again after it.
+// No answer passes a link that is silent, one-way or resetting, and a link works again once it is sound.
 func TestLinkConditions(t *testing.T) {
 	is := is.New(t)
 	leaf, err := httpleaf.Start("leaf-1", platform.HTTPNames(), func(httpleaf.Request) httpleaf.Answer {
@@ -193,16 +191,16 @@
 	}
 }
 
-// A request to an evacuated leaf is late after the bound, until the zone is restored.
+// A request to a leaf of an evacuated zone breaks the promise if it arrives between the bound and the end of the evacuation.
 func TestCheckFindsRequestsToEvacuatedLeafs(t *testing.T) {
 	is := is.New(t)
-	w := still(t)
+	e := newIdleEnvironment(t)
 	id := "leaf-1"
-	state := w.leafs[id]
+	state := e.leafs[id]
 	request, err := http.NewRequest(http.MethodGet, "http://"+state.leaf.Address()+"/x", nil)
 	is.NoErr(err)
-	request.Header.Set(w.names.RequestID, "r")
-	request.Header.Set(w.names.ExpectedIncarnation, id)
+	request.Header.Set(e.names.RequestID, "r")
+	request.Header.Set(e.names.ExpectedIncarnation, id)
 	response, err := http.DefaultClient.Do(request)
 	is.NoErr(err)
 	is.NoErr(response.Body.Close())
@@ -211,15 +209,15 @@
 		span   evacuation
 		broken bool
 	}{
-		"lasts":            {evacuation{zone: state.zone, from: now.Add(-time.Minute)}, true},
+		"in force":         {evacuation{zone: state.zone, from: now.Add(-time.Minute)}, true},
 		"within its bound": {evacuation{zone: state.zone, from: now.Add(-drainBound / 2)}, false},
-		"over before":      {evacuation{zone: state.zone, from: now.Add(-time.Hour), until: now.Add(-time.Minute)}, false},
+		"ended before":     {evacuation{zone: state.zone, from: now.Add(-time.Hour), until: now.Add(-time.Minute)}, false},
 		"of another zone":  {evacuation{zone: "another", from: now.Add(-time.Minute)}, false},
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
-			w.evacuations = []evacuation{one.span}
-			is.New(t).Equal(len(checkEvacuations(w).Broken) > 0, one.broken)
+			e.evacuations = []evacuation{one.span}
+			is.New(t).Equal(len(checkEvacuations(e).Broken) > 0, one.broken)
 		})
 	}
 }
--- a/internal/lab/soak/configurations.go
+++ b/internal/lab/soak/configurations.go
@@ -10,28 +10,28 @@
 	at       time.Time
 }
 
-// configure writes a configuration whose switched route has a service.
-func (w *environment) configure(switched string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.version++
-	w.operate(routesKey, configuration(w.version, w.gathered, switched))
-	w.changes = append(w.changes, change{version: w.version, switched: switched, at: time.Now()})
+// configure writes a configuration whose switched route leads to the given service.
+func (e *environment) configure(switched string) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.version++
+	e.putAsOperator(routesKey, configuration(e.version, e.gathered, switched))
+	e.changes = append(e.changes, change{version: e.version, switched: switched, at: time.Now()})
 }
 
 // switched returns the service of the switched route in the newest configuration.
-func (w *environment) switched() string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.changes[len(w.changes)-1].switched
+func (e *environment) switched() string {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.changes[len(e.changes)-1].switched
 }
 
-// dueAt returns the newest configuration that the store had accepted at a time, or 0.
-func (w *environment) dueAt(at time.Time) int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// dueAt returns the version of the newest configuration that the store had accepted at the given time, or 0.
+func (e *environment) dueAt(at time.Time) int {
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	due := 0
-	for _, c := range w.changes {
+	for _, c := range e.changes {
 		if !c.at.After(at) {
 			due = c.version
 		}
@@ -39,12 +39,13 @@
 	return due
 }
 
-// newestWith returns the newest configuration accepted until a time in which the switched route has a service, or 0.
-func (w *environment) newestWith(service string, until time.Time) int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// newestWith returns the version of the newest configuration that was accepted by the given time and whose switched route
+// leads to the service, or 0.
+func (e *environment) newestWith(service string, until time.Time) int {
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	newest := 0
-	for _, c := range w.changes {
+	for _, c := range e.changes {
 		if c.switched == service && !c.at.After(until) {
 			newest = c.version
 		}
@@ -52,15 +53,15 @@
 	return newest
 }
 
-// oldestWith returns the oldest configuration, from a version on, in which the switched route has a service, or that version
-// if there is none.
-func (w *environment) oldestWith(service string, least int) int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, c := range w.changes {
-		if c.switched == service && c.version >= least {
+// oldestWith returns the oldest version, starting with lowest, whose switched route leads to the service, or lowest if there
+// is none.
+func (e *environment) oldestWith(service string, lowest int) int {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for _, c := range e.changes {
+		if c.switched == service && c.version >= lowest {
 			return c.version
 		}
 	}
-	return least
+	return lowest
 }
--- a/internal/lab/soak/world_test.go
+++ b/internal/lab/soak/environment_test.go
@@ -10,8 +10,8 @@
 	"github.com/portgauge/portgauge/internal/lab/process"
 )
 
-// endedNode returns a node whose process ended at once.
-func endedNode(t *testing.T) *nodeState {
+// newEndedNode returns a node whose process has ended.
+func newEndedNode(t *testing.T) *nodeState {
 	t.Helper()
 	ended, err := process.Start("node-9", "/bin/true")
 	if err != nil {
@@ -21,19 +21,19 @@
 	return &nodeState{name: "node-9", process: ended}
 }
 
-func TestNodeThatDidNotStartIsNamed(t *testing.T) {
+func TestCheckStartedFailsIfANodeHasEnded(t *testing.T) {
 	is := is.New(t)
-	w := &environment{}
-	is.NoErr(w.checkStarted())
-	w.nodes = append(w.nodes, endedNode(t))
-	is.True(w.checkStarted() != nil)
+	e := &environment{}
+	is.NoErr(e.checkStarted())
+	e.nodes = append(e.nodes, newEndedNode(t))
+	is.True(e.checkStarted() != nil)
 }
 
-func TestLogsAreKeptInAFolderThatIsMade(t *testing.T) {
+func TestWriteLogsCreatesTheFolder(t *testing.T) {
 	is := is.New(t)
 	folder := filepath.Join(t.TempDir(), "new")
-	w := &environment{nodes: []*nodeState{endedNode(t)}}
-	is.NoErr(w.keepLogs(folder))
+	e := &environment{nodes: []*nodeState{newEndedNode(t)}}
+	is.NoErr(e.writeLogs(folder))
 	_, err := os.Stat(filepath.Join(folder, "node-9.log"))
 	is.NoErr(err)
 }
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -10,16 +10,16 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// recoverySlack is how long after a fault a node is not held to promises that bound a time.
+// recoverySlack is how long after a fault a node is exempt from promises with a time bound.
 const recoverySlack = 5 * time.Second
 
-// fault is a kind of fault. Its begin function injects it and returns the function that ends it.
+// fault is a kind of fault. The begin function injects it and returns the function that ends it.
 type fault struct {
 	name  string
 	begin func(i *injector, span time.Duration) (end func())
 }
 
-// injector draws faults from a seed and injects them from outside of the processes.
+// injector selects random faults from a seed and injects them from outside of the processes.
 type injector struct {
 	environment *environment
 	kinds       []fault
@@ -27,51 +27,51 @@
 	log         func(string)
 }
 
-// faults returns all kinds of faults that are drawn one by one.
+// faults returns the kinds of faults that affect one component at a time. Their order is part of what a seed selects.
 func faults() []fault {
 	return []fault{
 		{"node frozen", (*injector).freezeNode},
 		{"node killed", (*injector).killNode},
-		{"node stopped and started", (*injector).stopNode},
-		{"node reloads", (*injector).reloadNode},
-		{"node cut from the store", (*injector).cutStore},
-		{"node's store link one way", (*injector).oneWayStore},
-		{"node cut from its peers", (*injector).cutPeers},
-		{"node's link of requests silent", (*injector).silenceTree},
-		{"node's link of requests one way", (*injector).oneWayTree},
-		{"node's link of requests delayed", (*injector).slowTree},
-		{"node's link of requests reset", (*injector).resetTree},
+		{"node restarted", (*injector).stopNode},
+		{"node reloads its settings", (*injector).reloadNode},
+		{"node's store link silent", (*injector).silenceStoreLink},
+		{"node's store link one-way", (*injector).oneWayStore},
+		{"node's peer link closed", (*injector).closePeerLink},
+		{"node's tree link silent", (*injector).silenceTree},
+		{"node's tree link one-way", (*injector).oneWayTree},
+		{"node's tree link delayed", (*injector).delayTree},
+		{"node's tree link reset", (*injector).resetTree},
 		{"node's store link reset", (*injector).resetStore},
-		{"store refuses", (*injector).refuseStore},
+		{"store refuses calls", (*injector).refuseStore},
 		{"store silent", (*injector).silenceStore},
-		{"store slow", (*injector).slowStore},
+		{"store links delayed", (*injector).delayStore},
 		{"store's watches silent", (*injector).silenceWatches},
-		{"store loses answers", (*injector).loseAnswers},
-		{"store drops its history", (*injector).compactStore},
-		{"leaf dark", (*injector).darkLeaf},
-		{"leaf link delayed", (*injector).slowLeaf},
-		{"leaf link one way", (*injector).oneWayLeaf},
+		{"store loses its answers", (*injector).loseAnswers},
+		{"store compacted", (*injector).compactStore},
+		{"leaf link silent", (*injector).silenceLeaf},
+		{"leaf link delayed", (*injector).delayLeaf},
+		{"leaf link one-way", (*injector).oneWayLeaf},
 		{"leaf link reset", (*injector).resetLeaf},
 		{"leaf replaced", (*injector).replaceLeaf},
-		{"leafs of a zone evacuated", (*injector).evacuateZone},
+		{"zone evacuated", (*injector).evacuateZone},
 		{"configuration changed", (*injector).changeConfiguration},
-		{"configurations in a row", (*injector).changeOften},
+		{"configuration changed repeatedly", (*injector).changeConfigurationRepeatedly},
 	}
 }
 
 // Durations of faults and of the pauses between them.
 const (
-	leastSpan = 300 * time.Millisecond
-	spanRange = 3 * time.Second
-	restRange = 2 * time.Second
+	minFaultSpan   = 300 * time.Millisecond
+	faultSpanRange = 3 * time.Second
+	maxFaultPause  = 2 * time.Second
 )
 
-// run injects faults one after the other, at times two together, until the context ends.
+// run injects one or two faults at a time until the context ends, with a random pause after each.
 func (i *injector) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		count := 1 + i.random.IntN(2)
 		var ends []func()
-		span := leastSpan + time.Duration(i.random.Int64N(int64(spanRange)))
+		span := minFaultSpan + time.Duration(i.random.Int64N(int64(faultSpanRange)))
 		for range count {
 			kind := i.kinds[i.random.IntN(len(i.kinds))]
 			i.log(fmt.Sprintf("%s for %v", kind.name, span.Round(time.Millisecond)))
@@ -81,25 +81,26 @@
 		for _, end := range ends {
 			end()
 		}
-		wait.For(ctx, time.Duration(i.random.Int64N(int64(restRange))))
+		wait.For(ctx, time.Duration(i.random.Int64N(int64(maxFaultPause))))
 	}
 }
 
-func (i *injector) node(span time.Duration) *nodeState {
+// pickNode selects a random node and records a fault of it.
+func (i *injector) pickNode(span time.Duration) *nodeState {
 	node := i.environment.nodes[i.random.IntN(len(i.environment.nodes))]
-	node.noteFault(span+recoverySlack, false)
+	node.recordFault(span+recoverySlack, false)
 	return node
 }
 
-// everyNode notes a fault that affects all nodes.
-func (i *injector) everyNode(span time.Duration) {
+// recordFaultOfAllNodes records a fault that affects all nodes.
+func (i *injector) recordFaultOfAllNodes(span time.Duration) {
 	for _, node := range i.environment.nodes {
-		node.noteFault(span+recoverySlack, false)
+		node.recordFault(span+recoverySlack, false)
 	}
 }
 
-// leaf draws a leaf that is neither leaving nor crashed, and notes a fault of it.
-func (i *injector) leaf(span time.Duration) (string, *leafState) {
+// pickLeaf selects a random leaf that is neither leaving nor crashed, and records a fault of it.
+func (i *injector) pickLeaf(span time.Duration) (string, *leafState) {
 	i.environment.mu.Lock()
 	defer i.environment.mu.Unlock()
 	for {
@@ -112,26 +113,26 @@
 	}
 }
 
-// nothing ends a fault that could not be injected.
-func nothing() {}
+// noop is the end function of faults that need none.
+func noop() {}
 
 func (i *injector) freezeNode(span time.Duration) func() {
-	node := i.node(span)
+	node := i.pickNode(span)
 	if !node.claim() {
-		return nothing
+		return noop
 	}
 	node.process.Freeze()
 	return func() {
 		node.process.Wake()
-		node.noteFault(recoverySlack, false)
+		node.recordFault(recoverySlack, false)
 		node.unclaim()
 	}
 }
 
 func (i *injector) killNode(span time.Duration) func() {
-	node := i.node(span)
+	node := i.pickNode(span)
 	if !node.claim() {
-		return nothing
+		return noop
 	}
 	node.process.Kill()
 	return func() { i.restart(node) }
@@ -140,13 +141,13 @@
 func (i *injector) stopNode(span time.Duration) func() {
 	node := i.environment.nodes[i.random.IntN(len(i.environment.nodes))]
 	if !node.claim() {
-		return nothing
+		return noop
 	}
 	node.stop(span + recoverySlack)
 	stopped := make(chan struct{})
 	go func() {
 		if err := node.process.Stop(); err != nil {
-			i.log("FAILED STOP " + err.Error())
+			i.log("FAILED to stop a node: " + err.Error())
 		}
 		close(stopped)
 	}()
@@ -157,39 +158,39 @@
 }
 
 func (i *injector) restart(node *nodeState) {
-	node.noteFault(recoverySlack, false)
+	node.recordFault(recoverySlack, false)
 	if err := i.environment.startNode(node); err != nil {
-		i.log("FAILED START " + err.Error())
+		i.log("FAILED to start a node: " + err.Error())
 	}
 	node.unclaim()
 }
 
 func (i *injector) reloadNode(span time.Duration) func() {
-	node := i.node(span)
+	node := i.pickNode(span)
 	if !node.claim() {
-		return nothing
+		return noop
 	}
 	node.process.Reload()
 	return node.unclaim
 }
 
 func (i *injector) setStoreLink(span time.Duration, condition Condition) func() {
-	node := i.node(span)
+	node := i.pickNode(span)
 	node.storeLink.Set(condition)
 	return func() {
 		node.storeLink.Set(Sound)
-		node.noteFault(recoverySlack, false)
+		node.recordFault(recoverySlack, false)
 	}
 }
 
-func (i *injector) cutStore(span time.Duration) func()    { return i.setStoreLink(span, Silent) }
-func (i *injector) oneWayStore(span time.Duration) func() { return i.setStoreLink(span, OneWay) }
+func (i *injector) silenceStoreLink(span time.Duration) func() { return i.setStoreLink(span, Silent) }
+func (i *injector) oneWayStore(span time.Duration) func()      { return i.setStoreLink(span, OneWay) }
 
 func (i *injector) resetStore(span time.Duration) func() { return i.setStoreLink(span, Resetting) }
 
-// slowStore delays the bytes between all nodes and the store.
-func (i *injector) slowStore(span time.Duration) func() {
-	i.everyNode(span)
+// delayStore delays all bytes between the nodes and the store.
+func (i *injector) delayStore(span time.Duration) func() {
+	i.recordFaultOfAllNodes(span)
 	for _, node := range i.environment.nodes {
 		node.storeLink.Set(Delayed)
 	}
@@ -197,39 +198,40 @@
 		for _, node := range i.environment.nodes {
 			node.storeLink.Set(Sound)
 		}
-		i.everyNode(0)
+		i.recordFaultOfAllNodes(0)
 	}
 }
 
-func (i *injector) cutPeers(span time.Duration) func() {
-	node := i.node(span)
+func (i *injector) closePeerLink(span time.Duration) func() {
+	node := i.pickNode(span)
 	node.setCut(true)
 	node.peerLink.Recheck()
 	return func() { node.setCut(false) }
 }
 
-// setTreeLink changes the link by which other nodes reach a node as an intermediate. That affects their requests, too.
+// setTreeLink sets the condition of the link through which other nodes reach a random node as an intermediate. It records a
+// fault of all nodes, since their requests are affected too.
 func (i *injector) setTreeLink(span time.Duration, condition Condition) func() {
-	i.everyNode(span)
+	i.recordFaultOfAllNodes(span)
 	node := i.environment.nodes[i.random.IntN(len(i.environment.nodes))]
 	node.treeLink.Set(condition)
 	return func() {
 		node.treeLink.Set(Sound)
-		i.everyNode(0)
+		i.recordFaultOfAllNodes(0)
 	}
 }
 
 func (i *injector) silenceTree(span time.Duration) func() { return i.setTreeLink(span, Silent) }
 func (i *injector) oneWayTree(span time.Duration) func()  { return i.setTreeLink(span, OneWay) }
-func (i *injector) slowTree(span time.Duration) func()    { return i.setTreeLink(span, Delayed) }
+func (i *injector) delayTree(span time.Duration) func()   { return i.setTreeLink(span, Delayed) }
 func (i *injector) resetTree(span time.Duration) func()   { return i.setTreeLink(span, Resetting) }
 
 func (i *injector) setStore(span time.Duration, wrong kvstore.Faults) func() {
-	i.everyNode(span)
+	i.recordFaultOfAllNodes(span)
 	i.environment.store.SetFaults(wrong)
 	return func() {
 		i.environment.store.SetFaults(kvstore.Faults{})
-		i.everyNode(0)
+		i.recordFaultOfAllNodes(0)
 	}
 }
 
@@ -250,7 +252,7 @@
 }
 
 func (i *injector) compactStore(span time.Duration) func() {
-	i.everyNode(span)
+	i.recordFaultOfAllNodes(span)
 	i.environment.store.SetFaults(kvstore.Faults{SilentWatches: true})
 	return func() {
 		i.environment.store.Compact()
@@ -259,23 +261,23 @@
 }
 
 func (i *injector) setLeafLink(span time.Duration, condition Condition) func() {
-	_, state := i.leaf(span)
+	_, state := i.pickLeaf(span)
 	state.link.Set(condition)
 	return func() { state.link.Set(Sound) }
 }
 
-func (i *injector) darkLeaf(span time.Duration) func()   { return i.setLeafLink(span, Silent) }
-func (i *injector) slowLeaf(span time.Duration) func()   { return i.setLeafLink(span, Delayed) }
-func (i *injector) oneWayLeaf(span time.Duration) func() { return i.setLeafLink(span, OneWay) }
-func (i *injector) resetLeaf(span time.Duration) func()  { return i.setLeafLink(span, Resetting) }
+func (i *injector) silenceLeaf(span time.Duration) func() { return i.setLeafLink(span, Silent) }
+func (i *injector) delayLeaf(span time.Duration) func()   { return i.setLeafLink(span, Delayed) }
+func (i *injector) oneWayLeaf(span time.Duration) func()  { return i.setLeafLink(span, OneWay) }
+func (i *injector) resetLeaf(span time.Duration) func()   { return i.setLeafLink(span, Resetting) }
 
-// replaceLeaf starts a successor of a leaf, which then drains.
+// replaceLeaf starts a successor of a leaf and drains the leaf.
 func (i *injector) replaceLeaf(span time.Duration) func() {
-	i.environment.operating.Lock()
-	defer i.environment.operating.Unlock()
-	id, state := i.leaf(span)
-	if _, err := i.environment.addLeafOf(state.version); err != nil {
-		i.log("FAILED LEAF " + err.Error())
+	i.environment.replacementMu.Lock()
+	defer i.environment.replacementMu.Unlock()
+	id, state := i.pickLeaf(span)
+	if _, err := i.environment.addLeafWithVersion(state.version); err != nil {
+		i.log("FAILED to start a leaf: " + err.Error())
 		return func() {}
 	}
 	i.environment.register(id, stateDraining)
@@ -285,10 +287,10 @@
 	return func() { i.environment.unregister(id) }
 }
 
-// evacuateZone evacuates a zone.
+// evacuateZone evacuates a random zone.
 func (i *injector) evacuateZone(time.Duration) func() {
 	zone := zoneName(i.random.IntN(zoneCount))
-	i.environment.operate(evacuationKey(zone), struct{}{})
+	i.environment.putAsOperator(evacuationKey(zone), struct{}{})
 	i.environment.mu.Lock()
 	defer i.environment.mu.Unlock()
 	number := len(i.environment.evacuations)
@@ -296,18 +298,18 @@
 	return func() { i.environment.restoreZone(number) }
 }
 
-// restoreZone ends an evacuation. The zone stays evacuated while another evacuation of it lasts.
-func (w *environment) restoreZone(number int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	ended := &w.evacuations[number]
+// restoreZone ends an evacuation. The zone stays evacuated until all of its evacuations have ended.
+func (e *environment) restoreZone(number int) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	ended := &e.evacuations[number]
 	ended.until = time.Now()
-	for _, other := range w.evacuations {
+	for _, other := range e.evacuations {
 		if other.zone == ended.zone && other.until.IsZero() {
 			return
 		}
 	}
-	w.retract(evacuationKey(ended.zone))
+	e.removeAsOperator(evacuationKey(ended.zone))
 }
 
 func (i *injector) changeConfiguration(time.Duration) func() {
@@ -319,16 +321,16 @@
 	return func() {}
 }
 
-// Number of configurations in quick succession, and the time between them.
+// Number of configurations in a burst, and the time between them.
 const (
-	stormChanges = 6
-	stormGap     = 60 * time.Millisecond
+	burstConfigurations = 6
+	burstInterval       = 60 * time.Millisecond
 )
 
-func (i *injector) changeOften(span time.Duration) func() {
-	for range stormChanges {
+func (i *injector) changeConfigurationRepeatedly(span time.Duration) func() {
+	for range burstConfigurations {
 		i.changeConfiguration(span)
-		time.Sleep(stormGap)
+		time.Sleep(burstInterval)
 	}
 	return func() {}
 }
--- a/internal/lab/soak/leafs.go
+++ b/internal/lab/soak/leafs.go
@@ -12,20 +12,20 @@
 	"github.com/portgauge/portgauge/internal/lab/rollouts"
 )
 
-// leafState is a leaf with its link. Its process may be replaced under the same id.
+// leafState is a leaf and its link. Its process may be replaced under the same ID.
 type leafState struct {
 	leaf    *httpleaf.Leaf
 	link    *Link
 	service string
 	version *rollouts.Version
 	zone    string
-	// leavingAt is when its record became draining or was removed, or zero.
+	// leavingAt is the time at which its record became draining or was removed, or zero.
 	leavingAt time.Time
-	// faultSpans are the times at which its link had a fault.
+	// faultSpans are the spans in which its link had a fault.
 	faultSpans []faultSpan
-	// hasCrashed is set once a crashing request has ended its process.
+	// hasCrashed is set once a crashing request has crashed it.
 	hasCrashed bool
-	// record is the state in its record, empty if it has none; born and sequence are those in the record.
+	// record is the state in its record, or empty if it has no record; born and sequence are in the record too.
 	record   string
 	born     int64
 	sequence int
@@ -33,7 +33,7 @@
 	earlier []*httpleaf.Leaf
 }
 
-// request returns all requests that the leaf received, also those of earlier processes.
+// receivedRequests returns all requests that the leaf received, including those of earlier processes.
 func (s *leafState) receivedRequests() []httpleaf.Request {
 	var requests []httpleaf.Request
 	for _, life := range append(slices.Clone(s.earlier), s.leaf) {
@@ -42,12 +42,12 @@
 	return requests
 }
 
-// runs returns the ids of the leafs that ran each request, by the request's id.
-func (w *environment) runs() map[string][]string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// runs returns the IDs of the leafs that ran each request, keyed by request ID.
+func (e *environment) runs() map[string][]string {
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	ran := map[string][]string{}
-	for id, state := range w.leafs {
+	for id, state := range e.leafs {
 		for _, request := range state.receivedRequests() {
 			if request.Incarnation == id {
 				ran[request.ID] = append(ran[request.ID], id)
@@ -57,20 +57,20 @@
 	return ran
 }
 
-// addLeaf starts and registers a leaf of the version that serves a service, and returns its id.
-func (w *environment) addLeaf(service string) (string, error) {
-	return w.addLeafOf(w.servingOf(service))
+// addLeaf starts and registers a leaf of the version that serves a service, and returns the leaf's ID.
+func (e *environment) addLeaf(service string) (string, error) {
+	return e.addLeafWithVersion(e.servingVersion(service))
 }
 
-// addLeafOf starts and registers a leaf of a version, and returns its id.
-func (w *environment) addLeafOf(version *rollouts.Version) (string, error) {
+// addLeafWithVersion starts and registers a leaf of a version, and returns the leaf's ID.
+func (e *environment) addLeafWithVersion(version *rollouts.Version) (string, error) {
 	service := version.Service()
-	w.mu.Lock()
-	w.nextID++
-	id := fmt.Sprintf("leaf-%d", w.nextID)
-	zone := zoneOf(service, w.nextID)
-	w.mu.Unlock()
-	leaf, err := w.startLeaf(id, version)
+	e.mu.Lock()
+	e.nextID++
+	id := fmt.Sprintf("leaf-%d", e.nextID)
+	zone := zoneOf(service, e.nextID)
+	e.mu.Unlock()
+	leaf, err := e.startLeaf(id, version)
 	if err != nil {
 		return "", err
 	}
@@ -78,24 +78,24 @@
 	if err != nil {
 		return "", err
 	}
-	w.mu.Lock()
-	w.leafs[id] = &leafState{leaf: leaf, link: link, service: service, version: version, zone: zone, born: time.Now().UnixMilli()}
-	w.mu.Unlock()
-	w.register(id, stateReady)
+	e.mu.Lock()
+	e.leafs[id] = &leafState{leaf: leaf, link: link, service: service, version: version, zone: zone, born: time.Now().UnixMilli()}
+	e.mu.Unlock()
+	e.register(id, stateReady)
 	return id, nil
 }
 
-// startLeaf starts a process of a leaf.
-func (w *environment) startLeaf(id string, version *rollouts.Version) (*httpleaf.Leaf, error) {
-	return httpleaf.Start(id, w.names, func(request httpleaf.Request) httpleaf.Answer {
+// startLeaf starts the server of a leaf.
+func (e *environment) startLeaf(id string, version *rollouts.Version) (*httpleaf.Leaf, error) {
+	return httpleaf.Start(id, e.names, func(request httpleaf.Request) httpleaf.Answer {
 		if isCrashing(request.Target) && request.Incarnation == id {
-			return w.answerByCrashing(id, request)
+			return e.answerByCrashing(id, request)
 		}
 		return version.Answer(id, request, partBody(version.Service(), request.ID))
 	})
 }
 
-// zoneOf returns the zone of a leaf. Some services have leafs in one zone only, so that nodes of the other zone need
+// zoneOf returns the zone of a leaf. Some services have leafs in one zone only, so that nodes in the other zone need
 // intermediates.
 func zoneOf(service string, number int) string {
 	sum := xxhash.Sum64String(service)
@@ -106,38 +106,38 @@
 }
 
 // serviceOf returns the service of a leaf, or "" if there is no such leaf.
-func (w *environment) serviceOf(leafID string) string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if state, found := w.leafs[leafID]; found {
+func (e *environment) serviceOf(leafID string) string {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if state, found := e.leafs[leafID]; found {
 		return state.service
 	}
 	return ""
 }
 
 // register writes a leaf's record.
-func (w *environment) register(id, state string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	known := w.leafs[id]
-	known.record = state
-	known.sequence++
-	w.store.Put(leafKey(id), leafRecord{
-		Service: known.service, Address: known.link.Address(), Zone: known.zone, Version: known.version.Name(), State: state, Capacity: 4,
-		Sequence: known.sequence, Born: known.born,
+func (e *environment) register(id, state string) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	leaf := e.leafs[id]
+	leaf.record = state
+	leaf.sequence++
+	e.store.Put(leafKey(id), leafRecord{
+		Service: leaf.service, Address: leaf.link.Address(), Zone: leaf.zone, Version: leaf.version.Name(), State: state, Capacity: 4,
+		Sequence: leaf.sequence, Born: leaf.born,
 	})
 }
 
 // unregister removes a leaf's record.
-func (w *environment) unregister(id string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.leafs[id].record = ""
-	w.store.Remove(leafKey(id))
+func (e *environment) unregister(id string) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.leafs[id].record = ""
+	e.store.Remove(leafKey(id))
 }
 
-// partBody returns the records of a service for a request. They follow from both names, so that checks know what an answer
-// must hold.
+// partBody returns the records of a service for a request. They are a function of both names, so that checks can compute the
+// expected answer.
 func partBody(service, requestID string) []byte {
 	var body bytes.Buffer
 	for index := range leafRecords {
--- a/internal/lab/soak/link.go
+++ b/internal/lab/soak/link.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// Condition is what a link does with the bytes that it receives.
+// Condition determines what a link does with the bytes that it receives.
 type Condition int
 
 // The conditions of a link.
 const (
-	// Sound passes all bytes on.
+	// Sound forwards all bytes.
 	Sound Condition = iota
-	// Delayed passes bytes on after linkDelay.
+	// Delayed forwards bytes after linkDelay.
 	Delayed
-	// Silent passes nothing on and keeps connections open.
+	// Silent forwards nothing and keeps connections open.
 	Silent
-	// OneWay passes on what the connecting side sends, and nothing back.
+	// OneWay forwards bytes from the connecting side only.
 	OneWay
-	// Resetting resets all connections.
+	// Resetting resets open and new connections.
 	Resetting
 )
 
-// Delay of a Delayed link, interval at which a blocked one checks its condition, and size of its buffers.
+// Delay of a Delayed link, interval at which a blocked link checks its condition, and size of a link's buffers.
 const (
 	linkDelay       = 150 * time.Millisecond
 	linkInterval    = 5 * time.Millisecond
@@ -55,7 +55,7 @@
 // Address returns the address at which the link listens.
 func (l *Link) Address() string { return l.listener.Addr().String() }
 
-// Set changes the condition.
+// Set changes the condition. Resetting resets all open connections.
 func (l *Link) Set(condition Condition) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -67,7 +67,7 @@
 	}
 }
 
-// SetTarget forwards new connections to another target.
+// SetTarget changes the target of new connections.
 func (l *Link) SetTarget(target string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -86,7 +86,7 @@
 	_ = l.listener.Close()
 }
 
-func (l *Link) now() Condition {
+func (l *Link) currentCondition() Condition {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.condition
@@ -103,7 +103,7 @@
 }
 
 func (l *Link) serve(conn net.Conn) {
-	if l.now() == Resetting {
+	if l.currentCondition() == Resetting {
 		reset(conn)
 		return
 	}
@@ -116,8 +116,8 @@
 	l.open[conn], l.open[target] = true, true
 	l.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { l.pass(target, conn, false) })
-	both.Go(func() { l.pass(conn, target, true) })
+	both.Go(func() { l.forward(target, conn, false) })
+	both.Go(func() { l.forward(conn, target, true) })
 	both.Wait()
 	l.mu.Lock()
 	delete(l.open, conn)
@@ -127,12 +127,12 @@
 	_ = target.Close()
 }
 
-// pass copies one direction of a connection until it ends.
-func (l *Link) pass(to io.Writer, from net.Conn, isBack bool) {
+// forward copies one direction of a connection until it ends.
+func (l *Link) forward(to io.Writer, from net.Conn, isResponse bool) {
 	buffer := make([]byte, linkBufferBytes)
 	for {
 		n, err := from.Read(buffer)
-		if !l.await(isBack) {
+		if !l.await(isResponse) {
 			return
 		}
 		if n > 0 {
@@ -149,18 +149,18 @@
 	}
 }
 
-// await waits until the condition lets bytes pass. It returns false if they are lost.
-func (l *Link) await(isBack bool) bool {
-	if l.now() == Delayed {
+// await waits until the condition allows bytes to pass. It returns false if the link resets its connections.
+func (l *Link) await(isResponse bool) bool {
+	if l.currentCondition() == Delayed {
 		time.Sleep(linkDelay)
 	}
 	for {
-		switch l.now() {
+		switch l.currentCondition() {
 		case Resetting:
 			return false
 		case Silent:
 		case OneWay:
-			if !isBack {
+			if !isResponse {
 				return true
 			}
 		case Sound, Delayed:
@@ -170,7 +170,7 @@
 	}
 }
 
-// reset closes a connection by a TCP reset.
+// reset closes a connection with a TCP reset.
 func reset(conn net.Conn) {
 	if tcp, isTCP := conn.(*net.TCPConn); isTCP {
 		_ = tcp.SetLinger(0)
--- a/internal/lab/soak/load.go
+++ b/internal/lab/soak/load.go
@@ -16,11 +16,11 @@
 	"github.com/portgauge/portgauge/internal/request/httpnames"
 )
 
-// Kind is the kind of a request: the prefix of its route.
+// Kind is a kind of request. Its value is the path prefix of the route.
 type Kind string
 
-// The kinds of requests: gathered, repeatable and at-most-once ones of one service, and those of the route that
-// configurations switch.
+// Kinds of requests: gathered requests, repeatable and at-most-once requests to one service, and requests to the route whose
+// service the configurations switch.
 const (
 	Gathered Kind = GatheredPrefix
 	Single   Kind = SinglePrefix
@@ -31,7 +31,7 @@
 // requestDeadline is the deadline of each request.
 const requestDeadline = 1500 * time.Millisecond
 
-// outcome is a request as its caller saw it.
+// outcome is a request and its answer as the caller saw them.
 type outcome struct {
 	id    string
 	kind  Kind
@@ -39,16 +39,16 @@
 	life  int
 	sent  time.Time
 	ended time.Time
-	// status is 0 if no whole answer came.
+	// status is 0 if the caller received no complete answer.
 	status  int
 	header  http.Header
 	body    []byte
 	refused bool // the connection was refused
-	// isCrashing marks a crashing request.
+	// isCrashing marks a request that crashes leafs.
 	isCrashing bool
 }
 
-// load sends requests and records their outcomes; safe for concurrent use.
+// load sends requests and records their outcomes. It is safe for concurrent use.
 type load struct {
 	environment *environment
 	client      *http.Client
@@ -57,9 +57,9 @@
 	outcomes []outcome
 }
 
-func newLoad(w *environment) *load {
+func newLoad(e *environment) *load {
 	dialer := net.Dialer{Timeout: time.Second}
-	return &load{environment: w, client: &http.Client{
+	return &load{environment: e, client: &http.Client{
 		Timeout: requestDeadline + time.Second,
 		Transport: &http.Transport{
 			DialContext: dialer.DialContext, MaxIdleConnsPerHost: 16, IdleConnTimeout: 5 * time.Second, DisableCompression: true,
@@ -67,8 +67,8 @@
 	}}
 }
 
-// run sends requests to random nodes at a rate until the context ends, each in a goroutine of its own, and waits for their
-// outcomes.
+// run sends random requests to random nodes at the given rate until the context ends, each in its own goroutine, and waits
+// for their outcomes.
 func (l *load) run(ctx context.Context, random *rand.Rand, perSecond int) {
 	ticker := time.NewTicker(time.Second / time.Duration(perSecond))
 	defer ticker.Stop()
@@ -94,29 +94,29 @@
 	l.outcomes = append(l.outcomes, seen)
 }
 
-// all returns the outcomes so far.
+// all returns a copy of the outcomes so far.
 func (l *load) all() []outcome {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]outcome(nil), l.outcomes...)
 }
 
-// send sends a request and waits for its answer. At-most-once requests have a body, which keeps net/http from repeating
-// them.
+// send sends a request and waits for its answer.
 func (l *load) send(id string, kind Kind, node *nodeState) outcome {
 	return l.sendTo(id, id, kind, node)
 }
 
-// sendTo sends a request to a path under the prefix of its kind.
+// sendTo sends a request to a path under the prefix of its kind. At-most-once requests have a body so that net/http does not
+// retry them.
 func (l *load) sendTo(id, path string, kind Kind, node *nodeState) outcome {
-	seen := outcome{id: id, kind: kind, node: node, life: node.lifeNow(), sent: time.Now()}
+	seen := outcome{id: id, kind: kind, node: node, life: node.currentLife(), sent: time.Now()}
 	method, body := http.MethodGet, io.Reader(nil)
 	if kind == Once {
 		method, body = http.MethodPost, io.NopCloser(strings.NewReader("once"))
 	}
 	request, err := http.NewRequest(method, "http://"+node.front+string(kind)+path, body)
 	if err != nil {
-		panic(err) // the address is the soak's own
+		panic(err) // the soak generates the URL
 	}
 	names := l.environment.names
 	request.Host = host
@@ -150,7 +150,7 @@
 	return parts
 }
 
-// greatest returns the greatest records of some bodies, in descending order.
+// greatest returns the greatest records of the given bodies, at most count, in descending order.
 func greatest(bodies [][]byte, count int) []byte {
 	var records [][]byte
 	for _, body := range bodies {
--- a/internal/lab/soak/logs.go
+++ b/internal/lab/soak/logs.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// keepRun writes the events, each request as its caller saw it, with times since the soak began, and the newest output of
-// each node to a folder.
-func (w *environment) keepRun(folder, story string, began time.Time, seen []outcome) error {
-	if err := w.keepLogs(folder); err != nil {
+// writeRun writes the events, the requests as their callers saw them and the newest output of each node to a folder. Times
+// are in seconds since the soak began.
+func (e *environment) writeRun(folder, events string, began time.Time, seen []outcome) error {
+	if err := e.writeLogs(folder); err != nil {
 		return err
 	}
 	var requests bytes.Buffer
 	fmt.Fprintln(&requests, "sent,ended,id,kind,node,life,status,leaf")
 	for _, o := range seen {
 		fmt.Fprintf(&requests, "%.4f,%.4f,%s,%s,%s,%d,%d,%s\n", o.sent.Sub(began).Seconds(), o.ended.Sub(began).Seconds(), o.id, o.kind,
-			o.node.name, o.life, o.status, o.header.Get(w.names.ResponseStamp))
+			o.node.name, o.life, o.status, o.header.Get(e.names.ResponseStamp))
 	}
-	for _, c := range w.changes {
-		story += fmt.Sprintf("%8.3f configuration %d accepted: %s\n", c.at.Sub(began).Seconds(), c.version, c.switched)
+	for _, c := range e.changes {
+		events += fmt.Sprintf("%8.3f configuration %d accepted: %s\n", c.at.Sub(began).Seconds(), c.version, c.switched)
 	}
-	for name, content := range map[string][]byte{"requests.csv": requests.Bytes(), "story.txt": []byte(story)} {
+	for name, content := range map[string][]byte{"requests.csv": requests.Bytes(), "story.txt": []byte(events)} {
 		if err := os.WriteFile(filepath.Join(folder, name), content, 0o600); err != nil {
 			return err
 		}
@@ -31,15 +31,16 @@
 	return nil
 }
 
-// keepLogs writes the newest output of each node to a folder, which it creates. It does nothing if folder is empty.
-func (w *environment) keepLogs(folder string) error {
+// writeLogs writes the newest output of each node to a folder, which it creates if needed. It does nothing if folder is
+// empty.
+func (e *environment) writeLogs(folder string) error {
 	if folder == "" {
 		return nil
 	}
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return err
 	}
-	for _, node := range w.nodes {
+	for _, node := range e.nodes {
 		if err := os.WriteFile(filepath.Join(folder, node.name+".log"), []byte(node.output()), 0o600); err != nil {
 			return err
 		}
--- a/internal/lab/soak/node.go
+++ b/internal/lab/soak/node.go
@@ -13,7 +13,7 @@
 	"github.com/portgauge/portgauge/platform"
 )
 
-// nodeState is a node with its links. Its process may be replaced.
+// nodeState is a node and its links. Its process may be replaced.
 type nodeState struct {
 	name      string
 	zone      string
@@ -28,45 +28,47 @@
 	process *process.Process
 	// before is the newest output of the previous process.
 	before string
-	life   int
-	cut    bool
-	// isClaimed is set while a fault has the process for itself.
+	// life is the number of the process; the first is 1.
+	life int
+	// cut is set while the peer link is closed to all senders.
+	cut bool
+	// isClaimed is set while a fault has exclusive use of the process.
 	isClaimed bool
-	// faultSpans are the times in which the node is not held to promises that bound a time.
+	// faultSpans are the spans in which the node is exempt from promises with a time bound.
 	faultSpans []faultSpan
-	// stops are the times at which the node was asked to stop.
+	// stops are the times of the planned stops.
 	stops []time.Time
 }
 
-// faultSpan is a time in which a node or leaf is not held to promises that bound a time.
+// faultSpan is a span of time in which a node or leaf is exempt from promises with a time bound.
 type faultSpan struct {
 	from, until time.Time
 	// planned marks a planned stop.
 	planned bool
 }
 
-// nodeAddresses is the number of addresses that a node needs.
+// nodeAddresses is the number of listen addresses per node.
 const nodeAddresses = 7
 
-// addNodes starts nodes. Their addresses are drawn together, since an address stays free until its node listens.
-func (w *environment) addNodes(count int) error {
+// addNodes starts nodes. It selects all addresses at once, because an address stays free until its node listens there.
+func (e *environment) addNodes(count int) error {
 	addresses, err := process.FreeAddresses(nodeAddresses * count)
 	if err != nil {
 		return err
 	}
 	for index := range count {
-		if err := w.addNode(index, addresses[nodeAddresses*index:]); err != nil {
+		if err := e.addNode(index, addresses[nodeAddresses*index:]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// addNode starts a node with links of its own to the store and from other nodes.
-func (w *environment) addNode(index int, addresses []string) error {
+// addNode starts a node with its own links to the store and from other nodes.
+func (e *environment) addNode(index int, addresses []string) error {
 	var err error
 	node := &nodeState{name: fmt.Sprintf("node-%d", index), zone: zoneName(index % zoneCount), front: addresses[3], peers: addresses[5]}
-	if node.storeLink, err = NewLink(w.address); err != nil {
+	if node.storeLink, err = NewLink(e.address); err != nil {
 		return err
 	}
 	node.peerLink, err = forwarder.NewPeer(addresses[5], addresses[2], func(string) bool { return !node.isCut() })
@@ -76,27 +78,27 @@
 	if node.treeLink, err = NewLink(addresses[6]); err != nil {
 		return err
 	}
-	node.settings = filepath.Join(w.folder, node.name+".yaml")
+	node.settings = filepath.Join(e.folder, node.name+".yaml")
 	content := fmt.Sprintf(settingsText, node.name, node.zone, addresses[0], addresses[1], addresses[2], addresses[5],
-		addresses[3], addresses[4], addresses[6], node.treeLink.Address(), processorsOf(index), node.storeLink.Address(), platform.Name, w.seed(node),
+		addresses[3], addresses[4], addresses[6], node.treeLink.Address(), processorsOf(index), node.storeLink.Address(), platform.Name, e.seed(node),
 		rollouts.Share, rollouts.Slack)
 	if err := os.WriteFile(node.settings, []byte(content), 0o600); err != nil {
 		return err
 	}
-	w.nodes = append(w.nodes, node)
-	return w.startNode(node)
+	e.nodes = append(e.nodes, node)
+	return e.startNode(node)
 }
 
-// seed returns the peer address that a node joins through: that of the first node.
-func (w *environment) seed(node *nodeState) string {
-	if len(w.nodes) == 0 {
+// seed returns the peer address through which a node joins: the first node's address.
+func (e *environment) seed(node *nodeState) string {
+	if len(e.nodes) == 0 {
 		return node.peers
 	}
-	return w.nodes[0].peers
+	return e.nodes[0].peers
 }
 
-// processorsOf returns the processors of a node. The first node of each zone has many more than the others, which makes it
-// an intermediate for them.
+// processorsOf returns the processor share of a node. The first node of each zone has the largest one, which makes it the
+// intermediate of the others.
 func processorsOf(index int) float64 {
 	if index < zoneCount {
 		return 0.8
@@ -104,7 +106,7 @@
 	return 0.2
 }
 
-// settingsText is the settings file of a node.
+// settingsText is the format of a node's settings file.
 const settingsText = `node: {id: %s, zone: %s, processors: 1, processor_share: %[11]v}
 listen: {callers: "%[3]s", operators: "%[4]s", peers: "%[5]s", advertise_peers: "%[6]s", front: "%[7]s", ready: "%[8]s", tree: "%[9]s", advertise_tree: "%[10]s"}
 platform: {address: "%[12]s", dialect: %[13]s, watch_wait: 1500ms}
@@ -118,8 +120,8 @@
 `
 
 // startNode starts the process of a node.
-func (w *environment) startNode(node *nodeState) error {
-	started, err := process.Start(node.name, w.program, "node", "--settings", node.settings)
+func (e *environment) startNode(node *nodeState) error {
+	started, err := process.Start(node.name, e.program, "node", "--settings", node.settings)
 	if err != nil {
 		return err
 	}
@@ -133,14 +135,14 @@
 	return nil
 }
 
-// output returns the newest output of the node's process and of the previous one.
+// output returns the newest output of the previous process followed by the output of the current one.
 func (n *nodeState) output() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.before + n.process.Output()
 }
 
-// claim reserves the node's process for a fault. It returns false if another fault has it.
+// claim reserves the node's process for a fault. It returns false if another fault has reserved it.
 func (n *nodeState) claim() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -168,23 +170,23 @@
 	n.cut = cut
 }
 
-// noteFault notes that the node is affected by a fault for a time.
-func (n *nodeState) noteFault(span time.Duration, planned bool) {
+// recordFault records that a fault affects the node from now on for the given span.
+func (n *nodeState) recordFault(span time.Duration, planned bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
 	n.faultSpans = append(n.faultSpans, faultSpan{from: now, until: now.Add(span), planned: planned})
 }
 
-// stop notes that the node is asked to stop, as planned work.
+// stop records a planned stop of the node.
 func (n *nodeState) stop(span time.Duration) {
-	n.noteFault(span, true)
+	n.recordFault(span, true)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.stops = append(n.stops, time.Now())
 }
 
-// hadFault reports whether a fault affected the node between two times. Planned stops count if withPlanned is set.
+// hadFault reports whether a fault affected the node between two times. Planned stops count as faults if withPlanned is set.
 func (n *nodeState) hadFault(from, until time.Time, withPlanned bool) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -196,14 +198,14 @@
 	return false
 }
 
-// lifeNow returns the number of the node's process, the first being 1.
-func (n *nodeState) lifeNow() int {
+// currentLife returns the number of the node's process, the first being 1.
+func (n *nodeState) currentLife() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.life
 }
 
-// stopTimes returns the times at which the node was asked to stop.
+// stopTimes returns the times of the node's planned stops.
 func (n *nodeState) stopTimes() []time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/lab/soak/operator.go
+++ b/internal/lab/soak/operator.go
@@ -12,29 +12,29 @@
 	"github.com/portgauge/portgauge/platform"
 )
 
-// Times of an operator who rolls versions out.
+// Intervals of an operator's roll-outs.
 const (
-	statusInterval = 5 * time.Millisecond // between two reads of the status
+	statusInterval = 5 * time.Millisecond // between two reads of the statuses
 	leadTime       = 1500 * time.Millisecond
-	// statusTimeout is how long after an order's deadline the operator waits for its outcome.
+	// statusTimeout is how long the operator waits for an outcome after the deadline of a roll-out.
 	statusTimeout = 6 * time.Second
 	drainDelay    = 3 * time.Second
 	drainTime     = 2 * time.Second
 )
 
-// plan is an order that an operator is to give.
+// plan describes a roll-out that an operator performs.
 type plan struct {
 	service  string
 	fault    rollouts.Fault
 	duration time.Duration
-	// isServing orders the version that already serves; isEmpty a version without leafs.
-	isServing, isEmpty bool
-	// cancelledAfter is when the order is cancelled, replacedAfter when another order replaces it, after its start; 0 for
-	// never.
+	// targetsServingVersion rolls out the version that already serves; hasNoLeafs rolls out a version without leafs.
+	targetsServingVersion, hasNoLeafs bool
+	// cancelledAfter and replacedAfter are the times from its start until the roll-out is cancelled or replaced by another
+	// one; 0 means never.
 	cancelledAfter, replacedAfter time.Duration
 }
 
-// operator gives roll-out orders and reads their status; safe for concurrent use.
+// operator writes roll-out specs and reads the statuses of roll-outs. It is safe for concurrent use.
 type operator struct {
 	environment *environment
 	log         func(string)
@@ -45,11 +45,11 @@
 	releases []*rollouts.Release
 }
 
-func newOperator(w *environment, log func(string)) *operator {
-	return &operator{environment: w, log: log, status: map[string][]rollouts.StatusReading{}}
+func newOperator(e *environment, log func(string)) *operator {
+	return &operator{environment: e, log: log, status: map[string][]rollouts.StatusReading{}}
 }
 
-// read records every status of all services until the context ends.
+// read records the statuses of all services until the context ends.
 func (o *operator) read(ctx context.Context) {
 	for wait.For(ctx, statusInterval) {
 		for _, service := range o.environment.services() {
@@ -58,24 +58,25 @@
 	}
 }
 
+// readStatus records the status of a service if it has changed.
 func (o *operator) readStatus(service string) {
 	item, found := o.environment.store.Item(platform.StatusKey(service))
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	known := o.status[service]
-	if !found || len(known) > 0 && known[len(known)-1].Revision == item.Revision {
+	readings := o.status[service]
+	if !found || len(readings) > 0 && readings[len(readings)-1].Revision == item.Revision {
 		return
 	}
 	target, phase, err := platform.ParseStatus(item.Value)
 	if err != nil {
-		o.log("UNREADABLE STATUS " + string(item.Value))
+		o.log("MALFORMED status of a service: " + string(item.Value))
 	}
-	o.status[service] = append(known, rollouts.StatusReading{
+	o.status[service] = append(readings, rollouts.StatusReading{
 		Revision: item.Revision, Target: target, Outcome: outcomes[phase], At: time.Now(),
 	})
 }
 
-// release returns copies of all orders so far, with the status readings of their services.
+// allReleases returns copies of all roll-outs so far, with the status readings of their services.
 func (o *operator) allReleases() []rollouts.Release {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -88,7 +89,8 @@
 	return releases
 }
 
-// run gives an order and does what its outcome requires. It returns the number of the order.
+// rollOut performs a roll-out, waits for its outcome and does what the outcome requires. It returns the number of the
+// roll-out.
 func (o *operator) rollOut(ctx context.Context, p plan) (number int, err error) {
 	if number, err = o.startRollout(ctx, p); err != nil {
 		return number, err
@@ -97,33 +99,34 @@
 	if status, _ := o.outcome(number); p.replacedAfter > 0 && (status == rollouts.Running || status == "") && ctx.Err() == nil {
 		next := p
 		next.replacedAfter, next.fault = 0, rollouts.Fault{}
-		second, err := o.startRollout(ctx, next)
+		replacement, err := o.startRollout(ctx, next)
 		if err != nil {
 			return number, err
 		}
-		o.endReplaced(ctx, number, second)
-		o.follow(ctx, second, next)
-		o.conclude(ctx, second)
+		o.endReplaced(ctx, number, replacement)
+		o.follow(ctx, replacement, next)
+		o.conclude(ctx, replacement)
 		return number, nil
 	}
 	o.conclude(ctx, number)
 	return number, nil
 }
 
-// startRollout starts the leafs of a version and orders it, which replaces an order in progress for the service.
+// startRollout starts the leafs of a version and writes its roll-out spec, which replaces a roll-out of the service that is
+// in progress.
 func (o *operator) startRollout(ctx context.Context, p plan) (number int, err error) {
-	old := o.environment.servingOf(p.service)
+	old := o.environment.servingVersion(p.service)
 	target := old
-	if !p.isServing {
+	if !p.targetsServingVersion {
 		o.mu.Lock()
 		o.number++
 		name := fmt.Sprintf("next-%d", o.number)
 		o.mu.Unlock()
-		target = rollouts.NewVersion(p.service, name, workOf(p.service), p.fault)
+		target = rollouts.NewVersion(p.service, name, serviceTime(p.service), p.fault)
 	}
-	if !p.isServing && !p.isEmpty {
-		for range leafsEach {
-			if _, err := o.environment.addLeafOf(target); err != nil {
+	if !p.targetsServingVersion && !p.hasNoLeafs {
+		for range leafsPerVersion {
+			if _, err := o.environment.addLeafWithVersion(target); err != nil {
 				return 0, err
 			}
 		}
@@ -147,23 +150,23 @@
 	return len(o.releases) - 1, nil
 }
 
-// endReplaced ends an order that was replaced by another one, unless it succeeded before.
-func (o *operator) endReplaced(ctx context.Context, number, second int) {
+// endReplaced ends a roll-out that another one replaced, or concludes it if it succeeded before that.
+func (o *operator) endReplaced(ctx context.Context, number, replacement int) {
 	o.readStatus(o.allReleases()[number].Target.Service())
 	if status, _ := o.outcome(number); status == rollouts.Succeeded {
 		o.conclude(ctx, number)
 		o.mu.Lock()
 		defer o.mu.Unlock()
-		o.releases[second].Old = o.releases[number].Target
+		o.releases[replacement].Old = o.releases[number].Target
 		return
 	}
 	o.mu.Lock()
-	o.releases[number].Ended = o.releases[second].At
+	o.releases[number].Ended = o.releases[replacement].At
 	o.mu.Unlock()
 	o.drainLater(number)
 }
 
-// follow waits for the outcome of an order, or until it is due to be cancelled or replaced.
+// follow waits for the outcome of a roll-out or until it is due to be replaced, and cancels it when that is due.
 func (o *operator) follow(ctx context.Context, number int, p plan) {
 	began := time.Now()
 	for wait.For(ctx, statusInterval) {
@@ -181,7 +184,7 @@
 	}
 }
 
-// outcome returns the status of an order and when it was read.
+// outcome returns the last status of a roll-out and the time at which it was first read.
 func (o *operator) outcome(number int) (status rollouts.Outcome, at time.Time) {
 	release := o.allReleases()[number]
 	return release.Outcome()
@@ -195,28 +198,28 @@
 	release.Ended = time.Now()
 }
 
-// conclude does what operators do after an order: they stop the old leafs at once if it succeeded, or else drain the new
-// ones after a while.
+// conclude does what operators do after a roll-out: it stops the old leafs at once if the roll-out succeeded, and otherwise
+// drains the new leafs after drainDelay. It cancels a roll-out without an outcome.
 func (o *operator) conclude(ctx context.Context, number int) {
 	release := o.allReleases()[number]
 	o.readStatus(release.Target.Service())
 	if status, _ := o.outcome(number); status == rollouts.Succeeded && release.Old != release.Target {
 		release.Old.Stop()
-		o.environment.succeed(release.Old, release.Target)
+		o.environment.promote(release.Old, release.Target)
 		return
 	}
 	if release.Old == release.Target {
 		return
 	}
 	if status, _ := o.outcome(number); status != rollouts.RolledBack && release.Ended.IsZero() && ctx.Err() == nil {
-		o.log(fmt.Sprintf("no outcome of %s of %s; cancelled", release.Target.Name(), release.Target.Service()))
+		o.log(fmt.Sprintf("version %s of service %s has no roll-out outcome; cancelled the roll-out", release.Target.Name(), release.Target.Service()))
 		o.cancel(number)
 	}
 	o.drainLater(number)
 	wait.For(ctx, drainDelay+drainTime)
 }
 
-// drainLater drains the new leafs of an order after drainDelay, and removes them after drainTime more.
+// drainLater drains the new leafs of a roll-out after drainDelay, and removes them after another drainTime.
 func (o *operator) drainLater(number int) {
 	target := o.allReleases()[number].Target
 	time.AfterFunc(drainDelay, func() { o.environment.drain(target) })
--- a/internal/lab/soak/random_orders.go
+++ b/internal/lab/soak/random_rollouts.go
@@ -11,68 +11,67 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// Bounds of the random orders' durations, and one in how many is good, or odd: cancelled, replaced, for the version that
-// already serves, or for one without leafs.
+// Durations of the random roll-outs and of the pause after each.
 const (
-	shortOrder   = 6 * time.Second
-	orderRange   = 5 * time.Second
-	goodPart     = 3 // one order in so many is for a good version
-	oddPart      = 8
-	pauseOfOrder = 2 * time.Second
+	minRolloutSpan   = 6 * time.Second
+	rolloutSpanRange = 5 * time.Second
+	goodOneIn        = 3 // one in this many is of a good version
+	specialOneIn     = 8 // each special case occurs once in this many
+	rolloutPause     = 2 * time.Second
 )
 
-// run gives one order after the other while faults are injected, and waits for the outcome of the last one.
-func (o *operator) run(ctx, faulty context.Context, random *rand.Rand) {
-	for faulty.Err() == nil && ctx.Err() == nil {
-		p := draw(random, o.environment.services())
+// run performs random roll-outs one after the other until faultCtx ends, and waits for the outcome of the last one.
+func (o *operator) run(ctx, faultCtx context.Context, random *rand.Rand) {
+	for faultCtx.Err() == nil && ctx.Err() == nil {
+		p := randomPlan(random, o.environment.services())
 		number, err := o.rollOut(ctx, p)
 		if err != nil {
-			o.log("FAILED ROLLOUT " + err.Error())
+			o.log("FAILED to start a roll-out: " + err.Error())
 			return
 		}
 		release := o.allReleases()[number]
 		status, at := release.Outcome()
 		o.log(fmt.Sprintf("%s (%s, %v): %q after %v, %d bad answers", nameOf(release), describe(p), p.duration, status,
 			at.Sub(release.At).Round(time.Millisecond), release.BadAnswers()))
-		wait.For(faulty, pauseOfOrder)
+		wait.For(faultCtx, rolloutPause)
 	}
 }
 
-// draw returns a random order.
-func draw(random *rand.Rand, services []string) plan {
+// randomPlan returns the plan of a random roll-out.
+func randomPlan(random *rand.Rand, services []string) plan {
 	p := plan{
-		service: services[random.IntN(len(services))], duration: shortOrder + time.Duration(random.Int64N(int64(orderRange))),
+		service: services[random.IntN(len(services))], duration: minRolloutSpan + time.Duration(random.Int64N(int64(rolloutSpanRange))),
 	}
-	if random.IntN(goodPart) > 0 {
+	if random.IntN(goodOneIn) > 0 {
 		faults := faultsOf(p.service)
 		p.fault = faults[random.IntN(len(faults))]
 	}
-	switch random.IntN(oddPart) {
+	switch random.IntN(specialOneIn) {
 	case 0:
 		p.cancelledAfter = time.Duration(random.Int64N(int64(p.duration)))
 	case 1:
 		p.replacedAfter = time.Duration(random.Int64N(int64(p.duration)))
 	case 2:
-		p.isServing = random.IntN(2) == 0
-		p.isEmpty = !p.isServing
+		p.targetsServingVersion = random.IntN(2) == 0
+		p.hasNoLeafs = !p.targetsServingVersion
 	}
 	return p
 }
 
-// faultsOf returns the faults that a version of a service can have. Only one service has several routes that always lead to
-// it.
+// faultsOf returns the faults that a version of a service can have. Faults of one route need a service to which several
+// routes always lead; only one service has these.
 func faultsOf(service string) []rollouts.Fault {
 	return slices.DeleteFunc(rollouts.Faults(OncePrefix), func(fault rollouts.Fault) bool {
 		return fault.Prefix != "" && service != singleName
 	})
 }
 
-// describe returns what is special about an order.
+// describe names the fault or the special case of a roll-out.
 func describe(p plan) string {
 	switch {
-	case p.isServing:
+	case p.targetsServingVersion:
 		return "serves already"
-	case p.isEmpty:
+	case p.hasNoLeafs:
 		return "no leafs"
 	case p.cancelledAfter > 0:
 		return fmt.Sprintf("%s, cancelled after %v", p.fault, p.cancelledAfter.Round(time.Millisecond))
--- a/internal/lab/soak/records.go
+++ b/internal/lab/soak/records.go
@@ -7,8 +7,8 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// Prefixes of the routes: a gathered one, a repeatable and an at-most-once one of the same service, and one whose service
-// each configuration switches.
+// Path prefixes of the routes: a gathered route, a repeatable route and an at-most-once route to the same service, and a
+// route whose service the configurations switch.
 const (
 	GatheredPrefix = "/gathered/"
 	SinglePrefix   = "/single/"
@@ -16,7 +16,7 @@
 	SwitchedPrefix = "/switched/"
 )
 
-// Values of a leaf's state, and the key of the configuration, in the users' store.
+// States of a leaf in its record, and the store's key of the configuration.
 const (
 	stateReady    = "ready"
 	stateDraining = "draining"
@@ -25,21 +25,21 @@
 
 func leafKey(id string) string { return "servers/" + id }
 
-// outcomes are the outcomes of an order by the phase in its status.
+// outcomes maps the phase in a roll-out's status to its outcome.
 var outcomes = map[rollout.Phase]rollouts.Outcome{
 	rollout.Canary: rollouts.Running, rollout.Succeeded: rollouts.Succeeded, rollout.RolledBack: rollouts.RolledBack,
 }
 
 func evacuationKey(zone string) string { return "op/evacuate/" + zone }
 
-// leafRecord is the record that a leaf writes to the users' store.
+// leafRecord is a leaf's record in the store.
 type leafRecord struct {
 	Service, Address, Zone, Version, State string
 	Capacity, Sequence                     int
 	Born                                   int64 `json:"born"`
 }
 
-// routeRecord is a route as operators write it.
+// routeRecord is a route in a configurationRecord.
 type routeRecord struct {
 	Name, Host, PathPrefix, Type        string
 	Service                             string   `json:",omitempty"`
@@ -49,7 +49,7 @@
 	TimeoutMs, ObjectiveMs, MaxAttempts int
 }
 
-// configurationRecord is a configuration as operators write it.
+// configurationRecord is a configuration as operators write it to the store.
 type configurationRecord struct {
 	Version  int
 	Routes   []routeRecord
@@ -57,7 +57,7 @@
 	Limits   struct{}
 }
 
-// configuration returns a configuration whose switched route has a service.
+// configuration returns a configuration whose switched route leads to the given service.
 func configuration(version int, gathered []string, switched string) configurationRecord {
 	route := func(prefix, kind string) routeRecord {
 		return routeRecord{
@@ -65,9 +65,9 @@
 			TimeoutMs: 3000, ObjectiveMs: 400, MaxAttempts: 2,
 		}
 	}
-	pages := route(GatheredPrefix, "safe")
-	pages.Gather, pages.TopK, pages.MinCoverage = gathered, topRecords, minCoverage
-	single, once, moving := route(SinglePrefix, "safe"), route(OncePrefix, "unsafe"), route(SwitchedPrefix, "safe")
-	single.Service, once.Service, moving.Service = singleName, singleName, switched
-	return configurationRecord{Version: version, Routes: []routeRecord{pages, single, once, moving}, Services: []struct{}{}}
+	gatheredRoute := route(GatheredPrefix, "safe")
+	gatheredRoute.Gather, gatheredRoute.TopK, gatheredRoute.MinCoverage = gathered, topRecords, minCoverage
+	single, once, switchedRoute := route(SinglePrefix, "safe"), route(OncePrefix, "unsafe"), route(SwitchedPrefix, "safe")
+	single.Service, once.Service, switchedRoute.Service = singleName, singleName, switched
+	return configurationRecord{Version: version, Routes: []routeRecord{gatheredRoute, single, once, switchedRoute}, Services: []struct{}{}}
 }
--- a/internal/lab/soak/restore.go
+++ b/internal/lab/soak/restore.go
@@ -7,42 +7,42 @@
 	"github.com/portgauge/portgauge/internal/lab/kvstore"
 )
 
-// Times of a restore of the store.
+// Times of a restore of the store from a backup.
 const (
-	// backupAge is the greatest age of the backup when the store fails.
-	backupAge = 4 * time.Second
-	// leafsAgain and operatorsAgain are the times within which leafs and operators repeat their writes.
-	leafsAgain     = 2 * time.Second
-	operatorsAgain = 3 * time.Second
+	// maxBackupAge is the maximum age of the backup when the store fails.
+	maxBackupAge = 4 * time.Second
+	// maxLeafWriteDelay and maxOperatorWriteDelay are the times after the restore within which leafs and operators repeat their writes.
+	maxLeafWriteDelay     = 2 * time.Second
+	maxOperatorWriteDelay = 3 * time.Second
 )
 
-// operatorEntries are the entries that operators have written and not removed, by key; safe for concurrent use. The zero
-// value is empty.
+// operatorEntries stores the entries that operators have written and not removed, by key. It is safe for concurrent use. The
+// zero value is empty.
 type operatorEntries struct {
 	mu     sync.Mutex
 	values map[string]any
 }
 
-// operate writes a key as operators do.
-func (w *environment) operate(key string, value any) {
-	w.operatorEntries.mu.Lock()
-	defer w.operatorEntries.mu.Unlock()
-	if w.operatorEntries.values == nil {
-		w.operatorEntries.values = map[string]any{}
+// putAsOperator writes an entry to the store as an operator.
+func (e *environment) putAsOperator(key string, value any) {
+	e.operatorEntries.mu.Lock()
+	defer e.operatorEntries.mu.Unlock()
+	if e.operatorEntries.values == nil {
+		e.operatorEntries.values = map[string]any{}
 	}
-	w.operatorEntries.values[key] = value
-	w.store.Put(key, value)
+	e.operatorEntries.values[key] = value
+	e.store.Put(key, value)
 }
 
-// retract removes a key as operators do.
-func (w *environment) retract(key string) {
-	w.operatorEntries.mu.Lock()
-	defer w.operatorEntries.mu.Unlock()
-	delete(w.operatorEntries.values, key)
-	w.store.Remove(key)
+// removeAsOperator removes an entry from the store as an operator.
+func (e *environment) removeAsOperator(key string) {
+	e.operatorEntries.mu.Lock()
+	defer e.operatorEntries.mu.Unlock()
+	delete(e.operatorEntries.values, key)
+	e.store.Remove(key)
 }
 
-// restores returns the kinds of restores of the store.
+// restores returns the kinds of restores of the store from a backup.
 func restores() []fault {
 	return []fault{
 		{"store restored from a backup", (*injector).restoreStore},
@@ -60,65 +60,65 @@
 }
 
 func (i *injector) restoreTwice(span time.Duration) func() {
-	again := i.restoreAfter(span/2, kvstore.Faults{Refuse: 503})
-	again()
+	restore := i.restoreAfter(span/2, kvstore.Faults{Refuse: 503})
+	restore()
 	return i.restoreAfter(span/2, kvstore.Faults{Refuse: 503})
 }
 
-// restoreAfter backs the store up, lets it fail some time later, and restores it from the backup in the end.
-func (i *injector) restoreAfter(span time.Duration, away kvstore.Faults) func() {
+// restoreAfter backs up the store and injects an outage after a random delay. The end function restores the backup.
+func (i *injector) restoreAfter(span time.Duration, outage kvstore.Faults) func() {
 	i.environment.store.Backup()
-	time.Sleep(time.Duration(i.random.Int64N(int64(backupAge))))
-	i.everyNode(span + operatorsAgain)
-	i.environment.store.SetFaults(away)
+	time.Sleep(time.Duration(i.random.Int64N(int64(maxBackupAge))))
+	i.recordFaultOfAllNodes(span + maxOperatorWriteDelay)
+	i.environment.store.SetFaults(outage)
 	return func() {
-		i.everyNode(operatorsAgain)
+		i.recordFaultOfAllNodes(maxOperatorWriteDelay)
 		i.environment.store.Restore()
 		i.environment.store.SetFaults(kvstore.Faults{})
-		i.writeAgain()
+		i.repeatWrites()
 	}
 }
 
-// writeAgain repeats the writes of leafs and operators, each some time after the restore.
-func (i *injector) writeAgain() {
-	w := i.environment
-	w.mu.Lock()
-	ids := make([]string, 0, len(w.leafs))
-	for id := range w.leafs {
+// repeatWrites repeats the writes of leafs and operators, each after a random delay.
+func (i *injector) repeatWrites() {
+	e := i.environment
+	e.mu.Lock()
+	ids := make([]string, 0, len(e.leafs))
+	for id := range e.leafs {
 		ids = append(ids, id)
 	}
-	w.mu.Unlock()
+	e.mu.Unlock()
 	for _, id := range ids {
-		time.AfterFunc(time.Duration(i.random.Int64N(int64(leafsAgain))), func() { w.writeLeafAgain(id) })
+		time.AfterFunc(time.Duration(i.random.Int64N(int64(maxLeafWriteDelay))), func() { e.repeatLeafWrite(id) })
 	}
-	time.AfterFunc(time.Duration(i.random.Int64N(int64(operatorsAgain))), w.operateAgain)
+	time.AfterFunc(time.Duration(i.random.Int64N(int64(maxOperatorWriteDelay))), e.repeatOperatorWrites)
 }
 
-// writeLeafAgain repeats a leaf's write. The record of a leaf that has left is removed instead.
-func (w *environment) writeLeafAgain(id string) {
-	w.mu.Lock()
-	record := w.leafs[id].record
-	isClosed := w.isClosed
-	w.mu.Unlock()
+// repeatLeafWrite writes a leaf's record again, or removes it if the leaf has no record any more.
+func (e *environment) repeatLeafWrite(id string) {
+	e.mu.Lock()
+	record := e.leafs[id].record
+	isClosed := e.isClosed
+	e.mu.Unlock()
 	switch {
 	case isClosed:
 	case record == "":
-		w.store.Remove(leafKey(id))
+		e.store.Remove(leafKey(id))
 	default:
-		w.register(id, record)
+		e.register(id, record)
 	}
 }
 
-// operateAgain repeats the operators' writes, and their removals of evacuations.
-func (w *environment) operateAgain() {
-	w.operatorEntries.mu.Lock()
-	defer w.operatorEntries.mu.Unlock()
-	for key, value := range w.operatorEntries.values {
-		w.store.Put(key, value)
+// repeatOperatorWrites repeats the operators' writes and their removals of evacuations.
+func (e *environment) repeatOperatorWrites() {
+	e.operatorEntries.mu.Lock()
+	defer e.operatorEntries.mu.Unlock()
+	for key, value := range e.operatorEntries.values {
+		e.store.Put(key, value)
 	}
-	for _, key := range w.store.Keys(evacuationKey("")) {
-		if _, stands := w.operatorEntries.values[key]; !stands {
-			w.store.Remove(key)
+	for _, key := range e.store.Keys(evacuationKey("")) {
+		if _, isInForce := e.operatorEntries.values[key]; !isInForce {
+			e.store.Remove(key)
 		}
 	}
 }
--- a/internal/lab/soak/result.go
+++ b/internal/lab/soak/result.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// maximumShown bounds the broken cases that Report writes of each promise.
-const maximumShown = 5
+// maxShownCases is the maximum number of broken cases that Report writes per promise.
+const maxShownCases = 5
 
-// Result is a promise with the cases that broke it.
+// Result is the result of checking a promise.
 type Result struct {
 	Promise string
 	// Checked is the number of cases that were checked.
@@ -19,31 +19,31 @@
 	Broken []string
 }
 
-// check counts a case, and describes it if the promise wasn't kept.
-func (v *Result) check(kept bool, format string, arguments ...any) {
-	v.Checked++
+// check counts a case, and adds its description to Broken if the promise was not kept.
+func (r *Result) check(kept bool, format string, arguments ...any) {
+	r.Checked++
 	if !kept {
-		v.Broken = append(v.Broken, fmt.Sprintf(format, arguments...))
+		r.Broken = append(r.Broken, fmt.Sprintf(format, arguments...))
 	}
 }
 
 // hasBroken reports whether any promise was broken.
 func hasBroken(results []Result) bool {
-	return slices.ContainsFunc(results, func(v Result) bool { return len(v.Broken) > 0 })
+	return slices.ContainsFunc(results, func(r Result) bool { return len(r.Broken) > 0 })
 }
 
-// Report writes a line for each promise, and the first cases that broke it. It returns how many promises were kept and how
-// many broken.
+// Report writes a line for each promise, followed by the first cases that broke it. It returns the numbers of promises that
+// were kept and broken.
 func Report(results []Result, out io.Writer) (passed, failed int) {
-	for _, v := range results {
-		if len(v.Broken) == 0 {
+	for _, result := range results {
+		if len(result.Broken) == 0 {
 			passed++
-			_, _ = fmt.Fprintf(out, "PASS %s (%d checked)\n", v.Promise, v.Checked)
+			_, _ = fmt.Fprintf(out, "PASS %s (%d checked)\n", result.Promise, result.Checked)
 			continue
 		}
 		failed++
-		shown := v.Broken[:min(len(v.Broken), maximumShown)]
-		_, _ = fmt.Fprintf(out, "FAIL %s (%d of %d)\n  %s\n", v.Promise, len(v.Broken), v.Checked, strings.Join(shown, "\n  "))
+		shown := result.Broken[:min(len(result.Broken), maxShownCases)]
+		_, _ = fmt.Fprintf(out, "FAIL %s (%d of %d)\n  %s\n", result.Promise, len(result.Broken), result.Checked, strings.Join(shown, "\n  "))
 	}
 	return passed, failed
 }
--- a/internal/lab/soak/rollouts.go
+++ b/internal/lab/soak/rollouts.go
@@ -15,27 +15,27 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// RolloutsConfig is a run of roll-outs, one after the other and without faults of nodes or store.
+// RolloutsConfig configures a run of roll-outs, one after the other and without faults of nodes or of the store.
 type RolloutsConfig struct {
 	Seed uint64
-	// Duration is the duration of each order.
+	// Duration is the duration of each roll-out.
 	Duration time.Duration
-	// PerSecond is the rate of requests of all callers.
+	// PerSecond is the total rate of the callers' requests.
 	PerSecond int
-	// Cases are the names of the cases to play; empty plays all.
+	// Cases are the names of the cases to run; empty runs all.
 	Cases []string
-	// Logs is a folder for the newest output of the nodes; empty for none.
+	// Logs is the folder to which the newest output of the nodes is written; empty writes none.
 	Logs string
 }
 
-// rolloutCase is a roll-out with the outcome that it must have.
+// rolloutCase is a roll-out with its expected outcome.
 type rolloutCase struct {
 	name string
 	plan plan
 	want rollouts.Outcome
 }
 
-// rolloutCases returns all cases, with orders of a duration.
+// rolloutCases returns all cases, each with a roll-out of the given duration.
 func rolloutCases(duration time.Duration) []rolloutCase {
 	gathered := "part0"
 	cases := []rolloutCase{
@@ -50,8 +50,8 @@
 	}
 	cases = append(cases,
 		rolloutCase{"cancelled", plan{service: singleName, cancelledAfter: duration / 2}, rollouts.RolledBack},
-		rolloutCase{"no leaf", plan{service: singleName, isEmpty: true}, rollouts.RolledBack},
-		rolloutCase{"serves already", plan{service: singleName, isServing: true}, rollouts.Succeeded},
+		rolloutCase{"no leaf", plan{service: singleName, hasNoLeafs: true}, rollouts.RolledBack},
+		rolloutCase{"serves already", plan{service: singleName, targetsServingVersion: true}, rollouts.Succeeded},
 	)
 	for index := range cases {
 		cases[index].plan.duration = duration
@@ -68,63 +68,63 @@
 	return names
 }
 
-// Times without an order.
+// Times without a roll-out.
 const (
-	baselineTime = 6 * time.Second // at the start, for comparison
-	restTime     = 2 * time.Second // between two orders
+	baselineSpan = 6 * time.Second // at the start, as the baseline of the callers' statistics
+	rolloutGap   = 2 * time.Second // between two roll-outs
 )
 
-// RunRollouts plays roll-outs over the program at a path, and writes a line for each. It returns how many had the right
-// outcome and kept all promises, and how many did not.
+// RunRollouts runs roll-outs over nodes of the program at the given path, and writes a line for each. It returns how many had
+// the expected outcome and kept all promises, and how many did not.
 func RunRollouts(ctx context.Context, program string, cfg RolloutsConfig, out io.Writer) (passed, failed int, err error) {
 	cases := slices.DeleteFunc(rolloutCases(cfg.Duration), func(one rolloutCase) bool {
 		return len(cfg.Cases) > 0 && !slices.Contains(cfg.Cases, one.name)
 	})
 	if len(cases) == 0 {
-		return 0, 0, failure.Invalid("cases", "none of these is known; there are %q", caseNames())
+		return 0, 0, failure.Invalid("cases", "no such case; the cases are %q", caseNames())
 	}
 	folder, err := os.MkdirTemp("", "portgauge-rollout-")
 	if err != nil {
 		return 0, 0, err
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
-	w, err := newEnvironment(program, folder, leastNodes)
+	e, err := newEnvironment(program, folder, minNodes)
 	if err != nil {
 		return 0, 0, err
 	}
-	defer w.close()
+	defer e.close()
 	wait.For(ctx, startTime)
-	if err := w.checkStarted(); err != nil {
+	if err := e.checkStarted(); err != nil {
 		return 0, 0, err
 	}
-	if passed, failed, err = runCases(ctx, w, cfg, cases, out); err != nil {
+	if passed, failed, err = runCases(ctx, e, cfg, cases, out); err != nil {
 		return passed, failed, err
 	}
-	if err := w.keepLogs(cfg.Logs); err != nil {
+	if err := e.writeLogs(cfg.Logs); err != nil {
 		return passed, failed, err
 	}
 	return passed, failed, ctx.Err()
 }
 
-// runCases sends requests to an environment and runs cases there, one after the other.
-func runCases(ctx context.Context, w *environment, cfg RolloutsConfig, cases []rolloutCase, out io.Writer) (passed, failed int, err error) {
-	callers := newLoad(w)
-	calling, stopCalling := context.WithCancel(ctx)
-	defer stopCalling()
-	go callers.run(calling, rand.New(rand.NewPCG(cfg.Seed, loadStream)), cfg.PerSecond)
-	o := newOperator(w, func(text string) { _, _ = fmt.Fprintln(out, text) })
-	go o.read(calling)
-	quietFrom := time.Now()
-	wait.For(ctx, baselineTime)
-	quietUntil := time.Now()
+// runCases runs cases in an environment one after the other while callers send requests.
+func runCases(ctx context.Context, e *environment, cfg RolloutsConfig, cases []rolloutCase, out io.Writer) (passed, failed int, err error) {
+	callers := newLoad(e)
+	callCtx, stopCalls := context.WithCancel(ctx)
+	defer stopCalls()
+	go callers.run(callCtx, rand.New(rand.NewPCG(cfg.Seed, loadStream)), cfg.PerSecond)
+	o := newOperator(e, func(text string) { _, _ = fmt.Fprintln(out, text) })
+	go o.read(callCtx)
+	baselineFrom := time.Now()
+	wait.For(ctx, baselineSpan)
+	baselineUntil := time.Now()
 	for _, one := range cases {
 		number, err := o.rollOut(ctx, one.plan)
 		if err != nil {
 			return passed, failed, err
 		}
-		wait.For(ctx, restTime+requestDeadline)
-		s := rolloutRun{release: o.allReleases()[number], seen: callers.all(), quietFrom: quietFrom, quietUntil: quietUntil}
-		if s.report(out, one, w) {
+		wait.For(ctx, rolloutGap+requestDeadline)
+		s := rolloutRun{release: o.allReleases()[number], seen: callers.all(), baselineFrom: baselineFrom, baselineUntil: baselineUntil}
+		if s.report(out, one, e) {
 			passed++
 		} else {
 			failed++
@@ -133,15 +133,15 @@
 	return passed, failed, nil
 }
 
-// rolloutRun is a roll-out with the outcomes of all requests, and the time before the first one.
+// rolloutRun is a roll-out with the outcomes of all requests and the bounds of the baseline before the first roll-out.
 type rolloutRun struct {
-	release               rollouts.Release
-	seen                  []outcome
-	quietFrom, quietUntil time.Time
+	release                     rollouts.Release
+	seen                        []outcome
+	baselineFrom, baselineUntil time.Time
 }
 
-// report writes a line for a case, and lines for what is wrong with it. It returns whether nothing is.
-func (s rolloutRun) report(out io.Writer, one rolloutCase, w *environment) bool {
+// report writes a line for a case, followed by a line for each failure. It reports whether the case passed.
+func (s rolloutRun) report(out io.Writer, one rolloutCase, e *environment) bool {
 	r := s.release
 	status, at := r.Outcome()
 	end := r.At.Add(r.Duration)
@@ -151,14 +151,14 @@
 	}
 	exposure := r.Exposure(rollouts.Always)
 	ours := s.callers(r, r.At, end)
-	quiet := s.callers(r, s.quietFrom, s.quietUntil)
+	baseline := s.callers(r, s.baselineFrom, s.baselineUntil)
 	broken := s.broken(one, status, at.Sub(r.At))
 	word := "PASS"
 	if len(broken) > 0 {
 		word = "FAIL"
 	}
-	_, _ = fmt.Fprintf(out, "%s %-34s %q after %s; %d of %d requests, bound %.0f; %s; callers: %s; quiet: %s; misplaced %d\n",
-		word, one.name, status, took, exposure.Got, exposure.Reached, exposure.Bound(), s.lastAfterBad(), ours, quiet,
+	_, _ = fmt.Fprintf(out, "%s %-34s %q after %s; %d of %d requests, bound %.0f; %s; callers: %s; baseline: %s; disallowed %d\n",
+		word, one.name, status, took, exposure.Got, exposure.Reached, exposure.Bound(), s.describeLastRequest(), ours, baseline,
 		len(r.Unordered(rollouts.Always))+len(r.AtOldVersion(rollouts.Always)))
 	for _, text := range broken {
 		_, _ = fmt.Fprintln(out, "    ", text)
@@ -166,52 +166,52 @@
 	return len(broken) == 0
 }
 
-// broken returns what is wrong with the roll-out.
+// broken describes the failures of the roll-out.
 func (s rolloutRun) broken(one rolloutCase, status rollouts.Outcome, took time.Duration) []string {
 	var broken []string
 	if status == rollouts.Running {
 		status = ""
 	}
 	if status != one.want {
-		broken = append(broken, fmt.Sprintf("outcome %q, %q is due", status, one.want))
+		broken = append(broken, fmt.Sprintf("outcome %q, want %q", status, one.want))
 	}
 	if status != "" && took > s.release.Duration {
-		broken = append(broken, fmt.Sprintf("outcome %v after the order, which was to take %v", took, s.release.Duration))
+		broken = append(broken, fmt.Sprintf("outcome %v after the start, later than the duration of %v", took, s.release.Duration))
 	}
-	for _, v := range checkRollouts([]rollouts.Release{s.release}, rollouts.Always) {
-		broken = append(broken, v.Broken...)
+	for _, result := range checkRollouts([]rollouts.Release{s.release}, rollouts.Always) {
+		broken = append(broken, result.Broken...)
 	}
 	return broken
 }
 
-// lastAfterBad describes how long after its 50th bad answer the version got its last request.
-func (s rolloutRun) lastAfterBad() string {
+// describeLastRequest describes how long after its 50th bad answer the version received its last request.
+func (s rolloutRun) describeLastRequest() string {
 	bad := s.release.BadAnswers()
 	fiftieth, isCondemned := s.release.FiftiethBadAnswer()
 	if !isCondemned {
-		return fmt.Sprintf("%d bad", bad)
+		return fmt.Sprintf("%d bad answers", bad)
 	}
 	visits := s.release.Target.Visits()
-	return fmt.Sprintf("%d bad, last request %v after the 50th", bad, visits[len(visits)-1].At.Sub(fiftieth).Round(10*time.Millisecond))
+	return fmt.Sprintf("%d bad answers, last request %v after the 50th", bad, visits[len(visits)-1].At.Sub(fiftieth).Round(10*time.Millisecond))
 }
 
-// callersSeen sums up the requests of callers.
-type callersSeen struct {
+// callerStats summarizes the requests of callers.
+type callerStats struct {
 	requested, failed int
 	median, high      time.Duration
 }
 
-func (c callersSeen) String() string {
+func (c callerStats) String() string {
 	return fmt.Sprintf("%d of %d failed, p50 %v p99 %v", c.failed, c.requested, c.median, c.high)
 }
 
-// callers sums up the requests for the service of an order that were sent between two times.
-func (s rolloutRun) callers(r rollouts.Release, from, until time.Time) callersSeen {
+// callers summarizes the requests for the service of a roll-out that were sent between two times.
+func (s rolloutRun) callers(r rollouts.Release, from, until time.Time) callerStats {
 	kinds := []Kind{Gathered}
 	if r.Target.Service() == singleName {
 		kinds = []Kind{Single, Once, Switched}
 	}
-	var c callersSeen
+	var c callerStats
 	var took []time.Duration
 	for _, o := range s.seen {
 		if !slices.Contains(kinds, o.kind) || o.sent.Before(from) || o.sent.After(until) {
--- a/internal/lab/soak/series.go
+++ b/internal/lab/soak/series.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// Times between the steps of a series, and the number of reloads in one.
+// Times between the steps of a series, and the number of reloads in a series.
 const (
-	seriesGap   = 400 * time.Millisecond
-	restartGap  = 300 * time.Millisecond
-	reloadTimes = 4
+	seriesPause  = 400 * time.Millisecond
+	leafDowntime = 300 * time.Millisecond
+	reloadCount  = 4
 )
 
-// series returns the kinds of faults and planned work that come in a row or affect several processes at once.
+// series returns the kinds of faults and planned work that repeat or affect several processes.
 func series() []fault {
 	return []fault{
-		{"nodes stopped and started in turn", (*injector).rollNodes},
-		{"nodes killed at once", (*injector).killSome},
-		{"node reloads in a row", (*injector).reloadOften},
-		{"configurations in a row, twice", (*injector).changeTwice},
-		{"leaf started again under its id", (*injector).restartLeaf},
-		{"leafs started again under their ids", (*injector).restartLeafs},
+		{"nodes restarted in turn", (*injector).restartNodesInTurn},
+		{"several nodes killed", (*injector).killSeveralNodes},
+		{"node reloads its settings repeatedly", (*injector).reloadNodeRepeatedly},
+		{"configuration changed repeatedly, twice", (*injector).changeConfigurationRepeatedlyTwice},
+		{"leaf restarted with its ID", (*injector).restartLeaf},
+		{"leafs restarted with their IDs", (*injector).restartSeveralLeafs},
 	}
 }
 
-// together begins some faults one after the other and returns the function that ends them all.
-func together(begin ...func() func()) func() {
+// beginAll begins faults one after the other and returns the function that ends them all.
+func beginAll(begin ...func() func()) func() {
 	var ends []func()
 	for _, one := range begin {
 		ends = append(ends, one())
@@ -34,78 +34,79 @@
 	}
 }
 
-// rollNodes stops and starts one node after the other.
-func (i *injector) rollNodes(time.Duration) func() {
+// restartNodesInTurn restarts the nodes one after the other.
+func (i *injector) restartNodesInTurn(time.Duration) func() {
 	for _, node := range i.environment.nodes {
 		if !node.claim() {
 			continue
 		}
 		node.stop(recoverySlack)
 		if err := node.process.Stop(); err != nil {
-			i.log("FAILED STOP " + err.Error())
+			i.log("FAILED to stop a node: " + err.Error())
 		}
 		i.restart(node)
-		time.Sleep(seriesGap)
+		time.Sleep(seriesPause)
 	}
-	return nothing
+	return noop
 }
 
-func (i *injector) killSome(span time.Duration) func() {
+// killSeveralNodes kills up to three random nodes.
+func (i *injector) killSeveralNodes(span time.Duration) func() {
 	kill := func() func() { return i.killNode(span) }
-	return together(kill, kill, kill)
+	return beginAll(kill, kill, kill)
 }
 
-func (i *injector) reloadOften(span time.Duration) func() {
-	for range reloadTimes {
+func (i *injector) reloadNodeRepeatedly(span time.Duration) func() {
+	for range reloadCount {
 		i.reloadNode(span)()
-		time.Sleep(seriesGap / reloadTimes)
+		time.Sleep(seriesPause / reloadCount)
 	}
-	return nothing
+	return noop
 }
 
-func (i *injector) changeTwice(span time.Duration) func() {
-	i.changeOften(span)
-	time.Sleep(seriesGap)
-	return i.changeOften(span)
+func (i *injector) changeConfigurationRepeatedlyTwice(span time.Duration) func() {
+	i.changeConfigurationRepeatedly(span)
+	time.Sleep(seriesPause)
+	return i.changeConfigurationRepeatedly(span)
 }
 
-// restartLeaf replaces a leaf's process by another one with its id and address.
+// restartLeaf replaces a leaf's process with another one that has the same ID and address.
 func (i *injector) restartLeaf(span time.Duration) func() {
-	id, state := i.leaf(span)
+	id, state := i.pickLeaf(span)
 	state.link.Set(Resetting)
-	time.Sleep(restartGap)
-	if err := i.environment.startAgain(id, state); err != nil {
-		i.log("FAILED LEAF " + err.Error())
+	time.Sleep(leafDowntime)
+	if err := i.environment.restartLeafProcess(id, state); err != nil {
+		i.log("FAILED to restart a leaf: " + err.Error())
 	}
 	state.link.Set(Sound)
-	return nothing
+	return noop
 }
 
-func (i *injector) restartLeafs(span time.Duration) func() {
+func (i *injector) restartSeveralLeafs(span time.Duration) func() {
 	restart := func() func() { return i.restartLeaf(span) }
-	return together(restart, restart, restart)
+	return beginAll(restart, restart, restart)
 }
 
-// startAgain starts another process of a leaf under its id. It has no memory of the previous one.
-func (w *environment) startAgain(id string, state *leafState) error {
-	started, err := w.startLeaf(id, state.version)
+// restartLeafProcess replaces a leaf's process with a new one that has the same ID and no state of the previous one.
+func (e *environment) restartLeafProcess(id string, state *leafState) error {
+	started, err := e.startLeaf(id, state.version)
 	if err != nil {
 		return err
 	}
-	w.mu.Lock()
-	before, isGone := state.leaf, state.hasCrashed || state.record == ""
-	if !isGone {
+	e.mu.Lock()
+	before, isRemoved := state.leaf, state.hasCrashed || state.record == ""
+	if !isRemoved {
 		state.earlier = append(state.earlier, before)
 		state.leaf, state.born, state.sequence = started, time.Now().UnixMilli(), 0
 		state.link.SetTarget(started.Address())
 	}
 	record := state.record
-	w.mu.Unlock()
-	if isGone {
+	e.mu.Unlock()
+	if isRemoved {
 		started.Stop()
 		return nil
 	}
 	before.Stop()
-	w.register(id, record)
+	e.register(id, record)
 	return nil
 }
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -1,9 +1,9 @@
-// Package soak runs real nodes as processes of their own over a stand-in store and stand-in leafs, injects faults drawn from
-// a seed, and checks the promises of the product on the records of callers, store and leafs.
+// Package soak runs real nodes as separate processes with a stand-in store and stand-in leafs, injects random faults from a
+// seed, and checks the promises of the product against the records of callers, store and leafs.
 //
-// An environment owns the processes, the links between them and the store; everything it starts ends with Run. Package process starts
-// the nodes, package kvstore is the store, package httpleaf the leafs, package rollouts their versions. Seeds that once broke a
-// promise are kept as tests, so that the order of the random draws must stay as it is.
+// An environment owns the processes, the links between them and the store; it stops everything that it started before Run
+// returns. Package process starts the nodes; packages kvstore, httpleaf and rollouts implement the store, the leafs and their
+// versions. Seeds that once broke a promise are kept as tests, so the order of calls to the random generators must not change.
 package soak
 
 import (
@@ -20,33 +20,35 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// Config is one soak.
+// Config configures a soak.
 type Config struct {
 	Seed uint64
-	// Length is how long faults are injected.
+	// Length is the time for which faults are injected.
 	Length time.Duration
-	// PerSecond is the rate of requests of all callers.
+	// PerSecond is the total rate of the callers' requests.
 	PerSecond int
 	// Nodes is the number of nodes, at least four.
 	Nodes int
-	// Streams is how many faults are injected side by side, each stream with draws of its own; crashing requests come besides.
+	// Streams is the number of concurrent streams of faults, each with its own random generator. Crashing requests are sent
+	// in addition.
 	Streams int
-	// Logs is a folder for the records of a soak that broke a promise: the newest output of its nodes, the faults, and each
-	// request as its caller saw it. Empty for none.
+	// Logs is the folder for the records of a soak that broke a promise: the newest output of the nodes, the events, and the
+	// requests as their callers saw them. Empty writes no records.
 	Logs string
-	// KeepAll writes these records of every soak.
+	// KeepAll writes the records of soaks that kept all promises too.
 	KeepAll bool
 }
 
-// Times before and after the faults.
+// Times from the start of the nodes until the first fault, from the last fault until the nodes must have recovered, and of
+// the requests sent after that.
 const (
-	startTime   = 6 * time.Second
-	recoverTime = 12 * time.Second
-	calmTime    = 4 * time.Second
+	startTime         = 6 * time.Second
+	recoveryTime      = 12 * time.Second
+	afterRecoveryTime = 4 * time.Second
 )
 
-// Numbers of the random streams: of callers, of the first stream of faults, of roll-out orders, crashing requests, series and
-// restores of the store. Further streams of faults follow on that of crashing requests.
+// Numbers of the random streams: requests of callers, first stream of faults, roll-outs, crashing requests, series of faults,
+// and restores of the store. The numbers of further streams of faults follow crashingStream.
 const (
 	loadStream     = 1
 	firstStream    = 2
@@ -56,14 +58,14 @@
 	restoreStream  = seriesStream + 1
 )
 
-// firstWithSeries is the first seed that plays series of planned work and leafs that start again under their names.
+// firstWithSeries is the lowest seed that injects the faults of series.
 const firstWithSeries = 10000
 
-// isRestored reports whether the store of a seed is restored from backups. There are no roll-outs then, since a restore takes
-// back the status that operators read of an order.
+// isRestored reports whether a seed restores the store from backups. Such a seed performs no roll-outs, since a restore
+// reverts roll-out statuses that operators have read.
 func isRestored(seed uint64) bool { return seed >= firstWithSeries && seed%2 == 0 }
 
-// streamOf returns the number of the random stream of a stream of faults.
+// streamOf returns the number of the random stream for a stream of faults.
 func streamOf(stream int) uint64 {
 	if stream == 0 {
 		return firstStream
@@ -82,81 +84,82 @@
 	events      eventLog
 }
 
-// Run plays a soak over the program at a path and returns a result for each promise. It writes what happens to out.
+// Run runs a soak over nodes of the program at the given path and returns a result for each promise. It writes the events to
+// out.
 func Run(ctx context.Context, program string, cfg Config, out io.Writer) ([]Result, error) {
 	folder, err := os.MkdirTemp("", "portgauge-soak-")
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
-	w, err := newEnvironment(program, folder, cfg.Nodes)
+	e, err := newEnvironment(program, folder, cfg.Nodes)
 	if err != nil {
 		return nil, err
 	}
-	defer w.close()
-	s := &session{cfg: cfg, environment: w, callers: newLoad(w), began: time.Now(), out: out}
-	s.operators = newOperator(w, s.log)
+	defer e.close()
+	s := &session{cfg: cfg, environment: e, callers: newLoad(e), began: time.Now(), out: out}
+	s.operators = newOperator(e, s.log)
 	wait.For(ctx, startTime)
-	if err := w.checkStarted(); err != nil {
+	if err := e.checkStarted(); err != nil {
 		return nil, err
 	}
-	calm := s.run(ctx)
-	if err := w.failed(); err != nil {
+	recovered := s.run(ctx)
+	if err := e.replacementErrors(); err != nil {
 		return nil, err
 	}
-	results, err := s.checkAll(calm)
+	results, err := s.checkAll(recovered)
 	if err != nil {
 		return nil, err
 	}
 	return results, ctx.Err()
 }
 
-// log writes what happens, with the time since the soak began.
+// log writes an event with the time since the soak began.
 func (s *session) log(text string) {
 	_, _ = fmt.Fprintf(io.MultiWriter(s.out, &s.events), "%8.3f %s\n", time.Since(s.began).Seconds(), text)
 }
 
-// random returns a source of one of the random streams.
+// random returns the generator of a random stream.
 func (s *session) random(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(s.cfg.Seed, stream)) }
 
-// run sends requests while faults are injected and for some time afterwards. It returns when the system had had the time to
-// recover.
-func (s *session) run(ctx context.Context) (calm time.Time) {
-	calling, stopCalling := context.WithCancel(ctx)
+// run sends requests while faults are injected and for some time afterwards. It returns the time by which the nodes must have
+// recovered.
+func (s *session) run(ctx context.Context) (recovered time.Time) {
+	callCtx, stopCalls := context.WithCancel(ctx)
 	ended := make(chan struct{})
 	go func() {
-		s.callers.run(calling, s.random(loadStream), s.cfg.PerSecond)
+		s.callers.run(callCtx, s.random(loadStream), s.cfg.PerSecond)
 		close(ended)
 	}()
-	go s.operators.read(calling)
+	go s.operators.read(callCtx)
 	s.injectFaults(ctx)
-	s.log("no more faults")
-	wait.For(ctx, recoverTime)
-	calm = time.Now()
-	wait.For(ctx, calmTime)
-	stopCalling()
+	s.log("all faults ended")
+	wait.For(ctx, recoveryTime)
+	recovered = time.Now()
+	wait.For(ctx, afterRecoveryTime)
+	stopCalls()
 	<-ended
-	return calm
+	return recovered
 }
 
-// injectFaults injects all faults of the seed, and returns when the last one has ended.
+// injectFaults injects the faults of the seed and performs its roll-outs. It returns when all have ended.
 func (s *session) injectFaults(ctx context.Context) {
-	faulty, cancel := context.WithTimeout(ctx, s.cfg.Length)
+	faultCtx, cancel := context.WithTimeout(ctx, s.cfg.Length)
 	defer cancel()
-	released := make(chan struct{})
+	rolloutsEnded := make(chan struct{})
 	go func() {
-		defer close(released)
+		defer close(rolloutsEnded)
 		if !isRestored(s.cfg.Seed) {
-			s.operators.run(ctx, faulty, s.random(operatorStream))
+			s.operators.run(ctx, faultCtx, s.random(operatorStream))
 		}
 	}()
 	var injecting sync.WaitGroup
 	injecting.Go(func() {
-		(&crasher{load: s.callers, random: s.random(crashingStream), log: s.log}).run(faulty)
+		(&crasher{load: s.callers, random: s.random(crashingStream), log: s.log}).run(faultCtx)
 	})
 	inject := func(kinds []fault, stream uint64) {
-		drawn := &injector{environment: s.environment, kinds: kinds, random: s.random(stream), log: s.log}
-		injecting.Go(func() { drawn.run(faulty) })
+		inj := &injector{environment: s.environment, kinds: kinds, random: s.random(stream), log: s.log}
+		injecting.Go(func() { inj.run(faultCtx) })
 	}
 	for stream := range s.cfg.Streams {
 		inject(faults(), streamOf(stream))
@@ -169,35 +172,33 @@
 	}
 	injecting.Wait()
 	cancel()
-	<-released
+	<-rolloutsEnded
 }
 
-// checkAll checks all promises, and writes the records of the soak to its folder if a promise was broken.
-func (s *session) checkAll(calm time.Time) ([]Result, error) {
+// checkAll checks all promises, and writes the records of the soak if a promise was broken or KeepAll is set.
+func (s *session) checkAll(recovered time.Time) ([]Result, error) {
 	seen := s.callers.all()
-	results := append(checkAll(s.environment, seen, calm), checkRollouts(s.operators.allReleases(), s.environment.clearOf(seen))...)
+	results := append(checkAll(s.environment, seen, recovered), checkRollouts(s.operators.allReleases(), s.environment.clearOf(seen))...)
 	if s.cfg.Logs == "" || !s.cfg.KeepAll && !hasBroken(results) {
 		return results, nil
 	}
 	folder := filepath.Join(s.cfg.Logs, fmt.Sprintf("seed-%d-%s", s.cfg.Seed, s.began.UTC().Format("150405")))
-	_, _ = fmt.Fprintf(s.out, "logs: %s\n", folder)
-	return results, s.environment.keepRun(folder, s.events.String(), s.began, seen)
+	_, _ = fmt.Fprintf(s.out, "writing the logs to %s\n", folder)
+	return results, s.environment.writeRun(folder, s.events.String(), s.began, seen)
 }
 
-// eventLog keeps what a soak logs; safe for concurrent use. The zero value is empty.
+// eventLog stores the events of a soak. It is safe for concurrent use. The zero value is empty.
 type eventLog struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-// Write implements io.Writer.
 func (l *eventLog) Write(line []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(line)
 }
 
-// String returns all that was written.
 func (l *eventLog) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -11,24 +11,23 @@
 	"github.com/portgauge/portgauge/internal/lab/process"
 )
 
-// failedLogs is the folder for the logs of a seed that breaks a promise, relative to the top of the source.
+// failedLogs is the folder for the logs of soaks that break a promise, relative to the root of the repository.
 var failedLogs = filepath.Join("target", "soak")
 
-// Short soaks over real nodes, about 50 s each; longer ones are run by hand. A seed always injects the same faults, but not
-// at the same moments of the processes.
+// A soak with one stream of faults breaks no promise. A seed always injects the same faults, but the processes may be in
+// other states when they occur.
 func TestShortSoak(t *testing.T) {
 	soak(t, Config{Seed: 35, Length: 30 * time.Second, PerSecond: 60, Streams: 1, Logs: failedLogs})
 }
 
-// The store is restored from backups while nodes stop and configurations change in series. With this seed the evacuation of
-// a zone was lost, and ended before operators had written it again: the nodes kept it in force for a minute, and the zone's
-// leafs got nothing after the faults.
+// A restore of the store must not leave a zone evacuated. With this seed a restore loses an evacuation, which ends before
+// operators write it again.
 func TestSoakWithRestores(t *testing.T) {
 	soak(t, Config{Seed: 10002, Length: 25 * time.Second, PerSecond: 60, Streams: 2, Logs: failedLogs})
 }
 
-// soak plays a seed, which must break no promise.
-func soak(t *testing.T, config Config) {
+// soak runs a soak and checks that it breaks no promise.
+func soak(t *testing.T, cfg Config) {
 	t.Helper()
 	is := is.New(t)
 	here, err := os.Getwd()
@@ -36,7 +35,7 @@
 	t.Chdir(filepath.Join(here, "..", "..", ".."))
 	programs, err := process.Build(t.TempDir())
 	is.NoErr(err)
-	results, err := Run(t.Context(), programs.Portgauge, config, t.Output())
+	results, err := Run(t.Context(), programs.Portgauge, cfg, t.Output())
 	is.NoErr(err)
 	passed, failed := Report(results, t.Output())
 	is.True(passed > 0)
--- a/internal/lab/soak/versions.go
+++ b/internal/lab/soak/versions.go
@@ -6,43 +6,42 @@
 	"github.com/portgauge/portgauge/internal/lab/rollouts"
 )
 
-// servingOf returns the version that serves a service.
-func (w *environment) servingOf(service string) *rollouts.Version {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.serving == nil {
-		w.serving = map[string]*rollouts.Version{}
+// servingVersion returns the version that serves a service, which it creates if there is none.
+func (e *environment) servingVersion(service string) *rollouts.Version {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.serving == nil {
+		e.serving = map[string]*rollouts.Version{}
 	}
-	if w.serving[service] == nil {
-		w.serving[service] = rollouts.NewVersion(service, "first", workOf(service), rollouts.Fault{})
+	if e.serving[service] == nil {
+		e.serving[service] = rollouts.NewVersion(service, "first", serviceTime(service), rollouts.Fault{})
 	}
-	return w.serving[service]
+	return e.serving[service]
 }
 
-// Service times of leafs. Those of single leafs are long enough that some get several requests at once.
+// Service times of leafs. A single leaf's service time is long enough for it to receive concurrent requests.
 const (
-	singleWork   = 30 * time.Millisecond
-	gatheredWork = 4 * time.Millisecond
+	singleServiceTime   = 30 * time.Millisecond
+	gatheredServiceTime = 4 * time.Millisecond
 )
 
-func workOf(service string) time.Duration {
+func serviceTime(service string) time.Duration {
 	if service == singleName || service == anotherName {
-		return singleWork
+		return singleServiceTime
 	}
-	return gatheredWork
+	return gatheredServiceTime
 }
 
-// services returns the names of all services.
-func (w *environment) services() []string {
-	return append([]string{singleName, anotherName}, w.gathered...)
+func (e *environment) services() []string {
+	return append([]string{singleName, anotherName}, e.gathered...)
 }
 
-// leafsOf returns the ids of a version's leafs.
-func (w *environment) leafsOf(version *rollouts.Version) []string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// leafsOf returns the IDs of a version's leafs.
+func (e *environment) leafsOf(version *rollouts.Version) []string {
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	var ids []string
-	for id, state := range w.leafs {
+	for id, state := range e.leafs {
 		if state.version == version {
 			ids = append(ids, id)
 		}
@@ -50,35 +49,35 @@
 	return ids
 }
 
-// succeed removes the leafs of the old version and makes the target the version that serves.
-func (w *environment) succeed(old, target *rollouts.Version) {
-	w.operating.Lock()
-	defer w.operating.Unlock()
-	w.mu.Lock()
-	w.serving[target.Service()] = target
-	w.mu.Unlock()
-	w.leave(old)
-	w.remove(old)
+// promote makes target the version that serves and removes the leafs of the old version.
+func (e *environment) promote(old, target *rollouts.Version) {
+	e.replacementMu.Lock()
+	defer e.replacementMu.Unlock()
+	e.mu.Lock()
+	e.serving[target.Service()] = target
+	e.mu.Unlock()
+	e.markLeaving(old)
+	e.remove(old)
 }
 
 // drain registers the leafs of a version as draining.
-func (w *environment) drain(version *rollouts.Version) {
-	w.operating.Lock()
-	defer w.operating.Unlock()
-	for _, id := range w.leave(version) {
-		w.register(id, stateDraining)
+func (e *environment) drain(version *rollouts.Version) {
+	e.replacementMu.Lock()
+	defer e.replacementMu.Unlock()
+	for _, id := range e.markLeaving(version) {
+		e.register(id, stateDraining)
 	}
 }
 
-// leave notes that the leafs of a version are leaving, and returns those that weren't before.
-func (w *environment) leave(version *rollouts.Version) []string {
-	ids := w.leafsOf(version)
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// markLeaving marks the leafs of a version as leaving, and returns the IDs of those that were not leaving before.
+func (e *environment) markLeaving(version *rollouts.Version) []string {
+	ids := e.leafsOf(version)
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	var leaving []string
 	for _, id := range ids {
-		if w.leafs[id].leavingAt.IsZero() {
-			w.leafs[id].leavingAt = time.Now()
+		if e.leafs[id].leavingAt.IsZero() {
+			e.leafs[id].leavingAt = time.Now()
 			leaving = append(leaving, id)
 		}
 	}
@@ -86,8 +85,8 @@
 }
 
 // remove removes the records of a version's leafs.
-func (w *environment) remove(version *rollouts.Version) {
-	for _, id := range w.leafsOf(version) {
-		w.unregister(id)
+func (e *environment) remove(version *rollouts.Version) {
+	for _, id := range e.leafsOf(version) {
+		e.unregister(id)
 	}
 }
