--- a/internal/lab/rollouts/fault.go
+++ b/internal/lab/rollouts/fault.go
@@ -1,31 +1,30 @@
-// Package rollouts has the versions, good and bad, that stand-in leafs run in roll-outs over real nodes, and the view that
-// leafs and operators had of a roll-out order, on which its promises are checked.
+// Package rollouts implements the good and bad versions that stand-in leafs run in roll-outs over real nodes, and the records
+// of leafs and operators against which the promises about a roll-out are checked.
 //
-// A Version records the requests that its leafs received. It relies on package httpleaf and starts nothing.
+// A Version records the requests that its leafs receive. It depends on package httpleaf and starts no goroutines or processes.
 package rollouts
 
 import "time"
 
-// Fault is what is wrong with a version; a good version has the zero value.
+// Fault describes the fault of a version. The zero value is a good version.
 type Fault struct {
 	Name string
-	// Failing is the share of answers that are failures, from 0 to 1.
+	// Failing is the fraction of answers that are failures, from 0 to 1.
 	Failing float64
 	// Slower multiplies the service time; 0 means 1.
 	Slower float64
-	// After is the time from the order until the fault shows.
+	// After is the time from the start of the roll-out until the fault occurs.
 	After time.Duration
-	// AtOnce and PerSecond are the requests at a time, and a second, up to which a leaf shows no fault; 0 means that it
-	// always does.
+	// AtOnce and PerSecond are the numbers of concurrent requests and of requests per second up to which a leaf has no fault;
+	// 0 sets no threshold.
 	AtOnce, PerSecond int
 	// Prefix limits the fault to paths with this prefix; empty means all paths.
 	Prefix string
 }
 
-// IsBad reports whether there is a fault.
 func (f Fault) IsBad() bool { return f.Failing > 0 || f.Slower > 1 }
 
-// String returns the fault's name.
+// String returns the fault's name, or "good" if there is none.
 func (f Fault) String() string {
 	if !f.IsBad() {
 		return "good"
@@ -33,7 +32,7 @@
 	return f.Name
 }
 
-// Faults returns the faults that are played. One of them shows only on paths with a prefix.
+// Faults returns the faults of bad versions. One of them is limited to paths with the given prefix.
 func Faults(prefix string) []Fault {
 	return []Fault{
 		{Name: "fails at once", Failing: 0.3},
--- a/internal/lab/rollouts/release.go
+++ b/internal/lab/rollouts/release.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Outcome is the status of an order as operators read it.
+// Outcome is the status of a roll-out as operators read it.
 type Outcome string
 
-// Outcomes of an order.
+// Outcomes of a roll-out.
 const (
 	Running    Outcome = "running"
 	Succeeded  Outcome = "succeeded"
@@ -19,155 +19,158 @@
 	// Target is the version in the status.
 	Target  string
 	Outcome Outcome
-	// At is when the operator read it.
+	// At is the time at which the operator read it.
 	At time.Time
 }
 
-// Release is an order as operators gave it, with what the store and the leafs recorded.
+// Release is a roll-out with the records of the operators, the store and the leafs.
 type Release struct {
 	Old, Target *Version
 	Duration    time.Duration
-	// At is when the order was given, and Revision the store's revision of it.
+	// At is the time at which the spec was written, and Revision the store's revision of the spec.
 	At       time.Time
 	Revision int64
-	// Ended is when the order was cancelled or replaced, or zero, and EndRevision the revision of that.
+	// Ended is the time at which the roll-out was cancelled or replaced, or zero. EndRevision is the store's revision of the
+	// cancellation, or 0.
 	Ended       time.Time
 	EndRevision int64
-	// Until is the revision of the next order for the service, or 0, and Next the version that it names.
+	// Until is the revision of the service's next spec, or 0, and Next the version in that spec.
 	Until int64
 	Next  string
-	// Statuses are all readings of the service's status, of this order and others.
+	// Statuses are all readings of the service's status, including those of other roll-outs.
 	Statuses []StatusReading
 }
 
-// Bounds of what a bad version may get.
+// Bounds of the requests that a bad version may receive.
 const (
-	// Share and Slack are those in the nodes' settings.
+	// Share and Slack are the canary's share and slack in the nodes' settings.
 	Share = 0.1
 	Slack = 50
-	// A version gets nothing later than Lateness after its badAnswers-th bad answer.
+	// A version receives no requests later than Lateness after its bad answer number badAnswers.
 	badAnswers = 50
 	Lateness   = 5 * time.Second
 )
 
-// Clear reports whether no fault kept the sender of a visit from knowing the newest state.
-type Clear func(Visit) bool
+// Clear reports whether no fault kept the sender of a request from reading the newest state.
+type Clear func(ReceivedRequest) bool
 
 // Always is a Clear for runs without faults.
-func Always(Visit) bool { return true }
+func Always(ReceivedRequest) bool { return true }
 
-// Outcome returns the last status of the order, and when it was first read.
+// Outcome returns the last status of the roll-out and the time at which it was first read.
 func (r *Release) Outcome() (status Outcome, at time.Time) {
-	for _, telling := range r.Statuses {
-		if r.isOwn(telling) && telling.Outcome != status {
-			status, at = telling.Outcome, telling.At
+	for _, reading := range r.Statuses {
+		if r.isOwn(reading) && reading.Outcome != status {
+			status, at = reading.Outcome, reading.At
 		}
 	}
 	return status, at
 }
 
+// isOwn reports whether a status was written between this spec and the next one.
 func (r *Release) isOwn(t StatusReading) bool {
 	return t.Revision > r.Revision && (r.Until == 0 || t.Revision < r.Until)
 }
 
-// isOver reports whether the order had been cancelled or replaced before a status was written.
-func (r *Release) isOver(t StatusReading) bool {
+// wasCancelledBefore reports whether the roll-out had been cancelled when a status was written.
+func (r *Release) wasCancelledBefore(t StatusReading) bool {
 	return r.EndRevision != 0 && t.Revision >= r.EndRevision
 }
 
-// WrongStatuses returns the readings that must not be: a second outcome, a status of another version, any status of an order
-// after it was replaced, and any but rolled back after it was cancelled.
+// WrongStatuses returns the disallowed readings: a second outcome, a status of another version, an outcome after the roll-out
+// was replaced, and any status but RolledBack after it was cancelled.
 func (r *Release) WrongStatuses() []StatusReading {
-	var misled []StatusReading
+	var wrong []StatusReading
 	final := Outcome("")
-	for _, telling := range r.Statuses {
+	for _, reading := range r.Statuses {
 		switch {
-		case r.isOwn(telling):
-			isSecond := final != "" && telling.Outcome != final
-			isUntrue := r.isOver(telling) && telling.Outcome != RolledBack
-			if telling.Target != r.Target.Name() || isSecond || isUntrue {
-				misled = append(misled, telling)
+		case r.isOwn(reading):
+			isSecond := final != "" && reading.Outcome != final
+			isWrongAfterEnd := r.wasCancelledBefore(reading) && reading.Outcome != RolledBack
+			if reading.Target != r.Target.Name() || isSecond || isWrongAfterEnd {
+				wrong = append(wrong, reading)
 			}
-			if telling.Outcome != Running && final == "" {
-				final = telling.Outcome
+			if reading.Outcome != Running && final == "" {
+				final = reading.Outcome
 			}
-		case r.Next == r.Target.Name(): // a status of this version then belongs to the next order
-		case telling.Revision > r.Revision && telling.Target == r.Target.Name() && telling.Outcome != Running:
-			misled = append(misled, telling)
+		case r.Next == r.Target.Name(): // later statuses of this version belong to the next roll-out
+		case reading.Revision > r.Revision && reading.Target == r.Target.Name() && reading.Outcome != Running:
+			wrong = append(wrong, reading)
 		}
 	}
-	return misled
+	return wrong
 }
 
-// Exposure is what a version got between its order and the deadline.
+// Exposure counts the requests between the start of a roll-out and its deadline.
 type Exposure struct {
-	// Got counts the requests at the version's leafs from nodes without a fault.
-	Got int
-	// Reached counts the requests that reached the service.
+	// Received is the number of requests that the version's leafs received from nodes without a fault.
+	Received int
+	// Reached is the number of requests that reached the service.
 	Reached int
 }
 
-// Bound returns how many requests a bad version may get.
+// Bound returns the maximum number of requests that a bad version may receive.
 func (e Exposure) Bound() float64 { return Share*float64(e.Reached) + Slack }
 
-// Exposure counts the requests that the version got, and all that reached the service, each request once.
+// Exposure counts the requests at the target's leafs for which clear returns true, and the distinct requests that reached the
+// service.
 func (r *Release) Exposure(clear Clear) Exposure {
 	got := r.within(r.Target)
 	reached := map[string]bool{}
-	for _, visit := range append(r.within(r.Old), got...) {
-		reached[visit.ID] = true
+	for _, request := range append(r.within(r.Old), got...) {
+		reached[request.ID] = true
 	}
-	return Exposure{Got: len(clears(got, clear)), Reached: len(reached)}
+	return Exposure{Received: len(unaffected(got, clear)), Reached: len(reached)}
 }
 
-// within returns the visits between the order and its deadline or end.
-func (r *Release) within(v *Version) []Visit {
+// within returns the requests between the start of the roll-out and its deadline or earlier end.
+func (r *Release) within(v *Version) []ReceivedRequest {
 	end := r.At.Add(r.Duration)
 	if !r.Ended.IsZero() && r.Ended.Before(end) {
 		end = r.Ended
 	}
-	return selected(v, func(visit Visit) bool { return !visit.At.Before(r.At) && !visit.At.After(end) })
+	return selected(v, func(request ReceivedRequest) bool { return !request.At.Before(r.At) && !request.At.After(end) })
 }
 
-// Late returns the visits to the version that came too late after its 50th bad answer.
-func (r *Release) Late(clear Clear) []Visit {
+// Late returns the requests that the target received later than Lateness after its 50th bad answer.
+func (r *Release) Late(clear Clear) []ReceivedRequest {
 	fiftieth, found := r.FiftiethBadAnswer()
 	if !found {
 		return nil
 	}
-	return clears(selected(r.Target, func(visit Visit) bool { return visit.At.After(fiftieth.Add(Lateness)) }), clear)
+	return unaffected(selected(r.Target, func(request ReceivedRequest) bool { return request.At.After(fiftieth.Add(Lateness)) }), clear)
 }
 
-// FiftiethBadAnswer returns when the version gave its 50th bad answer, and false if it never did.
+// FiftiethBadAnswer returns the time of the target's 50th bad answer, and false if there were fewer.
 func (r *Release) FiftiethBadAnswer() (at time.Time, found bool) {
-	bad := selected(r.Target, Visit.isBad)
+	bad := selected(r.Target, ReceivedRequest.isBad)
 	if len(bad) < badAnswers {
 		return time.Time{}, false
 	}
 	return bad[badAnswers-1].Done, true
 }
 
-// HadNoBadAnswer reports whether the version had given no bad answer until operators read that it succeeded. That outcome is
-// final: no answer could have prevented it. A version that fails some seconds after its first request is such a case if its
-// service got no requests in those seconds.
-func (r *Release) HadNoBadAnswer() bool {
+// SucceededBeforeBadAnswer reports whether operators read that the roll-out succeeded before the target's first bad answer.
+// The outcome is final, so later bad answers cannot change it. This happens if the fault occurs with a delay and the service
+// receives no requests between its occurrence and the deadline.
+func (r *Release) SucceededBeforeBadAnswer() bool {
 	status, at := r.Outcome()
-	isSeen := func(visit Visit) bool { return visit.isBad() && !visit.Done.After(at) }
+	isSeen := func(request ReceivedRequest) bool { return request.isBad() && !request.Done.After(at) }
 	return status == Succeeded && len(selected(r.Target, isSeen)) == 0
 }
 
-// BadAnswers returns the number of the version's bad answers.
-func (r *Release) BadAnswers() int { return len(selected(r.Target, Visit.isBad)) }
+// BadAnswers returns the number of the target's bad answers.
+func (r *Release) BadAnswers() int { return len(selected(r.Target, ReceivedRequest.isBad)) }
 
-func (v Visit) isBad() bool { return v.Bad }
+func (r ReceivedRequest) isBad() bool { return r.Bad }
 
-// Unordered returns the visits to the version without an order in force: before it, and some time after it was rolled back
-// or ended.
-func (r *Release) Unordered(clear Clear) []Visit {
+// OutsideRollout returns the requests that the target received without a roll-out in force: before its start, and later than
+// Lateness after it was rolled back, cancelled or replaced.
+func (r *Release) OutsideRollout(clear Clear) []ReceivedRequest {
 	if r.Old == r.Target {
 		return nil
 	}
-	before := selected(r.Target, func(visit Visit) bool { return visit.At.Before(r.At) })
+	before := selected(r.Target, func(request ReceivedRequest) bool { return request.At.Before(r.At) })
 	end := r.Ended
 	if status, at := r.Outcome(); status == RolledBack && (end.IsZero() || at.Before(end)) {
 		end = at
@@ -175,34 +178,35 @@
 	if end.IsZero() {
 		return before
 	}
-	after := selected(r.Target, func(visit Visit) bool { return visit.At.After(end.Add(Lateness)) })
-	return append(before, clears(after, clear)...)
+	after := selected(r.Target, func(request ReceivedRequest) bool { return request.At.After(end.Add(Lateness)) })
+	return append(before, unaffected(after, clear)...)
 }
 
-// AtOldVersion returns the visits at the old version that had not ended when operators read that the new one serves.
-func (r *Release) AtOldVersion(clear Clear) []Visit {
+// AtOldVersion returns the requests at the old version that were in flight or received after operators read that the roll-out
+// succeeded.
+func (r *Release) AtOldVersion(clear Clear) []ReceivedRequest {
 	status, at := r.Outcome()
 	if status != Succeeded || r.Old == r.Target {
 		return nil
 	}
-	return clears(selected(r.Old, func(visit Visit) bool { return visit.Done.After(at) }), clear)
+	return unaffected(selected(r.Old, func(request ReceivedRequest) bool { return request.Done.After(at) }), clear)
 }
 
-func selected(v *Version, wanted func(Visit) bool) []Visit {
-	var found []Visit
-	for _, visit := range v.Visits() {
-		if wanted(visit) {
-			found = append(found, visit)
+func selected(v *Version, wanted func(ReceivedRequest) bool) []ReceivedRequest {
+	var found []ReceivedRequest
+	for _, request := range v.Requests() {
+		if wanted(request) {
+			found = append(found, request)
 		}
 	}
 	return found
 }
 
-func clears(visits []Visit, clear Clear) []Visit {
-	var found []Visit
-	for _, visit := range visits {
-		if clear(visit) {
-			found = append(found, visit)
+func unaffected(requests []ReceivedRequest, clear Clear) []ReceivedRequest {
+	var found []ReceivedRequest
+	for _, request := range requests {
+		if clear(request) {
+			found = append(found, request)
 		}
 	}
 	return found
--- a/internal/lab/rollouts/version_test.go
+++ b/internal/lab/rollouts/version_test.go
@@ -10,9 +10,9 @@
 	"github.com/portgauge/portgauge/internal/lab/httpleaf"
 )
 
-const work = 10 * time.Millisecond
+const serviceTime = 10 * time.Millisecond
 
-func TestFaultsShowWhereAndWhenTheyShould(t *testing.T) {
+func TestFaultAffectsMatchingRequests(t *testing.T) {
 	began := time.Now()
 	at := func(after time.Duration) httpleaf.Request {
 		return httpleaf.Request{ID: "r", Incarnation: "leaf", Target: "/a/r", At: began.Add(after)}
@@ -29,35 +29,35 @@
 	}{
 		"good":             {Fault{}, 0, at(0), false},
 		"at once":          {failing(Fault{}), 0, at(0), true},
-		"later, early":     {failing(Fault{After: time.Second}), 0, at(0), false},
-		"later":            {failing(Fault{After: time.Second}), 0, at(time.Second), true},
+		"before the delay": {failing(Fault{After: time.Second}), 0, at(0), false},
+		"after the delay":  {failing(Fault{After: time.Second}), 0, at(time.Second), true},
 		"one at once":      {failing(Fault{AtOnce: 1}), 0, at(0), false},
 		"two at once":      {failing(Fault{AtOnce: 1}), 1, at(0), true},
-		"two a second":     {failing(Fault{PerSecond: 2}), 1, at(0), false},
-		"three a second":   {failing(Fault{PerSecond: 2}), 2, at(0), true},
+		"two per second":   {failing(Fault{PerSecond: 2}), 1, at(0), false},
+		"three per second": {failing(Fault{PerSecond: 2}), 2, at(0), true},
 		"on the route":     {failing(Fault{Prefix: "/a/"}), 0, at(0), true},
 		"on another route": {failing(Fault{Prefix: "/b/"}), 0, at(0), false},
 		"slow":             {Fault{Slower: 3}, 0, at(0), true},
-		"look at health":   {failing(Fault{}), 0, httpleaf.Request{At: began}, false},
+		"health check":     {failing(Fault{}), 0, httpleaf.Request{At: began}, false},
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			version := NewVersion("s", "v", work, one.fault)
-			version.Order(began)
+			version := NewVersion("s", "v", serviceTime, one.fault)
+			version.SetRolloutStart(began)
 			for range one.before {
 				version.Answer("leaf", at(0), nil)
 			}
 			answer := version.Answer("leaf", one.request, []byte("x"))
-			is.Equal(answer.Status == http.StatusInternalServerError || answer.Delay > work, one.isBad)
+			is.Equal(answer.Status == http.StatusInternalServerError || answer.Delay > serviceTime, one.isBad)
 		})
 	}
 }
 
-func TestStoppedVersionNotesAndDoesNotAnswer(t *testing.T) {
+func TestStoppedVersionRecordsAndDropsRequests(t *testing.T) {
 	is := is.New(t)
-	version := NewVersion("s", "v", work, Fault{})
+	version := NewVersion("s", "v", serviceTime, Fault{})
 	version.Stop()
 	is.True(version.Answer("leaf", httpleaf.Request{ID: "r", Incarnation: "leaf"}, nil).Dropped)
-	is.Equal(len(version.Visits()), 1)
+	is.Equal(len(version.Requests()), 1)
 }
--- a/internal/lab/soak/checks_rollouts.go
+++ b/internal/lab/soak/checks_rollouts.go
@@ -22,7 +22,7 @@
 			continue
 		}
 		e := r.Exposure(clear)
-		result.check(float64(e.Got) <= e.Bound(), "%s received %d of %d requests, bound %.0f", nameOf(r), e.Got, e.Reached, e.Bound())
+		result.check(float64(e.Received) <= e.Bound(), "%s received %d of %d requests, bound %.0f", nameOf(r), e.Received, e.Reached, e.Bound())
 	}
 	return result
 }
@@ -30,7 +30,7 @@
 func checkLateRequests(releases []rollouts.Release, clear rollouts.Clear) Result {
 	result := Result{Promise: "a bad version receives no requests later than the bound after its 50th bad answer"}
 	for _, r := range releases {
-		if _, isCondemned := r.FiftiethBadAnswer(); isCondemned && !r.HadNoBadAnswer() {
+		if _, hadFiftyBadAnswers := r.FiftiethBadAnswer(); hadFiftyBadAnswers && !r.SucceededBeforeBadAnswer() {
 			late := r.Late(clear)
 			result.check(len(late) == 0, "%s received %d requests too late%s", nameOf(r), len(late), firstOf(late))
 		}
@@ -42,7 +42,7 @@
 	result := Result{Promise: "a version outside of a roll-out receives no requests"}
 	for _, r := range releases {
 		if r.Old != r.Target {
-			disallowed := r.Unordered(clear)
+			disallowed := r.OutsideRollout(clear)
 			result.check(len(disallowed) == 0, "%s received %d disallowed requests%s", nameOf(r), len(disallowed), firstOf(disallowed))
 		}
 	}
@@ -52,8 +52,8 @@
 func checkOutcomes(releases []rollouts.Release) Result {
 	result := Result{Promise: "a roll-out has one outcome: none after it was replaced, and no success after it was cancelled"}
 	for _, r := range releases {
-		misled := r.WrongStatuses()
-		result.check(len(misled) == 0, "%s: operators read the wrong statuses %v", nameOf(r), misled)
+		wrong := r.WrongStatuses()
+		result.check(len(wrong) == 0, "%s: operators read the wrong statuses %v", nameOf(r), wrong)
 	}
 	return result
 }
@@ -73,11 +73,11 @@
 func nameOf(r rollouts.Release) string { return r.Target.Service() + " to " + r.Target.Name() }
 
 // firstOf describes the first of the given requests, or returns "" if there are none.
-func firstOf(visits []rollouts.Visit) string {
-	if len(visits) == 0 {
+func firstOf(requests []rollouts.ReceivedRequest) string {
+	if len(requests) == 0 {
 		return ""
 	}
-	return ", first " + visits[0].ID + " at " + visits[0].Leaf
+	return ", first " + requests[0].ID + " at " + requests[0].Leaf
 }
 
 // clearOf returns a function that reports whether a request came from a node and over a link without a fault. Parts of a
@@ -87,14 +87,14 @@
 	for _, o := range seen {
 		byID[o.id] = o
 	}
-	return func(visit rollouts.Visit) bool {
-		o, found := byID[visit.ID]
-		from := visit.At.Add(-rollouts.Lateness)
-		if !found || e.leafHadFault(visit.Leaf, from, visit.At) {
+	return func(request rollouts.ReceivedRequest) bool {
+		o, found := byID[request.ID]
+		from := request.At.Add(-rollouts.Lateness)
+		if !found || e.leafHadFault(request.Leaf, from, request.At) {
 			return false
 		}
 		for _, node := range e.nodes {
-			if (node == o.node || o.kind == Gathered) && node.hadFault(from, visit.At, true) {
+			if (node == o.node || o.kind == Gathered) && node.hadFault(from, request.At, true) {
 				return false
 			}
 		}
--- a/internal/lab/soak/checks_rollouts_test.go
+++ b/internal/lab/soak/checks_rollouts_test.go
@@ -13,12 +13,12 @@
 	"github.com/portgauge/portgauge/platform"
 )
 
-const leafWork = time.Millisecond
+const leafServiceTime = time.Millisecond
 
 // newVersionWithRequests returns a version whose leaf received requests at the given times.
-func newVersionWithRequests(name string, fault rollouts.Fault, ordered time.Time, times ...time.Time) *rollouts.Version {
-	v := rollouts.NewVersion("s", name, leafWork, fault)
-	v.Order(ordered)
+func newVersionWithRequests(name string, fault rollouts.Fault, rolloutStart time.Time, times ...time.Time) *rollouts.Version {
+	v := rollouts.NewVersion("s", name, leafServiceTime, fault)
+	v.SetRolloutStart(rolloutStart)
 	for _, at := range times {
 		v.Answer("leaf-1", httpleaf.Request{ID: name + at.String(), Incarnation: "leaf-1", At: at}, nil)
 	}
@@ -47,7 +47,7 @@
 		return []rollouts.Release{r}
 	}
 	serve := after(0, 100)
-	condemned := after(0, rollouts.Slack)
+	fiftyBadAnswers := after(0, rollouts.Slack)
 	const late = rollouts.Lateness + 2*time.Second
 	cases := map[string]struct{ good, bad Result }{
 		"exposure": {
@@ -55,8 +55,8 @@
 			checkExposure(release(serve, after(0, rollouts.Slack+20)), rollouts.Always),
 		},
 		"late requests": {
-			checkLateRequests(release(serve, append(condemned, after(time.Second, 1)...)), rollouts.Always),
-			checkLateRequests(release(serve, append(condemned, after(late, 1)...)), rollouts.Always),
+			checkLateRequests(release(serve, append(fiftyBadAnswers, after(time.Second, 1)...)), rollouts.Always),
+			checkLateRequests(release(serve, append(fiftyBadAnswers, after(late, 1)...)), rollouts.Always),
 		},
 		"outside of a roll-out": {
 			checkOutsideRollout(release(serve, after(2*time.Second, 1), rollouts.RolledBack), rollouts.Always),
@@ -89,24 +89,24 @@
 	own, other := &nodeState{name: "own"}, &nodeState{name: "other"}
 	e.nodes = []*nodeState{own, other}
 	seen := []outcome{{id: "single", kind: Single, node: own}, {id: "gathered", kind: Gathered, node: own}}
-	lately := []faultSpan{{from: now.Add(-2 * time.Second), until: now.Add(-time.Second)}}
+	recently := []faultSpan{{from: now.Add(-2 * time.Second), until: now.Add(-time.Second)}}
 	cases := map[string]struct {
 		own, other, leaf []faultSpan
 		single, gathered bool
 	}{
 		"no fault":     {nil, nil, nil, true, true},
-		"own node":     {lately, nil, nil, false, false},
-		"another node": {nil, lately, nil, true, false},
-		"leaf":         {nil, nil, lately, false, false},
+		"own node":     {recently, nil, nil, false, false},
+		"another node": {nil, recently, nil, true, false},
+		"leaf":         {nil, nil, recently, false, false},
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			own.faultSpans, other.faultSpans, e.leafs["leaf-1"].faultSpans = one.own, one.other, one.leaf
 			clear := e.clearOf(seen)
-			is.Equal(clear(rollouts.Visit{Leaf: "leaf-1", ID: "single", At: now}), one.single)
-			is.Equal(clear(rollouts.Visit{Leaf: "leaf-1", ID: "gathered", At: now}), one.gathered)
-			is.True(!clear(rollouts.Visit{Leaf: "leaf-1", ID: "unknown", At: now}))
+			is.Equal(clear(rollouts.ReceivedRequest{Leaf: "leaf-1", ID: "single", At: now}), one.single)
+			is.Equal(clear(rollouts.ReceivedRequest{Leaf: "leaf-1", ID: "gathered", At: now}), one.gathered)
+			is.True(!clear(rollouts.ReceivedRequest{Leaf: "leaf-1", ID: "unknown", At: now}))
 		})
 	}
 }
@@ -135,7 +135,7 @@
 	is := is.New(t)
 	e := newIdleEnvironment(t)
 	old := e.servingVersion(singleName)
-	next := rollouts.NewVersion(singleName, "next", leafWork, rollouts.Fault{})
+	next := rollouts.NewVersion(singleName, "next", leafServiceTime, rollouts.Fault{})
 	old.Stop()
 	e.promote(old, next)
 	is.Equal(e.servingVersion(singleName), next)
--- a/internal/lab/soak/operator.go
+++ b/internal/lab/soak/operator.go
@@ -135,7 +135,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := time.Now()
-	target.Order(now)
+	target.SetRolloutStart(now)
 	revision := o.environment.store.Put(platform.SpecKey(p.service), platform.EncodeSpec(rollout.Spec{
 		Service: p.service, Target: target.Name(), DurationMillis: p.duration.Milliseconds(),
 	}))
--- a/internal/lab/soak/rollouts.go
+++ b/internal/lab/soak/rollouts.go
@@ -158,8 +158,8 @@
 		word = "FAIL"
 	}
 	_, _ = fmt.Fprintf(out, "%s %-34s %q after %s; %d of %d requests, bound %.0f; %s; callers: %s; baseline: %s; disallowed %d\n",
-		word, one.name, status, took, exposure.Got, exposure.Reached, exposure.Bound(), s.describeLastRequest(), ours, baseline,
-		len(r.Unordered(rollouts.Always))+len(r.AtOldVersion(rollouts.Always)))
+		word, one.name, status, took, exposure.Received, exposure.Reached, exposure.Bound(), s.describeLastRequest(), ours, baseline,
+		len(r.OutsideRollout(rollouts.Always))+len(r.AtOldVersion(rollouts.Always)))
 	for _, text := range broken {
 		_, _ = fmt.Fprintln(out, "    ", text)
 	}
@@ -187,12 +187,12 @@
 // describeLastRequest describes how long after its 50th bad answer the version received its last request.
 func (s rolloutRun) describeLastRequest() string {
 	bad := s.release.BadAnswers()
-	fiftieth, isCondemned := s.release.FiftiethBadAnswer()
-	if !isCondemned {
+	fiftieth, hadFiftyBadAnswers := s.release.FiftiethBadAnswer()
+	if !hadFiftyBadAnswers {
 		return fmt.Sprintf("%d bad answers", bad)
 	}
-	visits := s.release.Target.Visits()
-	return fmt.Sprintf("%d bad answers, last request %v after the 50th", bad, visits[len(visits)-1].At.Sub(fiftieth).Round(10*time.Millisecond))
+	requests := s.release.Target.Requests()
+	return fmt.Sprintf("%d bad answers, last request %v after the 50th", bad, requests[len(requests)-1].At.Sub(fiftieth).Round(10*time.Millisecond))
 }
 
 // callerStats summarizes the requests of callers.
