--- a/internal/lab/control/control.go
+++ b/internal/lab/control/control.go
@@ -1,5 +1,5 @@
-// Package control has the HTTP calls by which tests steer stand-in processes: JSON bodies, answered by 204, by 200 with
-// JSON, or by 400 with what is wrong. It owns the control server of a stand-in, and is the client of it.
+// Package control implements the server and the client of the HTTP control calls of stand-in processes. Requests have JSON
+// bodies. They are answered with status 204, with 200 and a JSON body, or with 400 and an error.
 package control
 
 import (
@@ -15,10 +15,9 @@
 	"github.com/gin-gonic/gin"
 )
 
-// callTimeout bounds a control call.
 const callTimeout = 90 * time.Second
 
-// NewRouter returns a router without routes that answers a panicking handler's call with status 500.
+// NewRouter returns a router without routes. It answers a call with status 500 if its handler panics.
 func NewRouter() *gin.Engine {
 	gin.SetMode(gin.ReleaseMode)
 	router := gin.New()
@@ -26,7 +25,7 @@
 	return router
 }
 
-// Serve serves control calls until the context ends, unless the address is empty.
+// Serve serves control calls until the context ends. It returns at once if the address is empty.
 func Serve(ctx context.Context, address string, handler http.Handler) error {
 	if address == "" {
 		return nil
@@ -49,7 +48,8 @@
 	return nil
 }
 
-// Read decodes the body of a call strictly. It answers a malformed call itself and returns false.
+// Read decodes the JSON body of a call and rejects unknown fields. If the body is malformed, it answers with status 400 and
+// returns false.
 func Read(c *gin.Context, target any) bool {
 	decoder := json.NewDecoder(c.Request.Body)
 	decoder.DisallowUnknownFields()
@@ -65,12 +65,12 @@
 	Error string `json:"error"`
 }
 
-// Refuse answers a call by status 400 with an error.
+// Refuse answers a call with status 400 and an error.
 func Refuse(c *gin.Context, err error) {
 	c.JSON(http.StatusBadRequest, refusal{Error: err.Error()})
 }
 
-// Put makes a control call with a body.
+// Put sends a control call with a JSON body.
 func Put(ctx context.Context, address, path string, body any) error {
 	content, err := json.Marshal(body)
 	if err != nil {
@@ -79,7 +79,7 @@
 	return call(ctx, http.MethodPut, address, path, content, nil)
 }
 
-// Get makes a control call and decodes its answer.
+// Get sends a control call and decodes its JSON answer.
 func Get(ctx context.Context, address, path string, answer any) error {
 	return call(ctx, http.MethodGet, address, path, nil, answer)
 }
--- a/internal/lab/forwarder/forwarder.go
+++ b/internal/lab/forwarder/forwarder.go
@@ -1,6 +1,6 @@
-// Package forwarder forwards connections between processes of the lab and can cut them: over TCP for any protocol, and over
-// TCP and UDP for the peer protocol, whose messages name their sender. A Forwarder owns its sockets and goroutines until
-// Close.
+// Package forwarder forwards connections between processes of the lab and can block them. It supports any protocol over TCP,
+// and the peer protocol, whose messages contain their sender, over TCP and UDP. A Forwarder owns its sockets and goroutines
+// until Close.
 package forwarder
 
 import (
@@ -12,22 +12,22 @@
 	"sync"
 )
 
-// Gate reports whether a connection or message of a sender may pass. It is called for each.
+// Gate reports whether a connection or message from a sender may pass. It is called for each connection and message.
 type Gate func(from string) bool
 
-// Forwarder forwards from one address to another.
+// Forwarder forwards connections and messages from one address to another.
 type Forwarder struct {
-	target    string
-	listener  net.Listener
-	datagrams *net.UDPConn
-	gate      Gate
-	byLine    bool // the sender is read from the first line
-
-	mutex sync.Mutex
-	open  map[net.Conn]string // by sender
+	target             string
+	listener           net.Listener
+	datagrams          *net.UDPConn
+	gate               Gate
+	firstLineHasSender bool // whether the first line of a connection contains the sender
+
+	mu   sync.Mutex
+	open map[net.Conn]string // to their senders
 }
 
-// NewTCP returns a forwarder of TCP connections. It calls the gate with an empty sender.
+// NewTCP returns a forwarder for TCP connections. It calls the gate with an empty sender.
 func NewTCP(address, target string, gate Gate) (*Forwarder, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -38,8 +38,7 @@
 	return forwarder, nil
 }
 
-// NewPeer returns a forwarder of the peer protocol. It calls the gate with the peer address that a message names as its
-// sender.
+// NewPeer returns a forwarder for the peer protocol. It calls the gate with the peer address of the sender in the message.
 func NewPeer(address, target string, gate Gate) (*Forwarder, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -53,9 +52,9 @@
 	if err != nil {
 		return nil, errors.Join(err, listener.Close())
 	}
-	forwarder := &Forwarder{target: target, listener: listener, datagrams: datagrams, gate: gate, byLine: true, open: map[net.Conn]string{}}
+	forwarder := &Forwarder{target: target, listener: listener, datagrams: datagrams, gate: gate, firstLineHasSender: true, open: map[net.Conn]string{}}
 	go forwarder.accept()
-	go forwarder.passDatagrams()
+	go forwarder.forwardDatagrams()
 	return forwarder, nil
 }
 
@@ -65,17 +64,17 @@
 	if f.datagrams != nil {
 		closeQuietly(f.datagrams)
 	}
-	f.drop(func(string) bool { return true })
+	f.closeConnections(func(string) bool { return true })
 }
 
-// Recheck closes the open connections that the gate doesn't let pass any more.
+// Recheck closes the open connections that the gate no longer allows.
 func (f *Forwarder) Recheck() {
-	f.drop(func(sender string) bool { return !f.gate(sender) })
+	f.closeConnections(func(sender string) bool { return !f.gate(sender) })
 }
 
-func (f *Forwarder) drop(unwanted func(sender string) bool) {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
+func (f *Forwarder) closeConnections(unwanted func(sender string) bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	for connection, sender := range f.open {
 		if unwanted(sender) {
 			closeQuietly(connection)
@@ -90,15 +89,15 @@
 		if err != nil {
 			return
 		}
-		go f.pass(connection)
+		go f.forward(connection)
 	}
 }
 
-func (f *Forwarder) pass(incoming net.Conn) {
+func (f *Forwarder) forward(incoming net.Conn) {
 	defer closeQuietly(incoming)
 	reader := bufio.NewReader(incoming)
 	sender, first := "", []byte(nil)
-	if f.byLine {
+	if f.firstLineHasSender {
 		line, err := reader.ReadBytes('\n')
 		if err != nil {
 			return
@@ -116,8 +115,8 @@
 	if _, err := outgoing.Write(first); err != nil {
 		return
 	}
-	f.keep(incoming, sender)
-	defer f.forget(incoming)
+	f.track(incoming, sender)
+	defer f.untrack(incoming)
 	go func() {
 		copyQuietly(outgoing, reader)
 		closeWrite(outgoing)
@@ -125,27 +124,27 @@
 	copyQuietly(incoming, outgoing)
 }
 
-func (f *Forwarder) keep(connection net.Conn, sender string) {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
+func (f *Forwarder) track(connection net.Conn, sender string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	f.open[connection] = sender
 }
 
-func (f *Forwarder) forget(connection net.Conn) {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
+func (f *Forwarder) untrack(connection net.Conn) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	delete(f.open, connection)
 }
 
-// maximumDatagram is larger than any datagram of the peer protocol.
-const maximumDatagram = 64 << 10
+// maxDatagramBytes is larger than any datagram of the peer protocol.
+const maxDatagramBytes = 64 << 10
 
-func (f *Forwarder) passDatagrams() {
+func (f *Forwarder) forwardDatagrams() {
 	target, err := net.ResolveUDPAddr("udp", f.target)
 	if err != nil {
 		return
 	}
-	buffer := make([]byte, maximumDatagram)
+	buffer := make([]byte, maxDatagramBytes)
 	for {
 		size, _, err := f.datagrams.ReadFromUDP(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -160,7 +159,7 @@
 	}
 }
 
-// senderOf returns the sender's peer address in a message. Compressed lines hide it; they have an empty sender.
+// senderOf returns the peer address of the sender in a message. It is empty for compressed messages.
 func senderOf(line []byte) string {
 	var message struct {
 		From string `json:"from"`
--- a/internal/lab/process/process.go
+++ b/internal/lab/process/process.go
@@ -1,5 +1,5 @@
-// Package process builds the project's programs, and starts, freezes and ends processes by their ids, for the lab. A Process
-// owns a goroutine that waits for its end, and the newest part of its output.
+// Package process builds the project's programs and starts, suspends and stops processes for the lab. A Process owns a
+// goroutine that waits for its exit, and stores the newest part of its output.
 package process
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// stopTimeout is how long a process may take to stop until it is killed.
+// stopTimeout is how long Stop waits for the exit of a process before it kills the process.
 const stopTimeout = 60 * time.Second
 
 // Programs are the paths of the project's binaries.
@@ -26,7 +26,7 @@
 	Lab       string
 }
 
-// Build compiles both programs into a folder. The working directory must be the top of the source.
+// Build compiles both programs into a folder. The working directory must be the root of the repository.
 func Build(folder string) (Programs, error) {
 	command := exec.Command("go", "build", "-o", folder+string(filepath.Separator), "./cmd/portgauge", "./cmd/portgauge-lab")
 	if output, err := command.CombinedOutput(); err != nil {
@@ -35,29 +35,28 @@
 	return Programs{Portgauge: filepath.Join(folder, "portgauge"), Lab: filepath.Join(folder, "portgauge-lab")}, nil
 }
 
-// Process is a process that was started.
+// Process is a child process.
 type Process struct {
 	Name    string
 	command *exec.Cmd
 	ended   chan struct{}
 	started time.Time
-	err     error // of its end; read after ended is closed
+	err     error // result of Wait; read only after ended is closed
 	output  *tail
 }
 
-// tailBytes is how much of a process's newest output is kept: a minute of a node that logs 15 requests a second.
+// tailBytes bounds the stored output of a process. It holds about one minute of a node that logs 15 requests per second.
 const tailBytes = 512 << 10
 
-// tail keeps the newest output of a process.
+// tail stores the newest output of a process. It is safe for concurrent use.
 type tail struct {
-	mutex   sync.Mutex
+	mu      sync.Mutex
 	content bytes.Buffer
 }
 
-// Write implements io.Writer.
 func (t *tail) Write(chunk []byte) (int, error) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	t.content.Write(chunk)
 	if excess := t.content.Len() - tailBytes; excess > 0 {
 		t.content.Next(excess)
@@ -65,9 +64,9 @@
 	return len(chunk), nil
 }
 
-// Start starts a process. Name describes it in errors.
-func Start(name, program string, arguments ...string) (*Process, error) {
-	started := &Process{Name: name, command: exec.Command(program, arguments...), ended: make(chan struct{}), output: &tail{}}
+// Start starts a process. The name identifies it in errors.
+func Start(name, program string, args ...string) (*Process, error) {
+	started := &Process{Name: name, command: exec.Command(program, args...), ended: make(chan struct{}), output: &tail{}}
 	started.command.Stdout = started.output
 	started.command.Stderr = started.output
 	if err := started.command.Start(); err != nil {
@@ -81,14 +80,14 @@
 	return started, nil
 }
 
-// Output returns the newest output, standard output and error together.
+// Output returns the newest output of the process, with standard output and standard error combined.
 func (p *Process) Output() string {
-	p.output.mutex.Lock()
-	defer p.output.mutex.Unlock()
+	p.output.mu.Lock()
+	defer p.output.mu.Unlock()
 	return p.output.content.String()
 }
 
-// Running reports whether the process has not ended.
+// Running reports whether the process has not exited.
 func (p *Process) Running() bool {
 	select {
 	case <-p.ended:
@@ -98,30 +97,31 @@
 	}
 }
 
-// Kill ends the process by SIGKILL and waits for its end.
+// Kill kills the process with SIGKILL and waits for its exit. It resumes a frozen process first.
 func (p *Process) Kill() {
 	p.signal(syscall.SIGCONT)
 	p.signal(syscall.SIGKILL)
 	<-p.ended
 }
 
-// Freeze suspends the process by SIGSTOP.
+// Freeze suspends the process with SIGSTOP.
 func (p *Process) Freeze() { p.signal(syscall.SIGSTOP) }
 
 // Wake resumes a frozen process.
 func (p *Process) Wake() { p.signal(syscall.SIGCONT) }
 
-// firstSteps is the age that a process has at least when it gets a signal to reload. Before its first instructions have run,
-// which takes a few milliseconds on a busy machine, it can't catch the signal and is ended by it.
-const firstSteps = 20 * time.Millisecond
+// minReloadAge is the minimum age of a process that is signaled to reload. A process that has not yet installed its signal
+// handler, which takes a few milliseconds on a busy machine, is killed by SIGHUP.
+const minReloadAge = 20 * time.Millisecond
 
-// Reload signals the process to reload its settings.
+// Reload signals the process with SIGHUP to reload its settings.
 func (p *Process) Reload() {
-	time.Sleep(firstSteps - time.Since(p.started))
+	time.Sleep(minReloadAge - time.Since(p.started))
 	p.signal(syscall.SIGHUP)
 }
 
-// Stop signals the process to stop and waits for its end. It returns an error if the process fails or has to be killed.
+// Stop stops the process with SIGTERM and waits for its exit. It returns an error if the process fails, or if it does not exit
+// within stopTimeout and is killed.
 func (p *Process) Stop() error {
 	p.signal(syscall.SIGTERM)
 	select {
@@ -129,7 +129,7 @@
 		return p.err
 	case <-time.After(stopTimeout):
 		p.Kill()
-		return merry.Errorf("%s did not stop in %v", p.Name, stopTimeout)
+		return merry.Errorf("%s did not stop within %v and was killed", p.Name, stopTimeout)
 	}
 }
 
@@ -137,21 +137,21 @@
 	if !p.Running() {
 		return
 	}
-	// The process may end at any moment; a late signal is no error.
+	// The process may exit at any moment, so a failure to signal it is no error.
 	if err := p.command.Process.Signal(signal); err != nil {
 		return
 	}
 }
 
-// Ports for processes are below the range that the kernel assigns to outgoing connections, so that none of these takes a
-// port between its choice and its use.
+// Range of the ports for processes. It lies below the kernel's range of ephemeral ports, so that no outgoing connection takes
+// a port between its selection and its use.
 const (
-	lowestPort  = 15000
-	highestPort = 32000
+	minPort = 15000
+	maxPort = 32000
 )
 
-// FreeAddresses returns loopback addresses whose ports were free for TCP and UDP a moment ago. It holds each until it has
-// found all, so that they differ.
+// FreeAddresses returns loopback addresses whose ports are free for TCP and UDP. It keeps the ports bound until it has found
+// all, so that the addresses differ.
 func FreeAddresses(count int) ([]string, error) {
 	var addresses []string
 	var held []io.Closer
@@ -163,10 +163,10 @@
 		}
 	}()
 	for tries := 0; len(addresses) < count; tries++ {
-		if tries > highestPort-lowestPort {
-			return nil, merry.New("no free ports")
+		if tries > maxPort-minPort {
+			return nil, merry.New("found too few free ports")
 		}
-		address := fmt.Sprintf("127.0.0.1:%d", lowestPort+rand.IntN(highestPort-lowestPort))
+		address := fmt.Sprintf("127.0.0.1:%d", minPort+rand.IntN(maxPort-minPort))
 		listener, err := net.Listen("tcp", address)
 		if err != nil {
 			continue
--- a/internal/lab/retry/retry.go
+++ b/internal/lab/retry/retry.go
@@ -1,4 +1,4 @@
-// Package retry repeats calls to processes that are starting.
+// Package retry retries calls to processes that are starting.
 package retry
 
 import (
@@ -8,16 +8,15 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// pause is the time between two calls.
-const pause = 100 * time.Millisecond
+const retryInterval = 100 * time.Millisecond
 
-// Eventually repeats a call until it succeeds, and returns its last error after the timeout.
+// Eventually retries a call until it succeeds. After the timeout it returns the last error.
 func Eventually(ctx context.Context, timeout time.Duration, call func() error) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	for {
 		err := call()
-		if err == nil || !wait.For(ctx, pause) {
+		if err == nil || !wait.For(ctx, retryInterval) {
 			return err
 		}
 	}
