--- a/internal/lab/soak/crashing.go
+++ b/internal/lab/soak/crashing.go
@@ -116,7 +116,7 @@
 	if _, err := e.addLeafWithVersion(crashed.version); err != nil {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		e.failures = append(e.failures, err)
+		e.replacementErrs = append(e.replacementErrs, err)
 	}
 }
 
@@ -124,7 +124,7 @@
 func (e *environment) replacementErrors() error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return errors.Join(e.failures...)
+	return errors.Join(e.replacementErrs...)
 }
 
 // crasher sends crashing requests repeatedly to random nodes.
--- a/internal/lab/soak/environment.go
+++ b/internal/lab/soak/environment.go
@@ -60,9 +60,9 @@
 	// evacuations are the evacuations of all zones, oldest first.
 	evacuations []evacuation
 	nextID      int
-	// isClosed is set once no leafs may be started; failures are the errors of replacing crashed leafs.
-	isClosed bool
-	failures []error
+	// isClosed is set once no leafs may be started; replacementErrs are the errors of replacing crashed leafs.
+	isClosed        bool
+	replacementErrs []error
 
 	crashLog crashLog
 }
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -143,7 +143,7 @@
 	if !node.claim() {
 		return noop
 	}
-	node.stop(span + recoverySlack)
+	node.recordStop(span + recoverySlack)
 	stopped := make(chan struct{})
 	go func() {
 		if err := node.process.Stop(); err != nil {
--- a/internal/lab/soak/leafs.go
+++ b/internal/lab/soak/leafs.go
@@ -29,14 +29,14 @@
 	record   string
 	born     int64
 	sequence int
-	// earlier are its previous processes.
-	earlier []*httpleaf.Leaf
+	// previousLeafs are the servers of its previous processes.
+	previousLeafs []*httpleaf.Leaf
 }
 
 // receivedRequests returns all requests that the leaf received, including those of earlier processes.
 func (s *leafState) receivedRequests() []httpleaf.Request {
 	var requests []httpleaf.Request
-	for _, life := range append(slices.Clone(s.earlier), s.leaf) {
+	for _, life := range append(slices.Clone(s.previousLeafs), s.leaf) {
 		requests = append(requests, life.Requests()...)
 	}
 	return requests
--- a/internal/lab/soak/node.go
+++ b/internal/lab/soak/node.go
@@ -26,8 +26,8 @@
 
 	mu      sync.Mutex
 	process *process.Process
-	// before is the newest output of the previous process.
-	before string
+	// previousOutput is the newest output of the previous process.
+	previousOutput string
 	// life is the number of the process; the first is 1.
 	life int
 	// cut is set while the peer link is closed to all senders.
@@ -128,7 +128,7 @@
 	node.mu.Lock()
 	defer node.mu.Unlock()
 	if node.process != nil {
-		node.before = node.process.Output()
+		node.previousOutput = node.process.Output()
 	}
 	node.process = started
 	node.life++
@@ -139,7 +139,7 @@
 func (n *nodeState) output() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.before + n.process.Output()
+	return n.previousOutput + n.process.Output()
 }
 
 // claim reserves the node's process for a fault. It returns false if another fault has reserved it.
@@ -178,8 +178,8 @@
 	n.faultSpans = append(n.faultSpans, faultSpan{from: now, until: now.Add(span), planned: planned})
 }
 
-// stop records a planned stop of the node.
-func (n *nodeState) stop(span time.Duration) {
+// recordStop records a planned stop of the node.
+func (n *nodeState) recordStop(span time.Duration) {
 	n.recordFault(span, true)
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/lab/soak/operator.go
+++ b/internal/lab/soak/operator.go
@@ -72,7 +72,7 @@
 		o.log("MALFORMED status of a service: " + string(item.Value))
 	}
 	o.status[service] = append(readings, rollouts.StatusReading{
-		Revision: item.Revision, Target: target, Outcome: outcomes[phase], At: time.Now(),
+		Revision: item.Revision, Target: target, Outcome: outcomeByPhase[phase], At: time.Now(),
 	})
 }
 
--- a/internal/lab/soak/records.go
+++ b/internal/lab/soak/records.go
@@ -25,8 +25,8 @@
 
 func leafKey(id string) string { return "servers/" + id }
 
-// outcomes maps the phase in a roll-out's status to its outcome.
-var outcomes = map[rollout.Phase]rollouts.Outcome{
+// outcomeByPhase maps the phase in a roll-out's status to its outcome.
+var outcomeByPhase = map[rollout.Phase]rollouts.Outcome{
 	rollout.Canary: rollouts.Running, rollout.Succeeded: rollouts.Succeeded, rollout.RolledBack: rollouts.RolledBack,
 }
 
--- a/internal/lab/soak/rollouts.go
+++ b/internal/lab/soak/rollouts.go
@@ -150,7 +150,7 @@
 		took = at.Sub(r.At).Round(10 * time.Millisecond).String()
 	}
 	exposure := r.Exposure(rollouts.Always)
-	ours := s.callers(r, r.At, end)
+	during := s.callers(r, r.At, end)
 	baseline := s.callers(r, s.baselineFrom, s.baselineUntil)
 	broken := s.broken(one, status, at.Sub(r.At))
 	word := "PASS"
@@ -158,7 +158,7 @@
 		word = "FAIL"
 	}
 	_, _ = fmt.Fprintf(out, "%s %-34s %q after %s; %d of %d requests, bound %.0f; %s; callers: %s; baseline: %s; disallowed %d\n",
-		word, one.name, status, took, exposure.Received, exposure.Reached, exposure.Bound(), s.describeLastRequest(), ours, baseline,
+		word, one.name, status, took, exposure.Received, exposure.Reached, exposure.Bound(), s.describeLastRequest(), during, baseline,
 		len(r.OutsideRollout(rollouts.Always))+len(r.AtOldVersion(rollouts.Always)))
 	for _, text := range broken {
 		_, _ = fmt.Fprintln(out, "    ", text)
--- a/internal/lab/soak/series.go
+++ b/internal/lab/soak/series.go
@@ -40,7 +40,7 @@
 		if !node.claim() {
 			continue
 		}
-		node.stop(recoverySlack)
+		node.recordStop(recoverySlack)
 		if err := node.process.Stop(); err != nil {
 			i.log("FAILED to stop a node: " + err.Error())
 		}
@@ -96,7 +96,7 @@
 	e.mu.Lock()
 	before, isRemoved := state.leaf, state.hasCrashed || state.record == ""
 	if !isRemoved {
-		state.earlier = append(state.earlier, before)
+		state.previousLeafs = append(state.previousLeafs, before)
 		state.leaf, state.born, state.sequence = started, time.Now().UnixMilli(), 0
 		state.link.SetTarget(started.Address())
 	}
