--- a/internal/config/catalog/restored_test.go
+++ b/internal/config/catalog/restored_test.go
@@ -214,7 +214,7 @@
 				store.save()
 			}
 			written := node.View().Rollouts["s"].Spec
-			state := rollout.State{Service: "s", SpecRevision: revision.Count(written.Revision), Phase: rollout.RolledBack, Serving: "v1", Target: "v2"}
+			state := rollout.State{Service: "s", SpecRevision: revision.Count(written.Revision), Phase: rollout.PhaseRolledBack, Serving: "v1", Target: "v2"}
 			node.Apply(store.put(RolloutStateKey("s"), state))
 			is.Equal(node.View().Leafs.Rule("s").Canary, "")
 			store.restore()
--- a/internal/config/catalog/rollout_test.go
+++ b/internal/config/catalog/rollout_test.go
@@ -51,7 +51,7 @@
 	case 0:
 		key, document = RolloutKey(service), rollout.Spec{Service: service, Target: target, DurationMillis: 1}
 	case 1:
-		phase := rapid.SampledFrom([]rollout.Phase{rollout.Canary, rollout.Switching, rollout.Succeeded, rollout.RolledBack}).Draw(t, "phase")
+		phase := rapid.SampledFrom([]rollout.Phase{rollout.PhaseCanary, rollout.PhaseSwitching, rollout.PhaseSucceeded, rollout.PhaseRolledBack}).Draw(t, "phase")
 		answered := rapid.Int64Range(1, revision).Draw(t, "answered")
 		key = RolloutStateKey(service)
 		document = rollout.State{Service: service, SpecRevision: answered, Phase: phase, Serving: serving, Target: target}
@@ -143,14 +143,14 @@
 func TestWithdrawnSpecKeepsServingVersion(t *testing.T) {
 	is := is.New(t)
 	catalog := catalogWithSpec(t)
-	is.Equal(len(catalog.View().Leafs.Canaries("s")), 1)
+	is.Equal(len(catalog.View().Leafs.CanaryLeafs("s")), 1)
 	is.Equal(catalog.View().Rollouts["s"].Spec.Revision, int64(4))
-	catalog.Apply(documentChange(t, 5, RolloutStateKey("s"), rollout.State{Service: "s", SpecRevision: 4, Phase: rollout.Switching, Serving: "v1", Target: "v2"}))
-	is.Equal(catalog.View().Leafs.Rule("s").Phase, rollout.Switching)
+	catalog.Apply(documentChange(t, 5, RolloutStateKey("s"), rollout.State{Service: "s", SpecRevision: 4, Phase: rollout.PhaseSwitching, Serving: "v1", Target: "v2"}))
+	is.Equal(catalog.View().Leafs.Rule("s").Phase, rollout.PhaseSwitching)
 	catalog.Apply(documentChange(t, 6, RolloutKey("s"), nil))
 	leafs := catalog.View().Leafs
 	is.Equal(leafs.Rule("s"), rollout.Rule{Serving: "v1", Revision: 5})
-	is.Equal(len(leafs.Canaries("s")), 0)
+	is.Equal(len(leafs.CanaryLeafs("s")), 0)
 	is.Equal(leafs.Ready("s")[0].ID, "old")
 	is.Equal(len(leafs.Ready("s")), 1)
 }
@@ -159,7 +159,7 @@
 func TestDifferenceIncludesRemovedRolloutKeys(t *testing.T) {
 	is := is.New(t)
 	first, second := catalogWithSpec(t), catalogWithSpec(t)
-	state := documentChange(t, 5, RolloutStateKey("s"), rollout.State{Service: "s", SpecRevision: 4, Phase: rollout.Succeeded, Serving: "v1", Target: "v2"})
+	state := documentChange(t, 5, RolloutStateKey("s"), rollout.State{Service: "s", SpecRevision: 4, Phase: rollout.PhaseSucceeded, Serving: "v1", Target: "v2"})
 	first.Apply(state)
 	second.Apply(state)
 	is.Equal(second.View().Leafs.Rule("s").Serving, "v2")
--- a/internal/lab/soak/checks_rollouts_test.go
+++ b/internal/lab/soak/checks_rollouts_test.go
@@ -118,7 +118,7 @@
 	o := newOperator(e, func(text string) { t.Error(text) })
 	number, err := o.startRollout(t.Context(), plan{service: singleName, targetsServingVersion: true, duration: time.Second})
 	is.NoErr(err)
-	e.store.Put(platform.StatusKey(singleName), platform.EncodeStatus(rollout.State{Service: singleName, Target: "first", Phase: rollout.Succeeded}))
+	e.store.Put(platform.StatusKey(singleName), platform.EncodeStatus(rollout.State{Service: singleName, Target: "first", Phase: rollout.PhaseSucceeded}))
 	o.readStatus(singleName)
 	o.readStatus(singleName)
 	status, _ := o.outcome(number)
--- a/internal/lab/soak/records.go
+++ b/internal/lab/soak/records.go
@@ -27,7 +27,7 @@
 
 // outcomeByPhase maps the phase in a roll-out's status to its outcome.
 var outcomeByPhase = map[rollout.Phase]rollouts.Outcome{
-	rollout.Canary: rollouts.Running, rollout.Succeeded: rollouts.Succeeded, rollout.RolledBack: rollouts.RolledBack,
+	rollout.PhaseCanary: rollouts.Running, rollout.PhaseSucceeded: rollouts.Succeeded, rollout.PhaseRolledBack: rollouts.RolledBack,
 }
 
 func evacuationKey(zone string) string { return "op/evacuate/" + zone }
--- a/internal/leaf/leafmemory/versions_test.go
+++ b/internal/leaf/leafmemory/versions_test.go
@@ -35,7 +35,7 @@
 func rollBack(t *testing.T, known *catalog.Catalog) {
 	t.Helper()
 	specID := known.View().Rollouts["s"].Spec.Revision
-	put(t, known, catalog.RolloutStateKey("s"), rollout.State{Service: "s", SpecRevision: specID, Phase: rollout.RolledBack, Serving: "v1", Target: "v2"})
+	put(t, known, catalog.RolloutStateKey("s"), rollout.State{Service: "s", SpecRevision: specID, Phase: rollout.PhaseRolledBack, Serving: "v1", Target: "v2"})
 }
 
 func candidateIDs(memory *Memory) []string {
@@ -115,17 +115,17 @@
 		memory := New(DefaultConfig(), known)
 		time.Sleep(DefaultConfig().TrustAfterStart)
 		put(t, known, catalog.LeafKey("1"), nil)
-		is.Equal(len(memory.Canaries("s")), 1)
+		is.Equal(len(memory.CanaryLeafs("s")), 1)
 		put(t, known, catalog.LeafKey("2"), nil)
-		is.Equal(len(memory.Canaries("s")), 2)
+		is.Equal(len(memory.CanaryLeafs("s")), 2)
 		is.True(memory.MaySend("1") && memory.MaySend("2"))
 		time.Sleep(DefaultConfig().Retention + time.Millisecond)
-		is.Equal(len(memory.Canaries("s")), 0)
+		is.Equal(len(memory.CanaryLeafs("s")), 0)
 		put(t, known, catalog.LeafKey("2"), versionedRecord("2", "v2"))
 		put(t, known, catalog.LeafKey("2"), nil)
-		is.Equal(len(memory.Canaries("s")), 1)
+		is.Equal(len(memory.CanaryLeafs("s")), 1)
 		rollBack(t, known)
-		is.Equal(len(memory.Canaries("s")), 0)
+		is.Equal(len(memory.CanaryLeafs("s")), 0)
 	})
 }
 
--- a/internal/leaf/leafset/editor.go
+++ b/internal/leaf/leafset/editor.go
@@ -13,8 +13,8 @@
 	set          *Set
 	owned        map[string]bool // services whose slice of leafs is not shared
 	changedRules map[string]bool // services whose rule changed
-	// ownsRules, ownsFirst, ownsCanaries and ownsLost say which maps of the set are not shared.
-	ownsRules, ownsFirst, ownsCanaries, ownsLost bool
+	// ownsRules, ownsFirst, ownsCanaryLeafs and ownsLost say which maps of the set are not shared.
+	ownsRules, ownsFirst, ownsCanaryLeafs, ownsLost bool
 	// defaultsToFirst says that a service whose rule names no serving version is served by its first version.
 	defaultsToFirst bool
 	// evacuationsChanged says that the ready leafs of every service must be updated.
@@ -179,7 +179,7 @@
 func (e *Editor) updateReady(service string) {
 	leafs := e.set.byService[service]
 	e.updateFirst(service, leafs)
-	e.updateCanaries(service, leafs)
+	e.updateCanaryLeafs(service, leafs)
 	isUnusable := func(leaf *Leaf) bool { return !e.set.isServing(leaf) }
 	if !slices.ContainsFunc(leafs, isUnusable) {
 		delete(e.set.ready, service)
--- a/internal/leaf/leafset/versions.go
+++ b/internal/leaf/leafset/versions.go
@@ -6,9 +6,9 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// Canaries returns the ready leafs of a service that have the canary version; none if no roll-out is in progress. The
+// CanaryLeafs returns the ready leafs of a service that have the canary version; none if no roll-out is in progress. The
 // slice is shared: callers must not modify it.
-func (s *Set) Canaries(service string) []*Leaf { return s.canaries[service] }
+func (s *Set) CanaryLeafs(service string) []*Leaf { return s.canaries[service] }
 
 // Rule returns the rule that determines which versions of a service may get requests.
 func (s *Set) Rule(service string) rollout.Rule {
@@ -112,8 +112,8 @@
 	return best
 }
 
-// updateCanaries updates which leafs of a service are canaries.
-func (e *Editor) updateCanaries(service string, leafs []*Leaf) {
+// updateCanaryLeafs updates which leafs of a service are canaries.
+func (e *Editor) updateCanaryLeafs(service string, leafs []*Leaf) {
 	var canaries []*Leaf
 	for _, leaf := range leafs {
 		if e.set.isCanary(leaf) {
@@ -123,7 +123,7 @@
 	if len(canaries) == 0 && len(e.set.canaries[service]) == 0 {
 		return
 	}
-	e.ownCanaries()
+	e.ownCanaryLeafs()
 	if len(canaries) == 0 {
 		delete(e.set.canaries, service)
 		return
@@ -147,10 +147,10 @@
 	}
 }
 
-// ownCanaries copies the canaries unless they are already copied.
-func (e *Editor) ownCanaries() {
-	if !e.ownsCanaries {
-		e.ownsCanaries = true
+// ownCanaryLeafs copies the canaries unless they are already copied.
+func (e *Editor) ownCanaryLeafs() {
+	if !e.ownsCanaryLeafs {
+		e.ownsCanaryLeafs = true
 		e.set.canaries = maps.Clone(e.set.canaries)
 	}
 }
--- a/internal/leaf/leafset/versions_test.go
+++ b/internal/leaf/leafset/versions_test.go
@@ -70,7 +70,7 @@
 			editor.SetRule("s", c.rule)
 			set := editor.Done()
 			is.Equal(ids(set.Ready("s")), c.ready)
-			is.Equal(ids(set.Canaries("s")), c.canaries)
+			is.Equal(ids(set.CanaryLeafs("s")), c.canaries)
 			var allowed []string
 			for _, leaf := range set.ByService("s") {
 				if set.IsAllowed(leaf) {
@@ -83,16 +83,16 @@
 }
 
 // An evacuation applies to canaries as well as to leafs that serve.
-func TestEvacuatedLeafsAreNoCanaries(t *testing.T) {
+func TestEvacuatedLeafsAreNoCanaryLeafs(t *testing.T) {
 	is := is.New(t)
 	_, newer := oldAndNewLeafs()
 	set := withRule(edit(Empty().Edit(), newer), rollout.Rule{Serving: "v1", Canary: "v2"})
 	editor := set.Edit()
 	editor.SetEvacuated("", true)
 	during := editor.Done()
-	is.Equal(len(during.Canaries("s")), 0)
+	is.Equal(len(during.CanaryLeafs("s")), 0)
 	is.True(!during.IsAllowed(newer[0]))
-	is.Equal(len(set.Canaries("s")), 2) // the original set is unchanged
+	is.Equal(len(set.CanaryLeafs("s")), 2) // the original set is unchanged
 }
 
 // While no rule names a serving version, the first version keeps serving: when leafs of other versions register, when a
@@ -101,7 +101,7 @@
 	older, newer := oldAndNewLeafs()
 	first := edit(Empty().Edit(), older)
 	both := edit(first.Edit(), newer)
-	withCanary := withRule(both, rollout.Rule{Canary: "v2", Phase: rollout.Canary, SpecID: 7})
+	withCanary := withRule(both, rollout.Rule{Canary: "v2", Phase: rollout.PhaseCanary, SpecID: 7})
 	cases := map[string]*Set{
 		"second version registered":      both,
 		"third version registered":       edit(both.Edit(), []*Leaf{leafOf("5", "v3", Ready), leafOf("6", "v3", Ready)}),
@@ -121,7 +121,7 @@
 		})
 	}
 	is := is.New(t)
-	is.Equal(ids(withCanary.Canaries("s")), []string{"2", "3"})
+	is.Equal(ids(withCanary.CanaryLeafs("s")), []string{"2", "3"})
 	is.Equal(cases["canary is the first version"].Rule("s"), rollout.Rule{Serving: "v1"})
 	gone := edit(both.Edit(), nil, "1")
 	is.Equal(len(gone.Ready("s")), 0) // the other version does not serve without a rule
--- a/internal/node/telemetry/rollouts_test.go
+++ b/internal/node/telemetry/rollouts_test.go
@@ -13,7 +13,7 @@
 func TestFinishedRolloutHasNoSeries(t *testing.T) {
 	is := is.New(t)
 	statuses := []rolloutcontrol.Status{{
-		Service: "s", Phase: rollout.Canary, Target: "b",
+		Service: "s", Phase: rollout.PhaseCanary, Target: "b",
 		Counts: []rolloutcontrol.RouteCounts{{Version: "b", Route: "r", Attempts: 3, Failures: 1}},
 	}}
 	metrics := NewMetrics()
--- a/internal/operator/admin/rollouts.go
+++ b/internal/operator/admin/rollouts.go
@@ -74,10 +74,10 @@
 
 // phases maps phases to the phases of the RPC interface.
 var phases = map[rollout.Phase]adminv1.RolloutPhase{
-	rollout.Canary:     adminv1.RolloutPhase_ROLLOUT_PHASE_CANARY,
-	rollout.Switching:  adminv1.RolloutPhase_ROLLOUT_PHASE_SWITCHING,
-	rollout.Succeeded:  adminv1.RolloutPhase_ROLLOUT_PHASE_SUCCEEDED,
-	rollout.RolledBack: adminv1.RolloutPhase_ROLLOUT_PHASE_ROLLED_BACK,
+	rollout.PhaseCanary:     adminv1.RolloutPhase_ROLLOUT_PHASE_CANARY,
+	rollout.PhaseSwitching:  adminv1.RolloutPhase_ROLLOUT_PHASE_SWITCHING,
+	rollout.PhaseSucceeded:  adminv1.RolloutPhase_ROLLOUT_PHASE_SUCCEEDED,
+	rollout.PhaseRolledBack: adminv1.RolloutPhase_ROLLOUT_PHASE_ROLLED_BACK,
 }
 
 // rolloutMessage returns a roll-out as an RPC message. If the state belongs to a replaced spec, the message has only its
--- a/internal/operator/admin/rollouts_test.go
+++ b/internal/operator/admin/rollouts_test.go
@@ -81,7 +81,7 @@
 	admin, cat := newRolloutAdmin()
 	started, err := admin.StartRollout(t.Context(), startRequest("", 0))
 	is.NoErr(err)
-	writeState(t, cat, rollout.State{Service: "maps", SpecRevision: started.GetRevision(), Phase: rollout.RolledBack, Serving: "v1", Target: "v2", Reason: "9 of 12 failed", DecidedBy: "n1"})
+	writeState(t, cat, rollout.State{Service: "maps", SpecRevision: started.GetRevision(), Phase: rollout.PhaseRolledBack, Serving: "v1", Target: "v2", Reason: "9 of 12 failed", DecidedBy: "n1"})
 	shown, err := admin.GetRollout(&adminv1.GetRolloutRequest{Service: "maps"})
 	is.NoErr(err)
 	is.Equal(shown.GetRollout().GetPhase(), adminv1.RolloutPhase_ROLLOUT_PHASE_ROLLED_BACK)
--- a/internal/request/gateway/canary.go
+++ b/internal/request/gateway/canary.go
@@ -12,7 +12,7 @@
 )
 
 // While a service is rolled out to another version, a canary decision selects the version for the first attempt of each
-// shard (package canary). Hedges and retries go to retryVersions instead.
+// shard (package canary). Hedges and retries go to retryRole instead.
 
 // canaryDecision is the canary decision for one shard.
 type canaryDecision struct {
@@ -21,12 +21,12 @@
 	request canary.Request
 }
 
-// retryVersions returns the versions of a service that attempts without a decision may go to now.
-func (g *Gateway) retryVersions(service string) canary.Versions {
+// retryRole returns the versions of a service that attempts without a decision may go to now.
+func (g *Gateway) retryRole(service string) canary.Role {
 	if g.canary == nil {
 		return canary.Serving
 	}
-	return g.canary.RetryVersions(service)
+	return g.canary.RetryRole(service)
 }
 
 // decide returns the decision for a shard, which is made once. unserved means that no leaf of the serving version can
@@ -80,7 +80,7 @@
 func (e *execution) firstCandidates(shard int, planned []balancer.Candidate) []balancer.Candidate {
 	choice := e.gateway.balancer.Choose(planned, nil)
 	decision := e.decide(shard, choice.Leaf == nil || choice.Unhealthy)
-	if decision.First == e.gateway.retryVersions(e.services[shard]) {
+	if decision.First == e.gateway.retryRole(e.services[shard]) {
 		return planned
 	}
 	targets := e.targets[shard]
@@ -99,7 +99,7 @@
 // focusedLeaf returns the first candidate that can be queried and is healthy, in the order in which the version's leafs
 // take the bounded share of requests. One leaf at a time is used, so that few requests are enough evidence.
 func (e *execution) focusedLeaf(service string, candidates []balancer.Candidate) []balancer.Candidate {
-	for _, leaf := range e.gateway.canary.FocusOrder(service, e.gateway.catalog.View().Leafs.Canaries(service)) {
+	for _, leaf := range e.gateway.canary.FocusOrder(service, e.gateway.catalog.View().Leafs.CanaryLeafs(service)) {
 		at := slices.IndexFunc(candidates, func(candidate balancer.Candidate) bool { return candidate.LeafID == leaf.ID })
 		if at < 0 {
 			continue
--- a/internal/request/gateway/canary_fixture_test.go
+++ b/internal/request/gateway/canary_fixture_test.go
@@ -95,7 +95,7 @@
 // finishSwitch completes the ramp to v2.
 func (b *canaryGateway) finishSwitch() {
 	b.t.Helper()
-	b.enterPhase(rollout.Switching)
+	b.enterPhase(rollout.PhaseSwitching)
 	time.Sleep(canary.DefaultConfig().Ramp)
 	b.catalog.Confirm(time.Now())
 }
--- a/internal/request/gateway/canary_test.go
+++ b/internal/request/gateway/canary_test.go
@@ -137,10 +137,10 @@
 		want   bool // whether the canary version answers
 	}{
 		"cancelled":   {allToCanary(), func(b *canaryGateway) { put(b.t, b.catalog, catalog.RolloutKey("s0"), nil) }, false},
-		"rolled back": {allToCanary(), func(b *canaryGateway) { b.enterPhase(rollout.RolledBack) }, false},
+		"rolled back": {allToCanary(), func(b *canaryGateway) { b.enterPhase(rollout.PhaseRolledBack) }, false},
 		"aborted":     {allToCanary(), func(b *canaryGateway) { b.canary.Abort("s0", b.specID) }, false},
 		"expired":     {allToCanary(), func(*canaryGateway) {}, false},
-		"succeeded":   {noneToCanary(), func(b *canaryGateway) { b.enterPhase(rollout.Succeeded) }, true},
+		"succeeded":   {noneToCanary(), func(b *canaryGateway) { b.enterPhase(rollout.PhaseSucceeded) }, true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -173,7 +173,7 @@
 			remembered.Leafs = append(remembered.Leafs, versionedLeaf(id, "v2", ""))
 		}
 		put(b.t, b.catalog, catalog.SavedLeafsKey, remembered)
-		b.enterPhase(rollout.RolledBack)
+		b.enterPhase(rollout.PhaseRolledBack)
 		put(b.t, b.catalog, catalog.LeafKey("s0d"), nil)
 		for _, id := range []string{"s0a", "s0b"} {
 			put(b.t, b.catalog, catalog.LeafKey(id), nil)
@@ -249,7 +249,7 @@
 		b.leafs.answer = func(leaf string) (time.Duration, *leafhttp.Response, error) {
 			return 0, answered(500, leaf), nil
 		}
-		b.enterPhase(rollout.Switching) // no first attempts go to the canary yet
+		b.enterPhase(rollout.PhaseSwitching) // no first attempts go to the canary yet
 		_, err := b.Serve(b.t.Context(), newRequest("/single/1"))
 		is.NoErr(err)
 		is.True(!isCanary(b.queried()[0]))
@@ -263,7 +263,7 @@
 		is.True(retried)
 	})
 	withCanary(t, allToCanary(), func(is *is.I, b *canaryGateway) {
-		b.enterPhase(rollout.Switching)
+		b.enterPhase(rollout.PhaseSwitching)
 		b.canaryAnswer = func(leaf string) (time.Duration, *leafhttp.Response, error) { return 0, answered(500, leaf), nil }
 		retried := false
 		for range 40 {
@@ -292,7 +292,7 @@
 			served <- err
 		}()
 		time.Sleep(10 * time.Millisecond)
-		b.enterPhase(rollout.Switching)
+		b.enterPhase(rollout.PhaseSwitching)
 		time.Sleep(200 * time.Millisecond)
 		is.Equal(b.canary.SettledRevision(), b.catalog.Revision()-1)
 		is.NoErr(<-served)
--- a/internal/request/gateway/canary_tree_test.go
+++ b/internal/request/gateway/canary_tree_test.go
@@ -74,7 +74,7 @@
 	}
 	is.Equal(len(b.attempts.by("root")), 0)
 	is.Equal(root.canary.Decide(canary.Request{Service: "s0"}), canary.Decision{})
-	is.Equal(root.canary.Decide(canary.Request{Service: "s0"}).First, canary.Target)
+	is.Equal(root.canary.Decide(canary.Request{Service: "s0"}).First, canary.Canary)
 }
 
 // Once requests are switched to a version, placement follows its leafs.
@@ -90,7 +90,7 @@
 	}
 	is.True(!slices.Contains(placed.groupsOf(entry)[0].shards, 0))
 	specID := node.catalog.View().Rollouts["s0"].Spec.Revision
-	put(t, node.catalog, catalog.RolloutStateKey("s0"), rollout.State{Service: "s0", SpecRevision: specID, Phase: rollout.Switching, Serving: "v1", Target: "v2"})
+	put(t, node.catalog, catalog.RolloutStateKey("s0"), rollout.State{Service: "s0", SpecRevision: specID, Phase: rollout.PhaseSwitching, Serving: "v1", Target: "v2"})
 	is.True(slices.Contains(placed.groupsOf(entry)[0].shards, 0))
 }
 
--- a/internal/request/gateway/candidates.go
+++ b/internal/request/gateway/candidates.go
@@ -19,7 +19,7 @@
 // candidates returns the leafs of a shard that may be queried now without a canary decision, and sets the shard's
 // targets. Package balancer chooses among them.
 func (e *execution) candidates(shard int) []balancer.Candidate {
-	return e.candidatesOf(shard, e.gateway.retryVersions(e.services[shard]))
+	return e.candidatesOf(shard, e.gateway.retryRole(e.services[shard]))
 }
 
 // candidatesOf returns the leafs of a shard that may be queried now, and sets the shard's targets. A leaf may be
@@ -31,10 +31,10 @@
 //   - if it is cold, this node's share of its request rate is not used up (warmup);
 //   - its zone is reachable;
 //   - the route allows its region.
-func (e *execution) candidatesOf(shard int, versions canary.Versions) []balancer.Candidate {
+func (e *execution) candidatesOf(shard int, role canary.Role) []balancer.Candidate {
 	service := e.services[shard]
 	queried := queriedService{name: service, isGathered: e.isGathered(), maximumConnections: e.request.service(service).MaximumConnections}
-	candidates := e.gateway.inReachableZones(e.gateway.usableLeafs(queried, versions, &e.targets[shard]))
+	candidates := e.gateway.inReachableZones(e.gateway.usableLeafs(queried, role, &e.targets[shard]))
 	if len(e.request.route.Regions) == 0 {
 		return candidates
 	}
@@ -57,14 +57,14 @@
 
 // usableLeafs returns the leafs of a service that this node may query, by version, connections and warm-up, and sets
 // targets to how to connect to them.
-func (g *Gateway) usableLeafs(service queriedService, versions canary.Versions, targets *[]leafTarget) []balancer.Candidate {
+func (g *Gateway) usableLeafs(service queriedService, role canary.Role, targets *[]leafTarget) []balancer.Candidate {
 	*targets = nil
 	var candidates []balancer.Candidate
-	if versions != canary.Target {
+	if role != canary.Canary {
 		candidates = g.appendUsable(candidates, service, g.servingLeafs(service.name), targets)
 	}
-	if versions != canary.Serving {
-		candidates = g.appendUsable(candidates, service, g.canaryLeafs(service.name, versions), targets)
+	if role != canary.Serving {
+		candidates = g.appendUsable(candidates, service, g.canaryLeafs(service.name, role), targets)
 	}
 	return candidates
 }
@@ -103,11 +103,11 @@
 
 // canaryLeafs returns the leafs of a service's canary version. Once all requests go to that version, it includes
 // recently lost leafs if there are no others.
-func (g *Gateway) canaryLeafs(service string, versions canary.Versions) []*leafset.Leaf {
-	if versions == canary.Target {
-		return g.memory.Canaries(service)
+func (g *Gateway) canaryLeafs(service string, role canary.Role) []*leafset.Leaf {
+	if role == canary.Canary {
+		return g.memory.CanaryLeafs(service)
 	}
-	return g.catalog.View().Leafs.Canaries(service)
+	return g.catalog.View().Leafs.CanaryLeafs(service)
 }
 
 // target returns the leaf of an attempt, and how to connect to it.
--- a/internal/request/gateway/placement.go
+++ b/internal/request/gateway/placement.go
@@ -95,8 +95,8 @@
 // placedLeafs returns the leafs that determine the placement of a service: the serving ones, or the canaries once
 // requests are being switched to their version.
 func placedLeafs(leafs *leafset.Set, service string) []*leafset.Leaf {
-	if leafs.Rule(service).Phase == rollout.Switching {
-		return leafs.Canaries(service)
+	if leafs.Rule(service).Phase == rollout.PhaseSwitching {
+		return leafs.CanaryLeafs(service)
 	}
 	return leafs.Ready(service)
 }
--- a/internal/request/gateway/refuse.go
+++ b/internal/request/gateway/refuse.go
@@ -116,7 +116,7 @@
 	}
 	count := 0
 	for _, shard := range shards {
-		if e.decide(shard, true).First == canary.Target {
+		if e.decide(shard, true).First == canary.Canary {
 			if count++; count == wanted {
 				return count
 			}
@@ -130,16 +130,16 @@
 // all requests go to their version.
 func (e *execution) hasLeaf(index int) bool {
 	service := e.services[index]
-	versions := e.gateway.retryVersions(service)
-	if versions != canary.Target && e.anyMayRun(e.gateway.servingLeafs(service)) {
+	role := e.gateway.retryRole(service)
+	if role != canary.Canary && e.anyMayRun(e.gateway.servingLeafs(service)) {
 		return true
 	}
-	return versions != canary.Serving && e.anyMayRun(e.gateway.canaryLeafs(service, versions))
+	return role != canary.Serving && e.anyMayRun(e.gateway.canaryLeafs(service, role))
 }
 
 // mayGoToCanary reports whether a canary decision of this node could send a shard to a canary.
 func (e *execution) mayGoToCanary(index int) bool {
-	return !e.isInGroup(index) && e.anyMayRun(e.gateway.catalog.View().Leafs.Canaries(e.services[index]))
+	return !e.isInGroup(index) && e.anyMayRun(e.gateway.catalog.View().Leafs.CanaryLeafs(e.services[index]))
 }
 
 // anyMayRun reports whether any of the leafs is in a zone that the route allows and this node can reach.
--- a/internal/request/gateway/warm.go
+++ b/internal/request/gateway/warm.go
@@ -41,7 +41,7 @@
 func (g *Gateway) warmService(service string, limit int) {
 	queried := queriedService{name: service, isGathered: true, maximumConnections: limit}
 	var targets []leafTarget
-	choice := g.balancer.Choose(g.usableLeafs(queried, g.retryVersions(service), &targets), nil)
+	choice := g.balancer.Choose(g.usableLeafs(queried, g.retryRole(service), &targets), nil)
 	if choice.Leaf != nil {
 		g.warmLeaf(choice.Leaf.ID, targets)
 	}
@@ -62,9 +62,9 @@
 	g.leafs.Warm(ordered)
 }
 
-// warmCanaries opens a connection to a leaf of each canary version that this node may select, once per rollout spec.
+// warmCanaryLeafs opens a connection to a leaf of each canary version that this node may select, once per rollout spec.
 // warmed stores the specs that are done, by service.
-func (g *Gateway) warmCanaries(warmed map[string]int64) {
+func (g *Gateway) warmCanaryLeafs(warmed map[string]int64) {
 	view := g.catalog.View()
 	for service := range warmed {
 		if view.Leafs.Rule(service).Canary == "" {
@@ -84,14 +84,14 @@
 
 // warmCanary opens a connection to the canary that is selected first, and reports whether there is any canary.
 func (g *Gateway) warmCanary(view *catalog.View, service string) bool {
-	leafs := g.canary.FocusOrder(service, view.Leafs.Canaries(service))
+	leafs := g.canary.FocusOrder(service, view.Leafs.CanaryLeafs(service))
 	if len(leafs) == 0 || view.Routes == nil {
 		return false
 	}
 	configured, _ := view.Routes.Service(service)
 	queried := queriedService{name: service, isGathered: view.Routes.IsGathered(service), maximumConnections: configured.MaximumConnections}
 	var targets []leafTarget
-	g.usableLeafs(queried, canary.Target, &targets)
+	g.usableLeafs(queried, canary.Canary, &targets)
 	for _, leaf := range leafs {
 		if slices.ContainsFunc(targets, func(target leafTarget) bool { return target.LeafID == leaf.ID && target.Connections > 0 }) {
 			g.warmLeaf(leaf.ID, targets)
@@ -134,5 +134,5 @@
 		return
 	}
 	g.canary.Refresh()
-	g.warmCanaries(warmed)
+	g.warmCanaryLeafs(warmed)
 }
--- a/internal/rollout/canary/bound_test.go
+++ b/internal/rollout/canary/bound_test.go
@@ -180,7 +180,7 @@
 	is.Equal(decide(splitter, 12, false), 0)
 	request := Request{Service: "s"}
 	decision := splitter.Decide(request)
-	is.True(decision.First == Target && decision.IsBounded)
+	is.True(decision.First == Canary && decision.IsBounded)
 	is.Equal(decide(splitter, 1, false), 0)
 	splitter.Refund(request, decision)
 	is.Equal(decide(splitter, 1, false), 1)
@@ -206,7 +206,7 @@
 	unserved := func(s *Splitter, n int) int {
 		forCanary := 0
 		for range n {
-			if s.Decide(Request{Service: "s", Unserved: true}).First == Target {
+			if s.Decide(Request{Service: "s", Unserved: true}).First == Canary {
 				forCanary++
 			}
 		}
--- a/internal/rollout/canary/fixture_test.go
+++ b/internal/rollout/canary/fixture_test.go
@@ -94,7 +94,7 @@
 func decide(s *Splitter, n int, once bool) int {
 	forCanary := 0
 	for range n {
-		if s.Decide(Request{Service: "s", Once: once}).First == Target {
+		if s.Decide(Request{Service: "s", Once: once}).First == Canary {
 			forCanary++
 		}
 	}
--- a/internal/rollout/canary/inflight.go
+++ b/internal/rollout/canary/inflight.go
@@ -60,7 +60,7 @@
 	settled := view.Revision
 	for service := range view.Rollouts {
 		rule := view.Leafs.Rule(service)
-		if rule.Phase == rollout.Switching && !s.isSettled(service, rule, s.budget(view, service, rule)) {
+		if rule.Phase == rollout.PhaseSwitching && !s.isSettled(service, rule, s.budget(view, service, rule)) {
 			settled = min(settled, rule.Revision-1)
 		}
 	}
--- a/internal/rollout/canary/splitter.go
+++ b/internal/rollout/canary/splitter.go
@@ -12,15 +12,15 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// Versions selects versions of a service by their role in a roll-out.
-type Versions int
+// Role selects versions of a service by their role in a rollout.
+type Role int
 
-// The versions.
+// The roles.
 const (
 	// Serving selects the serving version.
-	Serving Versions = iota
-	// Target selects the canary version.
-	Target
+	Serving Role = iota
+	// Canary selects the canary version.
+	Canary
 	// Both selects the serving and the canary version.
 	Both
 )
@@ -37,8 +37,8 @@
 
 // Decision selects the version for the first attempt of a request.
 type Decision struct {
-	// First is Serving or Target.
-	First Versions
+	// First is Serving or Canary.
+	First Role
 	// IsBounded means that the attempt counts against the bounded share. It goes to the first usable leaf in
 	// FocusOrder.
 	IsBounded bool
@@ -134,9 +134,9 @@
 	}
 	budget.count(request.Once, 1)
 	if stage == bounded {
-		return Decision{First: Target, IsBounded: true, specID: rule.SpecID}
+		return Decision{First: Canary, IsBounded: true, specID: rule.SpecID}
 	}
-	return Decision{First: Target}
+	return Decision{First: Canary}
 }
 
 // isForCanary reports whether the first attempt of a request goes to the canary version. s.mu must be held.
@@ -145,10 +145,10 @@
 	case moved:
 		return true
 	case ramping:
-		return len(view.Leafs.Canaries(request.Service)) > 0 && s.random() < s.ramp(budget, now)
+		return len(view.Leafs.CanaryLeafs(request.Service)) > 0 && s.random() < s.ramp(budget, now)
 	case bounded:
 		s.lowerFleetShare(view, request.Service, budget)
-		return len(view.Leafs.Canaries(request.Service)) > 0 && budget.hasRoom(s.cfg, request.Once, now)
+		return len(view.Leafs.CanaryLeafs(request.Service)) > 0 && budget.hasRoom(s.cfg, request.Once, now)
 	case stopped:
 	}
 	return false
@@ -175,14 +175,14 @@
 	return budget.focusOrder(leafs, s.now())
 }
 
-// RetryVersions returns the versions that retries, and attempts without a decision, may go to now. Before the ramp that
+// RetryRole returns the versions that retries, and attempts without a decision, may go to now. Before the ramp that
 // is only the serving version.
-func (s *Splitter) RetryVersions(service string) Versions {
+func (s *Splitter) RetryRole(service string) Role {
 	switch s.stageNow(service) {
 	case ramping:
 		return Both
 	case moved:
-		return Target
+		return Canary
 	case stopped, bounded:
 	}
 	return Serving
@@ -236,7 +236,7 @@
 		budget = s.newBudget(view, service, rule)
 		s.budgets[service] = budget
 	}
-	if rule.Phase == rollout.Switching && budget.switchedAt.IsZero() {
+	if rule.Phase == rollout.PhaseSwitching && budget.switchedAt.IsZero() {
 		budget.switchedAt = s.now()
 	}
 	return budget
--- a/internal/rollout/canary/stage.go
+++ b/internal/rollout/canary/stage.go
@@ -46,7 +46,7 @@
 	switch {
 	case rule.SpecID <= s.aborts[service]:
 		return stopped
-	case rule.Phase == rollout.Switching && now.Sub(s.catalog.ConfirmedAt()) <= s.cfg.ConfirmedWithin:
+	case rule.Phase == rollout.PhaseSwitching && now.Sub(s.catalog.ConfirmedAt()) <= s.cfg.ConfirmedWithin:
 		if now.Sub(budget.switchedAt) < s.Ramp(budget.duration) {
 			return ramping
 		}
--- a/internal/rollout/canary/stage_test.go
+++ b/internal/rollout/canary/stage_test.go
@@ -24,7 +24,7 @@
 	f := newFixture(t)
 	splitter := f.splitter(config(50), &fakeFleet{1})
 	is.Equal(decide(splitter, 100, false), 0)
-	is.Equal(splitter.RetryVersions("s"), Serving)
+	is.Equal(splitter.RetryRole("s"), Serving)
 	is.Equal(maySend(splitter), "true false")
 	is.True(!splitter.IsCanaryOpen("s") && !splitter.MaySend("unknown"))
 	is.Equal(len(splitter.budgets), 0)
@@ -58,10 +58,10 @@
 	splitter.Abort("s", specID)
 	is.Equal(decide(splitter, 100, false), 0)
 	is.Equal(maySend(splitter), "true false")
-	f.phase(specID, rollout.Switching)
+	f.phase(specID, rollout.PhaseSwitching)
 	f.advance(time.Hour)
 	is.Equal(decide(splitter, 100, false), 0)
-	is.Equal(splitter.RetryVersions("s"), Serving)
+	is.Equal(splitter.RetryRole("s"), Serving)
 	is.Equal(maySend(splitter), "true false")
 	splitter.Abort("s", specID-1)
 	is.Equal(maySend(splitter), "true false")
@@ -108,23 +108,23 @@
 	f, splitter, specID := newRollout(t, 0)
 	random := 0.0
 	splitter.random = func() float64 { return random }
-	f.phase(specID, rollout.Switching)
+	f.phase(specID, rollout.PhaseSwitching)
 	splitter.Refresh()
-	is.Equal(splitter.RetryVersions("s"), Both)
+	is.Equal(splitter.RetryRole("s"), Both)
 	for _, step := range []struct {
 		fraction float64
 		share    float64
 	}{{0, 0.1}, {0.5, 0.55}, {0.9, 0.91}} {
 		f.clock = splitter.budgets["s"].switchedAt.Add(time.Duration(step.fraction * float64(2*time.Second)))
 		random = step.share - 0.001
-		is.Equal(splitter.Decide(Request{Service: "s"}), Decision{First: Target})
+		is.Equal(splitter.Decide(Request{Service: "s"}), Decision{First: Canary})
 		random = step.share + 0.001
 		is.Equal(splitter.Decide(Request{Service: "s"}), Decision{})
 		is.Equal(maySend(splitter), "true true")
 	}
 	f.advance(2 * time.Second)
-	is.Equal(splitter.Decide(Request{Service: "s", Once: true}), Decision{First: Target})
-	is.Equal(splitter.RetryVersions("s"), Target)
+	is.Equal(splitter.Decide(Request{Service: "s", Once: true}), Decision{First: Canary})
+	is.Equal(splitter.RetryRole("s"), Canary)
 	is.Equal(maySend(splitter), "false true")
 	f.advance(specDuration)
 	is.Equal(maySend(splitter), "false true") // a version that passed evaluation serves beyond the spec's duration
@@ -136,24 +136,24 @@
 	f, splitter, specID := newRolloutFor(t, 12*time.Second)
 	is.Equal(splitter.Ramp(12*time.Second), 1200*time.Millisecond)
 	is.Equal(splitter.Ramp(time.Hour), 2*time.Second)
-	f.phase(specID, rollout.Switching)
+	f.phase(specID, rollout.PhaseSwitching)
 	splitter.Refresh()
 	f.advance(1199 * time.Millisecond)
-	is.Equal(splitter.RetryVersions("s"), Both)
+	is.Equal(splitter.RetryRole("s"), Both)
 	f.advance(time.Millisecond)
-	is.Equal(splitter.RetryVersions("s"), Target)
+	is.Equal(splitter.RetryRole("s"), Canary)
 }
 
 // Without a recent confirmation of the configuration the canary receives no more than the share.
 func TestSwitchLapsesWithoutConfirmation(t *testing.T) {
 	is := is.New(t)
 	f, splitter, specID := newRollout(t, 0)
-	f.phase(specID, rollout.Switching)
+	f.phase(specID, rollout.PhaseSwitching)
 	splitter.Refresh()
 	f.clock = f.clock.Add(3 * time.Second)
 	is.Equal(decide(splitter, 10, false), 10)
 	f.clock = f.clock.Add(config(0).ConfirmedWithin - 2500*time.Millisecond)
-	is.Equal(splitter.RetryVersions("s"), Serving)
+	is.Equal(splitter.RetryRole("s"), Serving)
 	is.Equal(decide(splitter, 50, false), 0) // the share is already exceeded
 	is.Equal(decide(splitter, 200, false), 260*8/100-10)
 	is.Equal(maySend(splitter), "true true")
@@ -168,7 +168,7 @@
 	splitter.AttemptStarted("s", previous)
 	splitter.AttemptStarted("s", target)
 	is.Equal(splitter.SettledRevision(), f.catalog.Revision())
-	switched := f.phase(specID, rollout.Switching)
+	switched := f.phase(specID, rollout.PhaseSwitching)
 	f.put(catalog.EvacuationKey("z"), struct{}{})
 	is.Equal(splitter.SettledRevision(), switched-1)
 	f.advance(2 * time.Second)
@@ -192,7 +192,7 @@
 		{Name: "old", Service: "s", Address: "127.0.0.1:1", Version: target, State: leafset.Ready},
 		{Name: "other", Service: "s", Address: "127.0.0.1:1", Version: previous, State: leafset.Ready},
 	}})
-	f.phase(specID, rollout.RolledBack)
+	f.phase(specID, rollout.PhaseRolledBack)
 	f.put(catalog.LeafKey(leafID(target, 1)), nil)
 	f.putLeaf(target, 2, leafset.Draining)
 	for _, disallowed := range []string{leafID(target, 0), leafID(target, 1), leafID(target, 2), "old"} {
@@ -205,7 +205,7 @@
 func TestFocusRotatesOverLeafs(t *testing.T) {
 	is := is.New(t)
 	f, splitter, _ := newRollout(t, 0)
-	leafs := f.catalog.View().Leafs.Canaries("s")
+	leafs := f.catalog.View().Leafs.CanaryLeafs("s")
 	seen := map[string]int{}
 	for range focusTurns {
 		focused := splitter.FocusOrder("s", leafs)
@@ -252,7 +252,7 @@
 	splitter.SetClock(clock)
 	specID := f.startRollout()
 	splitter.Refresh()
-	f.phase(specID, rollout.Switching)
+	f.phase(specID, rollout.PhaseSwitching)
 	splitter.Refresh()
 	f.advance(splitter.Ramp(specDuration) + time.Second)
 	is.Equal(splitter.stageNow("s"), moved)
--- a/internal/rollout/evidence/collector_test.go
+++ b/internal/rollout/evidence/collector_test.go
@@ -119,7 +119,7 @@
 	observe()
 	is.Equal(c.Rows()[0].SpecID, next)
 	is.Equal(c.Rows()[0].Attempts(), int64(1))
-	put(t, nodeCatalog, catalog.RolloutStateKey("s"), rollout.State{Service: "s", SpecRevision: next, Phase: rollout.Succeeded, Serving: "v1", Target: "v2"})
+	put(t, nodeCatalog, catalog.RolloutStateKey("s"), rollout.State{Service: "s", SpecRevision: next, Phase: rollout.PhaseSucceeded, Serving: "v1", Target: "v2"})
 	is.Equal(len(c.TakeChanged(9))+len(c.Rows()), 0)
 	observe()
 	is.Equal(len(c.Rows()), 0)
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -72,23 +72,23 @@
 	}
 }
 
-// Phase is the phase of a roll-out.
+// Phase is how far a rollout has progressed.
 type Phase string
 
-// The phases. Succeeded and RolledBack are final: they last until another spec is written.
+// The phases. PhaseSucceeded and PhaseRolledBack are final: they last until another spec is written.
 const (
-	// Canary sends a bounded share of the requests to the target, which is evaluated meanwhile.
-	Canary Phase = "canary"
-	// Switching moves all requests to the target, which passed evaluation.
-	Switching Phase = "switching"
-	// Succeeded means that the target serves, and that the previous version receives no requests.
-	Succeeded Phase = "succeeded"
-	// RolledBack means that the target receives no requests.
-	RolledBack Phase = "rolled_back"
+	// PhaseCanary sends a bounded share of the requests to the target, which is evaluated meanwhile.
+	PhaseCanary Phase = "canary"
+	// PhaseSwitching moves all requests to the target, which passed evaluation.
+	PhaseSwitching Phase = "switching"
+	// PhaseSucceeded means that the target serves, and that the previous version receives no requests.
+	PhaseSucceeded Phase = "succeeded"
+	// PhaseRolledBack means that the target receives no requests.
+	PhaseRolledBack Phase = "rolled_back"
 )
 
 // IsFinal reports whether no other phase of the roll-out follows.
-func (p Phase) IsFinal() bool { return p == Succeeded || p == RolledBack }
+func (p Phase) IsFinal() bool { return p == PhaseSucceeded || p == PhaseRolledBack }
 
 // State is the progress of a roll-out in the fleet. It is replaced only by compare-and-swap, on condition that the
 // spec is unchanged.
@@ -118,7 +118,7 @@
 	}
 	var checks failure.Checks
 	checks.Refuse(state.Service == "", "service", "must not be empty")
-	checks.Refuse(state.Phase != Canary && state.Phase != Switching && !state.Phase.IsFinal(), "phase", "%q; must be canary, switching, succeeded or rolled_back", state.Phase)
+	checks.Refuse(state.Phase != PhaseCanary && state.Phase != PhaseSwitching && !state.Phase.IsFinal(), "phase", "%q; must be canary, switching, succeeded or rolled_back", state.Phase)
 	return state, checks.Err()
 }
 
@@ -134,7 +134,7 @@
 
 // ServingVersion returns the version that serves according to the state.
 func (s *State) ServingVersion() string {
-	if s.Phase == Succeeded {
+	if s.Phase == PhaseSucceeded {
 		return s.Target
 	}
 	return s.Serving
@@ -173,7 +173,7 @@
 	ExcludesUnversioned bool
 	// Canary is the version being rolled out, the target of the active spec; empty if there is none.
 	Canary string
-	// Phase is Canary or Switching while there is a canary version, else empty.
+	// Phase is PhaseCanary or PhaseSwitching while there is a canary version, else empty.
 	Phase Phase
 	// SpecID is the ID of the active spec, 0 if there is none.
 	SpecID int64
@@ -185,7 +185,7 @@
 // version, empty if there is none. All rules are derived here.
 //
 // A final state decides which version serves. A spec without a final state of its own makes its target the canary, in
-// phase Canary until a state sets another. If only leafs without a version served, the rule disallows a target that was
+// PhaseCanary until a state sets another. If only leafs without a version served, the rule disallows a target that was
 // rolled back, or excludes those leafs after a version has replaced them.
 func RuleOf(spec *Spec, state *State, storedVersion string) Rule {
 	rule := Rule{Serving: storedVersion}
@@ -205,7 +205,7 @@
 	if isStateOfSpec && state.Phase.IsFinal() {
 		return rule
 	}
-	rule.Canary, rule.SpecID, rule.Phase = spec.Target, spec.ID(), Canary
+	rule.Canary, rule.SpecID, rule.Phase = spec.Target, spec.ID(), PhaseCanary
 	if isStateOfSpec {
 		rule.Phase = state.Phase
 	}
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -26,7 +26,7 @@
 }
 
 func TestRuleOfSpecAndState(t *testing.T) {
-	canary := Rule{Serving: "v1", Canary: "v2", Phase: Canary, SpecID: specRevision}
+	canary := Rule{Serving: "v1", Canary: "v2", Phase: PhaseCanary, SpecID: specRevision}
 	withState := func(rule Rule, phase Phase) Rule {
 		rule.Revision, rule.Phase = 9, phase
 		return rule
@@ -41,21 +41,21 @@
 		{"neither spec nor state", nil, nil, "", Rule{}},
 		{"stored version only", nil, nil, "v1", Rule{Serving: "v1"}},
 		{"spec without a state", spec("v2"), nil, "v1", canary},
-		{"phase canary", spec("v2"), state(Canary, specRevision), "v1", withState(canary, Canary)},
-		{"phase switching", spec("v2"), state(Switching, specRevision), "v1", withState(canary, Switching)},
-		{"succeeded", spec("v2"), state(Succeeded, specRevision), "v1", Rule{Serving: "v2", Revision: 9}},
-		{"rolled back", spec("v2"), state(RolledBack, specRevision), "v1", Rule{Serving: "v1", Revision: 9}},
-		{"same spec again after rollback", spec("v2"), state(RolledBack, 5), "v1", withState(canary, Canary)},
-		{"another spec during phase switching", spec("v3"), state(Switching, 5), "v1", Rule{Serving: "v1", Canary: "v3", Phase: Canary, SpecID: specRevision, Revision: 9}},
-		{"another spec after success", spec("v3"), state(Succeeded, 5), "v1", Rule{Serving: "v2", Canary: "v3", Phase: Canary, SpecID: specRevision, Revision: 9}},
-		{"spec withdrawn", nil, state(Switching, specRevision), "v1", Rule{Serving: "v1", Revision: 9}},
-		{"spec withdrawn after success", nil, state(Succeeded, specRevision), "v1", Rule{Serving: "v2", Revision: 9}},
-		{"rolled back, serving leafs unversioned", spec("v2"), unversioned(RolledBack, specRevision), "", Rule{Disallowed: "v2", Revision: 9}},
-		{"spec withdrawn, serving leafs unversioned", nil, unversioned(Switching, specRevision), "", Rule{Disallowed: "v2", Revision: 9}},
-		{"same spec again, serving leafs unversioned", spec("v2"), unversioned(RolledBack, 5), "", Rule{Canary: "v2", Phase: Canary, SpecID: specRevision, Revision: 9}},
-		{"another spec, serving leafs unversioned", spec("v3"), unversioned(RolledBack, 5), "", Rule{Disallowed: "v2", Canary: "v3", Phase: Canary, SpecID: specRevision, Revision: 9}},
-		{"succeeded, serving leafs unversioned", spec("v2"), unversioned(Succeeded, specRevision), "", Rule{Serving: "v2", ExcludesUnversioned: true, Revision: 9}},
-		{"another spec after success over unversioned leafs", spec("v3"), unversioned(Succeeded, 5), "", Rule{Serving: "v2", ExcludesUnversioned: true, Canary: "v3", Phase: Canary, SpecID: specRevision, Revision: 9}},
+		{"phase canary", spec("v2"), state(PhaseCanary, specRevision), "v1", withState(canary, PhaseCanary)},
+		{"phase switching", spec("v2"), state(PhaseSwitching, specRevision), "v1", withState(canary, PhaseSwitching)},
+		{"succeeded", spec("v2"), state(PhaseSucceeded, specRevision), "v1", Rule{Serving: "v2", Revision: 9}},
+		{"rolled back", spec("v2"), state(PhaseRolledBack, specRevision), "v1", Rule{Serving: "v1", Revision: 9}},
+		{"same spec again after rollback", spec("v2"), state(PhaseRolledBack, 5), "v1", withState(canary, PhaseCanary)},
+		{"another spec during phase switching", spec("v3"), state(PhaseSwitching, 5), "v1", Rule{Serving: "v1", Canary: "v3", Phase: PhaseCanary, SpecID: specRevision, Revision: 9}},
+		{"another spec after success", spec("v3"), state(PhaseSucceeded, 5), "v1", Rule{Serving: "v2", Canary: "v3", Phase: PhaseCanary, SpecID: specRevision, Revision: 9}},
+		{"spec withdrawn", nil, state(PhaseSwitching, specRevision), "v1", Rule{Serving: "v1", Revision: 9}},
+		{"spec withdrawn after success", nil, state(PhaseSucceeded, specRevision), "v1", Rule{Serving: "v2", Revision: 9}},
+		{"rolled back, serving leafs unversioned", spec("v2"), unversioned(PhaseRolledBack, specRevision), "", Rule{Disallowed: "v2", Revision: 9}},
+		{"spec withdrawn, serving leafs unversioned", nil, unversioned(PhaseSwitching, specRevision), "", Rule{Disallowed: "v2", Revision: 9}},
+		{"same spec again, serving leafs unversioned", spec("v2"), unversioned(PhaseRolledBack, 5), "", Rule{Canary: "v2", Phase: PhaseCanary, SpecID: specRevision, Revision: 9}},
+		{"another spec, serving leafs unversioned", spec("v3"), unversioned(PhaseRolledBack, 5), "", Rule{Disallowed: "v2", Canary: "v3", Phase: PhaseCanary, SpecID: specRevision, Revision: 9}},
+		{"succeeded, serving leafs unversioned", spec("v2"), unversioned(PhaseSucceeded, specRevision), "", Rule{Serving: "v2", ExcludesUnversioned: true, Revision: 9}},
+		{"another spec after success over unversioned leafs", spec("v3"), unversioned(PhaseSucceeded, 5), "", Rule{Serving: "v2", ExcludesUnversioned: true, Canary: "v3", Phase: PhaseCanary, SpecID: specRevision, Revision: 9}},
 		{"target already serves", spec("v1"), nil, "v1", Rule{Serving: "v1"}},
 	}
 	for _, c := range cases {
--- a/internal/rollout/rolloutcontrol/activerollout.go
+++ b/internal/rollout/rolloutcontrol/activerollout.go
@@ -58,7 +58,7 @@
 		elapsed := time.Duration(r.learnedAt.UnixMilli()-state.StartedUnixMillis) * time.Millisecond
 		r.elapsedBefore = min(max(elapsed, 0), r.spec.Duration())
 	}
-	if state.Phase == rollout.Switching && r.phase() != rollout.Switching {
+	if state.Phase == rollout.PhaseSwitching && r.phase() != rollout.PhaseSwitching {
 		r.switchingSince, r.settledSince, r.status = now, time.Time{}, FleetStatus{}
 	}
 	r.state = state
--- a/internal/rollout/rolloutcontrol/controller_test.go
+++ b/internal/rollout/rolloutcontrol/controller_test.go
@@ -28,8 +28,8 @@
 const specDuration = 12 * time.Second
 
 var (
-	successPhases  = []rollout.Phase{rollout.Canary, rollout.Switching, rollout.Succeeded}
-	rollbackPhases = []rollout.Phase{rollout.Canary, rollout.RolledBack}
+	successPhases  = []rollout.Phase{rollout.PhaseCanary, rollout.PhaseSwitching, rollout.PhaseSucceeded}
+	rollbackPhases = []rollout.Phase{rollout.PhaseCanary, rollout.PhaseRolledBack}
 )
 
 func TestGoodVersionSucceedsWithOneWritePerPhase(t *testing.T) {
@@ -63,7 +63,7 @@
 		}
 		f.startRollout("s", "b", specDuration)
 		f.serve(specDuration, 8*time.Second)
-		is.Equal(f.store.phases("s"), []rollout.Phase{rollout.Canary, rollout.Switching, rollout.RolledBack})
+		is.Equal(f.store.phases("s"), []rollout.Phase{rollout.PhaseCanary, rollout.PhaseSwitching, rollout.PhaseRolledBack})
 	})
 }
 
@@ -122,7 +122,7 @@
 		f.serve(time.Second, never)
 		f.store.setUnavailable(true)
 		f.serve(8*time.Second, never)
-		is.Equal(f.node("n0").catalog.View().Leafs.Rule("s").Phase, rollout.Canary)
+		is.Equal(f.node("n0").catalog.View().Leafs.Rule("s").Phase, rollout.PhaseCanary)
 		f.store.setUnavailable(false)
 		f.serve(specDuration, never)
 		is.Equal(f.store.phases("s"), successPhases)
@@ -166,7 +166,7 @@
 		f.serve(3*time.Second, never)
 		second := f.startRollout("s", "c", specDuration)
 		f.serve(specDuration, never)
-		is.Equal(f.store.phases("s"), append([]rollout.Phase{rollout.Canary}, successPhases...))
+		is.Equal(f.store.phases("s"), append([]rollout.Phase{rollout.PhaseCanary}, successPhases...))
 		is.Equal(f.store.written()[0].SpecRevision, first)
 		for _, state := range f.store.written()[1:] {
 			is.Equal(state.SpecRevision, second)
@@ -215,7 +215,7 @@
 	withFleet(t, func(is *is.I, f *fleet) {
 		f.startRollout("s", "a", specDuration)
 		f.serve(time.Second, never)
-		is.Equal(f.store.phases("s"), []rollout.Phase{rollout.Succeeded})
+		is.Equal(f.store.phases("s"), []rollout.Phase{rollout.PhaseSucceeded})
 	})
 }
 
--- a/internal/rollout/rolloutcontrol/evaluate.go
+++ b/internal/rollout/rolloutcontrol/evaluate.go
@@ -82,7 +82,7 @@
 // endWithoutSpec ends a roll-out whose spec was withdrawn. The previous version continues to serve.
 func (c *Controller) endWithoutSpec(ctx context.Context, now time.Time, state rollout.State, rank int) time.Duration {
 	replaced := state.Revision
-	state.Phase, state.Reason, state.DecidedBy = rollout.RolledBack, "the order was taken back", c.deps.Self.ID
+	state.Phase, state.Reason, state.DecidedBy = rollout.PhaseRolledBack, "the order was taken back", c.deps.Self.ID
 	delay := time.Duration(rank) * c.cfg.TakeoverPause
 	return c.write(ctx, now, phaseWrite{event: PhaseWriteEvent{State: state}, replaced: replaced, delay: delay})
 }
--- a/internal/rollout/rolloutcontrol/handlers_test.go
+++ b/internal/rollout/rolloutcontrol/handlers_test.go
@@ -128,7 +128,7 @@
 		writes := blockingWriter{1: make(chan struct{}), 2: make(chan struct{})}
 		c := New(Deps{Config: f.cfg, States: writes, Events: f.node("n0"), Catalog: f.node("n0").catalog})
 		startWrite := func(specRevision int64) *writeSchedule {
-			state := rollout.State{Service: "s", SpecRevision: specRevision, Phase: rollout.Canary}
+			state := rollout.State{Service: "s", SpecRevision: specRevision, Phase: rollout.PhaseCanary}
 			c.write(context.Background(), time.Now(), phaseWrite{event: PhaseWriteEvent{State: state}, specRevision: specRevision})
 			synctest.Wait()
 			return c.schedules["s"]
@@ -187,7 +187,7 @@
 	withFleet(t, func(is *is.I, f *fleet) {
 		f.startRollout("s", "missing", specDuration)
 		f.serve(specDuration/2, never)
-		is.Equal(f.store.phases("s"), []rollout.Phase{rollout.Canary})
+		is.Equal(f.store.phases("s"), []rollout.Phase{rollout.PhaseCanary})
 		for _, node := range f.all() {
 			node.suspended.Store(int64(specDuration / 2))
 		}
--- a/internal/rollout/rolloutcontrol/node_test.go
+++ b/internal/rollout/rolloutcontrol/node_test.go
@@ -162,7 +162,7 @@
 func (n *testNode) PhaseLearned(state rollout.State) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if state.Phase == rollout.Switching {
+	if state.Phase == rollout.PhaseSwitching {
 		n.switchedAt = time.Now()
 	}
 }
@@ -233,7 +233,7 @@
 		if rule.Canary == "" || n.isAborted(rolloutID{service, rule.SpecID}) {
 			continue
 		}
-		for _, leaf := range view.Leafs.Canaries(service) {
+		for _, leaf := range view.Leafs.CanaryLeafs(service) {
 			n.observe(evidence.Key{Service: service, SpecID: rule.SpecID, Route: "r", Version: leaf.Version, Leaf: leaf.ID}, fails)
 			break
 		}
--- a/internal/rollout/rolloutcontrol/phase.go
+++ b/internal/rollout/rolloutcontrol/phase.go
@@ -35,17 +35,17 @@
 func (r *activeRollout) nextPhase(now time.Time, cfg Config, registered uint64) (rollout.Phase, string) {
 	switch {
 	case r.state == nil && r.isServingKnown && r.serving == r.spec.Target:
-		return rollout.Succeeded, "the version serves already"
+		return rollout.PhaseSucceeded, "the version serves already"
 	case r.evaluation.Finding == verdict.Bad:
-		return rollout.RolledBack, r.evaluation.Reason
-	case r.phase() == rollout.Switching:
+		return rollout.PhaseRolledBack, r.evaluation.Reason
+	case r.phase() == rollout.PhaseSwitching:
 		return r.nextWhileSwitching(now, cfg, registered)
 	case r.evaluation.Finding == verdict.Good:
-		return rollout.Switching, r.evaluation.Reason
+		return rollout.PhaseSwitching, r.evaluation.Reason
 	case r.elapsed(now) >= r.spec.Duration()-cfg.rollbackMargin(r.spec.Duration()):
-		return rollout.RolledBack, undecidedReason(r.spec.Target, r.rows)
+		return rollout.PhaseRolledBack, undecidedReason(r.spec.Target, r.rows)
 	case r.state == nil && r.isServingKnown:
-		return rollout.Canary, ""
+		return rollout.PhaseCanary, ""
 	default:
 		return "", ""
 	}
@@ -62,11 +62,11 @@
 	case isDone && !r.isFinalWatchOver(now, cfg):
 		return "", ""
 	case isSettled && r.status.Registered == registered:
-		return rollout.Succeeded, "all nodes are settled"
+		return rollout.PhaseSucceeded, "all nodes are settled"
 	case isSettled && isWaitOver:
-		return rollout.Succeeded, "all nodes that answer are settled"
+		return rollout.PhaseSucceeded, "all nodes that answer are settled"
 	case isWaitOver && r.elapsed(now) >= r.spec.Duration()+cfg.SettleWait:
-		return rollout.Succeeded, "found good, and the time is over"
+		return rollout.PhaseSucceeded, "found good, and the time is over"
 	default:
 		return "", ""
 	}
@@ -106,7 +106,7 @@
 // takeoverPause returns the additional time that each evaluator node waits, compared with the preceding rank, before it
 // writes a phase.
 func (c Config) takeoverPause(phase rollout.Phase, duration time.Duration) time.Duration {
-	if phase == rollout.Canary {
+	if phase == rollout.PhaseCanary {
 		return min(c.TakeoverPause, duration/firstStateDivisor)
 	}
 	return min(c.TakeoverPause, duration/takeoverDivisor)
--- a/internal/rollout/rolloutcontrol/property_test.go
+++ b/internal/rollout/rolloutcontrol/property_test.go
@@ -94,9 +94,9 @@
 // phaseOrder returns the position of a phase. The positions of a spec's phases must increase.
 func phaseOrder(phase rollout.Phase) int {
 	switch phase {
-	case rollout.Canary:
+	case rollout.PhaseCanary:
 		return 0
-	case rollout.Switching:
+	case rollout.PhaseSwitching:
 		return 1
 	default:
 		return 2
@@ -115,7 +115,7 @@
 		}
 		last[state.SpecRevision] = state.Phase
 		inForce := m.specRevisions[index]
-		isWithoutSpec := inForce == 0 && state.Phase == rollout.RolledBack
+		isWithoutSpec := inForce == 0 && state.Phase == rollout.PhaseRolledBack
 		if inForce != state.SpecRevision && !isWithoutSpec {
 			return fmt.Sprintf("%s was written for spec %d while spec %d was in force", state.Phase, state.SpecRevision, inForce)
 		}
--- a/internal/rollout/rolloutcontrol/settling.go
+++ b/internal/rollout/rolloutcontrol/settling.go
@@ -39,7 +39,7 @@
 	revision, next := int64(0), time.Duration(0)
 	for service, active := range c.rollouts {
 		rank := c.rank(view, service)
-		if rank < 0 || active.phase() != rollout.Switching || !active.settledSince.IsZero() {
+		if rank < 0 || active.phase() != rollout.PhaseSwitching || !active.settledSince.IsZero() {
 			continue
 		}
 		dueIn := active.switchingSince.Add(c.untilFirstCheck(active.spec, rank)).Sub(now)
@@ -64,7 +64,7 @@
 	if rank == 0 {
 		return first
 	}
-	return first + c.cfg.finalWatch(spec.Duration()) + time.Duration(rank)*c.cfg.takeoverPause(rollout.Succeeded, spec.Duration())
+	return first + c.cfg.finalWatch(spec.Duration()) + time.Duration(rank)*c.cfg.takeoverPause(rollout.PhaseSucceeded, spec.Duration())
 }
 
 // earlier returns the shorter of two pauses, where 0 or less means none.
@@ -99,7 +99,7 @@
 	}
 	c.answerQueriedAt = answer.queriedAt
 	for _, active := range c.rollouts {
-		if active.phase() == rollout.Switching {
+		if active.phase() == rollout.PhaseSwitching {
 			active.status = answer.status
 		}
 	}
--- a/internal/rollout/rolloutcontrol/settling_test.go
+++ b/internal/rollout/rolloutcontrol/settling_test.go
@@ -43,7 +43,7 @@
 		}
 		f.serve(syncDelay+f.ramp+f.cfg.SettleInterval, never)
 		f.serve(specDuration, 0) // all requests fail
-		is.Equal(f.store.phases("s"), []rollout.Phase{rollout.Canary, rollout.Switching, rollout.RolledBack})
+		is.Equal(f.store.phases("s"), []rollout.Phase{rollout.PhaseCanary, rollout.PhaseSwitching, rollout.PhaseRolledBack})
 	})
 }
 
--- a/internal/rollout/rolloutcontrol/statewriter_test.go
+++ b/internal/rollout/rolloutcontrol/statewriter_test.go
@@ -23,7 +23,7 @@
 		specID := f.startRollout("s", "b", specDuration)
 		view := storeView{f.store, f.node("n0")}
 		states := GuardedStateWriter{Store: view, Guarded: view, RetryPause: f.cfg.RetryPause}
-		run(t.Context(), is.New(t), f, states, rollout.State{Service: "s", SpecRevision: specID, Phase: rollout.Canary, Target: "b", DecidedBy: "n0"})
+		run(t.Context(), is.New(t), f, states, rollout.State{Service: "s", SpecRevision: specID, Phase: rollout.PhaseCanary, Target: "b", DecidedBy: "n0"})
 	})
 }
 
--- a/internal/rollout/rolloutcontrol/status.go
+++ b/internal/rollout/rolloutcontrol/status.go
@@ -26,7 +26,7 @@
 func (s *statusSnapshot) set(rollouts map[string]*activeRollout) {
 	found := make([]Status, 0, len(rollouts))
 	for service, active := range rollouts {
-		phase := cmp.Or(active.phase(), rollout.Canary)
+		phase := cmp.Or(active.phase(), rollout.PhaseCanary)
 		found = append(found, Status{Service: service, Phase: phase, Serving: active.serving, Target: active.spec.Target, Counts: countRoutes(active.rows)})
 	}
 	slices.SortFunc(found, func(a, b Status) int { return strings.Compare(a.Service, b.Service) })
