--- a/cmd/portgauge/dialects.go
+++ b/cmd/portgauge/dialects.go
@@ -12,7 +12,7 @@
 	return []node.Dialect{{
 		Name: platform.Name,
 		HTTP: platform.HTTPNames(),
-		Connect: func(cfg settings.Platform, called func(store.Answer)) node.PlatformStore {
+		Connect: func(cfg settings.Platform, called func(store.CallOutcome)) node.PlatformStore {
 			return platform.NewClient(cfg, called)
 		},
 	}}
--- a/cmd/portgauge/rollout_test.go
+++ b/cmd/portgauge/rollout_test.go
@@ -88,7 +88,7 @@
 	cfg.Node = settings.Node{ID: id, Zone: "z"}
 	cfg.Platform.Address = platformAddress
 	cfg.Listen = settings.Listen{Callers: addresses[0], Operators: addresses[1], Peers: addresses[2], Front: addresses[3], Ready: addresses[4]}
-	cfg.Stop.PrepareStopDelay = 0
+	cfg.Stop.AnnounceDelay = 0
 	cfg.Rollouts.Enabled = true
 	cfg.RolloutVerdict.Settle = 200 * time.Millisecond
 	cfg.Canary.Ramp = 200 * time.Millisecond
--- a/internal/config/catalog/catalog_test.go
+++ b/internal/config/catalog/catalog_test.go
@@ -163,6 +163,6 @@
 		// The store may hold any value, so decoding must not panic.
 		_, _ = OpenEnvelope(value)
 		_, _ = DecodeService(Entry{Value: value})
-		_, _ = DecodeSnapshot(Entry{Value: value})
+		_, _ = DecodeManifest(Entry{Value: value})
 	})
 }
--- a/internal/config/catalog/draft.go
+++ b/internal/config/catalog/draft.go
@@ -57,8 +57,8 @@
 		err = target.compileSavedLeafs(entry)
 	case strings.HasPrefix(entry.Key, servicePrefix):
 		err = target.compileService(strings.TrimPrefix(entry.Key, servicePrefix), entry)
-	case strings.HasPrefix(entry.Key, snapshotPrefix):
-		err = target.compileSnapshot(strings.TrimPrefix(entry.Key, snapshotPrefix), entry)
+	case strings.HasPrefix(entry.Key, manifestPrefix):
+		err = target.compileManifest(strings.TrimPrefix(entry.Key, manifestPrefix), entry)
 	case strings.HasPrefix(entry.Key, leafPrefix):
 		err = target.compileLeaf(strings.TrimPrefix(entry.Key, leafPrefix), entry)
 	case strings.HasPrefix(entry.Key, nodePrefix):
@@ -98,14 +98,14 @@
 
 func (d *draft) compileSavedLeafs(entry Entry) error {
 	if entry.Deleted {
-		d.view.Remembered = leafset.Empty()
+		d.view.SavedLeafs = leafset.Empty()
 		return nil
 	}
 	savedLeafs, err := parseDocumentAt(entry, leafset.ParseList)
 	if err != nil {
 		return err
 	}
-	d.view.Remembered = savedLeafs
+	d.view.SavedLeafs = savedLeafs
 	return nil
 }
 
@@ -141,7 +141,7 @@
 	}
 	known, found := d.leafsBefore.ByName(name)
 	if !found || known.Revision != entry.Revision {
-		known = leafset.Learn(known, record, entry.Revision, d.clock.Now())
+		known = leafset.ReplaceLeaf(known, record, entry.Revision, d.clock.Now())
 	}
 	leafs.Put(known)
 	return nil
@@ -199,14 +199,14 @@
 	return nil
 }
 
-func (d *draft) compileSnapshot(name string, entry Entry) error {
+func (d *draft) compileManifest(name string, entry Entry) error {
 	service := d.editableService(name)
-	service.SnapshotRevision = entry.Revision
+	service.ManifestRevision = entry.Revision
 	if entry.Deleted {
 		service.Manifest = nil
 		return nil
 	}
-	message, err := DecodeSnapshot(entry)
+	message, err := DecodeManifest(entry)
 	if err != nil {
 		return err
 	}
--- a/internal/config/catalog/envelope.go
+++ b/internal/config/catalog/envelope.go
@@ -27,13 +27,13 @@
 	Payload []byte `json:"payload,omitempty"`
 	// Document is the payload of entries that hold JSON, such as routes, leafs and nodes.
 	Document json.RawMessage `json:"document,omitempty"`
-	// Refused is the reason why the value in the store can't be decoded. All other fields are then empty.
-	Refused string `json:"refused,omitempty"`
+	// Undecodable is the reason why the value in the store can't be decoded. All other fields are then empty.
+	Undecodable string `json:"refused,omitempty"`
 }
 
-// NewRefusal returns the value of an entry that can't be decoded, with the reason.
-func NewRefusal(reason error) []byte {
-	value, err := json.Marshal(Envelope{Refused: reason.Error()})
+// NewUndecodable returns the value of an entry that can't be decoded, with the reason.
+func NewUndecodable(reason error) []byte {
+	value, err := json.Marshal(Envelope{Undecodable: reason.Error()})
 	if err != nil {
 		return nil // an empty value is rejected as well
 	}
@@ -52,8 +52,8 @@
 // DecodeDocument returns the JSON document of an entry.
 func DecodeDocument(entry Entry) (json.RawMessage, error) {
 	envelope, err := OpenEnvelope(entry.Value)
-	if err == nil && envelope.Refused != "" {
-		err = failure.Invalid("value", "%s", envelope.Refused)
+	if err == nil && envelope.Undecodable != "" {
+		err = failure.Invalid("value", "%s", envelope.Undecodable)
 	}
 	return envelope.Document, err
 }
@@ -116,8 +116,8 @@
 	return spec, decodePayload(entry, spec)
 }
 
-// DecodeSnapshot decodes the manifest in a snapshot entry.
-func DecodeSnapshot(entry Entry) (*adminv1.SnapshotManifest, error) {
+// DecodeManifest decodes the manifest in a snapshot entry.
+func DecodeManifest(entry Entry) (*adminv1.SnapshotManifest, error) {
 	message := &adminv1.SnapshotManifest{}
 	return message, decodePayload(entry, message)
 }
--- a/internal/config/catalog/keys.go
+++ b/internal/config/catalog/keys.go
@@ -9,7 +9,7 @@
 // Store keys and key prefixes.
 const (
 	servicePrefix  = "service/"
-	snapshotPrefix = "snapshot/"
+	manifestPrefix = "snapshot/"
 	leafPrefix     = "leaf/"
 	nodePrefix     = "node/"
 	// evacuationPrefix begins the keys of evacuated zones, whose leafs get no requests while the key exists.
@@ -32,8 +32,8 @@
 // ServiceKey returns the store key of a service's settings.
 func ServiceKey(name string) string { return servicePrefix + name }
 
-// SnapshotKey returns the store key of a service's current manifest.
-func SnapshotKey(service string) string { return snapshotPrefix + service }
+// ManifestKey returns the store key of a service's current manifest.
+func ManifestKey(service string) string { return manifestPrefix + service }
 
 // LeafKey returns the store key of a leaf's record.
 func LeafKey(id string) string { return leafPrefix + id }
--- a/internal/config/catalog/quarantine.go
+++ b/internal/config/catalog/quarantine.go
@@ -30,8 +30,8 @@
 	if err != nil {
 		return err
 	}
-	if record.Content != content {
-		return failure.Invalid("content", "%s; must match the key", record.Content)
+	if record.Fingerprint != content {
+		return failure.Invalid("content", "%s; must match the key", record.Fingerprint)
 	}
 	if d.view.Quarantine == nil {
 		d.view.Quarantine = map[fingerprint.Fingerprint]*quarantine.Record{}
--- a/internal/config/catalog/quarantine_test.go
+++ b/internal/config/catalog/quarantine_test.go
@@ -16,7 +16,7 @@
 }
 
 func quarantineChange(t interface{ Fatal(...any) }, revision int64, path string, deleted bool) Change {
-	document, err := json.Marshal(quarantine.Record{Subject: quarantine.NewSubject(contentOf(path), path, ""), By: "n"})
+	document, err := json.Marshal(quarantine.Record{Subject: quarantine.NewSubject(contentOf(path), path, ""), FoundBy: "n"})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/catalog/restored_test.go
+++ b/internal/config/catalog/restored_test.go
@@ -128,7 +128,7 @@
 // fleetMayWrite reserves two evacuations for operators.
 func fleetMayWrite(key string) bool { return key != EvacuationKey("z") && key != EvacuationKey("new") }
 
-// Entries written since the backup stay in force until they are rewritten, those of operators for RetainFor at most. An
+// Entries written since the backup stay in force until they are rewritten, those of operators for RetentionPeriod at most. An
 // older entry that is missing was removed.
 func TestRecentEntriesSurviveRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -149,7 +149,7 @@
 		is.Equal(node.View().Leafs.EvacuatedZones(), []string{"again", "back", "new"})
 		node.Apply(store.put(EvacuationKey("again"), struct{}{}))
 		is.Equal(len(node.RetainedEntries()), 1)
-		time.Sleep(RetainFor - time.Second)
+		time.Sleep(RetentionPeriod - time.Second)
 		node.DropExpired()
 		is.Equal(node.View().Leafs.EvacuatedZones(), []string{"again", "back", "new"})
 		time.Sleep(time.Second)
@@ -271,7 +271,7 @@
 		is.Equal(another.RetainedFingerprint(), node.RetainedFingerprint())
 		is.Equal(another.View().Routes.Version, int64(2))
 
-		time.Sleep(RetainFor)
+		time.Sleep(RetentionPeriod)
 		node.DropExpired()
 		node.Retain(kept)
 		is.Equal(len(node.View().Leafs.EvacuatedZones()), 0)
--- a/internal/config/catalog/retained.go
+++ b/internal/config/catalog/retained.go
@@ -11,11 +11,11 @@
 	"github.com/portgauge/portgauge/internal/config/revision"
 )
 
-// RetainFor is how long an entry that only operators write stays in force after a restore if it isn't rewritten.
+// RetentionPeriod is how long an entry that only operators write stays in force after a restore if it isn't rewritten.
 // Operators rewrite lost entries within a few seconds. An entry that they removed since the backup can't be
 // distinguished from a lost one, so a zone whose evacuation was ended may stay evacuated for this long. Routes are
 // retained without a limit, and entries that nodes write until a node has rewritten them.
-const RetainFor = 10 * time.Second
+const RetentionPeriod = 10 * time.Second
 
 // RetainedEntry is an entry of an earlier epoch that is newer than the restored store's value of its key.
 type RetainedEntry struct {
@@ -33,14 +33,14 @@
 }
 
 // isExpired reports whether a retained entry must be dropped. Routes and entries that nodes may write never expire. A
-// lost entry expires at once, since it is retained only for nodes to rewrite it. Any other entry expires RetainFor
+// lost entry expires at once, since it is retained only for nodes to rewrite it. Any other entry expires RetentionPeriod
 // after the node entered the epoch.
 func (c *Catalog) isExpired(retained RetainedEntry) bool {
 	key := retained.Entry.Key
 	if key == RoutesKey || c.restored.mayWrite == nil || c.restored.mayWrite(key) {
 		return false
 	}
-	return retained.IsLost || !c.restored.at.IsZero() && c.clock.Since(c.restored.at) >= RetainFor
+	return retained.IsLost || !c.restored.at.IsZero() && c.clock.Since(c.restored.at) >= RetentionPeriod
 }
 
 // recordRetained marks an entry as retained if its epoch is earlier than the revision with which it was received: then
--- a/internal/config/catalog/view.go
+++ b/internal/config/catalog/view.go
@@ -15,7 +15,7 @@
 	Spec             *adminv1.ServiceSpec
 	Revision         int64
 	Manifest         *manifest.Manifest
-	SnapshotRevision int64
+	ManifestRevision int64
 	// Leafs indexes Spec.Leafs by ID.
 	Leafs map[string]*adminv1.Leaf
 }
@@ -28,8 +28,8 @@
 	Routes *routing.Table
 	// Leafs are the registered leafs.
 	Leafs *leafset.Set
-	// Remembered is the saved list of leafs.
-	Remembered *leafset.Set
+	// SavedLeafs is the saved list of leafs.
+	SavedLeafs *leafset.Set
 	// Nodes are the registered nodes by ID.
 	Nodes map[string]NodeRecord
 	// Rollouts are the rollout specs and their progress by service.
@@ -41,7 +41,7 @@
 }
 
 func emptyView(at int64) *View {
-	return &View{Revision: at, Services: map[string]*Service{}, Leafs: leafset.Empty(), Remembered: leafset.Empty(), Nodes: map[string]NodeRecord{}, Rollouts: map[string]Rollout{}}
+	return &View{Revision: at, Services: map[string]*Service{}, Leafs: leafset.Empty(), SavedLeafs: leafset.Empty(), Nodes: map[string]NodeRecord{}, Rollouts: map[string]Rollout{}}
 }
 
 // NodeRecord is the record that a node publishes about itself.
--- a/internal/config/configsync/announced_leaving_test.go
+++ b/internal/config/configsync/announced_leaving_test.go
@@ -16,7 +16,7 @@
 		f := newFleet(t, 3, 8)
 		defer f.stopAll()
 		time.Sleep(20 * time.Second)
-		f.nodes["z0-n0"].syncer.LeafDraining("leaf-1")
+		f.nodes["z0-n0"].syncer.LeafAnnouncedLeaving("leaf-1")
 		time.Sleep(noticeDeadline)
 		for id, node := range f.nodes {
 			node.leafs.mu.Lock()
--- a/internal/config/configsync/config.go
+++ b/internal/config/configsync/config.go
@@ -24,8 +24,8 @@
 	CallTimeout time.Duration `yaml:"call_timeout"`
 	// RetryPause is the minimum pause between attempts to reach the store or a peer.
 	RetryPause time.Duration `yaml:"retry_pause"`
-	// MaximumRetryPause is the maximum pause between attempts to reach the store or a peer.
-	MaximumRetryPause time.Duration `yaml:"maximum_retry_pause"`
+	// MaxRetryPause is the maximum pause between attempts to reach the store or a peer.
+	MaxRetryPause time.Duration `yaml:"maximum_retry_pause"`
 	// PushInterval is the minimum time between two pushes of one watcher. Changes that arrive in between are pushed
 	// together.
 	PushInterval time.Duration `yaml:"push_interval"`
@@ -35,9 +35,9 @@
 	JoinInterval time.Duration `yaml:"join_interval"`
 	// WatchSilence is how long a watch may deliver no event before it is reopened.
 	WatchSilence time.Duration `yaml:"watch_silence"`
-	// LookAfter is how long the configuration in force may be unconfirmed before a standby checks the store. The
+	// CheckStoreAfter is how long the configuration in force may be unconfirmed before a standby checks the store. The
 	// first watcher confirms it at least once per platform.watch_wait.
-	LookAfter time.Duration `yaml:"look_after"`
+	CheckStoreAfter time.Duration `yaml:"look_after"`
 	// MachineListInterval is how often watchers read the machine list.
 	MachineListInterval time.Duration `yaml:"machine_list_interval"`
 	// LeavingTTL is how long the notice that a leaf is leaving is valid unless it is renewed.
@@ -54,12 +54,12 @@
 		BackupDelay:         500 * time.Millisecond,
 		CallTimeout:         500 * time.Millisecond,
 		RetryPause:          200 * time.Millisecond,
-		MaximumRetryPause:   2 * time.Second,
+		MaxRetryPause:       2 * time.Second,
 		PushInterval:        300 * time.Millisecond,
 		PullDelay:           700 * time.Millisecond,
 		JoinInterval:        30 * time.Second,
 		WatchSilence:        3 * time.Second,
-		LookAfter:           1750 * time.Millisecond,
+		CheckStoreAfter:     1750 * time.Millisecond,
 		MachineListInterval: time.Second,
 		LeavingTTL:          30 * time.Second,
 	}
@@ -83,13 +83,13 @@
 		{"pull_delay", c.PullDelay},
 		{"join_interval", c.JoinInterval},
 		{"watch_silence", c.WatchSilence},
-		{"look_after", c.LookAfter},
+		{"look_after", c.CheckStoreAfter},
 		{"machine_list_interval", c.MachineListInterval},
 		{"leaving_hold", c.LeavingTTL},
 	}
 	for _, duration := range durations {
 		checks.Refuse(duration.value <= 0, duration.field, "must be positive")
 	}
-	checks.Refuse(c.MaximumRetryPause < c.RetryPause, "maximum_retry_pause", "must be at least retry_pause")
+	checks.Refuse(c.MaxRetryPause < c.RetryPause, "maximum_retry_pause", "must be at least retry_pause")
 	return checks.Err()
 }
--- a/internal/config/configsync/configsync.go
+++ b/internal/config/configsync/configsync.go
@@ -60,8 +60,8 @@
 	Logger    *zap.Logger
 	// Seeds are peer addresses to join through in addition to those on the machine list.
 	Seeds []string
-	// Relayed is called with the kind of each sent message. It may be nil.
-	Relayed func(kind string)
+	// MessageSent is called with the kind of each sent message. It may be nil.
+	MessageSent func(kind string)
 	// StateDropped is called for each whole state of the store that is dropped because it is older than the
 	// configuration in force. It may be nil.
 	StateDropped func()
@@ -121,8 +121,8 @@
 
 // withDefaults replaces nil functions by defaults.
 func (d Deps) withDefaults() Deps {
-	if d.Relayed == nil {
-		d.Relayed = func(string) {}
+	if d.MessageSent == nil {
+		d.MessageSent = func(string) {}
 	}
 	if d.StateDropped == nil {
 		d.StateDropped = func() {}
@@ -145,7 +145,7 @@
 		leafs:      deps.Leafs,
 		logger:     deps.Logger,
 		seeds:      deps.Seeds,
-		relayed:    deps.Relayed,
+		relayed:    deps.MessageSent,
 		dropped:    deps.StateDropped,
 		settledAt:  deps.Settled,
 		startedAt:  time.Now(),
@@ -194,5 +194,5 @@
 
 // backoff doubles a pause, up to the maximum.
 func (s *Syncer) backoff(current time.Duration) time.Duration {
-	return min(2*current, s.cfg.MaximumRetryPause)
+	return min(2*current, s.cfg.MaxRetryPause)
 }
--- a/internal/config/configsync/contacts.go
+++ b/internal/config/configsync/contacts.go
@@ -24,7 +24,7 @@
 		if s.rank() == notAWatcher {
 			continue
 		}
-		list, err := s.listMachines(ctx, machines.Query{Role: machines.RoleNode, MostPerZone: contactsPerZone})
+		list, err := s.listMachines(ctx, machines.Query{Role: machines.RoleNode, MaxPerZone: contactsPerZone})
 		if err != nil {
 			continue
 		}
--- a/internal/config/configsync/digest.go
+++ b/internal/config/configsync/digest.go
@@ -15,7 +15,7 @@
 // Digest implements membership.Listener.
 func (s *Syncer) Digest() peer.Digest {
 	return peer.Digest{
-		Revision: s.catalog.Revision(), AgeMillis: s.catalog.Age().Milliseconds(), Retained: s.catalog.RetainedFingerprint(), CountsEpochs: true,
+		Revision: s.catalog.Revision(), AgeMillis: s.catalog.Age().Milliseconds(), Retained: s.catalog.RetainedFingerprint(), HasEpochs: true,
 	}
 }
 
--- a/internal/config/configsync/handler.go
+++ b/internal/config/configsync/handler.go
@@ -10,9 +10,9 @@
 // nil is dropped.
 type Handlers struct {
 	// Leafs receives reports on leafs.
-	Leafs func(peer.LeafReports)
-	// Reach receives messages on the reachability of zones, with the peer address of the sender.
-	Reach func(from string, reach peer.Reachability)
+	Leafs func(peer.LeafObservations)
+	// Reachability receives messages on the reachability of zones, with the peer address of the sender.
+	Reachability func(from string, reach peer.Reachability)
 	// Rollouts receives the messages to and from evaluator nodes.
 	Rollouts RolloutHandler
 	// Quarantine receives messages on requests that may crash leafs, with the peer address of the sender.
@@ -47,8 +47,8 @@
 			h.handlers.Leafs(message.LeafReports)
 		}
 	case message.Reachability != nil:
-		if h.handlers.Reach != nil {
-			h.handlers.Reach(message.From, *message.Reachability)
+		if h.handlers.Reachability != nil {
+			h.handlers.Reachability(message.From, *message.Reachability)
 		}
 	case message.RolloutReports != nil:
 		if h.handlers.Rollouts != nil {
--- a/internal/config/configsync/join.go
+++ b/internal/config/configsync/join.go
@@ -116,7 +116,7 @@
 
 // listZone returns the peer addresses of nodes of the zone on the machine list.
 func (s *Syncer) listZone(ctx context.Context) ([]string, error) {
-	list, err := s.listMachines(ctx, machines.Query{Zone: s.members.Self().Zone, Role: machines.RoleNode, MostPerZone: joinCandidates})
+	list, err := s.listMachines(ctx, machines.Query{Zone: s.members.Self().Zone, Role: machines.RoleNode, MaxPerZone: joinCandidates})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/config/configsync/leaving.go
+++ b/internal/config/configsync/leaving.go
@@ -88,8 +88,8 @@
 	return true
 }
 
-// LeafDraining records that a leaf announced that it is leaving. The notice is gossiped in the zone.
-func (s *Syncer) LeafDraining(leafID string) {
+// LeafAnnouncedLeaving records that a leaf announced that it is leaving. The notice is gossiped in the zone.
+func (s *Syncer) LeafAnnouncedLeaving(leafID string) {
 	s.recordNotice(leafID, time.Now().Add(s.cfg.LeavingTTL))
 }
 
--- a/internal/config/configsync/pull.go
+++ b/internal/config/configsync/pull.go
@@ -58,11 +58,11 @@
 	s.relayed("pull")
 	after, requestedAt := s.catalog.Revision(), s.catalog.Instant()
 	answer, err := s.transport.Call(ctx, address, peer.Message{Digest: s.Digest(), Pull: &peer.Pull{After: after}})
-	if err != nil || answer.State == nil || !answer.State.Initialised || s.isLegacy(answer.Digest) {
+	if err != nil || answer.State == nil || !answer.State.Initialized || s.isLegacy(answer.Digest) {
 		return false, nil
 	}
-	if len(answer.State.Elsewhere) > 0 {
-		return false, answer.State.Elsewhere
+	if len(answer.State.Alternatives) > 0 {
+		return false, answer.State.Alternatives
 	}
 	if err := s.applyState(*answer.State); err != nil {
 		s.logger.Warn("discarded the state of a peer: it can't be decoded", zap.String("peer", address), zap.Error(err))
@@ -94,12 +94,12 @@
 
 // HandlePull responds to a pull with the changes that the peer lacks, or with the whole state if they are no longer kept.
 func (s *Syncer) HandlePull(from string, pull peer.Pull) peer.State {
-	state := peer.State{Initialised: s.initialized.Load(), Revision: s.catalog.Revision()}
+	state := peer.State{Initialized: s.initialized.Load(), Revision: s.catalog.Revision()}
 	if pull.Retained {
 		state.Retained = s.catalog.RetainedInForce()
 	}
 	changes, found := s.catalog.Since(pull.After)
-	if found || !state.Initialised {
+	if found || !state.Initialized {
 		state.Changes = changes
 		return state
 	}
@@ -109,14 +109,14 @@
 		return peer.State{}
 	}
 	// A node that has reached its rate limit and can't refer to others responds as uninitialized.
-	served.Initialised = len(served.Snapshot) > 0 || len(served.Elsewhere) > 0
+	served.Initialized = len(served.Snapshot) > 0 || len(served.Alternatives) > 0
 	served.Revision = state.Revision
 	return served
 }
 
 // crossZoneLoop pulls from other zones while this node can't follow the store.
 func (s *Syncer) crossZoneLoop(ctx context.Context) {
-	for pause(ctx, s.cfg.MaximumRetryPause/2) {
+	for pause(ctx, s.cfg.MaxRetryPause/2) {
 		if s.storeDownAt.Load() == 0 {
 			continue
 		}
--- a/internal/config/configsync/push.go
+++ b/internal/config/configsync/push.go
@@ -120,7 +120,7 @@
 	s.handleNotices(push.Notices)
 	if err == nil && s.leadToNewEpoch(changes) {
 		go s.followToEpoch(from, push)
-		return peer.State{Initialised: s.initialized.Load(), Revision: s.catalog.Revision()}
+		return peer.State{Initialized: s.initialized.Load(), Revision: s.catalog.Revision()}
 	}
 	gap := err != nil || !s.reorder.apply(s.catalog, changes)
 	s.notePushed(changes)
@@ -128,7 +128,7 @@
 		go s.pullFrom(context.Background(), from)
 	}
 	s.forward(push)
-	return peer.State{Initialised: s.initialized.Load(), Revision: s.catalog.Revision()}
+	return peer.State{Initialized: s.initialized.Load(), Revision: s.catalog.Revision()}
 }
 
 // followToEpoch pulls the whole state of a new epoch from the node that announced it before it forwards the push, so
--- a/internal/config/configsync/restored.go
+++ b/internal/config/configsync/restored.go
@@ -65,7 +65,7 @@
 // isLegacy reports whether a digest is from a node of a version without epochs although the store has been restored. The
 // revisions of such a node can't be compared with this node's.
 func (s *Syncer) isLegacy(digest peer.Digest) bool {
-	return !digest.CountsEpochs && revision.Epoch(s.catalog.Revision()) > 0
+	return !digest.HasEpochs && revision.Epoch(s.catalog.Revision()) > 0
 }
 
 // readStoreForLegacy reads the store if a legacy node seems to be ahead. Its state can't be used, but while a fleet is
@@ -79,6 +79,6 @@
 		if err := s.readStore(context.Background()); err != nil {
 			s.logger.Info("the store can't be read; a legacy peer may be ahead of this node", zap.Error(err))
 		}
-		pause(context.Background(), s.cfg.LookAfter)
+		pause(context.Background(), s.cfg.CheckStoreAfter)
 	}()
 }
--- a/internal/config/configsync/restored_test.go
+++ b/internal/config/configsync/restored_test.go
@@ -138,7 +138,7 @@
 		is.NoErr(err)
 		legacy := peer.Digest{Revision: 2}
 		answer := handler.HandleCall(t.Context(), peer.Message{From: "old", Digest: legacy, Push: &peer.Push{Batch: batch}})
-		is.True(!answer.State.Initialised)
+		is.True(!answer.State.Initialized)
 		answer = handler.HandleCall(t.Context(), peer.Message{From: "old", Digest: legacy, Pull: &peer.Pull{After: 0}})
 		is.Equal(len(answer.State.Changes)+len(answer.State.Snapshot), 0)
 		is.Equal(node.serviceCount(), 1)
--- a/internal/config/configsync/snapshots.go
+++ b/internal/config/configsync/snapshots.go
@@ -45,7 +45,7 @@
 		s.since, s.served = now, 0
 	}
 	if s.served >= maxServed {
-		return peer.State{Elsewhere: s.randomRecipients(recipient)}, nil
+		return peer.State{Alternatives: s.randomRecipients(recipient)}, nil
 	}
 	changes, err := s.refresh(source)
 	if err != nil {
--- a/internal/config/configsync/snapshots_test.go
+++ b/internal/config/configsync/snapshots_test.go
@@ -33,8 +33,8 @@
 		refused, err := states.serve(node, "n0")
 		is.NoErr(err)
 		is.Equal(len(refused.Snapshot), 0)
-		is.Equal(len(refused.Elsewhere), maxReferrals)
-		for _, named := range refused.Elsewhere {
+		is.Equal(len(refused.Alternatives), maxReferrals)
+		for _, named := range refused.Alternatives {
 			is.True(named != "n0")
 		}
 		time.Sleep(serveInterval)
--- a/internal/config/configsync/standby.go
+++ b/internal/config/configsync/standby.go
@@ -46,10 +46,10 @@
 }
 
 // checkAfter returns how long the configuration in force may be unconfirmed before a standby of a rank checks the
-// store: Config.LookAfter for the first, and Config.BackupDelay more for each further one, so that usually only one
+// store: Config.CheckStoreAfter for the first, and Config.BackupDelay more for each further one, so that usually only one
 // standby checks.
 func (s *Syncer) checkAfter(rank int) time.Duration {
-	return s.cfg.LookAfter + time.Duration(rank-1)*s.cfg.BackupDelay
+	return s.cfg.CheckStoreAfter + time.Duration(rank-1)*s.cfg.BackupDelay
 }
 
 // confirmedWithin reports whether the configuration in force was confirmed as the newest within the last span.
--- a/internal/config/configsync/watch.go
+++ b/internal/config/configsync/watch.go
@@ -23,7 +23,7 @@
 var errCaughtUp = merry.New("the state is up to date")
 
 // watchLoop loads the first state, whatever the node's rank, and then follows the store while the node is a watcher.
-// After an error it retries with exponential backoff between Config.RetryPause and Config.MaximumRetryPause. The backoff
+// After an error it retries with exponential backoff between Config.RetryPause and Config.MaxRetryPause. The backoff
 // is reset after a watch that lasted longer than Config.WatchSilence.
 func (s *Syncer) watchLoop(ctx context.Context) {
 	if !s.loadFirstState(ctx) {
--- a/internal/config/revision/revision.go
+++ b/internal/config/revision/revision.go
@@ -11,11 +11,11 @@
 // are readable: 2000000000065 is count 65 of epoch 2.
 const epochUnit = 1_000_000_000_000
 
-// MostCount is the highest count that a revision can contain.
-const MostCount = epochUnit - 1
+// MaxCount is the highest count that a revision can contain.
+const MaxCount = epochUnit - 1
 
-// MaximumEpoch is the highest epoch that a revision can contain.
-const MaximumEpoch = (1<<63-1)/epochUnit - 1
+// MaxEpoch is the highest epoch that a revision can contain.
+const MaxEpoch = (1<<63-1)/epochUnit - 1
 
 // At returns the revision of a count in an epoch. Both must be within their bounds.
 func At(epoch, count int64) int64 { return epoch*epochUnit + count }
--- a/internal/config/revision/revision_test.go
+++ b/internal/config/revision/revision_test.go
@@ -12,7 +12,7 @@
 func TestRevisionsAreOrderedByEpochThenCount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
-		epochs, counts := rapid.Int64Range(0, MaximumEpoch), rapid.Int64Range(0, MostCount)
+		epochs, counts := rapid.Int64Range(0, MaxEpoch), rapid.Int64Range(0, MaxCount)
 		epoch, count := epochs.Draw(t, "epoch"), counts.Draw(t, "count")
 		other, otherCount := epochs.Draw(t, "other epoch"), counts.Draw(t, "other count")
 		one, two := At(epoch, count), At(other, otherCount)
--- a/internal/config/rewriter/rewriter.go
+++ b/internal/config/rewriter/rewriter.go
@@ -38,8 +38,8 @@
 	Rewritten(key string, err error)
 }
 
-// Writer rewrites lost entries on behalf of one node.
-type Writer struct {
+// Rewriter rewrites lost entries on behalf of one node.
+type Rewriter struct {
 	catalog *catalog.Catalog
 	store   store.Store
 	self    string
@@ -50,18 +50,18 @@
 	lastWrite map[string]time.Time
 }
 
-// New returns a writer for the node with the given ID. It passes the keys that nodes may write to Catalog.SetWritable.
-func New(known *catalog.Catalog, target store.Store, self string, events EventLog) *Writer {
+// New returns a rewriter for the node with the given ID. It passes the keys that nodes may write to Catalog.SetWritable.
+func New(cat *catalog.Catalog, target store.Store, self string, events EventLog) *Rewriter {
 	mayWrite := func(string) bool { return true }
-	if owned, isOwned := target.(store.Owned); isOwned {
+	if owned, isOwned := target.(store.WriteRestricted); isOwned {
 		mayWrite = owned.MayWrite
 	}
-	known.SetWritable(mayWrite)
-	return &Writer{catalog: known, store: target, self: self, events: events, mayWrite: mayWrite, lastWrite: map[string]time.Time{}}
+	cat.SetWritable(mayWrite)
+	return &Rewriter{catalog: cat, store: target, self: self, events: events, mayWrite: mayWrite, lastWrite: map[string]time.Time{}}
 }
 
 // Run rewrites lost entries and drops expired ones until the context is done.
-func (w *Writer) Run(ctx context.Context) {
+func (w *Rewriter) Run(ctx context.Context) {
 	for wait.For(ctx, wait.Jittered(checkInterval)) {
 		w.catalog.DropExpired()
 		w.writeDue(ctx)
@@ -69,7 +69,7 @@
 }
 
 // writeDue rewrites the entries that are due on this node, in key order.
-func (w *Writer) writeDue(ctx context.Context) {
+func (w *Rewriter) writeDue(ctx context.Context) {
 	retained := w.catalog.RetainedEntries()
 	if len(retained) == 0 {
 		clear(w.lastWrite)
@@ -77,26 +77,26 @@
 	}
 	slices.SortFunc(retained, func(a, b catalog.RetainedEntry) int { return strings.Compare(a.Entry.Key, b.Entry.Key) })
 	writes := 0
-	for _, lost := range retained {
+	for _, entry := range retained {
 		if writes >= maxWrites || ctx.Err() != nil {
 			return
 		}
-		if !w.mayWrite(lost.Entry.Key) || !w.isDue(lost.Entry.Key, time.Now()) {
+		if !w.mayWrite(entry.Entry.Key) || !w.isDue(entry.Entry.Key, time.Now()) {
 			continue
 		}
-		value, isReady := w.catalog.RewriteValue(lost.Entry)
+		value, isReady := w.catalog.RewriteValue(entry.Entry)
 		if !isReady {
 			continue
 		}
 		writes++
-		w.lastWrite[lost.Entry.Key] = time.Now()
-		w.events.Rewritten(lost.Entry.Key, w.write(ctx, lost.Entry, value))
+		w.lastWrite[entry.Entry.Key] = time.Now()
+		w.events.Rewritten(entry.Entry.Key, w.write(ctx, entry.Entry, value))
 	}
 }
 
 // isDue reports whether this node must rewrite a key now. The first node in the key's ranking starts checkInterval after
 // the restore, each further one takeoverDelay later. A node rewrites a key at most once per takeoverDelay.
-func (w *Writer) isDue(key string, now time.Time) bool {
+func (w *Rewriter) isDue(key string, now time.Time) bool {
 	view := w.catalog.View()
 	rank := registry.RendezvousRank(view.Nodes, key, w.self)
 	turn := w.catalog.RestoredAt().Add(checkInterval + time.Duration(rank)*takeoverDelay)
@@ -105,7 +105,7 @@
 
 // write replaces a key's entry in the store with the retained one. If the store's entry is newer, it does nothing: the
 // watch will deliver that entry.
-func (w *Writer) write(ctx context.Context, entry catalog.Entry, value []byte) error {
+func (w *Rewriter) write(ctx context.Context, entry catalog.Entry, value []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	current, err := w.store.Get(ctx, entry.Key)
--- a/internal/config/store/store.go
+++ b/internal/config/store/store.go
@@ -37,8 +37,8 @@
 	Stale
 )
 
-// Answer is the outcome of one call to the store.
-type Answer struct {
+// CallOutcome is the outcome of one call to the store.
+type CallOutcome struct {
 	// Call is the name of the call.
 	Call string
 	// Status is the protocol's status code, 0 if there was no response.
@@ -83,8 +83,8 @@
 	Watch(ctx context.Context, after int64, role WatchRole, receive func(Event) error) error
 }
 
-// Owned is implemented by stores in which nodes may not write some of the keys.
-type Owned interface {
+// WriteRestricted is implemented by stores in which nodes may not write some of the keys.
+type WriteRestricted interface {
 	// MayWrite reports whether nodes may write a key.
 	MayWrite(key string) bool
 }
@@ -108,10 +108,10 @@
 type Lessor interface {
 	// Grant grants a lease and returns its ID and the granted time to live.
 	Grant(ctx context.Context, timeToLive time.Duration) (lease int64, granted time.Duration, err error)
-	// Keep renews a lease. Its error wraps ErrLeaseGone if the lease has expired or ended.
-	Keep(ctx context.Context, lease int64) error
-	// End ends a lease and removes its keys.
-	End(ctx context.Context, lease int64) error
+	// Renew renews a lease. Its error wraps ErrLeaseGone if the lease has expired or ended.
+	Renew(ctx context.Context, lease int64) error
+	// Revoke revokes a lease and removes its keys.
+	Revoke(ctx context.Context, lease int64) error
 	// PutLeased writes a document under a key that is bound to the lease.
 	PutLeased(ctx context.Context, key string, document json.RawMessage, lease int64) error
 }
--- a/internal/fleet/machines/catalog.go
+++ b/internal/fleet/machines/catalog.go
@@ -15,7 +15,7 @@
 
 var _ Lister = (*CatalogLister)(nil)
 
-func NewCatalogLister(known *catalog.Catalog) *CatalogLister { return &CatalogLister{catalog: known} }
+func NewCatalogLister(cat *catalog.Catalog) *CatalogLister { return &CatalogLister{catalog: cat} }
 
 // ListMachines implements Lister.
 func (l *CatalogLister) ListMachines(_ context.Context, query Query) (List, error) {
@@ -35,7 +35,7 @@
 		if query.Zone != "" && query.Zone != node.Zone {
 			continue
 		}
-		if query.MostPerZone > 0 && perZone[node.Zone] >= int(query.MostPerZone) {
+		if query.MaxPerZone > 0 && perZone[node.Zone] >= int(query.MaxPerZone) {
 			continue
 		}
 		perZone[node.Zone]++
--- a/internal/fleet/machines/machines.go
+++ b/internal/fleet/machines/machines.go
@@ -45,8 +45,8 @@
 	// Zone and Role restrict the list if they are not empty.
 	Zone string
 	Role Role
-	// MostPerZone bounds the number of machines per zone, which are chosen at random; 0 means all.
-	MostPerZone uint32
+	// MaxPerZone bounds the number of machines per zone, which are chosen at random; 0 means all.
+	MaxPerZone uint32
 	// KnownVersion is the version that the caller has.
 	KnownVersion uint64
 }
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -220,13 +220,13 @@
 	message.Digest = m.listener.Digest()
 	message.Notices = m.listener.Notices()
 	m.mu.Lock()
-	message.Members = m.updates.next(m.cfg.UpdatesPerMessage, m.maximumTransmissions())
+	message.Members = m.updates.next(m.cfg.UpdatesPerMessage, m.maxTransmissions())
 	m.mu.Unlock()
 	m.transport.Send(address, message)
 }
 
-// maximumTransmissions returns how many times this node sends an update. It grows with the logarithm of the zone's size.
-func (m *Membership) maximumTransmissions() int {
+// maxTransmissions returns how many times this node sends an update. It grows with the logarithm of the zone's size.
+func (m *Membership) maxTransmissions() int {
 	return m.cfg.RetransmitFactor * int(math.Ceil(math.Log10(float64(len(m.members)+2))))
 }
 
--- a/internal/fleet/ownplatform/leases.go
+++ b/internal/fleet/ownplatform/leases.go
@@ -25,14 +25,14 @@
 	return response.GetLease(), time.Duration(response.GetTimeToLiveMillis()) * time.Millisecond, nil
 }
 
-// Keep implements store.Lessor.
-func (c *Client) Keep(ctx context.Context, lease int64) error {
+// Renew implements store.Lessor.
+func (c *Client) Renew(ctx context.Context, lease int64) error {
 	_, err := c.store.KeepLease(ctx, &platformv1.KeepLeaseRequest{Lease: lease})
 	return wrapLeaseError(err, "store keep lease")
 }
 
-// End implements store.Lessor.
-func (c *Client) End(ctx context.Context, lease int64) error {
+// Revoke implements store.Lessor.
+func (c *Client) Revoke(ctx context.Context, lease int64) error {
 	_, err := c.store.EndLease(ctx, &platformv1.EndLeaseRequest{Lease: lease})
 	return wrapLeaseError(err, "store end lease")
 }
--- a/internal/fleet/ownplatform/ownplatform.go
+++ b/internal/fleet/ownplatform/ownplatform.go
@@ -120,7 +120,7 @@
 // ListMachines implements machines.Lister.
 func (c *Client) ListMachines(ctx context.Context, query machines.Query) (machines.List, error) {
 	response, err := c.machines.ListMachines(ctx, &platformv1.ListMachinesRequest{
-		Zone: query.Zone, Role: string(query.Role), MostPerZone: query.MostPerZone, KnownVersion: query.KnownVersion,
+		Zone: query.Zone, Role: string(query.Role), MostPerZone: query.MaxPerZone, KnownVersion: query.KnownVersion,
 	})
 	if err != nil {
 		return machines.List{}, merry.Prepend(err, "list machines")
--- a/internal/fleet/peer/batch.go
+++ b/internal/fleet/peer/batch.go
@@ -23,7 +23,7 @@
 	if len(b) == 0 {
 		return nil, nil
 	}
-	content, err := compression.Expand(b, MaximumLine)
+	content, err := compression.Expand(b, MaxLine)
 	if err != nil {
 		return nil, err
 	}
@@ -43,7 +43,7 @@
 }
 
 func (p PackedSnapshot) Unpack() (catalog.Snapshot, error) {
-	content, err := compression.Expand(p, MaximumLine)
+	content, err := compression.Expand(p, MaxLine)
 	if err != nil {
 		return catalog.Snapshot{}, err
 	}
--- a/internal/fleet/peer/line.go
+++ b/internal/fleet/peer/line.go
@@ -30,7 +30,7 @@
 
 // readLine receives a message and returns it with the number of bytes received.
 func readLine(connection net.Conn) (Message, int, error) {
-	reader := bufio.NewReader(io.LimitReader(connection, MaximumLine))
+	reader := bufio.NewReader(io.LimitReader(connection, MaxLine))
 	line, err := reader.ReadBytes('\n')
 	if err != nil {
 		return Message{}, 0, err
@@ -67,7 +67,7 @@
 	if len(envelope.Gzip) == 0 {
 		return envelope.Message, nil
 	}
-	expanded, err := compression.Expand(envelope.Gzip, MaximumLine)
+	expanded, err := compression.Expand(envelope.Gzip, MaxLine)
 	if err != nil {
 		return Message{}, err
 	}
--- a/internal/fleet/peer/message.go
+++ b/internal/fleet/peer/message.go
@@ -34,8 +34,8 @@
 	Millis int64 `json:"millis"`
 }
 
-// LeafReports contains the sender's observations of leafs, encoded by package leafgossip.
-type LeafReports []byte
+// LeafObservations contains the sender's observations of leafs, encoded by package leafgossip.
+type LeafObservations []byte
 
 // Digest summarizes a node's configuration.
 type Digest struct {
@@ -46,9 +46,9 @@
 	// Retained is the fingerprint of the entries that the node retains after a restore of the store; 0 if there are
 	// none.
 	Retained uint64 `json:"kept,omitempty"`
-	// CountsEpochs is true if the node's revisions include the store's epoch. The revisions of an older node are bare
+	// HasEpochs is true if the node's revisions include the store's epoch. The revisions of an older node are bare
 	// counts of an unknown epoch.
-	CountsEpochs bool `json:"counts_epochs,omitempty"`
+	HasEpochs bool `json:"counts_epochs,omitempty"`
 }
 
 // Message is one line of the protocol. At most one of the bodies, Probe and the fields after it, is set.
@@ -60,18 +60,18 @@
 	Members []Member     `json:"members,omitempty"`
 	Notices []LeafNotice `json:"notices,omitempty"`
 
-	Probe        *Probe        `json:"probe,omitempty"`
-	Acknowledge  *Acknowledge  `json:"acknowledge,omitempty"`
-	ProbeRequest *ProbeRequest `json:"probe_request,omitempty"`
-	Join         *Join         `json:"join,omitempty"`
-	Welcome      *Welcome      `json:"welcome,omitempty"`
-	Push         *Push         `json:"push,omitempty"`
-	Pull         *Pull         `json:"pull,omitempty"`
-	State        *State        `json:"state,omitempty"`
-	StatusQuery  *StatusQuery  `json:"status_query,omitempty"`
-	StatusReply  *StatusReply  `json:"status_reply,omitempty"`
-	LeafReports  LeafReports   `json:"leaf_reports,omitempty"`
-	Reachability *Reachability `json:"reach,omitempty"`
+	Probe        *Probe           `json:"probe,omitempty"`
+	Acknowledge  *Acknowledge     `json:"acknowledge,omitempty"`
+	ProbeRequest *ProbeRequest    `json:"probe_request,omitempty"`
+	Join         *Join            `json:"join,omitempty"`
+	Welcome      *Welcome         `json:"welcome,omitempty"`
+	Push         *Push            `json:"push,omitempty"`
+	Pull         *Pull            `json:"pull,omitempty"`
+	State        *State           `json:"state,omitempty"`
+	StatusQuery  *StatusQuery     `json:"status_query,omitempty"`
+	StatusReply  *StatusReply     `json:"status_reply,omitempty"`
+	LeafReports  LeafObservations `json:"leaf_reports,omitempty"`
+	Reachability *Reachability    `json:"reach,omitempty"`
 
 	RolloutReports *RolloutReports `json:"rollout_reports,omitempty"`
 	RolloutAbort   *RolloutAbort   `json:"rollout_hold,omitempty"`
@@ -152,16 +152,16 @@
 // State answers Pull and Push. It contains changes, and a snapshot that precedes them if the sender's history of changes
 // does not reach back to the requested revision.
 type State struct {
-	// Initialised is false while the sender has no configuration.
-	Initialised bool  `json:"initialised"`
+	// Initialized is false while the sender has no configuration.
+	Initialized bool  `json:"initialised"`
 	Revision    int64 `json:"revision"`
 	// Snapshot is the state that the changes apply to; empty if the history of changes reaches back far enough.
 	Snapshot PackedSnapshot   `json:"snapshot,omitempty"`
 	Changes  []catalog.Change `json:"changes,omitempty"`
 	// Retained contains the entries that the sender retains, if they were requested.
 	Retained []catalog.Entry `json:"kept,omitempty"`
-	// Elsewhere contains peer addresses to pull from instead: nodes to which the sender has just sent a snapshot.
-	Elsewhere []string `json:"elsewhere,omitempty"`
+	// Alternatives contains peer addresses to pull from instead: nodes to which the sender has just sent a snapshot.
+	Alternatives []string `json:"elsewhere,omitempty"`
 }
 
 // RolloutReports contains the sender's counts of attempts by service and version. They are sent to evaluator nodes.
--- a/internal/fleet/peer/transport.go
+++ b/internal/fleet/peer/transport.go
@@ -14,8 +14,8 @@
 
 // Maximum sizes of messages in bytes. A datagram that exceeds its maximum is not sent.
 const (
-	MaximumDatagram = 1400
-	MaximumLine     = 32 << 20
+	MaxDatagram = 1400
+	MaxLine     = 32 << 20
 )
 
 // Estimated overhead of a message in bytes, for the accounting of control traffic: the IP and UDP headers of a datagram,
@@ -111,7 +111,7 @@
 func (t *SocketTransport) Send(address string, message Message) {
 	message.From = t.advertise
 	line, err := json.Marshal(message)
-	if err != nil || len(line) > MaximumDatagram {
+	if err != nil || len(line) > MaxDatagram {
 		return
 	}
 	target, err := net.ResolveUDPAddr("udp", address)
@@ -159,13 +159,13 @@
 
 func (t *SocketTransport) receiveDatagrams() {
 	defer t.done.Done()
-	buffer := make([]byte, MaximumDatagram+1)
+	buffer := make([]byte, MaxDatagram+1)
 	for {
 		size, _, err := t.datagrams.ReadFromUDP(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil || size > MaximumDatagram {
+		if err != nil || size > MaxDatagram {
 			continue
 		}
 		var message Message
--- a/internal/fleet/reachability/config.go
+++ b/internal/fleet/reachability/config.go
@@ -18,14 +18,14 @@
 	// Wait is how long a check then waits for an answer from the other nodes. Both waits are extended to twice the
 	// zone's longest round trip.
 	Wait time.Duration `yaml:"wait"`
-	// LeastNodes is how many different nodes of a zone must not answer before the zone counts as lost.
-	LeastNodes int `yaml:"least_nodes"`
+	// MinNodes is how many different nodes of a zone must not answer before the zone counts as lost.
+	MinNodes int `yaml:"least_nodes"`
 	// Pause is the minimum time between two checks of a zone.
 	Pause time.Duration `yaml:"pause"`
 	// ProbeInterval is the interval between pings to a lost zone.
 	ProbeInterval time.Duration `yaml:"probe_interval"`
-	// Fanout is how many nodes of its own zone a node notifies of a lost zone.
-	Fanout int `yaml:"fanout"`
+	// FanOut is how many nodes of its own zone a node notifies of a lost zone.
+	FanOut int `yaml:"fanout"`
 }
 
 // DefaultConfig returns settings for zones within a region or near each other, with round trips of a few milliseconds.
@@ -35,10 +35,10 @@
 		Enabled:       true,
 		FirstWait:     20 * time.Millisecond,
 		Wait:          50 * time.Millisecond,
-		LeastNodes:    4,
+		MinNodes:      4,
 		Pause:         500 * time.Millisecond,
 		ProbeInterval: 250 * time.Millisecond,
-		Fanout:        4,
+		FanOut:        4,
 	}
 }
 
@@ -47,9 +47,9 @@
 	var checks failure.Checks
 	checks.Refuse(c.FirstWait <= 0, "first_wait", "must be positive")
 	checks.Refuse(c.Wait <= 0 || c.Wait > answerLimit, "wait", "must be positive and at most %s", answerLimit)
-	checks.Refuse(c.LeastNodes < 2 || c.LeastNodes > maxNodes, "least_nodes", "must be at least 2 and at most %d", maxNodes)
+	checks.Refuse(c.MinNodes < 2 || c.MinNodes > maxNodes, "least_nodes", "must be at least 2 and at most %d", maxNodes)
 	checks.Refuse(c.Pause < 0, "pause", "must not be negative")
 	checks.Refuse(c.ProbeInterval <= 0, "probe_interval", "must be positive")
-	checks.Refuse(c.Fanout < 0 || c.Fanout > maxNodes, "fanout", "must be at least 0 and at most %d", maxNodes)
+	checks.Refuse(c.FanOut < 0 || c.FanOut > maxNodes, "fanout", "must be at least 0 and at most %d", maxNodes)
 	return checks.Err()
 }
--- a/internal/fleet/reachability/reachability.go
+++ b/internal/fleet/reachability/reachability.go
@@ -212,7 +212,7 @@
 	return known
 }
 
-// markLost records that a zone is lost, notifies Config.Fanout nodes of this node's own zone, and pings the lost zone
+// markLost records that a zone is lost, notifies Config.FanOut nodes of this node's own zone, and pings the lost zone
 // until it responds.
 func (t *Tracker) markLost(ctx context.Context, known *zone) {
 	known.responded.Store(false)
@@ -221,7 +221,7 @@
 	t.notifyChanged(Change{Zone: known.name, Lost: true})
 	t.suspectOtherZones(known.name)
 	own := t.nodesOf(func(node catalog.NodeRecord) bool { return node.Zone == t.deps.Self.Zone })
-	for _, node := range own[:min(t.deps.Config.Fanout, len(own))] {
+	for _, node := range own[:min(t.deps.Config.FanOut, len(own))] {
 		t.deps.Prober.SendZoneLost(node, known.name)
 	}
 	t.awaitReturn(ctx, known)
--- a/internal/fleet/reachability/reachability_test.go
+++ b/internal/fleet/reachability/reachability_test.go
@@ -292,7 +292,7 @@
 func TestZoneWithTooFewNodesIsNeverLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		network := newTestNetwork(DefaultConfig().LeastNodes-1, near, far)
+		network := newTestNetwork(DefaultConfig().MinNodes-1, near, far)
 		tracker := network.tracker(t)
 		network.set(true, far)
 		tracker.Suspect(far)
@@ -313,7 +313,7 @@
 		network.mu.Lock()
 		probed := network.probed[far]
 		network.mu.Unlock()
-		is.Equal(probed, firstProbed+DefaultConfig().LeastNodes+4*firstProbed) // later checks wait long enough
+		is.Equal(probed, firstProbed+DefaultConfig().MinNodes+4*firstProbed) // later checks wait long enough
 	})
 }
 
@@ -333,7 +333,7 @@
 // A single live node ends the loss of a zone within one round of pings, however many nodes of the zone crashed.
 func TestSingleLiveNodeEndsLossOfZone(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		nodes := rapid.IntRange(DefaultConfig().LeastNodes, 12).Draw(rt, "nodes")
+		nodes := rapid.IntRange(DefaultConfig().MinNodes, 12).Draw(rt, "nodes")
 		living := rapid.IntRange(0, nodes-1).Draw(rt, "living")
 		synctest.Test(t, func(t *testing.T) {
 			network := newTestNetwork(nodes, near, far)
@@ -373,6 +373,6 @@
 func TestValidateNamesEveryInvalidField(t *testing.T) {
 	is := is.New(t)
 	is.NoErr(DefaultConfig().Validate())
-	bad := Config{Wait: 2 * answerLimit, LeastNodes: 1, Pause: -1, Fanout: -1}
+	bad := Config{Wait: 2 * answerLimit, MinNodes: 1, Pause: -1, FanOut: -1}
 	is.Equal(len(failure.Faults(bad.Validate())), 6)
 }
--- a/internal/fleet/reachability/zonecheck.go
+++ b/internal/fleet/reachability/zonecheck.go
@@ -33,14 +33,14 @@
 }
 
 // isLost checks whether the zone is lost. It pings firstProbed nodes. If nothing in the zone responds within the timeout
-// for Config.FirstWait, it pings Config.LeastNodes nodes and controlProbes nodes of other zones. The zone is lost if
+// for Config.FirstWait, it pings Config.MinNodes nodes and controlProbes nodes of other zones. The zone is lost if
 // nothing in it responds within the timeout for Config.Wait but a control does. If this node itself was late or
 // suspended, the result is inconclusive, and the second step is repeated, up to maxRepeats times in total. A zone with
-// fewer nodes than Config.LeastNodes is never lost, since all of them may have crashed.
+// fewer nodes than Config.MinNodes is never lost, since all of them may have crashed.
 func (c *zoneCheck) isLost(ctx context.Context) bool {
 	cfg := c.tracker.deps.Config
 	nodes := c.tracker.nodesOf(func(node catalog.NodeRecord) bool { return node.Zone == c.zone.name })
-	if len(nodes) < cfg.LeastNodes {
+	if len(nodes) < cfg.MinNodes {
 		return false
 	}
 	c.probeAll(ctx, nodes[:firstProbed])
@@ -50,7 +50,7 @@
 	for range maxRepeats {
 		// Each repetition pings different nodes if there are enough.
 		nodes = append(nodes[firstProbed:], nodes[:firstProbed]...)
-		c.probeAll(ctx, nodes[:cfg.LeastNodes])
+		c.probeAll(ctx, nodes[:cfg.MinNodes])
 		c.probeControls(ctx)
 		inTime, running := c.wait(ctx, c.zone.timeout(cfg.Wait))
 		if !running || c.zone.responded.Load() {
--- a/internal/fleet/registry/fleet.go
+++ b/internal/fleet/registry/fleet.go
@@ -35,8 +35,8 @@
 }
 
 // NewFleet returns the Fleet of the node with the ID self.
-func NewFleet(known *catalog.Catalog, self string, retention time.Duration) *Fleet {
-	return &Fleet{catalog: known, retention: retention, self: self, now: time.Now, gone: map[string]time.Time{}}
+func NewFleet(cat *catalog.Catalog, self string, retention time.Duration) *Fleet {
+	return &Fleet{catalog: cat, retention: retention, self: self, now: time.Now, gone: map[string]time.Time{}}
 }
 
 // SetClock sets the clock that measures the retention time. It must be called before the Fleet is used.
--- a/internal/fleet/registry/previous.go
+++ b/internal/fleet/registry/previous.go
@@ -20,7 +20,7 @@
 
 // previousRecord finds the record of a previous process of the node in the configuration. The zero value finds none.
 type previousRecord struct {
-	known *catalog.Catalog
+	catalog *catalog.Catalog
 	ready <-chan struct{}
 	// seenLease is the lease in the record when the node last registered.
 	seenLease int64
@@ -28,7 +28,7 @@
 
 // lease waits for the configuration and returns the lease of the record in it; 0 if that record differs from self.
 func (p *previousRecord) lease(ctx context.Context, self catalog.NodeRecord) int64 {
-	if p.known == nil || !p.awaitReady(ctx) {
+	if p.catalog == nil || !p.awaitReady(ctx) {
 		return 0
 	}
 	record := p.read(self.ID)
@@ -54,7 +54,7 @@
 // isReplaced reports whether the node's record is bound to a lease other than the one that the node renews. This
 // happens if the node resumed from an old state, or if a write with an unknown outcome took effect late.
 func (p *previousRecord) isReplaced(self catalog.NodeRecord, lease int64) bool {
-	if p.known == nil {
+	if p.catalog == nil {
 		return false
 	}
 	written := p.read(self.ID).Lease
@@ -63,16 +63,16 @@
 
 // revision returns the revision in force; 0 if there is no configuration.
 func (p *previousRecord) revision() int64 {
-	if p.known == nil {
+	if p.catalog == nil {
 		return 0
 	}
-	return p.known.Revision()
+	return p.catalog.Revision()
 }
 
 // read returns the record in force; the zero value if there is none or it can't be decoded.
 func (p *previousRecord) read(id string) leasedRecord {
 	var record leasedRecord
-	entry, found := p.known.Entry(catalog.NodeKey(id))
+	entry, found := p.catalog.Entry(catalog.NodeKey(id))
 	if !found || entry.Deleted {
 		return leasedRecord{}
 	}
--- a/internal/fleet/registry/previous_test.go
+++ b/internal/fleet/registry/previous_test.go
@@ -16,7 +16,7 @@
 var ownRecord = catalog.NodeRecord{ID: "n", Zone: "z", Address: "127.0.0.1:1"}
 
 // putRecord puts a node record with a lease into a configuration.
-func putRecord(t *testing.T, known *catalog.Catalog, record leasedRecord) {
+func putRecord(t *testing.T, cat *catalog.Catalog, record leasedRecord) {
 	t.Helper()
 	document, err := json.Marshal(record)
 	if err != nil {
@@ -26,16 +26,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	revision := known.Revision()
-	known.Apply(catalog.Change{Entry: catalog.Entry{Key: catalog.NodeKey(record.ID), Value: value, Revision: revision + 1}, Previous: revision})
+	revision := cat.Revision()
+	cat.Apply(catalog.Change{Entry: catalog.Entry{Key: catalog.NodeKey(record.ID), Value: value, Revision: revision + 1}, Previous: revision})
 }
 
 // startResuming runs the registry of a node that may resume a previous record, and returns a function that stops the
 // registry and waits for its end.
-func startResuming(t *testing.T, lessor *memoryLessor, known *catalog.Catalog, ready chan struct{}) (stop func()) {
+func startResuming(t *testing.T, lessor *memoryLessor, cat *catalog.Catalog, ready chan struct{}) (stop func()) {
 	t.Helper()
 	record := New(DefaultConfig(), lessor, ownRecord, zap.NewNop())
-	record.ResumeFrom(known, ready)
+	record.ResumeFrom(cat, ready)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() {
@@ -50,9 +50,9 @@
 
 // runResuming runs such a registry for a number of seconds and returns how many leases it was granted and how often it
 // renewed one.
-func runResuming(t *testing.T, lessor *memoryLessor, known *catalog.Catalog, ready chan struct{}, seconds int) (granted, kept int) {
+func runResuming(t *testing.T, lessor *memoryLessor, cat *catalog.Catalog, ready chan struct{}, seconds int) (granted, kept int) {
 	t.Helper()
-	stop := startResuming(t, lessor, known, ready)
+	stop := startResuming(t, lessor, cat, ready)
 	defer stop()
 	time.Sleep(time.Duration(seconds) * time.Second)
 	granted, kept, _, _ = lessor.calls(catalog.NodeKey("n"))
@@ -84,10 +84,10 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				known := catalog.New(nil)
-				putRecord(t, known, test.record)
+				cat := catalog.New(nil)
+				putRecord(t, cat, test.record)
 				lessor := &memoryLessor{put: map[string]int64{}, lost: test.lost}
-				granted, kept := runResuming(t, lessor, known, closedChannel(), 25)
+				granted, kept := runResuming(t, lessor, cat, closedChannel(), 25)
 				is.Equal(granted, test.granted)
 				is.Equal(kept, 3-test.granted)
 			})
@@ -109,14 +109,14 @@
 func TestReplacedLeaseIsNotRenewed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		known := catalog.New(nil)
-		putRecord(t, known, leasedRecord{NodeRecord: ownRecord, Lease: 7})
+		cat := catalog.New(nil)
+		putRecord(t, cat, leasedRecord{NodeRecord: ownRecord, Lease: 7})
 		lessor := &memoryLessor{put: map[string]int64{}}
 		go func() {
 			time.Sleep(5 * time.Second)
-			putRecord(t, known, leasedRecord{NodeRecord: ownRecord, Lease: 8})
+			putRecord(t, cat, leasedRecord{NodeRecord: ownRecord, Lease: 8})
 		}()
-		granted, kept := runResuming(t, lessor, known, closedChannel(), 25)
+		granted, kept := runResuming(t, lessor, cat, closedChannel(), 25)
 		is.Equal(granted, 0)
 		is.Equal(kept, 3)
 		is.Equal(lessor.keptLast, int64(8))
--- a/internal/fleet/registry/registry.go
+++ b/internal/fleet/registry/registry.go
@@ -41,13 +41,13 @@
 	RetryPause time.Duration `yaml:"retry_pause"`
 	// CallTimeout bounds one call to the store.
 	CallTimeout time.Duration `yaml:"call_timeout"`
-	// Memory is how long a node that is no longer registered still counts as a node of the fleet.
-	Memory time.Duration `yaml:"memory"`
+	// Retention is how long a node that is no longer registered still counts as a node of the fleet.
+	Retention time.Duration `yaml:"memory"`
 }
 
 // DefaultConfig returns settings that keep the record of a crashed node for 30 seconds.
 func DefaultConfig() Config {
-	return Config{TimeToLive: 30 * time.Second, RetryPause: time.Second, CallTimeout: time.Second, Memory: 15 * time.Second}
+	return Config{TimeToLive: 30 * time.Second, RetryPause: time.Second, CallTimeout: time.Second, Retention: 15 * time.Second}
 }
 
 // Validate returns an error that names every invalid field.
@@ -56,7 +56,7 @@
 	checks.Refuse(c.TimeToLive < time.Second, "time_to_live", "must be at least 1s")
 	checks.Refuse(c.RetryPause <= 0, "retry_pause", "must be positive")
 	checks.Refuse(c.CallTimeout <= 0, "call_timeout", "must be positive")
-	checks.Refuse(c.Memory <= 0, "memory", "must be positive")
+	checks.Refuse(c.Retention <= 0, "memory", "must be positive")
 	return checks.Err()
 }
 
@@ -94,15 +94,15 @@
 			continue
 		}
 		r.logger.Info("node registered", zap.Int64("lease", lease), zap.Duration("time_to_live", granted))
-		r.renew(ctx, lease, granted)
+		r.keepRenewing(ctx, lease, granted)
 	}
 }
 
 // ResumeFrom lets the registry take over the record that a previous process of the node left in the configuration:
 // renewing its lease costs the store far less than registering. Run then waits up to configurationWait for the
 // configuration. ResumeFrom must be called before Run.
-func (r *Registry) ResumeFrom(known *catalog.Catalog, ready <-chan struct{}) {
-	r.previous = previousRecord{known: known, ready: ready}
+func (r *Registry) ResumeFrom(cat *catalog.Catalog, ready <-chan struct{}) {
+	r.previous = previousRecord{catalog: cat, ready: ready}
 }
 
 // pause returns the jittered pause before the next attempt, so that nodes that failed together don't retry together.
@@ -135,17 +135,17 @@
 	if lease == 0 {
 		return 0, nil
 	}
-	err = r.keep(ctx, lease)
+	err = r.renewOnce(ctx, lease)
 	if errors.Is(err, store.ErrLeaseGone) {
 		return 0, nil
 	}
 	return lease, err
 }
 
-// renew renews the lease renewalsPerTTL times within its time to live, after Config.RetryPause if a renewal failed, and
+// keepRenewing renews the lease renewalsPerTTL times within its time to live, after Config.RetryPause if a renewal failed, and
 // at once when the machine resumes. It returns, so that the node registers again, if the store was restored, the lease
 // has expired, or the record is bound to another lease. When the context ends, it revokes the lease.
-func (r *Registry) renew(ctx context.Context, lease int64, granted time.Duration) {
+func (r *Registry) keepRenewing(ctx context.Context, lease int64, granted time.Duration) {
 	pause := granted / renewalsPerTTL
 	for r.waitToRenew(ctx, pause) {
 		if r.isRestored() {
@@ -155,7 +155,7 @@
 		if r.previous.isReplaced(r.self, lease) {
 			return
 		}
-		err := r.keep(ctx, lease)
+		err := r.renewOnce(ctx, lease)
 		switch {
 		case errors.Is(err, store.ErrLeaseGone):
 			r.logger.Warn("lease of the node has expired; registering again", zap.Int64("lease", lease))
@@ -168,7 +168,7 @@
 		}
 	}
 	if !r.isRestored() { // after a restore, the lease ID may belong to another node
-		r.end(lease)
+		r.revoke(lease)
 	}
 }
 
@@ -214,18 +214,18 @@
 	return false
 }
 
-// keep renews the lease once.
-func (r *Registry) keep(ctx context.Context, lease int64) error {
+// renewOnce renews the lease once.
+func (r *Registry) renewOnce(ctx context.Context, lease int64) error {
 	ctx, cancel := context.WithTimeout(ctx, r.cfg.CallTimeout)
 	defer cancel()
-	return r.lessor.Keep(ctx, lease)
+	return r.lessor.Renew(ctx, lease)
 }
 
-// end revokes the lease. If that fails, the lease expires.
-func (r *Registry) end(lease int64) {
+// revoke revokes the lease. If that fails, the lease expires.
+func (r *Registry) revoke(lease int64) {
 	ctx, cancel := context.WithTimeout(context.Background(), r.cfg.CallTimeout)
 	defer cancel()
-	if err := r.lessor.End(ctx, lease); err != nil {
+	if err := r.lessor.Revoke(ctx, lease); err != nil {
 		r.logger.Info("lease of the node could not be revoked; it will expire", zap.Error(err))
 	}
 }
--- a/internal/fleet/registry/registry_test.go
+++ b/internal/fleet/registry/registry_test.go
@@ -46,7 +46,7 @@
 	return int64(m.granted), timeToLive, nil
 }
 
-func (m *memoryLessor) Keep(_ context.Context, lease int64) error {
+func (m *memoryLessor) Renew(_ context.Context, lease int64) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch {
@@ -60,7 +60,7 @@
 	return nil
 }
 
-func (m *memoryLessor) End(context.Context, int64) error {
+func (m *memoryLessor) Revoke(context.Context, int64) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.ended++
@@ -125,29 +125,29 @@
 	})
 }
 
-func register(known *catalog.Catalog, id string, deleted bool) {
+func register(cat *catalog.Catalog, id string, deleted bool) {
 	value, err := catalog.NewDocument("", []byte(`{"id":"`+id+`"}`), nil)
 	if err != nil {
 		panic(err)
 	}
-	revision := known.Revision()
-	known.Apply(catalog.Change{Entry: catalog.Entry{Key: catalog.NodeKey(id), Value: value, Revision: revision + 1, Deleted: deleted}, Previous: revision})
+	revision := cat.Revision()
+	cat.Apply(catalog.Change{Entry: catalog.Entry{Key: catalog.NodeKey(id), Value: value, Revision: revision + 1, Deleted: deleted}, Previous: revision})
 }
 
 // Nodes that are no longer registered count for the retention time, and a node that isn't registered has no share.
 func TestGoneNodesCountForRetentionTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		known := catalog.New(nil)
-		fleet := NewFleet(known, "n1", time.Second)
+		cat := catalog.New(nil)
+		fleet := NewFleet(cat, "n1", time.Second)
 		is.Equal(len(ids(fleet)), 0)
-		register(known, "n2", false)
-		register(known, "n3", false)
+		register(cat, "n2", false)
+		register(cat, "n3", false)
 		is.Equal(ids(fleet), []string{"n2", "n3"})
 		is.Equal(fleet.Share(false), 0.0)
-		register(known, "n1", false)
+		register(cat, "n1", false)
 		is.Equal(fleet.Share(false), 1.0/3)
-		register(known, "n3", true)
+		register(cat, "n3", true)
 		is.Equal(ids(fleet), []string{"n1", "n2", "n3"})
 		time.Sleep(900 * time.Millisecond)
 		is.Equal(fleet.Share(false), 1.0/3)
@@ -176,24 +176,24 @@
 func TestSharesAddUpToBound(t *testing.T) {
 	is := is.New(t)
 	for _, large := range []int{0, 1, 2, 5} {
-		known := catalog.New(nil)
+		cat := catalog.New(nil)
 		for index := range 5 {
 			node := catalog.NodeRecord{ID: fmt.Sprintf("n%d", index), Zone: "z", Tree: "127.0.0.1:1", Processors: 0.2}
 			if index < large {
 				node.Processors = 0.8
 			}
-			putNode(t, known, node)
+			putNode(t, cat, node)
 		}
 		for _, gathered := range []bool{false, true} {
 			sum := 0.0
 			for index := range 5 {
-				sum += NewFleet(known, fmt.Sprintf("n%d", index), time.Second).Share(gathered)
+				sum += NewFleet(cat, fmt.Sprintf("n%d", index), time.Second).Share(gathered)
 			}
 			is.True(math.Abs(sum-1) < 1e-9)
 		}
 		isUneven := large > 0 && large < 5
-		is.Equal(NewFleet(known, "n0", time.Second).Share(true) > 0.2, isUneven)
-		is.Equal(NewFleet(known, "unknown", time.Second).Share(true), 0.0)
+		is.Equal(NewFleet(cat, "n0", time.Second).Share(true) > 0.2, isUneven)
+		is.Equal(NewFleet(cat, "unknown", time.Second).Share(true), 0.0)
 	}
 }
 
@@ -213,7 +213,7 @@
 	is.Equal(ids, []string{"large", "half", "silent", "other zone", "large without tree", "small there"})
 }
 
-func putNode(t *testing.T, known *catalog.Catalog, node catalog.NodeRecord) {
+func putNode(t *testing.T, cat *catalog.Catalog, node catalog.NodeRecord) {
 	t.Helper()
 	content, err := json.Marshal(node)
 	if err != nil {
@@ -223,23 +223,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	known.Apply(catalog.Change{Entry: catalog.Entry{Key: catalog.NodeKey(node.ID), Value: value, Revision: known.Revision() + 1}, Previous: known.Revision()})
+	cat.Apply(catalog.Change{Entry: catalog.Entry{Key: catalog.NodeKey(node.ID), Value: value, Revision: cat.Revision() + 1}, Previous: cat.Revision()})
 }
 
 // The slice of gatherers is replaced only if the gatherers change, since callers compare slices.
 func TestGatherersSliceIsReplacedOnlyOnChange(t *testing.T) {
 	is := is.New(t)
-	known := catalog.New(nil)
+	cat := catalog.New(nil)
 	put := func(node catalog.NodeRecord) {
 		document, err := json.Marshal(node)
 		is.NoErr(err)
 		value, err := catalog.NewDocument("", document, nil)
 		is.NoErr(err)
-		revision := known.Revision()
-		known.Apply(catalog.Change{Entry: catalog.Entry{Key: catalog.NodeKey(node.ID), Value: value, Revision: revision + 1}, Previous: revision})
+		revision := cat.Revision()
+		cat.Apply(catalog.Change{Entry: catalog.Entry{Key: catalog.NodeKey(node.ID), Value: value, Revision: revision + 1}, Previous: revision})
 	}
 	put(catalog.NodeRecord{ID: "large", Zone: "z", Tree: "127.0.0.1:1", Processors: 1})
-	fleet := NewFleet(known, "large", time.Minute)
+	fleet := NewFleet(cat, "large", time.Minute)
 	before := fleet.Gatherers()
 	is.True(fleet.IsGatherer())
 	put(catalog.NodeRecord{ID: "small", Zone: "z", Tree: "127.0.0.1:2", Processors: 0.1})
--- a/internal/fleet/registry/restored_test.go
+++ b/internal/fleet/registry/restored_test.go
@@ -18,14 +18,14 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				known := catalog.New(nil)
-				putRecord(t, known, leasedRecord{NodeRecord: ownRecord, Lease: 7})
+				cat := catalog.New(nil)
+				putRecord(t, cat, leasedRecord{NodeRecord: ownRecord, Lease: 7})
 				lessor := &memoryLessor{put: map[string]int64{}}
-				stop := startResuming(t, lessor, known, closedChannel())
+				stop := startResuming(t, lessor, cat, closedChannel())
 				time.Sleep(time.Second)
 				_, kept, _, _ := lessor.calls(catalog.NodeKey("n"))
 				is.Equal(kept, 1)
-				snapshot := known.Snapshot()
+				snapshot := cat.Snapshot()
 				snapshot.Revision = revision.At(1, 1)
 				if isLost {
 					snapshot.Entries = nil
@@ -33,7 +33,7 @@
 				for index := range snapshot.Entries {
 					snapshot.Entries[index].Revision = revision.At(1, 1)
 				}
-				is.True(known.Replace(snapshot))
+				is.True(cat.Replace(snapshot))
 				time.Sleep(1100 * time.Millisecond)
 				granted, kept, lost, _ := lessor.calls(catalog.NodeKey("n"))
 				is.Equal(granted == 1, isLost)
@@ -49,12 +49,12 @@
 func TestLeaseFromBeforeStoreRestoreIsNotEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		known := catalog.New(nil)
-		putRecord(t, known, leasedRecord{NodeRecord: catalog.NodeRecord{ID: "other"}})
+		cat := catalog.New(nil)
+		putRecord(t, cat, leasedRecord{NodeRecord: catalog.NodeRecord{ID: "other"}})
 		lessor := &memoryLessor{put: map[string]int64{}}
-		stop := startResuming(t, lessor, known, closedChannel())
+		stop := startResuming(t, lessor, cat, closedChannel())
 		time.Sleep(500 * time.Millisecond)
-		is.True(known.Replace(catalog.Snapshot{Revision: revision.At(1, 1)}))
+		is.True(cat.Replace(catalog.Snapshot{Revision: revision.At(1, 1)}))
 		stop()
 		_, _, ended, _ := lessor.calls(catalog.NodeKey("n"))
 		is.Equal(ended, 0)
--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -108,7 +108,7 @@
 	cfg.Node.Zone = zone
 	cfg.Platform.Address = platformAddress
 	cfg.LogLevel = "error"
-	cfg.Stop.PrepareStopDelay = 0
+	cfg.Stop.AnnounceDelay = 0
 	cfg.Listen.Callers, cfg.Listen.Operators, cfg.Listen.Peers = addresses[0], addresses[1], addresses[2]
 	c.callers, c.operators = cfg.Listen.Callers, cfg.Listen.Operators
 	nodeApp := node.New(node.Start{Settings: cfg, Logs: c.output})
--- a/internal/lab/replay/operators.go
+++ b/internal/lab/replay/operators.go
@@ -91,7 +91,7 @@
 		return
 	}
 	revision := current.Msg.GetSnapshots()[0].GetRevision()
-	o.sendChange(ctx, catalog.SnapshotKey(spec.Name), func(changeID string) (int64, error) {
+	o.sendChange(ctx, catalog.ManifestKey(spec.Name), func(changeID string) (int64, error) {
 		response, err := client.PublishSnapshot(ctx, connect.NewRequest(&adminv1.PublishSnapshotRequest{
 			Manifest: manifest, ExpectedRevision: revision, ChangeId: changeID,
 		}))
--- a/internal/lab/replay/snapshots.go
+++ b/internal/lab/replay/snapshots.go
@@ -23,7 +23,7 @@
 func publicationsOf(rec *recording, service string) publicationHistory {
 	var found publicationHistory
 	for _, write := range rec.writes {
-		if write.Key != catalog.SnapshotKey(service) || write.Deleted {
+		if write.Key != catalog.ManifestKey(service) || write.Deleted {
 			continue
 		}
 		if snapshot := snapshotIn(write); snapshot != "" {
@@ -56,7 +56,7 @@
 }
 
 func snapshotIn(write platform.Write) string {
-	message, err := catalog.DecodeSnapshot(catalog.Entry{Value: []byte(write.Value)})
+	message, err := catalog.DecodeManifest(catalog.Entry{Value: []byte(write.Value)})
 	if err != nil {
 		return ""
 	}
--- a/internal/leaf/connshare/connshare.go
+++ b/internal/leaf/connshare/connshare.go
@@ -40,7 +40,7 @@
 	// Connections is the number of connections allotted to the node; 0 if the leaf is allotted only to other nodes.
 	Connections int
 	// ExtraConnections is the number of connections that the node may open beyond its allotment while the leaf accepts
-	// them. They use what other nodes or Config.Share leave unused.
+	// them. They use what other nodes or Config.Fraction leave unused.
 	ExtraConnections int
 	// LastResort says that the leaf is used only for requests that the node's own leafs can't take.
 	LastResort bool
@@ -137,7 +137,7 @@
 		return allotments
 	}
 	for index := range allotments {
-		allotments[index].Connections, allotments[index].ExtraConnections = 0, a.cfg.Spare
+		allotments[index].Connections, allotments[index].ExtraConnections = 0, a.cfg.Extra
 		allotments[index].LastResort = inputs.isNew
 	}
 	if isExcluded {
@@ -156,7 +156,7 @@
 	if isNew {
 		return 0
 	}
-	return a.cfg.Spare
+	return a.cfg.Extra
 }
 
 // isNew reports whether the node started less than Config.StartSpan ago.
@@ -171,9 +171,9 @@
 // usedFraction returns the fraction of a leaf's limit that all nodes together use.
 func (a *Allocator) usedFraction(isNew bool) float64 {
 	if isNew {
-		return a.cfg.ShareAfterStart
+		return a.cfg.FractionAfterStart
 	}
-	return a.cfg.Share
+	return a.cfg.Fraction
 }
 
 // connectionsPerNode returns a node's equal share of a leaf's limit, which may be less than one connection. If the
--- a/internal/leaf/connshare/connshare_test.go
+++ b/internal/leaf/connshare/connshare_test.go
@@ -48,7 +48,7 @@
 		nodeZones := rapid.IntRange(1, 6).Draw(t, "zones of nodes")
 		leafZones := rapid.IntRange(1, 6).Draw(t, "zones of leafs")
 		cfg := DefaultConfig()
-		if float64(nodes) > cfg.ShareAfterStart*float64(limit*count) {
+		if float64(nodes) > cfg.FractionAfterStart*float64(limit*count) {
 			t.Skip("the limit is too small for one connection per node")
 		}
 		fleet := fleetOf(nodes, nodeZones)
@@ -186,8 +186,8 @@
 	is.Equal(other[0].Leaf.Version, "v2")
 }
 
-func TestConfigNamesEveryFault(t *testing.T) {
+func TestValidateNamesEveryInvalidField(t *testing.T) {
 	is := is.New(t)
 	is.NoErr(DefaultConfig().Validate())
-	is.Equal(len(failure.Faults(Config{StartSpan: -1, Spare: -1}.Validate())), 5)
+	is.Equal(len(failure.Faults(Config{StartSpan: -1, Extra: -1}.Validate())), 5)
 }
--- a/internal/leaf/leafgossip/leafgossip.go
+++ b/internal/leaf/leafgossip/leafgossip.go
@@ -66,7 +66,7 @@
 // Enqueue queues an observation, replacing a queued one of the same leaf. The observation is dropped if the queue is
 // full. Enqueue never blocks.
 func (g *Gossip) Enqueue(o balancer.Observation) {
-	if g.cfg.Fanout == 0 {
+	if g.cfg.FanOut == 0 {
 		return
 	}
 	g.mu.Lock()
@@ -107,7 +107,7 @@
 	return observations
 }
 
-// send sends observations to up to Config.Fanout random nodes, as far as the budget allows.
+// send sends observations to up to Config.FanOut random nodes, as far as the budget allows.
 func (g *Gossip) send(observations []balancer.Observation) {
 	if len(observations) == 0 {
 		return
@@ -115,7 +115,7 @@
 	message := peer.Message{LeafReports: pack(observations)}
 	size := envelopeBytes + base64Bytes(len(message.LeafReports))
 	now := time.Now()
-	for _, address := range g.nodes.Others(g.cfg.Fanout) {
+	for _, address := range g.nodes.Others(g.cfg.FanOut) {
 		if !g.budget.AllowN(now, size) {
 			return
 		}
@@ -127,7 +127,7 @@
 func base64Bytes(n int) int { return (n + 2) / 3 * 4 }
 
 // Handle decodes the observations of another node and passes them on.
-func (g *Gossip) Handle(reports peer.LeafReports) {
+func (g *Gossip) Handle(reports peer.LeafObservations) {
 	for _, o := range unpack(reports) {
 		g.handle(o)
 	}
--- a/internal/leaf/leafgossip/leafgossip_test.go
+++ b/internal/leaf/leafgossip/leafgossip_test.go
@@ -107,7 +107,7 @@
 		total := 0
 		for _, message := range sent.sent {
 			size := base64Bytes(len(message.LeafReports)) + envelopeBytes
-			is.True(size <= peer.MaximumDatagram)
+			is.True(size <= peer.MaxDatagram)
 			total += size
 		}
 		is.True(total <= cfg.BurstBytes+cfg.BytesPerSecond*int(span/time.Second+1))
@@ -117,8 +117,8 @@
 	})
 }
 
-func TestConfigNamesEveryFault(t *testing.T) {
+func TestValidateNamesEveryInvalidField(t *testing.T) {
 	is := is.New(t)
 	is.NoErr(DefaultConfig().Validate())
-	is.Equal(len(failure.Faults(Config{Fanout: -1, BatchDelay: -1}.Validate())), 4)
+	is.Equal(len(failure.Faults(Config{FanOut: -1, BatchDelay: -1}.Validate())), 4)
 }
--- a/internal/leaf/leafgossip/report.go
+++ b/internal/leaf/leafgossip/report.go
@@ -20,7 +20,7 @@
 )
 
 // pack encodes observations.
-func pack(observations []balancer.Observation) peer.LeafReports {
+func pack(observations []balancer.Observation) peer.LeafObservations {
 	packed := make([]byte, 0, len(observations)*packedObservationBytes)
 	for _, o := range observations {
 		packed = binary.BigEndian.AppendUint32(packed, uint32(o.Leaf))
@@ -30,7 +30,7 @@
 }
 
 // unpack decodes observations. An incomplete observation at the end is ignored.
-func unpack(packed peer.LeafReports) []balancer.Observation {
+func unpack(packed peer.LeafObservations) []balancer.Observation {
 	observations := make([]balancer.Observation, 0, len(packed)/packedObservationBytes)
 	for len(packed) >= packedObservationBytes {
 		observations = append(observations, balancer.Observation{
--- a/internal/leaf/leafhttp/answer.go
+++ b/internal/leaf/leafhttp/answer.go
@@ -77,12 +77,12 @@
 
 func newResponse(names httpnames.Names, raw *http.Response, body []byte) *Response {
 	return &Response{
-		Status:      raw.StatusCode,
-		Header:      raw.Header,
-		Body:        body,
-		NotExecuted: raw.Header.Get(names.NotExecuted) != "" || raw.StatusCode == http.StatusMisdirectedRequest,
-		Load:        parseLoad(raw.Header.Get(names.ServerLoad)),
-		Leaving:     raw.Close,
+		Status:          raw.StatusCode,
+		Header:          raw.Header,
+		Body:            body,
+		NotExecuted:     raw.Header.Get(names.NotExecuted) != "" || raw.StatusCode == http.StatusMisdirectedRequest,
+		Load:            parseLoad(raw.Header.Get(names.ServerLoad)),
+		CloseConnection: raw.Close,
 	}
 }
 
--- a/internal/leaf/leafhttp/config.go
+++ b/internal/leaf/leafhttp/config.go
@@ -19,8 +19,8 @@
 	// LingerTimeout is how long a node waits for the answer to a superseded attempt, so that its connection can be
 	// reused.
 	LingerTimeout time.Duration `yaml:"linger_timeout"`
-	// SparePause is how long no extra connections to a leaf are opened after the leaf refused one.
-	SparePause time.Duration `yaml:"spare_pause"`
+	// ExtraPause is how long no extra connections to a leaf are opened after the leaf refused one.
+	ExtraPause time.Duration `yaml:"spare_pause"`
 	// MaximumAnswerBytes is the maximum size of an answer's body.
 	MaximumAnswerBytes int64 `yaml:"maximum_answer_bytes"`
 }
@@ -33,7 +33,7 @@
 		IdleTimeout:        30 * time.Second,
 		IdleReserve:        500 * time.Millisecond,
 		LingerTimeout:      25 * time.Millisecond,
-		SparePause:         5 * time.Second,
+		ExtraPause:         5 * time.Second,
 		MaximumAnswerBytes: 16 << 20,
 	}
 }
@@ -46,7 +46,7 @@
 	checks.Refuse(c.IdleTimeout <= 0, "idle_timeout", "must be positive")
 	checks.Refuse(c.IdleReserve < 0, "idle_reserve", "must not be negative")
 	checks.Refuse(c.LingerTimeout < 0, "linger_timeout", "must not be negative")
-	checks.Refuse(c.SparePause < 0, "spare_pause", "must not be negative")
+	checks.Refuse(c.ExtraPause < 0, "spare_pause", "must not be negative")
 	checks.Refuse(c.MaximumAnswerBytes < 1024, "maximum_answer_bytes", "must be at least 1024")
 	return checks.Err()
 }
--- a/internal/leaf/leafhttp/connections_test.go
+++ b/internal/leaf/leafhttp/connections_test.go
@@ -66,11 +66,11 @@
 	return count
 }
 
-// After a leaf resets a new connection, no extra connections to it are opened for Config.SparePause.
+// After a leaf resets a new connection, no extra connections to it are opened for Config.ExtraPause.
 func TestRefusedConnectionPausesExtraConnections(t *testing.T) {
 	is := is.New(t)
 	cfg := testConfig()
-	cfg.SparePause = 200 * time.Millisecond
+	cfg.ExtraPause = 200 * time.Millisecond
 	f := newFixture(t, cfg, ok("hello"))
 	target := Target{LeafID: f.leaf.ID, Address: f.leaf.Address(), ExtraConnections: 1}
 	is.True(f.pool.MayOpenExtra(target.LeafID))
@@ -87,7 +87,7 @@
 	var refused *RefusedConnectionError
 	is.True(errors.As(err, &refused))
 	is.True(!f.pool.MayOpenExtra(refusing.LeafID))
-	time.Sleep(cfg.SparePause)
+	time.Sleep(cfg.ExtraPause)
 	is.True(f.pool.MayOpenExtra(refusing.LeafID))
 }
 
--- a/internal/leaf/leafhttp/leaf_connections.go
+++ b/internal/leaf/leafhttp/leaf_connections.go
@@ -75,7 +75,7 @@
 		conn.close()
 		leaf.open--
 	}
-	if leaf.open < leaf.limit(e.target, p.cfg.SparePause, now) {
+	if leaf.open < leaf.limit(e.target, p.cfg.ExtraPause, now) {
 		leaf.open++
 		return nil, true
 	}
@@ -120,7 +120,7 @@
 // longest opens another. The mutex must be held.
 func (p *Pool) removeOpen(leafID string, leaf *leafConnections) {
 	leaf.open--
-	if len(leaf.waiting) > 0 && leaf.open < leaf.limit(leaf.waiting[0].target, p.cfg.SparePause, time.Now()) {
+	if len(leaf.waiting) > 0 && leaf.open < leaf.limit(leaf.waiting[0].target, p.cfg.ExtraPause, time.Now()) {
 		leaf.open++
 		go leaf.next().open()
 		return
--- a/internal/leaf/leafhttp/leafhttp.go
+++ b/internal/leaf/leafhttp/leafhttp.go
@@ -58,8 +58,8 @@
 	NotExecuted bool
 	// Load is the load that the leaf reported; nil if it reported none.
 	Load *Load
-	// Leaving says that the leaf requested that the connection be closed.
-	Leaving bool
+	// CloseConnection says that the leaf requested that the connection be closed.
+	CloseConnection bool
 }
 
 // Load is the load that a leaf reports, in requests.
--- a/internal/leaf/leafhttp/leafhttp_test.go
+++ b/internal/leaf/leafhttp/leafhttp_test.go
@@ -257,7 +257,7 @@
 	}
 }
 
-func TestConfigNamesEveryFault(t *testing.T) {
+func TestValidateNamesEveryInvalidField(t *testing.T) {
 	is := is.New(t)
 	is.NoErr(DefaultConfig().Validate())
 	is.Equal(len(failure.Faults(Config{IdleReserve: -1, LingerTimeout: -1}.Validate())), 6)
--- a/internal/leaf/leafmemory/leafmemory.go
+++ b/internal/leaf/leafmemory/leafmemory.go
@@ -27,8 +27,8 @@
 }
 
 // New returns the memory of a node that is starting.
-func New(cfg Config, known *catalog.Catalog) *Memory {
-	return &Memory{cfg: cfg, catalog: known, now: time.Now, started: time.Now()}
+func New(cfg Config, cat *catalog.Catalog) *Memory {
+	return &Memory{cfg: cfg, catalog: cat, now: time.Now, started: time.Now()}
 }
 
 // SetClock sets the clock by which losses are timed, which must be the catalog's clock. It must be called before the
@@ -65,7 +65,7 @@
 // Inputs: when each leaf was lost, how long ago this node started, the stored list, and a filter by zone and version.
 //
 // Rule: it selects the leafs that were lost within Config.Retention. If there are none and the node started within
-// Config.TrustAfterStart, it selects the leafs of the stored list. If all leafs of a service are lost, a failure of
+// Config.StoredListAfterStart, it selects the leafs of the stored list. If all leafs of a service are lost, a failure of
 // discovery is more likely than a failure of every leaf.
 func (m *Memory) fallback(view *catalog.View, service string, maySend func(*leafset.Leaf) bool) []*leafset.Leaf {
 	isExcluded := func(leaf *leafset.Leaf) bool { return !maySend(leaf) }
@@ -73,7 +73,7 @@
 	if len(recent) > 0 || !m.isNew() {
 		return recent
 	}
-	return slices.DeleteFunc(slices.Clone(view.Remembered.ByService(service)), isExcluded)
+	return slices.DeleteFunc(slices.Clone(view.SavedLeafs.ByService(service)), isExcluded)
 }
 
 // MaySend reports whether a request may be sent to a leaf, serving or canary, now. It is checked right before sending,
@@ -86,7 +86,7 @@
 		leaf, found = view.Leafs.LostByID(id, m.lossCutoff())
 	}
 	if !found && m.isNew() {
-		leaf, found = view.Remembered.ByID(id)
+		leaf, found = view.SavedLeafs.ByID(id)
 	}
 	return found && view.Leafs.IsAllowed(leaf)
 }
@@ -108,8 +108,8 @@
 	if !m.isNew() {
 		return ids
 	}
-	for _, id := range view.Remembered.IDs() {
-		leaf, _ := view.Remembered.ByID(id)
+	for _, id := range view.SavedLeafs.IDs() {
+		leaf, _ := view.SavedLeafs.ByID(id)
 		ids = appendAllowed(ids, view.Leafs, leaf)
 	}
 	return ids
@@ -126,5 +126,5 @@
 // lossCutoff returns the earliest time of a loss that is within Config.Retention.
 func (m *Memory) lossCutoff() time.Time { return m.now().Add(-m.cfg.Retention) }
 
-// isNew reports whether the node started within Config.TrustAfterStart, so that it uses the stored list.
-func (m *Memory) isNew() bool { return m.now().Sub(m.started) < m.cfg.TrustAfterStart }
+// isNew reports whether the node started within Config.StoredListAfterStart, so that it uses the stored list.
+func (m *Memory) isNew() bool { return m.now().Sub(m.started) < m.cfg.StoredListAfterStart }
--- a/internal/leaf/leafmemory/leafmemory_test.go
+++ b/internal/leaf/leafmemory/leafmemory_test.go
@@ -15,9 +15,9 @@
 )
 
 // put sets a key of a catalog as a watch event does; a nil value deletes the key.
-func put(t *testing.T, known *catalog.Catalog, key string, value any) {
+func put(t *testing.T, cat *catalog.Catalog, key string, value any) {
 	t.Helper()
-	entry := catalog.Entry{Key: key, Revision: known.Revision() + 1, Deleted: value == nil}
+	entry := catalog.Entry{Key: key, Revision: cat.Revision() + 1, Deleted: value == nil}
 	if value != nil {
 		content, err := json.Marshal(value)
 		if err != nil {
@@ -27,7 +27,7 @@
 			t.Fatal(err)
 		}
 	}
-	known.Apply(catalog.Change{Entry: entry, Previous: known.Revision()})
+	cat.Apply(catalog.Change{Entry: entry, Previous: cat.Revision()})
 }
 
 func record(id string, state leafset.State) leafset.Record {
@@ -36,22 +36,22 @@
 
 func TestLostLeafsAreLastResortWithinRetention(t *testing.T) {
 	is := is.New(t)
-	known := catalog.New(nil)
-	put(t, known, catalog.LeafKey("a"), record("a", leafset.Ready))
-	put(t, known, catalog.LeafKey("b"), record("b", leafset.Ready))
+	cat := catalog.New(nil)
+	put(t, cat, catalog.LeafKey("a"), record("a", leafset.Ready))
+	put(t, cat, catalog.LeafKey("b"), record("b", leafset.Ready))
 	now := time.Now()
-	memory := New(DefaultConfig(), known)
+	memory := New(DefaultConfig(), cat)
 	memory.now = func() time.Time { return now }
 	leafs, lastResort := memory.Candidates("s")
 	is.Equal(len(leafs), 2)
 	is.True(!lastResort)
 
-	put(t, known, catalog.LeafKey("a"), record("a", leafset.Draining))
+	put(t, cat, catalog.LeafKey("a"), record("a", leafset.Draining))
 	leafs, lastResort = memory.Candidates("s")
 	is.Equal(len(leafs), 1) // a draining leaf gets no requests while there is another
 	is.True(!lastResort)
 
-	put(t, known, catalog.LeafKey("b"), nil)
+	put(t, cat, catalog.LeafKey("b"), nil)
 	leafs, lastResort = memory.Candidates("s")
 	is.Equal(len(leafs), 2)
 	is.True(lastResort)
@@ -64,30 +64,30 @@
 
 func TestStoredListIsUsedOnlyAfterStart(t *testing.T) {
 	is := is.New(t)
-	known := catalog.New(nil)
-	put(t, known, catalog.SavedLeafsKey, leafset.List{Leafs: []leafset.Record{record("a", leafset.Ready)}})
+	cat := catalog.New(nil)
+	put(t, cat, catalog.SavedLeafsKey, leafset.List{Leafs: []leafset.Record{record("a", leafset.Ready)}})
 	now := time.Now()
-	memory := New(DefaultConfig(), known)
+	memory := New(DefaultConfig(), cat)
 	memory.now = func() time.Time { return now }
 	leafs, lastResort := memory.Candidates("s")
 	is.Equal(len(leafs), 1)
 	is.True(lastResort)
-	now = now.Add(DefaultConfig().TrustAfterStart + time.Millisecond)
+	now = now.Add(DefaultConfig().StoredListAfterStart + time.Millisecond)
 	leafs, _ = memory.Candidates("s")
 	is.Equal(len(leafs), 0)
 }
 
 func TestListIsStoredAfterDelayByRank(t *testing.T) {
 	is := is.New(t)
-	known := catalog.New(nil)
+	cat := catalog.New(nil)
 	for _, id := range []string{"n1", "n2", "n3"} {
-		put(t, known, catalog.NodeKey(id), catalog.NodeRecord{ID: id})
+		put(t, cat, catalog.NodeKey(id), catalog.NodeRecord{ID: id})
 	}
-	put(t, known, catalog.LeafKey("a"), record("a", leafset.Ready))
+	put(t, cat, catalog.LeafKey("a"), record("a", leafset.Ready))
 	now := time.Now()
 	var writers []*Writer
 	for _, id := range []string{"n1", "n2", "n3"} {
-		writer := NewWriter(DefaultConfig(), known, nil, id, zap.NewNop())
+		writer := NewWriter(DefaultConfig(), cat, nil, id, zap.NewNop())
 		is.True(!writer.isDue(now)) // the leafs are new
 		writers = append(writers, writer)
 	}
@@ -105,41 +105,41 @@
 	is.Equal(due(delay), 1)
 	is.Equal(due(2*delay), 2)
 	is.Equal(due(3*delay), 3)
-	put(t, known, catalog.SavedLeafsKey, leafset.List{Leafs: []leafset.Record{record("a", leafset.Ready)}})
+	put(t, cat, catalog.SavedLeafsKey, leafset.List{Leafs: []leafset.Record{record("a", leafset.Ready)}})
 	is.Equal(due(3*delay), 0)
-	put(t, known, catalog.LeafKey("a"), record("a", leafset.Draining))
+	put(t, cat, catalog.LeafKey("a"), record("a", leafset.Draining))
 	is.Equal(due(3*delay), 0) // a list without ready leafs is never stored
 }
 
-func TestConfigNamesEveryFault(t *testing.T) {
+func TestValidateNamesEveryInvalidField(t *testing.T) {
 	is := is.New(t)
 	is.NoErr(DefaultConfig().Validate())
-	is.Equal(len(failure.Faults(Config{Retention: -1, TrustAfterStart: -1, MaximumLeafs: -1}.Validate())), 4)
+	is.Equal(len(failure.Faults(Config{Retention: -1, StoredListAfterStart: -1, MaximumLeafs: -1}.Validate())), 4)
 }
 
 // Leafs of an evacuated zone are not a last resort, whether they were lost recently or are on the stored list.
 func TestEvacuatedLeafsAreNotLastResort(t *testing.T) {
 	is := is.New(t)
-	known := catalog.New(nil)
+	cat := catalog.New(nil)
 	inZone := func(id, zone string) leafset.Record {
 		made := record(id, leafset.Ready)
 		made.Zone = zone
 		return made
 	}
-	put(t, known, catalog.LeafKey("a"), inZone("a", "east"))
-	put(t, known, catalog.SavedLeafsKey, leafset.List{Leafs: []leafset.Record{inZone("a", "east"), inZone("b", "west")}})
-	memory := New(DefaultConfig(), known)
+	put(t, cat, catalog.LeafKey("a"), inZone("a", "east"))
+	put(t, cat, catalog.SavedLeafsKey, leafset.List{Leafs: []leafset.Record{inZone("a", "east"), inZone("b", "west")}})
+	memory := New(DefaultConfig(), cat)
 	is.True(memory.MaySend("a"))
-	put(t, known, catalog.EvacuationKey("east"), struct{}{})
+	put(t, cat, catalog.EvacuationKey("east"), struct{}{})
 	is.True(!memory.MaySend("a"))
 	leafs, _ := memory.Candidates("s")
 	is.Equal(len(leafs), 1) // from the stored list
 	is.Equal(leafs[0].ID, "b")
-	put(t, known, catalog.LeafKey("a"), nil)
+	put(t, cat, catalog.LeafKey("a"), nil)
 	is.True(!memory.MaySend("a"))
 	leafs, _ = memory.Candidates("s")
 	is.Equal(len(leafs), 1)
-	put(t, known, catalog.EvacuationKey("east"), nil)
+	put(t, cat, catalog.EvacuationKey("east"), nil)
 	is.True(memory.MaySend("a")) // the leaf was lost recently, and its zone is no longer evacuated
 }
 
@@ -147,17 +147,17 @@
 func TestDrainingLeafMayBeSentRequestsWithinRetention(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		known := catalog.New(nil)
-		put(t, known, catalog.LeafKey("a"), record("a", leafset.Ready))
-		memory := New(DefaultConfig(), known)
-		time.Sleep(DefaultConfig().TrustAfterStart)
+		cat := catalog.New(nil)
+		put(t, cat, catalog.LeafKey("a"), record("a", leafset.Ready))
+		memory := New(DefaultConfig(), cat)
+		time.Sleep(DefaultConfig().StoredListAfterStart)
 		is.True(memory.MaySend("a"))
 		is.True(!memory.MaySend("other"))
-		put(t, known, catalog.LeafKey("a"), record("a", leafset.Draining))
+		put(t, cat, catalog.LeafKey("a"), record("a", leafset.Draining))
 		is.True(memory.MaySend("a"))
 		time.Sleep(DefaultConfig().Retention + time.Millisecond)
 		is.True(!memory.MaySend("a"))
-		put(t, known, catalog.LeafKey("a"), record("a", leafset.Ready))
+		put(t, cat, catalog.LeafKey("a"), record("a", leafset.Ready))
 		is.True(memory.MaySend("a"))
 	})
 }
@@ -165,20 +165,20 @@
 // The retention of a lost leaf starts when the node applies the change, not at the first request after it. Otherwise, a
 // node with few requests would send them to leafs that drained long ago.
 func TestRetentionStartsWhenLossIsApplied(t *testing.T) {
-	losses := map[string]func(known *catalog.Catalog){
-		"drained":  func(known *catalog.Catalog) { put(t, known, catalog.LeafKey("a"), record("a", leafset.Draining)) },
-		"removed":  func(known *catalog.Catalog) { put(t, known, catalog.LeafKey("a"), nil) },
-		"replaced": func(known *catalog.Catalog) { known.Replace(catalog.Snapshot{Revision: known.Revision() + 1}) },
+	losses := map[string]func(cat *catalog.Catalog){
+		"drained":  func(cat *catalog.Catalog) { put(t, cat, catalog.LeafKey("a"), record("a", leafset.Draining)) },
+		"removed":  func(cat *catalog.Catalog) { put(t, cat, catalog.LeafKey("a"), nil) },
+		"replaced": func(cat *catalog.Catalog) { cat.Replace(catalog.Snapshot{Revision: cat.Revision() + 1}) },
 	}
 	for name, lose := range losses {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				known := catalog.New(nil)
-				put(t, known, catalog.LeafKey("a"), record("a", leafset.Ready))
-				memory, other := New(DefaultConfig(), known), New(DefaultConfig(), known)
+				cat := catalog.New(nil)
+				put(t, cat, catalog.LeafKey("a"), record("a", leafset.Ready))
+				memory, other := New(DefaultConfig(), cat), New(DefaultConfig(), cat)
 				time.Sleep(time.Minute)
-				lose(known)
+				lose(cat)
 				time.Sleep(DefaultConfig().Retention / 2)
 				leafs, _ := memory.Candidates("s")
 				is.Equal(len(leafs), 1)
@@ -187,7 +187,7 @@
 				leafs, _ = other.Candidates("s") // the first call since the loss
 				is.Equal(len(leafs), 0)
 				is.True(!other.MaySend("a"))
-				is.Equal(len(other.IDs()), known.View().Leafs.Len())
+				is.Equal(len(other.IDs()), cat.View().Leafs.Len())
 			})
 		})
 	}
--- a/internal/leaf/leafmemory/suspended_test.go
+++ b/internal/leaf/leafmemory/suspended_test.go
@@ -15,13 +15,13 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	clock := func() time.Time { return now }
-	known := catalog.New(nil)
-	known.SetClock(clock)
-	memory := New(DefaultConfig(), known)
+	cat := catalog.New(nil)
+	cat.SetClock(clock)
+	memory := New(DefaultConfig(), cat)
 	memory.SetClock(clock)
-	put(t, known, catalog.LeafKey("a"), record("a", leafset.Ready))
+	put(t, cat, catalog.LeafKey("a"), record("a", leafset.Ready))
 	now = now.Add(time.Minute)
-	put(t, known, catalog.LeafKey("a"), record("a", leafset.Draining))
+	put(t, cat, catalog.LeafKey("a"), record("a", leafset.Draining))
 	is.True(memory.MaySend("a"))
 	now = now.Add(DefaultConfig().Retention + time.Second) // suspended
 	is.True(!memory.MaySend("a"))
--- a/internal/leaf/leafmemory/writer.go
+++ b/internal/leaf/leafmemory/writer.go
@@ -37,13 +37,13 @@
 	since   time.Time        // when desired last changed
 	// leafs and remembered are the sets compared last, and isStored is the result. It is cached because the sets rarely
 	// change, and comparing thousands of leafs per second would take a large part of an idle node's CPU time.
-	leafs, remembered *leafset.Set
+	leafs, savedLeafs *leafset.Set
 	isStored          bool
 }
 
 // NewWriter returns the writer of the node whose ID is self.
-func NewWriter(cfg Config, known *catalog.Catalog, leafStore store.Store, self string, logger *zap.Logger) *Writer {
-	return &Writer{cfg: cfg, catalog: known, store: leafStore, self: self, logger: logger}
+func NewWriter(cfg Config, cat *catalog.Catalog, leafStore store.Store, self string, logger *zap.Logger) *Writer {
+	return &Writer{cfg: cfg, catalog: cat, store: leafStore, self: self, logger: logger}
 }
 
 // Run stores the list when it has changed, until the context ends.
@@ -74,14 +74,14 @@
 
 // compare updates desired and isStored if the leafs or the stored list changed since the last call.
 func (w *Writer) compare(view *catalog.View, now time.Time) {
-	if view.Leafs == w.leafs && view.Remembered == w.remembered {
+	if view.Leafs == w.leafs && view.SavedLeafs == w.savedLeafs {
 		return
 	}
-	w.leafs, w.remembered = view.Leafs, view.Remembered
+	w.leafs, w.savedLeafs = view.Leafs, view.SavedLeafs
 	if current := records(view.Leafs); !slices.Equal(current, w.desired) {
 		w.desired, w.since = current, now
 	}
-	w.isStored = slices.Equal(w.desired, records(view.Remembered))
+	w.isStored = slices.Equal(w.desired, records(view.SavedLeafs))
 }
 
 // records returns the records of the ready leafs sorted by name, without the fields that change with each heartbeat.
--- a/internal/leaf/leafset/leaf.go
+++ b/internal/leaf/leafset/leaf.go
@@ -55,9 +55,9 @@
 	return leaf
 }
 
-// Learn returns the leaf for a record that replaces the known leaf with the same name, which may be nil. If the record
+// ReplaceLeaf returns the leaf for a record that replaces the known leaf with the same name, which may be nil. If the record
 // is the same write, read again in another epoch after a restore of the store, the leaf keeps its ColdUntil.
-func Learn(known *Leaf, record Record, at int64, received time.Time) *Leaf {
+func ReplaceLeaf(known *Leaf, record Record, at int64, received time.Time) *Leaf {
 	leaf := NewLeaf(record, at, received)
 	if known != nil && known.Record == record && revision.Count(known.Revision) == revision.Count(at) {
 		leaf.ColdUntil = known.ColdUntil
--- a/internal/leaf/warmup/warmup.go
+++ b/internal/leaf/warmup/warmup.go
@@ -51,8 +51,8 @@
 	at        time.Time // of the last refill
 }
 
-func New(cfg Config, known *catalog.Catalog, fleet Fleet, self catalog.NodeRecord) *Limiter {
-	return &Limiter{cfg: cfg, catalog: known, fleet: fleet, self: self, now: time.Now, buckets: map[string]*tokenBucket{}}
+func New(cfg Config, cat *catalog.Catalog, fleet Fleet, self catalog.NodeRecord) *Limiter {
+	return &Limiter{cfg: cfg, catalog: cat, fleet: fleet, self: self, now: time.Now, buckets: map[string]*tokenBucket{}}
 }
 
 // SetClock sets the clock that determines whether leafs are cold, which must be the catalog's clock. It must be called
--- a/internal/leaf/warmup/warmup_test.go
+++ b/internal/leaf/warmup/warmup_test.go
@@ -36,7 +36,7 @@
 // fatalReporter is implemented by testing.T and rapid.T.
 type fatalReporter interface{ Fatal(...any) }
 
-func put(t fatalReporter, known *catalog.Catalog, key string, value any) {
+func put(t fatalReporter, cat *catalog.Catalog, key string, value any) {
 	content, err := json.Marshal(value)
 	if err != nil {
 		t.Fatal(err)
@@ -45,23 +45,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	known.Apply(catalog.Change{Entry: catalog.Entry{Key: key, Value: wrapped, Revision: known.Revision() + 1}, Previous: known.Revision()})
+	cat.Apply(catalog.Change{Entry: catalog.Entry{Key: key, Value: wrapped, Revision: cat.Revision() + 1}, Previous: cat.Revision()})
 }
 
 // newCatalog returns a catalog with one leaf that is cold for a minute and whose service has the given cold rate.
 func newCatalog(t fatalReporter, perSecond float64, gathered bool) *catalog.Catalog {
-	known := catalog.New(nil)
-	put(t, known, catalog.LeafKey(testLeaf), leafset.Record{
+	cat := catalog.New(nil)
+	put(t, cat, catalog.LeafKey(testLeaf), leafset.Record{
 		Name: testLeaf, Service: testService, Zone: "east", Address: "127.0.0.1:1", State: leafset.Ready, WarmupMillis: time.Minute.Milliseconds(),
 	})
 	route := routing.Route{Host: "h", Prefix: "/", Repeatability: routing.Repeatable, Service: testService}
 	if gathered {
 		route.Service, route.Gathered = "", []string{testService}
 	}
-	put(t, known, catalog.RoutesKey, routing.Configuration{
+	put(t, cat, catalog.RoutesKey, routing.Configuration{
 		Routes: []routing.Route{route}, Services: []routing.Service{{Name: testService, ColdRequestsPerSecond: perSecond}},
 	})
-	return known
+	return cat
 }
 
 func fleetOf(ids ...int) []catalog.NodeRecord {
@@ -79,7 +79,7 @@
 		cfg := Config{Excess: rapid.Float64Range(1, 3).Draw(t, "excess"), Slack: rapid.Float64Range(1, 10).Draw(t, "slack")}
 		perSecond := rapid.Float64Range(1, 40).Draw(t, "per second")
 		gathered := rapid.Bool().Draw(t, "gathered")
-		known := newCatalog(t, perSecond, gathered)
+		cat := newCatalog(t, perSecond, gathered)
 		now := time.Now()
 		size := rapid.IntRange(1, 30).Draw(t, "nodes")
 		current := make([]int, size)
@@ -92,7 +92,7 @@
 		join := func(id int) {
 			self := fleetOf(id)[0]
 			view := &fakeFleet{self: self.ID, nodes: fleet}
-			limiter := New(cfg, known, view, self)
+			limiter := New(cfg, cat, view, self)
 			limiter.now = func() time.Time { return now }
 			limiters, seen = append(limiters, limiter), append(seen, view)
 		}
@@ -146,7 +146,7 @@
 func TestSendersUseMostOfTheRate(t *testing.T) {
 	is := is.New(t)
 	cfg := Config{Excess: 1.5, Slack: 5}
-	known := newCatalog(t, 6, true)
+	cat := newCatalog(t, 6, true)
 	now := time.Now()
 	ids := make([]int, 20)
 	for id := range ids {
@@ -155,7 +155,7 @@
 	fleet := &fakeFleet{nodes: fleetOf(ids...)}
 	senders, sent := 0, 0
 	for _, node := range fleet.nodes {
-		limiter := New(cfg, known, &fakeFleet{self: node.ID, nodes: fleet.nodes}, node)
+		limiter := New(cfg, cat, &fakeFleet{self: node.ID, nodes: fleet.nodes}, node)
 		at := now
 		limiter.now = func() time.Time { return at }
 		own := 0
@@ -179,13 +179,13 @@
 // not registered sends nothing to cold leafs.
 func TestOnlyRegisteredNodesSendToColdLeafs(t *testing.T) {
 	is := is.New(t)
-	known := newCatalog(t, 6, false)
+	cat := newCatalog(t, 6, false)
 	now := time.Now()
 	nodes := fleetOf(0)
 	fleet := &fakeFleet{self: nodes[0].ID, nodes: nodes}
-	limiter := New(Config{Excess: 1.5, Slack: 5}, known, fleet, nodes[0])
+	limiter := New(Config{Excess: 1.5, Slack: 5}, cat, fleet, nodes[0])
 	limiter.now = func() time.Time { return now }
-	cold, _ := known.View().Leafs.ByID(testLeaf)
+	cold, _ := cat.View().Leafs.ByID(testLeaf)
 	is.True(limiter.Take("remembered"))
 	fleet.nodes = nil
 	is.True(!limiter.HasToken(cold))
@@ -209,7 +209,7 @@
 	}
 }
 
-func TestConfigNamesEveryFault(t *testing.T) {
+func TestValidateNamesEveryInvalidField(t *testing.T) {
 	is := is.New(t)
 	is.NoErr(DefaultConfig().Validate())
 	is.Equal(len(failure.Faults(Config{Slack: -1}.Validate())), 2)
--- a/internal/node/decisionlog/decisionlog.go
+++ b/internal/node/decisionlog/decisionlog.go
@@ -47,11 +47,11 @@
 // Importance selects the rate limit of a line.
 type Importance int
 
-// Ordinary lines are limited to Config.LinesPerSecond, Failed lines to Config.FailureLinesPerSecond. Changes of state count
-// as Failed, so that they are not displaced either.
+// Ordinary lines are limited to Config.LinesPerSecond. Important lines (failed and partial requests, changes of state)
+// are limited to Config.FailureLinesPerSecond, so that ordinary lines do not displace them.
 const (
 	Ordinary Importance = iota
-	Failed
+	Important
 )
 
 // Log is the decision log of a node. It is safe for concurrent use.
@@ -59,7 +59,7 @@
 	output       io.Writer
 	queue        chan any
 	ordinary     *rate.Limiter
-	failed       *rate.Limiter
+	important    *rate.Limiter
 	droppedLines atomic.Int64
 	dropped      func()
 }
@@ -67,11 +67,11 @@
 // New returns a log that writes nothing until Run is called. It calls dropped for each dropped line.
 func New(cfg Config, output io.Writer, dropped func()) *Log {
 	return &Log{
-		output:   output,
-		queue:    make(chan any, cfg.Queue),
-		ordinary: limiter(cfg.LinesPerSecond),
-		failed:   limiter(cfg.FailureLinesPerSecond),
-		dropped:  dropped,
+		output:    output,
+		queue:     make(chan any, cfg.Queue),
+		ordinary:  limiter(cfg.LinesPerSecond),
+		important: limiter(cfg.FailureLinesPerSecond),
+		dropped:   dropped,
 	}
 }
 
@@ -86,8 +86,8 @@
 // be changed.
 func (l *Log) Write(importance Importance, event any) {
 	limit := l.ordinary
-	if importance == Failed {
-		limit = l.failed
+	if importance == Important {
+		limit = l.important
 	}
 	if limit.Allow() {
 		select {
--- a/internal/node/decisionlog/decisionlog_test.go
+++ b/internal/node/decisionlog/decisionlog_test.go
@@ -68,7 +68,7 @@
 			log.Write(Ordinary, testEvent{number})
 		}
 		is.Equal(dropped, 94)
-		log.Write(Failed, testEvent{1000})
+		log.Write(Important, testEvent{1000})
 		is.Equal(dropped, 94)
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
--- a/internal/node/dialect.go
+++ b/internal/node/dialect.go
@@ -25,7 +25,7 @@
 	// HTTP holds the header names and paths that callers and leafs use.
 	HTTP httpnames.Names
 	// Connect connects to the store. It must call called after each call of the store.
-	Connect func(cfg settings.Platform, called func(store.Answer)) PlatformStore
+	Connect func(cfg settings.Platform, called func(store.CallOutcome)) PlatformStore
 }
 
 // dialects are the supported platform protocols besides the product's own.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -93,7 +93,7 @@
 			return events
 		}),
 		fx.Invoke(runLog, logLifetime, runControl, runOperators, runServing, runReload),
-		fx.StopTimeout(cfg.Stop.PrepareStopDelay+cfg.Stop.DrainTimeout+closeReserve),
+		fx.StopTimeout(cfg.Stop.AnnounceDelay+cfg.Stop.DrainTimeout+closeReserve),
 	)
 }
 
--- a/internal/node/provide_config.go
+++ b/internal/node/provide_config.go
@@ -50,15 +50,15 @@
 	syncer := configsync.New(configsync.Deps{
 		Config: deps.Config.ConfigSync, Catalog: deps.Catalog, Store: deps.Store, Machines: deps.Machines, Transport: deps.Transport,
 		Leafs: deps.Balancer, Logger: deps.Logger, Seeds: deps.Config.Seeds,
-		Relayed:      func(kind string) { deps.Metrics.ConfigRelayed.WithLabelValues(kind).Inc() },
+		MessageSent:  func(kind string) { deps.Metrics.ConfigRelayed.WithLabelValues(kind).Inc() },
 		StateDropped: deps.Metrics.StatesDropped.Inc,
 		Settled:      settled,
 	})
-	deps.Balancer.OnDraining(syncer.LeafDraining)
+	deps.Balancer.OnDraining(syncer.LeafAnnouncedLeaving)
 	return syncer
 }
 
-func newRewriter(cat *catalog.Catalog, configStore store.Store, self catalog.NodeRecord, events *storeEvents) *rewriter.Writer {
+func newRewriter(cat *catalog.Catalog, configStore store.Store, self catalog.NodeRecord, events *storeEvents) *rewriter.Rewriter {
 	return rewriter.New(cat, configStore, self.ID, events)
 }
 
--- a/internal/node/provide_fleet.go
+++ b/internal/node/provide_fleet.go
@@ -56,7 +56,7 @@
 }
 
 func newFleet(cfg settings.Settings, cat *catalog.Catalog, self catalog.NodeRecord, clock boottime.Clock) *registry.Fleet {
-	fleet := registry.NewFleet(cat, self.ID, cfg.Registry.Memory)
+	fleet := registry.NewFleet(cat, self.ID, cfg.Registry.Retention)
 	fleet.SetClock(clock)
 	return fleet
 }
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -87,10 +87,10 @@
 
 func (e quarantineEvents) write(name string, record quarantine.Record, from string, err error) {
 	event := quarantineEvent{
-		Time: time.Now(), Event: name, Content: record.Content, Path: record.Path, Caller: record.Caller,
-		Leafs: record.Leafs, Retests: record.Retests, By: record.By, From: from, Error: errorText(err),
+		Time: time.Now(), Event: name, Content: record.Fingerprint, Path: record.Path, Caller: record.Caller,
+		Leafs: record.Leafs, Retests: record.Retests, By: record.FoundBy, From: from, Error: errorText(err),
 	}
-	e.log.Write(decisionlog.Failed, event)
+	e.log.Write(decisionlog.Important, event)
 }
 
 // Quarantined implements quarantinesync.EventLog.
@@ -111,10 +111,10 @@
 
 // Lifted implements quarantinesync.EventLog.
 func (e quarantineEvents) Lifted(content fingerprint.Fingerprint) {
-	e.log.Write(decisionlog.Failed, quarantineEvent{Time: time.Now(), Event: eventQuarantineLifted, Content: content})
+	e.log.Write(decisionlog.Important, quarantineEvent{Time: time.Now(), Event: eventQuarantineLifted, Content: content})
 }
 
 // Dropped implements quarantinesync.EventLog.
 func (e quarantineEvents) Dropped(findings int) {
-	e.log.Write(decisionlog.Failed, quarantineEvent{Time: time.Now(), Event: eventQuarantineDropped, Findings: findings})
+	e.log.Write(decisionlog.Important, quarantineEvent{Time: time.Now(), Event: eventQuarantineDropped, Findings: findings})
 }
--- a/internal/node/request_events.go
+++ b/internal/node/request_events.go
@@ -69,7 +69,7 @@
 	Time      time.Time `json:"time"`
 	Event     string    `json:"event"`
 	RequestID string    `json:"request_id"`
-	// Content, Path and Caller are set only for failed requests.
+	// Fingerprint, Path and Caller are set only for failed requests.
 	Content         fingerprint.Fingerprint `json:"content,omitzero"`
 	Path            string                  `json:"path,omitempty"`
 	Caller          string                  `json:"caller,omitempty"`
@@ -128,7 +128,7 @@
 func (e *requestEvents) Refused(request *gateway.Request, err error) {
 	failed := failure.From(err)
 	e.metrics.FrontRequests.WithLabelValues(noRoute, string(failed.Code)).Inc()
-	e.log.Write(decisionlog.Failed, refusedEvent{
+	e.log.Write(decisionlog.Important, refusedEvent{
 		Time: time.Now(), Event: eventRefused, RequestID: request.Leaf.ID, Host: request.Leaf.Host, Code: failed.Code, Message: failed.Message,
 	})
 }
@@ -172,12 +172,12 @@
 	case record.Failure != nil:
 		event.Event, event.Code, event.Message = eventFailed, record.Failure.Code, record.Failure.Message
 		subject := quarantine.NewSubject(record.Content, record.Path, record.Caller)
-		event.Content, event.Path, event.Caller = subject.Content, subject.Path, subject.Caller
-		importance, outcome = decisionlog.Failed, outcomeFailed
+		event.Content, event.Path, event.Caller = subject.Fingerprint, subject.Path, subject.Caller
+		importance, outcome = decisionlog.Important, outcomeFailed
 	case record.Missing > 0:
-		event.Event, importance, outcome = eventPartial, decisionlog.Failed, outcomePartial
+		event.Event, importance, outcome = eventPartial, decisionlog.Important, outcomePartial
 	case !record.InTime:
-		importance = decisionlog.Failed
+		importance = decisionlog.Important
 	}
 	if record.Root != "" {
 		event.Event = eventGathered
@@ -204,12 +204,12 @@
 // GroupEnded implements gateway.EventLog. Only groups without an answer are logged here: answered groups are in the event
 // of their request, and cancelled groups are not failures.
 func (e *requestEvents) GroupEnded(record gateway.GroupRecord) {
-	e.metrics.TreePassed.WithLabelValues(string(record.Outcome)).Inc()
+	e.metrics.TreeGroupsPassed.WithLabelValues(string(record.Outcome)).Inc()
 	e.metrics.TreeLatency.Observe(record.Took.Seconds())
 	if record.Outcome == gateway.GroupAnswered || record.Outcome == gateway.GroupCancelled {
 		return
 	}
-	e.log.Write(decisionlog.Failed, unansweredGroupEvent{Time: time.Now(), Event: eventGroupUnanswered, RequestID: record.RequestID, groupEvent: newGroupEvent(record)})
+	e.log.Write(decisionlog.Important, unansweredGroupEvent{Time: time.Now(), Event: eventGroupUnanswered, RequestID: record.RequestID, groupEvent: newGroupEvent(record)})
 }
 
 // lossEvent is the result of the check of a leaf whose answer broke off.
@@ -224,11 +224,11 @@
 	Announced bool                    `json:"announced,omitempty"`
 }
 
-// LeafLost implements gateway.EventLog. It counts against the rate of failures: a burst of failed attempts uses up the
+// LeafChecked implements gateway.EventLog. It counts against the rate of failures: a burst of failed attempts uses up the
 // ordinary rate, and only this line connects a crash with a request.
-func (e *requestEvents) LeafLost(record gateway.LeafLossRecord) {
+func (e *requestEvents) LeafChecked(record gateway.LeafCheckRecord) {
 	e.metrics.LeafsLost.WithLabelValues(strconv.FormatBool(record.Ended)).Inc()
-	e.log.Write(decisionlog.Failed, lossEvent{
+	e.log.Write(decisionlog.Important, lossEvent{
 		Time: time.Now(), Event: eventLeafLost, RequestID: record.RequestID, Content: record.Content, Service: record.Service,
 		Leaf: record.Leaf, Ended: record.Ended, Announced: record.Announced,
 	})
--- a/internal/node/rollout_events.go
+++ b/internal/node/rollout_events.go
@@ -80,7 +80,7 @@
 
 // SpecSeen implements rolloutcontrol.EventLog.
 func (e rolloutEvents) SpecSeen(record rolloutcontrol.SpecEvent) {
-	e.log.Write(decisionlog.Failed, specEvent{
+	e.log.Write(decisionlog.Important, specEvent{
 		Time: time.Now(), Event: eventSpecSeen, Service: record.Spec.Service, SpecID: record.Spec.ID(),
 		Target: record.Spec.Target, DurationMillis: record.Spec.DurationMillis, Rank: record.Rank,
 	})
@@ -88,7 +88,7 @@
 
 // PhaseLearned implements rolloutcontrol.EventLog.
 func (e rolloutEvents) PhaseLearned(state rollout.State) {
-	e.log.Write(decisionlog.Failed, newPhaseEvent(eventPhaseLearned, state))
+	e.log.Write(decisionlog.Important, newPhaseEvent(eventPhaseLearned, state))
 }
 
 // PhaseWritten implements rolloutcontrol.EventLog.
@@ -98,7 +98,7 @@
 		event.Event, event.Error = eventPhaseNotWritten, record.Err.Error()
 	}
 	event.Revision, event.Counts, event.AgeMillis = record.Revision, record.Counts, record.Age.Milliseconds()
-	e.log.Write(decisionlog.Failed, event)
+	e.log.Write(decisionlog.Important, event)
 }
 
 func newPhaseEvent(name string, state rollout.State) phaseEvent {
@@ -117,7 +117,7 @@
 	if record.From != "" {
 		event.Event = eventAbortReceived
 	}
-	e.log.Write(decisionlog.Failed, event)
+	e.log.Write(decisionlog.Important, event)
 }
 
 // RowsDropped implements rolloutcontrol.EventLog.
@@ -129,7 +129,7 @@
 
 // VersionsWritten implements rolloutcontrol.EventLog.
 func (e rolloutEvents) VersionsWritten(record rolloutcontrol.VersionsWriteEvent) {
-	e.log.Write(decisionlog.Failed, versionsEvent{
+	e.log.Write(decisionlog.Important, versionsEvent{
 		Time: time.Now(), Event: eventVersionsWritten, Services: record.Services, Error: errorText(record.Err),
 	})
 }
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -60,27 +60,27 @@
 type controlDeps struct {
 	fx.In
 
-	Config      settings.Settings
-	Transport   *peer.SocketTransport
-	Syncer      *configsync.Syncer
-	Members     *membership.Membership
-	Engine      *search.Engine
-	Maintainer  *maintainer
-	Writer      *leafmemory.Writer
-	Gossip      *leafgossip.Gossip
-	StateEvents *stateEvents
-	Reach       *reachability.Datagrams
-	Zones       *reachability.Tracker
-	Rollouts    *rollouts
-	Self        catalog.NodeRecord
-	Catalog     *catalog.Catalog
-	Lessor      store.Lessor `optional:"true"`
-	Logger      *zap.Logger
-	Quarantine  *quarantinesync.Sync
-	Rewriter    *rewriter.Writer
-	Clock       boottime.Clock
-	Gateway     *gateway.Gateway
-	Leafs       *leafhttp.Pool
+	Config       settings.Settings
+	Transport    *peer.SocketTransport
+	Syncer       *configsync.Syncer
+	Members      *membership.Membership
+	Engine       *search.Engine
+	Maintainer   *maintainer
+	Writer       *leafmemory.Writer
+	Gossip       *leafgossip.Gossip
+	StateEvents  *stateEvents
+	Reachability *reachability.Datagrams
+	Zones        *reachability.Tracker
+	Rollouts     *rollouts
+	Self         catalog.NodeRecord
+	Catalog      *catalog.Catalog
+	Lessor       store.Lessor `optional:"true"`
+	Logger       *zap.Logger
+	Quarantine   *quarantinesync.Sync
+	Rewriter     *rewriter.Rewriter
+	Clock        boottime.Clock
+	Gateway      *gateway.Gateway
+	Leafs        *leafhttp.Pool
 }
 
 // runControl runs membership, configuration and the other background loops until the servers have stopped.
@@ -90,7 +90,7 @@
 	lifecycle.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			deps.Transport.Serve(configsync.NewPeerHandler(deps.Syncer, configsync.Handlers{
-				Leafs: deps.Gossip.Handle, Reach: deps.Reach.Handle, Rollouts: deps.Rollouts.handler(),
+				Leafs: deps.Gossip.Handle, Reachability: deps.Reachability.Handle, Rollouts: deps.Rollouts.handler(),
 				Quarantine: deps.Quarantine.Handle,
 			}))
 			go deps.Zones.Run(ctx)
@@ -194,7 +194,7 @@
 			deps.Engine.PrepareStop()
 			deps.Front.PrepareStop()
 			logger.Info("stopping: announced to callers and peers")
-			if !wait.For(ctx, cfg.Stop.PrepareStopDelay) {
+			if !wait.For(ctx, cfg.Stop.AnnounceDelay) {
 				return ctx.Err()
 			}
 			drain(ctx, deps)
--- a/internal/node/settings/settings.go
+++ b/internal/node/settings/settings.go
@@ -97,8 +97,8 @@
 type Stop struct {
 	// DrainTimeout is how long a stopping node waits for the requests in flight.
 	DrainTimeout time.Duration `yaml:"drain_timeout"`
-	// PrepareStopDelay is how long the node accepts new requests after it has announced its stop.
-	PrepareStopDelay time.Duration `yaml:"announce_delay"`
+	// AnnounceDelay is how long the node accepts new requests after it has announced its stop.
+	AnnounceDelay time.Duration `yaml:"announce_delay"`
 }
 
 // Settings are all settings of a node.
@@ -155,7 +155,7 @@
 		},
 		Platform:        defaultPlatform(),
 		LogLevel:        "info",
-		Stop:            Stop{DrainTimeout: 30 * time.Second, PrepareStopDelay: 200 * time.Millisecond},
+		Stop:            Stop{DrainTimeout: 30 * time.Second, AnnounceDelay: 200 * time.Millisecond},
 		Search:          search.DefaultConfig(),
 		Balancer:        balancer.DefaultConfig(),
 		Hedging:         hedging.DefaultConfig(),
@@ -211,7 +211,7 @@
 	checks.Refuse(s.Platform.WatchWait <= 0, "platform.watch_wait", "must be positive")
 	checks.Refuse(s.Platform.WatchPause < 0, "platform.watch_pause", "must not be negative")
 	// With a shorter look_after, standby watchers would call the store although the first watcher of their zone works.
-	checks.Refuse(s.ConfigSync.LookAfter <= s.Platform.WatchWait, "config_sync.look_after", "must be longer than platform.watch_wait")
+	checks.Refuse(s.ConfigSync.CheckStoreAfter <= s.Platform.WatchWait, "config_sync.look_after", "must be longer than platform.watch_wait")
 	checks.Refuse(s.Platform.StandbyWatchWait <= 0, "platform.standby_watch_wait", "must be positive")
 	checks.Refuse(s.Platform.StandbyWatchPause < 0, "platform.standby_watch_pause", "must not be negative")
 	for _, seed := range s.Seeds {
@@ -220,7 +220,7 @@
 	_, err := zapcore.ParseLevel(s.LogLevel)
 	checks.Refuse(err != nil, "log_level", "%q; must be debug, info, warn or error", s.LogLevel)
 	checks.Refuse(s.Stop.DrainTimeout <= 0, "stop.drain_timeout", "must be positive")
-	checks.Refuse(s.Stop.PrepareStopDelay < 0, "stop.announce_delay", "must not be negative")
+	checks.Refuse(s.Stop.AnnounceDelay < 0, "stop.announce_delay", "must not be negative")
 	checks.Add("search", s.Search.Validate())
 	checks.Add("balancer", s.Balancer.Validate())
 	checks.Add("hedging", s.Hedging.Validate())
--- a/internal/node/state_events.go
+++ b/internal/node/state_events.go
@@ -187,7 +187,7 @@
 		}
 		event.add(id, state, !found)
 	}
-	e.log.Write(decisionlog.Failed, event)
+	e.log.Write(decisionlog.Important, event)
 }
 
 func (e *stateEvents) nodesChanged(view *catalog.View, ids []string) {
@@ -196,7 +196,7 @@
 		_, registered := view.Nodes[id]
 		event.add(id, registered)
 	}
-	e.log.Write(decisionlog.Failed, event)
+	e.log.Write(decisionlog.Important, event)
 }
 
 func (e *stateEvents) entryChanged(entry catalog.Entry) {
@@ -205,7 +205,7 @@
 	if entry.Key == catalog.RoutesKey && view.Routes != nil {
 		event.Version = view.Routes.Version
 	}
-	e.log.Write(decisionlog.Failed, event)
+	e.log.Write(decisionlog.Important, event)
 }
 
 // leafEjected logs that a leaf was ejected because of its failures, or that its ejection ended.
@@ -231,7 +231,7 @@
 	if change.Lost {
 		event.Event = eventZoneLost
 	}
-	e.log.Write(decisionlog.Failed, event)
+	e.log.Write(decisionlog.Important, event)
 }
 
 func newStateEvents(log *decisionlog.Log, cat *catalog.Catalog) *stateEvents {
--- a/internal/node/store_events.go
+++ b/internal/node/store_events.go
@@ -60,37 +60,37 @@
 }
 
 // called records a call of the store.
-func (e *storeEvents) called(answer store.Answer) {
-	e.metrics.StoreCalls.WithLabelValues(answer.Call, statusLabel(answer.Status)).Inc()
-	if answer.Status == 0 {
+func (e *storeEvents) called(outcome store.CallOutcome) {
+	e.metrics.StoreCalls.WithLabelValues(outcome.Call, statusLabel(outcome.Status)).Inc()
+	if outcome.Status == 0 {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.position == nil || e.position.Epoch != answer.Epoch {
-		e.logEpoch(answer)
-		e.position = &storePosition{Epoch: answer.Epoch}
+	if e.position == nil || e.position.Epoch != outcome.Epoch {
+		e.logEpoch(outcome)
+		e.position = &storePosition{Epoch: outcome.Epoch}
 	}
-	e.metrics.StoreEpoch.Set(float64(answer.Epoch))
-	if answer.Revision > 0 {
-		e.position.Revision = max(e.position.Revision, answer.Revision)
-		e.metrics.StoreRevision.Set(float64(answer.Revision))
+	e.metrics.StoreEpoch.Set(float64(outcome.Epoch))
+	if outcome.Revision > 0 {
+		e.position.Revision = max(e.position.Revision, outcome.Revision)
+		e.metrics.StoreRevision.Set(float64(outcome.Revision))
 	}
 }
 
 // Rewritten implements rewriter.EventLog.
 func (e *storeEvents) Rewritten(key string, err error) {
-	e.log.Write(decisionlog.Failed, rewrittenEvent{Time: time.Now(), Event: eventEntryRewritten, Key: key, Error: errorText(err)})
+	e.log.Write(decisionlog.Important, rewrittenEvent{Time: time.Now(), Event: eventEntryRewritten, Key: key, Error: errorText(err)})
 }
 
 // logEpoch logs the first answer of the store, or the first of a new epoch. e.mu must be held.
-func (e *storeEvents) logEpoch(answer store.Answer) {
+func (e *storeEvents) logEpoch(outcome store.CallOutcome) {
 	event := eventStoreFound
 	if e.position != nil {
 		event = eventStoreRestored
 	}
-	e.log.Write(decisionlog.Failed, storeEvent{
-		Time: time.Now(), Event: event, Call: answer.Call, Epoch: answer.Epoch, Revision: answer.Revision, Before: e.position,
+	e.log.Write(decisionlog.Important, storeEvent{
+		Time: time.Now(), Event: event, Call: outcome.Call, Epoch: outcome.Epoch, Revision: outcome.Revision, Before: e.position,
 	})
 }
 
--- a/internal/node/store_events_test.go
+++ b/internal/node/store_events_test.go
@@ -20,7 +20,7 @@
 	metrics := telemetry.NewMetrics()
 	log := decisionlog.New(decisionlog.DefaultConfig(), &output, func() {})
 	events := newStoreEvents(metrics, log)
-	for _, answer := range []store.Answer{
+	for _, outcome := range []store.CallOutcome{
 		{Call: "kv-range", Status: 200, Epoch: 1, Revision: 40},
 		{Call: "kv-watch", Status: 200, Epoch: 1, Revision: 65},
 		{Call: "kv-watch"}, // a call without an answer has no epoch
@@ -28,7 +28,7 @@
 		{Call: "kv-watch", Status: 410, Epoch: 2},
 		{Call: "kv-range", Status: 200, Epoch: 2, Revision: 62},
 	} {
-		events.called(answer)
+		events.called(outcome)
 	}
 	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
--- a/internal/node/telemetry/metrics.go
+++ b/internal/node/telemetry/metrics.go
@@ -20,8 +20,8 @@
 	QueryLatency *prometheus.HistogramVec
 	// QueryCoverage is the fraction of the requested data that each answer covers.
 	QueryCoverage *prometheus.HistogramVec
-	// Refusals counts failed queries by service, code and execution state.
-	Refusals *prometheus.CounterVec
+	// Failures counts failed queries by service, code and execution state.
+	Failures *prometheus.CounterVec
 	// Attempts counts leaf attempts by service and kind: first, hedge or retry.
 	Attempts *prometheus.CounterVec
 	// CancelledAttempts counts leaf attempts that were cancelled because their replies were no longer needed.
@@ -48,8 +48,8 @@
 	FrontAttemptFailures *prometheus.CounterVec
 	// FrontMissingParts counts the parts missing from gathered answers.
 	FrontMissingParts prometheus.Counter
-	// TreePassed counts groups of parts passed on to intermediate nodes, by outcome.
-	TreePassed *prometheus.CounterVec
+	// TreeGroupsPassed counts groups of parts passed on to intermediate nodes, by outcome.
+	TreeGroupsPassed *prometheus.CounterVec
 	// TreeLatency is the time from passing a group on to the reply, in seconds.
 	TreeLatency prometheus.Histogram
 	// TreeGathered counts groups gathered for other nodes, by outcome.
@@ -82,7 +82,7 @@
 		Registry:             prometheus.NewRegistry(),
 		QueryLatency:         newHistogram("query_latency_seconds", "Time from the arrival of a query to its answer, in seconds.", latencyBuckets(), "service", "class"),
 		QueryCoverage:        newHistogram("query_coverage", "Fraction of the requested data that each answer covers.", []float64{0, 0.5, 0.9, 0.99, 0.9999, 1}, "service"),
-		Refusals:             newCounterVec("failures_total", "Failed queries by service, code and execution state.", "service", "code", "execution"),
+		Failures:             newCounterVec("failures_total", "Failed queries by service, code and execution state.", "service", "code", "execution"),
 		Attempts:             newCounterVec("leaf_attempts_total", "Leaf attempts of queries by service and kind (first, hedge or retry).", "service", "kind"),
 		CancelledAttempts:    newCounterVec("leaf_attempts_cancelled_total", "Leaf attempts that were cancelled because their replies were no longer needed.", "service"),
 		DroppedReplies:       newCounterVec("leaf_replies_dropped_total", "Leaf replies that were not merged into an answer, by reason.", "service", "reason"),
@@ -96,7 +96,7 @@
 		FrontAttempts:        newCounterVec("front_attempts_total", "Leaf attempts of the front by kind (first, hedge or retry).", "kind"),
 		FrontAttemptFailures: newCounterVec("front_attempt_failures_total", "Leaf attempts of the front without a usable reply, by reason.", "reason"),
 		FrontMissingParts:    newCounter("front_missing_parts_total", "Parts that were missing from gathered answers."),
-		TreePassed:           newCounterVec("tree_passed_total", "Groups of parts passed on to intermediate nodes by outcome.", "outcome"),
+		TreeGroupsPassed:     newCounterVec("tree_passed_total", "Groups of parts passed on to intermediate nodes by outcome.", "outcome"),
 		TreeLatency:          prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: namespace, Name: "tree_pass_seconds", Help: "Time from passing a group on to an intermediate node to its reply, in seconds.", Buckets: latencyBuckets()}),
 		TreeGathered:         newCounterVec("tree_gathered_total", "Groups of parts gathered for other nodes by outcome.", "outcome"),
 		LeafsLost:            newCounterVec("leafs_lost_total", "Leaf answers that broke off, by whether the leaf process had ended.", "ended"),
@@ -111,11 +111,11 @@
 		Members:              prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: namespace, Name: "members", Help: "Nodes in the member list of the zone by state."}, []string{"state"}),
 	}
 	metrics.Registry.MustRegister(
-		metrics.QueryLatency, metrics.QueryCoverage, metrics.Refusals, metrics.Attempts,
+		metrics.QueryLatency, metrics.QueryCoverage, metrics.Failures, metrics.Attempts,
 		metrics.CancelledAttempts, metrics.DroppedReplies, metrics.ConfigRevision, metrics.ConfigAge,
 		metrics.ConfigRejected, metrics.ConfigRelayed, metrics.ControlBytes, metrics.Members,
 		metrics.FrontRequests, metrics.FrontLatency, metrics.FrontAttempts, metrics.FrontAttemptFailures,
-		metrics.FrontMissingParts, metrics.TreePassed, metrics.TreeLatency, metrics.TreeGathered, metrics.LeafsLost, metrics.Quarantined, metrics.LeafConnections, metrics.StoreCalls, metrics.LogLinesDropped,
+		metrics.FrontMissingParts, metrics.TreeGroupsPassed, metrics.TreeLatency, metrics.TreeGathered, metrics.LeafsLost, metrics.Quarantined, metrics.LeafConnections, metrics.StoreCalls, metrics.LogLinesDropped,
 		metrics.StoreRevision, metrics.StoreEpoch, metrics.StatesDropped, metrics.Retained,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}),
 	)
--- a/internal/operator/admin/admin.go
+++ b/internal/operator/admin/admin.go
@@ -126,7 +126,7 @@
 		return nil, err
 	}
 	revision, err := a.writer.Apply(ctx, configwriter.Write{
-		Key: catalog.SnapshotKey(compiled.Service), Expected: request.GetExpectedRevision(), ChangeID: changeID, Message: request.GetManifest(),
+		Key: catalog.ManifestKey(compiled.Service), Expected: request.GetExpectedRevision(), ChangeID: changeID, Message: request.GetManifest(),
 	})
 	if err != nil {
 		return nil, err
@@ -182,15 +182,15 @@
 		if current.Manifest == nil || (service != "" && name != service) {
 			continue
 		}
-		entry, found := a.catalog.Entry(catalog.SnapshotKey(name))
+		entry, found := a.catalog.Entry(catalog.ManifestKey(name))
 		if !found {
 			continue
 		}
-		message, err := catalog.DecodeSnapshot(entry)
+		message, err := catalog.DecodeManifest(entry)
 		if err != nil {
 			return nil, err
 		}
-		response.Snapshots = append(response.Snapshots, &adminv1.SnapshotEntry{Manifest: message, Revision: current.SnapshotRevision})
+		response.Snapshots = append(response.Snapshots, &adminv1.SnapshotEntry{Manifest: message, Revision: current.ManifestRevision})
 	}
 	sort.Slice(response.Snapshots, func(i, j int) bool {
 		return response.Snapshots[i].GetManifest().GetService() < response.Snapshots[j].GetManifest().GetService()
--- a/internal/operator/admin/quarantine.go
+++ b/internal/operator/admin/quarantine.go
@@ -16,8 +16,8 @@
 	response := &adminv1.ListQuarantineResponse{}
 	for _, record := range a.catalog.View().Quarantine {
 		response.Requests = append(response.Requests, &adminv1.QuarantinedRequest{
-			Content: record.Content.String(), Path: record.Path, Caller: record.Caller, Leafs: record.Leafs,
-			Trials: int32(record.Retests), FoundBy: record.By, Revision: record.Revision,
+			Content: record.Fingerprint.String(), Path: record.Path, Caller: record.Caller, Leafs: record.Leafs,
+			Trials: int32(record.Retests), FoundBy: record.FoundBy, Revision: record.Revision,
 		})
 	}
 	slices.SortFunc(response.Requests, func(a, b *adminv1.QuarantinedRequest) int {
--- a/internal/operator/admin/quarantine_test.go
+++ b/internal/operator/admin/quarantine_test.go
@@ -18,7 +18,7 @@
 	is := is.New(t)
 	admin, cat := newTestAdmin()
 	content := fingerprint.Of(fingerprint.Content{Path: "/a"})
-	record := quarantine.Record{Subject: quarantine.NewSubject(content, "/a", "192.0.2.1"), Leafs: []string{"x", "y"}, Retests: 1, By: "n1"}
+	record := quarantine.Record{Subject: quarantine.NewSubject(content, "/a", "192.0.2.1"), Leafs: []string{"x", "y"}, Retests: 1, FoundBy: "n1"}
 	document, err := json.Marshal(record)
 	is.NoErr(err)
 	value, err := catalog.NewDocument("", document, nil)
--- a/internal/operator/api/api_test.go
+++ b/internal/operator/api/api_test.go
@@ -56,7 +56,7 @@
 	apply(t, cat, catalog.ServiceKey("s"), &adminv1.ServiceSpec{
 		Name: "s", DefaultDeadlineMillis: 1000, MaxDeadlineMillis: 2000, ConcurrencyLimit: 10, PageSize: 10, Leafs: []*adminv1.Leaf{{Id: "l", Address: "l", Zone: "z"}},
 	})
-	apply(t, cat, catalog.SnapshotKey("s"), &adminv1.SnapshotManifest{Service: "s", SnapshotId: "v1", Shards: []*adminv1.Shard{
+	apply(t, cat, catalog.ManifestKey("s"), &adminv1.SnapshotManifest{Service: "s", SnapshotId: "v1", Shards: []*adminv1.Shard{
 		{Id: "1", KeyTo: "m", LeafIds: []string{"l"}}, {Id: "2", KeyFrom: "m", LeafIds: []string{"l"}},
 	}})
 	engine := search.New(search.Deps{
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -19,8 +19,8 @@
 type Evidence struct {
 	Subject
 	Crashes []Crash `json:"ends,omitempty"`
-	// OthersGone is true if attempts of the request found leafs no longer listening that had not crashed under it.
-	OthersGone bool `json:"in_herd,omitempty"`
+	// OthersNotListening is true if attempts of the request found leafs no longer listening that had not crashed under it.
+	OthersNotListening bool `json:"in_herd,omitempty"`
 }
 
 // suspect is a request with evidence that is not sufficient for a quarantine.
@@ -48,7 +48,7 @@
 func (s *suspect) removeCrash(leaf string) { delete(s.episodes, leaf) }
 
 // isSufficient decides whether the evidence puts the request under quarantine: at least CrashedLeafs leafs crashed
-// under it, in at least Episodes episodes, or EpisodesIfOthersGone if other leafs are gone, too.
+// under it, in at least Episodes episodes, or EpisodesIfOthersNotListening if other leafs are gone, too.
 //
 // Leafs that crash together for another reason cause one episode for every request they were running, so one episode
 // proves nothing. A second episode means that the request was sent again after the first was detected, and crashed
@@ -62,7 +62,7 @@
 		seen[episode] = true
 	}
 	if s.othersGone {
-		return len(seen) >= cfg.EpisodesIfOthersGone
+		return len(seen) >= cfg.EpisodesIfOthersNotListening
 	}
 	return len(seen) >= cfg.Episodes
 }
@@ -111,31 +111,31 @@
 		return Evidence{}, false
 	}
 	entry.isReported = true
-	return Evidence{Subject: entry.subject, Crashes: entry.reportedCrashes(), OthersGone: entry.othersGone}, true
+	return Evidence{Subject: entry.subject, Crashes: entry.reportedCrashes(), OthersNotListening: entry.othersGone}, true
 }
 
 // addEvidence adds evidence against a request, and puts the request under quarantine if the evidence is sufficient.
 // Crashes attributed to another request don't count.
 func (r *Register) addEvidence(evidence Evidence, isOwn bool) {
 	r.mu.Lock()
-	if r.recordOf(evidence.Content) != nil {
+	if r.recordOf(evidence.Fingerprint) != nil {
 		r.mu.Unlock()
 		return
 	}
 	entry := r.findOrAddSuspect(evidence.Subject)
 	for _, crash := range evidence.Crashes {
-		if !r.isAttributed(crash.Leaf, evidence.Content) {
+		if !r.isAttributed(crash.Leaf, evidence.Fingerprint) {
 			entry.add(crash, r.clock.Now())
 		}
 	}
 	entry.isOwn = entry.isOwn || isOwn
-	entry.othersGone = entry.othersGone || evidence.OthersGone
+	entry.othersGone = entry.othersGone || evidence.OthersNotListening
 	switch {
 	case len(entry.episodes) == 0:
-		r.dropSuspect(evidence.Content)
+		r.dropSuspect(evidence.Fingerprint)
 		r.mu.Unlock()
 	case entry.isSufficient(r.cfg):
-		record := Record{Subject: entry.subject, Leafs: entry.leafs(), By: r.self}
+		record := Record{Subject: entry.subject, Leafs: entry.leafs(), FoundBy: r.self}
 		toHalt := r.addUnsaved(record)
 		r.mu.Unlock()
 		haltAll(toHalt)
@@ -197,14 +197,14 @@
 
 // findOrAddSuspect returns the suspect, and adds it if there is none. The lock must be held.
 func (r *Register) findOrAddSuspect(subject Subject) *suspect {
-	if entry := r.findSuspect(subject.Content); entry != nil {
+	if entry := r.findSuspect(subject.Fingerprint); entry != nil {
 		return entry
 	}
-	if len(r.suspects) >= r.cfg.MaximumSuspects {
+	if len(r.suspects) >= r.cfg.MaxSuspects {
 		r.dropOldestSuspect()
 	}
 	entry := &suspect{subject: subject, episodes: map[string]uint64{}}
-	r.suspects[subject.Content] = entry
+	r.suspects[subject.Fingerprint] = entry
 	r.suspectCount.Store(int64(len(r.suspects)))
 	return entry
 }
@@ -221,5 +221,5 @@
 			oldest = entry
 		}
 	}
-	r.dropSuspect(oldest.subject.Content)
+	r.dropSuspect(oldest.subject.Fingerprint)
 }
--- a/internal/quarantine/execution.go
+++ b/internal/quarantine/execution.go
@@ -33,11 +33,11 @@
 	execution := &Execution{register: r, subject: subject, stop: stop, episode: rand.Uint64()}
 	r.mu.Lock()
 	execution.isAlert = r.isAlert()
-	record := r.recordOf(subject.Content)
+	record := r.recordOf(subject.Fingerprint)
 	isDue := false
 	switch {
 	case record == nil:
-		execution.state = r.state(subject.Content)
+		execution.state = r.state(subject.Fingerprint)
 	case r.takePermit(record):
 		execution.state, execution.isRetest, execution.record = Suspect, true, record
 	default:
@@ -56,10 +56,10 @@
 
 // addExecution adds an execution to those in flight. The lock must be held.
 func (r *Register) addExecution(execution *Execution) {
-	running := r.executions[execution.subject.Content]
+	running := r.executions[execution.subject.Fingerprint]
 	if running == nil {
 		running = map[*Execution]bool{}
-		r.executions[execution.subject.Content] = running
+		r.executions[execution.subject.Fingerprint] = running
 	}
 	running[execution] = true
 }
@@ -86,12 +86,12 @@
 		return
 	}
 	crash := Crash{Leaf: leaf, Episode: e.episode + uint64(number)}
-	e.register.addEvidence(Evidence{Subject: e.subject, Crashes: []Crash{crash}, OthersGone: e.othersGone.Load()}, true)
+	e.register.addEvidence(Evidence{Subject: e.subject, Crashes: []Crash{crash}, OthersNotListening: e.othersGone.Load()}, true)
 }
 
-// LeafGone reports that an attempt found a leaf no longer listening.
-func (e *Execution) LeafGone(leaf string) {
-	if !e.othersGone.Load() && e.register.noteLeafGone(e.subject.Content, leaf) {
+// LeafNotListening reports that an attempt found a leaf no longer listening.
+func (e *Execution) LeafNotListening(leaf string) {
+	if !e.othersGone.Load() && e.register.noteLeafGone(e.subject.Fingerprint, leaf) {
 		e.othersGone.Store(true)
 	}
 }
@@ -104,8 +104,8 @@
 	}
 	r := e.register
 	r.mu.Lock()
-	entry := r.suspects[e.subject.Content]
-	r.dropSuspect(e.subject.Content)
+	entry := r.suspects[e.subject.Fingerprint]
+	r.dropSuspect(e.subject.Fingerprint)
 	r.mu.Unlock()
 	if entry != nil && entry.isReported {
 		r.listener.EvidenceDropped(e.subject)
@@ -120,10 +120,10 @@
 	r := e.register
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	running := r.executions[e.subject.Content]
+	running := r.executions[e.subject.Fingerprint]
 	delete(running, e)
 	if len(running) == 0 {
-		delete(r.executions, e.subject.Content)
+		delete(r.executions, e.subject.Fingerprint)
 	}
 }
 
--- a/internal/quarantine/quarantinesync/fixture_test.go
+++ b/internal/quarantine/quarantinesync/fixture_test.go
@@ -99,7 +99,7 @@
 		return
 	}
 	content, err := json.Marshal(message)
-	if err != nil || len(content) > peer.MaximumDatagram {
+	if err != nil || len(content) > peer.MaxDatagram {
 		n.fleet.t.Errorf("%d bytes: %v", len(content), err)
 	}
 	var read peer.Message
@@ -211,7 +211,7 @@
 func (f *fleet) states() map[string]quarantine.State {
 	states := map[string]quarantine.State{}
 	for _, n := range f.nodes {
-		states[n.record.ID] = n.register.State(subject.Content)
+		states[n.record.ID] = n.register.State(subject.Fingerprint)
 	}
 	return states
 }
--- a/internal/quarantine/quarantinesync/restored_test.go
+++ b/internal/quarantine/quarantinesync/restored_test.go
@@ -18,7 +18,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, "a")
-		key := catalog.QuarantineKey(subject.Content.String())
+		key := catalog.QuarantineKey(subject.Fingerprint.String())
 		f.withLock(func() { f.node("a").isPartitioned = true })
 		f.node("a").crashLeafs()
 		time.Sleep(convergenceTime)
--- a/internal/quarantine/quarantinesync/save.go
+++ b/internal/quarantine/quarantinesync/save.go
@@ -25,7 +25,7 @@
 		if !s.isWriter(record) {
 			continue
 		}
-		if record.By == s.deps.Self.ID && s.isBroadcastDue(record.Content) {
+		if record.FoundBy == s.deps.Self.ID && s.isBroadcastDue(record.Fingerprint) {
 			s.broadcast(record)
 		}
 		s.save(ctx, record)
@@ -36,7 +36,7 @@
 func (s *Sync) dropExpired(unsaved []quarantine.Record) {
 	isUnsaved := map[fingerprint.Fingerprint]bool{}
 	for _, record := range unsaved {
-		isUnsaved[record.Content] = true
+		isUnsaved[record.Fingerprint] = true
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,7 +51,7 @@
 
 // isBroadcastDue reports whether the broadcast of a record may be repeated now, and notes the time if so.
 func (s *Sync) isBroadcastDue(content fingerprint.Fingerprint) bool {
-	bytes := len(s.deps.Catalog.View().Nodes) * peer.MaximumDatagram
+	bytes := len(s.deps.Catalog.View().Nodes) * peer.MaxDatagram
 	pause := time.Duration(bytes) * time.Second / rebroadcastBytesPerSecond
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,23 +66,23 @@
 // aggregators write it in the order of their ranks, each one TakeoverPause later than the one before: the first does so
 // one pause after it received the record.
 func (s *Sync) isWriter(record quarantine.Record) bool {
-	if record.By == s.deps.Self.ID {
+	if record.FoundBy == s.deps.Self.ID {
 		return true
 	}
 	isSelf := func(node catalog.NodeRecord) bool { return node.ID == s.deps.Self.ID }
-	rank := slices.IndexFunc(s.aggregatorsOf(record.Content), isSelf)
+	rank := slices.IndexFunc(s.aggregatorsOf(record.Fingerprint), isSelf)
 	if rank < 0 {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return time.Since(s.receivedAt[record.Content]) >= time.Duration(1+rank)*s.deps.Config.TakeoverPause
+	return time.Since(s.receivedAt[record.Fingerprint]) >= time.Duration(1+rank)*s.deps.Config.TakeoverPause
 }
 
 // save writes a record to the store in a new goroutine. If the key already exists, because another node wrote it or the
 // answer to an earlier write was lost, the record counts as saved.
 func (s *Sync) save(ctx context.Context, record quarantine.Record) {
-	if !s.claimSave(record.Content) {
+	if !s.claimSave(record.Fingerprint) {
 		return
 	}
 	s.calls.Go(func() {
@@ -93,7 +93,7 @@
 		}
 		if err != nil {
 			s.mu.Lock()
-			delete(s.savedAt, record.Content)
+			delete(s.savedAt, record.Fingerprint)
 			s.mu.Unlock()
 		}
 		s.deps.Events.Saved(record, err)
@@ -138,7 +138,7 @@
 func (s *Sync) swap(ctx context.Context, record quarantine.Record, expected int64, value json.RawMessage) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.deps.Config.CallTimeout)
 	defer cancel()
-	key := catalog.QuarantineKey(record.Content.String())
+	key := catalog.QuarantineKey(record.Fingerprint.String())
 	result, err := s.deps.Store.CompareAndSwap(ctx, key, expected, value, value == nil)
 	if err != nil {
 		return 0, failure.Wrap(err, failure.OutcomeUnknown, failure.Unknown, "the store did not confirm the write of a quarantine record")
@@ -149,10 +149,10 @@
 	return result.Entry.Revision, nil
 }
 
-// evictOldest removes the oldest record from the store if the number of records has reached MaximumRecords.
+// evictOldest removes the oldest record from the store if the number of records has reached MaxRecords.
 func (s *Sync) evictOldest(ctx context.Context) {
 	records := s.deps.Catalog.View().Quarantine
-	if len(records) < s.deps.Limits.MaximumRecords {
+	if len(records) < s.deps.Limits.MaxRecords {
 		return
 	}
 	var oldest *quarantine.Record
@@ -175,7 +175,7 @@
 			next.Retests++
 			_, err := s.write(ctx, next, record.Revision)
 			if err == nil {
-				s.deps.Register.PermitRetest(record.Content)
+				s.deps.Register.PermitRetest(record.Fingerprint)
 			}
 			s.deps.Events.Retest(next, err)
 		})
@@ -186,7 +186,7 @@
 func (s *Sync) RetestAnswered(record quarantine.Record) {
 	s.enqueue(func(ctx context.Context) {
 		s.calls.Go(func() {
-			current := s.deps.Catalog.Quarantine(record.Content)
+			current := s.deps.Catalog.Quarantine(record.Fingerprint)
 			if current == nil {
 				return // the quarantine has already been lifted
 			}
--- a/internal/quarantine/quarantinesync/sync.go
+++ b/internal/quarantine/quarantinesync/sync.go
@@ -120,19 +120,19 @@
 // unless an answer has dropped it.
 func (s *Sync) Suspected(subject quarantine.Subject) {
 	s.mu.Lock()
-	isPending := s.reportPending[subject.Content]
-	s.reportPending[subject.Content] = true
+	isPending := s.reportPending[subject.Fingerprint]
+	s.reportPending[subject.Fingerprint] = true
 	s.mu.Unlock()
 	if isPending {
 		return
 	}
 	time.AfterFunc(s.deps.Config.ReportDelay, func() {
 		s.mu.Lock()
-		delete(s.reportPending, subject.Content)
+		delete(s.reportPending, subject.Fingerprint)
 		s.mu.Unlock()
-		s.report(subject.Content)
+		s.report(subject.Fingerprint)
 	})
-	time.AfterFunc(s.deps.Config.RepeatDelay, func() { s.report(subject.Content) })
+	time.AfterFunc(s.deps.Config.RepeatDelay, func() { s.report(subject.Fingerprint) })
 }
 
 // report sends this node's evidence against a request to the aggregators.
@@ -146,7 +146,7 @@
 
 // EvidenceDropped implements quarantine.Listener. It makes the aggregators drop their evidence, too.
 func (s *Sync) EvidenceDropped(subject quarantine.Subject) {
-	s.sendToAggregators(subject.Content, peer.Quarantine{Answered: subject.Content})
+	s.sendToAggregators(subject.Fingerprint, peer.Quarantine{Answered: subject.Fingerprint})
 }
 
 func (s *Sync) sendToAggregators(content fingerprint.Fingerprint, message peer.Quarantine) {
@@ -196,7 +196,7 @@
 		return
 	}
 	s.mu.Lock()
-	s.receivedAt[record.Content] = time.Now()
+	s.receivedAt[record.Fingerprint] = time.Now()
 	s.mu.Unlock()
 	s.deps.Events.Quarantined(record, from)
 }
--- a/internal/quarantine/quarantinesync/sync_test.go
+++ b/internal/quarantine/quarantinesync/sync_test.go
@@ -27,7 +27,7 @@
 		time.Sleep(convergenceTime)
 		is.Equal(f.writes, 1)
 		late := f.start("late")
-		is.Equal(late.register.State(subject.Content), quarantine.Quarantined)
+		is.Equal(late.register.State(subject.Fingerprint), quarantine.Quarantined)
 	})
 }
 
@@ -39,10 +39,10 @@
 		f.withLock(func() { f.node("b").isPartitioned = true })
 		f.node("a").crashLeafs()
 		time.Sleep(time.Second)
-		is.Equal(f.node("b").register.State(subject.Content), quarantine.Clear)
+		is.Equal(f.node("b").register.State(subject.Fingerprint), quarantine.Clear)
 		f.withLock(func() { f.node("b").isPartitioned = false })
 		f.node("b").refresh()
-		is.Equal(f.node("b").register.State(subject.Content), quarantine.Quarantined)
+		is.Equal(f.node("b").register.State(subject.Fingerprint), quarantine.Quarantined)
 	})
 }
 
@@ -57,7 +57,7 @@
 				f.withLock(func() { f.isDown, f.node("c").isPartitioned = true, true })
 				f.node("a").crashLeafs()
 				time.Sleep(2 * time.Second)
-				is.Equal(f.node("c").register.State(subject.Content), quarantine.Clear)
+				is.Equal(f.node("c").register.State(subject.Fingerprint), quarantine.Clear)
 				f.withLock(func() { f.node("c").isPartitioned = false })
 				time.Sleep(2 * time.Second)
 				is.True(f.allInState(quarantine.Quarantined)) // the broadcast was repeated
@@ -67,7 +67,7 @@
 				f.withLock(func() { f.isDown = false })
 				time.Sleep(convergenceTime)
 				f.mu.Lock()
-				_, isStored := f.entries[catalog.QuarantineKey(subject.Content.String())]
+				_, isStored := f.entries[catalog.QuarantineKey(subject.Fingerprint.String())]
 				f.mu.Unlock()
 				is.True(isStored)
 			})
@@ -90,7 +90,7 @@
 		const span = 20
 		before := f.node("a").countSent()
 		time.Sleep(span * time.Second)
-		sent := (f.node("a").countSent() - before) * peer.MaximumDatagram
+		sent := (f.node("a").countSent() - before) * peer.MaxDatagram
 		is.True(sent > 0)
 		is.True(sent <= span*rebroadcastBytesPerSecond*5/4)
 	})
--- a/internal/quarantine/register_test.go
+++ b/internal/quarantine/register_test.go
@@ -41,7 +41,7 @@
 // save stores a record.
 func (f *registerFixture) save(record Record, revision int64) {
 	record.Revision = revision
-	f.store[record.Content] = &record
+	f.store[record.Fingerprint] = &record
 	f.ConfirmStored(record)
 }
 
@@ -73,15 +73,15 @@
 	is.Equal(execution.State(), Clear)
 	crashAll(execution, 0, leafs("leaf-", 20)...)
 	is.Equal(len(f.quarantined), 0)
-	is.Equal(f.State(subject("a").Content), Suspect)
+	is.Equal(f.State(subject("a").Fingerprint), Suspect)
 	execution.LeafCrashed("probed", 1)
 	is.Equal(len(f.quarantined), 1)
-	is.Equal(f.quarantined[0].By, "n1")
+	is.Equal(f.quarantined[0].FoundBy, "n1")
 	is.Equal(stopped, 1)
 	is.True(execution.IsStopped())
 	is.Equal(f.Begin(subject("a"), func() {}).State(), Quarantined)
 	is.Equal(f.Begin(subject("b"), func() {}).State(), Clear)
-	is.True(f.RetryAfter(subject("a").Content) > 0)
+	is.True(f.RetryAfter(subject("a").Fingerprint) > 0)
 }
 
 // Crashes under attempts sent together don't put a request under quarantine, and an answer clears it.
@@ -92,9 +92,9 @@
 	crashAll(execution, 0, leafs("leaf-", 40)...)
 	is.Equal(len(f.quarantined), 0)
 	execution.Answered()
-	is.Equal(f.State(subject("a").Content), Clear)
+	is.Equal(f.State(subject("a").Fingerprint), Clear)
 	crashAll(execution, 1, leafs("later-", 40)...) // crashes after an answer don't count
-	is.Equal(f.State(subject("a").Content), Clear)
+	is.Equal(f.State(subject("a").Fingerprint), Clear)
 }
 
 // A node never retries an at-most-once request, so the evidence comes from executions at three nodes.
@@ -105,7 +105,7 @@
 		other := newRegisterFixture()
 		other.Begin(subject("a"), func() {}).LeafCrashed(name, 0)
 		is.Equal(len(other.suspected), 1)
-		reported, found := other.Evidence(subject("a").Content)
+		reported, found := other.Evidence(subject("a").Fingerprint)
 		is.True(found)
 		aggregator.AddEvidence(reported)
 		aggregator.AddEvidence(reported) // a repeated report changes nothing
@@ -120,16 +120,16 @@
 	f := newRegisterFixture()
 	execution := f.Begin(subject("a"), func() {})
 	crashAll(execution, 0, leafs("leaf-", 20)...)
-	execution.LeafGone("leaf-3") // this leaf crashed under the request, so it doesn't count as another one
-	is.Equal(f.State(subject("a").Content), Suspect)
-	execution.LeafGone("another")
-	for probe := range DefaultConfig().EpisodesIfOthersGone - 1 {
+	execution.LeafNotListening("leaf-3") // this leaf crashed under the request, so it doesn't count as another one
+	is.Equal(f.State(subject("a").Fingerprint), Suspect)
+	execution.LeafNotListening("another")
+	for probe := range DefaultConfig().EpisodesIfOthersNotListening - 1 {
 		is.Equal(len(f.quarantined), 0)
 		execution.LeafCrashed(fmt.Sprint("probed-", probe), 1+probe)
 	}
 	is.Equal(len(f.quarantined), 1)
 	next := f.Begin(subject("b"), func() {})
-	next.LeafGone("leaf-0") // its crash is attributed to the first request
+	next.LeafNotListening("leaf-0") // its crash is attributed to the first request
 	crashAll(next, 0, "x", "y")
 	next.LeafCrashed("z", 1)
 	is.Equal(len(f.quarantined), 2)
@@ -147,9 +147,9 @@
 	culprit.LeafCrashed("leaf-1", 1)
 	culprit.LeafCrashed("leaf-2", 2)
 	is.Equal(len(f.quarantined), 1)
-	is.Equal(f.State(subject("neighbour").Content), Clear)
+	is.Equal(f.State(subject("neighbour").Fingerprint), Clear)
 	neighbor.LeafCrashed("leaf-2", 2) // reported after the crash was attributed
-	is.Equal(f.State(subject("neighbour").Content), Clear)
+	is.Equal(f.State(subject("neighbour").Fingerprint), Clear)
 }
 
 func TestEvidenceExpires(t *testing.T) {
@@ -158,7 +158,7 @@
 	f.Begin(subject("a"), func() {}).LeafCrashed("leaf-0", 0)
 	f.Begin(subject("a"), func() {}).LeafCrashed("leaf-1", 0)
 	f.at = f.at.Add(DefaultConfig().SuspectMemory)
-	is.Equal(f.State(subject("a").Content), Clear)
+	is.Equal(f.State(subject("a").Fingerprint), Clear)
 	f.Begin(subject("a"), func() {}).LeafCrashed("leaf-2", 0)
 	is.Equal(len(f.quarantined), 0)
 }
@@ -168,18 +168,18 @@
 	is := is.New(t)
 	f, aggregator := newRegisterFixture(), newRegisterFixture()
 	f.Begin(subject("a"), func() {}).LeafCrashed("leaf-0", 0)
-	reported, _ := f.Evidence(subject("a").Content)
+	reported, _ := f.Evidence(subject("a").Fingerprint)
 	aggregator.AddEvidence(reported)
-	is.Equal(aggregator.State(subject("a").Content), Suspect)
+	is.Equal(aggregator.State(subject("a").Fingerprint), Suspect)
 	f.Begin(subject("a"), func() {}).Answered()
 	is.Equal(len(f.dropped), 1)
-	aggregator.DropEvidence(f.dropped[0].Content)
-	is.Equal(aggregator.State(subject("a").Content), Clear)
+	aggregator.DropEvidence(f.dropped[0].Fingerprint)
+	is.Equal(aggregator.State(subject("a").Fingerprint), Clear)
 }
 
 // quarantine stores a record of a request.
 func (f *registerFixture) quarantine(name string, revision int64, retests int) {
-	f.save(Record{Subject: subject(name), Leafs: []string{"x", "y", "z"}, Retests: retests, By: "n1"}, revision)
+	f.save(Record{Subject: subject(name), Leafs: []string{"x", "y", "z"}, Retests: retests, FoundBy: "n1"}, revision)
 }
 
 // A retest is requested once RetestAfter has passed, and a permit allows one execution. After a crash the next delay is
@@ -194,7 +194,7 @@
 	is.Equal(begin().State(), Quarantined)
 	is.Equal(begin().State(), Quarantined)
 	is.Equal(len(f.due), 1) // two arrivals request one retest
-	f.PermitRetest(subject("a").Content)
+	f.PermitRetest(subject("a").Fingerprint)
 	f.quarantine("a", 8, 1)
 	retest := begin()
 	is.Equal(retest.State(), Suspect)
@@ -208,12 +208,12 @@
 	f.at = f.at.Add(5 * DefaultConfig().RetestAfter)
 	begin()
 	is.Equal(len(f.due), 2)
-	f.quarantine("a", 9, DefaultConfig().MaximumRetests)
+	f.quarantine("a", 9, DefaultConfig().MaxRetests)
 	begin()
 	f.at = f.at.Add(1000 * time.Hour)
 	begin()
 	is.Equal(len(f.due), 2)
-	is.Equal(f.RetryAfter(subject("a").Content), time.Duration(0))
+	is.Equal(f.RetryAfter(subject("a").Fingerprint), time.Duration(0))
 }
 
 func TestAnsweredRetestEndsQuarantine(t *testing.T) {
@@ -221,7 +221,7 @@
 	f := newRegisterFixture()
 	f.quarantine("a", 7, 0)
 	f.Begin(subject("a"), func() {})
-	f.PermitRetest(subject("a").Content)
+	f.PermitRetest(subject("a").Fingerprint)
 	f.Begin(subject("a"), func() {}).Answered()
 	is.Equal(len(f.answered), 1)
 	is.Equal(f.answered[0].Revision, int64(7))
@@ -231,14 +231,14 @@
 func TestLiftedRecordStaysLifted(t *testing.T) {
 	is := is.New(t)
 	f := newRegisterFixture()
-	is.True(f.AddRecord(Record{Subject: subject("a"), Leafs: []string{"x"}, By: "n2"}))
-	is.True(!f.AddRecord(Record{Subject: subject("a"), Leafs: []string{"x"}, By: "n2"}))
+	is.True(f.AddRecord(Record{Subject: subject("a"), Leafs: []string{"x"}, FoundBy: "n2"}))
+	is.True(!f.AddRecord(Record{Subject: subject("a"), Leafs: []string{"x"}, FoundBy: "n2"}))
 	is.Equal(len(f.Unsaved()), 1)
 	f.quarantine("a", 7, 0)
 	is.Equal(len(f.Unsaved()), 0)
-	delete(f.store, subject("a").Content)
-	f.Lift(subject("a").Content)
-	is.Equal(f.State(subject("a").Content), Clear)
+	delete(f.store, subject("a").Fingerprint)
+	f.Lift(subject("a").Fingerprint)
+	is.Equal(f.State(subject("a").Fingerprint), Clear)
 }
 
 // The numbers of suspects and unsaved records are bounded; the oldest are dropped.
@@ -246,17 +246,17 @@
 	is := is.New(t)
 	f := newRegisterFixture()
 	cfg := DefaultConfig()
-	for index := range 2 * cfg.MaximumSuspects {
+	for index := range 2 * cfg.MaxSuspects {
 		f.at = f.at.Add(time.Millisecond)
 		f.Begin(subject(fmt.Sprint(index)), func() {}).LeafCrashed(fmt.Sprint("leaf-", index), 0)
 	}
-	for index := range 2 * cfg.MaximumRecords {
+	for index := range 2 * cfg.MaxRecords {
 		f.at = f.at.Add(time.Millisecond)
 		f.AddRecord(Record{Subject: subject(fmt.Sprint("found-", index)), Leafs: []string{fmt.Sprint("found-leaf-", index)}})
 	}
 	suspects, unsaved := f.Counts()
-	is.Equal(suspects, cfg.MaximumSuspects)
-	is.Equal(unsaved, cfg.MaximumRecords)
-	is.Equal(f.State(subject("0").Content), Clear)
-	is.Equal(f.State(subject(fmt.Sprint(2*cfg.MaximumSuspects-1)).Content), Suspect)
+	is.Equal(suspects, cfg.MaxSuspects)
+	is.Equal(unsaved, cfg.MaxRecords)
+	is.Equal(f.State(subject("0").Fingerprint), Clear)
+	is.Equal(f.State(subject(fmt.Sprint(2*cfg.MaxSuspects-1)).Fingerprint), Suspect)
 }
--- a/internal/quarantine/retest.go
+++ b/internal/quarantine/retest.go
@@ -25,13 +25,13 @@
 
 // findOrAddRetest returns the retest state of a stored record, and adds it if there is none. The lock must be held.
 func (r *Register) findOrAddRetest(record *Record) *retestState {
-	state, found := r.retestStates[record.Content]
+	state, found := r.retestStates[record.Fingerprint]
 	if !found {
-		if len(r.retestStates) >= 2*r.cfg.MaximumRecords {
+		if len(r.retestStates) >= 2*r.cfg.MaxRecords {
 			clear(r.retestStates)
 		}
 		state = &retestState{}
-		r.retestStates[record.Content] = state
+		r.retestStates[record.Fingerprint] = state
 	}
 	if state.revision != record.Revision {
 		// A permit remains valid: the new revision was written to grant it.
@@ -41,11 +41,11 @@
 }
 
 // isRetestDue decides whether this node requests a retest, one execution at one leaf, for a quarantined request that
-// arrived again: its delay has passed, fewer than Config.MaximumRetests were run, and none was requested within
+// arrived again: its delay has passed, fewer than Config.MaxRetests were run, and none was requested within
 // retestRequestInterval. Only stored records are retested, because the store's compare-and-swap selects the one node
 // that may run the retest. The lock must be held.
 func (r *Register) isRetestDue(record *Record) bool {
-	if record.Revision == 0 || record.Retests >= r.cfg.MaximumRetests {
+	if record.Revision == 0 || record.Retests >= r.cfg.MaxRetests {
 		return false
 	}
 	state, now := r.findOrAddRetest(record), r.clock.Now()
@@ -58,7 +58,7 @@
 
 // takePermit reports whether a retest is permitted, and uses the permit. The lock must be held.
 func (r *Register) takePermit(record *Record) bool {
-	state, found := r.retestStates[record.Content]
+	state, found := r.retestStates[record.Fingerprint]
 	if !found || state.permittedAt.IsZero() {
 		return false
 	}
@@ -87,7 +87,7 @@
 		return 0
 	case record.Revision == 0:
 		return r.cfg.RetestAfter - r.clock.Since(r.unsaved[content].since)
-	case record.Retests >= r.cfg.MaximumRetests:
+	case record.Retests >= r.cfg.MaxRetests:
 		return 0
 	}
 	return max(retestRequestInterval, r.cfg.delayAfter(record.Retests)-r.clock.Since(r.findOrAddRetest(record).since))
--- a/internal/quarantine/unrelated_crashes_test.go
+++ b/internal/quarantine/unrelated_crashes_test.go
@@ -137,7 +137,7 @@
 				return hit
 			}
 		case ended.wasGone:
-			execution.LeafGone(ended.leaf)
+			execution.LeafNotListening(ended.leaf)
 		default:
 			execution.Answered()
 			return hit // crashes after an answer don't count
@@ -157,7 +157,7 @@
 }
 
 // A path that one caller requests continuously is not put under quarantine by unrelated crashes of its leafs, whether
-// it is sent to one shard or gathered from many. This guards the rule of EpisodesIfOthersGone.
+// it is sent to one shard or gathered from many. This guards the rule of EpisodesIfOthersNotListening.
 func TestUnrelatedCrashesDoNotQuarantineBusyPath(t *testing.T) {
 	cases := map[string]struct{ shards, quarantined int }{"gathered": {20, 1}, "single": {1, 0}}
 	for name, test := range cases {
--- a/internal/quarantine/unsaved.go
+++ b/internal/quarantine/unsaved.go
@@ -32,7 +32,7 @@
 // AddRecord adds a record that another node sent, and reports whether it is new.
 func (r *Register) AddRecord(record Record) bool {
 	r.mu.Lock()
-	if r.recordOf(record.Content) != nil {
+	if r.recordOf(record.Fingerprint) != nil {
 		r.mu.Unlock()
 		return false
 	}
@@ -45,7 +45,7 @@
 // ConfirmStored marks a record as stored.
 func (r *Register) ConfirmStored(record Record) {
 	r.mu.Lock()
-	delete(r.unsaved, record.Content)
+	delete(r.unsaved, record.Fingerprint)
 	toHalt := r.attributeCrashes(record)
 	r.mu.Unlock()
 	haltAll(toHalt)
@@ -80,11 +80,11 @@
 // addUnsaved adds a record that the store does not have yet, and returns the executions of the request that must be
 // halted. The lock must be held.
 func (r *Register) addUnsaved(record Record) []*Execution {
-	if len(r.unsaved) >= r.cfg.MaximumRecords {
+	if len(r.unsaved) >= r.cfg.MaxRecords {
 		r.dropOldestUnsaved()
 	}
 	r.quarantinedAt = r.clock.Now()
-	r.unsaved[record.Content] = &unsavedRecord{record: record, since: r.quarantinedAt}
+	r.unsaved[record.Fingerprint] = &unsavedRecord{record: record, since: r.quarantinedAt}
 	return r.attributeCrashes(record)
 }
 
@@ -95,18 +95,18 @@
 			oldest = entry
 		}
 	}
-	delete(r.unsaved, oldest.record.Content)
+	delete(r.unsaved, oldest.record.Fingerprint)
 }
 
 // attributeCrashes attributes the crashes of a record to its request and removes them from other suspects. It returns
 // the executions of the request that must be halted, which are all but the retests. The lock must be held.
 func (r *Register) attributeCrashes(record Record) []*Execution {
-	r.dropSuspect(record.Content)
-	if len(r.attributed) >= maxLeafs*r.cfg.MaximumRecords {
+	r.dropSuspect(record.Fingerprint)
+	if len(r.attributed) >= maxLeafs*r.cfg.MaxRecords {
 		clear(r.attributed)
 	}
 	for _, leaf := range record.Leafs {
-		r.attributed[leaf] = record.Content
+		r.attributed[leaf] = record.Fingerprint
 		for content, other := range r.suspects {
 			other.removeCrash(leaf)
 			if len(other.episodes) == 0 {
@@ -114,8 +114,8 @@
 			}
 		}
 	}
-	toHalt := make([]*Execution, 0, len(r.executions[record.Content]))
-	for execution := range r.executions[record.Content] {
+	toHalt := make([]*Execution, 0, len(r.executions[record.Fingerprint]))
+	for execution := range r.executions[record.Fingerprint] {
 		if !execution.isRetest {
 			toHalt = append(toHalt, execution)
 		}
--- a/internal/request/admission/limit.go
+++ b/internal/request/admission/limit.go
@@ -26,8 +26,8 @@
 	g.admitWaiting()
 }
 
-// Congested reduces the limit in use in favor of a service with a higher priority.
-func (g *Gate) Congested() {
+// ReduceLimit reduces the limit in use in favor of a service with a higher priority.
+func (g *Gate) ReduceLimit() {
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/request/gateway/attempt.go
+++ b/internal/request/gateway/attempt.go
@@ -42,7 +42,7 @@
 	var isAbandoned atomic.Bool
 	target := e.target(attempt)
 	leaf, probe := target.leaf, e.probeNumber(attempt)
-	e.gateway.attemptBegan(leaf)
+	e.gateway.attemptStarted(leaf)
 	cancel := e.gateway.leafs.Start(target.Target, &e.request.Leaf, e.deadline(), func(response *leafhttp.Response, err error) {
 		e.gateway.attemptEnded(leaf)
 		result := e.classifyEnd(attempt, response, err, isAbandoned.Load())
@@ -152,13 +152,13 @@
 	return attemptResult{Reason: reasonBroken, Execution: scatter.Unknown, Outcome: outcome}
 }
 
-// Began implements scatter.Observer.
-func (e *execution) Began(attempt scatter.Attempt) {
+// AttemptStarted implements scatter.Observer.
+func (e *execution) AttemptStarted(attempt scatter.Attempt) {
 	e.gateway.events.Attempted(e.services[attempt.Shard], attempt.Kind)
 }
 
-// Ended implements scatter.Observer.
-func (e *execution) Ended(attempt scatter.Attempt, result attemptResult, took time.Duration) {
+// AttemptEnded implements scatter.Observer.
+func (e *execution) AttemptEnded(attempt scatter.Attempt, result attemptResult, took time.Duration) {
 	e.gateway.observeZone(attempt.Leaf, result, took)
 	e.gateway.events.AttemptEnded(AttemptRecord{
 		RequestID: e.request.Leaf.ID, Service: e.services[attempt.Shard], Leaf: attempt.Leaf.ID, Kind: attempt.Kind,
--- a/internal/request/gateway/bench_test.go
+++ b/internal/request/gateway/bench_test.go
@@ -111,6 +111,6 @@
 
 type discardingEvents struct{ recordedEvents }
 
-func (j *discardingEvents) Served(RequestRecord)    {}
-func (j *discardingEvents) GroupEnded(GroupRecord)  {}
-func (j *discardingEvents) LeafLost(LeafLossRecord) {}
+func (j *discardingEvents) Served(RequestRecord)        {}
+func (j *discardingEvents) GroupEnded(GroupRecord)      {}
+func (j *discardingEvents) LeafChecked(LeafCheckRecord) {}
--- a/internal/request/gateway/canary.go
+++ b/internal/request/gateway/canary.go
@@ -112,14 +112,14 @@
 	return nil
 }
 
-// attemptBegan counts an attempt as in flight at its leaf's version. It is called before the attempt is made.
-func (g *Gateway) attemptBegan(leaf *leafset.Leaf) {
+// attemptStarted counts an attempt as in flight at its leaf's version. It is called before the attempt is made.
+func (g *Gateway) attemptStarted(leaf *leafset.Leaf) {
 	if g.canary != nil && leaf != nil {
 		g.canary.AttemptStarted(leaf.Service, leaf.Version)
 	}
 }
 
-// attemptEnded reverses attemptBegan.
+// attemptEnded reverses attemptStarted.
 func (g *Gateway) attemptEnded(leaf *leafset.Leaf) {
 	if g.canary != nil && leaf != nil {
 		g.canary.AttemptEnded(leaf.Service, leaf.Version)
--- a/internal/request/gateway/canary_fixture_test.go
+++ b/internal/request/gateway/canary_fixture_test.go
@@ -23,7 +23,7 @@
 // allToCanary returns a configuration that sends all eligible requests to the canary.
 func allToCanary() canary.Config {
 	cfg := canary.DefaultConfig()
-	cfg.Share, cfg.Used = 1, 1
+	cfg.Share, cfg.UsedFraction = 1, 1
 	return cfg
 }
 
--- a/internal/request/gateway/canary_refused_test.go
+++ b/internal/request/gateway/canary_refused_test.go
@@ -37,7 +37,7 @@
 						}
 					}
 					is.Equal(len(b.queried()), answers)
-					used := cfg.Used * slack
+					used := cfg.UsedFraction * slack
 					is.True(float64(answers) >= used && float64(answers) <= slack)
 				})
 			})
--- a/internal/request/gateway/crash.go
+++ b/internal/request/gateway/crash.go
@@ -13,8 +13,8 @@
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
-// LeafLossRecord is an attempt whose answer was cut off, and whether the leaf's process has ended.
-type LeafLossRecord struct {
+// LeafCheckRecord is an attempt whose answer was cut off, and whether the leaf's process has ended.
+type LeafCheckRecord struct {
 	RequestID string
 	// Content is the fingerprint of the request.
 	Content fingerprint.Fingerprint
@@ -29,7 +29,7 @@
 }
 
 // isEvidence reports whether the request may have crashed the leaf.
-func (l LeafLossRecord) isEvidence() bool { return l.Ended && !l.Announced }
+func (l LeafCheckRecord) isEvidence() bool { return l.Ended && !l.Announced }
 
 // attemptEnd is the end of an attempt.
 type attemptEnd struct {
@@ -71,12 +71,12 @@
 		return
 	}
 	result := end.result
-	result.BrokeOff = end.isBroken()
+	result.ConnectionLost = end.isBroken()
 	mustWait := !end.isAbandoned() && (attempt.Probe || end.isRefused())
 	if !mustWait {
 		done(result)
 	}
-	lost := LeafLossRecord{
+	lost := LeafCheckRecord{
 		RequestID: e.request.Leaf.ID, Content: e.request.fingerprint, Service: e.services[attempt.Shard], Leaf: attempt.Leaf.ID,
 		Probe: probe, Announced: !e.gateway.isListed(attempt.Leaf.ID),
 	}
@@ -98,7 +98,7 @@
 		e.tracked.Answered()
 	}
 	if leafhttp.IsNotListening(end.err) && e.gateway.isListed(leafID) {
-		e.tracked.LeafGone(leafID)
+		e.tracked.LeafNotListening(leafID)
 	}
 }
 
@@ -116,8 +116,8 @@
 
 // recordLoss reports a leaf whose answer was cut off, as evidence against the request if the leaf's process ended
 // without an announcement.
-func (e *execution) recordLoss(lost LeafLossRecord) {
-	e.gateway.events.LeafLost(lost)
+func (e *execution) recordLoss(lost LeafCheckRecord) {
+	e.gateway.events.LeafChecked(lost)
 	if e.tracked == nil || !lost.isEvidence() {
 		return
 	}
@@ -129,10 +129,10 @@
 
 // afterCheck returns the result of an attempt after its leaf was checked. A connection that seemed refused may have
 // carried the request to a leaf that crashed.
-func afterCheck(result attemptResult, lost LeafLossRecord) attemptResult {
+func afterCheck(result attemptResult, lost LeafCheckRecord) attemptResult {
 	result.LeafCrashed = lost.isEvidence()
 	if lost.Ended && result.Reason == reasonRefusedConnection {
-		result.Reason, result.NeverArrived, result.BrokeOff = reasonBroken, false, true
+		result.Reason, result.NeverArrived, result.ConnectionLost = reasonBroken, false, true
 	}
 	return result
 }
--- a/internal/request/gateway/crash_test.go
+++ b/internal/request/gateway/crash_test.go
@@ -177,7 +177,7 @@
 		is := is.New(t)
 		leafs := newCrashingLeafs()
 		register := newRegister()
-		register.AddRecord(quarantine.Record{Subject: quarantine.Subject{Content: DefaultConfig().fingerprintOf(newRequest("/pages/0"))}})
+		register.AddRecord(quarantine.Record{Subject: quarantine.Subject{Fingerprint: DefaultConfig().fingerprintOf(newRequest("/pages/0"))}})
 		g := newQuarantineGateway(t, leafs, register)
 		for count := 1; count <= quarantine.DefaultConfig().CrashedLeafs; count++ {
 			_, err := g.Serve(t.Context(), newRequest("/pages/1"))
@@ -213,7 +213,7 @@
 			return crashAfter, answered(200, records(leaf)), nil
 		}}
 		register := newRegister()
-		register.AddRecord(quarantine.Record{Subject: quarantine.Subject{Content: DefaultConfig().fingerprintOf(newRequest("/pages/0"))}})
+		register.AddRecord(quarantine.Record{Subject: quarantine.Subject{Fingerprint: DefaultConfig().fingerprintOf(newRequest("/pages/0"))}})
 		g := newQuarantineGateway(t, slow, register)
 		answer, err := g.Serve(t.Context(), newRequest("/pages/1"))
 		is.NoErr(err)
@@ -332,7 +332,7 @@
 		node.gateway.quarantine = newRegister()
 		node.gateway.leafs = &crashingTreeLeafs{treeLeafs: node.leafs, ended: ended}
 	}
-	b.nodes["there"].gateway.quarantine.AddRecord(quarantine.Record{Subject: quarantine.Subject{Content: DefaultConfig().fingerprintOf(newRequest("/pages/1"))}})
+	b.nodes["there"].gateway.quarantine.AddRecord(quarantine.Record{Subject: quarantine.Subject{Fingerprint: DefaultConfig().fingerprintOf(newRequest("/pages/1"))}})
 	b.nodes["root"].leafs.setAnswer(func(string) (time.Duration, *leafhttp.Response, error) { return time.Hour, nil, nil })
 	_, err := b.serve("root")
 	is.True(failure.Is(err, failure.Quarantined))
--- a/internal/request/gateway/events.go
+++ b/internal/request/gateway/events.go
@@ -21,8 +21,8 @@
 	Served(record RequestRecord)
 	// GroupEnded reports the end of a group call to another node.
 	GroupEnded(record GroupRecord)
-	// LeafLost reports an attempt whose answer was cut off, once the check of the leaf's process has ended.
-	LeafLost(record LeafLossRecord)
+	// LeafChecked reports an attempt whose answer was cut off, once the check of the leaf's process has ended.
+	LeafChecked(record LeafCheckRecord)
 }
 
 // AttemptRecord is one attempt at one leaf.
--- a/internal/request/gateway/fixture_test.go
+++ b/internal/request/gateway/fixture_test.go
@@ -35,7 +35,7 @@
 func (j *recordedEvents) Refused(*Request, error)        {}
 func (j *recordedEvents) Attempted(string, scatter.Kind) {}
 func (j *recordedEvents) AttemptEnded(AttemptRecord)     {}
-func (j *recordedEvents) LeafLost(LeafLossRecord)        {}
+func (j *recordedEvents) LeafChecked(LeafCheckRecord)    {}
 func (j *recordedEvents) Served(record RequestRecord) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/internal/request/gateway/gateway.go
+++ b/internal/request/gateway/gateway.go
@@ -112,7 +112,7 @@
 	inFlight  inFlight
 	latencies *latencyTable
 	timeouts  *callerTimeouts
-	shares    *routing.Shares
+	selector  *routing.WeightedSelector
 	lag       delayEstimator
 	root      *root // nil if no groups are sent to other nodes
 	// groupsInFlight counts the groups that this node is gathering for other nodes.
@@ -124,7 +124,7 @@
 		cfg: deps.Config, names: deps.Names, catalog: deps.Catalog, memory: deps.Memory, allocator: deps.Allocator, balancer: deps.Balancer,
 		budgets: deps.Budgets, leafs: deps.Leafs, warmup: deps.Warmup, canary: deps.Canary, evidence: deps.Evidence,
 		events: deps.Events, regions: deps.Regions, zones: deps.Zones, quarantine: deps.Quarantine,
-		latencies: newLatencyTable(deps.Config.LatencyWindow), timeouts: newCallerTimeouts(), shares: routing.NewShares(),
+		latencies: newLatencyTable(deps.Config.LatencyWindow), timeouts: newCallerTimeouts(), selector: routing.NewWeightedSelector(),
 	}
 	if deps.Config.ServingTree && deps.Fleet != nil && deps.Intermediates != nil {
 		g.root = newRoot(deps)
@@ -171,7 +171,7 @@
 	case len(route.Gathered) > 0:
 		return route.Gathered
 	case len(route.Weighted) > 0:
-		return []string{route.Weighted[g.shares.Next(route)].Service}
+		return []string{route.Weighted[g.selector.Next(route)].Service}
 	}
 	return []string{route.Service}
 }
--- a/internal/request/gateway/gateway_test.go
+++ b/internal/request/gateway/gateway_test.go
@@ -200,7 +200,7 @@
 	is.Equal(routed.objective.Sub(other.Arrived), 200*time.Millisecond-DefaultConfig().ObjectiveReserve)
 }
 
-func TestConfigNamesEveryFault(t *testing.T) {
+func TestValidateNamesEveryInvalidField(t *testing.T) {
 	is := is.New(t)
 	is.NoErr(DefaultConfig().Validate())
 	bad := Config{HedgeReserve: 1, AnswerReserve: -1, ObjectiveReserve: -1, MaximumRefusals: -1}
--- a/internal/request/gateway/group_call.go
+++ b/internal/request/gateway/group_call.go
@@ -84,7 +84,7 @@
 		ended := p.await(ctx, call, done)
 		p.recordEnd(ended, time.Since(began))
 		result := p.withSpent(ended.result)
-		if queried == maximumIntermediates || result.Replies != nil || result.Final || result.BrokeOff || p.gotPartial || ended.outcome == GroupCancelled {
+		if queried == maximumIntermediates || result.Replies != nil || result.Final || result.ConnectionLost || p.gotPartial || ended.outcome == GroupCancelled {
 			return result
 		}
 		node, found := p.root.choose(p.group.zones)
--- a/internal/request/gateway/group_reply.go
+++ b/internal/request/gateway/group_reply.go
@@ -142,7 +142,7 @@
 		return groupEnd{outcome: GroupBroken, reason: "the answer has the wrong number of parts"}
 	case reply.Failure != nil:
 		return p.classifyFailure(reply.Failure)
-	case reply.Decline == servingtree.Leaving:
+	case reply.Decline == servingtree.Stopping:
 		return groupNotRun(GroupLeaving, string(reply.Decline))
 	default:
 		return groupNotRun(GroupDeclined, string(reply.Decline))
@@ -158,7 +158,7 @@
 		result.Final = true
 	case failure.LeafsEnded:
 		p.execution.reportCrashed(failed.CrashedLeafs)
-		result.BrokeOff = true
+		result.ConnectionLost = true
 	default:
 		p.execution.keepGroupFailure(p.group, failed)
 		result.Final = true
--- a/internal/request/gateway/policy.go
+++ b/internal/request/gateway/policy.go
@@ -46,7 +46,7 @@
 	}
 	typical := p.latency.typical()
 	factor := p.cfg.HedgeFactor
-	switch left := p.budgets.FreeShare(p.service); {
+	switch left := p.budgets.FreeFraction(p.service); {
 	case left < tightBudget:
 		factor *= tightBudgetFactor
 	case left < lowBudget:
--- a/internal/request/gateway/tree_fixture_test.go
+++ b/internal/request/gateway/tree_fixture_test.go
@@ -237,7 +237,7 @@
 func treeBudgets() *retrybudget.Budgets {
 	cfg := retrybudget.Config{Ratio: 0, Window: 20 * time.Millisecond, Allowance: 20, Share: 1}
 	budgets := retrybudget.New(cfg, func(string) float64 { return 1 })
-	for budgets.FreeShare("any") == 0 {
+	for budgets.FreeFraction("any") == 0 {
 		time.Sleep(time.Millisecond) // a new node has no allowance for one window
 	}
 	return budgets
--- a/internal/request/retrybudget/retrybudget.go
+++ b/internal/request/retrybudget/retrybudget.go
@@ -78,8 +78,8 @@
 	return true
 }
 
-// FreeShare returns the fraction of the limit that is free, 0 to 1.
-func (b *Budgets) FreeShare(service string) float64 {
+// FreeFraction returns the fraction of the limit that is free, 0 to 1.
+func (b *Budgets) FreeFraction(service string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	counts := b.window(service)
--- a/internal/request/retrybudget/retrybudget_test.go
+++ b/internal/request/retrybudget/retrybudget_test.go
@@ -101,7 +101,7 @@
 		is.True(budgets.Take("s", 0))
 	}
 	is.True(!budgets.Take("s", 0))
-	is.Equal(budgets.FreeShare("s"), 0.0)
+	is.Equal(budgets.FreeFraction("s"), 0.0)
 }
 
 func TestTakeWithReserveAndUnknownShare(t *testing.T) {
@@ -124,7 +124,7 @@
 	is.Equal(len(budgets.services), 0)
 }
 
-func TestConfigNamesEveryFault(t *testing.T) {
+func TestValidateNamesEveryInvalidField(t *testing.T) {
 	is := is.New(t)
 	is.NoErr(DefaultConfig().Validate())
 	is.Equal(len(failure.Faults(Config{Ratio: 2, Allowance: -1}.Validate())), 4)
--- a/internal/request/retrybudget/suspended_test.go
+++ b/internal/request/retrybudget/suspended_test.go
@@ -19,5 +19,5 @@
 	is.True(budgets.Take("s", 0))
 	now = now.Add(12 * time.Second) // the machine is suspended
 	is.True(!budgets.Take("s", 0))
-	is.Equal(budgets.FreeShare("s"), 0.0)
+	is.Equal(budgets.FreeFraction("s"), 0.0)
 }
--- a/internal/request/routing/routing_test.go
+++ b/internal/request/routing/routing_test.go
@@ -92,7 +92,7 @@
 
 // For any weights, after each request the number of requests of each service differs from its weighted fraction by at
 // most two.
-func TestSharesFollowTheWeights(t *testing.T) {
+func TestWeightedSelectorFollowsWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var weighted []WeightedService
 		total := 0.0
@@ -105,10 +105,10 @@
 			weighted[0].Weight, total = 1, 1
 		}
 		entry := newEntry(Route{Host: "h", Prefix: "/", Weighted: weighted})
-		shares := NewShares()
+		selector := NewWeightedSelector()
 		counts := make([]float64, len(weighted))
 		for number := 1; number <= 200; number++ {
-			counts[shares.Next(entry)]++
+			counts[selector.Next(entry)]++
 			for index, service := range weighted {
 				wanted := float64(number) * service.Weight / total
 				if math.Abs(counts[index]-wanted) > 2 {
--- a/internal/request/routing/shares.go
+++ b/internal/request/routing/shares.go
@@ -5,18 +5,20 @@
 	"sync"
 )
 
-// Shares distributes the requests of weighted routes over their services, so that at any time the number of requests of
+// WeightedSelector distributes the requests of weighted routes over their services, so that at any time the number of requests of
 // each service differs from its weighted fraction by at most two. It is safe for concurrent use.
 //
 // It uses smooth weighted round-robin: each request adds every service's weight to its credit, and the service with the
 // highest credit receives the request and is debited the total weight. The initial credits are random, so that nodes
 // that start together don't select the same services at the same time.
-type Shares struct {
+type WeightedSelector struct {
 	mu     sync.Mutex
 	routes map[string][]float64 // the credit of each service, by WeightKey
 }
 
-func NewShares() *Shares { return &Shares{routes: map[string][]float64{}} }
+func NewWeightedSelector() *WeightedSelector {
+	return &WeightedSelector{routes: map[string][]float64{}}
+}
 
 // maximumRoutes is the maximum number of routes whose credits are kept; if it is exceeded, all credits are reset.
 const maximumRoutes = 4096
@@ -24,7 +26,7 @@
 // Next returns the index of the weighted service that receives the route's next request. A service that is overloaded
 // or has no leafs is still selected by its weight: operators weight services that differ, such as two versions, and
 // requests for one must not be sent to the other.
-func (s *Shares) Next(entry *Entry) int {
+func (s *WeightedSelector) Next(entry *Entry) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	credits, found := s.routes[entry.WeightKey]
--- a/internal/request/scatter/attempt.go
+++ b/internal/request/scatter/attempt.go
@@ -67,8 +67,8 @@
 	NeverArrived bool
 	// Queued is true if the leaf reported more attempts than slots.
 	Queued bool
-	// BrokeOff is true if the connection was lost during the answer, so that the request may have crashed the leaf.
-	BrokeOff bool
+	// ConnectionLost is true if the connection was lost during the answer, so that the request may have crashed the leaf.
+	ConnectionLost bool
 	// LeafCrashed is true if the leaf is known to have crashed. Only probes need to set it.
 	LeafCrashed bool
 }
@@ -91,6 +91,6 @@
 
 // Observer is notified when attempts start and end.
 type Observer[Reply any] interface {
-	Began(attempt Attempt)
-	Ended(attempt Attempt, result Result[Reply], took time.Duration)
+	AttemptStarted(attempt Attempt)
+	AttemptEnded(attempt Attempt, result Result[Reply], took time.Duration)
 }
--- a/internal/request/scatter/caution.go
+++ b/internal/request/scatter/caution.go
@@ -106,7 +106,7 @@
 // after Plan.CrashedProbesLimit probes crashed their leafs: a probe is sent alone, so only its request can have caused
 // the crash.
 func (s *Scatter[Reply]) recordCrashEvidence(ended *finishedAttempt[Reply]) {
-	s.caution.brokeOff = s.caution.brokeOff || ended.result.BrokeOff
+	s.caution.brokeOff = s.caution.brokeOff || ended.result.ConnectionLost
 	if !ended.attempt.Probe {
 		return
 	}
--- a/internal/request/scatter/caution_test.go
+++ b/internal/request/scatter/caution_test.go
@@ -18,7 +18,7 @@
 
 // brokenOff returns the result of an attempt whose answer broke off; crashed says whether the leaf crashed.
 func brokenOff(crashed bool) Result[string] {
-	return Result[string]{Reason: LeafFailed, Execution: Unknown, Outcome: balancer.Failed, BrokeOff: true, LeafCrashed: crashed}
+	return Result[string]{Reason: LeafFailed, Execution: Unknown, Outcome: balancer.Failed, ConnectionLost: true, LeafCrashed: crashed}
 }
 
 func cautionPlan(policy *testPolicy) Plan {
--- a/internal/request/scatter/group.go
+++ b/internal/request/scatter/group.go
@@ -31,8 +31,8 @@
 	Spent int
 	// Final is true if there is no answer and querying the shards directly would not help.
 	Final bool
-	// BrokeOff is true if there is no answer and the request may have crashed leafs.
-	BrokeOff bool
+	// ConnectionLost is true if there is no answer and the request may have crashed leafs.
+	ConnectionLost bool
 }
 
 // StartGroup starts the attempt of the group with the given index in the plan, without blocking. It calls report at most
@@ -118,7 +118,7 @@
 func (s *Scatter[Reply]) handleGroup(ended finishedGroup[Reply]) {
 	result := ended.result
 	s.recordGroup(result)
-	s.caution.brokeOff = s.caution.brokeOff || result.BrokeOff
+	s.caution.brokeOff = s.caution.brokeOff || result.ConnectionLost
 	s.releaseDelayed()
 	for position, index := range s.plan.Groups[ended.group].Shards {
 		shard := &s.shards[index]
@@ -156,6 +156,6 @@
 	case hasReplies || result.Execution == Ran:
 		s.summary.Ran = true
 	case result.Execution == Unknown:
-		s.summary.MaybeRan = true
+		s.summary.MayHaveRun = true
 	}
 }
--- a/internal/request/scatter/launch.go
+++ b/internal/request/scatter/launch.go
@@ -54,12 +54,12 @@
 	s.summary.count(kind)
 	s.deps.Balancer.Start(leaf)
 	s.scheduleHedge(index, now)
-	s.deps.Observer.Began(attempt)
+	s.deps.Observer.AttemptStarted(attempt)
 	typical := policy.TypicalLatency()
 	cancel := s.deps.Start(s.ctx, attempt, func(result Result[Reply]) {
 		took := time.Since(attempt.Started)
 		s.deps.Balancer.Finish(attempt.Leaf, result.Outcome, took, typical)
-		s.deps.Observer.Ended(attempt, result, took)
+		s.deps.Observer.AttemptEnded(attempt, result, took)
 		s.results <- &finishedAttempt[Reply]{attempt, result}
 	})
 	shard.cancels = append(shard.cancels, cancel)
--- a/internal/request/scatter/outcome.go
+++ b/internal/request/scatter/outcome.go
@@ -29,9 +29,9 @@
 
 // Summary summarizes all attempts of a request.
 type Summary struct {
-	Ran      bool
-	MaybeRan bool
-	Shed     bool
+	Ran        bool
+	MayHaveRun bool
+	Shed       bool
 	// Queued counts the results of leafs that reported more attempts than slots.
 	Queued    int
 	Replies   int
@@ -54,7 +54,7 @@
 	switch {
 	case s.Ran:
 		return Ran
-	case s.MaybeRan:
+	case s.MayHaveRun:
 		return Unknown
 	}
 	return NotRun
--- a/internal/request/scatter/scatter.go
+++ b/internal/request/scatter/scatter.go
@@ -179,7 +179,7 @@
 	case Ran:
 		s.summary.Ran = true
 	case Unknown:
-		s.summary.MaybeRan = true
+		s.summary.MayHaveRun = true
 	case NotRun:
 	}
 	if ended.result.Queued {
--- a/internal/request/scatter/scatter_test.go
+++ b/internal/request/scatter/scatter_test.go
@@ -53,13 +53,13 @@
 	ended  int
 }
 
-func (r *attemptRecorder) Began(attempt Attempt) {
+func (r *attemptRecorder) AttemptStarted(attempt Attempt) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.began = append(r.began, attempt)
 }
 
-func (r *attemptRecorder) Ended(Attempt, Result[string], time.Duration) {
+func (r *attemptRecorder) AttemptEnded(Attempt, Result[string], time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ended++
--- a/internal/request/scatter/stop.go
+++ b/internal/request/scatter/stop.go
@@ -51,7 +51,7 @@
 		}
 		isQueried := len(shard.inFlight) > 0 || shard.isGrouped
 		if isQueried {
-			s.summary.MaybeRan = true
+			s.summary.MayHaveRun = true
 		}
 		if shard.reason == "" || isQueried {
 			shard.reason = reason
--- a/internal/request/search/answer.go
+++ b/internal/request/search/answer.go
@@ -34,7 +34,7 @@
 		work := newKeyScatter(e, query, service, e.policy(service.Spec), service.Manifest.Plan(query.keys))
 		outcomes := work.run(ctx)
 		addExtraLoad(&extra, work.extraLoad())
-		ran, maybeRan = ran || work.summary.Ran, maybeRan || work.summary.MaybeRan
+		ran, maybeRan = ran || work.summary.Ran, maybeRan || work.summary.MayHaveRun
 		congested = congested || work.congested()
 		if work.snapshotGone() && e.mayReplan(query, service, replans, ran || maybeRan) {
 			continue
@@ -57,7 +57,7 @@
 		return false
 	}
 	newest, found := e.catalog.View().Services[query.service]
-	return found && newest.Manifest != nil && newest.SnapshotRevision > pinned.SnapshotRevision
+	return found && newest.Manifest != nil && newest.ManifestRevision > pinned.ManifestRevision
 }
 
 // report returns the response to a search: the merged rows and the report.
--- a/internal/request/search/key_scatter.go
+++ b/internal/request/search/key_scatter.go
@@ -108,13 +108,13 @@
 	return request
 }
 
-// Began implements scatter.Observer.
-func (s *keyScatter) Began(attempt scatter.Attempt) {
+// AttemptStarted implements scatter.Observer.
+func (s *keyScatter) AttemptStarted(attempt scatter.Attempt) {
 	s.engine.metrics.Attempts.WithLabelValues(s.query.service, string(attempt.Kind)).Inc()
 }
 
 // Ended implements scatter.Observer.
-func (s *keyScatter) Ended(scatter.Attempt, scatter.Result[shardReply], time.Duration) {}
+func (s *keyScatter) AttemptEnded(scatter.Attempt, scatter.Result[shardReply], time.Duration) {}
 
 // extraLoad returns the attempt counts for the report.
 func (s *keyScatter) extraLoad() *searchv1.ExtraLoad {
--- a/internal/request/search/observe.go
+++ b/internal/request/search/observe.go
@@ -15,7 +15,7 @@
 	e.metrics.QueryLatency.WithLabelValues(service, class).Observe(took.Seconds())
 	if err != nil {
 		failed := failure.From(err)
-		e.metrics.Refusals.WithLabelValues(service, string(failed.Code), failed.Execution.String()).Inc()
+		e.metrics.Failures.WithLabelValues(service, string(failed.Code), failed.Execution.String()).Inc()
 		e.logger.Debug("search failed", zap.String("service", service), zap.String("request_id", request.GetRequestId()),
 			zap.String("code", string(failed.Code)), zap.Stringer("execution", failed.Execution), zap.Duration("took", took))
 		return
--- a/internal/request/search/quarantine.go
+++ b/internal/request/search/quarantine.go
@@ -40,7 +40,7 @@
 	}
 	if query.tracked.State() == quarantine.Quarantined {
 		release()
-		return nil, nil, quarantined(subject.Content, failure.NotRun).WithRetryAfter(e.quarantine.RetryAfter(subject.Content))
+		return nil, nil, quarantined(subject.Fingerprint, failure.NotRun).WithRetryAfter(e.quarantine.RetryAfter(subject.Fingerprint))
 	}
 	return guarded, release, nil
 }
@@ -74,7 +74,7 @@
 	if !isBroken || s.service.Leafs[attempt.Leaf.ID].GetLeaving() {
 		return result
 	}
-	result.BrokeOff = true
+	result.ConnectionLost = true
 	if !attempt.Probe {
 		go func() {
 			if s.engine.leafs.HasExited(context.WithoutCancel(ctx), address) {
--- a/internal/request/search/search.go
+++ b/internal/request/search/search.go
@@ -129,7 +129,7 @@
 		gate, found := e.gates[name]
 		e.mu.Unlock()
 		if found && gate.Usage().Running > 0 {
-			gate.Congested()
+			gate.ReduceLimit()
 			isReduced = true
 		}
 	}
--- a/internal/request/search/search_test.go
+++ b/internal/request/search/search_test.go
@@ -85,7 +85,7 @@
 
 func publish(t *testing.T, cat *catalog.Catalog, snapshot string) {
 	t.Helper()
-	put(t, cat, catalog.SnapshotKey("s"), &adminv1.SnapshotManifest{Service: "s", SnapshotId: snapshot, Shards: []*adminv1.Shard{
+	put(t, cat, catalog.ManifestKey("s"), &adminv1.SnapshotManifest{Service: "s", SnapshotId: snapshot, Shards: []*adminv1.Shard{
 		{Id: "low", KeyTo: "m", LeafIds: []string{"a", "b"}}, {Id: "high", KeyFrom: "m", LeafIds: []string{"b", "c"}},
 	}})
 }
--- a/internal/request/servingtree/server.go
+++ b/internal/request/servingtree/server.go
@@ -139,7 +139,7 @@
 // start starts a request or declines it.
 func (c *servedConnection) start(number uint64, request Request) {
 	if !c.server.begin() {
-		c.send(line{Number: number, Reply: &Reply{Decline: Leaving}})
+		c.send(line{Number: number, Reply: &Reply{Decline: Stopping}})
 		return
 	}
 	ctx, isAdded := c.add(number)
--- a/internal/request/servingtree/servingtree.go
+++ b/internal/request/servingtree/servingtree.go
@@ -98,8 +98,8 @@
 
 // The reasons to decline a request. No part of a declined request has run.
 const (
-	// Leaving means that the node is stopping.
-	Leaving Decline = "LEAVING"
+	// Stopping means that the node is stopping.
+	Stopping Decline = "LEAVING"
 	// Busy means that the node has the maximum number of requests in flight.
 	Busy Decline = "BUSY"
 	// OtherRoute means that the node would gather the route differently from the root, since it uses another routing
--- a/internal/request/servingtree/servingtree_test.go
+++ b/internal/request/servingtree/servingtree_test.go
@@ -168,7 +168,7 @@
 	before := client.Start(address, Request{ID: "before"})
 	<-before.Acks()
 	server.PrepareStop()
-	is.Equal(result(t, client.Start(address, Request{ID: "after"})).Reply.Decline, Leaving)
+	is.Equal(result(t, client.Start(address, Request{ID: "after"})).Reply.Decline, Stopping)
 	stopped := make(chan error, 1)
 	go func() { stopped <- server.Shutdown(t.Context()) }()
 	close(release)
@@ -307,7 +307,7 @@
 	is.Equal(got.RetryAfter, sent.RetryAfter)
 }
 
-func TestConfigNamesEveryFault(t *testing.T) {
+func TestValidateNamesEveryInvalidField(t *testing.T) {
 	is := is.New(t)
 	is.NoErr(DefaultConfig().Validate())
 	is.Equal(len(failure.Faults(Config{}.Validate())), 5)
--- a/internal/rollout/canary/budget.go
+++ b/internal/rollout/canary/budget.go
@@ -59,8 +59,8 @@
 // requests, plus the slack released so far, minus the reserve for requests that must run at most once. A request that
 // must run at most once may go there in the second half of the spec, within the slack that repeatable requests left.
 func (b *budget) hasRoom(cfg Config, once bool, now time.Time) bool {
-	share := cfg.Used * cfg.Share * float64(b.requests)
-	slack := cfg.Used * cfg.Slack * b.fleetShare
+	share := cfg.UsedFraction * cfg.Share * float64(b.requests)
+	slack := cfg.UsedFraction * cfg.Slack * b.fleetShare
 	if !once {
 		return float64(b.repeatable+b.once+1) <= share+slack*b.releasedSlack(now)-b.reservedForOnce(slack, now)+b.start
 	}
--- a/internal/rollout/canary/config.go
+++ b/internal/rollout/canary/config.go
@@ -23,9 +23,9 @@
 	// Slack is the number of requests of a service that the canary version may receive beyond the share during one
 	// roll-out, over the whole fleet.
 	Slack float64 `yaml:"slack"`
-	// Used is the fraction of both bounds that the nodes use, 0 to 1. The rest is a margin for what a node cannot
+	// UsedFraction is the fraction of both bounds that the nodes use, 0 to 1. The rest is a margin for what a node cannot
 	// count.
-	Used float64 `yaml:"used"`
+	UsedFraction float64 `yaml:"used"`
 	// Ramp is how long a node takes to move its requests to a version that has passed evaluation. It is shorter for
 	// roll-outs of short duration.
 	Ramp time.Duration `yaml:"ramp"`
@@ -37,7 +37,7 @@
 // DefaultConfig sends a tenth of the requests to a canary version. ConfirmedWithin exceeds the age of the configuration
 // at a healthy node, so that the ramp does not lapse there.
 func DefaultConfig() Config {
-	return Config{Share: 0.1, Used: 0.8, Ramp: 2 * time.Second, ConfirmedWithin: 6 * time.Second}
+	return Config{Share: 0.1, UsedFraction: 0.8, Ramp: 2 * time.Second, ConfirmedWithin: 6 * time.Second}
 }
 
 // Validate returns an error that names every invalid field.
@@ -45,7 +45,7 @@
 	var checks failure.Checks
 	checks.Refuse(!(c.Share >= 0 && c.Share <= 1), "share", "must be between 0 and 1")
 	checks.Refuse(!(c.Slack >= 0), "slack", "must not be negative")
-	checks.Refuse(!(c.Used > 0 && c.Used <= 1), "used", "must be above 0 and at most 1")
+	checks.Refuse(!(c.UsedFraction > 0 && c.UsedFraction <= 1), "used", "must be above 0 and at most 1")
 	checks.Refuse(c.Ramp < 0, "ramp", "must not be negative")
 	checks.Refuse(c.ConfirmedWithin <= 0, "confirmed_within", "must be positive")
 	return checks.Err()
--- a/internal/rollout/canary/splitter.go
+++ b/internal/rollout/canary/splitter.go
@@ -217,7 +217,7 @@
 	if leaf, found := view.Leafs.LostByID(id, time.Time{}); found {
 		return leaf, true
 	}
-	return view.Remembered.ByID(id)
+	return view.SavedLeafs.ByID(id)
 }
 
 // view returns the configuration in force. s.mu must be held, so that no older configuration is used after a newer one.
--- a/internal/rollout/canary/stage_test.go
+++ b/internal/rollout/canary/stage_test.go
@@ -230,7 +230,7 @@
 	is.Equal(decide(splitter, 1, false), 1)
 }
 
-func TestConfigNamesEveryFault(t *testing.T) {
+func TestValidateNamesEveryInvalidField(t *testing.T) {
 	is := is.New(t)
 	is.NoErr(DefaultConfig().Validate())
 	var fields []string
--- a/internal/rollout/rolloutcontrol/aborts.go
+++ b/internal/rollout/rolloutcontrol/aborts.go
@@ -14,38 +14,38 @@
 // aborts are the aborted specs with the reasons. The zero value is empty. It is safe for concurrent use.
 type aborts struct {
 	mu      sync.Mutex
-	reasons map[rolloutID]string
+	reasons map[specKey]string
 }
 
 // add adds an abort and reports whether it is new.
-func (a *aborts) add(id rolloutID, reason string) bool {
+func (a *aborts) add(id specKey, reason string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if _, found := a.reasons[id]; found || len(a.reasons) >= maxAborts {
 		return false
 	}
 	if a.reasons == nil {
-		a.reasons = map[rolloutID]string{}
+		a.reasons = map[specKey]string{}
 	}
 	a.reasons[id] = reason
 	return true
 }
 
 // reason returns the reason for the abort of a spec, and whether the spec is aborted.
-func (a *aborts) reason(id rolloutID) (string, bool) {
+func (a *aborts) reason(id specKey) (string, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	reason, found := a.reasons[id]
 	return reason, found
 }
 
-func (a *aborts) has(id rolloutID) bool {
+func (a *aborts) has(id specKey) bool {
 	_, found := a.reason(id)
 	return found
 }
 
 // retain drops the aborts of all specs for which isWanted returns false.
-func (a *aborts) retain(isWanted func(rolloutID) bool) {
+func (a *aborts) retain(isWanted func(specKey) bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for id := range a.reasons {
@@ -57,7 +57,7 @@
 
 // abort stops requests to the canary of a spec at this node and at all nodes that reported counts for it. It does not
 // wait for the store to accept the verdict.
-func (c *Controller) abort(id rolloutID, reason string) {
+func (c *Controller) abort(id specKey, reason string) {
 	if !c.aborts.add(id, reason) {
 		return
 	}
@@ -72,13 +72,13 @@
 	c.deps.Events.Aborted(AbortEvent{Service: id.service, SpecID: id.specID, Reason: reason, Nodes: nodes})
 }
 
-func (c *Controller) sendAbort(address string, id rolloutID) {
+func (c *Controller) sendAbort(address string, id specKey) {
 	c.deps.Sender.Send(address, peer.Message{RolloutAbort: &peer.RolloutAbort{Service: id.service, SpecID: id.specID}})
 }
 
 // sendAbortToEvaluatorNodes sends an abort to the other evaluator nodes once per report interval until the state is
 // written, because the store may accept a write from any of them.
-func (c *Controller) sendAbortToEvaluatorNodes(now time.Time, view *catalog.View, active *activeRollout, id rolloutID) {
+func (c *Controller) sendAbortToEvaluatorNodes(now time.Time, view *catalog.View, active *activeRollout, id specKey) {
 	if now.Sub(active.abortSentAt) < c.cfg.ReportInterval {
 		return
 	}
--- a/internal/rollout/rolloutcontrol/config.go
+++ b/internal/rollout/rolloutcontrol/config.go
@@ -38,10 +38,10 @@
 	SettleWait time.Duration `yaml:"settle_wait"`
 	// WriteTimeout is the timeout of one write of a state, including reading it back.
 	WriteTimeout time.Duration `yaml:"write_timeout"`
-	// RetryPause is the initial backoff after a failed write. It doubles with each failure, up to MaximumRetryPause.
+	// RetryPause is the initial backoff after a failed write. It doubles with each failure, up to MaxRetryPause.
 	RetryPause time.Duration `yaml:"retry_pause"`
-	// MaximumRetryPause is the maximum backoff between attempts of a write.
-	MaximumRetryPause time.Duration `yaml:"maximum_retry_pause"`
+	// MaxRetryPause is the maximum backoff between attempts of a write.
+	MaxRetryPause time.Duration `yaml:"maximum_retry_pause"`
 	// VersionsDelay is how long the serving versions must stay unchanged before they are written to the store, and the
 	// minimum interval between two writes.
 	VersionsDelay time.Duration `yaml:"versions_delay"`
@@ -54,7 +54,7 @@
 		BytesPerSecond: 3000, BurstBytes: 48000,
 		TakeoverPause: 700 * time.Millisecond, RollbackMargin: time.Second,
 		SettleInterval: 400 * time.Millisecond, SettleWait: 3 * time.Second,
-		WriteTimeout: 2 * time.Second, RetryPause: 200 * time.Millisecond, MaximumRetryPause: 2 * time.Second,
+		WriteTimeout: 2 * time.Second, RetryPause: 200 * time.Millisecond, MaxRetryPause: 2 * time.Second,
 		VersionsDelay: 2 * time.Second,
 	}
 }
@@ -64,7 +64,7 @@
 	var checks failure.Checks
 	checks.Refuse(c.EvaluatorNodes < 1, "judges", "must be at least 1")
 	checks.Refuse(c.BytesPerSecond < 1, "bytes_per_second", "must be positive")
-	checks.Refuse(c.BurstBytes < peer.MaximumDatagram, "burst_bytes", "must be at least %d, the maximum size of a datagram", peer.MaximumDatagram)
+	checks.Refuse(c.BurstBytes < peer.MaxDatagram, "burst_bytes", "must be at least %d, the maximum size of a datagram", peer.MaxDatagram)
 	durations := []struct {
 		field string
 		value time.Duration
@@ -82,6 +82,6 @@
 	for _, duration := range durations {
 		checks.Refuse(duration.value <= 0, duration.field, "must be positive")
 	}
-	checks.Refuse(c.MaximumRetryPause < c.RetryPause, "maximum_retry_pause", "must be at least retry_pause")
+	checks.Refuse(c.MaxRetryPause < c.RetryPause, "maximum_retry_pause", "must be at least retry_pause")
 	return checks.Err()
 }
--- a/internal/rollout/rolloutcontrol/controller.go
+++ b/internal/rollout/rolloutcontrol/controller.go
@@ -212,7 +212,7 @@
 		delete(c.rollouts, service)
 	}
 	maps.DeleteFunc(c.schedules, func(service string, _ *writeSchedule) bool { return view.Rollouts[service] == (catalog.Rollout{}) })
-	isWanted := func(id rolloutID) bool { return c.isWanted(view, id) }
+	isWanted := func(id specKey) bool { return c.isWanted(view, id) }
 	c.tallies.retain(isWanted)
 	c.aborts.retain(isWanted)
 	c.hasStarted = true
@@ -224,7 +224,7 @@
 	if active == nil || active.spec.ID() != known.Spec.ID() {
 		active = &activeRollout{spec: *known.Spec, learnedAt: now, knownAtStart: !c.hasStarted}
 		c.rollouts[service] = active
-		if c.aborts.has(rolloutID{service, known.Spec.ID()}) {
+		if c.aborts.has(specKey{service, known.Spec.ID()}) {
 			c.deps.Splitter.Abort(service, known.Spec.ID()) // the abort arrived before the spec
 		}
 		c.deps.Events.SpecSeen(SpecEvent{Spec: *known.Spec, Rank: c.rank(view, service)})
@@ -249,7 +249,7 @@
 
 // isWanted reports whether counts and aborts of a spec are needed: the spec is active, or this node has not learned of
 // it yet.
-func (c *Controller) isWanted(view *catalog.View, id rolloutID) bool {
+func (c *Controller) isWanted(view *catalog.View, id specKey) bool {
 	if id.specID > revision.Count(view.Revision) {
 		return true
 	}
@@ -268,7 +268,7 @@
 	}
 	c.reportedAt = now
 	evaluatorNodes := func(service string) []catalog.NodeRecord { return c.evaluatorNodes.of(view, service) }
-	c.reporter.step(now, evaluatorNodes, func(id rolloutID) bool { return c.isWanted(view, id) })
+	c.reporter.step(now, evaluatorNodes, func(id specKey) bool { return c.isWanted(view, id) })
 }
 
 // Statuses returns the active roll-outs known to this node, with the counts of those that it evaluates.
--- a/internal/rollout/rolloutcontrol/controller_test.go
+++ b/internal/rollout/rolloutcontrol/controller_test.go
@@ -50,7 +50,7 @@
 		f.serve(3*time.Second, 0)
 		is.Equal(f.store.phases("s"), rollbackPhases)
 		for _, node := range f.all() {
-			is.True(node.isAborted(rolloutID{"s", revision}))
+			is.True(node.isAborted(specKey{"s", revision}))
 		}
 		is.Equal(f.node("n0").catalog.View().Leafs.Rule("s").Canary, "")
 	})
@@ -107,7 +107,7 @@
 		f.store.setUnavailable(true)
 		f.serve(3*time.Second, 0)
 		for _, node := range f.all() {
-			is.True(node.isAborted(rolloutID{"s", revision}))
+			is.True(node.isAborted(specKey{"s", revision}))
 		}
 		is.Equal(f.store.phases("s"), successPhases[:1])
 		f.store.setUnavailable(false)
--- a/internal/rollout/rolloutcontrol/evaluate.go
+++ b/internal/rollout/rolloutcontrol/evaluate.go
@@ -30,7 +30,7 @@
 // evaluate evaluates the counts of a spec, aborts it if the version fails evaluation, and writes the next phase. It
 // returns the time until the next check, 0 for the report interval.
 func (c *Controller) evaluate(ctx context.Context, now time.Time, view *catalog.View, active *activeRollout, rank int) time.Duration {
-	id := rolloutID{active.spec.Service, active.spec.ID()}
+	id := specKey{active.spec.Service, active.spec.ID()}
 	rows, newest := c.tallies.sum(id)
 	if reason, isAborted := c.aborts.reason(id); isAborted {
 		active.evaluation = verdict.Evaluation{Finding: verdict.Bad, Reason: reason}
--- a/internal/rollout/rolloutcontrol/fleet_test.go
+++ b/internal/rollout/rolloutcontrol/fleet_test.go
@@ -61,7 +61,7 @@
 // start starts a node, or restarts a killed node with the same ID.
 func (f *fleet) start(id string) *testNode {
 	n := &testNode{id: id, fleet: f, catalog: catalog.New(nil), transport: f.network.Attach(id)}
-	n.rows, n.changed, n.aborted = map[evidence.Key]evidence.Tally{}, map[evidence.Key]bool{}, map[rolloutID]bool{}
+	n.rows, n.changed, n.aborted = map[evidence.Key]evidence.Tally{}, map[evidence.Key]bool{}, map[specKey]bool{}
 	n.catalog.EnableRollouts()
 	view := storeView{f.store, n}
 	n.controller = New(Deps{
@@ -150,7 +150,7 @@
 
 // attemptsReportedTo returns the number of attempts that a node received in reports for a spec of "s".
 func (f *fleet) attemptsReportedTo(id string, revision int64) int64 {
-	rows, _ := f.node(id).controller.tallies.sum(rolloutID{"s", revision})
+	rows, _ := f.node(id).controller.tallies.sum(specKey{"s", revision})
 	return attemptsOf(rows)
 }
 
--- a/internal/rollout/rolloutcontrol/handlers.go
+++ b/internal/rollout/rolloutcontrol/handlers.go
@@ -26,9 +26,9 @@
 	}
 	view := c.deps.Catalog.View()
 	wanted := rows[:0]
-	aborted := map[rolloutID]bool{}
+	aborted := map[specKey]bool{}
 	for _, row := range rows {
-		id := rolloutID{row.Service, row.SpecID}
+		id := specKey{row.Service, row.SpecID}
 		if c.isWanted(view, id) {
 			wanted = append(wanted, row)
 			aborted[id] = c.aborts.has(id)
@@ -46,7 +46,7 @@
 
 // HandleAbort handles an abort message from an evaluator node.
 func (c *Controller) HandleAbort(from string, abort peer.RolloutAbort) {
-	id := rolloutID{abort.Service, abort.SpecID}
+	id := specKey{abort.Service, abort.SpecID}
 	if !c.isWanted(c.deps.Catalog.View(), id) || !c.aborts.add(id, "held by a message from "+from) {
 		return
 	}
