--- a/internal/rollout/rolloutcontrol/handlers_test.go
+++ b/internal/rollout/rolloutcontrol/handlers_test.go
@@ -36,10 +36,10 @@
 		f.store.setUnavailable(true)
 		f.network.Cut(func(_, to string) bool { return to == missed })
 		f.serve(2*time.Second, 0)
-		is.True(!f.node(missed).isAborted(rolloutID{"s", revision}))
+		is.True(!f.node(missed).isAborted(specKey{"s", revision}))
 		f.network.Cut(nil)
 		f.serve(2*f.cfg.ReportInterval, 0)
-		is.True(f.node(missed).isAborted(rolloutID{"s", revision}))
+		is.True(f.node(missed).isAborted(specKey{"s", revision}))
 	})
 }
 
@@ -51,7 +51,7 @@
 		node.controller.HandleAbort("n1", peer.RolloutAbort{Service: "s", SpecID: revision})
 		node.clearAborts() // a splitter without the spec may drop its abort
 		time.Sleep(2 * syncDelay)
-		is.True(node.isAborted(rolloutID{"s", revision}))
+		is.True(node.isAborted(specKey{"s", revision}))
 	})
 }
 
--- a/internal/rollout/rolloutcontrol/node_test.go
+++ b/internal/rollout/rolloutcontrol/node_test.go
@@ -29,7 +29,7 @@
 	mu           sync.Mutex
 	rows         map[evidence.Key]evidence.Tally
 	changed      map[evidence.Key]bool
-	aborted      map[rolloutID]bool
+	aborted      map[specKey]bool
 	paused       chan struct{} // closed when the pause ends; nil while the node is not paused
 	isolated     bool
 	sendsNothing bool
@@ -89,10 +89,10 @@
 func (n *testNode) Abort(service string, specID int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.aborted[rolloutID{service, specID}] = true
+	n.aborted[specKey{service, specID}] = true
 }
 
-func (n *testNode) isAborted(id rolloutID) bool {
+func (n *testNode) isAborted(id specKey) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.aborted[id]
@@ -110,7 +110,7 @@
 
 func (n *testNode) Send(address string, message peer.Message) {
 	line, err := json.Marshal(message)
-	if err != nil || len(line) > peer.MaximumDatagram {
+	if err != nil || len(line) > peer.MaxDatagram {
 		n.fleet.t.Errorf("datagram of %d bytes: %v", len(line), err)
 	}
 	n.mu.Lock()
@@ -230,7 +230,7 @@
 	view := n.catalog.View()
 	for service := range view.Rollouts {
 		rule := view.Leafs.Rule(service)
-		if rule.Canary == "" || n.isAborted(rolloutID{service, rule.SpecID}) {
+		if rule.Canary == "" || n.isAborted(specKey{service, rule.SpecID}) {
 			continue
 		}
 		for _, leaf := range view.Leafs.CanaryLeafs(service) {
--- a/internal/rollout/rolloutcontrol/packing.go
+++ b/internal/rollout/rolloutcontrol/packing.go
@@ -27,7 +27,7 @@
 
 // packedRoom returns the number of bytes of packed rows that fit into a datagram. They are encoded in base64.
 func packedRoom(node string) int {
-	return (peer.MaximumDatagram - envelopeBytes - len(node)) / 4 * 3
+	return (peer.MaxDatagram - envelopeBytes - len(node)) / 4 * 3
 }
 
 // datagramBytes returns the approximate size on the wire of a datagram with packed rows.
--- a/internal/rollout/rolloutcontrol/reporter.go
+++ b/internal/rollout/rolloutcontrol/reporter.go
@@ -68,7 +68,7 @@
 
 // step moves changed rows into the outboxes and sends as many of them as the budget allows. evaluatorNodes returns the
 // evaluator nodes of a service. isWanted reports whether the counts of a spec are still needed.
-func (r *reporter) step(now time.Time, evaluatorNodes func(service string) []catalog.NodeRecord, isWanted func(rolloutID) bool) {
+func (r *reporter) step(now time.Time, evaluatorNodes func(service string) []catalog.NodeRecord, isWanted func(specKey) bool) {
 	reassigned := r.reassignedServices(evaluatorNodes)
 	r.enqueue(now, r.counts.TakeChanged(maxRowsTaken), evaluatorNodes)
 	r.dropObsolete(evaluatorNodes, isWanted)
@@ -113,10 +113,10 @@
 }
 
 // dropObsolete drops rows of specs that have ended, and rows for nodes that are no longer evaluator nodes.
-func (r *reporter) dropObsolete(evaluatorNodes func(string) []catalog.NodeRecord, isWanted func(rolloutID) bool) {
+func (r *reporter) dropObsolete(evaluatorNodes func(string) []catalog.NodeRecord, isWanted func(specKey) bool) {
 	for id, waiting := range r.outboxes {
 		maps.DeleteFunc(waiting.rows, func(key evidence.Key, _ evidence.Row) bool {
-			return !isWanted(rolloutID{key.Service, key.SpecID}) || rankOf(evaluatorNodes(key.Service), id) < 0
+			return !isWanted(specKey{key.Service, key.SpecID}) || rankOf(evaluatorNodes(key.Service), id) < 0
 		})
 		if len(waiting.rows) == 0 {
 			delete(r.outboxes, id)
--- a/internal/rollout/rolloutcontrol/reports_test.go
+++ b/internal/rollout/rolloutcontrol/reports_test.go
@@ -86,7 +86,7 @@
 // The sum contains the newest row of each process, whatever the order and repetition of reports.
 func TestSumsAreIndependentOfReportOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		id := rolloutID{"s", 1}
+		id := specKey{"s", 1}
 		type report struct {
 			from process
 			row  evidence.Row
@@ -133,10 +133,10 @@
 	}
 	is.Equal(reported.add(process{"n", 1}, "a", []evidence.Row{rowOf(maxRows, 1), rowOf(0, 2)}, time.Now()), 1)
 	is.Equal(reported.add(process{"other", 1}, "b", []evidence.Row{rowOf(0, 1)}, time.Now()), 1)
-	is.Equal(reported.addresses(rolloutID{"s", 1}), []string{"a"})
-	rows, _ := reported.sum(rolloutID{"s", 1})
+	is.Equal(reported.addresses(specKey{"s", 1}), []string{"a"})
+	rows, _ := reported.sum(specKey{"s", 1})
 	is.Equal(attemptsOf(rows), int64(maxRows+1))
-	reported.retain(func(rolloutID) bool { return false })
+	reported.retain(func(specKey) bool { return false })
 	is.Equal(reported.size, 0)
 	is.Equal(len(reported.rollouts), 0)
 }
@@ -166,10 +166,10 @@
 	is.Equal(len(evaluatorNodesOf(map[string]catalog.NodeRecord{"n0": {ID: "n0"}}, "s", 3)), 1)
 }
 
-func TestConfigNamesEveryFault(t *testing.T) {
+func TestValidateNamesEveryInvalidField(t *testing.T) {
 	is := is.New(t)
 	is.NoErr(DefaultConfig().Validate())
-	is.Equal(len(failure.Faults(Config{MaximumRetryPause: -1}.Validate())), 13)
+	is.Equal(len(failure.Faults(Config{MaxRetryPause: -1}.Validate())), 13)
 }
 
 // countingSender counts the sent rows.
@@ -195,7 +195,7 @@
 	evaluatorNodes := func(string) []catalog.NodeRecord {
 		return []catalog.NodeRecord{{ID: "evaluator", Address: "evaluator"}}
 	}
-	r.step(time.Now(), evaluatorNodes, func(rolloutID) bool { return true })
+	r.step(time.Now(), evaluatorNodes, func(specKey) bool { return true })
 	is.Equal(dropped, 1)
 	is.Equal(sender.rows, 1)
 	is.Equal(len(r.outboxes), 0)
--- a/internal/rollout/rolloutcontrol/schedule.go
+++ b/internal/rollout/rolloutcontrol/schedule.go
@@ -54,9 +54,9 @@
 	case err == nil:
 		s.isDone = true
 	case failure.Is(err, failure.RevisionConflict):
-		s.notBefore = now.Add(cfg.MaximumRetryPause)
+		s.notBefore = now.Add(cfg.MaxRetryPause)
 	default:
-		s.backoff = min(max(2*s.backoff, cfg.RetryPause), cfg.MaximumRetryPause)
+		s.backoff = min(max(2*s.backoff, cfg.RetryPause), cfg.MaxRetryPause)
 		s.notBefore = now.Add(wait.Jittered(s.backoff))
 	}
 }
--- a/internal/rollout/rolloutcontrol/tallies.go
+++ b/internal/rollout/rolloutcontrol/tallies.go
@@ -18,8 +18,8 @@
 	start int64
 }
 
-// rolloutID identifies a spec of a service.
-type rolloutID struct {
+// specKey identifies a spec of a service.
+type specKey struct {
 	service string
 	specID  int64
 }
@@ -34,7 +34,7 @@
 // to the counts of its earlier process. The zero value is empty. It is safe for concurrent use.
 type tallies struct {
 	mu       sync.Mutex
-	rollouts map[rolloutID]*rolloutCounts
+	rollouts map[specKey]*rolloutCounts
 	size     int // rows of all specs
 }
 
@@ -59,7 +59,7 @@
 
 // addRow adds one row and reports whether there was room. t.mu must be held.
 func (t *tallies) addRow(from process, address string, row evidence.Row, now time.Time) bool {
-	id := rolloutID{row.Service, row.SpecID}
+	id := specKey{row.Service, row.SpecID}
 	known, found := t.lookup(id, from, row.Key)
 	if !found && t.size >= maxRows {
 		return false
@@ -75,7 +75,7 @@
 }
 
 // lookup returns the counts that a process reported for a key. t.mu must be held.
-func (t *tallies) lookup(id rolloutID, from process, key evidence.Key) (evidence.Tally, bool) {
+func (t *tallies) lookup(id specKey, from process, key evidence.Key) (evidence.Tally, bool) {
 	all := t.rollouts[id]
 	if all == nil || all.processes[from] == nil {
 		return evidence.Tally{}, false
@@ -85,9 +85,9 @@
 }
 
 // store adds a row or replaces an older one. t.mu must be held.
-func (t *tallies) store(id rolloutID, from process, address string, row evidence.Row, now time.Time) {
+func (t *tallies) store(id specKey, from process, address string, row evidence.Row, now time.Time) {
 	if t.rollouts == nil {
-		t.rollouts = map[rolloutID]*rolloutCounts{}
+		t.rollouts = map[specKey]*rolloutCounts{}
 	}
 	if t.rollouts[id] == nil {
 		t.rollouts[id] = &rolloutCounts{processes: map[process]*processCounts{}}
@@ -103,7 +103,7 @@
 }
 
 // sum returns the counts for a spec, summed over all processes and sorted by key, and the arrival of the newest ones.
-func (t *tallies) sum(id rolloutID) (rows []evidence.Row, newest time.Time) {
+func (t *tallies) sum(id specKey) (rows []evidence.Row, newest time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	all := t.rollouts[id]
@@ -131,7 +131,7 @@
 }
 
 // addresses returns the peer addresses of the nodes that reported counts for a spec, sorted.
-func (t *tallies) addresses(id rolloutID) []string {
+func (t *tallies) addresses(id specKey) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	all := t.rollouts[id]
@@ -147,7 +147,7 @@
 }
 
 // retain drops the counts of all specs for which isWanted returns false.
-func (t *tallies) retain(isWanted func(rolloutID) bool) {
+func (t *tallies) retain(isWanted func(specKey) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, all := range t.rollouts {
--- a/internal/rollout/verdict/finding.go
+++ b/internal/rollout/verdict/finding.go
@@ -16,7 +16,7 @@
 	// and are multiplied by staleFactor.
 	minAnswersToCompare = 5
 	staleFactor         = 2
-	// falseAlarmAnswers is the number of answers that Config.FalseAlarm applies to.
+	// falseAlarmAnswers is the number of answers that Config.FalseAlarmRate applies to.
 	falseAlarmAnswers = 100
 	// minLeafFractionOfMany is the smallest fraction of the threshold to which the contribution of one of three or more
 	// leafs is capped. Three bad leafs can reach the threshold, however high it is.
@@ -53,19 +53,19 @@
 }
 
 // isGood reports whether the evidence suffices to find the version good. This requires that the fraction GoodFrom of
-// the spec's duration has elapsed, that the counts have been complete for minimumWatch, and LeastAnswers answers. It
-// also requires full evidence, or after the fraction GoodByLittle little evidence, none of it against the version.
+// the spec's duration has elapsed, that the counts have been complete for minWatch, and MinAnswers answers. It
+// also requires full evidence, or after the fraction GoodOnLittleEvidenceFrom little evidence, none of it against the version.
 func (e *Evaluator) isGood(elapsed time.Duration, worst strongestSignal) bool {
 	fraction := float64(elapsed) / float64(e.duration)
-	if fraction < e.cfg.GoodFrom || elapsed-e.completeSince < e.minimumWatch() || e.pooled[0].seen.all < float64(e.cfg.LeastAnswers) {
+	if fraction < e.cfg.GoodFrom || elapsed-e.completeSince < e.minWatch() || e.pooled[0].seen.all < float64(e.cfg.MinAnswers) {
 		return false
 	}
-	return e.isGoodOnFullEvidence() || fraction >= e.cfg.GoodByLittle && e.isGoodOnLittleEvidence(worst)
+	return e.isGoodOnFullEvidence() || fraction >= e.cfg.GoodOnLittleEvidenceFrom && e.isGoodOnLittleEvidence(worst)
 }
 
-// minimumWatch returns how long the counts must have been complete before a version is found good: Config.Settle, but
+// minWatch returns how long the counts must have been complete before a version is found good: Config.Settle, but
 // at most a tenth of the spec's duration, because an evaluator node must decide within the spec.
-func (e *Evaluator) minimumWatch() time.Duration { return min(e.cfg.Settle, e.duration/10) }
+func (e *Evaluator) minWatch() time.Duration { return min(e.cfg.Settle, e.duration/10) }
 
 // isGoodOnFullEvidence reports whether the smallest share of bad answers that must be detected is ruled out on all
 // routes together and on each route with traffic. The worst leaf is excluded, because its bad answers may be due to
@@ -134,9 +134,9 @@
 // share of the requests then grows.
 func (e *Evaluator) initialThreshold() float64 {
 	if e.finding == Good {
-		return -math.Log(e.cfg.FalseAlarmMoving)
+		return -math.Log(e.cfg.FalseAlarmRateMoving)
 	}
-	return -math.Log(e.cfg.FalseAlarm)
+	return -math.Log(e.cfg.FalseAlarmRate)
 }
 
 // leafCap returns the maximum contribution of one leaf to a level, so that one bad leaf doesn't make a version bad. If
@@ -169,10 +169,10 @@
 	return answers >= minTrafficAnswers && answers >= rareRouteShare*total
 }
 
-// hasAnswersOnAllRoutes reports whether the canary has at least LeastAnswers answers on each route with traffic.
+// hasAnswersOnAllRoutes reports whether the canary has at least MinAnswers answers on each route with traffic.
 func (e *Evaluator) hasAnswersOnAllRoutes() bool {
 	for _, route := range e.routes {
-		if route.cusums[0].seen.all < float64(e.cfg.LeastAnswers) && e.hasTraffic(route) {
+		if route.cusums[0].seen.all < float64(e.cfg.MinAnswers) && e.hasTraffic(route) {
 			return false
 		}
 	}
@@ -183,7 +183,7 @@
 // must be detected.
 func (e *Evaluator) ruleOutBad(cusums []*cusum) bool {
 	for _, s := range cusums {
-		if s.overallLevelWithoutWorstLeaf() > math.Log(e.cfg.Miss) || s.levelWithoutWorstLeaf() > maxLevelForGood {
+		if s.overallLevelWithoutWorstLeaf() > math.Log(e.cfg.MissRate) || s.levelWithoutWorstLeaf() > maxLevelForGood {
 			return false
 		}
 	}
--- a/internal/rollout/verdict/verdict.go
+++ b/internal/rollout/verdict/verdict.go
@@ -101,23 +101,23 @@
 
 // cusums returns new tests of one route, by signal: first failures, then one test per slow factor.
 func (c *Config) cusums() []*cusum {
-	all := []*cusum{newCusum(c.BadShares, c.LeastBadShare)}
+	all := []*cusum{newCusum(c.BadShares, c.MinBadShare)}
 	for range c.SlowFactors {
-		all = append(all, newCusum(c.slowShares(), c.LeastSlowShare))
+		all = append(all, newCusum(c.slowShares(), c.MinSlowShare))
 	}
 	return all
 }
 
-// slowShares returns the tested shares of late answers. Shares much smaller than LeastSlowShare are left out, because
+// slowShares returns the tested shares of late answers. Shares much smaller than MinSlowShare are left out, because
 // the test would eventually detect them in the small differences between two good versions.
 func (c *Config) slowShares() []float64 {
 	var shares []float64
 	for _, share := range c.BadShares {
-		if share >= c.LeastSlowShare/2 {
+		if share >= c.MinSlowShare/2 {
 			shares = append(shares, share)
 		}
 	}
-	return append(shares, c.LeastSlowShare)
+	return append(shares, c.MinSlowShare)
 }
 
 // Update evaluates the cumulative counts of the whole fleet, one row per key. elapsed is the time since the spec.
--- a/internal/rollout/verdict/verdict_test.go
+++ b/internal/rollout/verdict/verdict_test.go
@@ -120,7 +120,7 @@
 }
 
 // A route with half of the serving version's answers is not rare, even if the canary has few answers there. The canary
-// is not good before it has answered on the route, and with few answers not before GoodByLittle.
+// is not good before it has answered on the route, and with few answers not before GoodOnLittleEvidenceFrom.
 func TestRouteWithServingTrafficIsNotRare(t *testing.T) {
 	is := is.New(t)
 	for _, seen := range []struct {
