--- a/cmd/portgauge-lab/main.go
+++ b/cmd/portgauge-lab/main.go
@@ -1,5 +1,5 @@
 // Command portgauge-lab runs stand-ins for the dependencies of Portgauge, sends load, replays traces, and runs fault injection
-// and roll-outs against real nodes.
+// and rollouts against real nodes.
 package main
 
 import (
--- a/cmd/portgauge-lab/rollout.go
+++ b/cmd/portgauge-lab/rollout.go
@@ -12,7 +12,7 @@
 	"github.com/portgauge/portgauge/internal/lab/soak"
 )
 
-// rolloutCommand runs roll-outs of good and bad versions on real nodes.
+// rolloutCommand runs rollouts of good and bad versions on real nodes.
 type rolloutCommand struct {
 	Cases     []string      `help:"Cases to play; empty plays all, an unknown one lists them." sep:";"`
 	Duration  time.Duration `default:"12s" help:"How long each order may take."`
@@ -36,7 +36,7 @@
 		}
 		fmt.Printf("%d passed, %d failed\n", passed, failed)
 		if failed > 0 {
-			return failure.New(failure.Internal, failure.Unknown, "%d roll-outs had the wrong outcome or broke a guarantee", failed)
+			return failure.New(failure.Internal, failure.Unknown, "%d rollouts had the wrong outcome or broke a guarantee", failed)
 		}
 		return nil
 	})
--- a/cmd/portgauge/rollout.go
+++ b/cmd/portgauge/rollout.go
@@ -11,12 +11,12 @@
 	"github.com/portgauge/portgauge/internal/operator/cli"
 )
 
-// rolloutCommand groups the commands for roll-outs.
+// rolloutCommand groups the commands for rollouts.
 type rolloutCommand struct {
 	Start  rolloutStartCommand  `cmd:"" help:"Move a service to the leafs of a version, if the version is found good."`
-	Status rolloutStatusCommand `cmd:"" help:"Show the phase of a service's roll-out and the reason for it."`
-	Cancel rolloutCancelCommand `cmd:"" help:"Cancel a roll-out; the version before it continues to serve."`
-	List   rolloutListCommand   `cmd:"" help:"List the roll-outs of all services."`
+	Status rolloutStatusCommand `cmd:"" help:"Show the phase of a service's rollout and the reason for it."`
+	Cancel rolloutCancelCommand `cmd:"" help:"Cancel a rollout; the version before it continues to serve."`
+	List   rolloutListCommand   `cmd:"" help:"List the rollouts of all services."`
 }
 
 type rolloutStartCommand struct {
@@ -24,7 +24,7 @@
 	writeFlags
 	Service  string        `arg:"" help:"Service to move."`
 	Target   string        `arg:"" help:"Version to move to; its leafs must run in addition to the leafs that serve now."`
-	Duration time.Duration `help:"How long the roll-out may take; if there is no verdict by then, it is rolled back." default:"10m"`
+	Duration time.Duration `help:"How long the rollout may take; if there is no verdict by then, it is rolled back." default:"10m"`
 }
 
 // Run writes the rollout spec and prints its revision.
@@ -41,7 +41,7 @@
 type rolloutCancelCommand struct {
 	operatorFlags
 	writeFlags
-	Service string `arg:"" help:"Service whose roll-out is cancelled."`
+	Service string `arg:"" help:"Service whose rollout is cancelled."`
 }
 
 // Run deletes the rollout spec and prints the revision of the change.
@@ -60,7 +60,7 @@
 	Service string `arg:"" help:"Service to show."`
 }
 
-// Run prints the roll-out as in force on the node.
+// Run prints the rollout as in force on the node.
 func (c *rolloutStatusCommand) Run() error {
 	response, err := call(&c.operatorFlags, adminv1connect.AdminServiceClient.GetRollout, &adminv1.GetRolloutRequest{Service: c.Service})
 	if err != nil {
@@ -73,7 +73,7 @@
 	operatorFlags
 }
 
-// Run prints the roll-outs as in force on the node.
+// Run prints the rollouts as in force on the node.
 func (c *rolloutListCommand) Run() error {
 	response, err := call(&c.operatorFlags, adminv1connect.AdminServiceClient.ListRollouts, &adminv1.ListRolloutsRequest{})
 	if err != nil {
--- a/cmd/portgauge/rollout_test.go
+++ b/cmd/portgauge/rollout_test.go
@@ -81,7 +81,7 @@
 	return cluster
 }
 
-// startNode starts a node whose settings allow roll-outs of a few seconds.
+// startNode starts a node whose settings allow rollouts of a few seconds.
 func (c *testCluster) startNode(id, platformAddress string, addresses []string) {
 	c.t.Helper()
 	cfg := settings.Default()
@@ -187,7 +187,7 @@
 // inForceBound is how long an accepted change may take to be in force on a node.
 const inForceBound = 4 * time.Second
 
-// awaitEnd waits for the roll-out to end and returns it.
+// awaitEnd waits for the rollout to end and returns it.
 func (c *testCluster) awaitEnd() *adminv1.Rollout {
 	c.t.Helper()
 	var rollout *adminv1.Rollout
@@ -205,7 +205,7 @@
 			return rollout
 		}
 	}
-	c.t.Fatal("the roll-out did not end: ", rollout)
+	c.t.Fatal("the rollout did not end: ", rollout)
 	return nil
 }
 
@@ -218,7 +218,7 @@
 	return received
 }
 
-// A roll-out must move the service to the leafs of a good version, and must be rolled back for a bad version.
+// A rollout must move the service to the leafs of a good version, and must be rolled back for a bad version.
 func TestRolloutEndToEnd(t *testing.T) {
 	cases := []struct {
 		name       string
--- a/gen/portgauge/admin/v1/adminv1connect/admin.connect.go
+++ b/gen/portgauge/admin/v1/adminv1connect/admin.connect.go
@@ -119,7 +119,7 @@
 	ListEvacuatedZones(context.Context, *connect.Request[v1.ListEvacuatedZonesRequest]) (*connect.Response[v1.ListEvacuatedZonesResponse], error)
 	// StartRollout moves the requests of a service to the leafs of a version, if the version is found good.
 	StartRollout(context.Context, *connect.Request[v1.StartRolloutRequest]) (*connect.Response[v1.StartRolloutResponse], error)
-	// CancelRollout cancels the roll-out of a service. Unless it has succeeded, the version before it continues to serve.
+	// CancelRollout cancels the rollout of a service. Unless it has succeeded, the version before it continues to serve.
 	CancelRollout(context.Context, *connect.Request[v1.CancelRolloutRequest]) (*connect.Response[v1.CancelRolloutResponse], error)
 	GetRollout(context.Context, *connect.Request[v1.GetRolloutRequest]) (*connect.Response[v1.GetRolloutResponse], error)
 	ListRollouts(context.Context, *connect.Request[v1.ListRolloutsRequest]) (*connect.Response[v1.ListRolloutsResponse], error)
@@ -425,7 +425,7 @@
 	ListEvacuatedZones(context.Context, *connect.Request[v1.ListEvacuatedZonesRequest]) (*connect.Response[v1.ListEvacuatedZonesResponse], error)
 	// StartRollout moves the requests of a service to the leafs of a version, if the version is found good.
 	StartRollout(context.Context, *connect.Request[v1.StartRolloutRequest]) (*connect.Response[v1.StartRolloutResponse], error)
-	// CancelRollout cancels the roll-out of a service. Unless it has succeeded, the version before it continues to serve.
+	// CancelRollout cancels the rollout of a service. Unless it has succeeded, the version before it continues to serve.
 	CancelRollout(context.Context, *connect.Request[v1.CancelRolloutRequest]) (*connect.Response[v1.CancelRolloutResponse], error)
 	GetRollout(context.Context, *connect.Request[v1.GetRolloutRequest]) (*connect.Response[v1.GetRolloutResponse], error)
 	ListRollouts(context.Context, *connect.Request[v1.ListRolloutsRequest]) (*connect.Response[v1.ListRolloutsResponse], error)
--- a/internal/config/catalog/draft.go
+++ b/internal/config/catalog/draft.go
@@ -25,7 +25,7 @@
 
 	leafs          *leafset.Editor    // nil while no leaf changed
 	leafsBefore    *leafset.Set       // the leafs in force before the draft
-	rolloutsBefore map[string]Rollout // the roll-outs in force before the draft
+	rolloutsBefore map[string]Rollout // the rollouts in force before the draft
 
 	// The fields below say which maps of the view are the draft's own copies.
 	ownsNodes      bool
--- a/internal/config/catalog/keys.go
+++ b/internal/config/catalog/keys.go
@@ -23,7 +23,7 @@
 	RoutesKey = "routes"
 	// SavedLeafsKey is the store key of the saved list of leafs.
 	SavedLeafsKey = "remembered-leafs"
-	// VersionsKey is the store key of the serving versions of services without a roll-out.
+	// VersionsKey is the store key of the serving versions of services without a rollout.
 	VersionsKey = "service-versions"
 	// MarkerKey is the key of marker entries, which have no value, see Marker.
 	MarkerKey = "marker"
@@ -54,7 +54,7 @@
 func QuarantineKey(content string) string { return quarantinePrefix + content }
 
 // isTransient reports whether a key needs no tombstone once it is removed: its absence from a whole state means that
-// it was removed. These are the keys of processes, evacuations, quarantines and roll-outs.
+// it was removed. These are the keys of processes, evacuations, quarantines and rollouts.
 func isTransient(key string) bool {
 	return strings.HasPrefix(key, leafPrefix) || strings.HasPrefix(key, nodePrefix) || strings.HasPrefix(key, evacuationPrefix) ||
 		strings.HasPrefix(key, quarantinePrefix) || isRollout(key)
--- a/internal/config/catalog/restored.go
+++ b/internal/config/catalog/restored.go
@@ -11,7 +11,7 @@
 )
 
 // A store that was restored from a backup lacks the writes that it acknowledged since the backup. A node that applied the
-// restored state unchanged would roll back routes, drained or removed leafs, evacuated zones, roll-out verdicts and
+// restored state unchanged would roll back routes, drained or removed leafs, evacuated zones, rollout verdicts and
 // quarantined requests by some seconds. So a node that enters a new epoch retains its newer entries until they are
 // rewritten: operators and leafs rewrite their own, and nodes rewrite the rest (package rewriter).
 
--- a/internal/config/catalog/restored_test.go
+++ b/internal/config/catalog/restored_test.go
@@ -198,7 +198,7 @@
 	is.Equal(second.RetainedEntries()[0].Entry.Key, RoutesKey)
 }
 
-// The verdict of a roll-out survives the restore, even if its spec was lost as well and is rewritten.
+// The verdict of a rollout survives the restore, even if its spec was lost as well and is rewritten.
 func TestRolloutVerdictSurvivesRestore(t *testing.T) {
 	for _, isSpecLost := range []bool{false, true} {
 		t.Run(fmt.Sprint("spec lost: ", isSpecLost), func(t *testing.T) {
--- a/internal/config/catalog/retained.go
+++ b/internal/config/catalog/retained.go
@@ -184,7 +184,7 @@
 }
 
 // RewriteValue returns the value with which an entry of an earlier epoch must be rewritten. It isn't ready while the
-// entry depends on another one that has not been rewritten: the progress of a roll-out refers to its spec by a count,
+// entry depends on another one that has not been rewritten: the progress of a rollout refers to its spec by a count,
 // which changes if the restored store lost the spec.
 func (c *Catalog) RewriteValue(entry Entry) (value json.RawMessage, isReady bool) {
 	service, isState := strings.CutPrefix(entry.Key, rolloutStatePrefix)
--- a/internal/config/catalog/rollout.go
+++ b/internal/config/catalog/rollout.go
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// compileRolloutState applies the progress of a roll-out or its removal.
+// compileRolloutState applies the progress of a rollout or its removal.
 func (d *draft) compileRolloutState(service string, entry Entry) error {
 	known := d.editableRollout(service)
 	known.State = nil
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// rolloutBefore returns a service's roll-out before the draft. In a draft of a whole state, it is the roll-out of the
+// rolloutBefore returns a service's rollout before the draft. In a draft of a whole state, it is the rollout of the
 // replaced state.
 func (d *draft) rolloutBefore(service string) Rollout {
 	if known, found := d.view.Rollouts[service]; found {
@@ -66,7 +66,7 @@
 	return d.rolloutsBefore[service]
 }
 
-// editableRollout returns a copy of a service's roll-out, and makes the draft own the map.
+// editableRollout returns a copy of a service's rollout, and makes the draft own the map.
 func (d *draft) editableRollout(service string) Rollout {
 	if !d.ownsRollouts {
 		d.view.Rollouts = maps.Clone(d.view.Rollouts)
@@ -75,7 +75,7 @@
 	return d.view.Rollouts[service]
 }
 
-// setRollout sets a service's roll-out and the rule that follows from it.
+// setRollout sets a service's rollout and the rule that follows from it.
 func (d *draft) setRollout(service string, known Rollout) {
 	if known == (Rollout{}) {
 		delete(d.view.Rollouts, service)
--- a/internal/config/catalog/view.go
+++ b/internal/config/catalog/view.go
@@ -36,7 +36,7 @@
 	Rollouts map[string]Rollout
 	// Quarantine are the quarantined requests, which are sent to no leaf.
 	Quarantine map[fingerprint.Fingerprint]*quarantine.Record
-	// Versions are the serving versions of services without a roll-out, by service.
+	// Versions are the serving versions of services without a rollout, by service.
 	Versions map[string]string
 }
 
@@ -56,7 +56,7 @@
 	Processors float64 `json:"processors,omitempty"`
 }
 
-// Rollout is the roll-out of a service to another version.
+// Rollout is the rollout of a service to another version.
 type Rollout struct {
 	// Spec is the operators' spec, nil if there is none.
 	Spec *rollout.Spec
--- a/internal/config/configsync/handler.go
+++ b/internal/config/configsync/handler.go
@@ -19,7 +19,7 @@
 	Quarantine func(from string, message peer.Quarantine)
 }
 
-// RolloutHandler receives messages on roll-outs, with the peer address of the sender.
+// RolloutHandler receives messages on rollouts, with the peer address of the sender.
 type RolloutHandler interface {
 	HandleReports(from string, reports peer.RolloutReports)
 	HandleAbort(from string, abort peer.RolloutAbort)
--- a/internal/fleet/peer/message.go
+++ b/internal/fleet/peer/message.go
@@ -184,7 +184,7 @@
 	Record *quarantine.Record `json:"record,omitempty"`
 }
 
-// RolloutAbort reports that a roll-out is aborted: no further requests may be sent to its canary version. On the wire, an
+// RolloutAbort reports that a rollout is aborted: no further requests may be sent to its canary version. On the wire, an
 // abort is named rollout_hold, and a rollout spec order.
 type RolloutAbort struct {
 	Service string `json:"service"`
--- a/internal/fleet/registry/previous.go
+++ b/internal/fleet/registry/previous.go
@@ -21,7 +21,7 @@
 // previousRecord finds the record of a previous process of the node in the configuration. The zero value finds none.
 type previousRecord struct {
 	catalog *catalog.Catalog
-	ready <-chan struct{}
+	ready   <-chan struct{}
 	// seenLease is the lease in the record when the node last registered.
 	seenLease int64
 }
--- a/internal/lab/rollouts/fault.go
+++ b/internal/lab/rollouts/fault.go
@@ -1,5 +1,5 @@
-// Package rollouts implements the good and bad versions that stand-in leafs run in roll-outs over real nodes, and the records
-// of leafs and operators against which the promises about a roll-out are checked.
+// Package rollouts implements the good and bad versions that stand-in leafs run in rollouts over real nodes, and the records
+// of leafs and operators against which the promises about a rollout are checked.
 //
 // A Version records the requests that its leafs receive. It depends on package httpleaf and starts no goroutines or processes.
 package rollouts
@@ -13,7 +13,7 @@
 	Failing float64
 	// Slower multiplies the service time; 0 means 1.
 	Slower float64
-	// After is the time from the start of the roll-out until the fault occurs.
+	// After is the time from the start of the rollout until the fault occurs.
 	After time.Duration
 	// AtOnce and PerSecond are the numbers of concurrent requests and of requests per second up to which a leaf has no fault;
 	// 0 sets no threshold.
--- a/internal/lab/rollouts/release.go
+++ b/internal/lab/rollouts/release.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Outcome is the status of a roll-out as operators read it.
+// Outcome is the status of a rollout as operators read it.
 type Outcome string
 
-// Outcomes of a roll-out.
+// Outcomes of a rollout.
 const (
 	Running    Outcome = "running"
 	Succeeded  Outcome = "succeeded"
@@ -23,21 +23,21 @@
 	At time.Time
 }
 
-// Release is a roll-out with the records of the operators, the store and the leafs.
+// Release is a rollout with the records of the operators, the store and the leafs.
 type Release struct {
 	Old, Target *Version
 	Duration    time.Duration
 	// At is the time at which the spec was written, and Revision the store's revision of the spec.
 	At       time.Time
 	Revision int64
-	// Ended is the time at which the roll-out was cancelled or replaced, or zero. EndRevision is the store's revision of the
+	// Ended is the time at which the rollout was cancelled or replaced, or zero. EndRevision is the store's revision of the
 	// cancellation, or 0.
 	Ended       time.Time
 	EndRevision int64
 	// Until is the revision of the service's next spec, or 0, and Next the version in that spec.
 	Until int64
 	Next  string
-	// Statuses are all readings of the service's status, including those of other roll-outs.
+	// Statuses are all readings of the service's status, including those of other rollouts.
 	Statuses []StatusReading
 }
 
@@ -57,7 +57,7 @@
 // Always is a Clear for runs without faults.
 func Always(ReceivedRequest) bool { return true }
 
-// Outcome returns the last status of the roll-out and the time at which it was first read.
+// Outcome returns the last status of the rollout and the time at which it was first read.
 func (r *Release) Outcome() (status Outcome, at time.Time) {
 	for _, reading := range r.Statuses {
 		if r.isOwn(reading) && reading.Outcome != status {
@@ -72,12 +72,12 @@
 	return t.Revision > r.Revision && (r.Until == 0 || t.Revision < r.Until)
 }
 
-// wasCancelledBefore reports whether the roll-out had been cancelled when a status was written.
+// wasCancelledBefore reports whether the rollout had been cancelled when a status was written.
 func (r *Release) wasCancelledBefore(t StatusReading) bool {
 	return r.EndRevision != 0 && t.Revision >= r.EndRevision
 }
 
-// WrongStatuses returns the disallowed readings: a second outcome, a status of another version, an outcome after the roll-out
+// WrongStatuses returns the disallowed readings: a second outcome, a status of another version, an outcome after the rollout
 // was replaced, and any status but RolledBack after it was cancelled.
 func (r *Release) WrongStatuses() []StatusReading {
 	var wrong []StatusReading
@@ -93,7 +93,7 @@
 			if reading.Outcome != Running && final == "" {
 				final = reading.Outcome
 			}
-		case r.Next == r.Target.Name(): // later statuses of this version belong to the next roll-out
+		case r.Next == r.Target.Name(): // later statuses of this version belong to the next rollout
 		case reading.Revision > r.Revision && reading.Target == r.Target.Name() && reading.Outcome != Running:
 			wrong = append(wrong, reading)
 		}
@@ -101,7 +101,7 @@
 	return wrong
 }
 
-// Exposure counts the requests between the start of a roll-out and its deadline.
+// Exposure counts the requests between the start of a rollout and its deadline.
 type Exposure struct {
 	// Received is the number of requests that the version's leafs received from nodes without a fault.
 	Received int
@@ -123,7 +123,7 @@
 	return Exposure{Received: len(unaffected(got, clear)), Reached: len(reached)}
 }
 
-// within returns the requests between the start of the roll-out and its deadline or earlier end.
+// within returns the requests between the start of the rollout and its deadline or earlier end.
 func (r *Release) within(v *Version) []ReceivedRequest {
 	end := r.At.Add(r.Duration)
 	if !r.Ended.IsZero() && r.Ended.Before(end) {
@@ -150,7 +150,7 @@
 	return bad[badAnswers-1].Done, true
 }
 
-// SucceededBeforeBadAnswer reports whether operators read that the roll-out succeeded before the target's first bad answer.
+// SucceededBeforeBadAnswer reports whether operators read that the rollout succeeded before the target's first bad answer.
 // The outcome is final, so later bad answers cannot change it. This happens if the fault occurs with a delay and the service
 // receives no requests between its occurrence and the deadline.
 func (r *Release) SucceededBeforeBadAnswer() bool {
@@ -164,7 +164,7 @@
 
 func (r ReceivedRequest) isBad() bool { return r.Bad }
 
-// OutsideRollout returns the requests that the target received without a roll-out in force: before its start, and later than
+// OutsideRollout returns the requests that the target received without a rollout in force: before its start, and later than
 // Lateness after it was rolled back, cancelled or replaced.
 func (r *Release) OutsideRollout(clear Clear) []ReceivedRequest {
 	if r.Old == r.Target {
@@ -182,7 +182,7 @@
 	return append(before, unaffected(after, clear)...)
 }
 
-// AtOldVersion returns the requests at the old version that were in flight or received after operators read that the roll-out
+// AtOldVersion returns the requests at the old version that were in flight or received after operators read that the rollout
 // succeeded.
 func (r *Release) AtOldVersion(clear Clear) []ReceivedRequest {
 	status, at := r.Outcome()
--- a/internal/lab/rollouts/release_test.go
+++ b/internal/lab/rollouts/release_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// newRelease returns a roll-out of 10 s with requests at the given times after its start.
+// newRelease returns a rollout of 10 s with requests at the given times after its start.
 func newRelease(fault Fault, old, target []time.Duration) *Release {
 	began := time.Now()
 	requests := func(after []time.Duration, name string) *Version {
@@ -115,7 +115,7 @@
 	r.addStatus(Succeeded, 6, time.Second)
 	r.Until, r.Next = 7, "b"
 	r.addStatus(Succeeded, 8, 2*time.Second)
-	is.New(t).Equal(len(r.WrongStatuses()), 0) // the next roll-out is of the same version
+	is.New(t).Equal(len(r.WrongStatuses()), 0) // the next rollout is of the same version
 	r = newRelease(Fault{}, nil, nil)
 	r.Statuses = []StatusReading{{Revision: 6, Target: "c", Outcome: Running}}
 	is.New(t).Equal(len(r.WrongStatuses()), 1) // a status of another version is wrong
--- a/internal/lab/rollouts/version.go
+++ b/internal/lab/rollouts/version.go
@@ -44,7 +44,7 @@
 
 func (v *Version) Fault() Fault { return v.fault }
 
-// SetRolloutStart sets the time at which the version's roll-out starts.
+// SetRolloutStart sets the time at which the version's rollout starts.
 func (v *Version) SetRolloutStart(now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/lab/soak/checks.go
+++ b/internal/lab/soak/checks.go
@@ -22,7 +22,7 @@
 	slices.SortFunc(records, func(a, b []byte) int { return bytes.Compare(b, a) })
 }
 
-// checkAll checks every promise except those about roll-outs against the records of callers and leafs. There are no faults after
+// checkAll checks every promise except those about rollouts against the records of callers and leafs. There are no faults after
 // the time recovered, and the nodes have had time to recover by then.
 func checkAll(e *environment, seen []outcome, recovered time.Time) []Result {
 	ran := e.runs()
--- a/internal/lab/soak/checks_rollouts_test.go
+++ b/internal/lab/soak/checks_rollouts_test.go
@@ -25,7 +25,7 @@
 	return v
 }
 
-// Each roll-out check passes a run that keeps its promise and reports one that breaks it.
+// Each rollout check passes a run that keeps its promise and reports one that breaks it.
 func TestRolloutChecksReportBrokenPromises(t *testing.T) {
 	began := time.Now()
 	bad := rollouts.Fault{Failing: 1}
@@ -58,7 +58,7 @@
 			checkLateRequests(release(serve, append(fiftyBadAnswers, after(time.Second, 1)...)), rollouts.Always),
 			checkLateRequests(release(serve, append(fiftyBadAnswers, after(late, 1)...)), rollouts.Always),
 		},
-		"outside of a roll-out": {
+		"outside of a rollout": {
 			checkOutsideRollout(release(serve, after(2*time.Second, 1), rollouts.RolledBack), rollouts.Always),
 			checkOutsideRollout(release(serve, after(late, 1), rollouts.RolledBack), rollouts.Always),
 		},
@@ -111,7 +111,7 @@
 	}
 }
 
-// An operator records each status once, and does not attribute the status of a replaced roll-out to the next one.
+// An operator records each status once, and does not attribute the status of a replaced rollout to the next one.
 func TestOperatorAttributesStatusToItsRollout(t *testing.T) {
 	is := is.New(t)
 	e := newIdleEnvironment(t)
--- a/internal/lab/soak/operator.go
+++ b/internal/lab/soak/operator.go
@@ -12,29 +12,29 @@
 	"github.com/portgauge/portgauge/platform"
 )
 
-// Intervals of an operator's roll-outs.
+// Intervals of an operator's rollouts.
 const (
 	statusInterval = 5 * time.Millisecond // between two reads of the statuses
 	leadTime       = 1500 * time.Millisecond
-	// statusTimeout is how long the operator waits for an outcome after the deadline of a roll-out.
+	// statusTimeout is how long the operator waits for an outcome after the deadline of a rollout.
 	statusTimeout = 6 * time.Second
 	drainDelay    = 3 * time.Second
 	drainTime     = 2 * time.Second
 )
 
-// plan describes a roll-out that an operator performs.
+// plan describes a rollout that an operator performs.
 type plan struct {
 	service  string
 	fault    rollouts.Fault
 	duration time.Duration
 	// targetsServingVersion rolls out the version that already serves; hasNoLeafs rolls out a version without leafs.
 	targetsServingVersion, hasNoLeafs bool
-	// cancelledAfter and replacedAfter are the times from its start until the roll-out is cancelled or replaced by another
+	// cancelledAfter and replacedAfter are the times from its start until the rollout is cancelled or replaced by another
 	// one; 0 means never.
 	cancelledAfter, replacedAfter time.Duration
 }
 
-// operator writes roll-out specs and reads the statuses of roll-outs. It is safe for concurrent use.
+// operator writes rollout specs and reads the statuses of rollouts. It is safe for concurrent use.
 type operator struct {
 	environment *environment
 	log         func(string)
@@ -76,7 +76,7 @@
 	})
 }
 
-// allReleases returns copies of all roll-outs so far, with the status readings of their services.
+// allReleases returns copies of all rollouts so far, with the status readings of their services.
 func (o *operator) allReleases() []rollouts.Release {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -89,8 +89,8 @@
 	return releases
 }
 
-// rollOut performs a roll-out, waits for its outcome and does what the outcome requires. It returns the number of the
-// roll-out.
+// rollOut performs a rollout, waits for its outcome and does what the outcome requires. It returns the number of the
+// rollout.
 func (o *operator) rollOut(ctx context.Context, p plan) (number int, err error) {
 	if number, err = o.startRollout(ctx, p); err != nil {
 		return number, err
@@ -112,7 +112,7 @@
 	return number, nil
 }
 
-// startRollout starts the leafs of a version and writes its roll-out spec, which replaces a roll-out of the service that is
+// startRollout starts the leafs of a version and writes its rollout spec, which replaces a rollout of the service that is
 // in progress.
 func (o *operator) startRollout(ctx context.Context, p plan) (number int, err error) {
 	old := o.environment.servingVersion(p.service)
@@ -150,7 +150,7 @@
 	return len(o.releases) - 1, nil
 }
 
-// endReplaced ends a roll-out that another one replaced, or concludes it if it succeeded before that.
+// endReplaced ends a rollout that another one replaced, or concludes it if it succeeded before that.
 func (o *operator) endReplaced(ctx context.Context, number, replacement int) {
 	o.readStatus(o.allReleases()[number].Target.Service())
 	if status, _ := o.outcome(number); status == rollouts.Succeeded {
@@ -166,7 +166,7 @@
 	o.drainLater(number)
 }
 
-// follow waits for the outcome of a roll-out or until it is due to be replaced, and cancels it when that is due.
+// follow waits for the outcome of a rollout or until it is due to be replaced, and cancels it when that is due.
 func (o *operator) follow(ctx context.Context, number int, p plan) {
 	began := time.Now()
 	for wait.For(ctx, statusInterval) {
@@ -184,7 +184,7 @@
 	}
 }
 
-// outcome returns the last status of a roll-out and the time at which it was first read.
+// outcome returns the last status of a rollout and the time at which it was first read.
 func (o *operator) outcome(number int) (status rollouts.Outcome, at time.Time) {
 	release := o.allReleases()[number]
 	return release.Outcome()
@@ -198,8 +198,8 @@
 	release.Ended = time.Now()
 }
 
-// conclude does what operators do after a roll-out: it stops the old leafs at once if the roll-out succeeded, and otherwise
-// drains the new leafs after drainDelay. It cancels a roll-out without an outcome.
+// conclude does what operators do after a rollout: it stops the old leafs at once if the rollout succeeded, and otherwise
+// drains the new leafs after drainDelay. It cancels a rollout without an outcome.
 func (o *operator) conclude(ctx context.Context, number int) {
 	release := o.allReleases()[number]
 	o.readStatus(release.Target.Service())
@@ -212,14 +212,14 @@
 		return
 	}
 	if status, _ := o.outcome(number); status != rollouts.RolledBack && release.Ended.IsZero() && ctx.Err() == nil {
-		o.log(fmt.Sprintf("version %s of service %s has no roll-out outcome; cancelled the roll-out", release.Target.Name(), release.Target.Service()))
+		o.log(fmt.Sprintf("version %s of service %s has no rollout outcome; cancelled the rollout", release.Target.Name(), release.Target.Service()))
 		o.cancel(number)
 	}
 	o.drainLater(number)
 	wait.For(ctx, drainDelay+drainTime)
 }
 
-// drainLater drains the new leafs of a roll-out after drainDelay, and removes them after another drainTime.
+// drainLater drains the new leafs of a rollout after drainDelay, and removes them after another drainTime.
 func (o *operator) drainLater(number int) {
 	target := o.allReleases()[number].Target
 	time.AfterFunc(drainDelay, func() { o.environment.drain(target) })
--- a/internal/lab/soak/random_rollouts.go
+++ b/internal/lab/soak/random_rollouts.go
@@ -11,7 +11,7 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// Durations of the random roll-outs and of the pause after each.
+// Durations of the random rollouts and of the pause after each.
 const (
 	minRolloutSpan   = 6 * time.Second
 	rolloutSpanRange = 5 * time.Second
@@ -20,13 +20,13 @@
 	rolloutPause     = 2 * time.Second
 )
 
-// run performs random roll-outs one after the other until faultCtx ends, and waits for the outcome of the last one.
+// run performs random rollouts one after the other until faultCtx ends, and waits for the outcome of the last one.
 func (o *operator) run(ctx, faultCtx context.Context, random *rand.Rand) {
 	for faultCtx.Err() == nil && ctx.Err() == nil {
 		p := randomPlan(random, o.environment.services())
 		number, err := o.rollOut(ctx, p)
 		if err != nil {
-			o.log("FAILED to start a roll-out: " + err.Error())
+			o.log("FAILED to start a rollout: " + err.Error())
 			return
 		}
 		release := o.allReleases()[number]
@@ -37,7 +37,7 @@
 	}
 }
 
-// randomPlan returns the plan of a random roll-out.
+// randomPlan returns the plan of a random rollout.
 func randomPlan(random *rand.Rand, services []string) plan {
 	p := plan{
 		service: services[random.IntN(len(services))], duration: minRolloutSpan + time.Duration(random.Int64N(int64(rolloutSpanRange))),
@@ -66,7 +66,7 @@
 	})
 }
 
-// describe names the fault or the special case of a roll-out.
+// describe names the fault or the special case of a rollout.
 func describe(p plan) string {
 	switch {
 	case p.targetsServingVersion:
--- a/internal/lab/soak/records.go
+++ b/internal/lab/soak/records.go
@@ -25,7 +25,7 @@
 
 func leafKey(id string) string { return "servers/" + id }
 
-// outcomeByPhase maps the phase in a roll-out's status to its outcome.
+// outcomeByPhase maps the phase in a rollout's status to its outcome.
 var outcomeByPhase = map[rollout.Phase]rollouts.Outcome{
 	rollout.PhaseCanary: rollouts.Running, rollout.PhaseSucceeded: rollouts.Succeeded, rollout.PhaseRolledBack: rollouts.RolledBack,
 }
--- a/internal/lab/soak/rollouts.go
+++ b/internal/lab/soak/rollouts.go
@@ -15,10 +15,10 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// RolloutsConfig configures a run of roll-outs, one after the other and without faults of nodes or of the store.
+// RolloutsConfig configures a run of rollouts, one after the other and without faults of nodes or of the store.
 type RolloutsConfig struct {
 	Seed uint64
-	// Duration is the duration of each roll-out.
+	// Duration is the duration of each rollout.
 	Duration time.Duration
 	// PerSecond is the total rate of the callers' requests.
 	PerSecond int
@@ -28,14 +28,14 @@
 	Logs string
 }
 
-// rolloutCase is a roll-out with its expected outcome.
+// rolloutCase is a rollout with its expected outcome.
 type rolloutCase struct {
 	name string
 	plan plan
 	want rollouts.Outcome
 }
 
-// rolloutCases returns all cases, each with a roll-out of the given duration.
+// rolloutCases returns all cases, each with a rollout of the given duration.
 func rolloutCases(duration time.Duration) []rolloutCase {
 	gathered := "part0"
 	cases := []rolloutCase{
@@ -68,13 +68,13 @@
 	return names
 }
 
-// Times without a roll-out.
+// Times without a rollout.
 const (
 	baselineSpan = 6 * time.Second // at the start, as the baseline of the callers' statistics
-	rolloutGap   = 2 * time.Second // between two roll-outs
+	rolloutGap   = 2 * time.Second // between two rollouts
 )
 
-// RunRollouts runs roll-outs over nodes of the program at the given path, and writes a line for each. It returns how many had
+// RunRollouts runs rollouts over nodes of the program at the given path, and writes a line for each. It returns how many had
 // the expected outcome and kept all promises, and how many did not.
 func RunRollouts(ctx context.Context, program string, cfg RolloutsConfig, out io.Writer) (passed, failed int, err error) {
 	cases := slices.DeleteFunc(rolloutCases(cfg.Duration), func(one rolloutCase) bool {
@@ -133,7 +133,7 @@
 	return passed, failed, nil
 }
 
-// rolloutRun is a roll-out with the outcomes of all requests and the bounds of the baseline before the first roll-out.
+// rolloutRun is a rollout with the outcomes of all requests and the bounds of the baseline before the first rollout.
 type rolloutRun struct {
 	release                     rollouts.Release
 	seen                        []outcome
@@ -166,7 +166,7 @@
 	return len(broken) == 0
 }
 
-// broken describes the failures of the roll-out.
+// broken describes the failures of the rollout.
 func (s rolloutRun) broken(one rolloutCase, status rollouts.Outcome, took time.Duration) []string {
 	var broken []string
 	if status == rollouts.Running {
@@ -205,7 +205,7 @@
 	return fmt.Sprintf("%d of %d failed, p50 %v p99 %v", c.failed, c.requested, c.median, c.high)
 }
 
-// callers summarizes the requests for the service of a roll-out that were sent between two times.
+// callers summarizes the requests for the service of a rollout that were sent between two times.
 func (s rolloutRun) callers(r rollouts.Release, from, until time.Time) callerStats {
 	kinds := []Kind{Gathered}
 	if r.Target.Service() == singleName {
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -47,7 +47,7 @@
 	afterRecoveryTime = 4 * time.Second
 )
 
-// Numbers of the random streams: requests of callers, first stream of faults, roll-outs, crashing requests, series of faults,
+// Numbers of the random streams: requests of callers, first stream of faults, rollouts, crashing requests, series of faults,
 // and restores of the store. The numbers of further streams of faults follow crashingStream.
 const (
 	loadStream     = 1
@@ -61,8 +61,8 @@
 // firstWithSeries is the lowest seed that injects the faults of series.
 const firstWithSeries = 10000
 
-// isRestored reports whether a seed restores the store from backups. Such a seed performs no roll-outs, since a restore
-// reverts roll-out statuses that operators have read.
+// isRestored reports whether a seed restores the store from backups. Such a seed performs no rollouts, since a restore
+// reverts rollout statuses that operators have read.
 func isRestored(seed uint64) bool { return seed >= firstWithSeries && seed%2 == 0 }
 
 // streamOf returns the number of the random stream for a stream of faults.
@@ -142,7 +142,7 @@
 	return recovered
 }
 
-// injectFaults injects the faults of the seed and performs its roll-outs. It returns when all have ended.
+// injectFaults injects the faults of the seed and performs its rollouts. It returns when all have ended.
 func (s *session) injectFaults(ctx context.Context) {
 	faultCtx, cancel := context.WithTimeout(ctx, s.cfg.Length)
 	defer cancel()
--- a/internal/leaf/leafset/versions.go
+++ b/internal/leaf/leafset/versions.go
@@ -6,7 +6,7 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// CanaryLeafs returns the ready leafs of a service that have the canary version; none if no roll-out is in progress. The
+// CanaryLeafs returns the ready leafs of a service that have the canary version; none if no rollout is in progress. The
 // slice is shared: callers must not modify it.
 func (s *Set) CanaryLeafs(service string) []*Leaf { return s.canaries[service] }
 
--- a/internal/node/provide_config.go
+++ b/internal/node/provide_config.go
@@ -37,13 +37,13 @@
 	Machines  machines.Lister
 	Transport *peer.SocketTransport
 	Balancer  *balancer.Balancer
-	Canary    *canary.Splitter // nil if roll-outs are disabled
+	Canary    *canary.Splitter // nil if rollouts are disabled
 	Metrics   *telemetry.Metrics
 	Logger    *zap.Logger
 }
 
 func newSyncer(deps syncerDeps) *configsync.Syncer {
-	var settled func() int64 // nil if roll-outs are disabled: the syncer then reports the revision in force
+	var settled func() int64 // nil if rollouts are disabled: the syncer then reports the revision in force
 	if deps.Canary != nil {
 		settled = deps.Canary.SettledRevision
 	}
--- a/internal/node/provide_leaf.go
+++ b/internal/node/provide_leaf.go
@@ -61,7 +61,7 @@
 	Names     httpnames.Names
 	Memory    *leafmemory.Memory
 	Warmup    *warmup.Limiter
-	Canary    *canary.Splitter // nil if roll-outs are disabled
+	Canary    *canary.Splitter // nil if rollouts are disabled
 	Metrics   *telemetry.Metrics
 	Lifecycle fx.Lifecycle
 }
--- a/internal/node/rollout_events.go
+++ b/internal/node/rollout_events.go
@@ -8,12 +8,12 @@
 	"github.com/portgauge/portgauge/internal/rollout/rolloutcontrol"
 )
 
-// rolloutEvents writes the events of roll-outs to the decision log.
+// rolloutEvents writes the events of rollouts to the decision log.
 type rolloutEvents struct{ log *decisionlog.Log }
 
 var _ rolloutcontrol.EventLog = rolloutEvents{}
 
-// Names of roll-out events in the decision log.
+// Names of rollout events in the decision log.
 const (
 	eventSpecSeen        = "rollout_order_seen"
 	eventPhaseLearned    = "rollout_phase_learned"
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -39,21 +39,21 @@
 	Clock       boottime.Clock
 }
 
-// rollouts are the roll-out loops of a node. In the zero value roll-outs are disabled.
+// rollouts are the rollout loops of a node. In the zero value rollouts are disabled.
 type rollouts struct {
 	controller *rolloutcontrol.Controller
 	versions   *rolloutcontrol.VersionsWriter
 }
 
-// newRollouts returns the roll-out loops, or the zero value if the settings disable roll-outs. It returns an InvalidField
-// failure if roll-outs are enabled and the store has no guarded writes.
+// newRollouts returns the rollout loops, or the zero value if the settings disable rollouts. It returns an InvalidField
+// failure if rollouts are enabled and the store has no guarded writes.
 func newRollouts(deps rolloutDeps) (*rollouts, error) {
 	cfg := deps.Config.Rollouts
 	if !cfg.Enabled {
 		return &rollouts{}, nil
 	}
 	if deps.Guarded == nil {
-		return nil, failure.Invalid("rollouts.enabled", "roll-outs need guarded writes, which the store of dialect %q does not have", deps.Config.Platform.Dialect)
+		return nil, failure.Invalid("rollouts.enabled", "rollouts need guarded writes, which the store of dialect %q does not have", deps.Config.Platform.Dialect)
 	}
 	events := rolloutEvents{log: deps.StateEvents.log}
 	controller := rolloutcontrol.New(rolloutcontrol.Deps{
@@ -71,7 +71,7 @@
 	}, nil
 }
 
-// handler returns the handler of roll-out messages, or nil if roll-outs are disabled.
+// handler returns the handler of rollout messages, or nil if rollouts are disabled.
 func (r *rollouts) handler() configsync.RolloutHandler {
 	if r.controller == nil {
 		return nil
@@ -79,7 +79,7 @@
 	return r.controller
 }
 
-// run blocks until the context ends, or returns at once if roll-outs are disabled.
+// run blocks until the context ends, or returns at once if rollouts are disabled.
 func (r *rollouts) run(ctx context.Context) {
 	if r.controller == nil {
 		return
@@ -108,7 +108,7 @@
 	return status
 }
 
-// newSplitter returns nil if roll-outs are disabled.
+// newSplitter returns nil if rollouts are disabled.
 func newSplitter(cfg settings.Settings, cat *catalog.Catalog, fleet *registry.Fleet, clock boottime.Clock) *canary.Splitter {
 	if !cfg.Rollouts.Enabled {
 		return nil
@@ -118,7 +118,7 @@
 	return splitter
 }
 
-// newCollector returns nil if roll-outs are disabled.
+// newCollector returns nil if rollouts are disabled.
 func newCollector(cfg settings.Settings, cat *catalog.Catalog) *evidence.Collector {
 	if !cfg.Rollouts.Enabled {
 		return nil
--- a/internal/node/rollouts_test.go
+++ b/internal/node/rollouts_test.go
@@ -9,7 +9,7 @@
 	"github.com/portgauge/portgauge/internal/node/settings"
 )
 
-// A node with disabled roll-outs must handle no roll-out messages and run no loops.
+// A node with disabled rollouts must handle no rollout messages and run no loops.
 func TestDisabledRolloutsHandleNoMessages(t *testing.T) {
 	is := is.New(t)
 	disabled, err := newRollouts(rolloutDeps{Config: settings.Default()})
--- a/internal/node/telemetry/metrics.go
+++ b/internal/node/telemetry/metrics.go
@@ -1,7 +1,7 @@
 // Package telemetry provides the metrics and the logger of a node.
 //
 // It owns the Prometheus registry. The names and labels of metrics are an interface to operators and don't change.
-// Latencies are in seconds. Metrics of roll-outs are collected at each scrape; all others are set by the packages that
+// Latencies are in seconds. Metrics of rollouts are collected at each scrape; all others are set by the packages that
 // they measure.
 package telemetry
 
--- a/internal/node/telemetry/rollouts.go
+++ b/internal/node/telemetry/rollouts.go
@@ -6,8 +6,8 @@
 	"github.com/portgauge/portgauge/internal/rollout/rolloutcontrol"
 )
 
-// rolloutCollector collects the roll-outs in progress at each scrape, so that finished roll-outs have no series. The number
-// of series is bounded by the roll-outs in progress, and by the versions and routes of those that this node evaluates.
+// rolloutCollector collects the rollouts in progress at each scrape, so that finished rollouts have no series. The number
+// of series is bounded by the rollouts in progress, and by the versions and routes of those that this node evaluates.
 type rolloutCollector struct {
 	statuses func() []rolloutcontrol.Status
 	phase    *prometheus.Desc
@@ -17,7 +17,7 @@
 
 var _ prometheus.Collector = (*rolloutCollector)(nil)
 
-// RegisterRollouts adds the roll-outs in progress to the metrics.
+// RegisterRollouts adds the rollouts in progress to the metrics.
 func (m *Metrics) RegisterRollouts(statuses func() []rolloutcontrol.Status) error {
 	countLabels := []string{"service", "version", "route"}
 	return m.Registry.Register(&rolloutCollector{
--- a/internal/node/telemetry/rollouts_test.go
+++ b/internal/node/telemetry/rollouts_test.go
@@ -9,7 +9,7 @@
 	"github.com/portgauge/portgauge/internal/rollout/rolloutcontrol"
 )
 
-// The series of a roll-out must disappear when it has finished.
+// The series of a rollout must disappear when it has finished.
 func TestFinishedRolloutHasNoSeries(t *testing.T) {
 	is := is.New(t)
 	statuses := []rolloutcontrol.Status{{
--- a/internal/operator/admin/rollouts.go
+++ b/internal/operator/admin/rollouts.go
@@ -13,7 +13,7 @@
 )
 
 // StartRollout writes a spec that moves the requests of a service to the leafs of a version. If two operators start
-// roll-outs of a service at the same time, one of them gets a RevisionConflict.
+// rollouts of a service at the same time, one of them gets a RevisionConflict.
 func (a *Admin) StartRollout(ctx context.Context, request *adminv1.StartRolloutRequest) (*adminv1.StartRolloutResponse, error) {
 	spec := rollout.Spec{Service: request.GetService(), Target: request.GetTarget(), DurationMillis: request.GetDurationMillis()}
 	if err := spec.Validate(); err != nil {
@@ -21,7 +21,7 @@
 	}
 	document, err := json.Marshal(spec)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.Internal, failure.NotRun, "encode roll-out spec")
+		return nil, failure.Wrap(err, failure.Internal, failure.NotRun, "encode rollout spec")
 	}
 	key := catalog.RolloutKey(spec.Service)
 	revision, changeID, err := a.writeDocument(ctx, key, document, request.GetExpectedRevision(), request.GetChangeId())
@@ -37,7 +37,7 @@
 		return nil, failure.Invalid("service", "must not be empty")
 	}
 	if request.GetExpectedRevision() <= 0 {
-		return nil, failure.Invalid("expected_revision", "must be the current revision of the roll-out spec")
+		return nil, failure.Invalid("expected_revision", "must be the current revision of the rollout spec")
 	}
 	key := catalog.RolloutKey(request.GetService())
 	revision, _, err := a.writeDocument(ctx, key, nil, request.GetExpectedRevision(), request.GetChangeId())
@@ -47,7 +47,7 @@
 	return &adminv1.CancelRolloutResponse{Revision: revision}, nil
 }
 
-// GetRollout returns the spec and the progress of a service's roll-out, as in force on this node.
+// GetRollout returns the spec and the progress of a service's rollout, as in force on this node.
 func (a *Admin) GetRollout(request *adminv1.GetRolloutRequest) (*adminv1.GetRolloutResponse, error) {
 	if request.GetService() == "" {
 		return nil, failure.Invalid("service", "must not be empty")
@@ -55,14 +55,14 @@
 	view := a.catalog.View()
 	stored, found := view.Rollouts[request.GetService()]
 	if !found {
-		return nil, failure.New(failure.UnknownService, failure.NotRun, "service %q never had a roll-out", request.GetService())
+		return nil, failure.New(failure.UnknownService, failure.NotRun, "service %q never had a rollout", request.GetService())
 	}
 	return &adminv1.GetRolloutResponse{
 		Rollout: rolloutMessage(view, request.GetService(), stored), ConfigAgeMillis: a.catalog.Age().Milliseconds(),
 	}, nil
 }
 
-// ListRollouts returns the roll-outs of all services that ever had one, sorted by service, as in force on this node.
+// ListRollouts returns the rollouts of all services that ever had one, sorted by service, as in force on this node.
 func (a *Admin) ListRollouts() *adminv1.ListRolloutsResponse {
 	view := a.catalog.View()
 	response := &adminv1.ListRolloutsResponse{ConfigAgeMillis: a.catalog.Age().Milliseconds()}
@@ -80,7 +80,7 @@
 	rollout.PhaseRolledBack: adminv1.RolloutPhase_ROLLOUT_PHASE_ROLLED_BACK,
 }
 
-// rolloutMessage returns a roll-out as an RPC message. If the state belongs to a replaced spec, the message has only its
+// rolloutMessage returns a rollout as an RPC message. If the state belongs to a replaced spec, the message has only its
 // revision.
 func rolloutMessage(view *catalog.View, service string, stored catalog.Rollout) *adminv1.Rollout {
 	message := &adminv1.Rollout{Service: service, Serving: view.Leafs.Rule(service).Serving}
--- a/internal/operator/admin/rollouts_test.go
+++ b/internal/operator/admin/rollouts_test.go
@@ -47,7 +47,7 @@
 	is.True(failure.Is(err, failure.UnknownService))
 }
 
-// If several operators start a roll-out at the same time, exactly one must succeed. Cancelling a replaced spec must be a
+// If several operators start a rollout at the same time, exactly one must succeed. Cancelling a replaced spec must be a
 // conflict.
 func TestConcurrentRolloutSpecsConflict(t *testing.T) {
 	is := is.New(t)
@@ -96,7 +96,7 @@
 	is.Equal(shown.GetRollout().GetReason(), "")
 }
 
-// writeState applies the state of a roll-out to the catalog, as if an evaluator node had written it to the store.
+// writeState applies the state of a rollout to the catalog, as if an evaluator node had written it to the store.
 func writeState(t *testing.T, cat *catalog.Catalog, state rollout.State) {
 	t.Helper()
 	document, err := json.Marshal(state)
--- a/internal/rollout/canary/bound_test.go
+++ b/internal/rollout/canary/bound_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// node is one node of a fleet during a roll-out.
+// node is one node of a fleet during a rollout.
 type node struct {
 	fleet    *fakeFleet
 	splitter *Splitter
--- a/internal/rollout/canary/config.go
+++ b/internal/rollout/canary/config.go
@@ -21,13 +21,13 @@
 	// evaluation.
 	Share float64 `yaml:"share"`
 	// Slack is the number of requests of a service that the canary version may receive beyond the share during one
-	// roll-out, over the whole fleet.
+	// rollout, over the whole fleet.
 	Slack float64 `yaml:"slack"`
 	// UsedFraction is the fraction of both bounds that the nodes use, 0 to 1. The rest is a margin for what a node cannot
 	// count.
 	UsedFraction float64 `yaml:"used"`
 	// Ramp is how long a node takes to move its requests to a version that has passed evaluation. It is shorter for
-	// roll-outs of short duration.
+	// rollouts of short duration.
 	Ramp time.Duration `yaml:"ramp"`
 	// ConfirmedWithin is the maximum time since the configuration was last confirmed as the newest. A node whose
 	// configuration is older does not exceed the share.
--- a/internal/rollout/canary/stage.go
+++ b/internal/rollout/canary/stage.go
@@ -68,7 +68,7 @@
 	return s.cfg.Share + (1-s.cfg.Share)*progress
 }
 
-// maxAborts bounds the services with a stored abort. It is far above the number of simultaneous roll-outs.
+// maxAborts bounds the services with a stored abort. It is far above the number of simultaneous rollouts.
 const maxAborts = 4096
 
 // Abort permanently stops the canary version of a spec, whatever the phase in the configuration.
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -1,5 +1,5 @@
 // Package rollout defines how the requests of a service move from the leafs of one version to the leafs of another: the
-// spec that operators write, the state of the roll-out in the fleet, and the rule that each node derives from both.
+// spec that operators write, the state of the rollout in the fleet, and the rule that each node derives from both.
 //
 // The package keeps no state and does no I/O. Specs and states are stored under keys of the store, each with the
 // revision that wrote it. A node derives its rule from the configuration revision that it has in force.
@@ -15,12 +15,12 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// Spec requests a roll-out: the requests of a service move to the leafs of the target version.
+// Spec requests a rollout: the requests of a service move to the leafs of the target version.
 type Spec struct {
 	Service string `json:"service"`
 	// Target is the version to move to.
 	Target string `json:"target"`
-	// DurationMillis is the maximum duration of the roll-out, counted from the acceptance of the spec.
+	// DurationMillis is the maximum duration of the rollout, counted from the acceptance of the spec.
 	DurationMillis int64 `json:"duration_millis"`
 	// Revision is the store revision that wrote the spec.
 	Revision int64 `json:"-"`
@@ -87,17 +87,17 @@
 	PhaseRolledBack Phase = "rolled_back"
 )
 
-// IsFinal reports whether no other phase of the roll-out follows.
+// IsFinal reports whether no other phase of the rollout follows.
 func (p Phase) IsFinal() bool { return p == PhaseSucceeded || p == PhaseRolledBack }
 
-// State is the progress of a roll-out in the fleet. It is replaced only by compare-and-swap, on condition that the
+// State is the progress of a rollout in the fleet. It is replaced only by compare-and-swap, on condition that the
 // spec is unchanged.
 type State struct {
 	Service string `json:"service"`
 	// SpecRevision is the store's count at which the spec was written.
 	SpecRevision int64 `json:"order_revision"`
 	Phase        Phase `json:"phase"`
-	// Serving is the version that served before the spec. It continues to serve unless the roll-out succeeds.
+	// Serving is the version that served before the spec. It continues to serve unless the rollout succeeds.
 	Serving string `json:"serving"`
 	Target  string `json:"target"`
 	// StartedUnixMillis is the wall-clock time at which the writer of the spec's first state learned of the spec.
@@ -140,7 +140,7 @@
 	return s.Serving
 }
 
-// Versions are the serving versions of the services that had no roll-out, as the fleet stored them when their leafs
+// Versions are the serving versions of the services that had no rollout, as the fleet stored them when their leafs
 // first registered. Another version receives no requests without a spec.
 type Versions struct {
 	// ByVersion lists the services that each version serves; each service occurs once.
--- a/internal/rollout/rolloutcontrol/aborts.go
+++ b/internal/rollout/rolloutcontrol/aborts.go
@@ -8,7 +8,7 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
-// maxAborts bounds the stored aborts. It is far above the number of simultaneous roll-outs.
+// maxAborts bounds the stored aborts. It is far above the number of simultaneous rollouts.
 const maxAborts = 4096
 
 // aborts are the aborted specs with the reasons. The zero value is empty. It is safe for concurrent use.
--- a/internal/rollout/rolloutcontrol/activerollout.go
+++ b/internal/rollout/rolloutcontrol/activerollout.go
@@ -10,7 +10,7 @@
 	"github.com/portgauge/portgauge/internal/rollout/verdict"
 )
 
-// activeRollout is this node's view of a roll-out that has not ended.
+// activeRollout is this node's view of a rollout that has not ended.
 type activeRollout struct {
 	spec rollout.Spec
 	// learnedAt is when this node learned of the spec. knownAtStart reports whether the first configuration of this
@@ -20,7 +20,7 @@
 	knownAtStart  bool
 	elapsedBefore time.Duration
 
-	// serving is the version that serves during the roll-out, empty for leafs without a version. It is valid if
+	// serving is the version that serves during the rollout, empty for leafs without a version. It is valid if
 	// isServingKnown is set.
 	serving        string
 	isServingKnown bool
@@ -89,7 +89,7 @@
 	return best, found
 }
 
-// phase returns the phase of the roll-out, empty before the first state.
+// phase returns the phase of the rollout, empty before the first state.
 func (r *activeRollout) phase() rollout.Phase {
 	if r.state == nil {
 		return ""
--- a/internal/rollout/rolloutcontrol/config.go
+++ b/internal/rollout/rolloutcontrol/config.go
@@ -7,12 +7,12 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
-// Config sets how nodes execute roll-outs.
+// Config sets how nodes execute rollouts.
 type Config struct {
-	// Enabled makes nodes execute roll-outs. Without a roll-out the requests of a service go only to leafs of its
+	// Enabled makes nodes execute rollouts. Without a rollout the requests of a service go only to leafs of its
 	// serving version.
 	Enabled bool `yaml:"enabled"`
-	// EvaluatorNodes is the number of nodes that evaluate the roll-out of a service.
+	// EvaluatorNodes is the number of nodes that evaluate the rollout of a service.
 	EvaluatorNodes int `yaml:"judges"`
 	// ReportInterval is the interval at which a node reports changed counts to the evaluator nodes, and at which these
 	// evaluate them.
@@ -25,10 +25,10 @@
 	// BurstBytes is the maximum size of a burst of reports, in bytes.
 	BurstBytes int `yaml:"burst_bytes"`
 	// TakeoverPause is the additional time that each evaluator node waits, compared with the preceding rank, before it
-	// writes a state that is still missing. It is shorter for roll-outs of short duration.
+	// writes a state that is still missing. It is shorter for rollouts of short duration.
 	TakeoverPause time.Duration `yaml:"takeover_pause"`
 	// RollbackMargin is how long before the end of a spec a version that has not passed evaluation is rolled back. It
-	// is shorter for roll-outs of short duration.
+	// is shorter for rollouts of short duration.
 	RollbackMargin time.Duration `yaml:"rollback_margin"`
 	// SettleInterval is the interval at which an evaluator node queries whether all nodes send requests only to the new
 	// version. The queries begin after the ramp.
--- a/internal/rollout/rolloutcontrol/controller.go
+++ b/internal/rollout/rolloutcontrol/controller.go
@@ -1,5 +1,5 @@
-// Package rolloutcontrol executes roll-outs: it reports the counts of each node to the evaluator nodes of a service,
-// evaluates canary versions, and writes the phase of each roll-out to the store.
+// Package rolloutcontrol executes rollouts: it reports the counts of each node to the evaluator nodes of a service,
+// evaluates canary versions, and writes the phase of each rollout to the store.
 //
 // Every node runs a Controller. The evaluator nodes of a service are the first registered nodes by rendezvous hash.
 // Correctness does not depend on nodes agreeing on this set. Any evaluator node may write, and the store accepts a
@@ -57,7 +57,7 @@
 	Clock boottime.Clock
 }
 
-// Controller executes roll-outs at one node. Run must be called. The other methods are safe for concurrent use.
+// Controller executes rollouts at one node. Run must be called. The other methods are safe for concurrent use.
 type Controller struct {
 	deps     Deps
 	cfg      Config
@@ -107,7 +107,7 @@
 	return c
 }
 
-// Run executes roll-outs until the context ends. It returns after its goroutines have ended.
+// Run executes rollouts until the context ends. It returns after its goroutines have ended.
 func (c *Controller) Run(ctx context.Context) {
 	changes, stop := c.deps.Catalog.Subscribe(changeBacklog)
 	defer stop()
@@ -169,7 +169,7 @@
 	return now.Before(c.evaluateAfter)
 }
 
-// step handles all roll-outs once and returns the maximum time until the next step.
+// step handles all rollouts once and returns the maximum time until the next step.
 func (c *Controller) step(ctx context.Context, now time.Time) time.Duration {
 	mustWaitForReports := c.mustWaitForReports(now)
 	view := c.deps.Catalog.View()
@@ -194,7 +194,7 @@
 	return next
 }
 
-// refreshRollouts adds or updates the active roll-outs, and drops those that have ended.
+// refreshRollouts adds or updates the active rollouts, and drops those that have ended.
 func (c *Controller) refreshRollouts(now time.Time, view *catalog.View) {
 	for service, known := range view.Rollouts {
 		if isActive(known) {
@@ -218,7 +218,7 @@
 	c.hasStarted = true
 }
 
-// refreshRollout adds or updates the active roll-out of a service.
+// refreshRollout adds or updates the active rollout of a service.
 func (c *Controller) refreshRollout(now time.Time, view *catalog.View, service string, known catalog.Rollout) {
 	active := c.rollouts[service]
 	if active == nil || active.spec.ID() != known.Spec.ID() {
@@ -271,5 +271,5 @@
 	c.reporter.step(now, evaluatorNodes, func(id specKey) bool { return c.isWanted(view, id) })
 }
 
-// Statuses returns the active roll-outs known to this node, with the counts of those that it evaluates.
+// Statuses returns the active rollouts known to this node, with the counts of those that it evaluates.
 func (c *Controller) Statuses() []Status { return c.statuses.get() }
--- a/internal/rollout/rolloutcontrol/evaluate.go
+++ b/internal/rollout/rolloutcontrol/evaluate.go
@@ -9,7 +9,7 @@
 	"github.com/portgauge/portgauge/internal/rollout/verdict"
 )
 
-// follow runs one step of the roll-out of a service if this node is one of its evaluator nodes. It returns the time
+// follow runs one step of the rollout of a service if this node is one of its evaluator nodes. It returns the time
 // until the next check, 0 for the report interval.
 func (c *Controller) follow(ctx context.Context, now time.Time, view *catalog.View, service string, known catalog.Rollout) time.Duration {
 	rank := c.rank(view, service)
@@ -79,7 +79,7 @@
 	return phaseWrite{event: event, replaced: replaced, specRevision: active.spec.Revision, delay: delay}
 }
 
-// endWithoutSpec ends a roll-out whose spec was withdrawn. The previous version continues to serve.
+// endWithoutSpec ends a rollout whose spec was withdrawn. The previous version continues to serve.
 func (c *Controller) endWithoutSpec(ctx context.Context, now time.Time, state rollout.State, rank int) time.Duration {
 	replaced := state.Revision
 	state.Phase, state.Reason, state.DecidedBy = rollout.PhaseRolledBack, "the order was taken back", c.deps.Self.ID
--- a/internal/rollout/rolloutcontrol/evaluatornodes.go
+++ b/internal/rollout/rolloutcontrol/evaluatornodes.go
@@ -13,7 +13,7 @@
 	return slices.IndexFunc(nodes, func(node catalog.NodeRecord) bool { return node.ID == id })
 }
 
-// evaluatorNodesOf returns up to limit nodes that evaluate the roll-out of a service: the first node of each zone by
+// evaluatorNodesOf returns up to limit nodes that evaluate the rollout of a service: the first node of each zone by
 // rendezvous hash, followed by the other nodes if there are fewer zones than limit.
 func evaluatorNodesOf(nodes map[string]catalog.NodeRecord, service string, limit int) []catalog.NodeRecord {
 	var evaluatorNodes, others []catalog.NodeRecord
--- a/internal/rollout/rolloutcontrol/events.go
+++ b/internal/rollout/rolloutcontrol/events.go
@@ -6,7 +6,7 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// EventLog records the roll-out events of a node. Its methods are called from several goroutines and must not block.
+// EventLog records the rollout events of a node. Its methods are called from several goroutines and must not block.
 type EventLog interface {
 	// SpecSeen records a spec that this node learned of.
 	SpecSeen(SpecEvent)
--- a/internal/rollout/rolloutcontrol/settling.go
+++ b/internal/rollout/rolloutcontrol/settling.go
@@ -90,7 +90,7 @@
 	})
 }
 
-// handleAnswer stores an answer in the roll-outs that wait for it, unless the answer to a newer query was handled
+// handleAnswer stores an answer in the rollouts that wait for it, unless the answer to a newer query was handled
 // before.
 func (c *Controller) handleAnswer(answer fleetAnswer) {
 	c.fleetQueries--
--- a/internal/rollout/rolloutcontrol/statewriter.go
+++ b/internal/rollout/rolloutcontrol/statewriter.go
@@ -14,7 +14,7 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// StateWriter writes the state of a roll-out if the stored state still has the expected revision and the spec of the
+// StateWriter writes the state of a rollout if the stored state still has the expected revision and the spec of the
 // service still has specRevision; 0 stands for a missing key. Its errors are RevisionConflict (not written),
 // StoreUnavailable (not sent) and OutcomeUnknown (sent, but neither answered nor read back).
 type StateWriter interface {
@@ -54,7 +54,7 @@
 func (g GuardedStateWriter) Write(ctx context.Context, state rollout.State, expected, specRevision int64) (int64, error) {
 	document, err := json.Marshal(state)
 	if err != nil {
-		return 0, failure.Wrap(err, failure.Internal, failure.NotRun, "encode the state of a roll-out")
+		return 0, failure.Wrap(err, failure.Internal, failure.NotRun, "encode the state of a rollout")
 	}
 	write := stateWrite{
 		key: catalog.RolloutStateKey(state.Service), changeID: changeIDOf(state, expected), document: document,
--- a/internal/rollout/rolloutcontrol/status.go
+++ b/internal/rollout/rolloutcontrol/status.go
@@ -9,7 +9,7 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// Status is the status of an active roll-out at a node.
+// Status is the status of an active rollout at a node.
 type Status struct {
 	Service string
 	// Phase is Canary before the first state is written.
--- a/internal/rollout/rolloutcontrol/versionswriter.go
+++ b/internal/rollout/rolloutcontrol/versionswriter.go
@@ -21,7 +21,7 @@
 // versionsInterval is how often the serving versions are compared with those in the store.
 const versionsInterval = time.Second
 
-// VersionsWriter writes the serving versions of services that never had a roll-out to the store, so that other versions
+// VersionsWriter writes the serving versions of services that never had a rollout to the store, so that other versions
 // receive no requests without a spec. Every node runs one. The first node by rendezvous hash writes, and the others
 // take over after increasing delays. A write takes effect only if it replaces the revision that it was computed from.
 type VersionsWriter struct {
--- a/internal/rollout/verdict/verdicttest/case.go
+++ b/internal/rollout/verdict/verdicttest/case.go
@@ -1,4 +1,4 @@
-// Package verdicttest simulates roll-outs in virtual time for tests of package verdict. It generates arrivals and
+// Package verdicttest simulates rollouts in virtual time for tests of package verdict. It generates arrivals and
 // latencies from a seed, splits the requests between the two versions like the nodes do, injects faults of the canary
 // and incidents that it does not cause, and passes the counts to an Evaluator. It starts no goroutine and reads no
 // clock.
@@ -46,7 +46,7 @@
 // IsBad reports whether there is a fault.
 func (f Fault) IsBad() bool { return f.Failing > 0 || f.Slow > 1 }
 
-// Case is a simulated roll-out of a service.
+// Case is a simulated rollout of a service.
 type Case struct {
 	Name string
 	// PerSecond is the rate of requests to the service, per second.
