--- a/internal/config/catalog/restored.go
+++ b/internal/config/catalog/restored.go
@@ -60,7 +60,7 @@
 
 // mergeEntries returns the entries that are in force after a whole state is applied. The first state, and one that
 // replaces a provisional state, is taken unchanged. Any other state is merged with the entries that this node has or
-// retains. The lock must be held.
+// retains. c.mu must be held.
 func (c *Catalog) mergeEntries(snapshot Snapshot, isFirst bool) []Entry {
 	switch {
 	case isFirst:
@@ -78,7 +78,7 @@
 
 // mergeNewEpoch merges the state of a restored store with the known entries. Known entries that are newer replace
 // those read, and known entries that the store lacks stay if they outlive the restore. All of these are retained.
-// Records of leafs that the store lost are retained but not in force. The lock must be held.
+// Records of leafs that the store lost are retained but not in force. c.mu must be held.
 func (c *Catalog) mergeNewEpoch(snapshot Snapshot) []Entry {
 	now := c.clock.Now()
 	c.restored.at = now
@@ -135,7 +135,7 @@
 }
 
 // mergeSameEpoch merges a later state of the same epoch with the retained entries that have not been rewritten.
-// The lock must be held.
+// c.mu must be held.
 func (c *Catalog) mergeSameEpoch(snapshot Snapshot) []Entry {
 	entries := make([]Entry, 0, len(snapshot.Entries)+len(c.restored.retained))
 	isRead := make(map[string]bool, len(snapshot.Entries))
--- a/internal/config/catalog/retained.go
+++ b/internal/config/catalog/retained.go
@@ -173,7 +173,7 @@
 	c.putInForce(draft, removed)
 }
 
-// putInForce replaces the view with a draft of the same revision, and publishes its entries. The lock must be held.
+// putInForce replaces the view with a draft of the same revision, and publishes its entries. c.mu must be held.
 func (c *Catalog) putInForce(changed *draft, entries []Entry) {
 	if len(entries) == 0 {
 		return
--- a/internal/config/configsync/snapshots.go
+++ b/internal/config/configsync/snapshots.go
@@ -65,7 +65,7 @@
 }
 
 // refresh returns the changes since the packed state. If there are too many or they are no longer kept, it packs the
-// current state. The lock must be held.
+// current state. s.mu must be held.
 func (s *snapshotServer) refresh(source *catalog.Catalog) ([]catalog.Change, error) {
 	if len(s.packed) > 0 {
 		if changes, found := source.Since(s.revision); found && len(changes) <= maxChangesSince {
@@ -81,7 +81,7 @@
 	return nil, nil
 }
 
-// randomRecipients returns a few random nodes that have the state, other than the requesting one. The lock must be held.
+// randomRecipients returns a few random nodes that have the state, other than the requesting one. s.mu must be held.
 func (s *snapshotServer) randomRecipients(requester string) []string {
 	var chosen []string
 	for _, i := range rand.Perm(len(s.recipients)) {
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -230,7 +230,7 @@
 	return m.cfg.RetransmitFactor * int(math.Ceil(math.Log10(float64(len(m.members)+2))))
 }
 
-// sample returns up to count random usable members other than self and the excluded one. The caller must hold mu.
+// sample returns up to count random usable members other than self and the excluded one. m.mu must be held.
 func (m *Membership) sample(count int, excluded string) []peer.Member {
 	var others []peer.Member
 	for _, member := range m.usable() {
@@ -288,8 +288,8 @@
 	m.updates.add(m.self)
 }
 
-// update merges a report about a member, and reports whether the usable members or their states changed. The caller
-// must hold mu.
+// update merges a report about a member, and reports whether the usable members or their states changed.
+// m.mu must be held.
 func (m *Membership) update(member peer.Member) bool {
 	if member.Zone != m.self.Zone || member.ID == "" {
 		return false
--- a/internal/fleet/registry/fleet.go
+++ b/internal/fleet/registry/fleet.go
@@ -74,7 +74,7 @@
 	return registered
 }
 
-// refresh updates the nodes from the configuration in force. The caller must hold mu.
+// refresh updates the nodes from the configuration in force. f.mu must be held.
 func (f *Fleet) refresh() {
 	view := f.catalog.View()
 	now := f.now()
@@ -93,7 +93,7 @@
 	}
 }
 
-// current returns the nodes that count, and sets nextExpiry. The caller must hold mu.
+// current returns the nodes that count, and sets nextExpiry. f.mu must be held.
 func (f *Fleet) current(view *catalog.View, now time.Time) []catalog.NodeRecord {
 	nodes := make([]catalog.NodeRecord, 0, len(view.Nodes))
 	f.nextExpiry = time.Time{}
--- a/internal/lab/kvstore/transaction.go
+++ b/internal/lab/kvstore/transaction.go
@@ -56,7 +56,7 @@
 	c.JSON(http.StatusOK, gin.H{"Revision": s.revision})
 }
 
-// hasLeases reports whether the leases of all items exist. The caller must hold mu.
+// hasLeases reports whether the leases of all items exist. s.mu must be held.
 func (s *Store) hasLeases(items []Item) bool {
 	for _, item := range items {
 		if _, found := s.leases[item.Lease]; item.Lease != 0 && !found {
@@ -66,7 +66,7 @@
 	return true
 }
 
-// apply applies the writes and removals of a transaction at the next revision. The caller must hold mu.
+// apply applies the writes and removals of a transaction at the next revision. s.mu must be held.
 func (s *Store) apply(request transaction) {
 	s.revision++
 	for _, item := range request.Put {
@@ -78,7 +78,7 @@
 	s.notifyWatches()
 }
 
-// compare reports whether all items have the expected revisions, and returns the items that exist. The caller must hold mu.
+// compare reports whether all items have the expected revisions, and returns the items that exist. s.mu must be held.
 func (s *Store) compare(expected []Item) (current []Item, matches bool) {
 	matches = true
 	for _, item := range expected {
--- a/internal/lab/leaf/leaf.go
+++ b/internal/lab/leaf/leaf.go
@@ -222,7 +222,7 @@
 	})
 }
 
-// record writes an execution to the record file, if there is one. The caller must hold mu.
+// record writes an execution to the record file, if there is one. l.mu must be held.
 func (l *Leaf) record(execution Execution) error {
 	if l.file == nil {
 		return nil
@@ -235,7 +235,7 @@
 	return err
 }
 
-// claimExecutionID refuses an execution ID that is past its not-after time or was already executed. The caller must hold mu.
+// claimExecutionID refuses an execution ID that is past its not-after time or was already executed. l.mu must be held.
 func (l *Leaf) claimExecutionID(request *leafv1.SearchShardRequest, id string, now time.Time) error {
 	if now.UnixMilli() > request.GetNotAfterUnixMillis() {
 		return l.refuse(request, leafv1.RefusalReason_REFUSAL_REASON_TOO_LATE)
@@ -341,7 +341,7 @@
 // retryAfterMillis is the time after which a refused caller may retry.
 const retryAfterMillis = 50
 
-// refuse returns the refusal of an attempt that did not run. The caller must hold mu.
+// refuse returns the refusal of an attempt that did not run. l.mu must be held.
 func (l *Leaf) refuse(request *leafv1.SearchShardRequest, reason leafv1.RefusalReason) error {
 	state := status.New(codes.Unavailable, reason.String())
 	detailed, err := state.WithDetails(&leafv1.LeafRefusal{
--- a/internal/lab/platform/leases.go
+++ b/internal/lab/platform/leases.go
@@ -136,7 +136,7 @@
 	}
 }
 
-// endLease ends a lease and deletes its keys. The caller must hold mu.
+// endLease ends a lease and deletes its keys. p.mu must be held.
 func (p *Platform) endLease(id int64) {
 	for _, key := range p.leases.keysOf(id) {
 		p.write(&platformv1.Entry{Key: key, Deleted: true})
--- a/internal/lab/platform/platform.go
+++ b/internal/lab/platform/platform.go
@@ -195,7 +195,7 @@
 	return &platformv1.CompareAndSwapResponse{Swapped: true, Entry: entry}, nil
 }
 
-// conditionsMet reports whether all conditions are met. The caller must hold mu.
+// conditionsMet reports whether all conditions are met. p.mu must be held.
 func (p *Platform) conditionsMet(conditions []*platformv1.Condition) bool {
 	for _, condition := range conditions {
 		if liveRevision(p.entries[condition.GetKey()]) != condition.GetRevision() {
@@ -212,7 +212,7 @@
 	return entry.GetRevision()
 }
 
-// consumeLostReply returns an error while LoseReplies is positive, and decrements it. The caller must hold mu.
+// consumeLostReply returns an error while LoseReplies is positive, and decrements it. p.mu must be held.
 func (p *Platform) consumeLostReply() error {
 	if p.faults.LoseReplies == 0 {
 		return nil
@@ -221,7 +221,7 @@
 	return status.Error(codes.Unavailable, "the reply was lost")
 }
 
-// write writes an entry at the next revision and returns it. The caller must hold mu.
+// write writes an entry at the next revision and returns it. p.mu must be held.
 func (p *Platform) write(entry *platformv1.Entry) *platformv1.Entry {
 	p.revision++
 	entry.Revision = p.revision
--- a/internal/lab/rollouts/version.go
+++ b/internal/lab/rollouts/version.go
@@ -87,14 +87,14 @@
 	return answer
 }
 
-// record records a request unless it is a health check. The caller must hold mu.
+// record records a request unless it is a health check. v.mu must be held.
 func (v *Version) record(leaf string, request httpleaf.Request, delay time.Duration, isBad bool) {
 	if request.Incarnation != "" {
 		v.requests = append(v.requests, ReceivedRequest{Leaf: leaf, ID: request.ID, At: request.At, Done: request.At.Add(delay), Bad: isBad})
 	}
 }
 
-// showsFault reports whether the fault affects a request. The caller must hold mu.
+// showsFault reports whether the fault affects a request. v.mu must be held.
 func (v *Version) showsFault(leaf string, request httpleaf.Request) bool {
 	isAffected := v.fault.IsBad() && request.Incarnation != "" && strings.HasPrefix(request.Target, v.fault.Prefix)
 	if !isAffected || v.rolloutStart.IsZero() || request.At.Sub(v.rolloutStart) < v.fault.After {
@@ -105,7 +105,7 @@
 }
 
 // load returns the numbers of requests that a leaf has in flight and that it received in the last second, both out of the
-// requests of the last second. The caller must hold mu.
+// requests of the last second. v.mu must be held.
 func (v *Version) load(leaf string, now time.Time) (inFlight, inLastSecond int) {
 	for _, request := range slices.Backward(v.requests) {
 		if now.Sub(request.At) > time.Second {
--- a/internal/lab/soak/crashing.go
+++ b/internal/lab/soak/crashing.go
@@ -44,7 +44,7 @@
 	seen map[string]*crashRecord // by path
 }
 
-// recordOf returns the record of a path, which it creates if there is none. The caller must hold mu.
+// recordOf returns the record of a path, which it creates if there is none. l.mu must be held.
 func (l *crashLog) recordOf(path string) *crashRecord {
 	if l.seen == nil {
 		l.seen = map[string]*crashRecord{}
--- a/internal/leaf/leafhttp/check.go
+++ b/internal/leaf/leafhttp/check.go
@@ -49,7 +49,7 @@
 	p.mu.Unlock()
 }
 
-// joinCheck joins the check in flight, or starts one. The mutex must be held.
+// joinCheck joins the check in flight, or starts one. p.mu must be held.
 func (p *Pool) joinCheck(target Target, leaf *leafConnections, report OnChecked) {
 	leaf.checks = append(leaf.checks, report)
 	if len(leaf.checks) == 1 {
--- a/internal/leaf/leafhttp/connection.go
+++ b/internal/leaf/leafhttp/connection.go
@@ -116,7 +116,7 @@
 	e.end(nil, &NeverSentError{Cause: cause})
 }
 
-// assign gives the connection to an exchange and marks its request as being written. The pool's mutex must be held.
+// assign gives the connection to an exchange and marks its request as being written. The pool's mu must be held.
 func (c *connection) assign(e *Exchange) {
 	c.current, e.conn, c.writing = e, c, true
 	c.hasLongBody = len(e.request.Body) > inlineBodyBytes
@@ -255,7 +255,7 @@
 }
 
 // nextOrIdle assigns the connection to a waiting exchange and returns the exchange, or makes the connection idle and
-// returns nil. The mutex must be held.
+// returns nil. The pool's mu must be held.
 func (c *connection) nextOrIdle(leaf *leafConnections, target Target) *Exchange {
 	if next := leaf.next(); next != nil {
 		c.assign(next)
--- a/internal/leaf/leafhttp/leaf_connections.go
+++ b/internal/leaf/leafhttp/leaf_connections.go
@@ -29,7 +29,7 @@
 	return max(1, target.Connections)
 }
 
-// next removes and returns the exchange that has waited the longest, or nil if none is waiting. The mutex must be held.
+// next removes and returns the exchange that has waited the longest, or nil if none is waiting. The pool's mu must be held.
 func (l *leafConnections) next() *Exchange {
 	if len(l.waiting) == 0 {
 		return nil
@@ -39,13 +39,13 @@
 	return first
 }
 
-// drop marks a connection as no longer counted. The mutex must be held.
+// drop marks a connection as no longer counted. The pool's mu must be held.
 func (l *leafConnections) drop(c *connection) {
 	c.removed = true
 	l.established--
 }
 
-// leaf returns the connections to a leaf, creating the entry if necessary. The mutex must be held.
+// leaf returns the connections to a leaf, creating the entry if necessary. p.mu must be held.
 func (p *Pool) leaf(leafID string) *leafConnections {
 	leaf, found := p.leafs[leafID]
 	if !found {
@@ -55,7 +55,7 @@
 	return leaf
 }
 
-// reserve selects a connection for an exchange. The mutex must be held.
+// reserve selects a connection for an exchange. p.mu must be held.
 //
 // Rule: it uses the most recently used idle connection that has not been idle for too long. If there is none and the
 // limit allows it, it counts a new connection, which the caller must open. Otherwise, the exchange waits for the next
@@ -117,7 +117,7 @@
 }
 
 // removeOpen removes a connection from the count. If the limit then allows one, the exchange that has waited the
-// longest opens another. The mutex must be held.
+// longest opens another. p.mu must be held.
 func (p *Pool) removeOpen(leafID string, leaf *leafConnections) {
 	leaf.open--
 	if len(leaf.waiting) > 0 && leaf.open < leaf.limit(leaf.waiting[0].target, p.cfg.ExtraPause, time.Now()) {
@@ -137,7 +137,7 @@
 }
 
 // closeIdle closes the connections to a leaf that have been idle for too long, or all idle connections if all is true.
-// The mutex must be held.
+// p.mu must be held.
 func (p *Pool) closeIdle(leaf *leafConnections, now time.Time, all bool) {
 	kept := leaf.idle[:0]
 	for _, conn := range leaf.idle {
--- a/internal/leaf/warmup/warmup.go
+++ b/internal/leaf/warmup/warmup.go
@@ -108,7 +108,7 @@
 // maximumBuckets is the number of buckets at which the buckets of warm leafs are dropped.
 const maximumBuckets = 1024
 
-// refill adds the tokens due to the bucket of a leaf and returns the bucket. The mutex must be held.
+// refill adds the tokens due to the bucket of a leaf and returns the bucket. l.mu must be held.
 func (l *Limiter) refill(leaf *leafset.Leaf, perSecond float64) *tokenBucket {
 	now := l.now()
 	bucket, found := l.buckets[leaf.ID]
@@ -135,7 +135,7 @@
 	return bucket
 }
 
-// dropWarm drops the buckets of warm and removed leafs if there are maximumBuckets. The mutex must be held.
+// dropWarm drops the buckets of warm and removed leafs if there are maximumBuckets. l.mu must be held.
 func (l *Limiter) dropWarm() {
 	if len(l.buckets) < maximumBuckets {
 		return
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -175,14 +175,14 @@
 	r.dropSuspect(content)
 }
 
-// isAttributed reports whether a leaf's crash is attributed to another request. The lock must be held.
+// isAttributed reports whether a leaf's crash is attributed to another request. r.mu must be held.
 func (r *Register) isAttributed(leaf string, content fingerprint.Fingerprint) bool {
 	by, found := r.attributed[leaf]
 	return found && by != content
 }
 
-// findSuspect returns the suspect, or nil if there is none or its evidence has expired (Config.SuspectMemory). The lock
-// must be held.
+// findSuspect returns the suspect, or nil if there is none or its evidence has expired (Config.SuspectMemory).
+// r.mu must be held.
 func (r *Register) findSuspect(content fingerprint.Fingerprint) *suspect {
 	entry, found := r.suspects[content]
 	if !found {
@@ -195,7 +195,7 @@
 	return entry
 }
 
-// findOrAddSuspect returns the suspect, and adds it if there is none. The lock must be held.
+// findOrAddSuspect returns the suspect, and adds it if there is none. r.mu must be held.
 func (r *Register) findOrAddSuspect(subject Subject) *suspect {
 	if entry := r.findSuspect(subject.Fingerprint); entry != nil {
 		return entry
@@ -209,11 +209,13 @@
 	return entry
 }
 
+// dropSuspect drops the evidence against a request. r.mu must be held.
 func (r *Register) dropSuspect(content fingerprint.Fingerprint) {
 	delete(r.suspects, content)
 	r.suspectCount.Store(int64(len(r.suspects)))
 }
 
+// dropOldestSuspect drops the suspect whose last crash is the oldest. r.mu must be held.
 func (r *Register) dropOldestSuspect() {
 	var oldest *suspect
 	for _, entry := range r.suspects {
--- a/internal/quarantine/execution.go
+++ b/internal/quarantine/execution.go
@@ -54,7 +54,7 @@
 	return execution
 }
 
-// addExecution adds an execution to those in flight. The lock must be held.
+// addExecution adds an execution to those in flight. r.mu must be held.
 func (r *Register) addExecution(execution *Execution) {
 	running := r.executions[execution.subject.Fingerprint]
 	if running == nil {
--- a/internal/quarantine/register.go
+++ b/internal/quarantine/register.go
@@ -97,7 +97,7 @@
 func (r *Register) SetListener(listener Listener) { r.listener = listener }
 
 // isAlert reports whether a request was put under quarantine within Config.Alert, so that more crashing requests are
-// expected. The lock must be held.
+// expected. r.mu must be held.
 func (r *Register) isAlert() bool {
 	return !r.quarantinedAt.IsZero() && r.clock.Since(r.quarantinedAt) < r.cfg.Alert
 }
@@ -110,7 +110,7 @@
 }
 
 // state decides the state of a request: quarantined if there is a record of it, suspect if there is evidence that has
-// not expired. The lock must be held.
+// not expired. r.mu must be held.
 func (r *Register) state(content fingerprint.Fingerprint) State {
 	if r.recordOf(content) != nil {
 		return Quarantined
--- a/internal/quarantine/retest.go
+++ b/internal/quarantine/retest.go
@@ -23,7 +23,7 @@
 	permittedAt time.Time
 }
 
-// findOrAddRetest returns the retest state of a stored record, and adds it if there is none. The lock must be held.
+// findOrAddRetest returns the retest state of a stored record, and adds it if there is none. r.mu must be held.
 func (r *Register) findOrAddRetest(record *Record) *retestState {
 	state, found := r.retestStates[record.Fingerprint]
 	if !found {
@@ -43,7 +43,7 @@
 // isRetestDue decides whether this node requests a retest, one execution at one leaf, for a quarantined request that
 // arrived again: its delay has passed, fewer than Config.MaxRetests were run, and none was requested within
 // retestRequestInterval. Only stored records are retested, because the store's compare-and-swap selects the one node
-// that may run the retest. The lock must be held.
+// that may run the retest. r.mu must be held.
 func (r *Register) isRetestDue(record *Record) bool {
 	if record.Revision == 0 || record.Retests >= r.cfg.MaxRetests {
 		return false
@@ -56,7 +56,7 @@
 	return true
 }
 
-// takePermit reports whether a retest is permitted, and uses the permit. The lock must be held.
+// takePermit reports whether a retest is permitted, and uses the permit. r.mu must be held.
 func (r *Register) takePermit(record *Record) bool {
 	state, found := r.retestStates[record.Fingerprint]
 	if !found || state.permittedAt.IsZero() {
--- a/internal/quarantine/unsaved.go
+++ b/internal/quarantine/unsaved.go
@@ -13,7 +13,7 @@
 }
 
 // recordOf returns the record of a request, nil if it is not under quarantine. A record that the store has not accepted
-// within Config.RetestAfter expires. The lock must be held.
+// within Config.RetestAfter expires. r.mu must be held.
 func (r *Register) recordOf(content fingerprint.Fingerprint) *Record {
 	if record := r.stored(content); record != nil {
 		return record
@@ -78,7 +78,7 @@
 }
 
 // addUnsaved adds a record that the store does not have yet, and returns the executions of the request that must be
-// halted. The lock must be held.
+// halted. r.mu must be held.
 func (r *Register) addUnsaved(record Record) []*Execution {
 	if len(r.unsaved) >= r.cfg.MaxRecords {
 		r.dropOldestUnsaved()
@@ -99,7 +99,7 @@
 }
 
 // attributeCrashes attributes the crashes of a record to its request and removes them from other suspects. It returns
-// the executions of the request that must be halted, which are all but the retests. The lock must be held.
+// the executions of the request that must be halted, which are all but the retests. r.mu must be held.
 func (r *Register) attributeCrashes(record Record) []*Execution {
 	r.dropSuspect(record.Fingerprint)
 	if len(r.attributed) >= maxLeafs*r.cfg.MaxRecords {
--- a/internal/request/admission/admission.go
+++ b/internal/request/admission/admission.go
@@ -159,7 +159,7 @@
 	g.refuseTooLate(now)
 }
 
-// admitWaiting admits queries from the front of the queue. The mutex must be held.
+// admitWaiting admits queries from the front of the queue. g.mu must be held.
 func (g *Gate) admitWaiting() {
 	for g.running < int(g.limitInUse) && g.waiting.Len() > 0 {
 		queued := g.waiting.Remove(g.waiting.Front()).(*waiter)
@@ -169,7 +169,7 @@
 }
 
 // refuseTooLate refuses queries at the end of the queue whose expected wait has become too long for their deadline, for
-// example because the limit in use was reduced. The mutex must be held.
+// example because the limit in use was reduced. g.mu must be held.
 func (g *Gate) refuseTooLate(now time.Time) {
 	for g.waiting.Len() > 0 {
 		last := g.waiting.Back()
--- a/internal/request/admission/limit.go
+++ b/internal/request/admission/limit.go
@@ -36,7 +36,7 @@
 }
 
 // reduceLimit reduces the limit in use after a congested query, at most once per backoffPause: to congestedBackoff times
-// the lesser of the limit in use and the number of running queries plus one. The mutex must be held.
+// the lesser of the limit in use and the number of running queries plus one. g.mu must be held.
 func (g *Gate) reduceLimit(now time.Time) {
 	if now.Sub(g.reducedAt) < backoffPause {
 		return
@@ -46,7 +46,7 @@
 }
 
 // raiseLimit raises the limit in use after a query without congestion, by one per limitInUse queries, up to the
-// operator's limit. The mutex must be held.
+// operator's limit. g.mu must be held.
 func (g *Gate) raiseLimit() {
 	g.limitInUse = math.Min(float64(g.limits.Concurrency), g.limitInUse+1/g.limitInUse)
 }
--- a/internal/request/hedging/latencies.go
+++ b/internal/request/hedging/latencies.go
@@ -57,7 +57,7 @@
 	return true
 }
 
-// rotate starts a new window if the current one is over. The mutex must be held.
+// rotate starts a new window if the current one is over. l.mu must be held.
 func (l *Latencies) rotate() {
 	now := time.Now()
 	if now.Sub(l.rotated) < l.window {
--- a/internal/request/retrybudget/retrybudget.go
+++ b/internal/request/retrybudget/retrybudget.go
@@ -92,7 +92,7 @@
 
 // limit returns the maximum number of repeats in the window that ends now: Config.Ratio of the requests plus the node's
 // share of the allowance, both times Config.Share. A node gets no allowance until it has run for a window, since it may
-// have used up its share before a restart. The mutex must be held.
+// have used up its share before a restart. b.mu must be held.
 func (b *Budgets) limit(service string, counts *window) float64 {
 	requests := 0
 	for index := range counts.requests {
@@ -113,7 +113,7 @@
 	return repeats
 }
 
-// window returns the counts of a service without expired slices. The mutex must be held.
+// window returns the counts of a service without expired slices. b.mu must be held.
 func (b *Budgets) window(service string) *window {
 	current := b.now().Sub(b.start).Nanoseconds() * slicesPerWindow / b.cfg.Window.Nanoseconds()
 	counts, found := b.services[service]
