--- a/cmd/portgauge-lab/http_leaf.go
+++ b/cmd/portgauge-lab/http_leaf.go
@@ -15,8 +15,8 @@
 
 // httpLeafCommand runs a stand-in leaf for routes. The leaf answers with random records.
 type httpLeafCommand struct {
-	ID      string        `help:"Identity of this start of the leaf." required:""`
-	Address string        `help:"IP number and port." default:"127.0.0.1:7600"`
+	ID      string        `help:"ID of this incarnation of the leaf." required:""`
+	Address string        `help:"IP address and port." default:"127.0.0.1:7600"`
 	Records int           `help:"Records of 16 bytes in an answer." default:"20"`
 	Delay   time.Duration `help:"Service time of a request." default:"2ms"`
 }
--- a/cmd/portgauge-lab/leaf.go
+++ b/cmd/portgauge-lab/leaf.go
@@ -12,9 +12,9 @@
 
 // leafCommand runs a stand-in leaf for searches.
 type leafCommand struct {
-	ID                string         `help:"Identity of the leaf." required:""`
-	Address           string         `help:"IP number and port of the leaf protocol." default:"127.0.0.1:7500"`
-	Control           string         `help:"IP number and port of the control calls; empty for none."`
+	ID                string         `help:"ID of the leaf." required:""`
+	Address           string         `help:"IP address and port of the leaf protocol." default:"127.0.0.1:7500"`
+	Control           string         `help:"IP address and port of the control calls; empty for none."`
 	Dataset           sample.Dataset `help:"Sample index: ${enum}." enum:"tiles,invoices" default:"tiles"`
 	Seed              uint64         `help:"Seed of the sample index." default:"1"`
 	Records           int            `help:"Records of the sample index." default:"4000"`
--- a/cmd/portgauge-lab/load.go
+++ b/cmd/portgauge-lab/load.go
@@ -15,7 +15,7 @@
 type loadCommand struct {
 	Addresses []string      `help:"Caller addresses of nodes." default:"127.0.0.1:7400"`
 	Service   string        `arg:"" help:"Service to search."`
-	PerSecond float64       `help:"Searches a second." default:"100"`
+	PerSecond float64       `help:"Searches per second." default:"100"`
 	Duration  time.Duration `help:"How long searches are sent; at most an hour." default:"10s"`
 	Deadline  time.Duration `help:"Deadline of each search." default:"500ms"`
 	Limit     uint32        `help:"Page size; 0 means the service's." default:"100"`
--- a/cmd/portgauge-lab/main.go
+++ b/cmd/portgauge-lab/main.go
@@ -1,4 +1,4 @@
-// Command portgauge-lab runs stand-ins for the dependencies of Portgauge, sends load, replays traces, and runs fault injection
+// Command portgauge-lab runs stand-ins for the dependencies of portgauge, sends load, replays traces, and runs fault injection
 // and rollouts against real nodes.
 package main
 
@@ -15,7 +15,7 @@
 	Platform platformCommand `cmd:"" help:"Run a stand-in store and machine list."`
 	Sample   sampleCommand   `cmd:"" help:"Print a service or manifest over stand-in leafs."`
 	Load     loadCommand     `cmd:"" help:"Send searches at a fixed rate and print latency, coverage and extra load."`
-	Soak     soakCommand     `cmd:"" help:"Inject random faults around real nodes and check the promises."`
+	Soak     soakCommand     `cmd:"" help:"Inject random faults around real nodes and check the guarantees."`
 	Rollout  rolloutCommand  `cmd:"" help:"Roll good and bad versions out over real nodes and check the outcomes."`
 	Replay   replayCommand   `cmd:"" help:"Replay traces over real processes and check their outcomes."`
 }
@@ -25,5 +25,5 @@
 }
 
 func run(args []string) int {
-	return cli.Run("portgauge-lab", "Stand-ins, load generation, trace replay and fault injection for Portgauge.", &commandLine{}, args)
+	return cli.Run("portgauge-lab", "Stand-ins, load generation, trace replay and fault injection for portgauge.", &commandLine{}, args)
 }
--- a/cmd/portgauge-lab/platform.go
+++ b/cmd/portgauge-lab/platform.go
@@ -10,9 +10,9 @@
 
 // platformCommand runs a stand-in store and machine list.
 type platformCommand struct {
-	Address        string  `help:"IP number and port of the platform's protocol." default:"127.0.0.1:7300"`
-	Control        string  `help:"IP number and port of the control calls; empty for none."`
-	CallsPerSecond float64 `help:"Calls a second that the store accepts." default:"200"`
+	Address        string  `help:"IP address and port of the platform's protocol." default:"127.0.0.1:7300"`
+	Control        string  `help:"IP address and port of the control calls; empty for none."`
+	CallsPerSecond float64 `help:"Calls per second that the store accepts." default:"200"`
 }
 
 // Run serves calls until SIGTERM or SIGINT.
--- a/cmd/portgauge-lab/rollout.go
+++ b/cmd/portgauge-lab/rollout.go
@@ -14,11 +14,11 @@
 
 // rolloutCommand runs rollouts of good and bad versions on real nodes.
 type rolloutCommand struct {
-	Cases     []string      `help:"Cases to play; empty plays all, an unknown one lists them." sep:";"`
-	Duration  time.Duration `default:"12s" help:"How long each order may take."`
-	PerSecond int           `default:"60" help:"Requests a second."`
-	Seed      uint64        `help:"Seed of the requests; 0 draws one."`
-	Logs      string        `help:"Folder for the newest output of the nodes."`
+	Cases     []string      `help:"Cases to run; empty runs all, an unknown one lists them." sep:";"`
+	Duration  time.Duration `default:"12s" help:"How long each rollout may take."`
+	PerSecond int           `default:"60" help:"Requests per second."`
+	Seed      uint64        `help:"Seed of the requests; 0 selects a random one."`
+	Logs      string        `help:"Directory for the newest output of the nodes."`
 }
 
 // Run runs the cases and fails if any case has the wrong outcome or breaks a guarantee.
--- a/cmd/portgauge-lab/sample.go
+++ b/cmd/portgauge-lab/sample.go
@@ -16,7 +16,7 @@
 // sampleServiceCommand prints a service.
 type sampleServiceCommand struct {
 	Name  string   `help:"Name of the service." required:""`
-	Leafs []string `help:"Leafs as id=address@zone." required:""`
+	Leafs []string `help:"Leafs as ID=address@zone." required:""`
 }
 
 // Run prints the service as JSON.
@@ -37,7 +37,7 @@
 	Records  int            `help:"Records of the sample index." default:"4000"`
 	Shards   int            `help:"Shards of equal size." default:"4"`
 	Replicas int            `help:"Leafs of each shard." default:"2"`
-	Leafs    []string       `help:"Ids of the leafs." required:""`
+	Leafs    []string       `help:"IDs of the leafs." required:""`
 }
 
 // Run prints the manifest as JSON.
--- a/cmd/portgauge-lab/soak.go
+++ b/cmd/portgauge-lab/soak.go
@@ -14,12 +14,12 @@
 
 // soakCommand injects random faults around real nodes and checks the guarantees.
 type soakCommand struct {
-	Seeds     []uint64      `help:"Seeds to play; empty draws one."`
+	Seeds     []uint64      `help:"Seeds to run; empty selects a random one."`
 	Length    time.Duration `default:"40s" help:"How long faults are injected, for each seed."`
-	PerSecond int           `default:"60" help:"Requests a second."`
+	PerSecond int           `default:"60" help:"Requests per second."`
 	Nodes     int           `default:"4" help:"Nodes, each a process."`
-	Streams   int           `default:"2" help:"Faults that are injected side by side."`
-	Logs      string        `default:"target/soak" help:"Folder for the logs of each seed that broke a promise."`
+	Streams   int           `default:"2" help:"Streams of faults that are injected at the same time."`
+	Logs      string        `default:"target/soak" help:"Directory for the logs of each seed that broke a guarantee."`
 	KeepAll   bool          `help:"Keep the logs of all seeds."`
 }
 
--- a/internal/lab/soak/checks.go
+++ b/internal/lab/soak/checks.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Bounds of the promises: the time until a configuration is in force and the time until a leaving leaf receives no requests,
+// Bounds of the guarantees: the time until a configuration is in force and the time until a leaving leaf receives no requests,
 // both on nodes without a fault, and the minimum fraction of requests served after the faults.
 const (
 	configurationBound = 3 * time.Second
@@ -22,7 +22,7 @@
 	slices.SortFunc(records, func(a, b []byte) int { return bytes.Compare(b, a) })
 }
 
-// checkAll checks every promise except those about rollouts against the records of callers and leafs. There are no faults after
+// checkAll checks every guarantee except those about rollouts against the records of callers and leafs. There are no faults after
 // the time recovered, and the nodes have had time to recover by then.
 func checkAll(e *environment, seen []outcome, recovered time.Time) []Result {
 	ran := e.runs()
@@ -34,7 +34,7 @@
 }
 
 func checkOnce(seen []outcome, ran map[string][]string) Result {
-	result := Result{Promise: "a request marked not repeatable runs at most once"}
+	result := Result{Guarantee: "a request marked not repeatable runs at most once"}
 	for _, o := range seen {
 		if o.kind == Once {
 			result.check(len(ran[o.id]) <= 1, "%s ran at %v", o.id, ran[o.id])
@@ -44,7 +44,7 @@
 }
 
 func checkRefusals(seen []outcome, ran map[string][]string) Result {
-	result := Result{Promise: "a request refused as not run has not run"}
+	result := Result{Guarantee: "a request refused as not run has not run"}
 	for _, o := range seen {
 		switch o.status {
 		case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
@@ -57,7 +57,7 @@
 }
 
 func checkOnlySentRequests(seen []outcome, ran map[string][]string) Result {
-	result := Result{Promise: "leafs run only requests that callers sent"}
+	result := Result{Guarantee: "leafs run only requests that callers sent"}
 	sent := map[string]bool{}
 	for _, o := range seen {
 		sent[o.id] = true
@@ -69,7 +69,7 @@
 }
 
 func checkSingles(e *environment, seen []outcome) Result {
-	result := Result{Promise: "the answer of a single leaf is complete and belongs to the caller's request"}
+	result := Result{Guarantee: "the answer of a single leaf is complete and belongs to the caller's request"}
 	for _, o := range seen {
 		if o.status != http.StatusOK || o.kind == Gathered {
 			continue
@@ -82,7 +82,7 @@
 }
 
 func checkGathered(e *environment, seen []outcome) Result {
-	result := Result{Promise: "a gathered answer contains the greatest records of the parts that it lists, and states how many parts are missing"}
+	result := Result{Guarantee: "a gathered answer contains the greatest records of the parts that it lists, and states how many parts are missing"}
 	for _, o := range seen {
 		if o.status == http.StatusOK && o.kind == Gathered {
 			fault := gatheredFault(e, o)
@@ -125,7 +125,7 @@
 // checkConfiguration checks that nodes without a fault serve requests with the newest configuration once its bound has
 // passed, and that no process reverts to an older one.
 func checkConfiguration(e *environment, seen []outcome) Result {
-	result := Result{Promise: "an accepted configuration is in force within its bound and never reverts"}
+	result := Result{Guarantee: "an accepted configuration is in force within its bound and never reverts"}
 	inSendOrder := slices.Clone(seen)
 	slices.SortFunc(inSendOrder, func(a, b outcome) int { return a.sent.Compare(b.sent) })
 	type process struct {
@@ -174,7 +174,7 @@
 }
 
 func checkDraining(e *environment) Result {
-	result := Result{Promise: "a leaving leaf receives no requests after its bound"}
+	result := Result{Guarantee: "a leaving leaf receives no requests after its bound"}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for id, state := range e.leafs {
@@ -201,7 +201,7 @@
 }
 
 func checkEvacuations(e *environment) Result {
-	result := Result{Promise: "the leafs of an evacuated zone receive no requests after its bound"}
+	result := Result{Guarantee: "the leafs of an evacuated zone receive no requests after its bound"}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, span := range e.evacuations {
@@ -221,7 +221,7 @@
 const stopWindow = time.Second
 
 func checkStops(seen []outcome) Result {
-	result := Result{Promise: "a planned stop interrupts no request in flight"}
+	result := Result{Guarantee: "a planned stop interrupts no request in flight"}
 	for _, o := range seen {
 		for _, stop := range o.node.stopTimes() {
 			wasInFlight := o.sent.Before(stop) && o.ended.After(stop) && stop.Sub(o.sent) < stopWindow
@@ -234,7 +234,7 @@
 }
 
 func checkRecovery(seen []outcome, recovered time.Time) Result {
-	result := Result{Promise: "requests are served after the faults have ended"}
+	result := Result{Guarantee: "requests are served after the faults have ended"}
 	served, sent := 0, 0
 	for _, o := range seen {
 		if o.sent.Before(recovered) || o.isCrashing {
--- a/internal/lab/soak/checks_rollouts.go
+++ b/internal/lab/soak/checks_rollouts.go
@@ -6,7 +6,7 @@
 	"github.com/portgauge/portgauge/internal/lab/rollouts"
 )
 
-// checkRollouts checks every promise about rollouts. Promises with a time bound are checked only for requests for which
+// checkRollouts checks every guarantee about rollouts. Guarantees with a time bound are checked only for requests for which
 // clear returns true.
 func checkRollouts(releases []rollouts.Release, clear rollouts.Clear) []Result {
 	return []Result{
@@ -16,7 +16,7 @@
 }
 
 func checkExposure(releases []rollouts.Release, clear rollouts.Clear) Result {
-	result := Result{Promise: "a bad version receives at most its share of the requests and the slack"}
+	result := Result{Guarantee: "a bad version receives at most its share of the requests and the slack"}
 	for _, r := range releases {
 		if !r.Target.Fault().IsBad() {
 			continue
@@ -28,7 +28,7 @@
 }
 
 func checkLateRequests(releases []rollouts.Release, clear rollouts.Clear) Result {
-	result := Result{Promise: "a bad version receives no requests later than the bound after its 50th bad answer"}
+	result := Result{Guarantee: "a bad version receives no requests later than the bound after its 50th bad answer"}
 	for _, r := range releases {
 		if _, hadFiftyBadAnswers := r.FiftiethBadAnswer(); hadFiftyBadAnswers && !r.SucceededBeforeBadAnswer() {
 			late := r.Late(clear)
@@ -39,7 +39,7 @@
 }
 
 func checkOutsideRollout(releases []rollouts.Release, clear rollouts.Clear) Result {
-	result := Result{Promise: "a version outside of a rollout receives no requests"}
+	result := Result{Guarantee: "a version outside of a rollout receives no requests"}
 	for _, r := range releases {
 		if r.Old != r.Target {
 			disallowed := r.OutsideRollout(clear)
@@ -50,7 +50,7 @@
 }
 
 func checkOutcomes(releases []rollouts.Release) Result {
-	result := Result{Promise: "a rollout has one outcome: none after it was replaced, and no success after it was cancelled"}
+	result := Result{Guarantee: "a rollout has one outcome: none after it was replaced, and no success after it was cancelled"}
 	for _, r := range releases {
 		wrong := r.WrongStatuses()
 		result.check(len(wrong) == 0, "%s: operators read the wrong statuses %v", nameOf(r), wrong)
@@ -59,7 +59,7 @@
 }
 
 func checkOldLeafs(releases []rollouts.Release, clear rollouts.Clear) Result {
-	result := Result{Promise: "leafs of the old version have no requests in flight after a rollout succeeded"}
+	result := Result{Guarantee: "leafs of the old version have no requests in flight after a rollout succeeded"}
 	for _, r := range releases {
 		if status, _ := r.Outcome(); status != rollouts.Succeeded || r.Old == r.Target {
 			continue
--- a/internal/lab/soak/checks_rollouts_test.go
+++ b/internal/lab/soak/checks_rollouts_test.go
@@ -25,8 +25,8 @@
 	return v
 }
 
-// Each rollout check passes a run that keeps its promise and reports one that breaks it.
-func TestRolloutChecksReportBrokenPromises(t *testing.T) {
+// Each rollout check passes a run that keeps its guarantee and reports one that breaks it.
+func TestRolloutChecksReportBrokenGuarantees(t *testing.T) {
 	began := time.Now()
 	bad := rollouts.Fault{Failing: 1}
 	after := func(span time.Duration, count int) []time.Time {
--- a/internal/lab/soak/checks_test.go
+++ b/internal/lab/soak/checks_test.go
@@ -48,8 +48,8 @@
 	return outcome{id: id, kind: kind, node: e.nodes[0], status: http.StatusOK, header: header, body: body, sent: time.Now(), ended: time.Now()}
 }
 
-// Each check passes a run that keeps its promise and reports one that breaks it.
-func TestChecksReportBrokenPromises(t *testing.T) {
+// Each check passes a run that keeps its guarantee and reports one that breaks it.
+func TestChecksReportBrokenGuarantees(t *testing.T) {
 	e := newIdleEnvironment(t)
 	whole := greatest([][]byte{partBody("part0", "r"), partBody("part1", "r")}, topRecords)
 	half := greatest([][]byte{partBody("part0", "r")}, topRecords)
@@ -94,7 +94,7 @@
 	}
 }
 
-// A node that serves with an old configuration after the bound, or reverts to one, breaks the promise, unless it had a fault.
+// A node that serves with an old configuration after the bound, or reverts to one, breaks the guarantee, unless it had a fault.
 func TestCheckConfiguration(t *testing.T) {
 	is := is.New(t)
 	e := newIdleEnvironment(t)
@@ -135,7 +135,7 @@
 	is.Equal(len(checkConfiguration(e, later).Broken), 1)
 }
 
-// A request to a leaving leaf after the bound breaks the promise if no node had a fault.
+// A request to a leaving leaf after the bound breaks the guarantee if no node had a fault.
 func TestCheckDraining(t *testing.T) {
 	is := is.New(t)
 	e := newIdleEnvironment(t)
@@ -191,7 +191,7 @@
 	}
 }
 
-// A request to a leaf of an evacuated zone breaks the promise if it arrives between the bound and the end of the evacuation.
+// A request to a leaf of an evacuated zone breaks the guarantee if it arrives between the bound and the end of the evacuation.
 func TestCheckFindsRequestsToEvacuatedLeafs(t *testing.T) {
 	is := is.New(t)
 	e := newIdleEnvironment(t)
--- a/internal/lab/soak/crashing.go
+++ b/internal/lab/soak/crashing.go
@@ -172,7 +172,7 @@
 
 // checkCrashing checks that few requests that crashed three leafs reach leafs once all nodes must have quarantined them.
 func checkCrashing(e *environment) Result {
-	result := Result{Promise: "a request that crashed three leafs reaches few leafs after its bound"}
+	result := Result{Guarantee: "a request that crashed three leafs reaches few leafs after its bound"}
 	e.crashLog.mu.Lock()
 	defer e.crashLog.mu.Unlock()
 	for path, seen := range e.crashLog.seen {
@@ -194,7 +194,7 @@
 
 // checkOtherRequests checks that only crashing requests are refused as quarantined.
 func checkOtherRequests(seen []outcome) Result {
-	result := Result{Promise: "no request is quarantined that crashes no leafs"}
+	result := Result{Guarantee: "no request is quarantined that crashes no leafs"}
 	for _, o := range seen {
 		if o.isCrashing || o.status == 0 || o.status == http.StatusOK {
 			continue
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -10,7 +10,7 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// recoverySlack is how long after a fault a node is exempt from promises with a time bound.
+// recoverySlack is how long after a fault a node is exempt from guarantees with a time bound.
 const recoverySlack = 5 * time.Second
 
 // fault is a kind of fault. The begin function injects it and returns the function that ends it.
--- a/internal/lab/soak/node.go
+++ b/internal/lab/soak/node.go
@@ -34,13 +34,13 @@
 	cut bool
 	// isClaimed is set while a fault has exclusive use of the process.
 	isClaimed bool
-	// faultSpans are the spans in which the node is exempt from promises with a time bound.
+	// faultSpans are the spans in which the node is exempt from guarantees with a time bound.
 	faultSpans []faultSpan
 	// stops are the times of the planned stops.
 	stops []time.Time
 }
 
-// faultSpan is a span of time in which a node or leaf is exempt from promises with a time bound.
+// faultSpan is a span of time in which a node or leaf is exempt from guarantees with a time bound.
 type faultSpan struct {
 	from, until time.Time
 	// planned marks a planned stop.
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -1,9 +1,9 @@
 // Package soak runs real nodes as separate processes with a stand-in store and stand-in leafs, injects random faults from a
-// seed, and checks the promises of the product against the records of callers, store and leafs.
+// seed, and checks the guarantees of the product against the records of callers, store and leafs.
 //
 // An environment owns the processes, the links between them and the store; it stops everything that it started before Run
 // returns. Package process starts the nodes; packages kvstore, httpleaf and rollouts implement the store, the leafs and their
-// versions. Seeds that once broke a promise are kept as tests, so the order of calls to the random generators must not change.
+// versions. Seeds that once broke a guarantee are kept as tests, so the order of calls to the random generators must not change.
 package soak
 
 import (
@@ -32,10 +32,10 @@
 	// Streams is the number of concurrent streams of faults, each with its own random generator. Crashing requests are sent
 	// in addition.
 	Streams int
-	// Logs is the folder for the records of a soak that broke a promise: the newest output of the nodes, the events, and the
+	// Logs is the folder for the records of a soak that broke a guarantee: the newest output of the nodes, the events, and the
 	// requests as their callers saw them. Empty writes no records.
 	Logs string
-	// KeepAll writes the records of soaks that kept all promises too.
+	// KeepAll writes the records of soaks that kept all guarantees too.
 	KeepAll bool
 }
 
@@ -84,7 +84,7 @@
 	events      eventLog
 }
 
-// Run runs a soak over nodes of the program at the given path and returns a result for each promise. It writes the events to
+// Run runs a soak over nodes of the program at the given path and returns a result for each guarantee. It writes the events to
 // out.
 func Run(ctx context.Context, program string, cfg Config, out io.Writer) ([]Result, error) {
 	folder, err := os.MkdirTemp("", "portgauge-soak-")
@@ -175,7 +175,7 @@
 	<-rolloutsEnded
 }
 
-// checkAll checks all promises, and writes the records of the soak if a promise was broken or KeepAll is set.
+// checkAll checks all guarantees, and writes the records of the soak if a guarantee was broken or KeepAll is set.
 func (s *session) checkAll(recovered time.Time) ([]Result, error) {
 	seen := s.callers.all()
 	results := append(checkAll(s.environment, seen, recovered), checkRollouts(s.operators.allReleases(), s.environment.clearOf(seen))...)
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -11,10 +11,10 @@
 	"github.com/portgauge/portgauge/internal/lab/process"
 )
 
-// failedLogs is the folder for the logs of soaks that break a promise, relative to the root of the repository.
+// failedLogs is the folder for the logs of soaks that break a guarantee, relative to the root of the repository.
 var failedLogs = filepath.Join("target", "soak")
 
-// A soak with one stream of faults breaks no promise. A seed always injects the same faults, but the processes may be in
+// A soak with one stream of faults breaks no guarantee. A seed always injects the same faults, but the processes may be in
 // other states when they occur.
 func TestShortSoak(t *testing.T) {
 	soak(t, Config{Seed: 35, Length: 30 * time.Second, PerSecond: 60, Streams: 1, Logs: failedLogs})
@@ -26,7 +26,7 @@
 	soak(t, Config{Seed: 10002, Length: 25 * time.Second, PerSecond: 60, Streams: 2, Logs: failedLogs})
 }
 
-// soak runs a soak and checks that it breaks no promise.
+// soak runs a soak and checks that it breaks no guarantee.
 func soak(t *testing.T, cfg Config) {
 	t.Helper()
 	is := is.New(t)
--- a/internal/leaf/leafhttp/connection.go
+++ b/internal/leaf/leafhttp/connection.go
@@ -36,7 +36,7 @@
 	// idleLimit is how long the connection may be idle.
 	idleLimit time.Duration
 
-	// The fields below are guarded by the pool's mutex.
+	// The fields below are guarded by the pool's mu.
 
 	// current is the exchange in progress; nil while the connection is idle.
 	current   *Exchange
--- a/internal/leaf/leafhttp/exchange.go
+++ b/internal/leaf/leafhttp/exchange.go
@@ -19,7 +19,7 @@
 	deadline time.Time
 	done     Done
 
-	// The fields below are guarded by the pool's mutex.
+	// The fields below are guarded by the pool's mu.
 
 	// conn is the connection of the exchange; nil while the exchange waits for one and after its end.
 	conn      *connection
--- a/internal/leaf/leafhttp/leaf_connections.go
+++ b/internal/leaf/leafhttp/leaf_connections.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// leafConnections holds the connections to one leaf. It is guarded by the pool's mutex.
+// leafConnections holds the connections to one leaf. It is guarded by the pool's mu.
 type leafConnections struct {
 	idle        []*connection // most recently used last
 	open        int           // idle, in use and being opened
