--- a/cmd/portgauge-lab/main.go
+++ b/cmd/portgauge-lab/main.go
@@ -1,5 +1,5 @@
-// Command portgauge-lab runs stand-ins for the dependencies of portgauge, sends load, replays traces, and runs fault injection
-// and rollouts against real nodes.
+// Command portgauge-lab runs stand-ins for the dependencies of portgauge, sends load, replays traces, and runs fault
+// injection and rollouts against real nodes.
 package main
 
 import (
--- a/internal/config/catalog/restored_test.go
+++ b/internal/config/catalog/restored_test.go
@@ -128,8 +128,8 @@
 // fleetMayWrite reserves two evacuations for operators.
 func fleetMayWrite(key string) bool { return key != EvacuationKey("z") && key != EvacuationKey("new") }
 
-// Entries written since the backup stay in force until they are rewritten, those of operators for RetentionPeriod at most. An
-// older entry that is missing was removed.
+// Entries written since the backup stay in force until they are rewritten, those of operators for RetentionPeriod at
+// most. An older entry that is missing was removed.
 func TestRecentEntriesSurviveRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -47,7 +47,7 @@
 
 	mu            sync.Mutex
 	self          peer.Member
-	members       map[string]*knownMember // by id; excludes self
+	members       map[string]*knownMember // by ID; excludes self
 	updates       *updateQueue
 	probeRound    []string     // ids of the members not yet probed in this round
 	pendingProbes peer.Pending // probes without an answer yet
@@ -85,7 +85,7 @@
 	return m.self
 }
 
-// Members returns the usable members, including self, sorted by id. Suspects count as usable. The slice is shared;
+// Members returns the usable members, including self, sorted by ID. Suspects count as usable. The slice is shared;
 // callers must not modify it.
 func (m *Membership) Members() []peer.Member {
 	m.mu.Lock()
@@ -124,7 +124,7 @@
 	return counts
 }
 
-// Run probes until the context ends.
+// Run probes until the context is done.
 func (m *Membership) Run(ctx context.Context) {
 	ticker := time.NewTicker(m.cfg.ProbeInterval)
 	defer ticker.Stop()
--- a/internal/fleet/reachability/config.go
+++ b/internal/fleet/reachability/config.go
@@ -22,8 +22,8 @@
 	MinNodes int `yaml:"least_nodes"`
 	// Pause is the minimum time between two checks of a zone.
 	Pause time.Duration `yaml:"pause"`
-	// ProbeInterval is the interval between pings to a lost zone.
-	ProbeInterval time.Duration `yaml:"probe_interval"`
+	// PingInterval is the interval between pings to a lost zone.
+	PingInterval time.Duration `yaml:"probe_interval"`
 	// FanOut is how many nodes of its own zone a node notifies of a lost zone.
 	FanOut int `yaml:"fanout"`
 }
@@ -32,13 +32,13 @@
 // Checks adapt to longer round trips.
 func DefaultConfig() Config {
 	return Config{
-		Enabled:       true,
-		FirstWait:     20 * time.Millisecond,
-		Wait:          50 * time.Millisecond,
-		MinNodes:      4,
-		Pause:         500 * time.Millisecond,
-		ProbeInterval: 250 * time.Millisecond,
-		FanOut:        4,
+		Enabled:      true,
+		FirstWait:    20 * time.Millisecond,
+		Wait:         50 * time.Millisecond,
+		MinNodes:     4,
+		Pause:        500 * time.Millisecond,
+		PingInterval: 250 * time.Millisecond,
+		FanOut:       4,
 	}
 }
 
@@ -49,7 +49,7 @@
 	checks.Refuse(c.Wait <= 0 || c.Wait > answerLimit, "wait", "must be positive and at most %s", answerLimit)
 	checks.Refuse(c.MinNodes < 2 || c.MinNodes > maxNodes, "least_nodes", "must be at least 2 and at most %d", maxNodes)
 	checks.Refuse(c.Pause < 0, "pause", "must not be negative")
-	checks.Refuse(c.ProbeInterval <= 0, "probe_interval", "must be positive")
+	checks.Refuse(c.PingInterval <= 0, "probe_interval", "must be positive")
 	checks.Refuse(c.FanOut < 0 || c.FanOut > maxNodes, "fanout", "must be at least 0 and at most %d", maxNodes)
 	return checks.Err()
 }
--- a/internal/fleet/reachability/datagrams.go
+++ b/internal/fleet/reachability/datagrams.go
@@ -16,7 +16,7 @@
 	Send(address string, message peer.Message)
 }
 
-// Datagrams implements Prober over peer datagrams. It is safe for concurrent use.
+// Datagrams implements Pinger over peer datagrams. It is safe for concurrent use.
 type Datagrams struct {
 	sender Sender
 	// onZoneLost is called with a zone that another node has lost.
@@ -26,9 +26,9 @@
 	pending peer.Pending
 }
 
-var _ Prober = (*Datagrams)(nil)
+var _ Pinger = (*Datagrams)(nil)
 
-// NewDatagrams returns a prober that ignores announcements of lost zones until OnZoneLost is called.
+// NewDatagrams returns a pinger that ignores announcements of lost zones until OnZoneLost is called.
 func NewDatagrams(sender Sender) *Datagrams {
 	return &Datagrams{sender: sender, onZoneLost: func(string) {}}
 }
@@ -37,7 +37,7 @@
 // first datagram arrives.
 func (d *Datagrams) OnZoneLost(zoneLost func(zone string)) { d.onZoneLost = zoneLost }
 
-// Ping implements Prober.
+// Ping implements Pinger.
 func (d *Datagrams) Ping(ctx context.Context, node catalog.NodeRecord) bool {
 	number, answered := d.open()
 	if answered == nil {
@@ -53,7 +53,7 @@
 	}
 }
 
-// SendZoneLost implements Prober.
+// SendZoneLost implements Pinger.
 func (d *Datagrams) SendZoneLost(node catalog.NodeRecord, zone string) {
 	d.sender.Send(node.Address, peer.Message{Reachability: &peer.Reachability{Lost: zone}})
 }
--- a/internal/fleet/reachability/datagrams_test.go
+++ b/internal/fleet/reachability/datagrams_test.go
@@ -57,7 +57,7 @@
 	for _, node := range network.nodes {
 		datagrams := NewDatagrams(linkEnd{l, node.Address})
 		l.nodes[node.Address] = datagrams
-		tracker := New(Deps{Config: DefaultConfig(), Self: node, Prober: datagrams, Nodes: func() []catalog.NodeRecord { return network.nodes }})
+		tracker := New(Deps{Config: DefaultConfig(), Self: node, Pinger: datagrams, Nodes: func() []catalog.NodeRecord { return network.nodes }})
 		datagrams.OnZoneLost(tracker.Suspect)
 		go tracker.Run(ctx)
 		trackers[node.ID] = tracker
--- a/internal/fleet/reachability/reachability.go
+++ b/internal/fleet/reachability/reachability.go
@@ -9,7 +9,7 @@
 // pinged one at a time; any response from the zone ends the loss.
 //
 // A Tracker owns the state of each zone and the goroutines of its checks, which end with the context of Run. It uses
-// the list of registered nodes, a Prober (Datagrams sends over the peer transport), and a clock that includes the time
+// the list of registered nodes, a Pinger (Datagrams sends over the peer transport), and a clock that includes the time
 // for which the machine was suspended.
 package reachability
 
@@ -32,8 +32,8 @@
 // recheckSlack is added to the pause before a zone is checked again, so that a check in progress has ended by then.
 const recheckSlack = 200 * time.Millisecond
 
-// Prober exchanges datagrams with other nodes.
-type Prober interface {
+// Pinger exchanges datagrams with other nodes.
+type Pinger interface {
 	// Ping reports whether a node answers before the context ends.
 	Ping(ctx context.Context, node catalog.NodeRecord) bool
 	// SendZoneLost notifies a node that this node has lost a zone. It doesn't block.
@@ -53,10 +53,10 @@
 	Self catalog.NodeRecord
 	// Nodes returns the registered nodes; the result may include this node.
 	Nodes  func() []catalog.NodeRecord
-	Prober Prober
+	Pinger Pinger
 	// Changed is called when a zone is lost or reachable again; it may be nil.
 	Changed func(Change)
-	// Clock includes the time for which the machine was suspended.
+	// Clock includes the time during which the machine was suspended.
 	Clock boottime.Clock
 }
 
@@ -76,7 +76,7 @@
 	return &Tracker{deps: deps, zones: map[string]*zone{}}
 }
 
-// Run enables checks of zones until the context ends.
+// Run enables checks of zones until the context is done.
 func (t *Tracker) Run(ctx context.Context) {
 	t.mu.Lock()
 	t.ctx = ctx
@@ -222,15 +222,15 @@
 	t.suspectOtherZones(known.name)
 	own := t.nodesOf(func(node catalog.NodeRecord) bool { return node.Zone == t.deps.Self.Zone })
 	for _, node := range own[:min(t.deps.Config.FanOut, len(own))] {
-		t.deps.Prober.SendZoneLost(node, known.name)
+		t.deps.Pinger.SendZoneLost(node, known.name)
 	}
 	t.awaitReturn(ctx, known)
 }
 
-// awaitReturn pings the nodes of a lost zone, one per Config.ProbeInterval, until anything in the zone responds. A zone
+// awaitReturn pings the nodes of a lost zone, one per Config.PingInterval, until anything in the zone responds. A zone
 // without nodes counts as reachable, since nothing could end its loss.
 func (t *Tracker) awaitReturn(ctx context.Context, known *zone) {
-	ticker := time.NewTicker(t.deps.Config.ProbeInterval)
+	ticker := time.NewTicker(t.deps.Config.PingInterval)
 	defer ticker.Stop()
 	var remaining []catalog.NodeRecord
 	for known.lost.Load() {
@@ -241,7 +241,7 @@
 			t.markReachable(known)
 			return
 		}
-		go t.probe(ctx, known, remaining[0])
+		go t.ping(ctx, known, remaining[0])
 		remaining = remaining[1:]
 		select {
 		case <-ticker.C:
@@ -251,12 +251,12 @@
 	}
 }
 
-// probe pings a node of a zone. It records an answer within answerLimit as a response, even if a check has ended before.
-func (t *Tracker) probe(ctx context.Context, known *zone, node catalog.NodeRecord) bool {
+// ping pings a node of a zone. It records an answer within answerLimit as a response, even if a check has ended before.
+func (t *Tracker) ping(ctx context.Context, known *zone, node catalog.NodeRecord) bool {
 	ctx, cancel := context.WithTimeout(ctx, answerLimit)
 	defer cancel()
 	began := time.Now()
-	if !t.deps.Prober.Ping(ctx, node) {
+	if !t.deps.Pinger.Ping(ctx, node) {
 		return false
 	}
 	known.recordRoundTrip(time.Since(began))
--- a/internal/fleet/reachability/reachability_test.go
+++ b/internal/fleet/reachability/reachability_test.go
@@ -22,7 +22,7 @@
 	mid  = "mid"
 )
 
-// testNetwork is a Prober that simulates the nodes that a tracker pings.
+// testNetwork is a Pinger that simulates the nodes that a tracker pings.
 type testNetwork struct {
 	mu    sync.Mutex
 	nodes []catalog.NodeRecord
@@ -30,12 +30,12 @@
 	silent map[string]bool
 	// delay is the round-trip time of a ping.
 	delay     time.Duration
-	probed    map[string]int // by zone
+	pings     map[string]int // by zone
 	zonesLost []string       // announcements, as "<zone of the receiver> of <lost zone>"
 }
 
 func newTestNetwork(nodes int, zones ...string) *testNetwork {
-	network := &testNetwork{silent: map[string]bool{}, delay: time.Millisecond, probed: map[string]int{}}
+	network := &testNetwork{silent: map[string]bool{}, delay: time.Millisecond, pings: map[string]int{}}
 	for _, zone := range zones {
 		for index := range nodes {
 			id := fmt.Sprintf("%s-%d", zone, index)
@@ -47,7 +47,7 @@
 
 func (n *testNetwork) Ping(ctx context.Context, node catalog.NodeRecord) bool {
 	n.mu.Lock()
-	n.probed[node.Zone]++
+	n.pings[node.Zone]++
 	isSilent, delay := n.silent[node.Zone] || n.silent[node.ID], n.delay
 	n.mu.Unlock()
 	if isSilent {
@@ -80,14 +80,14 @@
 func (n *testNetwork) count(zone string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.probed[zone]
+	return n.pings[zone]
 }
 
 // tracker starts the tracker of the first node in the near zone.
 func (n *testNetwork) tracker(t *testing.T) *Tracker {
 	t.Helper()
 	tracker := New(Deps{
-		Config: DefaultConfig(), Self: n.nodes[0], Prober: n,
+		Config: DefaultConfig(), Self: n.nodes[0], Pinger: n,
 		Nodes: func() []catalog.NodeRecord { return n.nodes },
 	})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -169,7 +169,7 @@
 	})
 }
 
-// A node sends one ping to a lost zone per probe interval.
+// A node sends one ping to a lost zone per ping interval.
 func TestPingsOfLostZoneAreRateLimited(t *testing.T) {
 	withTracker(t, func(is *is.I, network *testNetwork, tracker *Tracker) {
 		network.set(true, far)
@@ -211,7 +211,7 @@
 			time.Sleep(100 * time.Millisecond)
 			is.True(tracker.Reaches(far))
 		}
-		is.True(network.count(far) <= 5*firstProbed) // at most one first step of a check per pause
+		is.True(network.count(far) <= 5*firstPings) // at most one first step of a check per pause
 	})
 }
 
@@ -311,9 +311,9 @@
 			is.True(tracker.Reaches(far))
 		}
 		network.mu.Lock()
-		probed := network.probed[far]
+		pings := network.pings[far]
 		network.mu.Unlock()
-		is.Equal(probed, firstProbed+DefaultConfig().MinNodes+4*firstProbed) // later checks wait long enough
+		is.Equal(pings, firstPings+DefaultConfig().MinNodes+4*firstPings) // later checks wait long enough
 	})
 }
 
@@ -342,7 +342,7 @@
 			}
 			tracker := network.tracker(t)
 			tracker.Suspect(far)
-			time.Sleep(checkTime() + time.Duration(nodes)*DefaultConfig().ProbeInterval)
+			time.Sleep(checkTime() + time.Duration(nodes)*DefaultConfig().PingInterval)
 			if !tracker.Reaches(far) {
 				t.Error("the zone is lost although one of its nodes answers")
 			}
--- a/internal/fleet/reachability/zonecheck.go
+++ b/internal/fleet/reachability/zonecheck.go
@@ -11,11 +11,11 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// firstProbed is how many nodes a check pings first. Usually one of them answers, which ends the check.
-const firstProbed = 2
+// firstPings is how many nodes a check pings first. Usually one of them answers, which ends the check.
+const firstPings = 2
 
-// controlProbes is how many nodes of other zones a check pings as a control.
-const controlProbes = 3
+// controlPings is how many nodes of other zones a check pings as a control.
+const controlPings = 3
 
 // maxRepeats bounds how many times a check pings and waits, if this node itself is late.
 const maxRepeats = 3
@@ -32,8 +32,8 @@
 	controlAnswered atomic.Bool
 }
 
-// isLost checks whether the zone is lost. It pings firstProbed nodes. If nothing in the zone responds within the timeout
-// for Config.FirstWait, it pings Config.MinNodes nodes and controlProbes nodes of other zones. The zone is lost if
+// isLost checks whether the zone is lost. It pings firstPings nodes. If nothing in the zone responds within the timeout
+// for Config.FirstWait, it pings Config.MinNodes nodes and controlPings nodes of other zones. The zone is lost if
 // nothing in it responds within the timeout for Config.Wait but a control does. If this node itself was late or
 // suspended, the result is inconclusive, and the second step is repeated, up to maxRepeats times in total. A zone with
 // fewer nodes than Config.MinNodes is never lost, since all of them may have crashed.
@@ -43,15 +43,15 @@
 	if len(nodes) < cfg.MinNodes {
 		return false
 	}
-	c.probeAll(ctx, nodes[:firstProbed])
+	c.pingAll(ctx, nodes[:firstPings])
 	if !wait.For(ctx, c.zone.timeout(cfg.FirstWait)) || c.zone.responded.Load() {
 		return false
 	}
 	for range maxRepeats {
 		// Each repetition pings different nodes if there are enough.
-		nodes = append(nodes[firstProbed:], nodes[:firstProbed]...)
-		c.probeAll(ctx, nodes[:cfg.MinNodes])
-		c.probeControls(ctx)
+		nodes = append(nodes[firstPings:], nodes[:firstPings]...)
+		c.pingAll(ctx, nodes[:cfg.MinNodes])
+		c.pingControls(ctx)
 		inTime, running := c.wait(ctx, c.zone.timeout(cfg.Wait))
 		if !running || c.zone.responded.Load() {
 			return false
@@ -64,25 +64,25 @@
 	return false
 }
 
-func (c *zoneCheck) probeAll(ctx context.Context, nodes []catalog.NodeRecord) {
+func (c *zoneCheck) pingAll(ctx context.Context, nodes []catalog.NodeRecord) {
 	for _, node := range nodes {
-		go c.tracker.probe(ctx, c.zone, node)
+		go c.tracker.ping(ctx, c.zone, node)
 	}
 }
 
-// probeControls pings nodes of other zones, including this node's own zone, as a control.
-func (c *zoneCheck) probeControls(ctx context.Context) {
+// pingControls pings nodes of other zones, including this node's own zone, as a control.
+func (c *zoneCheck) pingControls(ctx context.Context) {
 	others := c.tracker.nodesOf(func(node catalog.NodeRecord) bool {
 		return node.Zone != c.zone.name && c.tracker.Reaches(node.Zone)
 	})
 	// Nodes of this node's own zone come first, since they answer even if several zones are lost at once.
 	own := c.tracker.deps.Self.Zone
 	slices.SortStableFunc(others, func(a, b catalog.NodeRecord) int { return boolRank(b.Zone == own) - boolRank(a.Zone == own) })
-	for _, node := range others[:min(controlProbes, len(others))] {
+	for _, node := range others[:min(controlPings, len(others))] {
 		go func() {
 			ctx, cancel := context.WithTimeout(ctx, answerLimit)
 			defer cancel()
-			if c.tracker.deps.Prober.Ping(ctx, node) {
+			if c.tracker.deps.Pinger.Ping(ctx, node) {
 				c.controlAnswered.Store(true)
 			}
 		}()
--- a/internal/fleet/registry/fleet.go
+++ b/internal/fleet/registry/fleet.go
@@ -25,8 +25,8 @@
 
 	mu    sync.Mutex
 	view  *catalog.View        // the view that nodes was computed from
-	gone  map[string]time.Time // by id, when a node that is no longer registered stops counting
-	nodes []catalog.NodeRecord // sorted by id
+	gone  map[string]time.Time // by ID, when a node that is no longer registered stops counting
+	nodes []catalog.NodeRecord // sorted by ID
 	// gatherers holds the elements of nodes that gather, see Gatherers.
 	gatherers  []catalog.NodeRecord
 	isGatherer bool // whether this node is one of gatherers
--- a/internal/fleet/registry/registry.go
+++ b/internal/fleet/registry/registry.go
@@ -6,7 +6,7 @@
 //
 // A Registry owns the lease of its node; Run is its only goroutine. It uses a store.Lessor, and the catalog to find
 // the record of a previous process of the node and to detect restores of the store. A Fleet owns the list of nodes and
-// expires its entries by a clock that includes the time for which the machine was suspended.
+// expires its entries by a clock that includes the time during which the machine was suspended.
 package registry
 
 import (
@@ -78,7 +78,7 @@
 	return &Registry{cfg: cfg, lessor: lessor, self: self, logger: logger, resumed: make(chan struct{}, 1)}
 }
 
-// Run registers the node and renews its lease until the context ends. Then it revokes the lease.
+// Run registers the node and renews its lease until the context is done. Then it revokes the lease.
 func (r *Registry) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		r.registeredRevision = r.previous.revision()
@@ -142,9 +142,10 @@
 	return lease, err
 }
 
-// keepRenewing renews the lease renewalsPerTTL times within its time to live, after Config.RetryPause if a renewal failed, and
-// at once when the machine resumes. It returns, so that the node registers again, if the store was restored, the lease
-// has expired, or the record is bound to another lease. When the context ends, it revokes the lease.
+// keepRenewing renews the lease renewalsPerTTL times within its time to live, after Config.RetryPause if a renewal
+// failed, and at once when the machine resumes. It returns, so that the node registers again, if the store was
+// restored, the lease has expired, or the record is bound to another lease. When the context ends, it revokes the
+// lease.
 func (r *Registry) keepRenewing(ctx context.Context, lease int64, granted time.Duration) {
 	pause := granted / renewalsPerTTL
 	for r.waitToRenew(ctx, pause) {
--- a/internal/lab/control/beside.go
+++ b/internal/lab/control/beside.go
@@ -9,8 +9,8 @@
 	"google.golang.org/grpc"
 )
 
-// ServeBeside serves gRPC at one address and control calls at another until the context ends. It then calls stop, which must
-// stop the gRPC server.
+// ServeBeside serves gRPC at one address and control calls at another until the context is done. It then calls stop,
+// which must stop the gRPC server.
 func ServeBeside(ctx context.Context, server *grpc.Server, address, controlAddress string, handler http.Handler, stop func()) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
--- a/internal/lab/control/control.go
+++ b/internal/lab/control/control.go
@@ -25,7 +25,7 @@
 	return router
 }
 
-// Serve serves control calls until the context ends. It returns at once if the address is empty.
+// Serve serves control calls until the context is done. It returns at once if the address is empty.
 func Serve(ctx context.Context, address string, handler http.Handler) error {
 	if address == "" {
 		return nil
--- a/internal/lab/leaf/leaf.go
+++ b/internal/lab/leaf/leaf.go
@@ -46,7 +46,7 @@
 func (c Config) Validate() error {
 	var checks failure.Checks
 	checks.Refuse(c.ID == "", "id", "must not be empty")
-	checks.Refuse(c.Dataset != sample.Tiles && c.Dataset != sample.Invoices, "dataset", "%q; must be %q or %q", c.Dataset, sample.Tiles, sample.Invoices)
+	checks.Refuse(c.Dataset != sample.Tiles && c.Dataset != sample.Invoices, "dataset", "%q is invalid; must be %q or %q", c.Dataset, sample.Tiles, sample.Invoices)
 	checks.Refuse(c.Records < 1, "records", "must be at least 1")
 	checks.Refuse(len(c.Snapshots) == 0, "snapshots", "must name at least one")
 	checks.Refuse(c.Slots < 1, "slots", "must be at least 1")
--- a/internal/lab/leaf/server.go
+++ b/internal/lab/leaf/server.go
@@ -11,8 +11,8 @@
 	"github.com/portgauge/portgauge/internal/lab/control"
 )
 
-// Serve serves the leaf protocol, and control calls at a second address, until the context ends. It finishes the attempts in
-// flight before it returns.
+// Serve serves the leaf protocol, and control calls at a second address, until the context is done. It finishes the
+// attempts in flight before it returns.
 func (l *Leaf) Serve(ctx context.Context, address, controlAddress string) error {
 	server := grpc.NewServer()
 	leafv1.RegisterLeafServiceServer(server, l)
--- a/internal/lab/platform/server.go
+++ b/internal/lab/platform/server.go
@@ -11,7 +11,7 @@
 	"github.com/portgauge/portgauge/internal/lab/control"
 )
 
-// Serve serves the platform protocol, and control calls at a second address, until the context ends.
+// Serve serves the platform protocol, and control calls at a second address, until the context is done.
 func (p *Platform) Serve(ctx context.Context, address, controlAddress string) error {
 	server := grpc.NewServer()
 	platformv1.RegisterStoreServiceServer(server, p)
--- a/internal/lab/replay/observers.go
+++ b/internal/lab/replay/observers.go
@@ -29,7 +29,7 @@
 // pollInterval is the pause between two calls to a node.
 const pollInterval = 25 * time.Millisecond
 
-// observe polls a node and records its revision until the context ends. The polls cause no calls between nodes.
+// observe polls a node and records its revision until the context is done. The polls cause no calls between nodes.
 func (o *observers) observe(ctx context.Context, node *nodeProcess) {
 	client := cli.AdminClient(node.operatorsAddress)
 	for ctx.Err() == nil {
--- a/internal/lab/replay/validate.go
+++ b/internal/lab/replay/validate.go
@@ -15,7 +15,7 @@
 	header := &t.Header
 	var checks failure.Checks
 	checks.Refuse(header.Name == "", where+" name", "must not be empty")
-	checks.Refuse(header.Dataset != sample.Tiles && header.Dataset != sample.Invoices, where+" dataset", "%q; must be tiles or invoices", header.Dataset)
+	checks.Refuse(header.Dataset != sample.Tiles && header.Dataset != sample.Invoices, where+" dataset", "%q is invalid; must be tiles or invoices", header.Dataset)
 	checks.Refuse(header.Records < 1, where+" records", "must be at least 1")
 	checks.Refuse(header.DurationMS < 1, where+" duration_ms", "must be at least 1")
 	checks.Refuse(len(header.Nodes) == 0, where+" nodes", "must name at least one")
@@ -82,7 +82,7 @@
 	if load == nil {
 		return
 	}
-	checks.Refuse(!t.isService(load.Service), where+" load.service", "no service %q", load.Service)
+	checks.Refuse(!t.isService(load.Service), where+" load.service", "service %q does not exist", load.Service)
 	checks.Refuse(len(load.Nodes) == 0, where+" load.nodes", "must name at least one")
 	checks.Refuse(load.PerSecond <= 0, where+" load.per_second", "must be positive")
 	checks.Refuse(load.UntilMS <= event.AtMS, where+" load.until_ms", "must be later than at_ms")
@@ -93,12 +93,12 @@
 
 func (t *Trace) checkOperators(checks *failure.Checks, where string, event *Event) {
 	if publish := event.Publish; publish != nil {
-		checks.Refuse(!t.isService(publish.Service), where+" publish.service", "no service %q", publish.Service)
+		checks.Refuse(!t.isService(publish.Service), where+" publish.service", "service %q does not exist", publish.Service)
 		checks.Refuse(!t.isNode(publish.Node), where+" publish.node", "no node %q", publish.Node)
 		checks.Refuse(len(publish.Snapshots) == 0 || len(publish.Shards) == 0 || publish.Replicas < 1, where+" publish", "snapshots, shards and replicas must be given")
 	}
 	if apply := event.Apply; apply != nil {
-		checks.Refuse(!t.isService(apply.Service), where+" apply.service", "no service %q", apply.Service)
+		checks.Refuse(!t.isService(apply.Service), where+" apply.service", "service %q does not exist", apply.Service)
 		checks.Refuse(!t.isNode(apply.Node), where+" apply.node", "no node %q", apply.Node)
 		checks.Refuse(apply.EveryMS < 1, where+" apply.every_ms", "must be at least 1")
 	}
@@ -112,7 +112,7 @@
 	}
 	if machine := event.Machine; machine != nil {
 		checks.Refuse(!t.isLeaf(machine.ID) && !t.isNode(machine.ID), where+" machine.id", "no process %q", machine.ID)
-		checks.Refuse(machine.State != "live" && machine.State != "leaving", where+" machine.state", "%q; must be live or leaving", machine.State)
+		checks.Refuse(machine.State != "live" && machine.State != "leaving", where+" machine.state", "%q is invalid; must be live or leaving", machine.State)
 	}
 	for name, target := range map[string]*Target{"kill": event.Kill, "freeze": event.Freeze, "wake": event.Wake, "stop": event.Stop, "start": event.Start} {
 		if target != nil {
@@ -139,7 +139,7 @@
 	var checks failure.Checks
 	_, known := checkFuncs[outcome.Check]
 	checks.Refuse(!known, where+" check", "%q is not a check", outcome.Check)
-	checks.Refuse(outcome.Service != "" && !t.isService(outcome.Service), where+" service", "no service %q", outcome.Service)
+	checks.Refuse(outcome.Service != "" && !t.isService(outcome.Service), where+" service", "service %q does not exist", outcome.Service)
 	checks.Refuse(outcome.Leaf != "" && !t.isLeaf(outcome.Leaf), where+" leaf", "no leaf %q", outcome.Leaf)
 	for _, node := range outcome.Nodes {
 		checks.Refuse(!t.isNode(node), where+" nodes", "no node %q", node)
--- a/internal/lab/rollouts/fault.go
+++ b/internal/lab/rollouts/fault.go
@@ -1,5 +1,5 @@
-// Package rollouts implements the good and bad versions that stand-in leafs run in rollouts over real nodes, and the records
-// of leafs and operators against which the guarantees about a rollout are checked.
+// Package rollouts implements the good and bad versions that stand-in leafs run in rollouts over real nodes, and the
+// records of leafs and operators against which the guarantees about a rollout are checked.
 //
 // A Version records the requests that its leafs receive. It depends on package httpleaf and starts no goroutines or processes.
 package rollouts
--- a/internal/lab/rollouts/release.go
+++ b/internal/lab/rollouts/release.go
@@ -77,8 +77,8 @@
 	return r.EndRevision != 0 && t.Revision >= r.EndRevision
 }
 
-// WrongStatuses returns the disallowed readings: a second outcome, a status of another version, an outcome after the rollout
-// was replaced, and any status but RolledBack after it was cancelled.
+// WrongStatuses returns the disallowed readings: a second outcome, a status of another version, an outcome after the
+// rollout was replaced, and any status but RolledBack after it was cancelled.
 func (r *Release) WrongStatuses() []StatusReading {
 	var wrong []StatusReading
 	final := Outcome("")
@@ -150,9 +150,9 @@
 	return bad[badAnswers-1].Done, true
 }
 
-// SucceededBeforeBadAnswer reports whether operators read that the rollout succeeded before the target's first bad answer.
-// The outcome is final, so later bad answers cannot change it. This happens if the fault occurs with a delay and the service
-// receives no requests between its occurrence and the deadline.
+// SucceededBeforeBadAnswer reports whether operators read that the rollout succeeded before the target's first bad
+// answer. The outcome is final, so later bad answers cannot change it. This happens if the fault occurs with a delay
+// and the service receives no requests between its occurrence and the deadline.
 func (r *Release) SucceededBeforeBadAnswer() bool {
 	status, at := r.Outcome()
 	isSeen := func(request ReceivedRequest) bool { return request.isBad() && !request.Done.After(at) }
@@ -164,8 +164,8 @@
 
 func (r ReceivedRequest) isBad() bool { return r.Bad }
 
-// OutsideRollout returns the requests that the target received without a rollout in force: before its start, and later than
-// Lateness after it was rolled back, cancelled or replaced.
+// OutsideRollout returns the requests that the target received without a rollout in force: before its start, and later
+// than Lateness after it was rolled back, cancelled or replaced.
 func (r *Release) OutsideRollout(clear Clear) []ReceivedRequest {
 	if r.Old == r.Target {
 		return nil
@@ -182,8 +182,8 @@
 	return append(before, unaffected(after, clear)...)
 }
 
-// AtOldVersion returns the requests at the old version that were in flight or received after operators read that the rollout
-// succeeded.
+// AtOldVersion returns the requests at the old version that were in flight or received after operators read that the
+// rollout succeeded.
 func (r *Release) AtOldVersion(clear Clear) []ReceivedRequest {
 	status, at := r.Outcome()
 	if status != Succeeded || r.Old == r.Target {
--- a/internal/lab/sample/sample.go
+++ b/internal/lab/sample/sample.go
@@ -94,7 +94,7 @@
 		value, err := json.Marshal(invoice{Snapshot: snapshot, Debtor: debtor, Cents: rng.Int64N(5_000_000), DueDay: rng.IntN(365), Funded: rng.IntN(2) == 0})
 		return key, value, err
 	}
-	return "", nil, failure.Invalid("dataset", "%q; must be %q or %q", dataset, Tiles, Invoices)
+	return "", nil, failure.Invalid("dataset", "%q is invalid; must be %q or %q", dataset, Tiles, Invoices)
 }
 
 // In returns the records of a key range.
--- a/internal/lab/soak/checks.go
+++ b/internal/lab/soak/checks.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Bounds of the guarantees: the time until a configuration is in force and the time until a leaving leaf receives no requests,
-// both on nodes without a fault, and the minimum fraction of requests served after the faults.
+// Bounds of the guarantees: the time until a configuration is in force and the time until a leaving leaf receives no
+// requests, both on nodes without a fault, and the minimum fraction of requests served after the faults.
 const (
 	configurationBound = 3 * time.Second
 	drainBound         = 3 * time.Second
@@ -22,8 +22,8 @@
 	slices.SortFunc(records, func(a, b []byte) int { return bytes.Compare(b, a) })
 }
 
-// checkAll checks every guarantee except those about rollouts against the records of callers and leafs. There are no faults after
-// the time recovered, and the nodes have had time to recover by then.
+// checkAll checks every guarantee except those about rollouts against the records of callers and leafs. There are no
+// faults after the time recovered, and the nodes have had time to recover by then.
 func checkAll(e *environment, seen []outcome, recovered time.Time) []Result {
 	ran := e.runs()
 	return []Result{
--- a/internal/lab/soak/checks_rollouts.go
+++ b/internal/lab/soak/checks_rollouts.go
@@ -6,8 +6,8 @@
 	"github.com/portgauge/portgauge/internal/lab/rollouts"
 )
 
-// checkRollouts checks every guarantee about rollouts. Guarantees with a time bound are checked only for requests for which
-// clear returns true.
+// checkRollouts checks every guarantee about rollouts. Guarantees with a time bound are checked only for requests for
+// which clear returns true.
 func checkRollouts(releases []rollouts.Release, clear rollouts.Clear) []Result {
 	return []Result{
 		checkExposure(releases, clear), checkLateRequests(releases, clear), checkOutsideRollout(releases, clear),
--- a/internal/lab/soak/checks_test.go
+++ b/internal/lab/soak/checks_test.go
@@ -94,7 +94,8 @@
 	}
 }
 
-// A node that serves with an old configuration after the bound, or reverts to one, breaks the guarantee, unless it had a fault.
+// A node that serves with an old configuration after the bound, or reverts to one, breaks the guarantee, unless it had
+// a fault.
 func TestCheckConfiguration(t *testing.T) {
 	is := is.New(t)
 	e := newIdleEnvironment(t)
@@ -191,7 +192,8 @@
 	}
 }
 
-// A request to a leaf of an evacuated zone breaks the guarantee if it arrives between the bound and the end of the evacuation.
+// A request to a leaf of an evacuated zone breaks the guarantee if it arrives between the bound and the end of the
+// evacuation.
 func TestCheckFindsRequestsToEvacuatedLeafs(t *testing.T) {
 	is := is.New(t)
 	e := newIdleEnvironment(t)
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -66,7 +66,7 @@
 	maxFaultPause  = 2 * time.Second
 )
 
-// run injects one or two faults at a time until the context ends, with a random pause after each.
+// run injects one or two faults at a time until the context is done, with a random pause after each.
 func (i *injector) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		count := 1 + i.random.IntN(2)
--- a/internal/lab/soak/load.go
+++ b/internal/lab/soak/load.go
@@ -67,8 +67,8 @@
 	}}
 }
 
-// run sends random requests to random nodes at the given rate until the context ends, each in its own goroutine, and waits
-// for their outcomes.
+// run sends random requests to random nodes at the given rate until the context is done, each in its own goroutine, and
+// waits for their outcomes.
 func (l *load) run(ctx context.Context, random *rand.Rand, perSecond int) {
 	ticker := time.NewTicker(time.Second / time.Duration(perSecond))
 	defer ticker.Stop()
--- a/internal/lab/soak/operator.go
+++ b/internal/lab/soak/operator.go
@@ -49,7 +49,7 @@
 	return &operator{environment: e, log: log, status: map[string][]rollouts.StatusReading{}}
 }
 
-// read records the statuses of all services until the context ends.
+// read records the statuses of all services until the context is done.
 func (o *operator) read(ctx context.Context) {
 	for wait.For(ctx, statusInterval) {
 		for _, service := range o.environment.services() {
--- a/internal/lab/soak/result.go
+++ b/internal/lab/soak/result.go
@@ -32,8 +32,8 @@
 	return slices.ContainsFunc(results, func(r Result) bool { return len(r.Broken) > 0 })
 }
 
-// Report writes a line for each guarantee, followed by the first cases that broke it. It returns the numbers of guarantees that
-// were kept and broken.
+// Report writes a line for each guarantee, followed by the first cases that broke it. It returns the numbers of
+// guarantees that were kept and broken.
 func Report(results []Result, out io.Writer) (passed, failed int) {
 	for _, result := range results {
 		if len(result.Broken) == 0 {
--- a/internal/lab/soak/rollouts.go
+++ b/internal/lab/soak/rollouts.go
@@ -74,8 +74,8 @@
 	rolloutGap   = 2 * time.Second // between two rollouts
 )
 
-// RunRollouts runs rollouts over nodes of the program at the given path, and writes a line for each. It returns how many had
-// the expected outcome and kept all guarantees, and how many did not.
+// RunRollouts runs rollouts over nodes of the program at the given path, and writes a line for each. It returns how
+// many had the expected outcome and kept all guarantees, and how many did not.
 func RunRollouts(ctx context.Context, program string, cfg RolloutsConfig, out io.Writer) (passed, failed int, err error) {
 	cases := slices.DeleteFunc(rolloutCases(cfg.Duration), func(one rolloutCase) bool {
 		return len(cfg.Cases) > 0 && !slices.Contains(cfg.Cases, one.name)
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -1,9 +1,10 @@
 // Package soak runs real nodes as separate processes with a stand-in store and stand-in leafs, injects random faults from a
 // seed, and checks the guarantees of the product against the records of callers, store and leafs.
 //
-// An environment owns the processes, the links between them and the store; it stops everything that it started before Run
-// returns. Package process starts the nodes; packages kvstore, httpleaf and rollouts implement the store, the leafs and their
-// versions. Seeds that once broke a guarantee are kept as tests, so the order of calls to the random generators must not change.
+// An environment owns the processes, the links between them and the store; it stops everything that it started before
+// Run returns. Package process starts the nodes; packages kvstore, httpleaf and rollouts implement the store, the leafs
+// and their versions. Seeds that once broke a guarantee are kept as tests, so the order of calls to the random
+// generators must not change.
 package soak
 
 import (
@@ -32,8 +33,8 @@
 	// Streams is the number of concurrent streams of faults, each with its own random generator. Crashing requests are sent
 	// in addition.
 	Streams int
-	// Logs is the folder for the records of a soak that broke a guarantee: the newest output of the nodes, the events, and the
-	// requests as their callers saw them. Empty writes no records.
+	// Logs is the folder for the records of a soak that broke a guarantee: the newest output of the nodes, the events, and
+	// the requests as their callers saw them. Empty writes no records.
 	Logs string
 	// KeepAll writes the records of soaks that kept all guarantees too.
 	KeepAll bool
@@ -47,8 +48,8 @@
 	afterRecoveryTime = 4 * time.Second
 )
 
-// Numbers of the random streams: requests of callers, first stream of faults, rollouts, crashing requests, series of faults,
-// and restores of the store. The numbers of further streams of faults follow crashingStream.
+// Numbers of the random streams: requests of callers, first stream of faults, rollouts, crashing requests, series of
+// faults, and restores of the store. The numbers of further streams of faults follow crashingStream.
 const (
 	loadStream     = 1
 	firstStream    = 2
@@ -84,8 +85,8 @@
 	events      eventLog
 }
 
-// Run runs a soak over nodes of the program at the given path and returns a result for each guarantee. It writes the events to
-// out.
+// Run runs a soak over nodes of the program at the given path and returns a result for each guarantee. It writes the
+// events to out.
 func Run(ctx context.Context, program string, cfg Config, out io.Writer) ([]Result, error) {
 	folder, err := os.MkdirTemp("", "portgauge-soak-")
 	if err != nil {
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -14,8 +14,8 @@
 // failedLogs is the folder for the logs of soaks that break a guarantee, relative to the root of the repository.
 var failedLogs = filepath.Join("target", "soak")
 
-// A soak with one stream of faults breaks no guarantee. A seed always injects the same faults, but the processes may be in
-// other states when they occur.
+// A soak with one stream of faults breaks no guarantee. A seed always injects the same faults, but the processes may be
+// in other states when they occur.
 func TestShortSoak(t *testing.T) {
 	soak(t, Config{Seed: 35, Length: 30 * time.Second, PerSecond: 60, Streams: 1, Logs: failedLogs})
 }
--- a/internal/leaf/balancer/config.go
+++ b/internal/leaf/balancer/config.go
@@ -54,7 +54,7 @@
 // Validate returns an error that names every invalid field.
 func (c Config) Validate() error {
 	var checks failure.Checks
-	checks.Refuse(c.Method != TwoChoices && c.Method != Random, "method", "%q; must be %q or %q", c.Method, TwoChoices, Random)
+	checks.Refuse(c.Method != TwoChoices && c.Method != Random, "method", "%q is invalid; must be %q or %q", c.Method, TwoChoices, Random)
 	checks.Refuse(c.EjectAfter < 1, "eject_after", "must be at least 1")
 	checks.Refuse(c.EjectFor <= 0, "eject_for", "must be positive")
 	checks.Refuse(c.SlowFactor <= 1, "slow_factor", "must be greater than 1")
--- a/internal/leaf/leafgossip/leafgossip.go
+++ b/internal/leaf/leafgossip/leafgossip.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// Run sends the queued observations in batches until the context ends.
+// Run sends the queued observations in batches until the context is done.
 func (g *Gossip) Run(ctx context.Context) {
 	for {
 		select {
--- a/internal/leaf/leafhttp/leaf_connections.go
+++ b/internal/leaf/leafhttp/leaf_connections.go
@@ -29,7 +29,8 @@
 	return max(1, target.Connections)
 }
 
-// next removes and returns the exchange that has waited the longest, or nil if none is waiting. The pool's mu must be held.
+// next removes and returns the exchange that has waited the longest, or nil if none is waiting. The pool's mu must be
+// held.
 func (l *leafConnections) next() *Exchange {
 	if len(l.waiting) == 0 {
 		return nil
--- a/internal/leaf/leafhttp/pool.go
+++ b/internal/leaf/leafhttp/pool.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// Resumed adds the time for which the machine was suspended to the idle times of connections, since leafs may have
+// Resumed adds the time during which the machine was suspended to the idle times of connections, since leafs may have
 // closed them during that time.
 func (p *Pool) Resumed(suspended time.Duration) {
 	p.mu.Lock()
--- a/internal/leaf/leafmemory/leafmemory.go
+++ b/internal/leaf/leafmemory/leafmemory.go
@@ -50,8 +50,8 @@
 	return m.fallback(view, service, view.Leafs.MayServe), true
 }
 
-// CanaryLeafs returns the leafs of a service that may get canary requests: its ready canaries or, if there are none, lost
-// ones (see fallback). It never returns leafs of an evacuated zone.
+// CanaryLeafs returns the leafs of a service that may get canary requests: its ready canary leafs or, if there are
+// none, lost ones (see fallback). It never returns leafs of an evacuated zone.
 func (m *Memory) CanaryLeafs(service string) []*leafset.Leaf {
 	view := m.catalog.View()
 	if ready := view.Leafs.CanaryLeafs(service); len(ready) > 0 {
--- a/internal/leaf/leafmemory/versions_test.go
+++ b/internal/leaf/leafmemory/versions_test.go
@@ -103,8 +103,8 @@
 	is.Equal(candidateIDs(memory), []string{"old"})
 }
 
-// Lost canaries are usable within the retention, like leafs that serve, but only while the rule allows them.
-func TestLostCanariesAreRetained(t *testing.T) {
+// Lost canary leafs are usable within the retention, like leafs that serve, but only while the rule allows them.
+func TestLostCanaryLeafsAreRetained(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		cat := newVersionedCatalog(t, true)
--- a/internal/leaf/leafmemory/writer.go
+++ b/internal/leaf/leafmemory/writer.go
@@ -46,7 +46,7 @@
 	return &Writer{cfg: cfg, catalog: cat, store: leafStore, self: self, logger: logger}
 }
 
-// Run stores the list when it has changed, until the context ends.
+// Run stores the list when it has changed, until the context is done.
 func (w *Writer) Run(ctx context.Context) {
 	for wait.For(ctx, checkInterval) {
 		if !w.isDue(time.Now()) {
--- a/internal/leaf/leafset/editor.go
+++ b/internal/leaf/leafset/editor.go
@@ -42,7 +42,7 @@
 func (s *Set) Edit() *Editor {
 	copied := &Set{
 		byService: maps.Clone(s.byService), ready: maps.Clone(s.ready), byName: maps.Clone(s.byName), evacuated: s.evacuated,
-		rules: s.rules, first: s.first, canaries: s.canaries, lost: s.lost,
+		rules: s.rules, first: s.first, canaryLeafs: s.canaryLeafs, lost: s.lost,
 	}
 	return &Editor{set: copied, owned: map[string]bool{}, changedRules: map[string]bool{}}
 }
@@ -175,7 +175,7 @@
 	}
 }
 
-// updateReady updates the first version, the canaries and the ready leafs of a service.
+// updateReady updates the first version, the canary leafs and the ready leafs of a service.
 func (e *Editor) updateReady(service string) {
 	leafs := e.set.byService[service]
 	e.updateFirst(service, leafs)
--- a/internal/leaf/leafset/leaf.go
+++ b/internal/leaf/leafset/leaf.go
@@ -55,8 +55,8 @@
 	return leaf
 }
 
-// ReplaceLeaf returns the leaf for a record that replaces the known leaf with the same name, which may be nil. If the record
-// is the same write, read again in another epoch after a restore of the store, the leaf keeps its ColdUntil.
+// ReplaceLeaf returns the leaf for a record that replaces the known leaf with the same name, which may be nil. If the
+// record is the same write, read again in another epoch after a restore of the store, the leaf keeps its ColdUntil.
 func ReplaceLeaf(known *Leaf, record Record, at int64, received time.Time) *Leaf {
 	leaf := NewLeaf(record, at, received)
 	if known != nil && known.Record == record && revision.Count(known.Revision) == revision.Count(at) {
--- a/internal/leaf/leafset/leafset.go
+++ b/internal/leaf/leafset/leafset.go
@@ -28,9 +28,9 @@
 	rules map[string]rollout.Rule
 	// first is the first version of each service whose rule names no serving version; see Editor.updateFirst.
 	first map[string]string
-	// canaries are the ready leafs of byService that have the canary version.
-	canaries map[string][]*Leaf
-	lost     map[string]lostLeaf // leafs that were ready until recently, by name
+	// canaryLeafs are the ready leafs of byService that have the canary version.
+	canaryLeafs map[string][]*Leaf
+	lost        map[string]lostLeaf // leafs that were ready until recently, by name
 }
 
 // lostLeaf is a leaf that was ready until recently, and the time at which it was lost.
@@ -46,7 +46,7 @@
 func Empty() *Set {
 	return &Set{
 		byService: map[string][]*Leaf{}, ready: map[string][]*Leaf{}, byName: map[string]*Leaf{}, evacuated: map[string]bool{},
-		rules: map[string]rollout.Rule{}, first: map[string]string{}, canaries: map[string][]*Leaf{}, lost: map[string]lostLeaf{},
+		rules: map[string]rollout.Rule{}, first: map[string]string{}, canaryLeafs: map[string][]*Leaf{}, lost: map[string]lostLeaf{},
 	}
 }
 
--- a/internal/leaf/leafset/versions.go
+++ b/internal/leaf/leafset/versions.go
@@ -8,7 +8,7 @@
 
 // CanaryLeafs returns the ready leafs of a service that have the canary version; none if no rollout is in progress. The
 // slice is shared: callers must not modify it.
-func (s *Set) CanaryLeafs(service string) []*Leaf { return s.canaries[service] }
+func (s *Set) CanaryLeafs(service string) []*Leaf { return s.canaryLeafs[service] }
 
 // Rule returns the rule that determines which versions of a service may get requests.
 func (s *Set) Rule(service string) rollout.Rule {
@@ -112,23 +112,23 @@
 	return best
 }
 
-// updateCanaryLeafs updates which leafs of a service are canaries.
+// updateCanaryLeafs updates which leafs of a service are canary leafs.
 func (e *Editor) updateCanaryLeafs(service string, leafs []*Leaf) {
-	var canaries []*Leaf
+	var canaryLeafs []*Leaf
 	for _, leaf := range leafs {
 		if e.set.isCanary(leaf) {
-			canaries = append(canaries, leaf)
+			canaryLeafs = append(canaryLeafs, leaf)
 		}
 	}
-	if len(canaries) == 0 && len(e.set.canaries[service]) == 0 {
+	if len(canaryLeafs) == 0 && len(e.set.canaryLeafs[service]) == 0 {
 		return
 	}
 	e.ownCanaryLeafs()
-	if len(canaries) == 0 {
-		delete(e.set.canaries, service)
+	if len(canaryLeafs) == 0 {
+		delete(e.set.canaryLeafs, service)
 		return
 	}
-	e.set.canaries[service] = canaries
+	e.set.canaryLeafs[service] = canaryLeafs
 }
 
 // ownRules copies the rules unless they are already copied.
@@ -147,10 +147,10 @@
 	}
 }
 
-// ownCanaryLeafs copies the canaries unless they are already copied.
+// ownCanaryLeafs copies the canary leafs unless they are already copied.
 func (e *Editor) ownCanaryLeafs() {
 	if !e.ownsCanaryLeafs {
 		e.ownsCanaryLeafs = true
-		e.set.canaries = maps.Clone(e.set.canaries)
+		e.set.canaryLeafs = maps.Clone(e.set.canaryLeafs)
 	}
 }
--- a/internal/leaf/leafset/versions_test.go
+++ b/internal/leaf/leafset/versions_test.go
@@ -49,10 +49,10 @@
 func TestRuleSelectsReadyAndCanaryLeafs(t *testing.T) {
 	older, newer := oldAndNewLeafs()
 	cases := []struct {
-		name            string
-		rule            rollout.Rule
-		ready, canaries []string
-		allowed         []string
+		name               string
+		rule               rollout.Rule
+		ready, canaryLeafs []string
+		allowed            []string
 	}{
 		{"none", rollout.Rule{}, []string{"1", "2", "3"}, nil, []string{"1", "2", "3", "4"}},
 		{"serving version", rollout.Rule{Serving: "v1"}, []string{"1"}, nil, []string{"1"}},
@@ -70,7 +70,7 @@
 			editor.SetRule("s", c.rule)
 			set := editor.Done()
 			is.Equal(ids(set.Ready("s")), c.ready)
-			is.Equal(ids(set.CanaryLeafs("s")), c.canaries)
+			is.Equal(ids(set.CanaryLeafs("s")), c.canaryLeafs)
 			var allowed []string
 			for _, leaf := range set.ByService("s") {
 				if set.IsAllowed(leaf) {
@@ -82,7 +82,7 @@
 	}
 }
 
-// An evacuation applies to canaries as well as to leafs that serve.
+// An evacuation applies to canary leafs as well as to serving leafs.
 func TestEvacuatedLeafsAreNoCanaryLeafs(t *testing.T) {
 	is := is.New(t)
 	_, newer := oldAndNewLeafs()
--- a/internal/node/boottime/boottime.go
+++ b/internal/node/boottime/boottime.go
@@ -1,4 +1,5 @@
-// Package boottime provides a clock that includes the time for which the machine was suspended, and detects suspensions.
+// Package boottime provides a clock that includes the time during which the machine was suspended, and detects
+// suspensions.
 //
 // The monotonic clock of time.Now, timers and deadlines stops during a suspension. Leases, quarantine terms, the age of
 // the configuration and other terms that expire are measured with this clock instead; otherwise a machine that was
--- a/internal/node/boottime/suspension.go
+++ b/internal/node/boottime/suspension.go
@@ -38,7 +38,7 @@
 // CheckInterval is how often Watch checks for a suspension. It bounds how long a node acts on outdated state after one.
 const CheckInterval = 100 * time.Millisecond
 
-// Watch calls resumed with the length of each suspension after it ended, until the context ends.
+// Watch calls resumed with the length of each suspension after it ended, until the context is done.
 func Watch(ctx context.Context, clock Clock, resumed func(suspended time.Duration)) {
 	instant := clock.Instant()
 	for wait.For(ctx, CheckInterval) {
--- a/internal/node/decisionlog/decisionlog.go
+++ b/internal/node/decisionlog/decisionlog.go
@@ -110,7 +110,7 @@
 // reportInterval is how often dropped lines are reported.
 const reportInterval = 5 * time.Second
 
-// Run writes lines until the context ends, then writes the lines that are still queued and returns.
+// Run writes lines until the context is done, then writes the lines that are still queued and returns.
 func (l *Log) Run(ctx context.Context) {
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
--- a/internal/node/provide_fleet.go
+++ b/internal/node/provide_fleet.go
@@ -76,11 +76,11 @@
 	return reachability.NewDatagrams(transport)
 }
 
-func newZones(cfg settings.Settings, cat *catalog.Catalog, self catalog.NodeRecord, prober *reachability.Datagrams, events *stateEvents, clock boottime.Clock) *reachability.Tracker {
+func newZones(cfg settings.Settings, cat *catalog.Catalog, self catalog.NodeRecord, pinger *reachability.Datagrams, events *stateEvents, clock boottime.Clock) *reachability.Tracker {
 	zones := reachability.New(reachability.Deps{
-		Config: cfg.Reachability, Self: self, Prober: prober, Changed: events.zoneChanged, Clock: clock,
+		Config: cfg.Reachability, Self: self, Pinger: pinger, Changed: events.zoneChanged, Clock: clock,
 		Nodes: func() []catalog.NodeRecord { return slices.Collect(maps.Values(cat.View().Nodes)) },
 	})
-	prober.OnZoneLost(zones.SuspectAndRecheck)
+	pinger.OnZoneLost(zones.SuspectAndRecheck)
 	return zones
 }
--- a/internal/node/reload/reload.go
+++ b/internal/node/reload/reload.go
@@ -38,7 +38,7 @@
 	return reloader
 }
 
-// Run reloads on each signal and when the file has changed, until the context ends.
+// Run reloads on each signal and when the file has changed, until the context is done.
 func (r *Reloader) Run(ctx context.Context, signals <-chan os.Signal) {
 	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -79,7 +79,7 @@
 	return r.controller
 }
 
-// run blocks until the context ends, or returns at once if rollouts are disabled.
+// run blocks until the context is done, or returns at once if rollouts are disabled.
 func (r *rollouts) run(ctx context.Context) {
 	if r.controller == nil {
 		return
--- a/internal/node/settings/settings.go
+++ b/internal/node/settings/settings.go
@@ -139,7 +139,7 @@
 	QuarantineSync quarantinesync.Config `yaml:"quarantine_sync"`
 
 	Rollouts rolloutcontrol.Config `yaml:"rollouts"`
-	// Canary bounds the requests that canaries receive.
+	// Canary bounds the requests that canary versions receive.
 	Canary canary.Config `yaml:"canary"`
 	// RolloutVerdict has the thresholds for deciding whether a canary version is good.
 	RolloutVerdict verdict.Config `yaml:"rollout_verdict"`
@@ -218,7 +218,7 @@
 		requireAddress(&checks, "seeds", seed)
 	}
 	_, err := zapcore.ParseLevel(s.LogLevel)
-	checks.Refuse(err != nil, "log_level", "%q; must be debug, info, warn or error", s.LogLevel)
+	checks.Refuse(err != nil, "log_level", "%q is invalid; must be debug, info, warn or error", s.LogLevel)
 	checks.Refuse(s.Stop.DrainTimeout <= 0, "stop.drain_timeout", "must be positive")
 	checks.Refuse(s.Stop.AnnounceDelay < 0, "stop.announce_delay", "must not be negative")
 	checks.Add("search", s.Search.Validate())
@@ -250,7 +250,7 @@
 // requireAddress accepts only an IP address with a port; host names are not resolved.
 func requireAddress(checks *failure.Checks, field, address string) {
 	_, err := netip.ParseAddrPort(address)
-	checks.Refuse(err != nil, field, "%q; must be an IP address and port, such as 127.0.0.1:7400", address)
+	checks.Refuse(err != nil, field, "%q is invalid; must be an IP address and port, such as 127.0.0.1:7400", address)
 }
 
 func requireAddressIfSet(checks *failure.Checks, field, address string) {
--- a/internal/node/state_events.go
+++ b/internal/node/state_events.go
@@ -125,7 +125,7 @@
 // changeBacklog bounds the configuration changes queued for logging.
 const changeBacklog = 128
 
-// run logs configuration changes as they come into force, until the context ends.
+// run logs configuration changes as they come into force, until the context is done.
 func (e *stateEvents) run(ctx context.Context) {
 	changes, stop := e.catalog.Subscribe(changeBacklog)
 	defer stop()
--- a/internal/operator/admin/admin.go
+++ b/internal/operator/admin/admin.go
@@ -116,7 +116,7 @@
 		return nil, err
 	}
 	if len(compiled.SnapshotID) > maximumSnapshotIDLength {
-		return nil, failure.Invalid("manifest.snapshot_id", "%d bytes; at most %d", len(compiled.SnapshotID), maximumSnapshotIDLength)
+		return nil, failure.Invalid("manifest.snapshot_id", "%d bytes exceed the maximum of %d bytes", len(compiled.SnapshotID), maximumSnapshotIDLength)
 	}
 	changeID, err := changeIDOf(request.GetChangeId())
 	if err != nil {
@@ -142,7 +142,7 @@
 		return failure.Wrap(err, failure.StoreUnavailable, failure.NotRun, "read the service from the store").WithRetryAfter(notReadyRetryAfter)
 	}
 	if entry == nil || entry.Deleted {
-		return failure.New(failure.UnknownService, failure.NotRun, "no service %q", compiled.Service)
+		return failure.New(failure.UnknownService, failure.NotRun, "service %q does not exist", compiled.Service)
 	}
 	spec, err := catalog.DecodeService(*entry)
 	if err != nil {
@@ -155,7 +155,7 @@
 func (a *Admin) GetService(name string) (*adminv1.GetServiceResponse, error) {
 	service, found := a.catalog.View().Services[name]
 	if !found || service.Spec == nil {
-		return nil, failure.New(failure.UnknownService, failure.NotRun, "no service %q", name)
+		return nil, failure.New(failure.UnknownService, failure.NotRun, "service %q does not exist", name)
 	}
 	return &adminv1.GetServiceResponse{Spec: service.Spec, Revision: service.Revision}, nil
 }
@@ -204,7 +204,7 @@
 		return uuid.NewString(), nil
 	}
 	if len(given) > maximumChangeIDLength {
-		return "", failure.Invalid("change_id", "%d bytes; at most %d", len(given), maximumChangeIDLength)
+		return "", failure.Invalid("change_id", "%d bytes exceed the maximum of %d bytes", len(given), maximumChangeIDLength)
 	}
 	return given, nil
 }
--- a/internal/operator/admin/rollouts.go
+++ b/internal/operator/admin/rollouts.go
@@ -21,7 +21,7 @@
 	}
 	document, err := json.Marshal(spec)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.Internal, failure.NotRun, "encode rollout spec")
+		return nil, failure.Wrap(err, failure.Internal, failure.NotRun, "encode the rollout spec")
 	}
 	key := catalog.RolloutKey(spec.Service)
 	revision, changeID, err := a.writeDocument(ctx, key, document, request.GetExpectedRevision(), request.GetChangeId())
--- a/internal/operator/admin/routes.go
+++ b/internal/operator/admin/routes.go
@@ -76,7 +76,7 @@
 	checks.Refuse(leaf.GetId() == "", "leaf.id", "must not be empty")
 	checks.Refuse(leaf.GetService() == "", "leaf.service", "must not be empty")
 	_, err := netip.ParseAddrPort(leaf.GetAddress())
-	checks.Refuse(err != nil, "leaf.address", "%q; must be an IP address and port, such as 127.0.0.1:7500", leaf.GetAddress())
+	checks.Refuse(err != nil, "leaf.address", "%q is invalid; must be an IP address and port, such as 127.0.0.1:7500", leaf.GetAddress())
 	return checks.Err()
 }
 
--- a/internal/operator/admin/spec.go
+++ b/internal/operator/admin/spec.go
@@ -60,14 +60,14 @@
 	checkName(&checks, "spec.name", spec.GetName(), maximumNameLength)
 	_, knownUrgency := adminv1.Urgency_name[int32(spec.GetUrgency())]
 	checks.Refuse(!knownUrgency, "spec.urgency", "%d is not an urgency", spec.GetUrgency())
-	checks.Refuse(spec.GetMaxDeadlineMillis() > maximumDeadlineMillis, "spec.max_deadline_millis", "%d; at most %d", spec.GetMaxDeadlineMillis(), maximumDeadlineMillis)
+	checks.Refuse(spec.GetMaxDeadlineMillis() > maximumDeadlineMillis, "spec.max_deadline_millis", "%d exceeds the maximum of %d", spec.GetMaxDeadlineMillis(), maximumDeadlineMillis)
 	checks.Refuse(spec.GetDefaultDeadlineMillis() > spec.GetMaxDeadlineMillis(), "spec.default_deadline_millis", "%d; at most max_deadline_millis %d", spec.GetDefaultDeadlineMillis(), spec.GetMaxDeadlineMillis())
-	checks.Refuse(spec.GetConcurrencyLimit() > maximumConcurrencyLimit, "spec.concurrency_limit", "%d; at most %d", spec.GetConcurrencyLimit(), maximumConcurrencyLimit)
-	checks.Refuse(spec.GetQueueLimit() > maximumQueueLimit, "spec.queue_limit", "%d; at most %d", spec.GetQueueLimit(), maximumQueueLimit)
-	checks.Refuse(spec.GetPageSize() > maximumPageSize, "spec.page_size", "%d; at most %d", spec.GetPageSize(), maximumPageSize)
-	checks.Refuse(spec.GetHedge().GetBudgetPerMille() > maximumHedgeBudgetPerMille, "spec.hedge.budget_per_mille", "%d; at most %d", spec.GetHedge().GetBudgetPerMille(), maximumHedgeBudgetPerMille)
+	checks.Refuse(spec.GetConcurrencyLimit() > maximumConcurrencyLimit, "spec.concurrency_limit", "%d exceeds the maximum of %d", spec.GetConcurrencyLimit(), maximumConcurrencyLimit)
+	checks.Refuse(spec.GetQueueLimit() > maximumQueueLimit, "spec.queue_limit", "%d exceeds the maximum of %d", spec.GetQueueLimit(), maximumQueueLimit)
+	checks.Refuse(spec.GetPageSize() > maximumPageSize, "spec.page_size", "%d exceeds the maximum of %d", spec.GetPageSize(), maximumPageSize)
+	checks.Refuse(spec.GetHedge().GetBudgetPerMille() > maximumHedgeBudgetPerMille, "spec.hedge.budget_per_mille", "%d exceeds the maximum of %d", spec.GetHedge().GetBudgetPerMille(), maximumHedgeBudgetPerMille)
 	checks.Refuse(len(spec.GetLeafs()) == 0, "spec.leafs", "must name at least one leaf")
-	checks.Refuse(len(spec.GetLeafs()) > maximumLeafs, "spec.leafs", "%d leafs; at most %d", len(spec.GetLeafs()), maximumLeafs)
+	checks.Refuse(len(spec.GetLeafs()) > maximumLeafs, "spec.leafs", "%d leafs exceed the maximum of %d", len(spec.GetLeafs()), maximumLeafs)
 	checkLeafs(&checks, spec.GetLeafs())
 	return checks.Err()
 }
@@ -80,7 +80,7 @@
 		checks.Refuse(seen[leaf.GetId()], field+".id", "leaf %q is named twice", leaf.GetId())
 		seen[leaf.GetId()] = true
 		_, err := netip.ParseAddrPort(leaf.GetAddress())
-		checks.Refuse(err != nil, field+".address", "%q; must be an IP address and port", leaf.GetAddress())
+		checks.Refuse(err != nil, field+".address", "%q is invalid; must be an IP address and port", leaf.GetAddress())
 		checkName(checks, field+".zone", leaf.GetZone(), maximumZoneLength)
 	}
 }
@@ -88,7 +88,7 @@
 // checkName allows only letters, digits and a few punctuation marks, so that names can be used in keys, logs and metrics.
 func checkName(checks *failure.Checks, field, name string, maximum int) {
 	checks.Refuse(name == "", field, "must not be empty")
-	checks.Refuse(len(name) > maximum, field, "%d bytes; at most %d", len(name), maximum)
+	checks.Refuse(len(name) > maximum, field, "%d bytes exceed the maximum of %d bytes", len(name), maximum)
 	checks.Refuse(!utf8.ValidString(name), field, "must be valid UTF-8")
 	for _, letter := range name {
 		if !allowedInName(letter) {
--- a/internal/quarantine/register.go
+++ b/internal/quarantine/register.go
@@ -76,7 +76,7 @@
 // Deps are the dependencies of a Register.
 type Deps struct {
 	Config Config
-	// Clock includes the time for which the machine was suspended.
+	// Clock includes the time during which the machine was suspended.
 	Clock boottime.Clock
 	// StoredRecord returns this node's copy of the stored record of a request, nil if there is none.
 	StoredRecord func(fingerprint.Fingerprint) *Record
--- a/internal/request/gateway/canary_fixture_test.go
+++ b/internal/request/gateway/canary_fixture_test.go
@@ -40,7 +40,7 @@
 	t      *testing.T
 	specID int64
 	leafs  *scriptedLeafs
-	// canaryAnswer is how the canaries answer; nil means like the other leafs.
+	// canaryAnswer is how the canary leafs answer; nil means like the other leafs.
 	canaryAnswer func(leaf string) (time.Duration, *leafhttp.Response, error)
 }
 
--- a/internal/request/gateway/canary_test.go
+++ b/internal/request/gateway/canary_test.go
@@ -300,7 +300,7 @@
 	})
 }
 
-// A node opens a connection to a canary once it has both the rollout and the leaf, once per rollout spec.
+// A node opens a connection to a canary leaf once it has both the rollout and the leaf, once per rollout spec.
 func TestCanaryIsWarmed(t *testing.T) {
 	withCanary(t, noneToCanary(), func(is *is.I, b *canaryGateway) {
 		for _, id := range []string{"s0c", "s0d"} {
--- a/internal/request/gateway/execution.go
+++ b/internal/request/gateway/execution.go
@@ -101,7 +101,7 @@
 	if e.partial != nil {
 		return "the root cancelled the group"
 	}
-	return "the caller went away"
+	return "the request was cancelled: its caller closed the connection, or the node is stopping"
 }
 
 // countRequests counts the request in the retry budgets of the services whose leafs this node queries, unless another
--- a/internal/request/gateway/placement.go
+++ b/internal/request/gateway/placement.go
@@ -92,7 +92,7 @@
 	return zones
 }
 
-// placedLeafs returns the leafs that determine the placement of a service: the serving ones, or the canaries once
+// placedLeafs returns the leafs that determine the placement of a service: the serving ones, or the canary leafs once
 // requests are being switched to their version.
 func placedLeafs(leafs *leafset.Set, service string) []*leafset.Leaf {
 	if leafs.Rule(service).Phase == rollout.PhaseSwitching {
--- a/internal/request/gateway/refuse.go
+++ b/internal/request/gateway/refuse.go
@@ -93,7 +93,7 @@
 }
 
 // shardsWithoutLeafs counts the shards without a leaf that may run the request. It returns separately the shards for
-// which only canaries may run it, which depends on a canary decision.
+// which only canary leafs may run it, which depends on a canary decision.
 func (e *execution) shardsWithoutLeafs() (without int, canaryOnly []int) {
 	for index := range e.services {
 		switch {
@@ -126,8 +126,8 @@
 	return count
 }
 
-// hasLeaf reports whether a service has a leaf that may run the request without a canary decision. Canaries count once
-// all requests go to their version.
+// hasLeaf reports whether a service has a leaf that may run the request without a canary decision. Canary leafs count
+// once all requests go to their version.
 func (e *execution) hasLeaf(index int) bool {
 	service := e.services[index]
 	role := e.gateway.retryRole(service)
@@ -137,7 +137,7 @@
 	return role != canary.Serving && e.anyMayRun(e.gateway.canaryLeafs(service, role))
 }
 
-// mayGoToCanary reports whether a canary decision of this node could send a shard to a canary.
+// mayGoToCanary reports whether a canary decision of this node could send a shard to a canary leaf.
 func (e *execution) mayGoToCanary(index int) bool {
 	return !e.isInGroup(index) && e.anyMayRun(e.gateway.catalog.View().Leafs.CanaryLeafs(e.services[index]))
 }
--- a/internal/request/gateway/warm.go
+++ b/internal/request/gateway/warm.go
@@ -106,7 +106,7 @@
 const changeBacklog = 16
 
 // KeepWarm opens connections for the gathered services of the configuration in force, again for each new configuration,
-// and for each new canary version, until the context ends.
+// and for each new canary version, until the context is done.
 func (g *Gateway) KeepWarm(ctx context.Context) {
 	changes, stop := g.catalog.Subscribe(changeBacklog)
 	defer stop()
--- a/internal/request/gateway/zones_test.go
+++ b/internal/request/gateway/zones_test.go
@@ -41,7 +41,7 @@
 		}
 	}
 	zones := reachability.New(reachability.Deps{
-		Config: reachability.DefaultConfig(), Self: nodes[0], Prober: prober, Nodes: func() []catalog.NodeRecord { return nodes },
+		Config: reachability.DefaultConfig(), Self: nodes[0], Pinger: prober, Nodes: func() []catalog.NodeRecord { return nodes },
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	go zones.Run(ctx)
@@ -203,7 +203,7 @@
 		nodes = append(nodes, node)
 	}
 	root.zones = reachability.New(reachability.Deps{
-		Config: reachability.DefaultConfig(), Self: near("n1"), Prober: recordingProber(checked),
+		Config: reachability.DefaultConfig(), Self: near("n1"), Pinger: recordingProber(checked),
 		Nodes: func() []catalog.NodeRecord { return nodes },
 	})
 	root.root.zones = root.zones
--- a/internal/request/routing/shares.go
+++ b/internal/request/routing/shares.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// WeightedSelector distributes the requests of weighted routes over their services, so that at any time the number of requests of
-// each service differs from its weighted fraction by at most two. It is safe for concurrent use.
+// WeightedSelector distributes the requests of weighted routes over their services, so that at any time the number of
+// requests of each service differs from its weighted fraction by at most two. It is safe for concurrent use.
 //
 // It uses smooth weighted round-robin: each request adds every service's weight to its credit, and the service with the
 // highest credit receives the request and is debited the total weight. The initial credits are random, so that nodes
--- a/internal/request/search/failures.go
+++ b/internal/request/search/failures.go
@@ -10,14 +10,14 @@
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
 )
 
-// failureOf returns the failure of a search without a usable answer: it was quarantined, its caller cancelled it,
-// ranges are missing although full coverage was demanded, or nothing is covered. It returns nil otherwise.
+// failureOf returns the failure of a search without a usable answer: it was quarantined or cancelled, ranges
+// are missing although full coverage was demanded, or nothing is covered. It returns nil otherwise.
 func (e *Engine) failureOf(ctx context.Context, query *query, merged *page, response *searchv1.SearchResponse, execution failure.ExecutionState) error {
 	if errors.Is(context.Cause(ctx), errQuarantined) {
 		return quarantined(query.content(), execution)
 	}
 	if ctx.Err() != nil {
-		return failure.New(failure.Cancelled, execution, "the caller cancelled the search")
+		return failure.New(failure.Cancelled, execution, "the search was cancelled by its caller or by the stop of the node")
 	}
 	if merged.complete() {
 		return nil
--- a/internal/rollout/canary/config.go
+++ b/internal/rollout/canary/config.go
@@ -6,7 +6,7 @@
 //
 // A Splitter owns the counts of the specs in force and the attempts in flight. It starts no goroutine. It depends on
 // the catalog for rules and specs, on the registered nodes for this node's share of the slack, and on a clock that
-// counts suspended time.
+// includes the time during which the machine was suspended.
 package canary
 
 import (
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -118,7 +118,7 @@
 	}
 	var checks failure.Checks
 	checks.Refuse(state.Service == "", "service", "must not be empty")
-	checks.Refuse(state.Phase != PhaseCanary && state.Phase != PhaseSwitching && !state.Phase.IsFinal(), "phase", "%q; must be canary, switching, succeeded or rolled_back", state.Phase)
+	checks.Refuse(state.Phase != PhaseCanary && state.Phase != PhaseSwitching && !state.Phase.IsFinal(), "phase", "%q is invalid; must be canary, switching, succeeded or rolled_back", state.Phase)
 	return state, checks.Err()
 }
 
--- a/internal/rollout/rolloutcontrol/controller.go
+++ b/internal/rollout/rolloutcontrol/controller.go
@@ -9,7 +9,8 @@
 //
 // The package owns the counts of all nodes at an evaluator node, the aborts, and the goroutines of Run with its writes
 // and fleet queries. It depends on the catalog for specs, states and registered nodes, on datagrams for reports and
-// aborts, on conditional writes of the store, and on a clock that counts suspended time.
+// aborts, on conditional writes of the store, and on a clock that includes the time during which the machine
+// was suspended.
 package rolloutcontrol
 
 import (
@@ -107,7 +108,7 @@
 	return c
 }
 
-// Run executes rollouts until the context ends. It returns after its goroutines have ended.
+// Run executes rollouts until the context is done. It returns after its goroutines have ended.
 func (c *Controller) Run(ctx context.Context) {
 	changes, stop := c.deps.Catalog.Subscribe(changeBacklog)
 	defer stop()
--- a/internal/rollout/rolloutcontrol/node_test.go
+++ b/internal/rollout/rolloutcontrol/node_test.go
@@ -35,7 +35,7 @@
 	sendsNothing bool
 	unsettled    bool
 	sentBytes    int
-	// suspended is the total time for which the machine was suspended, in nanoseconds.
+	// suspended is the total time during which the machine was suspended, in nanoseconds.
 	suspended atomic.Int64
 	// hangingQueries is the number of fleet queries that block until their context ends.
 	hangingQueries atomic.Int32
--- a/internal/rollout/rolloutcontrol/statewriter.go
+++ b/internal/rollout/rolloutcontrol/statewriter.go
@@ -54,7 +54,7 @@
 func (g GuardedStateWriter) Write(ctx context.Context, state rollout.State, expected, specRevision int64) (int64, error) {
 	document, err := json.Marshal(state)
 	if err != nil {
-		return 0, failure.Wrap(err, failure.Internal, failure.NotRun, "encode the state of a rollout")
+		return 0, failure.Wrap(err, failure.Internal, failure.NotRun, "encode the rollout state")
 	}
 	write := stateWrite{
 		key: catalog.RolloutStateKey(state.Service), changeID: changeIDOf(state, expected), document: document,
--- a/internal/rollout/verdict/config.go
+++ b/internal/rollout/verdict/config.go
@@ -11,8 +11,8 @@
 type Config struct {
 	// FalseAlarmRate is the accepted probability that a good version is found bad within the first hundred answers.
 	FalseAlarmRate float64 `yaml:"false_alarm"`
-	// FalseAlarmRateMoving replaces FalseAlarmRate after a version was found good, while the requests move to it. It is higher,
-	// because the version is about to receive all requests and may have been found good on few answers.
+	// FalseAlarmRateMoving replaces FalseAlarmRate after a version was found good, while the requests move to it. It is
+	// higher, because the version is about to receive all requests and may have been found good on few answers.
 	FalseAlarmRateMoving float64 `yaml:"false_alarm_moving"`
 	// MissRate is the accepted probability that a version is found good although it has a share MinBadShare of failures
 	// or MinSlowShare of late answers.
--- a/internal/rollout/verdict/finding.go
+++ b/internal/rollout/verdict/finding.go
@@ -53,8 +53,9 @@
 }
 
 // isGood reports whether the evidence suffices to find the version good. This requires that the fraction GoodFrom of
-// the spec's duration has elapsed, that the counts have been complete for minWatch, and MinAnswers answers. It
-// also requires full evidence, or after the fraction GoodOnLittleEvidenceFrom little evidence, none of it against the version.
+// the spec's duration has elapsed, that the counts have been complete for minWatch, and MinAnswers answers. It also
+// requires full evidence, or after the fraction GoodOnLittleEvidenceFrom little evidence, none of it against the
+// version.
 func (e *Evaluator) isGood(elapsed time.Duration, worst strongestSignal) bool {
 	fraction := float64(elapsed) / float64(e.duration)
 	if fraction < e.cfg.GoodFrom || elapsed-e.completeSince < e.minWatch() || e.pooled[0].seen.all < float64(e.cfg.MinAnswers) {
--- a/internal/rollout/verdict/helpers_test.go
+++ b/internal/rollout/verdict/helpers_test.go
@@ -40,7 +40,7 @@
 	return c[key]
 }
 
-// both counts successful answers of all leafs of both versions: n per canary and 10n per serving leaf.
+// both counts successful answers of all leafs of both versions: n per canary leaf and 10n per serving leaf.
 func (c counts) both(n int) {
 	for leaf := range leafs {
 		c.answers("v1", leaf, 10*n, 0, normalLatency)
--- a/internal/rollout/verdict/verdicttest/case.go
+++ b/internal/rollout/verdict/verdicttest/case.go
@@ -9,7 +9,7 @@
 // Incident is a disturbance that is not caused by the canary version. Cold leafs and pauses occur in all cases.
 type Incident string
 
-// The incidents. Incidents of one leaf affect a canary, except OldGrayLeaf.
+// The incidents. Those of a single leaf affect a canary leaf; OldGrayLeaf affects a serving leaf.
 const (
 	None        Incident = "none"
 	DeadLeaf    Incident = "dead leaf"
