--- a/internal/config/configsync/configsync.go
+++ b/internal/config/configsync/configsync.go
@@ -65,8 +65,8 @@
 	// StateDropped is called for each whole state of the store that is dropped because it is older than the
 	// configuration in force. It may be nil.
 	StateDropped func()
-	// Settled returns the revision at which the node is settled: it has no requests in flight that were routed by an
-	// older rule, and sends no more of them. If it is nil, the node is always settled at the revision in force.
+	// Settled returns the revision up to which the node is settled: it sends no requests under older rules and has
+	// none in flight. If it is nil, the node is settled up to the revision in force.
 	Settled func() int64
 }
 
--- a/internal/config/configsync/handler.go
+++ b/internal/config/configsync/handler.go
@@ -42,9 +42,9 @@
 // HandleDatagram implements peer.Handler.
 func (h *PeerHandler) HandleDatagram(message peer.Message) {
 	switch {
-	case len(message.LeafReports) > 0:
+	case len(message.LeafObservations) > 0:
 		if h.handlers.Leafs != nil {
-			h.handlers.Leafs(message.LeafReports)
+			h.handlers.Leafs(message.LeafObservations)
 		}
 	case message.Reachability != nil:
 		if h.handlers.Reachability != nil {
--- a/internal/config/rewriter/rewriter.go
+++ b/internal/config/rewriter/rewriter.go
@@ -61,18 +61,18 @@
 }
 
 // Run rewrites lost entries and drops expired ones until the context is done.
-func (w *Rewriter) Run(ctx context.Context) {
+func (r *Rewriter) Run(ctx context.Context) {
 	for wait.For(ctx, wait.Jittered(checkInterval)) {
-		w.catalog.DropExpired()
-		w.writeDue(ctx)
+		r.catalog.DropExpired()
+		r.writeDue(ctx)
 	}
 }
 
 // writeDue rewrites the entries that are due on this node, in key order.
-func (w *Rewriter) writeDue(ctx context.Context) {
-	retained := w.catalog.RetainedEntries()
+func (r *Rewriter) writeDue(ctx context.Context) {
+	retained := r.catalog.RetainedEntries()
 	if len(retained) == 0 {
-		clear(w.lastWrite)
+		clear(r.lastWrite)
 		return
 	}
 	slices.SortFunc(retained, func(a, b catalog.RetainedEntry) int { return strings.Compare(a.Entry.Key, b.Entry.Key) })
@@ -81,40 +81,40 @@
 		if writes >= maxWrites || ctx.Err() != nil {
 			return
 		}
-		if !w.mayWrite(entry.Entry.Key) || !w.isDue(entry.Entry.Key, time.Now()) {
+		if !r.mayWrite(entry.Entry.Key) || !r.isDue(entry.Entry.Key, time.Now()) {
 			continue
 		}
-		value, isReady := w.catalog.RewriteValue(entry.Entry)
+		value, isReady := r.catalog.RewriteValue(entry.Entry)
 		if !isReady {
 			continue
 		}
 		writes++
-		w.lastWrite[entry.Entry.Key] = time.Now()
-		w.events.Rewritten(entry.Entry.Key, w.write(ctx, entry.Entry, value))
+		r.lastWrite[entry.Entry.Key] = time.Now()
+		r.events.Rewritten(entry.Entry.Key, r.write(ctx, entry.Entry, value))
 	}
 }
 
 // isDue reports whether this node must rewrite a key now. The first node in the key's ranking starts checkInterval after
 // the restore, each further one takeoverDelay later. A node rewrites a key at most once per takeoverDelay.
-func (w *Rewriter) isDue(key string, now time.Time) bool {
-	view := w.catalog.View()
-	rank := registry.RendezvousRank(view.Nodes, key, w.self)
-	turn := w.catalog.RestoredAt().Add(checkInterval + time.Duration(rank)*takeoverDelay)
-	return !now.Before(turn) && now.Sub(w.lastWrite[key]) >= takeoverDelay
+func (r *Rewriter) isDue(key string, now time.Time) bool {
+	view := r.catalog.View()
+	rank := registry.RendezvousRank(view.Nodes, key, r.self)
+	turn := r.catalog.RestoredAt().Add(checkInterval + time.Duration(rank)*takeoverDelay)
+	return !now.Before(turn) && now.Sub(r.lastWrite[key]) >= takeoverDelay
 }
 
 // write replaces a key's entry in the store with the retained one. If the store's entry is newer, it does nothing: the
 // watch will deliver that entry.
-func (w *Rewriter) write(ctx context.Context, entry catalog.Entry, value []byte) error {
+func (r *Rewriter) write(ctx context.Context, entry catalog.Entry, value []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	current, err := w.store.Get(ctx, entry.Key)
+	current, err := r.store.Get(ctx, entry.Key)
 	if err != nil {
 		return err
 	}
-	if current != nil && !w.catalog.Supersedes(entry, *current) {
+	if current != nil && !r.catalog.Supersedes(entry, *current) {
 		return nil
 	}
-	_, err = w.store.CompareAndSwap(ctx, entry.Key, current.LiveRevision(), value, entry.Deleted)
+	_, err = r.store.CompareAndSwap(ctx, entry.Key, current.LiveRevision(), value, entry.Deleted)
 	return err
 }
--- a/internal/fleet/peer/message.go
+++ b/internal/fleet/peer/message.go
@@ -60,18 +60,18 @@
 	Members []Member     `json:"members,omitempty"`
 	Notices []LeafNotice `json:"notices,omitempty"`
 
-	Probe        *Probe           `json:"probe,omitempty"`
-	Acknowledge  *Acknowledge     `json:"acknowledge,omitempty"`
-	ProbeRequest *ProbeRequest    `json:"probe_request,omitempty"`
-	Join         *Join            `json:"join,omitempty"`
-	Welcome      *Welcome         `json:"welcome,omitempty"`
-	Push         *Push            `json:"push,omitempty"`
-	Pull         *Pull            `json:"pull,omitempty"`
-	State        *State           `json:"state,omitempty"`
-	StatusQuery  *StatusQuery     `json:"status_query,omitempty"`
-	StatusReply  *StatusReply     `json:"status_reply,omitempty"`
-	LeafReports  LeafObservations `json:"leaf_reports,omitempty"`
-	Reachability *Reachability    `json:"reach,omitempty"`
+	Probe            *Probe           `json:"probe,omitempty"`
+	Acknowledge      *Acknowledge     `json:"acknowledge,omitempty"`
+	ProbeRequest     *ProbeRequest    `json:"probe_request,omitempty"`
+	Join             *Join            `json:"join,omitempty"`
+	Welcome          *Welcome         `json:"welcome,omitempty"`
+	Push             *Push            `json:"push,omitempty"`
+	Pull             *Pull            `json:"pull,omitempty"`
+	State            *State           `json:"state,omitempty"`
+	StatusQuery      *StatusQuery     `json:"status_query,omitempty"`
+	StatusReply      *StatusReply     `json:"status_reply,omitempty"`
+	LeafObservations LeafObservations `json:"leaf_reports,omitempty"`
+	Reachability     *Reachability    `json:"reach,omitempty"`
 
 	RolloutReports *RolloutReports `json:"rollout_reports,omitempty"`
 	RolloutAbort   *RolloutAbort   `json:"rollout_hold,omitempty"`
@@ -192,7 +192,7 @@
 	SpecID int64 `json:"order"`
 }
 
-// StatusQuery requests the number of nodes that have a revision in force, and the number that are settled at it.
+// StatusQuery requests the number of nodes that have a revision in force, and the number that are settled up to it.
 type StatusQuery struct {
 	Revision int64 `json:"revision"`
 	// WholeZone requests that the receiver query all members of its zone; otherwise it queries Subtree.
@@ -206,7 +206,7 @@
 	InForce        uint32 `json:"in_force"`
 	LowestRevision int64  `json:"lowest_revision"`
 	// Settled counts the nodes that send no requests by rules from before the revision and have no such requests in
-	// flight. LowestSettled is the lowest revision at which a node is settled.
+	// flight. LowestSettled is the lowest revision up to which a node is settled.
 	Settled       uint32 `json:"settled"`
 	LowestSettled int64  `json:"lowest_settled"`
 	// Registered is the fingerprint of the answering nodes that consider themselves registered, so that unregistered
--- a/internal/leaf/leafgossip/leafgossip.go
+++ b/internal/leaf/leafgossip/leafgossip.go
@@ -112,8 +112,8 @@
 	if len(observations) == 0 {
 		return
 	}
-	message := peer.Message{LeafReports: pack(observations)}
-	size := envelopeBytes + base64Bytes(len(message.LeafReports))
+	message := peer.Message{LeafObservations: pack(observations)}
+	size := envelopeBytes + base64Bytes(len(message.LeafObservations))
 	now := time.Now()
 	for _, address := range g.nodes.Others(g.cfg.FanOut) {
 		if !g.budget.AllowN(now, size) {
@@ -127,8 +127,8 @@
 func base64Bytes(n int) int { return (n + 2) / 3 * 4 }
 
 // Handle decodes the observations of another node and passes them on.
-func (g *Gossip) Handle(reports peer.LeafObservations) {
-	for _, o := range unpack(reports) {
+func (g *Gossip) Handle(packed peer.LeafObservations) {
+	for _, o := range unpack(packed) {
 		g.handle(o)
 	}
 }
--- a/internal/leaf/leafgossip/leafgossip_test.go
+++ b/internal/leaf/leafgossip/leafgossip_test.go
@@ -82,7 +82,7 @@
 		is.Equal(sent.count(), 3)
 		received := map[balancer.LeafKey]balancer.Observation{}
 		other := New(DefaultConfig(), fleet(0), sent, func(o balancer.Observation) { received[o.Leaf] = o })
-		other.Handle(sent.sent[0].LeafReports)
+		other.Handle(sent.sent[0].LeafObservations)
 		is.Equal(received, map[balancer.LeafKey]balancer.Observation{7: {Leaf: 7, Slowness: 4}, 8: {Leaf: 8, Silence: time.Second}})
 		cancel()
 		synctest.Wait()
@@ -106,7 +106,7 @@
 		}
 		total := 0
 		for _, message := range sent.sent {
-			size := base64Bytes(len(message.LeafReports)) + envelopeBytes
+			size := base64Bytes(len(message.LeafObservations)) + envelopeBytes
 			is.True(size <= peer.MaxDatagram)
 			total += size
 		}
--- a/internal/node/rejected_values.go
+++ b/internal/node/rejected_values.go
@@ -11,7 +11,7 @@
 
 const (
 	// rejectedLogInterval is the minimum time between two log lines for a key: a broken writer may write many times per
-	// second, and each full state read from the store repeats the value.
+	// second, and each whole state read from the store repeats the value.
 	rejectedLogInterval = time.Minute
 	// maxRejectedKeys bounds the stored keys; further keys are not logged until some have expired.
 	maxRejectedKeys = 256
--- a/internal/node/request_events.go
+++ b/internal/node/request_events.go
@@ -160,7 +160,7 @@
 	event := requestEvent{
 		Time: time.Now(), Event: eventServed, RequestID: record.RequestID, Route: record.Route, Version: record.Version,
 		Revision: record.Revision, ConfigAgeMillis: record.ConfigAge.Milliseconds(), TookMillis: millis(record.Took),
-		InTime: record.InTime, Status: record.Status, Parts: record.Parts, Missing: record.MissingServices,
+		InTime: record.InTime, Status: record.Status, Parts: record.Shards, Missing: record.MissingServices,
 		Attempts: record.Summary.Attempts, Hedges: record.Summary.Hedges, Retries: record.Summary.Retries,
 		Execution: record.Summary.Execution().String(), For: record.Root,
 	}
@@ -197,7 +197,7 @@
 
 func newGroupEvent(record gateway.GroupRecord) groupEvent {
 	return groupEvent{
-		Intermediate: record.Intermediate, Parts: record.Parts, Outcome: record.Outcome, Reason: record.Reason, TookMillis: millis(record.Took),
+		Intermediate: record.Intermediate, Parts: record.Shards, Outcome: record.Outcome, Reason: record.Reason, TookMillis: millis(record.Took),
 	}
 }
 
--- a/internal/node/telemetry/metrics.go
+++ b/internal/node/telemetry/metrics.go
@@ -68,7 +68,7 @@
 	StoreEpoch    prometheus.Gauge
 	// Retained is the number of entries kept in force that the restored store lacks.
 	Retained prometheus.Gauge
-	// StatesDropped counts full states read from the store that were dropped because they were older than the one in force.
+	// StatesDropped counts whole states read from the store that were dropped because they were older than the one in force.
 	StatesDropped prometheus.Counter
 	// LogLinesDropped counts dropped lines of the decision log.
 	LogLinesDropped prometheus.Counter
--- a/internal/request/gateway/canary_test.go
+++ b/internal/request/gateway/canary_test.go
@@ -168,11 +168,11 @@
 // if no other leaf is left.
 func TestDisallowedLeafsAreNeitherQueriedNorWarmed(t *testing.T) {
 	withCanary(t, allToCanary(), func(is *is.I, b *canaryGateway) {
-		var remembered leafset.List
+		var saved leafset.List
 		for _, id := range []string{"s0c", "s0d", "s0e"} {
-			remembered.Leafs = append(remembered.Leafs, versionedLeaf(id, "v2", ""))
+			saved.Leafs = append(saved.Leafs, versionedLeaf(id, "v2", ""))
 		}
-		put(b.t, b.catalog, catalog.SavedLeafsKey, remembered)
+		put(b.t, b.catalog, catalog.SavedLeafsKey, saved)
 		b.enterPhase(rollout.PhaseRolledBack)
 		put(b.t, b.catalog, catalog.LeafKey("s0d"), nil)
 		for _, id := range []string{"s0a", "s0b"} {
--- a/internal/request/gateway/events.go
+++ b/internal/request/gateway/events.go
@@ -56,7 +56,7 @@
 	Took      time.Duration
 	// InTime reports whether the answer was sent within the objective.
 	InTime  bool
-	Parts   int
+	Shards  int
 	Missing int
 	// MissingServices are the services without a part, each with its reason.
 	MissingServices []MissingPart
@@ -84,7 +84,7 @@
 		RequestID: r.Leaf.ID, Content: r.fingerprint, Path: r.Path, Caller: r.Caller, Route: r.route.Name,
 		Version: r.table.Version, Revision: r.table.Revision,
 		Root: r.rootID, Groups: e.groupRecords(), ConfigAge: e.gateway.catalog.Age(), Took: time.Since(r.Arrived),
-		InTime: time.Now().Before(r.lateAfter), Parts: len(e.outcomes), Summary: e.summary,
+		InTime: time.Now().Before(r.lateAfter), Shards: len(e.outcomes), Summary: e.summary,
 	}
 	for index, outcome := range e.outcomes {
 		if outcome.Reply == nil {
--- a/internal/request/gateway/group_call.go
+++ b/internal/request/gateway/group_call.go
@@ -30,7 +30,7 @@
 	RequestID string
 	// Intermediate is the ID of the other node.
 	Intermediate string
-	Parts        int
+	Shards       int
 	Outcome      GroupOutcome
 	// Reason is why the node declined or failed, or why the connection ended.
 	Reason string
@@ -117,7 +117,7 @@
 func (p *groupCall) recordEnd(ended groupEnd, took time.Duration) {
 	e, node := p.execution, p.group.node
 	record := GroupRecord{
-		RequestID: e.request.Leaf.ID, Intermediate: node.ID, Parts: len(p.group.shards),
+		RequestID: e.request.Leaf.ID, Intermediate: node.ID, Shards: len(p.group.shards),
 		Outcome: ended.outcome, Reason: ended.reason, Took: took,
 	}
 	p.root.nodes.end(node, record.Outcome)
--- a/internal/rollout/verdict/cases_test.go
+++ b/internal/rollout/verdict/cases_test.go
@@ -8,7 +8,7 @@
 
 const seeds = 24
 
-func repeat(c verdicttest.Case) verdicttest.Measure { return verdicttest.Repeat(c, seeds) }
+func repeat(c verdicttest.Case) verdicttest.Summary { return verdicttest.Repeat(c, seeds) }
 
 // A good version is rarely rejected because of incidents that it does not cause.
 func TestGoodVersionIsFoundGoodInTime(t *testing.T) {
--- a/internal/rollout/verdict/verdicttest/measure.go
+++ b/internal/rollout/verdict/verdicttest/summary.go
@@ -9,8 +9,8 @@
 	"github.com/portgauge/portgauge/internal/rollout/verdict"
 )
 
-// Measure aggregates the outcomes of a case over several seeds.
-type Measure struct {
+// Summary aggregates the outcomes of a case over several seeds.
+type Summary struct {
 	Case  Case
 	Seeds int
 	// Good, Bad and Undecided count the findings at the end of the spec. BadAfterGood counts the bad findings that were
@@ -24,13 +24,13 @@
 }
 
 // Repeat simulates a case with the given number of seeds and the default configuration.
-func Repeat(c Case, seeds int) Measure {
-	measured := Measure{Case: c, Seeds: seeds}
+func Repeat(c Case, seeds int) Summary {
+	summary := Summary{Case: c, Seeds: seeds}
 	for seed := range seeds {
-		measured.count(Simulate(c, uint64(seed)+1, newEvaluator(c)))
+		summary.count(Simulate(c, uint64(seed)+1, newEvaluator(c)))
 	}
-	measured.sort()
-	return measured
+	summary.sort()
+	return summary
 }
 
 // findingOnly adapts verdict.Evaluator to Evaluator.
@@ -44,51 +44,51 @@
 	return f.Evaluator.Update(elapsed, rows).Finding
 }
 
-func (m *Measure) sort() {
-	slices.Sort(m.BadAnswers)
-	slices.Sort(m.BadAfter)
-	slices.Sort(m.GoodFractions)
+func (s *Summary) sort() {
+	slices.Sort(s.BadAnswers)
+	slices.Sort(s.BadAfter)
+	slices.Sort(s.GoodFractions)
 }
 
-func (m *Measure) count(outcome Outcome) {
-	duration := m.Case.withDefaults().Duration
+func (s *Summary) count(outcome Outcome) {
+	duration := s.Case.withDefaults().Duration
 	if outcome.GoodAt > 0 {
-		m.GoodFractions = append(m.GoodFractions, float64(outcome.GoodAt)/float64(duration))
+		s.GoodFractions = append(s.GoodFractions, float64(outcome.GoodAt)/float64(duration))
 	}
 	switch outcome.Last {
 	case verdict.Good:
-		m.Good++
+		s.Good++
 	case verdict.Undecided:
-		m.Undecided++
+		s.Undecided++
 	case verdict.Bad:
-		m.Bad++
-		m.BadAnswers = append(m.BadAnswers, outcome.BadAnswers)
-		m.BadAfter = append(m.BadAfter, outcome.BadAt)
+		s.Bad++
+		s.BadAnswers = append(s.BadAnswers, outcome.BadAnswers)
+		s.BadAfter = append(s.BadAfter, outcome.BadAt)
 	}
 	if outcome.WasGood {
-		m.BadAfterGood++
+		s.BadAfterGood++
 	}
 }
 
 // Wrong returns the fraction of seeds with a wrong finding: a bad version found good, or a good version not found good.
-func (m *Measure) Wrong() float64 {
-	wrong := m.Good
-	if !m.Case.Fault.IsBad() {
-		wrong = m.Seeds - m.Good
+func (s *Summary) Wrong() float64 {
+	wrong := s.Good
+	if !s.Case.Fault.IsBad() {
+		wrong = s.Seeds - s.Good
 	}
-	return float64(wrong) / float64(m.Seeds)
+	return float64(wrong) / float64(s.Seeds)
 }
 
 // String formats the measure as one line.
-func (m *Measure) String() string {
+func (s *Summary) String() string {
 	return fmt.Sprintf("%-38s good %5.1f%%  bad %5.1f%%  undecided %5.1f%%  good, then bad %5.1f%%  bad answers %3d/%3d  bad after %4.1f/%4.1f s  good at %.2f/%.2f",
-		m.Case.Name, m.percent(m.Good), m.percent(m.Bad), m.percent(m.Undecided), m.percent(m.BadAfterGood),
-		quantile(m.BadAnswers, 0.5), quantile(m.BadAnswers, 0.95),
-		quantile(m.BadAfter, 0.5).Seconds(), quantile(m.BadAfter, 0.95).Seconds(),
-		quantile(m.GoodFractions, 0.5), quantile(m.GoodFractions, 0.95))
+		s.Case.Name, s.percent(s.Good), s.percent(s.Bad), s.percent(s.Undecided), s.percent(s.BadAfterGood),
+		quantile(s.BadAnswers, 0.5), quantile(s.BadAnswers, 0.95),
+		quantile(s.BadAfter, 0.5).Seconds(), quantile(s.BadAfter, 0.95).Seconds(),
+		quantile(s.GoodFractions, 0.5), quantile(s.GoodFractions, 0.95))
 }
 
-func (m *Measure) percent(n int) float64 { return 100 * float64(n) / float64(max(m.Seeds, 1)) }
+func (s *Summary) percent(n int) float64 { return 100 * float64(n) / float64(max(s.Seeds, 1)) }
 
 func quantile[T any](sorted []T, fraction float64) T {
 	var zero T
