--- a/internal/config/catalog/draft.go
+++ b/internal/config/catalog/draft.go
@@ -53,8 +53,8 @@
 	switch {
 	case entry.Key == RoutesKey:
 		err = target.compileRoutes(entry)
-	case entry.Key == SavedLeafsKey:
-		err = target.compileSavedLeafs(entry)
+	case entry.Key == StoredLeafsKey:
+		err = target.compileStoredLeafs(entry)
 	case strings.HasPrefix(entry.Key, servicePrefix):
 		err = target.compileService(strings.TrimPrefix(entry.Key, servicePrefix), entry)
 	case strings.HasPrefix(entry.Key, manifestPrefix):
@@ -96,16 +96,16 @@
 	return nil
 }
 
-func (d *draft) compileSavedLeafs(entry Entry) error {
+func (d *draft) compileStoredLeafs(entry Entry) error {
 	if entry.Deleted {
-		d.view.SavedLeafs = leafset.Empty()
+		d.view.StoredLeafs = leafset.Empty()
 		return nil
 	}
-	savedLeafs, err := parseDocumentAt(entry, leafset.ParseList)
+	storedLeafs, err := parseDocumentAt(entry, leafset.ParseList)
 	if err != nil {
 		return err
 	}
-	d.view.SavedLeafs = savedLeafs
+	d.view.StoredLeafs = storedLeafs
 	return nil
 }
 
--- a/internal/config/catalog/keys.go
+++ b/internal/config/catalog/keys.go
@@ -21,8 +21,8 @@
 	quarantinePrefix = "quarantine/"
 	// RoutesKey is the store key of the routing configuration.
 	RoutesKey = "routes"
-	// SavedLeafsKey is the store key of the saved list of leafs.
-	SavedLeafsKey = "remembered-leafs"
+	// StoredLeafsKey is the store key of the stored list of leafs.
+	StoredLeafsKey = "remembered-leafs"
 	// VersionsKey is the store key of the serving versions of services without a rollout.
 	VersionsKey = "service-versions"
 	// MarkerKey is the key of marker entries, which have no value, see Marker.
--- a/internal/config/catalog/restored.go
+++ b/internal/config/catalog/restored.go
@@ -128,7 +128,7 @@
 	switch {
 	case known.Key == RoutesKey, known.Deleted:
 		return true
-	case isProcessRecord(known.Key), known.Key == SavedLeafsKey: // rewritten by their owners
+	case isProcessRecord(known.Key), known.Key == StoredLeafsKey: // rewritten by their owners
 		return false
 	}
 	return now.Sub(c.restored.changedAt[known.Key]) < lossWindow
--- a/internal/config/catalog/view.go
+++ b/internal/config/catalog/view.go
@@ -28,8 +28,8 @@
 	Routes *routing.Table
 	// Leafs are the registered leafs.
 	Leafs *leafset.Set
-	// SavedLeafs is the saved list of leafs.
-	SavedLeafs *leafset.Set
+	// StoredLeafs is the stored list of leafs.
+	StoredLeafs *leafset.Set
 	// Nodes are the registered nodes by ID.
 	Nodes map[string]NodeRecord
 	// Rollouts are the rollout specs and their progress by service.
@@ -41,7 +41,7 @@
 }
 
 func emptyView(at int64) *View {
-	return &View{Revision: at, Services: map[string]*Service{}, Leafs: leafset.Empty(), SavedLeafs: leafset.Empty(), Nodes: map[string]NodeRecord{}, Rollouts: map[string]Rollout{}}
+	return &View{Revision: at, Services: map[string]*Service{}, Leafs: leafset.Empty(), StoredLeafs: leafset.Empty(), Nodes: map[string]NodeRecord{}, Rollouts: map[string]Rollout{}}
 }
 
 // NodeRecord is the record that a node publishes about itself.
--- a/internal/config/store/store.go
+++ b/internal/config/store/store.go
@@ -18,7 +18,7 @@
 var ErrHistoryGone = errors.New("the store no longer keeps the changes after this revision")
 
 // ErrLeaseGone says that a lease has expired or ended, and that the keys bound to it were removed.
-var ErrLeaseGone = errors.New("the lease is over")
+var ErrLeaseGone = errors.New("the lease has expired or ended")
 
 // Event is an event of a watch: a change, or the confirmation that there is no newer one.
 type Event struct {
--- a/internal/leaf/leafmemory/leafmemory.go
+++ b/internal/leaf/leafmemory/leafmemory.go
@@ -73,7 +73,7 @@
 	if len(recent) > 0 || !m.isNew() {
 		return recent
 	}
-	return slices.DeleteFunc(slices.Clone(view.SavedLeafs.ByService(service)), isExcluded)
+	return slices.DeleteFunc(slices.Clone(view.StoredLeafs.ByService(service)), isExcluded)
 }
 
 // MaySend reports whether a request may be sent to a leaf, serving or canary, now. It is checked right before sending,
@@ -86,7 +86,7 @@
 		leaf, found = view.Leafs.LostByID(id, m.lossCutoff())
 	}
 	if !found && m.isNew() {
-		leaf, found = view.SavedLeafs.ByID(id)
+		leaf, found = view.StoredLeafs.ByID(id)
 	}
 	return found && view.Leafs.IsAllowed(leaf)
 }
@@ -108,8 +108,8 @@
 	if !m.isNew() {
 		return ids
 	}
-	for _, id := range view.SavedLeafs.IDs() {
-		leaf, _ := view.SavedLeafs.ByID(id)
+	for _, id := range view.StoredLeafs.IDs() {
+		leaf, _ := view.StoredLeafs.ByID(id)
 		ids = appendAllowed(ids, view.Leafs, leaf)
 	}
 	return ids
--- a/internal/leaf/leafmemory/leafmemory_test.go
+++ b/internal/leaf/leafmemory/leafmemory_test.go
@@ -65,7 +65,7 @@
 func TestStoredListIsUsedOnlyAfterStart(t *testing.T) {
 	is := is.New(t)
 	cat := catalog.New(nil)
-	put(t, cat, catalog.SavedLeafsKey, leafset.List{Leafs: []leafset.Record{record("a", leafset.Ready)}})
+	put(t, cat, catalog.StoredLeafsKey, leafset.List{Leafs: []leafset.Record{record("a", leafset.Ready)}})
 	now := time.Now()
 	memory := New(DefaultConfig(), cat)
 	memory.now = func() time.Time { return now }
@@ -105,7 +105,7 @@
 	is.Equal(due(delay), 1)
 	is.Equal(due(2*delay), 2)
 	is.Equal(due(3*delay), 3)
-	put(t, cat, catalog.SavedLeafsKey, leafset.List{Leafs: []leafset.Record{record("a", leafset.Ready)}})
+	put(t, cat, catalog.StoredLeafsKey, leafset.List{Leafs: []leafset.Record{record("a", leafset.Ready)}})
 	is.Equal(due(3*delay), 0)
 	put(t, cat, catalog.LeafKey("a"), record("a", leafset.Draining))
 	is.Equal(due(3*delay), 0) // a list without ready leafs is never stored
@@ -127,7 +127,7 @@
 		return made
 	}
 	put(t, cat, catalog.LeafKey("a"), inZone("a", "east"))
-	put(t, cat, catalog.SavedLeafsKey, leafset.List{Leafs: []leafset.Record{inZone("a", "east"), inZone("b", "west")}})
+	put(t, cat, catalog.StoredLeafsKey, leafset.List{Leafs: []leafset.Record{inZone("a", "east"), inZone("b", "west")}})
 	memory := New(DefaultConfig(), cat)
 	is.True(memory.MaySend("a"))
 	put(t, cat, catalog.EvacuationKey("east"), struct{}{})
--- a/internal/leaf/leafmemory/versions_test.go
+++ b/internal/leaf/leafmemory/versions_test.go
@@ -96,7 +96,7 @@
 func TestExcludedLostLeafsDoNotHideStoredOnes(t *testing.T) {
 	is := is.New(t)
 	cat := newVersionedCatalog(t, true)
-	put(t, cat, catalog.SavedLeafsKey, leafset.List{Leafs: []leafset.Record{versionedRecord("old", "v1")}})
+	put(t, cat, catalog.StoredLeafsKey, leafset.List{Leafs: []leafset.Record{versionedRecord("old", "v1")}})
 	put(t, cat, catalog.LeafKey("new"), versionedRecord("new", "v2"))
 	put(t, cat, catalog.LeafKey("new"), nil)
 	memory := New(DefaultConfig(), cat)
@@ -134,7 +134,7 @@
 	is := is.New(t)
 	cat := newVersionedCatalog(t, true)
 	list := leafset.List{Leafs: []leafset.Record{versionedRecord("bad", "v3"), versionedRecord("new", "v2"), versionedRecord("old", "v1")}}
-	put(t, cat, catalog.SavedLeafsKey, list)
+	put(t, cat, catalog.StoredLeafsKey, list)
 	memory := New(DefaultConfig(), cat)
 	is.Equal(candidateIDs(memory), []string{"old"})
 	is.True(memory.MaySend("old"))
--- a/internal/leaf/leafmemory/writer.go
+++ b/internal/leaf/leafmemory/writer.go
@@ -35,10 +35,10 @@
 
 	desired []leafset.Record // the list to store
 	since   time.Time        // when desired last changed
-	// leafs and remembered are the sets compared last, and isStored is the result. It is cached because the sets rarely
+	// leafs and storedLeafs are the sets compared last, and isStored is the result. It is cached because the sets rarely
 	// change, and comparing thousands of leafs per second would take a large part of an idle node's CPU time.
-	leafs, savedLeafs *leafset.Set
-	isStored          bool
+	leafs, storedLeafs *leafset.Set
+	isStored           bool
 }
 
 // NewWriter returns the writer of the node whose ID is self.
@@ -68,20 +68,20 @@
 	if len(w.desired) == 0 || len(w.desired) > w.cfg.MaximumLeafs || w.isStored {
 		return false
 	}
-	rank := registry.RendezvousRank(view.Nodes, catalog.SavedLeafsKey, w.self)
+	rank := registry.RendezvousRank(view.Nodes, catalog.StoredLeafsKey, w.self)
 	return now.Sub(w.since) >= w.cfg.WriteDelay*time.Duration(1+rank)
 }
 
 // compare updates desired and isStored if the leafs or the stored list changed since the last call.
 func (w *Writer) compare(view *catalog.View, now time.Time) {
-	if view.Leafs == w.leafs && view.SavedLeafs == w.savedLeafs {
+	if view.Leafs == w.leafs && view.StoredLeafs == w.storedLeafs {
 		return
 	}
-	w.leafs, w.savedLeafs = view.Leafs, view.SavedLeafs
+	w.leafs, w.storedLeafs = view.Leafs, view.StoredLeafs
 	if current := records(view.Leafs); !slices.Equal(current, w.desired) {
 		w.desired, w.since = current, now
 	}
-	w.isStored = slices.Equal(w.desired, records(view.SavedLeafs))
+	w.isStored = slices.Equal(w.desired, records(view.StoredLeafs))
 }
 
 // records returns the records of the ready leafs sorted by name, without the fields that change with each heartbeat.
@@ -106,14 +106,14 @@
 	if err != nil {
 		return failure.Wrap(err, failure.Internal, failure.NotRun, "encode the list of leafs")
 	}
-	replaced, _ := w.catalog.Entry(catalog.SavedLeafsKey)
+	replaced, _ := w.catalog.Entry(catalog.StoredLeafsKey)
 	value, err := catalog.NewDocument("", document, nil)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	_, err = w.store.CompareAndSwap(ctx, catalog.SavedLeafsKey, replaced.LiveRevision(), value, false)
+	_, err = w.store.CompareAndSwap(ctx, catalog.StoredLeafsKey, replaced.LiveRevision(), value, false)
 	w.since = time.Now() // a retry waits for the same delay
 	return err
 }
--- a/internal/node/request_events.go
+++ b/internal/node/request_events.go
@@ -212,7 +212,7 @@
 	e.log.Write(decisionlog.Important, unansweredGroupEvent{Time: time.Now(), Event: eventGroupUnanswered, RequestID: record.RequestID, groupEvent: newGroupEvent(record)})
 }
 
-// lossEvent is the result of the check of a leaf whose answer broke off.
+// lossEvent is the result of the check of a leaf whose connection was lost before its answer was complete.
 type lossEvent struct {
 	Time      time.Time               `json:"time"`
 	Event     string                  `json:"event"`
--- a/internal/node/telemetry/metrics.go
+++ b/internal/node/telemetry/metrics.go
@@ -54,7 +54,7 @@
 	TreeLatency prometheus.Histogram
 	// TreeGathered counts groups gathered for other nodes, by outcome.
 	TreeGathered *prometheus.CounterVec
-	// LeafsLost counts leaf answers that broke off, by whether the leaf process had ended.
+	// LeafsLost counts leaf answers cut off by a lost connection, by whether the leaf process had ended.
 	LeafsLost *prometheus.CounterVec
 	// Quarantined counts requests that this or another node quarantined.
 	Quarantined prometheus.Counter
--- a/internal/request/gateway/canary_fixture_test.go
+++ b/internal/request/gateway/canary_fixture_test.go
@@ -100,7 +100,7 @@
 	b.catalog.Confirm(time.Now())
 }
 
-// removeLeafs removes leafs from discovery and waits until they are no longer remembered.
+// removeLeafs removes leafs from discovery and waits until they are no longer retained.
 func (b *canaryGateway) removeLeafs(ids ...string) {
 	b.t.Helper()
 	for _, id := range ids {
--- a/internal/request/gateway/canary_test.go
+++ b/internal/request/gateway/canary_test.go
@@ -164,15 +164,15 @@
 	}
 }
 
-// A leaf of a disallowed version is not queried or warmed, whether it is ready, remembered or was lost recently, even
-// if no other leaf is left.
+// A leaf of a disallowed version is not queried or warmed, whether it is ready, on the stored list or was lost
+// recently, even if no other leaf is left.
 func TestDisallowedLeafsAreNeitherQueriedNorWarmed(t *testing.T) {
 	withCanary(t, allToCanary(), func(is *is.I, b *canaryGateway) {
-		var saved leafset.List
+		var stored leafset.List
 		for _, id := range []string{"s0c", "s0d", "s0e"} {
-			saved.Leafs = append(saved.Leafs, versionedLeaf(id, "v2", ""))
+			stored.Leafs = append(stored.Leafs, versionedLeaf(id, "v2", ""))
 		}
-		put(b.t, b.catalog, catalog.SavedLeafsKey, saved)
+		put(b.t, b.catalog, catalog.StoredLeafsKey, stored)
 		b.enterPhase(rollout.PhaseRolledBack)
 		put(b.t, b.catalog, catalog.LeafKey("s0d"), nil)
 		for _, id := range []string{"s0a", "s0b"} {
--- a/internal/request/scatter/caution.go
+++ b/internal/request/scatter/caution.go
@@ -8,12 +8,12 @@
 
 // caution tracks whether the request crashes leafs, and the probes that test it.
 //
-// After a leaf's answer broke off, and until a leaf answers, the scatter is cautious: it sends one attempt at a time, a
+// After a leaf's answer was cut off, and until a leaf answers, the scatter is cautious: it sends one attempt at a time, a
 // probe, and delays the others until the probe ends. A request that crashes every leaf then crashes one more leaf
 // instead of one per shard. Any other request continues with the first answer.
 type caution struct {
-	// brokeOff is true if the answer of a leaf broke off.
-	brokeOff bool
+	// connectionLost is true if the connection was lost during the answer of a leaf.
+	connectionLost bool
 	// crashedProbes counts the probes whose leaf crashed; stopped is true if the count reached the plan's limit.
 	crashedProbes int
 	stopped       bool
@@ -35,9 +35,9 @@
 // isCautious reports whether attempts are sent one at a time.
 //
 // Rule: no leaf is known to have run the request, and either the plan is cautious (leafs recently crashed while running
-// the same request), the answer of a leaf broke off, or the head start of the first attempt is not over.
+// the same request), the answer of a leaf was cut off, or the head start of the first attempt is not over.
 func (s *Scatter[Reply]) isCautious() bool {
-	return !s.summary.Ran && (s.plan.Cautious || s.caution.brokeOff || s.inHeadStart())
+	return !s.summary.Ran && (s.plan.Cautious || s.caution.connectionLost || s.inHeadStart())
 }
 
 // inHeadStart reports whether the head start of the first attempt is not over.
@@ -106,7 +106,7 @@
 // after Plan.CrashedProbesLimit probes crashed their leafs: a probe is sent alone, so only its request can have caused
 // the crash.
 func (s *Scatter[Reply]) recordCrashEvidence(ended *finishedAttempt[Reply]) {
-	s.caution.brokeOff = s.caution.brokeOff || ended.result.ConnectionLost
+	s.caution.connectionLost = s.caution.connectionLost || ended.result.ConnectionLost
 	if !ended.attempt.Probe {
 		return
 	}
--- a/internal/request/scatter/caution_test.go
+++ b/internal/request/scatter/caution_test.go
@@ -16,8 +16,8 @@
 	workTime   = 10 * time.Millisecond
 )
 
-// brokenOff returns the result of an attempt whose answer broke off; crashed says whether the leaf crashed.
-func brokenOff(crashed bool) Result[string] {
+// connectionLost returns the result of an attempt whose answer was cut off; crashed says whether the leaf crashed.
+func connectionLost(crashed bool) Result[string] {
 	return Result[string]{Reason: LeafFailed, Execution: Unknown, Outcome: balancer.Failed, ConnectionLost: true, LeafCrashed: crashed}
 }
 
@@ -45,7 +45,7 @@
 		is := is.New(t)
 		started := time.Now()
 		_, summary, recorder := run(t.Context(), cautionPlan(&testPolicy{budget: 100}), func(string, Attempt) (time.Duration, Result[string]) {
-			return workTime, brokenOff(true)
+			return workTime, connectionLost(true)
 		})
 		is.Equal(summary.Attempts, manyShards+1)
 		is.Equal(recorder.probes(), 1)
@@ -60,7 +60,7 @@
 		is := is.New(t)
 		plan := cautionPlan(&testPolicy{budget: 100})
 		plan.Cautious = true
-		outcomes, summary, _ := run(t.Context(), plan, func(string, Attempt) (time.Duration, Result[string]) { return workTime, brokenOff(true) })
+		outcomes, summary, _ := run(t.Context(), plan, func(string, Attempt) (time.Duration, Result[string]) { return workTime, connectionLost(true) })
 		is.Equal(summary.Attempts, 1)
 		is.Equal(outcomes[manyShards-1].Reason, LeafsCrashed)
 
@@ -81,7 +81,7 @@
 		started := time.Now()
 		_, summary, _ := run(t.Context(), cautionPlan(&testPolicy{budget: 100}), func(leaf string, _ Attempt) (time.Duration, Result[string]) {
 			if leaf == "A1" {
-				return time.Millisecond, brokenOff(true)
+				return time.Millisecond, connectionLost(true)
 			}
 			return workTime, replied("well")
 		})
@@ -97,7 +97,7 @@
 		started := time.Now()
 		_, summary, _ := run(t.Context(), cautionPlan(&testPolicy{budget: 100}), func(_ string, attempt Attempt) (time.Duration, Result[string]) {
 			if attempt.Kind == First {
-				return time.Millisecond, brokenOff(false)
+				return time.Millisecond, connectionLost(false)
 			}
 			return workTime, replied("well")
 		})
@@ -131,13 +131,13 @@
 		started := time.Now()
 		plan := cautionPlan(&testPolicy{budget: 100})
 		plan.NoProbes = true
-		_, summary, _ := run(t.Context(), plan, func(string, Attempt) (time.Duration, Result[string]) { return workTime, brokenOff(true) })
+		_, summary, _ := run(t.Context(), plan, func(string, Attempt) (time.Duration, Result[string]) { return workTime, connectionLost(true) })
 		is.Equal(summary.Attempts, manyShards)
 		is.True(summary.StoppedByCrashes)
 		is.Equal(time.Since(started), workTime)
 
 		plan.Cautious = true
-		_, summary, _ = run(t.Context(), plan, func(string, Attempt) (time.Duration, Result[string]) { return workTime, brokenOff(true) })
+		_, summary, _ = run(t.Context(), plan, func(string, Attempt) (time.Duration, Result[string]) { return workTime, connectionLost(true) })
 		is.Equal(summary.Attempts, 0)
 		is.True(summary.StoppedByCrashes)
 	})
@@ -156,7 +156,7 @@
 				var groupAt time.Duration
 				recorder := &attemptRecorder{script: func(string, Attempt) (time.Duration, Result[string]) {
 					if crashes {
-						return workTime, brokenOff(true)
+						return workTime, connectionLost(true)
 					}
 					return workTime, replied("well")
 				}}
--- a/internal/request/scatter/group.go
+++ b/internal/request/scatter/group.go
@@ -85,13 +85,13 @@
 }
 
 // startDelayedGroups starts delayed groups once a leaf has answered or the head start is over. If the answer of a leaf
-// broke off instead, the request may crash leafs and must not be sent to other nodes: this node queries the shards of the
-// groups directly.
+// was cut off instead, the request may crash leafs and must not be sent to other nodes: this node queries the shards of
+// the groups directly.
 func (s *Scatter[Reply]) startDelayedGroups() {
 	if s.groups.startBy.IsZero() {
 		return
 	}
-	if !s.summary.Ran && s.caution.brokeOff {
+	if !s.summary.Ran && s.caution.connectionLost {
 		s.groups.startBy = time.Time{}
 		s.queryGroupsDirectly()
 		return
@@ -118,7 +118,7 @@
 func (s *Scatter[Reply]) handleGroup(ended finishedGroup[Reply]) {
 	result := ended.result
 	s.recordGroup(result)
-	s.caution.brokeOff = s.caution.brokeOff || result.ConnectionLost
+	s.caution.connectionLost = s.caution.connectionLost || result.ConnectionLost
 	s.releaseDelayed()
 	for position, index := range s.plan.Groups[ended.group].Shards {
 		shard := &s.shards[index]
--- a/internal/rollout/canary/splitter.go
+++ b/internal/rollout/canary/splitter.go
@@ -209,7 +209,7 @@
 	return rule.IsServing(leaf.Version) && s.stageNow(leaf.Service) != moved
 }
 
-// find returns a registered, lost or remembered leaf.
+// find returns a registered or lost leaf, or one on the stored list.
 func find(view *catalog.View, id string) (*leafset.Leaf, bool) {
 	if leaf, found := view.Leafs.ByID(id); found {
 		return leaf, true
@@ -217,7 +217,7 @@
 	if leaf, found := view.Leafs.LostByID(id, time.Time{}); found {
 		return leaf, true
 	}
-	return view.SavedLeafs.ByID(id)
+	return view.StoredLeafs.ByID(id)
 }
 
 // view returns the configuration in force. s.mu must be held, so that no older configuration is used after a newer one.
--- a/internal/rollout/canary/stage_test.go
+++ b/internal/rollout/canary/stage_test.go
@@ -184,11 +184,11 @@
 	is.Equal(len(splitter.inFlight.counts), 0)
 }
 
-// A leaf of a disallowed version receives no requests, whether it is ready, draining, lost or remembered.
+// A leaf of a disallowed version receives no requests, whether it is ready, draining, lost or on the stored list.
 func TestDisallowedLeafsGetNoRequests(t *testing.T) {
 	is := is.New(t)
 	f, splitter, specID := newRollout(t, 0)
-	f.put(catalog.SavedLeafsKey, leafset.List{Leafs: []leafset.Record{
+	f.put(catalog.StoredLeafsKey, leafset.List{Leafs: []leafset.Record{
 		{Name: "old", Service: "s", Address: "127.0.0.1:1", Version: target, State: leafset.Ready},
 		{Name: "other", Service: "s", Address: "127.0.0.1:1", Version: previous, State: leafset.Ready},
 	}})
