--- a/internal/request/gateway/zones_test.go
+++ b/internal/request/gateway/zones_test.go
@@ -17,19 +17,19 @@
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
 )
 
-// partitionedProber is a Prober for which the nodes in some zones do not answer.
-type partitionedProber map[string]bool
+// partitionedPinger is a Pinger for which the nodes in some zones do not answer.
+type partitionedPinger map[string]bool
 
-func (a partitionedProber) Ping(_ context.Context, node catalog.NodeRecord) bool {
+func (a partitionedPinger) Ping(_ context.Context, node catalog.NodeRecord) bool {
 	return !a[node.Zone]
 }
-func (a partitionedProber) SendZoneLost(catalog.NodeRecord, string) {}
+func (a partitionedPinger) SendZoneLost(catalog.NodeRecord, string) {}
 
 // trackerWithout returns the reachability tracker of a node in the near zone that cannot reach some of the zones, with
 // five nodes each. It stops at the end of the test.
 func trackerWithout(t *testing.T, lost ...string) *reachability.Tracker {
 	t.Helper()
-	prober := partitionedProber{}
+	prober := partitionedPinger{}
 	for _, zone := range lost {
 		prober[zone] = true
 	}
@@ -203,7 +203,7 @@
 		nodes = append(nodes, node)
 	}
 	root.zones = reachability.New(reachability.Deps{
-		Config: reachability.DefaultConfig(), Self: near("n1"), Pinger: recordingProber(checked),
+		Config: reachability.DefaultConfig(), Self: near("n1"), Pinger: recordingPinger(checked),
 		Nodes: func() []catalog.NodeRecord { return nodes },
 	})
 	root.root.zones = root.zones
@@ -221,14 +221,14 @@
 	}
 }
 
-// recordingProber is a Prober that records the zones of the probed nodes, none of which answers.
-type recordingProber chan string
+// recordingPinger is a Pinger that records the zones of the pinged nodes, none of which answers.
+type recordingPinger chan string
 
-func (a recordingProber) Ping(_ context.Context, node catalog.NodeRecord) bool {
+func (a recordingPinger) Ping(_ context.Context, node catalog.NodeRecord) bool {
 	select {
 	case a <- node.Zone:
 	default:
 	}
 	return false
 }
-func (a recordingProber) SendZoneLost(catalog.NodeRecord, string) {}
+func (a recordingPinger) SendZoneLost(catalog.NodeRecord, string) {}
