--- a/internal/config/catalog/restored_test.go
+++ b/internal/config/catalog/restored_test.go
@@ -128,8 +128,8 @@
 // fleetMayWrite reserves two evacuations for operators.
 func fleetMayWrite(key string) bool { return key != EvacuationKey("z") && key != EvacuationKey("new") }
 
-// Entries written since the backup stay in force until they are rewritten, those of operators for RetainFor at most. An
-// older entry that is missing was removed.
+// Entries written since the backup stay in force until they are rewritten, those of operators for RetentionPeriod at
+// most. An older entry that is missing was removed.
 func TestRecentEntriesSurviveRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -149,7 +149,7 @@
 		is.Equal(node.View().Leafs.EvacuatedZones(), []string{"again", "back", "new"})
 		node.Apply(store.put(EvacuationKey("again"), struct{}{}))
 		is.Equal(len(node.RetainedEntries()), 1)
-		time.Sleep(RetainFor - time.Second)
+		time.Sleep(RetentionPeriod - time.Second)
 		node.DropExpired()
 		is.Equal(node.View().Leafs.EvacuatedZones(), []string{"again", "back", "new"})
 		time.Sleep(time.Second)
@@ -198,7 +198,7 @@
 	is.Equal(second.RetainedEntries()[0].Entry.Key, RoutesKey)
 }
 
-// The verdict of a roll-out survives the restore, even if its spec was lost as well and is rewritten.
+// The verdict of a rollout survives the restore, even if its spec was lost as well and is rewritten.
 func TestRolloutVerdictSurvivesRestore(t *testing.T) {
 	for _, isSpecLost := range []bool{false, true} {
 		t.Run(fmt.Sprint("spec lost: ", isSpecLost), func(t *testing.T) {
@@ -214,7 +214,7 @@
 				store.save()
 			}
 			written := node.View().Rollouts["s"].Spec
-			state := rollout.State{Service: "s", SpecRevision: revision.Count(written.Revision), Phase: rollout.RolledBack, Serving: "v1", Target: "v2"}
+			state := rollout.State{Service: "s", SpecRevision: revision.Count(written.Revision), Phase: rollout.PhaseRolledBack, Serving: "v1", Target: "v2"}
 			node.Apply(store.put(RolloutStateKey("s"), state))
 			is.Equal(node.View().Leafs.Rule("s").Canary, "")
 			store.restore()
@@ -271,7 +271,7 @@
 		is.Equal(another.RetainedFingerprint(), node.RetainedFingerprint())
 		is.Equal(another.View().Routes.Version, int64(2))
 
-		time.Sleep(RetainFor)
+		time.Sleep(RetentionPeriod)
 		node.DropExpired()
 		node.Retain(kept)
 		is.Equal(len(node.View().Leafs.EvacuatedZones()), 0)
--- a/internal/fleet/registry/fleet.go
+++ b/internal/fleet/registry/fleet.go
@@ -25,8 +25,8 @@
 
 	mu    sync.Mutex
 	view  *catalog.View        // the view that nodes was computed from
-	gone  map[string]time.Time // by id, when a node that is no longer registered stops counting
-	nodes []catalog.NodeRecord // sorted by id
+	gone  map[string]time.Time // by ID, when a node that is no longer registered stops counting
+	nodes []catalog.NodeRecord // sorted by ID
 	// gatherers holds the elements of nodes that gather, see Gatherers.
 	gatherers  []catalog.NodeRecord
 	isGatherer bool // whether this node is one of gatherers
@@ -35,8 +35,8 @@
 }
 
 // NewFleet returns the Fleet of the node with the ID self.
-func NewFleet(known *catalog.Catalog, self string, retention time.Duration) *Fleet {
-	return &Fleet{catalog: known, retention: retention, self: self, now: time.Now, gone: map[string]time.Time{}}
+func NewFleet(cat *catalog.Catalog, self string, retention time.Duration) *Fleet {
+	return &Fleet{catalog: cat, retention: retention, self: self, now: time.Now, gone: map[string]time.Time{}}
 }
 
 // SetClock sets the clock that measures the retention time. It must be called before the Fleet is used.
@@ -74,7 +74,7 @@
 	return registered
 }
 
-// refresh updates the nodes from the configuration in force. The caller must hold mu.
+// refresh updates the nodes from the configuration in force. f.mu must be held.
 func (f *Fleet) refresh() {
 	view := f.catalog.View()
 	now := f.now()
@@ -93,7 +93,7 @@
 	}
 }
 
-// current returns the nodes that count, and sets nextExpiry. The caller must hold mu.
+// current returns the nodes that count, and sets nextExpiry. f.mu must be held.
 func (f *Fleet) current(view *catalog.View, now time.Time) []catalog.NodeRecord {
 	nodes := make([]catalog.NodeRecord, 0, len(view.Nodes))
 	f.nextExpiry = time.Time{}
--- a/internal/leaf/leafset/editor.go
+++ b/internal/leaf/leafset/editor.go
@@ -13,8 +13,8 @@
 	set          *Set
 	owned        map[string]bool // services whose slice of leafs is not shared
 	changedRules map[string]bool // services whose rule changed
-	// ownsRules, ownsFirst, ownsCanaries and ownsLost say which maps of the set are not shared.
-	ownsRules, ownsFirst, ownsCanaries, ownsLost bool
+	// ownsRules, ownsFirst, ownsCanaryLeafs and ownsLost say which maps of the set are not shared.
+	ownsRules, ownsFirst, ownsCanaryLeafs, ownsLost bool
 	// defaultsToFirst says that a service whose rule names no serving version is served by its first version.
 	defaultsToFirst bool
 	// evacuationsChanged says that the ready leafs of every service must be updated.
@@ -42,7 +42,7 @@
 func (s *Set) Edit() *Editor {
 	copied := &Set{
 		byService: maps.Clone(s.byService), ready: maps.Clone(s.ready), byName: maps.Clone(s.byName), evacuated: s.evacuated,
-		rules: s.rules, first: s.first, canaries: s.canaries, lost: s.lost,
+		rules: s.rules, first: s.first, canaryLeafs: s.canaryLeafs, lost: s.lost,
 	}
 	return &Editor{set: copied, owned: map[string]bool{}, changedRules: map[string]bool{}}
 }
@@ -175,11 +175,11 @@
 	}
 }
 
-// updateReady updates the first version, the canaries and the ready leafs of a service.
+// updateReady updates the first version, the canary leafs and the ready leafs of a service.
 func (e *Editor) updateReady(service string) {
 	leafs := e.set.byService[service]
 	e.updateFirst(service, leafs)
-	e.updateCanaries(service, leafs)
+	e.updateCanaryLeafs(service, leafs)
 	isUnusable := func(leaf *Leaf) bool { return !e.set.isServing(leaf) }
 	if !slices.ContainsFunc(leafs, isUnusable) {
 		delete(e.set.ready, service)
--- a/internal/request/gateway/group_call.go
+++ b/internal/request/gateway/group_call.go
@@ -30,7 +30,7 @@
 	RequestID string
 	// Intermediate is the ID of the other node.
 	Intermediate string
-	Parts        int
+	Shards       int
 	Outcome      GroupOutcome
 	// Reason is why the node declined or failed, or why the connection ended.
 	Reason string
@@ -84,7 +84,7 @@
 		ended := p.await(ctx, call, done)
 		p.recordEnd(ended, time.Since(began))
 		result := p.withSpent(ended.result)
-		if queried == maximumIntermediates || result.Replies != nil || result.Final || result.BrokeOff || p.gotPartial || ended.outcome == GroupCancelled {
+		if queried == maximumIntermediates || result.Replies != nil || result.Final || result.ConnectionLost || p.gotPartial || ended.outcome == GroupCancelled {
 			return result
 		}
 		node, found := p.root.choose(p.group.zones)
@@ -117,7 +117,7 @@
 func (p *groupCall) recordEnd(ended groupEnd, took time.Duration) {
 	e, node := p.execution, p.group.node
 	record := GroupRecord{
-		RequestID: e.request.Leaf.ID, Intermediate: node.ID, Parts: len(p.group.shards),
+		RequestID: e.request.Leaf.ID, Intermediate: node.ID, Shards: len(p.group.shards),
 		Outcome: ended.outcome, Reason: ended.reason, Took: took,
 	}
 	p.root.nodes.end(node, record.Outcome)
--- a/internal/request/gateway/refuse.go
+++ b/internal/request/gateway/refuse.go
@@ -93,7 +93,7 @@
 }
 
 // shardsWithoutLeafs counts the shards without a leaf that may run the request. It returns separately the shards for
-// which only canaries may run it, which depends on a canary decision.
+// which only canary leafs may run it, which depends on a canary decision.
 func (e *execution) shardsWithoutLeafs() (without int, canaryOnly []int) {
 	for index := range e.services {
 		switch {
@@ -116,7 +116,7 @@
 	}
 	count := 0
 	for _, shard := range shards {
-		if e.decide(shard, true).First == canary.Target {
+		if e.decide(shard, true).First == canary.Canary {
 			if count++; count == wanted {
 				return count
 			}
@@ -126,20 +126,20 @@
 	return count
 }
 
-// hasLeaf reports whether a service has a leaf that may run the request without a canary decision. Canaries count once
-// all requests go to their version.
+// hasLeaf reports whether a service has a leaf that may run the request without a canary decision. Canary leafs count
+// once all requests go to their version.
 func (e *execution) hasLeaf(index int) bool {
 	service := e.services[index]
-	versions := e.gateway.retryVersions(service)
-	if versions != canary.Target && e.anyMayRun(e.gateway.servingLeafs(service)) {
+	role := e.gateway.retryRole(service)
+	if role != canary.Canary && e.anyMayRun(e.gateway.servingLeafs(service)) {
 		return true
 	}
-	return versions != canary.Serving && e.anyMayRun(e.gateway.canaryLeafs(service, versions))
+	return role != canary.Serving && e.anyMayRun(e.gateway.canaryLeafs(service, role))
 }
 
-// mayGoToCanary reports whether a canary decision of this node could send a shard to a canary.
+// mayGoToCanary reports whether a canary decision of this node could send a shard to a canary leaf.
 func (e *execution) mayGoToCanary(index int) bool {
-	return !e.isInGroup(index) && e.anyMayRun(e.gateway.catalog.View().Leafs.Canaries(e.services[index]))
+	return !e.isInGroup(index) && e.anyMayRun(e.gateway.catalog.View().Leafs.CanaryLeafs(e.services[index]))
 }
 
 // anyMayRun reports whether any of the leafs is in a zone that the route allows and this node can reach.
--- a/internal/rollout/canary/stage.go
+++ b/internal/rollout/canary/stage.go
@@ -46,7 +46,7 @@
 	switch {
 	case rule.SpecID <= s.aborts[service]:
 		return stopped
-	case rule.Phase == rollout.Switching && now.Sub(s.catalog.ConfirmedAt()) <= s.cfg.ConfirmedWithin:
+	case rule.Phase == rollout.PhaseSwitching && now.Sub(s.catalog.ConfirmedAt()) <= s.cfg.ConfirmedWithin:
 		if now.Sub(budget.switchedAt) < s.Ramp(budget.duration) {
 			return ramping
 		}
@@ -68,7 +68,7 @@
 	return s.cfg.Share + (1-s.cfg.Share)*progress
 }
 
-// maxAborts bounds the services with a stored abort. It is far above the number of simultaneous roll-outs.
+// maxAborts bounds the services with a stored abort. It is far above the number of simultaneous rollouts.
 const maxAborts = 4096
 
 // Abort permanently stops the canary version of a spec, whatever the phase in the configuration.
--- a/internal/rollout/rolloutcontrol/versionswriter.go
+++ b/internal/rollout/rolloutcontrol/versionswriter.go
@@ -21,7 +21,7 @@
 // versionsInterval is how often the serving versions are compared with those in the store.
 const versionsInterval = time.Second
 
-// VersionsWriter writes the serving versions of services that never had a roll-out to the store, so that other versions
+// VersionsWriter writes the serving versions of services that never had a rollout to the store, so that other versions
 // receive no requests without a spec. Every node runs one. The first node by rendezvous hash writes, and the others
 // take over after increasing delays. A write takes effect only if it replaces the revision that it was computed from.
 type VersionsWriter struct {
@@ -41,7 +41,7 @@
 	return &VersionsWriter{cfg: cfg, catalog: nodeCatalog, store: versionStore, self: self, events: events}
 }
 
-// Run writes the versions after each change until the context ends.
+// Run writes the versions after each change until the context is done.
 func (w *VersionsWriter) Run(ctx context.Context) {
 	for wait.For(ctx, versionsInterval) {
 		w.step(ctx, time.Now())
