--- a/internal/config/catalog/keys.go
+++ b/internal/config/catalog/keys.go
@@ -9,7 +9,7 @@
 // Store keys and key prefixes.
 const (
 	servicePrefix  = "service/"
-	snapshotPrefix = "snapshot/"
+	manifestPrefix = "snapshot/"
 	leafPrefix     = "leaf/"
 	nodePrefix     = "node/"
 	// evacuationPrefix begins the keys of evacuated zones, whose leafs get no requests while the key exists.
@@ -21,9 +21,9 @@
 	quarantinePrefix = "quarantine/"
 	// RoutesKey is the store key of the routing configuration.
 	RoutesKey = "routes"
-	// SavedLeafsKey is the store key of the saved list of leafs.
-	SavedLeafsKey = "remembered-leafs"
-	// VersionsKey is the store key of the serving versions of services without a roll-out.
+	// StoredLeafsKey is the store key of the stored list of leafs.
+	StoredLeafsKey = "remembered-leafs"
+	// VersionsKey is the store key of the serving versions of services without a rollout.
 	VersionsKey = "service-versions"
 	// MarkerKey is the key of marker entries, which have no value, see Marker.
 	MarkerKey = "marker"
@@ -32,8 +32,8 @@
 // ServiceKey returns the store key of a service's settings.
 func ServiceKey(name string) string { return servicePrefix + name }
 
-// SnapshotKey returns the store key of a service's current manifest.
-func SnapshotKey(service string) string { return snapshotPrefix + service }
+// ManifestKey returns the store key of a service's current manifest.
+func ManifestKey(service string) string { return manifestPrefix + service }
 
 // LeafKey returns the store key of a leaf's record.
 func LeafKey(id string) string { return leafPrefix + id }
@@ -54,7 +54,7 @@
 func QuarantineKey(content string) string { return quarantinePrefix + content }
 
 // isTransient reports whether a key needs no tombstone once it is removed: its absence from a whole state means that
-// it was removed. These are the keys of processes, evacuations, quarantines and roll-outs.
+// it was removed. These are the keys of processes, evacuations, quarantines and rollouts.
 func isTransient(key string) bool {
 	return strings.HasPrefix(key, leafPrefix) || strings.HasPrefix(key, nodePrefix) || strings.HasPrefix(key, evacuationPrefix) ||
 		strings.HasPrefix(key, quarantinePrefix) || isRollout(key)
--- a/internal/config/catalog/view.go
+++ b/internal/config/catalog/view.go
@@ -15,7 +15,7 @@
 	Spec             *adminv1.ServiceSpec
 	Revision         int64
 	Manifest         *manifest.Manifest
-	SnapshotRevision int64
+	ManifestRevision int64
 	// Leafs indexes Spec.Leafs by ID.
 	Leafs map[string]*adminv1.Leaf
 }
@@ -28,20 +28,20 @@
 	Routes *routing.Table
 	// Leafs are the registered leafs.
 	Leafs *leafset.Set
-	// Remembered is the saved list of leafs.
-	Remembered *leafset.Set
+	// StoredLeafs is the stored list of leafs.
+	StoredLeafs *leafset.Set
 	// Nodes are the registered nodes by ID.
 	Nodes map[string]NodeRecord
 	// Rollouts are the rollout specs and their progress by service.
 	Rollouts map[string]Rollout
 	// Quarantine are the quarantined requests, which are sent to no leaf.
 	Quarantine map[fingerprint.Fingerprint]*quarantine.Record
-	// Versions are the serving versions of services without a roll-out, by service.
+	// Versions are the serving versions of services without a rollout, by service.
 	Versions map[string]string
 }
 
 func emptyView(at int64) *View {
-	return &View{Revision: at, Services: map[string]*Service{}, Leafs: leafset.Empty(), Remembered: leafset.Empty(), Nodes: map[string]NodeRecord{}, Rollouts: map[string]Rollout{}}
+	return &View{Revision: at, Services: map[string]*Service{}, Leafs: leafset.Empty(), StoredLeafs: leafset.Empty(), Nodes: map[string]NodeRecord{}, Rollouts: map[string]Rollout{}}
 }
 
 // NodeRecord is the record that a node publishes about itself.
@@ -56,7 +56,7 @@
 	Processors float64 `json:"processors,omitempty"`
 }
 
-// Rollout is the roll-out of a service to another version.
+// Rollout is the rollout of a service to another version.
 type Rollout struct {
 	// Spec is the operators' spec, nil if there is none.
 	Spec *rollout.Spec
--- a/internal/config/configsync/handler.go
+++ b/internal/config/configsync/handler.go
@@ -10,16 +10,16 @@
 // nil is dropped.
 type Handlers struct {
 	// Leafs receives reports on leafs.
-	Leafs func(peer.LeafReports)
-	// Reach receives messages on the reachability of zones, with the peer address of the sender.
-	Reach func(from string, reach peer.Reachability)
+	Leafs func(peer.LeafObservations)
+	// Reachability receives messages on the reachability of zones, with the peer address of the sender.
+	Reachability func(from string, reach peer.Reachability)
 	// Rollouts receives the messages to and from evaluator nodes.
 	Rollouts RolloutHandler
 	// Quarantine receives messages on requests that may crash leafs, with the peer address of the sender.
 	Quarantine func(from string, message peer.Quarantine)
 }
 
-// RolloutHandler receives messages on roll-outs, with the peer address of the sender.
+// RolloutHandler receives messages on rollouts, with the peer address of the sender.
 type RolloutHandler interface {
 	HandleReports(from string, reports peer.RolloutReports)
 	HandleAbort(from string, abort peer.RolloutAbort)
@@ -42,13 +42,13 @@
 // HandleDatagram implements peer.Handler.
 func (h *PeerHandler) HandleDatagram(message peer.Message) {
 	switch {
-	case len(message.LeafReports) > 0:
+	case len(message.LeafObservations) > 0:
 		if h.handlers.Leafs != nil {
-			h.handlers.Leafs(message.LeafReports)
+			h.handlers.Leafs(message.LeafObservations)
 		}
 	case message.Reachability != nil:
-		if h.handlers.Reach != nil {
-			h.handlers.Reach(message.From, *message.Reachability)
+		if h.handlers.Reachability != nil {
+			h.handlers.Reachability(message.From, *message.Reachability)
 		}
 	case message.RolloutReports != nil:
 		if h.handlers.Rollouts != nil {
--- a/internal/config/configsync/snapshots.go
+++ b/internal/config/configsync/snapshots.go
@@ -45,7 +45,7 @@
 		s.since, s.served = now, 0
 	}
 	if s.served >= maxServed {
-		return peer.State{Elsewhere: s.randomRecipients(recipient)}, nil
+		return peer.State{Alternatives: s.randomRecipients(recipient)}, nil
 	}
 	changes, err := s.refresh(source)
 	if err != nil {
@@ -65,7 +65,7 @@
 }
 
 // refresh returns the changes since the packed state. If there are too many or they are no longer kept, it packs the
-// current state. The lock must be held.
+// current state. s.mu must be held.
 func (s *snapshotServer) refresh(source *catalog.Catalog) ([]catalog.Change, error) {
 	if len(s.packed) > 0 {
 		if changes, found := source.Since(s.revision); found && len(changes) <= maxChangesSince {
@@ -81,7 +81,7 @@
 	return nil, nil
 }
 
-// randomRecipients returns a few random nodes that have the state, other than the requesting one. The lock must be held.
+// randomRecipients returns a few random nodes that have the state, other than the requesting one. s.mu must be held.
 func (s *snapshotServer) randomRecipients(requester string) []string {
 	var chosen []string
 	for _, i := range rand.Perm(len(s.recipients)) {
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -47,7 +47,7 @@
 
 	mu            sync.Mutex
 	self          peer.Member
-	members       map[string]*knownMember // by id; excludes self
+	members       map[string]*knownMember // by ID; excludes self
 	updates       *updateQueue
 	probeRound    []string     // ids of the members not yet probed in this round
 	pendingProbes peer.Pending // probes without an answer yet
@@ -85,7 +85,7 @@
 	return m.self
 }
 
-// Members returns the usable members, including self, sorted by id. Suspects count as usable. The slice is shared;
+// Members returns the usable members, including self, sorted by ID. Suspects count as usable. The slice is shared;
 // callers must not modify it.
 func (m *Membership) Members() []peer.Member {
 	m.mu.Lock()
@@ -124,7 +124,7 @@
 	return counts
 }
 
-// Run probes until the context ends.
+// Run probes until the context is done.
 func (m *Membership) Run(ctx context.Context) {
 	ticker := time.NewTicker(m.cfg.ProbeInterval)
 	defer ticker.Stop()
@@ -220,17 +220,17 @@
 	message.Digest = m.listener.Digest()
 	message.Notices = m.listener.Notices()
 	m.mu.Lock()
-	message.Members = m.updates.next(m.cfg.UpdatesPerMessage, m.maximumTransmissions())
+	message.Members = m.updates.next(m.cfg.UpdatesPerMessage, m.maxTransmissions())
 	m.mu.Unlock()
 	m.transport.Send(address, message)
 }
 
-// maximumTransmissions returns how many times this node sends an update. It grows with the logarithm of the zone's size.
-func (m *Membership) maximumTransmissions() int {
+// maxTransmissions returns how many times this node sends an update. It grows with the logarithm of the zone's size.
+func (m *Membership) maxTransmissions() int {
 	return m.cfg.RetransmitFactor * int(math.Ceil(math.Log10(float64(len(m.members)+2))))
 }
 
-// sample returns up to count random usable members other than self and the excluded one. The caller must hold mu.
+// sample returns up to count random usable members other than self and the excluded one. m.mu must be held.
 func (m *Membership) sample(count int, excluded string) []peer.Member {
 	var others []peer.Member
 	for _, member := range m.usable() {
@@ -288,8 +288,8 @@
 	m.updates.add(m.self)
 }
 
-// update merges a report about a member, and reports whether the usable members or their states changed. The caller
-// must hold mu.
+// update merges a report about a member, and reports whether the usable members or their states changed.
+// m.mu must be held.
 func (m *Membership) update(member peer.Member) bool {
 	if member.Zone != m.self.Zone || member.ID == "" {
 		return false
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -10,7 +10,7 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// recoverySlack is how long after a fault a node is exempt from promises with a time bound.
+// recoverySlack is how long after a fault a node is exempt from guarantees with a time bound.
 const recoverySlack = 5 * time.Second
 
 // fault is a kind of fault. The begin function injects it and returns the function that ends it.
@@ -66,7 +66,7 @@
 	maxFaultPause  = 2 * time.Second
 )
 
-// run injects one or two faults at a time until the context ends, with a random pause after each.
+// run injects one or two faults at a time until the context is done, with a random pause after each.
 func (i *injector) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		count := 1 + i.random.IntN(2)
--- a/internal/leaf/leafgossip/leafgossip_test.go
+++ b/internal/leaf/leafgossip/leafgossip_test.go
@@ -82,7 +82,7 @@
 		is.Equal(sent.count(), 3)
 		received := map[balancer.LeafKey]balancer.Observation{}
 		other := New(DefaultConfig(), fleet(0), sent, func(o balancer.Observation) { received[o.Leaf] = o })
-		other.Handle(sent.sent[0].LeafReports)
+		other.Handle(sent.sent[0].LeafObservations)
 		is.Equal(received, map[balancer.LeafKey]balancer.Observation{7: {Leaf: 7, Slowness: 4}, 8: {Leaf: 8, Silence: time.Second}})
 		cancel()
 		synctest.Wait()
@@ -106,8 +106,8 @@
 		}
 		total := 0
 		for _, message := range sent.sent {
-			size := base64Bytes(len(message.LeafReports)) + envelopeBytes
-			is.True(size <= peer.MaximumDatagram)
+			size := base64Bytes(len(message.LeafObservations)) + envelopeBytes
+			is.True(size <= peer.MaxDatagram)
 			total += size
 		}
 		is.True(total <= cfg.BurstBytes+cfg.BytesPerSecond*int(span/time.Second+1))
@@ -117,8 +117,8 @@
 	})
 }
 
-func TestConfigNamesEveryFault(t *testing.T) {
+func TestValidateNamesEveryInvalidField(t *testing.T) {
 	is := is.New(t)
 	is.NoErr(DefaultConfig().Validate())
-	is.Equal(len(failure.Faults(Config{Fanout: -1, BatchDelay: -1}.Validate())), 4)
+	is.Equal(len(failure.Faults(Config{FanOut: -1, BatchDelay: -1}.Validate())), 4)
 }
--- a/internal/node/provide_config.go
+++ b/internal/node/provide_config.go
@@ -37,28 +37,28 @@
 	Machines  machines.Lister
 	Transport *peer.SocketTransport
 	Balancer  *balancer.Balancer
-	Canary    *canary.Splitter // nil if roll-outs are disabled
+	Canary    *canary.Splitter // nil if rollouts are disabled
 	Metrics   *telemetry.Metrics
 	Logger    *zap.Logger
 }
 
 func newSyncer(deps syncerDeps) *configsync.Syncer {
-	var settled func() int64 // nil if roll-outs are disabled: the syncer then reports the revision in force
+	var settled func() int64 // nil if rollouts are disabled: the syncer then reports the revision in force
 	if deps.Canary != nil {
 		settled = deps.Canary.SettledRevision
 	}
 	syncer := configsync.New(configsync.Deps{
 		Config: deps.Config.ConfigSync, Catalog: deps.Catalog, Store: deps.Store, Machines: deps.Machines, Transport: deps.Transport,
 		Leafs: deps.Balancer, Logger: deps.Logger, Seeds: deps.Config.Seeds,
-		Relayed:      func(kind string) { deps.Metrics.ConfigRelayed.WithLabelValues(kind).Inc() },
+		MessageSent:  func(kind string) { deps.Metrics.ConfigRelayed.WithLabelValues(kind).Inc() },
 		StateDropped: deps.Metrics.StatesDropped.Inc,
 		Settled:      settled,
 	})
-	deps.Balancer.OnDraining(syncer.LeafDraining)
+	deps.Balancer.OnDraining(syncer.LeafAnnouncedLeaving)
 	return syncer
 }
 
-func newRewriter(cat *catalog.Catalog, configStore store.Store, self catalog.NodeRecord, events *storeEvents) *rewriter.Writer {
+func newRewriter(cat *catalog.Catalog, configStore store.Store, self catalog.NodeRecord, events *storeEvents) *rewriter.Rewriter {
 	return rewriter.New(cat, configStore, self.ID, events)
 }
 
--- a/internal/node/telemetry/rollouts_test.go
+++ b/internal/node/telemetry/rollouts_test.go
@@ -9,11 +9,11 @@
 	"github.com/portgauge/portgauge/internal/rollout/rolloutcontrol"
 )
 
-// The series of a roll-out must disappear when it has finished.
+// The series of a rollout must disappear when it has finished.
 func TestFinishedRolloutHasNoSeries(t *testing.T) {
 	is := is.New(t)
 	statuses := []rolloutcontrol.Status{{
-		Service: "s", Phase: rollout.Canary, Target: "b",
+		Service: "s", Phase: rollout.PhaseCanary, Target: "b",
 		Counts: []rolloutcontrol.RouteCounts{{Version: "b", Route: "r", Attempts: 3, Failures: 1}},
 	}}
 	metrics := NewMetrics()
--- a/internal/operator/admin/admin.go
+++ b/internal/operator/admin/admin.go
@@ -116,7 +116,7 @@
 		return nil, err
 	}
 	if len(compiled.SnapshotID) > maximumSnapshotIDLength {
-		return nil, failure.Invalid("manifest.snapshot_id", "%d bytes; at most %d", len(compiled.SnapshotID), maximumSnapshotIDLength)
+		return nil, failure.Invalid("manifest.snapshot_id", "%d bytes exceed the maximum of %d bytes", len(compiled.SnapshotID), maximumSnapshotIDLength)
 	}
 	changeID, err := changeIDOf(request.GetChangeId())
 	if err != nil {
@@ -126,7 +126,7 @@
 		return nil, err
 	}
 	revision, err := a.writer.Apply(ctx, configwriter.Write{
-		Key: catalog.SnapshotKey(compiled.Service), Expected: request.GetExpectedRevision(), ChangeID: changeID, Message: request.GetManifest(),
+		Key: catalog.ManifestKey(compiled.Service), Expected: request.GetExpectedRevision(), ChangeID: changeID, Message: request.GetManifest(),
 	})
 	if err != nil {
 		return nil, err
@@ -142,7 +142,7 @@
 		return failure.Wrap(err, failure.StoreUnavailable, failure.NotRun, "read the service from the store").WithRetryAfter(notReadyRetryAfter)
 	}
 	if entry == nil || entry.Deleted {
-		return failure.New(failure.UnknownService, failure.NotRun, "no service %q", compiled.Service)
+		return failure.New(failure.UnknownService, failure.NotRun, "service %q does not exist", compiled.Service)
 	}
 	spec, err := catalog.DecodeService(*entry)
 	if err != nil {
@@ -155,7 +155,7 @@
 func (a *Admin) GetService(name string) (*adminv1.GetServiceResponse, error) {
 	service, found := a.catalog.View().Services[name]
 	if !found || service.Spec == nil {
-		return nil, failure.New(failure.UnknownService, failure.NotRun, "no service %q", name)
+		return nil, failure.New(failure.UnknownService, failure.NotRun, "service %q does not exist", name)
 	}
 	return &adminv1.GetServiceResponse{Spec: service.Spec, Revision: service.Revision}, nil
 }
@@ -182,15 +182,15 @@
 		if current.Manifest == nil || (service != "" && name != service) {
 			continue
 		}
-		entry, found := a.catalog.Entry(catalog.SnapshotKey(name))
+		entry, found := a.catalog.Entry(catalog.ManifestKey(name))
 		if !found {
 			continue
 		}
-		message, err := catalog.DecodeSnapshot(entry)
+		message, err := catalog.DecodeManifest(entry)
 		if err != nil {
 			return nil, err
 		}
-		response.Snapshots = append(response.Snapshots, &adminv1.SnapshotEntry{Manifest: message, Revision: current.SnapshotRevision})
+		response.Snapshots = append(response.Snapshots, &adminv1.SnapshotEntry{Manifest: message, Revision: current.ManifestRevision})
 	}
 	sort.Slice(response.Snapshots, func(i, j int) bool {
 		return response.Snapshots[i].GetManifest().GetService() < response.Snapshots[j].GetManifest().GetService()
@@ -204,7 +204,7 @@
 		return uuid.NewString(), nil
 	}
 	if len(given) > maximumChangeIDLength {
-		return "", failure.Invalid("change_id", "%d bytes; at most %d", len(given), maximumChangeIDLength)
+		return "", failure.Invalid("change_id", "%d bytes exceed the maximum of %d bytes", len(given), maximumChangeIDLength)
 	}
 	return given, nil
 }
--- a/internal/operator/admin/rollouts_test.go
+++ b/internal/operator/admin/rollouts_test.go
@@ -47,7 +47,7 @@
 	is.True(failure.Is(err, failure.UnknownService))
 }
 
-// If several operators start a roll-out at the same time, exactly one must succeed. Cancelling a replaced spec must be a
+// If several operators start a rollout at the same time, exactly one must succeed. Cancelling a replaced spec must be a
 // conflict.
 func TestConcurrentRolloutSpecsConflict(t *testing.T) {
 	is := is.New(t)
@@ -81,7 +81,7 @@
 	admin, cat := newRolloutAdmin()
 	started, err := admin.StartRollout(t.Context(), startRequest("", 0))
 	is.NoErr(err)
-	writeState(t, cat, rollout.State{Service: "maps", SpecRevision: started.GetRevision(), Phase: rollout.RolledBack, Serving: "v1", Target: "v2", Reason: "9 of 12 failed", DecidedBy: "n1"})
+	writeState(t, cat, rollout.State{Service: "maps", SpecRevision: started.GetRevision(), Phase: rollout.PhaseRolledBack, Serving: "v1", Target: "v2", Reason: "9 of 12 failed", DecidedBy: "n1"})
 	shown, err := admin.GetRollout(&adminv1.GetRolloutRequest{Service: "maps"})
 	is.NoErr(err)
 	is.Equal(shown.GetRollout().GetPhase(), adminv1.RolloutPhase_ROLLOUT_PHASE_ROLLED_BACK)
@@ -96,7 +96,7 @@
 	is.Equal(shown.GetRollout().GetReason(), "")
 }
 
-// writeState applies the state of a roll-out to the catalog, as if an evaluator node had written it to the store.
+// writeState applies the state of a rollout to the catalog, as if an evaluator node had written it to the store.
 func writeState(t *testing.T, cat *catalog.Catalog, state rollout.State) {
 	t.Helper()
 	document, err := json.Marshal(state)
--- a/internal/request/gateway/canary_fixture_test.go
+++ b/internal/request/gateway/canary_fixture_test.go
@@ -23,7 +23,7 @@
 // allToCanary returns a configuration that sends all eligible requests to the canary.
 func allToCanary() canary.Config {
 	cfg := canary.DefaultConfig()
-	cfg.Share, cfg.Used = 1, 1
+	cfg.Share, cfg.UsedFraction = 1, 1
 	return cfg
 }
 
@@ -40,7 +40,7 @@
 	t      *testing.T
 	specID int64
 	leafs  *scriptedLeafs
-	// canaryAnswer is how the canaries answer; nil means like the other leafs.
+	// canaryAnswer is how the canary leafs answer; nil means like the other leafs.
 	canaryAnswer func(leaf string) (time.Duration, *leafhttp.Response, error)
 }
 
@@ -95,12 +95,12 @@
 // finishSwitch completes the ramp to v2.
 func (b *canaryGateway) finishSwitch() {
 	b.t.Helper()
-	b.enterPhase(rollout.Switching)
+	b.enterPhase(rollout.PhaseSwitching)
 	time.Sleep(canary.DefaultConfig().Ramp)
 	b.catalog.Confirm(time.Now())
 }
 
-// removeLeafs removes leafs from discovery and waits until they are no longer remembered.
+// removeLeafs removes leafs from discovery and waits until they are no longer retained.
 func (b *canaryGateway) removeLeafs(ids ...string) {
 	b.t.Helper()
 	for _, id := range ids {
--- a/internal/rollout/evidence/collector_test.go
+++ b/internal/rollout/evidence/collector_test.go
@@ -48,8 +48,8 @@
 	return leafset.NewLeaf(leafset.Record{Name: id, Service: service, Version: version, Zone: "z-" + id}, 0, time.Time{})
 }
 
-// Each canary has its own row per route, all serving leafs have one common row per route, and other leafs have none.
-func TestEachCanaryHasItsOwnRow(t *testing.T) {
+// Each canary leaf has its own row per route, all serving leafs have one common row per route, and other leafs have none.
+func TestEachCanaryLeafHasItsOwnRow(t *testing.T) {
 	is := is.New(t)
 	c, _, specID := newTestCollector(t)
 	for _, observed := range []*leafset.Leaf{
@@ -119,7 +119,7 @@
 	observe()
 	is.Equal(c.Rows()[0].SpecID, next)
 	is.Equal(c.Rows()[0].Attempts(), int64(1))
-	put(t, nodeCatalog, catalog.RolloutStateKey("s"), rollout.State{Service: "s", SpecRevision: next, Phase: rollout.Succeeded, Serving: "v1", Target: "v2"})
+	put(t, nodeCatalog, catalog.RolloutStateKey("s"), rollout.State{Service: "s", SpecRevision: next, Phase: rollout.PhaseSucceeded, Serving: "v1", Target: "v2"})
 	is.Equal(len(c.TakeChanged(9))+len(c.Rows()), 0)
 	observe()
 	is.Equal(len(c.Rows()), 0)
--- a/internal/rollout/rolloutcontrol/config.go
+++ b/internal/rollout/rolloutcontrol/config.go
@@ -7,12 +7,12 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
-// Config sets how nodes execute roll-outs.
+// Config sets how nodes execute rollouts.
 type Config struct {
-	// Enabled makes nodes execute roll-outs. Without a roll-out the requests of a service go only to leafs of its
+	// Enabled makes nodes execute rollouts. Without a rollout the requests of a service go only to leafs of its
 	// serving version.
 	Enabled bool `yaml:"enabled"`
-	// EvaluatorNodes is the number of nodes that evaluate the roll-out of a service.
+	// EvaluatorNodes is the number of nodes that evaluate the rollout of a service.
 	EvaluatorNodes int `yaml:"judges"`
 	// ReportInterval is the interval at which a node reports changed counts to the evaluator nodes, and at which these
 	// evaluate them.
@@ -25,10 +25,10 @@
 	// BurstBytes is the maximum size of a burst of reports, in bytes.
 	BurstBytes int `yaml:"burst_bytes"`
 	// TakeoverPause is the additional time that each evaluator node waits, compared with the preceding rank, before it
-	// writes a state that is still missing. It is shorter for roll-outs of short duration.
+	// writes a state that is still missing. It is shorter for rollouts of short duration.
 	TakeoverPause time.Duration `yaml:"takeover_pause"`
 	// RollbackMargin is how long before the end of a spec a version that has not passed evaluation is rolled back. It
-	// is shorter for roll-outs of short duration.
+	// is shorter for rollouts of short duration.
 	RollbackMargin time.Duration `yaml:"rollback_margin"`
 	// SettleInterval is the interval at which an evaluator node queries whether all nodes send requests only to the new
 	// version. The queries begin after the ramp.
@@ -38,10 +38,10 @@
 	SettleWait time.Duration `yaml:"settle_wait"`
 	// WriteTimeout is the timeout of one write of a state, including reading it back.
 	WriteTimeout time.Duration `yaml:"write_timeout"`
-	// RetryPause is the initial backoff after a failed write. It doubles with each failure, up to MaximumRetryPause.
+	// RetryPause is the initial backoff after a failed write. It doubles with each failure, up to MaxRetryPause.
 	RetryPause time.Duration `yaml:"retry_pause"`
-	// MaximumRetryPause is the maximum backoff between attempts of a write.
-	MaximumRetryPause time.Duration `yaml:"maximum_retry_pause"`
+	// MaxRetryPause is the maximum backoff between attempts of a write.
+	MaxRetryPause time.Duration `yaml:"maximum_retry_pause"`
 	// VersionsDelay is how long the serving versions must stay unchanged before they are written to the store, and the
 	// minimum interval between two writes.
 	VersionsDelay time.Duration `yaml:"versions_delay"`
@@ -54,7 +54,7 @@
 		BytesPerSecond: 3000, BurstBytes: 48000,
 		TakeoverPause: 700 * time.Millisecond, RollbackMargin: time.Second,
 		SettleInterval: 400 * time.Millisecond, SettleWait: 3 * time.Second,
-		WriteTimeout: 2 * time.Second, RetryPause: 200 * time.Millisecond, MaximumRetryPause: 2 * time.Second,
+		WriteTimeout: 2 * time.Second, RetryPause: 200 * time.Millisecond, MaxRetryPause: 2 * time.Second,
 		VersionsDelay: 2 * time.Second,
 	}
 }
@@ -64,7 +64,7 @@
 	var checks failure.Checks
 	checks.Refuse(c.EvaluatorNodes < 1, "judges", "must be at least 1")
 	checks.Refuse(c.BytesPerSecond < 1, "bytes_per_second", "must be positive")
-	checks.Refuse(c.BurstBytes < peer.MaximumDatagram, "burst_bytes", "must be at least %d, the maximum size of a datagram", peer.MaximumDatagram)
+	checks.Refuse(c.BurstBytes < peer.MaxDatagram, "burst_bytes", "must be at least %d, the maximum size of a datagram", peer.MaxDatagram)
 	durations := []struct {
 		field string
 		value time.Duration
@@ -82,6 +82,6 @@
 	for _, duration := range durations {
 		checks.Refuse(duration.value <= 0, duration.field, "must be positive")
 	}
-	checks.Refuse(c.MaximumRetryPause < c.RetryPause, "maximum_retry_pause", "must be at least retry_pause")
+	checks.Refuse(c.MaxRetryPause < c.RetryPause, "maximum_retry_pause", "must be at least retry_pause")
 	return checks.Err()
 }
--- a/internal/rollout/rolloutcontrol/controller.go
+++ b/internal/rollout/rolloutcontrol/controller.go
@@ -1,5 +1,5 @@
-// Package rolloutcontrol executes roll-outs: it reports the counts of each node to the evaluator nodes of a service,
-// evaluates canary versions, and writes the phase of each roll-out to the store.
+// Package rolloutcontrol executes rollouts: it reports the counts of each node to the evaluator nodes of a service,
+// evaluates canary versions, and writes the phase of each rollout to the store.
 //
 // Every node runs a Controller. The evaluator nodes of a service are the first registered nodes by rendezvous hash.
 // Correctness does not depend on nodes agreeing on this set. Any evaluator node may write, and the store accepts a
@@ -9,7 +9,8 @@
 //
 // The package owns the counts of all nodes at an evaluator node, the aborts, and the goroutines of Run with its writes
 // and fleet queries. It depends on the catalog for specs, states and registered nodes, on datagrams for reports and
-// aborts, on conditional writes of the store, and on a clock that counts suspended time.
+// aborts, on conditional writes of the store, and on a clock that includes the time during which the machine
+// was suspended.
 package rolloutcontrol
 
 import (
@@ -57,7 +58,7 @@
 	Clock boottime.Clock
 }
 
-// Controller executes roll-outs at one node. Run must be called. The other methods are safe for concurrent use.
+// Controller executes rollouts at one node. Run must be called. The other methods are safe for concurrent use.
 type Controller struct {
 	deps     Deps
 	cfg      Config
@@ -107,7 +108,7 @@
 	return c
 }
 
-// Run executes roll-outs until the context ends. It returns after its goroutines have ended.
+// Run executes rollouts until the context is done. It returns after its goroutines have ended.
 func (c *Controller) Run(ctx context.Context) {
 	changes, stop := c.deps.Catalog.Subscribe(changeBacklog)
 	defer stop()
@@ -169,7 +170,7 @@
 	return now.Before(c.evaluateAfter)
 }
 
-// step handles all roll-outs once and returns the maximum time until the next step.
+// step handles all rollouts once and returns the maximum time until the next step.
 func (c *Controller) step(ctx context.Context, now time.Time) time.Duration {
 	mustWaitForReports := c.mustWaitForReports(now)
 	view := c.deps.Catalog.View()
@@ -194,7 +195,7 @@
 	return next
 }
 
-// refreshRollouts adds or updates the active roll-outs, and drops those that have ended.
+// refreshRollouts adds or updates the active rollouts, and drops those that have ended.
 func (c *Controller) refreshRollouts(now time.Time, view *catalog.View) {
 	for service, known := range view.Rollouts {
 		if isActive(known) {
@@ -212,19 +213,19 @@
 		delete(c.rollouts, service)
 	}
 	maps.DeleteFunc(c.schedules, func(service string, _ *writeSchedule) bool { return view.Rollouts[service] == (catalog.Rollout{}) })
-	isWanted := func(id rolloutID) bool { return c.isWanted(view, id) }
+	isWanted := func(id specKey) bool { return c.isWanted(view, id) }
 	c.tallies.retain(isWanted)
 	c.aborts.retain(isWanted)
 	c.hasStarted = true
 }
 
-// refreshRollout adds or updates the active roll-out of a service.
+// refreshRollout adds or updates the active rollout of a service.
 func (c *Controller) refreshRollout(now time.Time, view *catalog.View, service string, known catalog.Rollout) {
 	active := c.rollouts[service]
 	if active == nil || active.spec.ID() != known.Spec.ID() {
 		active = &activeRollout{spec: *known.Spec, learnedAt: now, knownAtStart: !c.hasStarted}
 		c.rollouts[service] = active
-		if c.aborts.has(rolloutID{service, known.Spec.ID()}) {
+		if c.aborts.has(specKey{service, known.Spec.ID()}) {
 			c.deps.Splitter.Abort(service, known.Spec.ID()) // the abort arrived before the spec
 		}
 		c.deps.Events.SpecSeen(SpecEvent{Spec: *known.Spec, Rank: c.rank(view, service)})
@@ -249,7 +250,7 @@
 
 // isWanted reports whether counts and aborts of a spec are needed: the spec is active, or this node has not learned of
 // it yet.
-func (c *Controller) isWanted(view *catalog.View, id rolloutID) bool {
+func (c *Controller) isWanted(view *catalog.View, id specKey) bool {
 	if id.specID > revision.Count(view.Revision) {
 		return true
 	}
@@ -268,8 +269,8 @@
 	}
 	c.reportedAt = now
 	evaluatorNodes := func(service string) []catalog.NodeRecord { return c.evaluatorNodes.of(view, service) }
-	c.reporter.step(now, evaluatorNodes, func(id rolloutID) bool { return c.isWanted(view, id) })
+	c.reporter.step(now, evaluatorNodes, func(id specKey) bool { return c.isWanted(view, id) })
 }
 
-// Statuses returns the active roll-outs known to this node, with the counts of those that it evaluates.
+// Statuses returns the active rollouts known to this node, with the counts of those that it evaluates.
 func (c *Controller) Statuses() []Status { return c.statuses.get() }
--- a/internal/rollout/rolloutcontrol/handlers_test.go
+++ b/internal/rollout/rolloutcontrol/handlers_test.go
@@ -36,10 +36,10 @@
 		f.store.setUnavailable(true)
 		f.network.Cut(func(_, to string) bool { return to == missed })
 		f.serve(2*time.Second, 0)
-		is.True(!f.node(missed).isAborted(rolloutID{"s", revision}))
+		is.True(!f.node(missed).isAborted(specKey{"s", revision}))
 		f.network.Cut(nil)
 		f.serve(2*f.cfg.ReportInterval, 0)
-		is.True(f.node(missed).isAborted(rolloutID{"s", revision}))
+		is.True(f.node(missed).isAborted(specKey{"s", revision}))
 	})
 }
 
@@ -51,7 +51,7 @@
 		node.controller.HandleAbort("n1", peer.RolloutAbort{Service: "s", SpecID: revision})
 		node.clearAborts() // a splitter without the spec may drop its abort
 		time.Sleep(2 * syncDelay)
-		is.True(node.isAborted(rolloutID{"s", revision}))
+		is.True(node.isAborted(specKey{"s", revision}))
 	})
 }
 
@@ -128,7 +128,7 @@
 		writes := blockingWriter{1: make(chan struct{}), 2: make(chan struct{})}
 		c := New(Deps{Config: f.cfg, States: writes, Events: f.node("n0"), Catalog: f.node("n0").catalog})
 		startWrite := func(specRevision int64) *writeSchedule {
-			state := rollout.State{Service: "s", SpecRevision: specRevision, Phase: rollout.Canary}
+			state := rollout.State{Service: "s", SpecRevision: specRevision, Phase: rollout.PhaseCanary}
 			c.write(context.Background(), time.Now(), phaseWrite{event: PhaseWriteEvent{State: state}, specRevision: specRevision})
 			synctest.Wait()
 			return c.schedules["s"]
@@ -187,7 +187,7 @@
 	withFleet(t, func(is *is.I, f *fleet) {
 		f.startRollout("s", "missing", specDuration)
 		f.serve(specDuration/2, never)
-		is.Equal(f.store.phases("s"), []rollout.Phase{rollout.Canary})
+		is.Equal(f.store.phases("s"), []rollout.Phase{rollout.PhaseCanary})
 		for _, node := range f.all() {
 			node.suspended.Store(int64(specDuration / 2))
 		}
