--- a/internal/request/gateway/answer.go
+++ b/internal/request/gateway/answer.go
@@ -41,16 +41,16 @@
 	return &Answer{Status: reply.Status, Header: leafhttp.ForwardedHeaders(reply.Header), Body: reply.Body}, nil
 }
 
-// noAnswerFailure returns the failure of a request without an answer, by the first of these that applies:
+// noAnswerFailure returns the failure of a request without an answer. The first line that applies determines it:
 //
-//	the failure of the node that gathered all shards, if it ran nothing
-//	LEAFS_ENDED          the request may have crashed leafs, and was abandoned
+//	failure of a group   an intermediate was sent all shards, and no leaf ran the request; its failure is passed on
+//	LEAFS_ENDED          the attempts were stopped, since the request may crash leafs
 //	OVERLOADED           no leaf ran it: all refused it or could not be reached; with Retry-After
 //	DEADLINE_EXCEEDED    the first missing shard timed out at the deadline
 //	LEAF_FAILED          the leaf of a single request failed
 //	INCOMPLETE_COVERAGE  a gathered request has too few parts
 //
-// Failures of executions that were cancelled are in execution.earlyFailure.
+// earlyFailure returns the failures of cancelled executions.
 func (e *execution) noAnswerFailure() error {
 	state := e.executionState()
 	if e.groupFailure != nil && state == failure.NotRun {
--- a/internal/request/gateway/bench_test.go
+++ b/internal/request/gateway/bench_test.go
@@ -61,7 +61,8 @@
 	}
 }
 
-// BenchmarkGather measures a gathered request over loopback connections, including the leafs' side.
+// BenchmarkGather measures a gathered request over loopback connections, including the leafs' side. Six runs each: 1.13
+// to 1.22 ms and 3,159 allocations without a quarantine register, 1.03 to 1.19 ms and 3,178 allocations with one.
 func BenchmarkGather(b *testing.B) {
 	address := cannedLeaf(b)
 	cat := catalog.New(func(key string, err error) { b.Errorf("%s: %v", key, err) })
@@ -70,11 +71,11 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		wrapped, err := catalog.NewDocument("", content, nil)
+		document, err := catalog.NewDocument("", content, nil)
 		if err != nil {
 			b.Fatal(err)
 		}
-		cat.Apply(catalog.Change{Entry: catalog.Entry{Key: key, Value: wrapped, Revision: cat.Revision() + 1}, Previous: cat.Revision()})
+		cat.Apply(catalog.Change{Entry: catalog.Entry{Key: key, Value: document, Revision: cat.Revision() + 1}, Previous: cat.Revision()})
 	}
 	var gathered []string
 	for index := range benchShards {
@@ -111,6 +112,6 @@
 
 type discardingEvents struct{ recordedEvents }
 
-func (j *discardingEvents) Served(RequestRecord)        {}
-func (j *discardingEvents) GroupEnded(GroupRecord)      {}
-func (j *discardingEvents) LeafChecked(LeafCheckRecord) {}
+func (d *discardingEvents) Served(RequestRecord)        {}
+func (d *discardingEvents) GroupEnded(GroupRecord)      {}
+func (d *discardingEvents) LeafChecked(LeafCheckRecord) {}
--- a/internal/request/gateway/caller_timeouts.go
+++ b/internal/request/gateway/caller_timeouts.go
@@ -7,15 +7,15 @@
 	"github.com/portgauge/portgauge/internal/request/routing"
 )
 
-// callerTimeouts learns the initial timeout of each route's callers. A caller that sends a shorter one has already
-// spent the difference, on opening a connection or on an earlier attempt. It is safe for concurrent use.
+// callerTimeouts learns the timeout with which callers of each route start. A caller that sends a shorter one has
+// already spent the difference, on opening a connection or on an earlier attempt. It is safe for concurrent use.
 type callerTimeouts struct {
 	mu     sync.Mutex
-	routes map[string]*commonTimeout // by host and prefix
+	routes map[string]*longestTimeout // by host and prefix
 }
 
-// commonTimeout is the longest recent timeout of a route's callers, and how often it was seen.
-type commonTimeout struct {
+// longestTimeout is the longest recent timeout of a route's callers, and how often it was seen.
+type longestTimeout struct {
 	longest  time.Duration
 	seen     int
 	lastSeen time.Time
@@ -31,7 +31,7 @@
 )
 
 func newCallerTimeouts() *callerTimeouts {
-	return &callerTimeouts{routes: map[string]*commonTimeout{}}
+	return &callerTimeouts{routes: map[string]*longestTimeout{}}
 }
 
 // spent estimates how much of its timeout a caller had spent before the request arrived.
@@ -40,23 +40,23 @@
 	now := time.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	common, found := t.routes[key]
-	if !found || now.Sub(common.lastSeen) > timeoutRetention {
+	stored, found := t.routes[key]
+	if !found || now.Sub(stored.lastSeen) > timeoutRetention {
 		if len(t.routes) >= maximumTimeoutRoutes {
 			clear(t.routes)
 		}
-		common = &commonTimeout{}
-		t.routes[key] = common
+		stored = &longestTimeout{}
+		t.routes[key] = stored
 	}
 	switch {
-	case timeout > common.longest:
-		*common = commonTimeout{longest: timeout, seen: 1, lastSeen: now}
-	case timeout == common.longest:
-		common.seen++
-		common.lastSeen = now
+	case timeout > stored.longest:
+		*stored = longestTimeout{longest: timeout, seen: 1, lastSeen: now}
+	case timeout == stored.longest:
+		stored.seen++
+		stored.lastSeen = now
 	}
-	if common.seen < minimumObservations {
+	if stored.seen < minimumObservations {
 		return 0
 	}
-	return common.longest - timeout
+	return stored.longest - timeout
 }
--- a/internal/request/gateway/canary.go
+++ b/internal/request/gateway/canary.go
@@ -21,7 +21,7 @@
 	request canary.Request
 }
 
-// retryRole returns the versions of a service that attempts without a decision may go to now.
+// retryRole returns which versions of a service may get attempts without a decision now.
 func (g *Gateway) retryRole(service string) canary.Role {
 	if g.canary == nil {
 		return canary.Serving
@@ -29,9 +29,9 @@
 	return g.canary.RetryRole(service)
 }
 
-// decide returns the decision for a shard, which is made once. unserved means that no leaf of the serving version can
-// be queried, or only unhealthy ones. No decision is made if another node may have queried the shard before and counted
-// its decision.
+// decide returns the canary decision for a shard and makes it on the first call. unserved means that the serving
+// version has no healthy leaf that can be queried. No decision is made if another node may have queried the shard
+// before, since that node may have counted its own decision.
 func (e *execution) decide(shard int, unserved bool) canary.Decision {
 	if e.gateway.canary == nil || e.spentAttempts > 0 {
 		return canary.Decision{}
@@ -75,8 +75,8 @@
 	}
 }
 
-// firstCandidates returns the leafs that a shard's first attempt may go to by its decision. If none of them can be
-// queried, it refunds the decision and returns the candidates that were planned without one.
+// firstCandidates makes the canary decision for a shard and returns the leafs that it selects. If none of them can be
+// queried, it refunds the decision and returns the planned candidates.
 func (e *execution) firstCandidates(shard int, planned []balancer.Candidate) []balancer.Candidate {
 	choice := e.gateway.balancer.Choose(planned, nil)
 	decision := e.decide(shard, choice.Leaf == nil || choice.Unhealthy)
@@ -127,8 +127,8 @@
 }
 
 // countEvidence counts the end of an attempt as evidence about its leaf's version: a success, a signed failure, or an
-// attempt that was abandoned without an answer. Refusals, broken connections and attempts that were never sent are not
-// evidence.
+// attempt that was cancelled without an answer. Refusals, unsigned answers, attempts that were never sent, and
+// connections that broke before the attempt was cancelled are not evidence.
 func (e *execution) countEvidence(leaf *leafset.Leaf, response *leafhttp.Response, result attemptResult, took time.Duration) {
 	counted := e.gateway.evidence
 	if counted == nil || leaf == nil || !counted.IsCounted(leaf) {
--- a/internal/request/gateway/canary_fixture_test.go
+++ b/internal/request/gateway/canary_fixture_test.go
@@ -46,20 +46,20 @@
 
 func newCanaryGateway(t *testing.T, cfg canary.Config) *canaryGateway {
 	t.Helper()
-	built := &canaryGateway{t: t, leafs: &scriptedLeafs{}}
-	built.leafs.answer = func(leaf string) (time.Duration, *leafhttp.Response, error) {
-		if built.canaryAnswer != nil && isCanary(leaf) {
-			return built.canaryAnswer(leaf)
+	g := &canaryGateway{t: t, leafs: &scriptedLeafs{}}
+	g.leafs.answer = func(leaf string) (time.Duration, *leafhttp.Response, error) {
+		if g.canaryAnswer != nil && isCanary(leaf) {
+			return g.canaryAnswer(leaf)
 		}
 		return time.Millisecond, answered(200, records(leaf)), nil
 	}
-	built.Gateway, _ = newGateway(t, built.leafs)
-	built.canary = canary.New(cfg, built.catalog, canaryFleet{})
-	built.evidence = evidence.NewCollector(built.catalog)
-	startRollout(t, built.catalog, "")
-	built.specID = built.catalog.Revision()
-	built.refreshRollouts()
-	return built
+	g.Gateway, _ = newGateway(t, g.leafs)
+	g.canary = canary.New(cfg, g.catalog, canaryFleet{})
+	g.evidence = evidence.NewCollector(g.catalog)
+	startRollout(t, g.catalog, "")
+	g.specID = g.catalog.Revision()
+	g.refreshRollouts()
+	return g
 }
 
 // startRollout adds leafs of two versions of s0 to the catalog, and the spec to roll out from one to the other.
@@ -79,62 +79,62 @@
 func isCanary(leaf string) bool { return leaf == "s0c" || leaf == "s0d" }
 
 // refreshRollouts confirms the configuration as the newest and has the splitter read it.
-func (b *canaryGateway) refreshRollouts() {
-	b.catalog.Confirm(time.Now())
-	b.canary.Refresh()
+func (g *canaryGateway) refreshRollouts() {
+	g.catalog.Confirm(time.Now())
+	g.canary.Refresh()
 }
 
 // enterPhase moves the rollout to a phase.
-func (b *canaryGateway) enterPhase(phase rollout.Phase) {
-	b.t.Helper()
-	state := rollout.State{Service: "s0", SpecRevision: b.specID, Phase: phase, Serving: "v1", Target: "v2"}
-	put(b.t, b.catalog, catalog.RolloutStateKey("s0"), state)
-	b.refreshRollouts()
+func (g *canaryGateway) enterPhase(phase rollout.Phase) {
+	g.t.Helper()
+	state := rollout.State{Service: "s0", SpecRevision: g.specID, Phase: phase, Serving: "v1", Target: "v2"}
+	put(g.t, g.catalog, catalog.RolloutStateKey("s0"), state)
+	g.refreshRollouts()
 }
 
 // finishSwitch completes the ramp to v2.
-func (b *canaryGateway) finishSwitch() {
-	b.t.Helper()
-	b.enterPhase(rollout.PhaseSwitching)
+func (g *canaryGateway) finishSwitch() {
+	g.t.Helper()
+	g.enterPhase(rollout.PhaseSwitching)
 	time.Sleep(canary.DefaultConfig().Ramp)
-	b.catalog.Confirm(time.Now())
+	g.catalog.Confirm(time.Now())
 }
 
 // removeLeafs removes leafs from discovery and waits until they are no longer retained.
-func (b *canaryGateway) removeLeafs(ids ...string) {
-	b.t.Helper()
+func (g *canaryGateway) removeLeafs(ids ...string) {
+	g.t.Helper()
 	for _, id := range ids {
-		put(b.t, b.catalog, catalog.LeafKey(id), nil)
+		put(g.t, g.catalog, catalog.LeafKey(id), nil)
 	}
 	time.Sleep(10 * time.Second)
-	b.refreshRollouts()
+	g.refreshRollouts()
 }
 
 // queried returns the leafs of s0 that were queried since the last call.
-func (b *canaryGateway) queried() []string {
-	b.leafs.mu.Lock()
-	defer b.leafs.mu.Unlock()
+func (g *canaryGateway) queried() []string {
+	g.leafs.mu.Lock()
+	defer g.leafs.mu.Unlock()
 	var queried []string
-	for _, leaf := range b.leafs.queried {
+	for _, leaf := range g.leafs.queried {
 		if leaf[:2] == "s0" {
 			queried = append(queried, leaf)
 		}
 	}
-	b.leafs.queried = nil
+	g.leafs.queried = nil
 	return queried
 }
 
 // withCanary runs a test with a canaryGateway in virtual time.
-func withCanary(t *testing.T, cfg canary.Config, test func(is *is.I, b *canaryGateway)) {
+func withCanary(t *testing.T, cfg canary.Config, test func(is *is.I, g *canaryGateway)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) { test(is.New(t), newCanaryGateway(t, cfg)) })
 }
 
 // canaryTally returns the evidence counted for the canary version.
-func (b *canaryGateway) canaryTally(is *is.I) evidence.Tally {
+func (g *canaryGateway) canaryTally(is *is.I) evidence.Tally {
 	var tally evidence.Tally
-	for _, row := range b.evidence.Rows() {
-		is.Equal(row.SpecID, b.specID)
+	for _, row := range g.evidence.Rows() {
+		is.Equal(row.SpecID, g.specID)
 		if row.Version == "v2" {
 			is.Equal(row.Leaf, "s0c")
 			tally.Add(row.Tally)
--- a/internal/request/gateway/canary_test.go
+++ b/internal/request/gateway/canary_test.go
@@ -24,16 +24,16 @@
 // First attempts that are sent to the canary version go to one leaf at a time.
 func TestCanaryAttemptsGoToOneLeafAtATime(t *testing.T) {
 	for _, path := range []string{"/single/1", "/pages/1"} {
-		withCanary(t, allToCanary(), func(is *is.I, b *canaryGateway) {
+		withCanary(t, allToCanary(), func(is *is.I, g *canaryGateway) {
 			for range 10 {
-				_, err := b.Serve(b.t.Context(), newRequest(path))
+				_, err := g.Serve(g.t.Context(), newRequest(path))
 				is.NoErr(err)
-				is.Equal(b.queried(), []string{"s0c"})
+				is.Equal(g.queried(), []string{"s0c"})
 			}
 			time.Sleep(time.Minute / 12)
-			_, err := b.Serve(b.t.Context(), newRequest(path))
+			_, err := g.Serve(g.t.Context(), newRequest(path))
 			is.NoErr(err)
-			is.Equal(b.queried(), []string{"s0d"})
+			is.Equal(g.queried(), []string{"s0d"})
 		})
 	}
 }
@@ -51,18 +51,18 @@
 	for name, c := range cases {
 		for _, path := range []string{"/single/1", "/pages/1"} {
 			t.Run(name+path, func(t *testing.T) {
-				withCanary(t, allToCanary(), func(is *is.I, b *canaryGateway) {
+				withCanary(t, allToCanary(), func(is *is.I, g *canaryGateway) {
 					for range 5 { // earn the budget for a hedge
-						_, err := b.Serve(b.t.Context(), newRequest(path))
+						_, err := g.Serve(g.t.Context(), newRequest(path))
 						is.NoErr(err)
 					}
-					b.queried()
-					b.canaryAnswer = c
-					answer, err := b.Serve(b.t.Context(), newRequest(path))
+					g.queried()
+					g.canaryAnswer = c
+					answer, err := g.Serve(g.t.Context(), newRequest(path))
 					is.NoErr(err)
 					is.Equal(answer.Missing, 0)
 					is.Equal(answer.Status, 200)
-					queried := b.queried()
+					queried := g.queried()
 					is.Equal(len(queried), 2)
 					is.True(isCanary(queried[0]) && !isCanary(queried[1]))
 				})
@@ -73,40 +73,40 @@
 
 // If no canary can be queried, the attempt goes to the serving version at once, and a later request goes to the canary.
 func TestCanaryDecisionWithoutUsableLeafFallsBack(t *testing.T) {
-	withCanary(t, canary.DefaultConfig(), func(is *is.I, b *canaryGateway) {
-		b.warmup = warmup.New(warmup.DefaultConfig(), b.catalog, registeredFleet{}, catalog.NodeRecord{ID: "n"})
+	withCanary(t, canary.DefaultConfig(), func(is *is.I, g *canaryGateway) {
+		g.warmup = warmup.New(warmup.DefaultConfig(), g.catalog, registeredFleet{}, catalog.NodeRecord{ID: "n"})
 		for _, id := range []string{"s0c", "s0d"} {
 			cold := versionedLeaf(id, "v2", "")
 			cold.WarmupMillis = 1000
-			put(b.t, b.catalog, catalog.LeafKey(id), cold)
+			put(g.t, g.catalog, catalog.LeafKey(id), cold)
 		}
 		routes := routing.Configuration{Version: 2, Services: []routing.Service{{Name: "s0", ColdRequestsPerSecond: 4}}}
 		routes.Routes = []routing.Route{{Host: "h", Prefix: "/single/", Service: "s0", Repeatability: routing.Repeatable}}
-		put(b.t, b.catalog, catalog.RoutesKey, routes)
+		put(g.t, g.catalog, catalog.RoutesKey, routes)
 		began := time.Now()
 		for range 50 {
-			_, err := b.Serve(b.t.Context(), newRequest("/single/1"))
+			_, err := g.Serve(g.t.Context(), newRequest("/single/1"))
 			is.NoErr(err)
 		}
 		is.Equal(time.Since(began), 50*time.Millisecond)
-		is.True(!slices.ContainsFunc(b.queried(), isCanary))
+		is.True(!slices.ContainsFunc(g.queried(), isCanary))
 		time.Sleep(time.Second)
 		for range 4 {
-			_, err := b.Serve(b.t.Context(), newRequest("/single/1"))
+			_, err := g.Serve(g.t.Context(), newRequest("/single/1"))
 			is.NoErr(err)
 		}
-		is.True(!slices.ContainsFunc(b.queried(), func(leaf string) bool { return !isCanary(leaf) }))
+		is.True(!slices.ContainsFunc(g.queried(), func(leaf string) bool { return !isCanary(leaf) }))
 	})
 }
 
 // A request that runs at most once is not sent to the canary version for its share.
 func TestAtMostOnceRequestsStayWithServingVersion(t *testing.T) {
-	withCanary(t, allToCanary(), func(is *is.I, b *canaryGateway) {
+	withCanary(t, allToCanary(), func(is *is.I, g *canaryGateway) {
 		for range 20 {
-			_, err := b.Serve(b.t.Context(), newRequest("/once/1"))
+			_, err := g.Serve(g.t.Context(), newRequest("/once/1"))
 			is.NoErr(err)
 		}
-		is.True(!slices.ContainsFunc(b.queried(), isCanary))
+		is.True(!slices.ContainsFunc(g.queried(), isCanary))
 	})
 }
 
@@ -133,29 +133,29 @@
 func TestPlannedAttemptIsCheckedBeforeSending(t *testing.T) {
 	cases := map[string]struct {
 		cfg    canary.Config
-		change func(b *canaryGateway)
+		change func(g *canaryGateway)
 		want   bool // whether the canary version answers
 	}{
-		"cancelled":   {allToCanary(), func(b *canaryGateway) { put(b.t, b.catalog, catalog.RolloutKey("s0"), nil) }, false},
-		"rolled back": {allToCanary(), func(b *canaryGateway) { b.enterPhase(rollout.PhaseRolledBack) }, false},
-		"aborted":     {allToCanary(), func(b *canaryGateway) { b.canary.Abort("s0", b.specID) }, false},
+		"cancelled":   {allToCanary(), func(g *canaryGateway) { put(g.t, g.catalog, catalog.RolloutKey("s0"), nil) }, false},
+		"rolled back": {allToCanary(), func(g *canaryGateway) { g.enterPhase(rollout.PhaseRolledBack) }, false},
+		"aborted":     {allToCanary(), func(g *canaryGateway) { g.canary.Abort("s0", g.specID) }, false},
 		"expired":     {allToCanary(), func(*canaryGateway) {}, false},
-		"succeeded":   {noneToCanary(), func(b *canaryGateway) { b.enterPhase(rollout.PhaseSucceeded) }, true},
+		"succeeded":   {noneToCanary(), func(g *canaryGateway) { g.enterPhase(rollout.PhaseSucceeded) }, true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			withCanary(t, c.cfg, func(is *is.I, b *canaryGateway) {
-				b.Gateway.leafs = &delayedLeafs{b.leafs, 20 * time.Millisecond, b.canary.MaySend}
+			withCanary(t, c.cfg, func(is *is.I, g *canaryGateway) {
+				g.Gateway.leafs = &delayedLeafs{g.leafs, 20 * time.Millisecond, g.canary.MaySend}
 				if name == "expired" {
 					time.Sleep(time.Minute - 10*time.Millisecond)
 				}
 				go func() {
 					time.Sleep(10 * time.Millisecond)
-					c.change(b)
+					c.change(g)
 				}()
-				answer, err := b.Serve(b.t.Context(), newRequest("/single/1"))
+				answer, err := g.Serve(g.t.Context(), newRequest("/single/1"))
 				is.NoErr(err)
-				queried := b.queried()
+				queried := g.queried()
 				is.Equal(len(queried), 1)
 				is.Equal(isCanary(queried[0]), c.want)
 				is.Equal(answer.Status, 200)
@@ -167,28 +167,28 @@
 // A leaf of a disallowed version is not queried or warmed, whether it is ready, on the stored list or was lost
 // recently, even if no other leaf is left.
 func TestDisallowedLeafsAreNeitherQueriedNorWarmed(t *testing.T) {
-	withCanary(t, allToCanary(), func(is *is.I, b *canaryGateway) {
+	withCanary(t, allToCanary(), func(is *is.I, g *canaryGateway) {
 		var stored leafset.List
 		for _, id := range []string{"s0c", "s0d", "s0e"} {
 			stored.Leafs = append(stored.Leafs, versionedLeaf(id, "v2", ""))
 		}
-		put(b.t, b.catalog, catalog.StoredLeafsKey, stored)
-		b.enterPhase(rollout.PhaseRolledBack)
-		put(b.t, b.catalog, catalog.LeafKey("s0d"), nil)
+		put(g.t, g.catalog, catalog.StoredLeafsKey, stored)
+		g.enterPhase(rollout.PhaseRolledBack)
+		put(g.t, g.catalog, catalog.LeafKey("s0d"), nil)
 		for _, id := range []string{"s0a", "s0b"} {
-			put(b.t, b.catalog, catalog.LeafKey(id), nil)
+			put(g.t, g.catalog, catalog.LeafKey(id), nil)
 		}
-		b.Warm()
+		g.Warm()
 		for range 20 {
-			if _, err := b.Serve(b.t.Context(), newRequest("/single/1")); err != nil {
+			if _, err := g.Serve(g.t.Context(), newRequest("/single/1")); err != nil {
 				is.Equal(failure.From(err).Execution, failure.NotRun)
 			}
 			time.Sleep(200 * time.Millisecond) // lost leafs stay candidates for a while
 		}
-		is.True(!slices.ContainsFunc(b.queried(), func(leaf string) bool { return leaf != "s0a" && leaf != "s0b" }))
-		is.True(!slices.ContainsFunc(b.leafs.warmed, func(leaf string) bool { return leaf == "s0c" || leaf == "s0d" || leaf == "s0e" }))
+		is.True(!slices.ContainsFunc(g.queried(), func(leaf string) bool { return leaf != "s0a" && leaf != "s0b" }))
+		is.True(!slices.ContainsFunc(g.leafs.warmed, func(leaf string) bool { return leaf == "s0c" || leaf == "s0d" || leaf == "s0e" }))
 		began := time.Now()
-		_, err := b.Serve(b.t.Context(), newRequest("/single/1"))
+		_, err := g.Serve(g.t.Context(), newRequest("/single/1"))
 		is.Equal(failure.From(err).Code, failure.Overloaded)
 		is.Equal(time.Since(began), time.Duration(0))
 	})
@@ -196,31 +196,31 @@
 
 // After the ramp, only the leafs of the new version are queried and warmed.
 func TestTargetVersionServesAfterRamp(t *testing.T) {
-	withCanary(t, noneToCanary(), func(is *is.I, b *canaryGateway) {
-		b.finishSwitch()
-		b.Warm()
-		is.True(slices.ContainsFunc(b.leafs.warmed, isCanary))
-		is.True(!slices.Contains(b.leafs.warmed, "s0a") && !slices.Contains(b.leafs.warmed, "s0b"))
+	withCanary(t, noneToCanary(), func(is *is.I, g *canaryGateway) {
+		g.finishSwitch()
+		g.Warm()
+		is.True(slices.ContainsFunc(g.leafs.warmed, isCanary))
+		is.True(!slices.Contains(g.leafs.warmed, "s0a") && !slices.Contains(g.leafs.warmed, "s0b"))
 		for _, path := range []string{"/single/1", "/once/1", "/pages/1"} {
 			var serving sync.WaitGroup
 			for range 10 {
 				serving.Go(func() {
-					_, err := b.Serve(b.t.Context(), newRequest(path))
+					_, err := g.Serve(g.t.Context(), newRequest(path))
 					is.NoErr(err)
 				})
 			}
 			serving.Wait()
 		}
-		queried := b.queried()
+		queried := g.queried()
 		is.True(!slices.ContainsFunc(queried, func(leaf string) bool { return !isCanary(leaf) }))
 		is.True(slices.Contains(queried, "s0c") && slices.Contains(queried, "s0d"))
-		b.removeLeafs("s0a", "s0b")
-		_, err := b.Serve(b.t.Context(), newRequest("/single/1"))
+		g.removeLeafs("s0a", "s0b")
+		_, err := g.Serve(g.t.Context(), newRequest("/single/1"))
 		is.NoErr(err)
-		put(b.t, b.catalog, catalog.LeafKey("s0a"), versionedLeaf("s0a", "v1", ""))
-		b.removeLeafs("s0c", "s0d")
+		put(g.t, g.catalog, catalog.LeafKey("s0a"), versionedLeaf("s0a", "v1", ""))
+		g.removeLeafs("s0c", "s0d")
 		began := time.Now()
-		_, err = b.Serve(b.t.Context(), newRequest("/single/1"))
+		_, err = g.Serve(g.t.Context(), newRequest("/single/1"))
 		is.Equal(failure.From(err).Code, failure.Overloaded)
 		is.Equal(time.Since(began), time.Duration(0))
 	})
@@ -228,16 +228,16 @@
 
 // Once all requests go to the new version, its leafs are still queried shortly after discovery lost them all.
 func TestRecentlyLostTargetLeafsAreQueried(t *testing.T) {
-	withCanary(t, noneToCanary(), func(is *is.I, b *canaryGateway) {
-		b.finishSwitch()
+	withCanary(t, noneToCanary(), func(is *is.I, g *canaryGateway) {
+		g.finishSwitch()
 		for _, id := range []string{"s0c", "s0d"} {
-			put(b.t, b.catalog, catalog.LeafKey(id), nil)
+			put(g.t, g.catalog, catalog.LeafKey(id), nil)
 		}
 		for _, path := range []string{"/single/1", "/pages/1"} {
-			answer, err := b.Serve(b.t.Context(), newRequest(path))
+			answer, err := g.Serve(g.t.Context(), newRequest(path))
 			is.NoErr(err)
 			is.Equal(answer.Missing, 0)
-			queried := b.queried()
+			queried := g.queried()
 			is.True(len(queried) == 1 && isCanary(queried[0]))
 		}
 	})
@@ -245,31 +245,31 @@
 
 // During the ramp, a failure of either version is retried at the other.
 func TestRetriesGoToOtherVersionDuringRamp(t *testing.T) {
-	withCanary(t, noneToCanary(), func(is *is.I, b *canaryGateway) {
-		b.leafs.answer = func(leaf string) (time.Duration, *leafhttp.Response, error) {
+	withCanary(t, noneToCanary(), func(is *is.I, g *canaryGateway) {
+		g.leafs.answer = func(leaf string) (time.Duration, *leafhttp.Response, error) {
 			return 0, answered(500, leaf), nil
 		}
-		b.enterPhase(rollout.PhaseSwitching) // no first attempts go to the canary yet
-		_, err := b.Serve(b.t.Context(), newRequest("/single/1"))
+		g.enterPhase(rollout.PhaseSwitching) // no first attempts go to the canary yet
+		_, err := g.Serve(g.t.Context(), newRequest("/single/1"))
 		is.NoErr(err)
-		is.True(!isCanary(b.queried()[0]))
+		is.True(!isCanary(g.queried()[0]))
 		retried := false
 		for range 40 {
-			_, err := b.Serve(b.t.Context(), newRequest("/single/1"))
+			_, err := g.Serve(g.t.Context(), newRequest("/single/1"))
 			is.NoErr(err)
-			queried := b.queried()
+			queried := g.queried()
 			retried = retried || !isCanary(queried[0]) && len(queried) > 1 && isCanary(queried[1])
 		}
 		is.True(retried)
 	})
-	withCanary(t, allToCanary(), func(is *is.I, b *canaryGateway) {
-		b.enterPhase(rollout.PhaseSwitching)
-		b.canaryAnswer = func(leaf string) (time.Duration, *leafhttp.Response, error) { return 0, answered(500, leaf), nil }
+	withCanary(t, allToCanary(), func(is *is.I, g *canaryGateway) {
+		g.enterPhase(rollout.PhaseSwitching)
+		g.canaryAnswer = func(leaf string) (time.Duration, *leafhttp.Response, error) { return 0, answered(500, leaf), nil }
 		retried := false
 		for range 40 {
-			_, err := b.Serve(b.t.Context(), newRequest("/single/1"))
+			_, err := g.Serve(g.t.Context(), newRequest("/single/1"))
 			is.NoErr(err)
-			queried := b.queried()
+			queried := g.queried()
 			is.True(isCanary(queried[0]))
 			retried = retried || len(queried) > 1 && !isCanary(queried[1])
 		}
@@ -279,48 +279,48 @@
 
 // The node is settled only when the last attempt at the old version has ended, even if it began before the switch.
 func TestNodeIsNotSettledWhileAttemptIsInFlight(t *testing.T) {
-	withCanary(t, noneToCanary(), func(is *is.I, b *canaryGateway) {
-		b.leafs.answer = func(leaf string) (time.Duration, *leafhttp.Response, error) {
+	withCanary(t, noneToCanary(), func(is *is.I, g *canaryGateway) {
+		g.leafs.answer = func(leaf string) (time.Duration, *leafhttp.Response, error) {
 			return 700 * time.Millisecond, answered(200, leaf), nil
 		}
 		cfg := noneToCanary()
 		cfg.Ramp = 100 * time.Millisecond
-		b.canary = canary.New(cfg, b.catalog, canaryFleet{})
+		g.canary = canary.New(cfg, g.catalog, canaryFleet{})
 		served := make(chan error)
 		go func() {
-			_, err := b.Serve(b.t.Context(), newRequest("/once/1"))
+			_, err := g.Serve(g.t.Context(), newRequest("/once/1"))
 			served <- err
 		}()
 		time.Sleep(10 * time.Millisecond)
-		b.enterPhase(rollout.PhaseSwitching)
+		g.enterPhase(rollout.PhaseSwitching)
 		time.Sleep(200 * time.Millisecond)
-		is.Equal(b.canary.SettledRevision(), b.catalog.Revision()-1)
+		is.Equal(g.canary.SettledRevision(), g.catalog.Revision()-1)
 		is.NoErr(<-served)
-		is.Equal(b.canary.SettledRevision(), b.catalog.Revision())
+		is.Equal(g.canary.SettledRevision(), g.catalog.Revision())
 	})
 }
 
 // A node opens a connection to a canary leaf once it has both the rollout and the leaf, once per rollout spec.
 func TestCanaryIsWarmed(t *testing.T) {
-	withCanary(t, noneToCanary(), func(is *is.I, b *canaryGateway) {
+	withCanary(t, noneToCanary(), func(is *is.I, g *canaryGateway) {
 		for _, id := range []string{"s0c", "s0d"} {
-			put(b.t, b.catalog, catalog.LeafKey(id), nil)
+			put(g.t, g.catalog, catalog.LeafKey(id), nil)
 		}
-		ctx, cancel := context.WithCancel(b.t.Context())
-		go b.KeepWarm(ctx)
+		ctx, cancel := context.WithCancel(g.t.Context())
+		go g.KeepWarm(ctx)
 		synctest.Wait()
-		is.True(!slices.ContainsFunc(b.leafs.warmed, isCanary))
+		is.True(!slices.ContainsFunc(g.leafs.warmed, isCanary))
 		for index := range 3 {
-			put(b.t, b.catalog, catalog.LeafKey("s0d"), versionedLeaf("s0d", "v2", ""))
-			put(b.t, b.catalog, catalog.EvacuationKey(fmt.Sprint(index)), struct{}{})
+			put(g.t, g.catalog, catalog.LeafKey("s0d"), versionedLeaf("s0d", "v2", ""))
+			put(g.t, g.catalog, catalog.EvacuationKey(fmt.Sprint(index)), struct{}{})
 		}
 		synctest.Wait()
-		b.leafs.mu.Lock()
-		is.Equal(slices.DeleteFunc(slices.Clone(b.leafs.warmed), func(leaf string) bool { return !isCanary(leaf) }), []string{"s0d"})
-		b.leafs.mu.Unlock()
-		put(b.t, b.catalog, catalog.RolloutKey("s0"), rollout.Spec{Service: "s0", Target: "v2", DurationMillis: 1000})
+		g.leafs.mu.Lock()
+		is.Equal(slices.DeleteFunc(slices.Clone(g.leafs.warmed), func(leaf string) bool { return !isCanary(leaf) }), []string{"s0d"})
+		g.leafs.mu.Unlock()
+		put(g.t, g.catalog, catalog.RolloutKey("s0"), rollout.Spec{Service: "s0", Target: "v2", DurationMillis: 1000})
 		synctest.Wait()
-		is.Equal(len(slices.DeleteFunc(slices.Clone(b.leafs.warmed), func(leaf string) bool { return !isCanary(leaf) })), 2)
+		is.Equal(len(slices.DeleteFunc(slices.Clone(g.leafs.warmed), func(leaf string) bool { return !isCanary(leaf) })), 2)
 		cancel()
 		synctest.Wait()
 	})
@@ -357,18 +357,18 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			withCanary(t, allToCanary(), func(is *is.I, b *canaryGateway) {
+			withCanary(t, allToCanary(), func(is *is.I, g *canaryGateway) {
 				for range 5 { // earn the budget for a hedge
-					_, err := b.Serve(b.t.Context(), newRequest("/single/1"))
+					_, err := g.Serve(g.t.Context(), newRequest("/single/1"))
 					is.NoErr(err)
 				}
 				synctest.Wait()
-				before := b.canaryTally(is)
-				b.canaryAnswer = c.answer
-				_, err := b.Serve(b.t.Context(), newRequest("/single/1"))
+				before := g.canaryTally(is)
+				g.canaryAnswer = c.answer
+				_, err := g.Serve(g.t.Context(), newRequest("/single/1"))
 				is.NoErr(err)
 				synctest.Wait()
-				after := b.canaryTally(is)
+				after := g.canaryTally(is)
 				is.Equal(after.Answered.Total()-before.Answered.Total(), c.answered)
 				is.Equal(after.Failures-before.Failures, c.failed)
 				is.Equal(after.Abandoned.Total()-before.Abandoned.Total(), c.abandoned)
--- a/internal/request/gateway/canary_tree_test.go
+++ b/internal/request/gateway/canary_tree_test.go
@@ -18,8 +18,8 @@
 	t.Helper()
 	small, large := near("root"), near("there")
 	small.Processors, large.Processors = 0.2, 0.8
-	b := newTree(t, small, large, far("far"))
-	for id, node := range b.nodes {
+	tr := newTree(t, small, large, far("far"))
+	for id, node := range tr.nodes {
 		node.gateway.canary = canary.New(allToCanary(), node.catalog, canaryFleet{})
 		put(t, node.catalog, catalog.LeafKey("s0"+zoneNear), nil)
 		put(t, node.catalog, catalog.LeafKey("s0"+zoneFar), nil)
@@ -29,7 +29,7 @@
 		}
 		node.catalog.Confirm(time.Now())
 	}
-	return b
+	return tr
 }
 
 // An intermediate makes canary decisions by its own configuration; its root makes none for a group.
@@ -45,13 +45,13 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := newCanaryTree(t, c.withRollout...)
+			tr := newCanaryTree(t, c.withRollout...)
 			for range 5 {
-				b.requireComplete(b.serve("root"))
+				tr.requireComplete(tr.serve("root"))
 			}
-			is.Equal(len(b.attempts.by("root")), 0)
+			is.Equal(len(tr.attempts.by("root")), 0)
 			toCanary := 0
-			for _, leaf := range b.attempts.by("there") {
+			for _, leaf := range tr.attempts.by("there") {
 				if isCanary(leaf) {
 					toCanary++
 				}
@@ -61,18 +61,18 @@
 	}
 }
 
-// Groups do not count towards the share at the root.
+// Groups do not count toward the share at the root.
 func TestGroupsEarnNoCanaryShareAtRoot(t *testing.T) {
 	is := is.New(t)
-	b := newCanaryTree(t, "root", "there")
-	root := b.nodes["root"].gateway
+	tr := newCanaryTree(t, "root", "there")
+	root := tr.nodes["root"].gateway
 	half := allToCanary()
 	half.Share = 0.5
 	root.canary = canary.New(half, root.catalog, canaryFleet{})
 	for range 5 {
-		b.requireComplete(b.serve("root"))
+		tr.requireComplete(tr.serve("root"))
 	}
-	is.Equal(len(b.attempts.by("root")), 0)
+	is.Equal(len(tr.attempts.by("root")), 0)
 	is.Equal(root.canary.Decide(canary.Request{Service: "s0"}), canary.Decision{})
 	is.Equal(root.canary.Decide(canary.Request{Service: "s0"}).First, canary.Canary)
 }
@@ -80,8 +80,8 @@
 // Once requests are switched to a version, placement follows its leafs.
 func TestPlacementFollowsVersionDuringSwitch(t *testing.T) {
 	is := is.New(t)
-	b := newCanaryTree(t, "far")
-	node := b.nodes["far"]
+	tr := newCanaryTree(t, "far")
+	node := tr.nodes["far"]
 	placed := newPlacement(node.catalog, zoneFar, nil)
 	entry := node.catalog.View().Routes.Match("h", "/pages/1")
 	is.True(!slices.Contains(placed.groupsOf(entry)[0].shards, 0))
@@ -96,26 +96,26 @@
 
 // Canary decisions select only leafs in regions that the route allows and in zones that are not evacuated.
 func TestCanaryDecisionsRespectRegionsAndEvacuations(t *testing.T) {
-	withCanary(t, allToCanary(), func(is *is.I, b *canaryGateway) {
-		b.regions = map[string]string{zoneNear: regionWest, zoneFar: regionWest, zoneFarther: regionSouth}
+	withCanary(t, allToCanary(), func(is *is.I, g *canaryGateway) {
+		g.regions = map[string]string{zoneNear: regionWest, zoneFar: regionWest, zoneFarther: regionSouth}
 		for id, zone := range map[string]string{"s0a": zoneNear, "s0c": zoneFarther, "s0d": zoneFar} {
 			version := "v2"
 			if id == "s0a" {
 				version = "v1"
 			}
-			put(b.t, b.catalog, catalog.LeafKey(id), versionedLeaf(id, version, zone))
+			put(g.t, g.catalog, catalog.LeafKey(id), versionedLeaf(id, version, zone))
 		}
-		put(b.t, b.catalog, catalog.RoutesKey, routing.Configuration{Version: 2, Routes: []routing.Route{{
+		put(g.t, g.catalog, catalog.RoutesKey, routing.Configuration{Version: 2, Routes: []routing.Route{{
 			Host: "h", Prefix: "/single/", Service: "s0", Repeatability: routing.Repeatable, Regions: []string{regionWest},
 		}}})
 		for range 10 {
-			_, err := b.Serve(b.t.Context(), newRequest("/single/1"))
+			_, err := g.Serve(g.t.Context(), newRequest("/single/1"))
 			is.NoErr(err)
-			is.Equal(b.queried(), []string{"s0d"})
+			is.Equal(g.queried(), []string{"s0d"})
 		}
-		put(b.t, b.catalog, catalog.EvacuationKey(zoneFar), struct{}{})
-		_, err := b.Serve(b.t.Context(), newRequest("/single/1"))
+		put(g.t, g.catalog, catalog.EvacuationKey(zoneFar), struct{}{})
+		_, err := g.Serve(g.t.Context(), newRequest("/single/1"))
 		is.NoErr(err)
-		is.Equal(b.queried(), []string{"s0a"})
+		is.Equal(g.queried(), []string{"s0a"})
 	})
 }
--- a/internal/request/gateway/candidates.go
+++ b/internal/request/gateway/candidates.go
@@ -26,8 +26,9 @@
 // queried if all of these are true:
 //
 //   - it runs one of the versions;
-//   - discovery lists it as ready, or recently lost all leafs of its version (leafmemory);
-//   - this node has a share of its connections, or may open an extra one (connshare);
+//   - discovery lists it as ready, or no leaf of its version is ready and it was lost recently or is on the stored list
+//     (leafmemory);
+//   - this node is allotted connections to it, or may open an extra one (connshare);
 //   - if it is cold, this node's share of its request rate is not used up (warmup);
 //   - its zone is reachable;
 //   - the route allows its region.
@@ -49,7 +50,7 @@
 // queriedService is a service whose leafs are queried.
 type queriedService struct {
 	name string
-	// isGathered selects the share of connections for gathered requests.
+	// isGathered selects the connections that are allotted to gathered requests.
 	isGathered bool
 	// maximumConnections is how many connections a leaf accepts from all nodes together; 0 means no limit.
 	maximumConnections int
@@ -75,9 +76,9 @@
 	allotted := g.allocator.Allot(service.name, service.isGathered, leafs, service.maximumConnections)
 	candidates = slices.Grow(candidates, len(allotted))
 	*targets = slices.Grow(*targets, len(allotted))
-	for _, share := range allotted {
-		leaf := share.Leaf
-		if share.Connections == 0 && !g.leafs.MayOpenExtra(leaf.ID) {
+	for _, allotment := range allotted {
+		leaf := allotment.Leaf
+		if allotment.Connections == 0 && !g.leafs.MayOpenExtra(leaf.ID) {
 			continue
 		}
 		if g.warmup != nil && !g.warmup.HasToken(leaf) {
@@ -85,24 +86,24 @@
 		}
 		target := leafhttp.Target{
 			LeafID: leaf.ID, Name: leaf.Name, Address: leaf.Address,
-			Connections: share.Connections, ExtraConnections: share.ExtraConnections,
+			Connections: allotment.Connections, ExtraConnections: allotment.ExtraConnections,
 		}
 		*targets = append(*targets, leafTarget{target, leaf})
 		candidates = append(candidates, balancer.Candidate{
-			LeafID: leaf.ID, Zone: leaf.Zone, Unallotted: share.Connections == 0, LastResort: share.LastResort,
+			LeafID: leaf.ID, Zone: leaf.Zone, Unallotted: allotment.Connections == 0, LastResort: allotment.LastResort,
 		})
 	}
 	return candidates
 }
 
-// servingLeafs returns the leafs of a service's serving version, including recently lost ones if there are no others.
+// servingLeafs returns the leafs of a service's serving version, or lost ones if none is ready (leafmemory).
 func (g *Gateway) servingLeafs(service string) []*leafset.Leaf {
 	leafs, _ := g.memory.Candidates(service)
 	return leafs
 }
 
-// canaryLeafs returns the leafs of a service's canary version. Once all requests go to that version, it includes
-// recently lost leafs if there are no others.
+// canaryLeafs returns the leafs of a service's canary version. Once all requests go to that version, it returns lost
+// leafs if none is ready (leafmemory).
 func (g *Gateway) canaryLeafs(service string, role canary.Role) []*leafset.Leaf {
 	if role == canary.Canary {
 		return g.memory.CanaryLeafs(service)
--- a/internal/request/gateway/candidates_test.go
+++ b/internal/request/gateway/candidates_test.go
@@ -76,7 +76,7 @@
 		for range 20 {
 			answer, err := g.Serve(t.Context(), newRequest("/single/1"))
 			is.NoErr(err)
-			is.Equal(string(answer.Body), "s0b") // this node's share of the rate is below one request
+			is.Equal(string(answer.Body), "s0b") // no token for s0a is due within 20 ms
 		}
 	})
 }
--- a/internal/request/gateway/config.go
+++ b/internal/request/gateway/config.go
@@ -15,7 +15,7 @@
 	// be too late to answer in time. An answer is worth the same at any time before the objective, so an earlier hedge
 	// would only add load.
 	HedgeShare float64 `yaml:"hedge_share"`
-	// LatencyWindow is the period over which latencies are measured.
+	// LatencyWindow is the minimum time for which a latency sample counts; the maximum is twice that.
 	LatencyWindow time.Duration `yaml:"latency_window"`
 	// HedgeReserve is the fraction of the retry budget that hedges leave for retries.
 	HedgeReserve float64 `yaml:"hedge_reserve"`
--- a/internal/request/gateway/crash.go
+++ b/internal/request/gateway/crash.go
@@ -13,7 +13,7 @@
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
-// LeafCheckRecord is an attempt whose answer was cut off, and whether the leaf's process has ended.
+// LeafCheckRecord is an attempt whose answer broke off, and whether the leaf's process has exited.
 type LeafCheckRecord struct {
 	RequestID string
 	// Content is the fingerprint of the request.
@@ -22,7 +22,7 @@
 	Leaf    string
 	// Probe is the number of the probe, from 1; 0 for other attempts.
 	Probe int
-	// Ended reports whether the leaf's process has ended, and not just a connection to it.
+	// Ended reports whether the leaf's process has exited, and not just a connection to it.
 	Ended bool
 	// Announced reports whether the leaf had announced its drain, or was no longer listed.
 	Announced bool
@@ -31,7 +31,6 @@
 // isEvidence reports whether the request may have crashed the leaf.
 func (l LeafCheckRecord) isEvidence() bool { return l.Ended && !l.Announced }
 
-// attemptEnd is the end of an attempt.
 type attemptEnd struct {
 	response *leafhttp.Response // nil if err is set
 	result   attemptResult
@@ -51,9 +50,9 @@
 // isAbandoned reports whether the attempt was cancelled because its answer is no longer needed.
 func (e attemptEnd) isAbandoned() bool { return e.result.Outcome == balancer.Abandoned }
 
-// leafMayHaveEnded reports whether the leaf's process may have ended. This includes attempts that were abandoned, if
-// the leaf's side closed the connection.
-func (e attemptEnd) leafMayHaveEnded() bool {
+// leafMayHaveExited reports whether the leaf's process may have exited. This includes abandoned attempts if the leaf
+// closed or reset the connection.
+func (e attemptEnd) leafMayHaveExited() bool {
 	if !e.isBroken() && !e.isRefused() {
 		return false
 	}
@@ -66,7 +65,7 @@
 // either that the leaf crashed or that it refused the connection.
 func (e *execution) finishAttempt(attempt scatter.Attempt, target leafTarget, probe int, end attemptEnd, done func(attemptResult)) {
 	e.observeForQuarantine(attempt.Leaf.ID, end)
-	if !end.leafMayHaveEnded() {
+	if !end.leafMayHaveExited() {
 		done(end.result)
 		return
 	}
@@ -89,7 +88,8 @@
 	})
 }
 
-// observeForQuarantine reports that a leaf survived the request, or was gone before it.
+// observeForQuarantine reports to the quarantine register that the leaf completed the request, or that nothing listened
+// at the address of a listed leaf.
 func (e *execution) observeForQuarantine(leafID string, end attemptEnd) {
 	if e.tracked == nil {
 		return
@@ -102,7 +102,7 @@
 	}
 }
 
-// checkProcess calls done with whether a leaf's process has ended.
+// checkProcess calls done with whether a leaf's process has exited.
 func (e *execution) checkProcess(leaf leafhttp.Target, wasRefused bool, done leafhttp.OnChecked) {
 	checked := make(chan struct{})
 	e.mu.Lock()
@@ -114,7 +114,7 @@
 	})
 }
 
-// recordLoss reports a leaf whose answer was cut off, as evidence against the request if the leaf's process ended
+// recordLoss reports a leaf whose answer broke off. It is evidence against the request if the leaf's process exited
 // without an announcement.
 func (e *execution) recordLoss(lost LeafCheckRecord) {
 	e.gateway.events.LeafChecked(lost)
--- a/internal/request/gateway/crash_test.go
+++ b/internal/request/gateway/crash_test.go
@@ -44,7 +44,7 @@
 	return register
 }
 
-// crashingLeafs crash when they run a request; checks of their processes then report that they have ended.
+// crashingLeafs crash when they run a request; checks of their processes then report that they have exited.
 type crashingLeafs struct {
 	scriptedLeafs
 	mu    sync.Mutex
@@ -54,34 +54,35 @@
 }
 
 func newCrashingLeafs() *crashingLeafs {
-	f := &crashingLeafs{ended: map[string]bool{}, survives: func(string) bool { return false }}
-	f.answer = func(leaf string) (time.Duration, *leafhttp.Response, error) {
-		if f.survives(leaf) {
+	l := &crashingLeafs{ended: map[string]bool{}, survives: func(string) bool { return false }}
+	l.answer = func(leaf string) (time.Duration, *leafhttp.Response, error) {
+		if l.survives(leaf) {
 			return crashAfter, answered(200, records(leaf)), nil
 		}
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		if f.ended[leaf] {
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		if l.ended[leaf] {
 			return time.Millisecond, nil, &leafhttp.NeverSentError{Cause: syscall.ECONNREFUSED}
 		}
-		f.ended[leaf] = true
+		l.ended[leaf] = true
 		return crashAfter, nil, &leafhttp.BrokenAnswerError{Cause: errors.New("reset")}
 	}
-	return f
+	return l
 }
 
-func (f *crashingLeafs) Check(target leafhttp.Target, _ bool, done leafhttp.OnChecked) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	ended := f.ended[target.LeafID]
+func (l *crashingLeafs) Check(target leafhttp.Target, _ bool, done leafhttp.OnChecked) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	ended := l.ended[target.LeafID]
 	time.AfterFunc(time.Millisecond, func() { done(ended) })
 }
 
-// crashedCount returns how many leafs have crashed.
-func (f *crashingLeafs) crashedCount() int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return len(f.ended)
+// crashedCount returns how many leafs have an entry in ended: those that crashed.
+// TestProcessCheckAfterBreakOnNewConnection also enters leafs that got the request and did not crash.
+func (l *crashingLeafs) crashedCount() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.ended)
 }
 
 func newQuarantineGateway(t *testing.T, leafs LeafCaller, register *quarantine.Register) *Gateway {
@@ -99,7 +100,7 @@
 		began := time.Now()
 		_, err := g.Serve(t.Context(), newRequest("/pages/1"))
 		is.True(failure.Is(err, failure.Quarantined))
-		is.Equal(failure.From(err).Execution, failure.Unknown) // it ran
+		is.Equal(failure.From(err).Execution, failure.Unknown) // leafs may have run it
 		is.Equal(failure.From(err).RetryAfter, time.Duration(0))
 		is.Equal(leafs.crashedCount(), shardCount+1)
 		is.True(time.Since(began) <= 2*crashAfter+2*time.Millisecond)
@@ -239,7 +240,7 @@
 	})
 }
 
-// A leaf that stopped at its deadline has not completed the request, which does not clear it.
+// A run that the leaf stopped at its deadline does not clear the request.
 func TestOnlyCompletedRunClearsRequest(t *testing.T) {
 	for status, want := range map[int]quarantine.State{504: quarantine.Suspect, 500: quarantine.Clear, 200: quarantine.Clear} {
 		t.Run(strconv.Itoa(status), func(t *testing.T) {
@@ -297,7 +298,7 @@
 				g := newQuarantineGateway(t, leafs, newRegister())
 				_, err := g.Serve(t.Context(), newRequest("/pages/1"))
 				is.Equal(failure.Is(err, failure.Quarantined), ended)
-				is.Equal(leafs.crashedCount() <= shardCount+1, ended) // refused attempts are retried
+				is.Equal(leafs.crashedCount() <= shardCount+1, ended) // refused attempts are retried, so more leafs get the request
 			})
 		})
 	}
@@ -306,37 +307,37 @@
 // An intermediate does not probe its group: all nodes together crash one leaf of each shard, and one more.
 func TestOnlyRootProbesCrashingRequest(t *testing.T) {
 	is := is.New(t)
-	b := newTree(t, near("root"), far("there"))
+	tr := newTree(t, near("root"), far("there"))
 	ended := &crashedLeafSet{}
-	for _, node := range b.nodes {
+	for _, node := range tr.nodes {
 		node.gateway.quarantine = newRegister()
 		node.gateway.leafs = &crashingTreeLeafs{treeLeafs: node.leafs, ended: ended}
 		node.leafs.setAnswer(ended.run)
 	}
-	_, err := b.serve("root")
+	_, err := tr.serve("root")
 	is.True(failure.Is(err, failure.Quarantined))
-	is.Equal(len(b.attempts.by("root"))+len(b.attempts.by("there")), shardCount+1)
-	is.Equal(len(b.attempts.by("there")), shardCount-nearShards)
-	before := len(b.attempts.by("root")) + len(b.attempts.by("there"))
-	_, err = b.serve("root")
+	is.Equal(len(tr.attempts.by("root"))+len(tr.attempts.by("there")), shardCount+1)
+	is.Equal(len(tr.attempts.by("there")), shardCount-nearShards)
+	before := len(tr.attempts.by("root")) + len(tr.attempts.by("there"))
+	_, err = tr.serve("root")
 	is.True(failure.Is(err, failure.Quarantined))
-	is.Equal(len(b.attempts.by("root"))+len(b.attempts.by("there")), before)
+	is.Equal(len(tr.attempts.by("root"))+len(tr.attempts.by("there")), before)
 }
 
 // A root learns of a quarantine from the reply of an intermediate.
 func TestRootLearnsQuarantineFromIntermediate(t *testing.T) {
 	is := is.New(t)
-	b := newTree(t, near("root"), far("there"))
+	tr := newTree(t, near("root"), far("there"))
 	ended := &crashedLeafSet{}
-	for _, node := range b.nodes {
+	for _, node := range tr.nodes {
 		node.gateway.quarantine = newRegister()
 		node.gateway.leafs = &crashingTreeLeafs{treeLeafs: node.leafs, ended: ended}
 	}
-	b.nodes["there"].gateway.quarantine.AddRecord(quarantine.Record{Subject: quarantine.Subject{Fingerprint: DefaultConfig().fingerprintOf(newRequest("/pages/1"))}})
-	b.nodes["root"].leafs.setAnswer(func(string) (time.Duration, *leafhttp.Response, error) { return time.Hour, nil, nil })
-	_, err := b.serve("root")
+	tr.nodes["there"].gateway.quarantine.AddRecord(quarantine.Record{Subject: quarantine.Subject{Fingerprint: DefaultConfig().fingerprintOf(newRequest("/pages/1"))}})
+	tr.nodes["root"].leafs.setAnswer(func(string) (time.Duration, *leafhttp.Response, error) { return time.Hour, nil, nil })
+	_, err := tr.serve("root")
 	is.True(failure.Is(err, failure.Quarantined))
-	is.Equal(len(b.attempts.by("there")), 0)
+	is.Equal(len(tr.attempts.by("there")), 0)
 }
 
 // crashedLeafSet contains the leafs of a tree that have crashed because they ran a request of any node.
@@ -345,23 +346,23 @@
 	ended map[string]bool
 }
 
-func (e *crashedLeafSet) run(leaf string) (time.Duration, *leafhttp.Response, error) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.ended == nil {
-		e.ended = map[string]bool{}
+func (s *crashedLeafSet) run(leaf string) (time.Duration, *leafhttp.Response, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.ended == nil {
+		s.ended = map[string]bool{}
 	}
-	e.ended[leaf] = true
+	s.ended[leaf] = true
 	return crashAfter, nil, &leafhttp.BrokenAnswerError{Cause: errors.New("reset")}
 }
 
-func (e *crashedLeafSet) has(leaf string) bool {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return e.ended[leaf]
+func (s *crashedLeafSet) has(leaf string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.ended[leaf]
 }
 
-// crashingTreeLeafs is a LeafCaller whose process checks report the crashed leafs of a tree as ended.
+// crashingTreeLeafs is a LeafCaller whose process checks report that the crashed leafs of a tree have exited.
 type crashingTreeLeafs struct {
 	*treeLeafs
 	ended *crashedLeafSet
--- a/internal/request/gateway/deadlines.go
+++ b/internal/request/gateway/deadlines.go
@@ -11,18 +11,16 @@
 // for single requests, the leafs have until the deadline, when the request times out. Both are set here, once; only a
 // suspension of the machine moves the deadline (suspension.go).
 
-// roundTripObjectiveDivisor bounds the time subtracted from the objective for the round trip to the caller: half of it.
+// roundTripObjectiveDivisor bounds the round trip to the caller plus ObjectiveReserve to half of the objective.
 const roundTripObjectiveDivisor = 2
 
-// callerReserveDivisor bounds the time subtracted from the caller's timeout for sending the answer: a quarter of it.
+// callerReserveDivisor bounds the time for sending the answer to a quarter of the caller's timeout.
 const callerReserveDivisor = 4
 
-// setTimes sets the times of a caller's request.
-//
-// The deadline is the route's timeout after the arrival, or, if that is earlier, the caller's timeout less
-// AnswerReserve and the round trip. The objective is the route's, less the time that the caller has already spent and
-// the time on the network. A partial answer is sent earlier by this node's lag, so that it is complete by the
-// objective.
+// setTimes sets the times of a caller's request. The deadline is the route's timeout after the arrival or, if that is
+// earlier, the caller's timeout less AnswerReserve and the round trip, which take at most a quarter of it. The
+// objective is the route's, less callerOverhead. A partial answer is sent earlier by this node's lag, so that it is
+// complete by the objective.
 func (g *Gateway) setTimes(r *routedRequest) {
 	r.deadline = r.Arrived.Add(r.route.Timeout)
 	r.objective = r.Arrived.Add(r.route.Objective - g.callerOverhead(r.Request, r.route))
@@ -47,7 +45,7 @@
 }
 
 // callerOverhead estimates the part of the objective that this node cannot use: the time that the caller spent before
-// the request arrived, and the round trip.
+// the request arrived, plus the round trip and ObjectiveReserve, which together take at most half of the objective.
 func (g *Gateway) callerOverhead(request *Request, route *routing.Entry) time.Duration {
 	roundTrip := min(request.RoundTrip+g.cfg.ObjectiveReserve, route.Objective/roundTripObjectiveDivisor)
 	spent := request.ConnectTime
--- a/internal/request/gateway/deadlines_test.go
+++ b/internal/request/gateway/deadlines_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// The time that a caller spent on its connection is subtracted from the objective once, whether or not the common
-// timeout is known.
+// The time that a caller spent on its connection is subtracted from the objective once, whether or not the route's
+// longest timeout is known.
 func TestConnectTimeShortensObjective(t *testing.T) {
 	is := is.New(t)
 	g, _ := newGateway(t, &scriptedLeafs{})
--- a/internal/request/gateway/events.go
+++ b/internal/request/gateway/events.go
@@ -8,7 +8,7 @@
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
-// EventLog receives all decisions that affect a request.
+// EventLog receives the events of requests: refusals, attempts, group calls, checks of leafs, and outcomes.
 type EventLog interface {
 	// Refused reports a request that was refused for its route or its quarantine. Other refusals are reported by
 	// Served, with a failure and without attempts.
@@ -21,7 +21,7 @@
 	Served(record RequestRecord)
 	// GroupEnded reports the end of a group call to another node.
 	GroupEnded(record GroupRecord)
-	// LeafChecked reports an attempt whose answer was cut off, once the check of the leaf's process has ended.
+	// LeafChecked reports an attempt whose answer broke off, once the check of the leaf's process has ended.
 	LeafChecked(record LeafCheckRecord)
 }
 
@@ -54,9 +54,10 @@
 	// ConfigAge is the time since the store confirmed that Revision is the newest.
 	ConfigAge time.Duration
 	Took      time.Duration
-	// InTime reports whether the answer was sent within the objective.
+	// InTime reports whether the request ended before routedRequest.lateAfter, so that an answer can reach the caller
+	// within the objective.
 	InTime  bool
-	Shards  int
+	Shards  int // including the missing ones
 	Missing int
 	// MissingServices are the services without a part, each with its reason.
 	MissingServices []MissingPart
--- a/internal/request/gateway/execution.go
+++ b/internal/request/gateway/execution.go
@@ -13,8 +13,8 @@
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
-// execution is one run of a request at this node, for a caller or, with partial set, for the node that is its root. It
-// has one shard per service.
+// execution is one run of a request at this node. If partial is set, it gathers a group for another node, the root of
+// the request. It has one shard per service.
 type execution struct {
 	gateway  *Gateway
 	request  *routedRequest
@@ -52,7 +52,7 @@
 	lastFailure *leafhttp.Response // of a leaf, passed on if there is no success
 	endedGroups []GroupRecord
 	// crashedLeafs are the IDs of leafs that crashed during the request. Each of processChecks is closed when the check
-	// of a leaf whose answer was cut off has ended.
+	// of a leaf whose answer broke off has ended.
 	crashedLeafs  []string
 	processChecks []<-chan struct{}
 	// groupFailure is the failure of a node that was sent all shards.
--- a/internal/request/gateway/fixture_test.go
+++ b/internal/request/gateway/fixture_test.go
@@ -32,27 +32,27 @@
 	groups  []GroupRecord
 }
 
-func (j *recordedEvents) Refused(*Request, error)        {}
-func (j *recordedEvents) Attempted(string, scatter.Kind) {}
-func (j *recordedEvents) AttemptEnded(AttemptRecord)     {}
-func (j *recordedEvents) LeafChecked(LeafCheckRecord)    {}
-func (j *recordedEvents) Served(record RequestRecord) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.records = append(j.records, record)
+func (r *recordedEvents) Refused(*Request, error)        {}
+func (r *recordedEvents) Attempted(string, scatter.Kind) {}
+func (r *recordedEvents) AttemptEnded(AttemptRecord)     {}
+func (r *recordedEvents) LeafChecked(LeafCheckRecord)    {}
+func (r *recordedEvents) Served(record RequestRecord) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.records = append(r.records, record)
 }
 
-func (j *recordedEvents) GroupEnded(record GroupRecord) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.groups = append(j.groups, record)
+func (r *recordedEvents) GroupEnded(record GroupRecord) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.groups = append(r.groups, record)
 }
 
 // groupRecords returns the records of the groups that have ended.
-func (j *recordedEvents) groupRecords() []GroupRecord {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return slices.Clone(j.groups)
+func (r *recordedEvents) groupRecords() []GroupRecord {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return slices.Clone(r.groups)
 }
 
 // scriptedLeafs is a LeafCaller whose leafs answer as a function says, after a delay.
@@ -111,11 +111,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	wrapped, err := catalog.NewDocument("", content, nil)
+	document, err := catalog.NewDocument("", content, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	entry := catalog.Entry{Key: key, Value: wrapped, Revision: cat.Revision() + 1, Deleted: value == nil}
+	entry := catalog.Entry{Key: key, Value: document, Revision: cat.Revision() + 1, Deleted: value == nil}
 	cat.Apply(catalog.Change{Entry: entry, Previous: cat.Revision()})
 }
 
--- a/internal/request/gateway/gateway.go
+++ b/internal/request/gateway/gateway.go
@@ -17,7 +17,7 @@
 //	attempt.go     query one leaf and classify its answer (crash.go: find out whether the leaf crashed)
 //	group_call.go  send a group of shards to another node (group_reply.go: wait for its reply and classify it)
 //	answer.go      merge the parts (merge.go), pass on a leaf's answer, or return the failure
-//	events.go      report the decisions
+//	events.go      report attempts and the outcome
 //
 // [Gateway.Serve] runs these steps for a caller. [Gateway.Gather], in intermediate.go, runs them for another node that
 // requests a group of shards; it never forwards the group to a third node.
@@ -53,11 +53,11 @@
 type LeafCaller interface {
 	// Start begins an attempt without blocking; see leafhttp.Pool.
 	Start(target leafhttp.Target, request *leafhttp.Request, deadline time.Time, done leafhttp.Done) context.CancelCauseFunc
-	// MayOpenExtra reports whether an extra connection may be opened to a leaf of which this node has no share.
+	// MayOpenExtra reports whether an extra connection may be opened to a leaf to which this node is allotted none.
 	MayOpenExtra(leafID string) bool
 	// Warm opens a connection to the first of the targets, unless a connection to any of them is open.
 	Warm(targets []leafhttp.Target)
-	// Check reports whether a leaf's process has ended, after an answer from it was cut off; see leafhttp.Pool.
+	// Check reports whether a leaf's process has exited, after an answer from it broke off; see leafhttp.Pool.
 	Check(target leafhttp.Target, refused bool, done leafhttp.OnChecked)
 }
 
--- a/internal/request/gateway/gateway_test.go
+++ b/internal/request/gateway/gateway_test.go
@@ -123,13 +123,13 @@
 		"once: not sent, then success":        {"/once/1", []reply{{nil, neverSent}, {answered(200, "y"), nil}}, 200, "", 0, 2},
 		"once: refused by all is not run":     {"/once/1", []reply{{refused(503), nil}}, 0, failure.Overloaded, failure.NotRun, 0},
 	}
-	for name, one := range cases {
+	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				next := 0
 				leafs := &scriptedLeafs{answer: func(string) (time.Duration, *leafhttp.Response, error) {
-					reply := one.replies[min(next, len(one.replies)-1)]
+					reply := c.replies[min(next, len(c.replies)-1)]
 					next++
 					return time.Millisecond, reply.response, reply.err
 				}}
@@ -137,17 +137,17 @@
 				for range 3 { // earn the budget for a retry
 					g.budgets.CountRequest("s0")
 				}
-				answer, err := g.Serve(t.Context(), newRequest(one.path))
-				if one.status != 0 {
+				answer, err := g.Serve(t.Context(), newRequest(c.path))
+				if c.status != 0 {
 					is.NoErr(err)
-					is.Equal(answer.Status, one.status)
+					is.Equal(answer.Status, c.status)
 				} else {
-					is.Equal(failure.From(err).Code, one.code)
-					is.Equal(failure.From(err).Execution, one.state)
-					is.Equal(failure.From(err).RetryAfter > 0, one.state == failure.NotRun)
+					is.Equal(failure.From(err).Code, c.code)
+					is.Equal(failure.From(err).Execution, c.state)
+					is.Equal(failure.From(err).RetryAfter > 0, c.state == failure.NotRun)
 				}
-				if one.queried > 0 {
-					is.Equal(len(leafs.queried), one.queried)
+				if c.queried > 0 {
+					is.Equal(len(leafs.queried), c.queried)
 				}
 			})
 		})
@@ -179,7 +179,7 @@
 	})
 }
 
-// The time that a caller has spent before is subtracted from the objective, once the common timeout is known.
+// The time that a caller has spent before is subtracted from the objective, once the route's longest timeout is known.
 func TestTimeSpentByCallerShortensObjective(t *testing.T) {
 	is := is.New(t)
 	g, _ := newGateway(t, &scriptedLeafs{})
--- a/internal/request/gateway/group_call.go
+++ b/internal/request/gateway/group_call.go
@@ -9,7 +9,7 @@
 	"github.com/portgauge/portgauge/internal/request/servingtree"
 )
 
-// GroupOutcome is the result of a group call to another node.
+// GroupOutcome is how a group call to another node ended.
 type GroupOutcome string
 
 // The outcomes of a group call. After GroupFailed, GroupCancelled, GroupSilent and GroupBroken, its leafs may have been
@@ -18,7 +18,7 @@
 	GroupAnswered  GroupOutcome = "answered"
 	GroupFailed    GroupOutcome = "failed"
 	GroupDeclined  GroupOutcome = "declined"
-	GroupLeaving   GroupOutcome = "leaving"
+	GroupStopping  GroupOutcome = "leaving"
 	GroupNeverSent GroupOutcome = "never_sent"
 	GroupCancelled GroupOutcome = "cancelled"
 	GroupSilent    GroupOutcome = "silent"
@@ -40,8 +40,9 @@
 // groupResult is the result of a group, as package scatter receives it.
 type groupResult = scatter.GroupResult[leafhttp.Response]
 
-// groupDone receives the results of a group; see scatter.StartGroup.
-type groupDone func(groupResult)
+// reportGroup receives the results of a group: parts that arrive early, and then the last result; see
+// scatter.StartGroup.
+type reportGroup func(groupResult)
 
 // groupCall is a group that is sent to other nodes, one after the other.
 type groupCall struct {
@@ -56,72 +57,72 @@
 }
 
 // startGroup sends a group to another node; it implements scatter.StartGroup.
-func (e *execution) startGroup(ctx context.Context, number int, done func(groupResult)) context.CancelCauseFunc {
-	p := &groupCall{root: e.gateway.root, execution: e, group: e.groups[number]}
+func (e *execution) startGroup(ctx context.Context, number int, report func(groupResult)) context.CancelCauseFunc {
+	c := &groupCall{root: e.gateway.root, execution: e, group: e.groups[number]}
 	ctx, cancel := context.WithCancelCause(ctx)
-	call := p.start()
+	call := c.start()
 	go func() {
 		defer cancel(nil)
-		done(p.run(ctx, call, done))
+		report(c.run(ctx, call, report))
 	}()
 	return cancel
 }
 
-// maximumIntermediates is how many nodes one group is sent to. After two nodes that returned nothing, most of an
-// objective has passed.
+// maximumIntermediates is how many nodes one group is sent to, one after the other. After two that returned nothing,
+// most of an objective has passed.
 const maximumIntermediates = 2
 
-func (p *groupCall) start() *servingtree.Call {
-	p.root.nodes.begin(p.group.node)
-	return p.root.intermediates.Start(p.group.node.Tree, p.execution.groupRequest(p.group, p.spent))
+func (c *groupCall) start() *servingtree.Call {
+	c.root.nodes.begin(c.group.node)
+	return c.root.intermediates.Start(c.group.node.Tree, c.execution.groupRequest(c.group, c.spent))
 }
 
-// run waits for the group. If its node returned nothing, and may not have spent all attempts, the group is sent to
-// another node. Otherwise package scatter queries the leafs from this node, as far as the result allows.
-func (p *groupCall) run(ctx context.Context, call *servingtree.Call, done groupDone) groupResult {
+// run waits for the group. If its node returned nothing and may not have made all attempts, the group is sent to
+// another node. Otherwise package scatter queries the shards from this node, unless the result is final.
+func (c *groupCall) run(ctx context.Context, call *servingtree.Call, report reportGroup) groupResult {
 	for queried := 1; ; queried++ {
 		began := time.Now()
-		ended := p.await(ctx, call, done)
-		p.recordEnd(ended, time.Since(began))
-		result := p.withSpent(ended.result)
-		if queried == maximumIntermediates || result.Replies != nil || result.Final || result.ConnectionLost || p.gotPartial || ended.outcome == GroupCancelled {
+		ended := c.await(ctx, call, report)
+		c.recordEnd(ended, time.Since(began))
+		result := c.withSpent(ended.result)
+		if queried == maximumIntermediates || result.Replies != nil || result.Final || result.ConnectionLost || c.gotPartial || ended.outcome == GroupCancelled {
 			return result
 		}
-		node, found := p.root.choose(p.group.zones)
+		node, found := c.root.choose(c.group.zones)
 		if !found {
 			return result
 		}
-		p.group.node = node
-		call = p.start()
+		c.group.node = node
+		call = c.start()
 	}
 }
 
-// withSpent adds to a result the attempts that nodes which returned nothing may have made. They count towards the
-// route's MaximumAttempts, and the request may have run even if the last node ran nothing.
-func (p *groupCall) withSpent(result groupResult) groupResult {
+// withSpent adds to a result the attempts that may have been made by nodes that returned nothing. They count toward the
+// route's MaximumAttempts. The request may have run at one of these nodes, even if the last node did not run it.
+func (c *groupCall) withSpent(result groupResult) groupResult {
 	if result.Replies != nil {
 		return result
 	}
 	if result.Execution != scatter.NotRun {
-		p.spent++
+		c.spent++
 	}
-	if p.spent > 0 && result.Execution == scatter.NotRun {
+	if c.spent > 0 && result.Execution == scatter.NotRun {
 		result.Execution = scatter.Unknown
 	}
-	result.Spent = p.spent
-	result.Final = result.Final || p.spent >= p.execution.request.route.Attempts
+	result.Spent = c.spent
+	result.Final = result.Final || c.spent >= c.execution.request.route.Attempts
 	return result
 }
 
 // recordEnd reports the end of a group, and what it shows about the node and its zone.
-func (p *groupCall) recordEnd(ended groupEnd, took time.Duration) {
-	e, node := p.execution, p.group.node
+func (c *groupCall) recordEnd(ended groupEnd, took time.Duration) {
+	e, node := c.execution, c.group.node
 	record := GroupRecord{
-		RequestID: e.request.Leaf.ID, Intermediate: node.ID, Shards: len(p.group.shards),
+		RequestID: e.request.Leaf.ID, Intermediate: node.ID, Shards: len(c.group.shards),
 		Outcome: ended.outcome, Reason: ended.reason, Took: took,
 	}
-	p.root.nodes.end(node, record.Outcome)
-	p.observeZone(record.Outcome)
+	c.root.nodes.end(node, record.Outcome)
+	c.observeZone(record.Outcome)
 	e.gateway.events.GroupEnded(record)
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -136,7 +137,7 @@
 }
 
 // groupRequest returns the message that sends a group to another node. The group may lack as many parts as the whole
-// answer may. The node must reply before the planned time of the answer by the round trip to it.
+// answer may. The node must reply one round trip before the planned time of the answer.
 func (e *execution) groupRequest(g group, spent int) servingtree.Request {
 	r, root := e.request, e.gateway.root
 	mayMiss := len(e.services) - r.requiredParts
--- a/internal/request/gateway/group_call_test.go
+++ b/internal/request/gateway/group_call_test.go
@@ -19,21 +19,21 @@
 }
 
 // serveViaFirst sends requests to the root until it chooses the node "first", and returns the groups of that request.
-func (b *tree) serveViaFirst() []GroupRecord {
-	b.t.Helper()
-	root := b.nodes["root"]
+func (tr *tree) serveViaFirst() []GroupRecord {
+	tr.t.Helper()
+	root := tr.nodes["root"]
 	for range 100 {
 		root.gateway.root.nodes = newNodeTracker()
-		answer, err := b.serve("root")
+		answer, err := tr.serve("root")
 		root.events.mu.Lock()
 		record := root.events.records[len(root.events.records)-1]
 		root.events.mu.Unlock()
 		if len(record.Groups) > 0 && record.Groups[0].Intermediate == "first" {
-			b.requireComplete(answer, err)
+			tr.requireComplete(answer, err)
 			return record.Groups
 		}
 	}
-	b.t.Fatal("the first node was never chosen")
+	tr.t.Fatal("the first node was never chosen")
 	return nil
 }
 
@@ -43,14 +43,14 @@
 	for name, c := range failureModes() {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := newThreeNodeTree(t)
-			c.fail(b.nodes["first"])
-			groups := b.serveViaFirst()
+			tr := newThreeNodeTree(t)
+			c.fail(tr.nodes["first"])
+			groups := tr.serveViaFirst()
 			is.Equal(len(groups), 2)
 			is.Equal(groups[0].Outcome, c.outcome)
 			is.Equal(groups[1].Intermediate, "second")
 			is.Equal(groups[1].Outcome, GroupAnswered)
-			for _, leaf := range b.attempts.by("root") {
+			for _, leaf := range tr.attempts.by("root") {
 				is.True(leaf[2:] == zoneNear)
 			}
 		})
@@ -60,27 +60,27 @@
 // Two silent nodes may have made both attempts of the route, so no leaf is queried a third time.
 func TestTwoSilentIntermediatesSpendAllAttempts(t *testing.T) {
 	is := is.New(t)
-	b := newThreeNodeTree(t)
-	freeze(b.nodes["first"])
-	freeze(b.nodes["second"])
-	_, err := b.serve("root")
+	tr := newThreeNodeTree(t)
+	freeze(tr.nodes["first"])
+	freeze(tr.nodes["second"])
+	_, err := tr.serve("root")
 	is.True(failure.Is(err, failure.IncompleteCoverage))
 	is.Equal(failure.From(err).Execution, failure.Ran)
-	is.Equal(b.outcomes("root"), []GroupOutcome{GroupSilent, GroupSilent})
-	is.Equal(len(b.attempts.by("root")), nearShards)
+	is.Equal(tr.outcomes("root"), []GroupOutcome{GroupSilent, GroupSilent})
+	is.Equal(len(tr.attempts.by("root")), nearShards)
 }
 
 // If the second node refuses a group as not run, the group may still have run at the first.
 func TestNotRunAfterSilenceStaysUnknown(t *testing.T) {
 	is := is.New(t)
-	b := newThreeNodeTree(t)
+	tr := newThreeNodeTree(t)
 	entry := &routing.Entry{Attempts: 2}
-	p := &groupCall{root: b.nodes["root"].gateway.root, execution: &execution{request: &routedRequest{route: entry}, services: make([]string, 2)}, group: group{shards: []int{0, 1}}}
-	silent := p.withSpent(groupEnd{outcome: GroupSilent}.result)
+	call := &groupCall{root: tr.nodes["root"].gateway.root, execution: &execution{request: &routedRequest{route: entry}, services: make([]string, 2)}, group: group{shards: []int{0, 1}}}
+	silent := call.withSpent(groupEnd{outcome: GroupSilent}.result)
 	is.Equal(silent.Spent, 1)
 	is.True(!silent.Final)
-	refused := p.classifyReply(servingtree.Reply{Failure: &servingtree.Failure{Code: failure.Overloaded, Execution: failure.NotRun}})
-	is.Equal(p.withSpent(refused.result).Execution.String(), "unknown")
+	refused := call.classifyReply(servingtree.Reply{Failure: &servingtree.Failure{Code: failure.Overloaded, Execution: failure.NotRun}})
+	is.Equal(call.withSpent(refused.result).Execution.String(), "unknown")
 }
 
 // An intermediate with another version of the routing table gathers a group if its route gathers the same way, and
@@ -98,14 +98,14 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := newTree(t, near("root"), far("there"))
-			there := b.nodes["there"]
+			tr := newTree(t, near("root"), far("there"))
+			there := tr.nodes["there"]
 			configuration := routing.Configuration{Version: 2, Routes: slices.Clone(there.catalog.View().Routes.Routes)}
 			configuration.Routes[0].Gathered = slices.Clone(configuration.Routes[0].Gathered)
 			c.change(&configuration.Routes[0])
 			put(t, there.catalog, catalog.RoutesKey, configuration)
-			b.requireComplete(b.serve("root"))
-			is.Equal(b.outcomes("root"), []GroupOutcome{c.outcome})
+			tr.requireComplete(tr.serve("root"))
+			is.Equal(tr.outcomes("root"), []GroupOutcome{c.outcome})
 		})
 	}
 }
@@ -113,8 +113,8 @@
 // The first group of a root allows for the round trip, although none has been measured yet.
 func TestFirstGroupAllowsForRoundTrip(t *testing.T) {
 	is := is.New(t)
-	b := newTree(t, near("root"), far("there"))
-	g := b.nodes["root"].gateway
+	tr := newTree(t, near("root"), far("there"))
+	g := tr.nodes["root"].gateway
 	planned := time.Now().Add(time.Second)
 	entry := &routing.Entry{Objective: time.Second}
 	e := &execution{gateway: g, services: make([]string, 2), request: &routedRequest{Request: newRequest("/pages/1"), route: entry, answerBy: planned}}
--- a/internal/request/gateway/group_reply.go
+++ b/internal/request/gateway/group_reply.go
@@ -17,13 +17,14 @@
 var errUnresponsive = errors.New("the intermediate did not respond")
 
 const (
-	// The wait for an intermediate's first acknowledgement is a quarter of the objective, three round trips to it, or
-	// minimumAckWait, whichever is longest.
+	// The wait for the first acknowledgement of an intermediate is the longest of objective/ackObjectiveDivisor,
+	// ackRoundTripFactor round trips and minimumAckWait.
 	ackObjectiveDivisor = 4
 	ackRoundTripFactor  = 3
 	minimumAckWait      = 10 * time.Millisecond
-	// maximumProbes is how many probes an intermediate may leave unanswered. It is not zero, since on a busy root the
-	// timer may fire before it has read an acknowledgement that has arrived.
+	// maximumProbes is how many probes are sent, one after the other, before an intermediate that answers none counts
+	// as silent. It is not zero, since on a busy root the timer may fire before an acknowledgement that has arrived is
+	// read.
 	maximumProbes = 1
 	// probeWaitDivisor sets the wait for the answer to a probe: half of the wait before the probe.
 	probeWaitDivisor = 2
@@ -46,40 +47,41 @@
 }
 
 // ackWait returns how long an intermediate may take to acknowledge the group.
-func (p *groupCall) ackWait() time.Duration {
-	objective := p.execution.request.route.Objective
-	return max(minimumAckWait, objective/ackObjectiveDivisor, ackRoundTripFactor*p.root.roundTrip.expected(objective))
+func (c *groupCall) ackWait() time.Duration {
+	objective := c.execution.request.route.Objective
+	return max(minimumAckWait, objective/ackObjectiveDivisor, ackRoundTripFactor*c.root.roundTrip.expected(objective))
 }
 
-// await waits for the reply of an intermediate, and abandons the call if the intermediate is silent. An intermediate
-// must acknowledge the group within ackWait. After the objective it is probed once per further objective and must
-// acknowledge each probe. If more than maximumProbes stay unanswered, it is silent.
-func (p *groupCall) await(ctx context.Context, call *servingtree.Call, done groupDone) groupEnd {
+// await waits for the reply of an intermediate and cancels the call if the intermediate is silent. If no
+// acknowledgement arrives within ackWait, or within one objective after the previous one (but not before the objective
+// has passed), the intermediate is probed. It is silent if maximumProbes probes in a row stay unanswered.
+func (c *groupCall) await(ctx context.Context, call *servingtree.Call, report reportGroup) groupEnd {
 	began := time.Now()
-	wait := p.ackWait()
+	wait := c.ackWait()
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	acks, unanswered := 0, 0
 	for {
 		select {
 		case ended := <-call.Done():
-			p.deliverPending(call, done)
-			return p.classify(ended, time.Since(began)-call.Waited())
+			c.deliverPending(call, report)
+			return c.classify(ended, time.Since(began)-call.Waited())
 		case answer := <-call.Partial():
-			p.deliverPartial(answer, done)
+			c.deliverPartial(answer, report)
 		case <-call.Acks():
 			acks++
 			unanswered = 0
-			p.root.zones.Responded(p.group.node.Zone)
-			// The answer is late by the next probe anyway, so a longer wait costs nothing.
-			wait = p.execution.request.route.Objective
-			timer.Reset(max(wait, time.Until(p.execution.request.objective)))
+			c.root.zones.Responded(c.group.node.Zone)
+			// After an acknowledgement, probes start only after the objective, when the answer is late anyway, so a
+			// longer wait costs nothing.
+			wait = c.execution.request.route.Objective
+			timer.Reset(max(wait, time.Until(c.execution.request.objective)))
 		case <-timer.C:
 			if unanswered >= maximumProbes {
-				return p.abandon(call, acks > 0)
+				return c.cancelSilent(call, acks > 0)
 			}
 			unanswered++
-			p.root.zones.Suspect(p.group.node.Zone)
+			c.root.zones.Suspect(c.group.node.Zone)
 			call.Probe()
 			timer.Reset(wait / probeWaitDivisor)
 		case <-ctx.Done():
@@ -90,27 +92,27 @@
 }
 
 // deliverPending delivers parts that arrived just before the end.
-func (p *groupCall) deliverPending(call *servingtree.Call, done groupDone) {
+func (c *groupCall) deliverPending(call *servingtree.Call, report reportGroup) {
 	select {
 	case answer := <-call.Partial():
-		p.deliverPartial(answer, done)
+		c.deliverPartial(answer, report)
 	default:
 	}
 }
 
 // deliverPartial delivers the parts that an intermediate sends before its reply is complete.
-func (p *groupCall) deliverPartial(answer servingtree.Answer, done groupDone) {
-	if len(answer.Stamps) == len(p.group.shards) {
-		p.gotPartial = true
-		done(groupResult{Replies: p.replies(&answer), Partial: true})
+func (c *groupCall) deliverPartial(answer servingtree.Answer, report reportGroup) {
+	if len(answer.Stamps) == len(c.group.shards) {
+		c.gotPartial = true
+		report(groupResult{Replies: c.replies(&answer), Partial: true})
 	}
 }
 
-// abandon cancels a call to an intermediate that is silent. If the intermediate has acknowledged the group, it may have
-// spent all attempts that the route allows, so the shards are not queried again.
-func (p *groupCall) abandon(call *servingtree.Call, hasAcknowledged bool) groupEnd {
+// cancelSilent cancels a call to an intermediate that is silent. If the intermediate has acknowledged the group, it may
+// have made all attempts that the route allows, so the shards are not queried again.
+func (c *groupCall) cancelSilent(call *servingtree.Call, hasAcknowledged bool) groupEnd {
 	isSent := call.Cancel()
-	p.root.intermediates.DropSilent(p.group.node.Tree, minimumSilence, errUnresponsive)
+	c.root.intermediates.DropSilent(c.group.node.Tree, minimumSilence, errUnresponsive)
 	if !isSent {
 		return groupNotRun(GroupNeverSent, errUnresponsive.Error())
 	}
@@ -119,7 +121,7 @@
 }
 
 // classify decides what the end of a call means for the group.
-func (p *groupCall) classify(ended servingtree.Result, took time.Duration) groupEnd {
+func (c *groupCall) classify(ended servingtree.Result, took time.Duration) groupEnd {
 	var neverSent *servingtree.NeverSentError
 	switch {
 	case errors.As(ended.Err, &neverSent):
@@ -127,40 +129,40 @@
 	case ended.Err != nil:
 		return groupEnd{outcome: GroupBroken, reason: ended.Err.Error()}
 	}
-	p.root.roundTrip.observe(took - time.Duration(ended.Reply.TookMicros)*time.Microsecond)
-	return p.classifyReply(ended.Reply)
+	c.root.roundTrip.observe(took - time.Duration(ended.Reply.TookMicros)*time.Microsecond)
+	return c.classifyReply(ended.Reply)
 }
 
 // classifyReply decides what a reply means for the group. An answer is used. A failure is final, unless leafs crashed:
 // then this node probes the shards. After a decline, the group may be sent to another node, or this node may query the
 // leafs.
-func (p *groupCall) classifyReply(reply servingtree.Reply) groupEnd {
+func (c *groupCall) classifyReply(reply servingtree.Reply) groupEnd {
 	switch {
-	case reply.Answer != nil && len(reply.Answer.Stamps) == len(p.group.shards):
-		return groupEnd{result: groupResult{Replies: p.replies(reply.Answer)}, outcome: GroupAnswered}
+	case reply.Answer != nil && len(reply.Answer.Stamps) == len(c.group.shards):
+		return groupEnd{result: groupResult{Replies: c.replies(reply.Answer)}, outcome: GroupAnswered}
 	case reply.Answer != nil:
 		return groupEnd{outcome: GroupBroken, reason: "the answer has the wrong number of parts"}
 	case reply.Failure != nil:
-		return p.classifyFailure(reply.Failure)
+		return c.classifyFailure(reply.Failure)
 	case reply.Decline == servingtree.Stopping:
-		return groupNotRun(GroupLeaving, string(reply.Decline))
+		return groupNotRun(GroupStopping, string(reply.Decline))
 	default:
 		return groupNotRun(GroupDeclined, string(reply.Decline))
 	}
 }
 
 // classifyFailure decides what the failure of an intermediate means for the group.
-func (p *groupCall) classifyFailure(failed *servingtree.Failure) groupEnd {
+func (c *groupCall) classifyFailure(failed *servingtree.Failure) groupEnd {
 	result := groupResult{Execution: executionOf(failed.Execution)}
 	switch failed.Code {
 	case failure.Quarantined:
-		p.execution.stop()
+		c.execution.stop()
 		result.Final = true
 	case failure.LeafsEnded:
-		p.execution.reportCrashed(failed.CrashedLeafs)
+		c.execution.reportCrashed(failed.CrashedLeafs)
 		result.ConnectionLost = true
 	default:
-		p.execution.keepGroupFailure(p.group, failed)
+		c.execution.keepGroupFailure(c.group, failed)
 		result.Final = true
 	}
 	return groupEnd{result: result, outcome: GroupFailed, reason: failed.Message}
@@ -178,18 +180,18 @@
 
 // replies returns the parts of an answer, by shard of the group. Their records are merged already, so the first part
 // that is present holds them all.
-func (p *groupCall) replies(answer *servingtree.Answer) []*leafhttp.Response {
+func (c *groupCall) replies(answer *servingtree.Answer) []*leafhttp.Response {
 	replies := make([]*leafhttp.Response, len(answer.Stamps))
 	records := answer.Records
-	if p.execution.tracked != nil && slices.ContainsFunc(answer.Stamps, func(stamp string) bool { return stamp != "" }) {
-		p.execution.tracked.Answered()
+	if c.execution.tracked != nil && slices.ContainsFunc(answer.Stamps, func(stamp string) bool { return stamp != "" }) {
+		c.execution.tracked.Answered()
 	}
 	for index, stamp := range answer.Stamps {
 		if stamp == "" {
 			continue
 		}
 		header := http.Header{}
-		header.Set(p.execution.gateway.names.ResponseStamp, stamp)
+		header.Set(c.execution.gateway.names.ResponseStamp, stamp)
 		replies[index] = &leafhttp.Response{Status: http.StatusOK, Header: header, Body: records}
 		records = nil
 	}
--- a/internal/request/gateway/incarnation_test.go
+++ b/internal/request/gateway/incarnation_test.go
@@ -13,9 +13,9 @@
 
 // putIncarnation adds an incarnation of the leaf "s0a" to the catalog, and returns the leaf, its target and its
 // candidate.
-func putIncarnation(t *testing.T, g *Gateway, at int64) (*leafset.Leaf, leafTarget, balancer.Candidate) {
+func putIncarnation(t *testing.T, g *Gateway, born int64) (*leafset.Leaf, leafTarget, balancer.Candidate) {
 	t.Helper()
-	put(t, g.catalog, catalog.LeafKey("s0a"), leafset.Record{Name: "s0a", Service: "s0", Address: "127.0.0.1:1", State: leafset.Ready, Born: at})
+	put(t, g.catalog, catalog.LeafKey("s0a"), leafset.Record{Name: "s0a", Service: "s0", Address: "127.0.0.1:1", State: leafset.Ready, Born: born})
 	leaf, found := g.catalog.View().Leafs.ByName("s0a")
 	if !found {
 		t.Fatal("the leaf is not in the catalog")
@@ -40,12 +40,12 @@
 
 	second, secondTarget, secondCandidate := putIncarnation(t, g, 2000)
 	fresh := choose(secondCandidate)
-	is.True(fresh != nil && fresh != kept)                              // whether it is leaving, its load, slowness and ejection
-	is.True(balancer.KeyOf(first.ID) != balancer.KeyOf(second.ID))      // gossip keys
-	is.True(firstTarget.LeafID != secondTarget.LeafID)                  // connections and process checks
+	is.True(fresh != nil && fresh != kept)                              // the balancer keeps separate state (leaving, load, slowness, ejection)
+	is.True(balancer.KeyOf(first.ID) != balancer.KeyOf(second.ID))      // gossip uses separate keys
+	is.True(firstTarget.LeafID != secondTarget.LeafID)                  // connections and process checks are separate
 	is.Equal(secondTarget.Name, "s0a")                                  // the name in requests stays
-	is.True(!g.isListed(first.ID) && g.isListed(second.ID))             // evidence against crashing requests
-	is.True(!g.memory.MaySend(first.ID) && g.memory.MaySend(second.ID)) // queued requests
+	is.True(!g.isListed(first.ID) && g.isListed(second.ID))             // only the current incarnation is evidence of a crash
+	is.True(!g.memory.MaySend(first.ID) && g.memory.MaySend(second.ID)) // queued requests are sent only to the current incarnation
 	put(t, g.catalog, catalog.LeafKey("s0a"), leafset.Record{Name: "s0a", Service: "s0", Address: "127.0.0.1:1", State: leafset.Draining, Born: 1000})
 	is.True(g.isListed(second.ID)) // a late report about the first incarnation is ignored
 }
--- a/internal/request/gateway/intermediate.go
+++ b/internal/request/gateway/intermediate.go
@@ -17,8 +17,8 @@
 // request. It declines the group if this node is busy, or gathers the route differently from the root: no answer may
 // mix two versions of a route, and no caller may see an older version after a newer one.
 //
-// The parts that have arrived by the objective are sent then, the others when all have arrived. Only the root can tell
-// whether they are enough, since it also has the other shards.
+// The parts that have arrived by answerBy, the objective less this node's lag, are sent then, and the others when all
+// have arrived. Only the root can tell whether they are enough, since it also has the other shards.
 func (g *Gateway) Gather(ctx context.Context, message servingtree.Request, send func(servingtree.Answer)) servingtree.Reply {
 	if g.groupsInFlight.Add(1) > g.cfg.MaximumGathered {
 		g.groupsInFlight.Add(-1)
@@ -51,8 +51,8 @@
 	return servingtree.Reply{Answer: &rest}
 }
 
-// groupFailureOf converts the failure of a group for its root. It names the leafs that crashed only if the group was
-// abandoned because of them: the root needs them for its own probes.
+// groupFailureOf converts the failure of a group for its root. It names the crashed leafs only if the group was stopped
+// because of them: the root counts them in its quarantine register.
 func (e *execution) groupFailureOf(err error) *servingtree.Failure {
 	failed := servingtree.NewFailure(err)
 	if failed.Code == failure.LeafsEnded {
--- a/internal/request/gateway/lag.go
+++ b/internal/request/gateway/lag.go
@@ -5,10 +5,9 @@
 	"time"
 )
 
-// delayEstimator estimates a delay from samples. Each node has one for how much later than planned it completes its
-// answers, since timers, merging and queueing take time on a small or busy machine. A root has another for the round
-// trip to intermediates. Both plan earlier by the estimate. The zero value estimates no delay. It is safe for
-// concurrent use.
+// delayEstimator estimates a delay from samples. Each node estimates its lag: how much later than planned it completes
+// answers, because of timers, merging and queueing. A root also estimates the round trip to intermediates. Answers are
+// planned earlier by the estimates. The zero value estimates no delay. It is safe for concurrent use.
 type delayEstimator struct {
 	mu       sync.Mutex
 	estimate time.Duration
@@ -25,10 +24,10 @@
 const maximumDelayDivisor = 4
 
 // observe records a sample; a negative sample counts as zero.
-func (d *delayEstimator) observe(late time.Duration) {
+func (d *delayEstimator) observe(sample time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	difference := float64(max(0, late) - d.estimate)
+	difference := float64(max(0, sample) - d.estimate)
 	if difference > 0 {
 		d.estimate += time.Duration(riseFraction * difference)
 		return
--- a/internal/request/gateway/lag_test.go
+++ b/internal/request/gateway/lag_test.go
@@ -26,7 +26,7 @@
 	is.True(lag.expected(time.Second) < time.Millisecond)
 }
 
-// Only partial answers whose required parts had arrived count as samples of the lag. The next request is planned by it.
+// A partial answer is sent earlier by the lag, and an answer that is in time lowers the estimate.
 func TestLagOfPartialAnswersIsLearned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/request/gateway/latency.go
+++ b/internal/request/gateway/latency.go
@@ -16,8 +16,8 @@
 	medianPercent = 50
 	// initialMedianDivisor sets the initial median: a sixth of the objective.
 	initialMedianDivisor = 6
-	// maximumMedianRise is the largest factor by which one sample raises the lowest median. It then follows a lasting
-	// rise of the latency, but not a queue that builds up.
+	// maximumMedianRise is the largest factor by which one update of the median raises the lowest median. The lowest
+	// median then follows a lasting rise of the latency, but not a queue that builds up.
 	maximumMedianRise = 1.003
 )
 
@@ -38,7 +38,7 @@
 
 	mu     sync.Mutex
 	median time.Duration
-	// lowestMedian approximates the lowest median, the latency without queueing; 0 until it is known.
+	// lowestMedian approximates the latency without queueing by the lowest recent median; 0 until it is known.
 	lowestMedian time.Duration
 }
 
@@ -46,7 +46,7 @@
 	return &latencyTable{window: window, kinds: map[string]*kindLatency{}}
 }
 
-// get returns the latency of a kind. Its median is guess until there are enough samples.
+// get returns the latency of a kind. The guess is used as its median until there are enough samples.
 func (t *latencyTable) get(kind string, guess time.Duration) *kindLatency {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/request/gateway/node_tracker.go
+++ b/internal/request/gateway/node_tracker.go
@@ -33,8 +33,8 @@
 	// declinedPause is how long a node receives no groups after it declined one: long enough for a busy node to catch
 	// up, or for a node with another routing table to receive the new one.
 	declinedPause = 300 * time.Millisecond
-	// leavingPause is how long a node receives no groups after it replied that it is leaving.
-	leavingPause = 3 * time.Second
+	// stoppingPause is how long a node receives no groups after it declined one because it is stopping.
+	stoppingPause = 3 * time.Second
 	// failedPause is how long a node receives no groups after a failure. It doubles with each consecutive failure, up
 	// to longestPause.
 	failedPause      = time.Second
@@ -85,11 +85,11 @@
 		state.failures = 0
 	case GroupDeclined:
 		state.pausedUntil = now.Add(declinedPause)
-	case GroupLeaving:
-		state.pausedUntil = now.Add(leavingPause)
+	case GroupStopping:
+		state.pausedUntil = now.Add(stoppingPause)
 	case GroupNeverSent, GroupSilent, GroupBroken:
 		if now.Before(state.pausedUntil) {
-			return // groups in flight during one failure count once
+			return // another group in flight at the time of the failure; the failure counts once
 		}
 		state.pausedUntil = now.Add(min(longestPause, failedPause<<min(state.failures, maximumDoublings)))
 		state.failures++
--- a/internal/request/gateway/placement.go
+++ b/internal/request/gateway/placement.go
@@ -37,8 +37,8 @@
 const maximumPlacements = 1024
 
 // groupsOf returns the groups of a gathered route. The first group has the shards with a leaf in this node's zone. Each
-// further group has the shards of the zone that has leafs of most remaining shards. Only leafs in regions that the
-// route allows count, so that no node outside them reads its requests. The slices are shared: callers must not modify
+// further group has the shards of the zone with leafs of the most remaining shards. Leafs outside the route's regions
+// don't count, so that nodes in other regions don't read its requests. The slices are shared: callers must not modify
 // them.
 func (p *placement) groupsOf(route *routing.Entry) []zoneGroup {
 	leafs := p.catalog.View().Leafs
@@ -56,7 +56,6 @@
 	return groups
 }
 
-// build builds the groups of a route.
 func (p *placement) build(route *routing.Entry, leafs *leafset.Set) []zoneGroup {
 	zones := make([]map[string]bool, len(route.Gathered))
 	own := zoneGroup{zones: map[string]bool{p.zone: true}}
--- a/internal/request/gateway/plan.go
+++ b/internal/request/gateway/plan.go
@@ -36,7 +36,7 @@
 	for index, service := range e.services {
 		policies[index] = shardPolicy{
 			cfg: &e.gateway.cfg, service: service, budgets: e.gateway.budgets,
-			latency: e.latency(service), objective: e.request.answerBy,
+			latency: e.latency(service), answerBy: e.request.answerBy,
 		}
 		plan.Shards[index] = scatter.Shard{
 			Candidates: e.candidates(index),
--- a/internal/request/gateway/policy.go
+++ b/internal/request/gateway/policy.go
@@ -9,17 +9,17 @@
 // shardPolicy decides whether one shard of one request may be hedged and retried. Package scatter decides when, within
 // these bounds.
 //
-// There is at most one hedge, after HedgeDelay, if the balancer expects another leaf to answer within the objective and
-// if the service's retry budget has more than HedgeReserve left. A retry may use the rest of that budget. Hedges and
-// retries each take one attempt from the budget. The route's MaximumAttempts bounds both. Requests that run at most
-// once are not hedged, and are retried only with proof that no leaf ran them.
+// There is at most one hedge, after HedgeDelay, if the balancer expects another leaf to answer by answerBy and if the
+// service's retry budget has more than HedgeReserve left. A retry may use the rest of that budget. Hedges and retries
+// each take one attempt from the budget, and the route's MaximumAttempts bounds both. Requests that run at most once
+// are not hedged, and are retried only with proof that no leaf ran them.
 type shardPolicy struct {
 	cfg     *Config
 	service string
 	budgets *retrybudget.Budgets
 	latency *kindLatency
-	// objective is when the answer loses its full value.
-	objective time.Time
+	// answerBy is the planned time of the answer: the objective less this node's lag.
+	answerBy time.Time
 }
 
 const (
@@ -31,15 +31,15 @@
 	tightBudgetFactor = 2.2
 	// minimumHedgeDelay is the shortest delay of a hedge.
 	minimumHedgeDelay = 2 * time.Millisecond
-	// lastChanceFactor is how many typical latencies before the objective a hedge must be sent to still answer in time.
+	// lastChanceFactor is how many typical latencies before answerBy a hedge must be sent to still answer in time.
 	lastChanceFactor = 1.5
 )
 
 // FirstAttempt implements scatter.Policy. It does nothing: execution.countRequests counts the request.
 func (p *shardPolicy) FirstAttempt() {}
 
-// HedgeDelay implements scatter.Policy. A hedge is sent after HedgeFactor typical latencies, but not before HedgeShare
-// of the time left until the objective has passed, and early enough for another leaf to answer in time.
+// HedgeDelay implements scatter.Policy. A hedge is sent after HedgeFactor typical latencies, but not before the
+// fraction HedgeShare of the time left until answerBy has passed, and early enough for another leaf to answer in time.
 func (p *shardPolicy) HedgeDelay(stage int) (time.Duration, bool) {
 	if stage > 0 {
 		return 0, false
@@ -52,7 +52,7 @@
 	case left < lowBudget:
 		factor *= lowBudgetFactor
 	}
-	left := time.Until(p.objective)
+	left := time.Until(p.answerBy)
 	delay := max(time.Duration(factor*float64(typical)), time.Duration(p.cfg.HedgeShare*float64(left)))
 	lastChance := left - time.Duration(lastChanceFactor*float64(typical))
 	if lastChance > 0 {
@@ -64,10 +64,10 @@
 // TypicalLatency implements scatter.Policy.
 func (p *shardPolicy) TypicalLatency() time.Duration { return p.latency.typical() }
 
-// WorthHedging implements scatter.Policy. Before the objective, a hedge is worth its cost only if it is expected to
-// answer by then; after the objective, every hedge is.
+// WorthHedging implements scatter.Policy. Before answerBy, a hedge is worth its cost only if it is expected to answer
+// by then; after answerBy, every hedge is.
 func (p *shardPolicy) WorthHedging(expected float64) bool {
-	left := time.Until(p.objective)
+	left := time.Until(p.answerBy)
 	return left <= 0 || time.Duration(expected*float64(p.latency.typical())) < left
 }
 
--- a/internal/request/gateway/quarantine.go
+++ b/internal/request/gateway/quarantine.go
@@ -13,9 +13,9 @@
 )
 
 // A crashing request crashes each leaf that runs it. Its caller sends it again, with another ID and to any node. Each
-// node must therefore recognize it by its fingerprint at each attempt, or it crashes the leafs that other requests
-// need. Package quarantine evaluates the evidence and stores the state of each request; this file limits what a request
-// in each state may do, and crash.go collects the evidence.
+// node must therefore recognize it by its fingerprint at each attempt; otherwise it crashes leafs that other requests
+// need. Package quarantine evaluates the evidence and stores the state of each request, crash.go collects the evidence,
+// and this file limits what a request in each state may do:
 //
 //	Clear        no limits, except a head start for the first attempt of a gathered request during an alert
 //	Suspect      attempts are made one at a time, as probes, until a leaf has answered; no groups are sent
@@ -81,9 +81,9 @@
 }
 
 // limitCrashes limits the leafs that a request may crash. The attempts of a suspect request are probes, sent one at a
-// time, and the request is abandoned after CrashedProbesLimit leafs crashed during probes. During an alert, the first
-// attempt of a gathered request has a head start. A group for another node is abandoned instead of probed: probing each
-// group would crash more leafs than probing by the root alone.
+// time, and stop after CrashedProbesLimit probes crashed their leafs. During an alert, the first attempt of a gathered
+// request has a head start. A group for another node stops without probes: probing in each group would crash more leafs
+// than probing by the root alone.
 func (e *execution) limitCrashes(plan *scatter.Plan) {
 	if e.tracked == nil {
 		return
--- a/internal/request/gateway/readiness.go
+++ b/internal/request/gateway/readiness.go
@@ -11,10 +11,8 @@
 func (g *Gateway) Ready() bool { return g.catalog.View().Routes != nil && !g.otherZonesServeBetter() }
 
 // otherZonesServeBetter reports whether callers should use nodes in other zones: this node cannot reach the zones of
-// most nodes, and without them cannot serve a gathered route that those nodes can serve.
-//
-// A node stays ready if it can reach most nodes or can still serve every route, so that a network partition never
-// leaves both sides without ready nodes.
+// most nodes, and without them cannot serve a gathered route that those nodes can serve. A node that reaches most nodes
+// or can still serve every route stays ready, so that a network partition never leaves both sides without ready nodes.
 func (g *Gateway) otherZonesServeBetter() bool {
 	if !g.zones.IsCutOff() {
 		return false
--- a/internal/request/gateway/refuse.go
+++ b/internal/request/gateway/refuse.go
@@ -64,7 +64,7 @@
 	return plan, nil
 }
 
-// reasonNoLeaf is the reason of a service without a known leaf.
+// reasonNoLeaf is the reason of a service without a leaf that may run the request.
 const reasonNoLeaf = scatter.Reason(balancer.NoReplica)
 
 // otherZoneRetryAfter is for callers whose next connection goes to a zone that can serve them, so that they need not
@@ -155,7 +155,7 @@
 	retryAfterDivisor = 3
 	// minimumRetryAfterFraction spreads the Retry-After of callers that are refused together over its last 30%.
 	minimumRetryAfterFraction = 0.7
-	// defaultRetryAfter is the longest Retry-After for callers that send no timeout.
+	// defaultRetryAfter is the longest Retry-After for callers that sent no timeout or have no time left.
 	defaultRetryAfter = time.Second
 )
 
@@ -173,8 +173,8 @@
 const (
 	// overloadTailFactor is the ratio of the slowest shard's latency to the expected latency of a shard.
 	overloadTailFactor = 1.3
-	// overloadThreshold is the median delay of the shards from which requests are refused, as a multiple of an attempt
-	// without queueing. After a start, the latencies are not known well enough for a lower threshold.
+	// overloadThreshold is the minimum median delay of the shards at which requests are refused, as a multiple of the
+	// latency without queueing. It is high because latencies are inaccurate after a start.
 	overloadThreshold = 2.5
 	// minimumJitter and maximumJitter spread the Retry-After of callers that are refused together, as fractions of
 	// OverloadRetryAfter.
@@ -184,13 +184,12 @@
 
 // refuseOverloaded refuses a gathered request that cannot be answered within its objective because most of its shards
 // have too many requests queued. The leafs then serve requests that can be answered, and the caller can retry in time.
-// Routes with a short objective are refused first. A few slow shards do not count: an answer can be sent without them.
+// A request is refused if the median of shardDelays is at least overloadThreshold and the predicted time of the answer
+// exceeds the time left until the objective, so routes with a short objective are refused first. A few slow shards do
+// not count: an answer can be sent without them.
 //
-// The input is the balancer's delay of each shard, as a multiple of an attempt without queueing. The request is refused
-// if the median is at least overloadThreshold and the predicted time of the answer exceeds the time left until the
-// objective. Shards in groups for other nodes do not count: this node's data on their leafs is old. A node that gathers
-// some of the shards refuses nothing, since its root has begun with the others; a node that gathers all of them
-// refuses, and the root passes the failure on.
+// A node that gathers some of the shards refuses nothing, since its root has begun with the others. A node that gathers
+// all of them refuses, and the root passes the failure on.
 func (e *execution) refuseOverloaded(plan scatter.Plan) error {
 	if !e.isGathered() || len(e.services) < len(e.request.route.Gathered) {
 		return nil
@@ -211,11 +210,11 @@
 	fraction := minimumJitter + (maximumJitter-minimumJitter)*rand.Float64()
 	after := time.Duration(fraction * float64(e.gateway.cfg.OverloadRetryAfter))
 	return failure.New(failure.Overloaded, failure.NotRun,
-		"most shards have %.1f times the usual delay; an answer is expected after %s", median, predicted).WithRetryAfter(after)
+		"the median shard has %.1f times the delay of an idle one; the answer would take %s", median, predicted).WithRetryAfter(after)
 }
 
-// shardDelays returns the known delays of the shards that this node queries, as multiples of an attempt without
-// queueing.
+// shardDelays returns the known delays of the shards that this node queries, as multiples of the latency without
+// queueing. It omits shards that other nodes gather, since this node's data on their leafs is old.
 func (e *execution) shardDelays(plan scatter.Plan) []float64 {
 	delays := make([]float64, 0, len(plan.Shards))
 	for index, shard := range plan.Shards {
--- a/internal/request/gateway/refuse_overloaded_test.go
+++ b/internal/request/gateway/refuse_overloaded_test.go
@@ -16,7 +16,7 @@
 // If most shards have too many requests queued, a request is refused at once as not run, with a Retry-After. If only a
 // few have, it is served.
 func TestOverloadOfMostShardsIsRefusedAtOnce(t *testing.T) {
-	for name, one := range map[string]struct {
+	for name, c := range map[string]struct {
 		busy    int // shards with long queues
 		refused bool
 	}{"most": {shardCount, true}, "a few": {3, false}} {
@@ -30,7 +30,7 @@
 				for range 100 {
 					g.latencies.get(gatheredKind+"200 0", time.Second).observe(20 * time.Millisecond)
 				}
-				for index := range one.busy {
+				for index := range c.busy {
 					for _, replica := range []string{"a", "b"} {
 						chosen := g.balancer.Choose([]balancer.Candidate{{LeafID: fmt.Sprintf("s%d%s", index, replica)}}, nil)
 						g.balancer.ReportLoad(chosen.Leaf, balancer.Load{InFlight: 40, Slots: 2})
@@ -38,7 +38,7 @@
 				}
 				started := time.Now()
 				_, err := g.Serve(t.Context(), newRequest("/pages/1"))
-				if !one.refused {
+				if !c.refused {
 					is.NoErr(err)
 					return
 				}
--- a/internal/request/gateway/refuse_test.go
+++ b/internal/request/gateway/refuse_test.go
@@ -29,7 +29,7 @@
 			for _, replica := range []string{"a", "b"} {
 				put(t, g.catalog, catalog.LeafKey(fmt.Sprintf("s%d%s", service, replica)), nil)
 			}
-			g.memory.IDs() // detects the loss
+			g.memory.IDs()
 			time.Sleep(time.Minute)
 		}
 		for _, service := range []int{0, 1} {
--- a/internal/request/gateway/regions_test.go
+++ b/internal/request/gateway/regions_test.go
@@ -17,15 +17,15 @@
 // none.
 func newRegionTree(t *testing.T, regions ...string) *tree {
 	t.Helper()
-	built := newTree(t, near("n1"), far("f1"), catalog.NodeRecord{ID: "r1", Zone: zoneFarther})
+	tr := newTree(t, near("n1"), far("f1"), catalog.NodeRecord{ID: "r1", Zone: zoneFarther})
 	var gathered []string
 	for index := range shardCount {
 		gathered = append(gathered, fmt.Sprintf("s%d", index))
 	}
-	for _, node := range built.nodes {
-		built.putRoutes(node, 2, gathered, regions...)
+	for _, node := range tr.nodes {
+		tr.putRoutes(node, 2, gathered, regions...)
 	}
-	return built
+	return tr
 }
 
 // A route that allows one region uses only leafs in that region, even if they fail. Nodes in other regions read a
@@ -34,23 +34,23 @@
 	for _, root := range []string{"n1", "f1", "r1"} {
 		t.Run("received by "+root, func(t *testing.T) {
 			is := is.New(t)
-			built := newRegionTree(t, regionWest)
-			built.requireComplete(built.serve(root))
-			for _, node := range built.nodes {
+			tr := newRegionTree(t, regionWest)
+			tr.requireComplete(tr.serve(root))
+			for _, node := range tr.nodes {
 				node.leafs.setAnswer(func(leaf string) (time.Duration, *leafhttp.Response, error) {
 					return 0, nil, &leafhttp.BrokenAnswerError{Cause: errUnresponsive}
 				})
 			}
-			_, err := built.serve(root)
+			_, err := tr.serve(root)
 			is.True(err != nil)
-			for id := range built.nodes {
-				for _, leaf := range built.attempts.by(id) {
+			for id := range tr.nodes {
+				for _, leaf := range tr.attempts.by(id) {
 					is.True(!strings.HasSuffix(leaf, zoneFarther)) // the only leafs in the southern region
 				}
 			}
 			if root != "r1" {
-				is.Equal(len(built.attempts.by("r1")), 0)
-				for _, record := range built.nodes[root].events.groupRecords() {
+				is.Equal(len(tr.attempts.by("r1")), 0)
+				for _, record := range tr.nodes[root].events.groupRecords() {
 					is.True(record.Intermediate != "r1")
 				}
 			}
@@ -61,18 +61,18 @@
 // A request is refused at once if too few services have leafs in its regions.
 func TestRouteWithoutLeafsInItsRegionsIsRefused(t *testing.T) {
 	is := is.New(t)
-	built := newRegionTree(t, regionSouth)
-	_, err := built.serve("n1")
+	tr := newRegionTree(t, regionSouth)
+	_, err := tr.serve("n1")
 	is.Equal(failure.From(err).Execution, failure.NotRun)
 	is.True(failure.From(err).RetryAfter > 0)
-	for id := range built.nodes {
-		is.Equal(len(built.attempts.by(id)), 0)
+	for id := range tr.nodes {
+		is.Equal(len(tr.attempts.by(id)), 0)
 	}
 }
 
 // A route without regions uses leafs in all regions.
 func TestRouteWithoutRegionsIsServedEverywhere(t *testing.T) {
-	built := newRegionTree(t)
-	built.requireComplete(built.serve("n1"))
-	built.requireComplete(built.serve("r1"))
+	tr := newRegionTree(t)
+	tr.requireComplete(tr.serve("n1"))
+	tr.requireComplete(tr.serve("r1"))
 }
--- a/internal/request/gateway/root.go
+++ b/internal/request/gateway/root.go
@@ -10,7 +10,8 @@
 	"github.com/portgauge/portgauge/internal/request/servingtree"
 )
 
-// Fleet lists the nodes that may gather groups; registry.Fleet implements it.
+// Fleet lists the nodes that may gather groups; registry.Fleet implements it. A gatherer is a node that may query the
+// leafs of gathered services. The gatherer that receives a group is its intermediate.
 type Fleet interface {
 	Gatherers() []catalog.NodeRecord
 	// IsGatherer reports whether this node is one of them.
@@ -56,9 +57,9 @@
 	roundTrip delayEstimator
 }
 
-// initialRoundTrip is the estimate of the round trip to an intermediate until it is measured: 1 to 1.5 ms per direction
-// between zones, and as much again for both nodes to write and read a message. In a large fleet each root serves too
-// few requests to measure it quickly.
+// initialRoundTrip is the estimate of the round trip to an intermediate until it is measured. It includes the network
+// between zones, and writing and reading the messages. In a large fleet each root serves too few requests to measure it
+// quickly.
 const initialRoundTrip = 5 * time.Millisecond
 
 func newRoot(deps Deps) *root {
@@ -74,12 +75,12 @@
 
 // groups returns the groups of a route that other nodes gather:
 //
-//   - the shards without a leaf in this node's zone, by a node in a zone that has their leafs, since one merged answer
-//     then crosses zones instead of many parts;
-//   - the other shards, by another node in this zone, unless this node is one of the fleet's gatherers. Nodes with far
-//     fewer processors than others in their zone are not: the gatherers keep the connections to leafs.
+//   - the shards without a leaf in this node's zone: a node in the zone of their leafs gathers them, since one merged
+//     answer then crosses zones instead of many parts;
+//   - the other shards, if this node is not a gatherer: a gatherer in this zone gathers them. Nodes with far fewer
+//     processors than others in their zone are not gatherers, so that only large nodes hold connections to leafs.
 //
-// This node queries the leafs of smaller groups than minimumGroup, and of groups that no node can gather, itself.
+// This node itself queries the leafs of groups smaller than minimumGroup and of groups that no node can gather.
 func (r *root) groups(route *routing.Entry) []group {
 	isGatherer := r.fleet.IsGatherer()
 	var groups []group
@@ -111,7 +112,7 @@
 	return groups
 }
 
-// assignGroups sets the groups that other nodes gather. This node queries their leafs itself only after that.
+// assignGroups sets the groups that other nodes gather first. This node queries their shards only if that fails.
 func (e *execution) assignGroups(groups []group) {
 	e.groups = groups
 	e.inGroup = make([]bool, len(e.services))
--- a/internal/request/gateway/suspension.go
+++ b/internal/request/gateway/suspension.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// errSuspended is the cause of cancelling a request whose deadline passed while the machine was suspended. The clock of
-// timers and deadlines stops during a suspension; otherwise the caller would wait, and leafs would work, too long by
-// its duration.
+// errSuspended is the cause of cancelling a request whose deadline passed while the machine was suspended. Timers and
+// deadlines use a clock that stops during a suspension: without this, the caller would wait, and leafs would work,
+// longer by the time of the suspension.
 var errSuspended = errors.New("the machine was suspended past the request's deadline")
 
 // inFlight is the set of executions in flight. It is safe for concurrent use, and its zero value is empty.
--- a/internal/request/gateway/tree_fixture_test.go
+++ b/internal/request/gateway/tree_fixture_test.go
@@ -38,16 +38,16 @@
 	cancelled int
 }
 
-func (s *attemptLog) by(node string) []string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return slices.Clone(s.queried[node])
+func (l *attemptLog) by(node string) []string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return slices.Clone(l.queried[node])
 }
 
-func (s *attemptLog) cancels() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.cancelled
+func (l *attemptLog) cancels() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.cancelled
 }
 
 func (l *treeLeafs) Start(target leafhttp.Target, _ *leafhttp.Request, _ time.Time, done leafhttp.Done) context.CancelCauseFunc {
@@ -125,7 +125,7 @@
 // newTree starts a node for each record, and sets the address in the record.
 func newTree(t *testing.T, nodes ...catalog.NodeRecord) *tree {
 	t.Helper()
-	built := &tree{t: t, attempts: &attemptLog{queried: map[string][]string{}}, nodes: map[string]*treeNode{}}
+	tr := &tree{t: t, attempts: &attemptLog{queried: map[string][]string{}}, nodes: map[string]*treeNode{}}
 	for index := range nodes {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -133,18 +133,18 @@
 		}
 		t.Cleanup(func() { _ = listener.Close() })
 		nodes[index].Tree = listener.Addr().String()
-		built.nodes[nodes[index].ID] = &treeNode{t: t, record: nodes[index], listener: listener}
+		tr.nodes[nodes[index].ID] = &treeNode{t: t, record: nodes[index], listener: listener}
 	}
-	for _, node := range built.nodes {
-		built.start(node, nodes)
+	for _, node := range tr.nodes {
+		tr.start(node, nodes)
 	}
-	return built
+	return tr
 }
 
-func (b *tree) start(node *treeNode, nodes []catalog.NodeRecord) {
-	node.catalog = catalog.New(func(key string, err error) { b.t.Errorf("%s: %v", key, err) })
+func (tr *tree) start(node *treeNode, nodes []catalog.NodeRecord) {
+	node.catalog = catalog.New(func(key string, err error) { tr.t.Errorf("%s: %v", key, err) })
 	node.catalog.EnableRollouts()
-	node.events, node.leafs = &recordedEvents{}, &treeLeafs{node: node.record.ID, attempts: b.attempts}
+	node.events, node.leafs = &recordedEvents{}, &treeLeafs{node: node.record.ID, attempts: tr.attempts}
 	var gathered []string
 	for index := range shardCount {
 		service := fmt.Sprintf("s%d", index)
@@ -155,16 +155,16 @@
 		}
 		for _, zone := range zones {
 			id := service + zone
-			put(b.t, node.catalog, catalog.LeafKey(id), leafset.Record{Name: id, Service: service, Address: "127.0.0.1:1", Zone: zone, State: leafset.Ready})
+			put(tr.t, node.catalog, catalog.LeafKey(id), leafset.Record{Name: id, Service: service, Address: "127.0.0.1:1", Zone: zone, State: leafset.Ready})
 		}
 	}
 	for _, peer := range nodes {
-		put(b.t, node.catalog, catalog.NodeKey(peer.ID), peer)
+		put(tr.t, node.catalog, catalog.NodeKey(peer.ID), peer)
 	}
-	b.putRoutes(node, 1, gathered)
+	tr.putRoutes(node, 1, gathered)
 	fleet := registry.NewFleet(node.catalog, node.record.ID, time.Minute)
 	client := servingtree.NewClient(servingtree.DefaultConfig())
-	b.t.Cleanup(client.Close)
+	tr.t.Cleanup(client.Close)
 	node.gateway = New(Deps{
 		Config: DefaultConfig(), Names: names, Catalog: node.catalog, Memory: leafmemory.New(leafmemory.DefaultConfig(), node.catalog),
 		Allocator: connshare.New(connshare.DefaultConfig(), fleet, node.record),
@@ -177,33 +177,33 @@
 	go node.server.Serve(node.listener)
 }
 
-func (b *tree) putRoutes(node *treeNode, version int64, gathered []string, regions ...string) {
-	put(b.t, node.catalog, catalog.RoutesKey, routing.Configuration{Version: version, Routes: []routing.Route{{
+func (tr *tree) putRoutes(node *treeNode, version int64, gathered []string, regions ...string) {
+	put(tr.t, node.catalog, catalog.RoutesKey, routing.Configuration{Version: version, Routes: []routing.Route{{
 		Name: "pages", Host: "h", Prefix: "/pages/", Gathered: gathered, TopRecords: 2 * shardCount, MinimumCoverage: 0.8,
 		Repeatability: routing.Repeatable, MaximumAttempts: 2, TimeoutMillis: 60_000, ObjectiveMillis: treeObjective.Milliseconds(),
 		Regions: regions,
 	}}})
 }
 
-func (b *tree) serve(node string) (*Answer, error) {
+func (tr *tree) serve(node string) (*Answer, error) {
 	request := newRequest("/pages/1")
 	request.CallerTimeout = 0
-	return b.nodes[node].gateway.Serve(b.t.Context(), request)
+	return tr.nodes[node].gateway.Serve(tr.t.Context(), request)
 }
 
 // requireComplete fails the test unless the answer has each part once, with its records.
-func (b *tree) requireComplete(answer *Answer, err error) {
-	b.t.Helper()
-	is := is.New(b.t)
+func (tr *tree) requireComplete(answer *Answer, err error) {
+	tr.t.Helper()
+	is := is.New(tr.t)
 	is.NoErr(err)
 	is.Equal(answer.Missing, 0)
-	b.requireConsistent(answer)
+	tr.requireConsistent(answer)
 }
 
 // requireConsistent fails the test unless the answer's records are exactly the records of its parts.
-func (b *tree) requireConsistent(answer *Answer) {
-	b.t.Helper()
-	is := is.New(b.t)
+func (tr *tree) requireConsistent(answer *Answer) {
+	tr.t.Helper()
+	is := is.New(tr.t)
 	var services, fromStamps, inBody []string
 	for _, stamp := range answer.Stamps {
 		leaf := strings.TrimSpace(strings.TrimPrefix(stamp, "stamp-"))
@@ -221,9 +221,9 @@
 }
 
 // outcomes returns the outcomes of the groups that a node sent to others.
-func (b *tree) outcomes(node string) []GroupOutcome {
+func (tr *tree) outcomes(node string) []GroupOutcome {
 	var outcomes []GroupOutcome
-	for _, record := range b.nodes[node].events.groupRecords() {
+	for _, record := range tr.nodes[node].events.groupRecords() {
 		outcomes = append(outcomes, record.Outcome)
 	}
 	return outcomes
--- a/internal/request/gateway/tree_test.go
+++ b/internal/request/gateway/tree_test.go
@@ -25,18 +25,18 @@
 // Shards without a leaf in the root's zone are gathered by a node in another zone; the root queries the others.
 func TestRemoteShardsAreGatheredInTheirZone(t *testing.T) {
 	is := is.New(t)
-	b := newTree(t, near("root"), far("there"))
-	b.requireComplete(b.serve("root"))
-	is.Equal(len(b.attempts.by("root")), nearShards)
-	for _, leaf := range b.attempts.by("root") {
+	tr := newTree(t, near("root"), far("there"))
+	tr.requireComplete(tr.serve("root"))
+	is.Equal(len(tr.attempts.by("root")), nearShards)
+	for _, leaf := range tr.attempts.by("root") {
 		is.True(strings.HasSuffix(leaf, zoneNear))
 	}
-	is.Equal(len(b.attempts.by("there")), shardCount-nearShards)
-	is.Equal(b.outcomes("root"), []GroupOutcome{GroupAnswered})
-	record := b.nodes["there"].events.records[0]
+	is.Equal(len(tr.attempts.by("there")), shardCount-nearShards)
+	is.Equal(tr.outcomes("root"), []GroupOutcome{GroupAnswered})
+	record := tr.nodes["there"].events.records[0]
 	is.Equal(record.Root, "root")
 	is.Equal(record.RequestID, "r")
-	is.Equal(b.nodes["root"].events.records[0].Groups[0].Intermediate, "there")
+	is.Equal(tr.nodes["root"].events.records[0].Groups[0].Intermediate, "there")
 }
 
 // A node sends groups to nodes in its zone that have far more processors, but not to equal or smaller ones.
@@ -44,23 +44,23 @@
 	is := is.New(t)
 	small, large := near("small"), near("large")
 	small.Processors, large.Processors = 0.2, 0.8
-	b := newTree(t, small, large, far("there"))
-	b.requireComplete(b.serve("small"))
-	is.Equal(len(b.attempts.by("small")), 0)
-	is.Equal(len(b.attempts.by("large")), nearShards)
-	b.requireComplete(b.serve("large"))
-	is.Equal(len(b.attempts.by("small")), 0)
-	is.Equal(len(b.attempts.by("large")), 2*nearShards)
+	tr := newTree(t, small, large, far("there"))
+	tr.requireComplete(tr.serve("small"))
+	is.Equal(len(tr.attempts.by("small")), 0)
+	is.Equal(len(tr.attempts.by("large")), nearShards)
+	tr.requireComplete(tr.serve("large"))
+	is.Equal(len(tr.attempts.by("small")), 0)
+	is.Equal(len(tr.attempts.by("large")), 2*nearShards)
 }
 
-// Without the serving tree, each node queries all leafs itself.
-func TestServingTreeCanBeDisabled(t *testing.T) {
+// A gateway without a root sends no groups and queries all leafs itself.
+func TestGatewayWithoutRootQueriesAllLeafs(t *testing.T) {
 	is := is.New(t)
-	b := newTree(t, near("root"), far("there"))
-	b.nodes["root"].gateway.root = nil
-	b.requireComplete(b.serve("root"))
-	is.Equal(len(b.attempts.by("root")), shardCount)
-	is.Equal(len(b.attempts.by("there")), 0)
+	tr := newTree(t, near("root"), far("there"))
+	tr.nodes["root"].gateway.root = nil
+	tr.requireComplete(tr.serve("root"))
+	is.Equal(len(tr.attempts.by("root")), shardCount)
+	is.Equal(len(tr.attempts.by("there")), 0)
 }
 
 // failureMode makes an intermediate return nothing; outcome is what its root observes.
@@ -75,7 +75,7 @@
 		"frozen":  {freeze, GroupSilent},
 		"leaving": {func(node *treeNode) {
 			node.server.PrepareStop()
-		}, GroupLeaving},
+		}, GroupStopping},
 		"other routing table": {func(node *treeNode) {
 			put(node.t, node.catalog, catalog.LeafKey("other"), leafset.Record{Name: "other", Service: "other", Address: "127.0.0.1:1", State: leafset.Ready})
 			put(node.t, node.catalog, catalog.RoutesKey, routing.Configuration{Version: 2})
@@ -90,19 +90,20 @@
 	}
 }
 
-// If an intermediate fails before it answers, the root queries the leafs itself, and no part is in the answer twice.
+// If the only intermediate fails before it answers, the root queries the leafs itself, and no part is in the answer
+// twice.
 func TestRootQueriesLeafsAfterIntermediateFails(t *testing.T) {
 	for name, c := range failureModes() {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := newTree(t, near("root"), far("there"))
-			c.fail(b.nodes["there"])
-			b.requireComplete(b.serve("root"))
-			is.Equal(b.outcomes("root"), []GroupOutcome{c.outcome})
-			is.Equal(len(b.attempts.by("root")), shardCount)
+			tr := newTree(t, near("root"), far("there"))
+			c.fail(tr.nodes["there"])
+			tr.requireComplete(tr.serve("root"))
+			is.Equal(tr.outcomes("root"), []GroupOutcome{c.outcome})
+			is.Equal(len(tr.attempts.by("root")), shardCount)
 			// The node is paused and receives no second group.
-			b.requireComplete(b.serve("root"))
-			is.Equal(len(b.outcomes("root")), 1)
+			tr.requireComplete(tr.serve("root"))
+			is.Equal(len(tr.outcomes("root")), 1)
 		})
 	}
 }
@@ -135,13 +136,13 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := newTree(t, near("root"), far("there"))
+			tr := newTree(t, near("root"), far("there"))
 			entry := &routing.Entry{Objective: 40 * time.Millisecond}
-			e := &execution{gateway: b.nodes["root"].gateway, request: &routedRequest{route: entry, objective: time.Now().Add(entry.Objective)}}
-			p := &groupCall{root: b.nodes["root"].gateway.root, execution: e, group: group{node: b.nodes["there"].record, shards: []int{5, 6}}}
+			e := &execution{gateway: tr.nodes["root"].gateway, request: &routedRequest{route: entry, objective: time.Now().Add(entry.Objective)}}
+			call := &groupCall{root: tr.nodes["root"].gateway.root, execution: e, group: group{node: tr.nodes["there"].record, shards: []int{5, 6}}}
 			client := servingtree.NewClient(servingtree.DefaultConfig())
 			t.Cleanup(client.Close)
-			ended := p.await(t.Context(), client.Start(scriptedIntermediate(t, c.reply), servingtree.Request{}), nil)
+			ended := call.await(t.Context(), client.Start(scriptedIntermediate(t, c.reply), servingtree.Request{}), nil)
 			is.Equal(ended.outcome, GroupSilent)
 			is.Equal(ended.result.Final, c.isFinal)
 			is.Equal(ended.result.Execution, scatter.Unknown)
@@ -173,48 +174,48 @@
 // there are too few others.
 func TestLatePartsOfGroup(t *testing.T) {
 	is := is.New(t)
-	b := newTree(t, near("root"), far("there"))
-	b.nodes["there"].leafs.setAnswer(func(leaf string) (time.Duration, *leafhttp.Response, error) {
+	tr := newTree(t, near("root"), far("there"))
+	tr.nodes["there"].leafs.setAnswer(func(leaf string) (time.Duration, *leafhttp.Response, error) {
 		if strings.HasPrefix(leaf, "s9") {
 			return time.Hour, nil, errors.New("no answer")
 		}
 		return 0, answered(200, records(leaf)), nil
 	})
-	answer, err := b.serve("root")
+	answer, err := tr.serve("root")
 	is.NoErr(err)
 	is.Equal(answer.Missing, 1)
-	b.requireConsistent(answer)
+	tr.requireConsistent(answer)
 
 	// With three of ten parts missing, the answer waits for more.
-	b.nodes["there"].leafs.setAnswer(func(leaf string) (time.Duration, *leafhttp.Response, error) {
+	tr.nodes["there"].leafs.setAnswer(func(leaf string) (time.Duration, *leafhttp.Response, error) {
 		if leaf[:2] >= "s7" {
 			return treeObjective + treeObjective/4, answered(200, records(leaf)), nil
 		}
 		return 0, answered(200, records(leaf)), nil
 	})
-	answer, err = b.serve("root")
+	answer, err = tr.serve("root")
 	is.NoErr(err)
 	is.True(answer.Missing <= 2)
-	b.requireConsistent(answer)
+	tr.requireConsistent(answer)
 }
 
-// If the caller goes away, the attempts of the intermediate are cancelled.
+// If the caller cancels the request, the attempts of the intermediate are cancelled.
 func TestCancellationReachesIntermediates(t *testing.T) {
 	is := is.New(t)
-	b := newTree(t, near("root"), far("there"))
-	b.nodes["there"].leafs.setAnswer(func(string) (time.Duration, *leafhttp.Response, error) { return time.Hour, nil, nil })
-	ctx, leave := context.WithCancel(t.Context())
+	tr := newTree(t, near("root"), far("there"))
+	tr.nodes["there"].leafs.setAnswer(func(string) (time.Duration, *leafhttp.Response, error) { return time.Hour, nil, nil })
+	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
-		for len(b.attempts.by("there")) < shardCount-nearShards {
+		for len(tr.attempts.by("there")) < shardCount-nearShards {
 			time.Sleep(time.Millisecond)
 		}
-		leave()
+		cancel()
 	}()
 	request := newRequest("/pages/1")
 	request.CallerTimeout = 0
-	_, err := b.nodes["root"].gateway.Serve(ctx, request)
+	_, err := tr.nodes["root"].gateway.Serve(ctx, request)
 	is.Equal(failure.From(err).Code, failure.Cancelled)
-	for b.attempts.cancels() < shardCount-nearShards {
+	for tr.attempts.cancels() < shardCount-nearShards {
 		time.Sleep(time.Millisecond)
 	}
 }
@@ -222,40 +223,40 @@
 // An intermediate does not send its group to another node.
 func TestIntermediateDoesNotForwardGroups(t *testing.T) {
 	is := is.New(t)
-	b := newTree(t, near("root"), far("there"), catalog.NodeRecord{ID: "farther", Zone: zoneFarther})
+	tr := newTree(t, near("root"), far("there"), catalog.NodeRecord{ID: "farther", Zone: zoneFarther})
 	for range 40 { // each selects one of the two nodes at random
-		b.requireComplete(b.serve("root"))
+		tr.requireComplete(tr.serve("root"))
 	}
-	is.Equal(len(b.outcomes("there")), 0)
-	is.Equal(len(b.outcomes("farther")), 0)
-	is.True(len(b.attempts.by("there")) > 0)
-	is.True(len(b.attempts.by("farther")) > 0) // both zones have leafs of all shards in the group
+	is.Equal(len(tr.outcomes("there")), 0)
+	is.Equal(len(tr.outcomes("farther")), 0)
+	is.True(len(tr.attempts.by("there")) > 0)
+	is.True(len(tr.attempts.by("farther")) > 0) // both zones have leafs of all shards in the group
 }
 
 // An answer for other shards than the group's is not used.
 func TestAnswerForOtherShardsIsRejected(t *testing.T) {
 	is := is.New(t)
-	b := newTree(t, near("root"), far("there"))
-	e := &execution{gateway: b.nodes["root"].gateway, request: &routedRequest{route: &routing.Entry{Objective: time.Second}}}
-	p := &groupCall{root: b.nodes["root"].gateway.root, execution: e, group: group{shards: []int{5, 6}}}
-	ended := p.classify(servingtree.Result{Reply: servingtree.Reply{Answer: &servingtree.Answer{Stamps: []string{"x"}}}}, 0)
+	tr := newTree(t, near("root"), far("there"))
+	e := &execution{gateway: tr.nodes["root"].gateway, request: &routedRequest{route: &routing.Entry{Objective: time.Second}}}
+	call := &groupCall{root: tr.nodes["root"].gateway.root, execution: e, group: group{shards: []int{5, 6}}}
+	ended := call.classify(servingtree.Result{Reply: servingtree.Reply{Answer: &servingtree.Answer{Stamps: []string{"x"}}}}, 0)
 	is.Equal(ended.outcome, GroupBroken)
 }
 
 // Groups that do not match the routing table in force are declined.
 func TestMismatchedGroupsAreDeclined(t *testing.T) {
-	b := newTree(t, near("root"), far("there"))
-	there := b.nodes["there"].gateway
-	key := b.nodes["there"].catalog.View().Routes.Match("h", "/pages/1").GatherKey
+	tr := newTree(t, near("root"), far("there"))
+	there := tr.nodes["there"].gateway
+	key := tr.nodes["there"].catalog.View().Routes.Match("h", "/pages/1").GatherKey
 	good := servingtree.Request{ID: "r", Method: http.MethodGet, Target: "/pages/1", Host: "h", GatherKey: key, Shards: []int{0}, Required: 1}
 	bad := map[string]func(*servingtree.Request){
-		"another route":  func(a *servingtree.Request) { a.GatherKey++ },
-		"all spent":      func(a *servingtree.Request) { a.Spent = 2 },
-		"negative spent": func(a *servingtree.Request) { a.Spent = -1 },
-		"no route":       func(a *servingtree.Request) { a.Target = "/other/" },
-		"no shards":      func(a *servingtree.Request) { a.Shards = nil },
-		"unknown shard":  func(a *servingtree.Request) { a.Shards = []int{shardCount} },
-		"negative":       func(a *servingtree.Request) { a.Shards = []int{-1} },
+		"another route":  func(r *servingtree.Request) { r.GatherKey++ },
+		"all spent":      func(r *servingtree.Request) { r.Spent = 2 },
+		"negative spent": func(r *servingtree.Request) { r.Spent = -1 },
+		"no route":       func(r *servingtree.Request) { r.Target = "/other/" },
+		"no shards":      func(r *servingtree.Request) { r.Shards = nil },
+		"unknown shard":  func(r *servingtree.Request) { r.Shards = []int{shardCount} },
+		"negative":       func(r *servingtree.Request) { r.Shards = []int{-1} },
 	}
 	for name, change := range bad {
 		message := good
@@ -269,8 +270,8 @@
 // A root detects overload from the shards that it queries itself, since its data on the others is old.
 func TestRootDetectsOverloadFromItsOwnShards(t *testing.T) {
 	is := is.New(t)
-	b := newTree(t, near("root"), far("there"), catalog.NodeRecord{ID: "farther", Zone: zoneFarther})
-	g := b.nodes["root"].gateway
+	tr := newTree(t, near("root"), far("there"), catalog.NodeRecord{ID: "farther", Zone: zoneFarther})
+	g := tr.nodes["root"].gateway
 	for range 100 {
 		g.latencies.get(gatheredKind+"2000 0", time.Second).observe(treeObjective / 5)
 	}
@@ -280,28 +281,28 @@
 			g.balancer.ReportLoad(chosen.Leaf, balancer.Load{InFlight: 40, Slots: 2})
 		}
 	}
-	_, err := b.serve("root")
+	_, err := tr.serve("root")
 	is.True(failure.Is(err, failure.Overloaded))
 	is.Equal(failure.From(err).Execution, failure.NotRun)
-	is.Equal(len(b.attempts.by("root")), 0)
-	is.Equal(len(b.attempts.by("there")), 0)
+	is.Equal(len(tr.attempts.by("root")), 0)
+	is.Equal(len(tr.attempts.by("there")), 0)
 }
 
 // A group that is planned but not sent, because its request is refused, does not count as in flight at its node.
 func TestUnsentGroupsAreNotCountedAsInFlight(t *testing.T) {
 	is := is.New(t)
-	b := newTree(t, near("root"), far("there"))
-	g := b.nodes["root"].gateway
-	entry := b.nodes["root"].catalog.View().Routes.Match("h", "/pages/1")
+	tr := newTree(t, near("root"), far("there"))
+	g := tr.nodes["root"].gateway
+	entry := tr.nodes["root"].catalog.View().Routes.Match("h", "/pages/1")
 	for range 3 {
 		is.Equal(len(g.root.groups(entry)), 1)
 	}
 	inFlight := func() int {
 		g.root.nodes.mu.Lock()
 		defer g.root.nodes.mu.Unlock()
-		return g.root.nodes.node(b.nodes["there"].record.Tree).inFlight
+		return g.root.nodes.node(tr.nodes["there"].record.Tree).inFlight
 	}
 	is.Equal(inFlight(), 0)
-	b.requireComplete(b.serve("root"))
+	tr.requireComplete(tr.serve("root"))
 	is.Equal(inFlight(), 0)
 }
--- a/internal/request/gateway/warm.go
+++ b/internal/request/gateway/warm.go
@@ -9,13 +9,13 @@
 	"github.com/portgauge/portgauge/internal/rollout/canary"
 )
 
-// Connections are opened before requests need them. Otherwise the first request would have to open one to a leaf of
-// each shard, which takes most of its objective.
+// Connections are opened before requests need them. Otherwise the first gathered request would open one per shard,
+// which takes most of its objective.
 
 // maximumWarmed bounds the services to which a node opens connections in advance.
 const maximumWarmed = 512
 
-// Warm opens a connection to one leaf of each gathered service, if this node has a share of the leaf.
+// Warm opens a connection to one leaf of each gathered service, if this node is allotted connections to the leaf.
 func (g *Gateway) Warm() {
 	table := g.catalog.View().Routes
 	if table == nil {
@@ -47,8 +47,8 @@
 	}
 }
 
-// warmLeaf opens a connection to the leaf with the given ID, if this node has a share of it and no connection to any of
-// the targets.
+// warmLeaf opens a connection to the leaf with the given ID, if this node is allotted connections to it and no
+// connection to any of the targets is open.
 func (g *Gateway) warmLeaf(id string, targets []leafTarget) {
 	first := slices.IndexFunc(targets, func(target leafTarget) bool { return target.LeafID == id })
 	if first < 0 || targets[first].Connections == 0 {
--- a/internal/request/gateway/zones.go
+++ b/internal/request/gateway/zones.go
@@ -8,9 +8,8 @@
 	"github.com/portgauge/portgauge/internal/request/scatter"
 )
 
-// minimumUnanswered is how long an attempt must stay unanswered to indicate that its leaf's zone is unreachable. It is
-// longer than a round trip between near zones plus the run time of a fast leaf. A shorter value would cause unnecessary
-// probes.
+// minimumUnanswered is how long an attempt must stay unanswered to indicate that its leaf's zone is unreachable: longer
+// than a round trip between near zones plus the run time of a fast leaf.
 const minimumUnanswered = 20 * time.Millisecond
 
 // inReachableZones removes the candidates in unreachable zones.
@@ -22,7 +21,7 @@
 }
 
 // observeZone reports to the reachability tracker what the end of an attempt shows about its leaf's zone. A connection
-// that is refused or reset at once shows nothing: the machine of a crashed leaf does the same in any zone.
+// that is refused or reset at once shows nothing about the zone: crashed leafs cause the same in reachable zones.
 func (g *Gateway) observeZone(leaf *balancer.Leaf, result attemptResult, took time.Duration) {
 	switch result.Outcome {
 	case balancer.Succeeded, balancer.Shed, balancer.Drained, balancer.Declined:
@@ -39,13 +38,13 @@
 
 // observeZone reports to the reachability tracker what the end of a group call shows about the zone of the node that it
 // was sent to.
-func (p *groupCall) observeZone(outcome GroupOutcome) {
-	zone := p.group.node.Zone
+func (c *groupCall) observeZone(outcome GroupOutcome) {
+	zone := c.group.node.Zone
 	switch outcome {
-	case GroupAnswered, GroupFailed, GroupDeclined, GroupLeaving:
-		p.root.zones.Responded(zone)
+	case GroupAnswered, GroupFailed, GroupDeclined, GroupStopping:
+		c.root.zones.Responded(zone)
 	case GroupSilent, GroupNeverSent, GroupBroken:
-		p.root.zones.Suspect(zone)
+		c.root.zones.Suspect(zone)
 	case GroupCancelled:
 	}
 }
--- a/internal/request/gateway/zones_test.go
+++ b/internal/request/gateway/zones_test.go
@@ -20,18 +20,18 @@
 // partitionedPinger is a Pinger for which the nodes in some zones do not answer.
 type partitionedPinger map[string]bool
 
-func (a partitionedPinger) Ping(_ context.Context, node catalog.NodeRecord) bool {
-	return !a[node.Zone]
+func (p partitionedPinger) Ping(_ context.Context, node catalog.NodeRecord) bool {
+	return !p[node.Zone]
 }
-func (a partitionedPinger) SendZoneLost(catalog.NodeRecord, string) {}
+func (p partitionedPinger) SendZoneLost(catalog.NodeRecord, string) {}
 
 // trackerWithout returns the reachability tracker of a node in the near zone that cannot reach some of the zones, with
 // five nodes each. It stops at the end of the test.
 func trackerWithout(t *testing.T, lost ...string) *reachability.Tracker {
 	t.Helper()
-	prober := partitionedPinger{}
+	pinger := partitionedPinger{}
 	for _, zone := range lost {
-		prober[zone] = true
+		pinger[zone] = true
 	}
 	var nodes []catalog.NodeRecord
 	for _, zone := range []string{zoneNear, zoneFar, zoneFarther} {
@@ -41,7 +41,7 @@
 		}
 	}
 	zones := reachability.New(reachability.Deps{
-		Config: reachability.DefaultConfig(), Self: nodes[0], Pinger: prober, Nodes: func() []catalog.NodeRecord { return nodes },
+		Config: reachability.DefaultConfig(), Self: nodes[0], Pinger: pinger, Nodes: func() []catalog.NodeRecord { return nodes },
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	go zones.Run(ctx)
@@ -80,7 +80,7 @@
 // answerNearOnly returns an answer function for scriptedLeafs: only leafs in the near zone answer.
 func answerNearOnly(g func() *Gateway) func(leaf string) (time.Duration, *leafhttp.Response, error) {
 	return func(leaf string) (time.Duration, *leafhttp.Response, error) {
-		if known, _ := g().catalog.View().Leafs.ByID(leaf); known.Zone == zoneFar {
+		if listed, _ := g().catalog.View().Leafs.ByID(leaf); listed.Zone == zoneFar {
 			return time.Hour, answered(200, leaf), nil
 		}
 		return time.Millisecond, answered(200, records(leaf)), nil
@@ -115,7 +115,7 @@
 	})
 }
 
-// If enough services are reachable, only their leafs are queried, and the answer is sent at the planned time.
+// If enough services are reachable, only their leafs are queried.
 func TestOnlyReachableLeafsAreQueried(t *testing.T) {
 	inPartition(t, 8, func(is *is.I, g *Gateway, leafs *scriptedLeafs) {
 		answer, err := g.Serve(context.Background(), newRequest("/pages/1"))
@@ -182,20 +182,20 @@
 // No groups are sent to nodes in an unreachable zone.
 func TestGroupsAreNotSentToUnreachableZone(t *testing.T) {
 	is := is.New(t)
-	built := newTree(t, near("n1"), far("f1"))
-	root := built.nodes["n1"].gateway
+	tr := newTree(t, near("n1"), far("f1"))
+	root := tr.nodes["n1"].gateway
 	is.Equal(len(root.root.groups(root.catalog.View().Routes.Match("h", "/pages/1"))), 1)
 	root.zones = trackerWithout(t, zoneFar)
 	root.root.zones = root.zones
 	is.Equal(len(root.root.groups(root.catalog.View().Routes.Match("h", "/pages/1"))), 0)
 }
 
-// A silent intermediate causes a probe of its zone, although no leaf was queried.
-func TestSilentIntermediateCausesZoneProbe(t *testing.T) {
+// An intermediate that refuses connections causes a probe of its zone.
+func TestUnreachableIntermediateCausesZoneProbe(t *testing.T) {
 	is := is.New(t)
-	built := newTree(t, near("n1"), far("f1"))
-	root := built.nodes["n1"].gateway
-	checked := make(chan string, 100)
+	tr := newTree(t, near("n1"), far("f1"))
+	root := tr.nodes["n1"].gateway
+	pinged := make(chan string, 100)
 	nodes := []catalog.NodeRecord{near("n1")}
 	for index := range 5 {
 		node := far(fmt.Sprint("f", index))
@@ -203,7 +203,7 @@
 		nodes = append(nodes, node)
 	}
 	root.zones = reachability.New(reachability.Deps{
-		Config: reachability.DefaultConfig(), Self: near("n1"), Pinger: recordingPinger(checked),
+		Config: reachability.DefaultConfig(), Self: near("n1"), Pinger: recordingPinger(pinged),
 		Nodes: func() []catalog.NodeRecord { return nodes },
 	})
 	root.root.zones = root.zones
@@ -211,10 +211,10 @@
 	defer cancel()
 	go root.zones.Run(ctx)
 	time.Sleep(10 * time.Millisecond)
-	built.nodes["f1"].listener.Close()
-	_, _ = built.serve("n1") // the outcome is checked by other tests
+	tr.nodes["f1"].listener.Close()
+	_, _ = tr.serve("n1") // the outcome is checked by other tests
 	select {
-	case zone := <-checked:
+	case zone := <-pinged:
 		is.Equal(zone, zoneFar)
 	case <-time.After(10 * time.Second):
 		t.Fatal("the zone was not probed")
@@ -224,11 +224,11 @@
 // recordingPinger is a Pinger that records the zones of the pinged nodes, none of which answers.
 type recordingPinger chan string
 
-func (a recordingPinger) Ping(_ context.Context, node catalog.NodeRecord) bool {
+func (p recordingPinger) Ping(_ context.Context, node catalog.NodeRecord) bool {
 	select {
-	case a <- node.Zone:
+	case p <- node.Zone:
 	default:
 	}
 	return false
 }
-func (a recordingPinger) SendZoneLost(catalog.NodeRecord, string) {}
+func (p recordingPinger) SendZoneLost(catalog.NodeRecord, string) {}
