--- a/internal/request/gateway/crash.go
+++ b/internal/request/gateway/crash.go
@@ -50,7 +50,7 @@
 // isAbandoned reports whether the attempt was cancelled because its answer is no longer needed.
 func (e attemptEnd) isAbandoned() bool { return e.result.Outcome == balancer.Abandoned }
 
-// leafMayHaveExited reports whether the leaf's process may have exited. This includes abandoned attempts if the leaf
+// leafMayHaveExited reports whether the leaf's process may have exited. This includes cancelled attempts if the leaf
 // closed or reset the connection.
 func (e attemptEnd) leafMayHaveExited() bool {
 	if !e.isBroken() && !e.isRefused() {
