--- a/internal/rollout/canary/bound_test.go
+++ b/internal/rollout/canary/bound_test.go
@@ -16,7 +16,7 @@
 	splitter *Splitter
 }
 
-// arrival is a request that arrives at a node at a time since the spec.
+// arrival is a request that arrives at a node at a time after the start of the spec.
 type arrival struct {
 	at   time.Duration
 	node int
--- a/internal/rollout/canary/budget.go
+++ b/internal/rollout/canary/budget.go
@@ -7,7 +7,7 @@
 )
 
 // The slack is released linearly between these fractions of a spec's duration: after the canary has received its share
-// for a while, and early enough to evaluate the additional answers before the deadline.
+// for a while, and early enough to evaluate the additional answers before the spec ends.
 const (
 	slackFrom  = 0.25
 	slackUntil = 0.5
@@ -53,11 +53,10 @@
 // isOver reports whether the spec's duration has ended.
 func (b *budget) isOver(now time.Time) bool { return b.elapsed(now) >= 1 }
 
-// hasRoom reports whether one more request may go to a canary that has not passed evaluation yet.
-//
-// A repeatable request may go there if all requests sent to the canary stay within Used times Share of this node's
-// requests, plus the slack released so far, minus the reserve for requests that must run at most once. A request that
-// must run at most once may go there in the second half of the spec, within the slack that repeatable requests left.
+// hasRoom reports whether one more request may go to a canary that has not passed evaluation yet. A repeatable one may
+// go there if the requests sent to the canary stay within UsedFraction times Share of this node's requests, plus the
+// released slack, minus the reserve for at-most-once requests. An at-most-once request may go there in the second half
+// of the spec, within the slack that repeatable ones left. Both kinds may exceed their limit by the initial credit.
 func (b *budget) hasRoom(cfg Config, once bool, now time.Time) bool {
 	share := cfg.UsedFraction * cfg.Share * float64(b.requests)
 	slack := cfg.UsedFraction * cfg.Slack * b.fleetShare
--- a/internal/rollout/canary/config.go
+++ b/internal/rollout/canary/config.go
@@ -6,7 +6,7 @@
 //
 // A Splitter owns the counts of the specs in force and the attempts in flight. It starts no goroutine. It depends on
 // the catalog for rules and specs, on the registered nodes for this node's share of the slack, and on a clock that
-// includes the time during which the machine was suspended.
+// includes suspensions of the machine.
 package canary
 
 import (
@@ -35,7 +35,7 @@
 }
 
 // DefaultConfig sends a tenth of the requests to a canary version. ConfirmedWithin exceeds the age of the configuration
-// at a healthy node, so that the ramp does not lapse there.
+// at a healthy node, so that the ramp is not interrupted there.
 func DefaultConfig() Config {
 	return Config{Share: 0.1, UsedFraction: 0.8, Ramp: 2 * time.Second, ConfirmedWithin: 6 * time.Second}
 }
--- a/internal/rollout/canary/inflight.go
+++ b/internal/rollout/canary/inflight.go
@@ -9,8 +9,8 @@
 // versionKey identifies a version of a service.
 type versionKey struct{ service, version string }
 
-// inFlight counts the attempts in flight delta version. The zero value is ready to use. Versions without attempts are
-// not stored.
+// inFlight counts the attempts in flight by version. The zero value is ready to use. Versions without attempts are not
+// stored.
 type inFlight struct {
 	mu     sync.Mutex
 	counts map[versionKey]int
--- a/internal/rollout/canary/splitter.go
+++ b/internal/rollout/canary/splitter.go
@@ -15,7 +15,6 @@
 // Role selects versions of a service by their role in a rollout.
 type Role int
 
-// The roles.
 const (
 	// Serving selects the serving version.
 	Serving Role = iota
@@ -48,7 +47,8 @@
 
 // Fleet describes the registered nodes. It is implemented by registry.Fleet.
 type Fleet interface {
-	// Share returns this node's share, 0 to 1, of a bound on gathered or other requests that is common to all nodes.
+	// Share returns this node's share, 0 to 1, of a bound that is common to all nodes. gathered means that the bound is
+	// on a gathered service.
 	Share(gathered bool) float64
 	// IsRegistered reports whether this node is registered.
 	IsRegistered() bool
@@ -106,11 +106,10 @@
 	}
 }
 
-// Decide decides which version the first attempt of a request goes to, and counts the request.
-//
-// Until the canary has passed evaluation, it receives the request if it has a leaf and the budget has room. During the
-// ramp it receives the request with a probability that rises from Share to 1, and afterwards always. A request that is
-// decided for the canary counts as sent.
+// Decide selects the version that the first attempt of a request goes to, and counts the request. Until the canary has
+// passed evaluation, it receives the request if it has a leaf and the budget has room. During the ramp it receives the
+// request with a probability that rises from Share to 1, and afterwards always. A request that is decided for the
+// canary counts as sent.
 func (s *Splitter) Decide(request Request) Decision {
 	service := request.Service
 	if s.catalog.View().Leafs.Rule(service).Canary == "" {
@@ -242,9 +241,8 @@
 	return budget
 }
 
-// newBudget returns the budget of a spec. If the spec was already in force when this node started, the node has no
-// slack and no initial credit, because its earlier process may have spent them. The same applies while the node is not
-// registered, and to all nodes if Config.Slack is 0.
+// newBudget returns the budget of a spec. It has no slack and no initial credit if the spec was in force when this node
+// started, because its earlier process may have spent them, if the node is not registered, or if Config.Slack is 0.
 func (s *Splitter) newBudget(view *catalog.View, service string, rule rollout.Rule) *budget {
 	created := &budget{specID: rule.SpecID, learnedAt: s.now(), duration: time.Nanosecond}
 	if spec := view.Rollouts[service].Spec; spec != nil {
--- a/internal/rollout/canary/stage.go
+++ b/internal/rollout/canary/stage.go
@@ -7,10 +7,9 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// stage is this node's progress with a spec.
+// stage is how far this node has moved its requests to the canary of a spec.
 type stage int
 
-// The stages.
 const (
 	// stopped means that no canary receives requests: there is none, its spec is aborted, or its duration has ended.
 	stopped stage = iota
@@ -37,11 +36,10 @@
 	return s.stage(service, rule, s.budget(view, service, rule), s.now())
 }
 
-// stage returns this node's stage of a spec. It depends on the spec's phase, on the time since this node learned of the
-// spec, and on the age of the configuration. An aborted spec is stopped. In phase Switching the canary ramps up and
-// then receives all requests, but only while the configuration was confirmed within ConfirmedWithin: otherwise the
-// verdict may have been revoked, and the bound applies again. After the spec's duration an undecided canary receives no
-// requests. s.mu must be held.
+// stage returns this node's stage of a spec. An aborted spec is stopped, and so is an undecided one after its duration,
+// counted from when this node learned of it. In PhaseSwitching the canary ramps up and then receives all requests, but
+// only while the configuration was confirmed within ConfirmedWithin: otherwise the verdict may have been revoked, and
+// the bound applies again. s.mu must be held.
 func (s *Splitter) stage(service string, rule rollout.Rule, budget *budget, now time.Time) stage {
 	switch {
 	case rule.SpecID <= s.aborts[service]:
--- a/internal/rollout/canary/stage_test.go
+++ b/internal/rollout/canary/stage_test.go
@@ -91,7 +91,7 @@
 }
 
 // After a spec is withdrawn the canary receives no requests and its budget is dropped.
-func TestSpecWithdrawn(t *testing.T) {
+func TestWithdrawnSpecStopsCanary(t *testing.T) {
 	is := is.New(t)
 	f, splitter, _ := newRollout(t, 50)
 	is.Equal(maySend(splitter), "true true")
@@ -145,7 +145,7 @@
 }
 
 // Without a recent confirmation of the configuration the canary receives no more than the share.
-func TestSwitchLapsesWithoutConfirmation(t *testing.T) {
+func TestBoundAppliesWithoutConfirmation(t *testing.T) {
 	is := is.New(t)
 	f, splitter, specID := newRollout(t, 0)
 	f.phase(specID, rollout.PhaseSwitching)
--- a/internal/rollout/evidence/collector.go
+++ b/internal/rollout/evidence/collector.go
@@ -11,7 +11,7 @@
 )
 
 // maxRows bounds the rows of a node. A service has one row per route for the serving version, and one per route and
-// canary.
+// canary leaf.
 const maxRows = 4096
 
 // Collector counts the attempts of one node at leafs of services with a canary version. All leafs of the serving
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -52,7 +52,7 @@
 	return checks.Err()
 }
 
-// ParseSpec decodes and validates a JSON spec that was written at revision at.
+// ParseSpec decodes and validates a JSON spec. at is the store revision that wrote it.
 func ParseSpec(content []byte, at int64) (*Spec, error) {
 	spec := &Spec{Revision: at}
 	if err := json.Unmarshal(content, spec); err != nil {
@@ -61,8 +61,8 @@
 	return spec, spec.Validate()
 }
 
-// InheritID sets the spec's ID to the ID of the spec in force before it if both are the same spec, written again
-// after a restore of the store.
+// InheritID gives the spec the ID of the spec in force before it, if operators wrote the same spec again after a
+// restore of the store.
 func (s *Spec) InheritID(before *Spec) {
 	if before == nil || !revision.IsLater(s.Revision, before.Revision) {
 		return
@@ -77,7 +77,7 @@
 
 // The phases. PhaseSucceeded and PhaseRolledBack are final: they last until another spec is written.
 const (
-	// PhaseCanary sends a bounded share of the requests to the target, which is evaluated meanwhile.
+	// PhaseCanary sends a bounded share of the requests to the target while it is evaluated.
 	PhaseCanary Phase = "canary"
 	// PhaseSwitching moves all requests to the target, which passed evaluation.
 	PhaseSwitching Phase = "switching"
@@ -94,7 +94,7 @@
 // spec is unchanged.
 type State struct {
 	Service string `json:"service"`
-	// SpecRevision is the store's count at which the spec was written.
+	// SpecRevision is the store's count when the spec was written.
 	SpecRevision int64 `json:"order_revision"`
 	Phase        Phase `json:"phase"`
 	// Serving is the version that served before the spec. It continues to serve unless the rollout succeeds.
@@ -110,7 +110,7 @@
 	Revision int64 `json:"-"`
 }
 
-// ParseState decodes and validates a JSON state that was written at revision at.
+// ParseState decodes and validates a JSON state. at is the store revision that wrote it.
 func ParseState(content []byte, at int64) (*State, error) {
 	state := &State{Revision: at}
 	if err := json.Unmarshal(content, state); err != nil {
@@ -181,12 +181,10 @@
 	Revision int64
 }
 
-// RuleOf derives the rule of a service from its spec and state, each nil if there is none, and the stored serving
-// version, empty if there is none. All rules are derived here.
-//
-// A final state decides which version serves. A spec without a final state of its own makes its target the canary, in
+// RuleOf derives the rule of a service. spec and state are nil if there are none, and storedVersion may be empty. A
+// final state decides which version serves. A spec without a final state of its own makes its target the canary, in
 // PhaseCanary until a state sets another. If only leafs without a version served, the rule disallows a target that was
-// rolled back, or excludes those leafs after a version has replaced them.
+// rolled back, or excludes those leafs after a version has replaced them. All rules are derived here.
 func RuleOf(spec *Spec, state *State, storedVersion string) Rule {
 	rule := Rule{Serving: storedVersion}
 	if state != nil {
--- a/internal/rollout/rolloutcontrol/aborts.go
+++ b/internal/rollout/rolloutcontrol/aborts.go
@@ -17,7 +17,7 @@
 	reasons map[specKey]string
 }
 
-// add adds an abort and reports whether it is new.
+// add stores an abort. It returns false if the spec is already aborted or if maxAborts are stored.
 func (a *aborts) add(id specKey, reason string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/rollout/rolloutcontrol/config.go
+++ b/internal/rollout/rolloutcontrol/config.go
@@ -30,8 +30,8 @@
 	// RollbackMargin is how long before the end of a spec a version that has not passed evaluation is rolled back. It
 	// is shorter for rollouts of short duration.
 	RollbackMargin time.Duration `yaml:"rollback_margin"`
-	// SettleInterval is the interval at which an evaluator node queries whether all nodes send requests only to the new
-	// version. The queries begin after the ramp.
+	// SettleInterval is the interval at which an evaluator node checks whether all nodes send requests only to the new
+	// version. The checks begin after the ramp.
 	SettleInterval time.Duration `yaml:"settle_interval"`
 	// SettleWait is the maximum wait for nodes that don't answer, and, after the end of the spec, for nodes that still
 	// send requests to the old version.
--- a/internal/rollout/rolloutcontrol/controller.go
+++ b/internal/rollout/rolloutcontrol/controller.go
@@ -9,8 +9,7 @@
 //
 // The package owns the counts of all nodes at an evaluator node, the aborts, and the goroutines of Run with its writes
 // and fleet queries. It depends on the catalog for specs, states and registered nodes, on datagrams for reports and
-// aborts, on conditional writes of the store, and on a clock that includes the time during which the machine
-// was suspended.
+// aborts, on conditional writes of the store, and on a clock that includes suspensions of the machine.
 package rolloutcontrol
 
 import (
@@ -37,8 +36,8 @@
 
 // Fleet queries the other nodes.
 type Fleet interface {
-	// Settled queries the revision up to which each node is settled. Nodes that don't answer before the context ends
-	// are not counted.
+	// Settled queries all nodes for the revisions up to which they are settled. Nodes that don't answer before the
+	// context is done are not counted.
 	Settled(ctx context.Context, revision int64) FleetStatus
 }
 
@@ -54,7 +53,7 @@
 	Fleet        Fleet
 	Sender       Sender
 	Events       EventLog
-	// Clock includes the time during which the machine was suspended, because a spec's duration continues meanwhile.
+	// Clock includes suspensions of the machine, because a spec's duration continues meanwhile.
 	Clock boottime.Clock
 }
 
@@ -124,7 +123,7 @@
 	}
 }
 
-// await blocks until the next step is due, and reports whether the context ended.
+// await blocks until the next step is due, and reports whether the context is done.
 func (c *Controller) await(ctx context.Context, timer *time.Timer, changes <-chan catalog.Change) bool {
 	for {
 		select {
@@ -183,8 +182,8 @@
 	if mustWaitForReports {
 		return min(next, c.evaluateAfter.Sub(now))
 	}
-	for service, known := range view.Rollouts {
-		if pause := c.follow(ctx, now, view, service, known); pause > 0 {
+	for service, stored := range view.Rollouts {
+		if pause := c.follow(ctx, now, view, service, stored); pause > 0 {
 			next = min(next, pause)
 		}
 	}
@@ -197,18 +196,18 @@
 
 // refreshRollouts adds or updates the active rollouts, and drops those that have ended.
 func (c *Controller) refreshRollouts(now time.Time, view *catalog.View) {
-	for service, known := range view.Rollouts {
-		if isActive(known) {
-			c.refreshRollout(now, view, service, known)
+	for service, stored := range view.Rollouts {
+		if isActive(stored) {
+			c.refreshRollout(now, view, service, stored)
 		}
 	}
 	for service, active := range c.rollouts {
-		known := view.Rollouts[service]
-		if isActive(known) && known.Spec.ID() == active.spec.ID() {
+		stored := view.Rollouts[service]
+		if isActive(stored) && stored.Spec.ID() == active.spec.ID() {
 			continue
 		}
-		if hasStateOfSpec(known) && (active.state == nil || active.state.Revision != known.State.Revision) {
-			c.deps.Events.PhaseLearned(*known.State)
+		if hasStateOfSpec(stored) && (active.state == nil || active.state.Revision != stored.State.Revision) {
+			c.deps.Events.PhaseLearned(*stored.State)
 		}
 		delete(c.rollouts, service)
 	}
@@ -220,17 +219,17 @@
 }
 
 // refreshRollout adds or updates the active rollout of a service.
-func (c *Controller) refreshRollout(now time.Time, view *catalog.View, service string, known catalog.Rollout) {
+func (c *Controller) refreshRollout(now time.Time, view *catalog.View, service string, stored catalog.Rollout) {
 	active := c.rollouts[service]
-	if active == nil || active.spec.ID() != known.Spec.ID() {
-		active = &activeRollout{spec: *known.Spec, learnedAt: now, knownAtStart: !c.hasStarted}
+	if active == nil || active.spec.ID() != stored.Spec.ID() {
+		active = &activeRollout{spec: *stored.Spec, learnedAt: now, knownAtStart: !c.hasStarted}
 		c.rollouts[service] = active
-		if c.aborts.has(specKey{service, known.Spec.ID()}) {
-			c.deps.Splitter.Abort(service, known.Spec.ID()) // the abort arrived before the spec
+		if c.aborts.has(specKey{service, stored.Spec.ID()}) {
+			c.deps.Splitter.Abort(service, stored.Spec.ID()) // the abort arrived before the spec
 		}
-		c.deps.Events.SpecSeen(SpecEvent{Spec: *known.Spec, Rank: c.rank(view, service)})
+		c.deps.Events.SpecSeen(SpecEvent{Spec: *stored.Spec, Rank: c.rank(view, service)})
 	}
-	active.spec = *known.Spec // its revision changes after a restore of the store
+	active.spec = *stored.Spec // its revision changes after a restore of the store
 	before := active.state
 	active.refresh(now, view)
 	if state := active.state; state != nil && (before == nil || before.Revision != state.Revision) {
@@ -239,13 +238,13 @@
 }
 
 // hasStateOfSpec reports whether the stored state belongs to the spec.
-func hasStateOfSpec(known catalog.Rollout) bool {
-	return known.State != nil && known.State.BelongsTo(known.Spec)
+func hasStateOfSpec(stored catalog.Rollout) bool {
+	return stored.State != nil && stored.State.BelongsTo(stored.Spec)
 }
 
 // isActive reports whether a service has a spec without a final state.
-func isActive(known catalog.Rollout) bool {
-	return known.Spec != nil && !(hasStateOfSpec(known) && known.State.Phase.IsFinal())
+func isActive(stored catalog.Rollout) bool {
+	return stored.Spec != nil && !(hasStateOfSpec(stored) && stored.State.Phase.IsFinal())
 }
 
 // isWanted reports whether counts and aborts of a spec are needed: the spec is active, or this node has not learned of
@@ -254,8 +253,8 @@
 	if id.specID > revision.Count(view.Revision) {
 		return true
 	}
-	known := view.Rollouts[id.service]
-	return isActive(known) && known.Spec.ID() == id.specID
+	stored := view.Rollouts[id.service]
+	return isActive(stored) && stored.Spec.ID() == id.specID
 }
 
 func (c *Controller) rank(view *catalog.View, service string) int {
@@ -272,5 +271,5 @@
 	c.reporter.step(now, evaluatorNodes, func(id specKey) bool { return c.isWanted(view, id) })
 }
 
-// Statuses returns the active rollouts known to this node, with the counts of those that it evaluates.
+// Statuses returns the active rollouts that this node has learned of, with the counts of those that it evaluates.
 func (c *Controller) Statuses() []Status { return c.statuses.get() }
--- a/internal/rollout/rolloutcontrol/controller_test.go
+++ b/internal/rollout/rolloutcontrol/controller_test.go
@@ -67,7 +67,7 @@
 	})
 }
 
-func TestFirstEvaluatorNodeCrashed(t *testing.T) {
+func TestNextEvaluatorNodeTakesOverAfterCrash(t *testing.T) {
 	withFleet(t, func(is *is.I, f *fleet) {
 		f.kill(f.evaluatorNode("s", 0))
 		f.startRollout("s", "b", specDuration)
@@ -76,7 +76,7 @@
 	})
 }
 
-func TestEvaluatorNodePausedWhileAnotherWrites(t *testing.T) {
+func TestOtherEvaluatorNodeWritesWhileFirstIsPaused(t *testing.T) {
 	withFleet(t, func(is *is.I, f *fleet) {
 		f.startRollout("s", "b", specDuration)
 		f.serve(specDuration/2, never)
@@ -100,7 +100,7 @@
 	})
 }
 
-func TestStoreUnavailableAtBadVerdict(t *testing.T) {
+func TestBadVersionIsStoppedWhileStoreIsUnavailable(t *testing.T) {
 	withFleet(t, func(is *is.I, f *fleet) {
 		revision := f.startRollout("s", "b", specDuration)
 		f.serve(2*time.Second, never)
@@ -116,7 +116,7 @@
 	})
 }
 
-func TestStoreUnavailableAtGoodVerdict(t *testing.T) {
+func TestGoodVerdictIsWrittenAfterStoreOutage(t *testing.T) {
 	withFleet(t, func(is *is.I, f *fleet) {
 		f.startRollout("s", "b", specDuration)
 		f.serve(time.Second, never)
@@ -129,7 +129,7 @@
 	})
 }
 
-func TestAnswerOfAppliedWriteIsLost(t *testing.T) {
+func TestAppliedWriteWithLostAnswerIsNotRepeated(t *testing.T) {
 	withFleet(t, func(is *is.I, f *fleet) {
 		f.store.inject(func(m *memoryStore) { m.loseAnswers = 1 })
 		f.startRollout("s", "b", specDuration)
@@ -139,7 +139,7 @@
 	})
 }
 
-func TestWriteIsLostBeforeItIsApplied(t *testing.T) {
+func TestLostWriteIsRepeated(t *testing.T) {
 	withFleet(t, func(is *is.I, f *fleet) {
 		f.store.inject(func(m *memoryStore) { m.loseWrites = 1 })
 		f.startRollout("s", "b", specDuration)
@@ -149,7 +149,7 @@
 	})
 }
 
-func TestStoreRejectsOnlyFirstEvaluatorNode(t *testing.T) {
+func TestNextEvaluatorNodeWritesIfStoreRejectsFirst(t *testing.T) {
 	withFleet(t, func(is *is.I, f *fleet) {
 		first := f.evaluatorNode("s", 0)
 		f.store.inject(func(m *memoryStore) { m.rejected[first] = true })
@@ -159,7 +159,7 @@
 	})
 }
 
-func TestSpecReplaced(t *testing.T) {
+func TestReplacedSpecGetsNoFurtherPhase(t *testing.T) {
 	withFleet(t, func(is *is.I, f *fleet) {
 		f.addLeafs("s", "c", 3)
 		first := f.startRollout("s", "b", specDuration)
@@ -176,7 +176,7 @@
 	})
 }
 
-func TestSpecWithdrawn(t *testing.T) {
+func TestWithdrawnSpecIsRolledBack(t *testing.T) {
 	withFleet(t, func(is *is.I, f *fleet) {
 		specID := f.startRollout("s", "b", specDuration)
 		f.serve(3*time.Second, never)
@@ -198,7 +198,7 @@
 	})
 }
 
-func TestSimultaneousSpecsOfTwoServices(t *testing.T) {
+func TestSimultaneousSpecsOfTwoServicesSucceed(t *testing.T) {
 	withFleet(t, func(is *is.I, f *fleet) {
 		f.addLeafs("u", "b", 3)
 		f.store.set(catalog.VersionsKey, rollout.Versions{ByVersion: map[string][]string{"a": {"s", "u"}}})
@@ -211,7 +211,7 @@
 	})
 }
 
-func TestTargetAlreadyServes(t *testing.T) {
+func TestSpecForServingVersionSucceedsAtOnce(t *testing.T) {
 	withFleet(t, func(is *is.I, f *fleet) {
 		f.startRollout("s", "a", specDuration)
 		f.serve(time.Second, never)
@@ -219,7 +219,7 @@
 	})
 }
 
-func TestShortAndLongSpecs(t *testing.T) {
+func TestShortAndLongSpecsSucceed(t *testing.T) {
 	for _, duration := range []time.Duration{time.Second, time.Hour} {
 		t.Run(duration.String(), func(t *testing.T) {
 			withFleet(t, func(is *is.I, f *fleet) {
@@ -261,7 +261,7 @@
 }
 
 // With ninety simultaneous specs the reports stay within BytesPerSecond and the store receives few calls.
-func TestManySimultaneousSpecs(t *testing.T) {
+func TestManySimultaneousSpecsStayWithinLimits(t *testing.T) {
 	const rollouts = 90
 	withFleet(t, func(is *is.I, f *fleet) {
 		services := make([]string, rollouts)
--- a/internal/rollout/rolloutcontrol/evaluate.go
+++ b/internal/rollout/rolloutcontrol/evaluate.go
@@ -11,7 +11,7 @@
 
 // follow runs one step of the rollout of a service if this node is one of its evaluator nodes. It returns the time
 // until the next check, 0 for the report interval.
-func (c *Controller) follow(ctx context.Context, now time.Time, view *catalog.View, service string, known catalog.Rollout) time.Duration {
+func (c *Controller) follow(ctx context.Context, now time.Time, view *catalog.View, service string, stored catalog.Rollout) time.Duration {
 	rank := c.rank(view, service)
 	active := c.rollouts[service]
 	switch {
@@ -19,8 +19,8 @@
 		return 0
 	case active != nil:
 		return c.evaluate(ctx, now, view, active, rank)
-	case known.Spec == nil && known.State != nil && !known.State.Phase.IsFinal():
-		return c.endWithoutSpec(ctx, now, *known.State, rank)
+	case stored.Spec == nil && stored.State != nil && !stored.State.Phase.IsFinal():
+		return c.endWithoutSpec(ctx, now, *stored.State, rank)
 	default:
 		delete(c.schedules, service)
 		return 0
--- a/internal/rollout/rolloutcontrol/evaluator.go
+++ b/internal/rollout/rolloutcontrol/evaluator.go
@@ -9,7 +9,8 @@
 
 // Evaluator evaluates the canary version of one spec. It is implemented by verdict.Evaluator.
 type Evaluator interface {
-	// Update evaluates the cumulative counts of all nodes, summed by key. elapsed is the time since the spec.
+	// Update evaluates the cumulative counts of all nodes, summed by key. elapsed is the time since the start of the
+	// spec.
 	Update(elapsed time.Duration, rows []evidence.Row) verdict.Evaluation
 }
 
--- a/internal/rollout/rolloutcontrol/handlers_test.go
+++ b/internal/rollout/rolloutcontrol/handlers_test.go
@@ -161,7 +161,7 @@
 }
 
 // A restarted process counts from zero. The counts of the previous process are neither lost nor counted twice.
-func TestReporterRestarts(t *testing.T) {
+func TestCountsOfRestartedNodeAreAdded(t *testing.T) {
 	withFleet(t, func(is *is.I, f *fleet) {
 		revision := f.startRollout("s", "b", time.Hour)
 		evaluatorID := f.evaluatorNode("s", 0)
@@ -191,7 +191,7 @@
 		for _, node := range f.all() {
 			node.suspended.Store(int64(specDuration / 2))
 		}
-		f.serve(2*time.Second, never) // they first wait for reports
+		f.serve(2*time.Second, never) // the evaluator nodes first wait for reports
 		is.Equal(f.store.phases("s"), rollbackPhases)
 	})
 }
--- a/internal/rollout/rolloutcontrol/node_test.go
+++ b/internal/rollout/rolloutcontrol/node_test.go
@@ -37,7 +37,7 @@
 	sentBytes    int
 	// suspended is the total time during which the machine was suspended, in nanoseconds.
 	suspended atomic.Int64
-	// hangingQueries is the number of fleet queries that block until their context ends.
+	// hangingQueries is the number of fleet queries that block until their context is done.
 	hangingQueries atomic.Int32
 	// queries counts the fleet queries of this node. switchedAt is when it learned of phase Switching.
 	queries    atomic.Int32
--- a/internal/rollout/rolloutcontrol/packing.go
+++ b/internal/rollout/rolloutcontrol/packing.go
@@ -42,7 +42,7 @@
 	names   map[string]uint64
 }
 
-// add packs a row if the content then fits into room bytes, and reports whether it did.
+// add packs a row, and returns false if one of its names is too long or the content would exceed room bytes.
 func (p *packer) add(row evidence.Row, room int) bool {
 	if p.names == nil {
 		p.names = map[string]uint64{}
--- a/internal/rollout/rolloutcontrol/phase.go
+++ b/internal/rollout/rolloutcontrol/phase.go
@@ -25,13 +25,10 @@
 	finalWatchReports = 3
 )
 
-// nextPhase returns the phase to write now and the reason, or an empty phase if none is due. It depends on the
-// evaluation, the state in force, the elapsed time, and registered, the fingerprint of the registered nodes.
-//
-// A spec whose target already serves has succeeded. A version that fails evaluation is rolled back in any phase. A
-// version that passes moves to phase Switching, and nextWhileSwitching decides when it succeeds. A version that has not
-// passed by the rollback margin is rolled back, so that the outcome is written before the spec's end. Otherwise the
-// first state has phase Canary.
+// nextPhase returns the phase that is due and the reason, if any. registered is the fingerprint of the registered
+// nodes. A target that already serves has succeeded. A version that fails evaluation is rolled back in any phase; one
+// that passes moves to PhaseSwitching, see nextWhileSwitching. One that has not passed by the rollback margin is rolled
+// back, so that the outcome is written before the spec's end. Otherwise the first state has PhaseCanary.
 func (r *activeRollout) nextPhase(now time.Time, cfg Config, registered uint64) (rollout.Phase, string) {
 	switch {
 	case r.state == nil && r.isServingKnown && r.serving == r.spec.Target:
--- a/internal/rollout/rolloutcontrol/settling.go
+++ b/internal/rollout/rolloutcontrol/settling.go
@@ -33,8 +33,8 @@
 	status    FleetStatus
 }
 
-// queryFleet queries all nodes whether they are settled, if a spec that this node evaluates waits for that. It returns
-// the time until the next check, 0 for the report interval. One answer serves all specs.
+// queryFleet queries all nodes for the revisions up to which they are settled, if a spec that this node evaluates waits
+// for them. It returns the time until the next check, 0 for the report interval. One answer serves all specs.
 func (c *Controller) queryFleet(ctx context.Context, now time.Time, view *catalog.View) time.Duration {
 	revision, next := int64(0), time.Duration(0)
 	for service, active := range c.rollouts {
@@ -56,9 +56,9 @@
 	return c.cfg.SettleInterval
 }
 
-// untilFirstCheck returns the time from the switch of a spec to the first query of an evaluator node. The node of rank
-// 0 queries when the nodes can have settled. Each other node queries when the preceding rank should have written the
-// outcome of its final watch.
+// untilFirstCheck returns the time from the start of PhaseSwitching to the first query of an evaluator node. The node
+// of rank 0 queries when the nodes can have settled. Each other node queries when the preceding rank should have
+// written the outcome of its final watch.
 func (c *Controller) untilFirstCheck(spec rollout.Spec, rank int) time.Duration {
 	first := c.deps.Splitter.Ramp(spec.Duration()) + time.Duration(firstCheckFraction*float64(c.cfg.SettleInterval))
 	if rank == 0 {
@@ -75,7 +75,7 @@
 	return min(a, b)
 }
 
-// startQuery starts a query whether the nodes are settled at a revision.
+// startQuery starts a query of all nodes for the revisions up to which they are settled.
 func (c *Controller) startQuery(ctx context.Context, now time.Time, revision int64) {
 	c.fleetQueries++
 	c.queriedAt = now
--- a/internal/rollout/rolloutcontrol/statewriter.go
+++ b/internal/rollout/rolloutcontrol/statewriter.go
@@ -50,7 +50,6 @@
 	return fmt.Sprintf("%s/%d/%s/%d/%s", state.Service, state.SpecRevision, state.Phase, expected, state.DecidedBy)
 }
 
-// Write implements StateWriter.
 func (g GuardedStateWriter) Write(ctx context.Context, state rollout.State, expected, specRevision int64) (int64, error) {
 	document, err := json.Marshal(state)
 	if err != nil {
@@ -63,7 +62,7 @@
 	return g.apply(ctx, write)
 }
 
-// apply sends a write until its outcome is known or the context ends. It does not read the current state before the
+// apply sends a write until its outcome is known or the context is done. It does not read the current state before the
 // first attempt, so that the usual case takes one call.
 func (g GuardedStateWriter) apply(ctx context.Context, write stateWrite) (int64, error) {
 	result, err := g.swap(ctx, write, nil)
--- a/internal/rollout/rolloutcontrol/statewriter_test.go
+++ b/internal/rollout/rolloutcontrol/statewriter_test.go
@@ -50,7 +50,7 @@
 }
 
 // An overwritten write whose answer was lost is found by its change ID among the earlier changes.
-func TestLostAnswerOfOverwrittenWrite(t *testing.T) {
+func TestOverwrittenWriteWithLostAnswerIsFound(t *testing.T) {
 	withStateWriter(t, func(ctx context.Context, is *is.I, f *fleet, states GuardedStateWriter, first rollout.State) {
 		f.store.inject(func(m *memoryStore) { m.loseAnswers = 1 })
 		time.AfterFunc(f.cfg.RetryPause/2, func() {
--- a/internal/rollout/rolloutcontrol/versionswriter.go
+++ b/internal/rollout/rolloutcontrol/versionswriter.go
@@ -41,7 +41,7 @@
 	return &VersionsWriter{cfg: cfg, catalog: nodeCatalog, store: versionStore, self: self, events: events}
 }
 
-// Run writes the versions after each change until the context is done.
+// Run checks every versionsInterval whether the versions must be written, until the context is done.
 func (w *VersionsWriter) Run(ctx context.Context) {
 	for wait.For(ctx, versionsInterval) {
 		w.step(ctx, time.Now())
--- a/internal/rollout/verdict/cases_test.go
+++ b/internal/rollout/verdict/cases_test.go
@@ -28,9 +28,8 @@
 	}
 }
 
-// With few requests an incident may leave a good version undecided, but the version is rarely found bad. The bound is
-// higher for failures of both versions: all requests of a turn go to one version, so there are few answers to compare
-// with.
+// With few requests an incident may leave a good version undecided. The bound is higher for failures of both versions:
+// all requests of a turn go to one version, so there are few answers to compare with.
 func TestGoodVersionWithFewRequestsIsRarelyFoundBad(t *testing.T) {
 	for _, incident := range verdicttest.Incidents() {
 		limit := seeds / 10
--- a/internal/rollout/verdict/cusum.go
+++ b/internal/rollout/verdict/cusum.go
@@ -3,9 +3,9 @@
 import "math"
 
 // cusum is the sequential test of one signal on one route. For each tested share of bad answers it keeps Page's
-// cumulative sum: the log-likelihood ratio of the hypothesis that the canary has this share of bad answers beyond the
-// baseline to the hypothesis that it answers like the serving version. A sum at or below zero restarts, so that earlier
-// good answers don't mask a version that turns bad. The contribution of a single leaf is capped.
+// cumulative sum: the log-likelihood ratio of "the canary exceeds the baseline by this share" against "the canary
+// answers like the serving version". A sum that falls to zero or below restarts, so that earlier good answers don't
+// mask a version that turns bad. The contribution of a single leaf is capped.
 type cusum struct {
 	shares []float64
 	// weights are the contributions of each leaf since the restart of the sum, by tested share.
--- a/internal/rollout/verdict/finding.go
+++ b/internal/rollout/verdict/finding.go
@@ -25,10 +25,10 @@
 	// A leaf pauses in about a tenth of these intervals, so one late interval is at most ten times as likely for a bad
 	// version.
 	maxWeightPerPause = 2.3
-	// maxLevelForGood is the highest level at which a version is found good on full evidence, maxLevelOnLittle the
-	// highest on little evidence. Both are natural logarithms of a likelihood ratio.
-	maxLevelForGood  = 2.0
-	maxLevelOnLittle = 1.0
+	// maxLevelOnFullEvidence and maxLevelOnLittleEvidence are the highest levels at which a version is found good on
+	// full and on little evidence. Both are natural logarithms of a likelihood ratio.
+	maxLevelOnFullEvidence   = 2.0
+	maxLevelOnLittleEvidence = 1.0
 	// rareRouteShare is the fraction of a version's answers below which a route is rare.
 	rareRouteShare = 0.1
 	// minTrafficAnswers is the number of answers of the serving version below which a route counts as having no
@@ -36,12 +36,10 @@
 	minTrafficAnswers = 20
 )
 
-// updateFinding updates the finding from the strongest evidence against the version and the time since the spec.
-//
-// The version is bad if the level of a signal, on a route or on all routes together, reaches the threshold. Bad is
-// final. The version is good if isGood returns true; it can still become bad. Otherwise it stays undecided, and the
-// caller rolls it back at the end of the spec: serving a bad version affects all users, rejecting a good one costs only
-// another spec.
+// updateFinding sets the finding. The version is bad if the level of a signal, on a route or on all routes together,
+// reaches the threshold; bad is final. It is good if isGood returns true, but can still become bad. Otherwise it stays
+// undecided, and the caller rolls it back at the end of the spec: a bad version affects all users, a rejected good one
+// costs only another spec.
 func (e *Evaluator) updateFinding(elapsed time.Duration, worst strongestSignal) {
 	switch {
 	case e.finding == Bad:
@@ -72,17 +70,17 @@
 // routes together and on each route with traffic. The worst leaf is excluded, because its bad answers may be due to
 // chance. On a rare route it suffices that there is no evidence against the version.
 func (e *Evaluator) isGoodOnFullEvidence() bool {
-	if !e.ruleOutBad(e.pooled) {
+	if !e.rulesOutBad(e.pooled) {
 		return false
 	}
 	for _, route := range e.routes {
 		if e.isRare(route) {
-			if !e.haveNoEvidenceAgainst(route.cusums) {
+			if !e.lacksEvidenceAgainst(route.cusums) {
 				return false
 			}
 			continue
 		}
-		if !e.ruleOutBad(route.cusums) {
+		if !e.rulesOutBad(route.cusums) {
 			return false
 		}
 	}
@@ -92,7 +90,7 @@
 // isGoodOnLittleEvidence reports whether the version has answered on each route with traffic and no signal has evidence
 // against it. No leaf is excluded.
 func (e *Evaluator) isGoodOnLittleEvidence(worst strongestSignal) bool {
-	return worst.level <= maxLevelOnLittle && e.hasAnswersOnAllRoutes() && e.haveNoEvidenceAgainst(e.allCusums())
+	return worst.level <= maxLevelOnLittleEvidence && e.hasAnswersOnAllRoutes() && e.lacksEvidenceAgainst(e.allCusums())
 }
 
 // strongestSignal is the signal with the strongest evidence against the version.
@@ -180,19 +178,19 @@
 	return true
 }
 
-// ruleOutBad reports whether each of the sums, without its worst leaf, rules out the smallest share of bad answers that
+// rulesOutBad reports whether each of the sums, without its worst leaf, rules out the smallest share of bad answers that
 // must be detected.
-func (e *Evaluator) ruleOutBad(cusums []*cusum) bool {
+func (e *Evaluator) rulesOutBad(cusums []*cusum) bool {
 	for _, s := range cusums {
-		if s.overallLevelWithoutWorstLeaf() > math.Log(e.cfg.MissRate) || s.levelWithoutWorstLeaf() > maxLevelForGood {
+		if s.overallLevelWithoutWorstLeaf() > math.Log(e.cfg.MissRate) || s.levelWithoutWorstLeaf() > maxLevelOnFullEvidence {
 			return false
 		}
 	}
 	return true
 }
 
-// haveNoEvidenceAgainst reports whether none of the sums over the whole spec is evidence against the version.
-func (e *Evaluator) haveNoEvidenceAgainst(cusums []*cusum) bool {
+// lacksEvidenceAgainst reports whether none of the sums over the whole spec is evidence against the version.
+func (e *Evaluator) lacksEvidenceAgainst(cusums []*cusum) bool {
 	for _, s := range cusums {
 		if s.overallLevel(e.leafCap(e.lastUpdate)) > 0 {
 			return false
--- a/internal/rollout/verdict/increment.go
+++ b/internal/rollout/verdict/increment.go
@@ -15,7 +15,7 @@
 	// counted is the tally of the last update, the base for new failures. timed is the base for new late answers. It is
 	// empty until the route's median is known.
 	counted, timed evidence.Tally
-	timedAt        time.Duration // since the spec
+	timedAt        time.Duration // since the start of the spec
 }
 
 // ratio is the number of bad answers among all answers. Discounted answers count as fractions.
@@ -28,7 +28,7 @@
 
 func (r ratio) times(factor float64) ratio { return ratio{r.bad * factor, r.all * factor} }
 
-// increment is the growth of a row since the previous update, by signal: first failures, then answers that failed or
+// increment is the growth of a row since the previous update, by signal: first failures, then attempts that failed or
 // were late, with one ratio per slow factor.
 type increment struct {
 	key     evidence.Key
@@ -44,8 +44,8 @@
 	for _, row := range rows {
 		route := e.route(row.Route)
 		before := e.lastSeen[row.Key]
-		isKnown := row.Version == e.serving || row.Version == e.canary
-		if route == nil || !isKnown || before == nil && len(e.lastSeen) >= maxRows {
+		isCompared := row.Version == e.serving || row.Version == e.canary
+		if route == nil || !isCompared || before == nil && len(e.lastSeen) >= maxRows {
 			continue
 		}
 		if before == nil {
@@ -81,8 +81,8 @@
 	}
 }
 
-// advance returns the growth of a row and stores its counts. limits is empty while the median is unknown. Attempts
-// without an answer do not count for the signal of failures.
+// advance returns the growth of a row and stores its counts. limits is empty while the median is unknown. The failure
+// signal ignores attempts without an answer.
 func (l *lastCounts) advance(row evidence.Row, limits []time.Duration, elapsed time.Duration, cfg Config) increment {
 	signals := make([]ratio, 1+len(cfg.SlowFactors))
 	signals[0] = ratio{
@@ -102,8 +102,8 @@
 	return increment{row.Key, signals, pauses}
 }
 
-// lateSince returns the ratio of answers that failed or took longer than a limit. Failures count as late, so that fast
-// failures don't make a version appear faster.
+// lateSince returns the ratio of late attempts: those that took longer than a limit, whether answered or abandoned, and
+// those that failed. Failures count as late, so that fast failures don't make a version appear faster.
 func lateSince(now, before evidence.Tally, limit time.Duration) ratio {
 	slow, known := now.Slow(limit)
 	slowBefore, knownBefore := before.Slow(limit)
--- a/internal/rollout/verdict/verdict.go
+++ b/internal/rollout/verdict/verdict.go
@@ -5,8 +5,8 @@
 // of the serving version's median. Each signal is a sequential test (Page's cumulative sum) of several shares of bad
 // answers against the baseline, the serving version's share.
 //
-// The package is pure computation: it starts no goroutine, reads no clock (callers pass the time since the spec) and
-// does no I/O. Its input is the counts of package evidence.
+// The package is pure computation: it starts no goroutine, reads no clock (callers pass the time since the start of the
+// spec) and does no I/O. Its input is the counts of package evidence.
 package verdict
 
 import (
@@ -29,7 +29,6 @@
 // Signal is a kind of bad answer.
 type Signal string
 
-// The signals.
 const (
 	Failed Signal = "failed"
 	Late   Signal = "failed or late"
@@ -39,7 +38,7 @@
 type Totals struct {
 	Attempts int64
 	Failures int64
-	// Slow counts the answers that exceeded the middle limit of their route.
+	// Slow counts the attempts that exceeded the middle limit of their route, including those abandoned after it.
 	Slow int64
 }
 
@@ -70,7 +69,7 @@
 	leafs    map[string]bool
 	finding  Finding
 	// lastUpdate is the time of the last update, canarySeenAt the time of the first counts of the canary. Both are
-	// relative to the spec.
+	// relative to the start of the spec.
 	lastUpdate, canarySeenAt time.Duration
 	// completeSince is the time since which the counts are complete. maxAttempts is the highest number of attempts in
 	// an update.
@@ -120,7 +119,8 @@
 	return append(shares, c.MinSlowShare)
 }
 
-// Update evaluates the cumulative counts of the whole fleet, one row per key. elapsed is the time since the spec.
+// Update evaluates the cumulative counts of the whole fleet, one row per key. elapsed is the time since the start of
+// the spec.
 func (e *Evaluator) Update(elapsed time.Duration, rows []evidence.Row) Evaluation {
 	e.weighedCanaryAttempts = e.totals[1].Attempts
 	e.trackCompleteness(elapsed, rows)
--- a/internal/rollout/verdict/verdict_test.go
+++ b/internal/rollout/verdict/verdict_test.go
@@ -15,7 +15,7 @@
 	"github.com/portgauge/portgauge/internal/rollout/verdict/verdicttest"
 )
 
-func TestCleanVersionIsGoodAfterHalf(t *testing.T) {
+func TestVersionWithoutFailuresIsGoodAfterGoodFrom(t *testing.T) {
 	is := is.New(t)
 	evaluator, c := newEvaluator(), counts{}
 	is.Equal(update(evaluator, c, 0, specDuration/2, func() { c.both(3) }).Finding, verdict.Undecided)
@@ -61,8 +61,8 @@
 	is.Equal(evaluation.Finding, verdict.Good)
 }
 
-// A slow leaf and a pause of another leaf together do not make a version bad, whenever the pause happens.
-func TestPauseBesideSlowLeafDoesNotMakeVersionBad(t *testing.T) {
+// A slow leaf and a paused leaf together do not make a version bad, whenever the pause occurs.
+func TestSlowLeafAndPausedLeafDoNotMakeVersionBad(t *testing.T) {
 	is := is.New(t)
 	for pause := 5 * time.Second; pause < specDuration; pause += time.Second / 2 {
 		evaluator, c := newEvaluator(), counts{}
@@ -83,7 +83,7 @@
 	}
 }
 
-// A version with only one leaf is bad if that leaf is, but not before half of the spec.
+// A version whose only leaf is bad is found bad, but not before half of the spec.
 func TestSingleBadLeafMakesVersionBadAfterHalf(t *testing.T) {
 	is := is.New(t)
 	evaluator, c := newEvaluator(), counts{}
@@ -171,8 +171,7 @@
 	}
 }
 
-// A version without any answers is not found good.
-func TestAttemptsWithoutAnswersAreNotGood(t *testing.T) {
+func TestVersionWithoutAnswersIsNotGood(t *testing.T) {
 	is := is.New(t)
 	evaluator, c := newEvaluator(), counts{}
 	evaluation := update(evaluator, c, 0, specDuration, func() {
@@ -211,7 +210,7 @@
 	is.Equal(evaluator.Update(specDuration*7/10+time.Second/2, c.rows()).Finding, verdict.Bad)
 }
 
-func TestShrinkingRowsAreNotGood(t *testing.T) {
+func TestVersionIsNotGoodWhileRowsShrink(t *testing.T) {
 	is := is.New(t)
 	evaluator, c, partial := newEvaluator(), counts{}, counts{}
 	update(evaluator, c, 0, specDuration/2, func() { c.both(3) })
@@ -219,7 +218,7 @@
 	is.Equal(update(evaluator, partial, specDuration/2, specDuration, func() {}).Finding, verdict.Undecided)
 }
 
-func TestConfigNamesFaults(t *testing.T) {
+func TestValidateNamesEveryInvalidField(t *testing.T) {
 	is := is.New(t)
 	is.NoErr(verdict.DefaultConfig().Validate())
 	named := map[string]bool{}
@@ -262,7 +261,7 @@
 }
 
 // Arbitrary rows in any order cause no panic. Bad is final, and good does not become undecided.
-func TestArbitraryRows(t *testing.T) {
+func TestFindingsStayConsistentForArbitraryRows(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		evaluator, found := newEvaluator(), verdict.Undecided
 		for range rapid.IntRange(1, 8).Draw(t, "updates") {
--- a/internal/rollout/verdict/verdicttest/answers.go
+++ b/internal/rollout/verdict/verdicttest/answers.go
@@ -34,7 +34,6 @@
 	pauseShare    = 0.04
 )
 
-// leaf is one leaf of a version.
 type leaf struct {
 	id       string
 	zone     int
--- a/internal/rollout/verdict/verdicttest/summary.go
+++ b/internal/rollout/verdict/verdicttest/summary.go
@@ -79,7 +79,7 @@
 	return float64(wrong) / float64(s.Seeds)
 }
 
-// String formats the measure as one line.
+// String formats the summary as one line.
 func (s *Summary) String() string {
 	return fmt.Sprintf("%-38s good %5.1f%%  bad %5.1f%%  undecided %5.1f%%  good, then bad %5.1f%%  bad answers %3d/%3d  bad after %4.1f/%4.1f s  good at %.2f/%.2f",
 		s.Case.Name, s.percent(s.Good), s.percent(s.Bad), s.percent(s.Undecided), s.percent(s.BadAfterGood),
--- a/internal/rollout/verdict/verdicttest/verdicttest.go
+++ b/internal/rollout/verdict/verdicttest/verdicttest.go
@@ -16,7 +16,7 @@
 	Canary  = "v2"
 )
 
-// The bound on the requests of the canary before it is found good, as the nodes enforce it.
+// A simplified model of the bound that package canary enforces on the requests of a canary that was not found good yet.
 const (
 	share = 0.1
 	slack = 50
@@ -36,7 +36,6 @@
 	Update(elapsed time.Duration, rows []evidence.Row) verdict.Finding
 }
 
-// Outcome is the outcome of a simulated case.
 type Outcome struct {
 	// Last is the finding at the end.
 	Last verdict.Finding
@@ -62,7 +61,6 @@
 	withinSlack, withinShare, requests float64
 }
 
-// Simulate simulates a case and returns the outcome.
 func Simulate(c Case, seed uint64, evaluator Evaluator) Outcome {
 	s := newSimulation(c.withDefaults(), seed)
 	at, evaluateAt := s.nextArrival(0), evaluateInterval
@@ -99,7 +97,6 @@
 	return at + time.Duration(s.random.ExpFloat64()/perSecond*float64(time.Second))
 }
 
-// request simulates a request that arrives at a time.
 func (s *simulation) request(at time.Duration) {
 	s.requests++
 	route := s.random.IntN(s.testCase.Routes)
