--- a/internal/quarantine/config.go
+++ b/internal/quarantine/config.go
@@ -33,7 +33,8 @@
 	MaxRecords  int `yaml:"maximum_records"`
 }
 
-// DefaultConfig quarantines a request after three crashes, and retests it after 10 minutes, an hour and six hours.
+// DefaultConfig quarantines a request that crashed three leafs in at least two episodes, and retests it after 10
+// minutes, an hour and six hours.
 func DefaultConfig() Config {
 	return Config{
 		CrashedLeafs: 3, Episodes: 2, EpisodesIfOthersNotListening: 4, SuspectMemory: time.Minute,
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -29,8 +29,8 @@
 	// episodes are the episodes of the crashes, by leaf.
 	episodes map[string]uint64
 	lastAt   time.Time
-	// othersGone is true if attempts of the request found leafs no longer listening that had not crashed under it.
-	othersGone bool
+	// othersNotListening is true if attempts of the request found leafs no longer listening that had not crashed under it.
+	othersNotListening bool
 	// isOwn is true if this node detected some of the crashes, isReported if it reported them to other nodes.
 	isOwn      bool
 	isReported bool
@@ -47,12 +47,10 @@
 // removeCrash removes the crash of a leaf that is attributed to another request.
 func (s *suspect) removeCrash(leaf string) { delete(s.episodes, leaf) }
 
-// isSufficient decides whether the evidence puts the request under quarantine: at least CrashedLeafs leafs crashed
-// under it, in at least Episodes episodes, or EpisodesIfOthersNotListening if other leafs are gone, too.
-//
-// Leafs that crash together for another reason cause one episode for every request they were running, so one episode
-// proves nothing. A second episode means that the request was sent again after the first was detected, and crashed
-// another leaf. If other leafs are gone as well, this may still be a coincidence.
+// isSufficient decides whether at least CrashedLeafs leafs crashed under the request, in at least Episodes episodes, or
+// EpisodesIfOthersNotListening if other leafs stopped listening too. One episode proves nothing: leafs that crash
+// together for another reason cause one for each request that they run. A second one means that the request was sent
+// again and crashed another leaf; if others stopped listening too, this may still be a coincidence.
 func (s *suspect) isSufficient(cfg Config) bool {
 	if len(s.episodes) < cfg.CrashedLeafs {
 		return false
@@ -61,7 +59,7 @@
 	for _, episode := range s.episodes {
 		seen[episode] = true
 	}
-	if s.othersGone {
+	if s.othersNotListening {
 		return len(seen) >= cfg.EpisodesIfOthersNotListening
 	}
 	return len(seen) >= cfg.Episodes
@@ -111,7 +109,7 @@
 		return Evidence{}, false
 	}
 	entry.isReported = true
-	return Evidence{Subject: entry.subject, Crashes: entry.reportedCrashes(), OthersNotListening: entry.othersGone}, true
+	return Evidence{Subject: entry.subject, Crashes: entry.reportedCrashes(), OthersNotListening: entry.othersNotListening}, true
 }
 
 // addEvidence adds evidence against a request, and puts the request under quarantine if the evidence is sufficient.
@@ -129,7 +127,7 @@
 		}
 	}
 	entry.isOwn = entry.isOwn || isOwn
-	entry.othersGone = entry.othersGone || evidence.OthersNotListening
+	entry.othersNotListening = entry.othersNotListening || evidence.OthersNotListening
 	switch {
 	case len(entry.episodes) == 0:
 		r.dropSuspect(evidence.Fingerprint)
@@ -148,10 +146,10 @@
 	}
 }
 
-// noteLeafGone notes that an attempt of a request found a leaf no longer listening, and reports whether this indicates
+// noteLeafNotListening notes that an attempt of a request found a leaf no longer listening, and reports whether this indicates
 // that leafs crash for another reason. It does not if the leaf crashed under this request, or if its crash is
 // attributed to a request.
-func (r *Register) noteLeafGone(content fingerprint.Fingerprint, leaf string) bool {
+func (r *Register) noteLeafNotListening(content fingerprint.Fingerprint, leaf string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if _, found := r.attributed[leaf]; found {
@@ -164,7 +162,7 @@
 	if _, found := entry.episodes[leaf]; found {
 		return false
 	}
-	entry.othersGone = true
+	entry.othersNotListening = true
 	return true
 }
 
--- a/internal/quarantine/execution.go
+++ b/internal/quarantine/execution.go
@@ -21,9 +21,9 @@
 
 	isAnswered atomic.Bool
 	isStopped  atomic.Bool
-	// othersGone is true if attempts found leafs no longer listening that had not crashed under the request.
-	othersGone atomic.Bool
-	stop       func()
+	// othersNotListening is true if attempts found leafs no longer listening that had not crashed under the request.
+	othersNotListening atomic.Bool
+	stop               func()
 }
 
 // Begin begins an execution of a request. If its State is Quarantined, the request must not be sent to leafs. stop is
@@ -74,10 +74,10 @@
 // IsStopped reports whether the execution must send no more attempts.
 func (e *Execution) IsStopped() bool { return e.isStopped.Load() }
 
-// LeafCrashed reports that a leaf crashed under the execution. number is the episode within the execution: 0 for
-// attempts sent before any crash was detected, a different one for each attempt sent after a crash was detected. A
-// crash during a retest ends the retest. A crash after an answer is ignored.
-func (e *Execution) LeafCrashed(leaf string, number int) {
+// LeafCrashed reports that a leaf crashed under the execution. episode is 0 for attempts sent before any crash was
+// detected, and a different number for each attempt sent after one. A crash during a retest ends the retest. A crash
+// after an answer is ignored.
+func (e *Execution) LeafCrashed(leaf string, episode int) {
 	if e.isAnswered.Load() {
 		return
 	}
@@ -85,14 +85,14 @@
 		e.halt()
 		return
 	}
-	crash := Crash{Leaf: leaf, Episode: e.episode + uint64(number)}
-	e.register.addEvidence(Evidence{Subject: e.subject, Crashes: []Crash{crash}, OthersNotListening: e.othersGone.Load()}, true)
+	crash := Crash{Leaf: leaf, Episode: e.episode + uint64(episode)}
+	e.register.addEvidence(Evidence{Subject: e.subject, Crashes: []Crash{crash}, OthersNotListening: e.othersNotListening.Load()}, true)
 }
 
 // LeafNotListening reports that an attempt found a leaf no longer listening.
 func (e *Execution) LeafNotListening(leaf string) {
-	if !e.othersGone.Load() && e.register.noteLeafGone(e.subject.Fingerprint, leaf) {
-		e.othersGone.Store(true)
+	if !e.othersNotListening.Load() && e.register.noteLeafNotListening(e.subject.Fingerprint, leaf) {
+		e.othersNotListening.Store(true)
 	}
 }
 
--- a/internal/quarantine/fingerprint/fingerprint.go
+++ b/internal/quarantine/fingerprint/fingerprint.go
@@ -13,8 +13,8 @@
 )
 
 // size is the size of a fingerprint in bytes. With 128 bits, finding a request with a given fingerprint takes about
-// 2^128 hashes, and finding two requests with equal fingerprints 2^64. With 64 bits the latter would take 2^32, about
-// an hour.
+// 2^128 hashes, and finding two requests with equal fingerprints 2^64. With 64 bits the latter would take 2^32 hashes,
+// about an hour.
 const size = 16
 
 // Fingerprint identifies a request; the zero value stands for no request.
@@ -64,7 +64,6 @@
 	return hex.EncodeToString(f[:])
 }
 
-// IsZero reports whether f is the zero value.
 func (f Fingerprint) IsZero() bool { return f == Fingerprint{} }
 
 // Parse parses a fingerprint as returned by String.
--- a/internal/quarantine/quarantinesync/config.go
+++ b/internal/quarantine/quarantinesync/config.go
@@ -26,7 +26,8 @@
 	// SaveInterval is the interval at which the write of an unsaved record is retried and, in small fleets, its
 	// broadcast repeated.
 	SaveInterval time.Duration `yaml:"save_interval"`
-	// TakeoverPause is the time by which each aggregator writes an unsaved record later than the one ranked before it.
+	// TakeoverPause is the additional time that each aggregator waits, compared with the preceding rank, before it
+	// writes an unsaved record.
 	TakeoverPause time.Duration `yaml:"takeover_pause"`
 	// CallTimeout is the timeout of a store call.
 	CallTimeout time.Duration `yaml:"call_timeout"`
--- a/internal/quarantine/quarantinesync/fixture_test.go
+++ b/internal/quarantine/quarantinesync/fixture_test.go
@@ -88,7 +88,6 @@
 
 func (f *fleet) node(id string) *node { return f.nodes["address-of-"+id] }
 
-// Send implements Sender.
 func (n *node) Send(address string, message peer.Message) {
 	n.fleet.mu.Lock()
 	n.sent++
@@ -151,20 +150,16 @@
 	change()
 }
 
-// Get implements store.Store.
 func (f *fleet) Get(context.Context, string) (*catalog.Entry, error) { return nil, errDown }
 
-// List implements store.Store.
 func (f *fleet) List(context.Context, store.Consistency) (catalog.Snapshot, error) {
 	return catalog.Snapshot{}, errDown
 }
 
-// Watch implements store.Store.
 func (f *fleet) Watch(context.Context, int64, store.WatchRole, func(store.Event) error) error {
 	return errDown
 }
 
-// CompareAndSwap implements store.Store.
 func (f *fleet) CompareAndSwap(_ context.Context, key string, expected int64, value []byte, remove bool) (store.SwapResult, error) {
 	f.writing.Lock()
 	defer f.writing.Unlock()
--- a/internal/quarantine/quarantinesync/save.go
+++ b/internal/quarantine/quarantinesync/save.go
@@ -93,24 +93,24 @@
 		}
 		if err != nil {
 			s.mu.Lock()
-			delete(s.savedAt, record.Fingerprint)
+			delete(s.savedAtRevision, record.Fingerprint)
 			s.mu.Unlock()
 		}
 		s.deps.Events.Saved(record, err)
 	})
 }
 
-// claimSave reports whether this node must write a record, and marks it as written, so that it is written once between
-// two restores of the store.
+// claimSave reports whether this node must write a record, and marks it as written. A record is written again only
+// after a failed write or a restore of the store.
 func (s *Sync) claimSave(content fingerprint.Fingerprint) bool {
 	now := s.deps.Catalog.Revision()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	at, isSaved := s.savedAt[content]
+	at, isSaved := s.savedAtRevision[content]
 	if isSaved && !revision.IsLater(now, at) {
 		return false
 	}
-	s.savedAt[content] = now
+	s.savedAtRevision[content] = now
 	return true
 }
 
@@ -149,7 +149,8 @@
 	return result.Entry.Revision, nil
 }
 
-// evictOldest removes the oldest record from the store if the number of records has reached MaxRecords.
+// evictOldest removes the oldest record from the store if the number of records has reached MaxRecords. It reports only
+// failures.
 func (s *Sync) evictOldest(ctx context.Context) {
 	records := s.deps.Catalog.View().Quarantine
 	if len(records) < s.deps.Limits.MaxRecords {
--- a/internal/quarantine/quarantinesync/sync.go
+++ b/internal/quarantine/quarantinesync/sync.go
@@ -33,7 +33,7 @@
 	// Quarantined records that a request was put under quarantine; from is the peer address of the node that sent the
 	// record, empty if it is this node's own.
 	Quarantined(record quarantine.Record, from string)
-	// Saved records that the store accepted a record, or the error of the write.
+	// Saved records that the store accepted a record, or the error of a write or a removal.
 	Saved(record quarantine.Record, err error)
 	// Retest records that the store permitted a retest, or the error.
 	Retest(record quarantine.Record, err error)
@@ -69,9 +69,9 @@
 	receivedAt map[fingerprint.Fingerprint]time.Time
 	// broadcastAt are the times of the last repeated broadcasts of unsaved records.
 	broadcastAt map[fingerprint.Fingerprint]time.Time
-	// savedAt contains the records whose write has begun or succeeded, but which are not in the catalog yet, with the
-	// catalog's revision at the start of the write. A restore of the store may have lost them since.
-	savedAt map[fingerprint.Fingerprint]int64
+	// savedAtRevision contains the records whose write has begun or succeeded, but which are not in the catalog yet,
+	// with the catalog's revision at the start of the write. A restore of the store may have lost them since.
+	savedAtRevision map[fingerprint.Fingerprint]int64
 }
 
 var _ quarantine.Listener = (*Sync)(nil)
@@ -80,7 +80,7 @@
 func New(deps Deps) *Sync {
 	s := &Sync{
 		deps: deps, queue: make(chan func(context.Context), queueLength), reportPending: map[fingerprint.Fingerprint]bool{},
-		receivedAt: map[fingerprint.Fingerprint]time.Time{}, broadcastAt: map[fingerprint.Fingerprint]time.Time{}, savedAt: map[fingerprint.Fingerprint]int64{},
+		receivedAt: map[fingerprint.Fingerprint]time.Time{}, broadcastAt: map[fingerprint.Fingerprint]time.Time{}, savedAtRevision: map[fingerprint.Fingerprint]int64{},
 	}
 	deps.Register.SetListener(s)
 	return s
@@ -170,7 +170,7 @@
 	s.enqueue(func(ctx context.Context) { s.save(ctx, record) })
 }
 
-// broadcast sends a record to every other node in one datagram.
+// broadcast sends a record to every other node, one datagram each.
 func (s *Sync) broadcast(record quarantine.Record) {
 	for _, node := range s.deps.Catalog.View().Nodes {
 		if node.ID != s.deps.Self.ID {
@@ -210,7 +210,7 @@
 		}
 		s.mu.Lock()
 		delete(s.receivedAt, content)
-		delete(s.savedAt, content)
+		delete(s.savedAtRevision, content)
 		s.mu.Unlock()
 		// The catalog may be newer than the change.
 		if record := s.deps.Catalog.Quarantine(content); record != nil {
--- a/internal/quarantine/register.go
+++ b/internal/quarantine/register.go
@@ -35,7 +35,8 @@
 // Listener is notified of a register's findings. It is called without locks held, in the goroutine that reported the
 // cause, and must not block.
 type Listener interface {
-	// Suspected reports that a leaf crashed under a request of this node.
+	// Suspected reports that a leaf crashed under a request of this node, and that the evidence is not sufficient for a
+	// quarantine.
 	Suspected(subject Subject)
 	// EvidenceDropped reports that a request was answered after this node had reported evidence against it.
 	EvidenceDropped(subject Subject)
@@ -47,8 +48,8 @@
 	RetestAnswered(record Record)
 }
 
-// Register decides by the leaf crashes under each request whether it is a suspect or under quarantine. It is safe for
-// concurrent use.
+// Register decides whether a request is a suspect or under quarantine, by the leafs that crashed under it. It is safe
+// for concurrent use.
 type Register struct {
 	cfg      Config
 	clock    boottime.Clock
@@ -69,14 +70,14 @@
 	executions map[fingerprint.Fingerprint]map[*Execution]bool
 	// attributed maps each crashed leaf to the quarantined request that its crash is attributed to.
 	attributed map[string]fingerprint.Fingerprint
-	// quarantinedAt is the time at which a request was last put under quarantine.
+	// quarantinedAt is when a request was last put under quarantine.
 	quarantinedAt time.Time
 }
 
 // Deps are the dependencies of a Register.
 type Deps struct {
 	Config Config
-	// Clock includes the time during which the machine was suspended.
+	// Clock includes suspensions of the machine.
 	Clock boottime.Clock
 	// StoredRecord returns this node's copy of the stored record of a request, nil if there is none.
 	StoredRecord func(fingerprint.Fingerprint) *Record
@@ -109,7 +110,7 @@
 	return r.state(content)
 }
 
-// state decides the state of a request: quarantined if there is a record of it, suspect if there is evidence that has
+// state returns the state of a request: quarantined if there is a record of it, suspect if there is evidence that has
 // not expired. r.mu must be held.
 func (r *Register) state(content fingerprint.Fingerprint) State {
 	if r.recordOf(content) != nil {
--- a/internal/quarantine/register_test.go
+++ b/internal/quarantine/register_test.go
@@ -58,9 +58,9 @@
 }
 
 // crashAll reports crashes of leafs under attempts that were sent together.
-func crashAll(execution *Execution, number int, names ...string) {
+func crashAll(execution *Execution, episode int, names ...string) {
 	for _, name := range names {
-		execution.LeafCrashed(name, number)
+		execution.LeafCrashed(name, episode)
 	}
 }
 
@@ -88,7 +88,7 @@
 func TestSimultaneousCrashesAreOneEpisode(t *testing.T) {
 	is := is.New(t)
 	f := newRegisterFixture()
-	execution := f.Begin(subject("a"), func() { t.Error("stopped") })
+	execution := f.Begin(subject("a"), func() { t.Error("the execution was stopped") })
 	crashAll(execution, 0, leafs("leaf-", 40)...)
 	is.Equal(len(f.quarantined), 0)
 	execution.Answered()
@@ -114,8 +114,9 @@
 	is.Equal(len(aggregator.suspected), 0) // evidence of other nodes is not reported again
 }
 
-// More episodes are required if leafs that the request was not sent to are gone: leafs may crash for another reason.
-func TestMoreEpisodesAreRequiredIfOtherLeafsAreGone(t *testing.T) {
+// More episodes are required if leafs that had not crashed under the request stopped listening: leafs may crash for
+// another reason.
+func TestMoreEpisodesAreRequiredIfOtherLeafsStoppedListening(t *testing.T) {
 	is := is.New(t)
 	f := newRegisterFixture()
 	execution := f.Begin(subject("a"), func() {})
@@ -242,7 +243,7 @@
 }
 
 // The numbers of suspects and unsaved records are bounded; the oldest are dropped.
-func TestTablesAreBounded(t *testing.T) {
+func TestSuspectsAndUnsavedRecordsAreBounded(t *testing.T) {
 	is := is.New(t)
 	f := newRegisterFixture()
 	cfg := DefaultConfig()
--- a/internal/quarantine/unrelated_crashes_test.go
+++ b/internal/quarantine/unrelated_crashes_test.go
@@ -43,7 +43,7 @@
 
 // outcomeAt returns the outcome of an attempt at a leaf: the time at which it ends, and whether the leaf crashed under
 // it or was no longer listening.
-func (c crashTimes) outcomeAt(random *rand.Rand, leaf string, at time.Time) (endsAt time.Time, didCrash, wasGone bool) {
+func (c crashTimes) outcomeAt(random *rand.Rand, leaf string, at time.Time) (endsAt time.Time, didCrash, stoppedListening bool) {
 	endsAt = at.Add(minServiceTime + time.Duration(random.Int64N(int64(serviceTimeRange))))
 	crashedAt, crashes := c[leaf]
 	switch {
@@ -57,11 +57,11 @@
 
 // attempt is an attempt at a leaf.
 type attempt struct {
-	endsAt   time.Time
-	leaf     string
-	didCrash bool
-	wasGone  bool
-	probe    int // number of the probe, 0 for an attempt of the initial fan-out
+	endsAt           time.Time
+	leaf             string
+	didCrash         bool
+	stoppedListening bool
+	probe            int // number of the probe, 0 for an attempt of the initial fan-out
 }
 
 // simulatedExecution is one execution of a request: an attempt at a leaf of each shard and, if leafs crashed and none
@@ -75,8 +75,8 @@
 }
 
 func (e *simulatedExecution) send(leaf string, at time.Time, probe int) {
-	endsAt, didCrash, wasGone := e.crashing.outcomeAt(e.random, leaf, at)
-	e.pending = append(e.pending, attempt{endsAt: endsAt, leaf: leaf, didCrash: didCrash, wasGone: wasGone, probe: probe})
+	endsAt, didCrash, stoppedListening := e.crashing.outcomeAt(e.random, leaf, at)
+	e.pending = append(e.pending, attempt{endsAt: endsAt, leaf: leaf, didCrash: didCrash, stoppedListening: stoppedListening, probe: probe})
 }
 
 // next removes and returns the attempt that ends first.
@@ -109,7 +109,7 @@
 }
 
 // simulateExecution simulates one execution and reports whether a leaf crashed under it.
-func simulateExecution(f *registerFixture, random *rand.Rand, crashing crashTimes, at time.Time, shards int) (hit bool) {
+func simulateExecution(f *registerFixture, random *rand.Rand, crashing crashTimes, at time.Time, shards int) (anyCrashed bool) {
 	f.at = at
 	execution := f.Begin(subject("busy"), func() {})
 	defer execution.End()
@@ -131,23 +131,23 @@
 		f.at = ended.endsAt
 		switch {
 		case ended.didCrash:
-			hit = true
+			anyCrashed = true
 			execution.LeafCrashed(ended.leaf, ended.probe)
 			if execution.IsStopped() || ended.probe > 0 {
-				return hit
+				return anyCrashed
 			}
-		case ended.wasGone:
+		case ended.stoppedListening:
 			execution.LeafNotListening(ended.leaf)
 		default:
 			execution.Answered()
-			return hit // crashes after an answer don't count
+			return anyCrashed // crashes after an answer don't count
 		}
 		if ended.probe == 0 {
 			simulated.probeTargets = append(simulated.probeTargets, otherLeaf(ended.leaf))
 		}
 		simulated.probe(ended.endsAt)
 	}
-	return hit
+	return anyCrashed
 }
 
 // otherLeaf returns the other leaf of a leaf's shard.
@@ -165,7 +165,7 @@
 			shards := test.shards
 			is := is.New(t)
 			random := rand.New(rand.NewPCG(20, 26))
-			executions, hits, quarantined := 0, 0, 0
+			executions, crashed, quarantined := 0, 0, 0
 			for range simulations {
 				f := newRegisterFixture()
 				for number := range crashBursts {
@@ -174,7 +174,7 @@
 					for at := began.Add(-serviceTimeRange); at.Before(began.Add(burstSpread)); at = at.Add(requestInterval) {
 						executions++
 						if simulateExecution(f, random, crashing, at.Add(time.Duration(random.Int64N(int64(requestInterval)))), shards) {
-							hits++
+							crashed++
 						}
 					}
 				}
@@ -182,8 +182,8 @@
 					quarantined++
 				}
 			}
-			t.Logf("%d executions while leafs crashed, %d with a crash under them, %d of %d simulations quarantined the path", executions, hits, quarantined, simulations)
-			is.True(hits > simulations)
+			t.Logf("%d executions while leafs crashed, %d with a crash under them, %d of %d simulations quarantined the path", executions, crashed, quarantined, simulations)
+			is.True(crashed > simulations)
 			is.True(quarantined <= test.quarantined)
 		})
 	}
--- a/internal/quarantine/unsaved.go
+++ b/internal/quarantine/unsaved.go
@@ -88,6 +88,7 @@
 	return r.attributeCrashes(record)
 }
 
+// dropOldestUnsaved drops the oldest record that the store does not have yet. r.mu must be held.
 func (r *Register) dropOldestUnsaved() {
 	var oldest *unsavedRecord
 	for _, entry := range r.unsaved {
