--- a/internal/node/boottime/boottime.go
+++ b/internal/node/boottime/boottime.go
@@ -1,10 +1,9 @@
-// Package boottime provides a clock that includes the time during which the machine was suspended, and detects
-// suspensions.
+// Package boottime provides a clock that includes suspensions of the machine, and detects them.
 //
-// The monotonic clock of time.Now, timers and deadlines stops during a suspension. Leases, quarantine terms, the age of
-// the configuration and other terms that expire are measured with this clock instead; otherwise a machine that was
-// suspended for ten seconds would treat them as valid for ten seconds longer than the rest of the fleet does. The wall
-// clock is not suitable, since it may jump.
+// The monotonic clock of time.Now, timers and deadlines stops during a suspension. Leases, retest delays of quarantined
+// requests, the age of the configuration and other limits that expire are measured with this clock instead; otherwise a
+// machine that was suspended for ten seconds would treat them as valid for ten seconds longer than the rest of the
+// fleet does. The wall clock is not suitable, since it may jump.
 //
 // The clock is the kernel's CLOCK_BOOTTIME.
 package boottime
--- a/internal/node/boottime/suspension_test.go
+++ b/internal/node/boottime/suspension_test.go
@@ -26,7 +26,7 @@
 		go Watch(ctx, machine.now, func(suspended time.Duration) { reported = append(reported, suspended) })
 		time.Sleep(time.Hour)
 		synctest.Wait()
-		is.Equal(len(reported), 0) // no suspension
+		is.Equal(len(reported), 0) // nothing is reported without a suspension
 		machine.suspend(5 * time.Second)
 		time.Sleep(2 * CheckInterval)
 		machine.suspend(time.Minute)
--- a/internal/node/decisionlog/decisionlog.go
+++ b/internal/node/decisionlog/decisionlog.go
@@ -35,7 +35,7 @@
 	return Config{LinesPerSecond: 5, FailureLinesPerSecond: 20, Queue: 256}
 }
 
-// Validate returns an error that lists every invalid field.
+// Validate returns an error that names every invalid field.
 func (c Config) Validate() error {
 	var checks failure.Checks
 	checks.Refuse(c.LinesPerSecond < 0, "lines_per_second", "must not be negative")
--- a/internal/node/decisionlog/decisionlog_test.go
+++ b/internal/node/decisionlog/decisionlog_test.go
@@ -57,8 +57,8 @@
 	})
 }
 
-// Ordinary lines must not use up the rate of failed lines.
-func TestFailedLinesHaveTheirOwnRate(t *testing.T) {
+// Ordinary lines must not use up the rate of important lines.
+func TestImportantLinesHaveTheirOwnRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var output bytes.Buffer
@@ -78,7 +78,7 @@
 	})
 }
 
-func TestValidateReportsEveryInvalidField(t *testing.T) {
+func TestValidateNamesEveryInvalidField(t *testing.T) {
 	is := is.New(t)
 	is.NoErr(DefaultConfig().Validate())
 	is.Equal(len(failure.Faults(Config{LinesPerSecond: -1, FailureLinesPerSecond: -1}.Validate())), 3)
--- a/internal/node/maintenance.go
+++ b/internal/node/maintenance.go
@@ -15,7 +15,7 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// maintenanceInterval is how often the gauges are set and the state of removed leafs is dropped.
+// maintenanceInterval is how often the gauges are set and the state of removed leafs and services is dropped.
 const maintenanceInterval = 5 * time.Second
 
 // maintainer drops the state of leafs and services that no longer exist, and sets the gauges for configuration and
@@ -42,17 +42,17 @@
 
 func (m *maintainer) sweep() {
 	view := m.catalog.View()
-	known := map[string]bool{}
+	existing := map[string]bool{}
 	for _, service := range view.Services {
 		for leafID := range service.Leafs {
-			known[leafID] = true
+			existing[leafID] = true
 		}
 	}
 	for _, leafID := range m.memory.IDs() {
-		known[leafID] = true
+		existing[leafID] = true
 	}
-	m.balancer.Forget(known)
-	m.pool.Prune(func(incarnation string) bool { return known[incarnation] })
+	m.balancer.Forget(existing)
+	m.pool.Prune(func(incarnation string) bool { return existing[incarnation] })
 	m.budgets.Forget(m.isRouted(view))
 	m.setGauges(view)
 }
--- a/internal/node/provide_fleet.go
+++ b/internal/node/provide_fleet.go
@@ -2,7 +2,13 @@
 
 import (
 	"fmt"
+	"maps"
+	"slices"
+	"time"
+
 	"github.com/cespare/xxhash/v2"
+	"go.uber.org/fx"
+
 	"github.com/portgauge/portgauge/internal/config/catalog"
 	"github.com/portgauge/portgauge/internal/config/configsync"
 	"github.com/portgauge/portgauge/internal/fleet/machines"
@@ -13,10 +19,6 @@
 	"github.com/portgauge/portgauge/internal/node/boottime"
 	"github.com/portgauge/portgauge/internal/node/settings"
 	"github.com/portgauge/portgauge/internal/node/telemetry"
-	"go.uber.org/fx"
-	"maps"
-	"slices"
-	"time"
 )
 
 type listerDeps struct {
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -93,28 +93,23 @@
 	e.log.Write(decisionlog.Important, event)
 }
 
-// Quarantined implements quarantinesync.EventLog.
 func (e quarantineEvents) Quarantined(record quarantine.Record, from string) {
 	e.metrics.Quarantined.Inc()
 	e.write(eventQuarantined, record, from, nil)
 }
 
-// Saved implements quarantinesync.EventLog.
 func (e quarantineEvents) Saved(record quarantine.Record, err error) {
 	e.write(eventQuarantineSaved, record, "", err)
 }
 
-// Retest implements quarantinesync.EventLog.
 func (e quarantineEvents) Retest(record quarantine.Record, err error) {
 	e.write(eventQuarantineRetest, record, "", err)
 }
 
-// Lifted implements quarantinesync.EventLog.
 func (e quarantineEvents) Lifted(content fingerprint.Fingerprint) {
 	e.log.Write(decisionlog.Important, quarantineEvent{Time: time.Now(), Event: eventQuarantineLifted, Content: content})
 }
 
-// Dropped implements quarantinesync.EventLog.
 func (e quarantineEvents) Dropped(findings int) {
 	e.log.Write(decisionlog.Important, quarantineEvent{Time: time.Now(), Event: eventQuarantineDropped, Findings: findings})
 }
--- a/internal/node/request_events.go
+++ b/internal/node/request_events.go
@@ -69,7 +69,7 @@
 	Time      time.Time `json:"time"`
 	Event     string    `json:"event"`
 	RequestID string    `json:"request_id"`
-	// Fingerprint, Path and Caller are set only for failed requests.
+	// Content, Path and Caller are set only for failed requests.
 	Content         fingerprint.Fingerprint `json:"content,omitzero"`
 	Path            string                  `json:"path,omitempty"`
 	Caller          string                  `json:"caller,omitempty"`
@@ -124,7 +124,6 @@
 	Abandoned  bool           `json:"abandoned,omitempty"`
 }
 
-// Refused implements gateway.EventLog.
 func (e *requestEvents) Refused(request *gateway.Request, err error) {
 	failed := failure.From(err)
 	e.metrics.FrontRequests.WithLabelValues(noRoute, string(failed.Code)).Inc()
@@ -133,12 +132,11 @@
 	})
 }
 
-// Attempted implements gateway.EventLog.
 func (e *requestEvents) Attempted(_ string, kind scatter.Kind) {
 	e.attempts[kind].Inc()
 }
 
-// AttemptEnded implements gateway.EventLog. Successful and abandoned attempts are logged only if everyAttempt is set.
+// AttemptEnded logs attempts that succeeded or were abandoned only if everyAttempt is set.
 func (e *requestEvents) AttemptEnded(record gateway.AttemptRecord) {
 	event := eventAttemptEnded
 	if !record.Succeeded && !record.Abandoned {
@@ -155,7 +153,6 @@
 	})
 }
 
-// Served implements gateway.EventLog.
 func (e *requestEvents) Served(record gateway.RequestRecord) {
 	event := requestEvent{
 		Time: time.Now(), Event: eventServed, RequestID: record.RequestID, Route: record.Route, Version: record.Version,
@@ -201,8 +198,8 @@
 	}
 }
 
-// GroupEnded implements gateway.EventLog. Only groups without an answer are logged here: answered groups are in the event
-// of their request, and cancelled groups are not failures.
+// GroupEnded logs only groups without an answer: answered groups are in the event of their request, and cancelled
+// groups are not failures.
 func (e *requestEvents) GroupEnded(record gateway.GroupRecord) {
 	e.metrics.TreeGroupsPassed.WithLabelValues(string(record.Outcome)).Inc()
 	e.metrics.TreeLatency.Observe(record.Took.Seconds())
@@ -224,8 +221,8 @@
 	Announced bool                    `json:"announced,omitempty"`
 }
 
-// LeafChecked implements gateway.EventLog. It counts against the rate of failures: a burst of failed attempts uses up the
-// ordinary rate, and only this line connects a crash with a request.
+// LeafChecked writes an important line: a burst of failed attempts uses up the rate of ordinary lines, and only this
+// line connects a crash with a request.
 func (e *requestEvents) LeafChecked(record gateway.LeafCheckRecord) {
 	e.metrics.LeafsLost.WithLabelValues(strconv.FormatBool(record.Ended)).Inc()
 	e.log.Write(decisionlog.Important, lossEvent{
--- a/internal/node/rollout_events.go
+++ b/internal/node/rollout_events.go
@@ -78,7 +78,6 @@
 	Error    string    `json:"error,omitempty"`
 }
 
-// SpecSeen implements rolloutcontrol.EventLog.
 func (e rolloutEvents) SpecSeen(record rolloutcontrol.SpecEvent) {
 	e.log.Write(decisionlog.Important, specEvent{
 		Time: time.Now(), Event: eventSpecSeen, Service: record.Spec.Service, SpecID: record.Spec.ID(),
@@ -86,12 +85,10 @@
 	})
 }
 
-// PhaseLearned implements rolloutcontrol.EventLog.
 func (e rolloutEvents) PhaseLearned(state rollout.State) {
 	e.log.Write(decisionlog.Important, newPhaseEvent(eventPhaseLearned, state))
 }
 
-// PhaseWritten implements rolloutcontrol.EventLog.
 func (e rolloutEvents) PhaseWritten(record rolloutcontrol.PhaseWriteEvent) {
 	event := newPhaseEvent(eventPhaseWritten, record.State)
 	if record.Err != nil {
@@ -108,7 +105,6 @@
 	}
 }
 
-// Aborted implements rolloutcontrol.EventLog.
 func (e rolloutEvents) Aborted(record rolloutcontrol.AbortEvent) {
 	event := abortEvent{
 		Time: time.Now(), Event: eventAbortSent, Service: record.Service, SpecID: record.SpecID, Reason: record.Reason,
@@ -120,14 +116,12 @@
 	e.log.Write(decisionlog.Important, event)
 }
 
-// RowsDropped implements rolloutcontrol.EventLog.
 func (e rolloutEvents) RowsDropped(record rolloutcontrol.RowsDroppedEvent) {
 	e.log.Write(decisionlog.Ordinary, rowsDroppedEvent{
 		Time: time.Now(), Event: eventRowsDropped, From: record.From, Rows: record.Rows, Error: errorText(record.Err),
 	})
 }
 
-// VersionsWritten implements rolloutcontrol.EventLog.
 func (e rolloutEvents) VersionsWritten(record rolloutcontrol.VersionsWriteEvent) {
 	e.log.Write(decisionlog.Important, versionsEvent{
 		Time: time.Now(), Event: eventVersionsWritten, Services: record.Services, Error: errorText(record.Err),
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -95,7 +95,6 @@
 
 var _ rolloutcontrol.Fleet = fleetStatus{}
 
-// Settled implements rolloutcontrol.Fleet.
 func (f fleetStatus) Settled(ctx context.Context, revision int64) rolloutcontrol.FleetStatus {
 	var status rolloutcontrol.FleetStatus
 	for index, zone := range f.syncer.Status(ctx, revision) {
--- a/internal/node/rollouts_test.go
+++ b/internal/node/rollouts_test.go
@@ -15,7 +15,7 @@
 	disabled, err := newRollouts(rolloutDeps{Config: settings.Default()})
 	is.NoErr(err)
 	is.True(disabled.handler() == nil)
-	disabled.run(t.Context()) // returns at once
+	disabled.run(t.Context()) // run must return at once
 }
 
 // Without guarded writes two evaluator nodes could overwrite each other's decisions.
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -193,7 +193,7 @@
 			deps.Tree.PrepareStop()
 			deps.Engine.PrepareStop()
 			deps.Front.PrepareStop()
-			logger.Info("stopping: announced to callers and peers")
+			logger.Info("stopping: the stop was announced to callers and peers")
 			if !wait.For(ctx, cfg.Stop.AnnounceDelay) {
 				return ctx.Err()
 			}
--- a/internal/node/settings/page_test.go
+++ b/internal/node/settings/page_test.go
@@ -17,7 +17,7 @@
 	"github.com/matryer/is"
 )
 
-// update makes TestPageOfSettings write the page: go test ./internal/node/settings -run TestPageOfSettings -update
+// update makes TestSettingsPageMatchesTypes write the page: go test ./internal/node/settings -run TestSettingsPageMatchesTypes -update
 var update = flag.Bool("update", false, "write docs/SETTINGS.md")
 
 const (
@@ -28,7 +28,7 @@
 
 const pageHead = `# Settings
 
-Generated from the types (` + "`go test ./internal/node/settings -run TestPageOfSettings -update`" + `); the test fails if the
+Generated from the types (` + "`go test ./internal/node/settings -run TestSettingsPageMatchesTypes -update`" + `); the test fails if the
 page differs. [OPERATIONS.md](OPERATIONS.md#settings) describes how to give settings.
 `
 
@@ -145,7 +145,7 @@
 }
 
 // The page must match the types and list every setting with its comment.
-func TestPageOfSettings(t *testing.T) {
+func TestSettingsPageMatchesTypes(t *testing.T) {
 	is := is.New(t)
 	content, undocumented := renderPage(t)
 	if *update {
--- a/internal/node/settings/settings.go
+++ b/internal/node/settings/settings.go
@@ -192,7 +192,7 @@
 	}
 }
 
-// Validate returns an error that lists every invalid field.
+// Validate returns an error that names every invalid field.
 func (s Settings) Validate() error {
 	var checks failure.Checks
 	checks.Refuse(s.Node.Zone == "", "node.zone", "must not be empty")
--- a/internal/node/store_events.go
+++ b/internal/node/store_events.go
@@ -11,15 +11,15 @@
 	"github.com/portgauge/portgauge/internal/node/telemetry"
 )
 
-// Names of store events in the decision log: the first answer, the first answer of a new epoch (the store was restored
-// from a backup), and an entry written again after a restore.
+// Names of store events in the decision log. eventStoreFound is the first answer of the store, eventStoreRestored the
+// first answer of a new epoch, eventEntryRewritten an entry rewritten after a restore.
 const (
 	eventStoreFound     = "store_found"
 	eventStoreRestored  = "store_restored"
 	eventEntryRewritten = "entry_rewritten"
 )
 
-// rewrittenEvent reports that an entry was written again, or why the write failed.
+// rewrittenEvent reports that an entry was rewritten, or why the write failed.
 type rewrittenEvent struct {
 	Time  time.Time `json:"time"`
 	Event string    `json:"event"`
@@ -78,7 +78,6 @@
 	}
 }
 
-// Rewritten implements rewriter.EventLog.
 func (e *storeEvents) Rewritten(key string, err error) {
 	e.log.Write(decisionlog.Important, rewrittenEvent{Time: time.Now(), Event: eventEntryRewritten, Key: key, Error: errorText(err)})
 }
--- a/internal/node/telemetry/brief.go
+++ b/internal/node/telemetry/brief.go
@@ -16,7 +16,6 @@
 
 var _ prometheus.Gatherer = Brief{}
 
-// Gather implements prometheus.Gatherer.
 func (b Brief) Gather() ([]*dto.MetricFamily, error) {
 	families, err := b.Whole.Gather()
 	var brief []*dto.MetricFamily
--- a/internal/node/telemetry/metrics.go
+++ b/internal/node/telemetry/metrics.go
@@ -16,11 +16,11 @@
 type Metrics struct {
 	Registry *prometheus.Registry
 
-	// QueryLatency is the time from the arrival of a query to its answer, in seconds.
+	// QueryLatency is the time from the arrival of a search to its answer, in seconds.
 	QueryLatency *prometheus.HistogramVec
 	// QueryCoverage is the fraction of the requested data that each answer covers.
 	QueryCoverage *prometheus.HistogramVec
-	// Failures counts failed queries by service, code and execution state.
+	// Failures counts failed searches by service, code and execution state.
 	Failures *prometheus.CounterVec
 	// Attempts counts leaf attempts by service and kind: first, hedge or retry.
 	Attempts *prometheus.CounterVec
@@ -66,7 +66,7 @@
 	// from a backup in the last answer.
 	StoreRevision prometheus.Gauge
 	StoreEpoch    prometheus.Gauge
-	// Retained is the number of entries kept in force that the restored store lacks.
+	// Retained is the number of retained entries in force, which the restored store lacks or has an older value of.
 	Retained prometheus.Gauge
 	// StatesDropped counts whole states read from the store that were dropped because they were older than the one in force.
 	StatesDropped prometheus.Counter
@@ -80,10 +80,10 @@
 func NewMetrics() *Metrics {
 	metrics := &Metrics{
 		Registry:             prometheus.NewRegistry(),
-		QueryLatency:         newHistogram("query_latency_seconds", "Time from the arrival of a query to its answer, in seconds.", latencyBuckets(), "service", "class"),
+		QueryLatency:         newHistogram("query_latency_seconds", "Time from the arrival of a search to its answer, in seconds.", latencyBuckets(), "service", "class"),
 		QueryCoverage:        newHistogram("query_coverage", "Fraction of the requested data that each answer covers.", []float64{0, 0.5, 0.9, 0.99, 0.9999, 1}, "service"),
-		Failures:             newCounterVec("failures_total", "Failed queries by service, code and execution state.", "service", "code", "execution"),
-		Attempts:             newCounterVec("leaf_attempts_total", "Leaf attempts of queries by service and kind (first, hedge or retry).", "service", "kind"),
+		Failures:             newCounterVec("failures_total", "Failed searches by service, code and execution state.", "service", "code", "execution"),
+		Attempts:             newCounterVec("leaf_attempts_total", "Leaf attempts of searches by service and kind (first, hedge or retry).", "service", "kind"),
 		CancelledAttempts:    newCounterVec("leaf_attempts_cancelled_total", "Leaf attempts that were cancelled because their replies were no longer needed.", "service"),
 		DroppedReplies:       newCounterVec("leaf_replies_dropped_total", "Leaf replies that were not merged into an answer, by reason.", "service", "reason"),
 		ConfigRevision:       prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Name: "config_revision", Help: "Configuration revision in force on this node."}),
@@ -99,15 +99,15 @@
 		TreeGroupsPassed:     newCounterVec("tree_passed_total", "Groups of parts passed on to intermediate nodes by outcome.", "outcome"),
 		TreeLatency:          prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: namespace, Name: "tree_pass_seconds", Help: "Time from passing a group on to an intermediate node to its reply, in seconds.", Buckets: latencyBuckets()}),
 		TreeGathered:         newCounterVec("tree_gathered_total", "Groups of parts gathered for other nodes by outcome.", "outcome"),
-		LeafsLost:            newCounterVec("leafs_lost_total", "Leaf answers that broke off, by whether the leaf process had ended.", "ended"),
+		LeafsLost:            newCounterVec("leafs_lost_total", "Leaf answers cut off by a lost connection, by whether the leaf process had ended.", "ended"),
 		Quarantined:          newCounter("requests_quarantined_total", "Requests that this or another node quarantined because leafs crashed while they ran them."),
 		LeafConnections:      newCounter("leaf_connections_opened_total", "Connections opened to leafs."),
 		StoreCalls:           newCounterVec("store_calls_total", "Calls of the store by call and status; no_answer means that the store did not answer.", "call", "status"),
 		StoreRevision:        prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Name: "store_revision", Help: "Revision in the last store answer that had one."}),
-		StoreEpoch:           prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Name: "store_epoch", Help: "Number of restores of the store from a backup, by its last answer."}),
-		Retained:             prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Name: "config_kept_entries", Help: "Entries that stay in force although the restored store lacks them."}),
-		StatesDropped:        newCounter("config_states_dropped_total", "Full states read from the store that were dropped because they were older than the one in force."),
-		LogLinesDropped:      newCounter("log_lines_left_out_total", "Decision log lines that were dropped because the rate was exceeded or the queue was full."),
+		StoreEpoch:           prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Name: "store_epoch", Help: "Number of restores of the store from a backup, according to its last answer."}),
+		Retained:             prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Name: "config_kept_entries", Help: "Entries that stay in force because the restored store lacks them or has an older value."}),
+		StatesDropped:        newCounter("config_states_dropped_total", "Whole states read from the store that were dropped because they were older than the one in force."),
+		LogLinesDropped:      newCounter("log_lines_left_out_total", "Lines of the decision log that were dropped because the rate was exceeded or the queue was full."),
 		Members:              prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: namespace, Name: "members", Help: "Nodes in the member list of the zone by state."}, []string{"state"}),
 	}
 	metrics.Registry.MustRegister(
--- a/internal/node/telemetry/rollouts.go
+++ b/internal/node/telemetry/rollouts.go
@@ -22,20 +22,18 @@
 	countLabels := []string{"service", "version", "route"}
 	return m.Registry.Register(&rolloutCollector{
 		statuses: statuses,
-		phase:    prometheus.NewDesc(namespace+"_rollout_phase", "1 for the current phase of each roll-out in progress.", []string{"service", "phase", "target"}, nil),
-		attempts: prometheus.NewDesc(namespace+"_rollout_attempts", "Leaf attempts of all nodes in a roll-out in progress; reported by its evaluator nodes.", countLabels, nil),
-		failures: prometheus.NewDesc(namespace+"_rollout_failures", "Leaf attempts of all nodes in a roll-out in progress that failed at the leaf; reported by its evaluator nodes.", countLabels, nil),
+		phase:    prometheus.NewDesc(namespace+"_rollout_phase", "1 for the current phase of each rollout in progress.", []string{"service", "phase", "target"}, nil),
+		attempts: prometheus.NewDesc(namespace+"_rollout_attempts", "Leaf attempts of all nodes in a rollout in progress; reported by its evaluator nodes.", countLabels, nil),
+		failures: prometheus.NewDesc(namespace+"_rollout_failures", "Leaf attempts of all nodes in a rollout in progress that failed at the leaf; reported by its evaluator nodes.", countLabels, nil),
 	})
 }
 
-// Describe implements prometheus.Collector.
 func (c *rolloutCollector) Describe(described chan<- *prometheus.Desc) {
 	described <- c.phase
 	described <- c.attempts
 	described <- c.failures
 }
 
-// Collect implements prometheus.Collector.
 func (c *rolloutCollector) Collect(metrics chan<- prometheus.Metric) {
 	for _, status := range c.statuses() {
 		metrics <- prometheus.MustNewConstMetric(c.phase, prometheus.GaugeValue, 1, status.Service, string(status.Phase), status.Target)
