--- a/internal/rollout/canary/config.go
+++ b/internal/rollout/canary/config.go
@@ -23,8 +23,8 @@
 	// Slack is the number of requests of a service that the canary version may receive beyond the share during one
 	// rollout, over the whole fleet.
 	Slack float64 `yaml:"slack"`
-	// UsedFraction is the fraction of both bounds that the nodes use, 0 to 1. The rest is a margin for what a node cannot
-	// count.
+	// UsedFraction is the fraction of both bounds that the nodes use, 0 to 1. The rest is a margin for what a node
+	// cannot count.
 	UsedFraction float64 `yaml:"used"`
 	// Ramp is how long a node takes to move its requests to a version that has passed evaluation. It is shorter for
 	// rollouts of short duration.
--- a/internal/rollout/canary/stage_test.go
+++ b/internal/rollout/canary/stage_test.go
@@ -102,7 +102,7 @@
 	is.Equal(len(splitter.budgets), 0)
 }
 
-// In phase switching the canary receives all requests by the end of the ramp, and the previous version none.
+// In PhaseSwitching the canary receives all requests by the end of the ramp, and the previous version none.
 func TestRampMovesAllRequests(t *testing.T) {
 	is := is.New(t)
 	f, splitter, specID := newRollout(t, 0)
--- a/internal/rollout/evidence/collector_test.go
+++ b/internal/rollout/evidence/collector_test.go
@@ -48,7 +48,8 @@
 	return leafset.NewLeaf(leafset.Record{Name: id, Service: service, Version: version, Zone: "z-" + id}, 0, time.Time{})
 }
 
-// Each canary leaf has its own row per route, all serving leafs have one common row per route, and other leafs have none.
+// Each canary leaf has its own row per route, all serving leafs have one common row per route, and other leafs have
+// none.
 func TestEachCanaryLeafHasItsOwnRow(t *testing.T) {
 	is := is.New(t)
 	c, _, specID := newTestCollector(t)
--- a/internal/rollout/rolloutcontrol/handlers_test.go
+++ b/internal/rollout/rolloutcontrol/handlers_test.go
@@ -44,7 +44,7 @@
 }
 
 // An abort that arrives before its spec takes effect when the node learns of the spec.
-func TestAbortBeforeSpec(t *testing.T) {
+func TestAbortBeforeSpecTakesEffect(t *testing.T) {
 	withFleet(t, func(is *is.I, f *fleet) {
 		node := f.node("n0")
 		revision := f.startRollout("s", "b", specDuration)
--- a/internal/rollout/rolloutcontrol/node_test.go
+++ b/internal/rollout/rolloutcontrol/node_test.go
@@ -39,7 +39,7 @@
 	suspended atomic.Int64
 	// hangingQueries is the number of fleet queries that block until their context is done.
 	hangingQueries atomic.Int32
-	// queries counts the fleet queries of this node. switchedAt is when it learned of phase Switching.
+	// queries counts the fleet queries of this node. switchedAt is when it learned of PhaseSwitching.
 	queries    atomic.Int32
 	switchedAt time.Time
 }
--- a/internal/rollout/rolloutcontrol/phase.go
+++ b/internal/rollout/rolloutcontrol/phase.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// nextWhileSwitching returns the phase that follows Switching, if any. The rollout succeeds when all nodes that
+// nextWhileSwitching returns the phase that follows PhaseSwitching, if any. The rollout succeeds when all nodes that
 // answered are settled, the final watch is over, and all registered nodes have answered or SettleWait has passed. A
 // version is not rolled back because of slow nodes: SettleWait after the spec's end the rollout succeeds in any case.
 func (r *activeRollout) nextWhileSwitching(now time.Time, cfg Config, registered uint64) (rollout.Phase, string) {
--- a/internal/rollout/rolloutcontrol/status.go
+++ b/internal/rollout/rolloutcontrol/status.go
@@ -12,7 +12,7 @@
 // Status is the status of an active rollout at a node.
 type Status struct {
 	Service string
-	// Phase is Canary before the first state is written.
+	// Phase is PhaseCanary before the first state is written.
 	Phase   rollout.Phase
 	Serving string
 	Target  string
--- a/internal/rollout/verdict/cusum.go
+++ b/internal/rollout/verdict/cusum.go
@@ -10,8 +10,8 @@
 	shares []float64
 	// weights are the contributions of each leaf since the restart of the sum, by tested share.
 	weights []map[string]float64
-	// overall is the contribution of each leaf over the whole spec for minShare, the smallest share that must be ruled
-	// out.
+	// minShare is the smallest share of bad answers that must be ruled out. overall is the log-likelihood ratio for it
+	// over the whole spec, by leaf.
 	minShare float64
 	overall  map[string]float64
 	seen     ratio
--- a/internal/rollout/verdict/finding.go
+++ b/internal/rollout/verdict/finding.go
@@ -178,8 +178,8 @@
 	return true
 }
 
-// rulesOutBad reports whether each of the sums, without its worst leaf, rules out the smallest share of bad answers that
-// must be detected.
+// rulesOutBad reports whether each of the sums, without its worst leaf, rules out the smallest share of bad answers
+// that must be detected.
 func (e *Evaluator) rulesOutBad(cusums []*cusum) bool {
 	for _, s := range cusums {
 		if s.overallLevelWithoutWorstLeaf() > math.Log(e.cfg.MissRate) || s.levelWithoutWorstLeaf() > maxLevelOnFullEvidence {
