--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -19,7 +19,8 @@
 type Evidence struct {
 	Subject
 	Crashes []Crash `json:"ends,omitempty"`
-	// OthersNotListening is true if attempts of the request found leafs no longer listening that had not crashed under it.
+	// OthersNotListening is true if attempts of the request found leafs no longer listening that had not crashed under
+	// it.
 	OthersNotListening bool `json:"in_herd,omitempty"`
 }
 
@@ -29,7 +30,8 @@
 	// episodes are the episodes of the crashes, by leaf.
 	episodes map[string]uint64
 	lastAt   time.Time
-	// othersNotListening is true if attempts of the request found leafs no longer listening that had not crashed under it.
+	// othersNotListening is true if attempts of the request found leafs no longer listening that had not crashed under
+	// it.
 	othersNotListening bool
 	// isOwn is true if this node detected some of the crashes, isReported if it reported them to other nodes.
 	isOwn      bool
@@ -146,8 +148,8 @@
 	}
 }
 
-// noteLeafNotListening notes that an attempt of a request found a leaf no longer listening, and reports whether this indicates
-// that leafs crash for another reason. It does not if the leaf crashed under this request, or if its crash is
+// noteLeafNotListening notes that an attempt of a request found a leaf no longer listening, and reports whether this
+// indicates that leafs crash for another reason. It does not if the leaf crashed under this request, or if its crash is
 // attributed to a request.
 func (r *Register) noteLeafNotListening(content fingerprint.Fingerprint, leaf string) bool {
 	r.mu.Lock()
--- a/internal/quarantine/quarantinesync/fixture_test.go
+++ b/internal/quarantine/quarantinesync/fixture_test.go
@@ -165,14 +165,14 @@
 	defer f.writing.Unlock()
 	f.mu.Lock()
 	f.writes++
-	known, found := f.entries[key]
+	stored, found := f.entries[key]
 	isDown, losesAnswers := f.isDown, f.losesAnswers
 	f.mu.Unlock()
 	switch {
 	case isDown:
 		return store.SwapResult{}, errDown
-	case known.LiveRevision() != expected && found:
-		return store.SwapResult{Entry: &known}, nil
+	case stored.LiveRevision() != expected && found:
+		return store.SwapResult{Entry: &stored}, nil
 	case !found && expected != 0:
 		return store.SwapResult{}, nil
 	}
--- a/internal/quarantine/quarantinesync/sync_test.go
+++ b/internal/quarantine/quarantinesync/sync_test.go
@@ -47,9 +47,9 @@
 }
 
 // While the store is down the broadcast is repeated. The record is stored soon after the store is up again, even if the
-// node that found it is gone.
+// node that found it is partitioned.
 func TestRecordIsStoredAfterStoreOutage(t *testing.T) {
-	for name, isFinderGone := range map[string]bool{"finder stays up": false, "finder is gone": true} {
+	for name, isFinderPartitioned := range map[string]bool{"finder is connected": false, "finder is partitioned": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
@@ -61,7 +61,7 @@
 				f.withLock(func() { f.node("c").isPartitioned = false })
 				time.Sleep(2 * time.Second)
 				is.True(f.allInState(quarantine.Quarantined)) // the broadcast was repeated
-				if isFinderGone {
+				if isFinderPartitioned {
 					f.withLock(func() { f.node("a").isPartitioned = true })
 				}
 				f.withLock(func() { f.isDown = false })
@@ -168,7 +168,7 @@
 		}
 		is.Equal(len(retests()), 0)
 		time.Sleep(quarantine.DefaultConfig().RetestAfter)
-		is.Equal(len(retests()), 0) // the retest is only requested
+		is.Equal(len(retests()), 0) // the retest is requested, but not permitted yet
 		first := retests()
 		is.Equal(len(first), 1)
 		first[0].LeafCrashed("leaf-4", 1)
