--- a/internal/node/boottime/suspension.go
+++ b/internal/node/boottime/suspension.go
@@ -18,8 +18,8 @@
 	monotonic time.Time
 }
 
-// Instant reads both clocks. It reads the monotonic clock first, and Suspended reads it last, so that the time for which
-// the process is descheduled between the two readings doesn't count as a suspension.
+// Instant reads both clocks. It reads the monotonic clock first, and Suspended reads it last, so that the time for
+// which the process is descheduled between the two readings doesn't count as a suspension.
 func (c Clock) Instant() Instant {
 	monotonic := time.Now()
 	return Instant{clock: c, bootTime: c.Now(), monotonic: monotonic}
--- a/internal/node/decisionlog/decisionlog.go
+++ b/internal/node/decisionlog/decisionlog.go
@@ -1,9 +1,9 @@
-// Package decisionlog writes one JSON line for each decision about a request and each change of the state that decisions
-// are based on, at a bounded rate.
+// Package decisionlog writes one JSON line for each decision about a request and each change of the state that
+// decisions are based on, at a bounded rate.
 //
-// It owns a queue of events. Run encodes and writes them, so that callers of Write never wait for the output. Events that
-// exceed the rate or the queue are dropped and counted. Failed and partial requests have a rate of their own, so that
-// ordinary requests can't displace them.
+// It owns a queue of events. Run encodes and writes them, so that callers of Write never wait for the output. Events
+// that exceed the rate or the queue are dropped and counted. Failed and partial requests have a rate of their own, so
+// that ordinary requests can't displace them.
 package decisionlog
 
 import (
@@ -82,8 +82,8 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(burstSeconds*perSecond)))
 }
 
-// Write queues an event, or drops it if the rate is exceeded or the queue is full. The event is encoded later and must not
-// be changed.
+// Write queues an event, or drops it if the rate is exceeded or the queue is full. The event is encoded later and must
+// not be changed.
 func (l *Log) Write(importance Importance, event any) {
 	limit := l.ordinary
 	if importance == Important {
--- a/internal/node/reload/reload.go
+++ b/internal/node/reload/reload.go
@@ -21,8 +21,8 @@
 // Loader reads and validates the settings as at the start of the node, including the overrides.
 type Loader func() (settings.Settings, error)
 
-// Reloader reloads settings. Its apply function applies the settings that can change while the node runs, and returns the
-// names of the changed settings that need a restart.
+// Reloader reloads settings. Its apply function applies the settings that can change while the node runs, and returns
+// the names of the changed settings that need a restart.
 type Reloader struct {
 	path     string
 	load     Loader
--- a/internal/node/request_events.go
+++ b/internal/node/request_events.go
@@ -88,8 +88,8 @@
 	Execution       string                  `json:"execution"`
 	Code            failure.Code            `json:"code,omitempty"`
 	Message         string                  `json:"message,omitempty"`
-	// Groups are the groups of parts that were passed on to other nodes. For is the root node for which this node gathered
-	// a group.
+	// Groups are the groups of parts that were passed on to other nodes. For is the root node for which this node
+	// gathered a group.
 	Groups []groupEvent `json:"groups,omitempty"`
 	For    string       `json:"for,omitempty"`
 }
--- a/internal/node/settings/load.go
+++ b/internal/node/settings/load.go
@@ -27,13 +27,13 @@
 func ParseFlag(text string) (Override, error) {
 	path, value, found := strings.Cut(text, "=")
 	if !found || path == "" {
-		return Override{}, failure.Invalid("set", "%q; must have the form path=value", text)
+		return Override{}, failure.Invalid("set", "%q is invalid; must have the form path=value", text)
 	}
 	return Override{Path: path, Value: value, Source: "--set " + path}, nil
 }
 
-// Load reads and validates settings from a file, the environment and flags. An empty path means no file. The error joins
-// all faults, each with its line or source.
+// Load reads and validates settings from a file, the environment and flags. An empty path means no file. The error
+// joins all faults, each with its line or source.
 func Load(path string, environment []string, flags []Override) (Settings, error) {
 	document := &yaml.Node{Kind: yaml.MappingNode}
 	if path != "" {
--- a/internal/node/settings/page_test.go
+++ b/internal/node/settings/page_test.go
@@ -17,7 +17,8 @@
 	"github.com/matryer/is"
 )
 
-// update makes TestSettingsPageMatchesTypes write the page: go test ./internal/node/settings -run TestSettingsPageMatchesTypes -update
+// update makes TestSettingsPageMatchesTypes write the page: go test ./internal/node/settings -run
+// TestSettingsPageMatchesTypes -update
 var update = flag.Bool("update", false, "write docs/SETTINGS.md")
 
 const (
@@ -35,8 +36,8 @@
 // fieldDocs holds the field comments of a package's struct types, by "Type.Field".
 type fieldDocs map[string]string
 
-// parseDocs parses the field comments of a package. A comment that names several fields also applies to the named fields
-// below it that have no comment of their own.
+// parseDocs parses the field comments of a package. A comment that names several fields also applies to the named
+// fields below it that have no comment of their own.
 func parseDocs(t *testing.T, pkgPath string) fieldDocs {
 	t.Helper()
 	folder := filepath.Join(repository, strings.TrimPrefix(pkgPath, modulePath))
@@ -95,8 +96,8 @@
 	return p.docs[owner.PkgPath()][owner.Name()+"."+field.Name]
 }
 
-// group renders the table of the settings in a struct, then the tables of its groups. The prefix ends with a dot unless it
-// is empty.
+// group renders the table of the settings in a struct, then the tables of its groups. The prefix ends with a dot unless
+// it is empty.
 func (p *page) group(title, prefix string, value reflect.Value) {
 	p.lines = append(p.lines, "", "## "+title, "", "| setting | default | meaning |", "|---|---|---|")
 	owner := value.Type()
--- a/internal/node/settings/settings.go
+++ b/internal/node/settings/settings.go
@@ -48,8 +48,8 @@
 	ID string `yaml:"id"`
 	// Zone is the failure domain of the node.
 	Zone string `yaml:"zone"`
-	// Processors is the number of processors of the machine, and ProcessorShare is the fraction of them that the node may
-	// use. The nodes of a zone compare the products to decide which of them gather for others; 0 means unknown.
+	// Processors is the number of processors of the machine, and ProcessorShare is the fraction of them that the node
+	// may use. The nodes of a zone compare the products to decide which of them gather for others; 0 means unknown.
 	Processors     float64 `yaml:"processors"`
 	ProcessorShare float64 `yaml:"processor_share"`
 }
@@ -84,8 +84,8 @@
 	WatchWait time.Duration `yaml:"watch_wait"`
 	// WatchPause is the pause after a watch call that returned changes, so that a burst of changes takes few calls.
 	WatchPause time.Duration `yaml:"watch_pause"`
-	// StandbyWatchWait and StandbyWatchPause are WatchWait and WatchPause for standby watchers. Longer values save calls of
-	// the store.
+	// StandbyWatchWait and StandbyWatchPause are WatchWait and WatchPause for standby watchers. Longer values save
+	// calls of the store.
 	StandbyWatchWait  time.Duration `yaml:"standby_watch_wait"`
 	StandbyWatchPause time.Duration `yaml:"standby_watch_pause"`
 }
@@ -182,8 +182,8 @@
 	}
 }
 
-// defaultPlatform bounds the delay of a change: a first watcher receives it within 0.3 s, a standby watcher within 0.8 s,
-// and the standby watcher pushes what has not been pushed 0.5 s later. A change must be in force within 4 s.
+// defaultPlatform bounds the delay of a change: a first watcher receives it within 0.3 s, a standby watcher within
+// 0.8 s, and the standby watcher pushes what has not been pushed 0.5 s later. A change must be in force within 4 s.
 func defaultPlatform() Platform {
 	return Platform{
 		Address: "127.0.0.1:7300", Dialect: DefaultDialect,
--- a/internal/node/state_events.go
+++ b/internal/node/state_events.go
@@ -48,8 +48,8 @@
 	Revision int64     `json:"revision"`
 }
 
-// leafAssessedEvent is a new assessment of a leaf. FromPeer is set if it is based on reports of other nodes instead of this
-// node's attempts.
+// leafAssessedEvent is a new assessment of a leaf. FromPeer is set if it is based on reports of other nodes instead of
+// this node's attempts.
 type leafAssessedEvent struct {
 	Time          time.Time          `json:"time"`
 	Event         string             `json:"event"`
--- a/internal/node/telemetry/metrics.go
+++ b/internal/node/telemetry/metrics.go
@@ -68,7 +68,8 @@
 	StoreEpoch    prometheus.Gauge
 	// Retained is the number of retained entries in force, which the restored store lacks or has an older value of.
 	Retained prometheus.Gauge
-	// StatesDropped counts whole states read from the store that were dropped because they were older than the one in force.
+	// StatesDropped counts whole states read from the store that were dropped because they were older than the one in
+	// force.
 	StatesDropped prometheus.Counter
 	// LogLinesDropped counts dropped lines of the decision log.
 	LogLinesDropped prometheus.Counter
--- a/internal/node/telemetry/rollouts.go
+++ b/internal/node/telemetry/rollouts.go
@@ -6,8 +6,9 @@
 	"github.com/portgauge/portgauge/internal/rollout/rolloutcontrol"
 )
 
-// rolloutCollector collects the rollouts in progress at each scrape, so that finished rollouts have no series. The number
-// of series is bounded by the rollouts in progress, and by the versions and routes of those that this node evaluates.
+// rolloutCollector collects the rollouts in progress at each scrape, so that finished rollouts have no series. The
+// number of series is bounded by the rollouts in progress, and by the versions and routes of those that this node
+// evaluates.
 type rolloutCollector struct {
 	statuses func() []rolloutcontrol.Status
 	phase    *prometheus.Desc
