--- a/internal/leaf/balancer/balancer_test.go
+++ b/internal/leaf/balancer/balancer_test.go
@@ -151,7 +151,7 @@
 		}
 		is.True(b.Choose(threeReplicas()[:1], nil).Unhealthy) // it is the only replica
 		b.Finish(stalled, Abandoned, 60*time.Millisecond, 0)
-		is.True(b.Choose(threeReplicas()[:1], nil).Unhealthy) // an abandoned attempt does not end the silence
+		is.True(b.Choose(threeReplicas()[:1], nil).Unhealthy) // a cancelled attempt does not end the silence
 		time.Sleep(2 * minimumStallPause)
 		is.True(!b.Choose(threeReplicas()[:1], nil).Unhealthy) // the pause is over
 		b.Start(stalled)
--- a/internal/leaf/balancer/choose.go
+++ b/internal/leaf/balancer/choose.go
@@ -10,7 +10,7 @@
 type Candidate struct {
 	LeafID string
 	Zone   string
-	// Leaving says that an operator excluded the leaf from new attempts.
+	// Leaving says that the leaf must get no new attempts: it is marked as leaving, or its zone is evacuated.
 	Leaving bool
 	// LastResort says that the leaf is used only if no other replica can take the attempt.
 	LastResort bool
@@ -35,7 +35,7 @@
 
 // Reasons why no replica was chosen.
 const (
-	// NoReplica means that every replica has been tried or is leaving.
+	// NoReplica means that there are no replicas, or that each has been tried, is leaving or is draining.
 	NoReplica NoChoiceReason = "NO_REPLICA"
 	// ReplicasFull means that every usable replica is at its in-flight limit.
 	ReplicasFull NoChoiceReason = "REPLICAS_FULL"
@@ -49,7 +49,7 @@
 	// newConnectionDelayFactor applies to replicas to which this node would have to open a connection, which briefly
 	// occupies a slot of the leaf.
 	newConnectionDelayFactor = 3
-	// crossZoneCostFactor replaces crossZoneDelayFactor if no slowness is known, only this node's latencies.
+	// crossZoneCostFactor applies instead if no slowness is known, but only latencies of this node.
 	crossZoneCostFactor = 2
 )
 
--- a/internal/leaf/balancer/ejection.go
+++ b/internal/leaf/balancer/ejection.go
@@ -2,11 +2,9 @@
 
 import "time"
 
-// countFailure counts a failed attempt and ejects the leaf if there were too many. An ejected leaf is used only if no
-// other replica is usable, because its failures would cost each request a timeout or a retry.
-//
-// Rule: a leaf is ejected for Config.EjectFor after Config.EjectAfter consecutive failures of this node's attempts, and
-// again after each failed probe. One success readmits it.
+// countFailure counts a failed attempt. After Config.EjectAfter consecutive failures of this node's attempts, and again
+// after each failed probe, the leaf is ejected for Config.EjectFor. One success readmits it. An ejected leaf is used
+// only if no other replica is usable, because its failures would cost each request a timeout or a retry.
 func (l *Leaf) countFailure(cfg Config, now time.Time) {
 	l.failures++
 	if l.failures >= cfg.EjectAfter || !l.ejectedUntil.IsZero() {
--- a/internal/leaf/balancer/leaf.go
+++ b/internal/leaf/balancer/leaf.go
@@ -25,7 +25,8 @@
 	Shed
 	// Drained means that the leaf refused the attempt because it is draining.
 	Drained
-	// Abandoned means that the reply was no longer needed, which shows little about the leaf.
+	// Abandoned means that the attempt was cancelled because its reply was no longer needed, which shows little about
+	// the leaf.
 	Abandoned
 	// Declined means that the leaf refused the attempt for a reason unrelated to its health.
 	Declined
@@ -69,8 +70,8 @@
 	// silentSince is when the oldest attempt without an answer started, or when the leaf last answered if that is
 	// later; zero if no answer is outstanding.
 	silentSince time.Time
-	// abandonedAt is when an attempt last failed or was abandoned without an answer.
-	abandonedAt time.Time
+	// lastUnansweredAt is when an attempt last ended without an answer, that is, failed or was cancelled.
+	lastUnansweredAt time.Time
 	// answeredAt is when the leaf last answered this node.
 	answeredAt time.Time
 	// silenceReportedAt is when this node last reported the leaf's silence to other nodes.
--- a/internal/leaf/balancer/slowness.go
+++ b/internal/leaf/balancer/slowness.go
@@ -33,11 +33,10 @@
 	at    time.Time
 }
 
-// slowness tracks how slow a leaf is relative to the typical latency of the same kind of request.
-//
-// Rule: the slowness is the lower median of the recent samples, or of all samples if too few are recent. Without new
-// samples, it decays to 1. The median ignores a single pause of the leaf but reflects lasting slowness within a few
-// requests. Preferring recent samples keeps a rarely used leaf from being rated by outdated ones.
+// slowness tracks how slow a leaf is relative to the typical latency of the same kind of request. It is the lower
+// median of the recent samples, or of all samples if too few are recent, and decays to 1 without new samples. The
+// median ignores a single pause but reflects lasting slowness within a few requests. Preferring recent samples keeps a
+// rarely used leaf from being rated by outdated ones.
 type slowness struct {
 	samples []sample
 	next    int // index of the oldest sample once there are slownessSamples
--- a/internal/leaf/balancer/stall.go
+++ b/internal/leaf/balancer/stall.go
@@ -6,7 +6,7 @@
 const (
 	stallFactor         = 3 // multiple of the leaf's latency
 	minimumStallTimeout = 20 * time.Millisecond
-	// defaultStallTimeout applies to a leaf that never answered this node.
+	// defaultStallTimeout applies to a leaf whose latency at this node is unknown.
 	defaultStallTimeout = 150 * time.Millisecond
 )
 
@@ -21,15 +21,10 @@
 	longPauseFactor  = 2   // multiple of the silence
 )
 
-// isStalled decides whether a leaf is passed over because answers are overdue.
-//
-// Inputs: how long an answer to this node has been outstanding, the leaf's average latency at this node, and the
-// silence that another node reported.
-//
-// Rule: a leaf is stalled when an answer has been outstanding for stallFactor times its latency, and for at least
-// minimumStallTimeout. It remains stalled while an attempt is in flight. After that, it is tried by one attempt at a
-// time, with pauses that grow with the silence (see stallPause). A silence that another node reports applies for one
-// such pause.
+// isStalled reports whether a leaf is passed over because an answer has been outstanding for stallFactor times its
+// latency and at least minimumStallTimeout, or for defaultStallTimeout if its latency is unknown. It remains stalled
+// while an attempt is in flight. After that, it is tried by one attempt at a time, with pauses that grow with the
+// silence (see stallPause). A silence that another node reports applies for one such pause.
 func (l *Leaf) isStalled(now time.Time) bool {
 	if l.peerSilence > 0 && now.Sub(l.peerSilenceAt) < stallPause(l.peerSilence) {
 		return true
@@ -41,7 +36,7 @@
 	if l.inFlight > 0 {
 		return true
 	}
-	return now.Sub(l.abandonedAt) < stallPause(l.abandonedAt.Sub(l.silentSince))
+	return now.Sub(l.lastUnansweredAt) < stallPause(l.lastUnansweredAt.Sub(l.silentSince))
 }
 
 // silence returns how long an answer to this node has been outstanding; 0 while the leaf may still be working on it.
@@ -69,11 +64,11 @@
 	return min(max(pause, minimumStallPause), maximumStallPause)
 }
 
-// updateSilence records whether an attempt ended with an answer. Any answer ends the silence, but a failed or abandoned
+// updateSilence records whether an attempt ended with an answer. Any answer ends the silence, but a failed or cancelled
 // attempt does not.
 func (l *Leaf) updateSilence(outcome Outcome, now time.Time) {
 	if outcome == Abandoned || outcome == Failed {
-		l.abandonedAt = now
+		l.lastUnansweredAt = now
 		return
 	}
 	l.silentSince = time.Time{}
--- a/internal/leaf/balancer/status.go
+++ b/internal/leaf/balancer/status.go
@@ -67,7 +67,8 @@
 }
 
 // queueing returns the latency of one more attempt as a multiple of the latency at an idle leaf: 1 while a slot is
-// free. The leaf's report, plus the attempts that this node has started since, is used for Config.LoadAge.
+// free. The leaf's report, plus the attempts that this node has started since, is used for Config.LoadAge. A leaf that
+// never reported its slots is treated as having one.
 func (l *Leaf) queueing(cfg Config, now time.Time) float64 {
 	slots := float64(l.reported.Slots)
 	if slots == 0 {
--- a/internal/leaf/connshare/config.go
+++ b/internal/leaf/connshare/config.go
@@ -20,8 +20,8 @@
 	Extra int `yaml:"spare"`
 }
 
-// DefaultConfig returns settings that, after a start, reserve half of the used connections for those of crashed
-// processes.
+// DefaultConfig returns settings with which a node that started recently uses half of its later share, because the
+// connections of its crashed predecessor may still be open.
 func DefaultConfig() Config {
 	return Config{Fraction: 0.9, FractionAfterStart: 0.45, StartSpan: 10 * time.Second, Unlimited: 16, Extra: 1}
 }
--- a/internal/leaf/connshare/connshare.go
+++ b/internal/leaf/connshare/connshare.go
@@ -3,7 +3,7 @@
 // A leaf accepts a limited number of connections from all nodes together and resets any others. Each node gets an equal
 // share. If that is less than one connection per leaf, each node uses only some of a service's leafs, preferring those
 // of its own zone. Allotments assume that all nodes use theirs fully. Since that is rare, a node may open extra
-// connections, and stops for a while when a leaf refuses one (see package leafhttp).
+// connections, and stops for a while when a leaf resets one (see package leafhttp).
 //
 // A leaf does not detect that a machine lost power: the connections of the machine's processes count until the leaf
 // closes them as idle. A node that started recently therefore leaves room for the connections of its predecessor.
@@ -110,15 +110,10 @@
 	return wanted.allotments
 }
 
-// allot computes how many connections this node may have to each leaf of a service.
-//
-// Inputs: the nodes that share the leafs, the leafs with their zones, the connection limit of each leaf, and whether
-// this node is new, that is, started less than Config.StartSpan ago.
-//
-// Rule: without a limit, the node gets Config.Unlimited connections to each leaf. With a limit, it gets an equal share
-// of the used fraction of the limit (see connectionsPerNode). If the share is less than one connection, the node gets
-// one connection to each of its own leafs (see ownLeafs) and only extra connections to the others, which a new node
-// uses only as a last resort. A node that is not among those that share the leafs gets only extra connections.
+// allot computes how many connections this node may have to each leaf of a service: Config.Unlimited without a limit,
+// otherwise an equal share of the used fraction of the limit (see connectionsPerNode). If the share is below one, the
+// node gets one connection to each of its own leafs (see ownLeafs) and only extra connections to the others, which a
+// new node uses only as a last resort. A node that is not among those that share the leafs gets only extra connections.
 func (a *Allocator) allot(service string, inputs allocation) []Allotment {
 	allotments := make([]Allotment, len(inputs.leafs))
 	for index, leaf := range inputs.leafs {
--- a/internal/leaf/connshare/connshare_test.go
+++ b/internal/leaf/connshare/connshare_test.go
@@ -38,8 +38,9 @@
 	return list
 }
 
-// No leaf gets more connections than its limit, even if all nodes lost power and restarted while the leaf still counts
-// their old connections. Limits that are too small for one connection per node are skipped.
+// No leaf gets more connections than its limit, apart from one (two after a restart) for rounding, even if all nodes
+// lost power and restarted while the leaf still counts their old connections. Limits that are too small for one
+// connection per node are skipped.
 func TestAllotmentsStayWithinLeafLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(1, 120).Draw(t, "nodes")
@@ -71,7 +72,7 @@
 				generations = 2
 			}
 			for id, sum := range open {
-				// The nodes may not be divisible evenly among the leafs.
+				// sum-1: if the nodes can't be divided evenly among the leafs, a leaf gets one connection more.
 				if generations*(sum-1) > limit {
 					t.Fatalf("%s has %d connections with a limit of %d, %v after the start", id, sum, limit, span)
 				}
--- a/internal/leaf/leafclient/errors.go
+++ b/internal/leaf/leafclient/errors.go
@@ -18,6 +18,8 @@
 	Cause error
 }
 
-func (e *NeverSentError) Error() string { return "the attempt was never sent: " + e.Cause.Error() }
+func (e *NeverSentError) Error() string {
+	return "the attempt was not sent to the leaf: " + e.Cause.Error()
+}
 
 func (e *NeverSentError) Unwrap() error { return e.Cause }
--- a/internal/leaf/leafclient/leafclient.go
+++ b/internal/leaf/leafclient/leafclient.go
@@ -1,9 +1,9 @@
 // Package leafclient sends searches to leafs over gRPC.
 //
 // A Pool owns a node's connections: one per leaf, opened on first use and closed when idle or when too many are open. A
-// node never needs connections to all leafs. The gRPC library's configurable retries, service config and discovery are
-// disabled. Its transparent retries remain enabled, because they resend only streams that never left this process or
-// that the server refused unprocessed, so that the attempt did not run.
+// node needs connections to only some of the leafs. The gRPC library's configurable retries, service config and
+// discovery are disabled. Its transparent retries remain enabled, because they resend only streams that never left this
+// process or that the server refused unprocessed, so that the attempt did not run.
 //
 // Errors tell whether the attempt may have run: *Refusal and *NeverSentError mean that it did not run; after any other
 // error, it may have run.
--- a/internal/leaf/leafclient/send_observer.go
+++ b/internal/leaf/leafclient/send_observer.go
@@ -10,7 +10,7 @@
 	"google.golang.org/grpc/stats"
 )
 
-// connectParams uses a short backoff, since the replacement of a lost leaf uses the same address.
+// connectParams uses a short backoff, because a restarted leaf usually has the same address.
 var connectParams = grpc.ConnectParams{
 	Backoff: backoff.Config{
 		BaseDelay:  50 * time.Millisecond,
--- a/internal/leaf/leafgossip/config.go
+++ b/internal/leaf/leafgossip/config.go
@@ -20,8 +20,8 @@
 	BurstBytes int `yaml:"burst_bytes"`
 }
 
-// DefaultConfig returns settings that leave three quarters of a node's budget for control messages, 2 KB per second, to
-// membership and configuration.
+// DefaultConfig returns settings that use a quarter of the 2 KB per second that a node may send as control messages.
+// The rest is left for membership and configuration.
 func DefaultConfig() Config {
 	return Config{FanOut: 8, BatchDelay: 15 * time.Millisecond, BytesPerSecond: 500, BurstBytes: 16000}
 }
--- a/internal/leaf/leafhttp/answer.go
+++ b/internal/leaf/leafhttp/answer.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// Bounds of the number of fields in a load report. The optional last field is the current slowness of the leaf's
-// machine, which is not used.
+// Bounds of the number of fields in a load report. The optional last field, the current run time as a percentage of the
+// usual one, is not used.
 const (
 	minimumLoadFields = 3
 	maximumLoadFields = 4
--- a/internal/leaf/leafhttp/check.go
+++ b/internal/leaf/leafhttp/check.go
@@ -15,13 +15,12 @@
 
 // Check determines whether a leaf's process has exited, after an attempt ended without a complete answer.
 //
-// Rule: the process has exited if its address refuses a new connection. If the address accepts the connection, the
-// process is alive and only lost the old one. If there is no reply, the process may be alive. If the leaf reset a new
-// connection (refused is true), it most likely has too many connections. In that case, no other is opened while
-// established connections show that the process is alive.
+// Rule: the process has exited if its address refuses a connection (ECONNREFUSED). It is alive if the address accepts
+// one. Without a reply it may be alive. If the leaf reset a new connection (wasReset), it most likely has too many. No
+// other is opened then while established connections show that the process is alive.
 //
 // Concurrent checks of a leaf share one connection. Check does not block; report is called once, on another goroutine.
-func (p *Pool) Check(target Target, refused bool, report OnChecked) {
+func (p *Pool) Check(target Target, wasReset bool, report OnChecked) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	leaf := p.leaf(target.LeafID)
@@ -29,7 +28,7 @@
 		go report(true)
 		return
 	}
-	if refused && leaf.established > 0 {
+	if wasReset && leaf.established > 0 {
 		time.AfterFunc(resetSettleTime, func() { p.checkUnlessConnected(target, report) })
 		return
 	}
--- a/internal/leaf/leafhttp/connection.go
+++ b/internal/leaf/leafhttp/connection.go
@@ -39,7 +39,7 @@
 	// The fields below are guarded by the pool's mu.
 
 	// current is the exchange in progress; nil while the connection is idle.
-	current   *Exchange
+	current   *exchange
 	idleSince time.Time
 	// isExtra says that the idle connection is beyond the node's allotment.
 	isExtra bool
@@ -75,7 +75,7 @@
 }
 
 // begin sends the request of the exchange that has the connection.
-func (c *connection) begin(e *Exchange) {
+func (c *connection) begin(e *exchange) {
 	remaining := time.Until(e.deadline)
 	switch {
 	case remaining <= 0:
@@ -85,7 +85,7 @@
 		c.endUnsent(e, errNotAllowed)
 		return
 	}
-	if e.request.AtMostOnce && !c.hasNoInput() {
+	if e.request.AtMostOnce && !c.isOpenAndEmpty() {
 		e.end(nil, &NeverSentError{Cause: errStale})
 		c.fail(errStale)
 		return
@@ -110,14 +110,14 @@
 }
 
 // endUnsent ends an exchange that has the connection before anything was sent. The connection remains usable.
-func (c *connection) endUnsent(e *Exchange, cause error) {
+func (c *connection) endUnsent(e *exchange, cause error) {
 	c.writeDone()
 	c.release(e, true)
 	e.end(nil, &NeverSentError{Cause: cause})
 }
 
 // assign gives the connection to an exchange and marks its request as being written. The pool's mu must be held.
-func (c *connection) assign(e *Exchange) {
+func (c *connection) assign(e *exchange) {
 	c.current, e.conn, c.writing = e, c, true
 	c.hasLongBody = len(e.request.Body) > inlineBodyBytes
 }
@@ -135,10 +135,10 @@
 	}
 }
 
-// hasNoInput reports whether the connection is open and has no unread bytes, which the reading goroutine may not have
-// detected yet. The check matters for requests that must not be repeated: if one is sent on a closed connection, it
-// remains unknown whether the leaf ran it.
-func (c *connection) hasNoInput() bool {
+// isOpenAndEmpty reports whether the connection is open and has no unread bytes. It reads the socket, since the reading
+// goroutine may not have noticed a close yet. A request that must not be repeated is not sent on a closed connection,
+// because it would remain unknown whether the leaf ran it.
+func (c *connection) isOpenAndEmpty() bool {
 	raw, err := c.socket.SyscallConn()
 	if err != nil {
 		return false
@@ -172,7 +172,7 @@
 			c.fail(err)
 			return
 		}
-		e := c.exchange()
+		e := c.currentExchange()
 		if e == nil {
 			c.fail(errUnexpectedBytes)
 			return
@@ -190,8 +190,8 @@
 	}
 }
 
-// exchange returns the exchange in progress; nil while the connection is idle.
-func (c *connection) exchange() *Exchange {
+// currentExchange returns the exchange in progress; nil while the connection is idle.
+func (c *connection) currentExchange() *exchange {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	return c.current
@@ -199,7 +199,7 @@
 
 // release takes the connection from an exchange whose answer is complete, and assigns it to a waiting exchange or makes
 // it idle. It reports whether the connection is still usable.
-func (c *connection) release(e *Exchange, reusable bool) bool {
+func (c *connection) release(e *exchange, reusable bool) bool {
 	p := c.pool
 	p.mu.Lock()
 	if c.removed {
@@ -256,7 +256,7 @@
 
 // nextOrIdle assigns the connection to a waiting exchange and returns the exchange, or makes the connection idle and
 // returns nil. The pool's mu must be held.
-func (c *connection) nextOrIdle(leaf *leafConnections, target Target) *Exchange {
+func (c *connection) nextOrIdle(leaf *leafConnections, target Target) *exchange {
 	if next := leaf.next(); next != nil {
 		c.assign(next)
 		return next
@@ -282,7 +282,7 @@
 		leaf.drop(c)
 		leaf.idle = slices.DeleteFunc(leaf.idle, func(conn *connection) bool { return conn == c })
 		if !c.answered && isReset(cause) {
-			leaf.refusedAt = time.Now()
+			leaf.resetAt = time.Now()
 			cause = &RefusedConnectionError{Cause: cause}
 		}
 		p.removeOpen(c.leafID, leaf)
--- a/internal/leaf/leafhttp/connections_test.go
+++ b/internal/leaf/leafhttp/connections_test.go
@@ -165,7 +165,7 @@
 	for f.pool.idleConnections() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	e := &Exchange{pool: f.pool, target: f.target(), request: f.request(), done: func(*Response, error) {}}
+	e := &exchange{pool: f.pool, target: f.target(), request: f.request(), done: func(*Response, error) {}}
 	f.pool.mu.Lock()
 	conn, _ := f.pool.reserve(e)
 	f.pool.mu.Unlock()
--- a/internal/leaf/leafhttp/early_test.go
+++ b/internal/leaf/leafhttp/early_test.go
@@ -204,7 +204,7 @@
 		err      error
 	}
 	ended := make(chan end, 1)
-	e := &Exchange{
+	e := &exchange{
 		pool: pool, target: leaf.target(), request: f.longRequest(len(longBody)), deadline: time.Now().Add(time.Minute),
 		done: func(response *Response, err error) { ended <- end{response, err} },
 	}
--- a/internal/leaf/leafhttp/errors.go
+++ b/internal/leaf/leafhttp/errors.go
@@ -12,7 +12,9 @@
 	Cause error
 }
 
-func (e *NeverSentError) Error() string { return "the request was never sent: " + e.Cause.Error() }
+func (e *NeverSentError) Error() string {
+	return "the request was not sent to the leaf: " + e.Cause.Error()
+}
 
 func (e *NeverSentError) Unwrap() error { return e.Cause }
 
@@ -28,7 +30,8 @@
 
 func (e *BrokenAnswerError) Unwrap() error { return e.Cause }
 
-// IsBrokenByLeaf reports whether the leaf closed or reset the connection of an attempt whose request was sent.
+// IsBrokenByLeaf reports whether the leaf closed or reset the connection of an attempt whose request was sent. It also
+// holds if the attempt was cancelled before that.
 func IsBrokenByLeaf(err error) bool {
 	var broken *BrokenAnswerError
 	if !errors.As(err, &broken) {
@@ -78,14 +81,14 @@
 
 // ErrSuperseded is the cancellation cause of an attempt whose answer is no longer needed, because another attempt was
 // faster or the request ended without it. The connection is kept if the answer is received in time; see
-// Exchange.Cancel.
-var ErrSuperseded = errors.New("superseded")
+// exchange.Cancel.
+var ErrSuperseded = errors.New("the attempt was cancelled because its answer is no longer needed")
 
 // errDeadlinePassed means that a request was not sent because its deadline had passed.
 var errDeadlinePassed = errors.New("the deadline passed before the request was sent")
 
 // errNotAllowed means that a request was not sent because the leaf must not get requests; see Pool.SetMaySend.
-var errNotAllowed = errors.New("the leaf must not get requests: it left, is draining or cold, or its zone is evacuated")
+var errNotAllowed = errors.New("the leaf must not get requests: it left or is draining, its zone is evacuated, its version is disallowed, or its rate while cold is used up")
 
 // errUnexpectedBytes means that bytes were received on an idle connection.
 var errUnexpectedBytes = errors.New("received bytes on an idle connection")
--- a/internal/leaf/leafhttp/exchange.go
+++ b/internal/leaf/leafhttp/exchange.go
@@ -11,8 +11,8 @@
 // block.
 type Done func(response *Response, err error)
 
-// Exchange is one attempt at one leaf: a request and its answer.
-type Exchange struct {
+// exchange is one attempt at one leaf: a request and its answer.
+type exchange struct {
 	pool     *Pool
 	target   Target
 	request  *Request
@@ -31,10 +31,10 @@
 }
 
 // Start starts an attempt on an idle connection, on a new one, or on the next one that another attempt releases. It
-// does not block, and done may be called before it returns. The returned function cancels the attempt; see
-// Exchange.Cancel.
+// does not block, and done may be called before it returns. The returned function cancels the attempt. It closes the
+// connection, unless the cause is ErrSuperseded; see exchange.Cancel.
 func (p *Pool) Start(target Target, request *Request, deadline time.Time, done Done) context.CancelCauseFunc {
-	e := &Exchange{pool: p, target: target, request: request, deadline: deadline, done: done}
+	e := &exchange{pool: p, target: target, request: request, deadline: deadline, done: done}
 	p.mu.Lock()
 	if p.closed {
 		p.mu.Unlock()
@@ -54,7 +54,7 @@
 
 // Cancel ends an attempt whose answer is no longer needed. The connection is closed immediately, unless the cause is
 // ErrSuperseded: the answer is then awaited for Config.LingerTimeout, so that the connection can be reused.
-func (e *Exchange) Cancel(cause error) {
+func (e *exchange) Cancel(cause error) {
 	p := e.pool
 	p.mu.Lock()
 	if e.ended || e.finished {
@@ -63,7 +63,8 @@
 	}
 	conn := e.conn
 	if conn == nil {
-		// This must be one critical section. Otherwise, a connection opened concurrently could still send the request.
+		// Removing the exchange from the queue and marking it as ended must be one critical section. Otherwise, a
+		// connection that opens in between could send the request.
 		p.stopWaiting(e)
 		e.ended = true
 		p.mu.Unlock()
@@ -82,7 +83,7 @@
 }
 
 // open opens a connection for the exchange and reads the connection until it ends.
-func (e *Exchange) open() {
+func (e *exchange) open() {
 	p := e.pool
 	ctx, cancel := context.WithDeadline(context.Background(), e.deadline)
 	defer cancel()
@@ -117,7 +118,7 @@
 }
 
 // end ends the exchange and calls done, unless the exchange has already ended.
-func (e *Exchange) end(response *Response, err error) {
+func (e *exchange) end(response *Response, err error) {
 	e.pool.mu.Lock()
 	ended := e.ended
 	e.ended, e.conn = true, nil
--- a/internal/leaf/leafhttp/leaf_connections.go
+++ b/internal/leaf/leafhttp/leaf_connections.go
@@ -10,10 +10,10 @@
 	idle        []*connection // most recently used last
 	open        int           // idle, in use and being opened
 	established int           // idle and in use
-	waiting     []*Exchange
+	waiting     []*exchange
 	forgotten   bool
-	// refusedAt is when the leaf last reset a new connection.
-	refusedAt time.Time
+	// resetAt is when the leaf last reset a new connection.
+	resetAt time.Time
 	// hasExited says that no process listens at the leaf's address any more. The callbacks in checks await the check in
 	// flight.
 	hasExited bool
@@ -21,9 +21,9 @@
 }
 
 // limit returns the maximum number of connections: the node's allotment plus the extra connections, and at least one.
-// No extra connections are allowed for the given pause after the leaf refused a connection.
+// No extra connections are allowed for the given pause after the leaf reset a new connection.
 func (l *leafConnections) limit(target Target, pause time.Duration, now time.Time) int {
-	if target.ExtraConnections > 0 && now.Sub(l.refusedAt) >= pause {
+	if target.ExtraConnections > 0 && now.Sub(l.resetAt) >= pause {
 		return target.Connections + target.ExtraConnections
 	}
 	return max(1, target.Connections)
@@ -31,7 +31,7 @@
 
 // next removes and returns the exchange that has waited the longest, or nil if none is waiting. The pool's mu must be
 // held.
-func (l *leafConnections) next() *Exchange {
+func (l *leafConnections) next() *exchange {
 	if len(l.waiting) == 0 {
 		return nil
 	}
@@ -56,12 +56,10 @@
 	return leaf
 }
 
-// reserve selects a connection for an exchange. p.mu must be held.
-//
-// Rule: it uses the most recently used idle connection that has not been idle for too long. If there is none and the
-// limit allows it, it counts a new connection, which the caller must open. Otherwise, the exchange waits for the next
-// connection that is released.
-func (p *Pool) reserve(e *Exchange) (conn *connection, mayOpen bool) {
+// reserve selects a connection for an exchange: the most recently used idle one that has not been idle for too long. If
+// there is none and the limit allows it, it counts a new connection, which the caller must open. Otherwise, the
+// exchange waits for the next connection that is released. p.mu must be held.
+func (p *Pool) reserve(e *exchange) (conn *connection, mayOpen bool) {
 	leaf := p.leaf(e.target.LeafID)
 	now := time.Now()
 	for len(leaf.idle) > 0 {
@@ -84,14 +82,13 @@
 	return nil, false
 }
 
-// stopWaiting removes an exchange from the waiting ones and cancels the opening of its connection. The mutex must be
-// held.
-func (p *Pool) stopWaiting(e *Exchange) {
+// stopWaiting removes an exchange from the waiting ones and cancels the opening of its connection. p.mu must be held.
+func (p *Pool) stopWaiting(e *exchange) {
 	if e.stopDial != nil {
 		e.stopDial()
 	}
 	if leaf, found := p.leafs[e.target.LeafID]; found {
-		leaf.waiting = slices.DeleteFunc(leaf.waiting, func(waiting *Exchange) bool { return waiting == e })
+		leaf.waiting = slices.DeleteFunc(leaf.waiting, func(waiting *exchange) bool { return waiting == e })
 	}
 }
 
@@ -112,7 +109,7 @@
 		return
 	}
 	if isReset(err) {
-		leaf.refusedAt = time.Now()
+		leaf.resetAt = time.Now()
 	}
 	p.removeOpen(leafID, leaf)
 }
@@ -129,8 +126,8 @@
 	p.dropEmpty(leafID, leaf)
 }
 
-// dropEmpty drops the state of a forgotten leaf if it has no connections and no exchange waits for one. The mutex must
-// be held.
+// dropEmpty drops the state of a forgotten leaf if it has no connections and no exchange waits for one. p.mu must be
+// held.
 func (p *Pool) dropEmpty(leafID string, leaf *leafConnections) {
 	if leaf.forgotten && leaf.open == 0 && len(leaf.waiting) == 0 {
 		delete(p.leafs, leafID)
--- a/internal/leaf/leafhttp/leafhttp_test.go
+++ b/internal/leaf/leafhttp/leafhttp_test.go
@@ -102,15 +102,15 @@
 		body       string // expected; empty if an error is expected
 		secondOpen int    // expected number of connections opened after a second request
 	}{
-		"foreign answer first":     {httpleaf.Answer{Body: []byte("own"), Before: foreign}, "own", 2},
-		"extra bytes after it":     {httpleaf.Answer{Body: []byte("own"), After: foreign}, "own", 2},
-		"only a foreign answer":    {httpleaf.Answer{Body: []byte("own"), RequestID: "other", Close: true}, "", 2},
-		"broken off":               {httpleaf.Answer{Body: []byte("own body"), BreakOff: 3}, "", 2},
-		"not HTTP":                 {httpleaf.Answer{Body: []byte("own"), Before: []byte("garbage\r\n\r\n")}, "", 2},
-		"no length":                {httpleaf.Answer{Body: []byte("own"), Unframed: true}, "own", 2},
-		"connection: close":        {httpleaf.Answer{Body: []byte("own"), Close: true}, "own", 2},
-		"keep-alive below reserve": {httpleaf.Answer{Body: []byte("own"), KeepAliveSeconds: 1}, "own", 1},
-		"informational first":      {httpleaf.Answer{Body: []byte("own"), Before: []byte("HTTP/1.1 103 Early Hints\r\n\r\n")}, "own", 1},
+		"foreign answer first":  {httpleaf.Answer{Body: []byte("own"), Before: foreign}, "own", 2},
+		"extra bytes after it":  {httpleaf.Answer{Body: []byte("own"), After: foreign}, "own", 2},
+		"only a foreign answer": {httpleaf.Answer{Body: []byte("own"), RequestID: "other", Close: true}, "", 2},
+		"broken off":            {httpleaf.Answer{Body: []byte("own body"), BreakOff: 3}, "", 2},
+		"not HTTP":              {httpleaf.Answer{Body: []byte("own"), Before: []byte("garbage\r\n\r\n")}, "", 2},
+		"no length":             {httpleaf.Answer{Body: []byte("own"), Unframed: true}, "own", 2},
+		"connection: close":     {httpleaf.Answer{Body: []byte("own"), Close: true}, "own", 2},
+		"short keep-alive":      {httpleaf.Answer{Body: []byte("own"), KeepAliveSeconds: 1}, "own", 1},
+		"informational first":   {httpleaf.Answer{Body: []byte("own"), Before: []byte("HTTP/1.1 103 Early Hints\r\n\r\n")}, "own", 1},
 	}
 	for name, tt := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/leaf/leafhttp/pool.go
+++ b/internal/leaf/leafhttp/pool.go
@@ -38,12 +38,12 @@
 func (p *Pool) isDisallowed(leafID string) bool { return p.maySend != nil && !p.maySend(leafID) }
 
 // MayOpenExtra reports whether a connection to a leaf beyond the node's allotment may be opened. It may not be opened
-// for Config.ExtraPause after the leaf refused a connection.
+// for Config.ExtraPause after the leaf reset a new connection.
 func (p *Pool) MayOpenExtra(leafID string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	leaf, found := p.leafs[leafID]
-	return !found || time.Since(leaf.refusedAt) >= p.cfg.ExtraPause
+	return !found || time.Since(leaf.resetAt) >= p.cfg.ExtraPause
 }
 
 // Warm opens an idle connection to the first target, unless the pool has a connection to any of the targets. It does
--- a/internal/leaf/leafmemory/leafmemory.go
+++ b/internal/leaf/leafmemory/leafmemory.go
@@ -60,13 +60,10 @@
 	return m.fallback(view, service, view.Leafs.MayServeCanary)
 }
 
-// fallback selects the lost leafs that get requests if a service has no ready leaf.
-//
-// Inputs: when each leaf was lost, how long ago this node started, the stored list, and a filter by zone and version.
-//
-// Rule: it selects the leafs that were lost within Config.Retention. If there are none and the node started within
-// Config.StoredListAfterStart, it selects the leafs of the stored list. If all leafs of a service are lost, a failure of
-// discovery is more likely than a failure of every leaf.
+// fallback selects the leafs that get requests if a service has no ready leaf: the leafs that were lost within
+// Config.Retention or, if there are none and the node started within Config.StoredListAfterStart, the leafs of the
+// stored list, each if maySend allows it. If all leafs of a service are lost, a failure of discovery is more likely
+// than a failure of every leaf.
 func (m *Memory) fallback(view *catalog.View, service string, maySend func(*leafset.Leaf) bool) []*leafset.Leaf {
 	isExcluded := func(leaf *leafset.Leaf) bool { return !maySend(leaf) }
 	recent := slices.DeleteFunc(view.Leafs.LostSince(service, m.lossCutoff()), isExcluded)
@@ -91,8 +88,9 @@
 	return found && view.Leafs.IsAllowed(leaf)
 }
 
-// IDs returns the IDs of all leafs that may get requests, including lost leafs and leafs of evacuated zones, which may
-// get requests when the evacuation ends. Leafs of a disallowed version are not included.
+// IDs returns the IDs of all leafs that this node may need connections to: all listed leafs, including draining ones
+// and those in evacuated zones, lost leafs within Config.Retention and, on a new node, leafs of the stored list. An ID
+// may occur more than once. Leafs of a disallowed version are not included.
 func (m *Memory) IDs() []string {
 	view := m.catalog.View()
 	var ids []string
--- a/internal/leaf/leafmemory/leafmemory_test.go
+++ b/internal/leaf/leafmemory/leafmemory_test.go
@@ -55,7 +55,7 @@
 	leafs, lastResort = memory.Candidates("s")
 	is.Equal(len(leafs), 2)
 	is.True(lastResort)
-	is.Equal(len(memory.IDs()), 2+len([]string{"a"}))
+	is.Equal(len(memory.IDs()), 2+len([]string{"a"})) // the draining leaf "a" is listed and also counts as lost, so its ID occurs twice
 
 	now = now.Add(DefaultConfig().Retention + time.Millisecond)
 	leafs, _ = memory.Candidates("s")
--- a/internal/leaf/leafset/editor.go
+++ b/internal/leaf/leafset/editor.go
@@ -47,9 +47,9 @@
 	return &Editor{set: copied, owned: map[string]bool{}, changedRules: map[string]bool{}}
 }
 
-// Put adds a leaf or replaces the leaf with the same name. A replaced leaf that was another incarnation is not recorded
-// as lost, because its process has ended. Lost leafs can still get requests, since they may only be unlisted
-// temporarily.
+// Put adds a leaf or replaces the leaf with the same name. A leaf that stops being ready is recorded as lost and may
+// get requests for a while, since discovery may list it again. An incarnation that is replaced by another is not,
+// because its process has ended.
 func (e *Editor) Put(leaf *Leaf) {
 	known := e.drop(leaf.Name)
 	switch {
@@ -129,7 +129,6 @@
 	return known
 }
 
-// SetEvacuated sets whether a zone is evacuated.
 func (e *Editor) SetEvacuated(zone string, evacuated bool) {
 	if e.set.evacuated[zone] == evacuated {
 		return
--- a/internal/leaf/leafset/leaf.go
+++ b/internal/leaf/leafset/leaf.go
@@ -16,7 +16,7 @@
 	// Revision is the store revision at which the record was written.
 	Revision int64
 	// ColdUntil is the time, by this node's clock, until which the leaf can take only a few requests; zero if it is
-	// warm. It is late by the time that the record took to arrive.
+	// warm. It is later than the leaf's own estimate by the transmission time of the record.
 	ColdUntil time.Time
 }
 
--- a/internal/leaf/leafset/versions.go
+++ b/internal/leaf/leafset/versions.go
@@ -63,11 +63,10 @@
 // updateFirst.
 func (e *Editor) DefaultToFirstVersion() { e.defaultsToFirst = true }
 
-// updateFirst determines the version that serves a service while no rule names a serving version.
-//
-// Rule: it is the version whose leafs registered first. If leafs of several versions register at once, it is the one
-// with the most leafs. It remains the first version until a rule names a serving version or disallows it. A new version
-// must not get requests merely because its leafs registered; that requires a rollout spec.
+// updateFirst determines the version that serves a service while no rule names a serving version: the one whose leafs
+// registered first or, if leafs of several versions register at once, the one with the most leafs. It remains the first
+// version until a rule names a serving version or disallows it. A new version must not get requests merely because its
+// leafs registered; that requires a rollout spec.
 func (e *Editor) updateFirst(service string, leafs []*Leaf) {
 	if !e.defaultsToFirst {
 		return
@@ -101,7 +100,7 @@
 	return counts
 }
 
-// mostFrequent returns the version with the highest count, and of several the first in lexical order.
+// mostFrequent returns the version with the highest count; ties go to the first version in lexical order.
 func mostFrequent(counts map[string]int) string {
 	best := ""
 	for version, count := range counts {
@@ -112,7 +111,6 @@
 	return best
 }
 
-// updateCanaryLeafs updates which leafs of a service are canary leafs.
 func (e *Editor) updateCanaryLeafs(service string, leafs []*Leaf) {
 	var canaryLeafs []*Leaf
 	for _, leaf := range leafs {
--- a/internal/leaf/warmup/config.go
+++ b/internal/leaf/warmup/config.go
@@ -34,23 +34,22 @@
 }
 
 const (
-	// senderReserve is the factor by which the number of senders may temporarily exceed the intended one. Nodes with
-	// different views of the fleet, as after the start or the end of a node, choose different senders.
+	// senderReserve is how many times the intended number of senders may be active for a short time. Nodes with
+	// different views of the fleet, such as after a node joined or left, select different senders.
 	senderReserve = 2
 	// gatherersPerLeaf is the number of gathering nodes that send requests to a cold leaf. It is above 1 since one of
 	// them may have crashed. A higher number would lower the rate, since each may send one request at any time.
 	gatherersPerLeaf = 2
-	// capacityPerSender is the capacity of the leaf, in requests per second, for each sender of a service that is not
-	// gathered. Any node may receive its requests, a few per second, so that many senders at a low rate serve more.
+	// capacityPerSender is the capacity in requests per second for which one sender is added, if the service is not
+	// gathered. Its requests arrive at any node, a few per second at each, so more of them are served by many senders
+	// with low rates.
 	capacityPerSender = 4
 )
 
-// divide computes how many nodes may send requests to a cold leaf, and at what rate.
-//
-// Inputs: the cold rate of the leaf's service in requests per second, and whether the service is gathered.
-//
-// Rule: within any second, each sender sends at most its rate plus one request. The sum stays within the leaf's
-// capacity even while there are senderReserve times as many senders. The bound requires no messages between nodes.
+// divide computes how many nodes may send requests to a cold leaf, and at what rate, from the cold rate of its service
+// in requests per second. Within any second, each sender sends at most its rate plus one request. The sum stays within
+// the leaf's capacity even while there are senderReserve times as many senders. The bound requires no messages between
+// nodes.
 func (c Config) divide(perSecond float64, gathered bool) division {
 	capacity := c.capacity(perSecond)
 	senders := int(capacity / capacityPerSender)
--- a/internal/leaf/warmup/warmup.go
+++ b/internal/leaf/warmup/warmup.go
@@ -75,7 +75,7 @@
 func (l *Limiter) Take(id string) bool {
 	leaf, found := l.catalog.View().Leafs.ByID(id)
 	if !found {
-		return true // a leaf that is no longer in discovery started long ago, so it is warm
+		return true // leafs that are not in discovery are not limited: most were lost long after they started
 	}
 	perSecond := l.rateLimit(leaf)
 	if perSecond == 0 {
@@ -91,7 +91,8 @@
 	return true
 }
 
-// rateLimit returns the rate that a leaf can take now, in requests per second; 0 means no limit.
+// rateLimit returns the cold rate of the leaf's service in requests per second. It returns 0 if the leaf is not
+// limited: it is warm, or its service has no cold rate.
 func (l *Limiter) rateLimit(leaf *leafset.Leaf) float64 {
 	// The clock is read only for leafs that may be cold, since nearly all leafs are warm.
 	if leaf.ColdUntil.IsZero() || !leaf.ColdUntil.After(l.now()) {
@@ -176,7 +177,6 @@
 	hash      uint64
 }
 
-// rankOf returns the rank of a node for a leaf.
 func rankOf(node catalog.NodeRecord, leaf *leafset.Leaf) rank {
 	return rank{otherZone: node.Zone != leaf.Zone, hash: xxhash.Sum64String(leaf.Name + "\x00" + node.ID)}
 }
--- a/internal/leaf/warmup/warmup_test.go
+++ b/internal/leaf/warmup/warmup_test.go
@@ -172,7 +172,7 @@
 		sent += own
 	}
 	is.Equal(senders, gatherersPerLeaf)
-	is.True(sent >= 45 && sent <= 55) // 5 per second for 10 s: the rate of 6, less senderReserve
+	is.True(sent >= 45 && sent <= 55) // 5 per second for 10 s: the capacity of 14 divided by senderReserve, less one request per sender
 }
 
 // Warm leafs, leafs of services without a cold rate and leafs that are not in discovery have no limit. A node that is
