--- a/internal/request/admission/admission.go
+++ b/internal/request/admission/admission.go
@@ -68,11 +68,9 @@
 	return Usage{Running: g.running, Waiting: g.waiting.Len(), LimitInUse: int(g.limitInUse)}
 }
 
-// Enter admits a query, immediately or from the queue, or refuses it.
-//
-// Rule: the query is admitted immediately if fewer queries run than the limit in use allows and none is queued. Otherwise
-// it is refused (see refuse) or queued until it is admitted, can no longer finish before its deadline, or its context is
-// done.
+// Enter admits a query immediately if fewer queries run than the limit in use allows and none is queued. Otherwise it
+// refuses the query (see refuse) or queues it until it is admitted, can no longer finish before its deadline, or its
+// context is done.
 func (g *Gate) Enter(ctx context.Context, deadline time.Time) (*Ticket, error) {
 	g.mu.Lock()
 	if g.running < int(g.limitInUse) && g.waiting.Len() == 0 {
@@ -94,14 +92,9 @@
 // minimumRetryAfter is the minimum time before the caller of a refused query may retry.
 const minimumRetryAfter = 20 * time.Millisecond
 
-// refuse returns the failure of a query that is refused immediately, or nil if the query may be queued. The mutex must be
-// held.
-//
-// Inputs: the expected wait, the query's deadline, the length of the queue, and the time that a query needs.
-//
-// Rule: the query is refused as Overloaded if the queue is full, or if the time until its deadline is less than the
-// expected wait plus the time that a query needs. The caller may retry after the expected wait, at least
-// minimumRetryAfter.
+// refuse returns the failure of a query that is refused immediately, or nil if the query may be queued. It is refused
+// as Overloaded if the queue is full, or if the time until its deadline is less than the expected wait plus the time
+// that a query needs. The caller may retry after the expected wait, at least minimumRetryAfter. g.mu must be held.
 func (g *Gate) refuse(wait time.Duration, deadline time.Time) error {
 	retryAfter := max(wait, minimumRetryAfter)
 	if g.waiting.Len() >= g.limits.Queue {
--- a/internal/request/admission/limit.go
+++ b/internal/request/admission/limit.go
@@ -8,7 +8,8 @@
 // congestedBackoff multiplies the limit in use after a congested query.
 const congestedBackoff = 0.9
 
-// backoffPause is the minimum time between two reductions, so that the queries of one congested period count once.
+// backoffPause is the minimum time between two reductions, so that queries that were congested at the same time reduce
+// the limit once.
 const backoffPause = 100 * time.Millisecond
 
 // SetLimits applies new limits; running queries are not affected.
@@ -26,7 +27,7 @@
 	g.admitWaiting()
 }
 
-// ReduceLimit reduces the limit in use in favor of a service with a higher priority.
+// ReduceLimit reduces the limit in use, so that a more urgent service gets the leafs' capacity.
 func (g *Gate) ReduceLimit() {
 	now := time.Now()
 	g.mu.Lock()
--- a/internal/request/front/answer.go
+++ b/internal/request/front/answer.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// statusOf returns the HTTP status of a failure. 503 guarantees that the request did not run and never will. Without
-// this guarantee, the status is 504 after the deadline and 502 otherwise.
+// statusOf returns the HTTP status of a failure. 503 guarantees that the request did not run and never will. A request
+// that may have run gets 504 after its deadline and 502 otherwise.
 func statusOf(failed *failure.Failure) int {
 	switch {
 	case failed.Code == failure.UnknownRoute:
--- a/internal/request/front/connection.go
+++ b/internal/request/front/connection.go
@@ -9,8 +9,8 @@
 	"github.com/portgauge/portgauge/internal/request/roundtrip"
 )
 
-// roundTrip returns the round-trip time of a connection, 0 if it is unknown. The estimate is high, because answers
-// would be late with a low one.
+// roundTrip returns a high estimate of a connection's round-trip time, since an underestimate makes answers late; 0 if
+// it is unknown.
 func roundTrip(connection net.Conn) time.Duration { return roundtrip.Of(connection).High() }
 
 // callerConnection is a connection that a caller opened.
@@ -29,9 +29,9 @@
 	return context.WithValue(ctx, connectionKey{}, &callerConnection{conn: connection, openedAt: time.Now()})
 }
 
-// networkTimes returns the round-trip time to the caller, and the time that the caller spent on opening the connection
-// for the request that arrived: one round trip if the request is the first on the connection and arrived within one
-// round trip of its opening, 0 otherwise.
+// networkTimes returns the round-trip time to the caller and the connect time that this request cost it. The connect
+// time is one round trip if the request is the first on the connection and arrived within a round trip of its opening,
+// 0 otherwise.
 func (c *callerConnection) networkTimes(arrived time.Time) (rtt, connecting time.Duration) {
 	rtt = roundTrip(c.conn)
 	isFirst := !c.isUsed.Swap(true)
--- a/internal/request/front/front_test.go
+++ b/internal/request/front/front_test.go
@@ -239,7 +239,7 @@
 	is.Equal(<-statuses, http.StatusBadGateway)
 }
 
-func TestNotReadyWithoutRoutes(t *testing.T) {
+func TestServerIsNotReadyIfBackendIsNot(t *testing.T) {
 	is := is.New(t)
 	server, backend, _ := startServer(t, nil)
 	backend.ready.Store(false)
--- a/internal/request/front/timeouts.go
+++ b/internal/request/front/timeouts.go
@@ -22,7 +22,8 @@
 	return &connectionTimeouts{limits: limits, timers: map[net.Conn]*time.Timer{}}
 }
 
-// stateChanged starts or stops the timer of a connection; it is the server's ConnState hook.
+// stateChanged restarts or stops the timer of a connection: the idle timeout until the first byte of a request, then
+// the header timeout. It is the server's ConnState hook.
 func (t *connectionTimeouts) stateChanged(connection net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew, http.StateIdle:
--- a/internal/request/hedging/config.go
+++ b/internal/request/hedging/config.go
@@ -14,7 +14,7 @@
 	Window time.Duration `yaml:"window"`
 	// MinimumDelay is the minimum delay of a hedge.
 	MinimumDelay time.Duration `yaml:"minimum_delay"`
-	// MaximumStages is the maximum number of hedges per shard of a query.
+	// MaximumStages is the maximum number of hedges per shard of a search.
 	MaximumStages int `yaml:"maximum_stages"`
 	// RetryPerMille is the maximum number of retries after failures per 1,000 first attempts.
 	RetryPerMille uint32 `yaml:"retry_per_mille"`
--- a/internal/request/hedging/hedging.go
+++ b/internal/request/hedging/hedging.go
@@ -1,10 +1,10 @@
 // Package hedging decides when a search sends a hedge to another replica because the first one is slow, and limits the
 // rate of hedges and retries.
 //
-// A hedge is sent after a high quantile of the recent latencies of the service's attempts. In a search over many shards
-// hedges are often slow, too. Hedges are therefore sent in stages, each after the same delay from the previous attempt.
-// All stages take tokens from one budget, a fraction of the first attempts, which limits the extra load for any behavior
-// of the leafs.
+// A hedge is sent after a high quantile of the recent latencies of the service's attempts. Among many shards some
+// hedges are slow, too, so up to Config.MaximumStages hedges are sent, each after the same delay from the previous
+// attempt. All stages take tokens from one budget, a fraction of the first attempts, which limits the extra load for
+// any behavior of the leafs.
 //
 // A Policy owns the latencies and budgets of one service on one node, in memory. Latencies and pauses are measured with
 // the runtime's clock. The package starts no goroutines and returns errors only for invalid settings.
@@ -62,12 +62,10 @@
 	}
 }
 
-// HedgeDelay returns the delay from the previous attempt until the hedge of the given stage, counted from 0, and whether
-// there is such a stage.
-//
-// Rule: the delay is the quantile Config.Quantile of the recent latencies of the service, at least Config.MinimumDelay,
-// and the same for each of the Config.MaximumStages stages. There is no stage while fewer than minimumSamples latencies
-// are known. Only unusually slow attempts are thus hedged.
+// HedgeDelay returns the delay from the previous attempt until the hedge of the given stage, counted from 0, and
+// whether there is such a stage. The delay is the quantile Config.Quantile of the service's recent latencies, at least
+// Config.MinimumDelay, and the same for each of the Config.MaximumStages stages, so that only unusually slow attempts
+// are hedged. There is no stage while fewer than minimumSamples latencies are known.
 func (p *Policy) HedgeDelay(stage int) (time.Duration, bool) {
 	delay := time.Duration(p.delay.Load())
 	if stage >= p.cfg.MaximumStages || delay == 0 {
--- a/internal/request/retrybudget/config.go
+++ b/internal/request/retrybudget/config.go
@@ -6,20 +6,23 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// Config is the limit for the whole fleet. Repeats are hedges and retries.
+// Config is the limit for the whole fleet.
 type Config struct {
-	// Ratio is the number of hedges and retries allowed per request.
+	// Ratio is the number of hedges and retries per request that the fleet may send; nodes use only the fraction Share
+	// of it.
 	Ratio float64 `yaml:"ratio"`
 	// Window is the time over which requests, hedges and retries are counted.
 	Window time.Duration `yaml:"window"`
-	// Allowance is the number of hedges and retries that the whole fleet may send per window in addition to the ratio.
+	// Allowance is the number of hedges and retries that the whole fleet may send per window in addition to the ratio;
+	// nodes use only the fraction Share of it.
 	Allowance float64 `yaml:"allowance"`
 	// Share is the fraction of the limit that the nodes use; the rest covers what a node can't observe, such as restarts
 	// of other nodes.
 	Share float64 `yaml:"share"`
 }
 
-// DefaultConfig returns the default configuration. It allows one repeat per ten requests.
+// DefaultConfig returns the default configuration. It allows 8.5 repeats per 100 requests (Ratio times Share), plus 17
+// per Window for the fleet (Allowance times Share).
 func DefaultConfig() Config {
 	return Config{Ratio: 0.1, Window: 10 * time.Second, Allowance: 20, Share: 0.85}
 }
--- a/internal/request/retrybudget/retrybudget.go
+++ b/internal/request/retrybudget/retrybudget.go
@@ -59,13 +59,9 @@
 	counts.requests[counts.newest%(slicesPerWindow+1)]++
 }
 
-// Take reports whether a repeat may be sent to a service, and counts the repeat if so.
-//
-// Inputs: the requests and repeats that this node counted within the last Config.Window, the node's share of the
-// allowance, and the reserve, the fraction of the limit, 0 to 1, that must remain free.
-//
-// Rule: the repeats, including this one, must not exceed the limit (see limit) less the reserve. More repeats would
-// overload a service that is already slow.
+// Take reports whether a repeat may be sent to a service, and counts the repeat if so. The repeats of the last
+// Config.Window, including this one, must not exceed the limit (see limit) times 1 - reserve. The reserve, 0 to 1, is
+// the fraction of the limit that must remain free. More repeats would overload a service that is already slow.
 func (b *Budgets) Take(service string, reserve float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/request/routing/configuration.go
+++ b/internal/request/routing/configuration.go
@@ -53,7 +53,7 @@
 	// MinimumCoverage is the minimum fraction of the gathered services that an answer must contain, 0 to 1.
 	MinimumCoverage float64       `json:"minimum_coverage,omitempty"`
 	Repeatability   Repeatability `json:"repeatability"`
-	// MaximumAttempts is the maximum number of leafs of one service that may run a request; 0 means the default.
+	// MaximumAttempts is the maximum number of attempts per service that may have run a request; 0 means the default.
 	MaximumAttempts int `json:"maximum_attempts"`
 	// TimeoutMillis is the time after its arrival at which a request times out; 0 means the default.
 	TimeoutMillis int64 `json:"timeout_millis"`
@@ -63,7 +63,8 @@
 	// Regions are the regions whose leafs may run the requests, and whose nodes may gather answers for others; empty
 	// means all regions.
 	Regions []string `json:"regions,omitempty"`
-	// Priority ranks requests under overload; 0 is the most urgent.
+	// Priority groups requests for latency estimates; requests of different priorities are estimated separately. 0 is
+	// the most urgent.
 	Priority int `json:"priority"`
 }
 
--- a/internal/request/scatter/attempt.go
+++ b/internal/request/scatter/attempt.go
@@ -89,7 +89,8 @@
 	}
 }
 
-// Observer is notified when attempts start and end.
+// Observer is notified when attempts start and end. The goroutine of Run calls AttemptStarted. The goroutine that ends
+// the attempt, which may be another, calls AttemptEnded.
 type Observer[Reply any] interface {
 	AttemptStarted(attempt Attempt)
 	AttemptEnded(attempt Attempt, result Result[Reply], took time.Duration)
--- a/internal/request/scatter/caution.go
+++ b/internal/request/scatter/caution.go
@@ -6,11 +6,10 @@
 // request.
 const LeafsCrashed Reason = "LEAFS_ENDED"
 
-// caution tracks whether the request crashes leafs, and the probes that test it.
-//
-// After a leaf's answer was cut off, and until a leaf answers, the scatter is cautious: it sends one attempt at a time, a
-// probe, and delays the others until the probe ends. A request that crashes every leaf then crashes one more leaf
-// instead of one per shard. Any other request continues with the first answer.
+// caution tracks whether the request is suspected of crashing leafs. After a leaf's answer was cut off, and until a
+// leaf answers, the scatter is cautious: it sends one attempt at a time, a probe, and delays the others until the probe
+// ends. A request that crashes every leaf then crashes one more leaf instead of one per shard. Any other request
+// continues with the first answer.
 type caution struct {
 	// connectionLost is true if the connection was lost during the answer of a leaf.
 	connectionLost bool
@@ -54,11 +53,9 @@
 	delayedRetryPause = 5 * time.Millisecond
 )
 
-// mustDelay reports whether an attempt for a shard must wait.
-//
-// Rule: attempts wait only while the scatter is cautious. A plan without probes then sends no attempts. Any other plan
-// sends one probe at a time; the next one is sent if the probe has not ended after the probe timeout and the head start
-// is over.
+// mustDelay reports whether an attempt for a shard must wait. Attempts wait only while the scatter is cautious. A plan
+// without probes then sends none. Any other plan sends one probe at a time; the next one is sent if the probe has not
+// ended after the probe timeout and the head start is over.
 func (s *Scatter[Reply]) mustDelay(index int) bool {
 	if !s.isCautious() {
 		return false
--- a/internal/request/scatter/caution_test.go
+++ b/internal/request/scatter/caution_test.go
@@ -106,7 +106,7 @@
 	})
 }
 
-// A probe to a silent leaf delays the other shards for the probe timeout only: a silent leaf has not crashed.
+// A probe to a silent leaf does not block the other shards until the deadline: a silent leaf has not crashed.
 func TestSilentProbeDoesNotBlockOtherShards(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/request/scatter/group.go
+++ b/internal/request/scatter/group.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Group is a set of shards that another node queries on behalf of this one and answers together. If it returns no
-// answer, each shard is queried directly. The shards of a group in flight are not hedged, so that no shard gets two
-// replies. StartGroup decides when the attempt of a group times out.
+// Group is a set of shards that another node queries for this one and answers together. This node neither queries nor
+// hedges its shards while the group is in flight, so that no shard gets two replies. If the group ends without an
+// answer, each shard is queried directly. StartGroup decides when a group times out.
 type Group struct {
 	// Shards are indices into the plan's shards.
 	Shards []int
--- a/internal/request/scatter/hedge.go
+++ b/internal/request/scatter/hedge.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// scheduleHedge schedules the shard's next hedge. The policy returns the delay from now for the shard's hedge stage. A
-// request that may run at most once is never hedged, since both attempts could run it.
+// scheduleHedge schedules the shard's next hedge after the policy's delay for its hedge stage, counted from now: the
+// start of its newest attempt, or the time at which a hedge could not be sent. A request that may run at most once is
+// never hedged, since both attempts could run it.
 func (s *Scatter[Reply]) scheduleHedge(index int, now time.Time) {
 	shard := &s.shards[index]
 	shard.hedgeAt = time.Time{}
@@ -36,18 +37,14 @@
 // Bounds that distinguish late leafs from a late node, see isNodeLate.
 const (
 	lateFractionLimit = 0.5                  // of all shards
-	lateCountLimit    = 8                    // shards; with fewer, slow leafs are as likely
-	postponedFraction = 0.4                  // of the time from the start until hedges were first postponed
+	lateCountLimit    = 8                    // shards; fewer may well be late because of their leafs
+	postponedFraction = 0.4                  // of the time between the start and the first postponement
 	hedgePostponement = 5 * time.Millisecond // added to a due hedge by each postponement
 )
 
-// isNodeLate reports whether hedges must be postponed because this node, rather than the leafs, is probably late.
-//
-// Inputs: the number of open shards that are not in a group in flight, the number of all shards, and the time since Run
-// began.
-//
-// Rule: at least lateCountLimit shards and more than lateFractionLimit of all shards are open when a timer fires. That
-// many leafs are rarely slow at the same time, and hedges would add load to a node that is short of CPU. Hedges are
+// isNodeLate reports whether due hedges must be postponed because this node, rather than the leafs, is probably late:
+// at least lateCountLimit shards and more than lateFractionLimit of all shards are open, not counting groups in flight.
+// That many leafs are rarely slow at once, and hedges would add load to a node that is short of CPU. Hedges are
 // postponed for at most postponedFraction of the time from the start of Run until the first postponement.
 func (s *Scatter[Reply]) isNodeLate(now time.Time) bool {
 	open := s.open - s.groups.openShards
--- a/internal/request/scatter/launch.go
+++ b/internal/request/scatter/launch.go
@@ -6,12 +6,9 @@
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
 )
 
-// launch starts an attempt for a shard and reports whether it did. The shard is delayed while the scatter waits for a
-// probe, see mustDelay. Without a usable replica or a token in the budget, the shard waits or is settled, see
-// waitOrSettle.
-//
-// A hedge is not sent to an unhealthy replica, nor if Policy.WorthHedging reports false: it would add load without
-// helping the request.
+// launch starts an attempt for a shard and reports whether it did. It doesn't while the scatter waits for a probe (see
+// mustDelay), or without a usable replica or a token in the budget (see waitOrSettle). A hedge is not sent to an
+// unhealthy replica, nor if Policy.WorthHedging reports false: it would add load without helping the request.
 func (s *Scatter[Reply]) launch(index int, kind Kind, takeBudget func() bool) bool {
 	shard := &s.shards[index]
 	if s.mustDelay(index) {
--- a/internal/request/scatter/plan.go
+++ b/internal/request/scatter/plan.go
@@ -19,8 +19,8 @@
 	Deadline time.Time
 	// SoftDeadline is the time from which Sufficient replies end the scatter; zero means never.
 	SoftDeadline time.Time
-	// Sufficient is the minimum number of useful replies. The scatter ends as soon as that number can no longer be
-	// reached. 0 means that any number is useful.
+	// Sufficient is the minimum number of replies that make an answer. The scatter ends as soon as it can no longer be
+	// reached. 0 means no minimum.
 	Sufficient int
 	// AtMostOnce forbids hedges, and retries without proof that the attempt did not run.
 	AtMostOnce bool
@@ -39,8 +39,8 @@
 	NoProbes bool
 	// MaximumAttempts is the maximum number of a shard's attempts that may have run.
 	MaximumAttempts int
-	// MaximumRefusals is the maximum number of a shard's attempts that did not run, or most likely never arrived, and
-	// therefore don't count toward MaximumAttempts.
+	// MaximumRefusals is how many attempts per shard that did not run, or most likely never arrived, are not counted
+	// toward MaximumAttempts.
 	MaximumRefusals int
 	// ReplicaWait is the pause before a shard without a usable replica, or without a token in its budget, is tried again;
 	// 0 means that the shard is settled without a reply, see waitOrSettle.
--- a/internal/request/scatter/retry.go
+++ b/internal/request/scatter/retry.go
@@ -2,14 +2,10 @@
 
 import "time"
 
-// mayRetry reports whether a shard is retried after an attempt without a usable reply.
-//
-// Inputs: the attempt's result, the shard's counts of attempts and refusals, the plan's bounds, and whether the
-// request's context is done.
-//
-// Rule: a shard is retried unless the result is final, the context is done, or the shard has no attempts left (see
-// hasAttempts). A request that may run at most once also needs proof that the attempt did not run, since a retry could
-// run it twice. The retry itself still needs a replica and a token in the retry budget, see launch and retryBudget.
+// mayRetry reports whether a shard is retried after an attempt without a usable reply: unless the result is final, the
+// request's context is done, or the shard has no attempts left (see hasAttempts). A request that may run at most once
+// also needs proof that the attempt did not run, since a retry could run it twice. The retry itself still needs a
+// replica and a token in the retry budget (see launch and retryBudget).
 func (s *Scatter[Reply]) mayRetry(shard *shardState[Reply], result Result[Reply]) bool {
 	if result.Final || s.ctx.Err() != nil || !s.hasAttempts(shard) {
 		return false
--- a/internal/request/scatter/scatter.go
+++ b/internal/request/scatter/scatter.go
@@ -5,9 +5,10 @@
 // and retries, and a function that starts an attempt. Run returns, for each shard, a reply or the reason why there is
 // none, and whether any leaf may have run the request.
 //
-// A Scatter serves one request. The goroutine that calls Run owns all of its state; attempts run in the caller's
-// goroutines and only send their results. Package balancer chooses the leafs. All times are read from the runtime's
-// monotonic clock. Reasons and executions are returned as typed values, never as errors.
+// A Scatter serves one request. The goroutine that calls Run owns all of its state. Attempts end on other goroutines,
+// which only report to the balancer and the observer and send their results. Package balancer chooses the leafs. All
+// times are read from the runtime's monotonic clock. Reasons and executions are returned as typed values, never as
+// errors.
 package scatter
 
 import (
@@ -74,7 +75,7 @@
 }
 
 // Run sends the request to the shards and returns one outcome per shard, in the order of the plan. It returns as soon
-// as more results could not change the outcome (see mustWait), or at the plan's deadline.
+// as mustWait reports false, and at the latest at the plan's deadline.
 func (s *Scatter[Reply]) Run(ctx context.Context) ([]Outcome[Reply], Summary) {
 	deadlined, stopTimer := context.WithDeadline(ctx, s.plan.Deadline)
 	defer stopTimer()
--- a/internal/request/scatter/stop.go
+++ b/internal/request/scatter/stop.go
@@ -60,9 +60,9 @@
 	}
 }
 
-// countCancelled counts the attempts in flight, whose replies are no longer needed, and observes the time that they have
-// taken so far as their latency. Without these stragglers the quantile after which hedges are sent would be too low, and
-// hedges of ordinary attempts would use up the budget.
+// countCancelled counts the attempts still in flight, whose replies are no longer needed, and records the time that
+// they have taken so far as latencies. If these slow attempts were left out, the quantile that triggers hedges would be
+// too low, and hedges of ordinary attempts would use up the budget.
 func (s *Scatter[Reply]) countCancelled() {
 	now := time.Now()
 	for index := range s.shards {
--- a/internal/request/search/config.go
+++ b/internal/request/search/config.go
@@ -8,15 +8,15 @@
 
 // Config limits searches.
 type Config struct {
-	// MinimumDeadline is the minimum deadline that a query may have.
+	// MinimumDeadline is the minimum deadline that a search may have.
 	MinimumDeadline time.Duration `yaml:"minimum_deadline"`
 	// MergeReserve is the time before the deadline that is reserved for merging and sending the answer.
 	MergeReserve time.Duration `yaml:"merge_reserve"`
-	// MaximumAttempts is the maximum number of attempts per shard and query.
+	// MaximumAttempts is the maximum number of attempts per shard and search.
 	MaximumAttempts int `yaml:"maximum_attempts"`
 	// MaximumAnswerBytes is the maximum size of the rows in one answer.
 	MaximumAnswerBytes int `yaml:"maximum_answer_bytes"`
-	// ReplanLimit is the maximum number of times that a query is replanned on a newer snapshot.
+	// ReplanLimit is the maximum number of times that a search is replanned on a newer snapshot.
 	ReplanLimit int `yaml:"replan_limit"`
 }
 
--- a/internal/request/search/failures.go
+++ b/internal/request/search/failures.go
@@ -10,14 +10,14 @@
 	"github.com/portgauge/portgauge/internal/leaf/balancer"
 )
 
-// failureOf returns the failure of a search without a usable answer: it was quarantined or cancelled, ranges
-// are missing although full coverage was demanded, or nothing is covered. It returns nil otherwise.
+// failureOf returns the failure of a search without a usable answer: it was quarantined or cancelled, ranges are
+// missing although full coverage was demanded, or nothing is covered. It returns nil otherwise.
 func (e *Engine) failureOf(ctx context.Context, query *query, merged *page, response *searchv1.SearchResponse, execution failure.ExecutionState) error {
 	if errors.Is(context.Cause(ctx), errQuarantined) {
 		return quarantined(query.content(), execution)
 	}
 	if ctx.Err() != nil {
-		return failure.New(failure.Cancelled, execution, "the search was cancelled by its caller or by the stop of the node")
+		return failure.New(failure.Cancelled, execution, "the search was cancelled by its caller, or because the node is stopping")
 	}
 	if merged.complete() {
 		return nil
@@ -55,10 +55,11 @@
 	return failure.IncompleteCoverage
 }
 
-// retryAfterMissing is the delay after which a query with missing ranges may be repeated.
+// retryAfterMissing is the delay after which a search with missing ranges may be repeated.
 const retryAfterMissing = 200 * time.Millisecond
 
-// retryAfter returns the delay after which a query may be repeated; 0 if it must not be, because it has already run.
+// retryAfter returns the delay after which a search may be repeated, or 0 if it must not be, because an at-most-once
+// search already ran on a leaf.
 func (e *Engine) retryAfter(merged *page) time.Duration {
 	for _, missed := range merged.missing {
 		if missed.reason == missingNotRepeated {
@@ -79,7 +80,7 @@
 	return failure.NotRun
 }
 
-// withExecution returns the failure of a query that could not be replanned, with the execution state of its earlier
+// withExecution returns the failure of a search that could not be replanned, with the execution state of its earlier
 // plans.
 func withExecution(err error, execution failure.ExecutionState) error {
 	failed := *failure.From(err)
--- a/internal/request/search/key_scatter.go
+++ b/internal/request/search/key_scatter.go
@@ -17,7 +17,7 @@
 )
 
 // errSuperseded is the cancellation cause of attempts whose replies are no longer needed.
-var errSuperseded = errors.New("superseded")
+var errSuperseded = errors.New("the attempt was cancelled because its reply is no longer needed")
 
 // keyScatter sends a query to the leafs of every shard range of its plan.
 type keyScatter struct {
@@ -62,9 +62,9 @@
 	return s.outcomes
 }
 
-// candidatesFor returns the replicas that an attempt may be sent to. An at-most-once request whose caller may repeat it
-// at another node under the same ID is only sent to the replica that every node selects for that ID; this leaf refuses
-// a second copy.
+// candidatesFor returns the replicas that an attempt may be sent to. If the caller chose the ID of an at-most-once
+// search, it may repeat the search at another node. Such a search is only sent to the replica that every node selects
+// for that ID, which refuses to run it twice.
 func (s *keyScatter) candidatesFor(shardRange manifest.ShardRange) []balancer.Candidate {
 	leafIDs := shardRange.Shard.LeafIDs
 	if s.query.atMostOnce && s.query.hasCallerID {
@@ -113,7 +113,7 @@
 	s.engine.metrics.Attempts.WithLabelValues(s.query.service, string(attempt.Kind)).Inc()
 }
 
-// Ended implements scatter.Observer.
+// AttemptEnded implements scatter.Observer.
 func (s *keyScatter) AttemptEnded(scatter.Attempt, scatter.Result[shardReply], time.Duration) {}
 
 // extraLoad returns the attempt counts for the report.
--- a/internal/request/search/lifecycle.go
+++ b/internal/request/search/lifecycle.go
@@ -7,11 +7,12 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// drainRetryAfter is the delay after which callers of a stopping node may retry. By then the machine list and the other
-// nodes have registered the stop.
+// drainRetryAfter is the delay after which callers of a stopping node may retry. By then discovery and the other nodes
+// list it as stopping.
 const drainRetryAfter = 50 * time.Millisecond
 
-// notReadyRetryAfter is the delay after which callers of a node without a configuration may retry.
+// notReadyRetryAfter is the delay after which callers may retry if the node has no configuration or the service no
+// snapshot yet.
 const notReadyRetryAfter = time.Second
 
 // SetReady makes the engine accept searches. It is called once the configuration is loaded.
--- a/internal/request/search/merge.go
+++ b/internal/request/search/merge.go
@@ -10,7 +10,8 @@
 // missingReason is the reason why an answer doesn't cover a range. Its values are part of the public API.
 type missingReason string
 
-// The reasons for a missing range, in addition to the balancer's.
+// The reasons for a missing range, in addition to the balancer's. OUTCOME_UNKNOWN, UNKNOWN_LEAF and RETRY_BUDGET are
+// part of the API, but this version doesn't set them.
 const (
 	missingDeadline                     = missingReason(scatter.Deadline)
 	missingSnapshotGone   missingReason = "SNAPSHOT_GONE"
--- a/internal/request/search/quarantine.go
+++ b/internal/request/search/quarantine.go
@@ -25,13 +25,13 @@
 	})
 }
 
-// guard registers a search with the quarantine, which cancels the returned context if it quarantines the search. It
+// track registers a search with the quarantine, which cancels the returned context if it quarantines the search. It
 // fails if the search is already quarantined; otherwise release must be called when the search ends.
-func (e *Engine) guard(ctx context.Context, query *query) (guarded context.Context, release func(), err error) {
+func (e *Engine) track(ctx context.Context, query *query) (trackedCtx context.Context, release func(), err error) {
 	if e.quarantine == nil {
 		return ctx, func() {}, nil
 	}
-	guarded, cancel := context.WithCancelCause(ctx)
+	trackedCtx, cancel := context.WithCancelCause(ctx)
 	subject := quarantine.NewSubject(query.content(), query.service+"/"+query.keys.From, "")
 	query.tracked = e.quarantine.Begin(subject, func() { cancel(errQuarantined) })
 	release = func() {
@@ -42,7 +42,7 @@
 		release()
 		return nil, nil, quarantined(subject.Fingerprint, failure.NotRun).WithRetryAfter(e.quarantine.RetryAfter(subject.Fingerprint))
 	}
-	return guarded, release, nil
+	return trackedCtx, release, nil
 }
 
 // quarantined returns the failure of a quarantined search.
@@ -50,7 +50,8 @@
 	return failure.New(failure.Quarantined, execution, "leafs crashed while they ran this search; it is sent to no more leafs (%s)", content)
 }
 
-// setCaution makes a plan probe one leaf first if the search is a suspect, and limits the crashed probes.
+// setCaution makes a plan probe one leaf first if the search is suspected of crashing leafs, and limits the crashed
+// probes.
 func (s *keyScatter) setCaution(plan *scatter.Plan) {
 	if s.query.tracked == nil {
 		return
@@ -89,9 +90,9 @@
 	return result
 }
 
-// crashName identifies one crash of a leaf, by the leaf's ID and the second. Leafs of searches keep their IDs when they
-// restart: by ID alone, a search over a shard of two leafs could crash them forever without ever reaching three crashed
-// leafs. Calls that notice the same crash do so in less time than a restart takes.
+// crashName identifies a crash by the leaf's ID and the second in which it is detected, since leafs of searches keep
+// their IDs when they restart. With the ID alone, a search over a shard of two leafs could crash them forever without
+// reaching three crashed leafs. Calls that detect a crash in the same second count it once.
 func crashName(leafID string) string { return leafID + "/" + time.Now().UTC().Format(time.TimeOnly) }
 
 // isStopped reports whether the search was quarantined while in flight.
--- a/internal/request/search/search.go
+++ b/internal/request/search/search.go
@@ -103,7 +103,7 @@
 	if err != nil {
 		return nil, err
 	}
-	ctx, release, err := e.guard(ctx, query)
+	ctx, release, err := e.track(ctx, query)
 	if err != nil {
 		ticket.Done(false)
 		return nil, err
--- a/internal/request/search/search_test.go
+++ b/internal/request/search/search_test.go
@@ -301,14 +301,14 @@
 		request *searchv1.SearchRequest
 		field   string
 	}{
-		"request id":     {&searchv1.SearchRequest{Service: "s", RequestId: string(long[:200])}, "request_id"},
-		"filter":         {&searchv1.SearchRequest{Service: "s", Filter: string(long)}, "filter"},
-		"not UTF-8":      {&searchv1.SearchRequest{Service: "s", Filter: "\xff"}, "filter"},
-		"key":            {&searchv1.SearchRequest{Service: "s", Range: &searchv1.KeyRange{From: string(long)}}, "range.from"},
-		"empty range":    {&searchv1.SearchRequest{Service: "s", Range: &searchv1.KeyRange{From: "b", To: "a"}}, "range.to"},
-		"limit":          {&searchv1.SearchRequest{Service: "s", Limit: 101}, "limit"},
-		"deadline month": {&searchv1.SearchRequest{Service: "s", DeadlineMillis: 30 * 24 * 3600 * 1000}, "deadline_millis"},
-		"deadline 1 ms":  {&searchv1.SearchRequest{Service: "s", DeadlineMillis: 1}, "deadline_millis"},
+		"request id":         {&searchv1.SearchRequest{Service: "s", RequestId: string(long[:200])}, "request_id"},
+		"filter":             {&searchv1.SearchRequest{Service: "s", Filter: string(long)}, "filter"},
+		"not UTF-8":          {&searchv1.SearchRequest{Service: "s", Filter: "\xff"}, "filter"},
+		"key":                {&searchv1.SearchRequest{Service: "s", Range: &searchv1.KeyRange{From: string(long)}}, "range.from"},
+		"empty range":        {&searchv1.SearchRequest{Service: "s", Range: &searchv1.KeyRange{From: "b", To: "a"}}, "range.to"},
+		"limit":              {&searchv1.SearchRequest{Service: "s", Limit: 101}, "limit"},
+		"deadline too long":  {&searchv1.SearchRequest{Service: "s", DeadlineMillis: 30 * 24 * 3600 * 1000}, "deadline_millis"},
+		"deadline too short": {&searchv1.SearchRequest{Service: "s", DeadlineMillis: 1}, "deadline_millis"},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/request/servingtree/call.go
+++ b/internal/request/servingtree/call.go
@@ -29,7 +29,7 @@
 	Err   error
 }
 
-// progress is the state of the line with a call's request.
+// progress says how far the request line of a call has been sent.
 type progress int
 
 const (
--- a/internal/request/servingtree/errors.go
+++ b/internal/request/servingtree/errors.go
@@ -6,16 +6,16 @@
 type NeverSentError struct{ Cause error }
 
 func (e *NeverSentError) Error() string {
-	return "request not sent to the intermediate: " + e.Cause.Error()
+	return "the request was not sent to the intermediate: " + e.Cause.Error()
 }
 
 func (e *NeverSentError) Unwrap() error { return e.Cause }
 
-// BrokenError means that the connection ended with the request in flight: the request may have run.
+// BrokenError means that a call ended without a reply after its request may have been sent: the request may have run.
 type BrokenError struct{ Cause error }
 
 func (e *BrokenError) Error() string {
-	return "connection to the intermediate lost: " + e.Cause.Error()
+	return "the connection to the intermediate ended before the reply: " + e.Cause.Error()
 }
 
 func (e *BrokenError) Unwrap() error { return e.Cause }
@@ -24,21 +24,21 @@
 type LineTooLongError struct{ Bytes, Limit int }
 
 func (e *LineTooLongError) Error() string {
-	return "line too long: " + strconv.Itoa(e.Bytes) + " bytes, the maximum is " + strconv.Itoa(e.Limit)
+	return "the line was not sent because it is too long: " + strconv.Itoa(e.Bytes) + " bytes; the maximum is " + strconv.Itoa(e.Limit)
 }
 
 // VersionError means that the other node uses another version of the line format.
 type VersionError struct{ Version int }
 
 func (e *VersionError) Error() string {
-	return "unsupported version of the line format: " + strconv.Itoa(e.Version)
+	return "the line has an unsupported version of the format: " + strconv.Itoa(e.Version)
 }
 
 // FullError means that a connection has the maximum number of requests in flight.
 type FullError struct{ Limit int }
 
 func (e *FullError) Error() string {
-	return "connection has the maximum number of requests in flight: " + strconv.Itoa(e.Limit)
+	return "the connection has the maximum number of requests in flight: " + strconv.Itoa(e.Limit)
 }
 
 // ClosedError means that the client was closed.
--- a/internal/request/servingtree/line_conn.go
+++ b/internal/request/servingtree/line_conn.go
@@ -27,7 +27,8 @@
 	return &lineConn{cfg: cfg, socket: socket, lines: lines}
 }
 
-// write writes a line. If the write fails or exceeds the write timeout, the connection is closed.
+// write writes a line. It closes the connection if the write fails or exceeds the write timeout, but not if the line
+// can't be encoded or is too long; nothing was sent then.
 func (c *lineConn) write(l line) error {
 	l.Version = version
 	encoded, err := json.Marshal(l)
--- a/internal/request/servingtree/servingtree.go
+++ b/internal/request/servingtree/servingtree.go
@@ -47,7 +47,8 @@
 	RoundTrip time.Duration `json:"-"`
 }
 
-// excessDivisor limits the reduction of the objective for a round trip that is longer than expected to a quarter.
+// excessDivisor limits the reduction of the objective for an unexpectedly long round trip to a quarter of the time
+// left.
 const excessDivisor = 4
 
 // adjustTimes returns the request with its times reduced by the wait for the connection, and the objective also by the
--- a/internal/request/servingtree/servingtree_test.go
+++ b/internal/request/servingtree/servingtree_test.go
@@ -229,7 +229,7 @@
 	is.True(call.Cancel())
 }
 
-// The server and the client refuse requests beyond their limits before any of them runs.
+// The server and the client refuse requests beyond their limits, and the client refuses lines beyond MaximumLineBytes.
 func TestRequestsBeyondTheLimitsAreRefused(t *testing.T) {
 	is := is.New(t)
 	limited := testConfig()
@@ -295,7 +295,7 @@
 }
 
 // A failure reaches the root with the code, execution, message and retry time.
-func TestFailureKeepsAllFields(t *testing.T) {
+func TestFailureReachesRoot(t *testing.T) {
 	is := is.New(t)
 	sent := failure.New(failure.Overloaded, failure.NotRun, "100%% busy").WithRetryAfter(250 * time.Millisecond)
 	_, address := serve(t, testConfig(), func(context.Context, Request, func(Answer)) Reply { return Reply{Failure: NewFailure(sent)} })
