--- a/internal/leaf/balancer/balancer_test.go
+++ b/internal/leaf/balancer/balancer_test.go
@@ -64,7 +64,7 @@
 		}
 		is.Equal(b.Choose(threeReplicas()[:1], nil).Leaf.ID, "a") // the only replica is used although it is ejected
 		time.Sleep(DefaultConfig().EjectFor + time.Millisecond)
-		b.Start(bad) // the probe
+		b.Start(bad) // this attempt is the probe
 		for range 200 {
 			is.True(b.Choose(threeReplicas(), nil).Leaf.ID != "a") // one probe at a time
 		}
--- a/internal/leaf/balancer/observation_test.go
+++ b/internal/leaf/balancer/observation_test.go
@@ -63,7 +63,7 @@
 		remote := New(DefaultConfig(), "z")
 		remote.OnObserved(local.HandleObservation)
 		for range minimumRecentSamples {
-			observeSlowAttempt(remote, "b") // and reports it
+			observeSlowAttempt(remote, "b") // the other node reports it as slow
 			time.Sleep(peerSampleInterval)
 		}
 		is.Equal(countChoices(local)["b"], 0)
--- a/internal/leaf/leafhttp/config.go
+++ b/internal/leaf/leafhttp/config.go
@@ -16,10 +16,10 @@
 	IdleTimeout time.Duration `yaml:"idle_timeout"`
 	// IdleReserve is subtracted from the idle time that the leaf allows, so that the node closes first.
 	IdleReserve time.Duration `yaml:"idle_reserve"`
-	// LingerTimeout is how long a node waits for the answer to a superseded attempt, so that its connection can be
-	// reused.
+	// LingerTimeout is how long a node waits for the answer to an attempt that is no longer needed, so that its
+	// connection can be reused.
 	LingerTimeout time.Duration `yaml:"linger_timeout"`
-	// ExtraPause is how long no extra connections to a leaf are opened after the leaf refused one.
+	// ExtraPause is how long no extra connections to a leaf are opened after the leaf reset a new one.
 	ExtraPause time.Duration `yaml:"spare_pause"`
 	// MaximumAnswerBytes is the maximum size of an answer's body.
 	MaximumAnswerBytes int64 `yaml:"maximum_answer_bytes"`
--- a/internal/leaf/leafhttp/connections_test.go
+++ b/internal/leaf/leafhttp/connections_test.go
@@ -67,7 +67,7 @@
 }
 
 // After a leaf resets a new connection, no extra connections to it are opened for Config.ExtraPause.
-func TestRefusedConnectionPausesExtraConnections(t *testing.T) {
+func TestResetOfNewConnectionPausesExtraConnections(t *testing.T) {
 	is := is.New(t)
 	cfg := testConfig()
 	cfg.ExtraPause = 200 * time.Millisecond
--- a/internal/leaf/leafhttp/exchange.go
+++ b/internal/leaf/leafhttp/exchange.go
@@ -25,7 +25,7 @@
 	conn      *connection
 	ended     bool
 	finished  bool // the answer is complete, and done will be called with it
-	lingering bool // the attempt is superseded, and its answer is still awaited
+	lingering bool // the attempt was cancelled with ErrSuperseded, and its answer is still awaited
 	// stopDial cancels the opening of the connection; nil unless one is being opened.
 	stopDial context.CancelFunc
 }
--- a/internal/leaf/leafmemory/leafmemory_test.go
+++ b/internal/leaf/leafmemory/leafmemory_test.go
@@ -133,7 +133,7 @@
 	put(t, cat, catalog.EvacuationKey("east"), struct{}{})
 	is.True(!memory.MaySend("a"))
 	leafs, _ := memory.Candidates("s")
-	is.Equal(len(leafs), 1) // from the stored list
+	is.Equal(len(leafs), 1) // the leaf is on the stored list
 	is.Equal(leafs[0].ID, "b")
 	put(t, cat, catalog.LeafKey("a"), nil)
 	is.True(!memory.MaySend("a"))
@@ -184,7 +184,7 @@
 				is.Equal(len(leafs), 1)
 				is.True(memory.MaySend("a"))
 				time.Sleep(DefaultConfig().Retention)
-				leafs, _ = other.Candidates("s") // the first call since the loss
+				leafs, _ = other.Candidates("s") // this is the first call since the loss
 				is.Equal(len(leafs), 0)
 				is.True(!other.MaySend("a"))
 				is.Equal(len(other.IDs()), cat.View().Leafs.Len())
--- a/internal/leaf/leafmemory/suspended_test.go
+++ b/internal/leaf/leafmemory/suspended_test.go
@@ -10,7 +10,7 @@
 	"github.com/portgauge/portgauge/internal/leaf/leafset"
 )
 
-// The time during which the machine was suspended counts towards the retention of a lost leaf.
+// The time during which the machine was suspended counts toward the retention of a lost leaf.
 func TestRetentionIncludesSuspendedTime(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -23,7 +23,7 @@
 	now = now.Add(time.Minute)
 	put(t, cat, catalog.LeafKey("a"), record("a", leafset.Draining))
 	is.True(memory.MaySend("a"))
-	now = now.Add(DefaultConfig().Retention + time.Second) // suspended
+	now = now.Add(DefaultConfig().Retention + time.Second) // the machine is suspended
 	is.True(!memory.MaySend("a"))
 	leafs, _ := memory.Candidates("s")
 	is.Equal(len(leafs), 0)
--- a/internal/leaf/warmup/warmup_test.go
+++ b/internal/leaf/warmup/warmup_test.go
@@ -73,7 +73,7 @@
 }
 
 // A cold leaf gets no more requests in any second than its capacity, even if all nodes use their rate and learn of
-// starts and ends of nodes at different times.
+// started and ended nodes at different times.
 func TestColdLeafRateStaysWithinCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := Config{Excess: rapid.Float64Range(1, 3).Draw(t, "excess"), Slack: rapid.Float64Range(1, 10).Draw(t, "slack")}
--- a/internal/request/front/front.go
+++ b/internal/request/front/front.go
@@ -95,7 +95,7 @@
 func (s *Server) Serve(listener net.Listener) {
 	err := s.http.Serve(listener)
 	if err != nil && !errors.Is(err, http.ErrServerClosed) {
-		s.logger.Error("front server failed; it accepts no more connections", zap.Error(err))
+		s.logger.Error("the HTTP server for callers failed; it accepts no more connections", zap.Error(err))
 	}
 }
 
--- a/internal/request/roundtrip/roundtrip_test.go
+++ b/internal/request/roundtrip/roundtrip_test.go
@@ -9,7 +9,7 @@
 )
 
 // Of returns an estimate for an open TCP connection, and none for nil.
-func TestOf(t *testing.T) {
+func TestOfReturnsEstimateForTCPConnection(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
--- a/internal/request/routing/routing.go
+++ b/internal/request/routing/routing.go
@@ -2,9 +2,9 @@
 //
 // A Configuration is one version of all routes. It is validated as a whole, compiled into an immutable Table, and
 // activated as a whole; package catalog holds the active table. A request is matched to its route once and keeps this
-// route until it ends, so an answer never mixes versions. Shares owns the state of weighted routes. The package starts
-// no goroutines and uses no clock. In a configuration, times are in milliseconds and sizes in bytes. The errors of
-// Parse and Validate are *failure.Failure and name the invalid field.
+// route until it ends, so an answer never mixes versions. A WeightedSelector owns the state of weighted routes. The
+// package starts no goroutines and uses no clock. In a configuration, times are in milliseconds and sizes in bytes. The
+// errors of Parse and Validate are *failure.Failure and name the invalid field.
 package routing
 
 import (
@@ -46,7 +46,8 @@
 	Attempts  int
 	// RequiredParts is the minimum number of parts of a gathered answer.
 	RequiredParts int
-	// WeightKey is equal for versions of a route with the same weights, so that Shares keeps its state across them.
+	// WeightKey is equal for versions of a route with the same weights, so that WeightedSelector keeps its state across
+	// them.
 	WeightKey string
 	// GatherKey is equal for versions of a route that are gathered in the same way: with the same services, top
 	// records, attempts, repeatability and regions.
--- a/internal/request/scatter/group_test.go
+++ b/internal/request/scatter/group_test.go
@@ -236,7 +236,7 @@
 				return c.leafDelay, c.leafResult
 			})
 			took := time.Since(began)
-			synctest.Wait() // until the cancelled attempts have ended
+			synctest.Wait() // wait until the cancelled attempts have ended
 			if violated {
 				t.Fatal("a shard was queried directly while its group was in flight")
 			}
--- a/internal/request/servingtree/servingtree_test.go
+++ b/internal/request/servingtree/servingtree_test.go
@@ -157,7 +157,7 @@
 }
 
 // During a planned stop the server declines new requests and answers the requests in flight.
-func TestPlannedStop(t *testing.T) {
+func TestPlannedStopDeclinesNewRequests(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
 	server, address := serve(t, testConfig(), func(ctx context.Context, request Request, send func(Answer)) Reply {
--- a/internal/request/servingtree/session.go
+++ b/internal/request/servingtree/session.go
@@ -107,10 +107,9 @@
 }
 
 // sendRequest writes the request of a call unless the call has ended. The check and the change to the state writing are
-// atomic, so that a call that was cancelled as never sent is not sent when the connection opens. The times in the
-// request are reduced by the wait for the connection and by an unexpectedly long round trip. If the write fails, the
-// call ends with a *BrokenError, since the request may have arrived; a line that is too long to be sent is reported
-// alike.
+// atomic, so that a call that was cancelled as never sent is not sent when the connection opens. The times sent are
+// reduced by the wait for the connection and by an unexpectedly long round trip. If the write fails, the request may
+// have arrived and the call ends with a *BrokenError, as it also does if the line is too long.
 func (s *session) sendRequest(conn *lineConn, call *Call) {
 	if !s.beginWriting(call) {
 		return
