--- a/internal/request/search/answer.go
+++ b/internal/request/search/answer.go
@@ -9,7 +9,7 @@
 	"github.com/portgauge/portgauge/internal/failure"
 )
 
-// service returns the current configuration and snapshot of a service, to which the caller pins its query.
+// service returns the current configuration and snapshot of a service, to which the caller pins its search.
 func (e *Engine) service(name string) (*catalog.Service, error) {
 	service, found := e.catalog.View().Services[name]
 	if !found || service.Spec == nil {
@@ -21,8 +21,8 @@
 	return service, nil
 }
 
-// answer plans and scatters a query, and merges the replies. If leafs no longer have the pinned snapshot, it starts
-// over on a newer one, see mayReplan. It also reports whether the search was congested.
+// answer plans and scatters a search, and merges the replies. If leafs no longer have the pinned snapshot, it starts
+// over on a newer one (see mayReplan). It also reports whether the search was congested.
 func (e *Engine) answer(ctx context.Context, query *query) (*searchv1.SearchResponse, bool, error) {
 	var extra searchv1.ExtraLoad
 	ran, maybeRan, congested := false, false, false
@@ -45,7 +45,7 @@
 	}
 }
 
-// mayReplan decides whether a query whose leafs dropped the pinned snapshot starts over on a newer one.
+// mayReplan reports whether a search whose leafs dropped the pinned snapshot starts over on a newer one.
 //
 // Rule: yes, unless it has already been replanned Config.ReplanLimit times, it is at-most-once and may have run, less
 // than Config.MinimumDeadline is left, or there is no newer snapshot.
--- a/internal/request/search/designated.go
+++ b/internal/request/search/designated.go
@@ -2,7 +2,7 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// designatedLeaf selects the replica that runs an at-most-once request by rendezvous hashing: the one with the highest
+// designatedLeaf selects the replica that runs an at-most-once search by rendezvous hashing: the one with the highest
 // hash of request ID and leaf ID. The only other input is the replica set of the shard, so nodes on the same snapshot
 // select the same replica whatever load or health they observe.
 func designatedLeaf(requestID string, leafIDs []string) string {
--- a/internal/request/search/key_scatter.go
+++ b/internal/request/search/key_scatter.go
@@ -19,7 +19,7 @@
 // errSuperseded is the cancellation cause of attempts whose replies are no longer needed.
 var errSuperseded = errors.New("the attempt was cancelled because its reply is no longer needed")
 
-// keyScatter sends a query to the leafs of every shard range of its plan.
+// keyScatter sends a search to the leafs of every shard range of its plan.
 type keyScatter struct {
 	engine      *Engine
 	query       *query
--- a/internal/request/search/merge.go
+++ b/internal/request/search/merge.go
@@ -36,7 +36,7 @@
 // page is a merged answer.
 type page struct {
 	rows []*searchv1.Row
-	// keys is the range of the query that this page accounts for, as covered or missing.
+	// keys is the range of the search that this page accounts for, as covered or missing.
 	keys    keyspace.Range
 	nextKey string
 	covered []keyspace.Range
--- a/internal/request/search/query.go
+++ b/internal/request/search/query.go
@@ -20,7 +20,7 @@
 	maximumKey       = 4096
 )
 
-// query is a valid request with the defaults filled in.
+// query is a valid search request with the defaults filled in.
 type query struct {
 	id string
 	// hasCallerID is true if the caller chose the ID, and may send the request to another node under the same ID.
--- a/internal/request/search/search.go
+++ b/internal/request/search/search.go
@@ -1,6 +1,6 @@
 // Package search runs searches over key ranges: admit, pin a snapshot, plan, scatter, verify, merge, report.
 //
-// Each step has its own file or package. A query is pinned to one manifest: all of its attempts, hedges and retries
+// Each step has its own file or package. A search is pinned to one manifest: all of its attempts, hedges and retries
 // name that snapshot, so an answer never mixes versions.
 //
 // An Engine owns the gates (package admission) and policies (package hedging) of the services on one node, and counts
--- a/internal/request/search/search_test.go
+++ b/internal/request/search/search_test.go
@@ -132,7 +132,7 @@
 	}
 }
 
-// Every node sends an at-most-once request with a caller's ID to the same replica of each shard and to no other,
+// Every node sends an at-most-once search with a caller's ID to the same replica of each shard and to no other,
 // whatever the leafs answer.
 func TestAtMostOnceStaysAtTheDesignatedReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -154,7 +154,7 @@
 	})
 }
 
-// An attempt of an at-most-once request with an ID of the node is retried at another replica if it was refused without
+// An attempt of an at-most-once search with an ID of the node is retried at another replica if it was refused without
 // running, but not if its outcome is unknown.
 func TestAtMostOnceIsRetriedOnlyIfNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -180,7 +180,7 @@
 	})
 }
 
-// If the leafs dropped the pinned snapshot, the whole query is replanned on a newer one.
+// If the leafs dropped the pinned snapshot, the whole search is replanned on a newer one.
 func TestSnapshotGoneReplansQuery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
