--- a/internal/leaf/leafhttp/connections_test.go
+++ b/internal/leaf/leafhttp/connections_test.go
@@ -67,7 +67,7 @@
 }
 
 // After a leaf resets a new connection, no extra connections to it are opened for Config.ExtraPause.
-func TestRefusedConnectionPausesExtraConnections(t *testing.T) {
+func TestResetOfNewConnectionPausesExtraConnections(t *testing.T) {
 	is := is.New(t)
 	cfg := testConfig()
 	cfg.ExtraPause = 200 * time.Millisecond
@@ -165,7 +165,7 @@
 	for f.pool.idleConnections() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	e := &Exchange{pool: f.pool, target: f.target(), request: f.request(), done: func(*Response, error) {}}
+	e := &exchange{pool: f.pool, target: f.target(), request: f.request(), done: func(*Response, error) {}}
 	f.pool.mu.Lock()
 	conn, _ := f.pool.reserve(e)
 	f.pool.mu.Unlock()
