--- a/internal/leaf/warmup/warmup_test.go
+++ b/internal/leaf/warmup/warmup_test.go
@@ -73,7 +73,7 @@
 }
 
 // A cold leaf gets no more requests in any second than its capacity, even if all nodes use their rate and learn of
-// starts and ends of nodes at different times.
+// started and ended nodes at different times.
 func TestColdLeafRateStaysWithinCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := Config{Excess: rapid.Float64Range(1, 3).Draw(t, "excess"), Slack: rapid.Float64Range(1, 10).Draw(t, "slack")}
@@ -172,7 +172,7 @@
 		sent += own
 	}
 	is.Equal(senders, gatherersPerLeaf)
-	is.True(sent >= 45 && sent <= 55) // 5 per second for 10 s: the rate of 6, less senderReserve
+	is.True(sent >= 45 && sent <= 55) // 5 per second for 10 s: the capacity of 14 divided by senderReserve, less one request per sender
 }
 
 // Warm leafs, leafs of services without a cold rate and leafs that are not in discovery have no limit. A node that is
--- a/internal/node/settings/page_test.go
+++ b/internal/node/settings/page_test.go
@@ -17,7 +17,8 @@
 	"github.com/matryer/is"
 )
 
-// update makes TestPageOfSettings write the page: go test ./internal/node/settings -run TestPageOfSettings -update
+// update makes TestSettingsPageMatchesTypes write the page: go test ./internal/node/settings -run
+// TestSettingsPageMatchesTypes -update
 var update = flag.Bool("update", false, "write docs/SETTINGS.md")
 
 const (
@@ -28,15 +29,15 @@
 
 const pageHead = `# Settings
 
-Generated from the types (` + "`go test ./internal/node/settings -run TestPageOfSettings -update`" + `); the test fails if the
+Generated from the types (` + "`go test ./internal/node/settings -run TestSettingsPageMatchesTypes -update`" + `); the test fails if the
 page differs. [OPERATIONS.md](OPERATIONS.md#settings) describes how to give settings.
 `
 
 // fieldDocs holds the field comments of a package's struct types, by "Type.Field".
 type fieldDocs map[string]string
 
-// parseDocs parses the field comments of a package. A comment that names several fields also applies to the named fields
-// below it that have no comment of their own.
+// parseDocs parses the field comments of a package. A comment that names several fields also applies to the named
+// fields below it that have no comment of their own.
 func parseDocs(t *testing.T, pkgPath string) fieldDocs {
 	t.Helper()
 	folder := filepath.Join(repository, strings.TrimPrefix(pkgPath, modulePath))
@@ -95,8 +96,8 @@
 	return p.docs[owner.PkgPath()][owner.Name()+"."+field.Name]
 }
 
-// group renders the table of the settings in a struct, then the tables of its groups. The prefix ends with a dot unless it
-// is empty.
+// group renders the table of the settings in a struct, then the tables of its groups. The prefix ends with a dot unless
+// it is empty.
 func (p *page) group(title, prefix string, value reflect.Value) {
 	p.lines = append(p.lines, "", "## "+title, "", "| setting | default | meaning |", "|---|---|---|")
 	owner := value.Type()
@@ -145,7 +146,7 @@
 }
 
 // The page must match the types and list every setting with its comment.
-func TestPageOfSettings(t *testing.T) {
+func TestSettingsPageMatchesTypes(t *testing.T) {
 	is := is.New(t)
 	content, undocumented := renderPage(t)
 	if *update {
--- a/internal/quarantine/quarantinesync/fixture_test.go
+++ b/internal/quarantine/quarantinesync/fixture_test.go
@@ -88,7 +88,6 @@
 
 func (f *fleet) node(id string) *node { return f.nodes["address-of-"+id] }
 
-// Send implements Sender.
 func (n *node) Send(address string, message peer.Message) {
 	n.fleet.mu.Lock()
 	n.sent++
@@ -151,33 +150,29 @@
 	change()
 }
 
-// Get implements store.Store.
 func (f *fleet) Get(context.Context, string) (*catalog.Entry, error) { return nil, errDown }
 
-// List implements store.Store.
 func (f *fleet) List(context.Context, store.Consistency) (catalog.Snapshot, error) {
 	return catalog.Snapshot{}, errDown
 }
 
-// Watch implements store.Store.
 func (f *fleet) Watch(context.Context, int64, store.WatchRole, func(store.Event) error) error {
 	return errDown
 }
 
-// CompareAndSwap implements store.Store.
 func (f *fleet) CompareAndSwap(_ context.Context, key string, expected int64, value []byte, remove bool) (store.SwapResult, error) {
 	f.writing.Lock()
 	defer f.writing.Unlock()
 	f.mu.Lock()
 	f.writes++
-	known, found := f.entries[key]
+	stored, found := f.entries[key]
 	isDown, losesAnswers := f.isDown, f.losesAnswers
 	f.mu.Unlock()
 	switch {
 	case isDown:
 		return store.SwapResult{}, errDown
-	case known.LiveRevision() != expected && found:
-		return store.SwapResult{Entry: &known}, nil
+	case stored.LiveRevision() != expected && found:
+		return store.SwapResult{Entry: &stored}, nil
 	case !found && expected != 0:
 		return store.SwapResult{}, nil
 	}
