--- a/internal/config/catalog/catalog.go
+++ b/internal/config/catalog/catalog.go
@@ -77,8 +77,8 @@
 func (c *Catalog) Apply(change Change) bool { return c.ApplyAll([]Change{change}) }
 
 // ApplyAll applies changes in revision order, up to the first gap, in one step: a key that changed many times is
-// decoded once. It reports whether the last change is now in force. A restore of the store is a gap that only a
-// whole state closes, see Replace.
+// decoded once. It reports whether the last change is now in force. A restore of the store is a gap; only Replace
+// applies the state after it.
 func (c *Catalog) ApplyAll(changes []Change) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/config/catalog/envelope.go
+++ b/internal/config/catalog/envelope.go
@@ -35,7 +35,7 @@
 func NewUndecodable(reason error) []byte {
 	value, err := json.Marshal(Envelope{Undecodable: reason.Error()})
 	if err != nil {
-		return nil // an empty value is rejected as well
+		return nil // an empty value can't be decoded either
 	}
 	return value
 }
@@ -49,7 +49,7 @@
 	return json.Marshal(envelope)
 }
 
-// DecodeDocument returns the JSON document of an entry.
+// DecodeDocument returns the JSON document of an entry. Its error contains Envelope.Undecodable if that is set.
 func DecodeDocument(entry Entry) (json.RawMessage, error) {
 	envelope, err := OpenEnvelope(entry.Value)
 	if err == nil && envelope.Undecodable != "" {
@@ -110,13 +110,11 @@
 	return 0, false
 }
 
-// DecodeService decodes the settings in a service entry.
 func DecodeService(entry Entry) (*adminv1.ServiceSpec, error) {
 	spec := &adminv1.ServiceSpec{}
 	return spec, decodePayload(entry, spec)
 }
 
-// DecodeManifest decodes the manifest in a snapshot entry.
 func DecodeManifest(entry Entry) (*adminv1.SnapshotManifest, error) {
 	message := &adminv1.SnapshotManifest{}
 	return message, decodePayload(entry, message)
--- a/internal/config/catalog/freshness.go
+++ b/internal/config/catalog/freshness.go
@@ -12,7 +12,7 @@
 // Now returns the current time of the catalog's clock.
 func (c *Catalog) Now() time.Time { return c.clock.Now() }
 
-// Instant returns a reading for ConfirmSince, which computes from it how long the machine was suspended since.
+// Instant returns the current reading of the clock, for ConfirmSince.
 func (c *Catalog) Instant() boottime.Instant { return c.clock.Instant() }
 
 // Confirm records that the revision in force was the newest at the given time of the catalog's clock, see Now.
@@ -27,9 +27,9 @@
 	}
 }
 
-// ConfirmSince records that the revision in force was the newest at the given age before now, according to a response
-// that was requested at requestedAt. The response may date from before a suspension of the machine since then, so the
-// length of the suspension is added to the age.
+// ConfirmSince records that the revision in force was the newest one age ago, according to a response that was requested
+// at requestedAt. If the machine was suspended in between, the response may be from before the suspension, so its length
+// is added to the age.
 func (c *Catalog) ConfirmSince(requestedAt boottime.Instant, age time.Duration) {
 	c.Confirm(c.Now().Add(-age - requestedAt.Suspended()))
 }
--- a/internal/config/catalog/keys.go
+++ b/internal/config/catalog/keys.go
@@ -53,8 +53,8 @@
 // QuarantineKey returns the store key that exists while the request with a fingerprint is quarantined.
 func QuarantineKey(content string) string { return quarantinePrefix + content }
 
-// isTransient reports whether a key needs no tombstone once it is removed: its absence from a whole state means that
-// it was removed. These are the keys of processes, evacuations, quarantines and rollouts.
+// isTransient reports whether a key needs no tombstone once it is removed: its absence from a whole state means that it
+// was removed. These are the keys of leafs, nodes, evacuations, quarantines, rollouts and serving versions.
 func isTransient(key string) bool {
 	return strings.HasPrefix(key, leafPrefix) || strings.HasPrefix(key, nodePrefix) || strings.HasPrefix(key, evacuationPrefix) ||
 		strings.HasPrefix(key, quarantinePrefix) || isRollout(key)
--- a/internal/config/catalog/quarantine.go
+++ b/internal/config/catalog/quarantine.go
@@ -8,7 +8,6 @@
 	"github.com/portgauge/portgauge/internal/quarantine/fingerprint"
 )
 
-// compileQuarantine applies the quarantine of a request or its removal.
 func (d *draft) compileQuarantine(key string, entry Entry) error {
 	content, err := fingerprint.Parse(key)
 	if err != nil {
--- a/internal/config/catalog/quarantine_test.go
+++ b/internal/config/catalog/quarantine_test.go
@@ -62,14 +62,14 @@
 // A record under the key of another request, or under a key that isn't a fingerprint, is rejected.
 func TestQuarantineRecordMustMatchItsKey(t *testing.T) {
 	is := is.New(t)
-	refused := 0
-	node := New(func(string, error) { refused++ })
+	rejections := 0
+	node := New(func(string, error) { rejections++ })
 	wrong := quarantineChange(t, 1, "/a", false)
 	wrong.Entry.Key = QuarantineKey(contentOf("/b").String())
 	is.True(node.Apply(wrong))
 	none := quarantineChange(t, 2, "/a", false)
 	none.Entry.Key = QuarantineKey("none")
 	is.True(node.Apply(none))
-	is.Equal(refused, 2)
+	is.Equal(rejections, 2)
 	is.Equal(len(node.View().Quarantine), 0)
 }
--- a/internal/config/catalog/restored.go
+++ b/internal/config/catalog/restored.go
@@ -32,7 +32,7 @@
 	mayWrite func(key string) bool
 }
 
-// note records a write and the one that it replaces, nil if there was none.
+// note records the write that an entry replaces, nil if there was none, and when the value of the key changed.
 func (r *restored) note(entry Entry, replaced *Entry, now time.Time) {
 	if replaced != nil && replaced.Revision != entry.Revision {
 		r.overwritten.add(*replaced)
@@ -48,7 +48,7 @@
 	}
 }
 
-// recordOverwritten records an entry and the one that it replaces among the known entries.
+// recordOverwritten calls note for an entry, with the known entry of its key as the write that it replaces.
 func (c *Catalog) recordOverwritten(known map[string]Entry, entry Entry) {
 	before, isKnown := known[entry.Key]
 	if !isKnown {
@@ -121,8 +121,8 @@
 	return read, true
 }
 
-// outlivesRestore reports whether an entry that the restored store lacks stays in force. Routes and tombstones do.
-// Records that their writers rewrite don't. Any other entry does if it changed within lossWindow: an older one was in
+// outlivesRestore reports whether an entry that the restored store lacks stays in force. Routes and tombstones stay;
+// records that their writers rewrite don't. Any other entry stays if it changed within lossWindow: an older one was in
 // the backup, so its absence means that it was removed since.
 func (c *Catalog) outlivesRestore(known Entry, now time.Time) bool {
 	switch {
--- a/internal/config/catalog/restored_test.go
+++ b/internal/config/catalog/restored_test.go
@@ -70,7 +70,7 @@
 }
 
 // Draining and removed leafs keep their state although the restored store lists them as ready. Leafs that the store lost
-// are used only as a last resort. Both end when the leaf writes its record again.
+// are used only as a last resort. Either state ends when the leaf rewrites its record.
 func TestLeafStatesSurviveRestore(t *testing.T) {
 	is := is.New(t)
 	store := newRestorableStore(t)
@@ -125,7 +125,7 @@
 	})
 }
 
-// fleetMayWrite reserves two evacuations for operators.
+// fleetMayWrite reports whether nodes may write a key. Two evacuations are reserved for operators.
 func fleetMayWrite(key string) bool { return key != EvacuationKey("z") && key != EvacuationKey("new") }
 
 // Entries written since the backup stay in force until they are rewritten, those of operators for RetentionPeriod at
--- a/internal/config/catalog/retained.go
+++ b/internal/config/catalog/retained.go
@@ -32,9 +32,9 @@
 	c.restored.mayWrite = mayWrite
 }
 
-// isExpired reports whether a retained entry must be dropped. Routes and entries that nodes may write never expire. A
-// lost entry expires at once, since it is retained only for nodes to rewrite it. Any other entry expires RetentionPeriod
-// after the node entered the epoch.
+// isExpired reports whether a retained entry must be dropped. Routes and entries that nodes may write never expire. Of
+// the others, lost entries expire at once, since they are retained only for nodes to rewrite them, and the rest expire
+// RetentionPeriod after the node entered the epoch.
 func (c *Catalog) isExpired(retained RetainedEntry) bool {
 	key := retained.Entry.Key
 	if key == RoutesKey || c.restored.mayWrite == nil || c.restored.mayWrite(key) {
--- a/internal/config/catalog/rollout.go
+++ b/internal/config/catalog/rollout.go
@@ -6,7 +6,6 @@
 	"github.com/portgauge/portgauge/internal/rollout"
 )
 
-// compileVersions applies the serving versions of services.
 func (d *draft) compileVersions(entry Entry) error {
 	versions := map[string]string{}
 	if !entry.Deleted {
@@ -26,7 +25,6 @@
 	return nil
 }
 
-// compileSpec applies a rollout spec or its removal.
 func (d *draft) compileSpec(service string, entry Entry) error {
 	known := d.editableRollout(service)
 	known.Spec = nil
@@ -42,7 +40,6 @@
 	return nil
 }
 
-// compileRolloutState applies the progress of a rollout or its removal.
 func (d *draft) compileRolloutState(service string, entry Entry) error {
 	known := d.editableRollout(service)
 	known.State = nil
--- a/internal/config/catalog/rollout_test.go
+++ b/internal/config/catalog/rollout_test.go
@@ -176,10 +176,10 @@
 func TestUndecodableSpecKeepsCurrentSpec(t *testing.T) {
 	is := is.New(t)
 	catalog := catalogWithSpec(t)
-	refused := 0
-	catalog.rejected = func(string, error) { refused++ }
+	rejections := 0
+	catalog.rejected = func(string, error) { rejections++ }
 	catalog.Apply(documentChange(t, 5, RolloutKey("s"), rollout.Spec{Service: "s", Target: "v3"}))
-	is.Equal(refused, 1)
+	is.Equal(rejections, 1)
 	is.Equal(catalog.View().Rollouts["s"].Spec.Target, "v2")
 	is.Equal(catalog.View().Leafs.Rule("s").SpecID, int64(4))
 }
--- a/internal/config/configsync/announced_leaving_test.go
+++ b/internal/config/configsync/announced_leaving_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// noticeDeadline bounds the time until every node has the notice of a leaving leaf, as in the trace 06-leaving-reply.
+// noticeDeadline bounds the time until every node has the notice of a leaving leaf.
 const noticeDeadline = 5 * time.Second
 
 // If a leaf announces in a response that it is leaving, its notice must reach the nodes of all zones, although only one
--- a/internal/config/configsync/configsync.go
+++ b/internal/config/configsync/configsync.go
@@ -19,8 +19,9 @@
 // leaving distributes the notice that a leaf is leaving, and status counts the nodes that have a revision in force.
 //
 // The package owns the loops that Syncer.Run starts and the state of the distribution. The configuration itself belongs
-// to the catalog, which applies changes in revision order and never goes back. The age of the configuration is measured
-// with the catalog's clock, which includes the time of a suspension; everything else is timed by the monotonic clock.
+// to the catalog, which applies changes in revision order and never goes back. The package uses the store, the machine
+// list, the membership of the zone and the peer transport. The age of the configuration is measured with the catalog's
+// clock, which includes the time of a suspension; everything else is timed by the monotonic clock.
 package configsync
 
 import (
--- a/internal/config/configsync/digest.go
+++ b/internal/config/configsync/digest.go
@@ -19,7 +19,8 @@
 	}
 }
 
-// Receive implements membership.Listener. It pulls from a peer that is ahead or that retains other entries.
+// Receive implements membership.Listener. A peer at the same revision confirms the configuration in force. The node pulls
+// from a peer that has a newer revision or that retains other entries.
 func (s *Syncer) Receive(from string, digest peer.Digest, notices []peer.LeafNotice) {
 	s.handleNotices(notices)
 	known := s.catalog.Revision()
@@ -63,8 +64,8 @@
 	}
 }
 
-// pullLater pulls from a peer that is ahead, unless a push delivers the changes first. Digests are often faster than
-// pushes, so an immediate pull would fetch most changes twice.
+// pullLater pulls from a peer that has a newer revision, unless a push delivers the changes first. Digests are often
+// faster than pushes, so an immediate pull would fetch most changes twice.
 func (s *Syncer) pullLater(from string, revision int64) {
 	if !s.pullPending.CompareAndSwap(false, true) {
 		return
--- a/internal/config/configsync/handler.go
+++ b/internal/config/configsync/handler.go
@@ -39,7 +39,6 @@
 	return &PeerHandler{syncer: syncer, handlers: handlers}
 }
 
-// HandleDatagram implements peer.Handler.
 func (h *PeerHandler) HandleDatagram(message peer.Message) {
 	switch {
 	case len(message.LeafObservations) > 0:
@@ -67,7 +66,6 @@
 	}
 }
 
-// HandleCall implements peer.Handler.
 func (h *PeerHandler) HandleCall(ctx context.Context, message peer.Message) peer.Message {
 	syncer := h.syncer
 	// The digest is taken before the state, so that its revision never exceeds the state's.
--- a/internal/config/configsync/join.go
+++ b/internal/config/configsync/join.go
@@ -18,8 +18,8 @@
 // aloneTimeout is how long after its start a node that reaches no other node counts as joined.
 const aloneTimeout = 5 * time.Second
 
-// listedAloneTimeout replaces aloneTimeout if neither the machine list nor the seeds contain an address to join through.
-// It isn't 0 because the list lags: nodes that start at the same time may be missing from it.
+// listedAloneTimeout replaces aloneTimeout if the machine list was read and neither it nor the seeds contain an address
+// to join through. It isn't 0 because the list lags: nodes that start at the same time may be missing from it.
 const listedAloneTimeout = time.Second
 
 // joinTargets is how many nodes a node joins through per attempt.
--- a/internal/config/configsync/leaving.go
+++ b/internal/config/configsync/leaving.go
@@ -8,8 +8,8 @@
 	"github.com/portgauge/portgauge/internal/fleet/peer"
 )
 
-// renewalDivisor divides Config.LeavingTTL. A notice that expires later than the known one by the quotient or more is a
-// renewal.
+// renewalDivisor defines what a renewal is: a notice that expires at least Config.LeavingTTL / renewalDivisor later than
+// the known one.
 const renewalDivisor = 2
 
 // Limits of the gossip of notices: how many a datagram carries, and how often each is transmitted.
@@ -27,7 +27,8 @@
 	pushedUntil time.Time
 }
 
-// Notices implements membership.Listener. It returns notices that must be transmitted again.
+// Notices implements membership.Listener. It returns up to noticesPerMessage notices that have not been transmitted
+// noticeTransmissions times yet.
 func (s *Syncer) Notices() []peer.LeafNotice {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/config/configsync/standby.go
+++ b/internal/config/configsync/standby.go
@@ -10,9 +10,9 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// aheadTimeout bounds a standby's pull from a higher-ranked watcher. A healthy node of the zone answers in a few
+// higherRankedTimeout bounds a standby's pull from a higher-ranked watcher. A healthy node of the zone answers in a few
 // milliseconds. A frozen or unreachable one must not delay the check of the store.
-const aheadTimeout = 150 * time.Millisecond
+const higherRankedTimeout = 150 * time.Millisecond
 
 // standByOnce runs one step of a standby and decides whether it takes over. The standby pulls from the higher-ranked
 // watchers, which doesn't load the store. It checks the store itself if it has just become a standby, or if no peer
@@ -25,13 +25,13 @@
 		return nil
 	}
 	if !s.confirmedWithin(interval) {
-		s.pullFromAhead(ctx, rank)
+		s.pullFromHigherRanked(ctx, rank)
 	}
 	if !s.hasReadAsStandby || !s.confirmedWithin(s.checkAfter(rank)) {
 		s.hasReadAsStandby = true
 		return s.checkStore(ctx)
 	}
-	s.leaveStoreToWatchers()
+	s.clearStoreDown()
 	return nil
 }
 
@@ -57,8 +57,8 @@
 	return s.catalog.Age() < span
 }
 
-// pullFromAhead pulls from the watchers above a rank, in order, until one answers.
-func (s *Syncer) pullFromAhead(ctx context.Context, rank int) {
+// pullFromHigherRanked pulls from the watchers above a rank, in order, until one answers.
+func (s *Syncer) pullFromHigherRanked(ctx context.Context, rank int) {
 	watchers := s.watchers()
 	for _, watcher := range watchers[:min(rank, len(watchers))] {
 		if s.pullFromWatcher(ctx, watcher.Address) {
@@ -68,7 +68,7 @@
 }
 
 func (s *Syncer) pullFromWatcher(ctx context.Context, address string) bool {
-	ctx, cancel := context.WithTimeout(ctx, aheadTimeout)
+	ctx, cancel := context.WithTimeout(ctx, higherRankedTimeout)
 	defer cancel()
 	return s.pullFrom(ctx, address)
 }
--- a/internal/config/configsync/startup.go
+++ b/internal/config/configsync/startup.go
@@ -21,12 +21,10 @@
 	firstPullTimeout = 250 * time.Millisecond
 )
 
-// loadFirstState loads the first state of a starting node. It doesn't wait until the node has joined its zone and has a
-// rank, since the node can't serve without a state. It returns false if the context is done.
-//
-// Seeds read the store at once. Other nodes pull from the seeds, and also read the store if no seed has answered after
-// firstReadDelay: a seed may be down or start later. The first success cancels the other attempts, so that most nodes of
-// a fleet that starts at once load their state from peers instead of the store.
+// loadFirstState loads the first state without waiting until the node has joined its zone and has a rank: it can't serve
+// without a state. It returns false if the context is done. Seeds read the store at once. Others pull from the seeds, and
+// also read the store if no seed answers within firstReadDelay: a seed may be down or start later. The first success
+// cancels the other attempts, so most nodes of a fleet that starts at once load their state from peers, not the store.
 func (s *Syncer) loadFirstState(ctx context.Context) bool {
 	first, stop := context.WithCancel(ctx)
 	defer stop()
--- a/internal/config/configsync/watch.go
+++ b/internal/config/configsync/watch.go
@@ -33,7 +33,7 @@
 	for {
 		rank := s.rank()
 		if rank == notAWatcher {
-			if !s.awaitRank(ctx) {
+			if !s.pauseUnranked(ctx) {
 				return
 			}
 			continue
@@ -66,10 +66,11 @@
 	}
 }
 
-// awaitRank pauses a node that isn't a watcher before its rank is checked again. It returns false if the context is done.
-func (s *Syncer) awaitRank(ctx context.Context) bool {
+// pauseUnranked waits before the rank of a node that isn't a watcher is checked again. It returns false if the context is
+// done.
+func (s *Syncer) pauseUnranked(ctx context.Context) bool {
 	s.hasReadAsStandby = false
-	s.leaveStoreToWatchers()
+	s.clearStoreDown()
 	return pause(ctx, s.cfg.RetryPause)
 }
 
--- a/internal/config/configwriter/configwriter.go
+++ b/internal/config/configwriter/configwriter.go
@@ -121,7 +121,7 @@
 	}
 	result, err := w.swap(ctx, write, value, sent)
 	if err != nil {
-		return 0, isRefused(err), err
+		return 0, isRejected(err), err
 	}
 	if result.Swapped {
 		return result.Entry.Revision, true, nil
@@ -164,10 +164,10 @@
 	return w.store.CompareAndSwap(ctx, write.Key, write.Expected, value, write.removes())
 }
 
-// isRefused reports whether the store rejected a write permanently, so that a retry is useless.
-func isRefused(err error) bool {
-	refused, isTyped := errors.AsType[*failure.Failure](err)
-	return isTyped && refused.Execution == failure.NotRun && refused.RetryAfter == 0
+// isRejected reports whether the store rejected a write permanently, so that a retry is useless.
+func isRejected(err error) bool {
+	rejection, isTyped := errors.AsType[*failure.Failure](err)
+	return isTyped && rejection.Execution == failure.NotRun && rejection.RetryAfter == 0
 }
 
 // unresolved returns the error of a write that timed out before its outcome was known.
--- a/internal/config/configwriter/guarded_test.go
+++ b/internal/config/configwriter/guarded_test.go
@@ -187,19 +187,19 @@
 	is.True(failure.Is(err, failure.Internal))
 }
 
-// refusingStore rejects every write permanently.
-type refusingStore struct{ store.Store }
+// rejectingStore rejects every write permanently.
+type rejectingStore struct{ store.Store }
 
-func (refusingStore) Get(context.Context, string) (*catalog.Entry, error) { return nil, nil }
+func (rejectingStore) Get(context.Context, string) (*catalog.Entry, error) { return nil, nil }
 
-func (refusingStore) CompareAndSwap(context.Context, string, int64, []byte, bool) (store.SwapResult, error) {
+func (rejectingStore) CompareAndSwap(context.Context, string, int64, []byte, bool) (store.SwapResult, error) {
 	return store.SwapResult{}, failure.Invalid("key", "not for nodes to write")
 }
 
 // A write that the store rejects permanently is not retried, and is reported as not run.
 func TestRejectedWriteIsReportedAsNotRun(t *testing.T) {
 	is := is.New(t)
-	_, err := New(DefaultConfig(), refusingStore{}).Apply(t.Context(), Write{Key: "k", ChangeID: "a", Document: []byte(`{}`)})
+	_, err := New(DefaultConfig(), rejectingStore{}).Apply(t.Context(), Write{Key: "k", ChangeID: "a", Document: []byte(`{}`)})
 	is.True(failure.Is(err, failure.InvalidField))
 	is.Equal(failure.From(err).Execution, failure.NotRun)
 }
--- a/internal/config/keyspace/keyspace.go
+++ b/internal/config/keyspace/keyspace.go
@@ -14,7 +14,6 @@
 	To   string
 }
 
-// Contains reports whether the range contains a key.
 func (r Range) Contains(key string) bool {
 	return key >= r.From && (r.To == "" || key < r.To)
 }
--- a/internal/config/keyspace/keyspace_test.go
+++ b/internal/config/keyspace/keyspace_test.go
@@ -54,5 +54,5 @@
 	is.True(!overlaps)
 	is.True(Range{}.Covers(Range{From: "x"}))
 	is.True(!Range{To: "x"}.Covers(Range{From: "a"}))
-	is.True(Range{From: "a", To: "b"}.Covers(Range{From: "q", To: "c"})) // empty
+	is.True(Range{From: "a", To: "b"}.Covers(Range{From: "q", To: "c"})) // an empty range is covered by every range
 }
--- a/internal/config/revision/revision.go
+++ b/internal/config/revision/revision.go
@@ -20,7 +20,6 @@
 // At returns the revision of a count in an epoch. Both must be within their bounds.
 func At(epoch, count int64) int64 { return epoch*epochUnit + count }
 
-// Epoch returns the epoch of a revision.
 func Epoch(revision int64) int64 { return revision / epochUnit }
 
 // Count returns the store's count of a revision. It is unique among the store's current entries, also after a restore:
--- a/internal/config/rewriter/rewriter.go
+++ b/internal/config/rewriter/rewriter.go
@@ -1,10 +1,11 @@
-// Package rewriter restores entries written by nodes that the platform's store lost when it was restored from a backup.
+// Package rewriter rewrites the entries of nodes in the platform's store that were lost when the store was restored from
+// a backup.
 //
 // Every node retains such entries in force, see catalog.RetainedEntry. Each of them is rewritten by the first node in the
 // rendezvous ranking of its key; the next nodes take over in turn if that node fails. Operators and leafs rewrite their
 // own entries.
 //
-// A Writer runs in one goroutine, Run, and stores when it last wrote each key. A failed write is logged and retried on
+// A Rewriter runs in one goroutine, Run, and stores when it last wrote each key. A failed write is logged and retried on
 // the node's next turn.
 package rewriter
 
--- a/internal/fleet/machines/catalog.go
+++ b/internal/fleet/machines/catalog.go
@@ -17,7 +17,6 @@
 
 func NewCatalogLister(cat *catalog.Catalog) *CatalogLister { return &CatalogLister{catalog: cat} }
 
-// ListMachines implements Lister.
 func (l *CatalogLister) ListMachines(_ context.Context, query Query) (List, error) {
 	if query.Role == RoleLeaf {
 		return List{Unchanged: true}, nil
--- a/internal/fleet/machines/machines.go
+++ b/internal/fleet/machines/machines.go
@@ -5,19 +5,15 @@
 
 import "context"
 
-// State is the state of a machine according to the platform.
 type State string
 
-// The states of a machine.
 const (
 	Live    State = "live"
 	Leaving State = "leaving"
 )
 
-// Role is what runs on a machine.
 type Role string
 
-// The roles of a machine.
 const (
 	RoleNode Role = "node"
 	RoleLeaf Role = "leaf"
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -49,7 +49,7 @@
 	self          peer.Member
 	members       map[string]*knownMember // by ID; excludes self
 	updates       *updateQueue
-	probeRound    []string     // ids of the members not yet probed in this round
+	probeRound    []string     // IDs of the members not yet probed in this round
 	pendingProbes peer.Pending // probes without an answer yet
 	version       uint64       // incremented whenever the set of usable members changes
 	cached        []peer.Member
--- a/internal/fleet/membership/probe.go
+++ b/internal/fleet/membership/probe.go
@@ -17,8 +17,8 @@
 // confirmationProbes is how many times a suspect is probed before it is declared dead.
 const confirmationProbes = 5
 
-// answerProbe acknowledges a probe of this node. If this node considers the prober suspect or dead, the answer says
-// so, since the prober can refute only what it has been told.
+// answerProbe acknowledges a probe of this node. If this node doesn't consider the prober alive, it queues that update
+// first, since the prober can refute only what it has been told.
 func (m *Membership) answerProbe(prober string, probe peer.Probe) {
 	if probe.TargetID != m.Self().ID {
 		return
--- a/internal/fleet/membership/updates.go
+++ b/internal/fleet/membership/updates.go
@@ -9,7 +9,7 @@
 // updateQueue holds the member updates to gossip. Each is sent a bounded number of times, the least sent ones first.
 // The owner's lock guards it.
 type updateQueue struct {
-	items map[string]*memberUpdate // by member id
+	items map[string]*memberUpdate // by member ID
 }
 
 type memberUpdate struct {
--- a/internal/fleet/ownplatform/byte_counter.go
+++ b/internal/fleet/ownplatform/byte_counter.go
@@ -16,10 +16,9 @@
 
 var _ stats.Handler = byteCounter{}
 
-// TagRPC implements stats.Handler.
 func (byteCounter) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context { return ctx }
 
-// HandleRPC implements stats.Handler.
+// HandleRPC reports the size of each payload on the wire to the meter.
 func (c byteCounter) HandleRPC(_ context.Context, event stats.RPCStats) {
 	switch payload := event.(type) {
 	case *stats.OutPayload:
@@ -29,8 +28,6 @@
 	}
 }
 
-// TagConn implements stats.Handler.
 func (byteCounter) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context { return ctx }
 
-// HandleConn implements stats.Handler.
 func (byteCounter) HandleConn(context.Context, stats.ConnStats) {}
--- a/internal/fleet/peer/message.go
+++ b/internal/fleet/peer/message.go
@@ -178,7 +178,7 @@
 type Quarantine struct {
 	// Evidence is the sender's evidence against the request.
 	Evidence *quarantine.Evidence `json:"evidence,omitempty"`
-	// Answered is the fingerprint of a request that a leaf answered; the sender drops its evidence against the request.
+	// Answered is the fingerprint of a request that a leaf answered. The receiver drops its evidence against the request.
 	Answered fingerprint.Fingerprint `json:"answered,omitzero"`
 	// Record reports that the request is quarantined.
 	Record *quarantine.Record `json:"record,omitempty"`
@@ -188,7 +188,7 @@
 // abort is named rollout_hold, and a rollout spec order.
 type RolloutAbort struct {
 	Service string `json:"service"`
-	// SpecID is the revision of the rollout spec.
+	// SpecID is the ID of the rollout spec, see rollout.Spec.ID.
 	SpecID int64 `json:"order"`
 }
 
--- a/internal/fleet/peer/peer_test.go
+++ b/internal/fleet/peer/peer_test.go
@@ -51,7 +51,7 @@
 	answer, err := first.Call(t.Context(), second.Address(), Message{Pull: &Pull{After: 42}})
 	is.NoErr(err)
 	is.Equal(answer.State.Revision, int64(42))
-	is.Equal(len(answer.State.Changes[0].Entry.Key), 5000) // sent compressed
+	is.Equal(len(answer.State.Changes[0].Entry.Key), 5000) // the answer exceeds compressAbove, so it was compressed on the way
 	first.Send(second.Address(), Message{Probe: &Probe{Sequence: 7}})
 	for range 200 {
 		handler.mu.Lock()
--- a/internal/fleet/peer/peertest/network.go
+++ b/internal/fleet/peer/peertest/network.go
@@ -15,7 +15,7 @@
 )
 
 // ErrUnreachable is returned by calls across a partition, to or from a frozen node, or to a node that is not attached.
-var ErrUnreachable = merry.New("peer unreachable")
+var ErrUnreachable = merry.New("the peer is unreachable")
 
 // Network connects nodes inside one process. It is safe for concurrent use.
 type Network struct {
@@ -101,10 +101,8 @@
 	t.network.handlers[t.address] = handler
 }
 
-// Address implements peer.Transport.
 func (t *Transport) Address() string { return t.address }
 
-// Send implements peer.Transport.
 func (t *Transport) Send(address string, message peer.Message) {
 	message.From = t.address
 	handler := t.network.route(t.address, address, true)
@@ -114,7 +112,6 @@
 	time.AfterFunc(t.network.Delay, func() { handler.HandleDatagram(message) })
 }
 
-// Call implements peer.Transport.
 func (t *Transport) Call(ctx context.Context, address string, message peer.Message) (peer.Message, error) {
 	message.From = t.address
 	if err := t.waitDelay(ctx); err != nil {
--- a/internal/fleet/peer/transport.go
+++ b/internal/fleet/peer/transport.go
@@ -52,8 +52,8 @@
 
 var _ Transport = (*SocketTransport)(nil)
 
-// Listen opens the UDP and TCP sockets of an address. If the port is 0, it chooses one free port for both. advertise is
-// the address that other nodes use; if empty, it is the address listened on.
+// Listen opens the UDP and TCP sockets of an IP address and port. If the port is 0, it chooses one free port for both.
+// advertise is the address that other nodes use; if empty, it is the address listened on.
 func Listen(address, advertise string, meter Meter) (*SocketTransport, error) {
 	const attempts = 20 // the free TCP port may be in use for UDP
 	var lastErr error
@@ -96,7 +96,6 @@
 	go t.acceptCalls()
 }
 
-// Address implements Transport.
 func (t *SocketTransport) Address() string { return t.advertise }
 
 // Close closes the sockets and waits until all messages in progress are handled.
@@ -107,7 +106,6 @@
 	return err
 }
 
-// Send implements Transport.
 func (t *SocketTransport) Send(address string, message Message) {
 	message.From = t.advertise
 	line, err := json.Marshal(message)
@@ -123,7 +121,6 @@
 	}
 }
 
-// Call implements Transport.
 func (t *SocketTransport) Call(ctx context.Context, address string, message Message) (Message, error) {
 	message.From = t.advertise
 	var dialer net.Dialer
--- a/internal/fleet/reachability/reachability.go
+++ b/internal/fleet/reachability/reachability.go
@@ -26,7 +26,8 @@
 // maxZones bounds the number of tracked zones; further zones always count as reachable.
 const maxZones = 256
 
-// answerLimit is how long a node waits for the answer to a ping.
+// answerLimit is how long a node waits for the answer to a ping. No wait of a check exceeds it, so an answer that comes
+// after its check has ended still ends the loss of the zone.
 const answerLimit = time.Second
 
 // recheckSlack is added to the pause before a zone is checked again, so that a check in progress has ended by then.
@@ -180,8 +181,8 @@
 	})
 }
 
-// suspectOtherZones checks all zones other than the lost one and this node's own, because what cuts off one zone often
-// cuts off several.
+// suspectOtherZones starts checks of all zones other than the lost one and this node's own, see SuspectAndRecheck: what
+// cuts off one zone often cuts off several.
 func (t *Tracker) suspectOtherZones(lost string) {
 	seen := map[string]bool{lost: true, t.deps.Self.Zone: true}
 	for _, node := range t.deps.Nodes() {
@@ -251,7 +252,8 @@
 	}
 }
 
-// ping pings a node of a zone. It records an answer within answerLimit as a response, even if a check has ended before.
+// ping pings a node of a zone. An answer within answerLimit counts as a response, even after the end of the check that
+// sent the ping.
 func (t *Tracker) ping(ctx context.Context, known *zone, node catalog.NodeRecord) bool {
 	ctx, cancel := context.WithTimeout(ctx, answerLimit)
 	defer cancel()
--- a/internal/fleet/reachability/reachability_test.go
+++ b/internal/fleet/reachability/reachability_test.go
@@ -116,7 +116,7 @@
 }
 
 // A zone that is cut off is lost after one check, and the node announces the loss to some nodes of its own zone.
-func TestCutZoneIsLost(t *testing.T) {
+func TestPartitionedZoneIsLost(t *testing.T) {
 	withTracker(t, func(is *is.I, network *testNetwork, tracker *Tracker) {
 		network.set(true, far)
 		tracker.Suspect(far)
@@ -131,7 +131,7 @@
 }
 
 // A zone is reachable within a second after a partition has ended, even without requests.
-func TestHealedZoneIsReachable(t *testing.T) {
+func TestZoneIsReachableAfterPartition(t *testing.T) {
 	withTracker(t, func(is *is.I, network *testNetwork, tracker *Tracker) {
 		network.set(true, far)
 		tracker.Suspect(far)
@@ -313,12 +313,12 @@
 		network.mu.Lock()
 		pings := network.pings[far]
 		network.mu.Unlock()
-		is.Equal(pings, firstPings+DefaultConfig().MinNodes+4*firstPings) // later checks wait long enough
+		is.Equal(pings, firstPings+DefaultConfig().MinNodes+4*firstPings) // later checks wait long enough for answers to the first pings
 	})
 }
 
 // A node is cut off if it lost the zones of more than half of the nodes.
-func TestIsCutOff(t *testing.T) {
+func TestNodeIsCutOffIfMostNodesAreInLostZones(t *testing.T) {
 	withTracker(t, func(is *is.I, network *testNetwork, tracker *Tracker) {
 		network.set(true, far, mid)
 		tracker.Suspect(far)
--- a/internal/fleet/reachability/zonecheck.go
+++ b/internal/fleet/reachability/zonecheck.go
@@ -17,7 +17,7 @@
 // controlPings is how many nodes of other zones a check pings as a control.
 const controlPings = 3
 
-// maxRepeats bounds how many times a check pings and waits, if this node itself is late.
+// maxRepeats bounds how many times a check runs its second step, which it repeats while this node itself is late.
 const maxRepeats = 3
 
 // lateDivisor divides the length of a wait: this node is late if it wakes up more than that fraction of the wait after
@@ -32,11 +32,10 @@
 	controlAnswered atomic.Bool
 }
 
-// isLost checks whether the zone is lost. It pings firstPings nodes. If nothing in the zone responds within the timeout
-// for Config.FirstWait, it pings Config.MinNodes nodes and controlPings nodes of other zones. The zone is lost if
-// nothing in it responds within the timeout for Config.Wait but a control does. If this node itself was late or
-// suspended, the result is inconclusive, and the second step is repeated, up to maxRepeats times in total. A zone with
-// fewer nodes than Config.MinNodes is never lost, since all of them may have crashed.
+// isLost reports whether the zone is lost. It pings firstPings nodes, then Config.MinNodes nodes and controlPings nodes of
+// other zones. The zone is lost if nothing in it responds within the timeouts for Config.FirstWait and Config.Wait, but a
+// control does. If this node was late or suspended, the second step is inconclusive and runs again, up to maxRepeats times
+// in total. A zone with fewer nodes than Config.MinNodes is never lost, since all of them may have crashed.
 func (c *zoneCheck) isLost(ctx context.Context) bool {
 	cfg := c.tracker.deps.Config
 	nodes := c.tracker.nodesOf(func(node catalog.NodeRecord) bool { return node.Zone == c.zone.name })
--- a/internal/fleet/registry/gatherers.go
+++ b/internal/fleet/registry/gatherers.go
@@ -2,13 +2,13 @@
 
 import "github.com/portgauge/portgauge/internal/config/catalog"
 
-// gathererCoreFraction times the largest number of cores of a node in the zone is the number of cores that a node needs
-// to gather for others. With fewer, it takes clearly longer for the same request.
+// gathererCoreFraction times the largest number of cores among the zone's nodes with a Tree address is the number of
+// cores that a node needs to gather for others. With fewer, it takes clearly longer for the same request.
 const gathererCoreFraction = 0.5
 
 // Gatherers returns the nodes that gather requests over many shards, for themselves and for the other nodes of their
-// zone: nodes with at least gathererCoreFraction of the zone's largest number of cores, and nodes with an unknown
-// number. If all nodes are alike, all gather. The order of the nodes is kept.
+// zone: nodes with at least gathererCoreFraction of the largest number of cores of a node with a Tree address in the
+// zone, and nodes with an unknown number. If all nodes are alike, all gather. The order of the nodes is kept.
 func Gatherers(nodes []catalog.NodeRecord) []catalog.NodeRecord {
 	largest := map[string]float64{}
 	for _, node := range nodes {
--- a/internal/fleet/registry/registry.go
+++ b/internal/fleet/registry/registry.go
@@ -215,7 +215,6 @@
 	return false
 }
 
-// renewOnce renews the lease once.
 func (r *Registry) renewOnce(ctx context.Context, lease int64) error {
 	ctx, cancel := context.WithTimeout(ctx, r.cfg.CallTimeout)
 	defer cancel()
--- a/internal/fleet/registry/registry_test.go
+++ b/internal/fleet/registry/registry_test.go
@@ -173,7 +173,7 @@
 
 // The nodes' shares of a bound add up to 1 whatever their sizes, and the gatherers have most of a bound on a gathered
 // service.
-func TestSharesAddUpToBound(t *testing.T) {
+func TestSharesAddUpToOne(t *testing.T) {
 	is := is.New(t)
 	for _, large := range []int{0, 1, 2, 5} {
 		cat := catalog.New(nil)
--- a/internal/lab/sample/sample.go
+++ b/internal/lab/sample/sample.go
@@ -39,7 +39,6 @@
 // so snapshots differ in their keys.
 const absentOneIn = 16
 
-// Build returns the index of a snapshot.
 func Build(dataset Dataset, seed uint64, count int, snapshot string) (*Index, error) {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	index := &Index{Snapshot: snapshot}
@@ -97,7 +96,6 @@
 	return "", nil, failure.Invalid("dataset", "%q is invalid; must be %q or %q", dataset, Tiles, Invoices)
 }
 
-// In returns the records of a key range.
 func (index *Index) In(keys keyspace.Range) []Record {
 	start := sort.Search(len(index.Records), func(i int) bool { return index.Records[i].Key >= keys.From })
 	end := len(index.Records)
--- a/internal/operator/admin/admin.go
+++ b/internal/operator/admin/admin.go
@@ -73,7 +73,6 @@
 	return nil
 }
 
-// anyIn reports whether any of the IDs is in the set.
 func anyIn(ids []string, set map[string]bool) bool {
 	for _, id := range ids {
 		if set[id] {
--- a/internal/operator/api/admin_handler.go
+++ b/internal/operator/api/admin_handler.go
@@ -34,102 +34,82 @@
 	return connect.NewResponse(message), nil
 }
 
-// ApplyService implements AdminServiceHandler.
 func (h *adminHandler) ApplyService(ctx context.Context, request *connect.Request[adminv1.ApplyServiceRequest]) (*connect.Response[adminv1.ApplyServiceResponse], error) {
 	return reply(h.admin.ApplyService(ctx, request.Msg))
 }
 
-// GetService implements AdminServiceHandler.
 func (h *adminHandler) GetService(_ context.Context, request *connect.Request[adminv1.GetServiceRequest]) (*connect.Response[adminv1.GetServiceResponse], error) {
 	return reply(h.admin.GetService(request.Msg.GetName()))
 }
 
-// ListServices implements AdminServiceHandler.
 func (h *adminHandler) ListServices(context.Context, *connect.Request[adminv1.ListServicesRequest]) (*connect.Response[adminv1.ListServicesResponse], error) {
 	return connect.NewResponse(h.admin.ListServices()), nil
 }
 
-// DeleteService implements AdminServiceHandler.
 func (h *adminHandler) DeleteService(ctx context.Context, request *connect.Request[adminv1.DeleteServiceRequest]) (*connect.Response[adminv1.DeleteServiceResponse], error) {
 	return reply(h.admin.DeleteService(ctx, request.Msg))
 }
 
-// PublishSnapshot implements AdminServiceHandler.
 func (h *adminHandler) PublishSnapshot(ctx context.Context, request *connect.Request[adminv1.PublishSnapshotRequest]) (*connect.Response[adminv1.PublishSnapshotResponse], error) {
 	return reply(h.admin.PublishSnapshot(ctx, request.Msg))
 }
 
-// ListSnapshots implements AdminServiceHandler.
 func (h *adminHandler) ListSnapshots(_ context.Context, request *connect.Request[adminv1.ListSnapshotsRequest]) (*connect.Response[adminv1.ListSnapshotsResponse], error) {
 	return reply(h.admin.ListSnapshots(request.Msg.GetService()))
 }
 
-// ApplyRoutes implements AdminServiceHandler.
 func (h *adminHandler) ApplyRoutes(ctx context.Context, request *connect.Request[adminv1.ApplyRoutesRequest]) (*connect.Response[adminv1.ApplyRoutesResponse], error) {
 	return reply(h.admin.ApplyRoutes(ctx, request.Msg))
 }
 
-// GetRoutes implements AdminServiceHandler.
 func (h *adminHandler) GetRoutes(context.Context, *connect.Request[adminv1.GetRoutesRequest]) (*connect.Response[adminv1.GetRoutesResponse], error) {
 	return reply(h.admin.GetRoutes())
 }
 
-// ApplyLeaf implements AdminServiceHandler.
 func (h *adminHandler) ApplyLeaf(ctx context.Context, request *connect.Request[adminv1.ApplyLeafRequest]) (*connect.Response[adminv1.ApplyLeafResponse], error) {
 	return reply(h.admin.ApplyLeaf(ctx, request.Msg))
 }
 
-// DeleteLeaf implements AdminServiceHandler.
 func (h *adminHandler) DeleteLeaf(ctx context.Context, request *connect.Request[adminv1.DeleteLeafRequest]) (*connect.Response[adminv1.DeleteLeafResponse], error) {
 	return reply(h.admin.DeleteLeaf(ctx, request.Msg))
 }
 
-// EvacuateZone implements AdminServiceHandler.
 func (h *adminHandler) EvacuateZone(ctx context.Context, request *connect.Request[adminv1.EvacuateZoneRequest]) (*connect.Response[adminv1.EvacuateZoneResponse], error) {
 	return reply(h.admin.EvacuateZone(ctx, request.Msg))
 }
 
-// RestoreZone implements AdminServiceHandler.
 func (h *adminHandler) RestoreZone(ctx context.Context, request *connect.Request[adminv1.RestoreZoneRequest]) (*connect.Response[adminv1.RestoreZoneResponse], error) {
 	return reply(h.admin.RestoreZone(ctx, request.Msg))
 }
 
-// ListEvacuatedZones implements AdminServiceHandler.
 func (h *adminHandler) ListEvacuatedZones(context.Context, *connect.Request[adminv1.ListEvacuatedZonesRequest]) (*connect.Response[adminv1.ListEvacuatedZonesResponse], error) {
 	return connect.NewResponse(h.admin.ListEvacuatedZones()), nil
 }
 
-// ListQuarantine implements AdminServiceHandler.
 func (h *adminHandler) ListQuarantine(context.Context, *connect.Request[adminv1.ListQuarantineRequest]) (*connect.Response[adminv1.ListQuarantineResponse], error) {
 	return connect.NewResponse(h.admin.ListQuarantine()), nil
 }
 
-// LiftQuarantine implements AdminServiceHandler.
 func (h *adminHandler) LiftQuarantine(ctx context.Context, request *connect.Request[adminv1.LiftQuarantineRequest]) (*connect.Response[adminv1.LiftQuarantineResponse], error) {
 	return reply(h.admin.LiftQuarantine(ctx, request.Msg))
 }
 
-// StartRollout implements AdminServiceHandler.
 func (h *adminHandler) StartRollout(ctx context.Context, request *connect.Request[adminv1.StartRolloutRequest]) (*connect.Response[adminv1.StartRolloutResponse], error) {
 	return reply(h.admin.StartRollout(ctx, request.Msg))
 }
 
-// CancelRollout implements AdminServiceHandler.
 func (h *adminHandler) CancelRollout(ctx context.Context, request *connect.Request[adminv1.CancelRolloutRequest]) (*connect.Response[adminv1.CancelRolloutResponse], error) {
 	return reply(h.admin.CancelRollout(ctx, request.Msg))
 }
 
-// GetRollout implements AdminServiceHandler.
 func (h *adminHandler) GetRollout(_ context.Context, request *connect.Request[adminv1.GetRolloutRequest]) (*connect.Response[adminv1.GetRolloutResponse], error) {
 	return reply(h.admin.GetRollout(request.Msg))
 }
 
-// ListRollouts implements AdminServiceHandler.
 func (h *adminHandler) ListRollouts(context.Context, *connect.Request[adminv1.ListRolloutsRequest]) (*connect.Response[adminv1.ListRolloutsResponse], error) {
 	return connect.NewResponse(h.admin.ListRollouts()), nil
 }
 
-// WatchServices implements AdminServiceHandler.
 func (h *adminHandler) WatchServices(ctx context.Context, request *connect.Request[adminv1.WatchServicesRequest], stream *connect.ServerStream[adminv1.WatchServicesResponse]) error {
 	changes, cancel := h.catalog.Subscribe(watchBuffer)
 	defer cancel()
@@ -173,7 +153,6 @@
 	return nil
 }
 
-// GetStatus implements AdminServiceHandler.
 func (h *adminHandler) GetStatus(ctx context.Context, request *connect.Request[adminv1.GetStatusRequest]) (*connect.Response[adminv1.GetStatusResponse], error) {
 	response := &adminv1.GetStatusResponse{
 		NodeId:          h.nodeID,
--- a/internal/operator/api/health.go
+++ b/internal/operator/api/health.go
@@ -17,7 +17,6 @@
 
 var _ grpchealth.Checker = (*healthChecker)(nil)
 
-// Check implements grpchealth.Checker.
 func (h *healthChecker) Check(_ context.Context, request *grpchealth.CheckRequest) (*grpchealth.CheckResponse, error) {
 	if request.Service != "" && request.Service != h.service {
 		return nil, connect.NewError(connect.CodeNotFound, nil)
