--- a/internal/config/configsync/storestate.go
+++ b/internal/config/configsync/storestate.go
@@ -83,13 +83,13 @@
 // the node pulls from other zones.
 func (s *Syncer) markStoreDown(err error) {
 	if s.storeDownAt.CompareAndSwap(0, time.Now().UnixNano()) {
-		s.logger.Warn("store lost", zap.Error(err), zap.Int64("revision", s.catalog.Revision()))
+		s.logger.Warn("the store can't be followed", zap.Error(err), zap.Int64("revision", s.catalog.Revision()))
 	}
 }
 
-// leaveStoreToWatchers records that this node doesn't have to follow the store, because it has joined its zone and is
-// not the first watcher.
-func (s *Syncer) leaveStoreToWatchers() {
+// clearStoreDown clears the failure that markStoreDown recorded if the node has joined its zone. A node that is not the
+// first watcher of its zone need not follow the store.
+func (s *Syncer) clearStoreDown() {
 	if s.joined.Load() && s.storeDownAt.Swap(0) != 0 {
 		s.logger.Info("stopped following the store: this node is not the first watcher of its zone", zap.Int64("revision", s.catalog.Revision()))
 	}
@@ -98,6 +98,6 @@
 // markStoreUp records that the store can be followed, and logs the recovery.
 func (s *Syncer) markStoreUp() {
 	if since := s.storeDownAt.Swap(0); since != 0 {
-		s.logger.Info("store regained", zap.Duration("after", time.Since(time.Unix(0, since))), zap.Int64("revision", s.catalog.Revision()))
+		s.logger.Info("the store can be followed again", zap.Duration("after", time.Since(time.Unix(0, since))), zap.Int64("revision", s.catalog.Revision()))
 	}
 }
