--- a/internal/node/provide_fleet.go
+++ b/internal/node/provide_fleet.go
@@ -46,7 +46,7 @@
 func newSelf(cfg settings.Settings, transport *peer.SocketTransport) catalog.NodeRecord {
 	self := catalog.NodeRecord{
 		ID: cfg.Node.ID, Zone: cfg.Node.Zone, Address: transport.Address(), Tree: cfg.Listen.Tree,
-		Processors: cfg.Node.Processors * cfg.Node.ProcessorShare,
+		Processors: cfg.Node.Processors * cfg.Node.ProcessorFraction,
 	}
 	if cfg.Listen.AdvertiseTree != "" {
 		self.Tree = cfg.Listen.AdvertiseTree
--- a/internal/node/settings/settings.go
+++ b/internal/node/settings/settings.go
@@ -48,10 +48,10 @@
 	ID string `yaml:"id"`
 	// Zone is the failure domain of the node.
 	Zone string `yaml:"zone"`
-	// Processors is the number of processors of the machine, and ProcessorShare is the fraction of them that the node
-	// may use. The nodes of a zone compare the products to decide which of them gather for others; 0 means unknown.
-	Processors     float64 `yaml:"processors"`
-	ProcessorShare float64 `yaml:"processor_share"`
+	// Processors is the number of processors of the machine, and ProcessorFraction is the fraction of them that the
+	// node may use. The nodes of a zone compare the products to decide which of them gather for others; 0 means unknown.
+	Processors        float64 `yaml:"processors"`
+	ProcessorFraction float64 `yaml:"processor_share"`
 }
 
 // Listen has the addresses of the node's listeners, each an IP address and port.
@@ -205,7 +205,7 @@
 	requireAddressIfSet(&checks, "listen.tree", s.Listen.Tree)
 	requireAddressIfSet(&checks, "listen.advertise_tree", s.Listen.AdvertiseTree)
 	checks.Refuse(s.Node.Processors < 0, "node.processors", "must not be negative")
-	checks.Refuse(s.Node.ProcessorShare < 0, "node.processor_share", "must not be negative")
+	checks.Refuse(s.Node.ProcessorFraction < 0, "node.processor_share", "must not be negative")
 	requireAddress(&checks, "platform.address", s.Platform.Address)
 	checks.Refuse(s.Platform.Dialect == "", "platform.dialect", "must not be empty")
 	checks.Refuse(s.Platform.WatchWait <= 0, "platform.watch_wait", "must be positive")
--- a/internal/node/telemetry/metrics.go
+++ b/internal/node/telemetry/metrics.go
@@ -16,10 +16,10 @@
 type Metrics struct {
 	Registry *prometheus.Registry
 
-	// QueryLatency is the time from the arrival of a search to its answer, in seconds.
-	QueryLatency *prometheus.HistogramVec
-	// QueryCoverage is the fraction of the requested data that each answer covers.
-	QueryCoverage *prometheus.HistogramVec
+	// SearchLatency is the time from the arrival of a search to its answer, in seconds.
+	SearchLatency *prometheus.HistogramVec
+	// SearchCoverage is the fraction of the requested data that each answer covers.
+	SearchCoverage *prometheus.HistogramVec
 	// Failures counts failed searches by service, code and execution state.
 	Failures *prometheus.CounterVec
 	// Attempts counts leaf attempts by service and kind: first, hedge or retry.
@@ -81,8 +81,8 @@
 func NewMetrics() *Metrics {
 	metrics := &Metrics{
 		Registry:             prometheus.NewRegistry(),
-		QueryLatency:         newHistogram("query_latency_seconds", "Time from the arrival of a search to its answer, in seconds.", latencyBuckets(), "service", "class"),
-		QueryCoverage:        newHistogram("query_coverage", "Fraction of the requested data that each answer covers.", []float64{0, 0.5, 0.9, 0.99, 0.9999, 1}, "service"),
+		SearchLatency:        newHistogram("query_latency_seconds", "Time from the arrival of a search to its answer, in seconds.", latencyBuckets(), "service", "class"),
+		SearchCoverage:       newHistogram("query_coverage", "Fraction of the requested data that each answer covers.", []float64{0, 0.5, 0.9, 0.99, 0.9999, 1}, "service"),
 		Failures:             newCounterVec("failures_total", "Failed searches by service, code and execution state.", "service", "code", "execution"),
 		Attempts:             newCounterVec("leaf_attempts_total", "Leaf attempts of searches by service and kind (first, hedge or retry).", "service", "kind"),
 		CancelledAttempts:    newCounterVec("leaf_attempts_cancelled_total", "Leaf attempts that were cancelled because their replies were no longer needed.", "service"),
@@ -112,7 +112,7 @@
 		Members:              prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: namespace, Name: "members", Help: "Nodes in the member list of the zone by state."}, []string{"state"}),
 	}
 	metrics.Registry.MustRegister(
-		metrics.QueryLatency, metrics.QueryCoverage, metrics.Failures, metrics.Attempts,
+		metrics.SearchLatency, metrics.SearchCoverage, metrics.Failures, metrics.Attempts,
 		metrics.CancelledAttempts, metrics.DroppedReplies, metrics.ConfigRevision, metrics.ConfigAge,
 		metrics.ConfigRejected, metrics.ConfigRelayed, metrics.ControlBytes, metrics.Members,
 		metrics.FrontRequests, metrics.FrontLatency, metrics.FrontAttempts, metrics.FrontAttemptFailures,
--- a/internal/request/gateway/fixture_test.go
+++ b/internal/request/gateway/fixture_test.go
@@ -154,7 +154,7 @@
 	once.Prefix, once.Service, once.Repeatability = "/once/", "s0", routing.AtMostOnce
 	put(t, cat, catalog.RoutesKey, routing.Configuration{Version: 1, Routes: []routing.Route{pages, single, once}})
 	events := &recordedEvents{}
-	budget := retrybudget.Config{Ratio: 1, Window: 10 * time.Second, Share: 1}
+	budget := retrybudget.Config{Ratio: 1, Window: 10 * time.Second, UsedFraction: 1}
 	return New(Deps{
 		Config: DefaultConfig(), Names: names, Catalog: cat, Memory: leafmemory.New(leafmemory.DefaultConfig(), cat),
 		Allocator: connshare.New(connshare.DefaultConfig(), singleNodeFleet{}, catalog.NodeRecord{ID: "n"}),
--- a/internal/request/gateway/tree_fixture_test.go
+++ b/internal/request/gateway/tree_fixture_test.go
@@ -235,7 +235,7 @@
 // treeBudgets returns budgets with an allowance for retries that is independent of requests. A root has no other budget
 // for the shards that its intermediates gather.
 func treeBudgets() *retrybudget.Budgets {
-	cfg := retrybudget.Config{Ratio: 0, Window: 20 * time.Millisecond, Allowance: 20, Share: 1}
+	cfg := retrybudget.Config{Ratio: 0, Window: 20 * time.Millisecond, Allowance: 20, UsedFraction: 1}
 	budgets := retrybudget.New(cfg, func(string) float64 { return 1 })
 	for budgets.FreeFraction("any") == 0 {
 		time.Sleep(time.Millisecond) // a new node has no allowance for one window
--- a/internal/request/retrybudget/retrybudget.go
+++ b/internal/request/retrybudget/retrybudget.go
@@ -87,8 +87,8 @@
 }
 
 // limit returns the maximum number of repeats in the window that ends now: Config.Ratio of the requests plus the node's
-// share of the allowance, both times Config.Share. A node gets no allowance until it has run for a window, since it may
-// have used up its share before a restart. b.mu must be held.
+// share of the allowance, both times Config.UsedFraction. A node gets no allowance until it has run for a
+// window, since it may have used up its share before a restart. b.mu must be held.
 func (b *Budgets) limit(service string, counts *window) float64 {
 	requests := 0
 	for index := range counts.requests {
@@ -98,7 +98,7 @@
 	if b.now().Sub(b.start) >= b.cfg.Window {
 		limit += b.cfg.Allowance * b.share(service)
 	}
-	return limit * b.cfg.Share
+	return limit * b.cfg.UsedFraction
 }
 
 func (w *window) sumRepeats() int {
--- a/internal/request/retrybudget/retrybudget_test.go
+++ b/internal/request/retrybudget/retrybudget_test.go
@@ -20,7 +20,7 @@
 // requests plus the allowance.
 func TestFleetStaysWithinTheLimitInEveryWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		cfg := Config{Ratio: 0.2, Window: 10 * time.Second, Allowance: 56, Share: 0.85}
+		cfg := Config{Ratio: 0.2, Window: 10 * time.Second, Allowance: 56, UsedFraction: 0.85}
 		size := rapid.IntRange(1, 12).Draw(t, "nodes")
 		start := time.Now()
 		elapsed := time.Duration(0)
@@ -86,7 +86,7 @@
 func TestRestartedNodeHasNoAllowanceForOneWindow(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	budgets := New(Config{Ratio: 0.5, Window: 10 * time.Second, Allowance: 100, Share: 1}, func(string) float64 { return 1 })
+	budgets := New(Config{Ratio: 0.5, Window: 10 * time.Second, Allowance: 100, UsedFraction: 1}, func(string) float64 { return 1 })
 	budgets.now = func() time.Time { return now }
 	budgets.start = now
 	is.True(!budgets.Take("s", 0)) // there are no requests, and no allowance within the first window
@@ -108,7 +108,7 @@
 	is := is.New(t)
 	now := time.Now()
 	share := 0.0
-	budgets := New(Config{Ratio: 0, Window: time.Second, Allowance: 8, Share: 1}, func(string) float64 { return share })
+	budgets := New(Config{Ratio: 0, Window: time.Second, Allowance: 8, UsedFraction: 1}, func(string) float64 { return share })
 	budgets.now = func() time.Time { return now }
 	budgets.start = now.Add(-time.Minute)
 	is.True(!budgets.Take("s", 0)) // the node's share is unknown
--- a/internal/request/retrybudget/suspended_test.go
+++ b/internal/request/retrybudget/suspended_test.go
@@ -11,7 +11,7 @@
 func TestRequestsBeforeASuspensionAllowNoRepeats(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	budgets := New(Config{Ratio: 0.2, Window: 10 * time.Second, Share: 1}, func(string) float64 { return 1 })
+	budgets := New(Config{Ratio: 0.2, Window: 10 * time.Second, UsedFraction: 1}, func(string) float64 { return 1 })
 	budgets.SetClock(func() time.Time { return now })
 	for range 100 {
 		budgets.CountRequest("s")
--- a/internal/request/search/observe.go
+++ b/internal/request/search/observe.go
@@ -12,7 +12,7 @@
 // observe records the metrics and the debug log line of one search.
 func (e *Engine) observe(request *searchv1.SearchRequest, response *searchv1.SearchResponse, err error, took time.Duration) {
 	service, class := e.labels(request.GetService())
-	e.metrics.QueryLatency.WithLabelValues(service, class).Observe(took.Seconds())
+	e.metrics.SearchLatency.WithLabelValues(service, class).Observe(took.Seconds())
 	if err != nil {
 		failed := failure.From(err)
 		e.metrics.Failures.WithLabelValues(service, string(failed.Code), failed.Execution.String()).Inc()
@@ -21,7 +21,7 @@
 		return
 	}
 	report := response.GetReport()
-	e.metrics.QueryCoverage.WithLabelValues(service).Observe(report.GetCoverage().GetFraction())
+	e.metrics.SearchCoverage.WithLabelValues(service).Observe(report.GetCoverage().GetFraction())
 	e.logger.Debug("search answered", zap.String("service", service), zap.String("request_id", report.GetRequestId()),
 		zap.String("snapshot", report.GetSnapshotId()), zap.Int64("revision", report.GetConfigRevision()),
 		zap.Float64("coverage", report.GetCoverage().GetFraction()), zap.Duration("took", took))
