--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -190,7 +190,7 @@
 		OnStop: func(ctx context.Context) error {
 			stopWarming()
 			deps.Members.Leave()
-			deps.Tree.PrepareStop()
+			deps.Tree.DeclineNew()
 			deps.Engine.PrepareStop()
 			deps.Front.PrepareStop()
 			logger.Info("stopping: the stop was announced to callers and peers")
--- a/internal/request/gateway/tree_test.go
+++ b/internal/request/gateway/tree_test.go
@@ -74,7 +74,7 @@
 		"stopped": {func(node *treeNode) { _ = node.listener.Close() }, GroupNeverSent},
 		"frozen":  {freeze, GroupSilent},
 		"leaving": {func(node *treeNode) {
-			node.server.PrepareStop()
+			node.server.DeclineNew()
 		}, GroupStopping},
 		"other routing table": {func(node *treeNode) {
 			put(node.t, node.catalog, catalog.LeafKey("other"), leafset.Record{Name: "other", Service: "other", Address: "127.0.0.1:1", State: leafset.Ready})
--- a/internal/request/servingtree/server.go
+++ b/internal/request/servingtree/server.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// PrepareStop begins a planned stop: the server declines all further requests.
-func (s *Server) PrepareStop() {
+// DeclineNew makes the server decline all further requests, for a planned stop.
+func (s *Server) DeclineNew() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stopping = true
@@ -59,7 +59,7 @@
 // Shutdown declines further requests, waits until the requests in flight end or the context is done, and closes the
 // listener and all connections.
 func (s *Server) Shutdown(ctx context.Context) error {
-	s.PrepareStop()
+	s.DeclineNew()
 	ended := make(chan struct{})
 	go func() {
 		s.running.Wait()
--- a/internal/request/servingtree/servingtree_test.go
+++ b/internal/request/servingtree/servingtree_test.go
@@ -167,7 +167,7 @@
 	client := newClient(t, testConfig())
 	before := client.Start(address, Request{ID: "before"})
 	<-before.Acks()
-	server.PrepareStop()
+	server.DeclineNew()
 	is.Equal(result(t, client.Start(address, Request{ID: "after"})).Reply.Decline, Stopping)
 	stopped := make(chan error, 1)
 	go func() { stopped <- server.Shutdown(t.Context()) }()
