--- a/internal/failure/failure.go
+++ b/internal/failure/failure.go
@@ -38,11 +38,11 @@
 	OutcomeUnknown     Code = "OUTCOME_UNKNOWN"
 	Cancelled          Code = "CANCELLED"
 	Unreachable        Code = "UNREACHABLE"
-	// LeafsEnded means that leafs crashed while they ran the request. Quarantined means that enough leafs crashed that the
-	// request is no longer sent to any leaf.
-	LeafsEnded  Code = "LEAFS_ENDED"
-	Quarantined Code = "QUARANTINED"
-	Internal    Code = "INTERNAL"
+	// LeafsCrashed means that leafs crashed while they ran the request. Quarantined means that enough leafs crashed that
+	// the request is no longer sent to any leaf.
+	LeafsCrashed Code = "LEAFS_ENDED"
+	Quarantined  Code = "QUARANTINED"
+	Internal     Code = "INTERNAL"
 )
 
 // ExecutionState states whether a back end ran the request, as far as portgauge can tell.
--- a/internal/leaf/balancer/balancer_test.go
+++ b/internal/leaf/balancer/balancer_test.go
@@ -150,7 +150,7 @@
 			is.True(b.Choose(threeReplicas(), nil).Leaf.ID != "a")
 		}
 		is.True(b.Choose(threeReplicas()[:1], nil).Unhealthy) // it is the only replica
-		b.Finish(stalled, Abandoned, 60*time.Millisecond, 0)
+		b.Finish(stalled, Cancelled, 60*time.Millisecond, 0)
 		is.True(b.Choose(threeReplicas()[:1], nil).Unhealthy) // a cancelled attempt does not end the silence
 		time.Sleep(2 * minimumStallPause)
 		is.True(!b.Choose(threeReplicas()[:1], nil).Unhealthy) // the pause is over
--- a/internal/leaf/balancer/leaf.go
+++ b/internal/leaf/balancer/leaf.go
@@ -25,9 +25,9 @@
 	Shed
 	// Drained means that the leaf refused the attempt because it is draining.
 	Drained
-	// Abandoned means that the attempt was cancelled because its reply was no longer needed, which shows little about
-	// the leaf.
-	Abandoned
+	// Cancelled means that the node cancelled the attempt, or did not start it, because its reply was no longer needed.
+	// It shows little about the leaf.
+	Cancelled
 	// Declined means that the leaf refused the attempt for a reason unrelated to its health.
 	Declined
 )
@@ -140,7 +140,7 @@
 		l.limit = math.Max(1, l.limit*shedBackoff)
 	case Drained:
 		l.drainingUntil = now.Add(cfg.ForgetDrain)
-	case Abandoned:
+	case Cancelled:
 		// The time waited is a lower bound of the latency. If it were ignored, a slow replica would be rated by its
 		// fast replies only.
 		if took.Seconds() > l.latency {
--- a/internal/leaf/balancer/slowness.go
+++ b/internal/leaf/balancer/slowness.go
@@ -87,12 +87,12 @@
 // typical latency of such an attempt at any leaf, or 0 if it is unknown. It returns an observation for other nodes if
 // the sample is slow, or if it is healthy and the leaf was slow.
 func (l *Leaf) recordSlowness(cfg Config, outcome Outcome, took, typical time.Duration, now time.Time) *Observation {
-	if typical <= 0 || (outcome != Succeeded && outcome != Abandoned) {
+	if typical <= 0 || (outcome != Succeeded && outcome != Cancelled) {
 		return nil
 	}
 	sample := float64(took) / float64(typical) / l.queueing(cfg, now)
 	known, _ := l.slowness.now(now)
-	if outcome == Abandoned && sample <= known {
+	if outcome == Cancelled && sample <= known {
 		// The time waited is only a lower bound of the latency.
 		return nil
 	}
--- a/internal/leaf/balancer/stall.go
+++ b/internal/leaf/balancer/stall.go
@@ -67,7 +67,7 @@
 // updateSilence records whether an attempt ended with an answer. Any answer ends the silence, but a failed or cancelled
 // attempt does not.
 func (l *Leaf) updateSilence(outcome Outcome, now time.Time) {
-	if outcome == Abandoned || outcome == Failed {
+	if outcome == Cancelled || outcome == Failed {
 		l.lastUnansweredAt = now
 		return
 	}
--- a/internal/leaf/leafhttp/check_test.go
+++ b/internal/leaf/leafhttp/check_test.go
@@ -11,10 +11,10 @@
 	"github.com/portgauge/portgauge/internal/request/httpnames"
 )
 
-func runCheck(t *testing.T, p *Pool, target Target, refused bool) bool {
+func runCheck(t *testing.T, p *Pool, target Target, wasReset bool) bool {
 	t.Helper()
 	reported := make(chan bool, 1)
-	p.Check(target, refused, func(exited bool) { reported <- exited })
+	p.Check(target, wasReset, func(exited bool) { reported <- exited })
 	select {
 	case exited := <-reported:
 		return exited
--- a/internal/leaf/leafhttp/connection.go
+++ b/internal/leaf/leafhttp/connection.go
@@ -283,7 +283,7 @@
 		leaf.idle = slices.DeleteFunc(leaf.idle, func(conn *connection) bool { return conn == c })
 		if !c.answered && isReset(cause) {
 			leaf.resetAt = time.Now()
-			cause = &RefusedConnectionError{Cause: cause}
+			cause = &ConnectionResetError{Cause: cause}
 		}
 		p.removeOpen(c.leafID, leaf)
 	}
--- a/internal/leaf/leafhttp/connections_test.go
+++ b/internal/leaf/leafhttp/connections_test.go
@@ -84,8 +84,8 @@
 	go resetAll(listener)
 	refusing := Target{LeafID: "leaf-2", Address: listener.Addr().String(), ExtraConnections: 1}
 	_, err = f.runAttempt(t.Context(), refusing, f.request(), time.Now().Add(time.Second))
-	var refused *RefusedConnectionError
-	is.True(errors.As(err, &refused))
+	var connectionReset *ConnectionResetError
+	is.True(errors.As(err, &connectionReset))
 	is.True(!f.pool.MayOpenExtra(refusing.LeafID))
 	time.Sleep(cfg.ExtraPause)
 	is.True(f.pool.MayOpenExtra(refusing.LeafID))
--- a/internal/leaf/leafhttp/errors.go
+++ b/internal/leaf/leafhttp/errors.go
@@ -40,17 +40,17 @@
 	return errors.Is(broken, io.EOF) || errors.Is(broken, io.ErrUnexpectedEOF) || errors.Is(broken, syscall.ECONNRESET) || errors.Is(broken, syscall.EPIPE)
 }
 
-// RefusedConnectionError means that the leaf reset a new connection before any answer on it, as leafs with too many
+// ConnectionResetError means that the leaf reset a new connection before any answer on it, as leafs with too many
 // connections do. It is unknown whether the leaf ran the request.
-type RefusedConnectionError struct {
+type ConnectionResetError struct {
 	Cause error
 }
 
-func (e *RefusedConnectionError) Error() string {
+func (e *ConnectionResetError) Error() string {
 	return "the leaf reset a new connection: " + e.Cause.Error()
 }
 
-func (e *RefusedConnectionError) Unwrap() error { return e.Cause }
+func (e *ConnectionResetError) Unwrap() error { return e.Cause }
 
 // ForeignAnswerError means that an answer carries the ID of another request or none.
 type ForeignAnswerError struct {
--- a/internal/node/decisionlog/decisionlog.go
+++ b/internal/node/decisionlog/decisionlog.go
@@ -24,7 +24,7 @@
 	LinesPerSecond float64 `yaml:"lines_per_second"`
 	// FailureLinesPerSecond bounds the lines per second for failed and partial requests and for changes of state.
 	FailureLinesPerSecond float64 `yaml:"failure_lines_per_second"`
-	// EveryAttempt also logs attempts that succeeded or were abandoned; the default logs failed attempts only.
+	// EveryAttempt also logs attempts that succeeded or were cancelled; the default logs failed attempts only.
 	EveryAttempt bool `yaml:"every_attempt"`
 	// Queue is the maximum number of lines queued for the output; further lines are dropped.
 	Queue int `yaml:"queue"`
--- a/internal/node/request_events.go
+++ b/internal/node/request_events.go
@@ -21,7 +21,7 @@
 	log      *decisionlog.Log
 	metrics  *telemetry.Metrics
 	attempts map[scatter.Kind]prometheus.Counter
-	// everyAttempt also logs attempts that succeeded or were abandoned.
+	// everyAttempt also logs attempts that succeeded or were cancelled.
 	everyAttempt bool
 }
 
@@ -121,7 +121,7 @@
 	Reason     scatter.Reason `json:"reason,omitempty"`
 	Execution  string         `json:"execution"`
 	TookMillis float64        `json:"took_millis"`
-	Abandoned  bool           `json:"abandoned,omitempty"`
+	Cancelled  bool           `json:"abandoned,omitempty"`
 }
 
 func (e *requestEvents) Refused(request *gateway.Request, err error) {
@@ -136,10 +136,10 @@
 	e.attempts[kind].Inc()
 }
 
-// AttemptEnded logs attempts that succeeded or were abandoned only if everyAttempt is set.
+// AttemptEnded logs attempts that succeeded or were cancelled only if everyAttempt is set.
 func (e *requestEvents) AttemptEnded(record gateway.AttemptRecord) {
 	event := eventAttemptEnded
-	if !record.Succeeded && !record.Abandoned {
+	if !record.Succeeded && !record.Cancelled {
 		event = eventAttemptFailed
 		e.metrics.FrontAttemptFailures.WithLabelValues(string(record.Reason)).Inc()
 	}
@@ -149,7 +149,7 @@
 	e.log.Write(decisionlog.Ordinary, attemptEvent{
 		Time: time.Now(), Event: event, RequestID: record.RequestID, Service: record.Service, Leaf: record.Leaf,
 		Kind: record.Kind, Reason: record.Reason, Execution: record.Execution.String(), TookMillis: millis(record.Took),
-		Abandoned: record.Abandoned,
+		Cancelled: record.Cancelled,
 	})
 }
 
@@ -217,17 +217,17 @@
 	Content   fingerprint.Fingerprint `json:"content"`
 	Service   string                  `json:"service"`
 	Leaf      string                  `json:"leaf"`
-	Ended     bool                    `json:"ended"`
+	Exited    bool                    `json:"ended"`
 	Announced bool                    `json:"announced,omitempty"`
 }
 
 // LeafChecked writes an important line: a burst of failed attempts uses up the rate of ordinary lines, and only this
 // line connects a crash with a request.
 func (e *requestEvents) LeafChecked(record gateway.LeafCheckRecord) {
-	e.metrics.LeafsLost.WithLabelValues(strconv.FormatBool(record.Ended)).Inc()
+	e.metrics.LeafsLost.WithLabelValues(strconv.FormatBool(record.Exited)).Inc()
 	e.log.Write(decisionlog.Important, lossEvent{
 		Time: time.Now(), Event: eventLeafLost, RequestID: record.RequestID, Content: record.Content, Service: record.Service,
-		Leaf: record.Leaf, Ended: record.Ended, Announced: record.Announced,
+		Leaf: record.Leaf, Exited: record.Exited, Announced: record.Announced,
 	})
 }
 
--- a/internal/request/gateway/answer.go
+++ b/internal/request/gateway/answer.go
@@ -60,7 +60,7 @@
 	code := failure.IncompleteCoverage
 	switch {
 	case e.summary.StoppedByCrashes:
-		code = failure.LeafsEnded
+		code = failure.LeafsCrashed
 	case state == failure.NotRun:
 		code = failure.Overloaded
 	case reason == scatter.Deadline:
--- a/internal/request/gateway/attempt.go
+++ b/internal/request/gateway/attempt.go
@@ -20,8 +20,8 @@
 	reasonNotSent scatter.Reason = "NOT_SENT"
 	// reasonBroken means that the connection ended before the complete answer arrived.
 	reasonBroken scatter.Reason = "BROKEN_ANSWER"
-	// reasonRefusedConnection means that the leaf reset a new connection, as it does above its connection limit.
-	reasonRefusedConnection scatter.Reason = "REFUSED_CONNECTION"
+	// reasonConnectionReset means that the leaf reset a new connection, as it does above its connection limit.
+	reasonConnectionReset scatter.Reason = "REFUSED_CONNECTION"
 	// reasonLeafError means that the leaf ran the request and failed.
 	reasonLeafError scatter.Reason = "LEAF_ERROR"
 	// reasonUnsigned means that a success lacks the leaf's signature and may come from something else.
@@ -39,25 +39,25 @@
 		done(quarantinedResult())
 		return func(error) {}
 	}
-	var isAbandoned atomic.Bool
+	var isCancelled atomic.Bool
 	target := e.target(attempt)
 	leaf, probe := target.leaf, e.probeNumber(attempt)
 	e.gateway.attemptStarted(leaf)
 	cancel := e.gateway.leafs.Start(target.Target, &e.request.Leaf, e.deadline(), func(response *leafhttp.Response, err error) {
 		e.gateway.attemptEnded(leaf)
-		result := e.classifyEnd(attempt, response, err, isAbandoned.Load())
+		result := e.classifyEnd(attempt, response, err, isCancelled.Load())
 		e.countEvidence(leaf, response, result, time.Since(attempt.Started))
 		e.finishAttempt(attempt, target, probe, attemptEnd{response, result, err}, done)
 	})
 	return func(cause error) {
-		isAbandoned.Store(true)
+		isCancelled.Store(true)
 		cancel(cause)
 	}
 }
 
-func (e *execution) classifyEnd(attempt scatter.Attempt, response *leafhttp.Response, err error, isAbandoned bool) attemptResult {
+func (e *execution) classifyEnd(attempt scatter.Attempt, response *leafhttp.Response, err error, isCancelled bool) attemptResult {
 	if err != nil {
-		return classifyError(isAbandoned, err)
+		return classifyError(isCancelled, err)
 	}
 	return e.classifyResponse(attempt, response)
 }
@@ -136,18 +136,18 @@
 }
 
 // classifyError classifies the error of an attempt without an answer.
-func classifyError(isAbandoned bool, err error) attemptResult {
+func classifyError(isCancelled bool, err error) attemptResult {
 	outcome := balancer.Failed
-	if isAbandoned {
-		outcome = balancer.Abandoned
+	if isCancelled {
+		outcome = balancer.Cancelled
 	}
 	var neverSent *leafhttp.NeverSentError
 	if errors.As(err, &neverSent) {
 		return attemptResult{Reason: reasonNotSent, Execution: scatter.NotRun, Outcome: outcome, NeverArrived: true}
 	}
-	var refused *leafhttp.RefusedConnectionError
-	if errors.As(err, &refused) {
-		return attemptResult{Reason: reasonRefusedConnection, Execution: scatter.Unknown, Outcome: outcome, NeverArrived: true}
+	var connectionReset *leafhttp.ConnectionResetError
+	if errors.As(err, &connectionReset) {
+		return attemptResult{Reason: reasonConnectionReset, Execution: scatter.Unknown, Outcome: outcome, NeverArrived: true}
 	}
 	return attemptResult{Reason: reasonBroken, Execution: scatter.Unknown, Outcome: outcome}
 }
@@ -163,6 +163,6 @@
 	e.gateway.events.AttemptEnded(AttemptRecord{
 		RequestID: e.request.Leaf.ID, Service: e.services[attempt.Shard], Leaf: attempt.Leaf.ID, Kind: attempt.Kind,
 		Reason: result.Reason, Execution: result.Execution, Took: took,
-		Succeeded: result.Reply != nil, Abandoned: result.Outcome == balancer.Abandoned,
+		Succeeded: result.Reply != nil, Cancelled: result.Outcome == balancer.Cancelled,
 	})
 }
--- a/internal/request/gateway/canary.go
+++ b/internal/request/gateway/canary.go
@@ -140,7 +140,7 @@
 		counted.Observe(route, leaf, false, took)
 	case result.Reason == reasonLeafError && response.Header.Get(e.gateway.names.ResponseStamp) != "":
 		counted.Observe(route, leaf, true, took)
-	case result.Reason == reasonBroken && result.Outcome == balancer.Abandoned:
-		counted.ObserveAbandoned(route, leaf, took)
+	case result.Reason == reasonBroken && result.Outcome == balancer.Cancelled:
+		counted.ObserveCancelled(route, leaf, took)
 	}
 }
--- a/internal/request/gateway/canary_refused_test.go
+++ b/internal/request/gateway/canary_refused_test.go
@@ -51,7 +51,7 @@
 		original := g.leafs.answer
 		g.leafs.answer = func(leaf string) (time.Duration, *leafhttp.Response, error) {
 			if leaf == "s0a" || leaf == "s0b" {
-				return time.Millisecond, nil, &leafhttp.RefusedConnectionError{Cause: errUnresponsive}
+				return time.Millisecond, nil, &leafhttp.ConnectionResetError{Cause: errUnresponsive}
 			}
 			return original(leaf)
 		}
--- a/internal/request/gateway/canary_test.go
+++ b/internal/request/gateway/canary_test.go
@@ -332,7 +332,7 @@
 		answer    func(leaf string) (time.Duration, *leafhttp.Response, error)
 		answered  int64
 		failed    int64
-		abandoned int64
+		cancelled int64
 	}{
 		"success": {func(leaf string) (time.Duration, *leafhttp.Response, error) {
 			return time.Millisecond, answered(200, leaf), nil
@@ -348,7 +348,7 @@
 			return 0, nil, &leafhttp.NeverSentError{Cause: errUnresponsive}
 		}, 0, 0, 0},
 		"no connection": {func(string) (time.Duration, *leafhttp.Response, error) {
-			return 0, nil, &leafhttp.RefusedConnectionError{Cause: errUnresponsive}
+			return 0, nil, &leafhttp.ConnectionResetError{Cause: errUnresponsive}
 		}, 0, 0, 0},
 		"broken": {func(string) (time.Duration, *leafhttp.Response, error) {
 			return 0, nil, &leafhttp.BrokenAnswerError{Cause: errUnresponsive}
@@ -371,7 +371,7 @@
 				after := g.canaryTally(is)
 				is.Equal(after.Answered.Total()-before.Answered.Total(), c.answered)
 				is.Equal(after.Failures-before.Failures, c.failed)
-				is.Equal(after.Abandoned.Total()-before.Abandoned.Total(), c.abandoned)
+				is.Equal(after.Cancelled.Total()-before.Cancelled.Total(), c.cancelled)
 			})
 		})
 	}
--- a/internal/request/gateway/crash.go
+++ b/internal/request/gateway/crash.go
@@ -22,14 +22,14 @@
 	Leaf    string
 	// Probe is the number of the probe, from 1; 0 for other attempts.
 	Probe int
-	// Ended reports whether the leaf's process has exited, and not just a connection to it.
-	Ended bool
+	// Exited reports whether the leaf's process has exited, and not just a connection to it.
+	Exited bool
 	// Announced reports whether the leaf had announced its drain, or was no longer listed.
 	Announced bool
 }
 
 // isEvidence reports whether the request may have crashed the leaf.
-func (l LeafCheckRecord) isEvidence() bool { return l.Ended && !l.Announced }
+func (l LeafCheckRecord) isEvidence() bool { return l.Exited && !l.Announced }
 
 type attemptEnd struct {
 	response *leafhttp.Response // nil if err is set
@@ -45,24 +45,24 @@
 
 func (e attemptEnd) isBroken() bool { return e.result.Reason == reasonBroken }
 
-func (e attemptEnd) isRefused() bool { return e.result.Reason == reasonRefusedConnection }
+func (e attemptEnd) isConnectionReset() bool { return e.result.Reason == reasonConnectionReset }
 
-// isAbandoned reports whether the attempt was cancelled because its answer is no longer needed.
-func (e attemptEnd) isAbandoned() bool { return e.result.Outcome == balancer.Abandoned }
+// isCancelled reports whether the attempt was cancelled because its answer is no longer needed.
+func (e attemptEnd) isCancelled() bool { return e.result.Outcome == balancer.Cancelled }
 
 // leafMayHaveExited reports whether the leaf's process may have exited. This includes cancelled attempts if the leaf
 // closed or reset the connection.
 func (e attemptEnd) leafMayHaveExited() bool {
-	if !e.isBroken() && !e.isRefused() {
+	if !e.isBroken() && !e.isConnectionReset() {
 		return false
 	}
-	return !e.isAbandoned() || leafhttp.IsBrokenByLeaf(e.err)
+	return !e.isCancelled() || leafhttp.IsBrokenByLeaf(e.err)
 }
 
 // finishAttempt reports what the end of an attempt shows about the request, and calls done with its result. If the leaf
 // may have crashed, its process is checked, which takes one or two round trips. done waits for the check only if the
 // next attempt depends on it: after a probe, and after a connection broke before its first answer, which may mean
-// either that the leaf crashed or that it refused the connection.
+// either that the leaf crashed or that it has too many connections.
 func (e *execution) finishAttempt(attempt scatter.Attempt, target leafTarget, probe int, end attemptEnd, done func(attemptResult)) {
 	e.observeForQuarantine(attempt.Leaf.ID, end)
 	if !end.leafMayHaveExited() {
@@ -71,7 +71,7 @@
 	}
 	result := end.result
 	result.ConnectionLost = end.isBroken()
-	mustWait := !end.isAbandoned() && (attempt.Probe || end.isRefused())
+	mustWait := !end.isCancelled() && (attempt.Probe || end.isConnectionReset())
 	if !mustWait {
 		done(result)
 	}
@@ -79,8 +79,8 @@
 		RequestID: e.request.Leaf.ID, Content: e.request.fingerprint, Service: e.services[attempt.Shard], Leaf: attempt.Leaf.ID,
 		Probe: probe, Announced: !e.gateway.isListed(attempt.Leaf.ID),
 	}
-	e.checkProcess(target.Target, end.isRefused(), func(ended bool) {
-		lost.Ended = ended
+	e.checkProcess(target.Target, end.isConnectionReset(), func(exited bool) {
+		lost.Exited = exited
 		e.recordLoss(lost)
 		if mustWait {
 			done(afterCheck(result, lost))
@@ -103,14 +103,14 @@
 }
 
 // checkProcess calls done with whether a leaf's process has exited.
-func (e *execution) checkProcess(leaf leafhttp.Target, wasRefused bool, done leafhttp.OnChecked) {
+func (e *execution) checkProcess(leaf leafhttp.Target, wasReset bool, done leafhttp.OnChecked) {
 	checked := make(chan struct{})
 	e.mu.Lock()
 	e.processChecks = append(e.processChecks, checked)
 	e.mu.Unlock()
-	e.gateway.leafs.Check(leaf, wasRefused, func(ended bool) {
+	e.gateway.leafs.Check(leaf, wasReset, func(exited bool) {
 		defer close(checked)
-		done(ended)
+		done(exited)
 	})
 }
 
@@ -127,11 +127,11 @@
 	e.tracked.LeafCrashed(lost.Leaf, lost.Probe)
 }
 
-// afterCheck returns the result of an attempt after its leaf was checked. A connection that seemed refused may have
+// afterCheck returns the result of an attempt after its leaf was checked. A connection that the leaf reset may have
 // carried the request to a leaf that crashed.
 func afterCheck(result attemptResult, lost LeafCheckRecord) attemptResult {
 	result.LeafCrashed = lost.isEvidence()
-	if lost.Ended && result.Reason == reasonRefusedConnection {
+	if lost.Exited && result.Reason == reasonConnectionReset {
 		result.Reason, result.NeverArrived, result.ConnectionLost = reasonBroken, false, true
 	}
 	return result
--- a/internal/request/gateway/crash_test.go
+++ b/internal/request/gateway/crash_test.go
@@ -282,9 +282,9 @@
 	})
 }
 
-// A connection that breaks before its first answer may have been refused; the check of the leaf's process decides.
+// A leaf resets a new connection if it has too many or crashes. The check of its process shows which.
 func TestProcessCheckAfterBreakOnNewConnection(t *testing.T) {
-	for name, ended := range map[string]bool{"ended": true, "refused": false} {
+	for name, exited := range map[string]bool{"exited": true, "reset": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
@@ -292,13 +292,13 @@
 				leafs.answer = func(leaf string) (time.Duration, *leafhttp.Response, error) {
 					leafs.mu.Lock()
 					defer leafs.mu.Unlock()
-					leafs.ended[leaf] = ended
-					return crashAfter, nil, &leafhttp.RefusedConnectionError{Cause: errors.New("reset")}
+					leafs.ended[leaf] = exited
+					return crashAfter, nil, &leafhttp.ConnectionResetError{Cause: errors.New("reset")}
 				}
 				g := newQuarantineGateway(t, leafs, newRegister())
 				_, err := g.Serve(t.Context(), newRequest("/pages/1"))
-				is.Equal(failure.Is(err, failure.Quarantined), ended)
-				is.Equal(leafs.crashedCount() <= shardCount+1, ended) // refused attempts are retried, so more leafs get the request
+				is.Equal(failure.Is(err, failure.Quarantined), exited)
+				is.Equal(leafs.crashedCount() <= shardCount+1, exited) // after a reset, the retries reach more leafs
 			})
 		})
 	}
--- a/internal/request/gateway/events.go
+++ b/internal/request/gateway/events.go
@@ -35,8 +35,8 @@
 	Execution scatter.Execution
 	Took      time.Duration
 	Succeeded bool
-	// Abandoned reports whether the attempt was cancelled before its answer arrived.
-	Abandoned bool
+	// Cancelled reports whether the attempt was cancelled before its answer arrived.
+	Cancelled bool
 }
 
 // RequestRecord is a request with everything that determined its answer.
--- a/internal/request/gateway/gateway.go
+++ b/internal/request/gateway/gateway.go
@@ -58,7 +58,7 @@
 	// Warm opens a connection to the first of the targets, unless a connection to any of them is open.
 	Warm(targets []leafhttp.Target)
 	// Check reports whether a leaf's process has exited, after an answer from it broke off; see leafhttp.Pool.
-	Check(target leafhttp.Target, refused bool, done leafhttp.OnChecked)
+	Check(target leafhttp.Target, wasReset bool, done leafhttp.OnChecked)
 }
 
 type Deps struct {
--- a/internal/request/gateway/group_reply.go
+++ b/internal/request/gateway/group_reply.go
@@ -158,7 +158,7 @@
 	case failure.Quarantined:
 		c.execution.stop()
 		result.Final = true
-	case failure.LeafsEnded:
+	case failure.LeafsCrashed:
 		c.execution.reportCrashed(failed.CrashedLeafs)
 		result.ConnectionLost = true
 	default:
--- a/internal/request/gateway/intermediate.go
+++ b/internal/request/gateway/intermediate.go
@@ -55,7 +55,7 @@
 // because of them: the root counts them in its quarantine register.
 func (e *execution) groupFailureOf(err error) *servingtree.Failure {
 	failed := servingtree.NewFailure(err)
-	if failed.Code == failure.LeafsEnded {
+	if failed.Code == failure.LeafsCrashed {
 		failed.CrashedLeafs = e.crashedLeafIDs()
 	}
 	return failed
--- a/internal/request/gateway/quarantine.go
+++ b/internal/request/gateway/quarantine.go
@@ -123,6 +123,6 @@
 // quarantinedResult is the result of an attempt that is not made because the request was quarantined.
 func quarantinedResult() attemptResult {
 	return attemptResult{
-		Reason: reasonQuarantined, Execution: scatter.NotRun, Outcome: balancer.Abandoned, Final: true, NeverArrived: true,
+		Reason: reasonQuarantined, Execution: scatter.NotRun, Outcome: balancer.Cancelled, Final: true, NeverArrived: true,
 	}
 }
--- a/internal/request/gateway/zones.go
+++ b/internal/request/gateway/zones.go
@@ -26,7 +26,7 @@
 	switch result.Outcome {
 	case balancer.Succeeded, balancer.Shed, balancer.Drained, balancer.Declined:
 		g.zones.Responded(leaf.Zone)
-	case balancer.Failed, balancer.Abandoned:
+	case balancer.Failed, balancer.Cancelled:
 		switch {
 		case result.Execution == scatter.Ran:
 			g.zones.Responded(leaf.Zone)
--- a/internal/request/scatter/not_run_test.go
+++ b/internal/request/scatter/not_run_test.go
@@ -107,7 +107,7 @@
 	if c.wait(ctx, end) {
 		return end.result
 	}
-	result := Result[string]{Reason: Unneeded, Outcome: balancer.Abandoned}
+	result := Result[string]{Reason: Unneeded, Outcome: balancer.Cancelled}
 	if end.begins < 0 && end.certain {
 		result.Execution = NotRun
 	}
--- a/internal/request/scatter/scatter_test.go
+++ b/internal/request/scatter/scatter_test.go
@@ -71,7 +71,7 @@
 	case <-time.After(delay):
 		return result
 	case <-ctx.Done():
-		return Result[string]{Reason: Unneeded, Outcome: balancer.Abandoned}
+		return Result[string]{Reason: Unneeded, Outcome: balancer.Cancelled}
 	}
 }
 
--- a/internal/request/search/attempt.go
+++ b/internal/request/search/attempt.go
@@ -20,7 +20,7 @@
 // runAttempt sends an attempt to its leaf and verifies the reply.
 func (s *keyScatter) runAttempt(ctx context.Context, attempt scatter.Attempt) scatter.Result[shardReply] {
 	if s.isStopped() {
-		return scatter.Result[shardReply]{Reason: scatter.Reason(missingLeafFailed), Execution: scatter.NotRun, Outcome: balancer.Abandoned, Final: true}
+		return scatter.Result[shardReply]{Reason: scatter.Reason(missingLeafFailed), Execution: scatter.NotRun, Outcome: balancer.Cancelled, Final: true}
 	}
 	request := s.leafRequest(attempt)
 	address := s.service.Leafs[attempt.Leaf.ID].GetAddress()
@@ -56,13 +56,13 @@
 	if errors.As(err, &neverSent) {
 		outcome := balancer.Failed
 		if errors.Is(ctx.Err(), context.Canceled) {
-			outcome = balancer.Abandoned
+			outcome = balancer.Cancelled
 		}
 		return scatter.Result[shardReply]{Reason: scatter.Reason(missingLeafFailed), Execution: scatter.NotRun, Outcome: outcome}
 	}
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
-		return scatter.Result[shardReply]{Reason: scatter.Reason(missingLeafFailed), Execution: scatter.Unknown, Outcome: balancer.Abandoned}
+		return scatter.Result[shardReply]{Reason: scatter.Reason(missingLeafFailed), Execution: scatter.Unknown, Outcome: balancer.Cancelled}
 	case ctx.Err() != nil:
 		return scatter.Result[shardReply]{Reason: scatter.Reason(missingDeadline), Execution: scatter.Unknown, Outcome: balancer.Failed}
 	}
--- a/internal/rollout/evidence/collector.go
+++ b/internal/rollout/evidence/collector.go
@@ -45,12 +45,12 @@
 	c.count(route, leaf, func(tally *Tally) { tally.Observe(failed, took) })
 }
 
-// ObserveAbandoned counts an attempt at a leaf that was abandoned without an answer.
-func (c *Collector) ObserveAbandoned(route string, leaf *leafset.Leaf, took time.Duration) {
+// ObserveCancelled counts an attempt at a leaf that was cancelled without an answer.
+func (c *Collector) ObserveCancelled(route string, leaf *leafset.Leaf, took time.Duration) {
 	if !c.IsCounted(leaf) {
 		return
 	}
-	c.count(route, leaf, func(tally *Tally) { tally.ObserveAbandoned(took) })
+	c.count(route, leaf, func(tally *Tally) { tally.ObserveCancelled(took) })
 }
 
 // IsCounted reports whether attempts at a leaf are counted now.
@@ -137,6 +137,6 @@
 // copy returns a deep copy of the row.
 func (c *countedRow) copy() Row {
 	row := c.Row
-	row.Answered, row.Abandoned = slices.Clone(row.Answered), slices.Clone(row.Abandoned)
+	row.Answered, row.Cancelled = slices.Clone(row.Answered), slices.Clone(row.Cancelled)
 	return row
 }
--- a/internal/rollout/evidence/collector_test.go
+++ b/internal/rollout/evidence/collector_test.go
@@ -57,7 +57,7 @@
 		leaf("a", "s", "v1"), leaf("b", "s", "v1"), leaf("c", "s", "v2"), leaf("d", "s", "v2"), leaf("e", "s", "v3"), leaf("f", "other", "v1"),
 	} {
 		c.Observe("r", observed, observed.ID == "c", time.Millisecond)
-		c.ObserveAbandoned("r", observed, time.Second)
+		c.ObserveCancelled("r", observed, time.Second)
 	}
 	c.Observe("q", leaf("a", "s", "v1"), false, time.Millisecond)
 	attempts := map[Key]int64{}
--- a/internal/rollout/evidence/evidence.go
+++ b/internal/rollout/evidence/evidence.go
@@ -36,9 +36,9 @@
 	Failures int64 `json:"failures,omitempty"`
 	// Answered counts all answers by latency.
 	Answered Histogram `json:"answered,omitempty"`
-	// Abandoned counts the attempts that were abandoned without an answer, by the time until then. It is a lower bound
+	// Cancelled counts the attempts that the node cancelled without an answer, by the time until then. It is a lower bound
 	// of their latency.
-	Abandoned Histogram `json:"given_up,omitempty"`
+	Cancelled Histogram `json:"given_up,omitempty"`
 }
 
 // Observe counts an answer with its latency.
@@ -49,24 +49,24 @@
 	t.Answered.observe(took)
 }
 
-// ObserveAbandoned counts an attempt that was abandoned after a time.
-func (t *Tally) ObserveAbandoned(took time.Duration) { t.Abandoned.observe(took) }
+// ObserveCancelled counts an attempt that was cancelled after a time.
+func (t *Tally) ObserveCancelled(took time.Duration) { t.Cancelled.observe(took) }
 
-// Attempts returns the number of answered and abandoned attempts.
-func (t *Tally) Attempts() int64 { return t.Answered.Total() + t.Abandoned.Total() }
+// Attempts returns the number of answered and cancelled attempts.
+func (t *Tally) Attempts() int64 { return t.Answered.Total() + t.Cancelled.Total() }
 
 // Add adds the counts of another tally.
 func (t *Tally) Add(other Tally) {
 	t.Failures += other.Failures
 	t.Answered.add(other.Answered)
-	t.Abandoned.add(other.Abandoned)
+	t.Cancelled.add(other.Cancelled)
 }
 
 // Slow returns the number of attempts that took longer than a limit, and the number of attempts for which this is
-// known. It is unknown for attempts that were abandoned before the limit.
+// known. It is unknown for attempts that were cancelled before the limit.
 func (t *Tally) Slow(limit time.Duration) (slow, known int64) {
-	slow = t.Answered.Above(limit) + t.Abandoned.Above(limit)
-	return slow, t.Answered.Total() + t.Abandoned.Above(limit)
+	slow = t.Answered.Above(limit) + t.Cancelled.Above(limit)
+	return slow, t.Answered.Total() + t.Cancelled.Above(limit)
 }
 
 // The first bucket of a histogram ends at minLatency, and each following bucket at 2^(1/stepsPerDoubling) times the end
--- a/internal/rollout/evidence/evidence_test.go
+++ b/internal/rollout/evidence/evidence_test.go
@@ -30,8 +30,8 @@
 		first.Observe(i%10 == 0, took)
 		sum.Observe(i%10 == 0, took)
 	}
-	second.ObserveAbandoned(5 * time.Second)
-	sum.ObserveAbandoned(5 * time.Second)
+	second.ObserveCancelled(5 * time.Second)
+	sum.ObserveCancelled(5 * time.Second)
 	first.Add(second)
 	is.Equal(first, sum)
 	is.Equal(first.Attempts(), int64(101))
@@ -40,14 +40,14 @@
 	is.Equal(Histogram(nil).Quantile(0.5), time.Duration(0))
 }
 
-// An attempt that was abandoned before the limit counts neither as slow nor as known.
-func TestSlowExcludesAbandonedBeforeLimit(t *testing.T) {
+// An attempt that was cancelled before the limit counts neither as slow nor as known.
+func TestSlowExcludesCancelledBeforeLimit(t *testing.T) {
 	is := is.New(t)
 	var tally Tally
 	tally.Observe(false, 5*time.Millisecond)
 	tally.Observe(false, 500*time.Millisecond)
-	tally.ObserveAbandoned(5 * time.Millisecond)
-	tally.ObserveAbandoned(500 * time.Millisecond)
+	tally.ObserveCancelled(5 * time.Millisecond)
+	tally.ObserveCancelled(500 * time.Millisecond)
 	slow, known := tally.Slow(50 * time.Millisecond)
 	is.Equal(slow, int64(2))
 	is.Equal(known, int64(3))
--- a/internal/rollout/rolloutcontrol/packing.go
+++ b/internal/rollout/rolloutcontrol/packing.go
@@ -58,7 +58,7 @@
 	p.number(row.SpecID)
 	p.number(row.Failures)
 	p.histogram(row.Answered)
-	p.histogram(row.Abandoned)
+	p.histogram(row.Cancelled)
 	if len(p.content) <= room {
 		return true
 	}
@@ -126,7 +126,7 @@
 	row.SpecID = u.number()
 	row.Failures = u.count()
 	row.Answered = u.histogram()
-	row.Abandoned = u.histogram()
+	row.Cancelled = u.histogram()
 	return row
 }
 
--- a/internal/rollout/rolloutcontrol/reports_test.go
+++ b/internal/rollout/rolloutcontrol/reports_test.go
@@ -26,7 +26,7 @@
 		},
 		Tally: evidence.Tally{
 			Failures: rapid.Int64Range(0, 1000).Draw(t, "failures"),
-			Answered: counts.Draw(t, "answered"), Abandoned: counts.Draw(t, "abandoned"),
+			Answered: counts.Draw(t, "answered"), Cancelled: counts.Draw(t, "cancelled"),
 		},
 	}
 }
@@ -51,7 +51,7 @@
 			t.Fatalf("unpacked %d of %d rows: %v", len(got), len(sent), err)
 		}
 		for index, row := range got {
-			if row.Key != sent[index].Key || row.Failures != sent[index].Failures || !sameCounts(row.Answered, sent[index].Answered) || !sameCounts(row.Abandoned, sent[index].Abandoned) {
+			if row.Key != sent[index].Key || row.Failures != sent[index].Failures || !sameCounts(row.Answered, sent[index].Answered) || !sameCounts(row.Cancelled, sent[index].Cancelled) {
 				t.Fatalf("got %v, want %v", row, sent[index])
 			}
 		}
--- a/internal/rollout/verdict/helpers_test.go
+++ b/internal/rollout/verdict/helpers_test.go
@@ -25,10 +25,10 @@
 	}
 }
 
-// abandon counts n attempts at a leaf that were abandoned without an answer.
-func (c counts) abandon(version string, leaf, n int, after time.Duration) {
+// cancel counts n attempts at a leaf that were cancelled without an answer.
+func (c counts) cancel(version string, leaf, n int, after time.Duration) {
 	for range n {
-		c.of(version, leaf).ObserveAbandoned(after)
+		c.of(version, leaf).ObserveCancelled(after)
 	}
 }
 
--- a/internal/rollout/verdict/increment.go
+++ b/internal/rollout/verdict/increment.go
@@ -102,7 +102,7 @@
 	return increment{row.Key, signals, pauses}
 }
 
-// lateSince returns the ratio of late attempts: those that took longer than a limit, whether answered or abandoned, and
+// lateSince returns the ratio of late attempts: those that took longer than a limit, whether answered or cancelled, and
 // those that failed. Failures count as late, so that fast failures don't make a version appear faster.
 func lateSince(now, before evidence.Tally, limit time.Duration) ratio {
 	slow, known := now.Slow(limit)
@@ -117,6 +117,6 @@
 func (c *Config) discount(n float64) float64 { return 1 / (1 + max(0, n-1)*c.Correlation) }
 
 func clone(tally evidence.Tally) evidence.Tally {
-	tally.Answered, tally.Abandoned = slices.Clone(tally.Answered), slices.Clone(tally.Abandoned)
+	tally.Answered, tally.Cancelled = slices.Clone(tally.Answered), slices.Clone(tally.Cancelled)
 	return tally
 }
--- a/internal/rollout/verdict/verdict.go
+++ b/internal/rollout/verdict/verdict.go
@@ -38,7 +38,7 @@
 type Totals struct {
 	Attempts int64
 	Failures int64
-	// Slow counts the attempts that exceeded the middle limit of their route, including those abandoned after it.
+	// Slow counts the attempts that exceeded the middle limit of their route, including those cancelled after it.
 	Slow int64
 }
 
--- a/internal/rollout/verdict/verdict_test.go
+++ b/internal/rollout/verdict/verdict_test.go
@@ -178,20 +178,20 @@
 		for leaf := range leafs {
 			c.answers("v1", leaf, 10, 0, normalLatency)
 			c.answers("v2", leaf, 0, 0, normalLatency)
-			c.abandon("v2", leaf, 3, time.Millisecond)
+			c.cancel("v2", leaf, 3, time.Millisecond)
 		}
 	})
 	is.Equal(evaluation.Finding, verdict.Undecided)
 }
 
-// Attempts that were abandoned before a limit do not reduce the share of failures.
-func TestAbandonedAttemptsDoNotHideFailures(t *testing.T) {
+// Attempts that were cancelled before a limit do not reduce the share of failures.
+func TestCancelledAttemptsDoNotHideFailures(t *testing.T) {
 	is := is.New(t)
 	evaluator, c := newEvaluator(), counts{}
 	update(evaluator, c, 0, time.Second, func() { c.both(3) })
 	for leaf := range leafs {
 		c.answers("v2", leaf, 3, 3, normalLatency)
-		c.abandon("v2", leaf, 1000, time.Millisecond)
+		c.cancel("v2", leaf, 1000, time.Millisecond)
 	}
 	is.Equal(evaluator.Update(2*time.Second, c.rows()).Finding, verdict.Bad)
 }
--- a/internal/rollout/verdict/verdicttest/answers.go
+++ b/internal/rollout/verdict/verdicttest/answers.go
@@ -63,7 +63,7 @@
 	at          time.Duration
 	took        time.Duration
 	failed      bool
-	isAbandoned bool
+	isCancelled bool
 	// isBad means that the fault of the version made the answer bad.
 	isBad bool
 	route int
@@ -88,7 +88,7 @@
 	s.applyIncident(&a, at, l)
 	a.took += l.remainingPause(at)
 	if a.took > deadline {
-		a.took, a.isAbandoned, a.failed = deadline, true, false
+		a.took, a.isCancelled, a.failed = deadline, true, false
 	}
 	a.at = at + a.took
 	return a
@@ -145,6 +145,6 @@
 // dropAnswer ends an attempt without an answer after a time, if lost is set.
 func (a *answer) dropAnswer(lost bool, after time.Duration) {
 	if lost {
-		a.took, a.failed, a.isAbandoned = after, false, true
+		a.took, a.failed, a.isCancelled = after, false, true
 	}
 }
--- a/internal/rollout/verdict/verdicttest/verdicttest.go
+++ b/internal/rollout/verdict/verdicttest/verdicttest.go
@@ -166,8 +166,8 @@
 		s.tallies[key] = &evidence.Tally{}
 		s.order = append(s.order, key)
 	}
-	if a.isAbandoned {
-		s.tallies[key].ObserveAbandoned(a.took)
+	if a.isCancelled {
+		s.tallies[key].ObserveCancelled(a.took)
 		return
 	}
 	s.tallies[key].Observe(a.failed, a.took)
