--- a/gen/portgauge/admin/v1/adminv1connect/admin.connect.go
+++ b/gen/portgauge/admin/v1/adminv1connect/admin.connect.go
@@ -100,7 +100,8 @@
 	GetService(context.Context, *connect.Request[v1.GetServiceRequest]) (*connect.Response[v1.GetServiceResponse], error)
 	ListServices(context.Context, *connect.Request[v1.ListServicesRequest]) (*connect.Response[v1.ListServicesResponse], error)
 	DeleteService(context.Context, *connect.Request[v1.DeleteServiceRequest]) (*connect.Response[v1.DeleteServiceResponse], error)
-	// WatchServices streams each change of the configuration as it comes into force on the called node.
+	// WatchServices streams each change of the configuration as it comes into force on the called node. A watcher that
+	// lags too far behind misses changes.
 	WatchServices(context.Context, *connect.Request[v1.WatchServicesRequest]) (*connect.ServerStreamForClient[v1.WatchServicesResponse], error)
 	// GetStatus returns by zone how many nodes have a revision in force.
 	GetStatus(context.Context, *connect.Request[v1.GetStatusRequest]) (*connect.Response[v1.GetStatusResponse], error)
@@ -117,7 +118,8 @@
 	EvacuateZone(context.Context, *connect.Request[v1.EvacuateZoneRequest]) (*connect.Response[v1.EvacuateZoneResponse], error)
 	RestoreZone(context.Context, *connect.Request[v1.RestoreZoneRequest]) (*connect.Response[v1.RestoreZoneResponse], error)
 	ListEvacuatedZones(context.Context, *connect.Request[v1.ListEvacuatedZonesRequest]) (*connect.Response[v1.ListEvacuatedZonesResponse], error)
-	// StartRollout moves the requests of a service to the leafs of a version, if the version is found good.
+	// StartRollout starts a rollout, which moves the requests of a service to the leafs of a version unless the version fails
+	// its evaluation.
 	StartRollout(context.Context, *connect.Request[v1.StartRolloutRequest]) (*connect.Response[v1.StartRolloutResponse], error)
 	// CancelRollout cancels the rollout of a service. Unless it has succeeded, the version before it continues to serve.
 	CancelRollout(context.Context, *connect.Request[v1.CancelRolloutRequest]) (*connect.Response[v1.CancelRolloutResponse], error)
@@ -406,7 +408,8 @@
 	GetService(context.Context, *connect.Request[v1.GetServiceRequest]) (*connect.Response[v1.GetServiceResponse], error)
 	ListServices(context.Context, *connect.Request[v1.ListServicesRequest]) (*connect.Response[v1.ListServicesResponse], error)
 	DeleteService(context.Context, *connect.Request[v1.DeleteServiceRequest]) (*connect.Response[v1.DeleteServiceResponse], error)
-	// WatchServices streams each change of the configuration as it comes into force on the called node.
+	// WatchServices streams each change of the configuration as it comes into force on the called node. A watcher that
+	// lags too far behind misses changes.
 	WatchServices(context.Context, *connect.Request[v1.WatchServicesRequest], *connect.ServerStream[v1.WatchServicesResponse]) error
 	// GetStatus returns by zone how many nodes have a revision in force.
 	GetStatus(context.Context, *connect.Request[v1.GetStatusRequest]) (*connect.Response[v1.GetStatusResponse], error)
@@ -423,7 +426,8 @@
 	EvacuateZone(context.Context, *connect.Request[v1.EvacuateZoneRequest]) (*connect.Response[v1.EvacuateZoneResponse], error)
 	RestoreZone(context.Context, *connect.Request[v1.RestoreZoneRequest]) (*connect.Response[v1.RestoreZoneResponse], error)
 	ListEvacuatedZones(context.Context, *connect.Request[v1.ListEvacuatedZonesRequest]) (*connect.Response[v1.ListEvacuatedZonesResponse], error)
-	// StartRollout moves the requests of a service to the leafs of a version, if the version is found good.
+	// StartRollout starts a rollout, which moves the requests of a service to the leafs of a version unless the version fails
+	// its evaluation.
 	StartRollout(context.Context, *connect.Request[v1.StartRolloutRequest]) (*connect.Response[v1.StartRolloutResponse], error)
 	// CancelRollout cancels the rollout of a service. Unless it has succeeded, the version before it continues to serve.
 	CancelRollout(context.Context, *connect.Request[v1.CancelRolloutRequest]) (*connect.Response[v1.CancelRolloutResponse], error)
--- a/gen/portgauge/platform/v1/platformv1connect/platform.connect.go
+++ b/gen/portgauge/platform/v1/platformv1connect/platform.connect.go
@@ -2,7 +2,7 @@
 //
 // Source: portgauge/platform/v1/platform.proto
 
-// Package portgauge.platform.v1 is the protocol of the simulated platform: a key-value store with compare-and-swap and
+// Package portgauge.platform.v1 is portgauge's own platform protocol: a key-value store with compare-and-swap and
 // watches, and a list of machines.
 package platformv1connect
 
@@ -64,7 +64,7 @@
 	Get(context.Context, *connect.Request[v1.GetRequest]) (*connect.Response[v1.GetResponse], error)
 	List(context.Context, *connect.Request[v1.ListRequest]) (*connect.Response[v1.ListResponse], error)
 	CompareAndSwap(context.Context, *connect.Request[v1.CompareAndSwapRequest]) (*connect.Response[v1.CompareAndSwapResponse], error)
-	// Watch streams the changes after a revision, in the order of revisions and without gaps.
+	// Watch streams all changes after a revision, in the order of their revisions.
 	Watch(context.Context, *connect.Request[v1.WatchRequest]) (*connect.ServerStreamForClient[v1.WatchResponse], error)
 	// GrantLease grants a lease. Keys written under it are deleted when it is ended, or when it expires because it was not
 	// renewed within its time to live.
@@ -197,7 +197,7 @@
 	Get(context.Context, *connect.Request[v1.GetRequest]) (*connect.Response[v1.GetResponse], error)
 	List(context.Context, *connect.Request[v1.ListRequest]) (*connect.Response[v1.ListResponse], error)
 	CompareAndSwap(context.Context, *connect.Request[v1.CompareAndSwapRequest]) (*connect.Response[v1.CompareAndSwapResponse], error)
-	// Watch streams the changes after a revision, in the order of revisions and without gaps.
+	// Watch streams all changes after a revision, in the order of their revisions.
 	Watch(context.Context, *connect.Request[v1.WatchRequest], *connect.ServerStream[v1.WatchResponse]) error
 	// GrantLease grants a lease. Keys written under it are deleted when it is ended, or when it expires because it was not
 	// renewed within its time to live.
