--- a/internal/failure/failure.go
+++ b/internal/failure/failure.go
@@ -1,6 +1,6 @@
 // Package failure defines the typed errors that portgauge returns to callers and operators.
 //
-// Every failure has a stable code. It states whether a back end ran the request and, if a retry is useful, how long to
+// Every failure has a stable code. It states whether a leaf ran the request and, if a retry is useful, how long to
 // wait before it. The package owns no state; internal/request/front and internal/operator/api encode failures for callers
 // and operators.
 package failure
@@ -45,7 +45,7 @@
 	Internal    Code = "INTERNAL"
 )
 
-// ExecutionState states whether a back end ran the request, as far as portgauge can tell.
+// ExecutionState states whether a leaf ran the request, as far as portgauge can tell.
 type ExecutionState = searchv1.ExecutionState
 
 // The execution states of a failure.
--- a/internal/hangup/hangup.go
+++ b/internal/hangup/hangup.go
@@ -2,8 +2,8 @@
 //
 // SIGHUP ends a process that doesn't catch it, and the main function of a node starts only some tens of milliseconds after
 // the process, mostly because of package initialization. This package imports almost nothing, so that it is among the first
-// to be initialized. Go initializes packages in the order of their import paths, so its path matters as well. The package
-// owns one channel and the process's disposition of SIGHUP.
+// to be initialized. Among packages whose imports are initialized, Go initializes the one with the lowest import path
+// first, so its path matters as well. The package owns one channel and the process's disposition of SIGHUP.
 package hangup
 
 import (
--- a/internal/hangup/hangup_test.go
+++ b/internal/hangup/hangup_test.go
@@ -14,8 +14,8 @@
 	"github.com/matryer/is"
 )
 
-// childVariable is the environment variable that makes the test binary run as a child process that receives the signal; its
-// value has no meaning.
+// childVariable is the environment variable that, if not empty, makes the test binary run as a child process that
+// receives the signal.
 const childVariable = "PORTGAUGE_TEST_HANGUP"
 
 // TestMain runs the tests, or a child process. The child prints "up", and then "signaled" when it receives the signal, or
--- a/internal/operator/admin/admin.go
+++ b/internal/operator/admin/admin.go
@@ -3,7 +3,7 @@
 //
 // An Admin keeps no state and starts no goroutines. It reads the catalog, which may lag behind the store, and writes
 // through a configwriter.Writer. Errors have one of these codes of package failure: InvalidField, the Unknown codes,
-// RevisionConflict, StoreUnavailable and OutcomeUnknown.
+// RevisionConflict, StoreUnavailable, OutcomeUnknown and Internal.
 package admin
 
 import (
@@ -173,8 +173,8 @@
 	return response
 }
 
-// ListSnapshots returns the current snapshot of a service, or of all services if the name is empty, sorted by service. It
-// returns the snapshots in force on this node.
+// ListSnapshots returns the current snapshots in force on this node, sorted by service: of one service, or of all if the
+// name is empty.
 func (a *Admin) ListSnapshots(service string) (*adminv1.ListSnapshotsResponse, error) {
 	response := &adminv1.ListSnapshotsResponse{}
 	for name, current := range a.catalog.View().Services {
--- a/internal/operator/admin/rollouts.go
+++ b/internal/operator/admin/rollouts.go
@@ -80,8 +80,8 @@
 	rollout.PhaseRolledBack: adminv1.RolloutPhase_ROLLOUT_PHASE_ROLLED_BACK,
 }
 
-// rolloutMessage returns a rollout as an RPC message. If the state belongs to a replaced spec, the message has only its
-// revision.
+// rolloutMessage returns a rollout as an RPC message. If the state belongs to a replaced spec, only the state's revision
+// is taken from it.
 func rolloutMessage(view *catalog.View, service string, stored catalog.Rollout) *adminv1.Rollout {
 	message := &adminv1.Rollout{Service: service, Serving: view.Leafs.Rule(service).Serving}
 	if spec := stored.Spec; spec != nil {
--- a/internal/operator/api/server.go
+++ b/internal/operator/api/server.go
@@ -120,7 +120,7 @@
 	})
 }
 
-// NewServer returns a server for HTTP/1.1 and unencrypted HTTP/2.
+// NewServer returns a server for HTTP/1.1 and HTTP/2, both without TLS.
 func NewServer(handler http.Handler) *http.Server {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
--- a/internal/operator/cli/clients.go
+++ b/internal/operator/cli/clients.go
@@ -21,7 +21,7 @@
 const (
 	dialTimeout            = 2 * time.Second
 	idleConnectionsPerHost = 256
-	maximumInputBytes      = 16 << 20
+	maximumInputBytes      = 16 << 20 // of standard input; the rest is ignored
 	standardInputMarker    = "-"
 )
 
