--- a/cmd/portgauge-lab/replay.go
+++ b/cmd/portgauge-lab/replay.go
@@ -35,7 +35,7 @@
 	})
 }
 
-// replayAll replays the traces in turn. A trace that can't be played counts all its outcomes as failed.
+// replayAll replays the traces in turn. A trace that can't be run counts all its outcomes as failed.
 func replayAll(ctx context.Context, traces []*replay.Trace, programs process.Programs) error {
 	totalPassed, totalFailed := 0, 0
 	for _, trace := range traces {
--- a/cmd/portgauge/main.go
+++ b/cmd/portgauge/main.go
@@ -15,7 +15,7 @@
 	Node       nodeCommand       `cmd:"" help:"Run a node: serve requests, searches and administration until it is stopped."`
 	Service    serviceCommand    `cmd:"" help:"Create, change, show, watch and delete services."`
 	Snapshot   snapshotCommand   `cmd:"" help:"Publish and list index snapshots."`
-	Routes     routesCommand     `cmd:"" help:"Check, replace and show the routes of the front."`
+	Routes     routesCommand     `cmd:"" help:"Check, replace and show the routing configuration."`
 	Leaf       leafCommand       `cmd:"" help:"Add, replace and delete the leafs that serve routes."`
 	Zone       zoneCommand       `cmd:"" help:"Stop and resume sending requests to the leafs of a zone."`
 	Rollout    rolloutCommand    `cmd:"" help:"Move services to the leafs of another version, and show the progress."`
--- a/cmd/portgauge/rollout.go
+++ b/cmd/portgauge/rollout.go
@@ -13,9 +13,9 @@
 
 // rolloutCommand groups the commands for rollouts.
 type rolloutCommand struct {
-	Start  rolloutStartCommand  `cmd:"" help:"Move a service to the leafs of a version, if the version is found good."`
+	Start  rolloutStartCommand  `cmd:"" help:"Move a service to the leafs of a version, unless the version fails its evaluation."`
 	Status rolloutStatusCommand `cmd:"" help:"Show the phase of a service's rollout and the reason for it."`
-	Cancel rolloutCancelCommand `cmd:"" help:"Cancel a rollout; the version before it continues to serve."`
+	Cancel rolloutCancelCommand `cmd:"" help:"Cancel a rollout; unless it has succeeded, the version before it continues to serve."`
 	List   rolloutListCommand   `cmd:"" help:"List the rollouts of all services."`
 }
 
@@ -24,7 +24,7 @@
 	writeFlags
 	Service  string        `arg:"" help:"Service to move."`
 	Target   string        `arg:"" help:"Version to move to; its leafs must run in addition to the leafs that serve now."`
-	Duration time.Duration `help:"How long the rollout may take; if there is no verdict by then, it is rolled back." default:"10m"`
+	Duration time.Duration `help:"How long the rollout may take; if it is undecided by then, it is rolled back." default:"10m"`
 }
 
 // Run writes the rollout spec and prints its revision.
--- a/cmd/portgauge/routes.go
+++ b/cmd/portgauge/routes.go
@@ -13,7 +13,7 @@
 
 // routesCommand groups the commands for routes.
 type routesCommand struct {
-	Check routesCheckCommand `cmd:"" help:"Check a routing configuration and list all faults."`
+	Check routesCheckCommand `cmd:"" help:"Check a routing configuration and list all errors."`
 	Apply routesApplyCommand `cmd:"" help:"Replace the routing configuration from a file or standard input."`
 	Get   routesGetCommand   `cmd:"" help:"Show the routing configuration in force on a node; the JSON output includes its age."`
 }
@@ -23,7 +23,7 @@
 	File string `arg:"" help:"Routing configuration as YAML or JSON; - for standard input."`
 }
 
-// Run prints the number of routes, or returns all faults of the file.
+// Run prints the number of routes, or returns all errors in the file.
 func (c *routesCheckCommand) Run() error {
 	document, err := cli.ReadDocument(c.File, os.Stdin)
 	if err != nil {
--- a/cmd/portgauge/settings.go
+++ b/cmd/portgauge/settings.go
@@ -10,7 +10,7 @@
 )
 
 type settingsCommand struct {
-	Check settingsCheckCommand `cmd:"" help:"Check a settings file and list all faults."`
+	Check settingsCheckCommand `cmd:"" help:"Check a settings file and list all errors."`
 	Show  settingsShowCommand  `cmd:"" help:"Print all settings with their defaults, in the form of a settings file."`
 }
 
@@ -18,7 +18,7 @@
 	File string `arg:"" help:"Settings file (YAML)."`
 }
 
-// Run returns all faults of the file.
+// Run returns all errors in the file.
 func (c *settingsCheckCommand) Run() error {
 	if _, err := settings.Load(c.File, nil, nil); err != nil {
 		return err
