--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -51,7 +51,7 @@
 	done    chan struct{}
 }
 
-// Run starts a cluster, searches before and after each stop of two leafs, and stops the node.
+// Run starts a cluster, searches, stops two leafs one after the other with a search after each, and stops the node.
 func Run(output io.Writer) error {
 	ctx, cancel := context.WithTimeout(context.Background(), demoTimeout)
 	defer cancel()
--- a/internal/lab/kvstore/kvstore.go
+++ b/internal/lab/kvstore/kvstore.go
@@ -2,7 +2,8 @@
 // reads and transactions, long-poll watches, leases, compaction and backups, and injects the faults that a test sets.
 //
 // A Store keeps its state in memory and serves it through its Handler. It starts no goroutine: expired leases end when the
-// next call arrives.
+// next call arrives. A revision of this package is what package platform calls the store's count; it doesn't include the
+// epoch.
 package kvstore
 
 import (
--- a/internal/lab/kvstore/kvstoretest/kvstoretest.go
+++ b/internal/lab/kvstore/kvstoretest/kvstoretest.go
@@ -42,7 +42,8 @@
 	return s.calls[name]
 }
 
-// Revision returns the store's revision. It panics if the store refuses calls.
+// Revision returns the store's revision. The call isn't counted. It panics if the store refuses calls, and blocks while the
+// store is silent.
 func (s *Store) Revision() int64 {
 	recorder := httptest.NewRecorder()
 	s.Store.Handler().ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, kvstore.PathPrefix+"kv-range?PathPrefix=none", nil))
--- a/internal/lab/leaf/leaf.go
+++ b/internal/lab/leaf/leaf.go
@@ -235,7 +235,8 @@
 	return err
 }
 
-// claimExecutionID refuses an execution ID that is past its not-after time or was already executed. l.mu must be held.
+// claimExecutionID refuses an execution ID that is past its not-after time or was already executed. Otherwise it records
+// the ID. l.mu must be held.
 func (l *Leaf) claimExecutionID(request *leafv1.SearchShardRequest, id string, now time.Time) error {
 	if now.UnixMilli() > request.GetNotAfterUnixMillis() {
 		return l.refuse(request, leafv1.RefusalReason_REFUSAL_REASON_TOO_LATE)
@@ -247,7 +248,7 @@
 	return nil
 }
 
-// waitServiceTime waits for a random service time, or until the attempt is cancelled.
+// waitServiceTime waits for a random service time, or until the attempt is cancelled, unless IgnoreCancel is set.
 func (l *Leaf) waitServiceTime(ctx context.Context, faults Faults) {
 	timer := time.NewTimer(l.serviceTime(faults))
 	defer timer.Stop()
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -86,7 +86,7 @@
 	significantDigits = 3
 )
 
-// stream is a load in progress.
+// loadRun is a load in progress.
 type loadRun struct {
 	cfg     Config
 	clients []searchv1connect.SearchServiceClient
--- a/internal/lab/platform/platform.go
+++ b/internal/lab/platform/platform.go
@@ -1,4 +1,4 @@
-// Package platform is a stand-in for a platform that implements Portgauge's own platform protocol. It has a rate-limited store
+// Package platform is a stand-in for a platform that implements portgauge's own platform protocol. It has a rate-limited store
 // with compare-and-swap, watches, leases and outages, and a machine list that can be stale. A Platform keeps its state in
 // memory; timers expire the leases.
 package platform
--- a/internal/lab/process/process.go
+++ b/internal/lab/process/process.go
@@ -26,7 +26,7 @@
 	Lab       string
 }
 
-// Build compiles both programs into a folder. The working directory must be the root of the repository.
+// Build compiles both programs into a directory. The working directory must be the root of the repository.
 func Build(folder string) (Programs, error) {
 	command := exec.Command("go", "build", "-o", folder+string(filepath.Separator), "./cmd/portgauge", "./cmd/portgauge-lab")
 	if output, err := command.CombinedOutput(); err != nil {
@@ -97,7 +97,7 @@
 	}
 }
 
-// Kill kills the process with SIGKILL and waits for its exit. It resumes a frozen process first.
+// Kill kills the process with SIGKILL and waits for its exit. It resumes a suspended process first.
 func (p *Process) Kill() {
 	p.signal(syscall.SIGCONT)
 	p.signal(syscall.SIGKILL)
@@ -107,11 +107,11 @@
 // Freeze suspends the process with SIGSTOP.
 func (p *Process) Freeze() { p.signal(syscall.SIGSTOP) }
 
-// Wake resumes a frozen process.
+// Wake resumes a suspended process.
 func (p *Process) Wake() { p.signal(syscall.SIGCONT) }
 
-// minReloadAge is the minimum age of a process that is signaled to reload. A process that has not yet installed its signal
-// handler, which takes a few milliseconds on a busy machine, is killed by SIGHUP.
+// minReloadAge is the minimum age at which Reload signals a process. SIGHUP kills a process that has not installed its
+// signal handler yet; on a busy machine, that takes a few milliseconds.
 const minReloadAge = 20 * time.Millisecond
 
 // Reload signals the process with SIGHUP to reload its settings.
@@ -150,8 +150,8 @@
 	maxPort = 32000
 )
 
-// FreeAddresses returns loopback addresses whose ports are free for TCP and UDP. It keeps the ports bound until it has found
-// all, so that the addresses differ.
+// FreeAddresses returns loopback addresses whose ports were free for TCP and UDP. It keeps the ports bound until it has
+// found all, so that the addresses differ. Another process may take a port once FreeAddresses has returned.
 func FreeAddresses(count int) ([]string, error) {
 	var addresses []string
 	var held []io.Closer
--- a/internal/lab/replay/operators.go
+++ b/internal/lab/replay/operators.go
@@ -53,6 +53,7 @@
 			break
 		}
 		change.Failure = api.FailureOf(err)
+		// After a send with unknown outcome, a refusal of a later send doesn't settle the outcome of the earlier one.
 		if change.Failure.Execution == failure.NotRun && change.Sends == 1 {
 			break
 		}
--- a/internal/lab/replay/replay.go
+++ b/internal/lab/replay/replay.go
@@ -1,7 +1,7 @@
 // Package replay replays traces against real processes and checks the outcomes on the records of leafs, store and callers.
 //
 // A cluster owns the processes and the forwarders between them, which have all ended when Run returns. Callers, operators and
-// observers record their results while the events are played in real time. The checks run afterwards.
+// observers record their results while the events run in real time. The checks run afterwards.
 package replay
 
 import (
@@ -36,7 +36,7 @@
 	nodes        []string
 }
 
-// player plays the events of a trace.
+// player runs the events of a trace.
 type player struct {
 	trace     *Trace
 	cluster   *cluster
@@ -51,7 +51,7 @@
 }
 
 // Run replays a trace and writes a line for each outcome. It returns the numbers of passed and failed outcomes, and an error
-// if the trace could not be played. All processes that it started have ended when it returns.
+// if the trace could not be run. All processes that it started have ended when it returns.
 func Run(ctx context.Context, trace *Trace, programs process.Programs, output io.Writer) (passed, failed int, err error) {
 	recorded, err := play(ctx, trace, programs)
 	if err != nil {
@@ -97,7 +97,7 @@
 	return p.run(ctx)
 }
 
-// run plays the events in order of their time, waits for the loads and operators, and collects the records.
+// run runs the events in order of their time, waits for the loads and operators, and collects the records.
 func (p *player) run(ctx context.Context) (*recording, error) {
 	observeCtx, stopObserving := context.WithCancel(ctx)
 	defer stopObserving()
@@ -123,7 +123,7 @@
 	return p.startedAt.Add(time.Duration(millis) * time.Millisecond)
 }
 
-// handleEvent plays an event. Loads, operators and planned stops run in the background.
+// handleEvent starts an event. Loads, operators and planned stops run in the background.
 func (p *player) handleEvent(ctx context.Context, number int, event Event) error {
 	switch {
 	case event.Load != nil:
--- a/internal/lab/rollouts/release.go
+++ b/internal/lab/rollouts/release.go
@@ -46,7 +46,7 @@
 	// Share and Slack are the canary's share and slack in the nodes' settings.
 	Share = 0.1
 	Slack = 50
-	// A version receives no requests later than Lateness after its bad answer number badAnswers.
+	// Lateness is the time after a version's 50th bad answer (badAnswers) within which it may still receive requests.
 	badAnswers = 50
 	Lateness   = 5 * time.Second
 )
--- a/internal/lab/rollouts/version.go
+++ b/internal/lab/rollouts/version.go
@@ -104,8 +104,8 @@
 	return inFlight+1 > v.fault.AtOnce && inLastSecond+1 > v.fault.PerSecond
 }
 
-// load returns the numbers of requests that a leaf has in flight and that it received in the last second, both out of the
-// requests of the last second. v.mu must be held.
+// load returns how many of the requests that a leaf received in the last second are in flight, and how many it received in
+// that second. v.mu must be held.
 func (v *Version) load(leaf string, now time.Time) (inFlight, inLastSecond int) {
 	for _, request := range slices.Backward(v.requests) {
 		if now.Sub(request.At) > time.Second {
--- a/internal/lab/soak/checks.go
+++ b/internal/lab/soak/checks.go
@@ -154,7 +154,7 @@
 
 // versionBounds are the lowest versions that a process must have had in force, each with the end of the answer that shows
 // it, in any order. A request is checked only against answers that ended before it was sent: concurrent requests, such as
-// those that wait at a frozen node while the configuration changes, may be served with either version.
+// those that wait at a suspended node while the configuration changes, may be served with either version.
 type versionBounds []versionBound
 
 type versionBound struct {
@@ -217,7 +217,7 @@
 	return result
 }
 
-// stopWindow bounds how long before a planned stop a request was sent for it to be checked.
+// stopWindow is the maximum time from the sending of a request to a planned stop for the request to be checked.
 const stopWindow = time.Second
 
 func checkStops(seen []outcome) Result {
--- a/internal/lab/soak/checks_rollouts.go
+++ b/internal/lab/soak/checks_rollouts.go
@@ -102,7 +102,7 @@
 	}
 }
 
-// leafHadFault reports whether the leaf's link had a fault between two times.
+// leafHadFault reports whether the leaf or its link had a fault between two times.
 func (e *environment) leafHadFault(id string, from, until time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/lab/soak/checks_test.go
+++ b/internal/lab/soak/checks_test.go
@@ -114,8 +114,9 @@
 	is.Equal(len(checkConfiguration(e, []outcome{served(old, 14*time.Second)}).Broken), 0)
 }
 
-// Requests that waited at a frozen node may be served with the old or the new configuration in any order. The check must not
-// take this for a revert, nor for a third version with the first service that was not yet accepted.
+// Requests that waited at a suspended node may be served with the old or the new configuration in any order. The check
+// must not report this as a revert, nor take an answer of the first service for version 3, which has that service again but
+// was not accepted yet.
 func TestCheckConfigurationAllowsAnyOrderAfterAFreeze(t *testing.T) {
 	is := is.New(t)
 	e := newIdleEnvironment(t)
--- a/internal/lab/soak/crashing.go
+++ b/internal/lab/soak/crashing.go
@@ -21,7 +21,7 @@
 // Intervals and bounds of crashing requests.
 const (
 	meanCrashingInterval   = 4 * time.Second
-	minCrashingSpan        = 5 * time.Second // minimum time for which one is repeated; the maximum is twice as long
+	minCrashingSpan        = 5 * time.Second // minimum time for which a crashing request is repeated; the maximum is twice as long
 	minRepeatPause         = 50 * time.Millisecond
 	repeatPauseRange       = 450 * time.Millisecond // random part of the pause before a repetition
 	maxCrashDelay          = 15 * time.Millisecond  // from the request until the leaf crashes
@@ -134,7 +134,7 @@
 	log    func(string)
 }
 
-// run starts random crashing requests one after the other until the context crashTimes. Their repetitions may overlap.
+// run starts random crashing requests one after the other until the context is done. Their repetitions may overlap.
 func (c *crasher) run(ctx context.Context) {
 	var running sync.WaitGroup
 	defer running.Wait()
--- a/internal/lab/soak/environment.go
+++ b/internal/lab/soak/environment.go
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// close stops the nodes, the leafs, the links and the store.
+// close stops the nodes, the leafs, the store, and the links except the tree links.
 func (e *environment) close() {
 	e.mu.Lock()
 	e.isClosed = true
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -27,7 +27,8 @@
 	log         func(string)
 }
 
-// faults returns the kinds of faults that affect one component at a time. Their order is part of what a seed selects.
+// faults returns the kinds of faults that affect one component at a time. A seed selects kinds by position, so their
+// order must not change.
 func faults() []fault {
 	return []fault{
 		{"node frozen", (*injector).freezeNode},
@@ -113,7 +114,7 @@
 	}
 }
 
-// noop is the end function of faults that need none.
+// noop is the end function of a fault that needs none or was not injected.
 func noop() {}
 
 func (i *injector) freezeNode(span time.Duration) func() {
--- a/internal/lab/soak/leafs.go
+++ b/internal/lab/soak/leafs.go
@@ -21,7 +21,7 @@
 	zone    string
 	// leavingAt is the time at which its record became draining or was removed, or zero.
 	leavingAt time.Time
-	// faultSpans are the spans in which its link had a fault.
+	// faultSpans are the spans in which the leaf or its link had a fault.
 	faultSpans []faultSpan
 	// hasCrashed is set once a crashing request has crashed it.
 	hasCrashed bool
--- a/internal/lab/soak/logs.go
+++ b/internal/lab/soak/logs.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// writeRun writes the events, the requests as their callers saw them and the newest output of each node to a folder. Times
+// writeRun writes the events, the requests as their callers saw them and the newest output of each node to a directory. Times
 // are in seconds since the soak began.
 func (e *environment) writeRun(folder, events string, began time.Time, seen []outcome) error {
 	if err := e.writeLogs(folder); err != nil {
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// writeLogs writes the newest output of each node to a folder, which it creates if needed. It does nothing if folder is
+// writeLogs writes the newest output of each node to a directory, which it creates if needed. It does nothing if dir is
 // empty.
 func (e *environment) writeLogs(folder string) error {
 	if folder == "" {
--- a/internal/lab/soak/node.go
+++ b/internal/lab/soak/node.go
@@ -28,7 +28,7 @@
 	process *process.Process
 	// previousOutput is the newest output of the previous process.
 	previousOutput string
-	// life is the number of the process; the first is 1.
+	// processNumber is the number of the process; the first is 1.
 	life int
 	// cut is set while the peer link is closed to all senders.
 	cut bool
@@ -50,7 +50,8 @@
 // nodeAddresses is the number of listen addresses per node.
 const nodeAddresses = 7
 
-// addNodes starts nodes. It selects all addresses at once, because an address stays free until its node listens there.
+// addNodes starts nodes. It selects the addresses of all nodes at once: a later selection could return an address on which
+// its node doesn't listen yet.
 func (e *environment) addNodes(count int) error {
 	addresses, err := process.FreeAddresses(nodeAddresses * count)
 	if err != nil {
--- a/internal/lab/soak/operator.go
+++ b/internal/lab/soak/operator.go
@@ -14,12 +14,12 @@
 
 // Intervals of an operator's rollouts.
 const (
-	statusInterval = 5 * time.Millisecond // between two reads of the statuses
-	leadTime       = 1500 * time.Millisecond
+	statusInterval = 5 * time.Millisecond    // between two reads of the statuses
+	leadTime       = 1500 * time.Millisecond // from the registration of the new leafs to the write of the spec
 	// statusTimeout is how long the operator waits for an outcome after the deadline of a rollout.
 	statusTimeout = 6 * time.Second
-	drainDelay    = 3 * time.Second
-	drainTime     = 2 * time.Second
+	drainDelay    = 3 * time.Second // from the end of a rollout to the drain of the new leafs, unless it succeeded
+	drainTime     = 2 * time.Second // from the drain to the removal of the leafs' records
 )
 
 // plan describes a rollout that an operator performs.
@@ -166,7 +166,8 @@
 	o.drainLater(number)
 }
 
-// follow waits for the outcome of a rollout or until it is due to be replaced, and cancels it when that is due.
+// follow waits until the rollout has an outcome, times out or is due to be replaced. If its cancellation is due first,
+// follow cancels it.
 func (o *operator) follow(ctx context.Context, number int, p plan) {
 	began := time.Now()
 	for wait.For(ctx, statusInterval) {
@@ -199,7 +200,8 @@
 }
 
 // conclude does what operators do after a rollout: it stops the old leafs at once if the rollout succeeded, and otherwise
-// drains the new leafs after drainDelay. It cancels a rollout without an outcome.
+// drains the new leafs after drainDelay. It cancels a rollout without an outcome. After a drain, it returns once the leafs' records
+// have been removed. It does nothing if the target was already serving.
 func (o *operator) conclude(ctx context.Context, number int) {
 	release := o.allReleases()[number]
 	o.readStatus(release.Target.Service())
@@ -219,7 +221,8 @@
 	wait.For(ctx, drainDelay+drainTime)
 }
 
-// drainLater drains the new leafs of a rollout after drainDelay, and removes them after another drainTime.
+// drainLater drains the new leafs of a rollout after drainDelay, and removes their records after another
+// drainTime.
 func (o *operator) drainLater(number int) {
 	target := o.allReleases()[number].Target
 	time.AfterFunc(drainDelay, func() { o.environment.drain(target) })
--- a/internal/lab/soak/random_rollouts.go
+++ b/internal/lab/soak/random_rollouts.go
@@ -11,7 +11,7 @@
 	"github.com/portgauge/portgauge/internal/wait"
 )
 
-// Durations of the random rollouts and of the pause after each.
+// Durations of the random rollouts and of the pause after each, and frequencies of good versions and special cases.
 const (
 	minRolloutSpan   = 6 * time.Second
 	rolloutSpanRange = 5 * time.Second
--- a/internal/lab/soak/rollouts.go
+++ b/internal/lab/soak/rollouts.go
@@ -24,7 +24,7 @@
 	PerSecond int
 	// Cases are the names of the cases to run; empty runs all.
 	Cases []string
-	// Logs is the folder to which the newest output of the nodes is written; empty writes none.
+	// Logs is the directory to which the newest output of the nodes is written; empty writes none.
 	Logs string
 }
 
@@ -184,7 +184,8 @@
 	return broken
 }
 
-// describeLastRequest describes how long after its 50th bad answer the version received its last request.
+// describeLastRequest describes the number of bad answers and, if there were at least 50, the time from the 50th to the
+// version's last request.
 func (s rolloutRun) describeLastRequest() string {
 	bad := s.release.BadAnswers()
 	fiftieth, hadFiftyBadAnswers := s.release.FiftiethBadAnswer()
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -33,19 +33,17 @@
 	// Streams is the number of concurrent streams of faults, each with its own random generator. Crashing requests are sent
 	// in addition.
 	Streams int
-	// Logs is the folder for the records of a soak that broke a guarantee: the newest output of the nodes, the events, and
+	// Logs is the directory for the records of a soak that broke a guarantee: the newest output of the nodes, the events, and
 	// the requests as their callers saw them. Empty writes no records.
 	Logs string
 	// KeepAll writes the records of soaks that kept all guarantees too.
 	KeepAll bool
 }
 
-// Times from the start of the nodes until the first fault, from the last fault until the nodes must have recovered, and of
-// the requests sent after that.
 const (
-	startTime         = 6 * time.Second
-	recoveryTime      = 12 * time.Second
-	afterRecoveryTime = 4 * time.Second
+	startTime         = 6 * time.Second  // from the start of the nodes to the first fault
+	recoveryTime      = 12 * time.Second // from the last fault until the nodes must have recovered
+	afterRecoveryTime = 4 * time.Second  // for which requests are sent after that
 )
 
 // Numbers of the random streams: requests of callers, first stream of faults, rollouts, crashing requests, series of
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -11,7 +11,7 @@
 	"github.com/portgauge/portgauge/internal/lab/process"
 )
 
-// failedLogs is the folder for the logs of soaks that break a guarantee, relative to the root of the repository.
+// failedLogs is the directory for the logs of soaks that break a guarantee, relative to the root of the repository.
 var failedLogs = filepath.Join("target", "soak")
 
 // A soak with one stream of faults breaks no guarantee. A seed always injects the same faults, but the processes may be
--- a/internal/lab/soak/versions.go
+++ b/internal/lab/soak/versions.go
@@ -49,7 +49,7 @@
 	return ids
 }
 
-// promote makes target the version that serves and removes the leafs of the old version.
+// promote makes target the version that serves and removes the records of the old version's leafs.
 func (e *environment) promote(old, target *rollouts.Version) {
 	e.replacementMu.Lock()
 	defer e.replacementMu.Unlock()
