--- a/internal/operator/admin/admin.go
+++ b/internal/operator/admin/admin.go
@@ -40,7 +40,7 @@
 		FillDefaults(spec)
 	}
 	if err := ValidateSpec(spec); err != nil {
-		return nil, joinFaults(err)
+		return nil, joinFailures(err)
 	}
 	if err := a.checkReplicasRemain(spec); err != nil {
 		return nil, err
@@ -208,8 +208,8 @@
 	return given, nil
 }
 
-// joinFaults returns the first fault of an error, with the other faults added to its message.
-func joinFaults(err error) error {
+// joinFailures returns the first failure of an error, with the other failures added to its message.
+func joinFailures(err error) error {
 	faults := failure.Faults(err)
 	first := *faults[0]
 	for _, other := range faults[1:] {
--- a/internal/operator/admin/rollouts.go
+++ b/internal/operator/admin/rollouts.go
@@ -17,7 +17,7 @@
 func (a *Admin) StartRollout(ctx context.Context, request *adminv1.StartRolloutRequest) (*adminv1.StartRolloutResponse, error) {
 	spec := rollout.Spec{Service: request.GetService(), Target: request.GetTarget(), DurationMillis: request.GetDurationMillis()}
 	if err := spec.Validate(); err != nil {
-		return nil, joinFaults(err)
+		return nil, joinFailures(err)
 	}
 	document, err := json.Marshal(spec)
 	if err != nil {
--- a/internal/operator/admin/routes.go
+++ b/internal/operator/admin/routes.go
@@ -17,7 +17,7 @@
 func (a *Admin) ApplyRoutes(ctx context.Context, request *adminv1.ApplyRoutesRequest) (*adminv1.ApplyRoutesResponse, error) {
 	configuration, err := routing.Parse([]byte(request.GetDocument()))
 	if err != nil {
-		return nil, joinFaults(err)
+		return nil, joinFailures(err)
 	}
 	document, err := json.Marshal(configuration)
 	if err != nil {
@@ -51,7 +51,7 @@
 func (a *Admin) ApplyLeaf(ctx context.Context, request *adminv1.ApplyLeafRequest) (*adminv1.ApplyLeafResponse, error) {
 	leaf := request.GetLeaf()
 	if err := validateLeafRecord(leaf); err != nil {
-		return nil, joinFaults(err)
+		return nil, joinFailures(err)
 	}
 	record := leafset.Record{
 		Name: leaf.GetId(), Service: leaf.GetService(), Address: leaf.GetAddress(), Zone: leaf.GetZone(),
