--- a/internal/lab/process/process.go
+++ b/internal/lab/process/process.go
@@ -27,12 +27,12 @@
 }
 
 // Build compiles both programs into a directory. The working directory must be the root of the repository.
-func Build(folder string) (Programs, error) {
-	command := exec.Command("go", "build", "-o", folder+string(filepath.Separator), "./cmd/portgauge", "./cmd/portgauge-lab")
+func Build(dir string) (Programs, error) {
+	command := exec.Command("go", "build", "-o", dir+string(filepath.Separator), "./cmd/portgauge", "./cmd/portgauge-lab")
 	if output, err := command.CombinedOutput(); err != nil {
 		return Programs{}, merry.Prepend(err, "build the programs: "+string(output))
 	}
-	return Programs{Portgauge: filepath.Join(folder, "portgauge"), Lab: filepath.Join(folder, "portgauge-lab")}, nil
+	return Programs{Portgauge: filepath.Join(dir, "portgauge"), Lab: filepath.Join(dir, "portgauge-lab")}, nil
 }
 
 // Process is a child process.
@@ -104,11 +104,11 @@
 	<-p.ended
 }
 
-// Freeze suspends the process with SIGSTOP.
-func (p *Process) Freeze() { p.signal(syscall.SIGSTOP) }
+// Suspend suspends the process with SIGSTOP.
+func (p *Process) Suspend() { p.signal(syscall.SIGSTOP) }
 
-// Wake resumes a suspended process.
-func (p *Process) Wake() { p.signal(syscall.SIGCONT) }
+// Resume resumes a suspended process.
+func (p *Process) Resume() { p.signal(syscall.SIGCONT) }
 
 // minReloadAge is the minimum age at which Reload signals a process. SIGHUP kills a process that has not installed its
 // signal handler yet; on a busy machine, that takes a few milliseconds.
--- a/internal/lab/replay/replay.go
+++ b/internal/lab/replay/replay.go
@@ -150,7 +150,7 @@
 	return nil
 }
 
-// signal stops, kills, freezes, wakes or starts a process.
+// signal stops, kills, suspends, resumes or starts a process.
 func (p *player) signal(event Event) error {
 	switch {
 	case event.Start != nil:
@@ -160,9 +160,9 @@
 	case event.Kill != nil:
 		p.cluster.process(event.Kill.Process).Kill()
 	case event.Freeze != nil:
-		p.cluster.process(event.Freeze.Process).Freeze()
+		p.cluster.process(event.Freeze.Process).Suspend()
 	case event.Wake != nil:
-		p.cluster.process(event.Wake.Process).Wake()
+		p.cluster.process(event.Wake.Process).Resume()
 	}
 	return nil
 }
--- a/internal/lab/rollouts/release.go
+++ b/internal/lab/rollouts/release.go
@@ -51,11 +51,11 @@
 	Lateness   = 5 * time.Second
 )
 
-// Clear reports whether no fault kept the sender of a request from reading the newest state.
-type Clear func(ReceivedRequest) bool
+// FaultFree reports whether no fault kept the sender of a request from reading the newest state.
+type FaultFree func(ReceivedRequest) bool
 
-// Always is a Clear for runs without faults.
-func Always(ReceivedRequest) bool { return true }
+// AlwaysFaultFree is a FaultFree for runs without faults.
+func AlwaysFaultFree(ReceivedRequest) bool { return true }
 
 // Outcome returns the last status of the rollout and the time at which it was first read.
 func (r *Release) Outcome() (status Outcome, at time.Time) {
@@ -114,7 +114,7 @@
 
 // Exposure counts the requests at the target's leafs for which clear returns true, and the distinct requests that reached the
 // service.
-func (r *Release) Exposure(clear Clear) Exposure {
+func (r *Release) Exposure(clear FaultFree) Exposure {
 	got := r.within(r.Target)
 	reached := map[string]bool{}
 	for _, request := range append(r.within(r.Old), got...) {
@@ -133,7 +133,7 @@
 }
 
 // Late returns the requests that the target received later than Lateness after its 50th bad answer.
-func (r *Release) Late(clear Clear) []ReceivedRequest {
+func (r *Release) Late(clear FaultFree) []ReceivedRequest {
 	fiftieth, found := r.FiftiethBadAnswer()
 	if !found {
 		return nil
@@ -166,7 +166,7 @@
 
 // OutsideRollout returns the requests that the target received without a rollout in force: before its start, and later
 // than Lateness after it was rolled back, cancelled or replaced.
-func (r *Release) OutsideRollout(clear Clear) []ReceivedRequest {
+func (r *Release) OutsideRollout(clear FaultFree) []ReceivedRequest {
 	if r.Old == r.Target {
 		return nil
 	}
@@ -184,7 +184,7 @@
 
 // AtOldVersion returns the requests at the old version that were in flight or received after operators read that the
 // rollout succeeded.
-func (r *Release) AtOldVersion(clear Clear) []ReceivedRequest {
+func (r *Release) AtOldVersion(clear FaultFree) []ReceivedRequest {
 	status, at := r.Outcome()
 	if status != Succeeded || r.Old == r.Target {
 		return nil
@@ -202,7 +202,7 @@
 	return found
 }
 
-func unaffected(requests []ReceivedRequest, clear Clear) []ReceivedRequest {
+func unaffected(requests []ReceivedRequest, clear FaultFree) []ReceivedRequest {
 	var found []ReceivedRequest
 	for _, request := range requests {
 		if clear(request) {
--- a/internal/lab/rollouts/release_test.go
+++ b/internal/lab/rollouts/release_test.go
@@ -33,20 +33,20 @@
 func TestExposureCountsRequestsUntilTheDeadline(t *testing.T) {
 	is := is.New(t)
 	r := newRelease(Fault{}, []time.Duration{-time.Second, 0, time.Second, 11 * time.Second}, []time.Duration{time.Second, 5 * time.Second, 12 * time.Second})
-	is.Equal(r.Exposure(Always), Exposure{Received: 2, Reached: 4})
+	is.Equal(r.Exposure(AlwaysFaultFree), Exposure{Received: 2, Reached: 4})
 	is.Equal(r.Exposure(never), Exposure{Received: 0, Reached: 4})
 	r.Ended = r.At.Add(2 * time.Second)
-	is.Equal(r.Exposure(Always), Exposure{Received: 1, Reached: 3})
+	is.Equal(r.Exposure(AlwaysFaultFree), Exposure{Received: 1, Reached: 3})
 }
 
 func TestLateRequestsAfterTheFiftiethBadAnswer(t *testing.T) {
 	is := is.New(t)
 	after := make([]time.Duration, badAnswers, badAnswers+2)
-	is.Equal(len(newRelease(Fault{Failing: 1}, nil, append(after[1:], time.Hour)).Late(Always)), 0)
+	is.Equal(len(newRelease(Fault{Failing: 1}, nil, append(after[1:], time.Hour)).Late(AlwaysFaultFree)), 0)
 	r := newRelease(Fault{Failing: 1}, nil, append(after, Lateness, Lateness+time.Second))
-	is.Equal(len(r.Late(Always)), 1)
+	is.Equal(len(r.Late(AlwaysFaultFree)), 1)
 	is.Equal(len(r.Late(never)), 0)
-	is.Equal(len(newRelease(Fault{}, nil, append(after, Lateness, Lateness+time.Second)).Late(Always)), 0)
+	is.Equal(len(newRelease(Fault{}, nil, append(after, Lateness, Lateness+time.Second)).Late(AlwaysFaultFree)), 0)
 }
 
 // A bad version cannot be detected if it succeeds before its first bad answer.
@@ -68,19 +68,19 @@
 	r := newRelease(Fault{}, nil, []time.Duration{-time.Second, time.Second, 3*time.Second + Lateness})
 	is.Equal(len(r.OutsideRollout(never)), 1) // a request before the start counts whether or not its sender had a fault
 	r.addStatus(RolledBack, 6, 2*time.Second)
-	is.Equal(len(r.OutsideRollout(Always)), 2)
+	is.Equal(len(r.OutsideRollout(AlwaysFaultFree)), 2)
 	is.Equal(len(r.OutsideRollout(never)), 1)
 	r.Statuses = nil
 	r.Ended = r.At.Add(2 * time.Second)
-	is.Equal(len(r.OutsideRollout(Always)), 2)
+	is.Equal(len(r.OutsideRollout(AlwaysFaultFree)), 2)
 }
 
 func TestRequestsLeftAtTheOldVersion(t *testing.T) {
 	is := is.New(t)
 	r := newRelease(Fault{}, []time.Duration{time.Second, 2*time.Second - serviceTime/2, 3 * time.Second}, nil)
-	is.Equal(len(r.AtOldVersion(Always)), 0)
+	is.Equal(len(r.AtOldVersion(AlwaysFaultFree)), 0)
 	r.addStatus(Succeeded, 6, 2*time.Second)
-	is.Equal(len(r.AtOldVersion(Always)), 2)
+	is.Equal(len(r.AtOldVersion(AlwaysFaultFree)), 2)
 	is.Equal(len(r.AtOldVersion(never)), 0)
 }
 
--- a/internal/lab/soak/checks.go
+++ b/internal/lab/soak/checks.go
@@ -36,7 +36,7 @@
 func checkOnce(seen []outcome, ran map[string][]string) Result {
 	result := Result{Guarantee: "a request marked not repeatable runs at most once"}
 	for _, o := range seen {
-		if o.kind == Once {
+		if o.kind == AtMostOnce {
 			result.check(len(ran[o.id]) <= 1, "%s ran at %v", o.id, ran[o.id])
 		}
 	}
@@ -48,7 +48,7 @@
 	for _, o := range seen {
 		switch o.status {
 		case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
-			if o.kind == Once {
+			if o.kind == AtMostOnce {
 				result.check(len(ran[o.id]) == 0, "%s was answered with status %d and ran at %v", o.id, o.status, ran[o.id])
 			}
 		}
@@ -129,8 +129,8 @@
 	inSendOrder := slices.Clone(seen)
 	slices.SortFunc(inSendOrder, func(a, b outcome) int { return a.sent.Compare(b.sent) })
 	type process struct {
-		node *nodeState
-		life int
+		node          *nodeState
+		processNumber int
 	}
 	reached := map[process]versionBounds{}
 	for _, o := range inSendOrder {
@@ -142,7 +142,7 @@
 		due := e.dueAt(o.sent.Add(-configurationBound))
 		hadNoFault := !o.node.hadFault(o.sent.Add(-configurationBound), o.ended, true)
 		result.check(!hadNoFault || newest >= due, "%s at %s served with version %d or older, want %d", o.id, o.node.name, newest, due)
-		key := process{o.node, o.life}
+		key := process{o.node, o.processNumber}
 		lowest := reached[key].lowestAt(o.sent)
 		result.check(lowest <= newest, "%s at %s served with version %d or older after version %d had been in force", o.id, o.node.name, newest, lowest)
 		if oldest := e.oldestWith(e.serviceOf(leafID), lowest); oldest > lowest {
--- a/internal/lab/soak/checks_rollouts.go
+++ b/internal/lab/soak/checks_rollouts.go
@@ -8,14 +8,14 @@
 
 // checkRollouts checks every guarantee about rollouts. Guarantees with a time bound are checked only for requests for
 // which clear returns true.
-func checkRollouts(releases []rollouts.Release, clear rollouts.Clear) []Result {
+func checkRollouts(releases []rollouts.Release, clear rollouts.FaultFree) []Result {
 	return []Result{
 		checkExposure(releases, clear), checkLateRequests(releases, clear), checkOutsideRollout(releases, clear),
 		checkOutcomes(releases), checkOldLeafs(releases, clear),
 	}
 }
 
-func checkExposure(releases []rollouts.Release, clear rollouts.Clear) Result {
+func checkExposure(releases []rollouts.Release, clear rollouts.FaultFree) Result {
 	result := Result{Guarantee: "a bad version receives at most its share of the requests and the slack"}
 	for _, r := range releases {
 		if !r.Target.Fault().IsBad() {
@@ -27,7 +27,7 @@
 	return result
 }
 
-func checkLateRequests(releases []rollouts.Release, clear rollouts.Clear) Result {
+func checkLateRequests(releases []rollouts.Release, clear rollouts.FaultFree) Result {
 	result := Result{Guarantee: "a bad version receives no requests later than the bound after its 50th bad answer"}
 	for _, r := range releases {
 		if _, hadFiftyBadAnswers := r.FiftiethBadAnswer(); hadFiftyBadAnswers && !r.SucceededBeforeBadAnswer() {
@@ -38,7 +38,7 @@
 	return result
 }
 
-func checkOutsideRollout(releases []rollouts.Release, clear rollouts.Clear) Result {
+func checkOutsideRollout(releases []rollouts.Release, clear rollouts.FaultFree) Result {
 	result := Result{Guarantee: "a version outside of a rollout receives no requests"}
 	for _, r := range releases {
 		if r.Old != r.Target {
@@ -58,7 +58,7 @@
 	return result
 }
 
-func checkOldLeafs(releases []rollouts.Release, clear rollouts.Clear) Result {
+func checkOldLeafs(releases []rollouts.Release, clear rollouts.FaultFree) Result {
 	result := Result{Guarantee: "leafs of the old version have no requests in flight after a rollout succeeded"}
 	for _, r := range releases {
 		if status, _ := r.Outcome(); status != rollouts.Succeeded || r.Old == r.Target {
@@ -80,9 +80,9 @@
 	return ", first " + requests[0].ID + " at " + requests[0].Leaf
 }
 
-// clearOf returns a function that reports whether a request came from a node and over a link without a fault. Parts of a
+// faultFreeOf returns a function that reports whether a request came from a node and over a link without a fault. Parts of a
 // gathered request may come from any node.
-func (e *environment) clearOf(seen []outcome) rollouts.Clear {
+func (e *environment) faultFreeOf(seen []outcome) rollouts.FaultFree {
 	byID := map[string]outcome{}
 	for _, o := range seen {
 		byID[o.id] = o
--- a/internal/lab/soak/checks_rollouts_test.go
+++ b/internal/lab/soak/checks_rollouts_test.go
@@ -51,24 +51,24 @@
 	const late = rollouts.Lateness + 2*time.Second
 	cases := map[string]struct{ good, bad Result }{
 		"exposure": {
-			checkExposure(release(serve, after(0, rollouts.Slack)), rollouts.Always),
-			checkExposure(release(serve, after(0, rollouts.Slack+20)), rollouts.Always),
+			checkExposure(release(serve, after(0, rollouts.Slack)), rollouts.AlwaysFaultFree),
+			checkExposure(release(serve, after(0, rollouts.Slack+20)), rollouts.AlwaysFaultFree),
 		},
 		"late requests": {
-			checkLateRequests(release(serve, append(fiftyBadAnswers, after(time.Second, 1)...)), rollouts.Always),
-			checkLateRequests(release(serve, append(fiftyBadAnswers, after(late, 1)...)), rollouts.Always),
+			checkLateRequests(release(serve, append(fiftyBadAnswers, after(time.Second, 1)...)), rollouts.AlwaysFaultFree),
+			checkLateRequests(release(serve, append(fiftyBadAnswers, after(late, 1)...)), rollouts.AlwaysFaultFree),
 		},
 		"outside of a rollout": {
-			checkOutsideRollout(release(serve, after(2*time.Second, 1), rollouts.RolledBack), rollouts.Always),
-			checkOutsideRollout(release(serve, after(late, 1), rollouts.RolledBack), rollouts.Always),
+			checkOutsideRollout(release(serve, after(2*time.Second, 1), rollouts.RolledBack), rollouts.AlwaysFaultFree),
+			checkOutsideRollout(release(serve, after(late, 1), rollouts.RolledBack), rollouts.AlwaysFaultFree),
 		},
 		"outcomes": {
 			checkOutcomes(release(nil, nil, rollouts.Running, rollouts.RolledBack)),
 			checkOutcomes(release(nil, nil, rollouts.RolledBack, rollouts.Succeeded)),
 		},
 		"old leafs": {
-			checkOldLeafs(release(serve, nil, rollouts.Succeeded), rollouts.Always),
-			checkOldLeafs(release(after(2*time.Second, 1), nil, rollouts.Succeeded), rollouts.Always),
+			checkOldLeafs(release(serve, nil, rollouts.Succeeded), rollouts.AlwaysFaultFree),
+			checkOldLeafs(release(after(2*time.Second, 1), nil, rollouts.Succeeded), rollouts.AlwaysFaultFree),
 		},
 	}
 	for name, one := range cases {
@@ -103,7 +103,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			own.faultSpans, other.faultSpans, e.leafs["leaf-1"].faultSpans = one.own, one.other, one.leaf
-			clear := e.clearOf(seen)
+			clear := e.faultFreeOf(seen)
 			is.Equal(clear(rollouts.ReceivedRequest{Leaf: "leaf-1", ID: "single", At: now}), one.single)
 			is.Equal(clear(rollouts.ReceivedRequest{Leaf: "leaf-1", ID: "gathered", At: now}), one.gathered)
 			is.True(!clear(rollouts.ReceivedRequest{Leaf: "leaf-1", ID: "unknown", At: now}))
--- a/internal/lab/soak/checks_test.go
+++ b/internal/lab/soak/checks_test.go
@@ -55,7 +55,7 @@
 	half := greatest([][]byte{partBody("part0", "r")}, topRecords)
 	now := time.Now()
 	node := e.nodes[0]
-	once := outcome{id: "r", kind: Once, node: node, status: http.StatusServiceUnavailable}
+	once := outcome{id: "r", kind: AtMostOnce, node: node, status: http.StatusServiceUnavailable}
 	stopped := &nodeState{name: "stopped", stops: []time.Time{now}}
 	cases := map[string]struct {
 		good, bad Result
@@ -117,7 +117,7 @@
 // Requests that waited at a suspended node may be served with the old or the new configuration in any order. The check
 // must not report this as a revert, nor take an answer of the first service for version 3, which has that service again but
 // was not accepted yet.
-func TestCheckConfigurationAllowsAnyOrderAfterAFreeze(t *testing.T) {
+func TestCheckConfigurationAllowsAnyOrderAfterASuspension(t *testing.T) {
 	is := is.New(t)
 	e := newIdleEnvironment(t)
 	began := time.Now()
@@ -129,9 +129,9 @@
 		o.sent, o.ended = began.Add(time.Duration(sent)*time.Millisecond), began.Add(time.Duration(ended)*time.Millisecond)
 		return o
 	}
-	frozen := []outcome{served(first, 6900, 9322), served(second, 7000, 9324), served(first, 7700, 9323)}
-	is.Equal(checkConfiguration(e, append(frozen, served(second, 9400, 9430), served(first, 13500, 13530))).Broken, nil)
-	is.Equal(len(checkConfiguration(e, append(frozen, served(first, 9400, 9430))).Broken), 1) // reverted to the first version after all answers had ended
+	suspended := []outcome{served(first, 6900, 9322), served(second, 7000, 9324), served(first, 7700, 9323)}
+	is.Equal(checkConfiguration(e, append(suspended, served(second, 9400, 9430), served(first, 13500, 13530))).Broken, nil)
+	is.Equal(len(checkConfiguration(e, append(suspended, served(first, 9400, 9430))).Broken), 1) // reverted to the first version after all answers had ended
 	// The bound from an answer with version 2 applies to requests sent before the answer with version 3 ended.
 	later := []outcome{served(second, 8200, 8230), served(second, 8300, 8330), served(first, 13100, 13200), served(first, 8900, 8930)}
 	is.Equal(len(checkConfiguration(e, later).Broken), 1)
@@ -162,7 +162,7 @@
 	_ = answer.Body.Close()
 }
 
-// No answer passes a link that is silent, one-way or resetting, and a link works again once it is sound.
+// No answer passes a link that is silent, one-way or resetting, and a link works again once it is healthy.
 func TestLinkConditions(t *testing.T) {
 	is := is.New(t)
 	leaf, err := httpleaf.Start("leaf-1", platform.HTTPNames(), func(httpleaf.Request) httpleaf.Answer {
@@ -188,7 +188,7 @@
 	for _, condition := range []Condition{Silent, OneWay, Resetting} {
 		link.Set(condition)
 		is.True(get() != nil)
-		link.Set(Sound)
+		link.Set(Healthy)
 		is.NoErr(get())
 	}
 }
--- a/internal/lab/soak/crashing.go
+++ b/internal/lab/soak/crashing.go
@@ -138,7 +138,7 @@
 func (c *crasher) run(ctx context.Context) {
 	var running sync.WaitGroup
 	defer running.Wait()
-	kinds := []Kind{Gathered, Gathered, Single, Once}
+	kinds := []Kind{Gathered, Gathered, Single, AtMostOnce}
 	for number := 0; ctx.Err() == nil; number++ {
 		kind := kinds[c.random.IntN(len(kinds))]
 		span := minCrashingSpan + time.Duration(c.random.Int64N(int64(minCrashingSpan)))
--- a/internal/lab/soak/environment.go
+++ b/internal/lab/soak/environment.go
@@ -39,7 +39,7 @@
 type environment struct {
 	names    httpnames.Names
 	program  string
-	folder   string
+	dir      string
 	store    *kvstore.Store
 	server   *http.Server
 	address  string
@@ -75,8 +75,8 @@
 	until time.Time
 }
 
-func newEnvironment(program, folder string, nodes int) (*environment, error) {
-	e := &environment{names: platform.HTTPNames(), program: program, folder: folder, store: kvstore.New(0), leafs: map[string]*leafState{}}
+func newEnvironment(program, dir string, nodes int) (*environment, error) {
+	e := &environment{names: platform.HTTPNames(), program: program, dir: dir, store: kvstore.New(0), leafs: map[string]*leafState{}}
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
--- a/internal/lab/soak/environment_test.go
+++ b/internal/lab/soak/environment_test.go
@@ -29,11 +29,11 @@
 	is.True(e.checkStarted() != nil)
 }
 
-func TestWriteLogsCreatesTheFolder(t *testing.T) {
+func TestWriteLogsCreatesTheDirectory(t *testing.T) {
 	is := is.New(t)
-	folder := filepath.Join(t.TempDir(), "new")
+	dir := filepath.Join(t.TempDir(), "new")
 	e := &environment{nodes: []*nodeState{newEndedNode(t)}}
-	is.NoErr(e.writeLogs(folder))
-	_, err := os.Stat(filepath.Join(folder, "node-9.log"))
+	is.NoErr(e.writeLogs(dir))
+	_, err := os.Stat(filepath.Join(dir, "node-9.log"))
 	is.NoErr(err)
 }
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -31,7 +31,7 @@
 // order must not change.
 func faults() []fault {
 	return []fault{
-		{"node frozen", (*injector).freezeNode},
+		{"node frozen", (*injector).suspendNode},
 		{"node killed", (*injector).killNode},
 		{"node restarted", (*injector).stopNode},
 		{"node reloads its settings", (*injector).reloadNode},
@@ -117,16 +117,16 @@
 // noop is the end function of a fault that needs none or was not injected.
 func noop() {}
 
-func (i *injector) freezeNode(span time.Duration) func() {
+func (i *injector) suspendNode(span time.Duration) func() {
 	node := i.pickNode(span)
 	if !node.claim() {
 		return noop
 	}
-	node.process.Freeze()
+	node.process.Suspend()
 	return func() {
-		node.process.Wake()
+		node.process.Resume()
 		node.recordFault(recoverySlack, false)
-		node.unclaim()
+		node.release()
 	}
 }
 
@@ -163,7 +163,7 @@
 	if err := i.environment.startNode(node); err != nil {
 		i.log("FAILED to start a node: " + err.Error())
 	}
-	node.unclaim()
+	node.release()
 }
 
 func (i *injector) reloadNode(span time.Duration) func() {
@@ -172,14 +172,14 @@
 		return noop
 	}
 	node.process.Reload()
-	return node.unclaim
+	return node.release
 }
 
 func (i *injector) setStoreLink(span time.Duration, condition Condition) func() {
 	node := i.pickNode(span)
 	node.storeLink.Set(condition)
 	return func() {
-		node.storeLink.Set(Sound)
+		node.storeLink.Set(Healthy)
 		node.recordFault(recoverySlack, false)
 	}
 }
@@ -197,7 +197,7 @@
 	}
 	return func() {
 		for _, node := range i.environment.nodes {
-			node.storeLink.Set(Sound)
+			node.storeLink.Set(Healthy)
 		}
 		i.recordFaultOfAllNodes(0)
 	}
@@ -217,7 +217,7 @@
 	node := i.environment.nodes[i.random.IntN(len(i.environment.nodes))]
 	node.treeLink.Set(condition)
 	return func() {
-		node.treeLink.Set(Sound)
+		node.treeLink.Set(Healthy)
 		i.recordFaultOfAllNodes(0)
 	}
 }
@@ -264,7 +264,7 @@
 func (i *injector) setLeafLink(span time.Duration, condition Condition) func() {
 	_, state := i.pickLeaf(span)
 	state.link.Set(condition)
-	return func() { state.link.Set(Sound) }
+	return func() { state.link.Set(Healthy) }
 }
 
 func (i *injector) silenceLeaf(span time.Duration) func() { return i.setLeafLink(span, Silent) }
--- a/internal/lab/soak/leafs.go
+++ b/internal/lab/soak/leafs.go
@@ -36,8 +36,8 @@
 // receivedRequests returns all requests that the leaf received, including those of earlier processes.
 func (s *leafState) receivedRequests() []httpleaf.Request {
 	var requests []httpleaf.Request
-	for _, life := range append(slices.Clone(s.previousLeafs), s.leaf) {
-		requests = append(requests, life.Requests()...)
+	for _, server := range append(slices.Clone(s.previousLeafs), s.leaf) {
+		requests = append(requests, server.Requests()...)
 	}
 	return requests
 }
--- a/internal/lab/soak/link.go
+++ b/internal/lab/soak/link.go
@@ -12,8 +12,8 @@
 
 // The conditions of a link.
 const (
-	// Sound forwards all bytes.
-	Sound Condition = iota
+	// Healthy forwards all bytes.
+	Healthy Condition = iota
 	// Delayed forwards bytes after linkDelay.
 	Delayed
 	// Silent forwards nothing and keeps connections open.
@@ -163,7 +163,7 @@
 			if !isResponse {
 				return true
 			}
-		case Sound, Delayed:
+		case Healthy, Delayed:
 			return true
 		}
 		time.Sleep(linkInterval)
--- a/internal/lab/soak/load.go
+++ b/internal/lab/soak/load.go
@@ -22,10 +22,10 @@
 // Kinds of requests: gathered requests, repeatable and at-most-once requests to one service, and requests to the route whose
 // service the configurations switch.
 const (
-	Gathered Kind = GatheredPrefix
-	Single   Kind = SinglePrefix
-	Once     Kind = OncePrefix
-	Switched Kind = SwitchedPrefix
+	Gathered   Kind = GatheredPrefix
+	Single     Kind = SinglePrefix
+	AtMostOnce Kind = AtMostOncePrefix
+	Switched   Kind = SwitchedPrefix
 )
 
 // requestDeadline is the deadline of each request.
@@ -33,12 +33,12 @@
 
 // outcome is a request and its answer as the caller saw them.
 type outcome struct {
-	id    string
-	kind  Kind
-	node  *nodeState
-	life  int
-	sent  time.Time
-	ended time.Time
+	id            string
+	kind          Kind
+	node          *nodeState
+	processNumber int
+	sent          time.Time
+	ended         time.Time
 	// status is 0 if the caller received no complete answer.
 	status  int
 	header  http.Header
@@ -74,7 +74,7 @@
 	defer ticker.Stop()
 	var running sync.WaitGroup
 	defer running.Wait()
-	kinds := []Kind{Gathered, Gathered, Single, Once, Switched}
+	kinds := []Kind{Gathered, Gathered, Single, AtMostOnce, Switched}
 	for number := 0; ; number++ {
 		select {
 		case <-ticker.C:
@@ -109,9 +109,9 @@
 // sendTo sends a request to a path under the prefix of its kind. At-most-once requests have a body so that net/http does not
 // retry them.
 func (l *load) sendTo(id, path string, kind Kind, node *nodeState) outcome {
-	seen := outcome{id: id, kind: kind, node: node, life: node.currentLife(), sent: time.Now()}
+	seen := outcome{id: id, kind: kind, node: node, processNumber: node.currentProcessNumber(), sent: time.Now()}
 	method, body := http.MethodGet, io.Reader(nil)
-	if kind == Once {
+	if kind == AtMostOnce {
 		method, body = http.MethodPost, io.NopCloser(strings.NewReader("once"))
 	}
 	request, err := http.NewRequest(method, "http://"+node.front+string(kind)+path, body)
--- a/internal/lab/soak/node.go
+++ b/internal/lab/soak/node.go
@@ -29,7 +29,7 @@
 	// previousOutput is the newest output of the previous process.
 	previousOutput string
 	// processNumber is the number of the process; the first is 1.
-	life int
+	processNumber int
 	// cut is set while the peer link is closed to all senders.
 	cut bool
 	// isClaimed is set while a fault has exclusive use of the process.
@@ -79,7 +79,7 @@
 	if node.treeLink, err = NewLink(addresses[6]); err != nil {
 		return err
 	}
-	node.settings = filepath.Join(e.folder, node.name+".yaml")
+	node.settings = filepath.Join(e.dir, node.name+".yaml")
 	content := fmt.Sprintf(settingsText, node.name, node.zone, addresses[0], addresses[1], addresses[2], addresses[5],
 		addresses[3], addresses[4], addresses[6], node.treeLink.Address(), processorsOf(index), node.storeLink.Address(), platform.Name, e.seed(node),
 		rollouts.Share, rollouts.Slack)
@@ -132,7 +132,7 @@
 		node.previousOutput = node.process.Output()
 	}
 	node.process = started
-	node.life++
+	node.processNumber++
 	return nil
 }
 
@@ -152,8 +152,8 @@
 	return isFree
 }
 
-// unclaim ends the reservation.
-func (n *nodeState) unclaim() {
+// release ends the reservation.
+func (n *nodeState) release() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.isClaimed = false
@@ -199,11 +199,11 @@
 	return false
 }
 
-// currentLife returns the number of the node's process, the first being 1.
-func (n *nodeState) currentLife() int {
+// currentProcessNumber returns the number of the node's process, the first being 1.
+func (n *nodeState) currentProcessNumber() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.life
+	return n.processNumber
 }
 
 // stopTimes returns the times of the node's planned stops.
--- a/internal/lab/soak/random_rollouts.go
+++ b/internal/lab/soak/random_rollouts.go
@@ -61,7 +61,7 @@
 // faultsOf returns the faults that a version of a service can have. Faults of one route need a service to which several
 // routes always lead; only one service has these.
 func faultsOf(service string) []rollouts.Fault {
-	return slices.DeleteFunc(rollouts.Faults(OncePrefix), func(fault rollouts.Fault) bool {
+	return slices.DeleteFunc(rollouts.Faults(AtMostOncePrefix), func(fault rollouts.Fault) bool {
 		return fault.Prefix != "" && service != singleName
 	})
 }
--- a/internal/lab/soak/records.go
+++ b/internal/lab/soak/records.go
@@ -10,10 +10,10 @@
 // Path prefixes of the routes: a gathered route, a repeatable route and an at-most-once route to the same service, and a
 // route whose service the configurations switch.
 const (
-	GatheredPrefix = "/gathered/"
-	SinglePrefix   = "/single/"
-	OncePrefix     = "/once/"
-	SwitchedPrefix = "/switched/"
+	GatheredPrefix   = "/gathered/"
+	SinglePrefix     = "/single/"
+	AtMostOncePrefix = "/once/"
+	SwitchedPrefix   = "/switched/"
 )
 
 // States of a leaf in its record, and the store's key of the configuration.
@@ -67,7 +67,7 @@
 	}
 	gatheredRoute := route(GatheredPrefix, "safe")
 	gatheredRoute.Gather, gatheredRoute.TopK, gatheredRoute.MinCoverage = gathered, topRecords, minCoverage
-	single, once, switchedRoute := route(SinglePrefix, "safe"), route(OncePrefix, "unsafe"), route(SwitchedPrefix, "safe")
+	single, once, switchedRoute := route(SinglePrefix, "safe"), route(AtMostOncePrefix, "unsafe"), route(SwitchedPrefix, "safe")
 	single.Service, once.Service, switchedRoute.Service = singleName, singleName, switched
 	return configurationRecord{Version: version, Routes: []routeRecord{gatheredRoute, single, once, switchedRoute}, Services: []struct{}{}}
 }
--- a/internal/lab/soak/rollouts.go
+++ b/internal/lab/soak/rollouts.go
@@ -42,7 +42,7 @@
 		{"good", plan{service: singleName}, rollouts.Succeeded},
 		{"good, gathered", plan{service: gathered}, rollouts.Succeeded},
 	}
-	for _, fault := range rollouts.Faults(OncePrefix) {
+	for _, fault := range rollouts.Faults(AtMostOncePrefix) {
 		cases = append(cases, rolloutCase{fault.Name, plan{service: singleName, fault: fault}, rollouts.RolledBack})
 		if fault.Prefix == "" && fault.AtOnce == 0 {
 			cases = append(cases, rolloutCase{fault.Name + ", gathered", plan{service: gathered, fault: fault}, rollouts.RolledBack})
@@ -83,12 +83,12 @@
 	if len(cases) == 0 {
 		return 0, 0, failure.Invalid("cases", "no such case; the cases are %q", caseNames())
 	}
-	folder, err := os.MkdirTemp("", "portgauge-rollout-")
+	dir, err := os.MkdirTemp("", "portgauge-rollout-")
 	if err != nil {
 		return 0, 0, err
 	}
-	defer func() { _ = os.RemoveAll(folder) }()
-	e, err := newEnvironment(program, folder, minNodes)
+	defer func() { _ = os.RemoveAll(dir) }()
+	e, err := newEnvironment(program, dir, minNodes)
 	if err != nil {
 		return 0, 0, err
 	}
@@ -149,7 +149,7 @@
 	if !at.IsZero() {
 		took = at.Sub(r.At).Round(10 * time.Millisecond).String()
 	}
-	exposure := r.Exposure(rollouts.Always)
+	exposure := r.Exposure(rollouts.AlwaysFaultFree)
 	during := s.callers(r, r.At, end)
 	baseline := s.callers(r, s.baselineFrom, s.baselineUntil)
 	broken := s.broken(one, status, at.Sub(r.At))
@@ -159,7 +159,7 @@
 	}
 	_, _ = fmt.Fprintf(out, "%s %-34s %q after %s; %d of %d requests, bound %.0f; %s; callers: %s; baseline: %s; disallowed %d\n",
 		word, one.name, status, took, exposure.Received, exposure.Reached, exposure.Bound(), s.describeLastRequest(), during, baseline,
-		len(r.OutsideRollout(rollouts.Always))+len(r.AtOldVersion(rollouts.Always)))
+		len(r.OutsideRollout(rollouts.AlwaysFaultFree))+len(r.AtOldVersion(rollouts.AlwaysFaultFree)))
 	for _, text := range broken {
 		_, _ = fmt.Fprintln(out, "    ", text)
 	}
@@ -178,7 +178,7 @@
 	if status != "" && took > s.release.Duration {
 		broken = append(broken, fmt.Sprintf("outcome %v after the start, later than the duration of %v", took, s.release.Duration))
 	}
-	for _, result := range checkRollouts([]rollouts.Release{s.release}, rollouts.Always) {
+	for _, result := range checkRollouts([]rollouts.Release{s.release}, rollouts.AlwaysFaultFree) {
 		broken = append(broken, result.Broken...)
 	}
 	return broken
@@ -210,7 +210,7 @@
 func (s rolloutRun) callers(r rollouts.Release, from, until time.Time) callerStats {
 	kinds := []Kind{Gathered}
 	if r.Target.Service() == singleName {
-		kinds = []Kind{Single, Once, Switched}
+		kinds = []Kind{Single, AtMostOnce, Switched}
 	}
 	var c callerStats
 	var took []time.Duration
--- a/internal/lab/soak/series.go
+++ b/internal/lab/soak/series.go
@@ -78,7 +78,7 @@
 	if err := i.environment.restartLeafProcess(id, state); err != nil {
 		i.log("FAILED to restart a leaf: " + err.Error())
 	}
-	state.link.Set(Sound)
+	state.link.Set(Healthy)
 	return noop
 }
 
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -86,12 +86,12 @@
 // Run runs a soak over nodes of the program at the given path and returns a result for each guarantee. It writes the
 // events to out.
 func Run(ctx context.Context, program string, cfg Config, out io.Writer) ([]Result, error) {
-	folder, err := os.MkdirTemp("", "portgauge-soak-")
+	dir, err := os.MkdirTemp("", "portgauge-soak-")
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = os.RemoveAll(folder) }()
-	e, err := newEnvironment(program, folder, cfg.Nodes)
+	defer func() { _ = os.RemoveAll(dir) }()
+	e, err := newEnvironment(program, dir, cfg.Nodes)
 	if err != nil {
 		return nil, err
 	}
@@ -177,13 +177,13 @@
 // checkAll checks all guarantees, and writes the records of the soak if a guarantee was broken or KeepAll is set.
 func (s *session) checkAll(recovered time.Time) ([]Result, error) {
 	seen := s.callers.all()
-	results := append(checkAll(s.environment, seen, recovered), checkRollouts(s.operators.allReleases(), s.environment.clearOf(seen))...)
+	results := append(checkAll(s.environment, seen, recovered), checkRollouts(s.operators.allReleases(), s.environment.faultFreeOf(seen))...)
 	if s.cfg.Logs == "" || !s.cfg.KeepAll && !hasBroken(results) {
 		return results, nil
 	}
-	folder := filepath.Join(s.cfg.Logs, fmt.Sprintf("seed-%d-%s", s.cfg.Seed, s.began.UTC().Format("150405")))
-	_, _ = fmt.Fprintf(s.out, "writing the logs to %s\n", folder)
-	return results, s.environment.writeRun(folder, s.events.String(), s.began, seen)
+	dir := filepath.Join(s.cfg.Logs, fmt.Sprintf("seed-%d-%s", s.cfg.Seed, s.began.UTC().Format("150405")))
+	_, _ = fmt.Fprintf(s.out, "writing the logs to %s\n", dir)
+	return results, s.environment.writeRun(dir, s.events.String(), s.began, seen)
 }
 
 // eventLog stores the events of a soak. It is safe for concurrent use. The zero value is empty.
