--- a/internal/failure/checks.go
+++ b/internal/failure/checks.go
@@ -4,27 +4,27 @@
 
 // Checks collects the failures of several fields, so that one error names every invalid field.
 type Checks struct {
-	faults []error
+	failures []error
 }
 
 // Refuse records an InvalidField failure if the condition is true.
 func (c *Checks) Refuse(condition bool, field, format string, arguments ...any) {
 	if condition {
-		c.faults = append(c.faults, Invalid(field, format, arguments...))
+		c.failures = append(c.failures, Invalid(field, format, arguments...))
 	}
 }
 
 // Add records the failures of a nested struct. The prefix and a dot precede the names of its fields.
 func (c *Checks) Add(prefix string, err error) {
-	for _, fault := range Faults(err) {
-		nested := *fault
-		nested.Field = prefix + "." + fault.Field
-		c.faults = append(c.faults, &nested)
+	for _, one := range Faults(err) {
+		nested := *one
+		nested.Field = prefix + "." + one.Field
+		c.failures = append(c.failures, &nested)
 	}
 }
 
 // Err returns the recorded failures as one joined error, or nil if there are none.
-func (c *Checks) Err() error { return errors.Join(c.faults...) }
+func (c *Checks) Err() error { return errors.Join(c.failures...) }
 
 // joined is implemented by the errors that errors.Join returns.
 type joined interface{ Unwrap() []error }
@@ -35,11 +35,11 @@
 		return nil
 	}
 	if many, isJoined := err.(joined); isJoined {
-		var faults []*Failure
+		var failures []*Failure
 		for _, part := range many.Unwrap() {
-			faults = append(faults, Faults(part)...)
+			failures = append(failures, Faults(part)...)
 		}
-		return faults
+		return failures
 	}
 	return []*Failure{From(err)}
 }
