--- a/internal/operator/admin/admin.go
+++ b/internal/operator/admin/admin.go
@@ -210,9 +210,9 @@
 
 // joinFailures returns the first failure of an error, with the other failures added to its message.
 func joinFailures(err error) error {
-	faults := failure.Faults(err)
-	first := *faults[0]
-	for _, other := range faults[1:] {
+	failures := failure.Faults(err)
+	first := *failures[0]
+	for _, other := range failures[1:] {
 		first.Message += "; " + other.Field + ": " + other.Message
 	}
 	return &first
--- a/internal/operator/admin/rollouts.go
+++ b/internal/operator/admin/rollouts.go
@@ -55,7 +55,7 @@
 	view := a.catalog.View()
 	stored, found := view.Rollouts[request.GetService()]
 	if !found {
-		return nil, failure.New(failure.UnknownService, failure.NotRun, "service %q never had a rollout", request.GetService())
+		return nil, failure.New(failure.UnknownService, failure.NotRun, "this node has no rollout of service %q", request.GetService())
 	}
 	return &adminv1.GetRolloutResponse{
 		Rollout: rolloutMessage(view, request.GetService(), stored), ConfigAgeMillis: a.catalog.Age().Milliseconds(),
