--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -130,7 +130,7 @@
 		return err
 	}
 	c.stopLeaf(1)
-	return c.search(ctx, "leaf-2 has stopped, too; shards with replicas on these two leafs only are missing:")
+	return c.search(ctx, "leaf-2 has stopped, too; shards whose replicas were all on these two leafs are missing:")
 }
 
 func (c *cluster) stopLeaf(number int) {
--- a/internal/lab/replay/checks.go
+++ b/internal/lab/replay/checks.go
@@ -242,7 +242,7 @@
 	return result{wrong == 0 && unsettled == 0 && minimumMet, fmt.Sprintf("%d accepted, %d refused, %d with unknown outcome, %d reported wrongly, %d sent more than once", accepted, refused, unsettled, wrong, resent)}
 }
 
-// checkSnapshotCurrent finds attempts at a snapshot that was replaced more than the bound earlier.
+// checkSnapshotCurrent finds attempts that used a snapshot that was replaced more than the bound earlier.
 func checkSnapshotCurrent(rec *recording, outcome Outcome) result {
 	bound := time.Duration(outcome.WithinMS) * time.Millisecond
 	history := publicationsOf(rec, outcome.Service)
@@ -258,7 +258,7 @@
 			stale++
 		}
 	}
-	return result{stale == 0 && len(history.publications) > 0, fmt.Sprintf("%d of %d attempts at a snapshot that was replaced more than %d ms earlier, longest %d ms", stale, len(rec.executions), outcome.WithinMS, slowest.Milliseconds())}
+	return result{stale == 0 && len(history.publications) > 0, fmt.Sprintf("%d of %d attempts at all services used a snapshot that was replaced more than %d ms earlier, longest %d ms", stale, len(rec.executions), outcome.WithinMS, slowest.Milliseconds())}
 }
 
 func checkCompleteShare(rec *recording, outcome Outcome) result {
