--- a/internal/lab/replay/snapshots.go
+++ b/internal/lab/replay/snapshots.go
@@ -34,8 +34,8 @@
 	return found
 }
 
-// staleness returns the time from the replacement of an execution's snapshot to the execution, or 0 if the snapshot was current
-// or was not published.
+// staleness returns the time from the replacement of an execution's snapshot to the execution, or 0 if the snapshot was
+// current or was not published.
 func (h publicationHistory) staleness(execution leaf.Execution) time.Duration {
 	at := time.UnixMicro(execution.At)
 	replacedAt := time.Time{}
--- a/internal/lab/soak/operator.go
+++ b/internal/lab/soak/operator.go
@@ -200,8 +200,8 @@
 }
 
 // conclude does what operators do after a rollout: it stops the old leafs at once if the rollout succeeded, and otherwise
-// drains the new leafs after drainDelay. It cancels a rollout without an outcome. After a drain, it returns once the leafs' records
-// have been removed. It does nothing if the target was already serving.
+// drains the new leafs after drainDelay. It cancels a rollout without an outcome. After a drain, it returns once the
+// leafs' records have been removed. It does nothing if the target was already serving.
 func (o *operator) conclude(ctx context.Context, number int) {
 	release := o.allReleases()[number]
 	o.readStatus(release.Target.Service())
@@ -221,8 +221,7 @@
 	wait.For(ctx, drainDelay+drainTime)
 }
 
-// drainLater drains the new leafs of a rollout after drainDelay, and removes their records after another
-// drainTime.
+// drainLater drains the new leafs of a rollout after drainDelay, and removes their records after another drainTime.
 func (o *operator) drainLater(number int) {
 	target := o.allReleases()[number].Target
 	time.AfterFunc(drainDelay, func() { o.environment.drain(target) })
