--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -51,7 +51,7 @@
 	done    chan struct{}
 }
 
-// Run starts a cluster, searches before and after each stop of two leafs, and stops the node.
+// Run starts a cluster, searches, stops two leafs one after the other with a search after each, and stops the node.
 func Run(output io.Writer) error {
 	ctx, cancel := context.WithTimeout(context.Background(), demoTimeout)
 	defer cancel()
@@ -130,7 +130,7 @@
 		return err
 	}
 	c.stopLeaf(1)
-	return c.search(ctx, "leaf-2 has stopped, too; shards with replicas on these two leafs only are missing:")
+	return c.search(ctx, "leaf-2 has stopped, too; shards whose replicas were all on these two leafs are missing:")
 }
 
 func (c *cluster) stopLeaf(number int) {
--- a/internal/lab/soak/leafs.go
+++ b/internal/lab/soak/leafs.go
@@ -21,7 +21,7 @@
 	zone    string
 	// leavingAt is the time at which its record became draining or was removed, or zero.
 	leavingAt time.Time
-	// faultSpans are the spans in which its link had a fault.
+	// faultSpans are the spans in which the leaf or its link had a fault.
 	faultSpans []faultSpan
 	// hasCrashed is set once a crashing request has crashed it.
 	hasCrashed bool
@@ -36,8 +36,8 @@
 // receivedRequests returns all requests that the leaf received, including those of earlier processes.
 func (s *leafState) receivedRequests() []httpleaf.Request {
 	var requests []httpleaf.Request
-	for _, life := range append(slices.Clone(s.previousLeafs), s.leaf) {
-		requests = append(requests, life.Requests()...)
+	for _, server := range append(slices.Clone(s.previousLeafs), s.leaf) {
+		requests = append(requests, server.Requests()...)
 	}
 	return requests
 }
--- a/internal/operator/admin/rollouts.go
+++ b/internal/operator/admin/rollouts.go
@@ -17,7 +17,7 @@
 func (a *Admin) StartRollout(ctx context.Context, request *adminv1.StartRolloutRequest) (*adminv1.StartRolloutResponse, error) {
 	spec := rollout.Spec{Service: request.GetService(), Target: request.GetTarget(), DurationMillis: request.GetDurationMillis()}
 	if err := spec.Validate(); err != nil {
-		return nil, joinFaults(err)
+		return nil, joinFailures(err)
 	}
 	document, err := json.Marshal(spec)
 	if err != nil {
@@ -55,7 +55,7 @@
 	view := a.catalog.View()
 	stored, found := view.Rollouts[request.GetService()]
 	if !found {
-		return nil, failure.New(failure.UnknownService, failure.NotRun, "service %q never had a rollout", request.GetService())
+		return nil, failure.New(failure.UnknownService, failure.NotRun, "this node has no rollout of service %q", request.GetService())
 	}
 	return &adminv1.GetRolloutResponse{
 		Rollout: rolloutMessage(view, request.GetService(), stored), ConfigAgeMillis: a.catalog.Age().Milliseconds(),
@@ -80,8 +80,8 @@
 	rollout.PhaseRolledBack: adminv1.RolloutPhase_ROLLOUT_PHASE_ROLLED_BACK,
 }
 
-// rolloutMessage returns a rollout as an RPC message. If the state belongs to a replaced spec, the message has only its
-// revision.
+// rolloutMessage returns a rollout as an RPC message. If the state belongs to a replaced spec, only the state's revision
+// is taken from it.
 func rolloutMessage(view *catalog.View, service string, stored catalog.Rollout) *adminv1.Rollout {
 	message := &adminv1.Rollout{Service: service, Serving: view.Leafs.Rule(service).Serving}
 	if spec := stored.Spec; spec != nil {
