--- a/internal/operator/admin/admin.go
+++ b/internal/operator/admin/admin.go
@@ -3,7 +3,7 @@
 //
 // An Admin keeps no state and starts no goroutines. It reads the catalog, which may lag behind the store, and writes
 // through a configwriter.Writer. Errors have one of these codes of package failure: InvalidField, the Unknown codes,
-// RevisionConflict, StoreUnavailable and OutcomeUnknown.
+// RevisionConflict, StoreUnavailable, OutcomeUnknown and Internal.
 package admin
 
 import (
@@ -40,7 +40,7 @@
 		FillDefaults(spec)
 	}
 	if err := ValidateSpec(spec); err != nil {
-		return nil, joinFaults(err)
+		return nil, joinFailures(err)
 	}
 	if err := a.checkReplicasRemain(spec); err != nil {
 		return nil, err
@@ -173,8 +173,8 @@
 	return response
 }
 
-// ListSnapshots returns the current snapshot of a service, or of all services if the name is empty, sorted by service. It
-// returns the snapshots in force on this node.
+// ListSnapshots returns the current snapshots in force on this node, sorted by service: of one service, or of all if the
+// name is empty.
 func (a *Admin) ListSnapshots(service string) (*adminv1.ListSnapshotsResponse, error) {
 	response := &adminv1.ListSnapshotsResponse{}
 	for name, current := range a.catalog.View().Services {
@@ -208,11 +208,11 @@
 	return given, nil
 }
 
-// joinFaults returns the first fault of an error, with the other faults added to its message.
-func joinFaults(err error) error {
-	faults := failure.Faults(err)
-	first := *faults[0]
-	for _, other := range faults[1:] {
+// joinFailures returns the first failure of an error, with the other failures added to its message.
+func joinFailures(err error) error {
+	failures := failure.Faults(err)
+	first := *failures[0]
+	for _, other := range failures[1:] {
 		first.Message += "; " + other.Field + ": " + other.Message
 	}
 	return &first
